--- /dev/null
+++ b/internal/peer/complete_test.go
@@ -0,0 +1,159 @@
+package peer
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/replica"
+	"github.com/zinclb/zinclb/internal/core/upgrade"
+	"github.com/zinclb/zinclb/internal/core/vouch"
+)
+
+// completeNews has each field set.
+func completeNews() core.PeerNews {
+	return core.PeerNews{
+		Token: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01", "job-02"},
+		Vouch:   &vouch.Page{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
+		Ack:     &vouch.Ack{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
+		Version: 6, Features: []upgrade.Name{upgrade.Log, upgrade.Reach}, Lowered: true,
+		Reach:    &reach.Value{Boot: "b3", Workers: map[string]int{"zone-a": 7}, Peers: []string{"node-0", "node-2"}, Cloud: true, Flaps: true},
+		Machines: []reach.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "zone-a"}, {Name: "host-000002", Addr: "10.1.0.2:9000", Zone: "zone-b"}},
+	}
+}
+
+// completeSpec has each field set.
+func completeSpec() *ledger.Spec {
+	return &ledger.Spec{
+		ID: "job-01", Class: "class-1", Team: "team-1", Kind: "batch", Priority: 4, Tasks: 5,
+		Need: ledger.Vec{CPU: 1000, GPU: 2, Mem: 3000}, Types: []string{"big", "small"}, Zone: "zone-a", OneZone: true, Spread: true, Spot: true,
+		Image: "image-1", ImageMB: 700, Estimate: 8_000_000, Checkpoint: 9_000_000, Save: 1_000_000, Deadline: 11_000_000,
+		Awaits: []string{"job-00", "job-0"}, Sweep: "sweep-1", Run: 12,
+	}
+}
+
+// completeMessages are all calls and answers between controllers with each field
+// set, and with those pointers whose presence alone says something.
+func completeMessages() map[string]any {
+	news := completeNews()
+	return map[string]any{
+		"PingArgs": &PingArgs{
+			From: "node-1", Need: true, Boot: "b1",
+			Ask:  &vouch.Question{Boot: "b2", Upto: 3, Applied: 9},
+			Tell: &vouch.Page{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}, More: true, Whole: true},
+		},
+		"PingArgs with nothing in its pointers":  &PingArgs{From: "node-1", Ask: &vouch.Question{}, Tell: &vouch.Page{}},
+		"PingReply":                              &PingReply{Name: "node-1", News: news},
+		"PingReply with nothing in its pointers": &PingReply{Name: "node-1", News: core.PeerNews{Vouch: &vouch.Page{}, Ack: &vouch.Ack{}, Reach: &reach.Value{}}},
+		"PingReply with an empty map":            &PingReply{Name: "node-1", News: core.PeerNews{Reach: &reach.Value{Workers: map[string]int{}}}},
+		"BeatArgs": &BeatArgs{
+			From: "node-1", Onward: true,
+			Report: core.Report{
+				Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "zone-a", Spot: true, Session: 2, Seq: 9, Token: 3, Notice: -1,
+				Tasks: []core.TaskReport{{Name: "job-01/0", Attempt: 2, State: "exited", Why: "done", Saved: true}, {Name: "job-01/1", Attempt: 3, State: "running"}},
+			},
+		},
+		"AskArgs submit":        asked(core.Submit{Req: 1, Handed: true, Spec: completeSpec(), Invalid: "why"}),
+		"AskArgs status":        asked(core.Status{Req: 2, Handed: true, ID: "job-01"}),
+		"AskArgs cancel":        asked(core.Cancel{Req: 3, Handed: true, ID: "job-01"}),
+		"AskArgs cloud types":   asked(core.CloudFor{Req: 4, Token: 3, Call: core.CloudCall{Types: true}}),
+		"AskArgs cloud list":    asked(core.CloudFor{Req: 5, Token: 3, Call: core.CloudCall{List: true, Gap: 7}}),
+		"AskArgs cloud rent":    asked(core.CloudFor{Req: 6, Token: 3, Call: core.CloudCall{Rent: &core.Rent{Name: "rent-1", Type: "big", Zone: "zone-a", Spot: true, Count: 2, Until: 8, Token: 3}}}),
+		"AskArgs cloud release": asked(core.CloudFor{Req: 7, Token: 3, Call: core.CloudCall{Release: []string{"host-000001", "host-000002"}}}),
+		"AskArgs view":          asked(core.ViewFor{Req: 8, After: 7, Need: 2}),
+		"AskArgs sweep":         asked(core.HandedSweep{ID: "sweep-1", Stored: "plan", Invalid: "why"}),
+		"AskArgs sweep status":  asked(core.SweepStatus{Req: 9, ID: "sweep-1", Handed: true}),
+		"AskArgs sweep runs":    asked(core.SweepRuns{Req: 10, ID: "sweep-1", After: 1, Most: 2, Handed: true}),
+		"AskArgs cancel sweep":  asked(core.CancelSweep{Req: 11, ID: "sweep-1", Handed: true}),
+		"AskArgs empty":         &AskArgs{},
+		"AskArgs with nothing in its pointers": &AskArgs{
+			Submit: &core.Submit{}, Status: &core.Status{}, Cancel: &core.Cancel{}, Cloud: &core.CloudFor{Call: core.CloudCall{Rent: &core.Rent{}}}, View: &core.ViewFor{},
+			Sweep: &core.HandedSweep{}, SweepStatus: &core.SweepStatus{}, SweepRuns: &core.SweepRuns{}, CancelSweep: &core.CancelSweep{},
+		},
+		"Reply orders": &core.Reply{Req: 1, Status: 200, Token: 3, Orders: []core.Order{{Op: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Op: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
+		"Reply job":    &core.Reply{Req: 2, Status: 200, Job: &core.JobState{ID: "job-01", State: "running", Done: 2, Running: 3}},
+		"Reply sweep":  &core.Reply{Req: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Withdrawn: 4}},
+		"Reply runs": &core.Reply{Req: 4, Status: 200, Runs: &core.SweepPage{
+			Runs: []core.SweepRun{{Number: 1, ID: "job-01", State: "done", Values: json.RawMessage(`{"a":1}`), Sets: []int{2, 3}}, {Number: 2, ID: "job-02", State: "waiting"}}, Next: 5,
+		}},
+		"Reply news":          &core.Reply{Req: 5, Status: 200, News: &news},
+		"Reply cloud types":   &core.Reply{Req: 6, Status: 200, Cloud: &core.CloudAnswer{Status: 200, Types: []fleet.Type{{Name: "big", Cap: ledger.Vec{CPU: 1, GPU: 2, Mem: 3}, FetchRate: 4, CacheMB: 5, Price: 6.5, SpotPrice: 7.5, Boot: 8, Zones: []string{"zone-a"}}}}},
+		"Reply cloud list":    &core.Reply{Req: 7, Status: 200, Cloud: &core.CloudAnswer{Status: 200, List: []core.Listing{{Name: "host-000002", Addr: "10.1.0.2:9000", Type: "big", Zone: "zone-a", Status: "running", Spot: true, Age: 5}}}},
+		"Reply cloud rent":    &core.Reply{Req: 8, Status: 200, Cloud: &core.CloudAnswer{Status: 202, Names: []string{"host-000002"}}},
+		"Reply cloud release": &core.Reply{Req: 9, Status: 200, Cloud: &core.CloudAnswer{Status: 200}},
+		"Reply gone":          &core.Reply{Req: 10, Status: 200, Gone: &core.GoneState{Name: "host-000001", Gone: true}},
+		"Reply view": &core.Reply{Req: 11, Status: 200, View: &replica.View{
+			Ledger: 9, Granted: 2,
+			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Stamp: 8}, {Key: "zinclb/job/b", Stamp: 9, Removed: true}},
+		}},
+		"Reply refused":     &core.Reply{Req: 12, Status: 503, Retry: 2, Error: "why"},
+		"Reply misdirected": &core.Reply{Req: 13, Status: 421, Token: 3, Leader: "node-0"},
+		"Reply empty":       &core.Reply{},
+		"Reply with nothing in its pointers": &core.Reply{
+			Job: &core.JobState{}, Sweep: &core.SweepState{}, Runs: &core.SweepPage{}, News: &core.PeerNews{}, Cloud: &core.CloudAnswer{}, Gone: &core.GoneState{}, View: &replica.View{},
+		},
+	}
+}
+
+// neverSent are the fields that no message between controllers has: an operator's
+// view is no request that is handed on, so no peer answers with it.
+var neverSent = map[string]bool{"Reply.Ops": true}
+
+// TestComplete has each field at each depth set in one of the complete messages.
+func TestComplete(t *testing.T) {
+	set := map[string]bool{}
+	for _, message := range completeMessages() {
+		v := reflect.ValueOf(message).Elem()
+		fieldsSet(v.Type().Name(), v, set)
+	}
+	for _, root := range []any{PingArgs{}, PingReply{}, BeatArgs{}, AskArgs{}, core.Reply{}} {
+		fields := map[string]bool{}
+		fieldsOf(reflect.TypeOf(root).Name(), reflect.TypeOf(root), fields)
+		for field := range fields {
+			if !set[field] {
+				t.Errorf("%s is set in no message", field)
+			}
+		}
+	}
+}
+
+// fieldsSet adds the paths of the fields of a value that are not zero.
+func fieldsSet(path string, v reflect.Value, set map[string]bool) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			fieldsSet(path, v.Elem(), set)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			fieldsSet(path, v.Index(i), set)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := path + "." + v.Type().Field(i).Name; !v.Field(i).IsZero() {
+				set[field] = true
+				fieldsSet(field, v.Field(i), set)
+			}
+		}
+	}
+}
+
+// fieldsOf adds the paths of all fields of a type that are sent.
+func fieldsOf(path string, t reflect.Type, fields map[string]bool) {
+	switch t.Kind() {
+	case reflect.Pointer, reflect.Slice:
+		fieldsOf(path, t.Elem(), fields)
+	case reflect.Struct:
+		for i := range t.NumField() {
+			field := path + "." + t.Field(i).Name
+			if t.Field(i).IsExported() && !neverSent[field] {
+				fields[field] = true
+				fieldsOf(field, t.Field(i).Type, fields)
+			}
+		}
+	}
+}
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -77,7 +77,7 @@
 // TestRecorded reads messages as earlier programs and this one wrote them: a field
 // that was renamed, or means something else, shows here.
 func TestRecorded(t *testing.T) {
-	for file, messages := range map[string]map[string]any{"version4": messages4(), "vouch": messagesVouch(), "shared": messagesShared()} {
+	for file, messages := range map[string]map[string]any{"version4": messages4(), "vouch": messagesVouch(), "shared": messagesShared(), "wire_63ef244": completeMessages()} {
 		t.Run(file, func(t *testing.T) { recorded(t, "testdata/"+file+".json", messages) })
 	}
 }
