--- /dev/null
+++ b/internal/cloud/recorded_test.go
@@ -0,0 +1,87 @@
+package cloud
+
+import (
+	"errors"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/golden"
+	"github.com/zinclb/zinclb/internal/httpwire"
+)
+
+// answered is an answer with a body.
+func answered(status int, body string) httpwire.Response {
+	return httpwire.Response{Status: status, Body: []byte(body)}
+}
+
+const (
+	wholeType    = `{"label":"g8","vcpus":96.5,"gpus":8,"mem_gb":768.25,"local_gb":900.5,"fetch_gb_per_s":1.25,"price":32.5,"market_price":12.5,"boot_s":90.5,"paddocks":["a","b"]}`
+	wholeListing = `{"name_id":"host-1","endpoint":"10.1.0.1:9000","breed":"g8","paddock":"a","borrowed":true,"status":"up","held_s":61.5}`
+)
+
+// TestRecorded compares the requests of every call with their recorded form, and
+// what each answer is read as.
+func TestRecorded(t *testing.T) {
+	service := golden.NewService(t)
+	client := New(service.Addr)
+	defer client.http.Close()
+	rent := core.Rent{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 3, Until: 99, Token: 7}
+	types := func() any { return client.Types() }
+	list := func() any { return client.List(time.Microsecond) }
+	renting := func() any { return client.Rent(rent) }
+	release := func() any { return client.Release([]string{"host-1", "host-2"}) }
+	listing := core.Listing{Name: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Status: "up", Spot: true, Age: 61_500_000}
+	for _, tc := range []struct {
+		name    string
+		call    func() any
+		answers []httpwire.Response
+		want    any
+	}{
+		{"types", types, []httpwire.Response{answered(200, `{"breeds":[`+wholeType+`]}`)}, core.Types{Types: []fleet.Type{{Name: "g8", Cap: ledger.Vec{CPU: 96500, GPU: 8000, Mem: 768250},
+			FetchRate: 1250, CacheMB: 900500, Price: 32.5, SpotPrice: 12.5, Boot: 90_500_000, Zones: []string{"a", "b"}}}}},
+		{"types, refused", types, []httpwire.Response{answered(503, `{"error":"busy"}`)}, core.Types{Err: statusError{503, `{"error":"busy"}`}}},
+		{"list, two pages", list, []httpwire.Response{answered(200, `{"stokers":[`+wholeListing+`,{"name_id":"host 2&3"}],"truncated":true}`), answered(200, `{"stokers":[{"name_id":"host-4","status":"booting"}],"truncated":false}`)},
+			core.Machines{List: []core.Listing{listing, {Name: "host 2&3"}, {Name: "host-4", Status: "booting"}}}},
+		{"list, nothing", list, []httpwire.Response{answered(200, `{"stokers":[]}`)}, core.Machines{}},
+		{"list, refused", list, []httpwire.Response{answered(429, `{}`)}, core.Machines{Err: statusError{429, `{}`}}},
+		{"rent", renting, []httpwire.Response{answered(200, `{"stokers":["host-1","host-2"]}`)}, core.Rented{Rent: rent, Names: []string{"host-1", "host-2"}, Status: 200}},
+		{"rent, refused", renting, []httpwire.Response{answered(409, `{"error":"none left"}`)}, core.Rented{Rent: rent, Status: 409}},
+		{"rent, unreadable", renting, []httpwire.Response{answered(200, `{`)}, core.Rented{Rent: rent}},
+		{"release", release, []httpwire.Response{answered(200, `{}`)}, core.Released{Names: []string{"host-1", "host-2"}, OK: true}},
+		{"release, refused", release, []httpwire.Response{answered(429, `{}`)}, core.Released{Names: []string{"host-1", "host-2"}}},
+	} {
+		service.Note("%s:", tc.name)
+		service.Answer(tc.answers...)
+		if got := tc.call(); !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("%s: read as %+v, want %+v", tc.name, got, tc.want)
+		}
+	}
+	golden.Compare(t, "testdata/requests.txt", service.Requests())
+}
+
+// TestRecordedFaults has what is said of a refusal and of an answer that can't be
+// read.
+func TestRecordedFaults(t *testing.T) {
+	service := golden.NewService(t)
+	client := New(service.Addr)
+	defer client.http.Close()
+	for _, tc := range []struct {
+		answer  httpwire.Response
+		want    string
+		refused bool
+	}{
+		{answered(503, `{"error":"busy"}`), `cloud answered 503: {"error":"busy"}`, true},
+		{answered(200, `{`), "cloud: unexpected end of JSON input", false},
+	} {
+		service.Answer(tc.answer)
+		err := client.Types().Err
+		var refused interface{ Refused() bool }
+		if err == nil || err.Error() != tc.want || errors.As(err, &refused) != tc.refused {
+			t.Errorf("%d: %v, want %s", tc.answer.Status, err, tc.want)
+		}
+	}
+}
