--- /dev/null
+++ b/internal/core/stored_test.go
@@ -0,0 +1,354 @@
+package core
+
+import (
+	"bytes"
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/upgrade"
+	"github.com/zinclb/zinclb/internal/golden"
+)
+
+// storedFile has the values that commit 63ef244 stores.
+const storedFile = "testdata/stored_63ef244.json"
+
+type storedRow struct {
+	Key   string          `json:"key"`
+	Value json.RawMessage `json:"value"`
+}
+
+// fullSpec is a job with every field.
+func fullSpec(id string, kind ledger.Kind, priority int) *ledger.Spec {
+	return &ledger.Spec{ID: id, Class: "train", Team: "t", Kind: kind, Priority: priority, Tasks: 300, Need: ledger.Vec{CPU: 1500, GPU: 2000, Mem: 4250},
+		Types: []string{"big", "small"}, Zone: "a", OneZone: true, Spread: true, Spot: true, Image: "img/a<b>&c", ImageMB: 2048, Estimate: 90 * second,
+		Checkpoint: 30 * second, Save: 2 * second, Deadline: 600 * second, Awaits: []string{"j-0", "j-1"}, Sweep: "s", Run: 7}
+}
+
+func storedSets() (few, many *roaring.Bitmap) {
+	few, many = roaring.BitmapOf(1, 3, 17), roaring.New()
+	many.AddRange(20, 9000)
+	return few, many
+}
+
+// storedValues are values of plain structures under their keys: all kinds, each field
+// of each in at least one of them.
+func storedValues() map[string]any {
+	few, many := storedSets()
+	long := fullSpec("j-brief", ledger.Service, ledger.Production)
+	long.Image = strings.Repeat("x", 900)
+	var brief ledger.Record
+	if err := json.Unmarshal((ledger.Record{Spec: long, Arrival: 6, Over: ledger.Cancelled, Submitted: 1_700_000_000_000_006}).Value(800), &brief); err != nil {
+		panic(err) // it was encoded just now
+	}
+	values := map[string]any{
+		jobPrefix + "j-least": ledger.Record{Spec: &ledger.Spec{ID: "j-least", Class: "c", Team: "t", Kind: ledger.Array, Tasks: 300, Need: ledger.Vec{CPU: 1}}},
+		jobPrefix + "j-full":  ledger.Record{Spec: fullSpec("j-full", ledger.Array, ledger.Idle), Arrival: 3, Submitted: 1_700_000_000_000_003},
+		jobPrefix + "j-done":  ledger.Record{Spec: fullSpec("j-done", ledger.Gang, ledger.Normal), Arrival: 4, Over: ledger.Done, Submitted: 1_700_000_000_000_004},
+		jobPrefix + "j-ended": ledger.Record{Spec: fullSpec("j-ended", ledger.Service, ledger.Urgent), Arrival: 5, Over: ledger.Cancelled, Submitted: 1_700_000_000_000_005},
+		jobPrefix + "j-brief": brief,
+		endPrefix + "e-first": ledger.End{Outcome: ledger.Done, Tasks: 3},
+		endPrefix + "e-done":  ledger.End{Outcome: ledger.Done, Tasks: 3, At: 1_700_000_000_000_001},
+		endPrefix + "e-ended": ledger.End{Outcome: ledger.Cancelled, Tasks: 4, At: 1_700_000_000_000_002},
+		LeaderKey:             leaderValue{Name: "n1", Boot: "b1", Token: 5, Lease: 9},
+		tokenKey:              tokenValue{Token: 5},
+		typesKey: []fleet.Type{
+			{Name: "big", Cap: ledger.Vec{CPU: 64000, GPU: 8000, Mem: 256000}, FetchRate: 500, CacheMB: 50000, Price: 12.5, SpotPrice: 4.25, Boot: 30 * second, Zones: []string{"a", "b"}},
+			{Name: "small"},
+		},
+		typesKey + "/1":     []fleet.Type{{Name: "small", Cap: ledger.Vec{CPU: 8000, Mem: 32000}, FetchRate: 250, CacheMB: 10000, Price: 1, SpotPrice: 0.5, Boot: 8 * second, Zones: []string{"a"}}},
+		boundsKey:           fleet.Bounds{Cuts: []uint32{1 << 30, 1<<32 - 1}, Holders: []string{"n0", "n1"}, Term: 10 * second, Token: 5, Seq: 77},
+		hintsKey + "/0":     hints{Of: 2, Images: []hintImage{{Name: "img", MB: 512}, {Name: "other", MB: 1}}, Machines: map[string]uint64{"host-000001": 3, "host-000002": 1 << 62}, Sources: []*ledger.Spec{fullSpec("j-source", ledger.Gang, ledger.Urgent)}},
+		hintsKey + "/1":     hints{Of: 2},
+		formatKey:           formatValue{Version: 3, Tasks: 64},
+		memberPrefix + "n1": upgrade.Word{Format: 3, Boot: "b1", Program: 5, Oldest: 1, Features: []upgrade.Name{upgrade.Log, upgrade.Sweeps}, Held: []upgrade.Name{upgrade.Reach, upgrade.SharedReads}},
+		memberPrefix + "n2": upgrade.Word{Format: 2, Boot: "b2"},
+		featuresKey:         featuresValue{On: []upgrade.Stored{{Name: "alien", Needed: false}, {Name: upgrade.Reach}, {Name: upgrade.SharedReads, Needed: true}}},
+		gonePrefix + "n3":   goneValue{At: 1_700_000_000_000_007},
+		reachPrefix + "n1":  reach.Value{Boot: "b1", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"n0", "n2"}, Cloud: true, Flaps: true},
+		reachPrefix + "n2":  reach.Value{},
+
+		sweepPrefix + "s":               sweepHead{Runs: 9000, Parts: 2, Pending: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
+		sweepPrefix + "s/0":             "KLUv/QQAaQAAaWQ6ICJzIg",
+		sweepPrefix + "s/1":             "second/part+",
+		sweepAtPrefix + "s":             sweepAt{Next: 9000, Open: packSet(few), Closed: true},
+		sweepAtPrefix + "new":           sweepAt{Next: 1},
+		sweepAtPrefix + "s" + goneKey:   sweepGone{Runs: packSet(many)},
+		sweepAtPrefix + "new" + goneKey: sweepGone{Runs: packSet(few)},
+		sweepEndPrefix + "s":            sweepEnd{Outcome: ledger.Done, At: 1_700_000_000_000_009},
+		sweepEndPrefix + "ended":        sweepEnd{Outcome: ledger.Cancelled, At: 1_700_000_000_000_010},
+	}
+	return values
+}
+
+// storedRun is a value of a job's progress.
+type storedRun struct {
+	job   string
+	value ledger.Value
+	seq   uint64
+	do    func(j *ledger.Job)
+}
+
+func storedRuns() []storedRun {
+	return []storedRun{
+		// The first format, without the number of an entry of the log; the job's last
+		// tasks, which are fewer; then with the log; and the smaller values after it.
+		{"j-least", ledger.Value{Span: 256, N: 0}, 0, func(j *ledger.Job) {
+			j.SetTried(1)
+			j.Place(0, "host-000001", 3, 1)
+			j.Place(255, "host-000001", 4, 1)
+			j.Place(8, "host-000002", 5, 1)
+			j.SetDone(8, 1)
+			j.SetDone(9, 1)
+		}},
+		{"j-least", ledger.Value{Span: 256, N: 1}, 0, func(j *ledger.Job) { j.SetDone(299, 1) }},
+		{"j-full", ledger.Value{Span: 256, N: 0}, 41, func(j *ledger.Job) { j.Place(7, "host-000003", 2, 1); j.SetTried(1) }},
+		{"j-full", ledger.Value{Span: 64, N: 1}, 42, func(j *ledger.Job) { j.Place(64, "host-000003", 6, 1); j.SetDone(127, 1) }},
+		{"j-done", ledger.Value{Span: 64, N: 0}, 43, func(j *ledger.Job) { j.Place(0, "host-000001", 1, 1); j.Clear(0, 1) }},
+		{"j-done", ledger.Value{Span: 1, N: 299}, 44, func(j *ledger.Job) { j.SetDone(299, 1) }},
+	}
+}
+
+func (s storedRun) key() string { return runKey(s.job, s.value) }
+
+// chunk makes the job with the value's tasks alone.
+func (s storedRun) chunk() *ledger.Job {
+	j := ledger.NewJob(&ledger.Spec{ID: s.job, Tasks: 300})
+	j.Split(s.value.Span)
+	return j
+}
+
+func storedPages() map[string]ledger.Page {
+	return map[string]ledger.Page{
+		pageKey(12): {Base: 41, Entries: []ledger.Entry{
+			{Job: "j-full", Task: 299, Machine: "host-000012", Attempt: 9},
+			{Job: "j-least", Task: 100, Done: true, Machine: "host-000013", Attempt: 3},
+			{Job: "j-full", Task: 298, Done: true, Attempt: 8},
+			{Job: "j-full", Task: 297},
+			{Job: "j-full", Task: 296, Machine: "host-000012", Attempt: 10},
+		}},
+		pageKey(13): {Base: 46, Entries: []ledger.Entry{}},
+	}
+}
+
+// storedText is the recorded file as this program writes it.
+func storedText() string {
+	all := map[string][]byte{}
+	for key, v := range storedValues() {
+		all[key] = encode(v)
+	}
+	for _, s := range storedRuns() {
+		j := s.chunk()
+		s.do(j)
+		all[s.key()], _ = j.Take(s.value.N, s.seq)
+	}
+	for key, p := range storedPages() {
+		all[key] = p.Encode()
+	}
+	var lines []string
+	for _, key := range inOrder(all) {
+		lines = append(lines, string(encode(storedRow{key, all[key]})))
+	}
+	return "[\n" + strings.Join(lines, ",\n") + "\n]\n"
+}
+
+func readStored(t *testing.T) (rows []storedRow, values map[string][]byte) {
+	t.Helper()
+	b, err := os.ReadFile(storedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(b, &rows); err != nil {
+		t.Fatal(err)
+	}
+	values = map[string][]byte{}
+	for _, r := range rows {
+		values[r.Key] = r.Value
+	}
+	return rows, values
+}
+
+// TestStored reads every kind of stored value as commit 63ef244 wrote it, and writes
+// the same bytes under the same key.
+func TestStored(t *testing.T) {
+	golden.Compare(t, storedFile, storedText())
+	_, raws := readStored(t)
+	take := func(key string) []byte {
+		t.Helper()
+		if raws[key] == nil {
+			t.Fatalf("%s: not recorded", key)
+		}
+		defer delete(raws, key)
+		return raws[key]
+	}
+	same := func(key string, raw, got []byte) {
+		t.Helper()
+		if !bytes.Equal(raw, got) {
+			t.Errorf("%s: written as %s, was %s", key, got, raw)
+		}
+	}
+	for key, want := range storedValues() {
+		raw := take(key)
+		got := reflect.New(reflect.TypeOf(want))
+		decoder := json.NewDecoder(bytes.NewReader(raw))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+			t.Errorf("%s: read as %+v, %v", key, got.Elem().Interface(), err)
+		}
+		same(key, raw, encode(got.Elem().Interface()))
+		same(key, raw, encode(want))
+	}
+	for _, s := range storedRuns() {
+		raw := take(s.key())
+		got, want := s.chunk(), s.chunk()
+		s.do(want)
+		if err := got.Load(s.value, raw, 5, 1); err != nil {
+			t.Errorf("%s: %v", s.key(), err)
+		}
+		for i := range want.Tasks {
+			// Of a task that is placed nowhere the number of its attempt is not stored.
+			g, w := got.Task(i), want.Task(i)
+			if g.Machine != w.Machine || g.Done != w.Done || g.Machine != "" && g.Attempt != w.Attempt {
+				t.Errorf("%s: task %d read as %+v", s.key(), i, g)
+			}
+		}
+		if got.Tried != want.Tried || got.Seq(s.value.N) != s.seq || got.NextAttempt() != want.NextAttempt() || got.StampOf(s.value) != 5 {
+			t.Errorf("%s: read as %v %d %d", s.key(), got.Tried, got.Seq(s.value.N), got.NextAttempt())
+		}
+		for _, j := range []*ledger.Job{got, want} {
+			value, _ := j.Take(s.value.N, s.seq)
+			same(s.key(), raw, value)
+		}
+		if id, v, err := runValue(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.value || err != nil {
+			t.Errorf("%s: the key is read as %s %+v, %v", s.key(), id, v, err)
+		}
+	}
+	for key, want := range storedPages() {
+		raw := take(key)
+		got, err := ledger.DecodePage(raw)
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, %v", key, got, err)
+		}
+		same(key, raw, got.Encode())
+	}
+	for key := range raws {
+		t.Errorf("%s: recorded, and nothing reads it", key)
+	}
+}
+
+// TestStoredSets reads the sets of runs as bits and as runs of numbers.
+func TestStoredSets(t *testing.T) {
+	few, many := storedSets()
+	for text, want := range map[string]*roaring.Bitmap{"bCgAC": few, storedValues()[sweepAtPrefix+"s"+goneKey].(sweepGone).Runs: many} {
+		if got, err := unpackSet(text); err != nil || !got.Equals(want) || packSet(got) != text {
+			t.Errorf("%s: %v, %v, packed as %s", text, got, err, packSet(want))
+		}
+	}
+}
+
+// TestStoredAreRead lists them all to a controller, which finds nothing wrong and has them.
+func TestStoredAreRead(t *testing.T) {
+	var logged bytes.Buffer
+	set := newRig(t).c.set
+	set.Peers = []string{"n1", "n2", "n3"}
+	set.Ops.Sweeps = true
+	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	rows, raws := readStored(t)
+	l := Listed{Ledger: 100}
+	for i, r := range rows {
+		if !slices.ContainsFunc(StartPrefixes, func(p string) bool { return strings.HasPrefix(r.Key, p) }) && !strings.HasPrefix(r.Key, endPrefix) {
+			t.Errorf("%s: not listed at the start", r.Key)
+		}
+		l.Rows = append(l.Rows, Change{Key: r.Key, Value: r.Value, Stamp: uint64(i + 1)})
+	}
+	c.Step(second, l)
+	if logged.Len() > 0 || !c.synced {
+		t.Fatalf("read: %v, errors: %s", c.synced, logged.String())
+	}
+	for key, got := range map[string]any{LeaderKey: c.leader, tokenKey: c.token, boundsKey: c.bounds, formatKey: c.format,
+		endPrefix + "e-done": c.ends["e-done"], endPrefix + "e-ended": c.ends["e-ended"], sweepPrefix + "s": c.sweeps["s"].head,
+		memberPrefix + "n1": c.activation.Words()["n1"], memberPrefix + "n2": c.activation.Words()["n2"], hintsKey + "/0": json.RawMessage(c.hints[hintsKey+"/0"])} {
+		if !bytes.Equal(raws[key], encode(got)) {
+			t.Errorf("%s: known as %s", key, encode(got))
+		}
+	}
+	if len(c.types) != 2 || c.types[1].Cap.CPU != 8000 || len(c.pages) != 2 || c.span != 64 || !c.sweeping() || !c.activation.Enabled(upgrade.SharedReads) {
+		t.Errorf("types %+v, %d pages, %d tasks a value, features %+v", c.types, len(c.pages), c.span, c.activation.States())
+	}
+	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": ledger.Done, "j-ended": ledger.Cancelled, "j-brief": ledger.Cancelled} {
+		j := c.jobs[id]
+		if j == nil || j.Over != over || j.Brief != (id == "j-brief") {
+			t.Errorf("%s: known as %+v", id, j)
+			continue
+		}
+		again := ledger.Record{Spec: j.Spec, Arrival: j.Arrival, Over: j.Over, Submitted: j.Submitted, Brief: j.Brief}
+		if id == "j-least" {
+			again.Arrival = 0 // it is the value's revision where it isn't stored
+		}
+		if key := jobPrefix + id; !bytes.Equal(raws[key], encode(again)) {
+			t.Errorf("%s: known as %s", key, encode(again))
+		}
+	}
+	for _, x := range []struct {
+		job     string
+		task    int
+		machine string
+		attempt uint32
+		done    bool
+	}{{"j-least", 255, "host-000001", 4, false}, {"j-least", 9, "", 0, true}, {"j-least", 100, "host-000013", 3, true}, {"j-full", 7, "host-000003", 2, false},
+		{"j-full", 64, "host-000003", 6, false}, {"j-full", 299, "host-000012", 9, false}, {"j-full", 298, "", 8, true}} {
+		if k := c.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
+			t.Errorf("%s/%d: known as %+v", x.job, x.task, k)
+		}
+	}
+}
+
+// TestStoredFields holds that each field of what is stored has a JSON name of its own,
+// so that it can be renamed, and is recorded with more than its zero value.
+func TestStoredFields(t *testing.T) {
+	seen := map[string]bool{}
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
+		switch v.Kind() {
+		case reflect.Pointer:
+			if !v.IsNil() {
+				walk(v.Elem())
+			}
+		case reflect.Slice:
+			for i := range v.Len() {
+				walk(v.Index(i))
+			}
+		case reflect.Struct:
+			for i := range v.NumField() {
+				f := v.Type().Field(i)
+				name := v.Type().String() + "." + f.Name
+				if tag, _, _ := strings.Cut(f.Tag.Get("json"), ","); tag == "" || f.Anonymous {
+					t.Errorf("%s has no JSON name", name)
+				}
+				seen[name] = seen[name] || !v.Field(i).IsZero()
+				walk(v.Field(i))
+			}
+		}
+	}
+	for _, v := range storedValues() {
+		walk(reflect.ValueOf(v))
+	}
+	for name, recorded := range seen {
+		if !recorded {
+			t.Errorf("%s is recorded nowhere", name)
+		}
+	}
+	if len(seen) < 60 {
+		t.Errorf("only %d fields", len(seen))
+	}
+}
