--- /dev/null
+++ b/internal/emulator/history/recorded_test.go
@@ -0,0 +1,55 @@
+package history
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/golden"
+	"github.com/zinclb/zinclb/internal/jsonlines"
+)
+
+// everyEvent has an event of each kind with every field set.
+func everyEvent() []Event {
+	var events []Event
+	for i, kind := range []Kind{Sent, Told, Up, Unfit, Given, Freed, Entered, Started, Completed, Left, Stored, Fault, Node, Met, Late, Paid} {
+		events = append(events, Event{At: int64(1_000_000 + i), Kind: kind, Op: Submit, Call: uint64(2 + i), Job: "job-1", Task: 3, Attempt: 4, Machine: "host-1", Type: "g8", Zone: "a", Spot: true,
+			Node: "node-1", Status: 201, State: "running", Why: "done", Key: "zinclb/job/job-1", Value: `{"a":1}`, Cost: 2.5})
+	}
+	for _, op := range []string{Submit, Poll, Withdraw} {
+		events = append(events, Event{At: 5, Kind: Sent, Op: op, Job: SweepJob("s")})
+	}
+	for _, why := range []string{MetCopy, MetLook, MetMute, MetCallOff, MetHang, MetAtEnd, MetOdd, MetLost, MetQuick} {
+		events = append(events, Event{At: 6, Kind: Met, Why: why})
+	}
+	return append(events, Event{})
+}
+
+// TestRecorded compares events and breaches as JSON lines with their recorded
+// form, and reads them back.
+func TestRecorded(t *testing.T) {
+	if paths := golden.Unset(everyEvent()[0]); len(paths) > 0 {
+		t.Errorf("not recorded: %s", paths)
+	}
+	var b strings.Builder
+	if err := jsonlines.Write(&b, everyEvent()); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "testdata/events.jsonl", b.String())
+	decoder := json.NewDecoder(strings.NewReader(b.String()))
+	for i, want := range everyEvent() {
+		var got Event
+		if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("event %d is read back as %+v, %v", i, got, err)
+		}
+	}
+	b.Reset()
+	breach := Breach{At: 1_500_000, Rule: "rule", What: "what"}
+	if err := jsonlines.Write(&b, []Breach{breach}); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintln(&b, breach)
+	golden.Compare(t, "testdata/breaches.txt", b.String())
+}
