--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -15,9 +15,11 @@
 
 // Server answers HTTP on one address from evio's loop.
 type Server struct {
-	Addr     string
-	Handle   Handler
-	MaxBody  int
+	Addr    string
+	Handle  Handler
+	MaxBody int
+	// MaxConns bounds the connections; more are closed unanswered. Shortly below
+	// the bound answers end their connections, see scarce.
 	MaxConns int
 	// ReadTimeout ends connections whose request stays incomplete, and
 	// IdleTimeout those that ask nothing.
@@ -30,6 +32,19 @@
 	all   map[evio.Conn]*conn
 }
 
+const (
+	// scarceEighths is from how many eighths of MaxConns on connections are scarce.
+	scarceEighths = 7
+	// scarceIdleTimeout is IdleTimeout while they are: longer than the pause
+	// between a worker's reports, so that a request rarely meets the close.
+	scarceIdleTimeout = 15 * time.Second
+)
+
+// scarce says that few connections are left. There may be more clients than
+// connections, each with a request now and then: then an answer ends its
+// connection, and the room goes to whoever connects next.
+func (s *Server) scarce() bool { return s.conns.Load() > int64(s.MaxConns)*scarceEighths/8 }
+
 // conn is the state of one connection. The loop owns all but what mu guards:
 // replies come from other goroutines.
 type conn struct {
@@ -112,8 +127,11 @@
 		return false
 	}
 	limit := s.IdleTimeout
-	if len(st.buf) > 0 {
+	switch {
+	case len(st.buf) > 0:
 		limit = s.ReadTimeout
+	case s.scarce():
+		limit = min(limit, scarceIdleTimeout)
 	}
 	return now.Sub(st.since) > limit
 }
@@ -171,7 +189,7 @@
 	var once sync.Once
 	s.Handle(m, func(r Response) {
 		once.Do(func() {
-			r.Close = r.Close || closeAfter
+			r.Close = r.Close || closeAfter || s.scarce()
 			b := AppendResponse(nil, r)
 			st.mu.Lock()
 			st.out, st.last = b, r.Close
