--- a/internal/core/beat.go
+++ b/internal/core/beat.go
@@ -214,8 +214,8 @@
 	m.Answered = c.now
 	orders, ended := c.reported(m, r)
 	orders = c.missing(m, r, orders)
-	if wait := c.parkTime(m, orders, ended); wait > 0 {
-		l.parkedAnswers.park(m, parked{b.Req, *r, c.now + wait})
+	if wait := c.parkTime(m, orders, ended); wait > 0 && c.mayPark(b.From) {
+		l.parkedAnswers.park(m, parked{req: b.Req, report: *r, until: c.now + wait, by: b.From})
 		return
 	}
 	c.answer(m, b.Req, orders)
--- a/internal/core/parked.go
+++ b/internal/core/parked.go
@@ -17,6 +17,8 @@
 	req    uint64
 	report Report
 	until  int64
+	// by is the controller that relayed the report, "" for this one.
+	by string
 }
 
 // parkedAnswers is where reports are parked. At any moment a good part of an idle fleet
@@ -27,6 +29,8 @@
 	// something that may become an order.
 	byTime *btree.BTreeG[parkedUntil]
 	likely map[string]struct{}
+	// heldBy counts them by controller: each holds a connection there.
+	heldBy map[string]int
 }
 
 type parkedUntil struct {
@@ -35,11 +39,19 @@
 }
 
 func newParkedAnswers() parkedAnswers {
-	return parkedAnswers{byName: map[string]parked{}, likely: map[string]struct{}{}, byTime: btree.NewBTreeGOptions(func(a, b parkedUntil) bool {
+	return parkedAnswers{byName: map[string]parked{}, likely: map[string]struct{}{}, heldBy: map[string]int{}, byTime: btree.NewBTreeGOptions(func(a, b parkedUntil) bool {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) < 0
 	}, btree.Options{NoLocks: true})}
 }
 
+// mayPark says whether one more answer to a report by way of a controller may wait:
+// half of its connections are left to other workers, users and peers. Without a
+// setting of the sockets there is no bound.
+func (c *Core) mayPark(by string) bool {
+	sockets := c.set.Limits.Sockets
+	return sockets == 0 || c.lead.parkedAnswers.heldBy[by] < sockets/2
+}
+
 // has says whether a machine's report is parked.
 func (l *parkedAnswers) has(name string) bool {
 	_, ok := l.byName[name]
@@ -50,6 +62,7 @@
 func (l *parkedAnswers) park(m *fleet.Machine, p parked) {
 	m.Touch()
 	l.byName[m.Name] = p
+	l.heldBy[p.by]++
 	l.byTime.Set(parkedUntil{p.until, m.Name})
 	if len(m.Placed) > 0 || m.Warm != nil {
 		l.likely[m.Name] = struct{}{}
@@ -69,6 +82,9 @@
 	if ok {
 		delete(l.byName, name)
 		delete(l.likely, name)
+		if l.heldBy[p.by]--; l.heldBy[p.by] == 0 {
+			delete(l.heldBy, p.by)
+		}
 		l.byTime.Delete(parkedUntil{p.until, name})
 	}
 	return p, ok
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -310,6 +310,35 @@
 	runtime.KeepAlive(w)
 }
 
+// TestParkedShare: a leader with fewer sockets than idle machines answers them all,
+// and parks no more than half of the sockets, however many report.
+func TestParkedShare(t *testing.T) {
+	machines, sockets := 4000, 1500
+	if raceEnabled || testing.Short() {
+		machines, sockets = 800, 300
+	}
+	w := newWorkerFleet(machines)
+	w.c.set.Limits.Sockets = sockets
+	parked := &w.c.lead.parkedAnswers
+	most := 0
+	for range 30 * 20 {
+		w.tick()
+		most = max(most, len(parked.byName))
+		if len(parked.byName) != parked.heldBy[""] {
+			t.Fatalf("%d are parked, %d by the count", len(parked.byName), parked.heldBy[""])
+		}
+	}
+	if most != sockets/2 {
+		t.Errorf("%d were parked at once, want %d", most, sockets/2)
+	}
+	w.add(&ledger.Spec{ID: "wide", Class: "c", Team: "red", Kind: ledger.Array, Tasks: machines, Need: ledger.Vec{CPU: 40000}, Estimate: 600 * second})
+	w.endless = true
+	w.play(40, 0)
+	if n := w.running(t); n != machines {
+		t.Errorf("%d tasks run on %d machines", n, machines)
+	}
+}
+
 // TestRoster: whatever happens to machines, the planner's index has what going
 // through all of them would give it.
 func TestRoster(t *testing.T) {
@@ -375,7 +404,7 @@
 // BenchmarkLeader is the cost of leading for a second, with more work than
 // the machines can take.
 func BenchmarkLeader(b *testing.B) {
-	for _, n := range []int{50, 400, 1600} {
+	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			w := newWorkerFleet(n)
 			w.play(90, float64(n)/350)
@@ -394,7 +423,7 @@
 // BenchmarkFleet is the cost of leading for a second at one rate of jobs,
 // whatever the fleet: what machines cost that have nothing to do with it.
 func BenchmarkFleet(b *testing.B) {
-	for _, n := range []int{400, 1600, 6400} {
+	for _, n := range []int{400, 1600, 4000, 6400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			const rate = 400.0 / 350
 			w := newWorkerFleet(n)
@@ -415,7 +444,7 @@
 // BenchmarkTakeOver is the cost of beginning to lead: reading the stored
 // state, taking the placements over, and the first report of every machine.
 func BenchmarkTakeOver(b *testing.B) {
-	for _, n := range []int{50, 400, 1600} {
+	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var rows []Change
 			add := func(key string, value []byte) {
