--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -105,9 +105,10 @@
 
 const (
 	// logMost and logBytes bound the changes that are kept for followers, which ask
-	// once a second at least.
-	logMost  = 4000
-	logBytes = 1 << 20
+	// once a second at least: 100 transactions of 48 operations and 44 kB a second
+	// have to fit, or every follower reads the state service itself.
+	logMost  = 10_000
+	logBytes = 5 << 20
 	// changeBytes is what a change takes beside its key and value.
 	changeBytes = 64
 )
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,8 +28,43 @@
 // gives up after 4 s, and the leader parks an answer for up to 3 s.
 const relayPatience = 3700 * time.Millisecond
 
-// inboxSize bounds the messages that wait for the core.
-const inboxSize = 4096
+// Bounds of the messages that wait for the core: so many for each socket, which
+// leaves room for a report of every machine beside the users' requests, the results
+// of effects and what peers relay.
+const (
+	inboxForSocket = 4
+	inboxLeast     = 4096
+	inboxMost      = 1 << 16
+)
+
+func inboxSize(sockets int) int { return min(max(inboxLeast, sockets*inboxForSocket), inboxMost) }
+
+// Shares of a controller's sockets. The rest is for the state service, the cloud,
+// peers and probes of machines.
+const (
+	// frontQuarters of four are for workers and users.
+	frontQuarters = 3
+	// socketsForOrder is how many sockets there are for each order to a worker
+	// under way.
+	socketsForOrder = 16
+	leastOrders     = 16
+	// stateConns and watchConns are for the state service.
+	stateConns = 24
+	watchConns = 2
+)
+
+func frontConns(sockets int) int { return sockets * frontQuarters / 4 }
+
+func ordersAtOnce(sockets int) int { return max(leastOrders, sockets/socketsForOrder) }
+
+// Connections that peers may have here: a few for each, as one that broke may not
+// have been noticed yet.
+const (
+	connsForPeer   = 2
+	leastPeerConns = 32
+)
+
+func peerConns(peers int) int { return max(leastPeerConns, peers*connsForPeer) }
 
 // Node is a running controller.
 type Node struct {
@@ -72,9 +107,9 @@
 
 // New wires a controller up.
 func New(p *config.Platform, ops config.Operators) *Node {
-	n := &Node{platform: p, inbox: make(chan envelope, inboxSize), start: time.Now(), replies: map[uint64]pending{}, took: latencies{}, slow: make(chan struct{}, slowMost), quit: make(chan error, 1),
-		state: store.New(p.Outside.State, 24), watches: store.New(p.Outside.State, 2), cloud: cloud.New(p.Outside.Cloud),
-		peers: map[string]*peer.Client{}, workers: newWorkerPool(max(16, p.Params.Limits.Sockets/16))}
+	n := &Node{platform: p, inbox: make(chan envelope, inboxSize(p.Params.Limits.Sockets)), start: time.Now(), replies: map[uint64]pending{}, took: latencies{}, slow: make(chan struct{}, slowMost), quit: make(chan error, 1),
+		state: store.New(p.Outside.State, stateConns), watches: store.New(p.Outside.State, watchConns), cloud: cloud.New(p.Outside.Cloud),
+		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Params.Limits.Sockets))}
 	set := core.Settings{Name: p.Name, Params: p.Params, Ops: ops, Boot: strconv.FormatUint(rand.Uint64(), 36)}
 	for _, m := range p.Peers {
 		set.Peers = append(set.Peers, m.Name)
@@ -98,11 +133,11 @@
 	errs := make(chan error, 2)
 	sockets := n.platform.Params.Limits.Sockets
 	go func() {
-		s := &httpwire.Server{Addr: n.platform.Front, Handle: n.handle, MaxBody: api.MaxBody, MaxConns: sockets * 3 / 4,
+		s := &httpwire.Server{Addr: n.platform.Front, Handle: n.handle, MaxBody: api.MaxBody, MaxConns: frontConns(sockets),
 			ReadTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 		errs <- s.Serve()
 	}()
-	go func() { errs <- peer.Serve(n.platform.Back, n.platform.Name, n, 32) }()
+	go func() { errs <- peer.Serve(n.platform.Back, n.platform.Name, n, peerConns(len(n.platform.Peers))) }()
 	go n.ticks()
 	go n.loop()
 	select {
