--- a/cmd/zinclb-emulator/capacity.go
+++ b/cmd/zinclb-emulator/capacity.go
@@ -18,7 +18,7 @@
 		Short: "Remakes the tables of docs/CAPACITY.md from the figures of scale runs",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			changed, err := capacity.RemakeFile(page, figures, check)
+			changed, err := capacity.UpdatePage(page, figures, check)
 			switch {
 			case err != nil:
 				return err
--- a/cmd/zinclb-emulator/troubles.go
+++ b/cmd/zinclb-emulator/fault_combinations.go
@@ -7,30 +7,30 @@
 	"github.com/spf13/cobra"
 
 	"github.com/zinclb/zinclb/internal/config"
-	"github.com/zinclb/zinclb/internal/emulator/troubles"
+	"github.com/zinclb/zinclb/internal/emulator/faultcombos"
 )
 
-// troublesCommand plays days on which troubles meet.
-func troublesCommand() *cobra.Command {
+// faultCombosCommand plays days on which troubles meet.
+func faultCombosCommand() *cobra.Command {
 	var size, each, first, jobs int
 	cmd := &cobra.Command{
 		Use:   "troubles",
 		Short: "Plays days on which troubles meet in fake time, and lists what falls short",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := checkPart(size, each, first, jobs); err != nil {
+			if err := checkCaseFlags(size, each, first, jobs); err != nil {
 				return err
 			}
 			short, broken, after, most := 0, 0, 0, 0
-			cases := troubles.Part(troubles.All(size), first, each)
-			playAll(cases, jobs, func(c troubles.Case) func() {
-				r, err := troubles.Play(c, config.Defaults(), nil)
+			cases := faultcombos.EveryNth(faultcombos.AllCases(size), first, each)
+			playAll(cases, jobs, func(c faultcombos.Case) func() {
+				r, err := faultcombos.Run(c, config.Defaults(), nil)
 				return func() {
-					what := r.Short()
+					what := r.Shortfall()
 					if err != nil {
 						what = err.Error()
 					}
-					if len(r.Breaches) > 0 {
+					if len(r.Violations) > 0 {
 						broken++
 					}
 					after, most = after+r.StartsAfter, max(most, r.StartsAfter)
@@ -47,12 +47,12 @@
 			return nil
 		},
 	}
-	partFlags(cmd, &size, &each, &first, &jobs)
+	caseFlags(cmd, &size, &each, &first, &jobs)
 	return cmd
 }
 
-// partFlags are those of the commands that play enumerated cases.
-func partFlags(cmd *cobra.Command, size, each, first, jobs *int) {
+// caseFlags are those of the commands that play enumerated cases.
+func caseFlags(cmd *cobra.Command, size, each, first, jobs *int) {
 	f := cmd.Flags()
 	f.IntVar(size, "controllers", 3, "how many controllers there are, 2 to 7")
 	f.IntVar(each, "each", 1, "play one case in so many")
@@ -60,7 +60,7 @@
 	f.IntVar(jobs, "jobs", runtime.NumCPU(), "how many to play at once")
 }
 
-func checkPart(size, each, first, jobs int) error {
+func checkCaseFlags(size, each, first, jobs int) error {
 	switch {
 	case size < 2 || size > 7:
 		return fmt.Errorf("--controllers: %d is not within 2 and 7", size)
--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -16,21 +16,21 @@
 
 	"github.com/spf13/cobra"
 
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/scenario"
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "zinclb-emulator:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var path, out string
 	var seed uint64
 	var length time.Duration
@@ -64,13 +64,13 @@
 	f.StringSliceVar(&o.Binaries, "binary", nil, "controllers' programs, given out in turn; without any they are started by hand")
 	f.StringSliceVar(&o.Args, "arg", nil, "arguments of controllers before --config")
 	f.StringVar(&out, "history", "", "writes everything that happened here, as JSON lines")
-	cmd.AddCommand(check(), fault(), cutsCommand(), troublesCommand(), gapsCommand(), scaleCommand(), capacityCommand(), workersCommand())
+	cmd.AddCommand(checkCommand(), faultCommand(), partitionsCommand(), faultCombosCommand(), outagesCommand(), scaleCommand(), capacityCommand(), workersCommand())
 	return cmd
 }
 
 func serve(s *scenario.Scenario, o sockets.Options, out string) error {
-	o.Progress = func(p sockets.Progress) {
-		fmt.Printf("%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Ran, p.Done)
+	o.OnProgress = func(p sockets.Progress) {
+		fmt.Printf("%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done)
 	}
 	d, err := sockets.New(s.Config, o)
 	if err != nil {
@@ -86,7 +86,7 @@
 	fmt.Printf("%s: %d controllers for %d s; users' address 127.0.0.1:%d\n", s.Name, s.Params.Size, s.Length/1_000_000, o.Port)
 	if len(o.Binaries) == 0 {
 		for i := range s.Params.Size {
-			fmt.Printf("start: target/zinclb --config %s\n", d.Settings(i))
+			fmt.Printf("start: target/zinclb --config %s\n", d.SettingsPath(i))
 		}
 	}
 	h, err := d.Run(end)
@@ -98,8 +98,8 @@
 			return err
 		}
 	}
-	figures := history.Measure(h, d.Terms(), s.Aims)
-	for _, a := range s.Aims {
+	figures := history.Metrics(h, d.Expectations(), s.Objectives)
+	for _, a := range s.Objectives {
 		switch v, ok := figures[a.Name()]; {
 		case !ok:
 			fmt.Printf("nothing   %s: no job to count\n", a.Name())
@@ -109,7 +109,7 @@
 			fmt.Printf("met       %s: %.3f, at least %g was aimed at\n", a.Name(), v, a.Share)
 		}
 	}
-	broken := history.Judge(h, d.Terms())
+	broken := history.CheckAll(h, d.Expectations())
 	for _, b := range broken {
 		fmt.Println("broken", b)
 	}
@@ -127,7 +127,7 @@
 	return jsonlines.WriteFile(path, h)
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Checks scenarios and names the fields that are wrong",
@@ -145,12 +145,12 @@
 	}
 }
 
-func fault() *cobra.Command {
+func faultCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "fault 'kind: \"cut\" hosts: \"zone:a\" for_s: 30'",
 		Short: "Lets a fault happen now in an emulator that is running",
-		Long:  "Lets a fault happen now in an emulator that is running. Kinds:\n" + kinds(),
+		Long:  "Lets a fault happen now in an emulator that is running. Kinds:\n" + faultKindsHelp(),
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := scenario.ParseFault([]byte(args[0])); err != nil {
@@ -172,10 +172,10 @@
 	return cmd
 }
 
-func kinds() string {
+func faultKindsHelp() string {
 	var b strings.Builder
-	for _, k := range world.KindNames() {
-		fmt.Fprintf(&b, "  %-16s %s\n", k, world.Kinds[k])
+	for _, k := range environment.FaultKindNames() {
+		fmt.Fprintf(&b, "  %-16s %s\n", k, environment.FaultKinds[k])
 	}
 	return b.String()
 }
--- a/cmd/zinclb-emulator/cuts.go
+++ b/cmd/zinclb-emulator/partitions.go
@@ -8,12 +8,12 @@
 	"github.com/spf13/cobra"
 
 	"github.com/zinclb/zinclb/internal/config"
-	"github.com/zinclb/zinclb/internal/emulator/cuts"
+	"github.com/zinclb/zinclb/internal/emulator/partitions"
 )
 
-// cutsCommand plays cuts that leave some links up, and lists those that the
+// partitionsCommand plays cuts that leave some links up, and lists those that the
 // service did not get through as well as it could.
-func cutsCommand() *cobra.Command {
+func partitionsCommand() *cobra.Command {
 	var size, each, first, jobs int
 	ops := config.Defaults()
 	cmd := &cobra.Command{
@@ -21,29 +21,29 @@
 		Short: "Plays cuts that leave some links up in fake time, and lists what falls short",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := checkPart(size, each, first, jobs); err != nil {
+			if err := checkCaseFlags(size, each, first, jobs); err != nil {
 				return err
 			}
-			return playCuts(cuts.Part(cuts.All(size), first, each), ops, jobs)
+			return playPartitions(partitions.EveryNth(partitions.AllCases(size), first, each), ops, jobs)
 		},
 	}
-	partFlags(cmd, &size, &each, &first, &jobs)
+	caseFlags(cmd, &size, &each, &first, &jobs)
 	cmd.Flags().BoolVar(&ops.Reach, "reach", true, "whether leadership follows what controllers reach")
 	return cmd
 }
 
-func playCuts(cases []cuts.Case, ops config.Operators, jobs int) error {
+func playPartitions(cases []partitions.Case, ops config.Operators, jobs int) error {
 	short, could, broken := 0, 0, 0
-	playAll(cases, jobs, func(c cuts.Case) func() {
-		r, err := cuts.Play(c, ops, nil)
+	playAll(cases, jobs, func(c partitions.Case) func() {
+		r, err := partitions.Run(c, ops, nil)
 		return func() {
-			if r.Could {
+			if r.Serviceable {
 				could++
 			}
-			if len(r.Breaches) > 0 {
+			if len(r.Violations) > 0 {
 				broken++
 			}
-			what := r.Short()
+			what := r.Shortfall()
 			if err != nil {
 				what = err.Error()
 			}
--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -50,13 +50,13 @@
 		Short: "Plays a large deployment with hollow workers, and measures what each role costs",
 		Long: "Plays a large deployment on this machine: controllers as processes, hollow workers that share processes,\n" +
 			"and some workers in processes of their own. What is not given follows from --workers, as a share of the\n" +
-			"operators' plan. What may be lost once:\n" + losses(),
+			"operators' plan. What may be lost once:\n" + failureKindsHelp(),
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := scale.CheckPrograms(o.Binaries); err != nil {
 				return err
 			}
-			plans, err := plansOf(cmd, plan, fl)
+			plans, err := buildPlans(cmd, plan, fl)
 			if err != nil {
 				return err
 			}
@@ -74,9 +74,9 @@
 	f.IntVar(&plan.Running, "running", 0, "tasks that run at once")
 	f.IntVar(&plan.Starts, "starts", 0, "starts of tasks a second in the peak minute")
 	f.IntVar(&plan.LargestGang, "largest-gang", plan.LargestGang, "the most tasks of a gang")
-	f.IntVar(&plan.Alone, "alone", plan.Alone, "workers with a process of their own")
-	f.Float64Var(&plan.FaultsTimes, "faults-times", 0, "machines die and restart at the plan's rates, this many times as often; 0: not at all")
-	f.StringSliceVar(&plan.Lose, "lose", nil, "what is lost once: leader, rack, region, zone")
+	f.IntVar(&plan.Dedicated, "alone", plan.Dedicated, "workers with a process of their own")
+	f.Float64Var(&plan.FaultSpeedup, "faults-times", 0, "machines die and restart at the plan's rates, this many times as often; 0: not at all")
+	f.StringSliceVar(&plan.Failures, "lose", nil, "what is lost once: leader, rack, region, zone")
 	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests a second that the state service takes")
 	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes a second that it takes")
 	f.Float64Var(&plan.RemoteMS, "remote-ms", plan.RemoteMS, "delay between two regions in ms, one way")
@@ -92,16 +92,16 @@
 	return cmd
 }
 
-func losses() string {
+func failureKindsHelp() string {
 	var b strings.Builder
 	for _, name := range []string{"leader", "rack", "region", "zone"} {
-		fmt.Fprintf(&b, "  %-8s %s\n", name, scale.Losses[name])
+		fmt.Fprintf(&b, "  %-8s %s\n", name, scale.FailureKinds[name])
 	}
 	return b.String()
 }
 
-// plansOf makes a plan for each size. What no flag sets follows from the size.
-func plansOf(cmd *cobra.Command, given scale.Plan, fl scaleFlags) ([]scale.Plan, error) {
+// buildPlans makes a plan for each size. What no flag sets follows from the size.
+func buildPlans(cmd *cobra.Command, given scale.Plan, fl scaleFlags) ([]scale.Plan, error) {
 	if fl.scenario != "" {
 		return planOfScenario(cmd, given, fl.scenario)
 	}
@@ -145,7 +145,7 @@
 	if cmd.Flags().Changed("length") {
 		s.Length = given.Length.Microseconds()
 	}
-	p, err := scale.OfScenario(path, s.Config, given.Alone)
+	p, err := scale.FromScenario(path, s.Config, given.Dedicated)
 	if err == nil {
 		err = p.Check()
 	}
@@ -160,7 +160,7 @@
 		return err
 	}
 	for i := range plans {
-		n := plans[i].Need()
+		n := plans[i].Requirements()
 		fmt.Printf("%d workers: %d processes, about %.0f MB (of %d and %.0f MB that may be used)\n", plans[i].Workers, n.Processes, n.MemoryMB, limits.Processes, limits.MemoryMB)
 		if err := n.Fits(limits); err != nil {
 			return err
@@ -170,7 +170,7 @@
 	if err != nil {
 		return fmt.Errorf("find this program: %w", err)
 	}
-	o.Workers, o.Sources, o.Out = []string{program, workersCommandName}, sources(), os.Stdout
+	o.Workers, o.Sources, o.Out = []string{program, workersCommandName}, commitName(), os.Stdout
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -189,7 +189,7 @@
 		if err := f.Write(os.Stdout); err != nil {
 			return err
 		}
-		broken += len(f.Broken)
+		broken += len(f.Violations)
 		if fl.figures != "" {
 			path := filepath.Join(fl.figures, fmt.Sprintf("%s%d-workers-%d-controllers-seed-%d.json", fl.name, p.Workers, p.Controllers, p.Seed))
 			if err := f.Save(path); err != nil {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// sources names the commit that stands here, "" if that can't be told.
-func sources() string {
+// commitName names the commit that stands here, "" if that can't be told.
+func commitName() string {
 	cmd := exec.Command("git", "describe", "--always", "--dirty")
 	cmd.Stderr = io.Discard
 	b, err := cmd.Output()
--- a/cmd/zinclb-experiment/main.go
+++ b/cmd/zinclb-experiment/main.go
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "zinclb-experiment:", err)
 		os.Exit(1)
 	}
@@ -33,7 +33,7 @@
 	parallel, port             int
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var m matrix
 	cmd := &cobra.Command{
 		Use:           "zinclb-experiment --scenario FILE... [--seeds N] [--version COMMIT...]",
@@ -54,18 +54,18 @@
 	f.StringSliceVar(&m.plots, "plot", []string{"accept_p99_s", "tasks_lost"}, "figures to draw besides the aims")
 	f.IntVar(&m.parallel, "parallel", runtime.NumCPU(), "runs at once; on sockets they share this machine")
 	f.IntVar(&m.port, "port", 7200, "the first port, on sockets")
-	cmd.AddCommand(one())
+	cmd.AddCommand(singleRunCommand())
 	return cmd
 }
 
-func one() *cobra.Command {
+func singleRunCommand() *cobra.Command {
 	var r experiment.Run
 	cmd := &cobra.Command{
 		Use:   "one --scenario FILE --seed N",
 		Short: "Runs one cell in fake time and prints its result",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return json.NewEncoder(os.Stdout).Encode(experiment.Here(r, "", config.Defaults()))
+			return json.NewEncoder(os.Stdout).Encode(experiment.RunHere(r, "", config.Defaults()))
 		},
 	}
 	r.Version, r.Mode = experiment.Head, "fake"
@@ -122,9 +122,9 @@
 		wg.Go(func() {
 			defer func() { <-slots }()
 			if m.mode == "fake" && c.Version != experiment.Head {
-				results[i] = experiment.Elsewhere(c, programs[c.Version])
+				results[i] = experiment.RunProgram(c, programs[c.Version])
 			} else {
-				results[i] = experiment.Here(c, programs[c.Version], ops)
+				results[i] = experiment.RunHere(c, programs[c.Version], ops)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -143,7 +143,7 @@
 	bad := 0
 	fmt.Fprintf(&text, "# Experiment\n\n%d scenarios, %d seeds, versions %s, %s. Figures are from emulated machines.\n\n", len(m.scenarios), m.seeds, strings.Join(m.versions, ", "), m.mode)
 	for _, r := range results {
-		for _, b := range append(r.Broken, r.Failed) {
+		for _, b := range append(r.Violations, r.FailureReason) {
 			if b != "" {
 				bad++
 				fmt.Fprintf(&text, "- **%s, seed %d, %s: %s**\n", r.Scenario, r.Seed, r.Version, b)
--- a/cmd/zinclb-load/main.go
+++ b/cmd/zinclb-load/main.go
@@ -20,13 +20,13 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "zinclb-load:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var path, trace, record string
 	var seed uint64
 	var most, first int
@@ -41,14 +41,14 @@
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			entries, err := read(path, trace, seed, first)
+			entries, err := readTrace(path, trace, seed, first)
 			if err != nil {
 				return err
 			}
 			if speed <= 0 {
 				return fmt.Errorf("--speed: %v must be positive", speed)
 			}
-			if o.Open < 1 || most < 1 {
+			if o.MaxInFlight < 1 || most < 1 {
 				return fmt.Errorf("--open and --most: must be at least 1")
 			}
 			entries = entries[:min(len(entries), most)]
@@ -77,14 +77,14 @@
 	f.IntVar(&first, "first-id", 500_001, "the number of a scenario's first job")
 	f.Float64Var(&speed, "speed", 1, "so many times as fast as it was meant")
 	f.IntVar(&most, "most", 10_000, "submissions at most")
-	f.IntVar(&o.Open, "open", 200, "submissions under way at once, at most")
+	f.IntVar(&o.MaxInFlight, "open", 200, "submissions under way at once, at most")
 	f.BoolVar(&o.Follow, "follow", false, "ask about jobs until they are over")
-	f.DurationVar(&o.For, "for", 10*time.Minute, "time at most")
+	f.DurationVar(&o.Duration, "for", 10*time.Minute, "time at most")
 	return cmd
 }
 
-// read makes a trace of a scenario or reads a recorded one.
-func read(path, trace string, seed uint64, first int) (entries []load.Entry, err error) {
+// readTrace makes a trace of a scenario or reads a recorded one.
+func readTrace(path, trace string, seed uint64, first int) (entries []load.Entry, err error) {
 	switch {
 	case (path == "") == (trace == ""):
 		return nil, fmt.Errorf("one of --scenario and --trace is needed")
@@ -100,9 +100,9 @@
 		for _, j := range s.Jobs {
 			spec := j.Spec
 			spec.ID = ids[spec.ID]
-			spec.Awaits = slices.Clone(spec.Awaits)
-			for k, a := range spec.Awaits {
-				spec.Awaits[k] = ids[a]
+			spec.DependsOn = slices.Clone(spec.DependsOn)
+			for k, a := range spec.DependsOn {
+				spec.DependsOn[k] = ids[a]
 			}
 			entries = append(entries, load.Entry{At: j.At, Job: spec})
 		}
--- a/internal/emulator/capacity/capacity_test.go
+++ b/internal/emulator/capacity/capacity_test.go
@@ -50,14 +50,14 @@
 // TestRemake puts tables where the page asks for them, again and again the same.
 func TestRemake(t *testing.T) {
 	page := "a\n<!-- table x -->old<!-- end of table -->\nb\n"
-	once, err := Remake(page, map[string]string{"x": "| 1 |\n"})
+	once, err := ReplaceTables(page, map[string]string{"x": "| 1 |\n"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := "a\n<!-- table x -->\n| 1 |\n<!-- end of table -->\nb\n"; once != want {
 		t.Errorf("%q", once)
 	}
-	if again, err := Remake(once, map[string]string{"x": "| 1 |\n"}); err != nil || again != once {
+	if again, err := ReplaceTables(once, map[string]string{"x": "| 1 |\n"}); err != nil || again != once {
 		t.Errorf("%q, %v", again, err)
 	}
 	for _, tc := range []struct {
@@ -69,7 +69,7 @@
 		{page, map[string]string{"x": "", "y": ""}, `does not show the table "y"`},
 		{"<!-- table x -->", map[string]string{"x": ""}, "has no end"},
 	} {
-		if _, err := Remake(tc.page, tc.tables); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := ReplaceTables(tc.page, tc.tables); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q: %v, want %q", tc.page, err, tc.want)
 		}
 	}
@@ -77,7 +77,7 @@
 
 // TestPage: the page says what the runs that are kept give.
 func TestPage(t *testing.T) {
-	changed, err := RemakeFile("../../../docs/CAPACITY.md", "../../../docs/capacity", true)
+	changed, err := UpdatePage("../../../docs/CAPACITY.md", "../../../docs/capacity", true)
 	if err != nil || changed {
 		t.Errorf("run zinclb-emulator capacity: changed %v, %v", changed, err)
 	}
@@ -87,22 +87,22 @@
 // none.
 func TestLoadRuns(t *testing.T) {
 	dir := t.TempDir()
-	for name, f := range map[string]scale.Figures{"after-b": {Plan: scale.Plan{Workers: 800}}, "after-a": {Plan: scale.Plan{Workers: 400}}, "after-c": {Limited: "late"}} {
+	for name, f := range map[string]scale.Figures{"after-b": {Plan: scale.Plan{Workers: 800}}, "after-a": {Plan: scale.Plan{Workers: 400}}, "after-c": {MachineLimited: "late"}} {
 		if err := f.Save(filepath.Join(dir, name+".json")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	runs, err := LoadRuns(dir, After)
+	runs, err := LoadRuns(dir, CurrentPrefix)
 	if err != nil || len(runs) != 2 || runs[0].Name != "after-a" {
 		t.Errorf("%v, %v", runs, err)
 	}
-	if _, err := LoadRuns(dir, Before); err == nil || !strings.Contains(err.Error(), "before-*.json") {
+	if _, err := LoadRuns(dir, BaselinePrefix); err == nil || !strings.Contains(err.Error(), "before-*.json") {
 		t.Errorf("%v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "after-d.json"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadRuns(dir, After); err == nil || !strings.Contains(err.Error(), "after-d.json") {
+	if _, err := LoadRuns(dir, CurrentPrefix); err == nil || !strings.Contains(err.Error(), "after-d.json") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/emulator/capacity/page.go
+++ b/internal/emulator/capacity/page.go
@@ -15,8 +15,8 @@
 
 // The names of files of runs begin with what was measured.
 const (
-	Before = "before-"
-	After  = "after-"
+	BaselinePrefix = "before-"
+	CurrentPrefix  = "after-"
 )
 
 // Run is a run's figures with the name of their file.
@@ -38,7 +38,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if f.Limited == "" {
+		if f.MachineLimited == "" {
 			runs = append(runs, Run{strings.TrimSuffix(filepath.Base(path), ".json"), f})
 		}
 	}
@@ -55,7 +55,7 @@
 type Cost struct {
 	Name, Unit string
 	Role       string
-	Of         func(r scale.Role) float64
+	Value      func(r scale.Role) float64
 }
 
 // costs are those that are fitted.
@@ -77,10 +77,10 @@
 		t := r.Total("state ")
 		return (t.BytesIn + t.BytesOut) / 1000
 	}},
-	{"a worker, reports", "bytes/s", scale.RoleHollow, workerBytes},
-	{"a worker alone, reports", "bytes/s", scale.RoleAlone, workerBytes},
-	{"a worker alone, processor", "core", scale.RoleAlone, func(r scale.Role) float64 { return r.CPU }},
-	{"a worker alone, memory", "MB", scale.RoleAlone, func(r scale.Role) float64 { return r.Memory }},
+	{"a worker, reports", "bytes/s", scale.RoleSharedWorkers, workerBytes},
+	{"a worker alone, reports", "bytes/s", scale.RoleDedicated, workerBytes},
+	{"a worker alone, processor", "core", scale.RoleDedicated, func(r scale.Role) float64 { return r.CPU }},
+	{"a worker alone, memory", "MB", scale.RoleDedicated, func(r scale.Role) float64 { return r.Memory }},
 }
 
 func peerKB(r scale.Role) float64 {
@@ -102,15 +102,15 @@
 				continue
 			}
 			if role, ok := w.Roles[c.Role]; ok {
-				points = append(points, Point{loadOf(r.Figures, w), c.Of(role)})
+				points = append(points, Point{loadOf(r.Figures, w), c.Value(role)})
 			}
 		}
 	}
 	return points
 }
 
-// number prints a number with three digits that matter.
-func number(v float64) string {
+// formatNumber prints a number with three digits that matter.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return ""
@@ -140,20 +140,20 @@
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", c.Name, err)
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s |", c.Name, c.Unit, number(m.Intercept))
+		fmt.Fprintf(&b, "| %s | %s | %s |", c.Name, c.Unit, formatNumber(m.Intercept))
 		for _, s := range m.Slopes {
-			fmt.Fprintf(&b, " %s |", number(s))
+			fmt.Fprintf(&b, " %s |", formatNumber(s))
 		}
-		fmt.Fprintf(&b, " %s | %.2f | %s |\n", number(m.Residual), m.R2, number(m.At(PlanLoad)))
+		fmt.Fprintf(&b, " %s | %.2f | %s |\n", formatNumber(m.Residual), m.R2, formatNumber(m.At(PlanLoad)))
 	}
 	return b.String(), nil
 }
 
-// sized are the runs of the plan at all its sizes.
-func sized(runs []Run) (l []Run) {
+// planRuns are the runs of the plan at all its sizes.
+func planRuns(runs []Run) (l []Run) {
 	for _, r := range runs {
 		usual := scale.Default(r.Plan.Workers)
-		if len(r.Plan.Lose) == 0 && r.Plan.FaultsTimes == 0 && r.Plan.Controllers == usual.Controllers && r.Plan.Teams == usual.Teams && r.Plan.Zones == usual.Zones && r.Plan.Running == usual.Running && r.Plan.Starts == usual.Starts {
+		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 && r.Plan.Controllers == usual.Controllers && r.Plan.Teams == usual.Teams && r.Plan.Zones == usual.Zones && r.Plan.Running == usual.Running && r.Plan.Starts == usual.Starts {
 			l = append(l, r)
 		}
 	}
@@ -163,7 +163,7 @@
 // sizesTable has each cost at each size, and what the smaller ones predict for the
 // largest.
 func sizesTable(runs []Run, window string) (string, error) {
-	l := sized(runs)
+	l := planRuns(runs)
 	if len(l) < 3 {
 		return "", errors.New("fewer than three sizes were played")
 	}
@@ -183,9 +183,9 @@
 		predicted := FitLine(points[:len(points)-1]).At(last.Load.Workers)
 		fmt.Fprintf(&b, "| %s | %s |", c.Name, c.Unit)
 		for _, p := range points {
-			fmt.Fprintf(&b, " %s |", number(p.Value))
+			fmt.Fprintf(&b, " %s |", formatNumber(p.Value))
 		}
-		fmt.Fprintf(&b, " %s | %s |\n", number(predicted), number(last.Value-predicted))
+		fmt.Fprintf(&b, " %s | %s |\n", formatNumber(predicted), formatNumber(last.Value-predicted))
 	}
 	return b.String(), nil
 }
@@ -198,8 +198,8 @@
 		w := r.Windows[scale.WindowPeak]
 		state := w.Roles[scale.RoleState].Total("state ")
 		fmt.Fprintf(&b, "| %s | %d | %d | %d | %d | %s | %s | %s | %s | %.3f | %s | %.3f | %s | %s | %d |\n", r.Name, r.Plan.Workers, r.Plan.Controllers, r.Plan.Zones, r.Plan.Teams,
-			number(w.Starts), number(state.Messages), number(state.Refused), number(w.Roles[scale.RoleStandBy].Total("state ").Messages),
-			r.Urgent.Share, number(r.Urgent.P95), r.Gangs.Share, number(r.Poll.P95), number(r.Late.P99), len(r.Broken))
+			formatNumber(w.Starts), formatNumber(state.Messages), formatNumber(state.Refused), formatNumber(w.Roles[scale.RoleStandBy].Total("state ").Messages),
+			r.Urgent.Share, formatNumber(r.Urgent.P95), r.Gangs.Share, formatNumber(r.Poll.P95), formatNumber(r.TimerLateness.P99), len(r.Violations))
 	}
 	return b.String()
 }
@@ -207,7 +207,7 @@
 // kindsTable has the state service's requests by kind, before and after, at the
 // largest size that was played of both.
 func kindsTable(before, after []Run) (string, error) {
-	x, y := sized(before), sized(after)
+	x, y := planRuns(before), planRuns(after)
 	if len(x) == 0 || len(y) == 0 {
 		return "", errors.New("no run of the plan's shape was played")
 	}
@@ -231,9 +231,9 @@
 	for _, kind := range names {
 		fmt.Fprintf(&b, "| %s |", strings.TrimPrefix(kind, "state "))
 		for _, role := range []string{scale.RoleLeader, scale.RoleStandBy, scale.RoleState} {
-			fmt.Fprintf(&b, " %s | %s |", number(rate(old, role, kind).Messages), number(rate(now, role, kind).Messages))
+			fmt.Fprintf(&b, " %s | %s |", formatNumber(rate(old, role, kind).Messages), formatNumber(rate(now, role, kind).Messages))
 		}
-		fmt.Fprintf(&b, " %s | %s |\n", number(rate(old, scale.RoleState, kind).Refused), number(rate(now, scale.RoleState, kind).Refused))
+		fmt.Fprintf(&b, " %s | %s |\n", formatNumber(rate(old, scale.RoleState, kind).Refused), formatNumber(rate(now, scale.RoleState, kind).Refused))
 	}
 	return b.String(), nil
 }
@@ -243,25 +243,25 @@
 	var b strings.Builder
 	b.WriteString("| run | lost | faults of machines, times the plan's | workers with an answer of the next leader | p50 s | p99 s | worst s | urgent within 1.2 s | breaches |\n|" + strings.Repeat(" --- |", 9) + "\n")
 	for _, r := range runs {
-		if len(r.Plan.Lose) == 0 && r.Plan.FaultsTimes == 0 {
+		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 {
 			continue
 		}
-		t := scale.Takeover{}
-		if len(r.Takeover) > 0 {
-			t = r.Takeover[0]
+		t := scale.Failover{}
+		if len(r.Failovers) > 0 {
+			t = r.Failovers[0]
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s | %s | %.3f | %d |\n", r.Name, strings.Join(r.Plan.Lose, ", "), number(r.Plan.FaultsTimes), t.Workers, number(t.Median), number(t.P99), number(t.Worst), r.Urgent.Share, len(r.Broken))
+		fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s | %s | %.3f | %d |\n", r.Name, strings.Join(r.Plan.Failures, ", "), formatNumber(r.Plan.FaultSpeedup), t.Workers, formatNumber(t.Median), formatNumber(t.P99), formatNumber(t.Worst), r.Urgent.Share, len(r.Violations))
 	}
 	return b.String()
 }
 
 // Tables are the page's by name.
 func Tables(dir string) (map[string]string, error) {
-	before, err := LoadRuns(dir, Before)
+	before, err := LoadRuns(dir, BaselinePrefix)
 	if err != nil {
 		return nil, err
 	}
-	after, err := LoadRuns(dir, After)
+	after, err := LoadRuns(dir, CurrentPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -282,29 +282,29 @@
 
 // steadyRuns are those in which nothing was lost.
 func steadyRuns(runs []Run) []Run {
-	return slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return len(r.Plan.Lose) > 0 || r.Plan.FaultsTimes > 0 })
+	return slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return len(r.Plan.Failures) > 0 || r.Plan.FaultSpeedup > 0 })
 }
 
 // What stands round a table in the page.
 const (
-	beginMark = "<!-- table "
-	markEnd   = " -->"
-	endMark   = "<!-- end of table -->"
+	tableBegin    = "<!-- table "
+	tableBeginEnd = " -->"
+	tableEnd      = "<!-- end of table -->"
 )
 
-// Remake puts the tables into a page where it says that they belong. A table that it
+// ReplaceTables puts the tables into a page where it says that they belong. A table that it
 // asks for and that does not exist is an error, as is one that it does not ask for.
-func Remake(page string, tables map[string]string) (string, error) {
+func ReplaceTables(page string, tables map[string]string) (string, error) {
 	var b strings.Builder
 	used := map[string]bool{}
 	for {
-		head, rest, found := strings.Cut(page, beginMark)
+		head, rest, found := strings.Cut(page, tableBegin)
 		b.WriteString(head)
 		if !found {
 			break
 		}
-		name, rest, ok := strings.Cut(rest, markEnd)
-		_, rest, ended := strings.Cut(rest, endMark)
+		name, rest, ok := strings.Cut(rest, tableBeginEnd)
+		_, rest, ended := strings.Cut(rest, tableEnd)
 		if !ok || !ended {
 			return "", fmt.Errorf("the table %q has no end in the page", name)
 		}
@@ -313,7 +313,7 @@
 			return "", fmt.Errorf("there is no table %q", name)
 		}
 		used[name] = true
-		b.WriteString(beginMark + name + markEnd + "\n" + table + endMark)
+		b.WriteString(tableBegin + name + tableBeginEnd + "\n" + table + tableEnd)
 		page = rest
 	}
 	for name := range tables {
@@ -324,9 +324,9 @@
 	return b.String(), nil
 }
 
-// RemakeFile remakes a page on disk and says whether that changed it; with check it
+// UpdatePage remakes a page on disk and says whether that changed it; with check it
 // is left as it is.
-func RemakeFile(path, dir string, check bool) (changed bool, err error) {
+func UpdatePage(path, dir string, check bool) (changed bool, err error) {
 	tables, err := Tables(dir)
 	if err != nil {
 		return false, err
@@ -335,7 +335,7 @@
 	if err != nil {
 		return false, fmt.Errorf("read the page: %w", err)
 	}
-	made, err := Remake(string(page), tables)
+	made, err := ReplaceTables(string(page), tables)
 	if err != nil || made == string(page) {
 		return false, err
 	}
--- /dev/null
+++ b/internal/emulator/environment/cloud.go
@@ -0,0 +1,300 @@
+package environment
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/benbjohnson/immutable"
+
+	"github.com/zinclb/zinclb/internal/emulator/history"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// What the cloud takes and shows.
+const (
+	maxRentCount    = 50
+	maxReleaseCount = 100
+	maxListPage     = 500
+	// minBilledTime is what a machine costs at least, in microseconds.
+	minBilledTime = 60 * second
+	// deadListedFor is how long a dead machine is still listed as running.
+	deadListedFor = 30 * second
+)
+
+// cloud rents machines. What its list shows is some seconds old: each change
+// makes a new version of an immutable map, and readers get an old one.
+type cloud struct {
+	env           *Environment
+	machines      map[string]*machine
+	order         []*machine // by name, which is the order of creation
+	rentRequests  map[string][]string
+	used          map[Capacity]int // Count is 1 for spot, see slot
+	versions      []listVersion
+	down          bool
+	refusing      bool
+	capacityShare float64 // of the capacity that is there
+	bootFactor    float64 // times that boots take
+	calls         bucket
+}
+
+type listVersion struct {
+	at   int64
+	list *immutable.SortedMap[string, listedMachine]
+}
+
+type listedMachine struct {
+	machine *machine
+	status  string
+}
+
+func newCloud(w *Environment) *cloud {
+	return &cloud{env: w, machines: map[string]*machine{}, rentRequests: map[string][]string{}, used: map[Capacity]int{}, capacityShare: 1, bootFactor: 1,
+		calls: bucket{level: 2 * w.Params.Cloud.RPS}, versions: []listVersion{{math.MinInt64 / 2, immutable.NewSortedMap[string, listedMachine](nil)}}}
+}
+
+func (c *cloud) machineType(name string) *wire.MachineType {
+	if i := slices.IndexFunc(c.env.Types, func(t wire.MachineType) bool { return t.Name == name }); i >= 0 {
+		return &c.env.Types[i]
+	}
+	return nil
+}
+
+func (c *cloud) machine(name string) *machine { return c.machines[name] }
+
+// capacityKey is the key of what is used of a capacity.
+func capacityKey(typ, zone string, spot bool) Capacity {
+	s := Capacity{Type: typ, Zone: zone}
+	if spot {
+		s.Spot = 1
+	}
+	return s
+}
+
+// setStatus makes a new version of the list.
+func (c *cloud) setStatus(m *machine, status string) {
+	list := c.versions[len(c.versions)-1].list
+	if status == "" {
+		list = list.Delete(m.name)
+	} else {
+		list = list.Set(m.name, listedMachine{m, status})
+	}
+	c.versions = append(c.versions, listVersion{c.env.now, list})
+	old := c.env.now - c.listLag()*2 - second
+	for len(c.versions) > 1 && c.versions[1].at < old {
+		c.versions = c.versions[1:]
+	}
+}
+
+func (c *cloud) listLag() int64 { return int64(c.env.Params.Cloud.ListLagS * 1e6) }
+
+func (c *cloud) call(req any, answer func(int, any)) {
+	c.env.after(c.env.jitter(c.env.CloudDelay, 0.5, 1.5), func() {
+		if c.down {
+			answer(503, wire.Error{Error: "trouble"})
+			return
+		}
+		if !c.calls.take(c.env.now, c.env.Params.Cloud.RPS, 2, 1) {
+			answer(429, wire.Error{Error: "too many requests"})
+			return
+		}
+		lost, late := c.env.loseAnswer()
+		execute := func() {
+			status, body := c.execute(req)
+			if !lost {
+				answer(status, body)
+			}
+		}
+		if late > 0 {
+			c.env.after(late, execute)
+			return
+		}
+		execute()
+	})
+}
+
+func (c *cloud) execute(req any) (int, any) {
+	switch q := req.(type) {
+	case wire.Types:
+		types := slices.Clone(c.env.Types)
+		for i := range types {
+			types[i].SpotPrice = c.price(&types[i], true)
+		}
+		return 200, wire.TypesAnswer{Types: types}
+	case wire.Machines:
+		return 200, c.list(q)
+	case wire.Rent:
+		return c.rent(q)
+	case wire.Release:
+		if len(q.Machines) > maxReleaseCount {
+			return 400, wire.Error{Error: "stokers: more than 100"}
+		}
+		for _, name := range q.Machines {
+			if m := c.machines[name]; m != nil && !m.deleted {
+				m.deleted = true
+				m.end("released")
+				c.setStatus(m, "")
+			}
+		}
+		return 200, struct{}{}
+	}
+	return 400, wire.Error{Error: "unknown request"}
+}
+
+// price is what a machine costs an hour now: that of spot ones moves by up to a
+// third round the nominal one, over a quarter of an hour.
+func (c *cloud) price(t *wire.MachineType, spot bool) float64 {
+	if !spot {
+		return t.Price
+	}
+	return t.SpotPrice * (1 + math.Sin(2*math.Pi*float64(c.env.now)/float64(900*second)+float64(len(t.Name)))/3)
+}
+
+func (c *cloud) list(q wire.Machines) wire.MachinesAnswer {
+	// It describes a moment up to twice the lag ago, sometimes one before
+	// that of the last list.
+	at := c.env.now - c.listLag()
+	if c.env.rng.IntN(5) == 0 {
+		at -= int64(c.env.rng.Float64() * float64(c.listLag()))
+	}
+	i, _ := slices.BinarySearchFunc(c.versions, at+1, func(v listVersion, t int64) int {
+		if v.at < t {
+			return -1
+		}
+		return 1
+	})
+	out := wire.MachinesAnswer{Machines: []wire.Listing{}}
+	it := c.versions[max(i-1, 0)].list.Iterator()
+	it.Seek(q.After)
+	for !it.Done() {
+		name, l, _ := it.Next()
+		if name <= q.After {
+			continue
+		}
+		if len(out.Machines) == min(max(q.Limit, 1), maxListPage) {
+			out.More = true
+			break
+		}
+		m := l.machine
+		out.Machines = append(out.Machines, wire.Listing{Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: l.status,
+			AgeS: float64(max(at-m.createdAt, 0)) / 1e6})
+	}
+	return out
+}
+
+func (c *cloud) rent(q wire.Rent) (int, any) {
+	t := c.machineType(q.Type)
+	if t == nil || q.Request == "" || q.Count < 1 || q.Count > maxRentCount || !slices.Contains(t.Zones, q.Zone) {
+		return 400, wire.Error{Error: "malformed"}
+	}
+	if names, ok := c.rentRequests[q.Request]; ok {
+		return 200, wire.MachineNames{Machines: names}
+	}
+	n := min(c.available(q.Type, q.Zone, q.Spot), q.Count)
+	if n <= 0 || c.refusing {
+		return 503, wire.Error{Error: "no capacity"}
+	}
+	names := make([]string, n)
+	for i := range names {
+		boot := c.env.jitter(int64(t.BootS*1e6*c.bootFactor), 0.6, 1.5)
+		switch r := c.env.rng.Float64(); {
+		case r < c.env.Boot.Never:
+			boot = -1
+		case r < c.env.Boot.Never+c.env.Boot.Slow:
+			boot *= 5
+		}
+		names[i] = c.createMachine(t, q.Zone, q.Spot, boot).name
+	}
+	c.rentRequests[q.Request] = names
+	return 200, wire.MachineNames{Machines: names}
+}
+
+// available is how many more machines of a kind there are. Without a capacity given,
+// there is no limit.
+func (c *cloud) available(typ, zone string, spot bool) int {
+	if len(c.env.Capacity) == 0 {
+		return maxRentCount
+	}
+	for _, k := range c.env.Capacity {
+		if k.Type == typ && k.Zone == zone {
+			n := k.Count
+			if spot {
+				n = k.Spot
+			}
+			return int(float64(n)*c.capacityShare) - c.used[capacityKey(typ, zone, spot)]
+		}
+	}
+	return 0
+}
+
+// MachineName is that of the machine that was rented after so many others.
+func MachineName(i int) string { return fmt.Sprintf("host-%06d", i) }
+
+// createMachine makes a machine that is up after boot, or never if that is negative.
+func (c *cloud) createMachine(t *wire.MachineType, zone string, spot bool, boot int64) *machine {
+	m := newMachine(c.env, MachineName(len(c.order)), t, zone, spot)
+	c.order = append(c.order, m)
+	c.machines[m.name] = m
+	c.used[capacityKey(t.Name, zone, spot)]++
+	c.env.network.addHost(m.name, zone, workerHosts)
+	c.setStatus(m, "booting")
+	if boot > 0 && boot < 2*second {
+		c.env.recordOccurrence(history.OccurQuickBoot)
+	}
+	if boot >= 0 {
+		c.env.after(boot, m.begin)
+	}
+	if s := c.env.Spot; spot && s.PerHour > 0 {
+		// Taken at a moment of a Poisson process.
+		c.env.after(int64(c.env.rng.ExpFloat64()/s.PerHour*3600e6), func() { c.reclaim(m) })
+	}
+	return m
+}
+
+// reclaim takes a spot machine back, mostly with a notice.
+func (c *cloud) reclaim(m *machine) {
+	s := c.env.Spot
+	if m.gone || m.reclaimAt != 0 {
+		return
+	}
+	if s.Notice == 0 || c.env.rng.Float64() < s.Silent {
+		c.reclaimed(m)
+		return
+	}
+	m.reclaimAt = c.env.now + s.Notice
+	m.reportSoon()
+	c.env.after(c.env.jitter(s.Notice, 0.5, 1.5), func() { c.reclaimed(m) })
+}
+
+func (c *cloud) reclaimed(m *machine) {
+	if !m.gone {
+		m.end("taken")
+		c.setStatus(m, "")
+	}
+}
+
+// died is a machine that stops on its own: it is listed as running for a while,
+// and as failed until it is deleted.
+func (c *cloud) died(m *machine) {
+	m.end("died")
+	c.env.after(deadListedFor, func() {
+		if !m.deleted {
+			c.setStatus(m, "failed")
+		}
+	})
+}
+
+// recordCost records what a machine has cost.
+func (c *cloud) recordCost(m *machine) {
+	t := float64(max(c.env.now-m.createdAt, minBilledTime)) / 3600e6
+	c.env.record(history.Event{Kind: history.CostRecorded, Machine: m.name, Type: m.machineType.Name, Spot: m.spot, Cost: t * c.price(m.machineType, m.spot)})
+}
+
+// Close records what the machines that are still there have cost.
+func (w *Environment) Close() {
+	for _, m := range w.cloud.order {
+		if !m.gone {
+			w.cloud.recordCost(m)
+		}
+	}
+}
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/environment/environment.go
@@ -5,7 +5,7 @@
 // It does no input or output: Step takes the time and what a controller sent,
 // and returns what reaches controllers. Drivers put it into fake time or onto
 // sockets. With one seed and the same messages it does the same again.
-package world
+package environment
 
 import (
 	"fmt"
@@ -33,20 +33,20 @@
 	Network  Network
 	// StateDelay and CloudDelay are what an answer takes beyond the network.
 	StateDelay, CloudDelay int64
-	// Restart is how long a controller that has ended is away.
-	Restart int64
-	// Loss is the share of requests to state service and cloud whose answer is
+	// RestartTime is how long a controller that has ended is away.
+	RestartTime int64
+	// AnswerLoss is the share of requests to state service and cloud whose answer is
 	// lost; half of these are executed late.
-	Loss float64
-	Boot Boot
-	Spot Spot
-	// Drift is how far workers' clocks may be off, as a share.
-	Drift float64
-	// Strays is how often a second somebody asks about a job that nobody
+	AnswerLoss float64
+	Boot       Boot
+	Spot       Spot
+	// ClockDrift is how far workers' clocks may be off, as a share.
+	ClockDrift float64
+	// StrayRequestRate is how often a second somebody asks about a job that nobody
 	// submitted.
-	Strays float64
+	StrayRequestRate float64
 	// RemoteWorkers: the machines' workers run in other processes, each of which
-	// has a world of its own, see NewWorkers.
+	// has a world of its own, see NewWorkerEnvironment.
 	RemoteWorkers bool
 }
 
@@ -68,10 +68,10 @@
 // Apart longer than the last. Cancel is when its user cancels it, 0 for never.
 type Job struct {
 	At, Run, Cancel int64
-	Apart           int64
+	RunIncrement    int64
 	Spec            wire.Job
-	// Last: it is submitted when the jobs that it awaits are over.
-	Last bool
+	// AfterDependencies: it is submitted when the jobs that it awaits are over.
+	AfterDependencies bool
 }
 
 // Sweep is submitted at At as a sweep file, so many Times by users that do not
@@ -107,18 +107,18 @@
 		From, To string
 		Request  any
 	}
-	// Told is a controller's answer to Ask; Status 0 means that it does not
+	// AskAnswer is a controller's answer to Ask; Status 0 means that it does not
 	// answer (it has ended, or does not listen).
-	Told struct {
-		ID     uint64
-		Status int
-		Retry  int // seconds
-		Body   any
+	AskAnswer struct {
+		ID         uint64
+		Status     int
+		RetryAfter int // seconds
+		Body       any
 	}
-	// NodeUp says whether a controller's process is there.
-	NodeUp struct {
-		Node string
-		Up   bool
+	// ControllerUp says whether a controller's process is there.
+	ControllerUp struct {
+		Controller string
+		Up         bool
 	}
 )
 
@@ -140,71 +140,71 @@
 	}
 	// Kill ends a controller's process, Start starts it, Freeze stops it with
 	// On and lets it go on without.
-	Kill struct{ Node string }
+	Kill struct{ Controller string }
 	// Start starts a controller's process.
-	Start struct{ Node string }
+	Start struct{ Controller string }
 	// Freeze holds a process still.
 	Freeze struct {
-		Node string
-		On   bool
+		Controller string
+		On         bool
 	}
 	// Machine is one that is up or gone, for drivers that give it an address or
 	// run its worker. Why is the reason for which it is gone.
 	Machine struct {
-		Name, Type, Zone, Why string
-		Spot, Up              bool
+		Name, Type, Zone, Reason string
+		Spot, Up                 bool
 	}
 )
 
-// World is the model.
-type World struct {
+// Environment is the model.
+type Environment struct {
 	Config
-	now    int64
-	rng    *rand.Rand
-	timers Timers
-	out    []any
-	next   uint64
-	asked  map[uint64]*asked
-
-	net    *network
-	nodes  []*node
-	state  *state
-	cloud  *cloud
-	front  *front
-	gangs  map[gangKey]*gang
-	copies copies
-	kept   kept
-	jobs   map[string]*user
-	sweeps []*sweepUser
+	now         int64
+	rng         *rand.Rand
+	timers      Timers
+	outbox      []any
+	nextID      uint64
+	pendingAsks map[uint64]*pendingAsk
+
+	network     *network
+	controllers []*controller
+	state       *stateService
+	cloud       *cloud
+	balancer    *loadBalancer
+	gangs       map[gangKey]*gang
+	copies      duplicateReports
+	heldReports heldReports
+	jobs        map[string]*jobUser
+	sweeps      []*sweepUser
 
 	// Record is called with each event as it happens.
 	Record func(history.Event)
 }
 
-// node is a controller as the world sees it.
-type node struct {
+// controller is a controller as the world sees it.
+type controller struct {
 	name, zone  string
 	up, refused bool
 	frozen      bool
 }
 
-type asked struct {
+type pendingAsk struct {
 	from, to string
-	f        func(Told)
+	answer   func(AskAnswer)
 }
 
 // New makes a world at time 0. Nothing has happened yet.
-func New(c Config, record func(history.Event)) (*World, error) {
-	w := newWorld(c, record)
+func New(c Config, record func(history.Event)) (*Environment, error) {
+	w := newEnvironment(c, record)
 	w.state = newState(w)
-	w.front = newFront(w)
+	w.balancer = newFront(w)
 	for _, m := range c.Machines {
-		t := w.cloud.typ(m.Type)
+		t := w.cloud.machineType(m.Type)
 		if t == nil {
 			return nil, fmt.Errorf("machines: unknown type %q", m.Type)
 		}
 		for range m.Count {
-			w.cloud.make(t, m.Zone, m.Spot, 0)
+			w.cloud.createMachine(t, m.Zone, m.Spot, 0)
 		}
 	}
 	for i := range c.Jobs {
@@ -225,25 +225,25 @@
 	return w, nil
 }
 
-// newWorld makes a world of hosts alone.
-func newWorld(c Config, record func(history.Event)) *World {
-	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), asked: map[uint64]*asked{}, gangs: map[gangKey]*gang{}, jobs: map[string]*user{}, Record: record}
-	w.net = newNetwork(w)
+// newEnvironment makes a world of hosts alone.
+func newEnvironment(c Config, record func(history.Event)) *Environment {
+	w := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
+	w.network = newNetwork(w)
 	for i := range c.Params.Size {
-		n := &node{name: NodeName(i), zone: c.Params.Zones[i%len(c.Params.Zones)]}
-		w.nodes = append(w.nodes, n)
-		w.net.add(n.name, n.zone, controllers)
+		n := &controller{name: ControllerName(i), zone: c.Params.Zones[i%len(c.Params.Zones)]}
+		w.controllers = append(w.controllers, n)
+		w.network.addHost(n.name, n.zone, controllerHosts)
 	}
-	w.net.add(StateHost, "", services)
-	w.net.add(CloudHost, "", services)
-	w.net.add(usersHost, "", users)
+	w.network.addHost(StateHost, "", serviceHosts)
+	w.network.addHost(CloudHost, "", serviceHosts)
+	w.network.addHost(usersHost, "", userHosts)
 	w.cloud = newCloud(w)
 	return w
 }
 
 // Latency is the delay between two zones of the world, "" being that of the
 // regional services, without what varies.
-func (w *World) Latency(a, b string) int64 { return w.Network.latency(a, b) }
+func (w *Environment) Latency(a, b string) int64 { return w.Network.latency(a, b) }
 
 // The names of hosts that are neither controllers nor machines.
 const (
@@ -252,15 +252,15 @@
 	usersHost = "users"
 )
 
-// NodeName is a controller's.
-func NodeName(i int) string { return fmt.Sprintf("node-%d", i) }
+// ControllerName is a controller's.
+func ControllerName(i int) string { return fmt.Sprintf("node-%d", i) }
 
-// NodeZone is the zone of a controller.
-func (c *Config) NodeZone(i int) string { return c.Params.Zones[i%len(c.Params.Zones)] }
+// ControllerZone is the zone of a controller.
+func (c *Config) ControllerZone(i int) string { return c.Params.Zones[i%len(c.Params.Zones)] }
 
-// Terms are what the rules of a world are judged by.
-func (c *Config) Terms() history.Terms {
-	t := history.Terms{Jobs: map[string]*wire.Job{}, Sweeps: map[string][]string{}, Teams: map[string]history.Limits{}, Cancel: config.Secs(c.Params.Workers.CancelS)}
+// Expectations are what the rules of a world are judged by.
+func (c *Config) Expectations() history.Expectations {
+	t := history.Expectations{Jobs: map[string]*wire.Job{}, Sweeps: map[string][]string{}, Teams: map[string]history.Limits{}, CancelWithin: config.Secs(c.Params.Workers.CancelS)}
 	for i := range c.Jobs {
 		t.Jobs[c.Jobs[i].Spec.ID] = &c.Jobs[i].Spec
 	}
@@ -281,11 +281,11 @@
 }
 
 // Next is when something will happen by itself.
-func (w *World) Next() (int64, bool) { return w.timers.Next() }
+func (w *Environment) Next() (int64, bool) { return w.timers.Next() }
 
 // Step lets everything happen that is due, takes a message, which may be nil,
 // and returns what reaches controllers.
-func (w *World) Step(now int64, msg any) []any {
+func (w *Environment) Step(now int64, msg any) []any {
 	for {
 		at, ok := w.timers.Next()
 		if !ok || at > now {
@@ -299,31 +299,31 @@
 	case nil:
 	case Call:
 		w.call(m)
-	case Told:
-		if a := w.asked[m.ID]; a != nil {
-			delete(w.asked, m.ID)
-			w.net.send(a.to, a.from, func() { a.f(m) }, func() { a.f(Told{ID: m.ID}) })
+	case AskAnswer:
+		if a := w.pendingAsks[m.ID]; a != nil {
+			delete(w.pendingAsks, m.ID)
+			w.network.send(a.to, a.from, func() { a.answer(m) }, func() { a.answer(AskAnswer{ID: m.ID}) })
 		}
-	case NodeUp:
-		if n := w.node(m.Node); n != nil && n.up != m.Up {
+	case ControllerUp:
+		if n := w.controller(m.Controller); n != nil && n.up != m.Up {
 			n.up = m.Up
-			w.record(history.Event{Kind: history.Node, Node: m.Node, State: map[bool]string{true: "up", false: "down"}[m.Up]})
+			w.record(history.Event{Kind: history.ControllerChanged, Node: m.Controller, State: map[bool]string{true: "up", false: "down"}[m.Up]})
 		}
 	default:
 		w.worker(m)
 	}
-	out := w.out
-	w.out = nil
+	out := w.outbox
+	w.outbox = nil
 	return out
 }
 
-func (w *World) emit(e any) { w.out = append(w.out, e) }
+func (w *Environment) emit(e any) { w.outbox = append(w.outbox, e) }
 
-func (w *World) after(d int64, f func()) { w.timers.Add(w.now+d, f) }
+func (w *Environment) after(d int64, f func()) { w.timers.Add(w.now+d, f) }
 
-// replan calls f after d, unless plan has been counted on by then: whoever has
+// afterUnlessReplanned calls f after d, unless plan has been counted on by then: whoever has
 // one plan at a time, or takes it back, counts.
-func (w *World) replan(plan *int, d int64, f func()) {
+func (w *Environment) afterUnlessReplanned(plan *int, d int64, f func()) {
 	*plan++
 	made := *plan
 	w.after(max(d, 0), func() {
@@ -333,44 +333,46 @@
 	})
 }
 
-func (w *World) record(e history.Event) {
+func (w *Environment) record(e history.Event) {
 	if w.Record != nil {
 		e.At = w.now
 		w.Record(e)
 	}
 }
 
-func (w *World) met(why string) { w.record(history.Event{Kind: history.Met, Why: why}) }
+func (w *Environment) recordOccurrence(why string) {
+	w.record(history.Event{Kind: history.Occurred, Reason: why})
+}
 
-func (w *World) node(name string) *node {
-	if i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == name }); i >= 0 {
-		return w.nodes[i]
+func (w *Environment) controller(name string) *controller {
+	if i := slices.IndexFunc(w.controllers, func(n *controller) bool { return n.name == name }); i >= 0 {
+		return w.controllers[i]
 	}
 	return nil
 }
 
 // call carries a controller's request to where it goes, and the answer back.
-func (w *World) call(c Call) {
+func (w *Environment) call(c Call) {
 	if m := w.cloud.machine(c.To); c.From == "" && m != nil {
 		// On sockets nobody says who sends orders to a machine: it is taken
 		// for the controller that the machine reports to.
-		c.From = w.nodes[m.at].name
+		c.From = w.controllers[m.controllerIndex].name
 	}
 	answer := func(status int, body any) {
-		w.net.send(c.To, c.From, func() { w.emit(Answer{c.ID, c.From, status, body}) }, func() { w.emit(Answer{ID: c.ID, To: c.From}) })
+		w.network.send(c.To, c.From, func() { w.emit(Answer{c.ID, c.From, status, body}) }, func() { w.emit(Answer{ID: c.ID, To: c.From}) })
 	}
 	broken := func() { w.emit(Answer{ID: c.ID, To: c.From}) }
-	w.net.send(c.From, c.To, func() {
+	w.network.send(c.From, c.To, func() {
 		switch {
 		case c.To == StateHost:
 			w.state.call(c.From, c.Request, answer)
 		case c.To == CloudHost:
 			w.cloud.call(c.Request, answer)
-		case w.node(c.To) != nil:
-			w.ask(c.From, c.To, c.Request, func(t Told) { w.emit(Answer{c.ID, c.From, t.Status, t.Body}) })
+		case w.controller(c.To) != nil:
+			w.ask(c.From, c.To, c.Request, func(t AskAnswer) { w.emit(Answer{c.ID, c.From, t.Status, t.Body}) })
 		default:
-			if m := w.cloud.machine(c.To); m == nil || !m.direct(c.Request, answer) {
-				w.after(w.net.delay(c.To, c.From), broken)
+			if m := w.cloud.machine(c.To); m == nil || !m.handleDirect(c.Request, answer) {
+				w.after(w.network.delay(c.To, c.From), broken)
 			}
 		}
 	}, broken)
@@ -378,20 +380,20 @@
 
 // ask brings a request to a controller at once; f gets its answer, after the
 // network's delay, unless nothing ever comes.
-func (w *World) ask(from, to string, request any, f func(Told)) {
-	if n := w.node(to); n == nil || !n.up {
-		w.after(w.net.delay(to, from), func() { f(Told{}) })
+func (w *Environment) ask(from, to string, request any, f func(AskAnswer)) {
+	if n := w.controller(to); n == nil || !n.up {
+		w.after(w.network.delay(to, from), func() { f(AskAnswer{}) })
 		return
 	}
-	w.next++
-	w.asked[w.next] = &asked{from, to, f}
-	w.emit(Ask{w.next, from, to, request})
+	w.nextID++
+	w.pendingAsks[w.nextID] = &pendingAsk{from, to, f}
+	w.emit(Ask{w.nextID, from, to, request})
 }
 
-// lost says whether an answer is lost on its way, and how much later the request
+// loseAnswer says whether an answer is lost on its way, and how much later the request
 // is executed than it should be.
-func (w *World) lost() (lost bool, late int64) {
-	if w.Loss == 0 || w.rng.Float64() >= w.Loss {
+func (w *Environment) loseAnswer() (lost bool, late int64) {
+	if w.AnswerLoss == 0 || w.rng.Float64() >= w.AnswerLoss {
 		return false, 0
 	}
 	if w.rng.IntN(2) == 0 {
@@ -400,8 +402,8 @@
 	return true, late
 }
 
-// spread is a random time round d, from lo to hi times as long.
-func (w *World) spread(d int64, lo, hi float64) int64 {
+// jitter is a random time round d, from lo to hi times as long.
+func (w *Environment) jitter(d int64, lo, hi float64) int64 {
 	return int64(float64(d) * (lo + w.rng.Float64()*(hi-lo)))
 }
 
--- a/internal/emulator/world/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 // Fault is something that happens at At and, where it lasts, ends after For.
 type Fault struct {
-	At, For int64
+	At, Duration int64
 	// Kind is one of Kinds.
 	Kind string
 	// Hosts is whom it befalls: controllers or machines by name, "all", or,
@@ -27,16 +27,16 @@
 	Class string
 	// Factor is how many times as slow something is.
 	Factor float64
-	// AtOnce: late_writes are carried out at once, and only their answers are
-	// lost. ForNext: report_copies are kept until the next leader has begun.
-	AtOnce, ForNext bool
+	// OnlyAnswers: late_writes are carried out at once, and only their answers are
+	// lost. UntilNextLeader: report_copies are kept until the next leader has begun.
+	OnlyAnswers, UntilNextLeader bool
 	// Cutting is how a cut is made.
-	Cutting
-	Lose *Lose
+	PartitionMode
+	TransactionLoss *TransactionLoss
 }
 
-// Kinds are the kinds of faults and what they do.
-var Kinds = map[string]string{
+// FaultKinds are the kinds of faults and what they do.
+var FaultKinds = map[string]string{
 	"crash":          "controllers end, and are started again, For later if that is given",
 	"roll":           "controllers are restarted one after the other, For apart",
 	"freeze":         "controllers stand still",
@@ -70,50 +70,50 @@
 }
 
 // schedule plans a fault.
-func (w *World) schedule(f Fault) error {
-	begin, err := w.fault(f)
+func (w *Environment) schedule(f Fault) error {
+	begin, err := w.prepareFault(f)
 	if err != nil {
 		return err
 	}
-	w.timers.Add(f.At, func() { w.befall(f, begin) })
+	w.timers.Add(f.At, func() { w.runFault(f, begin) })
 	return nil
 }
 
-// Befall lets a fault happen now.
-func (w *World) Befall(f Fault) error {
-	begin, err := w.fault(f)
+// InjectFault lets a fault happen now.
+func (w *Environment) InjectFault(f Fault) error {
+	begin, err := w.prepareFault(f)
 	if err == nil {
-		w.befall(f, begin)
+		w.runFault(f, begin)
 	}
 	return err
 }
 
-func (w *World) befall(f Fault, begin func() (end func())) {
-	w.record(history.Event{Kind: history.Fault, Why: f.Kind, State: "begins"})
+func (w *Environment) runFault(f Fault, begin func() (end func())) {
+	w.record(history.Event{Kind: history.FaultChanged, Reason: f.Kind, State: "begins"})
 	end := begin()
-	if end == nil || f.For <= 0 {
+	if end == nil || f.Duration <= 0 {
 		return
 	}
-	w.after(f.For, func() {
+	w.after(f.Duration, func() {
 		end()
-		w.record(history.Event{Kind: history.Fault, Why: f.Kind, State: "ends"})
+		w.record(history.Event{Kind: history.FaultChanged, Reason: f.Kind, State: "ends"})
 	})
 }
 
-// fault checks a fault and returns what begins it; that returns what ends it.
-func (w *World) fault(f Fault) (begin func() (end func()), err error) {
-	if Kinds[f.Kind] == "" {
+// prepareFault checks a fault and returns what begins it; that returns what ends it.
+func (w *Environment) prepareFault(f Fault) (begin func() (end func()), err error) {
+	if FaultKinds[f.Kind] == "" {
 		return nil, fmt.Errorf("unknown kind %q", f.Kind)
 	}
-	var nodes []*node
+	var nodes []*controller
 	if slices.Contains([]string{"crash", "roll", "freeze", "state_refuse"}, f.Kind) {
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			if len(f.Hosts) == 0 || slices.Contains(f.Hosts, "all") || slices.Contains(f.Hosts, n.name) {
 				nodes = append(nodes, n)
 			}
 		}
 		for _, h := range f.Hosts {
-			if h != "all" && w.node(h) == nil {
+			if h != "all" && w.controller(h) == nil {
 				return nil, fmt.Errorf("no controller is called %q", h)
 			}
 		}
@@ -122,14 +122,14 @@
 	case "crash":
 		return func() func() {
 			for _, n := range nodes {
-				w.crash(n, f.For)
+				w.crash(n, f.Duration)
 			}
 			return nil
 		}, nil
 	case "roll":
 		return func() func() {
 			for i, n := range nodes {
-				w.after(int64(i)*f.For, func() { w.crash(n, 0) })
+				w.after(int64(i)*f.Duration, func() { w.crash(n, 0) })
 			}
 			return nil
 		}, nil
@@ -149,10 +149,10 @@
 		if len(to) == 0 {
 			to = []string{"all"}
 		}
-		return w.cut(f.Hosts, to, f.Cutting)
+		return w.partition(f.Hosts, to, f.PartitionMode)
 	case "state_outage", "state_cold":
 		return func() func() {
-			w.state.down, w.state.cold = true, f.Kind == "state_cold"
+			w.state.down, w.state.coldRestart = true, f.Kind == "state_cold"
 			return w.state.recover
 		}, nil
 	case "state_refuse":
@@ -160,95 +160,104 @@
 			for _, n := range nodes {
 				n.refused = on
 			}
-			w.state.wake()
+			w.state.wakeWatches()
 		}
 		return func() func() { set(true); return func() { set(false) } }, nil
 	case "state_slow", "cloud_slow":
 		if f.Factor <= 0 {
 			return nil, fmt.Errorf("factor: must be positive")
 		}
-		v := &w.state.slow
+		v := &w.state.slowFactor
 		if f.Kind == "cloud_slow" {
-			v = &w.cloud.slow
+			v = &w.cloud.bootFactor
 		}
 		return func() func() { *v = f.Factor; return func() { *v = 1 } }, nil
 	case "state_limits":
 		return func() func() { w.state.limits = w.Params.Tight(); return nil }, nil
 	case "state_lose":
-		if f.Lose == nil || !slices.Contains([]string{"before", "after", "late"}, f.Lose.How) {
+		if f.TransactionLoss == nil || !slices.Contains([]string{"before", "after", "late"}, f.TransactionLoss.Outcome) {
 			return nil, fmt.Errorf("lose.how: must be before, after or late")
 		}
-		return func() func() { w.state.losses = append(w.state.losses, f.Lose); return nil }, nil
+		return func() func() {
+			w.state.transactionLosses = append(w.state.transactionLosses, f.TransactionLoss)
+			return nil
+		}, nil
 	case "late_writes", "late_leases":
-		v := &w.state.lateWrites
+		v := &w.state.delayedWriteShare
 		if f.Kind == "late_leases" {
-			v = &w.state.lateLeases
+			v = &w.state.delayedLeaseShare
 		}
-		if f.AtOnce {
-			v = &w.state.lostAnswers
+		if f.OnlyAnswers {
+			v = &w.state.lostAnswerShare
 		}
 		return func() func() { *v = f.Share; return func() { *v = 0 } }, nil
 	case "report_copies":
-		if f.ForNext {
-			return func() func() { w.kept.share = f.Share; return func() { w.kept.share = 0 } }, nil
+		if f.UntilNextLeader {
+			return func() func() { w.heldReports.share = f.Share; return func() { w.heldReports.share = 0 } }, nil
 		}
 		if f.Factor <= 0 {
 			return nil, fmt.Errorf("factor: must be positive")
 		}
 		return func() func() {
-			w.copies = copies{f.Share, f.Factor}
-			return func() { w.copies = copies{} }
+			w.copies = duplicateReports{f.Share, f.Factor}
+			return func() { w.copies = duplicateReports{} }
 		}, nil
 	case "cancel_now":
-		return func() func() { return w.cancelNow(f.Count, f.For > 0) }, nil
+		return func() func() { return w.cancelNow(f.Count, f.Duration > 0) }, nil
 	case "cancel_at_end":
-		return func() func() { w.front.atEnd = f.Share; return func() { w.front.atEnd = 0 } }, nil
+		return func() func() {
+			w.balancer.cancelAtEndShare = f.Share
+			return func() { w.balancer.cancelAtEndShare = 0 }
+		}, nil
 	case "close_looks":
-		return func() func() { w.front.looking = true; return func() { w.front.looking = false } }, nil
+		return func() func() {
+			w.balancer.probeAfterAnswers = true
+			return func() { w.balancer.probeAfterAnswers = false }
+		}, nil
 	case "odd_requests":
-		return func() func() { return w.front.oddRequests() }, nil
+		return func() func() { return w.balancer.sendInvalidRequests() }, nil
 	case "cloud_outage":
 		return func() func() { w.cloud.down = true; return func() { w.cloud.down = false } }, nil
 	case "cloud_refuse":
 		return func() func() { w.cloud.refusing = true; return func() { w.cloud.refusing = false } }, nil
 	case "cloud_capacity":
-		return func() func() { w.cloud.share = f.Share; return func() { w.cloud.share = 1 } }, nil
+		return func() func() { w.cloud.capacityShare = f.Share; return func() { w.cloud.capacityShare = 1 } }, nil
 	}
-	return w.machineFault(f)
+	return w.prepareMachineFault(f)
 }
 
 // crash ends a controller, which is back after away, or as long as is usual.
-func (w *World) crash(n *node, away int64) {
+func (w *Environment) crash(n *controller, away int64) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	w.net.parted(n.name)
+	w.network.forgetConnections(n.name)
 	w.emit(Kill{n.name})
-	w.record(history.Event{Kind: history.Node, Node: n.name, State: "killed"})
+	w.record(history.Event{Kind: history.ControllerChanged, Node: n.name, State: "killed"})
 	if away == 0 {
-		away = w.Restart
+		away = w.RestartTime
 	}
 	w.after(away, func() { w.emit(Start{n.name}) })
 }
 
-func (w *World) cut(a, b []string, how Cutting) (func() func(), error) {
-	if _, err := w.net.set(slices.Concat(a, b)); err != nil {
+func (w *Environment) partition(a, b []string, how PartitionMode) (func() func(), error) {
+	if _, err := w.network.hostSet(slices.Concat(a, b)); err != nil {
 		return nil, err
 	}
 	return func() func() {
 		// The sets were checked; hosts may have come since.
-		x, errA := w.net.set(a)
-		y, errB := w.net.set(b)
+		x, errA := w.network.hostSet(a)
+		y, errB := w.network.hostSet(b)
 		if errA != nil || errB != nil {
 			return nil
 		}
-		return w.net.begin(x, y, how)
+		return w.network.beginPartition(x, y, how)
 	}, nil
 }
 
-// machineFault is one that befalls machines, which are chosen when it begins.
-func (w *World) machineFault(f Fault) (func() func(), error) {
+// prepareMachineFault is one that befalls machines, which are chosen when it begins.
+func (w *Environment) prepareMachineFault(f Fault) (func() func(), error) {
 	choose := func() []*machine {
 		var up, l []*machine
 		for _, m := range w.cloud.order {
@@ -266,7 +275,7 @@
 		w.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
 		if f.Class != "" {
 			without := func(m *machine) int {
-				if slices.ContainsFunc(m.tasks, func(t *task) bool { return t.job0().Class == f.Class && t.state != wire.Ended }) {
+				if slices.ContainsFunc(m.tasks, func(t *task) bool { return t.spec().Class == f.Class && t.state != wire.Ended }) {
 					return 0
 				}
 				return 1
@@ -296,11 +305,11 @@
 	}
 	switch f.Kind {
 	case "spot_wave":
-		return each(func(m *machine) func() { w.cloud.take(m); return nil }), nil
+		return each(func(m *machine) func() { w.cloud.reclaim(m); return nil }), nil
 	case "machine_die":
 		return each(func(m *machine) func() { w.cloud.died(m); return nil }), nil
 	case "machine_hang":
-		return each(func(m *machine) func() { m.hang(); return m.goOn }), nil
+		return each(func(m *machine) func() { m.hang(); return m.resume }), nil
 	case "machine_mute":
 		return each(func(m *machine) func() { m.mute = true; return func() { m.mute = false } }), nil
 	case "machine_faulty":
@@ -308,15 +317,15 @@
 	case "machine_back", "machine_anew":
 		return func() func() {
 			for _, m := range choose() {
-				m.restart(f.For, f.Kind == "machine_anew")
+				m.restart(f.Duration, f.Kind == "machine_anew")
 			}
 			return nil
 		}, nil
 	case "machine_deaf":
-		how := f.Cutting
+		how := f.PartitionMode
 		how.OneWay = true
 		return each(func(m *machine) func() {
-			begin, err := w.cut([]string{"controllers"}, []string{m.name}, how)
+			begin, err := w.partition([]string{"controllers"}, []string{m.name}, how)
 			if err != nil {
 				return nil
 			}
@@ -324,7 +333,7 @@
 		}), nil
 	case "machine_silent":
 		return each(func(m *machine) func() {
-			begin, err := w.cut([]string{m.name}, []string{"all"}, Cutting{})
+			begin, err := w.partition([]string{m.name}, []string{"all"}, PartitionMode{})
 			if err != nil {
 				return nil
 			}
@@ -334,5 +343,5 @@
 	return nil, fmt.Errorf("kind %q has no effect", f.Kind)
 }
 
-// KindNames are the names of all kinds of faults, in order.
-func KindNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
+// FaultKindNames are the names of all kinds of faults, in order.
+func FaultKindNames() []string { return slices.Sorted(maps.Keys(FaultKinds)) }
--- a/internal/emulator/world/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"slices"
@@ -13,7 +13,7 @@
 // cases say.
 type stage struct {
 	t      *testing.T
-	w      *World
+	w      *Environment
 	now    int64
 	events []history.Event
 	// token and silent are how the controller answers reports; orders go out
@@ -26,14 +26,14 @@
 }
 
 func newStage(t *testing.T) *stage {
-	c := Config{Seed: 4, Restart: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
+	c := Config{Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
 		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}}}
 	p := &c.Params
 	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2, 16, 20, 4, 36
 	p.State.RPS, p.State.WriteRPS, p.State.TxnOps = 100, 100, 10
 	job := func(id, kind string, tasks int, cpus float64) Job {
-		return Job{At: -1, Run: 30 * second, Spec: wire.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", ImageGB: 1, CheckpntS: 5, SaveS: 2}}
+		return Job{At: -1, Run: 30 * second, Spec: wire.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", ImageGB: 1, CheckpointS: 5, CheckpointCostS: 2}}
 	}
 	c.Jobs = []Job{job("a", wire.Array, 4, 2), job("wide", wire.Array, 1, 7), job("g", wire.Gang, 2, 2), job("unsent", wire.Array, 1, 1)}
 	s := &stage{t: t, token: 5, orders: map[string][]wire.Order{}, last: map[string]*wire.Report{}}
@@ -45,7 +45,7 @@
 	for _, id := range []string{"a", "wide", "g"} {
 		w.jobs[id].submitted = true
 	}
-	s.step(NodeUp{Node: "node-0", Up: true})
+	s.step(ControllerUp{Controller: "node-0", Up: true})
 	s.run(5)
 	return s
 }
@@ -58,17 +58,17 @@
 		case Ask:
 			r, ok := e.Request.(*wire.Report)
 			if !ok {
-				s.step(Told{ID: e.ID, Status: 200})
+				s.step(AskAnswer{ID: e.ID, Status: 200})
 				continue
 			}
 			s.last[r.Machine] = r
 			if s.silent {
-				s.step(Told{ID: e.ID, Status: 503})
+				s.step(AskAnswer{ID: e.ID, Status: 503})
 				continue
 			}
 			orders := s.orders[r.Machine]
 			delete(s.orders, r.Machine)
-			s.step(Told{ID: e.ID, Status: 200, Body: wire.BeatAnswer{Token: s.token, Orders: orders}})
+			s.step(AskAnswer{ID: e.ID, Status: 200, Body: wire.HeartbeatAnswer{Token: s.token, Orders: orders}})
 		}
 	}
 }
@@ -91,7 +91,7 @@
 // do sends orders to a machine's own address and returns the answer.
 func (s *stage) do(machine string, token, session uint64, orders ...wire.Order) Answer {
 	s.direct = nil
-	s.step(Call{ID: 1, From: "node-0", To: machine, Request: wire.Do{Token: &token, Session: &session, Orders: orders}})
+	s.step(Call{ID: 1, From: "node-0", To: machine, Request: wire.WorkerOrders{Token: &token, Session: &session, Orders: orders}})
 	s.run(0.1)
 	if len(s.direct) != 1 {
 		return Answer{}
@@ -114,8 +114,8 @@
 	for _, t := range r.Tasks {
 		if t.Name == name && t.Attempt == attempt {
 			out := t.State
-			if t.Why != "" {
-				out += " " + t.Why
+			if t.Reason != "" {
+				out += " " + t.Reason
 			}
 			if t.Saved {
 				out += " stored"
@@ -212,7 +212,7 @@
 		}},
 		{"without a token: 400", func(s *stage) {
 			s.direct = nil
-			s.step(Call{ID: 1, From: "node-0", To: m0, Request: wire.Do{}})
+			s.step(Call{ID: 1, From: "node-0", To: m0, Request: wire.WorkerOrders{}})
 			s.run(0.1)
 			if len(s.direct) != 1 || s.direct[0].Status != 400 {
 				s.t.Errorf("%+v", s.direct)
@@ -242,7 +242,7 @@
 			if s.last[m0].Session != 2 {
 				s.t.Errorf("session %d", s.last[m0].Session)
 			}
-			if !slices.ContainsFunc(s.events, func(e history.Event) bool { return e.Kind == history.Left && e.Why == "lease" }) {
+			if !slices.ContainsFunc(s.events, func(e history.Event) bool { return e.Kind == history.TaskLeft && e.Reason == "lease" }) {
 				s.t.Error("no task was killed")
 			}
 		}},
@@ -298,7 +298,7 @@
 			s.w.cloud.machine(m0).hang()
 			s.run(5)
 			s.is(m1, "g/1", 1, "ended mates_gone")
-			s.w.cloud.machine(m0).goOn()
+			s.w.cloud.machine(m0).resume()
 			s.run(2)
 			s.is(m0, "g/0", 1, "ended mates_gone")
 		}},
@@ -341,7 +341,7 @@
 			m.hang()
 			s.do(m0, 5, 1, kill("a/0", 1, 0))
 			s.run(8)
-			m.goOn()
+			m.resume()
 			s.run(1)
 			s.is(m0, "a/0", 1, "ended stopped")
 		}},
@@ -353,7 +353,7 @@
 		}},
 		{"a spot notice is reported", func(s *stage) {
 			s.w.Spot = Spot{Notice: 10 * second}
-			s.w.cloud.take(s.w.cloud.machine(m0))
+			s.w.cloud.reclaim(s.w.cloud.machine(m0))
 			s.run(1)
 			if n := s.last[m0].NoticeS; n == nil || *n > 10 || *n < 8 {
 				s.t.Errorf("notice %v", n)
@@ -372,7 +372,7 @@
 // TestRegions: the delay between two hosts goes by their zones and regions, and a
 // region can be cut off as a whole.
 func TestRegions(t *testing.T) {
-	n := Network{Near: 400, Far: 800, Remote: 8000, Regions: map[string]string{"a": "north", "b": "north", "c": "south"}, Home: "south"}
+	n := Network{SameZone: 400, CrossZone: 800, CrossRegion: 8000, Regions: map[string]string{"a": "north", "b": "north", "c": "south"}, HomeRegion: "south"}
 	cases := []struct {
 		a, b string
 		want int64
@@ -382,7 +382,7 @@
 			t.Errorf("%q to %q: %d, want %d", tc.a, tc.b, got, tc.want)
 		}
 	}
-	plain := Network{Near: 400, Far: 800, Remote: 8000}
+	plain := Network{SameZone: 400, CrossZone: 800, CrossRegion: 8000}
 	if got := plain.latency("a", "c"); got != 800 {
 		t.Errorf("without regions: %d", got)
 	}
@@ -392,12 +392,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Befall(Fault{Kind: "cut", Hosts: []string{"region:north"}, To: []string{"all"}, For: second}); err != nil {
+	if err := w.InjectFault(Fault{Kind: "cut", Hosts: []string{"region:north"}, To: []string{"all"}, Duration: second}); err != nil {
 		t.Fatal(err)
 	}
 	for i, want := range []bool{true, true, false} {
-		if cut, _ := w.Cut(NodeName(i), StateHost); cut != want {
-			t.Errorf("%s is cut: %v", NodeName(i), cut)
+		if cut, _ := w.LinkState(ControllerName(i), StateHost); cut != want {
+			t.Errorf("%s is cut: %v", ControllerName(i), cut)
 		}
 	}
 }
--- a/internal/emulator/world/remote.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"fmt"
@@ -22,11 +22,11 @@
 		Spot             bool
 	}
 	// WorkerEnd ends a worker and everything on its machine.
-	WorkerEnd struct{ Name, Why string }
-	// WorkerFault befalls a worker. Kind is that of the fault, or workerGoesOn.
+	WorkerEnd struct{ Name, Reason string }
+	// WorkerFault befalls a worker. Kind is that of the fault, or workerResumes.
 	WorkerFault struct {
 		Name, Kind string
-		For        int64
+		Duration   int64
 	}
 	// TaskCompleted says that a task was completed on a machine elsewhere: its
 	// result is kept for whoever starts it again.
@@ -36,19 +36,19 @@
 	}
 )
 
-// workerGoesOn ends the standstill of a worker.
-const workerGoesOn = "machine_goes_on"
+// workerResumes ends the standstill of a worker.
+const workerResumes = "machine_goes_on"
 
 // RemoteFaults are the kinds of faults that a world with RemoteWorkers can play.
 var RemoteFaults = []string{"crash", "roll", "freeze", "cut", "state_outage", "state_refuse", "state_slow",
 	"cloud_outage", "cloud_refuse", "cloud_capacity", "cloud_slow", "machine_die", "machine_hang", "machine_back", "machine_anew"}
 
-// NewWorkers makes a world of workers, in which no machine is up yet. Cuts of the
+// NewWorkerEnvironment makes a world of workers, in which no machine is up yet. Cuts of the
 // network are played in it as in the world that has the cloud; all other faults
 // come as messages.
-func NewWorkers(c Config, record func(history.Event)) (*World, error) {
+func NewWorkerEnvironment(c Config, record func(history.Event)) (*Environment, error) {
 	c.RemoteWorkers = false // they are here
-	w := newWorld(c, record)
+	w := newEnvironment(c, record)
 	for _, j := range c.Jobs {
 		j.At, j.Cancel = -1, 0
 		if err := w.addJob(j); err != nil {
@@ -64,27 +64,27 @@
 			return nil, fmt.Errorf("fault %d: %w", i, err)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.up = true
 	}
 	return w, nil
 }
 
 // worker takes a message about a worker.
-func (w *World) worker(msg any) {
+func (w *Environment) worker(msg any) {
 	switch m := msg.(type) {
 	case WorkerBegin:
 		w.beginWorker(m)
 	case WorkerEnd:
 		if x := w.cloud.machines[m.Name]; x != nil {
 			x.gone = true
-			x.killAll(m.Why)
+			x.killAll(m.Reason)
 			delete(w.cloud.machines, m.Name)
-			w.emit(Machine{Name: m.Name, Why: m.Why})
+			w.emit(Machine{Name: m.Name, Reason: m.Reason})
 		}
 	case WorkerFault:
 		if x := w.cloud.machines[m.Name]; x != nil {
-			x.befallen(m)
+			x.injectFault(m)
 		}
 	case TaskCompleted:
 		if u := w.jobs[m.Job]; u != nil {
@@ -93,29 +93,29 @@
 	}
 }
 
-func (w *World) beginWorker(m WorkerBegin) {
+func (w *Environment) beginWorker(m WorkerBegin) {
 	i := slices.IndexFunc(w.Types, func(t wire.MachineType) bool { return t.Name == m.Type })
 	if i < 0 || w.cloud.machines[m.Name] != nil {
 		return
 	}
 	x := newMachine(w, m.Name, &w.Types[i], m.Zone, m.Spot)
 	w.cloud.machines[m.Name] = x
-	w.net.add(m.Name, m.Zone, workers)
+	w.network.addHost(m.Name, m.Zone, workerHosts)
 	w.emit(Machine{Name: m.Name, Up: true, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 	// As if it had come up at some moment of a report interval.
 	w.after(w.rng.Int64N(second), func() {
-		x.up, x.answered = true, w.now
+		x.up, x.lastAnsweredAt = true, w.now
 		x.work()
 	})
 }
 
-func (m *machine) befallen(f WorkerFault) {
+func (m *machine) injectFault(f WorkerFault) {
 	switch f.Kind {
 	case "machine_hang":
 		m.hang()
-	case workerGoesOn:
-		m.goOn()
+	case workerResumes:
+		m.resume()
 	default:
-		m.restart(f.For, f.Kind == "machine_anew")
+		m.restart(f.Duration, f.Kind == "machine_anew")
 	}
 }
--- /dev/null
+++ b/internal/emulator/environment/state_service.go
@@ -0,0 +1,423 @@
+package environment
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+
+	"github.com/tidwall/btree"
+
+	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/history"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// What a response of the state service holds at most, how many changes it
+// retains, and how late a lease may end.
+const (
+	maxPageRows         = 1000
+	maxPageBytes        = 512 << 10
+	retainedChanges     = 10_000
+	maxTransactionBytes = 64 << 10
+	maxLeaseDelay       = 100_000
+	maxWatchWaitMS      = 60_000 // ms
+)
+
+// stateService is the state service.
+type stateService struct {
+	env      *Environment
+	keys     btree.Map[string, storedValue]
+	changes  []wire.Change
+	revision uint64
+	// compactedRevision is the newest change that it has forgotten.
+	compactedRevision uint64
+	leases            map[uint64]*lease
+	lastLeaseID       uint64
+	down              bool
+	// coldRestart: it comes back without any change that was before.
+	coldRestart bool
+	slowFactor  float64
+	limits      config.StateLimits
+	calls       bucket
+	writes      bucket
+	watches     []*watch
+	// transactionLosses are the transactions whose fate is set.
+	transactionLosses []*TransactionLoss
+	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of what is
+	// done with leases, that get no answer and are executed late.
+	delayedWriteShare, delayedLeaseShare float64
+	// lostAnswerShare is the share of those that are executed at once, and only their
+	// answers are lost.
+	lostAnswerShare float64
+}
+
+type storedValue struct {
+	value json.RawMessage
+	stamp uint64
+	lease uint64
+}
+
+type lease struct {
+	id, expiresAt int64
+	duration      int64
+	keys          map[string]bool
+}
+
+type watch struct {
+	from   string
+	req    wire.Watch
+	answer func(int, any)
+	done   bool
+}
+
+// TransactionLoss is what happens to the first transaction from Skip on that writes a key
+// with a prefix: "before" it is executed it is lost, "after" it only its answer
+// is, and "late" it is executed after Late.
+type TransactionLoss struct {
+	Prefix  string
+	Skip    int
+	Outcome string
+	Delay   int64
+	// Matched counts those that it has met.
+	Matched int
+}
+
+func newState(w *Environment) *stateService {
+	l := w.Params.State.StateLimits
+	return &stateService{env: w, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
+		calls: bucket{level: l.RPS}, writes: bucket{level: l.WriteRPS}}
+}
+
+// refuses says whether a caller gets 503.
+func (s *stateService) refuses(from string) bool {
+	n := s.env.controller(from)
+	return s.down || n != nil && n.refused
+}
+
+func (s *stateService) call(from string, req any, answer func(int, any)) {
+	// Mostly a few milliseconds, now and then a few hundred.
+	d := s.env.jitter(s.env.StateDelay, 0.5, 1.5)
+	if s.env.rng.IntN(500) == 0 {
+		d += s.env.rng.Int64N(300_000)
+	}
+	s.env.after(int64(float64(d)*s.slowFactor), func() { s.arrived(from, req, answer) })
+}
+
+func (s *stateService) arrived(from string, req any, answer func(int, any)) {
+	if s.refuses(from) {
+		answer(503, wire.Error{Error: "trouble"})
+		return
+	}
+	if !s.calls.take(s.env.now, s.limits.RPS, 1, 1) {
+		answer(429, wire.Error{Error: "too many requests"})
+		return
+	}
+	if q, ok := req.(wire.Watch); ok {
+		s.watch(&watch{from: from, req: q, answer: answer})
+		return
+	}
+	execute := func() { answer(s.execute(req)) }
+	lost, late := s.env.loseAnswer()
+	if s.delays(req) {
+		lost, late = true, 2*second+s.env.rng.Int64N(10*second)
+		s.env.record(history.Event{Kind: history.RequestDelayed})
+	} else if _, ok := req.(wire.Transaction); ok && s.lostAnswerShare > 0 && s.env.rng.Float64() < s.lostAnswerShare {
+		lost = true
+		s.env.recordOccurrence(history.OccurLostAnswer)
+	}
+	if how := s.matchLoss(req); how != nil {
+		if how.Outcome == "before" {
+			return
+		}
+		lost, late = true, how.Delay
+	}
+	if lost {
+		execute = func() { s.execute(req) }
+	}
+	if late > 0 {
+		s.env.after(late, func() {
+			if !s.down {
+				execute()
+			}
+		})
+		return
+	}
+	execute()
+}
+
+// delays says whether a request is to be executed late.
+func (s *stateService) delays(req any) bool {
+	share := 0.0
+	switch req.(type) {
+	case wire.Transaction:
+		share = s.delayedWriteShare
+	case wire.NewLease, wire.RenewLease, wire.RevokeLease:
+		share = s.delayedLeaseShare
+	}
+	return share > 0 && s.env.rng.Float64() < share
+}
+
+// matchLoss is what a Lose has in store for a transaction.
+func (s *stateService) matchLoss(req any) *TransactionLoss {
+	m, ok := req.(wire.Transaction)
+	if !ok {
+		return nil
+	}
+	for i, l := range s.transactionLosses {
+		if slices.ContainsFunc(m.Writes, func(x wire.Write) bool { return strings.HasPrefix(x.Key(), l.Prefix) }) {
+			l.Matched++
+			if l.Matched > l.Skip {
+				s.transactionLosses = slices.Delete(s.transactionLosses, i, i+1)
+				return l
+			}
+		}
+	}
+	return nil
+}
+
+func (s *stateService) execute(req any) (int, any) {
+	switch q := req.(type) {
+	case wire.Get:
+		v, ok := s.keys.Get(q.Key)
+		if !ok {
+			return 404, wire.TransactionAnswer{Revision: s.revision}
+		}
+		return 200, wire.Row{Key: q.Key, Value: v.value, Stamp: v.stamp, Lease: v.lease}
+	case wire.List:
+		return 200, s.list(q)
+	case wire.Transaction:
+		return s.commit(q)
+	case wire.NewLease:
+		if q.DurationMS < 100 || q.DurationMS > 600_000 {
+			return 400, wire.Error{Error: "life_ms: from 100 to 600000"}
+		}
+		s.lastLeaseID++
+		l := &lease{id: int64(s.lastLeaseID), duration: q.DurationMS * 1000, keys: map[string]bool{}}
+		s.leases[s.lastLeaseID] = l
+		s.renewLease(l)
+		return 200, wire.Lease{Lease: s.lastLeaseID}
+	case wire.RenewLease:
+		l := s.leases[q.Lease]
+		if l == nil {
+			return 404, wire.Error{Error: "no such lease"}
+		}
+		s.renewLease(l)
+		return 200, wire.Lease(q)
+	case wire.RevokeLease:
+		if s.leases[q.Lease] == nil {
+			return 404, wire.Error{Error: "no such lease"}
+		}
+		s.endLease(q.Lease)
+		return 200, struct{}{}
+	}
+	return 400, wire.Error{Error: "unknown request"}
+}
+
+// renewLease gives a lease its full time, and ends it up to maxLeaseDelay late.
+func (s *stateService) renewLease(l *lease) {
+	l.expiresAt = s.env.now + l.duration + s.env.rng.Int64N(maxLeaseDelay)
+	until := l.expiresAt
+	s.env.timers.Add(until, func() {
+		if l.expiresAt == until && !s.down {
+			s.endLease(uint64(l.id))
+		}
+	})
+}
+
+// endLease removes a lease and the keys attached to it.
+func (s *stateService) endLease(id uint64) {
+	l := s.leases[id]
+	if l == nil {
+		return
+	}
+	delete(s.leases, id)
+	keys := make([]string, 0, len(l.keys))
+	for k := range l.keys {
+		keys = append(keys, k)
+	}
+	slices.Sort(keys)
+	if len(keys) > 0 {
+		s.revision++
+	}
+	for _, k := range keys {
+		s.apply(wire.Write{Remove: k})
+	}
+	s.wakeWatches()
+}
+
+// apply carries one change out, at the present revision.
+func (s *stateService) apply(x wire.Write) {
+	key := x.Key()
+	if old, ok := s.keys.Get(key); ok && old.lease != 0 {
+		if l := s.leases[old.lease]; l != nil {
+			delete(l.keys, key)
+		}
+	}
+	c := wire.Change{Put: x.Put, Remove: x.Remove, Value: x.Value, Stamp: s.revision}
+	if x.Remove != "" {
+		s.keys.Delete(key)
+	} else {
+		s.keys.Set(key, storedValue{x.Value, s.revision, x.Lease})
+		if x.Lease != 0 {
+			s.leases[x.Lease].keys[key] = true
+		}
+	}
+	s.changes = append(s.changes, c)
+	if len(s.changes) > 2*retainedChanges {
+		s.compactedRevision = s.changes[len(s.changes)-retainedChanges-1].Stamp
+		s.changes = slices.Clone(s.changes[len(s.changes)-retainedChanges:])
+	}
+	state := "put"
+	if x.Remove != "" {
+		state = "removed"
+	}
+	s.env.record(history.Event{Kind: history.StateChanged, Key: key, Value: string(x.Value), State: state})
+}
+
+func (s *stateService) list(q wire.List) wire.Page {
+	p := wire.Page{Revision: s.revision, Rows: []wire.Row{}}
+	most := min(max(q.Limit, 1), maxPageRows)
+	size := 0
+	s.keys.Ascend(max(q.Prefix, q.After), func(k string, v storedValue) bool {
+		if !strings.HasPrefix(k, q.Prefix) {
+			return false
+		}
+		if q.After != "" && k <= q.After {
+			return true
+		}
+		size += len(k) + len(v.value) + 60
+		if len(p.Rows) == most || size > maxPageBytes && len(p.Rows) > 0 {
+			p.More = true
+			return false
+		}
+		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Stamp: v.stamp, Lease: v.lease})
+		return true
+	})
+	return p
+}
+
+func (s *stateService) commit(q wire.Transaction) (int, any) {
+	l := &s.limits
+	size := 0
+	for _, x := range q.Writes {
+		size += len(x.Key()) + len(x.Value)
+		bad := ""
+		switch {
+		case (x.Put == "") == (x.Remove == "") || len(x.Key()) > 200 || strings.Contains(x.Key(), " "):
+			bad = "put or remove: one key of 1 to 200 bytes without spaces"
+		case x.Put != "" && !json.Valid(x.Value):
+			bad = "data: no JSON"
+		case float64(len(x.Value)) > l.ValueKB*1024:
+			bad = "data: value too large"
+		}
+		if bad != "" {
+			return 400, wire.Error{Error: bad}
+		}
+	}
+	if len(q.Writes) > l.TxnOps || len(q.Conditions) > 4*l.TxnOps || size > maxTransactionBytes {
+		return 400, wire.Error{Error: "transaction too large"}
+	}
+	if !s.writes.take(s.env.now, l.WriteRPS, 1, float64(len(q.Writes))) {
+		return 429, wire.Error{Error: "too many changes"}
+	}
+	for _, x := range q.Writes {
+		if x.Lease != 0 && s.leases[x.Lease] == nil {
+			return 400, wire.Error{Error: "no such lease"}
+		}
+	}
+	var failed []string
+	for _, c := range q.Conditions {
+		if v, _ := s.keys.Get(c.Key); v.stamp != c.Stamp {
+			failed = append(failed, c.Key)
+		}
+	}
+	if failed != nil {
+		return 409, wire.TransactionAnswer{Revision: s.revision, Failed: failed}
+	}
+	if len(q.Writes) > 0 {
+		s.revision++
+		for _, x := range q.Writes {
+			s.apply(x)
+		}
+		s.wakeWatches()
+	}
+	return 200, wire.TransactionAnswer{Revision: s.revision}
+}
+
+// changesSince are the changes of a prefix after a revision; ok is false if they are
+// forgotten.
+func (s *stateService) changesSince(prefix string, after uint64) (news []wire.Change, ok bool) {
+	if after < s.compactedRevision {
+		return nil, false
+	}
+	i, _ := slices.BinarySearchFunc(s.changes, after+1, func(c wire.Change, stamp uint64) int {
+		return int(int64(c.Stamp) - int64(stamp))
+	})
+	for _, c := range s.changes[i:] {
+		if strings.HasPrefix(c.Key(), prefix) {
+			news = append(news, c)
+		}
+	}
+	return news, true
+}
+
+func (s *stateService) watch(x *watch) {
+	s.watches = append(s.watches, x)
+	s.answerWatch(x, false)
+	s.env.after(min(x.req.WaitMS, maxWatchWaitMS)*1000, func() { s.answerWatch(x, true) })
+}
+
+// answerWatch answers a watch if it has something, or is over. While the service does
+// not answer its caller it stays open.
+func (s *stateService) answerWatch(x *watch, over bool) {
+	if x.done {
+		return
+	}
+	if s.refuses(x.from) {
+		if over {
+			s.env.after(second/2, func() { s.answerWatch(x, true) })
+		}
+		return
+	}
+	news, ok := s.changesSince(x.req.Prefix, x.req.After)
+	switch {
+	case !ok:
+		x.answer(410, wire.Error{Error: "too old"})
+	case len(news) > 0 || over:
+		if news == nil {
+			news = []wire.Change{}
+		}
+		x.answer(200, wire.WatchAnswer{Revision: s.revision, Changes: news})
+	default:
+		return
+	}
+	x.done = true
+}
+
+// wakeWatches answers the watches for which something has changed.
+func (s *stateService) wakeWatches() {
+	if s.down {
+		return
+	}
+	for _, x := range s.watches {
+		s.answerWatch(x, false)
+	}
+	s.watches = slices.DeleteFunc(s.watches, func(x *watch) bool { return x.done })
+}
+
+// recover ends an outage: every lease has its full time again.
+func (s *stateService) recover() {
+	s.down = false
+	if s.coldRestart {
+		s.changes, s.compactedRevision, s.coldRestart = nil, s.revision, false
+	}
+	ids := make([]uint64, 0, len(s.leases))
+	for id := range s.leases {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		s.renewLease(s.leases[id])
+	}
+	s.wakeWatches()
+}
--- a/internal/emulator/world/timers.go
+++ b/internal/emulator/environment/timers.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import "container/heap"
 
@@ -10,9 +10,9 @@
 }
 
 type timer struct {
-	at  int64
-	seq int
-	f   func()
+	at   int64
+	seq  int
+	call func()
 }
 
 // Add adds f at a time.
@@ -30,7 +30,7 @@
 }
 
 // Take removes the next one.
-func (t *Timers) Take() func() { return heap.Pop(&t.list).(timer).f }
+func (t *Timers) Take() func() { return heap.Pop(&t.list).(timer).call }
 
 type timerHeap []timer
 
--- a/internal/emulator/world/looks.go
+++ b/internal/emulator/environment/user_faults.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"encoding/json"
@@ -13,97 +13,97 @@
 // What users do at the worst moment: they ask everywhere at once, call off what
 // has just ended, and send what they should not.
 
-// looks are how long after an answer the controllers are asked, in microseconds;
+// probeDelays are how long after an answer the controllers are asked, in microseconds;
 // it repeats the submission with the second.
-var looks = []int64{0, 4_000, 25_000, 120_000}
+var probeDelays = []int64{0, 4_000, 25_000, 120_000}
 
-// callOffNow is in how many close looks at an acceptance one job is cancelled.
-const callOffNow = 8
+// cancelOneIn is in how many close looks at an acceptance one job is cancelled.
+const cancelOneIn = 8
 
-// askAt asks a controller, past the balancer.
-func (f *front) askAt(n *node, op, job string, request any, done func(Told, wire.JobAnswer)) {
-	most := int64(submitMost)
+// askController asks a controller, past the balancer.
+func (f *loadBalancer) askController(n *controller, op, job string, request any, done func(AskAnswer, wire.JobAnswer)) {
+	most := int64(submitTimeout)
 	if op == history.Poll {
-		most = pollMost
+		most = pollTimeout
 	}
-	call := f.w.Outside(op, job)
+	call := f.env.ExternalRequest(op, job)
 	over := false
-	finish := func(t Told) {
+	finish := func(t AskAnswer) {
 		if over {
 			return
 		}
 		over = true
 		a, _ := t.Body.(wire.JobAnswer)
-		f.w.OutsideTold(call, op, job, t.Status, a.State)
+		f.env.ExternalAnswer(call, op, job, t.Status, a.State)
 		done(t, a)
 	}
-	f.w.after(most, func() { finish(Told{}) })
-	f.w.net.send(usersHost, n.name, func() { f.w.ask(usersHost, n.name, request, finish) }, func() { finish(Told{}) })
+	f.env.after(most, func() { finish(AskAnswer{}) })
+	f.env.network.send(usersHost, n.name, func() { f.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
 }
 
-func ignore(Told, wire.JobAnswer) {}
+func ignoreAnswer(AskAnswer, wire.JobAnswer) {}
 
-// look asks all controllers about a job, and repeats its submission, right after
+// probeControllers asks all controllers about a job, and repeats its submission, right after
 // its user was told that it is accepted or over.
-func (u *user) look() {
-	w := u.w
-	if !w.front.looking {
+func (u *jobUser) probeControllers() {
+	w := u.env
+	if !w.balancer.probeAfterAnswers {
 		return
 	}
-	for _, n := range w.nodes {
-		for i, d := range looks {
+	for _, n := range w.controllers {
+		for i, d := range probeDelays {
 			w.after(d+w.rng.Int64N(2000), func() {
-				w.met(history.MetLook)
-				w.front.askAt(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignore)
+				w.recordOccurrence(history.OccurProbe)
+				w.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignoreAnswer)
 				if i == 1 {
 					spec := u.spec
-					w.front.askAt(n, history.Submit, u.spec.ID, &spec, ignore)
+					w.balancer.askController(n, history.Submit, u.spec.ID, &spec, ignoreAnswer)
 				}
 			})
 		}
 	}
-	if u.over == "" && w.rng.IntN(callOffNow) == 0 {
-		w.after(w.rng.Int64N(5000), u.withdraw)
+	if u.finalState == "" && w.rng.IntN(cancelOneIn) == 0 {
+		w.after(w.rng.Int64N(5000), u.cancel)
 	}
 }
 
-// lastDone is called when the last task of a job has completed.
-func (u *user) lastDone() {
-	f := u.w.front
-	if f.atEnd == 0 || u.w.rng.Float64() >= f.atEnd {
+// onLastTaskDone is called when the last task of a job has completed.
+func (u *jobUser) onLastTaskDone() {
+	f := u.env.balancer
+	if f.cancelAtEndShare == 0 || u.env.rng.Float64() >= f.cancelAtEndShare {
 		return
 	}
 	// Before the controllers can know of the end, as they learn of it, and after.
 	for _, d := range []int64{0, 40_000, 300_000, 900_000} {
-		n := u.w.nodes[u.w.rng.IntN(len(u.w.nodes))]
-		u.w.met(history.MetAtEnd)
-		u.w.after(u.w.rng.Int64N(d+2000), func() {
-			f.askAt(n, history.Withdraw, u.spec.ID, wire.Withdraw{ID: u.spec.ID}, ignore)
-			f.askAt(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignore)
+		n := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
+		u.env.recordOccurrence(history.OccurCancelAtEnd)
+		u.env.after(u.env.rng.Int64N(d+2000), func() {
+			f.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID}, ignoreAnswer)
+			f.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignoreAnswer)
 			spec := u.spec
-			f.askAt(n, history.Submit, u.spec.ID, &spec, ignore)
+			f.askController(n, history.Submit, u.spec.ID, &spec, ignoreAnswer)
 		})
 	}
 }
 
 const (
-	// longToGo is what a job has left at least that is called off with others.
-	longToGo = 2 * second
+	// minTimeLeft is what a job has left at least that is called off with others.
+	minTimeLeft = 2 * second
 	// within is the time in which they are.
-	callOffWithin = second / 5
-	// hangMost is how many of their machines hang.
-	hangMost = 8
+	cancelWithin = second / 5
+	// maxHungMachines is how many of their machines hang.
+	maxHungMachines = 8
 )
 
 // cancelNow lets users call off so many jobs that run and have long to go. It
 // returns what lets those of their machines that hang go on.
-func (w *World) cancelNow(count int, hangs bool) (end func()) {
-	on := map[*user][]*machine{}
-	var users []*user
+func (w *Environment) cancelNow(count int, hangs bool) (end func()) {
+	on := map[*jobUser][]*machine{}
+	var users []*jobUser
 	for _, m := range w.cloud.order {
 		for _, t := range m.tasks {
 			u := t.job
-			if m.gone || u == nil || t.state != wire.Running || u.spec.Kind == wire.Service || u.asksEnd || t.runs()-t.at() < longToGo {
+			if m.gone || u == nil || t.state != wire.Running || u.spec.Kind == wire.Service || u.cancelRequested || t.totalTime()-t.currentProgress() < minTimeLeft {
 				continue
 			}
 			if on[u] == nil {
@@ -117,11 +117,11 @@
 	w.rng.Shuffle(len(users), func(i, k int) { users[i], users[k] = users[k], users[i] })
 	var hang []*machine
 	for _, u := range users[:min(count, len(users))] {
-		w.met(history.MetCallOff)
-		w.after(w.rng.Int64N(callOffWithin), u.withdraw)
+		w.recordOccurrence(history.OccurCancel)
+		w.after(w.rng.Int64N(cancelWithin), u.cancel)
 		for _, m := range on[u] {
-			if hangs && len(hang) < hangMost && !m.hanging {
-				w.met(history.MetHang)
+			if hangs && len(hang) < maxHungMachines && !m.hanging {
+				w.recordOccurrence(history.OccurHungMachine)
 				hang = append(hang, m)
 				m.hang()
 			}
@@ -129,41 +129,41 @@
 	}
 	return func() {
 		for _, m := range hang {
-			m.goOn()
+			m.resume()
 		}
 	}
 }
 
-// oddEvery is how often a request comes that should not.
-const oddEvery = 300_000
+// invalidInterval is how often a request comes that should not.
+const invalidInterval = 300_000
 
-// oddRequests lets users send what they should not, until end is called.
-func (f *front) oddRequests() (end func()) {
+// sendInvalidRequests lets users send what they should not, until end is called.
+func (f *loadBalancer) sendInvalidRequests() (end func()) {
 	over, turn := false, 0
 	var next func()
 	next = func() {
 		if over {
 			return
 		}
-		f.odd(turn)
+		f.sendInvalid(turn)
 		turn++
-		f.w.after(f.w.spread(oddEvery, 0.5, 1.5), next)
+		f.env.after(f.env.jitter(invalidInterval, 0.5, 1.5), next)
 	}
 	next()
 	return func() { over = true }
 }
 
-// Odd is a submission that can't run or lacks a field: what is wrong with it, the
+// InvalidSubmission is a submission that can't run or lacks a field: what is wrong with it, the
 // field that the refusal has to name, if it is one's fault, and its status.
-type Odd struct {
-	Why, Field string
-	Status     int
-	Body       []byte
+type InvalidSubmission struct {
+	Reason, Field string
+	Status        int
+	Body          []byte
 }
 
-// Odds are all kinds of submissions that have to be refused, made of a job that
+// InvalidSubmissions are all kinds of submissions that have to be refused, made of a job that
 // could run: each field wrong or missing, and what fits nothing.
-func Odds(good wire.Job, types []wire.MachineType) (l []Odd) {
+func InvalidSubmissions(good wire.Job, types []wire.MachineType) (l []InvalidSubmission) {
 	var fields map[string]any
 	b, err := json.Marshal(good)
 	if err == nil {
@@ -179,7 +179,7 @@
 		if err != nil {
 			panic(err)
 		}
-		l = append(l, Odd{why, field, status, b})
+		l = append(l, InvalidSubmission{why, field, status, b})
 	}
 	for _, k := range []string{"herd", "steward", "shape", "urgency", "hands", "vcpus", "gpus", "mem_gb", "seedstock", "pull_gb", "one_zone", "scatter", "borrowed", "expect_s", "bank_s", "bank_cost_s"} {
 		add(400, k, k+" is missing", func(m map[string]any) { delete(m, k) })
@@ -207,15 +207,15 @@
 	return l
 }
 
-// odd sends the turn-th of them.
-func (f *front) odd(turn int) {
-	w := f.w
-	n := w.nodes[turn%len(w.nodes)]
+// sendInvalid sends the turn-th of them.
+func (f *loadBalancer) sendInvalid(turn int) {
+	w := f.env
+	n := w.controllers[turn%len(w.controllers)]
 	if turn%2 == 0 {
 		if len(w.Jobs) == 0 {
 			return
 		}
-		odds := Odds(w.Jobs[0].Spec, w.Types)
+		odds := InvalidSubmissions(w.Jobs[0].Spec, w.Types)
 		o := odds[turn/2%len(odds)]
 		id := fmt.Sprintf("odd-%05d", turn)
 		var m map[string]any
@@ -227,17 +227,17 @@
 		if err != nil {
 			panic(err)
 		}
-		call := w.Outside(history.Submit, id)
-		w.met(history.MetOdd)
-		w.record(history.Event{Kind: history.Unfit, Job: id, Call: call, Why: o.Why})
-		f.w.net.send(usersHost, n.name, func() {
-			f.w.ask(usersHost, n.name, wire.Raw{Body: b}, func(t Told) { w.OutsideTold(call, history.Submit, id, t.Status, "") })
+		call := w.ExternalRequest(history.Submit, id)
+		w.recordOccurrence(history.OccurInvalid)
+		w.record(history.Event{Kind: history.InvalidSubmission, Job: id, Call: call, Reason: o.Reason})
+		f.env.network.send(usersHost, n.name, func() {
+			f.env.ask(usersHost, n.name, wire.RawSubmission{Body: b}, func(t AskAnswer) { w.ExternalAnswer(call, history.Submit, id, t.Status, "") })
 		}, func() {})
 		return
 	}
 	// Of a job that is there: its submission once more, as it was or changed, and
 	// a cancellation of what is done.
-	var known []*user
+	var known []*jobUser
 	for i := range w.Jobs {
 		if u := w.jobs[w.Jobs[i].Spec.ID]; u.accepted {
 			known = append(known, u)
@@ -249,12 +249,12 @@
 	u := known[w.rng.IntN(len(known))]
 	id := u.spec.ID
 	switch {
-	case u.over == wire.Done:
-		f.askAt(n, history.Withdraw, id, wire.Withdraw{ID: id}, ignore)
+	case u.finalState == wire.Done:
+		f.askController(n, history.Cancel, id, wire.Cancel{ID: id}, ignoreAnswer)
 	case turn%4 == 1:
 		spec := u.spec
-		f.askAt(n, history.Submit, id, &spec, ignore)
+		f.askController(n, history.Submit, id, &spec, ignoreAnswer)
 	default:
-		f.askAt(n, history.Submit, id, wire.Raw{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))}, ignore)
+		f.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))}, ignoreAnswer)
 	}
 }
--- /dev/null
+++ b/internal/emulator/environment/users.go
@@ -0,0 +1,404 @@
+package environment
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/emulator/history"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// The manners of users.
+const (
+	submitTimeout = 5 * second
+	pollTimeout   = 2 * second
+	pollInterval  = 5 * second
+	maxRetryDelay = 30 * second
+	resubmitEvery = 4 // every so many users submit once more when all is over
+)
+
+// jobUser is a job and whoever has submitted it.
+type jobUser struct {
+	env               *Environment
+	spec              wire.Job
+	run               int64
+	runIncrement      int64
+	afterDependencies bool
+	accepted          bool
+	finalState        string
+	polls             int
+	// submitted: the workers can get its description.
+	submitted bool
+	done      map[int]bool
+	// progress is what is saved of each task; a gang has one, at 0.
+	progress map[int]int64
+	// pollInterval is how often its user polls.
+	pollInterval int64
+	// cancelRequested: its user has asked to cancel it.
+	cancelRequested bool
+}
+
+func (w *Environment) addJob(j Job) error {
+	id := j.Spec.ID
+	if w.jobs[id] != nil {
+		return fmt.Errorf("job %q is there twice", id)
+	}
+	u := &jobUser{env: w, spec: j.Spec, run: j.Run, runIncrement: j.RunIncrement, afterDependencies: j.AfterDependencies, done: map[int]bool{}, progress: map[int]int64{}, pollInterval: pollInterval}
+	w.jobs[id] = u
+	if j.At >= 0 {
+		w.timers.Add(j.At, u.submit)
+	}
+	if j.Cancel > 0 {
+		w.timers.Add(j.Cancel, u.cancel)
+	}
+	return nil
+}
+
+func (u *jobUser) complete(t *task) {
+	if !u.done[t.index] {
+		u.done[t.index] = true
+		t.record(history.TaskCompleted, "")
+		if len(u.done) == u.spec.Tasks && u.env.balancer != nil {
+			u.onLastTaskDone()
+		}
+	}
+}
+
+// loadBalancer is the balancer, which knows which controllers are healthy.
+type loadBalancer struct {
+	env         *Environment
+	controllers []*controllerHealth
+	// probeAfterAnswers: users ask everywhere right after each answer; cancelAtEndShare is the share of
+	// the jobs that end that are called off at that moment.
+	probeAfterAnswers bool
+	cancelAtEndShare  float64
+}
+
+// controllerHealth is what the balancer has seen of a controller.
+type controllerHealth struct {
+	controller                       *controller
+	healthy, everHealthy             bool
+	consecutiveOK, consecutiveFailed int
+	recent                           []bool // the last six probes
+	since                            int64  // when it became healthy or unhealthy
+	backoff                          int64
+	failures                         int   // consecutive connections that were refused
+	skipUntil                        int64 // until when it is passed over
+	removals                         []int64
+}
+
+const (
+	probeInterval = second
+	minBackoff    = 3 * second
+	maxBackoff    = 60 * second
+)
+
+func newFront(w *Environment) *loadBalancer {
+	f := &loadBalancer{env: w}
+	for _, n := range w.controllers {
+		h := &controllerHealth{controller: n}
+		f.controllers = append(f.controllers, h)
+		w.timers.Add(w.rng.Int64N(probeInterval), func() { f.probe(h) })
+	}
+	if w.StrayRequestRate > 0 {
+		w.after(second, f.askUnknownJob)
+	}
+	return f
+}
+
+func (f *loadBalancer) probe(h *controllerHealth) {
+	f.env.after(probeInterval, func() { f.probe(h) })
+	over := false
+	result := func(ok bool) {
+		if !over {
+			over = true
+			f.probed(h, ok)
+		}
+	}
+	f.env.after(probeInterval, func() { result(false) })
+	f.env.network.send(usersHost, h.controller.name, func() {
+		f.env.ask(usersHost, h.controller.name, wire.ReadyProbe{}, func(t AskAnswer) { result(t.Status == 200) })
+	}, func() { result(false) })
+}
+
+func (f *loadBalancer) probed(h *controllerHealth, ok bool) {
+	now := f.env.now
+	h.recent = append(h.recent, ok)
+	if len(h.recent) > 6 {
+		h.recent = h.recent[1:]
+	}
+	failed := 0
+	for _, r := range h.recent {
+		if !r {
+			failed++
+		}
+	}
+	if ok {
+		h.consecutiveOK, h.consecutiveFailed = h.consecutiveOK+1, 0
+	} else {
+		h.consecutiveOK, h.consecutiveFailed = 0, h.consecutiveFailed+1
+	}
+	switch {
+	case h.healthy && (h.consecutiveFailed >= 2 || failed >= 3):
+		h.healthy, h.since, h.recent = false, now, nil
+		h.removals = slices.DeleteFunc(append(h.removals, now), func(t int64) bool { return t < now-120*second })
+		h.backoff = min(minBackoff<<(len(h.removals)-1), maxBackoff)
+	case !h.healthy && (!h.everHealthy && ok || h.consecutiveOK >= 2 && now-h.since >= h.backoff):
+		h.healthy, h.everHealthy, h.since, h.recent = true, true, now, nil
+	}
+}
+
+// pick chooses controllers for a connection, at most three, the first being the
+// likeliest.
+func (f *loadBalancer) pick() []*controllerHealth {
+	var up []*controllerHealth
+	for _, h := range f.controllers {
+		if h.healthy && f.env.now >= h.skipUntil {
+			up = append(up, h)
+		}
+	}
+	f.env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
+	// One that has just become healthy gets its share over 10 s.
+	slices.SortStableFunc(up, func(a, b *controllerHealth) int {
+		return f.warmingUp(a) - f.warmingUp(b)
+	})
+	return up[:min(len(up), 3)]
+}
+
+func (f *loadBalancer) warmingUp(h *controllerHealth) int {
+	if age := f.env.now - h.since; age < 10*second && h.since > 0 && f.env.rng.Int64N(10*second) > age {
+		return 1
+	}
+	return 0
+}
+
+// request sends a user's request on a new connection; f gets the answer or status 0
+// when none came within most.
+func (f *loadBalancer) request(request any, most int64, done func(AskAnswer)) {
+	over := false
+	finish := func(t AskAnswer) {
+		if !over {
+			over = true
+			done(t)
+		}
+	}
+	f.env.after(most, func() { finish(AskAnswer{}) })
+	f.tryControllers(request, f.pick(), finish)
+}
+
+func (f *loadBalancer) tryControllers(request any, nodes []*controllerHealth, finish func(AskAnswer)) {
+	if len(nodes) == 0 {
+		finish(AskAnswer{})
+		return
+	}
+	h, rest := nodes[0], nodes[1:]
+	refused := func() {
+		if h.failures++; h.failures >= 3 {
+			h.failures, h.skipUntil = 0, f.env.now+3*second
+		}
+		f.tryControllers(request, rest, finish)
+	}
+	cut := f.env.network.partitionBetween(usersHost, h.controller.name)
+	if !h.controller.up || cut != nil || h.controller.frozen && f.env.rng.IntN(2) == 0 {
+		f.env.after(second/2, refused) // it does not accept in time
+		return
+	}
+	f.env.network.send(usersHost, h.controller.name, func() {
+		f.env.ask(usersHost, h.controller.name, request, func(t AskAnswer) {
+			h.failures = 0
+			finish(t)
+		})
+	}, refused)
+}
+
+// call makes a request about a job, or a sweep, and records it.
+func (f *loadBalancer) call(op, job string, request any, most int64, done func(t AskAnswer, a wire.JobAnswer)) {
+	call := f.env.ExternalRequest(op, job)
+	f.request(request, most, func(t AskAnswer) {
+		a, _ := t.Body.(wire.JobAnswer)
+		f.env.ExternalAnswer(call, op, job, t.Status, a.State)
+		done(t, a)
+	})
+}
+
+// call makes a user's request about its job.
+func (u *jobUser) call(op string, request any, most int64, done func(t AskAnswer, a wire.JobAnswer)) {
+	u.env.balancer.call(op, u.spec.ID, request, most, func(t AskAnswer, a wire.JobAnswer) {
+		if t.Status == 200 && (a.State == wire.Done || a.State == wire.Cancelled) && u.finalState != a.State {
+			u.finalState = a.State
+			u.probeControllers()
+		}
+		done(t, a)
+	})
+}
+
+// retry is when a request is made again.
+func (u *jobUser) retry(t AskAnswer, f func()) {
+	wait := second + u.env.rng.Int64N(second/2)
+	u.env.after(max(wait, min(int64(t.RetryAfter)*second, maxRetryDelay)), f)
+}
+
+// submit tries until it is accepted. Users give up after a minute; here they
+// begin again at once, as nobody would be left to ask.
+func (u *jobUser) submit() {
+	if !u.dependenciesAllow() {
+		u.env.after(second, u.submit)
+		return
+	}
+	u.submitted = true
+	spec := u.spec
+	u.call(history.Submit, &spec, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) {
+		switch t.Status {
+		case 200, 201:
+			if !u.accepted {
+				u.accepted = true
+				u.env.after(pollInterval, u.poll)
+				u.probeControllers()
+			}
+		case 400, 422:
+		default:
+			u.retry(t, u.submit)
+		}
+	})
+}
+
+// dependenciesAllow says whether the jobs that it awaits are accepted, or over where it
+// is submitted last.
+func (u *jobUser) dependenciesAllow() bool {
+	for _, id := range u.spec.DependsOn {
+		if o := u.env.jobs[id]; o == nil || !o.accepted || u.afterDependencies && o.finalState == "" {
+			return o == nil
+		}
+	}
+	return true
+}
+
+func (u *jobUser) poll() {
+	u.call(history.Poll, wire.Poll{ID: u.spec.ID}, pollTimeout, func(AskAnswer, wire.JobAnswer) {
+		u.polls++
+		switch {
+		case u.finalState == "":
+			u.env.after(u.env.jitter(u.pollInterval, 0.9, 1.1), u.poll)
+		case u.polls%resubmitEvery == 0:
+			// A retry that was long on its way.
+			u.env.after(u.env.rng.Int64N(30*second), func() {
+				spec := u.spec
+				u.call(history.Submit, &spec, submitTimeout, func(AskAnswer, wire.JobAnswer) {})
+			})
+		case u.polls%resubmitEvery < 3:
+			u.env.after(u.env.rng.Int64N(40*second), u.poll)
+		}
+	})
+}
+
+func (u *jobUser) cancel() {
+	u.cancelRequested = true
+	if !u.submitted {
+		u.env.after(second, u.cancel)
+		return
+	}
+	u.call(history.Cancel, wire.Cancel{ID: u.spec.ID}, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) {
+		if t.Status != 200 {
+			u.retry(t, u.cancel)
+		}
+	})
+}
+
+// askUnknownJob asks about a job that nobody submitted.
+func (f *loadBalancer) askUnknownJob() {
+	w := f.env
+	id := fmt.Sprintf("req-x%05d", w.rng.IntN(100_000))
+	f.call(history.Poll, id, wire.Poll{ID: id}, pollTimeout, func(AskAnswer, wire.JobAnswer) {})
+	w.after(int64(w.rng.ExpFloat64()/w.StrayRequestRate*1e6), f.askUnknownJob)
+}
+
+// sweepUser is one of a sweep's users; what it is told is checked by its runs.
+type sweepUser struct {
+	Sweep
+	env      *Environment
+	accepted bool
+}
+
+func (w *Environment) addSweep(s Sweep) error {
+	for _, j := range s.Jobs {
+		if err := w.addJob(Job{At: -1, Run: s.Run, Spec: j}); err != nil {
+			return err
+		}
+	}
+	for range max(s.Times, 1) {
+		u := &sweepUser{Sweep: s, env: w}
+		w.sweeps = append(w.sweeps, u)
+		w.timers.Add(s.At, u.submit)
+		if s.Cancel > 0 {
+			w.timers.Add(s.Cancel, u.cancel)
+		}
+	}
+	return nil
+}
+
+// CancelSweep lets the users of a sweep withdraw it now.
+func (w *Environment) CancelSweep(id string) {
+	for _, u := range w.sweeps {
+		if u.ID == id {
+			u.cancel()
+		}
+	}
+}
+
+// call makes a request about the sweep. Its history is that of a job with the
+// sweep's name.
+func (u *sweepUser) call(op string, request any, done func(AskAnswer)) {
+	u.env.balancer.call(op, history.SweepJob(u.ID), request, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) { done(t) })
+}
+
+func (u *sweepUser) submit() {
+	for _, j := range u.Jobs {
+		u.env.jobs[j.ID].submitted = true
+	}
+	u.call(history.Submit, wire.Sweep{Text: u.Text}, func(t AskAnswer) {
+		switch {
+		case t.Status != 200 && t.Status != 201:
+			u.env.after(second, u.submit)
+		case !u.accepted:
+			u.accepted = true
+			u.env.after(pollInterval, u.poll)
+			for _, j := range u.Jobs {
+				// Whoever has thousands of runs asks about each now and then.
+				r := u.env.jobs[j.ID]
+				if r.pollInterval != pollInterval {
+					continue // another user of the sweep does
+				}
+				r.pollInterval = pollInterval + int64(len(u.Jobs))*20_000
+				u.env.after(u.env.jitter(r.pollInterval, 0.1, 1), r.poll)
+			}
+		}
+	})
+}
+
+func (u *sweepUser) poll() {
+	u.call(history.Poll, wire.SweepPoll{ID: u.ID}, func(AskAnswer) { u.env.after(pollInterval, u.poll) })
+}
+
+func (u *sweepUser) cancel() {
+	if !u.accepted {
+		u.env.after(second, u.cancel)
+		return
+	}
+	u.call(history.Cancel, wire.SweepCancel{ID: u.ID}, func(t AskAnswer) {
+		if t.Status != 200 {
+			u.env.after(second, u.cancel)
+		}
+	})
+}
+
+// Unfinished names the jobs that their users were not told the end of.
+func (w *Environment) Unfinished() []string {
+	var l []string
+	for id, u := range w.jobs {
+		if u.finalState == "" && u.spec.Kind != wire.Service {
+			l = append(l, id)
+		}
+	}
+	slices.Sort(l)
+	return l
+}
--- a/internal/emulator/fake/node.go
+++ b/internal/emulator/faketime/controller.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"encoding/json"
@@ -8,61 +8,61 @@
 	"github.com/zinclb/zinclb/internal/cloud"
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/core/replica"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
-var errNone = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// refused is an answer by which the other side says that it will not.
-type refused int
+// refusedError is an answer by which the other side says that it will not.
+type refusedError int
 
-func (r refused) Error() string { return "refused" }
+func (r refusedError) Error() string { return "refused" }
 
 // Refused says that the other side can be reached.
-func (r refused) Refused() bool { return true }
+func (r refusedError) Refused() bool { return true }
 
-// failed is the error of an answer that is none.
-func failed(status int) error {
+// statusError is the error of an answer that is none.
+func statusError(status int) error {
 	switch status {
 	case 200:
 		return nil
 	case 0:
-		return errNone
+		return errNoAnswer
 	}
-	return refused(status)
+	return refusedError(status)
 }
 
 // The patience of a controller with those it asks, as in package node.
 const (
-	commitMost  = 2 * second
-	getMost     = 3 * second / 2
-	listMost    = 5 * second
-	leaseMost   = second
-	watchWait   = 10 * second
-	watchMost   = watchWait + 3*second/2
-	cloudMost   = 4 * second
-	pingMost    = second
-	relayMost   = 3_700_000
-	forwardMost = 3_500_000
-	directMost  = 2 * second
-	probeMost   = second
-	cloudByMost = 15 * second
-	afterError  = 300_000
+	commitTimeout         = 2 * second
+	getTimeout            = 3 * second / 2
+	listTimeout           = 5 * second
+	leaseTimeout          = second
+	watchWait             = 10 * second
+	watchTimeout          = watchWait + 3*second/2
+	cloudTimeout          = 4 * second
+	pingTimeout           = second
+	relayTimeout          = 3_700_000
+	forwardTimeout        = 3_500_000
+	directTimeout         = 2 * second
+	probeTimeout          = second
+	delegatedCloudTimeout = 15 * second
+	errorRetryDelay       = 300_000
 )
 
-// pinged is a ping between controllers.
-type pinged struct {
+// pingRequest is a ping between controllers.
+type pingRequest struct {
 	from string
 	core.Ping
 }
 
-// message turns what reaches a controller into a message to its core, or into
+// toCoreMessage turns what reaches a controller into a message to its core, or into
 // an answer at once.
-func message(request any) (func(req uint64) any, *core.Reply) {
+func toCoreMessage(request any) (func(req uint64) any, *core.Reply) {
 	switch q := request.(type) {
 	case *wire.Report:
-		r := report(q)
+		r := coreReport(q)
 		return func(req uint64) any { return core.Beat{Req: req, Report: r} }, nil
 	case *wire.Job:
 		b, err := json.Marshal(q)
@@ -74,7 +74,7 @@
 			return nil, &core.Reply{Status: 400}
 		}
 		return func(req uint64) any { s.Req = req; return s }, nil
-	case wire.Raw:
+	case wire.RawSubmission:
 		s, err := api.DecodeSubmission(q.Body)
 		if err != nil {
 			return nil, &core.Reply{Status: 400}
@@ -88,15 +88,15 @@
 		return func(req uint64) any { s.Req = req; return s }, nil
 	case wire.Poll:
 		return func(req uint64) any { return core.Status{Req: req, ID: q.ID} }, nil
-	case wire.Withdraw:
+	case wire.Cancel:
 		return func(req uint64) any { return core.Cancel{Req: req, ID: q.ID} }, nil
 	case wire.SweepPoll:
 		return func(req uint64) any { return core.SweepStatus{Req: req, ID: q.ID} }, nil
 	case wire.SweepCancel:
 		return func(req uint64) any { return core.CancelSweep{Req: req, ID: q.ID} }, nil
-	case wire.Ready:
+	case wire.ReadyProbe:
 		return func(req uint64) any { return core.Ready{Req: req} }, nil
-	case pinged:
+	case pingRequest:
 		return func(req uint64) any {
 			return core.Pinged{Req: req, From: q.from, Need: q.Need, Boot: q.Boot, Ask: q.Ask, Tell: q.Tell}
 		}, nil
@@ -132,16 +132,16 @@
 	return nil, &core.Reply{Status: 404}
 }
 
-// body is what an answer tells whoever asked.
-func body(request any, r core.Reply) any {
+// responseBody is what an answer tells whoever asked.
+func responseBody(request any, r core.Reply) any {
 	switch request.(type) {
 	case *wire.Report:
-		a := wire.BeatAnswer{Token: r.Token, Leader: r.Leader}
+		a := wire.HeartbeatAnswer{Token: r.Token, Leader: r.Leader}
 		for _, o := range r.Orders {
-			a.Orders = append(a.Orders, order(o))
+			a.Orders = append(a.Orders, wireOrder(o))
 		}
 		return a
-	case *wire.Job, wire.Raw, wire.Poll, wire.Withdraw, wire.Sweep, wire.SweepPoll, wire.SweepCancel:
+	case *wire.Job, wire.RawSubmission, wire.Poll, wire.Cancel, wire.Sweep, wire.SweepPoll, wire.SweepCancel:
 		switch {
 		case r.Job != nil:
 			return wire.JobAnswer{ID: r.Job.ID, State: api.State(r.Job.State), Done: r.Job.Done, Running: r.Job.Running}
@@ -153,27 +153,27 @@
 	return r // another controller asked
 }
 
-func order(o core.Order) wire.Order {
+func wireOrder(o core.Order) wire.Order {
 	return wire.Order{Op: api.Verb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
 }
 
-func report(q *wire.Report) core.Report {
+func coreReport(q *wire.Report) core.Report {
 	r := core.Report{Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Session: q.Session, Seq: q.Seq, Token: q.Token, Notice: -1,
 		Tasks: make([]core.TaskReport, len(q.Tasks))}
 	if q.NoticeS != nil {
 		r.Notice = int64(*q.NoticeS * 1e6)
 	}
 	for i, t := range q.Tasks {
-		r.Tasks[i] = api.TaskReport(t.Name, t.Attempt, t.State, t.Why, t.Saved)
+		r.Tasks[i] = api.TaskReport(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
 	}
 	return r
 }
 
-// carryOut starts what a core asks for.
-func (n *Node) carryOut(e any) {
-	c, epoch := n.c, n.epoch
+// execute starts what a core asks for.
+func (n *Controller) execute(e any) {
+	c, epoch := n.cluster, n.epoch
 	sent := c.now + 1
-	later := func(d int64, msg any) { c.After(d, func() { n.run(epoch, func() { n.step(msg) }) }) }
+	later := func(d int64, msg any) { c.After(d, func() { n.runUnlessEnded(epoch, func() { n.step(msg) }) }) }
 	switch e := e.(type) {
 	case core.Reply:
 		if f := n.replies[e.Req]; f != nil {
@@ -185,108 +185,108 @@
 	case core.List:
 		n.list(&core.Listed{}, 0, "", e, 0)
 	case core.Watch:
-		n.watch(e.After, watchWait, watchMost, core.Watched{Sent: sent})
+		n.watch(e.After, watchWait, watchTimeout, core.Watched{Sent: sent})
 	case core.WatchLeader:
 		n.watchLeader(e)
 	case core.AskView:
-		if c.Asks != nil {
-			c.Asks(n.name, e)
+		if c.OnQuery != nil {
+			c.OnQuery(n.name, e)
 		}
 		n.call(e.To, core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerMost, func(status int, body any) {
-			r, err := reply(body)
+			r, err := controllerReply(body)
 			s := core.Shown{Number: e.Number, After: e.After, Sent: sent, Answer: r, Err: err}
-			if c.Shows != nil {
-				c.Shows(n.name, &s)
+			if c.OnQueryEnd != nil {
+				c.OnQueryEnd(n.name, &s)
 			}
 			n.step(s)
 		})
 	case core.View:
-		n.watch(e.After, 0, watchMost-watchWait, core.Watched{Sent: sent, View: true, Asked: e.Asked})
+		n.watch(e.After, 0, watchTimeout-watchWait, core.Watched{Sent: sent, View: true, Asked: e.Asked})
 	case core.Multi:
-		if c.Writes != nil {
-			c.Writes(e)
+		if c.OnTransaction != nil {
+			c.OnTransaction(e)
 		}
-		n.call(world.StateHost, multi(e), commitMost, func(status int, body any) {
-			a, _ := body.(wire.MultiAnswer)
-			n.step(core.Committed{ID: e.ID, Status: status, Ledger: a.Ledger, Failed: a.Failed})
+		n.call(environment.StateHost, wireTransaction(e), commitTimeout, func(status int, body any) {
+			a, _ := body.(wire.TransactionAnswer)
+			n.step(core.Committed{ID: e.ID, Status: status, Ledger: a.Revision, Failed: a.Failed})
 		})
 	case core.Get:
-		n.call(world.StateHost, wire.Get{Key: e.Key}, getMost, func(status int, body any) {
+		n.call(environment.StateHost, wire.Get{Key: e.Key}, getTimeout, func(status int, body any) {
 			g := core.Got{ID: e.ID, Key: e.Key}
 			if row, ok := body.(wire.Row); ok {
 				g.Value, g.Stamp = row.Value, row.Stamp
 			} else if status != 404 {
-				g.Err = failed(status)
+				g.Err = statusError(status)
 			}
 			n.step(g)
 		})
 	case core.NewLease:
-		n.call(world.StateHost, wire.NewLease{LifeMS: e.TTL / 1000}, leaseMost, func(status int, body any) {
+		n.call(environment.StateHost, wire.NewLease{DurationMS: e.TTL / 1000}, leaseTimeout, func(status int, body any) {
 			l, _ := body.(wire.Lease)
-			n.step(core.Leased{Lease: l.Lease, Sent: sent, Err: failed(status)})
+			n.step(core.Leased{Lease: l.Lease, Sent: sent, Err: statusError(status)})
 		})
 	case core.Touch:
-		n.call(world.StateHost, wire.Touch{Lease: e.Lease}, leaseMost, func(status int, _ any) {
+		n.call(environment.StateHost, wire.RenewLease{Lease: e.Lease}, leaseTimeout, func(status int, _ any) {
 			t := core.Touched{Lease: e.Lease, Sent: sent, Gone: status == 404}
 			if !t.Gone {
-				t.Err = failed(status)
+				t.Err = statusError(status)
 			}
 			n.step(t)
 		})
 	case core.DropLease:
-		n.call(world.StateHost, wire.Drop{Lease: e.Lease}, leaseMost, func(int, any) {})
+		n.call(environment.StateHost, wire.RevokeLease{Lease: e.Lease}, leaseTimeout, func(int, any) {})
 	case core.Relay:
-		n.call(e.To, core.Beat{Report: e.Report, From: n.name, Onward: e.Onward}, relayMost, func(status int, body any) {
-			r, err := reply(body)
+		n.call(e.To, core.Beat{Report: e.Report, From: n.name, Onward: e.Onward}, relayTimeout, func(status int, body any) {
+			r, err := controllerReply(body)
 			n.step(core.Relayed{Req: e.Req, Answer: r, Err: err})
 		})
 	case core.Forward:
-		n.call(e.To, e.Request, forwardMost, func(status int, body any) {
-			r, err := reply(body)
+		n.call(e.To, e.Request, forwardTimeout, func(status int, body any) {
+			r, err := controllerReply(body)
 			n.step(core.Forwarded{Req: e.Req, Answer: r, Err: err})
 		})
 	case core.Ping:
-		if n.plain() {
+		if n.legacy() {
 			e.Boot, e.Ask, e.Tell = "", nil, nil
 		}
-		n.call(e.Peer, pinged{n.name, e}, pingMost, func(status int, body any) {
+		n.call(e.Peer, pingRequest{n.name, e}, pingTimeout, func(status int, body any) {
 			s := core.PeerSeen{Peer: e.Peer, Sent: sent}
-			if r, err := reply(body); err == nil && r.News != nil {
+			if r, err := controllerReply(body); err == nil && r.News != nil {
 				s.OK, s.News = true, *r.News
-				if n.plain() {
+				if n.legacy() {
 					s.News.Vouch, s.News.Ack = nil, nil
 				}
 			}
 			n.step(s)
 		})
 	case core.Probe:
-		n.call(e.Addr, wire.Inspect{}, probeMost, func(status int, body any) {
+		n.call(e.Addr, wire.Inspect{}, probeTimeout, func(status int, body any) {
 			p := core.Probed{Machine: e.Machine, Sent: sent, OK: status == 200}
 			if q, ok := body.(*wire.Report); ok {
-				r := report(q)
+				r := coreReport(q)
 				p.Report = &r
 			}
 			n.step(p)
 		})
 	case core.Direct:
-		q := wire.Do{Token: &e.Token, Session: &e.Session}
+		q := wire.WorkerOrders{Token: &e.Token, Session: &e.Session}
 		for _, o := range e.Orders {
-			q.Orders = append(q.Orders, order(o))
+			q.Orders = append(q.Orders, wireOrder(o))
 		}
-		n.call(e.Addr, q, directMost, func(int, any) {})
+		n.call(e.Addr, q, directTimeout, func(int, any) {})
 	case core.GetTypes:
-		n.types(func(t core.Types) { t.Token = e.Token; n.step(t) })
+		n.listTypes(func(t core.Types) { t.Token = e.Token; n.step(t) })
 	case core.ListMachines:
-		n.machines(core.Machines{}, "", e.Gap, func(m core.Machines) { m.Token = e.Token; n.step(m) })
+		n.listMachines(core.Machines{}, "", e.Gap, func(m core.Machines) { m.Token = e.Token; n.step(m) })
 	case core.CloudBy:
-		n.call(e.To, core.CloudFor{Token: e.Token, Call: e.Call}, cloudByMost, func(status int, body any) {
-			r, err := reply(body)
+		n.call(e.To, core.CloudFor{Token: e.Token, Call: e.Call}, delegatedCloudTimeout, func(status int, body any) {
+			r, err := controllerReply(body)
 			told, answer := core.CloudByEnded(e, r, err)
 			n.step(told)
 			n.step(answer)
 		})
 	case core.CloudDo:
-		n.cloudDo(e)
+		n.serveCloudCall(e)
 	case core.Rent:
 		n.rent(e, func(r core.Rented) { n.step(r) })
 	case core.Release:
@@ -297,18 +297,18 @@
 	}
 }
 
-// reply is another controller's answer.
-func reply(body any) (core.Reply, error) {
+// controllerReply is another controller's answer.
+func controllerReply(body any) (core.Reply, error) {
 	if r, ok := body.(core.Reply); ok {
 		return r, nil
 	}
-	return core.Reply{}, errNone
+	return core.Reply{}, errNoAnswer
 }
 
-func multi(e core.Multi) wire.Multi {
-	var q wire.Multi
+func wireTransaction(e core.Multi) wire.Transaction {
+	var q wire.Transaction
 	for _, k := range e.When {
-		q.When = append(q.When, wire.Cond(k))
+		q.Conditions = append(q.Conditions, wire.Cond(k))
 	}
 	for _, x := range e.Writes {
 		if x.Value == nil {
@@ -321,11 +321,11 @@
 }
 
 // list reads the start prefixes, page by page, at the pace that is asked for.
-func (n *Node) list(out *core.Listed, prefix int, after string, e core.List, pages int) {
+func (n *Controller) list(out *core.Listed, prefix int, after string, e core.List, pages int) {
 	if pages == e.AtOnce && prefix < len(core.StartPrefixes) {
 		epoch := n.epoch
-		n.c.After(e.Gap, func() {
-			n.run(epoch, func() { n.list(out, prefix, after, core.List{AtOnce: 1, Gap: e.Gap}, 0) })
+		n.cluster.After(e.Gap, func() {
+			n.runUnlessEnded(epoch, func() { n.list(out, prefix, after, core.List{AtOnce: 1, Gap: e.Gap}, 0) })
 		})
 		return
 	}
@@ -334,14 +334,14 @@
 		return
 	}
 	epoch := n.epoch
-	n.call(world.StateHost, wire.List{Prefix: core.StartPrefixes[prefix], After: after, Most: core.ListPage}, listMost, func(status int, body any) {
+	n.call(environment.StateHost, wire.List{Prefix: core.StartPrefixes[prefix], After: after, Limit: core.ListPage}, listTimeout, func(status int, body any) {
 		p, ok := body.(wire.Page)
 		if status != 200 || !ok {
-			n.c.After(afterError, func() { n.run(epoch, func() { n.step(core.Listed{Err: failed(status)}) }) })
+			n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(core.Listed{Err: statusError(status)}) }) })
 			return
 		}
 		if prefix == 0 && after == "" {
-			out.Ledger = p.Ledger
+			out.Ledger = p.Revision
 		}
 		for _, r := range p.Rows {
 			out.Rows = append(out.Rows, core.Change{Key: r.Key, Value: r.Value, Stamp: r.Stamp})
@@ -355,43 +355,43 @@
 	})
 }
 
-func (n *Node) watch(after uint64, wait, most int64, w core.Watched) {
+func (n *Controller) watch(after uint64, wait, most int64, w core.Watched) {
 	epoch := n.epoch
-	n.call(world.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, most, func(status int, body any) {
+	n.call(environment.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, most, func(status int, body any) {
 		w.After, w.Gone = after, status == 410
 		if a, ok := body.(wire.WatchAnswer); ok {
-			w.Ledger = a.Ledger
-			for _, x := range a.News {
+			w.Ledger = a.Revision
+			for _, x := range a.Changes {
 				w.Changes = append(w.Changes, core.Change{Key: x.Key(), Value: x.Value, Stamp: x.Stamp, Removed: x.Put == ""})
 			}
 		} else if !w.Gone {
-			w.Err = failed(status)
+			w.Err = statusError(status)
 		}
 		if w.Err != nil && !w.View {
-			n.c.After(afterError, func() { n.run(epoch, func() { n.step(w) }) })
+			n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(w) }) })
 			return
 		}
 		n.step(w)
 	})
 }
 
-func (n *Node) watchLeader(e core.WatchLeader) {
+func (n *Controller) watchLeader(e core.WatchLeader) {
 	epoch := n.epoch
-	n.call(world.StateHost, wire.Watch{Prefix: core.LeaderKey, After: e.After, WaitMS: watchWait / 1000}, watchMost, func(status int, body any) {
+	n.call(environment.StateHost, wire.Watch{Prefix: core.LeaderKey, After: e.After, WaitMS: watchWait / 1000}, watchTimeout, func(status int, body any) {
 		a, _ := body.(wire.WatchAnswer)
-		m := core.LeaderWatched{Changed: status == 410 || len(a.News) > 0}
+		m := core.LeaderWatched{Changed: status == 410 || len(a.Changes) > 0}
 		if status == 200 || status == 410 {
 			n.step(m)
 			return
 		}
-		m.Err = failed(status)
-		n.c.After(afterError, func() { n.run(epoch, func() { n.step(m) }) })
+		m.Err = statusError(status)
+		n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(m) }) })
 	})
 }
 
-func (n *Node) types(f func(core.Types)) {
-	n.call(world.CloudHost, wire.Types{}, cloudMost, func(status int, body any) {
-		t := core.Types{Err: failed(status)}
+func (n *Controller) listTypes(f func(core.Types)) {
+	n.call(environment.CloudHost, wire.Types{}, cloudTimeout, func(status int, body any) {
+		t := core.Types{Err: statusError(status)}
 		if a, ok := body.(wire.TypesAnswer); ok && t.Err == nil {
 			for _, w := range a.Types {
 				t.Types = append(t.Types, cloud.Type(w).Core())
@@ -401,22 +401,22 @@
 	})
 }
 
-func (n *Node) rent(e core.Rent, f func(core.Rented)) {
+func (n *Controller) rent(e core.Rent, f func(core.Rented)) {
 	q := wire.Rent{Request: e.Name, Type: e.Type, Zone: e.Zone, Spot: e.Spot, Count: e.Count}
-	n.call(world.CloudHost, q, cloudMost, func(status int, body any) {
-		names, _ := body.(wire.Names)
+	n.call(environment.CloudHost, q, cloudTimeout, func(status int, body any) {
+		names, _ := body.(wire.MachineNames)
 		f(core.Rented{Rent: e, Names: names.Machines, Status: status})
 	})
 }
 
-func (n *Node) release(names []string, f func(core.Released)) {
-	n.call(world.CloudHost, wire.Release{Names: wire.Names{Machines: names}}, cloudMost, func(status int, _ any) {
+func (n *Controller) release(names []string, f func(core.Released)) {
+	n.call(environment.CloudHost, wire.Release{MachineNames: wire.MachineNames{Machines: names}}, cloudTimeout, func(status int, _ any) {
 		f(core.Released{Names: names, OK: status == 200})
 	})
 }
 
-// cloudDo makes a call of the cloud for another controller.
-func (n *Node) cloudDo(e core.CloudDo) {
+// serveCloudCall makes a call of the cloud for another controller.
+func (n *Controller) serveCloudCall(e core.CloudDo) {
 	done := func(a core.CloudAnswer, err error) {
 		if err == nil && a.Status == 0 {
 			a.Status = 200
@@ -425,29 +425,29 @@
 	}
 	switch {
 	case e.Call.Types:
-		n.types(func(t core.Types) { done(core.CloudAnswer{Types: t.Types}, t.Err) })
+		n.listTypes(func(t core.Types) { done(core.CloudAnswer{Types: t.Types}, t.Err) })
 	case e.Call.List:
-		n.machines(core.Machines{}, "", e.Call.Gap, func(m core.Machines) { done(core.CloudAnswer{List: m.List}, m.Err) })
+		n.listMachines(core.Machines{}, "", e.Call.Gap, func(m core.Machines) { done(core.CloudAnswer{List: m.List}, m.Err) })
 	case e.Call.Rent != nil:
-		n.rent(*e.Call.Rent, func(r core.Rented) { done(core.CloudAnswer{Status: r.Status, Names: r.Names}, errNone) })
+		n.rent(*e.Call.Rent, func(r core.Rented) { done(core.CloudAnswer{Status: r.Status, Names: r.Names}, errNoAnswer) })
 	default:
 		n.release(e.Call.Release, func(r core.Released) {
 			if r.OK {
 				done(core.CloudAnswer{}, nil)
 			} else {
-				done(core.CloudAnswer{}, errNone)
+				done(core.CloudAnswer{}, errNoAnswer)
 			}
 		})
 	}
 }
 
-// machines reads the cloud's list, page by page with a gap between them.
-func (n *Node) machines(out core.Machines, after string, gap int64, f func(core.Machines)) {
+// listMachines reads the cloud's list, page by page with a gap between them.
+func (n *Controller) listMachines(out core.Machines, after string, gap int64, f func(core.Machines)) {
 	epoch := n.epoch
-	n.call(world.CloudHost, wire.Machines{After: after, Most: core.ListPage}, cloudMost, func(status int, body any) {
+	n.call(environment.CloudHost, wire.Machines{After: after, Limit: core.ListPage}, cloudTimeout, func(status int, body any) {
 		a, ok := body.(wire.MachinesAnswer)
 		if !ok || status != 200 {
-			f(core.Machines{Err: failed(status)})
+			f(core.Machines{Err: statusError(status)})
 			return
 		}
 		for _, m := range a.Machines {
@@ -458,6 +458,6 @@
 			f(out)
 			return
 		}
-		n.c.After(gap, func() { n.run(epoch, func() { n.machines(out, after, gap, f) }) })
+		n.cluster.After(gap, func() { n.runUnlessEnded(epoch, func() { n.listMachines(out, after, gap, f) }) })
 	})
 }
--- a/internal/emulator/fake/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -8,19 +8,19 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 type (
-	fault = world.Fault
-	job   = world.Job
+	fault = environment.Fault
+	job   = environment.Job
 )
 
 // day is a world, with what its controllers are set to.
 type day struct {
-	world.Config
+	environment.Config
 	ops     config.Operators
 	missing bool
 }
@@ -37,7 +37,7 @@
 	set.Cloud.RPS, set.Cloud.ListLagS = 3, 8
 	set.ClockErrorMS = 500
 	d.Seed, d.Length = seed, 400*second
-	d.Restart, d.StateDelay, d.CloudDelay, d.Drift, d.Strays = 4*second, 3000, 50_000, 0.0005, 0.1
+	d.RestartTime, d.StateDelay, d.CloudDelay, d.ClockDrift, d.StrayRequestRate = 4*second, 3000, 50_000, 0.0005, 0.1
 	d.Types = []wire.MachineType{{Name: "big", CPUs: 12, GPUs: 2, MemGB: 48, FetchRate: 0.5, CacheGB: 50, BootS: 20, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}}
 	d.up(8)
 	rng := rand.New(rand.NewPCG(seed, 9))
@@ -49,7 +49,7 @@
 		switch rng.IntN(3) {
 		case 0:
 			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Gang, 1+rng.IntN(3), 10, 2, 30
-			s.OneZone, s.CheckpntS, s.SaveS = rng.IntN(2) == 0, 10, 2
+			s.OneZone, s.CheckpointS, s.CheckpointCostS = rng.IntN(2) == 0, 10, 2
 		case 1:
 			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Array, 1+rng.IntN(12), 4, 1, 9
 			s.Spread = rng.IntN(3) == 0
@@ -69,8 +69,8 @@
 func (d *day) up(n int) {
 	d.Machines, d.Capacity = nil, nil
 	for i, z := range d.Params.Zones {
-		d.Machines = append(d.Machines, world.Machines{Type: "big", Zone: z, Count: (n + i) / 2})
-		d.Capacity = append(d.Capacity, world.Capacity{Type: "big", Zone: z, Count: n, Spot: n / 2})
+		d.Machines = append(d.Machines, environment.Machines{Type: "big", Zone: z, Count: (n + i) / 2})
+		d.Capacity = append(d.Capacity, environment.Capacity{Type: "big", Zone: z, Count: n, Spot: n / 2})
 	}
 }
 
@@ -85,7 +85,7 @@
 		add := func(k int, kind string, tasks int, awaits ...string) *job {
 			j := job{At: at, Run: 3*second + rng.Int64N(8*second)}
 			j.Spec = wire.Job{ID: id(k), Class: "p", Team: "blue", Kind: kind, Tasks: tasks, CPUs: 1, MemGB: 0.5,
-				Priority: []string{"idle", "normal"}[k/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, Awaits: awaits, OneZone: kind == wire.Gang}
+				Priority: []string{"idle", "normal"}[k/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, DependsOn: awaits, OneZone: kind == wire.Gang}
 			d.Jobs = append(d.Jobs, j)
 			return &d.Jobs[len(d.Jobs)-1]
 		}
@@ -98,7 +98,7 @@
 		add(2, wire.Gang, 2, id(0))
 		last := add(3, wire.Array, 2, id(1), id(2))
 		due := 60.0
-		last.Spec.DeadlineS, last.Last = &due, rng.IntN(4) == 0
+		last.Spec.DeadlineS, last.AfterDependencies = &due, rng.IntN(4) == 0
 		if rng.IntN(3) == 0 {
 			d.Jobs[len(d.Jobs)-1-rng.IntN(4)].Cancel = at + rng.Int64N(40*second)
 		}
@@ -114,7 +114,7 @@
 // play plays it.
 func (d *day) play(t testing.TB, begin func(*Cluster)) *Cluster {
 	t.Helper()
-	c, err := Run(d.Config, Options{Operators: d.ops, Missing: d.missing, Begin: begin})
+	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.missing, OnStart: begin})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 
 // breaches are the rules that a history breaks.
 func breaches(c *Cluster) (l []string) {
-	for _, b := range history.Judge(c.History, c.Terms()) {
+	for _, b := range history.CheckAll(c.History, c.Expectations()) {
 		l = append(l, b.String())
 	}
 	return l
@@ -144,13 +144,13 @@
 	for _, b := range breaches(c) {
 		t.Error(b)
 	}
-	if l := c.World.Unfinished(); len(l) > 0 {
+	if l := c.Environment.Unfinished(); len(l) > 0 {
 		t.Errorf("not over at the end: %v", l)
 	}
 }
 
 func at(s int64, kind string, forS int64, hosts ...string) fault {
-	return fault{At: s * second, For: forS * second, Kind: kind, Hosts: hosts}
+	return fault{At: s * second, Duration: forS * second, Kind: kind, Hosts: hosts}
 }
 
 // seeds is how many a case is played with: fewer where all runs many times as
@@ -165,7 +165,7 @@
 // inTurn befalls one controller after the other.
 func inTurn(kind string, from, each, forS int64) (l []fault) {
 	for i := range int64(3) {
-		l = append(l, at(from+i*each, kind, forS, world.NodeName(int(i))))
+		l = append(l, at(from+i*each, kind, forS, environment.ControllerName(int(i))))
 	}
 	return l
 }
@@ -186,13 +186,13 @@
 	{name: "state outage longer than hold and lease", faults: []fault{at(60, "state_outage", 45)}},
 	{name: "all crash in a state outage", faults: []fault{at(60, "state_outage", 15), at(65, "crash", 0)}},
 	{name: "the state service refuses one after the other", faults: inTurn("state_refuse", 50, 45, 40)},
-	{name: "the state service is slow", faults: []fault{{At: 50 * second, For: 60 * second, Kind: "state_slow", Factor: 100}}},
+	{name: "the state service is slow", faults: []fault{{At: 50 * second, Duration: 60 * second, Kind: "state_slow", Factor: 100}}},
 	{name: "each is cut in turn", faults: inTurn("cut", 50, 35, 30)},
 	{name: "each stands still in turn", faults: inTurn("freeze", 50, 50, 40)},
-	{name: "controllers cannot reach each other", faults: []fault{{At: 60 * second, For: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"controllers"}, Cutting: world.Cutting{Reset: true}}}},
+	{name: "controllers cannot reach each other", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"controllers"}, PartitionMode: environment.PartitionMode{Reset: true}}}},
 	{name: "a zone is cut off", faults: []fault{at(60, "cut", 40, "zone:a")}},
-	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, For: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
-	{name: "the leader hears no worker", faults: []fault{{At: 60 * second, For: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
+	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
+	{name: "the leader hears no worker", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
 	{name: "answers are lost and requests executed late", loss: 0.05, faults: []fault{at(100, "crash", 0, "node-1")}},
 	{name: "machines go silent and die", faults: []fault{at(40, "machine_silent", 12, "host-000000"), at(60, "machine_silent", 40, "host-000001"),
 		at(80, "machine_die", 0, "host-000002"), at(82, "crash", 0)}},
@@ -213,9 +213,9 @@
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
 				d := small(uint64(i)*10 + seed + 1)
-				d.Faults, d.Loss = tc.faults, tc.loss
-				d.Spot = world.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
-				d.Boot = world.Boot{Slow: 0.1, Never: 0.05}
+				d.Faults, d.AnswerLoss = tc.faults, tc.loss
+				d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+				d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 				d.whole(t)
 			})
 		}
@@ -248,7 +248,7 @@
 				d.Length = 500 * second
 				d.tighten()
 				d.piped(8)
-				d.Faults, d.Loss = tc.faults, tc.loss
+				d.Faults, d.AnswerLoss = tc.faults, tc.loss
 				d.whole(t)
 			})
 		}
--- a/internal/emulator/fake/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/core/replica"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // followers is a day on which users look closely at all controllers and cancel, so
@@ -18,7 +18,7 @@
 	d := small(seed)
 	d.Params.Size, d.Length = size, 270*second
 	d.Params.State.RPS = float64(60 + 15*size)
-	d.Strays = 1
+	d.StrayRequestRate = 1
 	d.Faults = []fault{at(15, "close_looks", 240)}
 	for i := range d.Jobs {
 		if i%3 == 0 {
@@ -39,26 +39,26 @@
 
 // playFollowing plays a day, with something that happens every so often from 20 s to
 // 170 s.
-func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, befall func(world.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, befall func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
 	o := Options{Operators: d.ops, Programs: programs,
-		Asks: func(node string, q core.AskView) {
+		OnQuery: func(node string, q core.AskView) {
 			f.asked++
 			if f.meet != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
 				f.meet(cluster, node, q.To)
 			}
 		},
-		Shows: func(_ string, s *core.Shown) {
+		OnQueryEnd: func(_ string, s *core.Shown) {
 			if s.Answer.View != nil {
 				f.shown++
 			} else {
 				f.failed++
 			}
 		},
-		Begin: func(c *Cluster) {
+		OnStart: func(c *Cluster) {
 			cluster = c
-			befall := func(x world.Fault) { c.BefallLater(&f.err, x) }
+			befall := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
 			for i := range int(150 * second / every) {
 				c.After(20*second+int64(i)*every, func() { again(c, befall, i) })
 			}
@@ -74,17 +74,17 @@
 // with 3, 5 and 12 controllers. No rule is broken, nobody is told anything older than
 // before, and all that was accepted comes to its end.
 func TestFollowers(t *testing.T) {
-	nothing := func(*Cluster, func(world.Fault), int) {}
+	nothing := func(*Cluster, func(environment.Fault), int) {}
 	// atQuestion lets something befall the leader at every so manieth question, as
 	// long as it takes the question to arrive.
-	atQuestion := func(nth int, x world.Fault) func(f *following) {
+	atQuestion := func(nth int, x environment.Fault) func(f *following) {
 		return func(f *following) {
 			n := 0
 			f.meet = func(c *Cluster, _, leader string) {
 				if n++; n%nth == 0 {
 					x.Hosts = []string{leader}
 					x.At = int64(n/nth%4) * 300
-					c.BefallLater(&f.err, x)
+					c.ScheduleFaults(&f.err, x)
 				}
 			}
 		}
@@ -92,36 +92,36 @@
 	type trouble struct {
 		name  string
 		every int64
-		again func(c *Cluster, befall func(world.Fault), i int)
+		again func(c *Cluster, befall func(environment.Fault), i int)
 		meet  func(f *following)
 		// fails: some questions have to go unanswered.
 		fails bool
 	}
 	troubles := []trouble{
 		{name: "calm", every: 150 * second, again: nothing},
-		{name: "the one asked ends", every: 150 * second, again: nothing, meet: atQuestion(150, world.Fault{Kind: "crash"}), fails: true},
-		{name: "the one asked is back at once", every: 150 * second, again: nothing, meet: atQuestion(150, world.Fault{Kind: "crash", For: 200_000}), fails: true},
-		{name: "the one asked stands still for longer than its lease", every: 150 * second, again: nothing, meet: atQuestion(200, world.Fault{Kind: "freeze", For: 5 * second}), fails: true},
-		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(world.Fault), _ int) {
+		{name: "the one asked ends", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash"}), fails: true},
+		{name: "the one asked is back at once", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
+		{name: "the one asked stands still for longer than its lease", every: 150 * second, again: nothing, meet: atQuestion(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
+		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
-			befall(world.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], For: 8 * second, Cutting: world.Cutting{OneWay: true}})
+			befall(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(world.Fault), _ int) {
+		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
-			befall(world.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], For: 8 * second, Cutting: world.Cutting{OneWay: true}})
+			befall(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, befall func(world.Fault), i int) {
+		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, befall func(environment.Fault), i int) {
 			n := c.LeaderFirst()
-			befall(world.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], For: 150_000 + int64(i%5)*100_000})
+			befall(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
-		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, befall func(world.Fault), i int) {
-			befall(world.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], For: int64(1+i%2*3) * second})
+		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), i int) {
+			befall(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
 		}},
-		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, befall func(world.Fault), _ int) {
-			befall(world.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], For: 6 * second})
+		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, befall func(environment.Fault), _ int) {
+			befall(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
 		}, fails: true},
 	}
-	links := []string{world.StateHost, "controllers", "workers"}
+	links := []string{environment.StateHost, "controllers", "workers"}
 	for subset := 1; subset < 1<<len(links); subset++ {
 		var to []string
 		for i, l := range links {
@@ -129,8 +129,8 @@
 				to = append(to, l)
 			}
 		}
-		troubles = append(troubles, trouble{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, befall func(world.Fault), _ int) {
-			befall(world.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, For: 12 * second})
+		troubles = append(troubles, trouble{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, befall func(environment.Fault), _ int) {
+			befall(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
 		}})
 	}
 	for k, size := range []int{3, 5, 12} {
@@ -185,8 +185,8 @@
 				t.Parallel()
 				f := &following{}
 				d := followers(uint64(970+3*k+i), size)
-				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, befall func(world.Fault), i int) {
-					befall(world.Fault{Kind: "crash", Hosts: []string{world.NodeName(i % size)}})
+				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, befall func(environment.Fault), i int) {
+					befall(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
 				}, tc.programs)
 				keeps(t, c)
 				if tc.asks != (f.asked > 0) {
@@ -225,17 +225,17 @@
 			led := int64(0)
 			var failed error
 			c, err := Run(d.Config, Options{Operators: d.ops,
-				Seen: func(e history.Event) {
-					if e.Kind == history.Stored && e.Key == core.LeaderKey && e.State == "put" {
+				OnEvent: func(e history.Event) {
+					if e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == "put" {
 						led = e.At
 					}
 				},
-				Shows: func(_ string, s *core.Shown) { tc.tamper(s, cluster.Now()-led) },
-				Begin: func(c *Cluster) {
+				OnQueryEnd: func(_ string, s *core.Shown) { tc.tamper(s, cluster.Now()-led) },
+				OnStart: func(c *Cluster) {
 					cluster = c
 					for i := range 8 {
 						c.After(int64(25+18*i)*second, func() {
-							c.BefallLater(&failed, world.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1]})
+							c.ScheduleFaults(&failed, environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1]})
 						})
 					}
 				}})
--- a/internal/emulator/fake/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // TestGapOfMany: what package gaps plays for jobs, for all that goes with one
@@ -21,26 +21,26 @@
 	told := 0
 	day := func(t *testing.T, size int, lose string, back bool) {
 		t.Parallel()
-		d := sweeping(t, uint64(size), world.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 2, 20)})
+		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 2, 20)})
 		d.Params.Size, d.Length = size, 420*second
 		long := wire.Job{Class: "p", Team: "blue", Kind: wire.Array, Tasks: 3, CPUs: 1, MemGB: 0.5, Priority: "urgent", Image: "im-p", ImageGB: 0.5, EstimateS: 200}
 		first, behind := long, long
 		first.ID, behind.ID = "first", "second"
-		behind.Awaits = []string{"first"}
+		behind.DependsOn = []string{"first"}
 		d.Jobs = append(d.Jobs, job{At: 6 * second, Run: 200 * second, Cancel: refused + second/2, Spec: first}, job{At: 8 * second, Run: 5 * second, Spec: behind})
 		c := d.play(t, func(c *Cluster) {
 			var failed error
 			for _, prefix := range []string{"sweepend/", "end/", "end/"} {
 				if lose != "" {
-					c.BefallLater(&failed, world.Fault{At: refused, Kind: "state_lose", Lose: &world.Lose{Prefix: core.Prefix + prefix, How: lose, Late: second / 2}})
+					c.ScheduleFaults(&failed, environment.Fault{At: refused, Kind: "state_lose", TransactionLoss: &environment.TransactionLoss{Prefix: core.Prefix + prefix, Outcome: lose, Delay: second / 2}})
 				}
 			}
-			c.BefallLater(&failed, world.Fault{At: outage, Kind: "state_outage", For: ends - outage})
+			c.ScheduleFaults(&failed, environment.Fault{At: outage, Kind: "state_outage", Duration: ends - outage})
 			c.After(refused, func() {
 				nodes := c.LeaderFirst()
-				c.BefallLater(&failed, world.Fault{Kind: "state_refuse", Hosts: nodes[:1], For: 14 * second})
+				c.ScheduleFaults(&failed, environment.Fault{Kind: "state_refuse", Hosts: nodes[:1], Duration: 14 * second})
 				if back {
-					c.BefallLater(&failed, world.Fault{At: 4 * second, Kind: "crash", Hosts: nodes[1:2], For: 200_000})
+					c.ScheduleFaults(&failed, environment.Fault{At: 4 * second, Kind: "crash", Hosts: nodes[1:2], Duration: 200_000})
 				}
 			})
 			if failed != nil {
@@ -51,11 +51,11 @@
 		on := 0
 		for _, e := range c.History {
 			switch {
-			case e.Kind == history.Told && e.State == wire.Withdrawn && e.At > refused && e.At < ends && (e.Job == history.SweepJob("rain") || e.Job == "second"):
+			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < ends && (e.Job == history.SweepJob("rain") || e.Job == "second"):
 				mu.Lock()
 				told++
 				mu.Unlock()
-			case e.Kind == history.Entered && e.At < refused:
+			case e.Kind == history.TaskEntered && e.At < refused:
 				on++
 			}
 		}
--- a/internal/emulator/fake/largest_test.go
+++ b/internal/emulator/faketime/largest_test.go
@@ -1,13 +1,13 @@
-package fake
+package faketime
 
 import (
 	"fmt"
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // TestLargestBegin: wide gangs, and wide arrays whose deadline is lost, begin
@@ -21,7 +21,7 @@
 			d := small(71)
 			d.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 			d.up(4)
-			d.Capacity = []world.Capacity{{Type: "big", Zone: "a", Count: 2}, {Type: "big", Zone: "b", Count: 2}}
+			d.Capacity = []environment.Capacity{{Type: "big", Zone: "a", Count: 2}, {Type: "big", Zone: "b", Count: 2}}
 			d.Length = 430 * second
 			d.Jobs = nil
 			due := 30.0
@@ -47,7 +47,7 @@
 			if l := breaches(c); len(l) > 0 {
 				t.Error(l)
 			}
-			got := history.Measure(c.History, c.Terms(), nil)
+			got := history.Metrics(c.History, c.Expectations(), nil)
 			t.Logf("begun of the largest %.2f, of small ones done by their deadline %.2f", got["largest begun wide"], got["served class small"])
 			if v, ok := got["largest begun wide"]; !ok || v < 0.9 {
 				t.Errorf("%.2f (%v) of the largest have begun in four minutes", v, ok)
--- a/internal/emulator/fake/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
@@ -32,7 +32,7 @@
 		return d
 	}
 	for _, e := range day().play(t, nil).History {
-		if e.Kind == history.Stored && !slices.ContainsFunc(kinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
+		if e.Kind == history.StateChanged && !slices.ContainsFunc(kinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
 			t.Fatalf("a kind of write that is not in the table: %s", e.Key)
 		}
 	}
@@ -45,16 +45,16 @@
 					t.Run(fmt.Sprintf("%s/%s/%d", strings.Trim(kind, "/"), how, skip), func(t *testing.T) {
 						t.Parallel()
 						d := day()
-						l := &world.Lose{Prefix: core.Prefix + kind, Skip: skip, How: how}
+						l := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: how}
 						switch how {
 						case "soon":
-							l.How, l.Late = "late", 5*second // after newer ones of the same leader
+							l.Outcome, l.Delay = "late", 5*second // after newer ones of the same leader
 						case "late":
-							l.Late = 60 * second
+							l.Delay = 60 * second
 						}
 						crash := at(60, "crash", 0)
 						// Users ask everywhere what others read of it meanwhile.
-						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", Lose: l}, crash, at(40, "close_looks", 60)}
+						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: l}, crash, at(40, "close_looks", 60)}
 						switch kind {
 						case "types", "format", "member/", "features":
 							d.Faults[0].At = 0 // they are written once, at the start
@@ -64,7 +64,7 @@
 							d.missing, d.Jobs = true, small(31).Jobs
 						}
 						d.whole(t)
-						if l.Done > skip {
+						if l.Matched > skip {
 							mu.Lock()
 							met[kind]++
 							mu.Unlock()
@@ -89,12 +89,12 @@
 		d.piped(8)
 		d.tighten()
 	case 2:
-		d = sweeping(t, seed, world.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: forecast("rain", 40, 2, 40)})
+		d = sweeping(t, seed, environment.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: forecast("rain", 40, 2, 40)})
 	}
 	d.Length = 500 * second
-	d.Faults, d.Loss = cases[i].faults, cases[i].loss
-	d.Spot = world.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
-	d.Boot = world.Boot{Slow: 0.1, Never: 0.05}
+	d.Faults, d.AnswerLoss = cases[i].faults, cases[i].loss
+	d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+	d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 	return d
 }
 
@@ -137,7 +137,7 @@
 	d.whole(t)
 	for seed := range uint64(4) { // and with nothing but such gangs and bad boots
 		d := small(40 + seed)
-		d.Boot, d.Jobs, d.Machines = world.Boot{Slow: 0.3, Never: 0.2}, d.Jobs[:4], nil
+		d.Boot, d.Jobs, d.Machines = environment.Boot{Slow: 0.3, Never: 0.2}, d.Jobs[:4], nil
 		for i := range d.Jobs {
 			j := &d.Jobs[i]
 			j.At, j.Cancel = int64(10+40*i)*second, 0
@@ -161,7 +161,7 @@
 	c := d.whole(t)
 	gangs := 0
 	for _, e := range c.History {
-		if e.Kind == history.Started && c.Terms().Jobs[e.Job].Kind == "gang" {
+		if e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" {
 			gangs++
 		}
 	}
@@ -169,9 +169,9 @@
 		t.Fatalf("only %d starts of gangs' tasks", gangs)
 	}
 	planted := slices.DeleteFunc(slices.Clone(c.History), func(e history.Event) bool {
-		return e.Kind == history.Started && c.Terms().Jobs[e.Job].Kind == "gang" && e.Task == 1
+		return e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" && e.Task == 1
 	})
-	if b := history.Check(planted, c.Terms()); len(b) == 0 || b[0].Rule != "part_of_gang" {
+	if b := history.CheckRules(planted, c.Expectations()); len(b) == 0 || b[0].Rule != "part_of_gang" {
 		t.Errorf("a part of a gang is not caught: %v", b)
 	}
 }
--- a/internal/emulator/fake/mute_test.go
+++ b/internal/emulator/faketime/mute_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -20,7 +20,7 @@
 				d.Jobs = append(d.Jobs, job{At: 2 * second, Run: 60 * second, Cancel: 47 * second, Spec: wire.Job{ID: fmt.Sprintf("long-%d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 2,
 					CPUs: 2, GPUs: 0.5, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 60}})
 			}
-			d.Faults = []fault{{At: 40 * second, Kind: "machine_mute", Share: 1, For: 14 * second}}
+			d.Faults = []fault{{At: 40 * second, Kind: "machine_mute", Share: 1, Duration: 14 * second}}
 			if crash {
 				d.Faults = append(d.Faults, at(41, "crash", 30))
 				d.Faults[1].Hosts = []string{"node-0", "node-1"} // of three, so that a new one leads for certain
@@ -28,7 +28,7 @@
 			c := d.whole(t)
 			stopped := 0
 			for _, e := range c.History {
-				if e.Kind == history.Left && e.Why == "stopped" && e.At > 47*second && e.At < 51*second {
+				if e.Kind == history.TaskLeft && e.Reason == "stopped" && e.At > 47*second && e.At < 51*second {
 					stopped++
 				}
 			}
--- a/internal/emulator/fake/nothing_test.go
+++ b/internal/emulator/faketime/nothing_test.go
@@ -1,20 +1,20 @@
-package fake
+package faketime
 
 import (
 	"fmt"
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // TestFromNothing plays days of a deployment where no machine is up at the start
 // and nobody has a guarantee, so that money is weighed, with services spread over
 // zones, through every trouble that such a one has had.
 func TestFromNothing(t *testing.T) {
-	cut := func(from, forS int64, hosts, to []string, how world.Cutting) fault {
-		return fault{At: from * second, For: forS * second, Kind: "cut", Hosts: hosts, To: to, Cutting: how}
+	cut := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
+		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: how}
 	}
 	nodes := []string{"controllers"}
 	wave := fault{At: 70 * second, Kind: "spot_wave", Share: 0.5}
@@ -24,11 +24,11 @@
 	}{
 		{"machines die and spot machines are taken", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
 		{"a roll with a wave of taken machines and a crash", []fault{at(65, "roll", 9), wave, at(110, "crash", 0, "node-1")}},
-		{"a slow state service, a zone cut off, two zones apart", []fault{{At: 60 * second, For: 60 * second, Kind: "state_slow", Factor: 20},
-			cut(65, 40, []string{"zone:a"}, nil, world.Cutting{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, world.Cutting{Reset: true})}},
+		{"a slow state service, a zone cut off, two zones apart", []fault{{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
+			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true})}},
 		{"all controllers end in an outage, and machines die", []fault{at(80, "state_outage", 10), at(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
-		{"controllers are refused, cut off and apart", []fault{at(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, world.Cutting{Refuse: true}),
-			cut(130, 40, []string{"node-1"}, []string{"workers"}, world.Cutting{}), at(135, "cut", 20, "node-2")}},
+		{"controllers are refused, cut off and apart", []fault{at(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
+			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), at(135, "cut", 20, "node-2")}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -37,8 +37,8 @@
 			d.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 			d.Params.State.TxnOps = 20
 			d.Machines = nil
-			d.Spot = world.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
-			d.Boot = world.Boot{Slow: 0.1, Never: 0.05}
+			d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+			d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 			for k := range 3 {
 				d.Jobs = append(d.Jobs, job{At: second, Cancel: int64(200+20*k) * second, Spec: wire.Job{ID: fmt.Sprintf("serve-%d", k), Class: "serve", Team: "red", Kind: wire.Service,
 					Priority: "production", Tasks: 4, CPUs: 2, GPUs: 0.5, MemGB: 4, Image: "s", ImageGB: 2, Spread: true}})
--- a/internal/emulator/fake/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // TestOdds sends every controller what can't run, and what lacks a field or has a
@@ -30,29 +30,29 @@
 		}
 		d.Jobs = append(d.Jobs, j)
 	}
-	odds := world.Odds(good, d.Types)
+	odds := environment.InvalidSubmissions(good, d.Types)
 	answers := 0
 	c := d.play(t, func(c *Cluster) {
 		c.After(20*second, func() {
-			for _, n := range c.Nodes {
+			for _, n := range c.Controllers {
 				for i, o := range odds {
 					send := func(id string, check func(core.Reply)) {
 						body := strings.Replace(string(o.Body), `"good"`, fmt.Sprintf("%q", id), 1)
-						build, bad := message(wire.Raw{Body: []byte(body)})
+						build, bad := toCoreMessage(wire.RawSubmission{Body: []byte(body)})
 						if bad != nil {
-							t.Fatalf("%s: only its id counts while the rest can't be read: %+v", o.Why, bad)
+							t.Fatalf("%s: only its id counts while the rest can't be read: %+v", o.Reason, bad)
 						}
 						n.Request(build, func(r core.Reply) { answers++; check(r) })
 					}
 					send(fmt.Sprintf("odd-%s-%d", n.name, i), func(r core.Reply) {
 						if r.Status != o.Status || !strings.Contains(r.Error, o.Field) || r.Error == "" {
-							t.Errorf("%s, %s: %d %q, want %d naming %q", n.name, o.Why, r.Status, r.Error, o.Status, o.Field)
+							t.Errorf("%s, %s: %d %q, want %d naming %q", n.name, o.Reason, r.Status, r.Error, o.Status, o.Field)
 						}
 					})
 					for id, want := range known {
 						send(id, func(r core.Reply) {
 							if r.Status != 200 || r.Job == nil || r.Job.State != want && !(want == core.Queued && r.Job.State == core.Running) {
-								t.Errorf("%s, %s of %s: %d %+v, want %s", n.name, o.Why, id, r.Status, r.Job, want)
+								t.Errorf("%s, %s of %s: %d %+v, want %s", n.name, o.Reason, id, r.Status, r.Job, want)
 							}
 						})
 					}
@@ -60,7 +60,7 @@
 			}
 		})
 	})
-	if want := len(odds) * 4 * len(c.Nodes); answers != want {
+	if want := len(odds) * 4 * len(c.Controllers); answers != want {
 		t.Errorf("%d answers, want %d", answers, want)
 	}
 	for _, e := range c.History {
--- a/internal/emulator/fake/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"fmt"
@@ -34,7 +34,7 @@
 	for _, e := range c.History {
 		key := strings.TrimPrefix(e.Key, core.Prefix)
 		about := strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "end/") || strings.HasPrefix(key, "run/") || strings.HasPrefix(key, "log/")
-		if e.Kind != history.Stored || !about {
+		if e.Kind != history.StateChanged || !about {
 			continue
 		}
 		changes++
@@ -52,7 +52,7 @@
 			t.Errorf("%s is left", key)
 		}
 	}
-	m := history.Measure(c.History, c.Terms(), []history.Aim{{Kind: "complete", Class: "tiny", Within: 20 * second}})
+	m := history.Metrics(c.History, c.Expectations(), []history.Objective{{Kind: "complete", Class: "tiny", Within: 20 * second}})
 	if v := m["complete tiny 20 s"]; v < 0.9 {
 		t.Errorf("%.2f are done within 20 s", v)
 	}
--- a/internal/emulator/fake/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -1,13 +1,13 @@
-package fake
+package faketime
 
 import (
 	"strings"
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // TestCloudByPeer: a leader that the cloud does not answer rents and returns by
@@ -36,8 +36,8 @@
 			const from, until = 50 * second, 170 * second
 			c := d.play(t, func(c *Cluster) {
 				c.After(from, func() {
-					f := world.Fault{Kind: "cut", Hosts: append(tc.to, c.Leaders()...), To: []string{world.CloudHost}, For: until - from}
-					if err := c.Befall(f); err != nil {
+					f := environment.Fault{Kind: "cut", Hosts: append(tc.to, c.Leaders()...), To: []string{environment.CloudHost}, Duration: until - from}
+					if err := c.InjectFault(f); err != nil {
 						t.Error(err)
 					}
 				})
@@ -47,7 +47,7 @@
 			}
 			came := 0
 			for _, e := range c.History {
-				if e.Kind == history.Up && e.At > from+30*second && e.At < until {
+				if e.Kind == history.MachineUp && e.At > from+30*second && e.At < until {
 					came++
 				}
 			}
--- a/internal/emulator/fake/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/scenario"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // forecast is the text of a sweep of a times b sets; each fit awaits its clean-up.
@@ -27,16 +27,16 @@
 }
 
 // sweeping is a small day with a sweep and some other work.
-func sweeping(t testing.TB, seed uint64, s world.Sweep) *day {
+func sweeping(t testing.TB, seed uint64, s environment.Sweep) *day {
 	d := small(seed)
 	d.ops.Sweeps = true
 	d.Jobs = d.Jobs[:6]
-	d.Sweeps = []world.Sweep{expand(t, s)}
+	d.Sweeps = []environment.Sweep{expand(t, s)}
 	return d
 }
 
 // expand fills in the runs of a sweep.
-func expand(t testing.TB, s world.Sweep) world.Sweep {
+func expand(t testing.TB, s environment.Sweep) environment.Sweep {
 	t.Helper()
 	s, err := scenario.Expand(s)
 	if err != nil {
@@ -55,7 +55,7 @@
 			begin(c)
 		}
 		c.After(d.Length-max(20*second, d.Length/10), func() {
-			for _, n := range c.Nodes {
+			for _, n := range c.Controllers {
 				for _, s := range d.Sweeps {
 					n.pages(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
 				}
@@ -63,14 +63,14 @@
 		})
 	})
 	wrong := breaches(c)
-	if len(listed) != len(c.Nodes)*len(d.Sweeps) {
+	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
 		wrong = append(wrong, fmt.Sprintf("%d controllers have listed the runs", len(listed)))
 	}
 	for i, r := range listed {
 		wrong = append(wrong, account(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
 	}
 	for _, e := range c.History {
-		if e.Kind == history.Told && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Withdrawn) {
+		if e.Kind == history.ResponseReceived && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Cancelled) {
 			over = e.State
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 // pages asks a controller for all runs of a sweep and calls f with them.
-func (n *Node) pages(id string, f func([]core.SweepRun)) {
+func (n *Controller) pages(id string, f func([]core.SweepRun)) {
 	var runs []core.SweepRun
 	var next func(after int)
 	next = func(after int) {
 		n.Request(func(req uint64) any { return core.SweepRuns{Req: req, ID: id, After: after, Most: 70} }, func(r core.Reply) {
 			if r.Runs == nil {
-				n.c.After(second, func() { next(after) })
+				n.cluster.After(second, func() { next(after) })
 				return
 			}
 			runs = append(runs, r.Runs.Runs...)
@@ -106,7 +106,7 @@
 
 // account says what is wrong with the runs of a sweep that is over: each must be
 // listed once, with its values, and have come to the end that is stored.
-func account(s *world.Sweep, runs []core.SweepRun, events []history.Event) []string {
+func account(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
 	var wrong []string
 	fail := func(format string, a ...any) { wrong = append(wrong, fmt.Sprintf(format, a...)) }
 	ends, created := map[string]string{}, map[string]int{}
@@ -163,7 +163,7 @@
 		for range 6 {
 			f := at(10+r.Int64N(120), "crash", 0)
 			if n := r.IntN(4); n < 3 {
-				f.Hosts = []string{world.NodeName(n)}
+				f.Hosts = []string{environment.ControllerName(n)}
 			}
 			l = append(l, f)
 		}
@@ -195,7 +195,7 @@
 		for seed := range seeds() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := sweeping(t, uint64(i)*10+seed+501, world.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 2, 40)})
+				d := sweeping(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 2, 40)})
 				d.Length = 500 * second
 				if tc.tight {
 					d.tighten()
@@ -203,7 +203,7 @@
 				if tc.faults != nil {
 					d.Faults = tc.faults(seed)
 				}
-				d.Loss = tc.loss
+				d.AnswerLoss = tc.loss
 				_, over := accountFor(t, d, nil)
 				if tc.cancel == 0 && over != wire.Done {
 					t.Errorf("it is %q", over)
@@ -221,7 +221,7 @@
 	if raceEnabled || testing.Short() {
 		pairs, length = 300, 700 // it is the same code, many times as slow
 	}
-	d := sweeping(t, 11, world.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 2, 100)})
+	d := sweeping(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 2, 100)})
 	d.tighten()
 	d.up(30)
 	d.Length = length * second
@@ -236,10 +236,10 @@
 func TestSweepBoundaries(t *testing.T) {
 	t.Parallel()
 	about := func(e history.Event) bool {
-		return e.Kind == history.Stored && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
+		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
 	}
 	day := func() *day {
-		d := sweeping(t, 7, world.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 2, 8)})
+		d := sweeping(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 2, 8)})
 		d.Length = 240 * second
 		return d
 	}
@@ -257,15 +257,15 @@
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
 			_, over := accountFor(t, day(), func(c *Cluster) {
 				n, last := 0, int64(0)
-				c.Seen = func(e history.Event) {
+				c.OnEvent = func(e history.Event) {
 					if !about(e) || e.At == last {
 						return
 					}
 					last = e.At
 					if n++; n == k {
-						c.After(1, func() { c.World.CancelSweep("edge") })
+						c.After(1, func() { c.Environment.CancelSweep("edge") })
 						c.After(int64(k%3)*20_000, func() {
-							if err := c.Befall(at(0, "crash", 0)); err != nil {
+							if err := c.InjectFault(at(0, "crash", 0)); err != nil {
 								t.Error(err)
 							}
 						})
@@ -275,19 +275,19 @@
 			outcomes[over]++
 		})
 	}
-	if outcomes[wire.Withdrawn] < len(boundaries)/2 {
+	if outcomes[wire.Cancelled] < len(boundaries)/2 {
 		t.Errorf("outcomes %v", outcomes)
 	}
 }
 
 // TestAccountCatches plants faults of accounting.
 func TestAccountCatches(t *testing.T) {
-	sweep := &world.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
+	sweep := &environment.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
 	put := func(key, value string) history.Event {
-		return history.Event{Kind: history.Stored, Key: core.Prefix + key, Value: value, State: "put"}
+		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, Value: value, State: "put"}
 	}
 	gone := func(key string) history.Event {
-		return history.Event{Kind: history.Stored, Key: core.Prefix + key, State: "removed"}
+		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, State: "removed"}
 	}
 	done := `{"o":"done","n":1}`
 	good := []history.Event{put("job/sweep.s.0", "{}"), put("job/sweep.s.1", "{}"), put("end/sweep.s.0", done), gone("job/sweep.s.0"), put("end/sweep.s.1", done), gone("job/sweep.s.1")}
@@ -333,13 +333,13 @@
 						spec := wire.Job{ID: fmt.Sprintf("job-%03d", k), Class: "c", Image: "i", Priority: "normal", Team: "blue", Kind: wire.Array, Tasks: 1, CPUs: 0.5, EstimateS: 1}
 						d.Jobs = append(d.Jobs, job{At: 20*second + int64(k)*d.Length/260, Run: second, Spec: spec})
 					}
-					s := expand(b, world.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 2, 400)})
+					s := expand(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 2, 400)})
 					switch as {
 					case "sweep":
-						d.Sweeps = []world.Sweep{s}
+						d.Sweeps = []environment.Sweep{s}
 					case "jobs":
 						for i, spec := range s.Jobs {
-							spec.ID, spec.Awaits = fmt.Sprintf("run-%05d", i), nil
+							spec.ID, spec.DependsOn = fmt.Sprintf("run-%05d", i), nil
 							d.Jobs = append(d.Jobs, job{At: 15*second + int64(i)*second/40, Run: 2 * second, Spec: spec})
 						}
 					}
@@ -348,15 +348,15 @@
 					first, took := map[string]int64{}, []int64{}
 					for _, e := range c.History {
 						switch {
-						case e.Kind == history.Stored:
+						case e.Kind == history.StateChanged:
 							changes++
 							if strings.HasPrefix(e.Key, core.Prefix+"end/") && !strings.HasPrefix(e.Key, core.Prefix+"end/job-") {
 								last = e.At
 							}
 						case !strings.HasPrefix(e.Job, "job-") || e.Op != history.Submit:
-						case e.Kind == history.Sent && first[e.Job] == 0:
+						case e.Kind == history.RequestSent && first[e.Job] == 0:
 							first[e.Job] = e.At
-						case e.Kind == history.Told && e.Status == 201:
+						case e.Kind == history.ResponseReceived && e.Status == 201:
 							took = append(took, e.At-first[e.Job])
 						}
 					}
--- a/internal/emulator/fake/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // The programs of a roll: one before features, this one, and a made-up next one
@@ -32,7 +32,7 @@
 	on := map[upgrade.Name]int64{}
 	for _, e := range c.History {
 		key, ok := strings.CutPrefix(e.Key, core.Prefix)
-		if e.Kind != history.Stored || !ok {
+		if e.Kind != history.StateChanged || !ok {
 			continue
 		}
 		switch key {
@@ -102,34 +102,34 @@
 					run := []*upgrade.Program{from, from, from}
 					d := small(uint64(500 + n))
 					d.Length = 480 * second
-					failed := func(c *Cluster, f world.Fault) {
-						if err := c.Befall(f); err != nil {
+					failed := func(c *Cluster, f environment.Fault) {
+						if err := c.InjectFault(f); err != nil {
 							t.Error(err)
 						}
 					}
-					c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, Begin: func(c *Cluster) {
+					c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, OnStart: func(c *Cluster) {
 						for k, s := range plan {
 							c.After(int64(60+12*k)*second, func() {
 								run[s.node] = s.to
-								failed(c, world.Fault{Kind: "crash", Hosts: []string{world.NodeName(s.node)}})
+								failed(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
 							})
 						}
 						c.After(int64(60+12*len(plan)-14)*second, func() { // just before the last
 							lead := c.Leaders()
 							switch {
 							case trouble == "state outage":
-								failed(c, world.Fault{Kind: "state_outage", For: 20 * second})
+								failed(c, environment.Fault{Kind: "state_outage", Duration: 20 * second})
 							case trouble == "all crash":
-								failed(c, world.Fault{Kind: "crash"})
+								failed(c, environment.Fault{Kind: "crash"})
 							case len(lead) == 0 || trouble == "":
 							case trouble == "leader crashes":
-								failed(c, world.Fault{Kind: "crash", Hosts: lead})
+								failed(c, environment.Fault{Kind: "crash", Hosts: lead})
 							case trouble == "leader stands still":
-								failed(c, world.Fault{Kind: "freeze", Hosts: lead, For: 20 * second})
+								failed(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
 							default: // what the leader keeps
-								for host, keep := range map[string]string{world.StateHost: "state service alone", "workers": "workers alone", "controllers": "peers alone"} {
+								for host, keep := range map[string]string{environment.StateHost: "state service alone", "workers": "workers alone", "controllers": "peers alone"} {
 									if keep != trouble {
-										failed(c, world.Fault{Kind: "cut", Hosts: lead, To: []string{host}, For: 25 * second})
+										failed(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
 									}
 								}
 							}
@@ -167,12 +167,12 @@
 	d.Length = 300 * second
 	var said core.Reply
 	back := false
-	c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, Begin: func(c *Cluster) {
-		c.After(60*second, func() { c.Kill(c.Nodes[2]) }) // for good
+	c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, OnStart: func(c *Cluster) {
+		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // for good
 		c.After(100*second, func() {
-			c.Nodes[0].Request(func(req uint64) any { return core.SetGone{Req: req, Name: "node-2", Gone: true} }, func(r core.Reply) { said = r })
+			c.Controllers[0].Request(func(req uint64) any { return core.SetGone{Req: req, Name: "node-2", Gone: true} }, func(r core.Reply) { said = r })
 		})
-		c.After(200*second, func() { back = true; c.Start(c.Nodes[2]) })
+		c.After(200*second, func() { back = true; c.Start(c.Controllers[2]) })
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -184,11 +184,11 @@
 	if said.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
 		t.Errorf("said to be gone: %d; next on at %d", said.Status, on["next"])
 	}
-	if !back || c.Nodes[2].up {
+	if !back || c.Controllers[2].up {
 		t.Error("an older program goes on beside what it lacks")
 	}
 	for _, e := range c.History {
-		if e.Kind == history.Stored && e.At > 200*second && strings.HasSuffix(e.Key, "/node-2") {
+		if e.Kind == history.StateChanged && e.At > 200*second && strings.HasSuffix(e.Key, "/node-2") {
 			t.Errorf("it wrote %s", e.Key)
 		}
 	}
--- a/internal/emulator/fake/version1_test.go
+++ b/internal/emulator/faketime/version1_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"encoding/json"
@@ -75,12 +75,12 @@
 	d.piped(2)
 	awaits := 0
 	for _, j := range d.Jobs {
-		if len(j.Spec.Awaits) > 0 {
+		if len(j.Spec.DependsOn) > 0 {
 			awaits++
 		}
 	}
 	c := d.play(t, nil)
-	if l, left := breaches(c), c.World.Unfinished(); len(l) > 0 || len(left) != awaits {
+	if l, left := breaches(c), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
 		t.Errorf("%d that await others, %v unfinished, %v", awaits, left, l)
 	}
 	shapes := map[string]func() any{
@@ -90,7 +90,7 @@
 	}
 	seen := map[string]int{}
 	for _, ch := range c.History {
-		if ch.Kind != history.Stored {
+		if ch.Kind != history.StateChanged {
 			continue
 		}
 		kind, rest, _ := strings.Cut(strings.TrimPrefix(ch.Key, "zinclb/"), "/")
--- a/internal/emulator/fake/writes_test.go
+++ b/internal/emulator/faketime/writes_test.go
@@ -1,4 +1,4 @@
-package fake
+package faketime
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/emulator/world"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 )
 
 // kindOfWrite is a row of the table of writes in docs/design.md.
@@ -82,21 +82,21 @@
 	}
 	play := func(d *day) {
 		t.Helper()
-		if _, err := Run(d.Config, Options{Operators: d.ops, Missing: d.missing, Writes: check}); err != nil {
+		if _, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.missing, OnTransaction: check}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	piped := small(41)
 	piped.piped(4)
 	piped.tighten()
-	piped.Loss = 0.03
-	piped.Faults = []fault{at(60, "crash", 0), at(90, "cut", 20, world.NodeName(0)), {At: 110 * second, For: 60 * second, Kind: "late_writes", Share: 0.2}}
+	piped.AnswerLoss = 0.03
+	piped.Faults = []fault{at(60, "crash", 0), at(90, "cut", 20, environment.ControllerName(0)), {At: 110 * second, Duration: 60 * second, Kind: "late_writes", Share: 0.2}}
 	play(piped)
 	first := small(42) // in the first format, as one controller is missing
 	first.missing = true
 	first.Faults = []fault{at(60, "crash", 0)}
 	play(first)
-	sweeps := sweeping(t, 43, world.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: forecast("rain", 40, 2, 40)})
+	sweeps := sweeping(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: forecast("rain", 40, 2, 40)})
 	play(sweeps)
 	for _, k := range writes {
 		if k.keys != "gone/" && met[k.keys] == 0 { // operators write it, see TestSetGone
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -14,58 +14,58 @@
 
 // The kinds of events.
 const (
-	// Sent is a user's request (Op, Job, Call), Told its answer: Status is 0
+	// RequestSent is a user's request (Op, Job, Call), Told its answer: Status is 0
 	// if none came in time.
-	Sent Kind = "sent"
-	Told Kind = "told"
-	// Up is a machine that begins to report, with Type, Zone and Spot.
-	Up Kind = "up"
-	// Unfit: the submission of Call can't run or lacks a field, Why says which.
-	Unfit Kind = "unfit"
-	// Given: a task has been given to a machine, and takes room there until it
+	RequestSent      Kind = "sent"
+	ResponseReceived Kind = "told"
+	// MachineUp is a machine that begins to report, with Type, Zone and Spot.
+	MachineUp Kind = "up"
+	// InvalidSubmission: the submission of Call can't run or lacks a field, Why says which.
+	InvalidSubmission Kind = "unfit"
+	// TaskPlaced: a task has been given to a machine, and takes room there until it
 	// has left, also while its image is fetched; Freed: it has, in that state.
-	Given Kind = "given"
-	Freed Kind = "freed"
-	// Entered: a task has its image and is on its machine. Started: it runs
+	TaskPlaced Kind = "given"
+	RoomFreed  Kind = "freed"
+	// TaskEntered: a task has its image and is on its machine. Started: it runs
 	// (a gang: all of its tasks do). Completed: its work is done. Left: it is
 	// on the machine no more, Why says for what reason.
-	Entered   Kind = "entered"
-	Started   Kind = "started"
-	Completed Kind = "completed"
-	Left      Kind = "left"
-	// Stored is a change of a key of the state service.
-	Stored Kind = "stored"
-	// Fault is a fault that begins or ends, Node a controller's start or end.
-	Fault Kind = "fault"
-	Node  Kind = "node"
-	// Met is a moment that a fault brings about again and again, Why says which:
+	TaskEntered   Kind = "entered"
+	TaskStarted   Kind = "started"
+	TaskCompleted Kind = "completed"
+	TaskLeft      Kind = "left"
+	// StateChanged is a change of a key of the state service.
+	StateChanged Kind = "stored"
+	// FaultChanged is a fault that begins or ends, Node a controller's start or end.
+	FaultChanged      Kind = "fault"
+	ControllerChanged Kind = "node"
+	// Occurred is a moment that a fault brings about again and again, Why says which:
 	// it shows that the meeting that a test is about took place.
-	Met Kind = "met"
-	// Late is a request to the state service that gets no answer and is executed
+	Occurred Kind = "met"
+	// RequestDelayed is a request to the state service that gets no answer and is executed
 	// after newer ones.
-	Late Kind = "late"
-	// Paid is what a machine has cost when it is gone or at the end.
-	Paid Kind = "paid"
+	RequestDelayed Kind = "late"
+	// CostRecorded is what a machine has cost when it is gone or at the end.
+	CostRecorded Kind = "paid"
 )
 
 // What is met.
 const (
-	MetCopy    = "a copy kept for the next leader"
-	MetLook    = "a close look"
-	MetMute    = "a report that reaches no controller"
-	MetCallOff = "a job called off"
-	MetHang    = "a machine of a job called off hangs"
-	MetAtEnd   = "called off at its end"
-	MetOdd     = "a submission that has to be refused"
-	MetLost    = "only the answer lost"
-	MetQuick   = "up within two seconds"
+	OccurHeldCopy    = "a copy kept for the next leader"
+	OccurProbe       = "a close look"
+	OccurMuteReport  = "a report that reaches no controller"
+	OccurCancel      = "a job called off"
+	OccurHungMachine = "a machine of a job called off hangs"
+	OccurCancelAtEnd = "called off at its end"
+	OccurInvalid     = "a submission that has to be refused"
+	OccurLostAnswer  = "only the answer lost"
+	OccurQuickBoot   = "up within two seconds"
 )
 
 // Ops of users' requests.
 const (
-	Submit   = "submit"
-	Poll     = "poll"
-	Withdraw = "withdraw"
+	Submit = "submit"
+	Poll   = "poll"
+	Cancel = "withdraw"
 )
 
 // Event is one thing that happened. Which fields have a meaning depends on Kind.
@@ -84,14 +84,14 @@
 	Node    string  `json:"node,omitempty"`
 	Status  int     `json:"status,omitempty"`
 	State   string  `json:"state,omitempty"`
-	Why     string  `json:"why,omitempty"`
+	Reason  string  `json:"why,omitempty"`
 	Key     string  `json:"key,omitempty"`
 	Value   string  `json:"value,omitempty"`
 	Cost    float64 `json:"cost,omitempty"`
 }
 
-// Terms are what the rules are judged by.
-type Terms struct {
+// Expectations are what the rules are judged by.
+type Expectations struct {
 	Jobs map[string]*wire.Job
 	// Sweeps has the runs of each sweep, which are submitted and withdrawn
 	// with it.
@@ -100,8 +100,8 @@
 	// Types of machines by name; without them nobody knows whether a job that
 	// waits could run.
 	Types map[string]wire.MachineType
-	// Cancel is how long tasks of a cancelled job may stay, in microseconds.
-	Cancel int64
+	// CancelWithin is how long tasks of a cancelled job may stay, in microseconds.
+	CancelWithin int64
 }
 
 // SweepJob is the name under which requests about a sweep are recorded.
@@ -110,19 +110,19 @@
 // Limits of a team; 0 is none.
 type Limits struct{ CPUs, GPUs float64 }
 
-// Breach is a rule broken.
-type Breach struct {
-	At   int64  `json:"at"`
-	Rule string `json:"rule"`
-	What string `json:"what"`
+// Violation is a rule broken.
+type Violation struct {
+	At     int64  `json:"at"`
+	Rule   string `json:"rule"`
+	Detail string `json:"what"`
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("at %.3f s %s: %s", float64(b.At)/1e6, b.Rule, b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("at %.3f s %s: %s", float64(b.At)/1e6, b.Rule, b.Detail)
 }
 
-// Judge names all that is wrong with a history: rules that it breaks, and jobs
+// CheckAll names all that is wrong with a history: rules that it breaks, and jobs
 // whose answers could not have come about one after the other.
-func Judge(events []Event, terms Terms) []Breach {
-	return append(Check(events, terms), Linear(events, terms)...)
+func CheckAll(events []Event, terms Expectations) []Violation {
+	return append(CheckRules(events, terms), CheckLinearizability(events, terms)...)
 }
