--- /dev/null
+++ b/internal/core/jobstate/job.go
@@ -0,0 +1,554 @@
+// Package ledger keeps the jobs: their specifications, which of their tasks
+// are done, and where attempts are placed. A job's progress is stored in
+// chunks of tasks, one value each, so that a job of any size fits the state
+// service's limits and a change rewrites little.
+package jobstate
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/RoaringBitmap/roaring/v2"
+)
+
+// DefaultChunkSize is how many tasks share one stored value in the first format of
+// stored data. With its placements spread over as many machines as tasks, a
+// chunk still stays below 8 KiB. Later formats split a chunk into parts, see
+// Split.
+const DefaultChunkSize = 256
+
+// MaxTasks is the largest job.
+const MaxTasks = 100_000
+
+// Priorities of jobs.
+const (
+	Idle = iota
+	Normal
+	Urgent
+	Production
+)
+
+// Kind says how a job's tasks belong together.
+type Kind string
+
+// The kinds of jobs.
+const (
+	Array   Kind = "array"
+	Gang    Kind = "gang"
+	Service Kind = "service"
+)
+
+// Resources is an amount of a machine, in thousandths of a CPU, GPU or GB.
+type Resources struct {
+	CPU int64 `json:"c"`
+	GPU int64 `json:"g"`
+	Mem int64 `json:"m"`
+}
+
+// Add is by component, as Sub and Times are.
+func (v Resources) Add(o Resources) Resources {
+	return Resources{v.CPU + o.CPU, v.GPU + o.GPU, v.Mem + o.Mem}
+}
+
+// Sub is v less o.
+func (v Resources) Sub(o Resources) Resources {
+	return Resources{v.CPU - o.CPU, v.GPU - o.GPU, v.Mem - o.Mem}
+}
+
+// Scale is v n times.
+func (v Resources) Scale(n int64) Resources { return Resources{v.CPU * n, v.GPU * n, v.Mem * n} }
+
+// Fits says whether v is within o.
+func (v Resources) Fits(o Resources) bool { return v.CPU <= o.CPU && v.GPU <= o.GPU && v.Mem <= o.Mem }
+
+// Weight makes work on amounts of different kinds comparable: by GPUs, where
+// there are any.
+func (v Resources) Weight() int64 { return max(v.GPU, v.CPU/8) }
+
+// Spec is a job as its user described it. Durations are microseconds.
+type Spec struct {
+	ID         string    `json:"id"`
+	Class      string    `json:"cl"`
+	Team       string    `json:"tm"`
+	Kind       Kind      `json:"k"`
+	Priority   int       `json:"pr"`
+	Tasks      int       `json:"n"`
+	Need       Resources `json:"v"`
+	Types      []string  `json:"ty,omitempty"`
+	Zone       string    `json:"z,omitempty"`
+	OneZone    bool      `json:"oz,omitempty"`
+	Spread     bool      `json:"sp,omitempty"`
+	Spot       bool      `json:"bo,omitempty"`
+	Image      string    `json:"im,omitempty"`
+	ImageMB    int64     `json:"mb,omitempty"`
+	Estimate   int64     `json:"es,omitempty"`
+	Checkpoint int64     `json:"ck,omitempty"`
+	Save       int64     `json:"sv,omitempty"`
+	Deadline   int64     `json:"dl,omitempty"`
+	// Dependencies are the jobs that have to be done before any task starts.
+	Dependencies []string `json:"aw,omitempty"`
+	// Sweep is the sweep that the job is a run of, and Run its number there.
+	Sweep string `json:"sw,omitempty"`
+	Run   int    `json:"sn,omitempty"`
+}
+
+// FetchTime is how long a machine that lacks the job's image takes to get it,
+// at so many MB a second.
+func (s *Spec) FetchTime(rate int64) int64 {
+	if rate <= 0 {
+		return 0
+	}
+	return s.ImageMB * 1_000_000 / rate
+}
+
+// Allows says whether a task may ever be on a machine of a type, zone, kind
+// and size.
+func (s *Spec) Allows(typ, zone string, spot bool, size Resources) bool {
+	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot) && s.Need.Fits(size)
+}
+
+// Outcomes of a job; the empty one is unfinished.
+const (
+	Done      = "done"
+	Cancelled = "cancelled"
+)
+
+// Record is the stored value of a job: its specification, its place in the
+// order of arrival, and its outcome once it has one but is not cleaned up.
+type Record struct {
+	Spec    *Spec  `json:"s"`
+	Arrival uint64 `json:"a,omitempty"`
+	Outcome string `json:"o,omitempty"`
+	// SubmittedWall is the time of day in microseconds, which lies within the
+	// settings' bound; deadlines are judged by it, and nothing else.
+	SubmittedWall int64 `json:"t,omitempty"`
+	// Truncated: of the specification only what the rest of an ended job's life
+	// needs is left, as the whole did not fit.
+	Truncated bool `json:"b,omitempty"`
+}
+
+// Encode encodes the record within limit bytes, where that can be done.
+func (r Record) Encode(limit int) []byte {
+	b := Encode(r)
+	if len(b) > limit && r.Outcome != "" {
+		// A record from before the limits fell: its job is over, so nothing
+		// of it is started again.
+		s := r.Spec
+		r.Truncated = true
+		r.Spec = &Spec{ID: s.ID, Team: s.Team, Kind: s.Kind, Priority: s.Priority, Tasks: s.Tasks, Need: s.Need}
+		b = Encode(r)
+	}
+	return b
+}
+
+// Encode makes a stored value of a plain struct, map or list.
+func Encode(v any) []byte {
+	b, err := json.Marshal(v)
+	if err != nil {
+		panic(err) // those always encode
+	}
+	return b
+}
+
+// End is the stored value of a job's end.
+type End struct {
+	Outcome string `json:"o"`
+	Tasks   int    `json:"n"`
+	// At is the time of day in microseconds; the waits of jobs that need this
+	// one count from it. The first format has none.
+	At int64 `json:"t,omitempty"`
+}
+
+// Phase is what is known of an attempt on its machine.
+type Phase uint8
+
+// The phases of an attempt, in their order.
+const (
+	Unconfirmed Phase = iota
+	Fetching
+	Waiting
+	Running
+	Checkpointing
+)
+
+// Task is one task. Machine is empty while it is placed nowhere.
+type Task struct {
+	Machine string
+	Attempt uint32
+	Done    bool
+	// Stored: the placement is in the state service, so run may be sent.
+	Stored bool
+	// StartSent: a run may have been sent, by this leader or an earlier one.
+	StartSent bool
+	// Confirmed: a report under this leader has shown the attempt.
+	Confirmed bool
+	// version of the chunk that first has the placement.
+	version uint64
+	Phase   Phase
+	// Trial: the attempt is the job's trial run.
+	Trial bool
+	// PlacedAt is when the attempt was placed, Started when it was seen
+	// running, both on the leader's steady clock.
+	PlacedAt, StartedAt int64
+	// StopReason is why the attempt is to be stopped, StopRequestedAt since when.
+	StopReason      string
+	Grace           int64
+	StopRequestedAt int64
+}
+
+// Chunk is the stored unit of progress.
+type Chunk struct {
+	Revision uint64
+	dirty    bool
+	version  uint64
+	inFlight bool
+	// hasPlacement: a placement waits to be stored, and with it a start.
+	hasPlacement bool
+	attempt      uint32
+	DirtySince   int64 // when it became dirty
+	// seq is the number of the log's first entry that the stored value does
+	// not have; taken is the same of the value under way.
+	seq, inFlightSeq uint64
+	// changed are the tasks that changed since the last write was taken, flown
+	// those of the write under way; whole says that they are not all.
+	changed, inFlightChanges     []int32
+	needsFullWrite, inFlightFull bool // inFlightFull: the write under way has all
+}
+
+// Job is a job and its tasks.
+type Job struct {
+	*Spec
+	Revision uint64
+	Arrival  uint64
+	Outcome  string
+	tasks    []Task
+	// unplaced are the tasks that are neither done nor placed, placed those that
+	// are placed: a round must not walk 100,000 tasks to find a few.
+	unplaced, placed *roaring.Bitmap
+	// chunks are of span tasks each; older are the stored values of larger
+	// spans, which hold for the tasks that no chunk has been stored of.
+	chunkSize   int
+	chunks      []Chunk
+	olderLayers []chunkLayer
+	// counters kept in step with tasks
+	NumDone, NumPlaced, NumRunning int
+	// doneAndPlaced counts tasks that are done while their placement still stands;
+	// counting them anew for every question would cost a walk of all tasks.
+	doneAndPlaced int
+	// TrialDone: the job's trial is behind it.
+	TrialDone bool
+	// SubmittedWall is the time of day of the submission, Born the same on this
+	// controller's steady clock.
+	SubmittedWall int64
+	SubmittedAt   int64
+	// ReadyAt is when the job could first have been started, on the same clock:
+	// its submission, or the end of the last job that it needs.
+	ReadyAt int64
+	// UnmetDependencies are the awaited jobs that are not known to be done.
+	UnmetDependencies map[string]struct{}
+	// CancelledByDependency: the job is over because one that it needs is cancelled, and its
+	// own end is not stored yet.
+	CancelledByDependency bool
+	// Truncated: the specification is what is left of an ended job's.
+	Truncated bool
+	// EffectivePriority is the priority that the job is treated as having, and EffectiveDeadline the
+	// latest end that keeps all deadlines behind it, 0 for none; see Inherit.
+	EffectivePriority int
+	EffectiveDeadline int64
+	// DependenciesEndedWall is the time of day of the newest end of a job that it awaits.
+	DependenciesEndedWall int64
+	visitedRound          int
+	// EndPending: the end is being written by the leader.
+	EndPending bool
+	// NotBefore delays the next start after failures; Errors counts them.
+	NotBefore int64
+	Failures  int
+	// FailedOn are the machines on which tasks of it failed.
+	FailedOn map[string]bool
+}
+
+// NewJob makes a job without progress.
+func NewJob(s *Spec) *Job {
+	j := &Job{Spec: s, EffectivePriority: s.Priority, chunkSize: DefaultChunkSize, tasks: make([]Task, s.Tasks), chunks: make([]Chunk, (s.Tasks+DefaultChunkSize-1)/DefaultChunkSize),
+		unplaced: roaring.New(), placed: roaring.New()}
+	j.unplaced.AddRange(0, uint64(s.Tasks))
+	return j
+}
+
+// IsBlocked says that the job waits for others to be done.
+func (j *Job) IsBlocked() bool { return len(j.UnmetDependencies) > 0 }
+
+// Task returns task i, or nil if the job has no such task.
+func (j *Job) Task(i int) *Task {
+	if i < 0 || i >= len(j.tasks) {
+		return nil
+	}
+	return &j.tasks[i]
+}
+
+// IsPartiallyPlaced says that some tasks of a gang's attempt are gone and others not.
+func (j *Job) IsPartiallyPlaced() bool {
+	return j.Kind == Gang && j.Outcome == "" && j.NumPlaced > 0 && j.Unplaced() > 0
+}
+
+// NumChunks is the number of chunks.
+func (j *Job) NumChunks() int { return len(j.chunks) }
+
+// Chunk returns chunk c.
+func (j *Job) Chunk(c int) *Chunk { return &j.chunks[c] }
+
+// Unplaced is how many tasks are neither done nor placed.
+func (j *Job) Unplaced() int {
+	return len(j.tasks) - j.NumDone - j.NumPlaced + j.doneAndPlaced
+}
+
+// NextUnplaced returns an unplaced task from index from on, or -1.
+func (j *Job) NextUnplaced(from int) int {
+	it := j.unplaced.Iterator()
+	it.AdvanceIfNeeded(uint32(from))
+	if !it.HasNext() {
+		return -1
+	}
+	return int(it.Next())
+}
+
+// EachPlaced calls f for every placed task.
+func (j *Job) EachPlaced(f func(i int, t *Task)) {
+	// f may clear what it is called for.
+	for _, i := range j.placed.ToArray() {
+		if t := &j.tasks[i]; t.Machine != "" {
+			f(int(i), t)
+		}
+	}
+}
+
+// reindex enters task i where it belongs by what is known of it.
+func (j *Job) reindex(i int) {
+	t := &j.tasks[i]
+	enter := func(b *roaring.Bitmap, in bool) {
+		if in {
+			b.Add(uint32(i))
+		} else {
+			b.Remove(uint32(i))
+		}
+	}
+	enter(j.placed, t.Machine != "")
+	enter(j.unplaced, t.Machine == "" && !t.Done)
+}
+
+// NextAttempt is a number that no earlier attempt of any task had.
+func (j *Job) NextAttempt() uint32 {
+	var a uint32
+	for i := range j.chunks {
+		a = max(a, j.chunks[i].attempt)
+	}
+	return a + 1
+}
+
+// PlaceTask plans an attempt. It may start once its chunk is stored.
+func (j *Job) PlaceTask(i int, machine string, attempt uint32, now int64) {
+	t, c := &j.tasks[i], &j.chunks[i/j.chunkSize]
+	j.markTaskDirty(i, now)
+	*t = Task{Machine: machine, Attempt: attempt, PlacedAt: now, version: c.version}
+	c.hasPlacement = true
+	c.attempt = max(c.attempt, attempt)
+	j.NumPlaced++
+	j.reindex(i)
+}
+
+// UnplaceTask removes a placement; the caller has proof that the task is gone.
+func (j *Job) UnplaceTask(i int, now int64) {
+	t := &j.tasks[i]
+	if t.Machine == "" {
+		return
+	}
+	j.SetPhase(t, Unconfirmed)
+	j.markTaskDirty(i, now)
+	j.NumPlaced--
+	if t.Done {
+		j.doneAndPlaced--
+	}
+	*t = Task{Done: t.Done, Attempt: t.Attempt}
+	j.reindex(i)
+}
+
+// SetDone marks a task complete.
+func (j *Job) SetDone(i int, now int64) {
+	t := &j.tasks[i]
+	if t.Done {
+		return
+	}
+	t.Done = true
+	j.NumDone++
+	if t.Machine != "" {
+		j.doneAndPlaced++
+	}
+	j.reindex(i)
+	j.markTaskDirty(i, now)
+}
+
+// SetTrialDone marks the trial as used; it is stored with the first chunk.
+func (j *Job) SetTrialDone(now int64) {
+	if !j.TrialDone {
+		j.TrialDone = true
+		j.chunks[0].needsFullWrite = true
+		j.markDirty(&j.chunks[0], now)
+	}
+}
+
+// SetPhase notes what a report says of a placed task.
+func (j *Job) SetPhase(t *Task, p Phase) {
+	if t.Phase >= Running {
+		j.NumRunning--
+	}
+	t.Phase = p
+	if p >= Running {
+		j.NumRunning++
+	}
+}
+
+func (j *Job) markTaskDirty(i int, now int64) {
+	c := &j.chunks[i/j.chunkSize]
+	c.changed = append(c.changed, int32(i))
+	j.markDirty(c, now)
+}
+
+func (j *Job) markDirty(c *Chunk, now int64) {
+	c.version++
+	if !c.dirty {
+		c.dirty, c.DirtySince = true, now
+	}
+}
+
+// IsTaskStored says that all that is known of task i is stored.
+func (j *Job) IsTaskStored(i int) bool {
+	c := &j.chunks[i/j.chunkSize]
+	return !c.dirty && !c.inFlight
+}
+
+// needsWrite says that the chunk is to be written and no write is under way.
+func (c *Chunk) needsWrite() bool { return c.dirty && !c.inFlight }
+
+// DirtyChunks lists the chunks to be written.
+func (j *Job) DirtyChunks() []int {
+	var l []int
+	for i := range j.chunks {
+		if c := &j.chunks[i]; c.needsWrite() {
+			l = append(l, i)
+		}
+	}
+	return l
+}
+
+// HasPlacementToWrite says whether a placement of chunk c waits to be written; otherwise
+// what waits is only that tasks have ended.
+func (j *Job) HasPlacementToWrite(c int) bool { return j.chunks[c].hasPlacement }
+
+// HasAnyPlacementToWrite says the same of all chunks that wait to be written.
+func (j *Job) HasAnyPlacementToWrite() bool {
+	for i := range j.chunks {
+		if c := &j.chunks[i]; c.hasPlacement && c.needsWrite() {
+			return true
+		}
+	}
+	return false
+}
+
+// DirtySince is when the oldest change that waits to be written was made, or 0.
+func (j *Job) DirtySince() int64 {
+	var at int64
+	for i := range j.chunks {
+		if c := &j.chunks[i]; c.needsWrite() && (at == 0 || c.DirtySince < at) {
+			at = c.DirtySince
+		}
+	}
+	return at
+}
+
+// BeginChunkWrite encodes chunk c for a write that is about to be sent. seq is the number
+// of the log's next entry.
+func (j *Job) BeginChunkWrite(c int, seq uint64) (value []byte, version uint64) {
+	ch := &j.chunks[c]
+	ch.beginWrite()
+	ch.needsFullWrite, ch.inFlightFull, ch.inFlightSeq = false, true, seq
+	return j.encodeChunk(c), ch.version
+}
+
+// CommitChunkWrite notes that the write of a version of chunk c is committed.
+func (j *Job) CommitChunkWrite(c int, version, stamp uint64) {
+	ch := &j.chunks[c]
+	if ch.inFlightFull {
+		ch.seq, ch.inFlightFull = ch.inFlightSeq, false
+	}
+	ch.inFlight, ch.Revision, ch.inFlightChanges = false, stamp, nil
+	lo, hi := j.taskRange(c)
+	for i := lo; i < hi; i++ {
+		if t := &j.tasks[i]; t.Machine != "" && t.version <= version {
+			t.Stored = true
+		}
+	}
+}
+
+// AbortChunkWrite notes that the write failed or that nobody knows: it has to be
+// written again, with the condition on the stamp that is known by then.
+func (j *Job) AbortChunkWrite(c int) {
+	ch := &j.chunks[c]
+	ch.inFlight, ch.dirty, ch.hasPlacement = false, true, true
+	ch.needsFullWrite, ch.inFlightFull = ch.needsFullWrite || ch.inFlightFull, false
+	ch.changed, ch.inFlightChanges = append(ch.inFlightChanges, ch.changed...), nil
+}
+
+func (j *Job) taskRange(c int) (lo, hi int) {
+	lo = c * j.chunkSize
+	return lo, min(lo+j.chunkSize, len(j.tasks))
+}
+
+type storedChunk struct {
+	Attempt   uint32              `json:"a"`
+	Done      string              `json:"d,omitempty"`
+	Placed    map[string][]uint32 `json:"p,omitempty"`
+	TrialDone bool                `json:"t,omitempty"`
+	// Seq is the number of the log's first entry that this does not have.
+	Seq uint64 `json:"q,omitempty"`
+}
+
+func (j *Job) encodeChunk(c int) []byte {
+	lo, hi := j.taskRange(c)
+	s := storedChunk{Attempt: j.chunks[c].attempt, TrialDone: j.TrialDone && c == 0, Seq: j.chunks[c].inFlightSeq}
+	bits := make([]byte, (hi-lo+7)/8)
+	any := false
+	for i := lo; i < hi; i++ {
+		t := &j.tasks[i]
+		if t.Done {
+			bits[(i-lo)/8] |= 1 << ((i - lo) % 8)
+			any = true
+		}
+		if t.Machine != "" {
+			if s.Placed == nil {
+				s.Placed = make(map[string][]uint32)
+			}
+			s.Placed[t.Machine] = append(s.Placed[t.Machine], uint32(i), t.Attempt)
+		}
+	}
+	if any {
+		s.Done = hex.EncodeToString(bits)
+	}
+	return Encode(s)
+}
+
+// TaskName is a task's name on the wire.
+func TaskName(job string, i int) string { return job + "/" + strconv.Itoa(i) }
+
+// ParseTaskName reads a task's name.
+func ParseTaskName(name string) (job string, i int, err error) {
+	job, num, ok := strings.Cut(name, "/")
+	if !ok {
+		return "", 0, errors.New("task name without a number")
+	}
+	i, err = strconv.Atoi(num)
+	return job, i, err
+}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/jobstate/job_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"fmt"
@@ -8,29 +8,29 @@
 
 // TestChunks stores a job of the largest size and reads it back.
 func TestChunks(t *testing.T) {
-	for _, n := range []int{1, ChunkTasks, ChunkTasks + 1, MaxTasks} {
+	for _, n := range []int{1, DefaultChunkSize, DefaultChunkSize + 1, MaxTasks} {
 		j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: n})
 		for i := range n {
 			switch i % 3 {
 			case 0:
-				j.Place(i, fmt.Sprintf("host-%06d", i), 7, 1)
+				j.PlaceTask(i, fmt.Sprintf("host-%06d", i), 7, 1)
 			case 1:
 				j.SetDone(i, 1)
 			}
 		}
-		j.SetTried(1)
+		j.SetTrialDone(1)
 		k := NewJob(j.Spec)
-		for _, c := range j.Dirty() {
-			v, version := j.Take(c, 0)
+		for _, c := range j.DirtyChunks() {
+			v, version := j.BeginChunkWrite(c, 0)
 			if len(v) > 8192 {
 				t.Errorf("chunk of %d bytes", len(v))
 			}
-			j.Written(c, version, 5)
-			if err := k.Load(Value{ChunkTasks, c}, v, 5, 1); err != nil {
+			j.CommitChunkWrite(c, version, 5)
+			if err := k.LoadChunk(ChunkRef{DefaultChunkSize, c}, v, 5, 1); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if len(j.Dirty()) != 0 || k.NumDone != j.NumDone || k.NumPlaced != j.NumPlaced || !k.Tried || k.NextAttempt() != j.NextAttempt() || k.Unplaced() != j.Unplaced() {
+		if len(j.DirtyChunks()) != 0 || k.NumDone != j.NumDone || k.NumPlaced != j.NumPlaced || !k.TrialDone || k.NextAttempt() != j.NextAttempt() || k.Unplaced() != j.Unplaced() {
 			t.Errorf("%d tasks: %d done, %d placed, %d unplaced", n, k.NumDone, k.NumPlaced, k.Unplaced())
 		}
 	}
@@ -40,28 +40,28 @@
 // from a write that had it, whatever was planned while that was under way.
 func TestStored(t *testing.T) {
 	j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: 2})
-	j.Place(0, "a", 1, 1)
-	_, version := j.Take(0, 0)
-	j.Place(1, "b", 1, 1)
-	if j.Task(0).Stored || j.Clean(0) {
+	j.PlaceTask(0, "a", 1, 1)
+	_, version := j.BeginChunkWrite(0, 0)
+	j.PlaceTask(1, "b", 1, 1)
+	if j.Task(0).Stored || j.IsTaskStored(0) {
 		t.Error("stored before the answer")
 	}
-	j.Written(0, version, 3)
-	if !j.Task(0).Stored || j.Task(1).Stored || j.Clean(0) {
+	j.CommitChunkWrite(0, version, 3)
+	if !j.Task(0).Stored || j.Task(1).Stored || j.IsTaskStored(0) {
 		t.Error("only what the write had is stored")
 	}
-	j.Take(0, 0)
-	j.Unwritten(0) // no answer
-	if j.Task(1).Stored || len(j.Dirty()) != 1 || j.Chunk(0).Stamp != 3 {
+	j.BeginChunkWrite(0, 0)
+	j.AbortChunkWrite(0) // no answer
+	if j.Task(1).Stored || len(j.DirtyChunks()) != 1 || j.Chunk(0).Revision != 3 {
 		t.Error("an unknown write counts for nothing and is repeated")
 	}
-	_, version = j.Take(0, 0)
-	j.Written(0, version, 4)
-	if !j.Task(1).Stored || !j.Clean(1) {
+	_, version = j.BeginChunkWrite(0, 0)
+	j.CommitChunkWrite(0, version, 4)
+	if !j.Task(1).Stored || !j.IsTaskStored(1) {
 		t.Error("stored by the repeat")
 	}
-	j.Clear(0, 2)
-	if j.NumPlaced != 1 || j.Clean(0) || j.NextAttempt() != 2 {
+	j.UnplaceTask(0, 2)
+	if j.NumPlaced != 1 || j.IsTaskStored(0) || j.NextAttempt() != 2 {
 		t.Error("cleared, and its attempt is not used again")
 	}
 }
@@ -70,11 +70,11 @@
 func TestLoadRefuses(t *testing.T) {
 	j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: 2})
 	for _, v := range []string{`x`, `{"d":"zz"}`, `{"p":{"m":[9,1]}}`} {
-		if err := j.Load(Value{ChunkTasks, 0}, []byte(v), 1, 1); err == nil {
+		if err := j.LoadChunk(ChunkRef{DefaultChunkSize, 0}, []byte(v), 1, 1); err == nil {
 			t.Errorf("%s is accepted", v)
 		}
 	}
-	if err := j.Load(Value{ChunkTasks, 1}, []byte(`{}`), 1, 1); err == nil {
+	if err := j.LoadChunk(ChunkRef{DefaultChunkSize, 1}, []byte(`{}`), 1, 1); err == nil {
 		t.Error("a chunk that the job does not have is accepted")
 	}
 }
@@ -90,18 +90,18 @@
 			switch r.IntN(5) {
 			case 0, 1:
 				if task := j.Task(i); task.Machine == "" && !task.Done {
-					j.Place(i, "m", j.NextAttempt(), 1)
+					j.PlaceTask(i, "m", j.NextAttempt(), 1)
 				}
 			case 2:
 				j.SetDone(i, 1)
 			case 3:
-				j.Clear(i, 1)
+				j.UnplaceTask(i, 1)
 			default:
-				e := Entry{Job: "j", Task: i, Done: r.IntN(2) == 0, Attempt: 9}
+				e := LogEntry{Job: "j", Task: i, Done: r.IntN(2) == 0, Attempt: 9}
 				if r.IntN(2) == 0 {
 					e.Machine = "n"
 				}
-				j.Apply(&e, uint64(step), 1)
+				j.ApplyLogEntry(&e, uint64(step), 1)
 			}
 			from := r.IntN(700)
 			want, placed := -1, 0
--- a/internal/core/largest.go
+++ b/internal/core/largest.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // A class's largest jobs have to begin within four minutes, however many small
@@ -17,7 +17,7 @@
 
 type sizeKey struct {
 	class string
-	kind  ledger.Kind
+	kind  jobstate.Kind
 }
 
 // Bounds of what is remembered: how many classes, and the most tasks of a job.
@@ -26,8 +26,8 @@
 	mostTasks    = 100_000
 )
 
-func (z sizes) note(s *ledger.Spec) {
-	if s.Kind == ledger.Service {
+func (z sizes) note(s *jobstate.Spec) {
+	if s.Kind == jobstate.Service {
 		return
 	}
 	key := sizeKey{s.Class, s.Kind}
@@ -45,12 +45,12 @@
 
 // largest says whether a job is one of the largest of its class: a gang of its
 // top size, an array of its top tenth. Where all are of one size none is.
-func (z sizes) largest(s *ledger.Spec) bool {
+func (z sizes) largest(s *jobstate.Spec) bool {
 	h := z[sizeKey{s.Class, s.Kind}]
 	if h == nil || h.Max() == h.Min() {
 		return false
 	}
-	if s.Kind == ledger.Gang {
+	if s.Kind == jobstate.Gang {
 		return h.ValuesAreEquivalent(int64(s.Tasks), h.Max())
 	}
 	n := int64(s.Tasks)
@@ -59,6 +59,6 @@
 
 // mustBegin says that a job is one of its class's largest and should have begun. An
 // array begins with its first task, a gang whole.
-func (c *Core) mustBegin(j *ledger.Job) bool {
-	return j.NumPlaced == 0 && j.NumDone == 0 && c.now-j.Known >= beginWithin/4 && c.lead.sizes.largest(j.Spec)
+func (c *Core) mustBegin(j *jobstate.Job) bool {
+	return j.NumPlaced == 0 && j.NumDone == 0 && c.now-j.ReadyAt >= beginWithin/4 && c.lead.sizes.largest(j.Spec)
 }
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -5,8 +5,8 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/rates"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
 // Whoever asks about a job that is not unfinished costs a read of its end, and most
@@ -40,7 +40,7 @@
 // lookNow asks about the ends that requests wait for, if nothing is under way.
 func (c *Core) lookNow() {
 	l := &c.requests.ends
-	if !l.Due(c.now, rates.Gap(c.allowance.Views)) || c.lead == nil && !c.reading.Take() {
+	if !l.Due(c.now, ratelimit.Interval(c.allowance.Views)) || c.lead == nil && !c.reading.TryTake() {
 		return
 	}
 	ids, byID := l.Begin(c.now, min(4*c.limits().TxnOps, lookupMost))
@@ -50,7 +50,7 @@
 	}
 	var when []Cond
 	for _, id := range ids {
-		when = append(when, kv.At(endPrefix+id, 0))
+		when = append(when, kv.RevisionIs(endPrefix+id, 0))
 	}
 	c.multi(when, nil, func(m Committed) {
 		l.End()
@@ -96,7 +96,7 @@
 	id := asks[0].id
 	c.get(endPrefix+id, func(g Got) {
 		done()
-		var e ledger.End
+		var e jobstate.End
 		switch {
 		case g.Err != nil:
 			c.lookAgain(asks)
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -8,8 +8,8 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/rates"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
 // maxEnds bounds the ends kept in memory; older ones are read when asked for.
@@ -43,7 +43,7 @@
 // listAll reads everything, at the pace that all controllers can keep at once.
 func listAll(l config.StateLimits, controllers int) List {
 	each := l.RPS / float64(controllers)
-	return List{AtOnce: max(1, int(each)-besidesList), Gap: rates.Gap(each / 2)}
+	return List{AtOnce: max(1, int(each)-besidesList), Gap: ratelimit.Interval(each / 2)}
 }
 
 func (c *Core) onListed(m Listed) {
@@ -55,11 +55,11 @@
 		c.emit(listAll(c.limits(), len(c.set.Peers)+1)) // the store paces repeats
 		return
 	}
-	c.jobs = map[string]*ledger.Job{}
-	c.orphaned = map[string]map[ledger.Value]Change{}
+	c.jobs = map[string]*jobstate.Job{}
+	c.orphaned = map[string]map[jobstate.ChunkRef]Change{}
 	c.leader, c.leaderAt = leaderValue{}, 0
 	c.token, c.tokenAt = tokenValue{}, 0
-	c.graph = ledger.NewGraph()
+	c.graph = jobstate.NewDependencyGraph()
 	c.activation.Restart()
 	c.featuresAt, c.goneAt = 0, map[string]uint64{}
 	c.reachAt = map[string]uint64{}
@@ -107,7 +107,7 @@
 		from := c.applied
 		for _, ch := range m.Changes {
 			// Two watches may bring the same change.
-			if ch.Stamp > from {
+			if ch.Revision > from {
 				c.recent.Append(ch)
 				c.apply(ch)
 			}
@@ -140,7 +140,7 @@
 		return
 	}
 	if key == "bounds" || key == "types" || strings.HasPrefix(key, "types/") || strings.HasPrefix(key, "hints/") {
-		c.stamps[ch.Key] = ch.Stamp
+		c.stamps[ch.Key] = ch.Revision
 		if ch.Removed {
 			delete(c.stamps, ch.Key)
 		}
@@ -154,7 +154,7 @@
 	case strings.HasPrefix(key, "run/"):
 		c.applyRun(key[4:], ch, bad)
 	case strings.HasPrefix(key, "end/"):
-		var e ledger.End
+		var e jobstate.End
 		if ch.Removed {
 			return
 		}
@@ -162,7 +162,7 @@
 			bad(err)
 			return
 		}
-		c.noteEnd(key[4:], e, ch.Stamp)
+		c.noteEnd(key[4:], e, ch.Revision)
 		c.endStored(key[4:])
 	case key == "leader":
 		c.leader, c.leaderAt = leaderValue{}, 0
@@ -170,9 +170,9 @@
 			if err := json.Unmarshal(ch.Value, &c.leader); err != nil {
 				bad(err)
 			}
-			c.leaderAt = ch.Stamp
+			c.leaderAt = ch.Revision
 			if c.leader.Token > c.newest.Token {
-				c.links.Moved(c.now)
+				c.links.RecordHandover(c.now)
 			}
 			c.noteNewest(c.leader)
 		}
@@ -180,7 +180,7 @@
 		if err := json.Unmarshal(ch.Value, &c.token); err != nil {
 			bad(err)
 		}
-		c.tokenAt = ch.Stamp
+		c.tokenAt = ch.Revision
 	case (key == "types" || strings.HasPrefix(key, "types/")) && !ch.Removed:
 		c.applyTypes(ch, bad)
 	case key == "format" && !ch.Removed:
@@ -196,7 +196,7 @@
 	case strings.HasPrefix(key, "hints/") && !ch.Removed:
 		c.hints[ch.Key] = ch.Value
 	case key == "bounds" && !ch.Removed && c.lead == nil:
-		var b fleet.Bounds
+		var b fleet.Partitions
 		if err := json.Unmarshal(ch.Value, &b); err != nil {
 			bad(err)
 			return
@@ -208,59 +208,59 @@
 func (c *Core) applyJob(id string, ch Change, bad func(error)) {
 	j := c.jobs[id]
 	if ch.Removed {
-		if j != nil && ch.Stamp > j.Stamp {
+		if j != nil && ch.Revision > j.Revision {
 			delete(c.jobs, id)
 			c.dropJob(j)
 			c.orphan(j)
 		}
 		return
 	}
-	if j != nil && ch.Stamp <= j.Stamp {
+	if j != nil && ch.Revision <= j.Revision {
 		return
 	}
-	var r ledger.Record
-	if err := json.Unmarshal(ch.Value, &r); err != nil || r.Spec == nil || r.Spec.Tasks < 1 || r.Spec.Tasks > ledger.MaxTasks {
+	var r jobstate.Record
+	if err := json.Unmarshal(ch.Value, &r); err != nil || r.Spec == nil || r.Spec.Tasks < 1 || r.Spec.Tasks > jobstate.MaxTasks {
 		bad(err)
 		return
 	}
 	if j == nil {
-		j = ledger.NewJob(r.Spec)
-		j.Split(c.span)
-		j.Arrival, j.Submitted, j.Brief = r.Arrival, r.Submitted, r.Brief
-		j.Born = c.steady(r.Submitted)
-		j.Known = j.Born
+		j = jobstate.NewJob(r.Spec)
+		j.SplitChunks(c.span)
+		j.Arrival, j.SubmittedWall, j.Truncated = r.Arrival, r.SubmittedWall, r.Truncated
+		j.SubmittedAt = c.steady(r.SubmittedWall)
+		j.ReadyAt = j.SubmittedAt
 		if j.Arrival == 0 {
-			j.Arrival = ch.Stamp
+			j.Arrival = ch.Revision
 		}
 		c.jobs[id] = j
 		for v, run := range c.orphaned[id] {
 			if run.Value == nil {
 				continue
 			}
-			if err := j.Load(v, run.Value, run.Stamp, c.now); err != nil {
+			if err := j.LoadChunk(v, run.Value, run.Revision, c.now); err != nil {
 				bad(err)
 			}
 		}
 		delete(c.orphaned, id)
 		c.reapply(j)
-		if e, ended := c.ends[id]; ended && r.Over == "" {
+		if e, ended := c.ends[id]; ended && r.Outcome == "" {
 			// Derived before the list was read anew, perhaps.
-			j.Over, j.Derived = e.Outcome, true
+			j.Outcome, j.CancelledByDependency = e.Outcome, true
 			c.jobOver(j)
-		} else if r.Over == "" {
+		} else if r.Outcome == "" {
 			c.enterGraph(j)
 			c.endRuns = c.endRuns || j.Sweep != ""
 		}
 		c.jobArrived(j)
 	}
-	j.Stamp = ch.Stamp
-	if r.Over != "" && j.Over == "" {
-		j.Over = r.Over
-		c.noteEnd(id, ledger.End{Outcome: r.Over, Tasks: j.Tasks}, ch.Stamp)
+	j.Revision = ch.Revision
+	if r.Outcome != "" && j.Outcome == "" {
+		j.Outcome = r.Outcome
+		c.noteEnd(id, jobstate.End{Outcome: r.Outcome, Tasks: j.Tasks}, ch.Revision)
 		c.jobOver(j)
 	}
-	if r.Over != "" {
-		j.Derived = false
+	if r.Outcome != "" {
+		j.CancelledByDependency = false
 	}
 }
 
@@ -277,7 +277,7 @@
 	if ch.Removed {
 		c.noteOrphan(id, v, 0)
 		if j != nil {
-			j.SetStamp(v, 0)
+			j.SetChunkRevision(v, 0)
 		}
 		return
 	}
@@ -286,30 +286,30 @@
 		c.putOrphan(id, v, ch)
 		return
 	}
-	if j.StampOf(v) >= ch.Stamp {
+	if j.ChunkRevision(v) >= ch.Revision {
 		return
 	}
-	if err := j.Load(v, ch.Value, ch.Stamp, c.now); err != nil {
+	if err := j.LoadChunk(v, ch.Value, ch.Revision, c.now); err != nil {
 		bad(err)
 	}
 	c.reapply(j)
-	for i := v.N * v.Span; i < min((v.N+1)*v.Span, j.Tasks); i++ {
+	for i := v.Index * v.ChunkSize; i < min((v.Index+1)*v.ChunkSize, j.Tasks); i++ {
 		c.recall.placed(j.Task(i).Machine, j)
 	}
 }
 
 // orphan remembers the values that a removed job leaves, for the leader to
 // remove when it can spare a write.
-func (c *Core) orphan(j *ledger.Job) {
-	values, stamps := j.Stored()
+func (c *Core) orphan(j *jobstate.Job) {
+	values, stamps := j.StoredChunks()
 	for i, v := range values {
-		c.putOrphan(j.ID, v, Change{Stamp: stamps[i]})
+		c.putOrphan(j.ID, v, Change{Revision: stamps[i]})
 	}
 }
 
-func (c *Core) putOrphan(id string, v ledger.Value, ch Change) {
+func (c *Core) putOrphan(id string, v jobstate.ChunkRef, ch Change) {
 	if c.orphaned[id] == nil {
-		c.orphaned[id] = map[ledger.Value]Change{}
+		c.orphaned[id] = map[jobstate.ChunkRef]Change{}
 	}
 	c.orphaned[id][v] = ch
 }
@@ -317,9 +317,9 @@
 // noteEnd notes how a job has ended, stored with a revision, or 0 if that is not
 // known. Whatever users are told of an end has passed here, so it is here that
 // this controller begins to vouch for a cancellation.
-func (c *Core) noteEnd(id string, e ledger.End, rev uint64) {
-	if e.Outcome == ledger.Cancelled && !c.sweepTells(id) {
-		c.witness.Note(id, rev)
+func (c *Core) noteEnd(id string, e jobstate.End, rev uint64) {
+	if e.Outcome == jobstate.Cancelled && !c.sweepTells(id) {
+		c.witness.RecordCancellation(id, rev)
 	}
 	if _, ok := c.ends[id]; ok {
 		return
@@ -330,9 +330,9 @@
 		delete(c.ends, c.endOrder[0])
 		c.endOrder = c.endOrder[1:]
 	}
-	if j := c.jobs[id]; j != nil && j.Over == "" {
-		j.Over = e.Outcome
-		if e.Outcome == ledger.Done {
+	if j := c.jobs[id]; j != nil && j.Outcome == "" {
+		j.Outcome = e.Outcome
+		if e.Outcome == jobstate.Done {
 			c.recall.finished(j)
 		}
 		c.jobOver(j)
@@ -349,14 +349,14 @@
 		return
 	}
 	if ch.Key == typesKey {
-		c.types, c.typesAt, c.typesWhole = list, ch.Stamp, ch.Stamp
+		c.types, c.typesAt, c.typesWhole = list, ch.Revision, ch.Revision
 		return
 	}
 	// Parts of before the value fitted again, as when a list is read.
-	if ch.Stamp < c.typesWhole {
+	if ch.Revision < c.typesWhole {
 		return
 	}
-	c.typesAt = ch.Stamp
+	c.typesAt = ch.Revision
 	for _, t := range list {
 		if i := slices.IndexFunc(c.types, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
 			c.types[i] = t
@@ -377,26 +377,26 @@
 
 // runKey is the key of a value of a job's progress. Values of the first format
 // have a number only.
-func runKey(id string, v ledger.Value) string {
-	n := strconv.Itoa(v.N)
-	if v.Span != ledger.ChunkTasks {
-		n = strconv.Itoa(v.Span) + "-" + n
+func runKey(id string, v jobstate.ChunkRef) string {
+	n := strconv.Itoa(v.Index)
+	if v.ChunkSize != jobstate.DefaultChunkSize {
+		n = strconv.Itoa(v.ChunkSize) + "-" + n
 	}
 	return runPrefix + id + "/" + n
 }
 
 // runValue reads what follows the prefix of such a key.
-func runValue(rest string) (id string, v ledger.Value, err error) {
+func runValue(rest string) (id string, v jobstate.ChunkRef, err error) {
 	id, num, _ := strings.Cut(rest, "/")
-	v.Span = ledger.ChunkTasks
+	v.ChunkSize = jobstate.DefaultChunkSize
 	if span, n, ok := strings.Cut(num, "-"); ok {
 		num = n
-		if v.Span, err = strconv.Atoi(span); err != nil {
+		if v.ChunkSize, err = strconv.Atoi(span); err != nil {
 			return id, v, err
 		}
 	}
-	v.N, err = strconv.Atoi(num)
+	v.Index, err = strconv.Atoi(num)
 	return id, v, err
 }
 
-func encode(v any) []byte { return ledger.Encode(v) }
+func encode(v any) []byte { return jobstate.Encode(v) }
--- a/internal/core/mute.go
+++ b/internal/core/mute.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // A machine may reach no controller while direct commands reach it: then its reports
@@ -18,14 +18,14 @@
 
 // silentNow says that a machine's reports have not come for more than one interval.
 func (c *Core) silentNow(m *fleet.Machine) bool {
-	return m.Heard == 0 || c.now-m.Heard > config.Secs(c.set.Workers.ReportS)*3/2
+	return m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > config.MicrosOf(c.set.Workers.ReportS)*3/2
 }
 
 // muteTick asks silent machines on which something is to stop.
 func (c *Core) muteTick() {
 	asked := 0
 	for _, m := range c.lead.fleet.All() {
-		if asked < muteAsks && m.Addr != "" && len(m.Placed) > 0 && c.silentNow(m) && c.hasStops(m) && m.Ask(c.now) {
+		if asked < muteAsks && m.Addr != "" && len(m.Placed) > 0 && c.silentNow(m) && c.hasStops(m) && m.BeginProbe(c.now) {
 			asked++
 			c.emit(Probe{Machine: m.Name, Addr: m.Addr})
 		}
@@ -43,12 +43,14 @@
 
 // forGood says whether nobody wants a task any more. One that only makes room, or is
 // to go elsewhere, goes on where it is: nobody hears when the room is there.
-func forGood(j *ledger.Job, t *ledger.Task) bool { return j.Over != "" || t.Stop == stopSweep }
+func forGood(j *jobstate.Job, t *jobstate.Task) bool {
+	return j.Outcome != "" || t.StopReason == stopSweep
+}
 
 // mayStop says whether a task is to be stopped, and this controller may say so: a
 // job that is over stays so, whoever leads by now.
-func (c *Core) mayStop(j *ledger.Job, t *ledger.Task) bool {
-	return t.Stop != "" && t.Sent && (c.sure() || j.Over != "" || t.Stop == stopSweep)
+func (c *Core) mayStop(j *jobstate.Job, t *jobstate.Task) bool {
+	return t.StopReason != "" && t.StartSent && (c.sure() || j.Outcome != "" || t.StopReason == stopSweep)
 }
 
 // stopListed stops what a silent machine's answer lists and is to stop.
@@ -59,7 +61,7 @@
 	var orders []Order
 	for k := range r.Tasks {
 		tr := &r.Tasks[k]
-		id, i, err := ledger.SplitTask(tr.Name)
+		id, i, err := jobstate.ParseTaskName(tr.Name)
 		j := c.jobs[id]
 		if err != nil || j == nil || tr.State == "exited" {
 			continue
--- a/internal/core/mute_test.go
+++ b/internal/core/mute_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // TestMute: what is to stop on a machine whose reports do not come is stopped there by
@@ -19,12 +19,12 @@
 		tasks []TaskReport
 		want  string
 	}{
-		{"cancelled before this leader began", ledger.Cancelled, nil, []TaskReport{running(3)}, "stop j/0.3 in 4;"},
-		{"it does not list it", ledger.Cancelled, nil, nil, ""},
-		{"another attempt", ledger.Cancelled, nil, []TaskReport{running(2)}, ""},
-		{"it has ended", ledger.Cancelled, nil, []TaskReport{{Name: "j/0", Attempt: 3, State: "exited", Why: "stopped"}}, ""},
+		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskReport{running(3)}, "stop j/0.3 in 4;"},
+		{"it does not list it", jobstate.Cancelled, nil, nil, ""},
+		{"another attempt", jobstate.Cancelled, nil, []TaskReport{running(2)}, ""},
+		{"it has ended", jobstate.Cancelled, nil, []TaskReport{{Name: "j/0", Attempt: 3, State: "exited", Why: "stopped"}}, ""},
 		{"nothing is to stop", "", nil, []TaskReport{running(3)}, ""},
-		{"its reports come", ledger.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskReport{running(3)}, ""},
+		{"its reports come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskReport{running(3)}, ""},
 		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.stop(r.c.jobs["j"], 0, stopPreempt, 0) }, []TaskReport{running(3)}, ""},
 		{"preempted, and nothing proves it", "", func(r *rig) {
 			r.c.stop(r.c.jobs["j"], 0, stopPreempt, 0)
--- a/internal/core/observed_test.go
+++ b/internal/core/observed_test.go
@@ -15,10 +15,10 @@
 	const stamp = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
 	seen := func(key, value string, stamp uint64) Change {
-		return Change{Key: key, Value: []byte(value), Stamp: stamp}
+		return Change{Key: key, Value: []byte(value), Revision: stamp}
 	}
 	writes := []Write{put("zinclb/x/a", "1"), put("zinclb/x/b", "2"), {Key: "zinclb/x/c"}}
-	gone := Change{Key: "zinclb/x/c", Stamp: stamp, Removed: true}
+	gone := Change{Key: "zinclb/x/c", Revision: stamp, Removed: true}
 	cases := []struct {
 		name string
 		seen []Change
@@ -30,22 +30,22 @@
 		{"another value", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "3", stamp), gone}, false},
 		{"a value where it removes", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/x/c", "", stamp)}, false},
 		{"two revisions", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp+1), gone}, false},
-		{"the same changes of before, which it is conditional on", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Stamp: stamp - 10, Removed: true}}, false},
+		{"the same changes of before, which it is conditional on", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Revision: stamp - 10, Removed: true}}, false},
 		{"nothing", nil, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
 			var got []Committed
-			r.c.multi([]Cond{kv.At("zinclb/x/a", stamp-10), kv.At("zinclb/x/b", 0)}, writes, func(m Committed) { got = append(got, m) })
+			r.c.multi([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m Committed) { got = append(got, m) })
 			r.c.out = nil // nobody answers
 			r.c.txns.Observe(tc.seen, r.c.now)
-			r.tick(txn.AnswerWait - 50_000)
+			r.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
 				t.Fatal("the answer was given no time")
 			}
 			r.tick(100_000)
-			if ok := len(got) == 1 && got[0].Status == 200 && got[0].Ledger == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
+			if ok := len(got) == 1 && got[0].Status == 200 && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
 				t.Errorf("%+v, want an answer: %v", got, tc.want)
 			}
 		})
@@ -61,10 +61,10 @@
 	}{{200, 200, false}, {409, 409, false}, {503, 503, false}, {0, 200, true}} {
 		r := newRig(t)
 		var got []Committed
-		r.c.multi([]Cond{kv.At("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m Committed) { got = append(got, m) })
+		r.c.multi([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m Committed) { got = append(got, m) })
 		r.c.out = nil // nobody answers
-		r.c.txns.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Stamp: 7}}, r.c.now)
-		r.c.txns.End(Committed{ID: r.c.next, Status: tc.status, Ledger: 9})
+		r.c.txns.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, r.c.now)
+		r.c.txns.Complete(Committed{ID: r.c.next, Status: tc.status, Revision: 9})
 		r.tick(second)
 		if len(got) != 1 || got[0].Status != tc.want || got[0].Observed != tc.observed {
 			t.Errorf("answered %d: %+v", tc.status, got)
--- a/internal/core/ops.go
+++ b/internal/core/ops.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -62,10 +62,10 @@
 // nothing of it, the newest format that it reads, its features and those that
 // its operators hold back.
 type OpsMember struct {
-	Program  int            `json:"program"`
-	Format   int            `json:"format"`
-	Features []upgrade.Name `json:"features,omitempty"`
-	Held     []upgrade.Name `json:"holds_back,omitempty"`
+	Program  int                   `json:"program"`
+	Format   int                   `json:"format"`
+	Features []upgrade.FeatureName `json:"features,omitempty"`
+	Held     []upgrade.FeatureName `json:"holds_back,omitempty"`
 }
 
 // OpsReach is what this controller knows of its links and of the others'.
@@ -153,7 +153,7 @@
 	v := &OpsView{Controller: c.set.Name, Leader: c.newest.Name, Token: c.newest.Token, Leading: c.lead != nil, Synced: c.synced,
 		Revision: c.applied, StateAgeS: float64(c.stateAge()) / 1e6, WritesLeft: c.budget.Level(), ReadsLeft: c.reading.Level(), ReadsBy: c.viewSource(), Jobs: len(c.jobs), Format: max(c.format.Version, 1), Lowered: c.lowered, Troubles: []string{}}
 	for _, j := range c.jobs {
-		if j.Over == "" && j.Waits() {
+		if j.Outcome == "" && j.IsBlocked() {
 			v.Awaiting++
 		}
 	}
@@ -174,17 +174,17 @@
 	}
 	for i, h := range c.bounds.Holders {
 		p := OpsPart{Holder: h, Ends: ^uint32(0)}
-		if i < len(c.bounds.Cuts) {
-			p.Ends = c.bounds.Cuts[i]
+		if i < len(c.bounds.Boundaries) {
+			p.Ends = c.bounds.Boundaries[i]
 		}
 		v.Partitions = append(v.Partitions, p)
 	}
-	for _, f := range c.activation.States() {
-		v.Features = append(v.Features, OpsFeature{string(f.Name), f.On, f.Held})
+	for _, f := range c.activation.FeatureStates() {
+		v.Features = append(v.Features, OpsFeature{string(f.Name), f.Enabled, f.Blockers})
 	}
 	v.Members = map[string]OpsMember{}
-	for name, w := range c.activation.Words() {
-		v.Members[name] = OpsMember{w.Program, w.Format, w.Features, w.Held}
+	for name, w := range c.activation.Advertisements() {
+		v.Members[name] = OpsMember{w.Program, w.Format, w.Features, w.Withheld}
 	}
 	if c.unfit != "" {
 		v.Troubles = append(v.Troubles, c.unfit)
@@ -197,7 +197,7 @@
 }
 
 func (c *Core) opsReach(v *OpsView) {
-	for _, l := range c.links.Views(c.now) {
+	for _, l := range c.links.LinkViews(c.now) {
 		o := OpsLink{l.Link, l.State, -1}
 		if l.Age >= 0 {
 			o.AgeS = float64(l.Age) / 1e6
@@ -207,22 +207,22 @@
 	m := c.links.Matrix()
 	v.Reach.Matrix = map[string]OpsRow{}
 	for name, row := range m {
-		v.Reach.Matrix[name] = OpsRow{row.Workers, m.Serves(name), row.Peers, row.Cloud}
-		if c.links.Deaf(name) {
+		v.Reach.Matrix[name] = OpsRow{row.Workers, m.Coverage(name), row.Peers, row.Cloud}
+		if c.links.CannotReachMostZones(name) {
 			v.Troubles = append(v.Troubles, "controller "+name+" is cut off from workers that others reach")
 		}
 	}
-	if last := c.links.Last(); last.At != 0 {
-		v.Reach.GaveWay = &OpsMove{last.To, last.Why, float64(c.now-last.At) / 1e6}
+	if last := c.links.LastHandover(); last.At != 0 {
+		v.Reach.GaveWay = &OpsMove{last.To, last.Reason, float64(c.now-last.At) / 1e6}
 	}
 	slices.Sort(v.Troubles)
 }
 
 func (c *Core) opsLeader(v *OpsView) {
 	l := c.lead
-	v.AnswersForS = float64(l.rightAt()+c.set.Hold()-c.now) / 1e6
+	v.AnswersForS = float64(l.rightAt()+c.set.LeaderAuthorityTime()-c.now) / 1e6
 	if c.now-l.byState() > askAfter {
-		silent := l.vouched.Silent(c.now, askAfter)
+		silent := l.vouched.StaleGrantors(c.now, askAfter)
 		for _, p := range inOrder(silent) {
 			since := "yet"
 			if silent[p] >= 0 {
@@ -236,19 +236,19 @@
 		v.Troubles = append(v.Troubles, "the cloud does not answer")
 	}
 	for _, m := range l.fleet.All() {
-		if i := c.bounds.Part(m.Name); i < len(v.Partitions) {
+		if i := c.bounds.Partition(m.Name); i < len(v.Partitions) {
 			v.Partitions[i].Machines++
 		}
 		switch {
-		case m.Drain || m.Releasing || m.NoticeAt != 0:
+		case m.Draining || m.Releasing || m.ReclaimAt != 0:
 			v.Machines.Draining++
-		case m.Delivery.Deaf:
+		case m.Delivery.CannotReceive:
 			v.Machines.Deaf++
 		case !c.usable(m):
 			v.Machines.Silent++
 		case len(m.Placed) > 0:
 			v.Machines.Busy++
-		case m.Warm != nil:
+		case m.Prefetch != nil:
 			v.Machines.Warming++
 		default:
 			v.Machines.Idle++
@@ -267,7 +267,7 @@
 	for _, p := range l.pivots {
 		q := &v.Queues[p.queue]
 		if j := c.jobs[p.job]; j != nil && q.Pivot == "" {
-			q.Pivot, q.WaitsS = p.job, float64(c.now-j.Known)/1e6
+			q.Pivot, q.WaitsS = p.job, float64(c.now-j.ReadyAt)/1e6
 			q.Why = c.whyWaiting(p)
 			if p.at > 0 {
 				q.StartsS = float64(max(0, p.at-c.now)) / 1e6
@@ -311,14 +311,14 @@
 	slices.SortStableFunc(pivots, func(a, b pivotView) int { return cmp.Compare(a.queue, b.queue) })
 	for _, p := range pivots {
 		j := c.jobs[p.job]
-		if j == nil || j.NumPlaced > 0 || c.now-j.Known < stuckAfter {
+		if j == nil || j.NumPlaced > 0 || c.now-j.ReadyAt < stuckAfter {
 			continue
 		}
 		why := c.whyWaiting(p)
-		l.stuck = append(l.stuck, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (c.now-j.Known)/second, why))
+		l.stuck = append(l.stuck, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (c.now-j.ReadyAt)/second, why))
 		if c.now-l.stuckLog[p.job] >= stuckAfter {
 			l.stuckLog[p.job] = c.now
-			c.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (c.now-j.Known)/second, "why", why)
+			c.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (c.now-j.ReadyAt)/second, "why", why)
 		}
 	}
 	c.endangered()
@@ -336,22 +336,22 @@
 // owners' estimates, before they do, and of the stage that holds each up.
 func (c *Core) endangered() {
 	l := c.lead
-	var list []*ledger.Job
+	var list []*jobstate.Job
 	for _, j := range c.jobs {
-		if j.Over == "" && !j.Waits() && j.LastEnd != 0 && (len(j.Awaits) > 0 || c.graph.Behind(j)) && c.now+c.remaining(j) > j.LastEnd {
+		if j.Outcome == "" && !j.IsBlocked() && j.EffectiveDeadline != 0 && (len(j.Dependencies) > 0 || c.graph.HasDependents(j)) && c.now+c.remaining(j) > j.EffectiveDeadline {
 			list = append(list, j)
 		}
 	}
-	slices.SortFunc(list, func(a, b *ledger.Job) int {
-		return cmp.Or(cmp.Compare(a.LastEnd, b.LastEnd), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(list, func(a, b *jobstate.Job) int {
+		return cmp.Or(cmp.Compare(a.EffectiveDeadline, b.EffectiveDeadline), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range list[:min(len(list), mostEndangered)] {
-		last := c.graph.Last(j)
+		last := c.graph.DeadlineOwner(j)
 		how := "running"
 		if j.NumPlaced == 0 {
 			how = "queued"
 		}
-		late := (c.now + c.remaining(j) - j.LastEnd) / second
+		late := (c.now + c.remaining(j) - j.EffectiveDeadline) / second
 		l.stuck = append(l.stuck, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, j.ID, how, j.NumDone, j.Tasks))
 		if c.now-l.stuckLog[j.ID] >= stuckAfter {
 			l.stuckLog[j.ID] = c.now
@@ -362,13 +362,13 @@
 
 // remaining is how long a job still takes by its owner's estimate, if all of
 // its tasks that wait start now.
-func (c *Core) remaining(j *ledger.Job) int64 {
+func (c *Core) remaining(j *jobstate.Job) int64 {
 	if j.Unplaced() > 0 {
 		return j.Estimate
 	}
 	var left int64
-	j.EachPlaced(func(_ int, t *ledger.Task) {
-		begun := t.Started
+	j.EachPlaced(func(_ int, t *jobstate.Task) {
+		begun := t.StartedAt
 		if begun == 0 {
 			begun = c.now
 		}
--- a/internal/core/pages.go
+++ b/internal/core/pages.go
@@ -8,12 +8,12 @@
 	"slices"
 	"strconv"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // page is a value of the log of progress and what the leader keeps of it.
 type page struct {
-	ledger.Page
+	jobstate.LogPage
 	n int
 	// refs are the chunks whose stored values lack entries that stand here; the
 	// page is needed for as long as there are any.
@@ -26,7 +26,7 @@
 }
 
 type chunkRef struct {
-	job   *ledger.Job
+	job   *jobstate.Job
 	chunk int
 }
 
@@ -59,25 +59,25 @@
 		}
 		return
 	}
-	if had && c.pages[i].Stamp >= ch.Stamp {
+	if had && c.pages[i].Revision >= ch.Revision {
 		return
 	}
-	p, err := ledger.DecodePage(ch.Value)
+	p, err := jobstate.DecodeLogPage(ch.Value)
 	if err != nil {
 		bad(err)
 		return
 	}
-	p.Stamp = ch.Stamp
+	p.Revision = ch.Revision
 	from := 0
 	if had {
 		from = len(c.pages[i].Entries)
-		c.pages[i].Page = p
+		c.pages[i].LogPage = p
 	} else {
-		c.pages = slices.Insert(c.pages, i, &page{Page: p, n: n})
+		c.pages = slices.Insert(c.pages, i, &page{LogPage: p, n: n})
 	}
 	for k := from; k < len(p.Entries); k++ {
 		if j := c.jobs[p.Entries[k].Job]; j != nil {
-			j.Apply(&p.Entries[k], p.Base+uint64(k), c.now)
+			j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
 			c.recall.placed(p.Entries[k].Machine, j)
 		}
 	}
@@ -85,11 +85,11 @@
 
 // reapply goes through the log again for a job of which something older was
 // read after it.
-func (c *Core) reapply(j *ledger.Job) {
+func (c *Core) reapply(j *jobstate.Job) {
 	for _, p := range c.pages {
 		for k := range p.Entries {
 			if p.Entries[k].Job == j.ID {
-				j.Apply(&p.Entries[k], p.Base+uint64(k), c.now)
+				j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
 			}
 		}
 	}
@@ -103,14 +103,14 @@
 		p.refs = map[chunkRef]struct{}{}
 		for k := range p.Entries {
 			if j := c.jobs[p.Entries[k].Job]; j != nil && j.Task(p.Entries[k].Task) != nil {
-				p.refs[chunkRef{j, p.Entries[k].Task / j.Span()}] = struct{}{}
+				p.refs[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
-		l.seq = max(l.seq, p.End())
+		l.seq = max(l.seq, p.NextSeq())
 	}
 	for _, j := range c.jobs {
-		for n := range j.Chunks() {
-			l.seq = max(l.seq, j.Seq(n))
+		for n := range j.NumChunks() {
+			l.seq = max(l.seq, j.FirstUnstoredSeq(n))
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	if len(c.pages) > 0 {
 		n = c.pages[len(c.pages)-1].n + 1
 	}
-	p := &page{Page: ledger.Page{Base: c.lead.seq}, n: n, refs: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+	p := &page{LogPage: jobstate.LogPage{FirstSeq: c.lead.seq}, n: n, refs: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
 	c.pages = append(c.pages, p)
 	c.lead.tail = p
 	return p
@@ -130,7 +130,7 @@
 
 // append enters changes of a chunk, or nothing if they don't fit. An entry that
 // was once sent stays, as the write may have been, or may yet be, executed.
-func (p *page) append(ref chunkRef, entries []ledger.Entry, limit int) bool {
+func (p *page) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
 	had := len(p.Entries)
 	for _, e := range entries {
 		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
@@ -174,12 +174,12 @@
 
 // append enters the changes of a chunk in the log, if that can be done with so
 // much room for writes.
-func (w *pageWrites) append(j *ledger.Job, n, room int) (version uint64, ok bool) {
+func (w *pageWrites) append(j *jobstate.Job, n, room int) (version uint64, ok bool) {
 	c := w.c
 	if !c.joined() {
 		return 0, false
 	}
-	entries, whole := j.Changes(n)
+	entries, whole := j.ChangedEntries(n)
 	if whole {
 		return 0, false
 	}
@@ -203,19 +203,19 @@
 	if !begun {
 		w.pages = append(w.pages, p)
 	}
-	c.lead.seq = p.End()
-	return j.TakeChanges(n), true
+	c.lead.seq = p.NextSeq()
+	return j.BeginLogWrite(n), true
 }
 
 func (w *pageWrites) add(add func(Write, Cond)) {
 	for _, p := range w.pages {
-		add(Write{Key: pageKey(p.n), Value: p.Encode()}, kv.At(pageKey(p.n), p.Stamp))
+		add(Write{Key: pageKey(p.n), Value: p.Encode()}, kv.RevisionIs(pageKey(p.n), p.Revision))
 	}
 }
 
 func (w *pageWrites) written(stamp uint64) {
 	for _, p := range w.pages {
-		p.Stamp = stamp
+		p.Revision = stamp
 	}
 }
 
@@ -223,12 +223,12 @@
 type garbage struct {
 	c     *Core
 	pages int
-	runs  map[string][]ledger.Value
+	runs  map[string][]jobstate.ChunkRef
 }
 
 // addGarbage fills up a transaction with removals, if writes can be spared.
 func (c *Core) addGarbage(room int, scarce bool, add func(Write, Cond)) *garbage {
-	g := &garbage{c: c, runs: map[string][]ledger.Value{}}
+	g := &garbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
 	if !c.joined() || c.now < c.lead.keepUntil {
 		return g
 	}
@@ -237,7 +237,7 @@
 	}
 	for ; g.pages < c.lead.unneeded && room > 0; room-- {
 		p := c.pages[g.pages]
-		add(Write{Key: pageKey(p.n)}, kv.At(pageKey(p.n), p.Stamp))
+		add(Write{Key: pageKey(p.n)}, kv.RevisionIs(pageKey(p.n), p.Revision))
 		g.pages++
 	}
 	if scarce {
@@ -251,7 +251,7 @@
 			if room <= 0 {
 				return g
 			}
-			add(Write{Key: runKey(id, v)}, kv.At(runKey(id, v), ch.Stamp))
+			add(Write{Key: runKey(id, v)}, kv.RevisionIs(runKey(id, v), ch.Revision))
 			g.runs[id] = append(g.runs[id], v)
 			room--
 		}
@@ -271,13 +271,13 @@
 }
 
 // noteOrphan sets the version of a value without its job, 0 for none.
-func (c *Core) noteOrphan(id string, v ledger.Value, stamp uint64) {
+func (c *Core) noteOrphan(id string, v jobstate.ChunkRef, stamp uint64) {
 	m := c.orphaned[id]
 	if m == nil {
 		return
 	}
 	if stamp != 0 {
-		m[v] = Change{Stamp: stamp}
+		m[v] = Change{Revision: stamp}
 	} else if delete(m, v); len(m) == 0 {
 		delete(c.orphaned, id)
 	}
@@ -286,7 +286,7 @@
 // lacks says that the stored value of a chunk does not have all of a page's
 // entries, and that its job is still there to need them.
 func (c *Core) lacks(r chunkRef, p *page) bool {
-	return c.jobs[r.job.ID] == r.job && r.job.Seq(r.chunk) < p.End()
+	return c.jobs[r.job.ID] == r.job && r.job.FirstUnstoredSeq(r.chunk) < p.NextSeq()
 }
 
 // logTick finds the pages that nothing needs any more, and folds the oldest
@@ -309,7 +309,7 @@
 	for i := range c.pages[:max(0, len(c.pages)-most)] {
 		for r := range c.pages[i].refs {
 			if c.lacks(r, c.pages[i]) {
-				r.job.Fold(r.chunk, c.now)
+				r.job.CompactChunk(r.chunk, c.now)
 				c.mark(r.job)
 			}
 		}
--- a/internal/core/parked.go
+++ b/internal/core/parked.go
@@ -60,11 +60,11 @@
 
 // park keeps a report; the machine's last one was taken out.
 func (l *parkedAnswers) park(m *fleet.Machine, p parked) {
-	m.Touch()
+	m.MarkChanged()
 	l.byName[m.Name] = p
 	l.heldBy[p.by]++
 	l.byTime.Set(parkedUntil{p.until, m.Name})
-	if len(m.Placed) > 0 || m.Warm != nil {
+	if len(m.Placed) > 0 || m.Prefetch != nil {
 		l.likely[m.Name] = struct{}{}
 	}
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
 // peerView is what is known of a peer.
@@ -13,12 +13,12 @@
 }
 
 func (c *Core) onPinged(m Pinged) {
-	c.links.Called(m.From, c.now)
+	c.links.RecordInbound(m.From, c.now)
 	c.noteNewest(c.leader)
 	n := &PeerNews{Token: c.newest.Token, Leader: c.newest.Name, StateAge: c.stateAge(), Version: c.formatOf(), Features: c.activation.Features(), Lowered: c.lowered}
 	c.vouchFor(m, n)
 	if c.set.Ops.Reach {
-		v := c.links.Own(c.now)
+		v := c.links.LocalAdvertisement(c.now)
 		n.Reach = &v
 		if m.Need {
 			n.Machines = c.links.Workers.Machines()
@@ -34,9 +34,9 @@
 }
 
 func (c *Core) onPeerSeen(m PeerSeen) {
-	c.links.Ping(m.Peer, m.Sent, c.now, m.OK, m.News.Reach)
+	c.links.RecordPing(m.Peer, m.Sent, c.now, m.OK, m.News.Reach)
 	for _, x := range m.News.Machines {
-		c.links.Workers.Know(x, c.now)
+		c.links.Workers.Add(x, c.now)
 	}
 	if !m.OK {
 		return
@@ -46,13 +46,13 @@
 		return
 	}
 	v.at = m.Sent
-	c.activation.Answered(m.Peer, m.Sent, m.News.Version, m.News.Features)
+	c.activation.RecordPing(m.Peer, m.Sent, m.News.Version, m.News.Features)
 	if m.News.Lowered {
 		c.lower("a peer says so")
 	}
 	v.stateOK = m.Sent - m.News.StateAge
 	c.peers[m.Peer] = v
-	c.witness.Answered(m.Peer, m.Sent, m.News.Ack)
+	c.witness.HandleAck(m.Peer, m.Sent, m.News.Ack)
 	c.releaseAnswers()
 	c.noteNewest(leaderValue{Name: m.News.Leader, Token: m.News.Token})
 	if c.lead == nil {
@@ -71,22 +71,22 @@
 type Refusal interface{ Refused() bool }
 
 // faultOf tells a refusal from silence.
-func faultOf(err error) reach.Fault {
+func faultOf(err error) connectivity.Failure {
 	var r Refusal
 	if errors.As(err, &r) && r.Refused() {
-		return reach.Refused
+		return connectivity.Refused
 	}
-	return reach.Silent
+	return connectivity.NoResponse
 }
 
 // stateAnswered notes how a request to the state service has ended.
-func (c *Core) stateAnswered(side *reach.Link, err error) {
+func (c *Core) stateAnswered(side *connectivity.Link, err error) {
 	if err == nil {
 		c.stateOK = c.now
-		side.Proven(c.now, c.now)
+		side.RecordSuccess(c.now, c.now)
 	} else {
 		c.stateBad = c.now
-		side.Failed(c.now, c.now, faultOf(err))
+		side.RecordFailure(c.now, c.now, faultOf(err))
 		c.askAll()
 	}
 }
@@ -98,16 +98,16 @@
 	switch m.Status {
 	case 200, 409:
 		c.stateOK = c.now
-		w.Proven(c.now, c.now)
-		c.noteRevision(m.Ledger)
+		w.RecordSuccess(c.now, c.now)
+		c.noteRevision(m.Revision)
 	case 0:
 		c.stateBad = c.now
-		w.Failed(c.now, c.now, reach.Silent)
+		w.RecordFailure(c.now, c.now, connectivity.NoResponse)
 		c.askAll()
 	default:
 		c.stateBad = c.now
 		if m.Status == 503 {
-			w.Failed(c.now, c.now, reach.Refused)
+			w.RecordFailure(c.now, c.now, connectivity.Refused)
 		}
 		c.askAll()
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	c.behindAt = c.now
-	c.links.Watch.Failed(c.now, c.now, reach.Silent)
+	c.links.Watch.RecordFailure(c.now, c.now, connectivity.NoResponse)
 	c.emit(View{After: c.applied})
 }
 
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -7,7 +7,7 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
@@ -35,22 +35,22 @@
 
 // waitingJob is what the rentals go by.
 type waitingJob struct {
-	spec  *ledger.Spec
+	spec  *jobstate.Spec
 	tasks int
 	since int64
 }
 
-func sortRefs(refs []fleet.Ref) {
-	slices.SortFunc(refs, func(a, b fleet.Ref) int {
+func sortRefs(refs []fleet.TaskRef) {
+	slices.SortFunc(refs, func(a, b fleet.TaskRef) int {
 		return cmp.Or(cmp.Compare(a.Job.Arrival, b.Job.Arrival), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
 	})
 }
 
 // queueOf is equation (1) with our cutoffs; services never end and go to the
 // long queue.
-func (c *Core) queueOf(s *ledger.Spec) int {
+func (c *Core) queueOf(s *jobstate.Spec) int {
 	switch {
-	case s.Kind == ledger.Service:
+	case s.Kind == jobstate.Service:
 		return 2
 	case s.Estimate < c.set.Ops.ShortCutoff:
 		return 0
@@ -61,8 +61,8 @@
 }
 
 // wantsTrial says whether a job's next run is its trial.
-func (c *Core) wantsTrial(j *ledger.Job) bool {
-	return j.Checkpoint > 0 && !j.Tried && j.Kind != ledger.Service && c.queueOf(j.Spec) > 0
+func (c *Core) wantsTrial(j *jobstate.Job) bool {
+	return j.Checkpoint > 0 && !j.TrialDone && j.Kind != jobstate.Service && c.queueOf(j.Spec) > 0
 }
 
 const forever = int64(1) << 50
@@ -96,17 +96,17 @@
 	machines := c.refresh()
 	l.capacity = machines.Capacity()
 	jobs := c.schedJobs(unfinished, used, guaranteed)
-	report := config.Secs(c.set.Workers.ReportS)
-	p := sched.Planner{Now: c.now, Queues: queues, Index: machines, Worth: c.imageWorth(), Budget: planTasks, Patience: 2*report + 3*second,
-		SpotFirst: c.spotFirst(), Ahead: machines.Len() / machinesAhead, Claims: c.claims(), Largest: c.largest(),
-		Load: func(m *sched.Machine) { c.loadRuns(m, guaranteed) },
-		TeamOver: func(team string, need ledger.Vec) bool {
+	report := config.MicrosOf(c.set.Workers.ReportS)
+	p := sched.Planner{Now: c.now, Queues: queues, Index: machines, ImageWorth: c.imageWorth(), MaxStarts: planTasks, PreemptDelay: 2*report + 3*second,
+		PreferSpot: c.spotFirst(), ReserveAhead: machines.Len() / machinesAhead, Claims: c.claims(), LargestGPUTask: c.largest(),
+		LoadRunningTasks: func(m *sched.Machine) { c.loadRuns(m, guaranteed) },
+		BeyondGuarantee: func(team string, need jobstate.Resources) bool {
 			t := c.set.Team(team)
 			return t == nil || used[team].gpu-need.GPU >= int64(t.GPUs*1000) && (t.CPUs == 0 || used[team].cpu-need.CPU >= int64(t.CPUs*1000))
 		}}
-	p.Roomy = l.cloud.idle >= roomyFrom
+	p.HasSpareMachines = l.cloud.idle >= roomyFrom
 	plan := p.Plan(jobs)
-	attempts := map[*ledger.Job]uint32{}
+	attempts := map[*jobstate.Job]uint32{}
 	for _, s := range plan.Starts {
 		j := s.Job.Job
 		a := attempts[j]
@@ -116,10 +116,10 @@
 		}
 		m := l.fleet.Get(s.Machine.Name)
 		c.log.Debug("placed", "class", j.Class, "team", j.Team, "guaranteed", s.Job.Guaranteed, "job", j.ID, "task", s.Index, "attempt", a, "machine", m.Name, "type", m.Type,
-			"spot", m.Spot, "image", j.Image, "has_image", m.Images[j.Image].Used != 0, "known_s", float64(c.now-j.Known)/1e6)
-		j.Place(s.Index, m.Name, a, c.now)
+			"spot", m.Spot, "image", j.Image, "has_image", m.Images[j.Image].LastUsed != 0, "known_s", float64(c.now-j.ReadyAt)/1e6)
+		j.PlaceTask(s.Index, m.Name, a, c.now)
 		j.Task(s.Index).Trial = c.wantsTrial(j)
-		m.Put(fleet.Ref{Job: j, Index: s.Index})
+		m.AddPlacement(fleet.TaskRef{Job: j, Index: s.Index})
 		m.IdleSince = 0
 		l.parkedAnswers.expect(m.Name)
 		c.mark(j)
@@ -128,7 +128,7 @@
 	for _, cl := range plan.Claims {
 		l.claims = append(l.claims, claim{cl, c.now + claimFor + 2*report})
 	}
-	for _, r := range plan.Stops {
+	for _, r := range plan.Preemptions {
 		c.log.Debug("stopping to make room", "job", r.Job.ID, "task", r.Index, "machine", r.Job.Task(r.Index).Machine, "for", r.For.ID, "for_class", r.For.Class)
 		grace := saveGrace(r.Job)
 		if r.Kill {
@@ -138,18 +138,18 @@
 	}
 	l.pivots = l.pivots[:0]
 	for _, pv := range plan.Pivots {
-		l.pivots = append(l.pivots, pivotView{pv.Queue, pv.Job.ID, pv.At})
+		l.pivots = append(l.pivots, pivotView{pv.Queue, pv.Job.ID, pv.StartAt})
 	}
 	l.waiting = l.waiting[:0]
 	for _, j := range plan.Waiting {
-		l.waiting = append(l.waiting, waitingJob{j.Spec, j.Unplaced(), j.Known})
+		l.waiting = append(l.waiting, waitingJob{j.Spec, j.Unplaced(), j.ReadyAt})
 	}
 	if len(plan.Starts) >= planTasks {
 		l.planWanted = true
 	}
 	c.endTrials(plan, guaranteed)
 	if len(plan.Waiting) > 0 || len(plan.Pivots) > 0 {
-		c.log.Debug("round", "machines", machines.Len(), "starts", len(plan.Starts), "waiting", len(plan.Waiting), "pivots", len(plan.Pivots), "stops", len(plan.Stops))
+		c.log.Debug("round", "machines", machines.Len(), "starts", len(plan.Starts), "waiting", len(plan.Waiting), "pivots", len(plan.Pivots), "stops", len(plan.Preemptions))
 	}
 }
 
@@ -166,7 +166,7 @@
 func (c *Core) claims() []sched.Claim {
 	l := c.lead
 	l.claims = slices.DeleteFunc(l.claims, func(cl claim) bool {
-		return c.now > cl.until || cl.Job.Over != "" || cl.Job.Unplaced() == 0
+		return c.now > cl.until || cl.Job.Outcome != "" || cl.Job.Unplaced() == 0
 	})
 	out := make([]sched.Claim, len(l.claims))
 	for i := range l.claims {
@@ -176,7 +176,7 @@
 }
 
 // unclaim ends a claim that has been used.
-func (c *Core) unclaim(j *ledger.Job, machine string) {
+func (c *Core) unclaim(j *jobstate.Job, machine string) {
 	l := c.lead
 	if i := slices.IndexFunc(l.claims, func(cl claim) bool { return cl.Job == j && cl.Machine == machine }); i >= 0 {
 		l.claims = slices.Delete(l.claims, i, i+1)
@@ -187,28 +187,28 @@
 // they are on who would come before the job when it is requeued. Otherwise
 // the job itself would be started again there at once, after a save and an
 // image fetch for nothing, so it goes on as if it had been.
-func (c *Core) endTrials(plan sched.Plan, guaranteed map[*ledger.Job]bool) {
+func (c *Core) endTrials(plan sched.Plan, guaranteed map[*jobstate.Job]bool) {
 	if len(plan.Waiting) == 0 {
 		return
 	}
-	var tried []*ledger.Job
+	var tried []*jobstate.Job
 	for _, j := range c.jobs {
-		if j.NumPlaced > 0 && !j.Tried && j.Over == "" && j.Checkpoint > 0 {
+		if j.NumPlaced > 0 && !j.TrialDone && j.Outcome == "" && j.Checkpoint > 0 {
 			tried = append(tried, j)
 		}
 	}
-	slices.SortFunc(tried, func(a, b *ledger.Job) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(tried, func(a, b *jobstate.Job) int { return cmp.Compare(a.ID, b.ID) })
 	for _, j := range tried {
 		due := false
-		requeued := &sched.Job{Job: j, Turn: c.turn(j), Guaranteed: guaranteed[j]}
-		j.EachPlaced(func(i int, t *ledger.Task) {
-			due = due || t.Trial && t.Stop == "" && t.Phase == ledger.Running && c.now-t.Since >= c.set.Ops.Trial && c.wanted(t.Machine, requeued, plan.Waiting)
+		requeued := &sched.Job{Job: j, QueueOrder: c.turn(j), Guaranteed: guaranteed[j]}
+		j.EachPlaced(func(i int, t *jobstate.Task) {
+			due = due || t.Trial && t.StopReason == "" && t.Phase == jobstate.Running && c.now-t.PlacedAt >= c.set.Ops.Trial && c.wanted(t.Machine, requeued, plan.Waiting)
 		})
 		if !due {
 			continue
 		}
 		c.log.Debug("trial over", "job", j.ID)
-		j.EachPlaced(func(i int, t *ledger.Task) {
+		j.EachPlaced(func(i int, t *jobstate.Task) {
 			if t.Trial {
 				c.stopOrderly(j, i, stopTrial)
 			}
@@ -239,59 +239,59 @@
 	if c.lead.parkedAnswers.has(m.Name) {
 		return 0
 	}
-	return m.Heard + config.Secs(c.set.Workers.ReportS)
+	return m.LastHeartbeat + config.MicrosOf(c.set.Workers.ReportS)
 }
 
 // run estimates how long a placed task holds its room. One past its estimate
 // is taken to end one report interval later.
-func (c *Core) run(m *fleet.Machine, ref fleet.Ref, guaranteed bool) sched.Run {
+func (c *Core) run(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
 	j, t := ref.Job, ref.Job.Task(ref.Index)
-	report := config.Secs(c.set.Workers.ReportS)
-	r := sched.Run{Job: j, Index: ref.Index, Guaranteed: guaranteed}
+	report := config.MicrosOf(c.set.Workers.ReportS)
+	r := sched.RunningTask{Job: j, Index: ref.Index, Guaranteed: guaranteed}
 	switch {
-	case j.Over != "" || t.Stop != "":
-		r.End = max(t.StopAt+t.Grace+report, c.now+second)
+	case j.Outcome != "" || t.StopReason != "":
+		r.End = max(t.StopRequestedAt+t.Grace+report, c.now+second)
 		return r
-	case j.Kind == ledger.Service:
+	case j.Kind == jobstate.Service:
 		r.End = c.now + forever
-	case t.Started != 0:
-		r.End = t.Started + j.Estimate
+	case t.StartedAt != 0:
+		r.End = t.StartedAt + j.Estimate
 	default:
-		r.End = t.Since + j.Estimate + j.FetchTime(m.FetchRate)
+		r.End = t.PlacedAt + j.Estimate + j.FetchTime(m.FetchRate)
 	}
 	if r.End <= c.now {
 		r.End = c.now + report
 	}
-	r.Stoppable = t.Sent
+	r.Preemptible = t.StartSent
 	switch {
-	case t.Started == 0:
-		r.Lost = c.now - t.Since
+	case t.StartedAt == 0:
+		r.LostWork = c.now - t.PlacedAt
 	case j.Checkpoint > 0:
-		r.Lost = j.Save + 10*second
+		r.LostWork = j.Save + 10*second
 	default:
-		r.Lost = c.now - t.Started
+		r.LostWork = c.now - t.StartedAt
 	}
-	if (t.Started == 0 || c.now-t.Started < 30*second) && (guaranteed || c.set.StartsCount(j.Class)) {
+	if (t.StartedAt == 0 || c.now-t.StartedAt < 30*second) && (guaranteed || c.set.StartTimeMatters(j.Class)) {
 		// A start that is stopped this early was no start for its user.
-		r.Lost += 30 * second
+		r.LostWork += 30 * second
 	}
-	r.Lost *= j.Need.Weight()
-	if j.Kind == ledger.Gang {
+	r.LostWork *= j.Need.Weight()
+	if j.Kind == jobstate.Gang {
 		// All of it stops with one task.
-		r.Lost *= int64(max(j.NumPlaced, 1))
+		r.LostWork *= int64(max(j.NumPlaced, 1))
 	}
 	return r
 }
 
 // unfinished lists the jobs that are not over and wait for no other, by arrival.
-func (c *Core) unfinished() []*ledger.Job {
-	var all []*ledger.Job
+func (c *Core) unfinished() []*jobstate.Job {
+	var all []*jobstate.Job
 	for _, j := range c.jobs {
-		if j.Over == "" && !j.Waits() && c.untold(j) {
+		if j.Outcome == "" && !j.IsBlocked() && c.untold(j) {
 			all = append(all, j)
 		}
 	}
-	slices.SortFunc(all, func(a, b *ledger.Job) int {
+	slices.SortFunc(all, func(a, b *jobstate.Job) int {
 		return cmp.Or(cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
 	})
 	return all
@@ -299,9 +299,9 @@
 
 // guaranteed finds the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
-func (c *Core) guaranteed(unfinished []*ledger.Job) map[*ledger.Job]bool {
+func (c *Core) guaranteed(unfinished []*jobstate.Job) map[*jobstate.Job]bool {
 	asked := map[string]usage{}
-	in := map[*ledger.Job]bool{}
+	in := map[*jobstate.Job]bool{}
 	for _, j := range unfinished {
 		left := int64(j.Tasks - j.NumDone)
 		u := asked[j.Team]
@@ -316,29 +316,29 @@
 }
 
 // schedJobs lists the jobs that have tasks to place.
-func (c *Core) schedJobs(unfinished []*ledger.Job, used map[string]usage, guaranteed map[*ledger.Job]bool) []*sched.Job {
-	rooms := map[string]*sched.Room{}
+func (c *Core) schedJobs(unfinished []*jobstate.Job, used map[string]usage, guaranteed map[*jobstate.Job]bool) []*sched.Job {
+	rooms := map[string]*sched.Headroom{}
 	var jobs []*sched.Job
 	for _, j := range unfinished {
-		if j.Unplaced() <= 0 || c.now < j.NotBefore || j.Waits() {
+		if j.Unplaced() <= 0 || c.now < j.NotBefore || j.IsBlocked() {
 			continue
 		}
-		if j.Kind == ledger.Gang && j.NumPlaced > 0 {
+		if j.Kind == jobstate.Gang && j.NumPlaced > 0 {
 			continue // what is left of the last attempt has to go first
 		}
-		sj := &sched.Job{Job: j, Queue: c.queueOf(j.Spec), Length: j.Estimate, Room: c.room(rooms, used, j.Team), Guaranteed: guaranteed[j]}
+		sj := &sched.Job{Job: j, Queue: c.queueOf(j.Spec), ExpectedDuration: j.Estimate, Headroom: c.room(rooms, used, j.Team), Guaranteed: guaranteed[j]}
 		if c.wantsTrial(j) {
-			sj.Length = min(sj.Length, c.set.Ops.Trial)
+			sj.ExpectedDuration = min(sj.ExpectedDuration, c.set.Ops.Trial)
 		}
-		if j.Kind == ledger.Service {
-			sj.Length = forever
+		if j.Kind == jobstate.Service {
+			sj.ExpectedDuration = forever
 		}
-		sj.OnGPUs = j.Need.GPU == 0 && !fleet.FitsWithoutGPUs(c.types, j.Spec)
-		sj.Late, sj.Turn, sj.MustBegin = c.late(j), c.turn(j), c.mustBegin(j)
-		sj.RoomBy = c.roomBy(j, sj.Guaranteed)
+		sj.NeedsGPUMachine = j.Need.GPU == 0 && !fleet.FitsWithoutGPUs(c.types, j.Spec)
+		sj.DeadlineLost, sj.QueueOrder, sj.StartOverdue = c.late(j), c.turn(j), c.mustBegin(j)
+		sj.StartBy = c.roomBy(j, sj.Guaranteed)
 		if j.OneZone || j.Spread {
-			sj.ZoneOf = c.zonesOf(j)
-			if sj.ZoneOf == nil {
+			sj.TasksByZone = c.zonesOf(j)
+			if sj.TasksByZone == nil {
 				continue
 			}
 		}
@@ -353,7 +353,7 @@
 
 // roomBy is when a job needs its room to start as its class should, if its
 // image has to be fetched; 0 if nobody says when it should.
-func (c *Core) roomBy(j *ledger.Job, guaranteed bool) int64 {
+func (c *Core) roomBy(j *jobstate.Job, guaranteed bool) int64 {
 	within := c.set.StartWithin(j.Class, guaranteed)
 	if within == 0 {
 		return 0
@@ -364,18 +364,18 @@
 			fetch = max(fetch, j.FetchTime(t.FetchRate))
 		}
 	}
-	return j.Known + within - fetch - startMargin
+	return j.ReadyAt + within - fetch - startMargin
 }
 
 // inheritPriorities treats jobs as those that need them: a job in front of an
 // urgent one holds it up.
 func (c *Core) inheritPriorities() {
-	c.graph.Inherit(maps.Values(c.jobs), config.Secs(c.set.Workers.ReportS)/2+second)
+	c.graph.InheritPriorities(maps.Values(c.jobs), config.MicrosOf(c.set.Workers.ReportS)/2+second)
 }
 
 // largest is what the largest task with GPUs of any job needs.
-func (c *Core) largest() ledger.Vec {
-	var most ledger.Vec
+func (c *Core) largest() jobstate.Resources {
+	var most jobstate.Resources
 	for _, j := range c.jobs {
 		if n := j.Need; n.GPU > most.GPU || n.GPU == most.GPU && n.GPU > 0 && n.CPU > most.CPU {
 			most = n
@@ -386,15 +386,15 @@
 
 // turn is when a job came or, with a deadline, its latest start, later by how
 // much the job would hold up others.
-func (c *Core) turn(j *ledger.Job) int64 {
+func (c *Core) turn(j *jobstate.Job) int64 {
 	switch {
-	case j.LastEnd == 0:
-		return j.Known
-	case len(j.Awaits) > 0 || c.graph.Behind(j):
+	case j.EffectiveDeadline == 0:
+		return j.ReadyAt
+	case len(j.Dependencies) > 0 || c.graph.HasDependents(j):
 		// A stage of a pipeline: its deadline is all of its stages'.
-		return max(j.Born, j.LastEnd-j.Estimate)
+		return max(j.SubmittedAt, j.EffectiveDeadline-j.Estimate)
 	}
-	return max(j.Born, j.LastEnd-j.Estimate) + shortFirst*c.share(j)
+	return max(j.SubmittedAt, j.EffectiveDeadline-j.Estimate) + shortFirst*c.share(j)
 }
 
 // shortFirst is how many times the time that the whole fleet needs for a job
@@ -403,7 +403,7 @@
 const shortFirst = 10
 
 // share is how long all machines together would work on what is left of a job.
-func (c *Core) share(j *ledger.Job) int64 {
+func (c *Core) share(j *jobstate.Job) int64 {
 	all, left := c.lead.capacity, int64(j.Tasks-j.NumDone)
 	need, of := left*j.Need.CPU, all.CPU
 	if j.Need.GPU > 0 {
@@ -424,7 +424,7 @@
 func (c *Core) spotFirst() map[string]bool {
 	l := c.lead
 	for _, j := range c.jobs {
-		if j.Spot || j.Over != "" || j.Waits() {
+		if j.Spot || j.Outcome != "" || j.IsBlocked() {
 			continue
 		}
 		for i := range c.types {
@@ -444,21 +444,21 @@
 // those that still can go first, until it has waited for many times its
 // deadline: with more work than machines, strict arrival order would make
 // every job late by the same backlog.
-func (c *Core) late(j *ledger.Job) bool {
+func (c *Core) late(j *jobstate.Job) bool {
 	if j.Deadline == 0 || j.Unplaced() == 0 {
 		return false
 	}
-	age := c.now - j.Born
+	age := c.now - j.SubmittedAt
 	return age+j.Estimate > j.Deadline && age < 8*j.Deadline
 }
 
 // room is what a team's limit leaves. All its jobs share it, so that one
 // round can't place for each of them what is there once.
-func (c *Core) room(rooms map[string]*sched.Room, used map[string]usage, team string) *sched.Room {
+func (c *Core) room(rooms map[string]*sched.Headroom, used map[string]usage, team string) *sched.Headroom {
 	if r := rooms[team]; r != nil {
 		return r
 	}
-	r := &sched.Room{CPU: sched.Free, GPU: sched.Free}
+	r := &sched.Headroom{CPU: sched.Unlimited, GPU: sched.Unlimited}
 	t := c.set.Team(team)
 	left := 1.0
 	if c.carriersOut() {
@@ -476,10 +476,10 @@
 
 // zonesOf counts a job's placements by zone; nil if a machine's zone is not
 // known, as after a take-over before it reports.
-func (c *Core) zonesOf(j *ledger.Job) map[string]int {
+func (c *Core) zonesOf(j *jobstate.Job) map[string]int {
 	zones := map[string]int{}
 	known := true
-	j.EachPlaced(func(_ int, t *ledger.Task) {
+	j.EachPlaced(func(_ int, t *jobstate.Task) {
 		m := c.lead.fleet.Get(t.Machine)
 		if m == nil || m.Zone == "" {
 			known = false
@@ -535,7 +535,7 @@
 func (c *Core) silentTick() {
 	lease := c.set.LeaseTime()
 	for _, m := range c.lead.fleet.All() {
-		if len(m.Placed) == 0 || c.now-m.Answered < lease {
+		if len(m.Placed) == 0 || c.now-m.LastAnswer < lease {
 			continue
 		}
 		c.gone(m, "its lease has run out")
@@ -547,7 +547,7 @@
 	if len(m.Placed) > 0 {
 		c.log.Info("machine's tasks are gone", "machine", m.Name, "tasks", len(m.Placed), "why", why)
 	}
-	refs := make([]fleet.Ref, 0, len(m.Placed))
+	refs := make([]fleet.TaskRef, 0, len(m.Placed))
 	for ref := range m.Placed {
 		refs = append(refs, ref)
 	}
@@ -557,8 +557,8 @@
 			c.lost(ref.Job, ref.Index)
 		}
 	}
-	m.Fresh = false
-	m.Touch()
+	m.HasCurrentToken = false
+	m.MarkChanged()
 }
 
 // boundsTick writes the partitions' bounds and holders: when a holder is
@@ -572,23 +572,23 @@
 	// A machine counts while it reports: the interval is the settings'.
 	hashes := l.hashes[:0]
 	for _, m := range l.fleet.All() {
-		if m.Heard != 0 && c.now-m.Heard < 10*second+2*config.Secs(c.set.Workers.ReportS) {
+		if m.LastHeartbeat != 0 && c.now-m.LastHeartbeat < 10*second+2*config.MicrosOf(c.set.Workers.ReportS) {
 			hashes = append(hashes, m.Hash)
 		}
 	}
 	l.hashes = hashes
-	b := fleet.Bounds{Cuts: c.bounds.Cuts, Holders: c.holders(), Term: c.set.Ops.Term, Token: l.token, Seq: l.boundsSeq + 1}
-	if len(b.Cuts) != queues-1 || c.unequal(hashes) {
-		b.Cuts = fleet.Cut(hashes, queues)
+	b := fleet.Partitions{Boundaries: c.bounds.Boundaries, Holders: c.holders(), LeaseDuration: c.set.Ops.Term, FencingToken: l.token, Seq: l.boundsSeq + 1}
+	if len(b.Boundaries) != queues-1 || c.unequal(hashes) {
+		b.Boundaries = fleet.PartitionHashes(hashes, queues)
 	}
-	same := c.bounds.Token == l.token && slices.Equal(b.Holders, c.bounds.Holders) && slices.Equal(b.Cuts, c.bounds.Cuts)
+	same := c.bounds.FencingToken == l.token && slices.Equal(b.Holders, c.bounds.Holders) && slices.Equal(b.Boundaries, c.bounds.Boundaries)
 	if same && c.now-l.boundsWritten < c.set.Ops.Term/2 {
 		return
 	}
 	if c.budget.Level() < 1 {
 		return
 	}
-	c.budget.Use(1)
+	c.budget.Spend(1)
 	l.boundsFlying, l.boundsWritten = true, c.now
 	l.boundsSeq++
 	// The leader plans by the new cuts at once: a loan or a moved boundary
@@ -612,19 +612,19 @@
 	if l.shunned[node] > c.now {
 		return true
 	}
-	quiet := 3*config.Secs(c.set.Workers.ReportS) + second
-	if !slices.Contains(c.bounds.Holders, node) || c.bounds.Token != l.token || c.now-l.since < 2*quiet || c.now-max(l.via[node], l.shunned[node]) < quiet {
+	quiet := 3*config.MicrosOf(c.set.Workers.ReportS) + second
+	if !slices.Contains(c.bounds.Holders, node) || c.bounds.FencingToken != l.token || c.now-l.since < 2*quiet || c.now-max(l.via[node], l.shunned[node]) < quiet {
 		return false
 	}
 	machines, heard := 0, 0
 	for _, m := range l.fleet.All() {
-		if m.Heard == 0 || c.now-m.Heard > 60*second {
+		if m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > 60*second {
 			continue
 		}
 		if c.bounds.Holder(m.Name) == node {
 			machines++
 		}
-		if c.now-m.Heard < quiet {
+		if c.now-m.LastHeartbeat < quiet {
 			heard++
 		}
 	}
@@ -640,7 +640,7 @@
 func (c *Core) unequal(hashes []uint32) bool {
 	var n [queues]int
 	for _, h := range hashes {
-		n[min(c.bounds.PartOf(h), queues-1)]++
+		n[min(c.bounds.PartitionOfHash(h), queues-1)]++
 	}
 	lo, hi := slices.Min(n[:]), slices.Max(n[:])
 	return hi-lo > 2+len(hashes)/6
@@ -651,7 +651,7 @@
 func (c *Core) holders() []string {
 	up := []string{}
 	for _, p := range append([]string{c.set.Name}, c.set.Peers...) {
-		if (p == c.set.Name || c.links.PeerUp(p, c.now)) && !c.links.Deaf(p) && !c.shun(p) {
+		if (p == c.set.Name || c.links.PeerUp(p, c.now)) && !c.links.CannotReachMostZones(p) && !c.shun(p) {
 			up = append(up, p)
 		}
 	}
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -6,37 +6,37 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // TestClassification is equation (1) with our cutoffs, and who gets a trial.
 func TestClassification(t *testing.T) {
 	cases := []struct {
-		kind     ledger.Kind
+		kind     jobstate.Kind
 		estimate int64
 		saves    bool
 		queue    int
 		trial    bool
 	}{
-		{ledger.Array, 0, true, 0, false},
-		{ledger.Array, 60*second - 1, true, 0, false},
-		{ledger.Array, 60 * second, true, 1, true},
-		{ledger.Gang, 60 * second, false, 1, false},
-		{ledger.Gang, 600*second - 1, true, 1, true},
-		{ledger.Gang, 600 * second, true, 2, true},
-		{ledger.Service, 0, true, 2, false},
+		{jobstate.Array, 0, true, 0, false},
+		{jobstate.Array, 60*second - 1, true, 0, false},
+		{jobstate.Array, 60 * second, true, 1, true},
+		{jobstate.Gang, 60 * second, false, 1, false},
+		{jobstate.Gang, 600*second - 1, true, 1, true},
+		{jobstate.Gang, 600 * second, true, 2, true},
+		{jobstate.Service, 0, true, 2, false},
 	}
 	r := newRig(t)
 	for _, tc := range cases {
-		s := &ledger.Spec{Kind: tc.kind, Estimate: tc.estimate, Tasks: 1}
+		s := &jobstate.Spec{Kind: tc.kind, Estimate: tc.estimate, Tasks: 1}
 		if tc.saves {
 			s.Checkpoint = second
 		}
-		j := ledger.NewJob(s)
+		j := jobstate.NewJob(s)
 		if q := r.c.queueOf(s); q != tc.queue || r.c.wantsTrial(j) != tc.trial {
 			t.Errorf("%s of %d s: queue %d, trial %v", tc.kind, tc.estimate/second, q, r.c.wantsTrial(j))
 		}
-		j.Tried = true
+		j.TrialDone = true
 		if r.c.wantsTrial(j) {
 			t.Error("a second trial")
 		}
@@ -44,16 +44,16 @@
 }
 
 // place puts a job's tasks on machines of their own, stored and running.
-func (r *rig) place(j *ledger.Job, trial bool) {
+func (r *rig) place(j *jobstate.Job, trial bool) {
 	r.c.jobs[j.ID] = j
 	for i := range j.Tasks {
 		m := r.c.machine(fmt.Sprint("x", i))
-		m.Type, m.Zone, m.Cap, m.Heard, m.Fresh, m.Addr = "c", "a", ledger.Vec{CPU: 1000, Mem: 1000}, r.now, true, "a"
-		j.Place(i, m.Name, 1, r.now)
+		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, r.now, true, "a"
+		j.PlaceTask(i, m.Name, 1, r.now)
 		t := j.Task(i)
-		t.Stored, t.Sent, t.Seen, t.Started, t.Trial = true, true, true, r.now, trial
-		j.SetPhase(t, ledger.Running)
-		m.Put(fleet.Ref{Job: j, Index: i})
+		t.Stored, t.StartSent, t.Confirmed, t.StartedAt, t.Trial = true, true, true, r.now, trial
+		j.SetPhase(t, jobstate.Running)
+		m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 	}
 }
 
@@ -76,27 +76,27 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
-			j := ledger.NewJob(&ledger.Spec{ID: "long", Team: "t", Kind: ledger.Gang, Tasks: 1, Need: ledger.Vec{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
+			j := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
 			r.place(j, true)
 			r.now += tc.after
 			if tc.waiting {
-				w := ledger.NewJob(&ledger.Spec{ID: "waits", Team: "t", Kind: ledger.Array, Tasks: 1, Need: ledger.Vec{CPU: 1000}, Estimate: 100 * second})
-				w.Arrival, w.Known = 99, r.now
+				w := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
+				w.Arrival, w.ReadyAt = 99, r.now
 				if tc.early {
-					w.Known = -second
+					w.ReadyAt = -second
 				}
 				r.c.jobs["waits"] = w
 			} else {
 				delete(r.c.jobs, "j")
 			}
 			m := r.c.lead.fleet.Get("x0")
-			m.Heard = r.now
-			m.Touch()
+			m.LastHeartbeat = r.now
+			m.MarkChanged()
 			r.c.now = r.now
 			r.c.lead.mirrored, r.c.lead.stored = r.now, r.now
 			r.c.plan()
-			if got := j.Task(0); got.Stop != tc.stop || tc.stop != "" && got.Grace < 4*second {
-				t.Errorf("stop %q with %d s", got.Stop, got.Grace/second)
+			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
+				t.Errorf("stop %q with %d s", got.StopReason, got.Grace/second)
 			}
 		})
 	}
@@ -123,13 +123,13 @@
 	for _, tc := range cases {
 		r := newRig(t)
 		r.c.set.Objectives = tc.objectives
-		j := ledger.NewJob(&ledger.Spec{ID: "young", Class: tc.class, Team: "t", Kind: ledger.Array, Tasks: 1, Need: ledger.Vec{GPU: 1}, Estimate: 100 * second})
+		j := jobstate.NewJob(&jobstate.Spec{ID: "young", Class: tc.class, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{GPU: 1}, Estimate: 100 * second})
 		r.place(j, true)
-		j.Task(0).Started = r.now
+		j.Task(0).StartedAt = r.now
 		r.c.now = r.now + tc.ran
-		got := r.c.run(r.c.lead.fleet.Get("x0"), fleet.Ref{Job: j, Index: 0}, tc.guaranteed)
-		if spared := got.Lost > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
-			t.Errorf("%s: stopping it after %d s costs %d s", tc.name, tc.ran/second, got.Lost/second)
+		got := r.c.run(r.c.lead.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
+		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
+			t.Errorf("%s: stopping it after %d s costs %d s", tc.name, tc.ran/second, got.LostWork/second)
 		}
 	}
 }
@@ -138,15 +138,15 @@
 // it stops.
 func TestLostWithGang(t *testing.T) {
 	for _, tc := range []struct {
-		kind ledger.Kind
+		kind jobstate.Kind
 		n    int64
-	}{{ledger.Array, 1}, {ledger.Gang, 3}} {
+	}{{jobstate.Array, 1}, {jobstate.Gang, 3}} {
 		r := newRig(t)
-		j := ledger.NewJob(&ledger.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: ledger.Vec{GPU: 1}, Estimate: 900 * second})
+		j := jobstate.NewJob(&jobstate.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: jobstate.Resources{GPU: 1}, Estimate: 900 * second})
 		r.place(j, true)
-		j.EachPlaced(func(_ int, t *ledger.Task) { t.Started = r.now })
+		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
 		r.c.now = r.now + 60*second
-		if got := r.c.run(r.c.lead.fleet.Get("x0"), fleet.Ref{Job: j, Index: 0}, false).Lost; got != tc.n*60*second {
+		if got := r.c.run(r.c.lead.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
 			t.Errorf("kind %v: %d s, want %d", tc.kind, got/second, tc.n*60)
 		}
 	}
@@ -156,14 +156,14 @@
 func TestRoomBy(t *testing.T) {
 	r := newRig(t)
 	r.c.set.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
-	r.c.types = []fleet.Type{{Name: "slow", Cap: ledger.Vec{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: ledger.Vec{CPU: 8000}, FetchRate: 1000}}
+	r.c.types = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
 	for _, tc := range []struct {
 		class string
 		cpu   int64
 		want  int64
 	}{{"fit", 1000, 100 + 25 - 3 - 10}, {"fit", 2000, 100 + 25 - 3 - 4}, {"other", 1000, 0}} {
-		j := ledger.NewJob(&ledger.Spec{ID: "x", Class: tc.class, Need: ledger.Vec{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
-		j.Known = 100 * second
+		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Class: tc.class, Need: jobstate.Resources{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
+		j.ReadyAt = 100 * second
 		if got := r.c.roomBy(j, false); got != tc.want*second {
 			t.Errorf("%s of %d: %d s, want %d", tc.class, tc.cpu, got/second, tc.want)
 		}
@@ -174,28 +174,28 @@
 // long it would hold up the others; one without by when it came.
 func TestTurn(t *testing.T) {
 	r := newRig(t)
-	r.c.lead.capacity = ledger.Vec{CPU: 100_000, GPU: 10_000}
+	r.c.lead.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
 		name           string
 		tasks, done    int
-		need           ledger.Vec
+		need           jobstate.Resources
 		deadline, want int64 // in seconds
 		awaits         []string
 	}{
-		{"no deadline", 100, 0, ledger.Vec{CPU: 1000}, 0, 10, nil},
-		{"a small one", 1, 0, ledger.Vec{CPU: 1000}, 200, 10 + 200 - 50 + 10*50/100, nil},
-		{"a hundred tasks on a hundred CPUs", 100, 0, ledger.Vec{CPU: 1000}, 200, 10 + 200 - 50 + 10*50, nil},
-		{"half of it done", 100, 50, ledger.Vec{CPU: 1000}, 200, 10 + 200 - 50 + 10*25, nil},
-		{"by GPUs where it needs any", 1, 0, ledger.Vec{CPU: 1000, GPU: 1000}, 200, 10 + 200 - 50 + 10*5, nil},
-		{"a deadline that is lost", 1, 0, ledger.Vec{CPU: 1000, GPU: 1000}, 20, 10 + 10*5, nil},
+		{"no deadline", 100, 0, jobstate.Resources{CPU: 1000}, 0, 10, nil},
+		{"a small one", 1, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50/100, nil},
+		{"a hundred tasks on a hundred CPUs", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50, nil},
+		{"half of it done", 100, 50, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*25, nil},
+		{"by GPUs where it needs any", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 200, 10 + 200 - 50 + 10*5, nil},
+		{"a deadline that is lost", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 20, 10 + 10*5, nil},
 		// A stage that stood back missed the deadline of its whole pipeline.
-		{"a stage of a pipeline", 100, 0, ledger.Vec{CPU: 1000}, 200, 10 + 200 - 50, []string{"a"}},
+		{"a stage of a pipeline", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50, []string{"a"}},
 	}
 	for _, tc := range cases {
-		j := ledger.NewJob(&ledger.Spec{ID: "x", Kind: ledger.Array, Tasks: tc.tasks, Need: tc.need, Estimate: 50 * second, Awaits: tc.awaits})
-		j.Born, j.Known = 10*second, 10*second
+		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Kind: jobstate.Array, Tasks: tc.tasks, Need: tc.need, Estimate: 50 * second, Dependencies: tc.awaits})
+		j.SubmittedAt, j.ReadyAt = 10*second, 10*second
 		if tc.deadline > 0 {
-			j.LastEnd = j.Born + tc.deadline*second
+			j.EffectiveDeadline = j.SubmittedAt + tc.deadline*second
 		}
 		for i := range tc.done {
 			j.SetDone(i, 1)
@@ -210,52 +210,52 @@
 // and the next one begins only when all of it is gone.
 func TestGangRestart(t *testing.T) {
 	const n = 3
-	stops := func(j *ledger.Job) string {
+	stops := func(j *jobstate.Job) string {
 		s := ""
-		j.EachPlaced(func(i int, t *ledger.Task) { s += fmt.Sprintf("%d:%s ", i, t.Stop) })
+		j.EachPlaced(func(i int, t *jobstate.Task) { s += fmt.Sprintf("%d:%s ", i, t.StopReason) })
 		return s
 	}
 	cases := []struct {
 		name string
-		do   func(r *rig, j *ledger.Job)
+		do   func(r *rig, j *jobstate.Job)
 		want string
 	}{
-		{"one is lost", func(r *rig, j *ledger.Job) { r.c.lost(j, 0) }, "1:gang 2:gang "},
-		{"one loses its peers", func(r *rig, j *ledger.Job) {
+		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.lost(j, 0) }, "1:gang 2:gang "},
+		{"one loses its peers", func(r *rig, j *jobstate.Job) {
 			r.c.exited(r.c.machine("x1"), j, 1, &TaskReport{Name: "g/1", Attempt: 1, State: "exited", Why: "peers"})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
 		// fetch anew in the next attempt, and that be incomplete as well.
-		{"one is incomplete, and what fetches goes on", func(r *rig, j *ledger.Job) {
+		{"one is incomplete, and what fetches goes on", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.machine("x1")
-			j.SetPhase(j.Task(1), ledger.Unseen)
+			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.progress(x1, j, j.Task(1), "fetching")
 			r.c.exited(r.c.machine("x0"), j, 0, &TaskReport{Name: "g/0", Attempt: 1, State: "exited", Why: "alone"})
 		}, "1: 2:gang "},
-		{"until it has its image", func(r *rig, j *ledger.Job) {
+		{"until it has its image", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.machine("x1")
-			j.SetPhase(j.Task(1), ledger.Unseen)
+			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.progress(x1, j, j.Task(1), "fetching")
 			r.c.exited(r.c.machine("x0"), j, 0, &TaskReport{Name: "g/0", Attempt: 1, State: "exited", Why: "alone"})
 			r.c.reported(x1, &Report{Machine: "x1", Tasks: []TaskReport{{Name: "g/1", Attempt: 1, State: "waiting"}}})
-			if im := x1.Images["im"]; im.Used == 0 || im.Coming {
+			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
 				r.t.Error("the image is not there")
 			}
 		}, "1:gang 2:gang "},
-		{"or for too long", func(r *rig, j *ledger.Job) {
+		{"or for too long", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.machine("x1")
 			x1.FetchRate = 100
-			j.SetPhase(j.Task(1), ledger.Unseen)
+			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.progress(x1, j, j.Task(1), "fetching")
 			r.c.exited(r.c.machine("x0"), j, 0, &TaskReport{Name: "g/0", Attempt: 1, State: "exited", Why: "alone"})
 			r.c.now += 41 * second
 			r.c.reported(x1, &Report{Machine: "x1", Tasks: []TaskReport{{Name: "g/1", Attempt: 1, State: "fetching"}}})
 		}, "1:gang 2:gang "},
-		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *ledger.Job) {
+		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.machine("x1")
-			j.SetPhase(j.Task(1), ledger.Unseen)
+			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.progress(x1, j, j.Task(1), "fetching")
-			if !x1.Images["im"].Coming {
+			if !x1.Images["im"].Fetching {
 				r.t.Error("the image does not come")
 			}
 			r.c.lost(j, 1)
@@ -263,8 +263,8 @@
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is stopped in order, and so are all", func(r *rig, j *ledger.Job) { r.c.stopOrderly(j, 2, stopPreempt) }, "0:preempt 1:preempt 2:preempt "},
-		{"one is done, and so are all", func(r *rig, j *ledger.Job) {
+		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.stopOrderly(j, 2, stopPreempt) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
 			r.c.taskDone(j, 0)
 			r.c.exited(r.c.machine("x0"), j, 0, &TaskReport{Name: "g/0", Attempt: 1, State: "exited", Why: "done"})
 		}, "1: 2: "},
@@ -272,7 +272,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
-			j := ledger.NewJob(&ledger.Spec{ID: "g", Team: "t", Kind: ledger.Gang, Tasks: n, Need: ledger.Vec{CPU: 1000}, Estimate: 50 * second, Checkpoint: second, Save: config.Second, Image: "im", ImageMB: 1000})
+			j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: n, Need: jobstate.Resources{CPU: 1000}, Estimate: 50 * second, Checkpoint: second, Save: config.Second, Image: "im", ImageMB: 1000})
 			r.place(j, false)
 			r.c.now = r.now
 			tc.do(r, j)
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // TestPools: where money is weighed spot machines are rented for jobs that may use
@@ -15,7 +15,7 @@
 // by; elsewhere ordinary ones come first, and as many as are in use are kept.
 func TestPools(t *testing.T) {
 	yes, no := true, false
-	spot, ordinary := waitingJob{spec: &ledger.Spec{Need: ledger.Vec{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &ledger.Spec{Need: ledger.Vec{CPU: 1000}}, tasks: 3}
+	spot, ordinary := waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 1000}}, tasks: 3}
 	cases := []struct {
 		name      string
 		guarantee float64
@@ -44,15 +44,15 @@
 			r.tick(6 * second)
 			r.c.set.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
 			r.c.set.Ops.WeighMoney = tc.weigh
-			r.c.frugal = r.c.set.Frugal(&r.c.set.Ops)
-			r.c.types = []fleet.Type{{Name: "c", Cap: ledger.Vec{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
+			r.c.frugal = r.c.set.WeighsCost(&r.c.set.Ops)
+			r.c.types = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
 			r.c.lead.waiting = tc.waiting
-			j := ledger.NewJob(&ledger.Spec{ID: "busy", Team: "t", Tasks: 100})
+			j := jobstate.NewJob(&jobstate.Spec{ID: "busy", Team: "t", Tasks: 100})
 			for kind, n := range tc.busy {
 				for i := range n {
 					m := r.c.machine(fmt.Sprintf("m-%d-%d", kind, i))
-					m.Type, m.Spot, m.Heard = "c", kind == 1, r.now
-					m.Put(fleet.Ref{Job: j, Index: i})
+					m.Type, m.Spot, m.LastHeartbeat = "c", kind == 1, r.now
+					m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 				}
 			}
 			s := &r.c.lead.cloud
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/vouch"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
 // rig is a core that leads alone, with its state service played by hand.
@@ -37,12 +37,12 @@
 	set.Cloud.RPS = 1
 	r := &rig{t: t, now: second, rev: 10, token: 5}
 	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	j := ledger.NewJob(&ledger.Spec{ID: "j", Team: "t", Kind: ledger.Array, Tasks: 1, Need: ledger.Vec{CPU: 1000}, Estimate: 100 * second})
-	j.Place(0, "m", 3, 1)
-	v, _ := j.Take(0, 0)
-	types := []fleet.Type{{Name: "c", Cap: ledger.Vec{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
-	r.step(Listed{Ledger: 10, Rows: []Change{{Key: jobPrefix + "j", Value: encode(ledger.Record{Spec: j.Spec, Over: over}), Stamp: 1},
-		{Key: runKey("j", ledger.Value{Span: ledger.ChunkTasks}), Value: v, Stamp: 2}, {Key: tokenKey, Value: encode(tokenValue{r.token}), Stamp: 3}, {Key: typesKey, Value: encode(types), Stamp: 4}}})
+	j := jobstate.NewJob(&jobstate.Spec{ID: "j", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
+	j.PlaceTask(0, "m", 3, 1)
+	v, _ := j.BeginChunkWrite(0, 0)
+	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
+	r.step(Listed{Ledger: 10, Rows: []Change{{Key: jobPrefix + "j", Value: encode(jobstate.Record{Spec: j.Spec, Outcome: over}), Revision: 1},
+		{Key: runKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2}, {Key: tokenKey, Value: encode(tokenValue{r.token}), Revision: 3}, {Key: typesKey, Value: encode(types), Revision: 4}}})
 	for i := 0; r.c.lead == nil; i++ {
 		if i > 100 {
 			t.Fatal("never leads")
@@ -79,11 +79,11 @@
 				continue
 			}
 			r.rev++
-			r.step(Committed{ID: e.ID, Status: 200, Ledger: r.rev})
+			r.step(Committed{ID: e.ID, Status: 200, Revision: r.rev})
 			var news []Change
 			for _, w := range e.Writes {
 				if w.Key == LeaderKey || w.Key == tokenKey {
-					news = append(news, Change{Key: w.Key, Value: w.Value, Stamp: r.rev})
+					news = append(news, Change{Key: w.Key, Value: w.Value, Revision: r.rev})
 				}
 			}
 			r.step(Watched{After: r.rev - 1, Ledger: r.rev, Sent: r.now, Changes: news})
@@ -202,7 +202,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
-			hold = r.c.set.Hold()
+			hold = r.c.set.LeaderAuthorityTime()
 			tc.do(r)
 			if got := r.placed(); got != tc.want {
 				t.Errorf("placed %s, want %s", got, tc.want)
@@ -214,7 +214,7 @@
 // TestCancelledBefore: a job was cancelled under an earlier leader, and its
 // task is still running. The new one stops it, and clears the keys.
 func TestCancelledBefore(t *testing.T) {
-	r := newRigOf(t, ledger.Cancelled)
+	r := newRigOf(t, jobstate.Cancelled)
 	if _, o := r.beat(5, 1, running(3)); o != "stop j/0.3;" {
 		t.Errorf("orders %q", o)
 	}
@@ -233,7 +233,7 @@
 	r.beat(5, 1, running(3))
 	r.mute = true
 	start := r.c.lead.rightAt()
-	for r.now-start < r.c.set.Hold()-second {
+	for r.now-start < r.c.set.LeaderAuthorityTime()-second {
 		if s, _ := r.beat(r.token, 1, running(3)); s != 200 {
 			t.Fatalf("status %d after %d ms of hold", s, (r.now-start)/1000)
 		}
@@ -246,8 +246,8 @@
 	if s, _ := r.beat(r.token, 1, running(3)); s != 503 {
 		t.Errorf("status %d after hold", s)
 	}
-	if cancel := config.Secs(r.c.set.Workers.CancelS); r.c.set.Hold()+r.c.set.LeaseTime() >= cancel {
-		t.Errorf("hold %d and lease leave nothing of cancel_s", r.c.set.Hold())
+	if cancel := config.MicrosOf(r.c.set.Workers.CancelS); r.c.set.LeaderAuthorityTime()+r.c.set.LeaseTime() >= cancel {
+		t.Errorf("hold %d and lease leave nothing of cancel_s", r.c.set.LeaderAuthorityTime())
 	}
 }
 
@@ -256,7 +256,7 @@
 func TestNewerToken(t *testing.T) {
 	r := newRig(t)
 	r.c.set.Peers = []string{"n1"}
-	r.c.lead.vouched = vouch.NewVouched(r.c.set.Peers, r.c.set.Hold())
+	r.c.lead.vouched = readlease.NewHolder(r.c.set.Peers, r.c.set.LeaderAuthorityTime())
 	r.mute = true
 	r.tick(5 * second)
 	right := r.c.lead.rightAt()
@@ -264,8 +264,8 @@
 	if r.c.lead == nil || r.c.lead.rightAt() != right {
 		t.Error("a peer of an older program vouches for nothing")
 	}
-	r.step(PeerSeen{Peer: "n1", Sent: r.now + 1, OK: true, News: PeerNews{Token: r.token, Leader: "n0", Vouch: &vouch.Page{Boot: "x", Upto: 1, Whole: true, Cancelled: []string{"j"}}}})
-	if r.c.jobs["j"].Over != ledger.Cancelled {
+	r.step(PeerSeen{Peer: "n1", Sent: r.now + 1, OK: true, News: PeerNews{Token: r.token, Leader: "n0", Vouch: &readlease.CancellationPage{Boot: "x", Upto: 1, Whole: true, Cancelled: []string{"j"}}}})
+	if r.c.jobs["j"].Outcome != jobstate.Cancelled {
 		t.Error("a cancellation told by a peer counts")
 	}
 	if r.c.lead.rightAt() != r.now+1 {
--- a/internal/core/rates/main_test.go
+++ b/internal/core/ratelimit/main_test.go
@@ -1,4 +1,4 @@
-package rates
+package ratelimit
 
 import (
 	"flag"
--- a/internal/core/rates/rates_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package rates
+package ratelimit
 
 import (
 	"math"
@@ -24,17 +24,17 @@
 		if !m.there || m.older {
 			continue
 		}
-		k := Members{All: len(all), Shared: true, Led: true, Leads: m.leads}
+		k := Members{Configured: len(all), SharingEnabled: true, HasLeader: true, IsLeader: m.leads}
 		for j, s := range m.seen {
 			switch {
 			case !s:
 			case all[j].older:
-				k.Older++
+				k.Legacy++
 			case !all[j].leads:
 				k.Present++
 			}
 		}
-		k.Proven = m.since > 0 && now-m.since > Settled && now-m.viewed < Fresh && m.seen[i]
+		k.Confirmed = m.since > 0 && now-m.since > SettleTime && now-m.viewed < MaxViewAge && m.seen[i]
 		s := of(l, k)
 		requests += s.Reads
 		changes += s.Changes
@@ -86,7 +86,7 @@
 // allows, whoever comes, goes, or has an old view of the others.
 func TestSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if over := histories(t, Of); over > 1e-6 {
+		if over := histories(t, ShareFor); over > 1e-6 {
 			t.Fatalf("%.2f a second too many", over)
 		}
 	})
@@ -96,8 +96,8 @@
 // the part of those that are not there before they can have seen it.
 func TestSumPlanted(t *testing.T) {
 	hasty := func(l Limits, m Members) Share {
-		m.Proven = true
-		return Of(l, m)
+		m.Confirmed = true
+		return ShareFor(l, m)
 	}
 	worst := 0.0
 	rapid.Check(t, func(t *rapid.T) { worst = max(worst, histories(t, hasty)) })
@@ -116,20 +116,20 @@
 		changes float64
 		views   float64
 	}{
-		{"nothing is shared", large, Members{All: 5}, 22.5, 15},
-		{"nothing is shared among many", large, Members{All: 12}, 22.5 * 4 / 11, 15},
-		{"the leader, nothing is shared", large, Members{All: 12, Led: true, Leads: true}, 67.5, 15},
-		{"alone by its settings", large, Members{All: 1, Shared: true}, 22.5, 15},
-		{"the leader", large, Members{All: 12, Shared: true, Led: true, Leads: true}, 67.5, 45},
-		{"the leader of two", large, Members{All: 2, Shared: true, Led: true, Leads: true}, 67.5, 30},
-		{"one of eleven others", large, Members{All: 12, Shared: true, Led: true, Present: 11, Proven: true}, 22.5 / 11, 9.5},
-		{"the others are away", large, Members{All: 12, Shared: true, Led: true, Present: 1, Proven: true}, 22.5/22 + 22.5/2, 15},
-		{"it is new", large, Members{All: 12, Shared: true, Led: true, Present: 11}, 22.5 / 22, 4.8},
-		{"one is older", large, Members{All: 12, Shared: true, Led: true, Present: 10, Older: 1, Proven: true}, 0.8 * (22.5/22 + 22.5/20), 8.0},
-		{"nobody leads", large, Members{All: 12, Shared: true}, 7.5, 10.3},
+		{"nothing is shared", large, Members{Configured: 5}, 22.5, 15},
+		{"nothing is shared among many", large, Members{Configured: 12}, 22.5 * 4 / 11, 15},
+		{"the leader, nothing is shared", large, Members{Configured: 12, HasLeader: true, IsLeader: true}, 67.5, 15},
+		{"alone by its settings", large, Members{Configured: 1, SharingEnabled: true}, 22.5, 15},
+		{"the leader", large, Members{Configured: 12, SharingEnabled: true, HasLeader: true, IsLeader: true}, 67.5, 45},
+		{"the leader of two", large, Members{Configured: 2, SharingEnabled: true, HasLeader: true, IsLeader: true}, 67.5, 30},
+		{"one of eleven others", large, Members{Configured: 12, SharingEnabled: true, HasLeader: true, Present: 11, Confirmed: true}, 22.5 / 11, 9.5},
+		{"the others are away", large, Members{Configured: 12, SharingEnabled: true, HasLeader: true, Present: 1, Confirmed: true}, 22.5/22 + 22.5/2, 15},
+		{"it is new", large, Members{Configured: 12, SharingEnabled: true, HasLeader: true, Present: 11}, 22.5 / 22, 4.8},
+		{"one is older", large, Members{Configured: 12, SharingEnabled: true, HasLeader: true, Present: 10, Legacy: 1, Confirmed: true}, 0.8 * (22.5/22 + 22.5/20), 8.0},
+		{"nobody leads", large, Members{Configured: 12, SharingEnabled: true}, 7.5, 10.3},
 	}
 	for _, tc := range cases {
-		s := Of(tc.l, tc.m)
+		s := ShareFor(tc.l, tc.m)
 		if math.Abs(s.Changes-tc.changes) > 0.01 || math.Abs(s.Views-tc.views) > 0.1 {
 			t.Errorf("%s: %.2f changes, %.2f views", tc.name, s.Changes, s.Views)
 		}
@@ -138,19 +138,19 @@
 
 // TestBudget: what is given is there once, and a full budget takes no more by time.
 func TestBudget(t *testing.T) {
-	b := NewBudget(0, 10)
+	b := NewTokenBucket(0, 10)
 	b.Refill(5*second, 10)
 	if b.Level() != 10 {
 		t.Errorf("level %.1f", b.Level())
 	}
-	var other Budget
+	var other TokenBucket
 	for _, tc := range []struct {
 		wanted int
 		least  float64
 		want   int
 	}{{3, 1, 3}, {100, 1, 6}, {5, 1, 0}, {5, -2, 3}} {
-		n := b.Give(tc.wanted, tc.least)
-		other.Get(n)
+		n := b.Withdraw(tc.wanted, tc.least)
+		other.Deposit(n)
 		if n != tc.want {
 			t.Errorf("gave %d of %d, want %d", n, tc.wanted, tc.want)
 		}
@@ -162,12 +162,12 @@
 	if other.Level() != 12 {
 		t.Errorf("what was given is lost: %.1f", other.Level())
 	}
-	tiny := NewBudget(0, First)
+	tiny := NewTokenBucket(0, InitialTokens)
 	taken := 0
-	for tiny.Take() {
+	for tiny.TryTake() {
 		taken++
 	}
-	if taken != leastBurst {
-		t.Errorf("a small share reaches for %d changes, a cancellation takes %d", taken, leastBurst)
+	if taken != minBurst {
+		t.Errorf("a small share reaches for %d changes, a cancellation takes %d", taken, minBurst)
 	}
 }
--- a/internal/core/reaching.go
+++ b/internal/core/reaching.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -23,11 +23,11 @@
 		return
 	}
 	if c.reached != 0 && c.now-c.reached > stoodStill {
-		c.links.Workers.Doubt(c.now)
+		c.links.Workers.Invalidate(c.now)
 	}
 	c.reached = c.now
-	c.links.Look(c.now)
-	for _, m := range c.links.Workers.Due(c.now) {
+	c.links.Refresh(c.now)
+	for _, m := range c.links.Workers.DueProbes(c.now) {
 		c.emit(Probe{Machine: m.Name, Addr: m.Addr})
 	}
 	if !c.synced {
@@ -35,7 +35,7 @@
 	}
 	c.sayReach()
 	if c.lead != nil && c.sure() {
-		if to, why := c.links.GiveWay(c.now); to != "" {
+		if to, why := c.links.HandoverTarget(c.now); to != "" {
 			c.log.Info("giving way", "to", to, "why", why)
 			c.leave("gave way to " + to)
 		}
@@ -46,16 +46,16 @@
 // get to. It is on its lease, so it is there only while the controller lives
 // and reaches the state service.
 func (c *Core) sayReach() {
-	v, news := c.links.Say(c.now)
-	if !news || !c.activation.Enabled(upgrade.Reach) || c.stateLost() || c.budget.Level() < 1 {
+	v, news := c.links.PendingAdvertisement(c.now)
+	if !news || !c.activation.Enabled(upgrade.Connectivity) || c.stateLost() || c.budget.Level() < 1 {
 		return
 	}
 	if c.elect.lease != 0 {
-		c.links.Said(v, c.now)
+		c.links.MarkAdvertised(v, c.now)
 	}
 	c.onLease(reachPrefix+c.set.Name, c.reachAt[c.set.Name], v, func(ok bool) {
 		if !ok {
-			c.links.Unsaid()
+			c.links.ClearAdvertised()
 		}
 	})
 }
@@ -63,17 +63,17 @@
 func (c *Core) applyReach(name string, ch Change, bad func(error)) {
 	if ch.Removed {
 		delete(c.reachAt, name)
-		c.links.Stored(name, nil)
+		c.links.SetStored(name, nil)
 		if name == c.set.Name {
-			c.links.Unsaid()
+			c.links.ClearAdvertised()
 		}
 		return
 	}
-	var v reach.Value
+	var v connectivity.Advertisement
 	if err := json.Unmarshal(ch.Value, &v); err != nil {
 		bad(err)
 		return
 	}
-	c.reachAt[name] = ch.Stamp
-	c.links.Stored(name, &v)
+	c.reachAt[name] = ch.Revision
+	c.links.SetStored(name, &v)
 }
--- a/internal/core/reaching_test.go
+++ b/internal/core/reaching_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/reach"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -35,10 +35,10 @@
 	set.Cloud.RPS = 1
 	b := &between{now: second, rev: 20}
 	b.c = New(set, b.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	rows := []Change{{Key: tokenKey, Value: encode(tokenValue{5}), Stamp: 3}, {Key: formatKey, Value: encode(formatValue{2, 64}), Stamp: 4},
-		{Key: featuresKey, Value: encode(featuresValue{[]upgrade.Stored{{Name: upgrade.Reach}}}), Stamp: 5}, {Key: typesKey, Value: encode([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Stamp: 5}}
+	rows := []Change{{Key: tokenKey, Value: encode(tokenValue{5}), Revision: 3}, {Key: formatKey, Value: encode(formatValue{2, 64}), Revision: 4},
+		{Key: featuresKey, Value: encode(featuresValue{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5}, {Key: typesKey, Value: encode([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Revision: 5}}
 	if leader != "n0" {
-		rows = append(rows, Change{Key: LeaderKey, Value: encode(leaderValue{Name: leader, Boot: "x", Token: 5, Lease: 8}), Stamp: 6})
+		rows = append(rows, Change{Key: LeaderKey, Value: encode(leaderValue{Name: leader, Boot: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
 	b.step(Listed{Ledger: 20, Rows: rows})
 	b.run(2 * second)
@@ -77,12 +77,12 @@
 			b.rev++
 			w := Watched{After: b.rev - 1, Ledger: b.rev, Sent: b.now}
 			for _, x := range e.Writes {
-				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Stamp: b.rev, Removed: x.Value == nil})
+				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: b.rev, Removed: x.Value == nil})
 			}
 			if !b.hung {
 				b.step(w)
 			}
-			b.step(Committed{ID: e.ID, Status: 200, Ledger: b.rev})
+			b.step(Committed{ID: e.ID, Status: 200, Revision: b.rev})
 		case Ping, Probe:
 		default:
 			b.out = append(b.out, e)
@@ -92,14 +92,14 @@
 
 // peer has a peer answer a ping and call, with what it says it reaches; stored
 // is its word in the state service.
-func (b *between) peer(name string, v reach.Value) {
+func (b *between) peer(name string, v connectivity.Advertisement) {
 	b.step(PeerSeen{Peer: name, Sent: b.now, OK: true, News: PeerNews{Token: 5, Leader: "n1", Reach: &v}})
 	b.step(Pinged{From: name})
 }
 
-func (b *between) stored(name string, v reach.Value) {
+func (b *between) stored(name string, v connectivity.Advertisement) {
 	b.rev++
-	b.step(Watched{After: b.rev - 1, Ledger: b.rev, Changes: []Change{{Key: reachPrefix + name, Value: encode(v), Stamp: b.rev}}})
+	b.step(Watched{After: b.rev - 1, Ledger: b.rev, Changes: []Change{{Key: reachPrefix + name, Value: encode(v), Revision: b.rev}}})
 }
 
 func find[T any](b *between) (out []T) {
@@ -112,8 +112,8 @@
 	return out
 }
 
-func reaches(a, b int, peers ...string) reach.Value {
-	return reach.Value{Workers: map[string]int{"a": a, "b": b}, Peers: peers}
+func reaches(a, b int, peers ...string) connectivity.Advertisement {
+	return connectivity.Advertisement{Workers: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
 // TestOtherViews: an unfinished answer needs a view that was asked for after the
@@ -145,7 +145,7 @@
 	b.rev += 3                              // others write, and nothing of it comes
 	id := b.c.id()
 	b.c.txns.Begin(id, nil, nil, b.now, func(Committed) {})
-	b.step(Committed{ID: id, Status: 409, Ledger: b.rev})
+	b.step(Committed{ID: id, Status: 409, Revision: b.rev})
 	b.run(watchLate - 100_000)
 	if v := find[View](b); len(v) != 0 {
 		t.Error("the watch was given no time")
@@ -250,8 +250,8 @@
 		b := newBetween(t, "n0")
 		b.c.set.Ops.Reach = on
 		b.stored("n1", reaches(8, 8))
-		b.c.links.Workers.Know(reach.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
-		b.c.links.Workers.Know(reach.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
+		b.c.links.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
+		b.c.links.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
 		for _, m := range []string{"m", "m2"} {
 			b.step(Probed{Machine: m, Sent: b.now, OK: false})
 		}
@@ -267,7 +267,7 @@
 		}
 		// The key is gone, and the state is read anew; the other has its turn.
 		b.rev++
-		rows := []Change{{Key: tokenKey, Value: encode(tokenValue{6}), Stamp: 3}, {Key: formatKey, Value: encode(formatValue{2, 64}), Stamp: 4}, {Key: reachPrefix + "n1", Value: encode(reaches(8, 8)), Stamp: 7}}
+		rows := []Change{{Key: tokenKey, Value: encode(tokenValue{6}), Revision: 3}, {Key: formatKey, Value: encode(formatValue{2, 64}), Revision: 4}, {Key: reachPrefix + "n1", Value: encode(reaches(8, 8)), Revision: 7}}
 		b.step(Listed{Ledger: b.rev, Rows: rows})
 		begun := b.now
 		for b.c.lead == nil && b.now < begun+10*second {
--- a/internal/core/vouch/vouch_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -1,4 +1,4 @@
-package vouch
+package readlease
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 type meeting struct {
 	now  int64
 	boot int
-	w    *Witness
-	l    *Vouched
+	w    *Grantor
+	l    *Holder
 	// synced: the witness has read what is stored.
 	synced  bool
 	applied uint64
@@ -24,25 +24,25 @@
 }
 
 func newMeeting() *meeting {
-	m := &meeting{now: second, synced: true, knows: map[string]bool{}, l: NewVouched([]string{"x"}, hold)}
+	m := &meeting{now: second, synced: true, knows: map[string]bool{}, l: NewHolder([]string{"x"}, hold)}
 	m.begin()
 	return m
 }
 
 func (m *meeting) begin() {
 	m.boot++
-	m.w = NewWitness(fmt.Sprint("x", m.boot), []string{"l"}, hold, m.now)
+	m.w = NewGrantor(fmt.Sprint("x", m.boot), []string{"l"}, hold, m.now)
 }
 
-func (m *meeting) ask() (int64, Page) {
-	return m.now, m.w.Asked("l", m.l.Question("x", m.applied, m.now), m.synced, m.now)
+func (m *meeting) ask() (int64, CancellationPage) {
+	return m.now, m.w.Grant("l", m.l.NextRequest("x", m.applied, m.now), m.synced, m.now)
 }
 
-func (m *meeting) take(sent int64, p Page) {
+func (m *meeting) take(sent int64, p CancellationPage) {
 	for _, id := range p.Cancelled {
 		m.knows[id] = true
 	}
-	m.l.Answered("x", sent, m.now, p)
+	m.l.HandleGrant("x", sent, m.now, p)
 }
 
 // round asks and takes pages until there are no more.
@@ -57,7 +57,7 @@
 
 func (m *meeting) fill(n int) {
 	for i := range n {
-		m.w.Note(fmt.Sprint("j", i), 0)
+		m.w.RecordCancellation(fmt.Sprint("j", i), 0)
 	}
 }
 
@@ -92,10 +92,10 @@
 		}, 0, 1000},
 		{"a page is missing", func(m *meeting) {
 			m.fill(1200)
-			m.l.sources["x"].upto = 700 // as if it had gone by another's pages
-			m.l.sources["x"].boot = "x1"
+			m.l.grants["x"].upTo = 700 // as if it had gone by another's pages
+			m.l.grants["x"].incarnation = "x1"
 			sent, p := m.ask()
-			m.l.sources["x"].upto = 500
+			m.l.grants["x"].upTo = 500
 			m.take(sent, p)
 		}, 0, 500},
 		{"one that has read nothing", func(m *meeting) { m.synced = false; m.round() }, 0, 0},
@@ -120,22 +120,22 @@
 		}, 12 * second, 3},
 		{"what is stored and known is not told", func(m *meeting) {
 			m.applied = 7
-			m.w.Note("a", 7)
-			m.w.Note("b", 8)
-			m.w.Note("c", 0)
+			m.w.RecordCancellation("a", 7)
+			m.w.RecordCancellation("b", 8)
+			m.w.RecordCancellation("c", 0)
 			m.round()
 		}, second, 2},
-		{"more than is kept", func(m *meeting) { m.fill(logMost + 1); m.round() }, 0, 0},
+		{"more than is kept", func(m *meeting) { m.fill(maxLogEntries + 1); m.round() }, 0, 0},
 		{"more than is kept, of which it knows the rest", func(m *meeting) {
 			m.applied = 5
-			m.w.Note("old", 5)
-			m.fill(logMost)
+			m.w.RecordCancellation("old", 5)
+			m.fill(maxLogEntries)
 			m.round()
-		}, second + (logMost/pageMost-1)*1000, logMost},
-		{"an older program", func(m *meeting) { m.take(m.now, Page{Whole: true}) }, 0, 0},
+		}, second + (maxLogEntries/maxPageEntries-1)*1000, maxLogEntries},
+		{"an older program", func(m *meeting) { m.take(m.now, CancellationPage{Whole: true}) }, 0, 0},
 		{"the answer of an earlier start, late", func(m *meeting) {
 			sent, p := m.ask()
-			m.l.Runs("x", "x2")
+			m.l.SetIncarnation("x", "x2")
 			m.take(sent, p)
 		}, 0, 0},
 		{"after it was said not to hold", func(m *meeting) {
@@ -153,14 +153,14 @@
 			m.take(sent, p)
 			m.now += 3 * second
 			if a := m.l.Ack("x", 0, m.now); !a.Holds {
-				m.l.sources["x"].at = 0
+				m.l.grants["x"].grantedAt = 0
 			}
 		}, second, 0},
 		{"asked long ago, without an answer", func(m *meeting) {
 			m.ask()
 			m.now += 2 * second
 			if m.l.Ack("x", 0, m.now).Holds {
-				m.l.sources["x"].at = -1
+				m.l.grants["x"].grantedAt = -1
 			}
 		}, 0, 0},
 	}
@@ -168,7 +168,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := newMeeting()
 			tc.do(m)
-			if got := m.l.Since(); got != tc.since {
+			if got := m.l.OldestGrant(); got != tc.since {
 				t.Errorf("vouched for up to %d, want %d", got, tc.since)
 			}
 			if len(m.knows) != tc.knows {
@@ -186,39 +186,39 @@
 		may  bool
 	}{
 		{"just begun", func(*meeting) {}, false},
-		{"just begun, and nobody lives on an earlier word", func(m *meeting) { m.w.Answered("l", m.now, &Ack{}) }, true},
-		{"just begun beside an older program", func(m *meeting) { m.w.Answered("l", m.now, nil) }, true},
+		{"just begun, and nobody lives on an earlier word", func(m *meeting) { m.w.HandleAck("l", m.now, &HolderAck{}) }, true},
+		{"just begun beside an older program", func(m *meeting) { m.w.HandleAck("l", m.now, nil) }, true},
 		{"begun long ago", func(m *meeting) { m.now += hold + second }, true},
-		{"asked", func(m *meeting) { m.w.Answered("l", m.now, &Ack{}); m.ask() }, false},
+		{"asked", func(m *meeting) { m.w.HandleAck("l", m.now, &HolderAck{}); m.ask() }, false},
 		{"asked after who asks said that it holds nothing", func(m *meeting) {
 			m.ask()
-			m.w.Answered("l", m.now-1, &Ack{})
+			m.w.HandleAck("l", m.now-1, &HolderAck{})
 		}, false},
-		{"asked, and the leader has the number", func(m *meeting) { m.ask(); m.w.Answered("l", m.now, &Ack{Holds: true, Boot: "x1", Upto: 1}) }, true},
-		{"asked, and the leader has the number of an earlier start", func(m *meeting) { m.ask(); m.w.Answered("l", m.now, &Ack{Holds: true, Boot: "x0", Upto: 1}) }, false},
-		{"asked, and the leader has read it", func(m *meeting) { m.ask(); m.w.Answered("l", m.now, &Ack{Holds: true, Applied: 9}) }, true},
-		{"asked, and the leader has read less", func(m *meeting) { m.ask(); m.w.Answered("l", m.now, &Ack{Holds: true, Applied: 8}) }, false},
+		{"asked, and the leader has the number", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Boot: "x1", Upto: 1}) }, true},
+		{"asked, and the leader has the number of an earlier start", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Boot: "x0", Upto: 1}) }, false},
+		{"asked, and the leader has read it", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Applied: 9}) }, true},
+		{"asked, and the leader has read less", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Applied: 8}) }, false},
 		{"asked long ago", func(m *meeting) { m.ask(); m.now += hold + second }, true},
 		{"told", func(m *meeting) {
 			m.round()
-			m.w.Note("next", 0)
-			p := m.w.Tell("l")
-			if !m.l.Told("x", p) || !slices.Contains(p.Cancelled, "next") {
+			m.w.RecordCancellation("next", 0)
+			p := m.w.PageFor("l")
+			if !m.l.ApplyPage("x", p) || !slices.Contains(p.Cancelled, "next") {
 				m.boot = -1
 			}
 			a := m.l.Ack("x", 0, m.now)
-			m.w.Answered("l", m.now, &a)
+			m.w.HandleAck("l", m.now, &a)
 		}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			m := newMeeting()
-			m.w.Note("a", 9)
+			m.w.RecordCancellation("a", 9)
 			tc.do(m)
-			if got := len(m.w.Lacking([]string{"a"}, m.now)) == 0; got != tc.may || m.boot < 0 {
+			if got := len(m.w.Uninformed([]string{"a"}, m.now)) == 0; got != tc.may || m.boot < 0 {
 				t.Errorf("may tell: %v, want %v", got, tc.may)
 			}
-			if got := m.w.Lacking([]string{"a", "a"}, m.now); (len(got) == 0) != tc.may {
+			if got := m.w.Uninformed([]string{"a", "a"}, m.now); (len(got) == 0) != tc.may {
 				t.Errorf("lacking: %v", got)
 			}
 		})
--- a/internal/core/recall.go
+++ b/internal/core/recall.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // recall is what a controller remembers of images from what it has seen stored,
@@ -12,7 +12,7 @@
 // were placed there. Hints tell the same to one that has just been started.
 type recall struct {
 	// done are the newest jobs of each image, images the newest last.
-	done   map[string][]*ledger.Spec
+	done   map[string][]*jobstate.Spec
 	images []string
 	// machines have their images, the newest last.
 	machines map[string][]hintImage
@@ -27,12 +27,12 @@
 )
 
 func newRecall() recall {
-	return recall{done: map[string][]*ledger.Spec{}, machines: map[string][]hintImage{}}
+	return recall{done: map[string][]*jobstate.Spec{}, machines: map[string][]hintImage{}}
 }
 
 // finished remembers a job that is done.
-func (r *recall) finished(j *ledger.Job) {
-	if j.Image == "" || j.Brief || slices.ContainsFunc(r.done[j.Image], func(s *ledger.Spec) bool { return s.ID == j.ID }) {
+func (r *recall) finished(j *jobstate.Job) {
+	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
 		return
 	}
 	l := append(r.done[j.Image], j.Spec)
@@ -44,7 +44,7 @@
 }
 
 // placed remembers that a machine fetches a job's image, if it lacks it.
-func (r *recall) placed(machine string, j *ledger.Job) {
+func (r *recall) placed(machine string, j *jobstate.Job) {
 	l, ok := r.machines[machine]
 	if machine == "" || j.Image == "" || !ok && len(r.machines) >= recallMachines {
 		return
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -9,7 +9,7 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // cloudState is the leader's dealings with the cloud.
@@ -118,7 +118,7 @@
 	for _, w := range writes {
 		c.leaderPuts(w.Key, w.Value, func(r Committed) {
 			if r.Status == 200 {
-				c.typesAt = r.Ledger
+				c.typesAt = r.Revision
 			} else {
 				c.typesAt = 0
 			}
@@ -153,7 +153,7 @@
 			c.wantRelease(x.Name)
 		case s.returned[x.Name] != 0:
 			// The list lags; the release was answered.
-		case fm != nil && fm.Heard != 0:
+		case fm != nil && fm.LastHeartbeat != 0:
 			delete(s.booting, x.Name)
 		default:
 			b, ok := s.booting[x.Name]
@@ -165,23 +165,23 @@
 		}
 	}
 	s.listed = c.now
-	c.unlisted(s.listings.read(s.listAt-2*config.Secs(c.set.Cloud.ListLagS)-second, c.now, m.List))
+	c.unlisted(s.listings.read(s.listAt-2*config.MicrosOf(c.set.Cloud.ListLagS)-second, c.now, m.List))
 	for name, at := range s.returned {
 		if c.now-at > 120*second {
 			delete(s.returned, name)
 		}
 	}
 	for _, fm := range c.lead.fleet.All() {
-		fm.Listed = listed[fm.Name]
+		fm.InCloudList = listed[fm.Name]
 	}
 	for name, b := range s.booting {
-		if !listed[name] && c.now-b.since > 60*second+4*config.Secs(c.set.Cloud.ListLagS) {
+		if !listed[name] && c.now-b.since > 60*second+4*config.MicrosOf(c.set.Cloud.ListLagS) {
 			delete(s.booting, name)
 		}
 	}
 	for _, fm := range slices.Clone(c.lead.fleet.All()) {
 		// Long silent and no longer listed: only its name is left.
-		if !fm.Listed && len(fm.Placed) == 0 && c.now-max(fm.Heard, c.lead.since) > 90*second {
+		if !fm.InCloudList && len(fm.Placed) == 0 && c.now-max(fm.LastHeartbeat, c.lead.since) > 90*second {
 			c.forgetMachine(fm)
 		}
 	}
@@ -197,29 +197,29 @@
 		// next one. What was decided before waits here as well.
 		return
 	}
-	report := config.Secs(c.set.Workers.ReportS)
+	report := config.MicrosOf(c.set.Workers.ReportS)
 	heard, hush, silent := 0, 0, []*fleet.Machine{}
 	idle := map[pool][]*fleet.Machine{}
 	for _, m := range c.lead.fleet.All() {
-		quiet := c.now - max(m.Heard, c.lead.since)
+		quiet := c.now - max(m.LastHeartbeat, c.lead.since)
 		// One that has not been heard under this leader counts too, if it is
 		// known to have work: else a leader that begins while a zone is cut
 		// off takes all of the zone's machines for a few dead ones.
-		if quiet > 2*report && (len(m.Placed) > 0 || m.Heard != 0 && quiet < 60*second) {
+		if quiet > 2*report && (len(m.Placed) > 0 || m.LastHeartbeat != 0 && quiet < 60*second) {
 			hush++
 		}
 		switch {
 		case m.Releasing:
-		case quiet < 2*report+second && m.Heard != 0:
+		case quiet < 2*report+second && m.LastHeartbeat != 0:
 			heard++
-			if m.Drain && len(m.Placed) == 0 {
+			if m.Draining && len(m.Placed) == 0 {
 				c.wantRelease(m.Name)
 			}
 			if m.IdleSince != 0 && len(m.Placed) == 0 && c.now-m.IdleSince > c.idleFor() && c.now-c.lead.since > c.set.Ops.IdleReturn && !gathered(gathers, m) {
 				p := c.poolOf(m.Type, m.Spot)
 				idle[p] = append(idle[p], m)
 			}
-		case len(m.Placed) > 0 && (quiet > 4*report+2*second || m.NoticeAt != 0 && c.now > m.NoticeAt && quiet > 2*report):
+		case len(m.Placed) > 0 && (quiet > 4*report+2*second || m.ReclaimAt != 0 && c.now > m.ReclaimAt && quiet > 2*report):
 			silent = append(silent, m)
 		}
 	}
@@ -243,15 +243,15 @@
 	slices.SortFunc(silent, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	few := hush <= max(1, min(heard/8, 6+heard/64))
 	for _, m := range silent {
-		last := max(m.Heard, c.lead.since)
-		if few || !m.Listed && last < s.listed-2*config.Secs(c.set.Cloud.ListLagS) {
+		last := max(m.LastHeartbeat, c.lead.since)
+		if few || !m.InCloudList && last < s.listed-2*config.MicrosOf(c.set.Cloud.ListLagS) {
 			c.log.Info("releasing a silent machine", "machine", m.Name, "tasks", len(m.Placed))
 			c.wantRelease(m.Name)
 		}
 	}
 	for _, name := range inOrder(s.booting) {
 		b := s.booting[name]
-		if m := c.lead.fleet.Get(name); m != nil && m.Heard != 0 {
+		if m := c.lead.fleet.Get(name); m != nil && m.LastHeartbeat != 0 {
 			// It has come up since the last list, as a whole zone does when
 			// a cut that a leader began in is over.
 			delete(s.booting, name)
@@ -301,7 +301,7 @@
 			return
 		}
 		m.Releasing = true
-		m.Touch()
+		m.MarkChanged()
 	}
 	if !slices.Contains(s.release, name) {
 		s.release = append(s.release, name)
@@ -344,7 +344,7 @@
 // forgetMachine drops a machine that is gone, and what it was warmed with.
 func (c *Core) forgetMachine(m *fleet.Machine) {
 	c.endWarm(m)
-	c.lead.gone.note(m.Name, Report{Session: m.Session, Seq: m.Seq}, false, c.now)
+	c.lead.gone.note(m.Name, Report{Session: m.Epoch, Seq: m.Seq}, false, c.now)
 	c.lead.fleet.Remove(m)
 }
 
@@ -374,7 +374,7 @@
 	}
 	for _, m := range c.lead.fleet.All() {
 		switch {
-		case m.Heard == 0 || c.now-m.Heard > 15*second || m.Drain || m.Releasing || m.NoticeAt != 0:
+		case m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > 15*second || m.Draining || m.Releasing || m.ReclaimAt != 0:
 		case len(m.Placed) > 0:
 			at(m.Type, m.Spot).busy++
 		default:
@@ -382,7 +382,7 @@
 		}
 	}
 	for name, b := range s.booting {
-		if m := c.lead.fleet.Get(name); m == nil || m.Heard == 0 {
+		if m := c.lead.fleet.Get(name); m == nil || m.LastHeartbeat == 0 {
 			at(b.typ, b.spot).booting++
 		}
 	}
@@ -424,7 +424,7 @@
 // rentMost is how many machines the cloud rents out at one request.
 const rentMost = 50
 
-func perMachine(need, cap ledger.Vec) int64 {
+func perMachine(need, cap jobstate.Resources) int64 {
 	n := int64(1 << 20)
 	for _, x := range [][2]int64{{need.CPU, cap.CPU}, {need.GPU, cap.GPU}, {need.Mem, cap.Mem}} {
 		if x[0] > 0 {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -17,38 +17,38 @@
 	// refreshAfter is how old the mirror of a follower may be before it asks though
 	// nobody waits.
 	refreshAfter = second
-	// followsFor is for how long an answer makes a controller a follower.
-	followsFor = 5 * second / 2
-	// leastPause and mostPause bound for how long a leader that has failed is not
+	// followDuration is for how long an answer makes a controller a follower.
+	followDuration = 5 * second / 2
+	// minRetryDelay and maxRetryDelay bound for how long a leader that has failed is not
 	// asked. The pause doubles with each failure in turn.
-	leastPause = second
-	mostPause  = 8 * second
+	minRetryDelay = second
+	maxRetryDelay = 8 * second
 )
 
-// AnswerMost is how long the leader may take to answer, in microseconds. A read of
+// AnswerTimeout is how long the leader may take to answer, in microseconds. A read of
 // the state service takes a few milliseconds, and users wait for two seconds.
-const AnswerMost = 200_000
+const AnswerTimeout = 200_000
 
 // Follower decides how a controller that does not lead learns what is stored.
 type Follower struct {
-	leader string
-	token  uint64
-	// asked numbers the questions; under is the one under way, 0 for none.
-	asked, under uint64
-	// answered is when the leader last answered, 0 if this one has not.
-	answered int64
+	leader       string
+	fencingToken uint64
+	// lastRequest numbers the questions; under is the one under way, 0 for none.
+	lastRequest, inFlight uint64
+	// answeredAt is when the leader last answered, 0 if this one has not.
+	answeredAt int64
 	// notBefore is until when it is not asked, pause how long that was.
-	notBefore, pause int64
+	notBefore, retryDelay int64
 }
 
-// Led notes who leads, "" for nobody, and by which token. Another leader is asked
+// SetLeader notes who leads, "" for nobody, and by which token. Another leader is asked
 // at once, and what the last one did proves nothing of it.
-func (f *Follower) Led(leader string, token uint64) {
-	if f.leader == leader && f.token == token {
+func (f *Follower) SetLeader(leader string, token uint64) {
+	if f.leader == leader && f.fencingToken == token {
 		return
 	}
-	f.leader, f.token = leader, token
-	f.answered, f.notBefore, f.pause = 0, 0, 0
+	f.leader, f.fencingToken = leader, token
+	f.answeredAt, f.notBefore, f.retryDelay = 0, 0, 0
 }
 
 // Source is whom to ask now for what is stored, "" for the state service.
@@ -59,86 +59,86 @@
 	return f.leader
 }
 
-// Ask numbers a question that is asked now. An answer to an earlier one counts no
+// BeginRequest numbers a question that is asked now. An answer to an earlier one counts no
 // more.
-func (f *Follower) Ask() uint64 {
-	f.asked++
-	f.under = f.asked
-	return f.under
+func (f *Follower) BeginRequest() uint64 {
+	f.lastRequest++
+	f.inFlight = f.lastRequest
+	return f.inFlight
 }
 
-// Ended takes the end of a question. It is false for one that is not under way: a
+// EndRequest takes the end of a question. It is false for one that is not under way: a
 // late answer, or one that was answered before.
-func (f *Follower) Ended(number uint64, ok bool, now int64) bool {
-	if number == 0 || number != f.under {
+func (f *Follower) EndRequest(number uint64, ok bool, now int64) bool {
+	if number == 0 || number != f.inFlight {
 		return false
 	}
-	f.under = 0
+	f.inFlight = 0
 	if ok {
-		f.answered, f.pause = now, 0
+		f.answeredAt, f.retryDelay = now, 0
 		return true
 	}
-	f.pause = min(max(2*f.pause, leastPause), mostPause)
-	f.notBefore, f.answered = now+f.pause, 0
+	f.retryDelay = min(max(2*f.retryDelay, minRetryDelay), maxRetryDelay)
+	f.notBefore, f.answeredAt = now+f.retryDelay, 0
 	return true
 }
 
-// Follows says whether the mirror lives on the leader's answers, so that nothing but
+// IsFollowing says whether the mirror lives on the leader's answers, so that nothing but
 // the leadership need be watched in the state service.
-func (f *Follower) Follows(now int64) bool {
-	return f.answered != 0 && now-f.answered < followsFor && f.Source(now) != ""
+func (f *Follower) IsFollowing(now int64) bool {
+	return f.answeredAt != 0 && now-f.answeredAt < followDuration && f.Source(now) != ""
 }
 
-// Due says whether the mirror is to be brought up to date though nobody waits; age is
+// RefreshDue says whether the mirror is to be brought up to date though nobody waits; age is
 // for how long nothing was read.
-func (f *Follower) Due(now, age int64) bool {
+func (f *Follower) RefreshDue(now, age int64) bool {
 	return f.Source(now) != "" && age >= refreshAfter
 }
 
 // View is what the leader shows: all changes after the asker's revision up to Ledger.
 // Granted are writes that the asker may make on the leader's budget.
 type View struct {
-	Ledger  uint64
-	Changes []kv.Change
-	Granted int
+	Revision uint64
+	Changes  []kv.Change
+	Granted  int
 }
 
 const (
-	// logMost and logBytes bound the changes that are kept for followers, which ask
+	// maxLogChanges and maxLogBytes bound the changes that are kept for followers, which ask
 	// once a second at least: 100 transactions of 48 operations and 44 kB a second
 	// have to fit, or every follower reads the state service itself.
-	logMost  = 10_000
-	logBytes = 5 << 20
-	// changeBytes is what a change takes beside its key and value.
-	changeBytes = 64
+	maxLogChanges = 10_000
+	maxLogBytes   = 5 << 20
+	// changeOverhead is what a change takes beside its key and value.
+	changeOverhead = 64
 )
 
-// Log has the latest changes, for followers that lack them.
-type Log struct {
+// ChangeLog has the latest changes, for followers that lack them.
+type ChangeLog struct {
 	changes []kv.Change
 	bytes   int
-	// from is the revision after which the log has all changes.
-	from uint64
+	// startRevision is the revision after which the log has all changes.
+	startRevision uint64
 }
 
 // Restart begins anew at a revision.
-func (l *Log) Restart(from uint64) { *l = Log{from: from} }
+func (l *ChangeLog) Restart(from uint64) { *l = ChangeLog{startRevision: from} }
 
 // Append takes a change that is newer than all before, or part of the newest
 // transaction.
-func (l *Log) Append(c kv.Change) {
+func (l *ChangeLog) Append(c kv.Change) {
 	l.changes = append(l.changes, c)
 	l.bytes += size(c)
-	for len(l.changes) > 0 && (len(l.changes) > logMost || l.bytes > logBytes) {
-		l.drop()
+	for len(l.changes) > 0 && (len(l.changes) > maxLogChanges || l.bytes > maxLogBytes) {
+		l.dropOldest()
 	}
 }
 
-// drop forgets the oldest transaction.
-func (l *Log) drop() {
-	l.from = l.changes[0].Stamp
+// dropOldest forgets the oldest transaction.
+func (l *ChangeLog) dropOldest() {
+	l.startRevision = l.changes[0].Revision
 	n := 0
-	for n < len(l.changes) && l.changes[n].Stamp == l.from {
+	for n < len(l.changes) && l.changes[n].Revision == l.startRevision {
 		l.bytes -= size(l.changes[n])
 		n++
 	}
@@ -146,15 +146,15 @@
 	l.changes = l.changes[n:]
 }
 
-func size(c kv.Change) int { return changeBytes + len(c.Key) + len(c.Value) }
+func size(c kv.Change) int { return changeOverhead + len(c.Key) + len(c.Value) }
 
 // Since are the changes after a revision; ok is false if some of them are forgotten.
-func (l *Log) Since(after uint64) (changes []kv.Change, ok bool) {
-	if after < l.from {
+func (l *ChangeLog) Since(after uint64) (changes []kv.Change, ok bool) {
+	if after < l.startRevision {
 		return nil, false
 	}
 	for i := len(l.changes); ; i-- {
-		if i == 0 || l.changes[i-1].Stamp <= after {
+		if i == 0 || l.changes[i-1].Revision <= after {
 			return append(changes, l.changes[i:]...), true
 		}
 	}
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -12,7 +12,7 @@
 // TestFollower: whom a follower asks, and what counts as an answer.
 func TestFollower(t *testing.T) {
 	const start = 100 * second
-	ask := func(f *Follower, ok bool, now int64) bool { return f.Ended(f.Ask(), ok, now) }
+	ask := func(f *Follower, ok bool, now int64) bool { return f.EndRequest(f.BeginRequest(), ok, now) }
 	cases := []struct {
 		name    string
 		do      func(f *Follower)
@@ -20,7 +20,7 @@
 		source  string
 		follows bool
 	}{
-		{"nobody leads", func(f *Follower) { f.Led("", 0) }, 0, "", false},
+		{"nobody leads", func(f *Follower) { f.SetLeader("", 0) }, 0, "", false},
 		{"not asked yet", func(*Follower) {}, 0, "n1", false},
 		{"answered", func(f *Follower) { ask(f, true, start) }, second, "n1", true},
 		{"answered long ago", func(f *Follower) { ask(f, true, start) }, 3 * second, "n1", false},
@@ -31,20 +31,20 @@
 			for range 20 {
 				ask(f, false, start)
 			}
-		}, mostPause, "n1", false},
+		}, maxRetryDelay, "n1", false},
 		{"failed after an answer", func(f *Follower) { ask(f, true, start); ask(f, false, start) }, 0, "", false},
-		{"another leads since", func(f *Follower) { ask(f, false, start); f.Led("n2", 6) }, 0, "n2", false},
-		{"another led, and the first again", func(f *Follower) { ask(f, true, start); f.Led("n2", 6); f.Led("n1", 7) }, 0, "n1", false},
-		{"the same leads anew", func(f *Follower) { ask(f, true, start); f.Led("n1", 8) }, 0, "n1", false},
+		{"another leads since", func(f *Follower) { ask(f, false, start); f.SetLeader("n2", 6) }, 0, "n2", false},
+		{"another led, and the first again", func(f *Follower) { ask(f, true, start); f.SetLeader("n2", 6); f.SetLeader("n1", 7) }, 0, "n1", false},
+		{"the same leads anew", func(f *Follower) { ask(f, true, start); f.SetLeader("n1", 8) }, 0, "n1", false},
 	}
 	for _, tc := range cases {
 		f := &Follower{}
-		f.Led("n1", 5)
+		f.SetLeader("n1", 5)
 		tc.do(f)
 		if got := f.Source(start + tc.at); got != tc.source {
 			t.Errorf("%s: asks %q, want %q", tc.name, got, tc.source)
 		}
-		if got := f.Follows(start + tc.at); got != tc.follows {
+		if got := f.IsFollowing(start + tc.at); got != tc.follows {
 			t.Errorf("%s: follows: %v", tc.name, got)
 		}
 	}
@@ -53,13 +53,13 @@
 // TestEnded: late answers and repeated ones count for nothing.
 func TestEnded(t *testing.T) {
 	f := &Follower{}
-	f.Led("n1", 5)
-	first := f.Ask()
-	if !f.Ended(first, false, 1) || f.Ended(first, true, 2) || f.Ended(0, true, 2) {
+	f.SetLeader("n1", 5)
+	first := f.BeginRequest()
+	if !f.EndRequest(first, false, 1) || f.EndRequest(first, true, 2) || f.EndRequest(0, true, 2) {
 		t.Error("a late answer counts")
 	}
-	second := f.Ask()
-	if f.Ended(first, true, 3) || !f.Ended(second, true, 3) || f.Ended(second, true, 4) {
+	second := f.BeginRequest()
+	if f.EndRequest(first, true, 3) || !f.EndRequest(second, true, 3) || f.EndRequest(second, true, 4) {
 		t.Error("a repeated answer counts")
 	}
 }
@@ -67,7 +67,7 @@
 // TestLog compares the changes that are shown with all that there were.
 func TestLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var log Log
+		var log ChangeLog
 		var all []kv.Change
 		rev := uint64(rapid.IntRange(0, 5).Draw(t, "start"))
 		log.Restart(rev)
@@ -76,12 +76,12 @@
 		for range rapid.IntRange(0, 200).Draw(t, "transactions") {
 			rev += uint64(rapid.IntRange(1, 3).Draw(t, "step"))
 			for k := range rapid.IntRange(1, 4).Draw(t, "changes") {
-				c := kv.Change{Key: fmt.Sprint("k", k), Value: make([]byte, size), Stamp: rev}
+				c := kv.Change{Key: fmt.Sprint("k", k), Value: make([]byte, size), Revision: rev}
 				all = append(all, c)
 				log.Append(c)
 			}
 		}
-		if log.bytes > logBytes+4*(size+100) || len(log.changes) > logMost {
+		if log.bytes > maxLogBytes+4*(size+100) || len(log.changes) > maxLogChanges {
 			t.Fatalf("%d bytes, %d changes", log.bytes, len(log.changes))
 		}
 		after := uint64(rapid.IntRange(0, int(rev)+1).Draw(t, "after"))
@@ -94,7 +94,7 @@
 		}
 		want := 0
 		for _, c := range all {
-			if c.Stamp > after {
+			if c.Revision > after {
 				want++
 			}
 		}
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/btree"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
@@ -37,19 +37,19 @@
 // usable says whether tasks may be placed on a machine now: its worker has
 // accepted this leader, hears it, reports in time, and the machine is to stay.
 func (c *Core) usable(m *fleet.Machine) bool {
-	return m.Fresh && !m.Delivery.Deaf && !m.Drain && !m.Releasing && m.NoticeAt == 0 && m.Heard > c.now-c.set.Overdue() && m.Cap != ledger.Vec{}
+	return m.HasCurrentToken && !m.Delivery.CannotReceive && !m.Draining && !m.Releasing && m.ReclaimAt == 0 && m.LastHeartbeat > c.now-c.set.Overdue() && m.Cap != jobstate.Resources{}
 }
 
 // refresh repairs the index and returns it.
 func (c *Core) refresh() *sched.Index {
 	l := c.lead
 	r := &l.roster
-	if !slices.Equal(r.cuts, c.bounds.Cuts) {
-		r.cuts = slices.Clone(c.bounds.Cuts)
-		l.fleet.TouchAll()
+	if !slices.Equal(r.cuts, c.bounds.Boundaries) {
+		r.cuts = slices.Clone(c.bounds.Boundaries)
+		l.fleet.MarkAllChanged()
 	}
 	// Those that are forgotten go first, so that all that were heard are there.
-	l.fleet.Changed(c.repair)
+	l.fleet.DrainChanged(c.repair)
 	for {
 		v, ok := r.heard.Min()
 		if !ok || v.heard > c.now-c.set.Overdue() {
@@ -72,28 +72,28 @@
 		return
 	}
 	if v == nil {
-		v = &view{heard: m.Heard}
+		v = &view{heard: m.LastHeartbeat}
 		v.Name = m.Name
 		r.views[m] = v
 		r.heard.Set(v)
-	} else if v.heard != m.Heard {
+	} else if v.heard != m.LastHeartbeat {
 		r.heard.Delete(v)
-		v.heard = m.Heard
+		v.heard = m.LastHeartbeat
 		r.heard.Set(v)
 	}
-	v.Type, v.Zone, v.Spot, v.Part = m.Type, m.Zone, m.Spot, c.bounds.PartOf(m.Hash)
-	v.Cap, v.Free, v.Next, v.FetchRate, v.Images = m.Cap, m.Free(), c.nextOrders(m), m.FetchRate, m.Images
+	v.Type, v.Zone, v.Spot, v.Partition = m.Type, m.Zone, m.Spot, c.bounds.PartitionOfHash(m.Hash)
+	v.Cap, v.Free, v.NextContact, v.FetchRate, v.Images = m.Cap, m.Free(), c.nextOrders(m), m.FetchRate, m.Images
 	r.index.Put(&v.Machine)
 }
 
 // loadRuns tells the planner what occupies a machine.
-func (c *Core) loadRuns(sm *sched.Machine, guaranteed map[*ledger.Job]bool) {
+func (c *Core) loadRuns(sm *sched.Machine, guaranteed map[*jobstate.Job]bool) {
 	m := c.lead.fleet.Get(sm.Name)
-	sm.Runs = sm.Runs[:0]
+	sm.RunningTasks = sm.RunningTasks[:0]
 	for ref := range m.Placed {
-		sm.Runs = append(sm.Runs, c.run(m, ref, guaranteed[ref.Job]))
+		sm.RunningTasks = append(sm.RunningTasks, c.run(m, ref, guaranteed[ref.Job]))
 	}
-	slices.SortFunc(sm.Runs, func(a, b sched.Run) int {
+	slices.SortFunc(sm.RunningTasks, func(a, b sched.RunningTask) int {
 		return cmp.Or(cmp.Compare(a.End, b.End), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
 	})
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // workerFleet is a leader with a fleet of workers and a stream of jobs, all in one
@@ -68,7 +68,7 @@
 	w.set.Cloud.RPS = 1.5
 	w.set.Limits.CoreShare = 1
 	w.c = New(w.set, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	types := []fleet.Type{{Name: "c", Cap: ledger.Vec{CPU: 48000, GPU: 8000, Mem: 288000}, FetchRate: 600, CacheMB: 150_000, Zones: w.set.Zones}}
+	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 48000, GPU: 8000, Mem: 288000}, FetchRate: 600, CacheMB: 150_000, Zones: w.set.Zones}}
 	w.store(tokenKey, encode(tokenValue{5}))
 	w.store(typesKey, encode(types))
 	w.step(Listed{Ledger: 10, Rows: []Change{w.stored[tokenKey], w.stored[typesKey]}})
@@ -105,10 +105,10 @@
 				w.writes++
 				w.store(x.Key, x.Value)
 				if !strings.HasPrefix(x.Key, runPrefix) && !strings.HasPrefix(x.Key, logPrefix) {
-					news = append(news, Change{Key: x.Key, Value: x.Value, Stamp: w.rev})
+					news = append(news, Change{Key: x.Key, Value: x.Value, Revision: w.rev})
 				}
 			}
-			w.late = append(w.late, Committed{ID: e.ID, Status: 200, Ledger: w.rev}, Watched{After: w.rev - 1, Ledger: w.rev, Sent: w.now, Changes: news})
+			w.late = append(w.late, Committed{ID: e.ID, Status: 200, Revision: w.rev}, Watched{After: w.rev - 1, Ledger: w.rev, Sent: w.now, Changes: news})
 		case Rent:
 			w.late = append(w.late, Rented{Rent: e, Status: 503})
 		case ListMachines:
@@ -123,7 +123,7 @@
 		delete(w.stored, key)
 		return
 	}
-	w.stored[key] = Change{Key: key, Value: value, Stamp: w.rev}
+	w.stored[key] = Change{Key: key, Value: value, Revision: w.rev}
 }
 
 // crash ends the leader and starts another controller in its place.
@@ -216,22 +216,22 @@
 // submit adds a job of one of three sorts.
 func (w *workerFleet) submit() {
 	w.jobs++
-	s := &ledger.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
+	s := &jobstate.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
 	switch w.rng.IntN(3) {
 	case 0:
-		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Checkpoint = ledger.Gang, 1<<w.rng.IntN(5), ledger.Vec{CPU: 43000, GPU: 8000, Mem: 230000}, true, 1, 20*second
+		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Checkpoint = jobstate.Gang, 1<<w.rng.IntN(5), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 1, 20*second
 	case 1:
-		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Team = ledger.Gang, 1<<w.rng.IntN(3), ledger.Vec{CPU: 43000, GPU: 8000, Mem: 230000}, true, 2, "blue"
+		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Team = jobstate.Gang, 1<<w.rng.IntN(3), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 2, "blue"
 	default:
-		s.Kind, s.Tasks, s.Need = ledger.Array, 30+w.rng.IntN(200), ledger.Vec{CPU: 5000, GPU: 1000, Mem: 27000}
+		s.Kind, s.Tasks, s.Need = jobstate.Array, 30+w.rng.IntN(200), jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}
 	}
 	w.add(s)
 }
 
 // add has a job accepted.
-func (w *workerFleet) add(s *ledger.Spec) {
+func (w *workerFleet) add(s *jobstate.Spec) {
 	w.rev++
-	w.store(jobPrefix+s.ID, encode(ledger.Record{Spec: s}))
+	w.store(jobPrefix+s.ID, encode(jobstate.Record{Spec: s}))
 	w.late = append(w.late, Watched{After: w.rev - 1, Ledger: w.rev, Changes: []Change{w.stored[jobPrefix+s.ID]}})
 }
 
@@ -276,7 +276,7 @@
 	w.endless = true
 	w.play(10, 0)
 	for k := range jobs {
-		w.add(&ledger.Spec{ID: fmt.Sprintf("big-%02d", k), Class: "c", Team: "red", Kind: ledger.Array, Tasks: each, Spot: true, Need: ledger.Vec{CPU: 4000, Mem: 20000}, Estimate: 600 * second, Priority: k % 2})
+		w.add(&jobstate.Spec{ID: fmt.Sprintf("big-%02d", k), Class: "c", Team: "red", Kind: jobstate.Array, Tasks: each, Spot: true, Need: jobstate.Resources{CPU: 4000, Mem: 20000}, Estimate: 600 * second, Priority: k % 2})
 	}
 	w.play(60, 0)
 	if n := w.running(t); n != jobs*each {
@@ -286,7 +286,7 @@
 	w.play(20, 0)
 	known := 0
 	for _, m := range w.c.lead.fleet.All() {
-		if m.Fresh {
+		if m.HasCurrentToken {
 			known++
 		}
 	}
@@ -331,7 +331,7 @@
 	if most != sockets/2 {
 		t.Errorf("%d were parked at once, want %d", most, sockets/2)
 	}
-	w.add(&ledger.Spec{ID: "wide", Class: "c", Team: "red", Kind: ledger.Array, Tasks: machines, Need: ledger.Vec{CPU: 40000}, Estimate: 600 * second})
+	w.add(&jobstate.Spec{ID: "wide", Class: "c", Team: "red", Kind: jobstate.Array, Tasks: machines, Need: jobstate.Resources{CPU: 40000}, Estimate: 600 * second})
 	w.endless = true
 	w.play(40, 0)
 	if n := w.running(t); n != machines {
@@ -356,7 +356,7 @@
 			case 2:
 				w.step(Released{Names: []string{h.name}, OK: true, Token: w.c.lead.token})
 			case 3:
-				if m := w.c.lead.fleet.Get(h.name); m != nil && m.Fresh {
+				if m := w.c.lead.fleet.Get(h.name); m != nil && m.HasCurrentToken {
 					h.noticed = true
 				}
 			case 4:
@@ -367,7 +367,7 @@
 				w.c.types[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
 				w.step(Types{Types: w.c.types, Token: w.c.lead.token})
 			case 6:
-				w.c.bounds.Cuts = fleet.Cut([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queues)
+				w.c.bounds.Boundaries = fleet.PartitionHashes([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queues)
 			case 7, 8, 9:
 				w.submit()
 			}
@@ -383,8 +383,8 @@
 					continue
 				}
 				n++
-				got := []any{v.Type, v.Zone, v.Spot, v.Part, v.Cap, v.Free, v.Next, v.FetchRate, len(v.Images)}
-				if want := []any{m.Type, m.Zone, m.Spot, w.c.bounds.PartOf(m.Hash), m.Cap, m.Free(), w.c.nextOrders(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.roster.index.Find(m.Name) != &v.Machine {
+				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
+				if want := []any{m.Type, m.Zone, m.Spot, w.c.bounds.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.nextOrders(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.roster.index.Find(m.Name) != &v.Machine {
 					t.Fatalf("%s: planned with %v, and known is %v", m.Name, got, want)
 				}
 			}
@@ -448,20 +448,20 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var rows []Change
 			add := func(key string, value []byte) {
-				rows = append(rows, Change{Key: key, Value: value, Stamp: uint64(len(rows) + 1)})
+				rows = append(rows, Change{Key: key, Value: value, Revision: uint64(len(rows) + 1)})
 			}
 			add(tokenKey, encode(tokenValue{5}))
 			w := newWorkerFleet(n)
 			add(typesKey, encode(w.c.types))
 			for k := range n / 25 {
-				s := &ledger.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: ledger.Array, Tasks: 100, Need: ledger.Vec{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
-				j := ledger.NewJob(s)
+				s := &jobstate.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: jobstate.Array, Tasks: 100, Need: jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
+				j := jobstate.NewJob(s)
 				for i := range s.Tasks {
-					j.Place(i, w.workers[(k*25+i/4)%n].name, 1, 1)
+					j.PlaceTask(i, w.workers[(k*25+i/4)%n].name, 1, 1)
 				}
-				v, _ := j.Take(0, 0)
-				add(jobPrefix+s.ID, encode(ledger.Record{Spec: s}))
-				add(runKey(s.ID, ledger.Value{Span: ledger.ChunkTasks}), v)
+				v, _ := j.BeginChunkWrite(0, 0)
+				add(jobPrefix+s.ID, encode(jobstate.Record{Spec: s}))
+				add(runKey(s.ID, jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), v)
 			}
 			for b.Loop() {
 				next := &workerFleet{now: second, rev: uint64(len(rows) + 1), rng: w.rng, wait: map[uint64]*worker{}, workers: w.workers, stored: map[string]Change{}}
--- a/internal/core/sched/swap_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // TestSwap: an urgent gang that would have to fetch its image on the machines
@@ -15,29 +15,29 @@
 	// warm is a machine that has the image; busy ones run one task of a job of
 	// the kind, that has run for so many seconds.
 	warm := func(m *Machine) *Machine {
-		m.Images["im"] = fleet.Image{Used: 1}
+		m.Images["im"] = fleet.Image{LastUsed: 1}
 		return m
 	}
-	busy := func(name string, rank, ran int64, change func(*ledger.Job)) *Machine {
+	busy := func(name string, rank, ran int64, change func(*jobstate.Job)) *Machine {
 		m := box(name, 0, 8, 500)
-		j := m.Runs[0].Job
-		j.Rank, j.NumPlaced = int(rank), 1
+		j := m.RunningTasks[0].Job
+		j.EffectivePriority, j.NumPlaced = int(rank), 1
 		if change != nil {
 			change(j)
 		}
-		m.Runs[0].Lost = ran * s * j.Need.Weight()
+		m.RunningTasks[0].LostWork = ran * s * j.Need.Weight()
 		return m
 	}
-	saving := func(every, save int64) func(*ledger.Job) {
-		return func(j *ledger.Job) { j.Checkpoint, j.Save = every*s, save*s }
+	saving := func(every, save int64) func(*jobstate.Job) {
+		return func(j *jobstate.Job) { j.Checkpoint, j.Save = every*s, save*s }
 	}
 	urgent := func(tasks int, mb int64) *Job {
-		j := job("u", 0, ledger.Urgent, ledger.Gang, tasks, 8, 100)
+		j := job("u", 0, jobstate.Urgent, jobstate.Gang, tasks, 8, 100)
 		j.Image, j.ImageMB = "im", mb
 		return j
 	}
 	normal := urgent(1, 12_000)
-	normal.Rank, normal.Priority = ledger.Normal, ledger.Normal
+	normal.EffectivePriority, normal.Priority = jobstate.Normal, jobstate.Normal
 	cases := []struct {
 		name     string
 		machines []*Machine
@@ -53,11 +53,11 @@
 		{name: "not if much is lost", job: urgent(1, 12_000),
 			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 25, nil))}, want: []string{"cold"}},
 		{name: "not if it is as urgent", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", ledger.Urgent, 5, nil))}, want: []string{"cold"}},
+			machines: []*Machine{box("cold", 0), warm(busy("warm", jobstate.Urgent, 5, nil))}, want: []string{"cold"}},
 		{name: "not for a job that is not urgent", job: normal,
 			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"}},
 		{name: "not a gang of several, as all of it would stop", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, func(j *ledger.Job) { j.Kind, j.NumPlaced = ledger.Gang, 2 }))}, want: []string{"cold"}},
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"cold"}},
 		{name: "not if the image is on a free machine too", job: urgent(1, 12_000),
 			machines: []*Machine{warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, want: []string{"free"}},
 		{name: "a save that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
@@ -77,7 +77,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), Budget: 100, Patience: 60 * s}
+			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), MaxStarts: 100, PreemptDelay: 60 * s}
 			for _, m := range tc.claims {
 				p.Claims = append(p.Claims, Claim{tc.job.Job, m})
 			}
@@ -90,16 +90,16 @@
 				t.Errorf("starts on %v, want %v", got, tc.want)
 			}
 			stops := ""
-			for _, st := range plan.Stops {
+			for _, st := range plan.Preemptions {
 				i := slices.IndexFunc(tc.machines, func(m *Machine) bool {
-					return slices.ContainsFunc(m.Runs, func(r Run) bool { return r.Job == st.Job })
+					return slices.ContainsFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == st.Job })
 				})
 				stops += tc.machines[i].Name + map[bool]string{true: "!"}[st.Kill] + " "
 			}
 			if stops != tc.stops {
 				t.Errorf("stops on %q, want %q", stops, tc.stops)
 			}
-			for _, st := range plan.Stops {
+			for _, st := range plan.Preemptions {
 				if !slices.ContainsFunc(plan.Claims, func(c Claim) bool { return c.Job == st.For.Job }) {
 					t.Error(fmt.Sprint("room is made for ", st.For.ID, " and claimed by nobody"))
 				}
@@ -108,4 +108,4 @@
 	}
 }
 
-func stopping(m *Machine) *Machine { m.Runs[0].Stoppable = false; return m }
+func stopping(m *Machine) *Machine { m.RunningTasks[0].Preemptible = false; return m }
--- a/internal/core/sched/index.go
+++ b/internal/core/sched/index.go
@@ -8,19 +8,19 @@
 	"github.com/tidwall/btree"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// Class is what machines have in common that decides whether a job may ever
+// MachineClass is what machines have in common that decides whether a job may ever
 // be on them, and whose partition they are in.
-type Class struct {
+type MachineClass struct {
 	Type, Zone string
 	Spot       bool
-	Part       int
-	Cap        ledger.Vec
+	Partition  int
+	Cap        jobstate.Resources
 }
 
-func (c Class) compare(o Class) int {
+func (c MachineClass) compare(o MachineClass) int {
 	spot := 0
 	if c.Spot != o.Spot {
 		spot = 1
@@ -28,20 +28,20 @@
 			spot = -1
 		}
 	}
-	return cmp.Or(cmp.Compare(c.Type, o.Type), cmp.Compare(c.Zone, o.Zone), spot, cmp.Compare(c.Part, o.Part),
+	return cmp.Or(cmp.Compare(c.Type, o.Type), cmp.Compare(c.Zone, o.Zone), spot, cmp.Compare(c.Partition, o.Partition),
 		cmp.Compare(c.Cap.GPU, o.Cap.GPU), cmp.Compare(c.Cap.CPU, o.Cap.CPU), cmp.Compare(c.Cap.Mem, o.Cap.Mem))
 }
 
-// group is the machines of a class, by what is free on them.
-type group struct {
-	Class
+// machineGroup is the machines of a class, by what is free on them.
+type machineGroup struct {
+	MachineClass
 	free *btree.BTreeG[*Machine]
 }
 
-// image is which machines have an image or are fetching it.
-type image struct {
-	name string
-	on   *roaring.Bitmap
+// imageHolders is which machines have an image or are fetching it.
+type imageHolders struct {
+	name     string
+	machines *roaring.Bitmap
 	// worth is what it is worth in this round to jobs to come, as a delay.
 	worth int64
 }
@@ -51,11 +51,11 @@
 // them, and by image. It is kept from round to round; Put and Remove repair it
 // as what is known of a machine changes.
 type Index struct {
-	groups []*group // in the order of their classes
-	byName map[string]*Machine
-	slots  []*Machine
-	vacant []uint32
-	images map[string]*image
+	groups    []*machineGroup // in the order of their classes
+	byName    map[string]*Machine
+	slots     []*Machine
+	freeSlots []uint32
+	images    map[string]*imageHolders
 	// round numbers the rounds of planning: what a machine has of an earlier
 	// one means nothing.
 	round uint64
@@ -63,7 +63,7 @@
 
 // NewIndex makes an index of machines.
 func NewIndex(machines ...*Machine) *Index {
-	x := &Index{byName: map[string]*Machine{}, images: map[string]*image{}}
+	x := &Index{byName: map[string]*Machine{}, images: map[string]*imageHolders{}}
 	for _, m := range machines {
 		x.Put(m)
 	}
@@ -74,10 +74,10 @@
 func (x *Index) Len() int { return len(x.byName) }
 
 // Capacity is what all machines have together.
-func (x *Index) Capacity() ledger.Vec {
-	var all ledger.Vec
+func (x *Index) Capacity() jobstate.Resources {
+	var all jobstate.Resources
 	for _, g := range x.groups {
-		all = all.Add(g.Cap.Times(int64(g.free.Len())))
+		all = all.Add(g.Cap.Scale(int64(g.free.Len())))
 	}
 	return all
 }
@@ -99,17 +99,17 @@
 // Put enters a machine, or takes over what has changed of one that was
 // entered. One name is always the same *Machine.
 func (x *Index) Put(m *Machine) {
-	class := Class{m.Type, m.Zone, m.Spot, m.Part, m.Cap}
+	class := MachineClass{m.Type, m.Zone, m.Spot, m.Partition, m.Cap}
 	if m.group == nil {
 		x.byName[m.Name] = m
-		if n := len(x.vacant); n > 0 {
-			m.slot, x.vacant = x.vacant[n-1], x.vacant[:n-1]
+		if n := len(x.freeSlots); n > 0 {
+			m.slot, x.freeSlots = x.freeSlots[n-1], x.freeSlots[:n-1]
 			x.slots[m.slot] = m
 		} else {
 			m.slot = uint32(len(x.slots))
 			x.slots = append(x.slots, m)
 		}
-	} else if m.group.Class != class {
+	} else if m.group.MachineClass != class {
 		m.group.free.Delete(m)
 		m.group = nil
 	} else if m.free != m.Free {
@@ -139,20 +139,20 @@
 		delete(x.byName, m.Name)
 	}
 	x.slots[m.slot] = nil
-	x.vacant = append(x.vacant, m.slot)
+	x.freeSlots = append(x.freeSlots, m.slot)
 }
 
 // setFree moves a machine to its place by what is free on it.
-func (x *Index) setFree(m *Machine, free ledger.Vec) {
+func (x *Index) setFree(m *Machine, free jobstate.Resources) {
 	m.group.free.Delete(m)
 	m.Free, m.free = free, free
 	m.group.free.Set(m)
 }
 
-func (x *Index) group(c Class) *group {
-	i, ok := slices.BinarySearchFunc(x.groups, c, func(g *group, c Class) int { return g.compare(c) })
+func (x *Index) group(c MachineClass) *machineGroup {
+	i, ok := slices.BinarySearchFunc(x.groups, c, func(g *machineGroup, c MachineClass) int { return g.compare(c) })
 	if !ok {
-		x.groups = slices.Insert(x.groups, i, &group{Class: c, free: btree.NewBTreeGOptions(byFree, btree.Options{NoLocks: true})})
+		x.groups = slices.Insert(x.groups, i, &machineGroup{MachineClass: c, free: btree.NewBTreeGOptions(byFree, btree.Options{NoLocks: true})})
 	}
 	return x.groups[i]
 }
@@ -160,7 +160,7 @@
 // putImages repairs which images a machine has. Most have a few, and mostly the
 // same as before.
 func (x *Index) putImages(m *Machine) {
-	m.images = slices.DeleteFunc(m.images, func(im *image) bool {
+	m.images = slices.DeleteFunc(m.images, func(im *imageHolders) bool {
 		if _, ok := m.Images[im.name]; ok {
 			return false
 		}
@@ -173,34 +173,34 @@
 	for name := range m.Images {
 		im := x.images[name]
 		if im == nil {
-			im = &image{name: name, on: roaring.New()}
+			im = &imageHolders{name: name, machines: roaring.New()}
 			x.images[name] = im
 		}
-		if im.on.CheckedAdd(m.slot) {
+		if im.machines.CheckedAdd(m.slot) {
 			m.images = append(m.images, im)
 		}
 	}
 }
 
-func (x *Index) dropImage(im *image, m *Machine) {
-	im.on.Remove(m.slot)
-	if im.on.IsEmpty() {
+func (x *Index) dropImage(im *imageHolders, m *Machine) {
+	im.machines.Remove(m.slot)
+	if im.machines.IsEmpty() {
 		delete(x.images, im.name)
 	}
 }
 
-// begin starts a round, in which images are worth so much.
-func (x *Index) begin(worth map[string]int64) {
+// beginRound starts a round, in which images are worth so much.
+func (x *Index) beginRound(worth map[string]int64) {
 	x.round++
 	for name, im := range x.images {
 		im.worth = worth[name]
 	}
 }
 
-// with calls f for the machines that have an image.
-func (x *Index) with(name string, f func(*Machine)) {
+// eachWithImage calls f for the machines that have an image.
+func (x *Index) eachWithImage(name string, f func(*Machine)) {
 	if im := x.images[name]; im != nil {
-		for it := im.on.Iterator(); it.HasNext(); {
+		for it := im.machines.Iterator(); it.HasNext(); {
 			f(x.slots[it.Next()])
 		}
 	}
@@ -211,54 +211,54 @@
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	Part             int
-	Cap, Free        ledger.Vec
-	// Next is when orders can get to it next: in the answer to its worker's
+	Partition        int
+	Cap, Free        jobstate.Resources
+	// NextContact is when orders can get to it next: in the answer to its worker's
 	// next report, or at once if one waits for them.
-	Next int64
+	NextContact int64
 	// FetchRate is in MB a second, Images what it has or is fetching; the
 	// planner only reads it, and keeps what it adds itself in coming.
 	FetchRate int64
 	Images    map[string]fleet.Image
-	// Runs are what occupies it, by their ends; where the planner has Load
+	// RunningTasks are what occupies it, by their ends; where the planner has Load
 	// they are there once it was called.
-	Runs []Run
+	RunningTasks []RunningTask
 
-	group  *group
-	free   ledger.Vec // what it is ordered by in its group
+	group  *machineGroup
+	free   jobstate.Resources // what it is ordered by in its group
 	slot   uint32
-	images []*image
+	images []*imageHolders
 	// What follows is of one round.
-	round  uint64
-	loaded bool
-	worth  int64
-	holds  []hold
-	coming []string
+	round         uint64
+	tasksLoaded   bool
+	imageWorth    int64
+	reservations  []reservation
+	plannedImages []string
 }
 
-// has says whether the machine has an image or will have it.
-func (m *Machine) has(name string) bool {
+// willHaveImage says whether the machine has an image or will have it.
+func (m *Machine) willHaveImage(name string) bool {
 	for _, im := range m.images {
 		if im.name == name {
 			return true
 		}
 	}
-	return slices.Contains(m.coming, name)
+	return slices.Contains(m.plannedImages, name)
 }
 
-// there says whether an image is on the machine, and not on its way only.
-func (m *Machine) there(name string) bool {
+// hasImage says whether an image is on the machine, and not on its way only.
+func (m *Machine) hasImage(name string) bool {
 	im, ok := m.Images[name]
-	return ok && !im.Coming
+	return ok && !im.Fetching
 }
 
-// claimedBefore says whether the machine is claimed for another job that j may
+// claimedAhead says whether the machine is claimed for another job that j may
 // not take it from.
-func (m *Machine) claimedBefore(j *Job) bool {
-	return slices.ContainsFunc(m.holds, func(h hold) bool { return h.kind == claimed && h.binds(j) })
+func (m *Machine) claimedAhead(j *Job) bool {
+	return slices.ContainsFunc(m.reservations, func(h reservation) bool { return h.kind == forClaim && h.blocks(j) })
 }
 
 // claimedFor says whether room is being made there for j.
 func (m *Machine) claimedFor(j *Job) bool {
-	return slices.ContainsFunc(m.holds, func(h hold) bool { return h.kind == claimed && h.by.Job == j.Job })
+	return slices.ContainsFunc(m.reservations, func(h reservation) bool { return h.kind == forClaim && h.job.Job == j.Job })
 }
--- a/internal/core/sched/index_test.go
+++ b/internal/core/sched/index_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // contents is all that an index says, without what it has of a round.
@@ -19,8 +19,8 @@
 		if g.free.Len() == 0 {
 			continue // its machines have gone
 		}
-		out += fmt.Sprintf("%v:", g.Class)
-		last := Machine{free: ledger.Vec{GPU: -1 << 40}}
+		out += fmt.Sprintf("%v:", g.MachineClass)
+		last := Machine{free: jobstate.Resources{GPU: -1 << 40}}
 		g.free.Scan(func(m *Machine) bool {
 			if !byFree(&last, m) || m.group != g || m.free != m.Free || x.byName[m.Name] != m || x.slots[m.slot] != m {
 				out += " broken"
@@ -38,7 +38,7 @@
 		}
 	}) {
 		var on []string
-		x.with(name, func(m *Machine) { on = append(on, m.Name) })
+		x.eachWithImage(name, func(m *Machine) { on = append(on, m.Name) })
 		slices.Sort(on)
 		out += fmt.Sprint(" ", name, on)
 	}
@@ -65,9 +65,9 @@
 				m = &Machine{Name: name, Images: map[string]fleet.Image{}}
 				there[name] = m
 			}
-			m.Type, m.Zone, m.Spot, m.Part = fmt.Sprint("t", draw(2, "type")), fmt.Sprint("z", draw(2, "zone")), draw(2, "spot") == 0, draw(2, "part")
-			m.Cap = ledger.Vec{CPU: 8000, GPU: int64(draw(2, "gpus")) * 2000, Mem: 9000}
-			m.Free = ledger.Vec{CPU: int64(draw(10, "cpu")-1) * 1000, GPU: min(m.Cap.GPU, int64(draw(3, "gpu"))*1000), Mem: int64(draw(10, "mem")) * 1000}
+			m.Type, m.Zone, m.Spot, m.Partition = fmt.Sprint("t", draw(2, "type")), fmt.Sprint("z", draw(2, "zone")), draw(2, "spot") == 0, draw(2, "part")
+			m.Cap = jobstate.Resources{CPU: 8000, GPU: int64(draw(2, "gpus")) * 2000, Mem: 9000}
+			m.Free = jobstate.Resources{CPU: int64(draw(10, "cpu")-1) * 1000, GPU: min(m.Cap.GPU, int64(draw(3, "gpu"))*1000), Mem: int64(draw(10, "mem")) * 1000}
 			if im := fmt.Sprint("im", draw(4, "image")); draw(2, "gain") == 0 {
 				m.Images[im] = fleet.Image{}
 			} else {
@@ -77,7 +77,7 @@
 		}
 		var anew []*Machine
 		for _, m := range there {
-			anew = append(anew, &Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Part: m.Part, Cap: m.Cap, Free: m.Free, Images: m.Images})
+			anew = append(anew, &Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Cap: m.Cap, Free: m.Free, Images: m.Images})
 		}
 		slices.SortFunc(anew, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
 		y := NewIndex(anew...)
@@ -85,11 +85,11 @@
 			t.Fatalf("got  %s\nwant %s", got, want)
 		}
 
-		j := job("j", 0, 0, ledger.Array, 9, 1+int64(draw(3, "need")), 10)
+		j := job("j", 0, 0, jobstate.Array, 9, 1+int64(draw(3, "need")), 10)
 		j.Need.GPU, j.Image, j.ImageMB = int64(draw(2, "need gpu"))*1000, "im1", 5000
-		p := Planner{Queues: 3, Index: x, Budget: 9, Worth: map[string]int64{"im2": 7}}
-		x.begin(p.Worth)
-		y.begin(p.Worth)
+		p := Planner{Queues: 3, Index: x, MaxStarts: 9, ImageWorth: map[string]int64{"im2": 7}}
+		x.beginRound(p.ImageWorth)
+		y.beginRound(p.ImageWorth)
 		c := p.search(j, draw(3, "in part")-1, nil, map[string]int{})
 		for got := c.next(); ; got = c.next() {
 			want := plainBest(&p, j, c.part, anew)
@@ -102,9 +102,9 @@
 			if got.Name != want.Name {
 				t.Fatalf("got %s, want %s", got.Name, want.Name)
 			}
-			p.occupy(j, got, 0)
+			p.allocate(j, got, 0)
 			want.Free = want.Free.Sub(j.Need)
-			c.again(got)
+			c.reinsert(got)
 		}
 	})
 }
@@ -113,8 +113,8 @@
 func plainBest(p *Planner, j *Job, part int, machines []*Machine) *Machine {
 	var best *Machine
 	for _, m := range machines {
-		class := Class{m.Type, m.Zone, m.Spot, m.Part, m.Cap}
-		if part >= 0 && m.Part != part || !j.allows(class) || !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.shuns(class) {
+		class := MachineClass{m.Type, m.Zone, m.Spot, m.Partition, m.Cap}
+		if part >= 0 && m.Partition != part || !j.allows(class) || !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(class) {
 			continue
 		}
 		if best == nil || p.cost(j, m, part) < p.cost(j, best, part) {
