--- a/internal/peer/internal/wire/request.go
+++ b/internal/peer/internal/wire/request.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // NewRequest is a request of the core as it is handed on; ok is false if it is none
@@ -86,7 +86,7 @@
 	}
 }
 
-func newSpec(in ledger.Spec) Spec {
+func newSpec(in jobstate.Spec) Spec {
 	return Spec{
 		ID:         in.ID,
 		Class:      in.Class,
@@ -106,39 +106,39 @@
 		Checkpoint: in.Checkpoint,
 		Save:       in.Save,
 		Deadline:   in.Deadline,
-		Awaits:     in.Awaits,
+		Awaits:     in.Dependencies,
 		Sweep:      in.Sweep,
 		Run:        in.Run,
 	}
 }
 
-func (in Spec) core() ledger.Spec {
-	return ledger.Spec{
-		ID:         in.ID,
-		Class:      in.Class,
-		Team:       in.Team,
-		Kind:       ledger.Kind(in.Kind),
-		Priority:   in.Priority,
-		Tasks:      in.Tasks,
-		Need:       in.Need.core(),
-		Types:      in.Types,
-		Zone:       in.Zone,
-		OneZone:    in.OneZone,
-		Spread:     in.Spread,
-		Spot:       in.Spot,
-		Image:      in.Image,
-		ImageMB:    in.ImageMB,
-		Estimate:   in.Estimate,
-		Checkpoint: in.Checkpoint,
-		Save:       in.Save,
-		Deadline:   in.Deadline,
-		Awaits:     in.Awaits,
-		Sweep:      in.Sweep,
-		Run:        in.Run,
+func (in Spec) core() jobstate.Spec {
+	return jobstate.Spec{
+		ID:           in.ID,
+		Class:        in.Class,
+		Team:         in.Team,
+		Kind:         jobstate.Kind(in.Kind),
+		Priority:     in.Priority,
+		Tasks:        in.Tasks,
+		Need:         in.Need.core(),
+		Types:        in.Types,
+		Zone:         in.Zone,
+		OneZone:      in.OneZone,
+		Spread:       in.Spread,
+		Spot:         in.Spot,
+		Image:        in.Image,
+		ImageMB:      in.ImageMB,
+		Estimate:     in.Estimate,
+		Checkpoint:   in.Checkpoint,
+		Save:         in.Save,
+		Deadline:     in.Deadline,
+		Dependencies: in.Awaits,
+		Sweep:        in.Sweep,
+		Run:          in.Run,
 	}
 }
 
-func newVec(in ledger.Vec) Vec {
+func newVec(in jobstate.Resources) Vec {
 	return Vec{
 		CPU: in.CPU,
 		GPU: in.GPU,
@@ -146,8 +146,8 @@
 	}
 }
 
-func (in Vec) core() ledger.Vec {
-	return ledger.Vec{
+func (in Vec) core() jobstate.Resources {
+	return jobstate.Resources{
 		CPU: in.CPU,
 		GPU: in.GPU,
 		Mem: in.Mem,
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,24 +24,24 @@
 // Handler is what a controller does for its peers. What it is given is not numbered
 // yet.
 type Handler interface {
-	// RelayedBeat answers a heartbeat that a peer relays.
-	RelayedBeat(beat core.Beat) (core.Reply, error)
-	// Pinged answers a ping with the controller's news.
-	Pinged(ping core.Pinged) (core.Reply, error)
-	// Ask answers a request that a peer hands on: a core.HandedSweep, or one that
+	// HandleRelayedHeartbeat answers a heartbeat that a peer relays.
+	HandleRelayedHeartbeat(beat core.Beat) (core.Reply, error)
+	// HandlePing answers a ping with the controller's news.
+	HandlePing(ping core.Pinged) (core.Reply, error)
+	// HandleRequest answers a request that a peer hands on: a core.HandedSweep, or one that
 	// Numbered makes a message of.
-	Ask(request any) (core.Reply, error)
+	HandleRequest(request any) (core.Reply, error)
 }
 
 // service has the methods that peers call.
 type service struct {
-	name string
-	h    Handler
+	name    string
+	handler Handler
 }
 
 // Ping answers at once.
 func (s *service) Ping(in wire.PingArgs, out *wire.PingReply) error {
-	r, err := s.h.Pinged(in.Core())
+	r, err := s.handler.HandlePing(in.Core())
 	if err != nil || r.News == nil {
 		return ErrNoAnswer
 	}
@@ -56,14 +56,14 @@
 	if !ok {
 		return ErrEmptyRequest
 	}
-	r, err := s.h.Ask(request)
+	r, err := s.handler.HandleRequest(request)
 	*out = wire.NewReply(r)
 	return err
 }
 
 // Beat hands a heartbeat to the core.
 func (s *service) Beat(in wire.BeatArgs, out *wire.Reply) error {
-	r, err := s.h.RelayedBeat(in.Core())
+	r, err := s.handler.HandleRelayedHeartbeat(in.Core())
 	*out = wire.NewReply(r)
 	return err
 }
--- a/internal/peer/ping_test.go
+++ b/internal/peer/ping_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/core/vouch"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
@@ -29,28 +29,28 @@
 		}
 	}
 	peers := []string{"n1", "n2", "n3", "n4"}
-	var witnesses [others]*vouch.Witness
+	var witnesses [others]*readlease.Grantor
 	for i := range witnesses {
-		witnesses[i] = vouch.NewWitness(peers[i], []string{"n0"}, 10*second, 0)
+		witnesses[i] = readlease.NewGrantor(peers[i], []string{"n0"}, 10*second, 0)
 		for n := range outstanding {
-			witnesses[i].Note(fmt.Sprintf("req-%06d", n), 0)
+			witnesses[i].RecordCancellation(fmt.Sprintf("req-%06d", n), 0)
 		}
 	}
-	round := func(vouched *vouch.Vouched, now int64) {
+	round := func(vouched *readlease.Holder, now int64) {
 		for i, p := range peers {
 			for more := true; more; {
 				ping := core.Pinged{From: "n0", Boot: "b"}
 				if vouched != nil {
-					q := vouched.Question(p, 7, now)
+					q := vouched.NextRequest(p, 7, now)
 					ping.Ask = &q
 				}
 				var received wire.PingArgs
 				args := wire.NewPing(ping)
 				send(&args, &received)
 				asked := received.Core()
-				news := core.PeerNews{Token: 3, Leader: "n0", Ack: &vouch.Ack{}}
+				news := core.PeerNews{Token: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
 				if asked.Ask != nil {
-					page := witnesses[i].Asked("n0", *asked.Ask, true, now)
+					page := witnesses[i].Grant("n0", *asked.Ask, true, now)
 					news.Vouch = &page
 				}
 				var answered wire.PingReply
@@ -59,7 +59,7 @@
 				reply := answered.Core()
 				more = false
 				if vouched != nil {
-					vouched.Answered(p, now, now, *reply.Vouch)
+					vouched.HandleGrant(p, now, now, *reply.Vouch)
 					more = reply.Vouch.More
 				}
 			}
@@ -75,12 +75,12 @@
 	b.Run("heard out first", func(b *testing.B) {
 		total = 0
 		for b.Loop() {
-			round(vouch.NewVouched(peers, 10*second), 0)
+			round(readlease.NewHolder(peers, 10*second), 0)
 		}
 		b.ReportMetric(float64(total)/float64(b.N), "B/round")
 	})
 	b.Run("from then on", func(b *testing.B) {
-		vouched := vouch.NewVouched(peers, 10*second)
+		vouched := readlease.NewHolder(peers, 10*second)
 		round(vouched, 0)
 		total = 0
 		for b.Loop() {
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -11,12 +11,12 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 	"github.com/zinclb/zinclb/internal/core/replica"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
-	"github.com/zinclb/zinclb/internal/core/vouch"
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
@@ -31,11 +31,11 @@
 	return map[string]any{
 		"PingArgs": core.Pinged{From: "node-1", Need: true},
 		"PingReply": PingAnswer{Name: "node-1", News: core.PeerNews{Token: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, Lowered: true,
-			Features: []upgrade.Name{upgrade.Log, upgrade.Reach}, Reach: &reach.Value{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
-			Machines: []reach.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}}}},
+			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Reach: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
+			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}}}},
 		"BeatArgs": core.Beat{From: "node-1", Onward: true, Report: core.Report{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Session: 2, Seq: 9, Token: 3, Notice: -1,
 			Tasks: []core.TaskReport{{Name: "job-01/0", Attempt: 2, State: "running"}}}},
-		"AskArgs submit":      core.Submit{Spec: &ledger.Spec{ID: "job-01", Team: "t", Tasks: 2, Awaits: []string{"job-00"}}, Handed: true},
+		"AskArgs submit":      core.Submit{Spec: &jobstate.Spec{ID: "job-01", Team: "t", Tasks: 2, Dependencies: []string{"job-00"}}, Handed: true},
 		"AskArgs status":      core.Status{ID: "job-01", Handed: true},
 		"AskArgs cancel":      core.Cancel{ID: "job-01", Handed: true},
 		"AskArgs sweep":       core.HandedSweep{ID: "s", Stored: "x", Invalid: "y"},
@@ -57,9 +57,9 @@
 // they tell users, which took no other program number: nothing stored depends on it.
 func messagesVouch() map[string]any {
 	return map[string]any{
-		"PingArgs": core.Pinged{From: "node-1", Boot: "b1", Ask: &vouch.Question{Boot: "b2", Upto: 3, Applied: 9}, Tell: &vouch.Page{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
-		"PingReply": PingAnswer{Name: "node-2", News: core.PeerNews{Token: 3, Leader: "node-1", Vouch: &vouch.Page{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
-			Ack: &vouch.Ack{Holds: true, Boot: "b1", Upto: 2, Applied: 8}}},
+		"PingArgs": core.Pinged{From: "node-1", Boot: "b1", Ask: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Tell: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
+		"PingReply": PingAnswer{Name: "node-2", News: core.PeerNews{Token: 3, Leader: "node-1", Vouch: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
+			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8}}},
 		"AskArgs rent": core.CloudFor{Token: 3, Call: core.CloudCall{Rent: &core.Rent{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2, Token: 3}}},
 	}
 }
@@ -69,8 +69,8 @@
 func messagesShared() map[string]any {
 	return map[string]any{
 		"AskArgs view": core.ViewFor{After: 7, Need: 2},
-		"Reply view": core.Reply{Req: 1, Status: 200, View: &replica.View{Ledger: 9, Granted: 2,
-			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Stamp: 8}, {Key: "zinclb/job/b", Stamp: 9, Removed: true}}}},
+		"Reply view": core.Reply{Req: 1, Status: 200, View: &replica.View{Revision: 9, Granted: 2,
+			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Revision: 8}, {Key: "zinclb/job/b", Revision: 9, Removed: true}}}},
 	}
 }
 
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
@@ -71,7 +71,7 @@
 	}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerNews{Token: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, Lowered: true,
-		Features: []upgrade.Name{upgrade.Log}, Reach: &reach.Value{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []reach.Machine{{Name: "h", Addr: "x", Zone: "a"}}})); err != nil {
+		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Reach: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}}})); err != nil {
 		t.Fatal(err)
 	}
 	if err := gob.NewDecoder(&b).Decode(&old); err != nil || old.Name != "n" || old.News.Token != 3 || old.News.Leader != "l" || old.News.StateAge != 5 || len(old.News.Cancelled) != 1 {
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -51,20 +51,20 @@
 		return gotten{string(value), stamp, err}
 	}
 	multi := func() any {
-		return client.Multi(core.Multi{
-			ID: 5, When: []core.Cond{{Key: "zinclb/leader", Stamp: 3}, {Key: "zinclb/end/a"}},
+		return client.Transact(core.Multi{
+			ID: 5, When: []core.Cond{{Key: "zinclb/leader", Revision: 3}, {Key: "zinclb/end/a"}},
 			Writes: []core.Write{{Key: "zinclb/job/a", Value: []byte(`{"a":"<b>"}`)}, {Key: "zinclb/leader", Value: []byte(`1`), Lease: 77}, {Key: "zinclb/run/a"}},
 		}, time.Second)
 	}
 	lease := func() any {
-		id, err := client.Lease(3 * time.Second)
+		id, err := client.GrantLease(3 * time.Second)
 		return leased{Lease: id, Err: err}
 	}
 	touch := func() any {
-		gone, err := client.Touch(77)
+		gone, err := client.RenewLease(77)
 		return leased{Gone: gone, Err: err}
 	}
-	drop := func() any { return leased{Err: client.Drop(77)} }
+	drop := func() any { return leased{Err: client.RevokeLease(77)} }
 	watch := func() any { return client.Watch("zinclb/", 40, 1500*time.Millisecond) }
 	view := func() any { return client.Watch("zinclb/", 40, 0) }
 	for _, tc := range []struct {
@@ -79,18 +79,18 @@
 				answered(200, `{"rows":[{"path":"zinclb/job/a","data":{"x":1},"stamp":8},{"path":"zinclb/job/b+c d","data":2,"stamp":9}],"truncated":true,"ledger":40}`),
 				answered(200, `{"rows":[{"path":"zinclb/job/e","data":"t","stamp":10}],"truncated":false,"ledger":41}`),
 			},
-			listed{Rows: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Stamp: 8}, {Key: "zinclb/job/b+c d", Value: []byte(`2`), Stamp: 9}, {Key: "zinclb/job/e", Value: []byte(`"t"`), Stamp: 10}}, Ledger: 40, Paced: 2},
+			listed{Rows: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Revision: 8}, {Key: "zinclb/job/b+c d", Value: []byte(`2`), Revision: 9}, {Key: "zinclb/job/e", Value: []byte(`"t"`), Revision: 10}}, Ledger: 40, Paced: 2},
 		},
 		{"list, nothing", list, []httpwire.Response{answered(200, `{"rows":[],"truncated":false,"ledger":12}`)}, listed{Ledger: 12, Paced: 1}},
 		{"list, refused", list, []httpwire.Response{answered(429, `{}`)}, listed{Paced: 1, Err: StatusError(429)}},
 		{"get", get, []httpwire.Response{answered(200, `{"path":"zinclb/job/a","data":{"x":1},"stamp":8}`)}, gotten{Value: `{"x":1}`, Stamp: 8}},
 		{"get, absent", get, []httpwire.Response{answered(404, `{}`)}, gotten{}},
 		{"get, refused", get, []httpwire.Response{answered(503, `{}`)}, gotten{Err: StatusError(503)}},
-		{"multi, done", multi, []httpwire.Response{answered(200, `{"ledger":43}`)}, core.Committed{ID: 5, Status: 200, Ledger: 43}},
-		{"multi, conditions fail", multi, []httpwire.Response{answered(409, `{"ledger":44,"failed":["zinclb/leader"]}`)}, core.Committed{ID: 5, Status: 409, Ledger: 44, Failed: []string{"zinclb/leader"}}},
+		{"multi, done", multi, []httpwire.Response{answered(200, `{"ledger":43}`)}, core.Committed{ID: 5, Status: 200, Revision: 43}},
+		{"multi, conditions fail", multi, []httpwire.Response{answered(409, `{"ledger":44,"failed":["zinclb/leader"]}`)}, core.Committed{ID: 5, Status: 409, Revision: 44, Failed: []string{"zinclb/leader"}}},
 		{"multi, refused", multi, []httpwire.Response{answered(429, `{}`)}, core.Committed{ID: 5, Status: 429}},
 		{"multi, unreadable", multi, []httpwire.Response{answered(200, `{`)}, core.Committed{ID: 5}},
-		{"multi, nothing", func() any { return client.Multi(core.Multi{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.Committed{ID: 6, Status: 200, Ledger: 45}},
+		{"multi, nothing", func() any { return client.Transact(core.Multi{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.Committed{ID: 6, Status: 200, Revision: 45}},
 		{"lease", lease, []httpwire.Response{answered(200, `{"tenure":77}`)}, leased{Lease: 77}},
 		{"lease, refused", lease, []httpwire.Response{answered(429, `{}`)}, leased{Err: StatusError(429)}},
 		{"touch", touch, []httpwire.Response{answered(200, `{}`)}, leased{}},
@@ -100,7 +100,7 @@
 		{
 			"watch", watch,
 			[]httpwire.Response{answered(200, `{"ledger":42,"news":[{"put":"zinclb/job/a","data":{"x":1},"stamp":41},{"remove":"zinclb/run/a","stamp":42}]}`)},
-			core.Watched{After: 40, Ledger: 42, Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Stamp: 41}, {Key: "zinclb/run/a", Stamp: 42, Removed: true}}},
+			core.Watched{After: 40, Ledger: 42, Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Revision: 41}, {Key: "zinclb/run/a", Revision: 42, Removed: true}}},
 		},
 		{"watch, nothing new", watch, []httpwire.Response{answered(200, `{"ledger":40,"news":[]}`)}, core.Watched{After: 40, Ledger: 40}},
 		{"watch, forgotten", watch, []httpwire.Response{answered(410, `{}`)}, core.Watched{After: 40, Gone: true}},
@@ -128,7 +128,7 @@
 		{`{`, "list: unexpected end of JSON input", func() error { _, _, err := client.List("p", func() {}); return err }},
 		{`{`, "get: unexpected end of JSON input", func() error { _, _, err := client.Get("p"); return err }},
 		{`{"data":1}`, "get: no stamp", func() error { _, _, err := client.Get("p"); return err }},
-		{`{`, "lease: bad answer unexpected end of JSON input", func() error { _, err := client.Lease(time.Second); return err }},
+		{`{`, "lease: bad answer unexpected end of JSON input", func() error { _, err := client.GrantLease(time.Second); return err }},
 		{`{`, "watch: unexpected end of JSON input", func() error { return client.Watch("p", 1, 0).Err }},
 	} {
 		service.Answer(answered(200, tc.body))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -35,9 +35,9 @@
 func (e StatusError) Error() string { return "state service answered " + strconv.Itoa(int(e)) }
 
 type rowWire struct {
-	Key   string          `json:"path"`
-	Value json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Key      string          `json:"path"`
+	Value    json.RawMessage `json:"data"`
+	Revision uint64          `json:"stamp"`
 }
 
 // List reads all keys of a prefix, page by page; pace is called before each. The
@@ -70,7 +70,7 @@
 			ledger = w.Ledger
 		}
 		for _, r := range w.Rows {
-			rows = append(rows, core.Change{Key: r.Key, Value: r.Value, Stamp: r.Stamp})
+			rows = append(rows, core.Change{Key: r.Key, Value: r.Value, Revision: r.Revision})
 			after = r.Key
 		}
 		if !w.More || len(w.Rows) == 0 {
@@ -94,15 +94,15 @@
 	if err := json.Unmarshal(m.Body, &w); err != nil {
 		return nil, 0, fmt.Errorf("get: %w", err)
 	}
-	if w.Stamp == 0 {
+	if w.Revision == 0 {
 		return nil, 0, errors.New("get: no stamp")
 	}
-	return w.Value, w.Stamp, nil
+	return w.Value, w.Revision, nil
 }
 
-type condWire struct {
-	Key   string `json:"path"`
-	Stamp uint64 `json:"stamp"`
+type conditionWire struct {
+	Key      string `json:"path"`
+	Revision uint64 `json:"stamp"`
 }
 
 type writeWire struct {
@@ -112,14 +112,14 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// Multi executes a transaction. Status 0 means that its outcome is unknown.
-func (c *Client) Multi(t core.Multi, timeout time.Duration) core.Committed {
+// Transact executes a transaction. Status 0 means that its outcome is unknown.
+func (c *Client) Transact(t core.Multi, timeout time.Duration) core.Committed {
 	var w struct {
-		When   []condWire  `json:"when"`
-		Writes []writeWire `json:"writes"`
+		When   []conditionWire `json:"when"`
+		Writes []writeWire     `json:"writes"`
 	}
 	for _, k := range t.When {
-		w.When = append(w.When, condWire(k))
+		w.When = append(w.When, conditionWire(k))
 	}
 	for _, x := range t.Writes {
 		if x.Value == nil {
@@ -145,11 +145,11 @@
 			return core.Committed{ID: t.ID}
 		}
 	}
-	return core.Committed{ID: t.ID, Status: m.Status, Ledger: r.Ledger, Failed: r.Failed}
+	return core.Committed{ID: t.ID, Status: m.Status, Revision: r.Ledger, Failed: r.Failed}
 }
 
-// Lease opens a lease.
-func (c *Client) Lease(ttl time.Duration) (uint64, error) {
+// GrantLease opens a lease.
+func (c *Client) GrantLease(ttl time.Duration) (uint64, error) {
 	m, err := c.http.Do("POST", "/leases", []byte(`{"life_ms":`+strconv.FormatInt(ttl.Milliseconds(), 10)+`}`), time.Second)
 	if err != nil {
 		return 0, err
@@ -166,8 +166,8 @@
 	return r.Lease, nil
 }
 
-// Touch renews a lease; gone says that it has ended.
-func (c *Client) Touch(lease uint64) (gone bool, err error) {
+// RenewLease renews a lease; gone says that it has ended.
+func (c *Client) RenewLease(lease uint64) (gone bool, err error) {
 	m, err := c.http.Do("POST", "/leases/"+strconv.FormatUint(lease, 10)+"/touch", []byte("{}"), time.Second)
 	switch {
 	case err != nil:
@@ -180,8 +180,8 @@
 	return false, nil
 }
 
-// Drop ends a lease.
-func (c *Client) Drop(lease uint64) error {
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(lease uint64) error {
 	_, err := c.http.Do("DELETE", "/leases/"+strconv.FormatUint(lease, 10), nil, time.Second)
 	return err
 }
@@ -219,9 +219,9 @@
 	}
 	w.Ledger = r.Ledger
 	for _, n := range r.News {
-		ch := core.Change{Key: n.Put, Value: n.Value, Stamp: n.Stamp}
+		ch := core.Change{Key: n.Put, Value: n.Value, Revision: n.Stamp}
 		if n.Put == "" {
-			ch = core.Change{Key: n.Remove, Stamp: n.Stamp, Removed: true}
+			ch = core.Change{Key: n.Remove, Revision: n.Stamp, Removed: true}
 		}
 		w.Changes = append(w.Changes, ch)
 	}
--- a/internal/sweep/expand.go
+++ b/internal/sweep/expand.go
@@ -20,34 +20,34 @@
 type Run struct {
 	// ID is the job's, derived from the sweep's id and the values.
 	ID string
-	// Values are in the order of Expansion.Names.
+	// Values are in the order of Expansion.Parameters.
 	Values []Value
-	// Places are where the run's values stand among all sets of the sweep,
+	// SetIndexes are where the run's values stand among all sets of the sweep,
 	// counted from 0; there are several if identical sets were merged.
-	Places []int
+	SetIndexes []int
 	// Job has the fields of a submission.
 	Job map[string]any
 }
 
 // Expansion is all that a sweep describes.
 type Expansion struct {
-	ID    string
-	Names []string
+	ID         string
+	Parameters []string
 	// Runs are in an order in which each comes after those that it awaits.
 	Runs []Run
-	// Sets is how many sets of values there are, Skipped how many more were
+	// NumSets is how many sets of values there are, Skipped how many more were
 	// left out.
-	Sets, Skipped int
-	Pending       int
+	NumSets, NumSkipped int
+	Pending             int
 	// Digest names the whole: the same only for the same runs in one order.
-	Digest string
-	steps  uint64 // left to the expressions
+	Digest    string
+	stepsLeft uint64 // left to the expressions
 }
 
-// Set says a run's values in words.
-func (x *Expansion) Set(vals []Value) string { return describe(x.Names, vals) }
+// Describe says a run's values in words.
+func (x *Expansion) Describe(vals []Value) string { return formatValues(x.Parameters, vals) }
 
-func describe(names []string, vals []Value) string {
+func formatValues(names []string, vals []Value) string {
 	var b strings.Builder
 	b.WriteByte('{')
 	for i, n := range names {
@@ -102,20 +102,20 @@
 
 // Expand makes the runs of a sweep whose files were read.
 func Expand(s *sweeppb.Sweep) (*Expansion, error) {
-	if !goodID.MatchString(s.Id) {
+	if !idPattern.MatchString(s.Id) {
 		return nil, fmt.Errorf("id: %q is not 1 to 48 letters, digits, '.', '_' and '-'", s.Id)
 	}
 	if s.Job == nil {
 		return nil, errors.New("job: missing")
 	}
-	if n := Pending(s); n < 1 || n > maxPending {
+	if n := MaxUnfinished(s); n < 1 || n > maxPending {
 		return nil, fmt.Errorf("pending: %d is not 1 to %d", n, maxPending)
 	}
-	names, sets, err := combine(s)
+	names, sets, err := valueSets(s)
 	if err != nil {
 		return nil, err
 	}
-	x := &Expansion{ID: s.Id, Names: names, Pending: Pending(s), steps: maxAll}
+	x := &Expansion{ID: s.Id, Parameters: names, Pending: MaxUnfinished(s), stepsLeft: maxTotalSteps}
 	var skips []*expr
 	if len(s.SkipIf) > maxSkips {
 		return nil, fmt.Errorf("skip_if: %d of them, at most %d are possible", len(s.SkipIf), maxSkips)
@@ -127,42 +127,42 @@
 		}
 		skips = append(skips, e)
 	}
-	fields, err := setters(s, names)
+	fields, err := compileFields(s, names)
 	if err != nil {
 		return nil, err
 	}
 	known := map[string]int{} // runs by their ids
 	for _, vals := range sets {
-		skip, err := x.skipped(skips, vals)
+		skip, err := x.isSkipped(skips, vals)
 		if err != nil {
 			return nil, err
 		}
 		if skip {
-			x.Skipped++
+			x.NumSkipped++
 			continue
 		}
-		place := x.Sets
-		x.Sets++
+		place := x.NumSets
+		x.NumSets++
 		id := RunID(s.Id, names, vals)
 		if i, twice := known[id]; twice {
 			if s.Duplicates != sweeppb.Sweep_MERGE {
-				return nil, fmt.Errorf("sets %d and %d have the same values %s; duplicates: MERGE makes them one run", x.Runs[i].Places[0]+1, place+1, x.Set(vals))
+				return nil, fmt.Errorf("sets %d and %d have the same values %s; duplicates: MERGE makes them one run", x.Runs[i].SetIndexes[0]+1, place+1, x.Describe(vals))
 			}
-			x.Runs[i].Places = append(x.Runs[i].Places, place)
+			x.Runs[i].SetIndexes = append(x.Runs[i].SetIndexes, place)
 			continue
 		}
 		known[id] = len(x.Runs)
-		x.Runs = append(x.Runs, Run{ID: id, Values: vals, Places: []int{place}})
+		x.Runs = append(x.Runs, Run{ID: id, Values: vals, SetIndexes: []int{place}})
 	}
 	if len(x.Runs) == 0 {
 		return nil, errors.New("skip_if: no set of values is left")
 	}
 	for i := range x.Runs {
-		if err := x.fill(&x.Runs[i], s.Job, fields, known); err != nil {
-			return nil, fmt.Errorf("run %s: %w", x.Set(x.Runs[i].Values), err)
+		if err := x.buildJob(&x.Runs[i], s.Job, fields, known); err != nil {
+			return nil, fmt.Errorf("run %s: %w", x.Describe(x.Runs[i].Values), err)
 		}
 	}
-	if err := x.order(known); err != nil {
+	if err := x.sortByDependencies(known); err != nil {
 		return nil, err
 	}
 	h := blake3.New()
@@ -173,11 +173,11 @@
 	return x, nil
 }
 
-// combine lists all sets of values.
-func combine(s *sweeppb.Sweep) (names []string, sets [][]Value, err error) {
+// valueSets lists all sets of values.
+func valueSets(s *sweeppb.Sweep) (names []string, sets [][]Value, err error) {
 	name := func(n string) error {
 		switch {
-		case !goodName.MatchString(n):
+		case !namePattern.MatchString(n):
 			return fmt.Errorf("parameter %q: not a name of letters, digits and '_'", n)
 		case slices.Contains(builtins, n):
 			return fmt.Errorf("parameter %s: the name is taken in expressions", n)
@@ -188,7 +188,7 @@
 		return nil
 	}
 	if len(s.Row) > 0 {
-		return table(s, name, &names)
+		return tableSets(s, name, &names)
 	}
 	if len(s.Parameter) == 0 || len(s.Parameter) > MaxParameters {
 		return nil, nil, fmt.Errorf("parameter: %d of them, 1 to %d are possible", len(s.Parameter), MaxParameters)
@@ -199,7 +199,7 @@
 		if err := name(p.Name); err != nil {
 			return nil, nil, err
 		}
-		l, err := values(p)
+		l, err := parameterValues(p)
 		if err != nil {
 			return nil, nil, fmt.Errorf("parameter %s: %w", p.Name, err)
 		}
@@ -231,7 +231,7 @@
 	return names, sets, nil
 }
 
-func table(s *sweeppb.Sweep, name func(string) error, names *[]string) ([]string, [][]Value, error) {
+func tableSets(s *sweeppb.Sweep, name func(string) error, names *[]string) ([]string, [][]Value, error) {
 	if len(s.Parameter) > 0 {
 		return nil, nil, errors.New("row: there are parameters as well")
 	}
@@ -268,15 +268,15 @@
 	return *names, sets, nil
 }
 
-func (x *Expansion) skipped(skips []*expr, vals []Value) (bool, error) {
+func (x *Expansion) isSkipped(skips []*expr, vals []Value) (bool, error) {
 	for _, e := range skips {
-		v, err := e.eval(x.Names, vals, &x.steps, func(map[string]Value) (string, error) { return "", errors.New("run: not in skip_if") })
+		v, err := e.eval(x.Parameters, vals, &x.stepsLeft, func(map[string]Value) (string, error) { return "", errors.New("run: not in skip_if") })
 		b, ok := v.(bool)
 		if err == nil && !ok {
-			err = fmt.Errorf("%s: %v is neither True nor False", e.where, v)
+			err = fmt.Errorf("%s: %v is neither True nor False", e.location, v)
 		}
 		if err != nil {
-			return false, fmt.Errorf("run %s: %w", x.Set(vals), err)
+			return false, fmt.Errorf("run %s: %w", x.Describe(vals), err)
 		}
 		if b {
 			return true, nil
@@ -285,34 +285,34 @@
 	return false, nil
 }
 
-// setter is an expression for a field.
-type setter struct {
+// fieldExpr is an expression for a field.
+type fieldExpr struct {
 	field protoreflect.FieldDescriptor
 	expr  *expr
 }
 
-func setters(s *sweeppb.Sweep, names []string) ([]setter, error) {
+func compileFields(s *sweeppb.Sweep, names []string) ([]fieldExpr, error) {
 	all := s.Job.ProtoReflect().Descriptor().Fields()
-	var out []setter
+	var out []fieldExpr
 	for _, set := range s.Set {
 		f := all.ByName(protoreflect.Name(set.Field))
 		if f == nil {
 			return nil, fmt.Errorf("set: a job has no field %q", set.Field)
 		}
-		if s.Job.ProtoReflect().Has(f) || slices.ContainsFunc(out, func(o setter) bool { return o.field == f }) {
+		if s.Job.ProtoReflect().Has(f) || slices.ContainsFunc(out, func(o fieldExpr) bool { return o.field == f }) {
 			return nil, fmt.Errorf("set %s: the field is given twice", set.Field)
 		}
 		e, err := compile("set "+set.Field, set.Is, names)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, setter{f, e})
+		out = append(out, fieldExpr{f, e})
 	}
 	return out, nil
 }
 
-// fill makes a run's job of the template and the expressions.
-func (x *Expansion) fill(r *Run, template *sweeppb.Job, fields []setter, known map[string]int) error {
+// buildJob makes a run's job of the template and the expressions.
+func (x *Expansion) buildJob(r *Run, template *sweeppb.Job, fields []fieldExpr, known map[string]int) error {
 	r.Job = map[string]any{"name_id": r.ID, "gpus": 0.0, "bank_s": 0.0, "bank_cost_s": 0.0, "pull_gb": 0.0, "one_zone": false, "scatter": false, "borrowed": false}
 	template.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		if f.IsList() {
@@ -327,8 +327,8 @@
 		return true
 	})
 	runID := func(kw map[string]Value) (string, error) {
-		vals := make([]Value, len(x.Names))
-		for i, n := range x.Names {
+		vals := make([]Value, len(x.Parameters))
+		for i, n := range x.Parameters {
 			v, ok := kw[n]
 			if !ok {
 				v = r.Values[i] // what is not named is as in this run
@@ -339,30 +339,30 @@
 		for n := range kw {
 			return "", fmt.Errorf("run: %q is no parameter", n)
 		}
-		id := RunID(x.ID, x.Names, vals)
+		id := RunID(x.ID, x.Parameters, vals)
 		if _, ok := known[id]; !ok {
-			return "", fmt.Errorf("run: there is no run %s", x.Set(vals))
+			return "", fmt.Errorf("run: there is no run %s", x.Describe(vals))
 		}
 		return id, nil
 	}
 	for _, f := range fields {
-		v, err := f.expr.eval(x.Names, r.Values, &x.steps, runID)
+		v, err := f.expr.eval(x.Parameters, r.Values, &x.stepsLeft, runID)
 		if err != nil {
 			return err
 		}
 		if v == nil {
 			continue // left out
 		}
-		if v, err = fit(f.field, v); err != nil {
-			return fmt.Errorf("%s: %w", f.expr.where, err)
+		if v, err = convertTo(f.field, v); err != nil {
+			return fmt.Errorf("%s: %w", f.expr.location, err)
 		}
 		r.Job[string(f.field.Name())] = v
 	}
 	return nil
 }
 
-// fit checks that a value is of a field's kind.
-func fit(f protoreflect.FieldDescriptor, v any) (any, error) {
+// convertTo checks that a value is of a field's kind.
+func convertTo(f protoreflect.FieldDescriptor, v any) (any, error) {
 	switch {
 	case f.IsList():
 		l, ok := v.([]any)
@@ -395,9 +395,9 @@
 	return v, nil
 }
 
-// order brings the runs into one in which each comes after those that it awaits,
+// sortByDependencies brings the runs into one in which each comes after those that it awaits,
 // and otherwise leaves them as they are.
-func (x *Expansion) order(known map[string]int) error {
+func (x *Expansion) sortByDependencies(known map[string]int) error {
 	const begun, done = 1, 2
 	state := make([]int, len(x.Runs))
 	var out []Run
@@ -410,13 +410,13 @@
 				continue
 			}
 			more := false
-			for _, a := range awaits(x.Runs[i].Job) {
+			for _, a := range dependenciesOf(x.Runs[i].Job) {
 				k, own := known[a]
 				if !own || state[k] == done {
 					continue
 				}
 				if state[k] == begun || k == i {
-					return fmt.Errorf("run %s: awaits: it waits for itself, by way of %s", x.Set(x.Runs[i].Values), x.Set(x.Runs[k].Values))
+					return fmt.Errorf("run %s: awaits: it waits for itself, by way of %s", x.Describe(x.Runs[i].Values), x.Describe(x.Runs[k].Values))
 				}
 				todo, more = append(todo, k), true
 			}
@@ -432,7 +432,7 @@
 	return nil
 }
 
-func awaits(job map[string]any) []string {
+func dependenciesOf(job map[string]any) []string {
 	l, _ := job["awaits"].([]any)
 	out := make([]string, 0, len(l))
 	for _, a := range l {
--- a/internal/sweep/expr.go
+++ b/internal/sweep/expr.go
@@ -14,10 +14,10 @@
 // no functions of one's own, few methods, and products that are checked. So an
 // expression takes time by its length, and the bounds below are a second fence.
 const (
-	maxExpr  = 2000 // bytes
-	maxSteps = 20_000
-	maxAll   = 10_000_000 // steps of all expressions for all runs
-	maxGrown = 64 << 10   // bytes or items that a product of text or list may have
+	maxExprBytes   = 2000 // bytes
+	maxSteps       = 20_000
+	maxTotalSteps  = 10_000_000 // steps of all expressions for all runs
+	maxProductSize = 64 << 10   // bytes or items that a product of text or list may have
 )
 
 var (
@@ -27,20 +27,20 @@
 
 // expr is an expression that was found to be harmless.
 type expr struct {
-	where string
+	location string
 	// program puts the value of the expression into the global named result.
 	program *starlark.Program
 }
 
-const result = "__result"
+const resultName = "__result"
 
 var dialect = &syntax.FileOptions{}
 
 // compile reads an expression over the names of parameters.
 func compile(where, text string, names []string) (*expr, error) {
 	fail := func(err error) (*expr, error) { return nil, fmt.Errorf("%s: %w", where, err) }
-	if len(text) > maxExpr {
-		return fail(fmt.Errorf("an expression of more than %d bytes", maxExpr))
+	if len(text) > maxExprBytes {
+		return fail(fmt.Errorf("an expression of more than %d bytes", maxExprBytes))
 	}
 	tree, err := dialect.ParseExpr(where, text, 0)
 	if err != nil {
@@ -96,9 +96,9 @@
 		return fail(bad)
 	}
 	file := &syntax.File{Path: where, Options: dialect, Stmts: []syntax.Stmt{
-		&syntax.AssignStmt{Op: syntax.EQ, LHS: &syntax.Ident{Name: result}, RHS: checked(tree)}}}
+		&syntax.AssignStmt{Op: syntax.EQ, LHS: &syntax.Ident{Name: resultName}, RHS: guardProducts(tree)}}}
 	program, err := starlark.FileProgram(file, func(name string) bool {
-		return name == product || slices.Contains(builtins, name) || slices.Contains(names, name)
+		return name == productName || slices.Contains(builtins, name) || slices.Contains(names, name)
 	})
 	if err != nil {
 		return fail(err)
@@ -106,57 +106,57 @@
 	return &expr{where, program}, nil
 }
 
-// product is the name under which products are evaluated.
-const product = "__product"
+// productName is the name under which products are evaluated.
+const productName = "__product"
 
-// checked puts a call of product in the place of every product.
-func checked(x syntax.Expr) syntax.Expr {
+// guardProducts puts a call of product in the place of every product.
+func guardProducts(x syntax.Expr) syntax.Expr {
 	switch n := x.(type) {
 	case *syntax.BinaryExpr:
-		n.X, n.Y = checked(n.X), checked(n.Y)
+		n.X, n.Y = guardProducts(n.X), guardProducts(n.Y)
 		if n.Op == syntax.STAR {
-			return &syntax.CallExpr{Fn: &syntax.Ident{NamePos: n.OpPos, Name: product}, Args: []syntax.Expr{n.X, n.Y}, Lparen: n.OpPos, Rparen: n.OpPos}
+			return &syntax.CallExpr{Fn: &syntax.Ident{NamePos: n.OpPos, Name: productName}, Args: []syntax.Expr{n.X, n.Y}, Lparen: n.OpPos, Rparen: n.OpPos}
 		}
 	case *syntax.UnaryExpr:
 		if n.X != nil {
-			n.X = checked(n.X)
+			n.X = guardProducts(n.X)
 		}
 	case *syntax.ParenExpr:
-		n.X = checked(n.X)
+		n.X = guardProducts(n.X)
 	case *syntax.CondExpr:
-		n.Cond, n.True, n.False = checked(n.Cond), checked(n.True), checked(n.False)
+		n.Cond, n.True, n.False = guardProducts(n.Cond), guardProducts(n.True), guardProducts(n.False)
 	case *syntax.CallExpr:
-		n.Fn = checked(n.Fn)
+		n.Fn = guardProducts(n.Fn)
 		for i, a := range n.Args {
 			if b, ok := a.(*syntax.BinaryExpr); ok && b.Op == syntax.EQ {
-				b.Y = checked(b.Y)
+				b.Y = guardProducts(b.Y)
 				continue
 			}
-			n.Args[i] = checked(a)
+			n.Args[i] = guardProducts(a)
 		}
 	case *syntax.DotExpr:
-		n.X = checked(n.X)
+		n.X = guardProducts(n.X)
 	case *syntax.IndexExpr:
-		n.X, n.Y = checked(n.X), checked(n.Y)
+		n.X, n.Y = guardProducts(n.X), guardProducts(n.Y)
 	case *syntax.SliceExpr:
-		n.X = checked(n.X)
+		n.X = guardProducts(n.X)
 		for _, p := range []*syntax.Expr{&n.Lo, &n.Hi, &n.Step} {
 			if *p != nil {
-				*p = checked(*p)
+				*p = guardProducts(*p)
 			}
 		}
 	case *syntax.ListExpr:
 		for i := range n.List {
-			n.List[i] = checked(n.List[i])
+			n.List[i] = guardProducts(n.List[i])
 		}
 	case *syntax.TupleExpr:
 		for i := range n.List {
-			n.List[i] = checked(n.List[i])
+			n.List[i] = guardProducts(n.List[i])
 		}
 	case *syntax.DictExpr:
 		for _, e := range n.List {
 			if d, ok := e.(*syntax.DictEntry); ok {
-				d.Key, d.Value = checked(d.Key), checked(d.Value)
+				d.Key, d.Value = guardProducts(d.Key), guardProducts(d.Value)
 			}
 		}
 	}
@@ -164,15 +164,15 @@
 }
 
 // product multiplies, and refuses texts and lists that would grow too long.
-func productOf(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+func checkedProduct(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	a, b := args[0], args[1]
 	for _, p := range [2][2]starlark.Value{{a, b}, {b, a}} {
 		if s, ok := p[0].(starlark.Sequence); ok {
-			if n, err := starlark.AsInt32(p[1]); err != nil || n > 0 && s.Len() > maxGrown/n {
+			if n, err := starlark.AsInt32(p[1]); err != nil || n > 0 && s.Len() > maxProductSize/n {
 				return nil, errors.New("a text or list would grow too long")
 			}
 		} else if s, ok := p[0].(starlark.String); ok {
-			if n, err := starlark.AsInt32(p[1]); err != nil || n > 0 && s.Len() > maxGrown/n {
+			if n, err := starlark.AsInt32(p[1]); err != nil || n > 0 && s.Len() > maxProductSize/n {
 				return nil, errors.New("a text or list would grow too long")
 			}
 		}
@@ -180,8 +180,8 @@
 	return starlark.Binary(syntax.STAR, a, b)
 }
 
-// roundOf rounds half away from zero, to a whole number.
-func roundOf(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
+// roundHalfAway rounds half away from zero, to a whole number.
+func roundHalfAway(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
 	var x starlark.Value
 	if err := starlark.UnpackPositionalArgs(b.Name(), args, kw, 1, &x); err != nil {
 		return nil, err
@@ -196,10 +196,10 @@
 // eval evaluates with a run's values; runID names runs of the same sweep.
 // left is how many steps are left to all expressions.
 func (e *expr) eval(names []string, vals []Value, left *uint64, runID func(kw map[string]Value) (string, error)) (any, error) {
-	fail := func(err error) (any, error) { return nil, fmt.Errorf("%s: %w", e.where, err) }
+	fail := func(err error) (any, error) { return nil, fmt.Errorf("%s: %w", e.location, err) }
 	env := starlark.StringDict{
-		product: starlark.NewBuiltin(product, productOf),
-		"round": starlark.NewBuiltin("round", roundOf),
+		productName: starlark.NewBuiltin(productName, checkedProduct),
+		"round":     starlark.NewBuiltin("round", roundHalfAway),
 		"run": starlark.NewBuiltin("run", func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
 			if len(args) > 0 {
 				return nil, errors.New("run: values are given by their names")
@@ -221,7 +221,7 @@
 		if ok {
 			of, ok = args[0].(starlark.String)
 		}
-		if !ok || !goodID.MatchString(string(of)) {
+		if !ok || !idPattern.MatchString(string(of)) {
 			return nil, errors.New("run_of: takes the id of a sweep, and then values by their names")
 		}
 		var ns []string
@@ -247,7 +247,7 @@
 			env[n] = starlark.Bool(v)
 		}
 	}
-	thread := &starlark.Thread{Name: e.where, Print: func(*starlark.Thread, string) {}}
+	thread := &starlark.Thread{Name: e.location, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	for _, name := range builtins {
 		if v := starlark.Universe[name]; v != nil && env[name] == nil {
@@ -261,10 +261,10 @@
 	// A call of a builtin is a step, and so is each of the operations.
 	steps := thread.ExecutionSteps() + 1
 	if steps > *left {
-		return fail(fmt.Errorf("all expressions together take more than %d steps", maxAll))
+		return fail(fmt.Errorf("all expressions together take more than %d steps", maxTotalSteps))
 	}
 	*left -= steps
-	out, err := fromStarlark(globals[result])
+	out, err := fromStarlark(globals[resultName])
 	if err != nil {
 		return fail(err)
 	}
@@ -280,7 +280,7 @@
 		}
 		return n, nil
 	case starlark.Float:
-		return number(float64(v))
+		return canonicalNumber(float64(v))
 	case starlark.String:
 		if len(v) > MaxText {
 			return nil, fmt.Errorf("a text of more than %d bytes", MaxText)
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -23,21 +23,21 @@
 
 // Bounds of a sweep.
 const (
-	MaxRuns       = 10_000
-	MaxParameters = 32
-	MaxText       = 1024 // bytes of a text value
-	maxSkips      = 32
-	maxPending    = 1000
-	stdPending    = 100
+	MaxRuns        = 10_000
+	MaxParameters  = 32
+	MaxText        = 1024 // bytes of a text value
+	maxSkips       = 32
+	maxPending     = 1000
+	defaultPending = 100
 )
 
 var (
-	goodID   = regexp.MustCompile(`^[A-Za-z0-9._-]{1,48}$`)
-	goodName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]{0,63}$`)
+	idPattern   = regexp.MustCompile(`^[A-Za-z0-9._-]{1,48}$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]{0,63}$`)
 )
 
 // ValidID says whether an id can be a sweep's.
-func ValidID(id string) bool { return goodID.MatchString(id) }
+func ValidID(id string) bool { return idPattern.MatchString(id) }
 
 // Parse reads a sweep file.
 func Parse(text []byte) (*sweeppb.Sweep, error) {
@@ -57,10 +57,10 @@
 	return b
 }
 
-// Pending is how many runs may be unfinished at once.
-func Pending(s *sweeppb.Sweep) int {
+// MaxUnfinished is how many runs may be unfinished at once.
+func MaxUnfinished(s *sweeppb.Sweep) int {
 	if s.Pending == nil {
-		return stdPending
+		return defaultPending
 	}
 	return int(s.GetPending())
 }
@@ -120,12 +120,12 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, plain(line[i]))
+		out = append(out, parseScalar(line[i]))
 	}
 	return nil, fmt.Errorf("more than %d lines", MaxRuns)
 }
 
-func plain(text string) *sweeppb.Value {
+func parseScalar(text string) *sweeppb.Value {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return &sweeppb.Value{Is: &sweeppb.Value_Int{Int: n}}
 	}
@@ -148,7 +148,7 @@
 		}
 		switch v := o[column].(type) {
 		case json.Number:
-			out = append(out, plain(v.String()))
+			out = append(out, parseScalar(v.String()))
 		case string:
 			out = append(out, &sweeppb.Value{Is: &sweeppb.Value_Text{Text: v}})
 		case bool:
@@ -171,7 +171,7 @@
 	case *sweeppb.Value_Int:
 		return x.Int, nil
 	case *sweeppb.Value_Real:
-		return number(x.Real)
+		return canonicalNumber(x.Real)
 	case *sweeppb.Value_Text:
 		if len(x.Text) > MaxText {
 			return nil, fmt.Errorf("a text of more than %d bytes", MaxText)
@@ -183,7 +183,7 @@
 	return nil, errors.New("a value without int, real, text or flag")
 }
 
-func number(x float64) (Value, error) {
+func canonicalNumber(x float64) (Value, error) {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return nil, errors.New("not a number, or without bound")
 	}
@@ -193,8 +193,8 @@
 	return x, nil
 }
 
-// values lists what a parameter goes through.
-func values(p *sweeppb.Parameter) ([]Value, error) {
+// parameterValues lists what a parameter goes through.
+func parameterValues(p *sweeppb.Parameter) ([]Value, error) {
 	if p.File != "" {
 		return nil, fmt.Errorf("file %s has not been read; zinclb sweep does that", p.File)
 	}
@@ -230,7 +230,7 @@
 	var out []Value
 	for i := range int(n) + 1 {
 		// Counted, not added up: no error builds up.
-		x, err := number(r.From + float64(i)*step)
+		x, err := canonicalNumber(r.From + float64(i)*step)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -30,7 +30,7 @@
 func sets(x *Expansion) string {
 	var out []string
 	for _, r := range x.Runs {
-		out = append(out, x.Set(r.Values)+fmt.Sprint(r.Places))
+		out = append(out, x.Describe(r.Values)+fmt.Sprint(r.SetIndexes))
 	}
 	return strings.Join(out, " ")
 }
