--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -16,14 +16,14 @@
 )
 
 // completeNews has each field set.
-func completeNews() core.PeerNews {
-	return core.PeerNews{
-		Token: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01", "job-02"},
-		Vouch:   &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
-		Ack:     &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
-		Version: 6, Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Lowered: true,
-		Reach:    &connectivity.Advertisement{Boot: "b3", Workers: map[string]int{"zone-a": 7}, Peers: []string{"node-0", "node-2"}, Cloud: true, Flaps: true},
-		Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "zone-a"}, {Name: "host-000002", Addr: "10.1.0.2:9000", Zone: "zone-b"}},
+func completeNews() core.PeerStatus {
+	return core.PeerStatus{
+		FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01", "job-02"},
+		ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
+		Ack:       &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
+		Version:   6, Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, LimitsLowered: true,
+		Connectivity: &connectivity.Advertisement{Boot: "b3", Workers: map[string]int{"zone-a": 7}, Peers: []string{"node-0", "node-2"}, Cloud: true, Flaps: true},
+		Machines:     []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "zone-a"}, {Name: "host-000002", Addr: "10.1.0.2:9000", Zone: "zone-b"}},
 	}
 }
 
@@ -42,74 +42,74 @@
 func completeMessages() map[string]any {
 	news := completeNews()
 	return map[string]any{
-		"PingArgs": core.Pinged{
-			From: "node-1", Need: true, Boot: "b1",
-			Ask:  &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9},
-			Tell: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}, More: true, Whole: true},
+		"PingArgs": core.PingReceived{
+			From: "node-1", NeedMachines: true, Incarnation: "b1",
+			Question:      &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9},
+			Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}, More: true, Whole: true},
 		},
-		"PingArgs with nothing in its pointers":  core.Pinged{From: "node-1", Ask: &readlease.GrantRequest{}, Tell: &readlease.CancellationPage{}},
+		"PingArgs with nothing in its pointers":  core.PingReceived{From: "node-1", Question: &readlease.GrantRequest{}, Cancellations: &readlease.CancellationPage{}},
 		"PingReply":                              PingAnswer{Name: "node-1", News: news},
-		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", News: core.PeerNews{Vouch: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Reach: &connectivity.Advertisement{}}},
-		"PingReply with an empty map":            PingAnswer{Name: "node-1", News: core.PeerNews{Reach: &connectivity.Advertisement{Workers: map[string]int{}}}},
-		"BeatArgs": core.Beat{
-			From: "node-1", Onward: true,
-			Report: core.Report{
-				Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "zone-a", Spot: true, Session: 2, Seq: 9, Token: 3, Notice: -1,
-				Tasks: []core.TaskReport{{Name: "job-01/0", Attempt: 2, State: "exited", Why: "done", Saved: true}, {Name: "job-01/1", Attempt: 3, State: "running"}},
+		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", News: core.PeerStatus{ReadLease: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Connectivity: &connectivity.Advertisement{}}},
+		"PingReply with an empty map":            PingAnswer{Name: "node-1", News: core.PeerStatus{Connectivity: &connectivity.Advertisement{Workers: map[string]int{}}}},
+		"BeatArgs": core.HeartbeatReceived{
+			From: "node-1", ViaPeer: true,
+			Heartbeat: core.Heartbeat{
+				Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "zone-a", Spot: true, Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
+				Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "exited", Reason: "done", Checkpointed: true}, {Name: "job-01/1", Attempt: 3, State: "running"}},
 			},
 		},
-		"AskArgs submit":        core.Submit{Req: 1, Handed: true, Spec: completeSpec(), Invalid: "why"},
-		"AskArgs status":        core.Status{Req: 2, Handed: true, ID: "job-01"},
-		"AskArgs cancel":        core.Cancel{Req: 3, Handed: true, ID: "job-01"},
-		"AskArgs cloud types":   core.CloudFor{Req: 4, Token: 3, Call: core.CloudCall{Types: true}},
-		"AskArgs cloud list":    core.CloudFor{Req: 5, Token: 3, Call: core.CloudCall{List: true, Gap: 7}},
-		"AskArgs cloud rent":    core.CloudFor{Req: 6, Token: 3, Call: core.CloudCall{Rent: &core.Rent{Name: "rent-1", Type: "big", Zone: "zone-a", Spot: true, Count: 2, Until: 8, Token: 3}}},
-		"AskArgs cloud release": core.CloudFor{Req: 7, Token: 3, Call: core.CloudCall{Release: []string{"host-000001", "host-000002"}}},
-		"AskArgs view":          core.ViewFor{Req: 8, After: 7, Need: 2},
-		"AskArgs sweep":         core.HandedSweep{ID: "sweep-1", Stored: "plan", Invalid: "why"},
-		"AskArgs sweep status":  core.SweepStatus{Req: 9, ID: "sweep-1", Handed: true},
-		"AskArgs sweep runs":    core.SweepRuns{Req: 10, ID: "sweep-1", After: 1, Most: 2, Handed: true},
-		"AskArgs cancel sweep":  core.CancelSweep{Req: 11, ID: "sweep-1", Handed: true},
+		"AskArgs submit":        core.SubmitJob{RequestID: 1, Forwarded: true, Spec: completeSpec(), Invalid: "why"},
+		"AskArgs status":        core.QueryJob{RequestID: 2, Forwarded: true, ID: "job-01"},
+		"AskArgs cancel":        core.CancelJob{RequestID: 3, Forwarded: true, ID: "job-01"},
+		"AskArgs cloud types":   core.CloudCallRequested{RequestID: 4, FencingToken: 3, Call: core.CloudCall{ListTypes: true}},
+		"AskArgs cloud list":    core.CloudCallRequested{RequestID: 5, FencingToken: 3, Call: core.CloudCall{ListMachines: true, Gap: 7}},
+		"AskArgs cloud rent":    core.CloudCallRequested{RequestID: 6, FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "rent-1", Type: "big", Zone: "zone-a", Spot: true, Count: 2, NotAfter: 8, FencingToken: 3}}},
+		"AskArgs cloud release": core.CloudCallRequested{RequestID: 7, FencingToken: 3, Call: core.CloudCall{ScaleIn: []string{"host-000001", "host-000002"}}},
+		"AskArgs view":          core.FollowerRead{RequestID: 8, AfterRevision: 7, WritesNeeded: 2},
+		"AskArgs sweep":         core.ForwardedSweep{ID: "sweep-1", Stored: "plan", Invalid: "why"},
+		"AskArgs sweep status":  core.QuerySweep{RequestID: 9, ID: "sweep-1", Forwarded: true},
+		"AskArgs sweep runs":    core.ListSweepRuns{RequestID: 10, ID: "sweep-1", After: 1, Limit: 2, Forwarded: true},
+		"AskArgs cancel sweep":  core.CancelSweep{RequestID: 11, ID: "sweep-1", Forwarded: true},
 		"AskArgs empty":         wire.AskArgs{},
 		"AskArgs with nothing in its pointers": wire.AskArgs{
 			Submit: &wire.Submit{}, Status: &wire.Status{}, Cancel: &wire.Cancel{}, Cloud: &wire.CloudFor{Call: wire.CloudCall{Rent: &wire.Rent{}}}, View: &wire.ViewFor{},
 			Sweep: &wire.HandedSweep{}, SweepStatus: &wire.SweepStatus{}, SweepRuns: &wire.SweepRuns{}, CancelSweep: &wire.CancelSweep{},
 		},
-		"Reply orders": core.Reply{Req: 1, Status: 200, Token: 3, Orders: []core.Order{{Op: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Op: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
-		"Reply job":    core.Reply{Req: 2, Status: 200, Job: &core.JobState{ID: "job-01", State: "running", Done: 2, Running: 3}},
-		"Reply sweep":  core.Reply{Req: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Withdrawn: 4}},
-		"Reply runs": core.Reply{Req: 4, Status: 200, Runs: &core.SweepPage{
+		"Reply orders": core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Op: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
+		"Reply job":    core.Reply{RequestID: 2, Status: 200, Job: &core.JobState{ID: "job-01", State: "running", Done: 2, Running: 3}},
+		"Reply sweep":  core.Reply{RequestID: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Withdrawn: 4}},
+		"Reply runs": core.Reply{RequestID: 4, Status: 200, Runs: &core.SweepPage{
 			Runs: []core.SweepRun{{Number: 1, ID: "job-01", State: "done", Values: json.RawMessage(`{"a":1}`), Sets: []int{2, 3}}, {Number: 2, ID: "job-02", State: "waiting"}}, Next: 5,
 		}},
-		"Reply news":          core.Reply{Req: 5, Status: 200, News: &news},
-		"Reply cloud types":   core.Reply{Req: 6, Status: 200, Cloud: &core.CloudAnswer{Status: 200, Types: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 1, GPU: 2, Mem: 3}, FetchRate: 4, CacheMB: 5, Price: 6.5, SpotPrice: 7.5, Boot: 8, Zones: []string{"zone-a"}}}}},
-		"Reply cloud list":    core.Reply{Req: 7, Status: 200, Cloud: &core.CloudAnswer{Status: 200, List: []core.Listing{{Name: "host-000002", Addr: "10.1.0.2:9000", Type: "big", Zone: "zone-a", Status: "running", Spot: true, Age: 5}}}},
-		"Reply cloud rent":    core.Reply{Req: 8, Status: 200, Cloud: &core.CloudAnswer{Status: 202, Names: []string{"host-000002"}}},
-		"Reply cloud release": core.Reply{Req: 9, Status: 200, Cloud: &core.CloudAnswer{Status: 200}},
-		"Reply gone":          core.Reply{Req: 10, Status: 200, Gone: &core.GoneState{Name: "host-000001", Gone: true}},
-		"Reply view": core.Reply{Req: 11, Status: 200, View: &replica.View{
+		"Reply news":          core.Reply{RequestID: 5, Status: 200, PeerStatus: &news},
+		"Reply cloud types":   core.Reply{RequestID: 6, Status: 200, Cloud: &core.CloudResult{Status: 200, Types: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 1, GPU: 2, Mem: 3}, FetchRate: 4, CacheMB: 5, Price: 6.5, SpotPrice: 7.5, Boot: 8, Zones: []string{"zone-a"}}}}},
+		"Reply cloud list":    core.Reply{RequestID: 7, Status: 200, Cloud: &core.CloudResult{Status: 200, List: []core.CloudMachine{{Name: "host-000002", Addr: "10.1.0.2:9000", Type: "big", Zone: "zone-a", Status: "running", Spot: true, Age: 5}}}},
+		"Reply cloud rent":    core.Reply{RequestID: 8, Status: 200, Cloud: &core.CloudResult{Status: 202, Names: []string{"host-000002"}}},
+		"Reply cloud release": core.Reply{RequestID: 9, Status: 200, Cloud: &core.CloudResult{Status: 200}},
+		"Reply gone":          core.Reply{RequestID: 10, Status: 200, Decommission: &core.DecommissionState{Name: "host-000001", Decommissioned: true}},
+		"Reply view": core.Reply{RequestID: 11, Status: 200, View: &replica.View{
 			Revision: 9, Granted: 2,
 			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Revision: 8}, {Key: "zinclb/job/b", Revision: 9, Removed: true}},
 		}},
-		"Reply refused":     core.Reply{Req: 12, Status: 503, Retry: 2, Error: "why"},
-		"Reply misdirected": core.Reply{Req: 13, Status: 421, Token: 3, Leader: "node-0"},
+		"Reply refused":     core.Reply{RequestID: 12, Status: 503, RetryAfter: 2, Error: "why"},
+		"Reply misdirected": core.Reply{RequestID: 13, Status: 421, FencingToken: 3, Leader: "node-0"},
 		"Reply empty":       core.Reply{},
 		"Reply with nothing in its pointers": core.Reply{
-			Job: &core.JobState{}, Sweep: &core.SweepState{}, Runs: &core.SweepPage{}, News: &core.PeerNews{}, Cloud: &core.CloudAnswer{}, Gone: &core.GoneState{}, View: &replica.View{},
+			Job: &core.JobState{}, Sweep: &core.SweepState{}, Runs: &core.SweepPage{}, PeerStatus: &core.PeerStatus{}, Cloud: &core.CloudResult{}, Decommission: &core.DecommissionState{}, View: &replica.View{},
 		},
 	}
 }
 
 // neverSent are the fields that no message between controllers has: numbers, which
 // each core gives anew, and an operator's view, which is no request that is handed on.
-var neverSent = map[string]bool{"Pinged.Req": true, "Beat.Req": true, "Reply.Ops": true}
+var neverSent = map[string]bool{"PingReceived.RequestID": true, "HeartbeatReceived.RequestID": true, "Reply.Ops": true}
 
 // TestComplete has each field of the core at each depth set in one of the complete
 // messages.
 func TestComplete(t *testing.T) {
 	roots := []any{
-		core.Pinged{}, PingAnswer{}, core.Beat{}, core.Reply{},
-		core.Submit{}, core.Status{}, core.Cancel{}, core.CloudFor{}, core.ViewFor{}, core.HandedSweep{}, core.SweepStatus{}, core.SweepRuns{}, core.CancelSweep{},
+		core.PingReceived{}, PingAnswer{}, core.HeartbeatReceived{}, core.Reply{},
+		core.SubmitJob{}, core.QueryJob{}, core.CancelJob{}, core.CloudCallRequested{}, core.FollowerRead{}, core.ForwardedSweep{}, core.QuerySweep{}, core.ListSweepRuns{}, core.CancelSweep{},
 	}
 	var messages []any
 	for _, message := range completeMessages() {
--- a/internal/peer/internal/wire/heartbeat.go
+++ b/internal/peer/internal/wire/heartbeat.go
@@ -6,66 +6,66 @@
 
 // NewHeartbeat is a heartbeat as it is relayed. It has no number: each core numbers
 // its own.
-func NewHeartbeat(in core.Beat) BeatArgs {
-	return BeatArgs{From: in.From, Report: newReport(in.Report), Onward: in.Onward}
+func NewHeartbeat(in core.HeartbeatReceived) BeatArgs {
+	return BeatArgs{From: in.From, Report: newReport(in.Heartbeat), Onward: in.ViaPeer}
 }
 
 // Core is the heartbeat as a message to the core, not numbered yet.
-func (in BeatArgs) Core() core.Beat {
-	return core.Beat{From: in.From, Report: in.Report.core(), Onward: in.Onward}
+func (in BeatArgs) Core() core.HeartbeatReceived {
+	return core.HeartbeatReceived{From: in.From, Heartbeat: in.Report.core(), ViaPeer: in.Onward}
 }
 
-func newReport(in core.Report) Report {
+func newReport(in core.Heartbeat) Report {
 	return Report{
 		Machine: in.Machine,
 		Addr:    in.Addr,
 		Type:    in.Type,
 		Zone:    in.Zone,
 		Spot:    in.Spot,
-		Session: in.Session,
+		Session: in.Epoch,
 		Seq:     in.Seq,
-		Token:   in.Token,
-		Notice:  in.Notice,
+		Token:   in.FencingToken,
+		Notice:  in.PreemptionNotice,
 		Tasks:   each(in.Tasks, newTaskReport),
 	}
 }
 
-func (in Report) core() core.Report {
-	return core.Report{
-		Machine: in.Machine,
-		Addr:    in.Addr,
-		Type:    in.Type,
-		Zone:    in.Zone,
-		Spot:    in.Spot,
-		Session: in.Session,
-		Seq:     in.Seq,
-		Token:   in.Token,
-		Notice:  in.Notice,
-		Tasks:   each(in.Tasks, TaskReport.core),
+func (in Report) core() core.Heartbeat {
+	return core.Heartbeat{
+		Machine:          in.Machine,
+		Addr:             in.Addr,
+		Type:             in.Type,
+		Zone:             in.Zone,
+		Spot:             in.Spot,
+		Epoch:            in.Session,
+		Seq:              in.Seq,
+		FencingToken:     in.Token,
+		PreemptionNotice: in.Notice,
+		Tasks:            each(in.Tasks, TaskReport.core),
 	}
 }
 
-func newTaskReport(in core.TaskReport) TaskReport {
+func newTaskReport(in core.TaskStatus) TaskReport {
 	return TaskReport{
 		Name:    in.Name,
 		Attempt: in.Attempt,
 		State:   in.State,
-		Why:     in.Why,
-		Saved:   in.Saved,
+		Why:     in.Reason,
+		Saved:   in.Checkpointed,
 	}
 }
 
-func (in TaskReport) core() core.TaskReport {
-	return core.TaskReport{
-		Name:    in.Name,
-		Attempt: in.Attempt,
-		State:   in.State,
-		Why:     in.Why,
-		Saved:   in.Saved,
+func (in TaskReport) core() core.TaskStatus {
+	return core.TaskStatus{
+		Name:         in.Name,
+		Attempt:      in.Attempt,
+		State:        in.State,
+		Reason:       in.Why,
+		Checkpointed: in.Saved,
 	}
 }
 
-func newOrder(in core.Order) Order {
+func newOrder(in core.Command) Order {
 	return Order{
 		Op:      in.Op,
 		Task:    in.Task,
@@ -74,8 +74,8 @@
 	}
 }
 
-func (in Order) core() core.Order {
-	return core.Order{
+func (in Order) core() core.Command {
+	return core.Command{
 		Op:      in.Op,
 		Task:    in.Task,
 		Attempt: in.Attempt,
--- a/internal/peer/internal/wire/ping.go
+++ b/internal/peer/internal/wire/ping.go
@@ -8,34 +8,34 @@
 )
 
 // NewPing is a ping as it is sent. It has no number: each core numbers its own.
-func NewPing(in core.Pinged) PingArgs {
+func NewPing(in core.PingReceived) PingArgs {
 	return PingArgs{
 		From: in.From,
-		Need: in.Need,
-		Boot: in.Boot,
-		Ask:  optional(in.Ask, newQuestion),
-		Tell: optional(in.Tell, newPage),
+		Need: in.NeedMachines,
+		Boot: in.Incarnation,
+		Ask:  optional(in.Question, newQuestion),
+		Tell: optional(in.Cancellations, newPage),
 	}
 }
 
 // Core is the ping as a message to the core, not numbered yet.
-func (in PingArgs) Core() core.Pinged {
-	return core.Pinged{
-		From: in.From,
-		Need: in.Need,
-		Boot: in.Boot,
-		Ask:  optional(in.Ask, Question.core),
-		Tell: optional(in.Tell, Page.core),
+func (in PingArgs) Core() core.PingReceived {
+	return core.PingReceived{
+		From:          in.From,
+		NeedMachines:  in.Need,
+		Incarnation:   in.Boot,
+		Question:      optional(in.Ask, Question.core),
+		Cancellations: optional(in.Tell, Page.core),
 	}
 }
 
 // NewPingReply is the answer of the controller of a name as it is sent.
-func NewPingReply(name string, news core.PeerNews) PingReply {
+func NewPingReply(name string, news core.PeerStatus) PingReply {
 	return PingReply{Name: name, News: newPeerNews(news)}
 }
 
 // Core is what the controller that answered knows.
-func (in PingReply) Core() core.PeerNews {
+func (in PingReply) Core() core.PeerStatus {
 	return in.News.core()
 }
 
@@ -95,35 +95,35 @@
 	}
 }
 
-func newPeerNews(in core.PeerNews) PeerNews {
+func newPeerNews(in core.PeerStatus) PeerNews {
 	return PeerNews{
-		Token:     in.Token,
+		Token:     in.FencingToken,
 		Leader:    in.Leader,
 		StateAge:  in.StateAge,
 		Cancelled: in.Cancelled,
-		Vouch:     optional(in.Vouch, newPage),
+		Vouch:     optional(in.ReadLease, newPage),
 		Ack:       optional(in.Ack, newAck),
 		Version:   in.Version,
 		Features:  each(in.Features, newFeature),
-		Lowered:   in.Lowered,
-		Reach:     optional(in.Reach, newReach),
+		Lowered:   in.LimitsLowered,
+		Reach:     optional(in.Connectivity, newReach),
 		Machines:  each(in.Machines, newMachine),
 	}
 }
 
-func (in PeerNews) core() core.PeerNews {
-	return core.PeerNews{
-		Token:     in.Token,
-		Leader:    in.Leader,
-		StateAge:  in.StateAge,
-		Cancelled: in.Cancelled,
-		Vouch:     optional(in.Vouch, Page.core),
-		Ack:       optional(in.Ack, Ack.core),
-		Version:   in.Version,
-		Features:  each(in.Features, coreFeature),
-		Lowered:   in.Lowered,
-		Reach:     optional(in.Reach, Reach.core),
-		Machines:  each(in.Machines, Machine.core),
+func (in PeerNews) core() core.PeerStatus {
+	return core.PeerStatus{
+		FencingToken:  in.Token,
+		Leader:        in.Leader,
+		StateAge:      in.StateAge,
+		Cancelled:     in.Cancelled,
+		ReadLease:     optional(in.Vouch, Page.core),
+		Ack:           optional(in.Ack, Ack.core),
+		Version:       in.Version,
+		Features:      each(in.Features, coreFeature),
+		LimitsLowered: in.Lowered,
+		Connectivity:  optional(in.Reach, Reach.core),
+		Machines:      each(in.Machines, Machine.core),
 	}
 }
 
--- a/internal/peer/internal/wire/reply.go
+++ b/internal/peer/internal/wire/reply.go
@@ -9,19 +9,19 @@
 // NewReply is an answer as it is sent.
 func NewReply(in core.Reply) Reply {
 	return Reply{
-		Req:    in.Req,
+		Req:    in.RequestID,
 		Status: in.Status,
-		Retry:  in.Retry,
+		Retry:  in.RetryAfter,
 		Error:  in.Error,
 		Job:    optional(in.Job, newJobState),
 		Sweep:  optional(in.Sweep, newSweepState),
 		Runs:   optional(in.Runs, newSweepPage),
-		News:   optional(in.News, newPeerNews),
+		News:   optional(in.PeerStatus, newPeerNews),
 		Cloud:  optional(in.Cloud, newCloudAnswer),
-		Gone:   optional(in.Gone, newGoneState),
+		Gone:   optional(in.Decommission, newGoneState),
 		View:   optional(in.View, newView),
-		Token:  in.Token,
-		Orders: each(in.Orders, newOrder),
+		Token:  in.FencingToken,
+		Orders: each(in.Commands, newOrder),
 		Leader: in.Leader,
 	}
 }
@@ -29,20 +29,20 @@
 // Core is the answer as the core's type.
 func (in Reply) Core() core.Reply {
 	return core.Reply{
-		Req:    in.Req,
-		Status: in.Status,
-		Retry:  in.Retry,
-		Error:  in.Error,
-		Job:    optional(in.Job, JobState.core),
-		Sweep:  optional(in.Sweep, SweepState.core),
-		Runs:   optional(in.Runs, SweepPage.core),
-		News:   optional(in.News, PeerNews.core),
-		Cloud:  optional(in.Cloud, CloudAnswer.core),
-		Gone:   optional(in.Gone, GoneState.core),
-		View:   optional(in.View, View.core),
-		Token:  in.Token,
-		Orders: each(in.Orders, Order.core),
-		Leader: in.Leader,
+		RequestID:    in.Req,
+		Status:       in.Status,
+		RetryAfter:   in.Retry,
+		Error:        in.Error,
+		Job:          optional(in.Job, JobState.core),
+		Sweep:        optional(in.Sweep, SweepState.core),
+		Runs:         optional(in.Runs, SweepPage.core),
+		PeerStatus:   optional(in.News, PeerNews.core),
+		Cloud:        optional(in.Cloud, CloudAnswer.core),
+		Decommission: optional(in.Gone, GoneState.core),
+		View:         optional(in.View, View.core),
+		FencingToken: in.Token,
+		Commands:     each(in.Orders, Order.core),
+		Leader:       in.Leader,
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-func newCloudAnswer(in core.CloudAnswer) CloudAnswer {
+func newCloudAnswer(in core.CloudResult) CloudAnswer {
 	return CloudAnswer{
 		Status: in.Status,
 		Types:  each(in.Types, newMachineType),
@@ -129,8 +129,8 @@
 	}
 }
 
-func (in CloudAnswer) core() core.CloudAnswer {
-	return core.CloudAnswer{
+func (in CloudAnswer) core() core.CloudResult {
+	return core.CloudResult{
 		Status: in.Status,
 		Types:  each(in.Types, MachineType.core),
 		List:   each(in.List, Listing.core),
@@ -164,7 +164,7 @@
 	}
 }
 
-func newListing(in core.Listing) Listing {
+func newListing(in core.CloudMachine) Listing {
 	return Listing{
 		Name:   in.Name,
 		Addr:   in.Addr,
@@ -176,8 +176,8 @@
 	}
 }
 
-func (in Listing) core() core.Listing {
-	return core.Listing{
+func (in Listing) core() core.CloudMachine {
+	return core.CloudMachine{
 		Name:   in.Name,
 		Addr:   in.Addr,
 		Type:   in.Type,
@@ -188,17 +188,17 @@
 	}
 }
 
-func newGoneState(in core.GoneState) GoneState {
+func newGoneState(in core.DecommissionState) GoneState {
 	return GoneState{
 		Name: in.Name,
-		Gone: in.Gone,
+		Gone: in.Decommissioned,
 	}
 }
 
-func (in GoneState) core() core.GoneState {
-	return core.GoneState{
-		Name: in.Name,
-		Gone: in.Gone,
+func (in GoneState) core() core.DecommissionState {
+	return core.DecommissionState{
+		Name:           in.Name,
+		Decommissioned: in.Gone,
 	}
 }
 
--- a/internal/peer/internal/wire/request.go
+++ b/internal/peer/internal/wire/request.go
@@ -9,28 +9,28 @@
 // that can be.
 func NewRequest(request any) (out AskArgs, ok bool) {
 	switch in := request.(type) {
-	case core.HandedSweep:
+	case core.ForwardedSweep:
 		request := newHandedSweep(in)
 		out.Sweep = &request
-	case core.Submit:
+	case core.SubmitJob:
 		request := newSubmit(in)
 		out.Submit = &request
-	case core.Cancel:
+	case core.CancelJob:
 		request := newCancel(in)
 		out.Cancel = &request
-	case core.Status:
+	case core.QueryJob:
 		request := newStatus(in)
 		out.Status = &request
-	case core.CloudFor:
+	case core.CloudCallRequested:
 		request := newCloudFor(in)
 		out.Cloud = &request
-	case core.ViewFor:
+	case core.FollowerRead:
 		request := newViewFor(in)
 		out.View = &request
-	case core.SweepStatus:
+	case core.QuerySweep:
 		request := newSweepStatus(in)
 		out.SweepStatus = &request
-	case core.SweepRuns:
+	case core.ListSweepRuns:
 		request := newSweepRuns(in)
 		out.SweepRuns = &request
 	case core.CancelSweep:
@@ -68,21 +68,21 @@
 	return nil, false
 }
 
-func newSubmit(in core.Submit) Submit {
+func newSubmit(in core.SubmitJob) Submit {
 	return Submit{
-		Req:     in.Req,
-		Handed:  in.Handed,
+		Req:     in.RequestID,
+		Handed:  in.Forwarded,
 		Spec:    optional(in.Spec, newSpec),
 		Invalid: in.Invalid,
 	}
 }
 
-func (in Submit) core() core.Submit {
-	return core.Submit{
-		Req:     in.Req,
-		Handed:  in.Handed,
-		Spec:    optional(in.Spec, Spec.core),
-		Invalid: in.Invalid,
+func (in Submit) core() core.SubmitJob {
+	return core.SubmitJob{
+		RequestID: in.Req,
+		Forwarded: in.Handed,
+		Spec:      optional(in.Spec, Spec.core),
+		Invalid:   in.Invalid,
 	}
 }
 
@@ -154,115 +154,115 @@
 	}
 }
 
-func newStatus(in core.Status) Status {
+func newStatus(in core.QueryJob) Status {
 	return Status{
-		Req:    in.Req,
-		Handed: in.Handed,
+		Req:    in.RequestID,
+		Handed: in.Forwarded,
 		ID:     in.ID,
 	}
 }
 
-func (in Status) core() core.Status {
-	return core.Status{
-		Req:    in.Req,
-		Handed: in.Handed,
-		ID:     in.ID,
+func (in Status) core() core.QueryJob {
+	return core.QueryJob{
+		RequestID: in.Req,
+		Forwarded: in.Handed,
+		ID:        in.ID,
 	}
 }
 
-func newCancel(in core.Cancel) Cancel {
+func newCancel(in core.CancelJob) Cancel {
 	return Cancel{
-		Req:    in.Req,
-		Handed: in.Handed,
+		Req:    in.RequestID,
+		Handed: in.Forwarded,
 		ID:     in.ID,
 	}
 }
 
-func (in Cancel) core() core.Cancel {
-	return core.Cancel{
-		Req:    in.Req,
-		Handed: in.Handed,
-		ID:     in.ID,
+func (in Cancel) core() core.CancelJob {
+	return core.CancelJob{
+		RequestID: in.Req,
+		Forwarded: in.Handed,
+		ID:        in.ID,
 	}
 }
 
-func newCloudFor(in core.CloudFor) CloudFor {
+func newCloudFor(in core.CloudCallRequested) CloudFor {
 	return CloudFor{
-		Req:   in.Req,
-		Token: in.Token,
+		Req:   in.RequestID,
+		Token: in.FencingToken,
 		Call:  newCloudCall(in.Call),
 	}
 }
 
-func (in CloudFor) core() core.CloudFor {
-	return core.CloudFor{
-		Req:   in.Req,
-		Token: in.Token,
-		Call:  in.Call.core(),
+func (in CloudFor) core() core.CloudCallRequested {
+	return core.CloudCallRequested{
+		RequestID:    in.Req,
+		FencingToken: in.Token,
+		Call:         in.Call.core(),
 	}
 }
 
 func newCloudCall(in core.CloudCall) CloudCall {
 	return CloudCall{
-		Types:   in.Types,
-		List:    in.List,
+		Types:   in.ListTypes,
+		List:    in.ListMachines,
 		Gap:     in.Gap,
-		Rent:    optional(in.Rent, newRent),
-		Release: in.Release,
+		Rent:    optional(in.ScaleOut, newRent),
+		Release: in.ScaleIn,
 	}
 }
 
 func (in CloudCall) core() core.CloudCall {
 	return core.CloudCall{
-		Types:   in.Types,
-		List:    in.List,
-		Gap:     in.Gap,
-		Rent:    optional(in.Rent, Rent.core),
-		Release: in.Release,
+		ListTypes:    in.Types,
+		ListMachines: in.List,
+		Gap:          in.Gap,
+		ScaleOut:     optional(in.Rent, Rent.core),
+		ScaleIn:      in.Release,
 	}
 }
 
-func newRent(in core.Rent) Rent {
+func newRent(in core.ScaleOut) Rent {
 	return Rent{
 		Name:  in.Name,
 		Type:  in.Type,
 		Zone:  in.Zone,
 		Spot:  in.Spot,
 		Count: in.Count,
-		Until: in.Until,
-		Token: in.Token,
+		Until: in.NotAfter,
+		Token: in.FencingToken,
 	}
 }
 
-func (in Rent) core() core.Rent {
-	return core.Rent{
-		Name:  in.Name,
-		Type:  in.Type,
-		Zone:  in.Zone,
-		Spot:  in.Spot,
-		Count: in.Count,
-		Until: in.Until,
-		Token: in.Token,
+func (in Rent) core() core.ScaleOut {
+	return core.ScaleOut{
+		Name:         in.Name,
+		Type:         in.Type,
+		Zone:         in.Zone,
+		Spot:         in.Spot,
+		Count:        in.Count,
+		NotAfter:     in.Until,
+		FencingToken: in.Token,
 	}
 }
 
-func newViewFor(in core.ViewFor) ViewFor {
+func newViewFor(in core.FollowerRead) ViewFor {
 	return ViewFor{
-		Req:   in.Req,
-		After: in.After,
-		Need:  in.Need,
+		Req:   in.RequestID,
+		After: in.AfterRevision,
+		Need:  in.WritesNeeded,
 	}
 }
 
-func (in ViewFor) core() core.ViewFor {
-	return core.ViewFor{
-		Req:   in.Req,
-		After: in.After,
-		Need:  in.Need,
+func (in ViewFor) core() core.FollowerRead {
+	return core.FollowerRead{
+		RequestID:     in.Req,
+		AfterRevision: in.After,
+		WritesNeeded:  in.Need,
 	}
 }
 
-func newHandedSweep(in core.HandedSweep) HandedSweep {
+func newHandedSweep(in core.ForwardedSweep) HandedSweep {
 	return HandedSweep{
 		ID:      in.ID,
 		Stored:  in.Stored,
@@ -270,62 +270,62 @@
 	}
 }
 
-func (in HandedSweep) core() core.HandedSweep {
-	return core.HandedSweep{
+func (in HandedSweep) core() core.ForwardedSweep {
+	return core.ForwardedSweep{
 		ID:      in.ID,
 		Stored:  in.Stored,
 		Invalid: in.Invalid,
 	}
 }
 
-func newSweepStatus(in core.SweepStatus) SweepStatus {
+func newSweepStatus(in core.QuerySweep) SweepStatus {
 	return SweepStatus{
-		Req:    in.Req,
+		Req:    in.RequestID,
 		ID:     in.ID,
-		Handed: in.Handed,
+		Handed: in.Forwarded,
 	}
 }
 
-func (in SweepStatus) core() core.SweepStatus {
-	return core.SweepStatus{
-		Req:    in.Req,
-		ID:     in.ID,
-		Handed: in.Handed,
+func (in SweepStatus) core() core.QuerySweep {
+	return core.QuerySweep{
+		RequestID: in.Req,
+		ID:        in.ID,
+		Forwarded: in.Handed,
 	}
 }
 
-func newSweepRuns(in core.SweepRuns) SweepRuns {
+func newSweepRuns(in core.ListSweepRuns) SweepRuns {
 	return SweepRuns{
-		Req:    in.Req,
+		Req:    in.RequestID,
 		ID:     in.ID,
 		After:  in.After,
-		Most:   in.Most,
-		Handed: in.Handed,
+		Most:   in.Limit,
+		Handed: in.Forwarded,
 	}
 }
 
-func (in SweepRuns) core() core.SweepRuns {
-	return core.SweepRuns{
-		Req:    in.Req,
-		ID:     in.ID,
-		After:  in.After,
-		Most:   in.Most,
-		Handed: in.Handed,
+func (in SweepRuns) core() core.ListSweepRuns {
+	return core.ListSweepRuns{
+		RequestID: in.Req,
+		ID:        in.ID,
+		After:     in.After,
+		Limit:     in.Most,
+		Forwarded: in.Handed,
 	}
 }
 
 func newCancelSweep(in core.CancelSweep) CancelSweep {
 	return CancelSweep{
-		Req:    in.Req,
+		Req:    in.RequestID,
 		ID:     in.ID,
-		Handed: in.Handed,
+		Handed: in.Forwarded,
 	}
 }
 
 func (in CancelSweep) core() core.CancelSweep {
 	return core.CancelSweep{
-		Req:    in.Req,
-		ID:     in.ID,
-		Handed: in.Handed,
+		RequestID: in.Req,
+		ID:        in.ID,
+		Forwarded: in.Handed,
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,10 +25,10 @@
 // yet.
 type Handler interface {
 	// HandleRelayedHeartbeat answers a heartbeat that a peer relays.
-	HandleRelayedHeartbeat(beat core.Beat) (core.Reply, error)
+	HandleRelayedHeartbeat(beat core.HeartbeatReceived) (core.Reply, error)
 	// HandlePing answers a ping with the controller's news.
-	HandlePing(ping core.Pinged) (core.Reply, error)
-	// HandleRequest answers a request that a peer hands on: a core.HandedSweep, or one that
+	HandlePing(ping core.PingReceived) (core.Reply, error)
+	// HandleRequest answers a request that a peer hands on: a core.ForwardedSweep, or one that
 	// Numbered makes a message of.
 	HandleRequest(request any) (core.Reply, error)
 }
@@ -42,10 +42,10 @@
 // Ping answers at once.
 func (s *service) Ping(in wire.PingArgs, out *wire.PingReply) error {
 	r, err := s.handler.HandlePing(in.Core())
-	if err != nil || r.News == nil {
+	if err != nil || r.PeerStatus == nil {
 		return ErrNoAnswer
 	}
-	*out = wire.NewPingReply(s.name, *r.News)
+	*out = wire.NewPingReply(s.name, *r.PeerStatus)
 	return nil
 }
 
--- a/internal/peer/ping_test.go
+++ b/internal/peer/ping_test.go
@@ -39,19 +39,19 @@
 	round := func(vouched *readlease.Holder, now int64) {
 		for i, p := range peers {
 			for more := true; more; {
-				ping := core.Pinged{From: "n0", Boot: "b"}
+				ping := core.PingReceived{From: "n0", Incarnation: "b"}
 				if vouched != nil {
 					q := vouched.NextRequest(p, 7, now)
-					ping.Ask = &q
+					ping.Question = &q
 				}
 				var received wire.PingArgs
 				args := wire.NewPing(ping)
 				send(&args, &received)
 				asked := received.Core()
-				news := core.PeerNews{Token: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
-				if asked.Ask != nil {
-					page := witnesses[i].Grant("n0", *asked.Ask, true, now)
-					news.Vouch = &page
+				news := core.PeerStatus{FencingToken: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
+				if asked.Question != nil {
+					page := witnesses[i].Grant("n0", *asked.Question, true, now)
+					news.ReadLease = &page
 				}
 				var answered wire.PingReply
 				answer := wire.NewPingReply(p, news)
@@ -59,8 +59,8 @@
 				reply := answered.Core()
 				more = false
 				if vouched != nil {
-					vouched.HandleGrant(p, now, now, *reply.Vouch)
-					more = reply.Vouch.More
+					vouched.HandleGrant(p, now, now, *reply.ReadLease)
+					more = reply.ReadLease.More
 				}
 			}
 		}
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -29,27 +29,27 @@
 // messages4 are both directions of each call as program 4 sends them.
 func messages4() map[string]any {
 	return map[string]any{
-		"PingArgs": core.Pinged{From: "node-1", Need: true},
-		"PingReply": PingAnswer{Name: "node-1", News: core.PeerNews{Token: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, Lowered: true,
-			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Reach: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
+		"PingArgs": core.PingReceived{From: "node-1", NeedMachines: true},
+		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, LimitsLowered: true,
+			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Connectivity: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
 			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}}}},
-		"BeatArgs": core.Beat{From: "node-1", Onward: true, Report: core.Report{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Session: 2, Seq: 9, Token: 3, Notice: -1,
-			Tasks: []core.TaskReport{{Name: "job-01/0", Attempt: 2, State: "running"}}}},
-		"AskArgs submit":      core.Submit{Spec: &jobstate.Spec{ID: "job-01", Team: "t", Tasks: 2, Dependencies: []string{"job-00"}}, Handed: true},
-		"AskArgs status":      core.Status{ID: "job-01", Handed: true},
-		"AskArgs cancel":      core.Cancel{ID: "job-01", Handed: true},
-		"AskArgs sweep":       core.HandedSweep{ID: "s", Stored: "x", Invalid: "y"},
-		"AskArgs sweep state": core.SweepStatus{ID: "s", Handed: true},
-		"AskArgs sweep runs":  core.SweepRuns{ID: "s", After: 1, Most: 2, Handed: true},
-		"AskArgs sweep end":   core.CancelSweep{ID: "s", Handed: true},
-		"AskArgs rent":        core.CloudFor{Token: 3, Call: core.CloudCall{Rent: &core.Rent{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2}}},
-		"AskArgs list":        core.CloudFor{Token: 3, Call: core.CloudCall{List: true, Gap: 7}},
-		"Reply orders":        core.Reply{Req: 1, Status: 200, Token: 3, Orders: []core.Order{{Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
-		"Reply job":           core.Reply{Req: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
-		"Reply sweep":         core.Reply{Req: 1, Status: 200, Sweep: &core.SweepState{ID: "s", State: "running", Runs: 3, Done: 1}},
-		"Reply cloud": core.Reply{Req: 1, Status: 200, Cloud: &core.CloudAnswer{Status: 200, Names: []string{"host-000002"}, Types: []fleet.Type{{Name: "big", Zones: []string{"a"}}},
-			List: []core.Listing{{Name: "host-000002", Type: "big", Zone: "a", Status: "running", Age: 5}}}},
-		"Reply refused": core.Reply{Req: 1, Status: 503, Retry: 2, Error: "why"},
+		"BeatArgs": core.HeartbeatReceived{From: "node-1", ViaPeer: true, Heartbeat: core.Heartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
+			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "running"}}}},
+		"AskArgs submit":      core.SubmitJob{Spec: &jobstate.Spec{ID: "job-01", Team: "t", Tasks: 2, Dependencies: []string{"job-00"}}, Forwarded: true},
+		"AskArgs status":      core.QueryJob{ID: "job-01", Forwarded: true},
+		"AskArgs cancel":      core.CancelJob{ID: "job-01", Forwarded: true},
+		"AskArgs sweep":       core.ForwardedSweep{ID: "s", Stored: "x", Invalid: "y"},
+		"AskArgs sweep state": core.QuerySweep{ID: "s", Forwarded: true},
+		"AskArgs sweep runs":  core.ListSweepRuns{ID: "s", After: 1, Limit: 2, Forwarded: true},
+		"AskArgs sweep end":   core.CancelSweep{ID: "s", Forwarded: true},
+		"AskArgs rent":        core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2}}},
+		"AskArgs list":        core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ListMachines: true, Gap: 7}},
+		"Reply orders":        core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
+		"Reply job":           core.Reply{RequestID: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
+		"Reply sweep":         core.Reply{RequestID: 1, Status: 200, Sweep: &core.SweepState{ID: "s", State: "running", Runs: 3, Done: 1}},
+		"Reply cloud": core.Reply{RequestID: 1, Status: 200, Cloud: &core.CloudResult{Status: 200, Names: []string{"host-000002"}, Types: []fleet.Type{{Name: "big", Zones: []string{"a"}}},
+			List: []core.CloudMachine{{Name: "host-000002", Type: "big", Zone: "a", Status: "running", Age: 5}}}},
+		"Reply refused": core.Reply{RequestID: 1, Status: 503, RetryAfter: 2, Error: "why"},
 	}
 }
 
@@ -57,10 +57,10 @@
 // they tell users, which took no other program number: nothing stored depends on it.
 func messagesVouch() map[string]any {
 	return map[string]any{
-		"PingArgs": core.Pinged{From: "node-1", Boot: "b1", Ask: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Tell: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
-		"PingReply": PingAnswer{Name: "node-2", News: core.PeerNews{Token: 3, Leader: "node-1", Vouch: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
+		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", Question: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
+		"PingReply": PingAnswer{Name: "node-2", News: core.PeerStatus{FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
 			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8}}},
-		"AskArgs rent": core.CloudFor{Token: 3, Call: core.CloudCall{Rent: &core.Rent{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2, Token: 3}}},
+		"AskArgs rent": core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2, FencingToken: 3}}},
 	}
 }
 
@@ -68,8 +68,8 @@
 // program 5.
 func messagesShared() map[string]any {
 	return map[string]any{
-		"AskArgs view": core.ViewFor{After: 7, Need: 2},
-		"Reply view": core.Reply{Req: 1, Status: 200, View: &replica.View{Revision: 9, Granted: 2,
+		"AskArgs view": core.FollowerRead{AfterRevision: 7, WritesNeeded: 2},
+		"Reply view": core.Reply{RequestID: 1, Status: 200, View: &replica.View{Revision: 9, Granted: 2,
 			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Revision: 8}, {Key: "zinclb/job/b", Revision: 9, Removed: true}}}},
 	}
 }
@@ -158,11 +158,11 @@
 func toWire(t *testing.T, message any) any {
 	t.Helper()
 	switch m := message.(type) {
-	case core.Pinged:
+	case core.PingReceived:
 		return wire.NewPing(m)
 	case PingAnswer:
 		return wire.NewPingReply(m.Name, m.News)
-	case core.Beat:
+	case core.HeartbeatReceived:
 		return wire.NewHeartbeat(m)
 	case core.Reply:
 		return wire.NewReply(m)
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -4,32 +4,32 @@
 
 // Numbered is a request that was handed on as a message to the core, under the
 // number that its reply will have. It is nil for anything else, also for a
-// core.HandedSweep, which has to be expanded first.
+// core.ForwardedSweep, which has to be expanded first.
 func Numbered(request any, number uint64) any {
 	switch r := request.(type) {
-	case core.Submit:
-		r.Req = number
+	case core.SubmitJob:
+		r.RequestID = number
 		return r
-	case core.Cancel:
-		r.Req = number
+	case core.CancelJob:
+		r.RequestID = number
 		return r
-	case core.Status:
-		r.Req = number
+	case core.QueryJob:
+		r.RequestID = number
 		return r
-	case core.CloudFor:
-		r.Req = number
+	case core.CloudCallRequested:
+		r.RequestID = number
 		return r
-	case core.ViewFor:
-		r.Req = number
+	case core.FollowerRead:
+		r.RequestID = number
 		return r
-	case core.SweepStatus:
-		r.Req = number
+	case core.QuerySweep:
+		r.RequestID = number
 		return r
-	case core.SweepRuns:
-		r.Req = number
+	case core.ListSweepRuns:
+		r.RequestID = number
 		return r
 	case core.CancelSweep:
-		r.Req = number
+		r.RequestID = number
 		return r
 	}
 	return nil
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	cases := map[string]any{
-		"PingArgs":  core.Pinged{From: "node-1"},
-		"PingReply": PingAnswer{Name: "node-1", News: core.PeerNews{Token: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}}},
-		"BeatArgs": core.Beat{From: "node-1", Report: core.Report{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Session: 2, Seq: 9, Token: 3, Notice: -1,
-			Tasks: []core.TaskReport{{Name: "job-01/0", Attempt: 2, State: "exited", Why: "done", Saved: true}}}},
+		"PingArgs":  core.PingReceived{From: "node-1"},
+		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}}},
+		"BeatArgs": core.HeartbeatReceived{From: "node-1", Heartbeat: core.Heartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
+			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "exited", Reason: "done", Checkpointed: true}}}},
 		"AskArgs submit": nil,
-		"AskArgs status": core.Status{Req: 1, Handed: true, ID: "job-01"},
-		"AskArgs cancel": core.Cancel{Req: 1, Handed: true, ID: "job-01"},
-		"Reply orders":   core.Reply{Req: 1, Status: 200, Token: 3, Orders: []core.Order{{Op: "start", Task: "job-01/0", Attempt: 1}, {Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
-		"Reply job":      core.Reply{Req: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
+		"AskArgs status": core.QueryJob{RequestID: 1, Forwarded: true, ID: "job-01"},
+		"AskArgs cancel": core.CancelJob{RequestID: 1, Forwarded: true, ID: "job-01"},
+		"Reply orders":   core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "start", Task: "job-01/0", Attempt: 1}, {Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
+		"Reply job":      core.Reply{RequestID: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
 	}
 	for name, want := range cases {
 		raw, err := base64.StdEncoding.DecodeString(recorded.Gob[name])
@@ -44,7 +44,7 @@
 			t.Fatalf("%s: not recorded", name)
 		}
 		if want == nil {
-			a, ok := fromWire(t, decoded(t, raw, reflect.TypeFor[wire.AskArgs]())).(core.Submit)
+			a, ok := fromWire(t, decoded(t, raw, reflect.TypeFor[wire.AskArgs]())).(core.SubmitJob)
 			if !ok || a.Spec.ID != "job-00" || a.Spec.Need.CPU == 0 || a.Spec.Estimate == 0 || a.Spec.Team == "" {
 				t.Errorf("%s: %+v", name, a)
 			}
@@ -70,8 +70,8 @@
 		}
 	}
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerNews{Token: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, Lowered: true,
-		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Reach: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}}})); err != nil {
+	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerStatus{FencingToken: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, LimitsLowered: true,
+		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Connectivity: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}}})); err != nil {
 		t.Fatal(err)
 	}
 	if err := gob.NewDecoder(&b).Decode(&old); err != nil || old.Name != "n" || old.News.Token != 3 || old.News.Leader != "l" || old.News.StateAge != 5 || len(old.News.Cancelled) != 1 {
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -51,8 +51,8 @@
 		return gotten{string(value), stamp, err}
 	}
 	multi := func() any {
-		return client.Transact(core.Multi{
-			ID: 5, When: []core.Cond{{Key: "zinclb/leader", Revision: 3}, {Key: "zinclb/end/a"}},
+		return client.Transact(core.CommitTransaction{
+			ID: 5, Conditions: []core.Cond{{Key: "zinclb/leader", Revision: 3}, {Key: "zinclb/end/a"}},
 			Writes: []core.Write{{Key: "zinclb/job/a", Value: []byte(`{"a":"<b>"}`)}, {Key: "zinclb/leader", Value: []byte(`1`), Lease: 77}, {Key: "zinclb/run/a"}},
 		}, time.Second)
 	}
@@ -90,7 +90,7 @@
 		{"multi, conditions fail", multi, []httpwire.Response{answered(409, `{"ledger":44,"failed":["zinclb/leader"]}`)}, core.Committed{ID: 5, Status: 409, Revision: 44, Failed: []string{"zinclb/leader"}}},
 		{"multi, refused", multi, []httpwire.Response{answered(429, `{}`)}, core.Committed{ID: 5, Status: 429}},
 		{"multi, unreadable", multi, []httpwire.Response{answered(200, `{`)}, core.Committed{ID: 5}},
-		{"multi, nothing", func() any { return client.Transact(core.Multi{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.Committed{ID: 6, Status: 200, Revision: 45}},
+		{"multi, nothing", func() any { return client.Transact(core.CommitTransaction{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.Committed{ID: 6, Status: 200, Revision: 45}},
 		{"lease", lease, []httpwire.Response{answered(200, `{"tenure":77}`)}, leased{Lease: 77}},
 		{"lease, refused", lease, []httpwire.Response{answered(429, `{}`)}, leased{Err: StatusError(429)}},
 		{"touch", touch, []httpwire.Response{answered(200, `{}`)}, leased{}},
@@ -100,12 +100,12 @@
 		{
 			"watch", watch,
 			[]httpwire.Response{answered(200, `{"ledger":42,"news":[{"put":"zinclb/job/a","data":{"x":1},"stamp":41},{"remove":"zinclb/run/a","stamp":42}]}`)},
-			core.Watched{After: 40, Ledger: 42, Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Revision: 41}, {Key: "zinclb/run/a", Revision: 42, Removed: true}}},
+			core.StateRead{AfterRevision: 40, Revision: 42, Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte(`{"x":1}`), Revision: 41}, {Key: "zinclb/run/a", Revision: 42, Removed: true}}},
 		},
-		{"watch, nothing new", watch, []httpwire.Response{answered(200, `{"ledger":40,"news":[]}`)}, core.Watched{After: 40, Ledger: 40}},
-		{"watch, forgotten", watch, []httpwire.Response{answered(410, `{}`)}, core.Watched{After: 40, Gone: true}},
-		{"watch, refused", watch, []httpwire.Response{answered(503, `{}`)}, core.Watched{After: 40, Err: StatusError(503)}},
-		{"view", view, []httpwire.Response{answered(200, `{"ledger":40}`)}, core.Watched{After: 40, Ledger: 40}},
+		{"watch, nothing new", watch, []httpwire.Response{answered(200, `{"ledger":40,"news":[]}`)}, core.StateRead{AfterRevision: 40, Revision: 40}},
+		{"watch, forgotten", watch, []httpwire.Response{answered(410, `{}`)}, core.StateRead{AfterRevision: 40, Compacted: true}},
+		{"watch, refused", watch, []httpwire.Response{answered(503, `{}`)}, core.StateRead{AfterRevision: 40, Err: StatusError(503)}},
+		{"view", view, []httpwire.Response{answered(200, `{"ledger":40}`)}, core.StateRead{AfterRevision: 40, Revision: 40}},
 	} {
 		service.Note("%s:", tc.name)
 		service.Answer(tc.answers...)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -113,12 +113,12 @@
 }
 
 // Transact executes a transaction. Status 0 means that its outcome is unknown.
-func (c *Client) Transact(t core.Multi, timeout time.Duration) core.Committed {
+func (c *Client) Transact(t core.CommitTransaction, timeout time.Duration) core.Committed {
 	var w struct {
 		When   []conditionWire `json:"when"`
 		Writes []writeWire     `json:"writes"`
 	}
-	for _, k := range t.When {
+	for _, k := range t.Conditions {
 		w.When = append(w.When, conditionWire(k))
 	}
 	for _, x := range t.Writes {
@@ -187,8 +187,8 @@
 }
 
 // Watch waits for changes of a prefix after a revision.
-func (c *Client) Watch(prefix string, after uint64, wait time.Duration) (w core.Watched) {
-	w.After = after
+func (c *Client) Watch(prefix string, after uint64, wait time.Duration) (w core.StateRead) {
+	w.AfterRevision = after
 	target := "/watch?starts=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	m, err := c.http.Do("GET", target, nil, wait+1500*time.Millisecond)
@@ -197,7 +197,7 @@
 		return w
 	}
 	if m.Status == 410 {
-		w.Gone = true
+		w.Compacted = true
 		return w
 	}
 	if m.Status != 200 {
@@ -217,7 +217,7 @@
 		w.Err = fmt.Errorf("watch: %w", err)
 		return w
 	}
-	w.Ledger = r.Ledger
+	w.Revision = r.Ledger
 	for _, n := range r.News {
 		ch := core.Change{Key: n.Put, Value: n.Value, Revision: n.Stamp}
 		if n.Put == "" {
