--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -61,18 +61,18 @@
 
 // forgetUnlisted clears what was on machines that are gone by the cloud's own word: spot
 // machines taken without a notice, of which nobody else tells before their lease.
-func (c *Core) forgetUnlisted(names []string) {
-	s := &c.leadership.scaling
+func (sl *scaler) forgetUnlisted(names []string) {
+	s := &sl.elector.leadership.scaling
 	for _, name := range names {
 		delete(s.booting, name)
-		m := c.leadership.fleet.Get(name)
+		m := sl.elector.leadership.fleet.Get(name)
 		if m == nil || m.Releasing {
 			continue // a release that is under way will be answered
 		}
-		c.log.Info("the cloud lists a machine no more", "machine", name, "tasks", len(m.Placed))
-		c.machineGone(m, "the cloud lists it no more")
-		c.forgetMachine(m)
-		c.leadership.departed.note(name, Heartbeat{}, true, c.now)
-		c.leadership.planWanted = true
+		sl.log.Info("the cloud lists a machine no more", "machine", name, "tasks", len(m.Placed))
+		sl.planner.machineGone(m, "the cloud lists it no more")
+		sl.forgetMachine(m)
+		sl.elector.leadership.departed.note(name, Heartbeat{}, true, sl.now)
+		sl.elector.leadership.planWanted = true
 	}
 }
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -78,61 +78,70 @@
 	return ScaledIn{Names: call.ScaleIn, OK: a.Status == 200, FencingToken: token}
 }
 
+// cloudCaller makes calls of the cloud, by way of a peer where this controller does not reach it.
+type cloudCaller struct {
+	*engine
+
+	cache   *stateCache
+	elector *elector
+	peers   *peerMonitor
+}
+
 // callCloud makes a call, itself or by a peer where only others reach the cloud.
 // What changes something there may go out for as long as nobody else can lead;
 // that is checked again next to the socket, as this process may stand still in
 // between.
-func (c *Core) callCloud(call CloudCall) {
-	until := c.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
+func (c *cloudCaller) callCloud(call CloudCall) {
+	until := c.elector.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
 	if by := c.cloudPeer(); by != "" {
-		c.emit(CallCloudViaPeer{To: by, FencingToken: c.leadership.token, Call: call, NotAfter: until})
+		c.emit(CallCloudViaPeer{To: by, FencingToken: c.elector.leadership.token, Call: call, NotAfter: until})
 		return
 	}
 	switch {
 	case call.ListTypes:
-		c.emit(ListMachineTypes{FencingToken: c.leadership.token})
+		c.emit(ListMachineTypes{FencingToken: c.elector.leadership.token})
 	case call.ListMachines:
-		c.emit(ListMachines{Gap: call.Gap, FencingToken: c.leadership.token})
+		c.emit(ListMachines{Gap: call.Gap, FencingToken: c.elector.leadership.token})
 	case call.ScaleOut != nil:
 		r := *call.ScaleOut
-		r.NotAfter, r.FencingToken = until, c.leadership.token
+		r.NotAfter, r.FencingToken = until, c.elector.leadership.token
 		c.emit(r)
 	default:
-		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: until, FencingToken: c.leadership.token})
+		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: until, FencingToken: c.elector.leadership.token})
 	}
 }
 
-func (c *Core) cloudPeer() string {
+func (c *cloudCaller) cloudPeer() string {
 	if !c.settings.Ops.Reach {
 		return ""
 	}
-	return c.connectivity.CloudProxy(c.now)
+	return c.peers.connectivity.CloudProxy(c.now)
 }
 
 // cloudCallEnded notes how a call has ended, if it was made here.
-func (c *Core) cloudCallEnded(by string, err error) {
+func (c *cloudCaller) cloudCallEnded(by string, err error) {
 	if by != "" {
 		return
 	}
 	if err == nil {
-		c.connectivity.Cloud.RecordSuccess(c.now, c.now)
+		c.peers.connectivity.Cloud.RecordSuccess(c.now, c.now)
 	} else {
-		c.connectivity.Cloud.RecordFailure(c.now, c.now, faultOf(err))
+		c.peers.connectivity.Cloud.RecordFailure(c.now, c.now, faultOf(err))
 	}
 }
 
 // onCloudCallRequested makes a call for a leader, unless a newer one is known of: what a
 // replaced leader asks for must not reach the cloud by way of its successors.
-func (c *Core) onCloudCallRequested(m CloudCallRequested) {
-	c.noteNewestLeader(c.leader)
-	if m.FencingToken < c.newestLeader.Token {
+func (c *cloudCaller) onCloudCallRequested(m CloudCallRequested) {
+	c.elector.noteNewestLeader(c.cache.leader)
+	if m.FencingToken < c.elector.newestLeader.Token {
 		c.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "a newer leader is known"})
 		return
 	}
 	c.emit(CallCloudForPeer{RequestID: m.RequestID, Call: m.Call})
 }
 
-func (c *Core) onCloudCalledForPeer(m CloudCalledForPeer) {
+func (c *cloudCaller) onCloudCalledForPeer(m CloudCalledForPeer) {
 	// It was silent for this controller too if it has no status.
 	var err error
 	if m.Answer.Status == 0 {
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -15,17 +15,17 @@
 	ttl := b.c.settings.Ops.LeaderLease
 	b.mute = true
 	b.run(ttl + second)
-	if b.c.mayStartTasks() {
+	if b.c.elector.mayStartTasks() {
 		t.Fatal("sure without a proof")
 	}
-	b.c.queueScaleIn("m")
+	b.c.scaler.queueScaleIn("m")
 	b.out = nil
 	b.run(3 * second)
 	if r := find[ScaleIn](b); len(r) != 0 {
 		t.Errorf("returned by one that may be replaced: %+v", r)
 	}
-	b.c.machine("came up").LastHeartbeat = b.now
-	b.c.leadership.scaling.toScaleIn = append(b.c.leadership.scaling.toScaleIn, "came up")
+	b.c.workers.machine("came up").LastHeartbeat = b.now
+	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
 	b.mute = false
 	b.run(2 * second)
 	r := find[ScaleIn](b)
@@ -54,10 +54,10 @@
 	}
 	for _, tc := range cases {
 		b := newBetween(t, "n0")
-		b.step(MachineTypesListed{FencingToken: b.c.leadership.token})
+		b.step(MachineTypesListed{FencingToken: b.c.elector.leadership.token})
 		b.run(5 * second)
 		for range 3 {
-			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.leadership.token})
+			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.token})
 		}
 		for i, v := range tc.say {
 			b.peer([]string{"n1", "n2"}[i], v)
@@ -67,17 +67,17 @@
 		if tc.fail != "" {
 			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: silent})
 		}
-		if got := b.c.cloudPeer(); got != tc.want {
+		if got := b.c.cloud.cloudPeer(); got != tc.want {
 			t.Errorf("%s: by %q, not %q", tc.name, got, tc.want)
 		}
 		b.out = nil
-		b.c.callCloud(CloudCall{ScaleIn: []string{"m"}})
+		b.c.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
 		b.step(Tick{})
 		out := b.out
 		by := find[CallCloudViaPeer](b)
 		b.out = out
 		direct := find[ScaleIn](b)
-		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.leadership.token || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
+		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.token || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
 			t.Errorf("%s: %+v, %+v", tc.name, by, direct)
 		}
 	}
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"encoding/json"
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"slices"
 	"strings"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
@@ -78,12 +79,27 @@
 	return leaderState{dirty: map[*jobstate.Job]struct{}{}, planWanted: true, scaling: newScalingState(now), heldHeartbeats: newHeldHeartbeats(), onDemandWantedAt: map[string]int64{}, stuckLoggedAt: map[string]int64{}, hintedImages: map[string][]hintImage{}, writtenHints: map[string][]byte{}, writeBackoffUntil: map[*jobstate.Job]int64{}, hintsWrittenAt: now, prefetch: newPrefetchState(), lastHeartbeatVia: map[string]int64{}, shunnedUntil: map[string]int64{}, departed: departedMachines{byName: map[string]departure{}}, classSizes: classSizes{}}
 }
 
+// committer writes what the leader has decided, in transactions that hold only while it leads.
+type committer struct {
+	*engine
+
+	cache        *stateCache
+	dependencies *dependencyResolver
+	elector      *elector
+	health       *stateHealth
+	membership   *membership
+	prefetcher   *prefetcher
+	requests     *requestHandler
+	sweepManager *sweepManager
+	tasks        *taskManager
+}
+
 // putAsLeader writes a value as a whole, if nothing newer is stored: one of its own
 // that got no answer may be executed after later ones.
-func (c *Core) putAsLeader(key string, value []byte, done func(Committed)) {
-	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, c.leadership.keyRevision), kv.RevisionIs(key, c.keyRevisions[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
+func (c *committer) putAsLeader(key string, value []byte, done func(Committed)) {
+	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision), kv.RevisionIs(key, c.cache.keyRevisions[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
 		if m.Status == 200 {
-			c.keyRevisions[key] = max(c.keyRevisions[key], m.Revision)
+			c.cache.keyRevisions[key] = max(c.cache.keyRevisions[key], m.Revision)
 		}
 		done(m)
 	})
@@ -98,8 +114,8 @@
 // maxTxnBytes stays below the service's 64 KiB for a transaction.
 const maxTxnBytes = 44 << 10
 
-func (c *Core) markDirty(j *jobstate.Job) {
-	c.leadership.dirty[j] = struct{}{}
+func (c *committer) markDirty(j *jobstate.Job) {
+	c.elector.leadership.dirty[j] = struct{}{}
 }
 
 // maxEndDelay is how long the ends of tasks may wait to be written while the
@@ -143,14 +159,14 @@
 // commitNow writes as much of what changed as the budget allows: high
 // priority first, then what has waited longest. All of it holds only while
 // this controller's leadership key stands as it was.
-func (c *Core) commitNow() {
-	l := c.leadership
-	if l == nil || l.committing || l.conflictsResolving > 0 || c.now < l.commitNotBefore || len(l.dirty) == 0 && l.unneededPages == 0 && len(c.orphanedChunks) == 0 {
+func (c *committer) commitNow() {
+	l := c.elector.leadership
+	if l == nil || l.committing || l.conflictsResolving > 0 || c.now < l.commitNotBefore || len(l.dirty) == 0 && l.unneededPages == 0 && len(c.cache.orphanedChunks) == 0 {
 		return
 	}
-	c.writeBudget.Refill(c.now, c.allowance.Changes)
-	c.changeChunkSize()
-	ops := min(c.limits().TxnOps, int(c.writeBudget.Level())-1)
+	c.health.writeBudget.Refill(c.now, c.health.allowance.Changes)
+	c.membership.changeChunkSize()
+	ops := min(c.membership.limits().TxnOps, int(c.health.writeBudget.Level())-1)
 	if ops < 1 {
 		return
 	}
@@ -168,13 +184,13 @@
 	})
 	// While the budget is short, what can wait does so for a while, so that
 	// one write takes many tasks' ends.
-	scarce := c.writeBudget.Level() < c.allowance.Changes/2
+	scarce := c.health.writeBudget.Level() < c.health.allowance.Changes/2
 	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision)}
 	var writes []Write
 	var items []jobWrite
 	size := 0
 	pages := &pageWrites{c: c}
-	full := func() bool { return size+pages.ops()*c.valueLimit() > maxTxnBytes }
+	full := func() bool { return size+pages.ops()*c.membership.valueLimit() > maxTxnBytes }
 	add := func(w Write, cond Cond) {
 		writes = append(writes, w)
 		when = append(when, cond)
@@ -190,7 +206,7 @@
 		}
 	}
 	addEnd := func(j *jobstate.Job, outcome string) jobstate.End {
-		e := c.newEnd(outcome, j)
+		e := c.requests.newEnd(outcome, j)
 		add(Write{Key: endPrefix + j.ID, Value: encodeJSON(e)}, kv.RevisionIs(endPrefix+j.ID, 0))
 		return e
 	}
@@ -214,11 +230,11 @@
 			stillOpen(j)
 			it.writesEnd = true
 			it.end = addEnd(j, jobstate.Done)
-			if values, _ := j.StoredChunks(); j.NumPlaced == 0 && (c.logEnabled() || len(values)+2 <= room) {
+			if values, _ := j.StoredChunks(); j.NumPlaced == 0 && (c.membership.logEnabled() || len(values)+2 <= room) {
 				c.addRemoval(&it, room-1, add)
 				break
 			}
-			add(Write{Key: jobPrefix + j.ID, Value: c.endedRecord(j, jobstate.Done)}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
+			add(Write{Key: jobPrefix + j.ID, Value: c.requests.endedRecord(j, jobstate.Done)}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 		case j.Outcome != "" && j.NumPlaced == 0:
 			if j.CancelledByDependency {
 				if room < 2 {
@@ -250,7 +266,7 @@
 					continue
 				}
 				v, version := j.BeginChunkWrite(n, l.nextLogEntry)
-				if len(v) > c.valueLimit() {
+				if len(v) > c.membership.valueLimit() {
 					c.valueTooLong(j, n)
 					continue
 				}
@@ -268,11 +284,11 @@
 	if len(writes) == 0 {
 		return
 	}
-	c.writeBudget.Spend(float64(len(writes)))
+	c.health.writeBudget.Spend(float64(len(writes)))
 	l.committing = true
 	sent := c.now
 	c.commitTransaction(when, writes, func(m Committed) {
-		if c.leadership != l {
+		if c.elector.leadership != l {
 			return
 		}
 		l.committing = false
@@ -282,7 +298,7 @@
 		}
 		if m.Status == 200 {
 			if !m.Observed {
-				c.tokenProven(sent)
+				c.elector.tokenProven(sent)
 			}
 			l.commitAlone = false
 			pages.written(m.Revision)
@@ -315,16 +331,16 @@
 
 // transactionMalformed handles a transaction that the state service calls malformed: its
 // limits may have fallen. What is refused again alone must not hold up the rest.
-func (c *Core) transactionMalformed(items []jobWrite, writes int) {
-	l := c.leadership
+func (c *committer) transactionMalformed(items []jobWrite, writes int) {
+	l := c.elector.leadership
 	if len(items) == 0 {
 		c.log.Error("the state service calls a transaction malformed", "writes", writes)
 		l.keepGarbageUntil = c.now + writeBackoff // it had only removals
 		return
 	}
 	c.log.Error("the state service calls a transaction malformed", "writes", writes, "job", items[0].job.ID)
-	if !c.useLowerLimits() {
-		if c.lowerLimits("a transaction was refused"); c.useLowerLimits() {
+	if !c.membership.useLowerLimits() {
+		if c.membership.lowerLimits("a transaction was refused"); c.membership.useLowerLimits() {
 			return // it is made again, within them
 		}
 	}
@@ -339,11 +355,11 @@
 const writeBackoff = 10 * second
 
 // valueTooLong puts a value off that does not fit, and asks for smaller ones.
-func (c *Core) valueTooLong(j *jobstate.Job, n int) {
+func (c *committer) valueTooLong(j *jobstate.Job, n int) {
 	j.AbortChunkWrite(n)
-	c.leadership.writeBackoffUntil[j] = c.now + second
-	if j.ChunkSize() == c.chunkTasks && c.chunkTasks > 1 {
-		c.leadership.chunkTasksWanted = c.chunkTasks / 2
+	c.elector.leadership.writeBackoffUntil[j] = c.now + second
+	if j.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
+		c.elector.leadership.chunkTasksWanted = c.membership.chunkTasks / 2
 	}
 }
 
@@ -352,9 +368,9 @@
 //
 // In the second format the job's own key goes at once, and the others when there
 // is room: values without their job mean nothing.
-func (c *Core) addRemoval(it *jobWrite, room int, add func(Write, Cond)) {
+func (c *committer) addRemoval(it *jobWrite, room int, add func(Write, Cond)) {
 	j := it.job
-	if c.logEnabled() {
+	if c.membership.logEnabled() {
 		it.removesJob = true
 		add(Write{Key: jobPrefix + j.ID}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 		return
@@ -371,7 +387,7 @@
 }
 
 // oldestChange is when the oldest unwritten change of a job was made.
-func (c *Core) oldestChange(j *jobstate.Job) int64 {
+func (c *committer) oldestChange(j *jobstate.Job) int64 {
 	if at := j.DirtySince(); at != 0 {
 		return at
 	}
@@ -379,14 +395,14 @@
 }
 
 // itemCommitted applies what a transaction made true.
-func (c *Core) itemCommitted(it *jobWrite, stamp uint64) {
+func (c *committer) itemCommitted(it *jobWrite, stamp uint64) {
 	j := it.job
 	if it.writesEnd {
 		if !it.removesJob {
 			j.Revision = stamp
 		}
 		c.log.Info("job done", "job", j.ID, "tasks", j.Tasks)
-		c.noteEnd(j.ID, it.end, stamp)
+		c.cache.noteEnd(j.ID, it.end, stamp)
 	}
 	if it.writesDerivedEnd {
 		// Not by any write: one of its progress may have been under way when
@@ -405,38 +421,38 @@
 	}
 	if it.removesJob {
 		if j.Outcome == jobstate.Done && !j.Truncated {
-			c.addPrefetchSources(j.Spec) // none of its tasks is on a machine now
+			c.prefetcher.addPrefetchSources(j.Spec) // none of its tasks is on a machine now
 		}
-		delete(c.jobs, j.ID)
-		c.jobRemoved(j)
-		c.orphanChunks(j)
+		delete(c.cache.jobs, j.ID)
+		c.tasks.jobRemoved(j)
+		c.cache.orphanChunks(j)
 		return
 	}
 	c.clearIfWritten(j)
 }
 
 // clearIfWritten takes a job off the list of dirty ones if nothing is left to write.
-func (c *Core) clearIfWritten(j *jobstate.Job) {
+func (c *committer) clearIfWritten(j *jobstate.Job) {
 	if j.Outcome != "" && j.NumPlaced == 0 || j.Outcome == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
 		c.markDirty(j)
 		return
 	}
-	delete(c.leadership.dirty, j)
+	delete(c.elector.leadership.dirty, j)
 }
 
 // resolveConflict reads a key whose version was not the expected one.
-func (c *Core) resolveConflict(l *leadership, key string) {
+func (c *committer) resolveConflict(l *leadership, key string) {
 	if key == LeaderKey {
-		c.emit(ReadState{AfterRevision: c.appliedRevision})
+		c.emit(ReadState{AfterRevision: c.cache.appliedRevision})
 		l.conflictsResolving++ // nothing more is written under this leadership
-		if c.leadership == l {
-			c.stepDown("the leadership key changed")
+		if c.elector.leadership == l {
+			c.elector.stepDown("the leadership key changed")
 		}
 		return
 	}
 	l.conflictsResolving++
 	c.readKey(key, func(g KeyRead) {
-		if c.leadership != l {
+		if c.elector.leadership != l {
 			return
 		}
 		l.conflictsResolving--
@@ -446,93 +462,36 @@
 		switch {
 		case strings.HasPrefix(key, runPrefix):
 			id, v, err := parseChunkKey(key[len(runPrefix):])
-			if err == nil && c.jobs[id] != nil {
-				c.jobs[id].SetChunkRevision(v, g.Revision)
+			if err == nil && c.cache.jobs[id] != nil {
+				c.cache.jobs[id].SetChunkRevision(v, g.Revision)
 			} else if err == nil {
 				c.setOrphanedRevision(id, v, g.Revision)
 			}
 		case strings.HasPrefix(key, logPrefix):
-			for _, p := range c.progressLog {
+			for _, p := range c.cache.progressLog {
 				if pageKey(p.number) == key {
 					p.Revision = g.Revision
 				}
 			}
 		case strings.HasPrefix(key, sweepEndPrefix) && g.Revision != 0:
-			c.noteSweepCancelled(key[len(sweepEndPrefix):])
+			c.sweepManager.noteSweepCancelled(key[len(sweepEndPrefix):])
 		case strings.HasPrefix(key, endPrefix):
 			var e jobstate.End
 			if g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil {
-				c.noteEnd(key[len(endPrefix):], e, g.Revision)
-				c.endWasStored(key[len(endPrefix):])
+				c.cache.noteEnd(key[len(endPrefix):], e, g.Revision)
+				c.dependencies.endWasStored(key[len(endPrefix):])
 			}
 		case strings.HasPrefix(key, jobPrefix):
 			if g.Revision != 0 {
-				c.apply(Change{Key: key, Value: g.Value, Revision: g.Revision})
-			} else if j := c.jobs[key[len(jobPrefix):]]; j != nil {
-				delete(c.jobs, j.ID)
-				c.jobRemoved(j)
+				c.cache.apply(Change{Key: key, Value: g.Value, Revision: g.Revision})
+			} else if j := c.cache.jobs[key[len(jobPrefix):]]; j != nil {
+				delete(c.cache.jobs, j.ID)
+				c.tasks.jobRemoved(j)
 			}
 		}
 	})
 }
 
-// jobArrived, jobEnded and jobRemoved are called by the mirror.
-func (c *Core) jobArrived(j *jobstate.Job) {
-	if c.leadership != nil {
-		c.leadership.planWanted = true
-		c.noteImageDemand(j.Spec)
-		c.leadership.classSizes.note(j.Spec)
-	}
-}
-
-func (c *Core) jobEnded(j *jobstate.Job) {
-	c.dependencyGraph.Remove(j)
-	if c.leadership == nil {
-		return
-	}
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if !t.StartSent {
-			c.clearPlacement(j, i) // no worker was ever told of it
-			return
-		}
-		c.requestStop(j, i, j.Outcome, 0)
-	})
-	c.markDirty(j)
-	c.leadership.planWanted = true
-}
-
-func (c *Core) jobRemoved(j *jobstate.Job) {
-	c.dependencyGraph.Remove(j)
-	if c.leadership == nil {
-		return
-	}
-	delete(c.leadership.dirty, j)
-	delete(c.leadership.writeBackoffUntil, j)
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if m := c.leadership.fleet.Get(t.Machine); m != nil {
-			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
-		}
-	})
-	c.leadership.planWanted = true
-}
-
-// clearPlacement removes a placement that is proven to be gone.
-func (c *Core) clearPlacement(j *jobstate.Job, i int) {
-	t := j.Task(i)
-	if m := c.leadership.fleet.Get(t.Machine); m != nil {
-		m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
-		if t.Phase == jobstate.Fetching && !fetchesImage(m, j.Image) {
-			m.AbandonFetch(j.Image)
-		}
-		if len(m.Placed) == 0 {
-			m.IdleSince = c.now
-		}
-	}
-	j.UnplaceTask(i, c.now)
-	c.markDirty(j)
-	c.leadership.planWanted = true
-}
-
 // fetchesImage says whether a task on a machine waits for an image.
 func fetchesImage(m *fleet.Machine, image string) bool {
 	for ref := range m.Placed {
@@ -542,17 +501,3 @@
 	}
 	return false
 }
-
-// requestStop asks for an attempt to be stopped; grace 0 ends it at once.
-func (c *Core) requestStop(j *jobstate.Job, i int, why string, grace int64) {
-	t := j.Task(i)
-	if t.StopReason != "" && grace >= t.Grace {
-		return
-	}
-	if t.StopReason == "" {
-		t.StopRequestedAt = c.now
-	}
-	t.StopReason, t.Grace = why, grace
-	c.leadership.releaseWanted = true
-	c.queueDirectCommand(j, i)
-}
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -26,11 +26,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
 			c := r.c
-			clear(c.leadership.dirty)
+			clear(c.elector.leadership.dirty)
 			add := func(id string, priority int) *jobstate.Job {
 				j := jobstate.NewJob(&jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 2, Priority: priority, Need: jobstate.Resources{CPU: 1000}, Estimate: 10 * second})
-				c.jobs[id] = j
-				c.markDirty(j)
+				c.cache.jobs[id] = j
+				c.committer.markDirty(j)
 				return j
 			}
 			then := c.now - tc.age
@@ -45,9 +45,9 @@
 			done := add("done", jobstate.Idle)
 			done.SetDone(0, then)
 			done.SetDone(1, then)
-			c.writeBudget = ratelimit.NewTokenBucket(c.now, tc.level)
-			c.leadership.committing, c.leadership.commitNotBefore = false, 0
-			c.commitNow()
+			c.health.writeBudget = ratelimit.NewTokenBucket(c.now, tc.level)
+			c.elector.leadership.committing, c.elector.leadership.commitNotBefore = false, 0
+			c.committer.commitNow()
 			got := ""
 			for _, e := range c.effects {
 				m, ok := e.(CommitTransaction)
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -17,27 +17,27 @@
 // connectivityTick asks machines that have not reported here, says in the state service
 // what this controller reaches, and has a leader give way to one that could
 // serve more.
-func (c *Core) connectivityTick() {
-	c.watchdogTick()
-	if !c.settings.Ops.Reach || c.now-c.connectivityCheckedAt < connectivityGap {
+func (pm *peerMonitor) connectivityTick() {
+	pm.reader.watchdogTick()
+	if !pm.settings.Ops.Reach || pm.now-pm.connectivityCheckedAt < connectivityGap {
 		return
 	}
-	if c.connectivityCheckedAt != 0 && c.now-c.connectivityCheckedAt > maxStandstill {
-		c.connectivity.Workers.Invalidate(c.now)
+	if pm.connectivityCheckedAt != 0 && pm.now-pm.connectivityCheckedAt > maxStandstill {
+		pm.connectivity.Workers.Invalidate(pm.now)
 	}
-	c.connectivityCheckedAt = c.now
-	c.connectivity.Refresh(c.now)
-	for _, m := range c.connectivity.Workers.DueProbes(c.now) {
-		c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+	pm.connectivityCheckedAt = pm.now
+	pm.connectivity.Refresh(pm.now)
+	for _, m := range pm.connectivity.Workers.DueProbes(pm.now) {
+		pm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 	}
-	if !c.synced {
+	if !pm.cache.synced {
 		return
 	}
-	c.publishConnectivity()
-	if c.leadership != nil && c.mayStartTasks() {
-		if to, why := c.connectivity.HandoverTarget(c.now); to != "" {
-			c.log.Info("giving way", "to", to, "why", why)
-			c.resign("gave way to " + to)
+	pm.publishConnectivity()
+	if pm.elector.leadership != nil && pm.elector.mayStartTasks() {
+		if to, why := pm.connectivity.HandoverTarget(pm.now); to != "" {
+			pm.log.Info("giving way", "to", to, "why", why)
+			pm.elector.resign("gave way to " + to)
 		}
 	}
 }
@@ -45,27 +45,27 @@
 // publishConnectivity stores what this controller reaches, for those that its pings do not
 // get to. It is on its lease, so it is there only while the controller lives
 // and reaches the state service.
-func (c *Core) publishConnectivity() {
-	v, news := c.connectivity.PendingAdvertisement(c.now)
-	if !news || !c.activation.Enabled(upgrade.Connectivity) || c.stateUnavailable() || c.writeBudget.Level() < 1 {
+func (pm *peerMonitor) publishConnectivity() {
+	v, news := pm.connectivity.PendingAdvertisement(pm.now)
+	if !news || !pm.membership.activation.Enabled(upgrade.Connectivity) || pm.health.stateUnavailable() || pm.health.writeBudget.Level() < 1 {
 		return
 	}
-	if c.candidacy.lease != 0 {
-		c.connectivity.MarkAdvertised(v, c.now)
+	if pm.elector.candidacy.lease != 0 {
+		pm.connectivity.MarkAdvertised(v, pm.now)
 	}
-	c.putOnLease(connectivityPrefix+c.settings.Name, c.connectivityRevisions[c.settings.Name], v, func(ok bool) {
+	pm.membership.putOnLease(connectivityPrefix+pm.settings.Name, pm.connectivityRevisions[pm.settings.Name], v, func(ok bool) {
 		if !ok {
-			c.connectivity.ClearAdvertised()
+			pm.connectivity.ClearAdvertised()
 		}
 	})
 }
 
-func (c *Core) applyConnectivity(name string, ch Change, bad func(error)) {
+func (pm *peerMonitor) applyConnectivity(name string, ch Change, bad func(error)) {
 	if ch.Removed {
-		delete(c.connectivityRevisions, name)
-		c.connectivity.SetStored(name, nil)
-		if name == c.settings.Name {
-			c.connectivity.ClearAdvertised()
+		delete(pm.connectivityRevisions, name)
+		pm.connectivity.SetStored(name, nil)
+		if name == pm.settings.Name {
+			pm.connectivity.ClearAdvertised()
 		}
 		return
 	}
@@ -74,6 +74,6 @@
 		bad(err)
 		return
 	}
-	c.connectivityRevisions[name] = ch.Revision
-	c.connectivity.SetStored(name, &v)
+	pm.connectivityRevisions[name] = ch.Revision
+	pm.connectivity.SetStored(name, &v)
 }
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -42,7 +42,7 @@
 	}
 	b.step(StateListed{Revision: 20, Changes: rows})
 	b.run(2 * second)
-	if (b.c.leadership != nil) != (leader == "n0") {
+	if (b.c.elector.leadership != nil) != (leader == "n0") {
 		t.Fatal("not the leader that was meant")
 	}
 	b.out = nil
@@ -126,11 +126,11 @@
 	if len(asked) != 1 || !asked[0].ForRequests {
 		t.Fatalf("views %+v", asked)
 	}
-	b.step(StateRead{AfterRevision: b.c.appliedRevision, Revision: b.rev, Immediate: true})
+	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.rev, Immediate: true})
 	if got := find[ReadKey](b); len(got) != 0 {
 		t.Error("a view that may be older than the request was taken for its answer")
 	}
-	b.step(StateRead{AfterRevision: b.c.appliedRevision, Revision: b.rev, Immediate: true, ForRequests: true})
+	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.rev, Immediate: true, ForRequests: true})
 	if got := find[ReadKey](b); len(got) != 1 {
 		t.Error("the view of the request did not answer it")
 	}
@@ -141,8 +141,8 @@
 // that the watch is held on breaks.
 func TestSilentWatch(t *testing.T) {
 	b := newBetween(t, "n0")
-	b.c.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
-	b.rev += 3                                         // others write, and nothing of it comes
+	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
+	b.rev += 3                                                 // others write, and nothing of it comes
 	id := b.c.newID()
 	b.c.transactions.Begin(id, nil, nil, b.now, func(Committed) {})
 	b.step(Committed{ID: id, Status: 409, Revision: b.rev})
@@ -250,14 +250,14 @@
 		b := newBetween(t, "n0")
 		b.c.settings.Ops.Reach = on
 		b.stored("n1", reaches(8, 8))
-		b.c.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
-		b.c.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
+		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
+		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
 		for _, m := range []string{"m", "m2"} {
 			b.step(MachineProbed{Machine: m, SentAt: b.now, OK: false})
 		}
 		b.run(3 * second)
-		if (b.c.leadership == nil) != on {
-			t.Fatalf("on %v, leads %v", on, b.c.leadership != nil)
+		if (b.c.elector.leadership == nil) != on {
+			t.Fatalf("on %v, leads %v", on, b.c.elector.leadership != nil)
 		}
 		if !on {
 			continue
@@ -270,7 +270,7 @@
 		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reaches(8, 8)), Revision: 7}}
 		b.step(StateListed{Revision: b.rev, Changes: rows})
 		begun := b.now
-		for b.c.leadership == nil && b.now < begun+10*second {
+		for b.c.elector.leadership == nil && b.now < begun+10*second {
 			b.run(50_000)
 		}
 		if d := b.now - begun; d < second || d > 3*second {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -436,120 +436,86 @@
 	Running = "running"
 )
 
-// Core is the state of one controller.
+// Core is one controller: it hands each message to the part that it concerns, and
+// collects the effects that follow.
 type Core struct {
-	settings Settings
-	now      int64
-	effects  []any
-	rng      *rand.Rand
-	log      *slog.Logger
-	lastID   uint64
-	// wallOffset is the time of day less the steady clock.
-	wallOffset int64
-
-	// the mirror of the state service
-	synced          bool
-	listingState    bool
-	appliedRevision uint64
-	jobs            map[string]*jobstate.Job
-	orphanedChunks  map[string]map[jobstate.ChunkRef]Change // chunks read before their job
-	ends            map[string]jobstate.End
-	endOrder        []string
-	machineTypes    []fleet.Type
-	typesRevision   uint64
-	// typesWholeRevision is when they were last stored as one value.
-	typesWholeRevision uint64
-	partitions         fleet.Partitions
-	partitionsReadAt   int64 // when the bounds were read
-	// keyRevisions are the versions of what a leader writes as a whole: see putAsLeader.
-	keyRevisions   map[string]uint64
-	leader         leaderRecord
-	leaderRevision uint64
-	token          tokenRecord
-	tokenRevision  uint64
-	// watching: a watch of everything is under way, watchingLeader one of the
-	// leadership alone.
-	watching, watchingLeader bool
-	imageHints               map[string][]byte
-	format                   formatRecord
-	formatRevision           uint64
-	activation               *upgrade.Activation
-	// featuresRevision and decommissionedRevisions are versions of keys; unfit is why this program must
-	// not go on.
-	featuresRevision        uint64
-	decommissionedRevisions map[string]uint64
-	incompatible            string
-	// chunkTasks is what the jobs' chunks are split to, which lags behind the
-	// format while the leader has a write under way.
-	chunkTasks      int
-	dependencyGraph *jobstate.DependencyGraph
-	// progressLog are the log of progress, in its order.
-	progressLog  []*logPage
-	imageHistory imageHistory
-	// endReads are the ends of awaited jobs that are being read.
-	endReads map[string]int64
-	// sweeps by their ids; lastPlan is the closed one whose plan is kept.
-	sweeps   map[string]*sweep
-	lastPlan string
-	// mayHaveOpenRuns: there may be runs of cancelled sweeps that are not over yet.
-	mayHaveOpenRuns bool
-	// limitsLowered: the state service's limits have fallen to the ones to come.
-	limitsLowered bool
-
-	// costAware: money is weighed.
-	costAware bool
+	*engine
+
+	elector          *elector
+	membership       *membership
+	peers            *peerMonitor
+	readLeases       *readLeaseManager
+	health           *stateHealth
+	reader           *stateReader
+	cache            *stateCache
+	committer        *committer
+	tasks            *taskManager
+	router           *heartbeatRouter
+	workers          *workerManager
+	requests         *requestHandler
+	dependencies     *dependencyResolver
+	planner          *planner
+	partitionManager *partitionManager
+	scaler           *scaler
+	cloud            *cloudCaller
+	prefetcher       *prefetcher
+	sweepManager     *sweepManager
+	operators        *operatorViewer
+}
 
-	queues       requestQueues
-	candidacy    candidacy
-	leadership   *leadership
-	peerStates   map[string]peerState
-	connectivity *connectivity.Links
-	// connectivityRevisions are the versions of what controllers said of what they reach.
-	connectivityRevisions map[string]uint64
-	connectivityCheckedAt int64 // when the links were last looked at
-	// announcedRevision is the newest revision that an answer has told of, announcedAt when.
-	announcedRevision uint64
-	announcedAt       int64
-	// newestLeader is the newest leadership that this controller has heard of.
-	newestLeader leaderRecord
-	// readLeaseGrantor vouches for what this controller tells users, heldReplies are answers
-	// that wait for a leader to know of a cancellation.
-	readLeaseGrantor *readlease.Grantor
-	heldReplies      heldReplies
-	// stateAnsweredAt and stateFailedAt are when the state service last answered a
-	// request, and when it last failed one.
-	stateAnsweredAt, stateFailedAt int64
-	redirects                      map[string]redirect // workers that were sent elsewhere
-	// pings go out once a second
-	pingedAt     int64
-	transactions *txn.Table
-	keyReads     map[uint64]func(KeyRead)
-	// allowance is what this controller may use of the state service, budget what is
-	// left of it for changes, reading for reads that can wait.
-	allowance               ratelimit.Share
-	writeBudget, readBudget ratelimit.TokenBucket
-	// follower decides whether the leader is asked for what is stored, recent has
-	// the latest changes for those who ask this one.
-	follower      replica.Follower
-	recentChanges replica.ChangeLog
-	// mirrorFreshAt is up to when, at the least, all that was stored is known.
-	mirrorFreshAt int64
+func (c *Core) connect() {
+	c.elector.cache, c.elector.committer, c.elector.health, c.elector.membership, c.elector.peers, c.elector.prefetcher, c.elector.tasks, c.elector.workers = c.cache, c.committer, c.health, c.membership, c.peers, c.prefetcher, c.tasks, c.workers
+	c.membership.cache, c.membership.committer, c.membership.elector, c.membership.health = c.cache, c.committer, c.elector, c.health
+	c.peers.cache, c.peers.elector, c.peers.health, c.peers.membership, c.peers.readLeases, c.peers.reader = c.cache, c.elector, c.health, c.membership, c.readLeases, c.reader
+	c.readLeases.cache, c.readLeases.elector, c.readLeases.peers, c.readLeases.sweepManager = c.cache, c.elector, c.peers, c.sweepManager
+	c.health.cache, c.health.elector, c.health.membership, c.health.peers = c.cache, c.elector, c.membership, c.peers
+	c.reader.cache, c.reader.elector, c.reader.health, c.reader.membership, c.reader.peers, c.reader.requests = c.cache, c.elector, c.health, c.membership, c.peers, c.requests
+	c.cache.committer, c.cache.dependencies, c.cache.elector, c.cache.health, c.cache.membership, c.cache.peers, c.cache.readLeases, c.cache.reader, c.cache.requests, c.cache.sweepManager, c.cache.tasks = c.committer, c.dependencies, c.elector, c.health, c.membership, c.peers, c.readLeases, c.reader, c.requests, c.sweepManager, c.tasks
+	c.committer.cache, c.committer.dependencies, c.committer.elector, c.committer.health, c.committer.membership, c.committer.prefetcher, c.committer.requests, c.committer.sweepManager, c.committer.tasks = c.cache, c.dependencies, c.elector, c.health, c.membership, c.prefetcher, c.requests, c.sweepManager, c.tasks
+	c.tasks.committer, c.tasks.dependencies, c.tasks.elector, c.tasks.prefetcher, c.tasks.workers = c.committer, c.dependencies, c.elector, c.prefetcher, c.workers
+	c.router.cache, c.router.elector, c.router.health, c.router.peers, c.router.workers = c.cache, c.elector, c.health, c.peers, c.workers
+	c.workers.cache, c.workers.elector, c.workers.prefetcher, c.workers.tasks = c.cache, c.elector, c.prefetcher, c.tasks
+	c.requests.cache, c.requests.dependencies, c.requests.elector, c.requests.health, c.requests.membership, c.requests.peers, c.requests.readLeases, c.requests.reader, c.requests.sweepManager = c.cache, c.dependencies, c.elector, c.health, c.membership, c.peers, c.readLeases, c.reader, c.sweepManager
+	c.dependencies.cache, c.dependencies.elector, c.dependencies.requests, c.dependencies.tasks = c.cache, c.elector, c.requests, c.tasks
+	c.planner.cache, c.planner.committer, c.planner.dependencies, c.planner.elector, c.planner.prefetcher, c.planner.sweepManager, c.planner.tasks = c.cache, c.committer, c.dependencies, c.elector, c.prefetcher, c.sweepManager, c.tasks
+	c.partitionManager.cache, c.partitionManager.committer, c.partitionManager.elector, c.partitionManager.health, c.partitionManager.peers = c.cache, c.committer, c.elector, c.health, c.peers
+	c.scaler.cache, c.scaler.cloud, c.scaler.committer, c.scaler.elector, c.scaler.membership, c.scaler.planner, c.scaler.prefetcher = c.cache, c.cloud, c.committer, c.elector, c.membership, c.planner, c.prefetcher
+	c.cloud.cache, c.cloud.elector, c.cloud.peers = c.cache, c.elector, c.peers
+	c.prefetcher.cache, c.prefetcher.committer, c.prefetcher.elector, c.prefetcher.health, c.prefetcher.membership, c.prefetcher.planner = c.cache, c.committer, c.elector, c.health, c.membership, c.planner
+	c.sweepManager.cache, c.sweepManager.committer, c.sweepManager.dependencies, c.sweepManager.elector, c.sweepManager.health, c.sweepManager.membership, c.sweepManager.readLeases, c.sweepManager.requests, c.sweepManager.tasks = c.cache, c.committer, c.dependencies, c.elector, c.health, c.membership, c.readLeases, c.requests, c.tasks
+	c.operators.cache, c.operators.dependencies, c.operators.elector, c.operators.health, c.operators.membership, c.operators.peers, c.operators.planner, c.operators.reader = c.cache, c.dependencies, c.elector, c.health, c.membership, c.peers, c.planner, c.reader
 }
 
-// New makes a core. now is the steady clock.
+// New makes a core. now is the steady clock in microseconds.
 func New(set Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	c := &Core{settings: set, now: now, rng: rng, log: log, jobs: map[string]*jobstate.Job{},
-		orphanedChunks: map[string]map[jobstate.ChunkRef]Change{}, ends: map[string]jobstate.End{}, imageHints: map[string][]byte{},
-		peerStates: map[string]peerState{}, redirects: map[string]redirect{}, chunkTasks: jobstate.DefaultChunkSize, dependencyGraph: jobstate.NewDependencyGraph(), imageHistory: newImageHistory(), endReads: map[string]int64{}, sweeps: map[string]*sweep{}, activation: newActivation(&set), decommissionedRevisions: map[string]uint64{},
-		transactions: txn.New(), keyReads: map[uint64]func(KeyRead){}, connectivityRevisions: map[string]uint64{}, keyRevisions: map[string]uint64{},
-		connectivity: connectivity.New(set.Name, set.Incarnation, set.Peers, set.Zones, config.MicrosOf(set.Workers.ReportS))}
-	c.costAware = set.WeighsCost(&c.settings.Ops)
-	c.readLeaseGrantor = readlease.NewGrantor(set.Incarnation, set.Peers, set.LeaderAuthorityTime(), now)
-	c.heldReplies.informedAt = map[string]int64{}
-	c.queues.inFlight = map[string][]*request{}
-	c.allowance = c.currentAllowance()
-	c.readBudget = ratelimit.NewTokenBucket(now, ratelimit.InitialTokens)
-	c.listState()
+	run := &engine{settings: set, log: log, rng: rng, now: now, transactions: txn.New(), keyReads: map[uint64]func(KeyRead){}}
+	c := &Core{
+		engine:           run,
+		elector:          &elector{engine: run},
+		membership:       newMembership(run),
+		peers:            newPeerMonitor(run),
+		readLeases:       newReadLeaseManager(run),
+		health:           &stateHealth{engine: run},
+		reader:           &stateReader{engine: run},
+		cache:            newStateCache(run),
+		committer:        &committer{engine: run},
+		tasks:            &taskManager{engine: run},
+		router:           &heartbeatRouter{engine: run, redirects: map[string]redirect{}},
+		workers:          &workerManager{engine: run},
+		requests:         newRequestHandler(run),
+		dependencies:     newDependencyResolver(run),
+		planner:          &planner{engine: run},
+		partitionManager: &partitionManager{engine: run},
+		scaler:           &scaler{engine: run, costAware: set.WeighsCost(&run.settings.Ops)},
+		cloud:            &cloudCaller{engine: run},
+		prefetcher:       &prefetcher{engine: run},
+		sweepManager:     &sweepManager{engine: run, sweeps: map[string]*sweep{}},
+		operators:        &operatorViewer{engine: run},
+	}
+	c.connect()
+	c.health.allowance = c.health.currentAllowance()
+	c.health.readBudget = ratelimit.NewTokenBucket(now, ratelimit.InitialTokens)
+	c.cache.listState()
 	return c
 }
 
@@ -563,137 +529,118 @@
 		}
 		c.tick()
 	case StateListed:
-		c.onStateListed(m)
+		c.cache.onStateListed(m)
 	case StateRead:
-		c.onStateRead(m)
+		c.cache.onStateRead(m)
 	case LeaderWatched:
-		c.onLeaderWatched(m)
+		c.reader.onLeaderWatched(m)
 	case FollowerRead:
-		c.waitForRead(&request{id: m.RequestID, kind: requestFollowerRead, revision: m.AfterRevision, writesNeeded: m.WritesNeeded, receivedAt: c.now, forwarded: true})
+		c.requests.waitForRead(&request{id: m.RequestID, kind: requestFollowerRead, revision: m.AfterRevision, writesNeeded: m.WritesNeeded, receivedAt: c.now, forwarded: true})
 	case LeaderReadDone:
-		c.onLeaderReadDone(m)
+		c.reader.onLeaderReadDone(m)
 	case Committed:
 		if !c.transactions.IsConditionOnly(m.ID) {
-			c.noteRateLimited(m.Status)
+			c.membership.noteRateLimited(m.Status)
 		}
-		c.noteTransactionResult(m)
+		c.health.noteTransactionResult(m)
 		c.transactions.Complete(m)
 	case KeyRead:
-		c.noteStateResult(&c.connectivity.Reads, m.Err)
+		c.health.noteStateResult(&c.peers.connectivity.Reads, m.Err)
 		if f := c.keyReads[m.ID]; f != nil {
 			delete(c.keyReads, m.ID)
 			f(m)
 		}
 	case LeaseGranted:
-		c.onLeaseGranted(m)
+		c.elector.onLeaseGranted(m)
 	case LeaseRenewed:
-		c.onLeaseRenewed(m)
+		c.elector.onLeaseRenewed(m)
 	case SubmitJob:
-		c.onSubmit(m)
+		c.requests.onSubmit(m)
 	case QueryJob:
-		c.onStatus(m)
+		c.requests.onStatus(m)
 	case CancelJob:
-		c.onCancel(m)
+		c.requests.onCancel(m)
 	case SubmitSweep:
-		c.onSubmitSweep(m)
+		c.sweepManager.onSubmitSweep(m)
 	case QuerySweep:
-		c.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepStatus, forwarded: m.Forwarded})
+		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepStatus, forwarded: m.Forwarded})
 	case ListSweepRuns:
-		c.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepRuns, after: m.After, limit: m.Limit, forwarded: m.Forwarded})
+		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepRuns, after: m.After, limit: m.Limit, forwarded: m.Forwarded})
 	case CancelSweep:
-		c.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepCancel, forwarded: m.Forwarded})
+		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepCancel, forwarded: m.Forwarded})
 	case SweepExpanded:
-		c.onExpanded(m)
+		c.sweepManager.onExpanded(m)
 	case CheckReady:
-		c.onReady(m)
+		c.requests.onReady(m)
 	case HeartbeatReceived:
-		c.onHeartbeat(m)
+		c.router.onHeartbeat(m)
 	case HeartbeatRelayed:
-		c.onHeartbeatRelayed(m)
+		c.router.onHeartbeatRelayed(m)
 	case PeerPinged:
-		c.onPeerPinged(m)
+		c.peers.onPeerPinged(m)
 	case MachineProbed:
-		c.connectivity.Workers.RecordProbe(m.Machine, m.SentAt, c.now, m.OK)
-		c.onMachineProbed(m)
+		c.peers.connectivity.Workers.RecordProbe(m.Machine, m.SentAt, c.now, m.OK)
+		c.workers.onMachineProbed(m)
 	case QueryOperatorView:
-		c.onQueryOperatorView(m)
+		c.operators.onQueryOperatorView(m)
 	case SetDecommissioned:
-		c.onSetDecommissioned(m)
+		c.membership.onSetDecommissioned(m)
 	case PingReceived:
-		c.onPingReceived(m)
+		c.peers.onPingReceived(m)
 	case RequestForwarded:
-		c.onRequestForwarded(m)
+		c.peers.onRequestForwarded(m)
 	case CloudCallRequested:
-		c.onCloudCallRequested(m)
+		c.cloud.onCloudCallRequested(m)
 	case CloudCalledForPeer:
-		c.onCloudCalledForPeer(m)
+		c.cloud.onCloudCalledForPeer(m)
 	case PeerCloudCallEnded:
-		c.connectivity.RecordCloudProxy(m.Peer, m.Err == nil, c.now)
+		c.peers.connectivity.RecordCloudProxy(m.Peer, m.Err == nil, c.now)
 	case MachineTypesListed:
-		c.onMachineTypesListed(m)
+		c.scaler.onMachineTypesListed(m)
 	case MachinesListed:
-		c.onMachinesListed(m)
+		c.scaler.onMachinesListed(m)
 	case ScaledOut:
-		c.onScaledOut(m)
+		c.scaler.onScaledOut(m)
 	case ScaledIn:
-		c.onScaledIn(m)
+		c.scaler.onScaledIn(m)
 	}
-	if c.leadership != nil {
+	if c.elector.leadership != nil {
 		c.leadStep()
 	}
-	if c.leadership != nil {
-		c.sendDirectCommands()
+	if c.elector.leadership != nil {
+		c.tasks.sendDirectCommands()
 	}
 	out := c.effects
 	c.effects = nil
 	return out
 }
 
-func (c *Core) emit(e any) { c.effects = append(c.effects, e) }
-
-func (c *Core) newID() uint64 {
-	c.lastID++
-	return c.lastID
-}
-
-func (c *Core) commitTransaction(when []Cond, writes []Write, f func(Committed)) {
-	id := c.newID()
-	c.transactions.Begin(id, when, writes, c.now, f)
-	c.emit(CommitTransaction{ID: id, Conditions: when, Writes: writes})
-}
-
-func (c *Core) readKey(key string, f func(KeyRead)) {
-	id := c.newID()
-	c.keyReads[id] = f
-	c.emit(ReadKey{ID: id, Key: key})
-}
-
 func (c *Core) tick() {
-	c.allowance = c.currentAllowance()
-	c.readBudget.Refill(c.now, c.allowance.Reads)
-	c.writeBudget.Refill(c.now, c.allowance.Changes)
-	if c.now-c.pingedAt >= second {
-		c.pingedAt = c.now
+	c.health.allowance = c.health.currentAllowance()
+	c.health.readBudget.Refill(c.now, c.health.allowance.Reads)
+	c.health.writeBudget.Refill(c.now, c.health.allowance.Changes)
+	if c.now-c.peers.pingedAt >= second {
+		c.peers.pingedAt = c.now
 		for _, p := range c.settings.Peers {
-			c.ping(p)
+			c.peers.ping(p)
 		}
-		for m, r := range c.redirects {
+		for m, r := range c.router.redirects {
 			if c.now-max(r.sentAt, r.keepUntil, r.servedAt) > 2*redirectReturnTime {
-				delete(c.redirects, m)
+				delete(c.router.redirects, m)
 			}
 		}
 	}
 	for _, answer := range c.transactions.Overdue(c.now) {
 		c.transactions.Complete(answer)
 	}
-	c.requestsTick()
-	c.watchState()
-	c.heldRepliesTick()
-	c.electionTick()
-	c.membershipTick()
-	c.connectivityTick()
-	c.dependencyTick()
-	if c.leadership != nil {
+	c.requests.requestsTick()
+	c.reader.watchState()
+	c.readLeases.heldRepliesTick()
+	c.elector.electionTick()
+	c.membership.membershipTick()
+	c.peers.connectivityTick()
+	c.dependencies.dependencyTick()
+	if c.elector.leadership != nil {
 		c.leadTick()
 	}
 }
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -50,31 +50,31 @@
 const stopNotReceiving = "deaf"
 
 // judgeDelivery judges by a new report whether its machine hears what it is told.
-func (c *Core) judgeDelivery(m *fleet.Machine, r *Heartbeat) {
+func (wm *workerManager) judgeDelivery(m *fleet.Machine, r *Heartbeat) {
 	h := &m.Delivery
 	deaf := false
-	if m.Epoch != 0 && r.Epoch > m.Epoch && c.now-m.LastAnswer < config.MicrosOf(c.settings.Workers.LeaseS)*3/4 {
+	if m.Epoch != 0 && r.Epoch > m.Epoch && wm.now-m.LastAnswer < config.MicrosOf(wm.settings.Workers.LeaseS)*3/4 {
 		// It has ended its session for want of answers, and was given some.
-		deaf = h.RecordMissedAnswer(c.now)
+		deaf = h.RecordMissedAnswer(wm.now)
 	} else if r.Epoch == m.Epoch {
 		wasDeaf := h.CannotReceive
-		deaf = h.RecordHeartbeat(func(task string, attempt uint32) bool { return listsAttempt(r, task, attempt) }, c.now)
+		deaf = h.RecordHeartbeat(func(task string, attempt uint32) bool { return listsAttempt(r, task, attempt) }, wm.now)
 		if wasDeaf && !h.CannotReceive {
-			c.deliveryRestored(m)
+			wm.deliveryRestored(m)
 		}
 	}
 	h.SentCommands = h.SentCommands[:0]
 	if deaf {
-		c.log.Info("a machine reports and does not hear", "machine", m.Name, "tasks", len(m.Placed))
+		wm.log.Info("a machine reports and does not hear", "machine", m.Name, "tasks", len(m.Placed))
 		m.MarkChanged()
-		c.abandonUnacknowledged(m)
+		wm.abandonUnacknowledged(m)
 	}
 }
 
 // abandonUnacknowledged takes back what a deaf machine was told to start and has not shown. It is
 // cleared when a later report does not have it either, as any attempt that is to
 // stop; what the machine has shown stays on it until its lease has run out.
-func (c *Core) abandonUnacknowledged(m *fleet.Machine) {
+func (wm *workerManager) abandonUnacknowledged(m *fleet.Machine) {
 	var refs []fleet.TaskRef
 	for ref := range m.Placed {
 		if t := ref.Job.Task(ref.Index); !t.Confirmed && t.StopReason == "" {
@@ -83,17 +83,17 @@
 	}
 	sortRefs(refs)
 	for _, ref := range refs {
-		c.requestStop(ref.Job, ref.Index, stopNotReceiving, 0)
+		wm.tasks.requestStop(ref.Job, ref.Index, stopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome == "" {
-			c.breakGang(ref.Job, false) // it would wait for this one in vain
+			wm.tasks.breakGang(ref.Job, false) // it would wait for this one in vain
 		}
 	}
 }
 
-func (c *Core) deliveryRestored(m *fleet.Machine) {
-	c.log.Info("a deaf machine hears again", "machine", m.Name)
+func (wm *workerManager) deliveryRestored(m *fleet.Machine) {
+	wm.log.Info("a deaf machine hears again", "machine", m.Name)
 	m.MarkChanged()
-	c.leadership.planWanted = true
+	wm.elector.leadership.planWanted = true
 }
 
 // maxDeliveryProbes bounds the machines that are asked in a tick.
@@ -101,17 +101,17 @@
 
 // probeNotReceiving asks deaf machines whether they hear by now, and has those tried that
 // can't be asked.
-func (c *Core) probeNotReceiving() {
+func (wm *workerManager) probeNotReceiving() {
 	asked := 0
-	for _, m := range c.leadership.fleet.All() {
+	for _, m := range wm.elector.leadership.fleet.All() {
 		if !m.Delivery.CannotReceive {
 			continue
 		}
-		if m.Delivery.RetryDue(c.now) {
-			c.deliveryRestored(m)
-		} else if asked < maxDeliveryProbes && m.BeginProbe(c.now) {
+		if m.Delivery.RetryDue(wm.now) {
+			wm.deliveryRestored(m)
+		} else if asked < maxDeliveryProbes && m.BeginProbe(wm.now) {
 			asked++
-			c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+			wm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 		}
 	}
 }
@@ -119,9 +119,9 @@
 // probeOutdated asks a machine for a report, as an older one has come than the newest: that
 // is a copy, or the machine has lost all and counts anew. Only an answer to a
 // question of one's own tells.
-func (c *Core) probeOutdated(m *fleet.Machine, addr string) {
-	if c.now-m.LastHeartbeat > config.MicrosOf(c.settings.Workers.ReportS)/2 && m.BeginProbe(c.now) {
-		c.emit(ProbeMachine{Machine: m.Name, Addr: addr})
+func (wm *workerManager) probeOutdated(m *fleet.Machine, addr string) {
+	if wm.now-m.LastHeartbeat > config.MicrosOf(wm.settings.Workers.ReportS)/2 && m.BeginProbe(wm.now) {
+		wm.emit(ProbeMachine{Machine: m.Name, Addr: addr})
 	}
 }
 
@@ -133,7 +133,7 @@
 // there. The report may be a copy from before, and proves nothing. So the machine
 // is asked, and gets no answers until none that it was given can still be taken:
 // then its own answer proves what it does not have.
-func (c *Core) needsProbe(m *fleet.Machine, r *Heartbeat) bool {
+func (wm *workerManager) needsProbe(m *fleet.Machine, r *Heartbeat) bool {
 	if !m.SeqRestarted() {
 		return false
 	}
@@ -145,8 +145,8 @@
 			wait = wait || !t.Confirmed && t.StopReason != "" && t.StartSent
 		}
 	}
-	if doubt && (!wait || c.now-m.LastAnswer > answerLifetime) && m.BeginProbe(c.now) {
-		c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+	if doubt && (!wait || wm.now-m.LastAnswer > answerLifetime) && m.BeginProbe(wm.now) {
+		wm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 	}
 	return wait
 }
@@ -162,36 +162,36 @@
 }
 
 // onMachineProbed takes a machine's answer to a question.
-func (c *Core) onMachineProbed(p MachineProbed) {
-	if c.leadership == nil || !p.OK {
+func (wm *workerManager) onMachineProbed(p MachineProbed) {
+	if wm.elector.leadership == nil || !p.OK {
 		return
 	}
-	m := c.leadership.fleet.Get(p.Machine)
+	m := wm.elector.leadership.fleet.Get(p.Machine)
 	if m == nil {
 		return
 	}
 	if m.Delivery.CannotReceive {
 		m.Delivery.RecordReceived()
-		c.deliveryRestored(m)
+		wm.deliveryRestored(m)
 	}
 	r := p.Heartbeat
 	if r == nil || r.Machine != m.Name {
 		return
 	}
-	c.stopListedTasks(m, r)
+	wm.stopListedTasks(m, r)
 	if m.ApplyProbe(p.SentAt, r.Epoch, r.Seq) {
 		// Since when is not known: what was started after that is still there.
-		c.log.Info("a machine has begun anew", "machine", m.Name, "tasks", len(m.Placed))
-		m.LastHeartbeat, m.HasCurrentToken = c.now, false
+		wm.log.Info("a machine has begun anew", "machine", m.Name, "tasks", len(m.Placed))
+		m.LastHeartbeat, m.HasCurrentToken = wm.now, false
 		m.MarkChanged()
 	}
-	if m.SeqRestarted() && r.FencingToken == c.leadership.token {
-		c.clearUnlisted(m, r, p.SentAt)
+	if m.SeqRestarted() && r.FencingToken == wm.elector.leadership.token {
+		wm.clearUnlisted(m, r, p.SentAt)
 	}
 }
 
 // clearUnlisted clears what a machine that counts anew says that it does not have.
-func (c *Core) clearUnlisted(m *fleet.Machine, r *Heartbeat, sent int64) {
+func (wm *workerManager) clearUnlisted(m *fleet.Machine, r *Heartbeat, sent int64) {
 	var lost, never []fleet.TaskRef
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
@@ -203,24 +203,8 @@
 			never = append(never, ref)
 		}
 	}
-	c.clearGone(lost, never)
+	wm.tasks.clearGone(lost, never)
 	if w := m.Prefetch; w != nil && sent > m.LastAnswer+answerLifetime && !listsAttempt(r, w.Task, w.Attempt) {
-		c.endPrefetch(m)
-	}
-}
-
-// clearGone clears placements that are proven to be gone: lost ones were there,
-// the others never came to be. It goes by their order, as orders for the rest of
-// a gang go out for each, and changes are written in the order they were made.
-func (c *Core) clearGone(lost, never []fleet.TaskRef) {
-	sortRefs(lost)
-	for _, ref := range lost {
-		c.taskLost(ref.Job, ref.Index)
-	}
-	sortRefs(never)
-	for _, ref := range never {
-		if t := ref.Job.Task(ref.Index); t.Machine != "" {
-			c.clearPlacement(ref.Job, ref.Index)
-		}
+		wm.prefetcher.endPrefetch(m)
 	}
 }
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -25,8 +25,8 @@
 
 // usable says whether m may be given work.
 func (r *rig) usable() bool {
-	m := r.c.leadership.fleet.Get("m")
-	return m != nil && r.c.usable(m)
+	m := r.c.elector.leadership.fleet.Get("m")
+	return m != nil && r.c.planner.usable(m)
 }
 
 // TestDeaf: that a machine is heard does not show that it hears. One whose orders
@@ -119,19 +119,19 @@
 	}{
 		{"of a machine that was returned", func(r *rig) int {
 			r.report(1, 7, r.token, running(3))
-			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.leadership.token})
+			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.elector.leadership.token})
 			return r.report(1, 8, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, an older number", func(r *rig) int {
 			r.report(1, 7, r.token)
-			r.c.machineGone(r.c.machine("m"), "test")
-			r.c.forgetMachine(r.c.machine("m"))
+			r.c.planner.machineGone(r.c.workers.machine("m"), "test")
+			r.c.scaler.forgetMachine(r.c.workers.machine("m"))
 			return r.report(1, 7, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, and is there after all", func(r *rig) int {
 			r.report(1, 7, r.token)
-			r.c.machineGone(r.c.machine("m"), "test")
-			r.c.forgetMachine(r.c.machine("m"))
+			r.c.planner.machineGone(r.c.workers.machine("m"), "test")
+			r.c.scaler.forgetMachine(r.c.workers.machine("m"))
 			return r.report(1, 8, r.token)
 		}, 200, true, "m.4"},
 		{"a lower number is no news", func(r *rig) int {
@@ -215,11 +215,11 @@
 func TestGangLeavesDeaf(t *testing.T) {
 	r := newRig(t)
 	j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: 2, Need: jobstate.Resources{CPU: 1}, Estimate: second})
-	r.c.jobs["g"] = j
+	r.c.cache.jobs["g"] = j
 	for i, name := range []string{"deaf", "m"} {
-		r.c.place(j, i, name)
+		r.c.tasks.place(j, i, name)
 	}
-	r.c.abandonUnacknowledged(r.c.machine("deaf"))
+	r.c.workers.abandonUnacknowledged(r.c.workers.machine("deaf"))
 	for i := range 2 {
 		if j.Task(i).StopReason == "" {
 			t.Errorf("task %d goes on", i)
@@ -228,8 +228,8 @@
 }
 
 // place is a stored and sent placement.
-func (c *Core) place(j *jobstate.Job, i int, machine string) {
-	j.PlaceTask(i, machine, 1, c.now)
+func (tm *taskManager) place(j *jobstate.Job, i int, machine string) {
+	j.PlaceTask(i, machine, 1, tm.now)
 	j.Task(i).Stored, j.Task(i).StartSent = true, true
-	c.machine(machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
+	tm.workers.machine(machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,51 +6,68 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
+// dependencyResolver starts jobs when the jobs that they depend on are done, and ends those that depend on one that is not.
+type dependencyResolver struct {
+	*engine
+
+	cache    *stateCache
+	elector  *elector
+	requests *requestHandler
+	tasks    *taskManager
+
+	dependencyGraph *jobstate.DependencyGraph
+	endReads        map[string]int64
+}
+
+func newDependencyResolver(run *engine) *dependencyResolver {
+	return &dependencyResolver{engine: run, dependencyGraph: jobstate.NewDependencyGraph(), endReads: map[string]int64{}}
+}
+
 // knownEnd is the stored end of a job, as far as it is known here.
-func (c *Core) knownEnd(id string) (jobstate.End, bool) {
-	if e, ok := c.ends[id]; ok {
+func (d *dependencyResolver) knownEnd(id string) (jobstate.End, bool) {
+	if e, ok := d.cache.ends[id]; ok {
 		return e, true
 	}
-	if j := c.jobs[id]; j != nil && j.Outcome != "" {
+	if j := d.cache.jobs[id]; j != nil && j.Outcome != "" {
 		return jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks}, true
 	}
 	return jobstate.End{}, false
 }
 
 // addDependencies is called for each unfinished job that is new here.
-func (c *Core) addDependencies(j *jobstate.Job) {
+func (d *dependencyResolver) addDependencies(j *jobstate.Job) {
 	if len(j.Dependencies) == 0 {
 		return
 	}
-	last, cancelled := c.dependencyGraph.Add(j, c.knownEnd)
+	last, cancelled := d.dependencyGraph.Add(j, d.knownEnd)
 	switch {
 	case cancelled:
-		c.deriveEnd(j)
+		d.deriveEnd(j)
 	case j.IsBlocked():
 		j.DependenciesEndedWall = last
 	default:
-		c.startDependents(j, last)
+		d.startDependents(j, last)
 	}
 }
 
 // startDependents lets a job's tasks start: its times count from the end of the last
 // job that it needed, at a time of day; 0 where the first format has none.
-func (c *Core) startDependents(j *jobstate.Job, last int64) {
-	j.ReadyAt = max(j.SubmittedAt, c.steadyTime(last))
-	if c.leadership != nil {
-		c.leadership.planWanted = true
+func (d *dependencyResolver) startDependents(j *jobstate.Job, last int64) {
+	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(last))
+	if d.elector.leadership != nil {
+		d.elector.leadership.planWanted = true
 	}
 }
 
 // resolveDependents tells the jobs that wait for one that has ended. Each that is
 // cancelled by it tells those behind it in turn.
-func (c *Core) resolveDependents(id string, e jobstate.End) {
-	released, cancelled := c.dependencyGraph.RecordEnd(id, e)
+func (d *dependencyResolver) resolveDependents(id string, e jobstate.End) {
+	released, cancelled := d.dependencyGraph.RecordEnd(id, e)
 	for _, j := range released {
-		c.startDependents(j, j.DependenciesEndedWall)
+		d.startDependents(j, j.DependenciesEndedWall)
 	}
 	for _, j := range cancelled {
-		c.deriveEnd(j)
+		d.deriveEnd(j)
 	}
 }
 
@@ -58,32 +75,32 @@
 // does so for itself, from ends and needs that are stored and never change: so
 // all users are told at once, however many jobs there are, and the leader
 // stores the ends as its budget allows.
-func (c *Core) deriveEnd(j *jobstate.Job) {
+func (d *dependencyResolver) deriveEnd(j *jobstate.Job) {
 	if j.Outcome != "" {
 		return
 	}
-	c.dependencyGraph.Remove(j)
+	d.dependencyGraph.Remove(j)
 	j.CancelledByDependency = true
-	if _, ok := c.ends[j.ID]; ok {
+	if _, ok := d.cache.ends[j.ID]; ok {
 		// Its end was known before the job.
 		j.Outcome = jobstate.Cancelled
-		c.jobEnded(j)
+		d.tasks.jobEnded(j)
 		return
 	}
-	c.noteEnd(j.ID, jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}, 0)
+	d.cache.noteEnd(j.ID, jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}, 0)
 }
 
 // endWasStored notes that a job's own end is in the state service.
-func (c *Core) endWasStored(id string) {
-	if j := c.jobs[id]; j != nil {
+func (d *dependencyResolver) endWasStored(id string) {
+	if j := d.cache.jobs[id]; j != nil {
 		j.CancelledByDependency = false
 	}
 }
 
 // dependenciesKnown says whether a job is certainly not cancelled by an end that this
 // controller has not read.
-func (c *Core) dependenciesKnown(j *jobstate.Job) bool {
-	return !j.IsBlocked() || c.dependencyGraph.IsResolved(j, func(id string) *jobstate.Job { return c.jobs[id] })
+func (d *dependencyResolver) dependenciesKnown(j *jobstate.Job) bool {
+	return !j.IsBlocked() || d.dependencyGraph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
 }
 
 // maxEndReads is how many ends are read at once, endReadRetry how long after a
@@ -95,42 +112,42 @@
 
 // dependencyTick reads the ends of awaited jobs that are not known here, as after a
 // start, when only unfinished jobs are listed.
-func (c *Core) dependencyTick() {
-	if !c.synced || c.dependencyGraph.Empty() {
+func (d *dependencyResolver) dependencyTick() {
+	if !d.cache.synced || d.dependencyGraph.Empty() {
 		return
 	}
 	reading := 0
-	for id, until := range c.endReads {
-		if until != 0 && until < c.now {
-			delete(c.endReads, id)
+	for id, until := range d.endReads {
+		if until != 0 && until < d.now {
+			delete(d.endReads, id)
 		} else if until == 0 {
 			reading++
 		}
 	}
-	ids := c.dependencyGraph.Unresolved(func(id string) bool {
-		j := c.jobs[id]
-		_, asked := c.endReads[id]
+	ids := d.dependencyGraph.Unresolved(func(id string) bool {
+		j := d.cache.jobs[id]
+		_, asked := d.endReads[id]
 		return j != nil && j.Outcome == "" || asked
 	}, max(0, maxEndReads-reading))
 	for _, id := range ids {
-		if e, ok := c.knownEnd(id); ok {
-			c.resolveDependents(id, e)
+		if e, ok := d.knownEnd(id); ok {
+			d.resolveDependents(id, e)
 			continue
 		}
-		c.endReads[id] = 0
-		c.readKey(endPrefix+id, func(g KeyRead) {
+		d.endReads[id] = 0
+		d.readKey(endPrefix+id, func(g KeyRead) {
 			var e jobstate.End
-			c.endReads[id] = c.now + endReadRetry
+			d.endReads[id] = d.now + endReadRetry
 			switch {
 			case g.Err != nil || g.Revision == 0:
 				// A job that another awaits was accepted before it, so its
 				// end comes if the job itself is gone.
 			case json.Unmarshal(g.Value, &e) != nil:
-				c.log.Error("stored end can't be read", "job", id)
+				d.log.Error("stored end can't be read", "job", id)
 			default:
-				delete(c.endReads, id)
-				c.noteEnd(id, e, g.Revision)
-				c.resolveDependents(id, e) // if the end was known, but not to the graph
+				delete(d.endReads, id)
+				d.cache.noteEnd(id, e, g.Revision)
+				d.resolveDependents(id, e) // if the end was known, but not to the graph
 			}
 		})
 	}
@@ -139,53 +156,53 @@
 // checkDependencies goes on with a submission whose awaited jobs are all known to
 // have been accepted. Those that are not known here are read, the job before
 // its end, so that one which ends meanwhile is not missed.
-func (c *Core) checkDependencies(a *request) {
+func (d *dependencyResolver) checkDependencies(a *request) {
 	for ; a.dependenciesChecked < len(a.spec.Dependencies); a.dependenciesChecked++ {
 		id := a.spec.Dependencies[a.dependenciesChecked]
-		if j := c.jobs[id]; j != nil {
+		if j := d.cache.jobs[id]; j != nil {
 			if j.Kind == jobstate.Service {
-				c.refuseDependency(a, id, "is a service, which is never done")
+				d.refuseDependency(a, id, "is a service, which is never done")
 				return
 			}
-		} else if _, ok := c.ends[id]; !ok {
-			c.readDependencyEnd(a, id)
+		} else if _, ok := d.cache.ends[id]; !ok {
+			d.readDependencyEnd(a, id)
 			return
 		}
 	}
-	c.queueWrite(a)
+	d.requests.queueWrite(a)
 }
 
 // refuseDependency refuses a submission for a job that it names, unless it is known
 // itself.
-func (c *Core) refuseDependency(a *request, id, why string) {
+func (d *dependencyResolver) refuseDependency(a *request, id, why string) {
 	a.refusal = Reply{Status: 422, Error: "awaits: " + id + " " + why}
-	c.waitForRead(a)
+	d.requests.waitForRead(a)
 }
 
-func (c *Core) readDependencyEnd(a *request, id string) {
+func (d *dependencyResolver) readDependencyEnd(a *request, id string) {
 	known := func() {
 		a.dependenciesChecked++
-		c.checkDependencies(a)
+		d.checkDependencies(a)
 	}
-	c.readKey(jobPrefix+id, func(g KeyRead) {
+	d.readKey(jobPrefix+id, func(g KeyRead) {
 		var r jobstate.Record
 		switch {
 		case g.Err != nil:
-			c.refuse(a)
+			d.requests.refuse(a)
 			return
 		case g.Revision != 0 && json.Unmarshal(g.Value, &r) == nil && r.Spec != nil && r.Spec.Kind == jobstate.Service:
-			c.refuseDependency(a, id, "is a service, which is never done")
+			d.refuseDependency(a, id, "is a service, which is never done")
 			return
 		case g.Revision != 0:
 			known()
 			return
 		}
-		c.readKey(endPrefix+id, func(g KeyRead) {
+		d.readKey(endPrefix+id, func(g KeyRead) {
 			switch {
 			case g.Err != nil:
-				c.refuse(a)
+				d.requests.refuse(a)
 			case g.Revision == 0:
-				c.refuseDependency(a, id, "was never accepted")
+				d.refuseDependency(a, id, "was never accepted")
 			default:
 				known()
 			}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -241,7 +241,7 @@
 		{"a service", []string{"service"}, nil, 422, "service"},
 		{"one accepted a moment ago, which the watch has yet to tell", []string{"recent"}, func(s *shelf) { s.put(jobPrefix+"recent", job("recent")) }, 201, ""},
 		{"an end that can't be read is not one that isn't there", []string{"done"}, func(s *shelf) { s.unreachable[endPrefix+"done"] = true }, 503, ""},
-		{"before all controllers have this version", []string{"open"}, func(s *shelf) { s.c.activation = newActivation(&s.c.settings) }, 503, "version"},
+		{"before all controllers have this version", []string{"open"}, func(s *shelf) { s.c.membership.activation = newActivation(&s.c.settings) }, 503, "version"},
 		{"more than can ever be stored", strings.Fields(strings.Repeat("open-"+strings.Repeat("x", 90)+" ", 90)), func(s *shelf) {
 			s.put(jobPrefix+"open-"+strings.Repeat("x", 90), job("open-"+strings.Repeat("x", 90)))
 		}, 400, "bytes"},
@@ -313,7 +313,7 @@
 			}
 			waiting := ""
 			for _, id := range []string{"b", "c", "d"} {
-				if j := s.c.jobs[id]; j != nil && j.IsBlocked() {
+				if j := s.c.cache.jobs[id]; j != nil && j.IsBlocked() {
 					waiting += id
 				}
 			}
@@ -349,7 +349,7 @@
 			}
 			s := newShelf(t, keys)
 			s.run(3 * second)
-			if s.c.leadership == nil {
+			if s.c.elector.leadership == nil {
 				t.Fatal("does not lead")
 			}
 			s.ask(CancelJob{ID: id(0)})
@@ -405,18 +405,18 @@
 		}
 		if tc.format.Version != 0 {
 			s.put(formatKey, tc.format)
-			s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
+			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
 		}
 		s.run(3 * second)
 		s.value, s.ops = 2048, 4
-		for id, j := range s.c.jobs {
+		for id, j := range s.c.cache.jobs {
 			for i := range j.Tasks {
 				j.PlaceTask(i, fmt.Sprintf("host-%06d", i), 1, s.now)
 			}
 			if id != "large" {
 				j.SetDone(0, s.now)
 			}
-			s.c.markDirty(j)
+			s.c.committer.markDirty(j)
 		}
 		s.run(20 * second)
 		for i := range 5 {
@@ -427,7 +427,7 @@
 		if s.malformed > tc.most {
 			t.Errorf("%s: %d writes refused", tc.name, s.malformed)
 		}
-		if j := s.c.jobs["large"]; tc.name == "announced" && !(j.Task(0).Stored && j.Task(199).Stored) {
+		if j := s.c.cache.jobs["large"]; tc.name == "announced" && !(j.Task(0).Stored && j.Task(199).Stored) {
 			t.Error("a job of many tasks is stored in parts")
 		}
 	}
@@ -465,7 +465,7 @@
 		for _, k := range slices.Sorted(maps.Keys(keys)) {
 			s.put(k, keys[k])
 		}
-		s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
+		s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
 		s.run(15 * second)
 		s.req++
 		s.step(QueryOperatorView{RequestID: s.req})
@@ -509,7 +509,7 @@
 		s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 		s.list()
 		var got []string
-		for _, x := range s.c.machineTypes {
+		for _, x := range s.c.cache.machineTypes {
 			got = append(got, fmt.Sprint(x.Name, x.Cap.CPU))
 		}
 		if g := strings.Join(got, " "); g != tc.want {
@@ -537,11 +537,11 @@
 	for i := range 30 {
 		types = append(types, fleet.Type{Name: fmt.Sprintf("type-%02d", i), Cap: jobstate.Resources{CPU: 1000}, Zones: []string{"a", "b"}})
 	}
-	s.step(MachineTypesListed{Types: types, FencingToken: s.c.leadership.token})
+	s.step(MachineTypesListed{Types: types, FencingToken: s.c.elector.leadership.token})
 	s.run(second)
 	s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	s.list()
-	if n := len(s.c.machineTypes); n < 30 || s.malformed > 0 {
+	if n := len(s.c.cache.machineTypes); n < 30 || s.malformed > 0 {
 		t.Errorf("%d of 30 types are read back, %d writes refused", n, s.malformed)
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -57,30 +57,48 @@
 // withClockDrift widens a duration by what two steady clocks may differ.
 func withClockDrift(d int64) int64 { return d + d/1000 }
 
-func (c *Core) electionTick() {
-	e := &c.candidacy
-	ttl := c.settings.Ops.LeaderLease
+// elector campaigns for the leadership of the controllers, keeps its lease, and holds the term while this controller leads.
+type elector struct {
+	*engine
+
+	cache      *stateCache
+	committer  *committer
+	health     *stateHealth
+	membership *membership
+	peers      *peerMonitor
+	prefetcher *prefetcher
+	tasks      *taskManager
+	workers    *workerManager
+
+	candidacy    candidacy
+	leadership   *leadership
+	newestLeader leaderRecord
+}
+
+func (el *elector) electionTick() {
+	e := &el.candidacy
+	ttl := el.settings.Ops.LeaderLease
 	renew := ttl / 4
-	if c.leadership == nil && c.logEnabled() {
+	if el.leadership == nil && el.membership.logEnabled() {
 		renew = ttl / 3 // what rides on it is this controller's word alone
 	}
-	if e.lease != 0 && !e.renewing && c.now-e.renewedAt >= renew {
-		e.renewing, e.renewedAt = true, c.now
-		c.emit(RenewLease{Lease: e.lease})
+	if e.lease != 0 && !e.renewing && el.now-e.renewedAt >= renew {
+		e.renewing, e.renewedAt = true, el.now
+		el.emit(RenewLease{Lease: e.lease})
 	}
-	if !c.synced || c.leaderRevision != 0 {
+	if !el.cache.synced || el.cache.leaderRevision != 0 {
 		e.backoffChosen = false
-		if c.synced && c.leader.Name == c.settings.Name && c.leader.Incarnation != c.settings.Incarnation && c.leadership == nil {
+		if el.cache.synced && el.cache.leader.Name == el.settings.Name && el.cache.leader.Incarnation != el.settings.Incarnation && el.leadership == nil {
 			// An earlier start of this very controller: it is dead, so
 			// its lease need not run out.
-			if e.notUntil <= c.now {
-				e.notUntil = c.now + second
-				c.emit(RevokeLease{Lease: c.leader.Lease})
+			if e.notUntil <= el.now {
+				e.notUntil = el.now + second
+				el.emit(RevokeLease{Lease: el.cache.leader.Lease})
 			}
 		}
 		return
 	}
-	if c.leadership != nil {
+	if el.leadership != nil {
 		return
 	}
 	if !e.backoffChosen {
@@ -89,151 +107,151 @@
 		// be restarted in its turn.
 		e.backoffChosen = true
 		pause := int64(300_000)
-		if !c.logEnabled() {
+		if !el.membership.logEnabled() {
 			pause /= 5
 		}
-		e.notUntil = c.now + c.rng.Int64N(pause)
-		if c.settings.Ops.Reach {
-			e.notUntil += c.connectivity.CandidateDelay()
+		e.notUntil = el.now + el.rng.Int64N(pause)
+		if el.settings.Ops.Reach {
+			e.notUntil += el.peers.connectivity.CandidateDelay()
 		}
 	}
-	if c.now < e.notUntil || e.campaigning {
+	if el.now < e.notUntil || e.campaigning {
 		return
 	}
 	if e.lease == 0 {
-		c.requestLease()
+		el.requestLease()
 		return
 	}
-	c.campaign()
+	el.campaign()
 }
 
-func (c *Core) requestLease() {
-	if e := &c.candidacy; !e.requestingLease && c.now >= e.notUntil {
+func (el *elector) requestLease() {
+	if e := &el.candidacy; !e.requestingLease && el.now >= e.notUntil {
 		e.requestingLease = true
-		c.emit(GrantLease{TTL: c.settings.Ops.LeaderLease})
+		el.emit(GrantLease{TTL: el.settings.Ops.LeaderLease})
 	}
 }
 
-func (c *Core) campaign() {
-	e := &c.candidacy
+func (el *elector) campaign() {
+	e := &el.candidacy
 	e.campaigning = true
-	token := c.token.Token + 1
-	v := leaderRecord{Name: c.settings.Name, Incarnation: c.settings.Incarnation, Token: token, Lease: e.lease}
-	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, c.tokenRevision)}, []Write{
+	token := el.cache.token.Token + 1
+	v := leaderRecord{Name: el.settings.Name, Incarnation: el.settings.Incarnation, Token: token, Lease: e.lease}
+	el.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, el.cache.tokenRevision)}, []Write{
 		{Key: LeaderKey, Value: encodeJSON(v), Lease: e.lease},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{token})},
 	}, func(m Committed) {
 		e.campaigning = false
-		e.notUntil = c.now + 300_000 + c.rng.Int64N(300_000)
+		e.notUntil = el.now + 300_000 + el.rng.Int64N(300_000)
 		switch m.Status {
 		case 400:
 			e.lease = 0
 		case 200, 409, 0:
 			// Leadership begins when the mirror shows the key, and with it
 			// everything written before.
-			c.emit(ReadState{AfterRevision: c.appliedRevision})
+			el.emit(ReadState{AfterRevision: el.cache.appliedRevision})
 		}
 	})
 }
 
-func (c *Core) onLeaseGranted(m LeaseGranted) {
-	e := &c.candidacy
+func (el *elector) onLeaseGranted(m LeaseGranted) {
+	e := &el.candidacy
 	e.requestingLease = false
 	if m.Err != nil {
-		e.notUntil = c.now + 300_000
+		e.notUntil = el.now + 300_000
 		return
 	}
-	e.lease, e.leaseProvenAt, e.renewedAt, e.renewing = m.Lease, m.SentAt, c.now, false
+	e.lease, e.leaseProvenAt, e.renewedAt, e.renewing = m.Lease, m.SentAt, el.now, false
 }
 
-func (c *Core) onLeaseRenewed(m LeaseRenewed) {
-	e := &c.candidacy
+func (el *elector) onLeaseRenewed(m LeaseRenewed) {
+	e := &el.candidacy
 	if m.Lease != e.lease {
 		return
 	}
 	e.renewing = false
-	c.noteStateResult(&c.connectivity.Lease, m.Err)
+	el.health.noteStateResult(&el.peers.connectivity.Lease, m.Err)
 	switch {
 	case m.Expired:
 		e.lease = 0
-		if c.leadership != nil {
-			c.stepDown("the leader's lease ran out")
+		if el.leadership != nil {
+			el.stepDown("the leader's lease ran out")
 		}
 	case m.Err == nil:
 		e.leaseProvenAt = m.SentAt
-		if c.leadership != nil {
-			c.tokenProven(m.SentAt)
+		if el.leadership != nil {
+			el.tokenProven(m.SentAt)
 		}
 	default:
-		ttl := c.settings.Ops.LeaderLease
-		e.renewedAt = c.now - ttl/8 // try again soon
-		if c.settings.Ops.Reach && c.now-e.leaseProvenAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
+		ttl := el.settings.Ops.LeaderLease
+		e.renewedAt = el.now - ttl/8 // try again soon
+		if el.settings.Ops.Reach && el.now-e.leaseProvenAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
 			// What is sent may arrive though no answer does: such a leader would
 			// keep its lease alive, and everybody else from leading. So it lets
 			// it run out before it tries once more.
-			e.renewedAt = c.now + ttl + second/2
+			e.renewedAt = el.now + ttl + second/2
 		}
 	}
 }
 
 // checkLeadership compares the mirror's leader with what this controller
 // takes itself for; asked is when the mirror was, at the earliest, as it is now.
-func (c *Core) checkLeadership(asked int64) {
-	mine := c.synced && c.leaderRevision != 0 && c.leader.Name == c.settings.Name && c.leader.Incarnation == c.settings.Incarnation
+func (el *elector) checkLeadership(asked int64) {
+	mine := el.cache.synced && el.cache.leaderRevision != 0 && el.cache.leader.Name == el.settings.Name && el.cache.leader.Incarnation == el.settings.Incarnation
 	switch {
-	case c.leadership != nil && (!mine || c.leaderRevision != c.leadership.keyRevision):
-		c.stepDown("another controller leads")
-	case c.leadership == nil && mine && c.leader.Lease == c.candidacy.lease:
-		c.becomeLeader(asked)
+	case el.leadership != nil && (!mine || el.cache.leaderRevision != el.leadership.keyRevision):
+		el.stepDown("another controller leads")
+	case el.leadership == nil && mine && el.cache.leader.Lease == el.candidacy.lease:
+		el.becomeLeader(asked)
 	}
 }
 
-func (c *Core) becomeLeader(known int64) {
-	c.leadership = &leadership{token: c.leader.Token, keyRevision: c.leaderRevision, since: c.now, tokenProvenAt: c.candidacy.leaseProvenAt, mirrorFreshAt: known,
-		readLeases: readlease.NewHolder(c.settings.Peers, c.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
-		fleet: fleet.NewMachineSet(), planner: newPlannerIndex(), leaderState: newLeaderState(c.now)}
-	c.allowance = c.currentAllowance()
-	c.loadImageHints()
+func (el *elector) becomeLeader(known int64) {
+	el.leadership = &leadership{token: el.cache.leader.Token, keyRevision: el.cache.leaderRevision, since: el.now, tokenProvenAt: el.candidacy.leaseProvenAt, mirrorFreshAt: known,
+		readLeases: readlease.NewHolder(el.settings.Peers, el.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
+		fleet: fleet.NewMachineSet(), planner: newPlannerIndex(), leaderState: newLeaderState(el.now)}
+	el.health.allowance = el.health.currentAllowance()
+	el.prefetcher.loadImageHints()
 	placed := 0
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
-		c.noteImageDemand(j.Spec)
-		c.leadership.classSizes.note(j.Spec)
+	for _, id := range sortedKeys(el.cache.jobs) {
+		j := el.cache.jobs[id]
+		el.prefetcher.noteImageDemand(j.Spec)
+		el.leadership.classSizes.note(j.Spec)
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			t.Phase, t.StopReason = jobstate.Unconfirmed, ""
-			c.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
+			el.workers.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
 			placed++
 		})
 		switch {
 		case j.Outcome != "":
 			// It ended under an earlier leader, and its tasks may still
 			// be on their machines.
-			c.jobEnded(j)
+			el.tasks.jobEnded(j)
 		case j.NumDone == j.Tasks:
-			c.markDirty(j)
+			el.committer.markDirty(j)
 		}
 	}
-	c.openProgressLog()
-	c.log.Info("leading", "token", c.leadership.token, "jobs", len(c.jobs), "placements", placed)
+	el.committer.openProgressLog()
+	el.log.Info("leading", "token", el.leadership.token, "jobs", len(el.cache.jobs), "placements", placed)
 }
 
-func (c *Core) stepDown(why string) {
-	c.log.Info("no longer leading", "token", c.leadership.token, "why", why)
-	for _, name := range sortedKeys(c.leadership.heldHeartbeats.byName) {
-		c.emit(Reply{RequestID: c.leadership.heldHeartbeats.byName[name].requestID, Status: 503, Error: "no longer leading"})
+func (el *elector) stepDown(why string) {
+	el.log.Info("no longer leading", "token", el.leadership.token, "why", why)
+	for _, name := range sortedKeys(el.leadership.heldHeartbeats.byName) {
+		el.emit(Reply{RequestID: el.leadership.heldHeartbeats.byName[name].requestID, Status: 503, Error: "no longer leading"})
 	}
-	c.leadership = nil
-	c.allowance = c.currentAllowance()
-	c.partitions = fleet.Partitions{}
-	c.listState()
+	el.leadership = nil
+	el.health.allowance = el.health.currentAllowance()
+	el.cache.partitions = fleet.Partitions{}
+	el.cache.listState()
 }
 
 // resign ends a leadership whose lease would go on. Its key goes at once, so that
 // nobody waits for the lease.
-func (c *Core) resign(why string) {
-	c.emit(RevokeLease{Lease: c.candidacy.lease})
-	c.candidacy.lease = 0
-	c.stepDown(why)
+func (el *elector) resign(why string) {
+	el.emit(RevokeLease{Lease: el.candidacy.lease})
+	el.candidacy.lease = 0
+	el.stepDown(why)
 }
 
 // provenByState is up to when the state service has proved the token and shown all that
@@ -249,15 +267,15 @@
 
 // mayAnswerWorkers says whether reports may be answered, sure whether new attempts
 // may be started: the state service's own proof is younger than its lease.
-func (c *Core) mayAnswerWorkers() bool {
-	return c.leadership != nil && c.now-c.leadership.mayAnswerSince() < c.settings.LeaderAuthorityTime()
+func (el *elector) mayAnswerWorkers() bool {
+	return el.leadership != nil && el.now-el.leadership.mayAnswerSince() < el.settings.LeaderAuthorityTime()
 }
 
-func (c *Core) mayStartTasks() bool {
-	return c.leadership != nil && c.now-c.leadership.tokenProvenAt < c.settings.Ops.LeaderLease
+func (el *elector) mayStartTasks() bool {
+	return el.leadership != nil && el.now-el.leadership.tokenProvenAt < el.settings.Ops.LeaderLease
 }
 
 // tokenProven notes that the state service proved the token to a request of then.
-func (c *Core) tokenProven(sent int64) {
-	c.leadership.tokenProvenAt = max(c.leadership.tokenProvenAt, sent)
+func (el *elector) tokenProven(sent int64) {
+	el.leadership.tokenProvenAt = max(el.leadership.tokenProvenAt, sent)
 }
--- a/internal/core/follower.go
+++ b/internal/core/follower.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"github.com/zinclb/zinclb/internal/core/ratelimit"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/replica"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
@@ -17,15 +17,32 @@
 	expectedChangeGap = 150_000
 )
 
+// stateReader decides from whom this controller learns what is stored: a watch of the state service, or the leader.
+type stateReader struct {
+	*engine
+
+	cache      *stateCache
+	elector    *elector
+	health     *stateHealth
+	membership *membership
+	peers      *peerMonitor
+	requests   *requestHandler
+
+	watching       bool
+	watchingLeader bool
+	follower       replica.Follower
+	recentChanges  replica.ChangeLog
+}
+
 // readSource is the controller that is asked for what is stored, "" for the state
 // service itself: for a leader, where nobody leads, and where the state service has
 // just failed this controller, which then has to find out whether it still does.
-func (c *Core) readSource() string {
-	if c.leadership != nil || !c.synced || c.leaderRevision == 0 || c.stateFailedAt > c.stateAnsweredAt || !c.activation.Enabled(upgrade.SharedReads) || !c.connectivity.PeerUp(c.leader.Name, c.now) {
+func (sr *stateReader) readSource() string {
+	if sr.elector.leadership != nil || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.stateFailedAt > sr.health.stateAnsweredAt || !sr.membership.activation.Enabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
 		return ""
 	}
-	c.follower.SetLeader(c.leader.Name, c.leader.Token)
-	return c.follower.Source(c.now)
+	sr.follower.SetLeader(sr.cache.leader.Name, sr.cache.leader.Token)
+	return sr.follower.Source(sr.now)
 }
 
 // writesLacking is how many changes requests wait for, with so many left.
@@ -51,67 +68,81 @@
 
 // answerFollower answers a controller that asks what is stored. It was read after the
 // question came.
-func (c *Core) answerFollower(a *request) {
-	changes, ok := c.recentChanges.Since(a.revision)
-	if c.leadership == nil || !ok {
+func (sr *stateReader) answerFollower(a *request) {
+	changes, ok := sr.recentChanges.Since(a.revision)
+	if sr.elector.leadership == nil || !ok {
 		r := stateUnavailableReply
 		r.RequestID, r.Error = a.id, "this controller does not lead, or has forgotten the revision"
-		c.emit(r)
+		sr.emit(r)
 		return
 	}
-	granted := c.writeBudget.Withdraw(a.writesNeeded, minUserBudget(c.allowance, c.leadership != nil))
-	c.emit(Reply{RequestID: a.id, Status: 200, View: &replica.View{Revision: c.appliedRevision, Changes: changes, Granted: granted}})
+	granted := sr.health.writeBudget.Withdraw(a.writesNeeded, minUserBudget(sr.health.allowance, sr.elector.leadership != nil))
+	sr.emit(Reply{RequestID: a.id, Status: 200, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
 // onLeaderReadDone takes the leader's answer. If there is none the state service is asked
 // instead, for the same requests.
-func (c *Core) onLeaderReadDone(m LeaderReadDone) {
+func (sr *stateReader) onLeaderReadDone(m LeaderReadDone) {
 	v := m.Answer.View
 	ok := m.Err == nil && m.Answer.Status == 200 && v != nil && v.Revision >= m.AfterRevision
-	if !c.follower.EndRequest(m.Number, ok, c.now) {
+	if !sr.follower.EndRequest(m.Number, ok, sr.now) {
 		return // late, or a repeat: what it grants may have been used
 	}
-	if !ok || !c.synced || m.AfterRevision > c.appliedRevision {
-		c.emit(ReadState{AfterRevision: c.appliedRevision, ForRequests: true})
+	if !ok || !sr.cache.synced || m.AfterRevision > sr.cache.appliedRevision {
+		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	c.writeBudget.Deposit(v.Granted)
-	c.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
-	c.writeQueued()
+	sr.health.writeBudget.Deposit(v.Granted)
+	sr.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
+	sr.requests.writeQueued()
 }
 
 // watchState watches what this controller needs to know of at once: a follower the
 // leadership, as it learns of all else by its views, and everybody else everything.
-func (c *Core) watchState() {
+func (sr *stateReader) watchState() {
 	switch {
-	case !c.synced:
-	case c.readSource() != "" && c.follower.IsFollowing(c.now):
-		if !c.watchingLeader {
-			c.watchingLeader = true
-			c.emit(WatchLeader{AfterRevision: c.appliedRevision})
+	case !sr.cache.synced:
+	case sr.readSource() != "" && sr.follower.IsFollowing(sr.now):
+		if !sr.watchingLeader {
+			sr.watchingLeader = true
+			sr.emit(WatchLeader{AfterRevision: sr.cache.appliedRevision})
 		}
-	case !c.watching && (c.leadership != nil || c.readBudget.TryTake()):
-		c.watching = true
-		c.emit(WatchState{AfterRevision: c.appliedRevision})
+	case !sr.watching && (sr.elector.leadership != nil || sr.health.readBudget.TryTake()):
+		sr.watching = true
+		sr.emit(WatchState{AfterRevision: sr.cache.appliedRevision})
 	}
 }
 
 // onLeaderWatched reads what is stored where the leadership may have changed. It
 // asks nobody else, as the leader may be gone.
-func (c *Core) onLeaderWatched(m LeaderWatched) {
-	c.watchingLeader = false
-	c.noteStateResult(&c.connectivity.Watch, m.Err)
-	if m.Changed && c.synced {
-		c.emit(ReadState{AfterRevision: c.appliedRevision})
+func (sr *stateReader) onLeaderWatched(m LeaderWatched) {
+	sr.watchingLeader = false
+	sr.health.noteStateResult(&sr.peers.connectivity.Watch, m.Err)
+	if m.Changed && sr.cache.synced {
+		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
+	}
+	sr.watchState()
+}
+
+// maxWatchDelay is how long a watch may take to bring a change that is known of.
+const maxWatchDelay = 600_000
+
+// watchdogTick reads what a silent watch keeps back: a leader that learned of jobs
+// by it alone would leave them waiting for as long as the connection is held.
+func (sr *stateReader) watchdogTick() {
+	if !sr.cache.synced || sr.health.announcedRevision <= sr.cache.appliedRevision || sr.now-sr.health.announcedAt < maxWatchDelay || !sr.watching {
+		return
 	}
-	c.watchState()
+	sr.health.announcedAt = sr.now
+	sr.peers.connectivity.Watch.RecordFailure(sr.now, sr.now, connectivity.NoResponse)
+	sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
 }
 
-// currentAllowance is what this controller may use of the state service.
-func (c *Core) currentAllowance() ratelimit.Share {
-	l := c.limits()
-	present, older := c.activation.CountMembers(upgrade.SharedReads, c.leader.Name)
-	proven := c.candidacy.lease != 0 && c.now-c.candidacy.leaseProvenAt < c.settings.Ops.LeaderLease && c.activation.MemberFor(c.now) > ratelimit.SettleTime && c.now-c.mirrorFreshAt < ratelimit.MaxViewAge
-	return ratelimit.ShareFor(ratelimit.Limits{Requests: l.RPS, Changes: l.WriteRPS}, ratelimit.Members{Configured: len(c.settings.Peers) + 1, Present: present, Legacy: older,
-		Confirmed: proven, HasLeader: c.leaderRevision != 0 && !c.leadership.isNew(c.now), IsLeader: c.leadership != nil, SharingEnabled: c.activation.Enabled(upgrade.SharedReads)})
+// refreshMirrorTick has a leader know what is stored. Its watch brings that, but may hang,
+// and where nothing changes it shows only that nothing had when it began.
+func (sr *stateReader) refreshMirrorTick() {
+	if l := sr.elector.leadership; sr.now-l.mirrorFreshAt > mirrorMaxAge && sr.now-l.mirrorReadAt > mirrorMaxAge/2 {
+		l.mirrorReadAt = sr.now
+		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
+	}
 }
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/json"
 	"errors"
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"slices"
 	"strconv"
 	"strings"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
@@ -46,53 +47,79 @@
 	return upgrade.New(program, set.Name, set.Incarnation, set.Peers, chosen, held)
 }
 
+// membership knows which controllers there are, what their programs can do, and which features are active.
+type membership struct {
+	*engine
+
+	cache     *stateCache
+	committer *committer
+	elector   *elector
+	health    *stateHealth
+
+	format                  formatRecord
+	formatRevision          uint64
+	activation              *upgrade.Activation
+	featuresRevision        uint64
+	decommissionedRevisions map[string]uint64
+	incompatible            string
+	limitsLowered           bool
+	chunkTasks              int
+}
+
+func newMembership(run *engine) *membership {
+	return &membership{
+		engine: run, activation: newActivation(&run.settings),
+		decommissionedRevisions: map[string]uint64{}, chunkTasks: jobstate.DefaultChunkSize,
+	}
+}
+
 // writableFormat is the newest format that this controller is to write.
-func (c *Core) writableFormat() int {
-	w, _, _ := c.activation.LocalAdvertisement()
+func (mb *membership) writableFormat() int {
+	w, _, _ := mb.activation.LocalAdvertisement()
 	return w.Format
 }
 
 // logEnabled says that data may be written that version 1 can't read.
-func (c *Core) logEnabled() bool { return c.activation.Enabled(upgrade.ProgressLog) }
+func (mb *membership) logEnabled() bool { return mb.activation.Enabled(upgrade.ProgressLog) }
 
 // useLowerLimits says that what is written has to fit the limits to come as well. In
 // the first format it need not until they are here: a value that has to be
 // split could not be read by a controller of version 1.
-func (c *Core) useLowerLimits() bool { return c.logEnabled() || c.limitsLowered }
+func (mb *membership) useLowerLimits() bool { return mb.logEnabled() || mb.limitsLowered }
 
 // limits are the state service's, as far as they are known. The rate is the
 // present one until there are signs of the next.
-func (c *Core) limits() config.StateLimits {
-	l := c.settings.State.StateLimits
-	next := c.settings.StrictestStateLimits()
-	if c.limitsLowered {
+func (mb *membership) limits() config.StateLimits {
+	l := mb.settings.State.StateLimits
+	next := mb.settings.StrictestStateLimits()
+	if mb.limitsLowered {
 		l.RPS, l.WriteRPS = next.RPS, next.WriteRPS
 	}
-	if c.useLowerLimits() {
+	if mb.useLowerLimits() {
 		l.ValueKB, l.TxnOps = next.ValueKB, next.TxnOps
 	}
 	return l
 }
 
 // valueLimit is how many bytes a value may have, counting a KiB as 1000.
-func (c *Core) valueLimit() int { return int(c.limits().ValueKB * 1000) }
+func (mb *membership) valueLimit() int { return int(mb.limits().ValueKB * 1000) }
 
 // noteRateLimited takes a refusal for its rate as the sign that the limits to come
 // are here. Before the format holds it can't be.
-func (c *Core) noteRateLimited(status int) {
-	if status == 429 && c.logEnabled() {
-		c.lowerLimits("a request was refused for its rate")
+func (mb *membership) noteRateLimited(status int) {
+	if status == 429 && mb.logEnabled() {
+		mb.lowerLimits("a request was refused for its rate")
 	}
 }
 
-func (c *Core) lowerLimits(why string) {
-	if !c.limitsLowered && c.settings.State.Next != nil {
-		c.limitsLowered = true
-		c.log.Info("the state service's limits have fallen", "why", why)
+func (mb *membership) lowerLimits(why string) {
+	if !mb.limitsLowered && mb.settings.State.Next != nil {
+		mb.limitsLowered = true
+		mb.log.Info("the state service's limits have fallen", "why", why)
 	}
 }
 
-func (c *Core) applyFormat(ch Change, bad func(error)) {
+func (mb *membership) applyFormat(ch Change, bad func(error)) {
 	var f formatRecord
 	if err := json.Unmarshal(ch.Value, &f); err != nil {
 		bad(err)
@@ -102,33 +129,33 @@
 		bad(errors.New("no format"))
 		return
 	}
-	if f != c.format {
-		c.log.Info("format of stored data", "version", f.Version, "tasks", f.Tasks)
+	if f != mb.format {
+		mb.log.Info("format of stored data", "version", f.Version, "tasks", f.Tasks)
 	}
-	c.format, c.formatRevision = f, ch.Revision
-	c.activation.SetFormat(f.Version)
-	if c.leadership == nil {
-		c.changeChunkSize()
+	mb.format, mb.formatRevision = f, ch.Revision
+	mb.activation.SetFormat(f.Version)
+	if mb.elector.leadership == nil {
+		mb.changeChunkSize()
 	}
 }
 
 // changeChunkSize brings the jobs' chunks to the format. The leader does it when no
 // write is under way.
-func (c *Core) changeChunkSize() {
-	if !c.logEnabled() || c.format.Tasks >= c.chunkTasks {
+func (mb *membership) changeChunkSize() {
+	if !mb.logEnabled() || mb.format.Tasks >= mb.chunkTasks {
 		return
 	}
-	c.chunkTasks = c.format.Tasks
-	for _, j := range c.jobs {
-		j.SplitChunks(c.chunkTasks)
+	mb.chunkTasks = mb.format.Tasks
+	for _, j := range mb.cache.jobs {
+		j.SplitChunks(mb.chunkTasks)
 	}
-	if c.leadership != nil {
-		c.openProgressLog()
+	if mb.elector.leadership != nil {
+		mb.committer.openProgressLog()
 	}
 }
 
 // applyActivation takes over what is stored of controllers and features.
-func (c *Core) applyActivation(key string, ch Change, bad func(error)) {
+func (mb *membership) applyActivation(key string, ch Change, bad func(error)) {
 	read := func(v any) bool {
 		if err := json.Unmarshal(ch.Value, v); err != nil {
 			bad(err)
@@ -140,24 +167,24 @@
 	word, isWord := strings.CutPrefix(key, "member/")
 	switch {
 	case isGone:
-		c.decommissionedRevisions[name] = ch.Revision
+		mb.decommissionedRevisions[name] = ch.Revision
 		if ch.Removed {
-			c.decommissionedRevisions[name] = 0
+			mb.decommissionedRevisions[name] = 0
 		}
-		c.activation.SetGone(name, !ch.Removed)
+		mb.activation.SetGone(name, !ch.Removed)
 	case isWord && ch.Removed:
-		c.activation.RemoveAdvertisement(word)
+		mb.activation.RemoveAdvertisement(word)
 	case isWord:
 		var w upgrade.Advertisement
 		if read(&w) {
-			c.activation.SetAdvertisement(word, w, ch.Revision, c.now)
+			mb.activation.SetAdvertisement(word, w, ch.Revision, mb.now)
 		}
 	case !ch.Removed: // the features that are on
 		var v featuresRecord
 		if read(&v) {
-			c.featuresRevision = ch.Revision
-			c.activation.SetEnabled(v.On)
-			c.log.Info("features that are on", "features", v.On)
+			mb.featuresRevision = ch.Revision
+			mb.activation.SetEnabled(v.On)
+			mb.log.Info("features that are on", "features", v.On)
 		}
 	}
 }
@@ -165,20 +192,20 @@
 // checkCompatible ends what this controller does if what is stored needs a newer
 // program: from then on it would write, or answer, what is wrong. At its start
 // it ends with one sentence that says so.
-func (c *Core) checkCompatible(starting bool) bool {
-	why := c.activation.Incompatibility()
+func (mb *membership) checkCompatible(starting bool) bool {
+	why := mb.activation.Incompatibility()
 	if why == "" {
 		return true
 	}
-	if c.incompatible == "" {
-		c.incompatible = why
-		c.log.Error("this program must not go on", "why", why)
-		if c.leadership != nil {
-			c.resign(why)
+	if mb.incompatible == "" {
+		mb.incompatible = why
+		mb.log.Error("this program must not go on", "why", why)
+		if mb.elector.leadership != nil {
+			mb.elector.resign(why)
 		}
-		c.synced = false
+		mb.cache.synced = false
 		if starting {
-			c.emit(Quit{Reason: why})
+			mb.emit(Quit{Reason: why})
 		}
 	}
 	return false
@@ -187,17 +214,17 @@
 // putOnLease stores what this controller says of itself, on its lease: it is there
 // only while the controller lives and reaches the state service. done is told
 // whether it was stored.
-func (c *Core) putOnLease(key string, stamp uint64, v any, done func(ok bool)) {
-	e := &c.candidacy
+func (mb *membership) putOnLease(key string, stamp uint64, v any, done func(ok bool)) {
+	e := &mb.elector.candidacy
 	if e.lease == 0 {
-		c.requestLease()
+		mb.elector.requestLease()
 		done(false)
 		return
 	}
-	c.writeBudget.Spend(1)
+	mb.health.writeBudget.Spend(1)
 	lease := e.lease
-	c.commitTransaction([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encodeJSON(v), Lease: lease}}, func(r Committed) {
-		if r.Status == 400 && e.lease == lease && c.leadership == nil {
+	mb.commitTransaction([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encodeJSON(v), Lease: lease}}, func(r Committed) {
+		if r.Status == 400 && e.lease == lease && mb.elector.leadership == nil {
 			e.lease = 0 // it has run out
 		}
 		done(r.Status == 200)
@@ -205,18 +232,18 @@
 }
 
 // membershipTick says what this controller is, for as long as it runs.
-func (c *Core) membershipTick() {
-	e := &c.candidacy
-	if !c.synced || c.now < e.publishAt || c.writeBudget.Level() < 1 {
+func (mb *membership) membershipTick() {
+	e := &mb.elector.candidacy
+	if !mb.cache.synced || mb.now < e.publishAt || mb.health.writeBudget.Level() < 1 {
 		return
 	}
-	w, stamp, say := c.activation.LocalAdvertisement()
+	w, stamp, say := mb.activation.LocalAdvertisement()
 	if !say {
 		return
 	}
-	c.putOnLease(memberPrefix+c.settings.Name, stamp, w, func(bool) {})
+	mb.putOnLease(memberPrefix+mb.settings.Name, stamp, w, func(bool) {})
 	if e.lease != 0 {
-		e.publishAt = c.now + second // a lease is worth no wait
+		e.publishAt = mb.now + second // a lease is worth no wait
 	}
 }
 
@@ -224,84 +251,84 @@
 // in the state service says at that moment. The write is conditional on the
 // leadership and on all of these words, so that one which is replaced by an
 // older program meanwhile is not overlooked. It lowers the tasks of a value too.
-func (c *Core) activationTick() {
-	l := c.leadership
-	if l.activating || c.now < l.activateNotBefore || !c.mayStartTasks() || c.writeBudget.Level() < 1 {
+func (mb *membership) activationTick() {
+	l := mb.elector.leadership
+	if l.activating || mb.now < l.activateNotBefore || !mb.elector.mayStartTasks() || mb.health.writeBudget.Level() < 1 {
 		return
 	}
-	for _, n := range c.activation.Returned() {
+	for _, n := range mb.activation.Returned() {
 		// Operators took it for gone, and it is there.
-		l.activating, l.activateNotBefore = true, c.now+second
-		c.writeBudget.Spend(1)
-		c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, c.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activating = false })
+		l.activating, l.activateNotBefore = true, mb.now+second
+		mb.health.writeBudget.Spend(1)
+		mb.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, mb.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activating = false })
 		return
 	}
-	f, by := c.activation.NextFeature()
+	f, by := mb.activation.NextFeature()
 	tasks := l.chunkTasksWanted
-	if f == nil && (!c.logEnabled() || tasks == 0 || tasks >= c.format.Tasks) {
+	if f == nil && (!mb.logEnabled() || tasks == 0 || tasks >= mb.format.Tasks) {
 		return
 	}
 	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision)}
 	write := Write{Key: formatKey}
 	switch {
 	case f != nil && f.Format == 0:
-		write = Write{Key: featuresKey, Value: encodeJSON(featuresRecord{c.activation.EnabledWith(f)})}
-		when = append(when, kv.RevisionIs(featuresKey, c.featuresRevision))
+		write = Write{Key: featuresKey, Value: encodeJSON(featuresRecord{mb.activation.EnabledWith(f)})}
+		when = append(when, kv.RevisionIs(featuresKey, mb.featuresRevision))
 	default:
-		version := c.format.Version
+		version := mb.format.Version
 		if f != nil {
 			version = max(version, f.Format)
 		}
-		if !c.logEnabled() {
-			tasks = c.chunkTasksForLimits()
-		} else if tasks == 0 || tasks > c.format.Tasks {
-			tasks = c.format.Tasks
+		if !mb.logEnabled() {
+			tasks = mb.chunkTasksForLimits()
+		} else if tasks == 0 || tasks > mb.format.Tasks {
+			tasks = mb.format.Tasks
 		}
 		write.Value = encodeJSON(formatRecord{version, tasks})
-		when = append(when, kv.RevisionIs(formatKey, c.formatRevision))
+		when = append(when, kv.RevisionIs(formatKey, mb.formatRevision))
 	}
 	if f != nil {
-		if len(by)+len(when) > 4*c.limits().TxnOps {
+		if len(by)+len(when) > 4*mb.limits().TxnOps {
 			return // more controllers than conditions: it can't be proven
 		}
 		for _, m := range by {
 			when = append(when, kv.RevisionIs(memberPrefix+m.Name, m.Revision))
 		}
 	}
-	l.activating, l.activateNotBefore = true, c.now+second
-	c.writeBudget.Spend(1)
-	c.commitTransaction(when, []Write{write}, func(Committed) {
+	l.activating, l.activateNotBefore = true, mb.now+second
+	mb.health.writeBudget.Spend(1)
+	mb.commitTransaction(when, []Write{write}, func(Committed) {
 		l.activating = false // it holds when the mirror shows it
 	})
 }
 
 // onSetDecommissioned notes that operators take a controller for gone for good, or not.
-func (c *Core) onSetDecommissioned(m SetDecommissioned) {
+func (mb *membership) onSetDecommissioned(m SetDecommissioned) {
 	reply := func(status int, why string) {
 		r := Reply{RequestID: m.RequestID, Status: status, Error: why}
 		if status == 503 {
 			r.RetryAfter = 1
 		}
-		c.emit(r)
+		mb.emit(r)
 	}
-	_, there := c.activation.Advertisements()[m.Name]
+	_, there := mb.activation.Advertisements()[m.Name]
 	switch {
-	case !slices.Contains(c.settings.Peers, m.Name):
+	case !slices.Contains(mb.settings.Peers, m.Name):
 		reply(404, "no other controller is called "+strconv.Quote(m.Name))
-	case !c.synced || c.stateUnavailable():
+	case !mb.cache.synced || mb.health.stateUnavailable():
 		reply(503, "the state service does not answer")
 	case m.Decommissioned && there:
 		reply(409, m.Name+" is there, and says what it can")
-	case m.Decommissioned == (c.decommissionedRevisions[m.Name] != 0):
-		c.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
+	case m.Decommissioned == (mb.decommissionedRevisions[m.Name] != 0):
+		mb.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
 	default:
 		w := Write{Key: decommissionedPrefix + m.Name}
 		if m.Decommissioned {
-			w.Value = encodeJSON(decommissionedRecord{c.now + c.wallOffset})
+			w.Value = encodeJSON(decommissionedRecord{mb.now + mb.wallOffset})
 		}
-		c.commitTransaction([]Cond{kv.RevisionIs(w.Key, c.decommissionedRevisions[m.Name])}, []Write{w}, func(r Committed) {
+		mb.commitTransaction([]Cond{kv.RevisionIs(w.Key, mb.decommissionedRevisions[m.Name])}, []Write{w}, func(r Committed) {
 			if r.Status == 200 {
-				c.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
+				mb.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
 				return
 			}
 			reply(503, "it was not stored")
@@ -311,12 +338,12 @@
 
 // chunkTasksForLimits is how many tasks a value may have, each on a machine of its own
 // with a name as long as the longest there is.
-func (c *Core) chunkTasksForLimits() int {
+func (mb *membership) chunkTasksForLimits() int {
 	name := 11
-	for _, m := range c.leadership.fleet.All() {
+	for _, m := range mb.elector.leadership.fleet.All() {
 		name = max(name, len(m.Name))
 	}
-	room := int(c.settings.StrictestStateLimits().ValueKB*1000) - 160
+	room := int(mb.settings.StrictestStateLimits().ValueKB*1000) - 160
 	span := jobstate.DefaultChunkSize
 	for span > 1 && span*(name+15) > room {
 		span /= 2
--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -19,7 +19,7 @@
 	}
 	join := func(s *shelf, peer string) {
 		s.put(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
-		s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
+		s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
 	}
 	cases := []struct {
 		name string
@@ -66,18 +66,18 @@
 			}
 			begin()
 			s.run(2 * second)
-			if s.c.leadership == nil || s.c.activation.Advertisements()["n0"].Format != 2 {
+			if s.c.elector.leadership == nil || s.c.membership.activation.Advertisements()["n0"].Format != 2 {
 				t.Fatal("does not lead, or has not said its version")
 			}
 			tc.do(s)
 			s.run(3 * second)
-			if _, stored := s.keys[formatKey]; stored != tc.want || s.c.logEnabled() != tc.want {
-				t.Fatalf("stored %v, known %v", stored, s.c.logEnabled())
+			if _, stored := s.keys[formatKey]; stored != tc.want || s.c.membership.logEnabled() != tc.want {
+				t.Fatalf("stored %v, known %v", stored, s.c.membership.logEnabled())
 			}
 			begin() // a start finds it again
 			s.run(100_000)
-			if s.c.logEnabled() != tc.want || tc.want && (s.c.chunkTasks != 64 || s.c.format.Tasks != 64) {
-				t.Errorf("after a start: %+v, span %d", s.c.format, s.c.chunkTasks)
+			if s.c.membership.logEnabled() != tc.want || tc.want && (s.c.membership.chunkTasks != 64 || s.c.membership.format.Tasks != 64) {
+				t.Errorf("after a start: %+v, span %d", s.c.membership.format, s.c.membership.chunkTasks)
 			}
 		})
 	}
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -40,33 +40,33 @@
 	imageBytes      = 40
 )
 
-func (c *Core) imageHintsTick() {
-	l := c.leadership
-	room := c.valueLimit() * 4 / 5
-	images := c.hintedImages()
+func (p *prefetcher) imageHintsTick() {
+	l := p.elector.leadership
+	room := p.membership.valueLimit() * 4 / 5
+	images := p.hintedImages()
 	// Every value names all images.
 	of := 1 + (l.fleet.Len()*machineBytes+len(images)*2*sourceBytes)/(room-len(images)*imageBytes)
-	if c.now-l.hintsWrittenAt < max(hintsInterval/int64(of), int64(1e6/(c.allowance.Changes*hintsWriteShare))) || !c.mayStartTasks() || c.writeBudget.Level() < 4 {
+	if p.now-l.hintsWrittenAt < max(hintsInterval/int64(of), int64(1e6/(p.health.allowance.Changes*hintsWriteShare))) || !p.elector.mayStartTasks() || p.health.writeBudget.Level() < 4 {
 		return
 	}
-	l.hintsWrittenAt = c.now
+	l.hintsWrittenAt = p.now
 	l.nextHintPart = (l.nextHintPart + 1) % of
 	key := hintsKey + "/" + strconv.Itoa(l.nextHintPart)
-	value := c.encodeImageHints(images, l.nextHintPart, of)
+	value := p.encodeImageHints(images, l.nextHintPart, of)
 	if string(value) == string(l.writtenHints[key]) {
 		return
 	}
-	c.writeBudget.Spend(1)
-	c.putAsLeader(key, value, func(m Committed) {
-		if c.leadership == l && m.Status == 200 {
+	p.health.writeBudget.Spend(1)
+	p.committer.putAsLeader(key, value, func(m Committed) {
+		if p.elector.leadership == l && m.Status == 200 {
 			l.writtenHints[key] = value
 		}
 	})
 }
 
 // hintedImages are the images most asked for.
-func (c *Core) hintedImages() []string {
-	w := &c.leadership.prefetch
+func (p *prefetcher) hintedImages() []string {
+	w := &p.elector.leadership.prefetch
 	images := make([]string, 0, len(w.demand))
 	for im := range w.demand {
 		images = append(images, im)
@@ -74,13 +74,13 @@
 	slices.SortFunc(images, func(a, b string) int {
 		return cmp.Or(cmp.Compare(w.demand[b].score, w.demand[a].score), cmp.Compare(a, b))
 	})
-	return images[:min(len(images), hintImages, c.valueLimit()/3/imageBytes)]
+	return images[:min(len(images), hintImages, p.membership.valueLimit()/3/imageBytes)]
 }
 
 // encodeImageHints makes value number part of so many, and leaves out what does
 // not fit all the same.
-func (c *Core) encodeImageHints(images []string, part, of int) []byte {
-	l := c.leadership
+func (p *prefetcher) encodeImageHints(images []string, part, of int) []byte {
+	l := p.elector.leadership
 	h := hintsRecord{Of: of, Machines: map[string]uint64{}}
 	bit := map[string]int{}
 	for i, im := range images {
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	limit := c.valueLimit()
+	limit := p.membership.valueLimit()
 	for {
 		b := encodeJSON(h)
 		switch {
@@ -128,9 +128,9 @@
 // loadImageHints is called when this controller begins to lead. The sources are
 // used only when any machine that the last leader was warming has come to
 // the end of its lease, as each task is to be on one machine at a time.
-func (c *Core) loadImageHints() {
-	for _, key := range sortedKeys(c.imageHints) {
-		value := c.imageHints[key]
+func (p *prefetcher) loadImageHints() {
+	for _, key := range sortedKeys(p.cache.imageHints) {
+		value := p.cache.imageHints[key]
 		var h hintsRecord
 		part, err := strconv.Atoi(strings.TrimPrefix(key, hintsKey+"/"))
 		if err != nil || json.Unmarshal(value, &h) != nil || part >= h.Of {
@@ -139,48 +139,48 @@
 		for n, bits := range h.Machines {
 			for i, im := range h.Images {
 				if bits&(1<<i) != 0 {
-					c.leadership.hintedImages[n] = append(c.leadership.hintedImages[n], im)
+					p.elector.leadership.hintedImages[n] = append(p.elector.leadership.hintedImages[n], im)
 				}
 			}
 		}
 		for _, s := range h.Sources {
 			if s != nil && s.Tasks > 0 {
-				c.noteImageDemand(s)
-				c.leadership.inheritedSources = append(c.leadership.inheritedSources, s)
+				p.noteImageDemand(s)
+				p.elector.leadership.inheritedSources = append(p.elector.leadership.inheritedSources, s)
 			}
 		}
 	}
-	for n, images := range c.imageHistory.machines {
-		c.leadership.hintedImages[n] = append(c.leadership.hintedImages[n], images...)
+	for n, images := range p.cache.imageHistory.machines {
+		p.elector.leadership.hintedImages[n] = append(p.elector.leadership.hintedImages[n], images...)
 	}
-	for _, image := range sortedKeys(c.imageHistory.done) {
-		for _, s := range c.imageHistory.done[image] {
-			c.noteImageDemand(s)
-			c.leadership.inheritedSources = append(c.leadership.inheritedSources, s)
+	for _, image := range sortedKeys(p.cache.imageHistory.done) {
+		for _, s := range p.cache.imageHistory.done[image] {
+			p.noteImageDemand(s)
+			p.elector.leadership.inheritedSources = append(p.elector.leadership.inheritedSources, s)
 		}
 	}
 	// A job may stand in two values, as they are written at different times.
 	// It must be one carrier all the same: two would start a task twice.
 	byID := func(a, b *jobstate.Spec) int { return cmp.Compare(a.ID, b.ID) }
-	slices.SortFunc(c.leadership.inheritedSources, byID)
-	c.leadership.inheritedSources = slices.CompactFunc(c.leadership.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
+	slices.SortFunc(p.elector.leadership.inheritedSources, byID)
+	p.elector.leadership.inheritedSources = slices.CompactFunc(p.elector.leadership.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
 }
 
 // inheritPrefetchSources puts the last leader's sources to use.
-func (c *Core) inheritPrefetchSources() {
-	l := c.leadership
-	if len(l.inheritedSources) == 0 || c.now-l.since < c.settings.FailoverEpochTimeout() {
+func (p *prefetcher) inheritPrefetchSources() {
+	l := p.elector.leadership
+	if len(l.inheritedSources) == 0 || p.now-l.since < p.settings.FailoverEpochTimeout() {
 		return
 	}
 	for _, s := range l.inheritedSources {
-		c.addPrefetchSources(s)
+		p.addPrefetchSources(s)
 	}
 	l.inheritedSources = nil
 }
 
 // restoreKnownImages gives a machine the images that the last leader knew it has.
-func (c *Core) restoreKnownImages(m *fleet.Machine) {
-	for _, im := range c.leadership.hintedImages[m.Name] {
-		m.RecordImageUse(im.Name, im.MB, c.now)
+func (p *prefetcher) restoreKnownImages(m *fleet.Machine) {
+	for _, im := range p.elector.leadership.hintedImages[m.Name] {
+		m.RecordImageUse(im.Name, im.MB, p.now)
 	}
 }
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -19,11 +19,11 @@
 	set.Cloud.RPS = 1
 	r := &rig{t: t, now: second, rev: 10, token: 5, lease: 9}
 	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	r.c.candidacy.lease, r.c.candidacy.leaseProvenAt = 9, r.now
+	r.c.elector.candidacy.lease, r.c.elector.candidacy.leaseProvenAt = 9, r.now
 	r.step(StateListed{Revision: 10, Changes: []Change{{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n0", Incarnation: "old", Token: 5, Lease: 9}), Revision: 4},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3}}})
 	r.step(StateRead{AfterRevision: 10, Revision: 10})
-	if r.c.leadership != nil {
+	if r.c.elector.leadership != nil {
 		t.Fatal("leads by the key of its earlier start")
 	}
 	dropped := false
@@ -34,7 +34,7 @@
 				dropped = true
 			}
 		}
-		if r.c.leadership != nil {
+		if r.c.elector.leadership != nil {
 			t.Fatal("leads while the old key stands")
 		}
 	}
@@ -43,10 +43,10 @@
 	}
 	r.rev++
 	r.step(StateRead{AfterRevision: 10, Revision: r.rev, Changes: []Change{{Key: LeaderKey, Revision: r.rev, Removed: true}}})
-	for i := 0; r.c.leadership == nil && i < 100; i++ {
+	for i := 0; r.c.elector.leadership == nil && i < 100; i++ {
 		r.tick(100_000)
 	}
-	if r.c.leadership == nil || r.c.leadership.token != 6 {
+	if r.c.elector.leadership == nil || r.c.elector.leadership.token != 6 {
 		t.Error("does not lead under a new token once the old key is gone")
 	}
 }
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -11,7 +11,7 @@
 // earlier calls gave calls free that were still under way.
 func TestTerms(t *testing.T) {
 	r := newRig(t)
-	s := &r.c.leadership.scaling
+	s := &r.c.elector.leadership.scaling
 	s.callsRunning, s.listing = 3, true
 	before := r.token - 2
 	r.step(ScaledIn{Names: []string{"m"}, FencingToken: before})
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -47,9 +47,9 @@
 // mayPark says whether one more answer to a report by way of a controller may wait:
 // half of its connections are left to other workers, users and peers. Without a
 // setting of the sockets there is no bound.
-func (c *Core) mayPark(by string) bool {
-	sockets := c.settings.Limits.Sockets
-	return sockets == 0 || c.leadership.heldHeartbeats.heldBy[by] < sockets/2
+func (wm *workerManager) mayPark(by string) bool {
+	sockets := wm.settings.Limits.Sockets
+	return sockets == 0 || wm.elector.leadership.heldHeartbeats.heldBy[by] < sockets/2
 }
 
 // has says whether a machine's report is parked.
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -29,21 +29,21 @@
 // splitsPools says whether a type's spot machines are a pool of their own. What is lost
 // with one is half a checkpoint interval or a run, now and then, and the price
 // differs all the time; where it does not, ordinary ones stay.
-func (c *Core) splitsPools(t *fleet.Type) bool { return c.costAware && t.SpotPrice < t.Price }
+func (sl *scaler) splitsPools(t *fleet.Type) bool { return sl.costAware && t.SpotPrice < t.Price }
 
 // pools are those of a type.
-func (c *Core) pools(t *fleet.Type) []machinePool {
-	if c.splitsPools(t) {
+func (sl *scaler) pools(t *fleet.Type) []machinePool {
+	if sl.splitsPools(t) {
 		return []machinePool{{t.Name, false}, {t.Name, true}}
 	}
 	return []machinePool{{t.Name, false}}
 }
 
 // poolOf is the pool of a machine.
-func (c *Core) poolOf(typ string, spot bool) machinePool {
-	for i := range c.machineTypes {
-		if t := &c.machineTypes[i]; t.Name == typ {
-			return machinePool{typ, spot && c.splitsPools(t)}
+func (sl *scaler) poolOf(typ string, spot bool) machinePool {
+	for i := range sl.cache.machineTypes {
+		if t := &sl.cache.machineTypes[i]; t.Name == typ {
+			return machinePool{typ, spot && sl.splitsPools(t)}
 		}
 	}
 	return machinePool{typ, false}
@@ -52,9 +52,9 @@
 // scaleOutKinds are the kinds of machines to rent for a pool, spot or not, in order. Where
 // pools are apart the other kind comes only in need: jobs that may use spot
 // machines take ordinary ones before they wait.
-func (c *Core) scaleOutKinds(t *fleet.Type, p machinePool, needed bool) []bool {
+func (sl *scaler) scaleOutKinds(t *fleet.Type, p machinePool, needed bool) []bool {
 	switch {
-	case !c.splitsPools(t):
+	case !sl.splitsPools(t):
 		return []bool{false, true} // ordinary ones: any job may use them and they stay
 	case p.spot && needed:
 		return []bool{true, false}
@@ -80,10 +80,10 @@
 // spareMachines is how many idle machines of a pool are kept ready: a share of those in
 // use of late, and none once nothing has run for a while. Where money is weighed
 // they are no more than what a load of that size varies by.
-func (c *Core) spareMachines(p machinePool) int {
-	busy := float64(c.leadership.scaling.peaks[p].busy)
-	n := busy * c.settings.Ops.SpareShare
-	if c.costAware {
+func (sl *scaler) spareMachines(p machinePool) int {
+	busy := float64(sl.elector.leadership.scaling.peaks[p].busy)
+	n := busy * sl.settings.Ops.SpareShare
+	if sl.costAware {
 		n = min(n, spareFactor*math.Sqrt(busy))
 	}
 	return int(math.Ceil(n))
@@ -95,21 +95,21 @@
 
 // idleReturnTime is how long a machine that is no spare one may be idle before it is
 // returned: half as long where money is weighed.
-func (c *Core) idleReturnTime() int64 {
-	if c.costAware {
-		return c.settings.Ops.IdleReturn / 2
+func (sl *scaler) idleReturnTime() int64 {
+	if sl.costAware {
+		return sl.settings.Ops.IdleReturn / 2
 	}
-	return c.settings.Ops.IdleReturn
+	return sl.settings.Ops.IdleReturn
 }
 
 // shortage is how many machines of a pool the waiting tasks would fill.
-func (c *Core) shortage(t *fleet.Type, p machinePool) int {
+func (sl *scaler) shortage(t *fleet.Type, p machinePool) int {
 	var all float64
-	for _, w := range c.leadership.waitingJobs {
+	for _, w := range sl.elector.leadership.waitingJobs {
 		if len(w.spec.Types) > 0 && !slices.Contains(w.spec.Types, t.Name) || !w.spec.Need.Fits(t.Cap) || w.spec.Need.GPU == 0 && t.Cap.GPU > 0 {
 			continue
 		}
-		if c.splitsPools(t) && w.spec.Spot != p.spot {
+		if sl.splitsPools(t) && w.spec.Spot != p.spot {
 			continue
 		}
 		per := tasksPerMachine(w.spec.Need, t.Cap)
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -44,18 +44,18 @@
 			r.tick(6 * second)
 			r.c.settings.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
 			r.c.settings.Ops.WeighMoney = tc.weigh
-			r.c.costAware = r.c.settings.WeighsCost(&r.c.settings.Ops)
-			r.c.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
-			r.c.leadership.waitingJobs = tc.waiting
+			r.c.scaler.costAware = r.c.settings.WeighsCost(&r.c.settings.Ops)
+			r.c.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
+			r.c.elector.leadership.waitingJobs = tc.waiting
 			j := jobstate.NewJob(&jobstate.Spec{ID: "busy", Team: "t", Tasks: 100})
 			for kind, n := range tc.busy {
 				for i := range n {
-					m := r.c.machine(fmt.Sprintf("m-%d-%d", kind, i))
+					m := r.c.workers.machine(fmt.Sprintf("m-%d-%d", kind, i))
 					m.Type, m.Spot, m.LastHeartbeat = "c", kind == 1, r.now
 					m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 				}
 			}
-			s := &r.c.leadership.scaling
+			s := &r.c.elector.leadership.scaling
 			s.scalingOut, s.unanswered = map[machineOffer]bool{}, nil
 			if tc.refused {
 				s.refusedUntil[machineOffer{"c", "a", true}] = r.now + second
@@ -64,7 +64,7 @@
 				s.refusedUntil[machineOffer{"c", "a", false}] = r.now + second
 			}
 			r.c.effects = nil
-			r.c.scaleOutTick(func() bool { return true }, nil)
+			r.c.scaler.scaleOutTick(func() bool { return true }, nil)
 			var got []string
 			for _, e := range r.c.effects {
 				if x, ok := e.(ScaleOut); ok {
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -26,14 +26,60 @@
 	Token uint64 `json:"t"`
 }
 
+// stateCache mirrors the keys of the state service.
+type stateCache struct {
+	*engine
+
+	committer    *committer
+	dependencies *dependencyResolver
+	elector      *elector
+	health       *stateHealth
+	membership   *membership
+	peers        *peerMonitor
+	readLeases   *readLeaseManager
+	reader       *stateReader
+	requests     *requestHandler
+	sweepManager *sweepManager
+	tasks        *taskManager
+
+	synced             bool
+	listingState       bool
+	appliedRevision    uint64
+	jobs               map[string]*jobstate.Job
+	orphanedChunks     map[string]map[jobstate.ChunkRef]Change
+	ends               map[string]jobstate.End
+	endOrder           []string
+	machineTypes       []fleet.Type
+	typesRevision      uint64
+	typesWholeRevision uint64
+	partitions         fleet.Partitions
+	partitionsReadAt   int64
+	keyRevisions       map[string]uint64
+	leader             leaderRecord
+	leaderRevision     uint64
+	token              tokenRecord
+	tokenRevision      uint64
+	imageHints         map[string][]byte
+	mirrorFreshAt      int64
+	progressLog        []*logPage
+	imageHistory       imageHistory
+}
+
+func newStateCache(run *engine) *stateCache {
+	return &stateCache{
+		engine: run, jobs: map[string]*jobstate.Job{}, orphanedChunks: map[string]map[jobstate.ChunkRef]Change{},
+		ends: map[string]jobstate.End{}, imageHints: map[string][]byte{}, imageHistory: newImageHistory(), keyRevisions: map[string]uint64{},
+	}
+}
+
 // listState starts over from the stored state, as at the start, after a watch
 // that was too old, and after losing the leadership, since plans that were
 // never stored must not be taken for placements.
-func (c *Core) listState() {
-	c.synced = false
-	if !c.listingState && c.incompatible == "" {
-		c.listingState = true
-		c.emit(listAll(c.limits(), len(c.settings.Peers)+1))
+func (s *stateCache) listState() {
+	s.synced = false
+	if !s.listingState && s.membership.incompatible == "" {
+		s.listingState = true
+		s.emit(listAll(s.membership.limits(), len(s.settings.Peers)+1))
 	}
 }
 
@@ -46,113 +92,113 @@
 	return ListState{AtOnce: max(1, int(each)-startupRequests), Gap: ratelimit.Interval(each / 2)}
 }
 
-func (c *Core) onStateListed(m StateListed) {
-	c.listingState = false
-	c.noteStateResult(&c.connectivity.Reads, m.Err)
+func (s *stateCache) onStateListed(m StateListed) {
+	s.listingState = false
+	s.health.noteStateResult(&s.peers.connectivity.Reads, m.Err)
 	if m.Err != nil {
-		c.log.Debug("listing the state failed", "err", m.Err)
-		c.listingState = true
-		c.emit(listAll(c.limits(), len(c.settings.Peers)+1)) // the store paces repeats
+		s.log.Debug("listing the state failed", "err", m.Err)
+		s.listingState = true
+		s.emit(listAll(s.membership.limits(), len(s.settings.Peers)+1)) // the store paces repeats
 		return
 	}
-	c.jobs = map[string]*jobstate.Job{}
-	c.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
-	c.leader, c.leaderRevision = leaderRecord{}, 0
-	c.token, c.tokenRevision = tokenRecord{}, 0
-	c.dependencyGraph = jobstate.NewDependencyGraph()
-	c.activation.Restart()
-	c.featuresRevision, c.decommissionedRevisions = 0, map[string]uint64{}
-	c.connectivityRevisions = map[string]uint64{}
-	c.keyRevisions = map[string]uint64{}
-	c.connectivity.Restart()
-	c.progressLog = nil
-	c.resetSweeps()
-	starting := c.appliedRevision == 0
-	c.appliedRevision = m.Revision
-	c.recentChanges.Restart(m.Revision)
+	s.jobs = map[string]*jobstate.Job{}
+	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
+	s.leader, s.leaderRevision = leaderRecord{}, 0
+	s.token, s.tokenRevision = tokenRecord{}, 0
+	s.dependencies.dependencyGraph = jobstate.NewDependencyGraph()
+	s.membership.activation.Restart()
+	s.membership.featuresRevision, s.membership.decommissionedRevisions = 0, map[string]uint64{}
+	s.peers.connectivityRevisions = map[string]uint64{}
+	s.keyRevisions = map[string]uint64{}
+	s.peers.connectivity.Restart()
+	s.progressLog = nil
+	s.sweepManager.resetSweeps()
+	starting := s.appliedRevision == 0
+	s.appliedRevision = m.Revision
+	s.reader.recentChanges.Restart(m.Revision)
 	for _, r := range m.Changes {
-		c.apply(r)
+		s.apply(r)
 	}
-	if !c.checkCompatible(starting) {
+	if !s.membership.checkCompatible(starting) {
 		return
 	}
-	c.synced = true
-	c.log.Info("state read", "jobs", len(c.jobs), "revision", m.Revision)
-	c.watchState()
-	c.changeChunkSize()
+	s.synced = true
+	s.log.Info("state read", "jobs", len(s.jobs), "revision", m.Revision)
+	s.reader.watchState()
+	s.membership.changeChunkSize()
 	// The pages of the list were read one after the other. What changed
 	// meanwhile comes with a view, and only after it may this controller lead.
-	c.emit(ReadState{AfterRevision: c.appliedRevision})
+	s.emit(ReadState{AfterRevision: s.appliedRevision})
 }
 
-func (c *Core) onStateRead(m StateRead) {
+func (s *stateCache) onStateRead(m StateRead) {
 	if !m.Immediate {
-		c.watching = false
+		s.reader.watching = false
 	}
-	side := &c.connectivity.Watch
+	side := &s.peers.connectivity.Watch
 	if m.Immediate {
-		side = &c.connectivity.Reads
+		side = &s.peers.connectivity.Reads
 	}
 	if !m.ViaLeader {
-		c.noteStateResult(side, m.Err)
+		s.health.noteStateResult(side, m.Err)
 	}
 	switch {
-	case m.Compacted && c.leadership != nil:
+	case m.Compacted && s.elector.leadership != nil:
 		// A leader takes its own progress from no list, so it begins anew.
-		c.resign("the watch is too old")
+		s.elector.resign("the watch is too old")
 	case m.Compacted:
-		c.listState()
+		s.listState()
 	}
-	if m.Err == nil && !m.Compacted && c.synced && m.AfterRevision <= c.appliedRevision {
-		from := c.appliedRevision
+	if m.Err == nil && !m.Compacted && s.synced && m.AfterRevision <= s.appliedRevision {
+		from := s.appliedRevision
 		for _, ch := range m.Changes {
 			// Two watches may bring the same change.
 			if ch.Revision > from {
-				c.recentChanges.Append(ch)
-				c.apply(ch)
+				s.reader.recentChanges.Append(ch)
+				s.apply(ch)
 			}
 		}
-		c.appliedRevision = max(c.appliedRevision, m.Revision)
-		c.mirrorFreshAt = max(c.mirrorFreshAt, m.SentAt)
-		c.transactions.Observe(m.Changes, c.now)
-		if !c.checkCompatible(false) {
+		s.appliedRevision = max(s.appliedRevision, m.Revision)
+		s.mirrorFreshAt = max(s.mirrorFreshAt, m.SentAt)
+		s.transactions.Observe(m.Changes, s.now)
+		if !s.membership.checkCompatible(false) {
 			return
 		}
-		c.endCancelledRuns()
-		if c.leadership != nil {
-			c.leadership.mirrorFreshAt = max(c.leadership.mirrorFreshAt, m.SentAt)
+		s.sweepManager.endCancelledRuns()
+		if s.elector.leadership != nil {
+			s.elector.leadership.mirrorFreshAt = max(s.elector.leadership.mirrorFreshAt, m.SentAt)
 		}
-		c.checkLeadership(m.SentAt)
+		s.elector.checkLeadership(m.SentAt)
 	}
 	if !m.Immediate {
-		c.watchState()
+		s.reader.watchState()
 	}
 	if m.ForRequests {
 		// Another view, as that of a candidate, may have been read before the
 		// requests came that wait for this one.
-		c.requestsReadDone(m.Err == nil && !m.Compacted && c.synced && m.Revision <= c.appliedRevision)
+		s.requests.requestsReadDone(m.Err == nil && !m.Compacted && s.synced && m.Revision <= s.appliedRevision)
 	}
 }
 
-func (c *Core) apply(ch Change) {
+func (s *stateCache) apply(ch Change) {
 	key, ok := strings.CutPrefix(ch.Key, Prefix)
 	if !ok {
 		return
 	}
 	if key == "bounds" || key == "types" || strings.HasPrefix(key, "types/") || strings.HasPrefix(key, "hints/") {
-		c.keyRevisions[ch.Key] = ch.Revision
+		s.keyRevisions[ch.Key] = ch.Revision
 		if ch.Removed {
-			delete(c.keyRevisions, ch.Key)
+			delete(s.keyRevisions, ch.Key)
 		}
 	}
 	bad := func(err error) {
-		c.log.Error("stored value can't be read", "key", ch.Key, "err", err)
+		s.log.Error("stored value can't be read", "key", ch.Key, "err", err)
 	}
 	switch {
 	case strings.HasPrefix(key, "job/"):
-		c.applyJob(key[4:], ch, bad)
+		s.applyJob(key[4:], ch, bad)
 	case strings.HasPrefix(key, "run/"):
-		c.applyRun(key[4:], ch, bad)
+		s.applyRun(key[4:], ch, bad)
 	case strings.HasPrefix(key, "end/"):
 		var e jobstate.End
 		if ch.Removed {
@@ -162,56 +208,56 @@
 			bad(err)
 			return
 		}
-		c.noteEnd(key[4:], e, ch.Revision)
-		c.endWasStored(key[4:])
+		s.noteEnd(key[4:], e, ch.Revision)
+		s.dependencies.endWasStored(key[4:])
 	case key == "leader":
-		c.leader, c.leaderRevision = leaderRecord{}, 0
+		s.leader, s.leaderRevision = leaderRecord{}, 0
 		if !ch.Removed {
-			if err := json.Unmarshal(ch.Value, &c.leader); err != nil {
+			if err := json.Unmarshal(ch.Value, &s.leader); err != nil {
 				bad(err)
 			}
-			c.leaderRevision = ch.Revision
-			if c.leader.Token > c.newestLeader.Token {
-				c.connectivity.RecordHandover(c.now)
+			s.leaderRevision = ch.Revision
+			if s.leader.Token > s.elector.newestLeader.Token {
+				s.peers.connectivity.RecordHandover(s.now)
 			}
-			c.noteNewestLeader(c.leader)
+			s.elector.noteNewestLeader(s.leader)
 		}
 	case key == "token" && !ch.Removed:
-		if err := json.Unmarshal(ch.Value, &c.token); err != nil {
+		if err := json.Unmarshal(ch.Value, &s.token); err != nil {
 			bad(err)
 		}
-		c.tokenRevision = ch.Revision
+		s.tokenRevision = ch.Revision
 	case (key == "types" || strings.HasPrefix(key, "types/")) && !ch.Removed:
-		c.applyTypes(ch, bad)
+		s.applyTypes(ch, bad)
 	case key == "format" && !ch.Removed:
-		c.applyFormat(ch, bad)
+		s.membership.applyFormat(ch, bad)
 	case strings.HasPrefix(key, "log/"):
-		c.applyPage(key[len("log/"):], ch, bad)
+		s.applyPage(key[len("log/"):], ch, bad)
 	case strings.HasPrefix(key, "sweep"):
-		c.applySweep(key, ch, bad)
+		s.sweepManager.applySweep(key, ch, bad)
 	case key == "features" || strings.HasPrefix(key, "gone/") || strings.HasPrefix(key, "member/"):
-		c.applyActivation(key, ch, bad)
+		s.membership.applyActivation(key, ch, bad)
 	case strings.HasPrefix(key, "reach/"):
-		c.applyConnectivity(key[len("reach/"):], ch, bad)
+		s.peers.applyConnectivity(key[len("reach/"):], ch, bad)
 	case strings.HasPrefix(key, "hints/") && !ch.Removed:
-		c.imageHints[ch.Key] = ch.Value
-	case key == "bounds" && !ch.Removed && c.leadership == nil:
+		s.imageHints[ch.Key] = ch.Value
+	case key == "bounds" && !ch.Removed && s.elector.leadership == nil:
 		var b fleet.Partitions
 		if err := json.Unmarshal(ch.Value, &b); err != nil {
 			bad(err)
 			return
 		}
-		c.partitions, c.partitionsReadAt = b, c.now
+		s.partitions, s.partitionsReadAt = b, s.now
 	}
 }
 
-func (c *Core) applyJob(id string, ch Change, bad func(error)) {
-	j := c.jobs[id]
+func (s *stateCache) applyJob(id string, ch Change, bad func(error)) {
+	j := s.jobs[id]
 	if ch.Removed {
 		if j != nil && ch.Revision > j.Revision {
-			delete(c.jobs, id)
-			c.jobRemoved(j)
-			c.orphanChunks(j)
+			delete(s.jobs, id)
+			s.tasks.jobRemoved(j)
+			s.orphanChunks(j)
 		}
 		return
 	}
@@ -225,57 +271,57 @@
 	}
 	if j == nil {
 		j = jobstate.NewJob(r.Spec)
-		j.SplitChunks(c.chunkTasks)
+		j.SplitChunks(s.membership.chunkTasks)
 		j.Arrival, j.SubmittedWall, j.Truncated = r.Arrival, r.SubmittedWall, r.Truncated
-		j.SubmittedAt = c.steadyTime(r.SubmittedWall)
+		j.SubmittedAt = s.steadyTime(r.SubmittedWall)
 		j.ReadyAt = j.SubmittedAt
 		if j.Arrival == 0 {
 			j.Arrival = ch.Revision
 		}
-		c.jobs[id] = j
-		for v, run := range c.orphanedChunks[id] {
+		s.jobs[id] = j
+		for v, run := range s.orphanedChunks[id] {
 			if run.Value == nil {
 				continue
 			}
-			if err := j.LoadChunk(v, run.Value, run.Revision, c.now); err != nil {
+			if err := j.LoadChunk(v, run.Value, run.Revision, s.now); err != nil {
 				bad(err)
 			}
 		}
-		delete(c.orphanedChunks, id)
-		c.reapply(j)
-		if e, ended := c.ends[id]; ended && r.Outcome == "" {
+		delete(s.orphanedChunks, id)
+		s.reapply(j)
+		if e, ended := s.ends[id]; ended && r.Outcome == "" {
 			// Derived before the list was read anew, perhaps.
 			j.Outcome, j.CancelledByDependency = e.Outcome, true
-			c.jobEnded(j)
+			s.tasks.jobEnded(j)
 		} else if r.Outcome == "" {
-			c.addDependencies(j)
-			c.mayHaveOpenRuns = c.mayHaveOpenRuns || j.Sweep != ""
+			s.dependencies.addDependencies(j)
+			s.sweepManager.mayHaveOpenRuns = s.sweepManager.mayHaveOpenRuns || j.Sweep != ""
 		}
-		c.jobArrived(j)
+		s.tasks.jobArrived(j)
 	}
 	j.Revision = ch.Revision
 	if r.Outcome != "" && j.Outcome == "" {
 		j.Outcome = r.Outcome
-		c.noteEnd(id, jobstate.End{Outcome: r.Outcome, Tasks: j.Tasks}, ch.Revision)
-		c.jobEnded(j)
+		s.noteEnd(id, jobstate.End{Outcome: r.Outcome, Tasks: j.Tasks}, ch.Revision)
+		s.tasks.jobEnded(j)
 	}
 	if r.Outcome != "" {
 		j.CancelledByDependency = false
 	}
 }
 
-func (c *Core) applyRun(rest string, ch Change, bad func(error)) {
+func (s *stateCache) applyRun(rest string, ch Change, bad func(error)) {
 	id, v, err := parseChunkKey(rest)
 	if err != nil {
 		bad(err)
 		return
 	}
-	if c.leadership != nil {
+	if s.elector.leadership != nil {
 		return // the leader is the one that writes these
 	}
-	j := c.jobs[id]
+	j := s.jobs[id]
 	if ch.Removed {
-		c.setOrphanedRevision(id, v, 0)
+		s.committer.setOrphanedRevision(id, v, 0)
 		if j != nil {
 			j.SetChunkRevision(v, 0)
 		}
@@ -283,98 +329,89 @@
 	}
 	if j == nil {
 		// A job's chunks may be read before the job itself.
-		c.putOrphanedChunk(id, v, ch)
+		s.putOrphanedChunk(id, v, ch)
 		return
 	}
 	if j.ChunkRevision(v) >= ch.Revision {
 		return
 	}
-	if err := j.LoadChunk(v, ch.Value, ch.Revision, c.now); err != nil {
+	if err := j.LoadChunk(v, ch.Value, ch.Revision, s.now); err != nil {
 		bad(err)
 	}
-	c.reapply(j)
+	s.reapply(j)
 	for i := v.Index * v.ChunkSize; i < min((v.Index+1)*v.ChunkSize, j.Tasks); i++ {
-		c.imageHistory.placed(j.Task(i).Machine, j)
+		s.imageHistory.placed(j.Task(i).Machine, j)
 	}
 }
 
 // orphanChunks remembers the values that a removed job leaves, for the leader to
 // remove when it can spare a write.
-func (c *Core) orphanChunks(j *jobstate.Job) {
+func (s *stateCache) orphanChunks(j *jobstate.Job) {
 	values, stamps := j.StoredChunks()
 	for i, v := range values {
-		c.putOrphanedChunk(j.ID, v, Change{Revision: stamps[i]})
+		s.putOrphanedChunk(j.ID, v, Change{Revision: stamps[i]})
 	}
 }
 
-func (c *Core) putOrphanedChunk(id string, v jobstate.ChunkRef, ch Change) {
-	if c.orphanedChunks[id] == nil {
-		c.orphanedChunks[id] = map[jobstate.ChunkRef]Change{}
+func (s *stateCache) putOrphanedChunk(id string, v jobstate.ChunkRef, ch Change) {
+	if s.orphanedChunks[id] == nil {
+		s.orphanedChunks[id] = map[jobstate.ChunkRef]Change{}
 	}
-	c.orphanedChunks[id][v] = ch
+	s.orphanedChunks[id][v] = ch
 }
 
 // noteEnd notes how a job has ended, stored with a revision, or 0 if that is not
 // known. Whatever users are told of an end has passed here, so it is here that
 // this controller begins to vouch for a cancellation.
-func (c *Core) noteEnd(id string, e jobstate.End, rev uint64) {
-	if e.Outcome == jobstate.Cancelled && !c.cancelledWithSweep(id) {
-		c.readLeaseGrantor.RecordCancellation(id, rev)
+func (s *stateCache) noteEnd(id string, e jobstate.End, rev uint64) {
+	if e.Outcome == jobstate.Cancelled && !s.readLeases.cancelledWithSweep(id) {
+		s.readLeases.readLeaseGrantor.RecordCancellation(id, rev)
 	}
-	if _, ok := c.ends[id]; ok {
+	if _, ok := s.ends[id]; ok {
 		return
 	}
-	c.ends[id] = e
-	c.endOrder = append(c.endOrder, id)
-	if len(c.endOrder) > maxEnds {
-		delete(c.ends, c.endOrder[0])
-		c.endOrder = c.endOrder[1:]
+	s.ends[id] = e
+	s.endOrder = append(s.endOrder, id)
+	if len(s.endOrder) > maxEnds {
+		delete(s.ends, s.endOrder[0])
+		s.endOrder = s.endOrder[1:]
 	}
-	if j := c.jobs[id]; j != nil && j.Outcome == "" {
+	if j := s.jobs[id]; j != nil && j.Outcome == "" {
 		j.Outcome = e.Outcome
 		if e.Outcome == jobstate.Done {
-			c.imageHistory.finished(j)
+			s.imageHistory.finished(j)
 		}
-		c.jobEnded(j)
+		s.tasks.jobEnded(j)
 	}
-	c.resolveDependents(id, e)
+	s.dependencies.resolveDependents(id, e)
 }
 
 // applyTypes reads machine types, all or some: those that do not fit one value
 // are stored in several.
-func (c *Core) applyTypes(ch Change, bad func(error)) {
+func (s *stateCache) applyTypes(ch Change, bad func(error)) {
 	var list []fleet.Type
 	if err := json.Unmarshal(ch.Value, &list); err != nil {
 		bad(err)
 		return
 	}
 	if ch.Key == typesKey {
-		c.machineTypes, c.typesRevision, c.typesWholeRevision = list, ch.Revision, ch.Revision
+		s.machineTypes, s.typesRevision, s.typesWholeRevision = list, ch.Revision, ch.Revision
 		return
 	}
 	// Parts of before the value fitted again, as when a list is read.
-	if ch.Revision < c.typesWholeRevision {
+	if ch.Revision < s.typesWholeRevision {
 		return
 	}
-	c.typesRevision = ch.Revision
+	s.typesRevision = ch.Revision
 	for _, t := range list {
-		if i := slices.IndexFunc(c.machineTypes, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
-			c.machineTypes[i] = t
+		if i := slices.IndexFunc(s.machineTypes, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
+			s.machineTypes[i] = t
 		} else {
-			c.machineTypes = append(c.machineTypes, t)
+			s.machineTypes = append(s.machineTypes, t)
 		}
 	}
 }
 
-// steadyTime converts a time of day to the steady clock; one that is not known, or
-// that lies ahead, is now.
-func (c *Core) steadyTime(wall int64) int64 {
-	if wall == 0 || c.wallOffset == 0 {
-		return c.now
-	}
-	return min(c.now, wall-c.wallOffset)
-}
-
 // chunkKey is the key of a value of a job's progress. Values of the first format
 // have a number only.
 func chunkKey(id string, v jobstate.ChunkRef) string {
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -148,81 +148,95 @@
 	Booting      int `json:"booting"`
 }
 
-func (c *Core) onQueryOperatorView(m QueryOperatorView) {
-	c.noteNewestLeader(c.leader)
-	v := &OperatorView{Controller: c.settings.Name, Leader: c.newestLeader.Name, FencingToken: c.newestLeader.Token, Leading: c.leadership != nil, Synced: c.synced,
-		Revision: c.appliedRevision, StateAgeS: float64(c.stateAge()) / 1e6, WritesLeft: c.writeBudget.Level(), ReadsLeft: c.readBudget.Level(), ReadsBy: c.readSource(), Jobs: len(c.jobs), Format: max(c.format.Version, 1), LimitsLowered: c.limitsLowered, Conditions: []string{}}
-	for _, j := range c.jobs {
+// operatorViewer shows operators the state of this controller.
+type operatorViewer struct {
+	*engine
+
+	cache        *stateCache
+	dependencies *dependencyResolver
+	elector      *elector
+	health       *stateHealth
+	membership   *membership
+	peers        *peerMonitor
+	planner      *planner
+	reader       *stateReader
+}
+
+func (ov *operatorViewer) onQueryOperatorView(m QueryOperatorView) {
+	ov.elector.noteNewestLeader(ov.cache.leader)
+	v := &OperatorView{Controller: ov.settings.Name, Leader: ov.elector.newestLeader.Name, FencingToken: ov.elector.newestLeader.Token, Leading: ov.elector.leadership != nil, Synced: ov.cache.synced,
+		Revision: ov.cache.appliedRevision, StateAgeS: float64(ov.health.stateAge()) / 1e6, WritesLeft: ov.health.writeBudget.Level(), ReadsLeft: ov.health.readBudget.Level(), ReadsBy: ov.reader.readSource(), Jobs: len(ov.cache.jobs), Format: max(ov.membership.format.Version, 1), LimitsLowered: ov.membership.limitsLowered, Conditions: []string{}}
+	for _, j := range ov.cache.jobs {
 		if j.Outcome == "" && j.IsBlocked() {
 			v.Awaiting++
 		}
 	}
-	if !c.logEnabled() {
+	if !ov.membership.logEnabled() {
 		v.Conditions = append(v.Conditions, "not all controllers are known to have this version: awaits is refused")
 	}
-	for _, p := range c.settings.Peers {
-		v.Peers = append(v.Peers, PeerView{p, c.connectivity.PeerUp(p, c.now)})
-		if !c.connectivity.PeerUp(p, c.now) {
+	for _, p := range ov.settings.Peers {
+		v.Peers = append(v.Peers, PeerView{p, ov.peers.connectivity.PeerUp(p, ov.now)})
+		if !ov.peers.connectivity.PeerUp(p, ov.now) {
 			v.Conditions = append(v.Conditions, "controller "+p+" does not answer")
 		}
 	}
-	if c.stateUnavailable() {
+	if ov.health.stateUnavailable() {
 		v.Conditions = append(v.Conditions, "the state service does not answer")
 	}
-	if c.newestLeader.Name == "" || c.leaderRevision == 0 && c.synced {
+	if ov.elector.newestLeader.Name == "" || ov.cache.leaderRevision == 0 && ov.cache.synced {
 		v.Conditions = append(v.Conditions, "no controller leads")
 	}
-	for i, h := range c.partitions.Holders {
+	for i, h := range ov.cache.partitions.Holders {
 		p := PartitionView{Holder: h, Ends: ^uint32(0)}
-		if i < len(c.partitions.Boundaries) {
-			p.Ends = c.partitions.Boundaries[i]
+		if i < len(ov.cache.partitions.Boundaries) {
+			p.Ends = ov.cache.partitions.Boundaries[i]
 		}
 		v.Partitions = append(v.Partitions, p)
 	}
-	for _, f := range c.activation.FeatureStates() {
+	for _, f := range ov.membership.activation.FeatureStates() {
 		v.Features = append(v.Features, FeatureView{string(f.Name), f.Enabled, f.Blockers})
 	}
 	v.Members = map[string]MemberView{}
-	for name, w := range c.activation.Advertisements() {
+	for name, w := range ov.membership.activation.Advertisements() {
 		v.Members[name] = MemberView{w.Program, w.Format, w.Features, w.Withheld}
 	}
-	if c.incompatible != "" {
-		v.Conditions = append(v.Conditions, c.incompatible)
+	if ov.membership.incompatible != "" {
+		v.Conditions = append(v.Conditions, ov.membership.incompatible)
 	}
-	c.viewConnectivity(v)
-	if c.leadership != nil {
-		c.viewLeadership(v)
+	ov.viewConnectivity(v)
+	if ov.elector.leadership != nil {
+		ov.viewLeadership(v)
 	}
-	c.emit(Reply{RequestID: m.RequestID, Status: 200, Ops: v})
+	ov.emit(Reply{RequestID: m.RequestID, Status: 200, Ops: v})
 }
 
-func (c *Core) viewConnectivity(v *OperatorView) {
-	for _, l := range c.connectivity.LinkViews(c.now) {
+func (ov *operatorViewer) viewConnectivity(v *OperatorView) {
+	for _, l := range ov.peers.connectivity.LinkViews(ov.now) {
 		o := LinkView{l.Link, l.State, -1}
 		if l.Age >= 0 {
 			o.AgeS = float64(l.Age) / 1e6
 		}
 		v.Reach.Links = append(v.Reach.Links, o)
 	}
-	m := c.connectivity.Matrix()
+	m := ov.peers.connectivity.Matrix()
 	v.Reach.Matrix = map[string]ConnectivityRowView{}
 	for name, row := range m {
 		v.Reach.Matrix[name] = ConnectivityRowView{row.Workers, m.Coverage(name), row.Peers, row.Cloud}
-		if c.connectivity.CannotReachMostZones(name) {
+		if ov.peers.connectivity.CannotReachMostZones(name) {
 			v.Conditions = append(v.Conditions, "controller "+name+" is cut off from workers that others reach")
 		}
 	}
-	if last := c.connectivity.LastHandover(); last.At != 0 {
-		v.Reach.SteppedAside = &LeadershipTransferView{last.To, last.Reason, float64(c.now-last.At) / 1e6}
+	if last := ov.peers.connectivity.LastHandover(); last.At != 0 {
+		v.Reach.SteppedAside = &LeadershipTransferView{last.To, last.Reason, float64(ov.now-last.At) / 1e6}
 	}
 	slices.Sort(v.Conditions)
 }
 
-func (c *Core) viewLeadership(v *OperatorView) {
-	l := c.leadership
-	v.AnswersForS = float64(l.mayAnswerSince()+c.settings.LeaderAuthorityTime()-c.now) / 1e6
-	if c.now-l.provenByState() > readLeaseAfter {
-		silent := l.readLeases.StaleGrantors(c.now, readLeaseAfter)
+func (ov *operatorViewer) viewLeadership(v *OperatorView) {
+	l := ov.elector.leadership
+	v.AnswersForS = float64(l.mayAnswerSince()+ov.settings.LeaderAuthorityTime()-ov.now) / 1e6
+	if ov.now-l.provenByState() > readLeaseAfter {
+		silent := l.readLeases.StaleGrantors(ov.now, readLeaseAfter)
 		for _, p := range sortedKeys(silent) {
 			since := "yet"
 			if silent[p] >= 0 {
@@ -236,7 +250,7 @@
 		v.Conditions = append(v.Conditions, "the cloud does not answer")
 	}
 	for _, m := range l.fleet.All() {
-		if i := c.partitions.Partition(m.Name); i < len(v.Partitions) {
+		if i := ov.cache.partitions.Partition(m.Name); i < len(v.Partitions) {
 			v.Partitions[i].Machines++
 		}
 		switch {
@@ -244,7 +258,7 @@
 			v.Machines.Draining++
 		case m.Delivery.CannotReceive:
 			v.Machines.NotReceiving++
-		case !c.usable(m):
+		case !ov.planner.usable(m):
 			v.Machines.Silent++
 		case len(m.Placed) > 0:
 			v.Machines.Busy++
@@ -260,17 +274,17 @@
 	v.Machines.Booting = len(l.scaling.booting)
 	v.Queues = make([]QueueView, queueCount)
 	for _, w := range l.waitingJobs {
-		q := &v.Queues[c.queueOf(w.spec)]
+		q := &v.Queues[ov.planner.queueOf(w.spec)]
 		q.Waiting++
 		q.Tasks += w.tasks
 	}
 	for _, p := range l.pivots {
 		q := &v.Queues[p.queue]
-		if j := c.jobs[p.job]; j != nil && q.Pivot == "" {
-			q.Pivot, q.WaitsS = p.job, float64(c.now-j.ReadyAt)/1e6
-			q.Reason = c.whyWaiting(p)
+		if j := ov.cache.jobs[p.job]; j != nil && q.Pivot == "" {
+			q.Pivot, q.WaitsS = p.job, float64(ov.now-j.ReadyAt)/1e6
+			q.Reason = ov.whyWaiting(p)
 			if p.at > 0 {
-				q.StartsS = float64(max(0, p.at-c.now)) / 1e6
+				q.StartsS = float64(max(0, p.at-ov.now)) / 1e6
 			}
 		}
 	}
@@ -279,14 +293,14 @@
 }
 
 // whyWaiting says in words what a pivot waits for.
-func (c *Core) whyWaiting(p plannedPivot) string {
-	j := c.jobs[p.job]
+func (ov *operatorViewer) whyWaiting(p plannedPivot) string {
+	j := ov.cache.jobs[p.job]
 	if p.at != 0 {
 		return "for running tasks to end"
 	}
 	able := 0
-	for _, m := range c.leadership.fleet.All() {
-		if c.usable(m) && j.Allows(m.Type, m.Zone, m.Spot, m.Cap) {
+	for _, m := range ov.elector.leadership.fleet.All() {
+		if ov.planner.usable(m) && j.Allows(m.Type, m.Zone, m.Spot, m.Cap) {
 			able++
 		}
 	}
@@ -300,30 +314,30 @@
 const stuckAfter = 60 * second
 
 // stuckQueuesTick tells operators of queues that do not move, before users do.
-func (c *Core) stuckQueuesTick() {
-	l := c.leadership
-	if c.now-l.stuckCheckedAt < 10*second {
+func (ov *operatorViewer) stuckQueuesTick() {
+	l := ov.elector.leadership
+	if ov.now-l.stuckCheckedAt < 10*second {
 		return
 	}
-	l.stuckCheckedAt = c.now
+	l.stuckCheckedAt = ov.now
 	l.stuckQueues = l.stuckQueues[:0]
 	pivots := slices.Clone(l.pivots)
 	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
 	for _, p := range pivots {
-		j := c.jobs[p.job]
-		if j == nil || j.NumPlaced > 0 || c.now-j.ReadyAt < stuckAfter {
+		j := ov.cache.jobs[p.job]
+		if j == nil || j.NumPlaced > 0 || ov.now-j.ReadyAt < stuckAfter {
 			continue
 		}
-		why := c.whyWaiting(p)
-		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (c.now-j.ReadyAt)/second, why))
-		if c.now-l.stuckLoggedAt[p.job] >= stuckAfter {
-			l.stuckLoggedAt[p.job] = c.now
-			c.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (c.now-j.ReadyAt)/second, "why", why)
+		why := ov.whyWaiting(p)
+		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (ov.now-j.ReadyAt)/second, why))
+		if ov.now-l.stuckLoggedAt[p.job] >= stuckAfter {
+			l.stuckLoggedAt[p.job] = ov.now
+			ov.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (ov.now-j.ReadyAt)/second, "why", why)
 		}
 	}
-	c.logLateDependencies()
+	ov.logLateDependencies()
 	for id := range l.stuckLoggedAt {
-		if c.jobs[id] == nil {
+		if ov.cache.jobs[id] == nil {
 			delete(l.stuckLoggedAt, id)
 		}
 	}
@@ -334,11 +348,11 @@
 
 // logLateDependencies tells operators of pipelines that will miss their deadline by the
 // owners' estimates, before they do, and of the stage that holds each up.
-func (c *Core) logLateDependencies() {
-	l := c.leadership
+func (ov *operatorViewer) logLateDependencies() {
+	l := ov.elector.leadership
 	var list []*jobstate.Job
-	for _, j := range c.jobs {
-		if j.Outcome == "" && !j.IsBlocked() && j.EffectiveDeadline != 0 && (len(j.Dependencies) > 0 || c.dependencyGraph.HasDependents(j)) && c.now+c.remainingTime(j) > j.EffectiveDeadline {
+	for _, j := range ov.cache.jobs {
+		if j.Outcome == "" && !j.IsBlocked() && j.EffectiveDeadline != 0 && (len(j.Dependencies) > 0 || ov.dependencies.dependencyGraph.HasDependents(j)) && ov.now+ov.remainingTime(j) > j.EffectiveDeadline {
 			list = append(list, j)
 		}
 	}
@@ -346,23 +360,23 @@
 		return cmp.Or(cmp.Compare(a.EffectiveDeadline, b.EffectiveDeadline), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range list[:min(len(list), maxLateDependencies)] {
-		last := c.dependencyGraph.DeadlineOwner(j)
+		last := ov.dependencies.dependencyGraph.DeadlineOwner(j)
 		how := "running"
 		if j.NumPlaced == 0 {
 			how = "queued"
 		}
-		late := (c.now + c.remainingTime(j) - j.EffectiveDeadline) / second
+		late := (ov.now + ov.remainingTime(j) - j.EffectiveDeadline) / second
 		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, j.ID, how, j.NumDone, j.Tasks))
-		if c.now-l.stuckLoggedAt[j.ID] >= stuckAfter {
-			l.stuckLoggedAt[j.ID] = c.now
-			c.log.Info("pipeline will be late", "job", last.ID, "held_by", j.ID, "late_s", late, "state", how, "done", j.NumDone, "tasks", j.Tasks)
+		if ov.now-l.stuckLoggedAt[j.ID] >= stuckAfter {
+			l.stuckLoggedAt[j.ID] = ov.now
+			ov.log.Info("pipeline will be late", "job", last.ID, "held_by", j.ID, "late_s", late, "state", how, "done", j.NumDone, "tasks", j.Tasks)
 		}
 	}
 }
 
 // remainingTime is how long a job still takes by its owner's estimate, if all of
 // its tasks that wait start now.
-func (c *Core) remainingTime(j *jobstate.Job) int64 {
+func (ov *operatorViewer) remainingTime(j *jobstate.Job) int64 {
 	if j.Unplaced() > 0 {
 		return j.Estimate
 	}
@@ -370,9 +384,9 @@
 	j.EachPlaced(func(_ int, t *jobstate.Task) {
 		begun := t.StartedAt
 		if begun == 0 {
-			begun = c.now
+			begun = ov.now
 		}
-		left = max(left, begun+j.Estimate-c.now)
+		left = max(left, begun+j.Estimate-ov.now)
 	})
 	return max(left, 0)
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 
+	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
@@ -12,59 +13,85 @@
 	stateAnsweredAt int64 // when, at the latest, the state service answered it
 }
 
-func (c *Core) onPingReceived(m PingReceived) {
-	c.connectivity.RecordInbound(m.From, c.now)
-	c.noteNewestLeader(c.leader)
-	n := &PeerStatus{FencingToken: c.newestLeader.Token, Leader: c.newestLeader.Name, StateAge: c.stateAge(), Version: c.writableFormat(), Features: c.activation.Features(), LimitsLowered: c.limitsLowered}
-	c.grantReadLease(m, n)
-	if c.settings.Ops.Reach {
-		v := c.connectivity.LocalAdvertisement(c.now)
+// peerMonitor pings the other controllers and knows which of them, and which links, work.
+type peerMonitor struct {
+	*engine
+
+	cache      *stateCache
+	elector    *elector
+	health     *stateHealth
+	membership *membership
+	readLeases *readLeaseManager
+	reader     *stateReader
+
+	peerStates            map[string]peerState
+	connectivity          *connectivity.Links
+	connectivityRevisions map[string]uint64
+	connectivityCheckedAt int64
+	pingedAt              int64
+}
+
+func newPeerMonitor(run *engine) *peerMonitor {
+	set := &run.settings
+	return &peerMonitor{
+		engine: run, peerStates: map[string]peerState{}, connectivityRevisions: map[string]uint64{},
+		connectivity: connectivity.New(set.Name, set.Incarnation, set.Peers, set.Zones, config.MicrosOf(set.Workers.ReportS)),
+	}
+}
+
+func (pm *peerMonitor) onPingReceived(m PingReceived) {
+	pm.connectivity.RecordInbound(m.From, pm.now)
+	pm.elector.noteNewestLeader(pm.cache.leader)
+	n := &PeerStatus{FencingToken: pm.elector.newestLeader.Token, Leader: pm.elector.newestLeader.Name, StateAge: pm.health.stateAge(), Version: pm.membership.writableFormat(), Features: pm.membership.activation.Features(), LimitsLowered: pm.membership.limitsLowered}
+	pm.readLeases.grantReadLease(m, n)
+	if pm.settings.Ops.Reach {
+		v := pm.connectivity.LocalAdvertisement(pm.now)
 		n.Connectivity = &v
 		if m.NeedMachines {
-			n.Machines = c.connectivity.Workers.Machines()
+			n.Machines = pm.connectivity.Workers.Machines()
 		}
 	}
-	c.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: n})
+	pm.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: n})
 }
 
-func (c *Core) noteNewestLeader(v leaderRecord) {
-	if v.Token > c.newestLeader.Token {
-		c.newestLeader = v
+func (el *elector) noteNewestLeader(v leaderRecord) {
+	if v.Token > el.newestLeader.Token {
+		el.newestLeader = v
 	}
 }
 
-func (c *Core) onPeerPinged(m PeerPinged) {
-	c.connectivity.RecordPing(m.Peer, m.SentAt, c.now, m.OK, m.Status.Connectivity)
+func (pm *peerMonitor) onPeerPinged(m PeerPinged) {
+	pm.connectivity.RecordPing(m.Peer, m.SentAt, pm.now, m.OK, m.Status.Connectivity)
 	for _, x := range m.Status.Machines {
-		c.connectivity.Workers.Add(x, c.now)
+		pm.connectivity.Workers.Add(x, pm.now)
 	}
 	if !m.OK {
 		return
 	}
-	v := c.peerStates[m.Peer]
+	v := pm.peerStates[m.Peer]
 	if m.SentAt < v.answeredAt {
 		return
 	}
 	v.answeredAt = m.SentAt
-	c.activation.RecordPing(m.Peer, m.SentAt, m.Status.Version, m.Status.Features)
+	pm.membership.activation.RecordPing(m.Peer, m.SentAt, m.Status.Version, m.Status.Features)
 	if m.Status.LimitsLowered {
-		c.lowerLimits("a peer says so")
+		pm.membership.lowerLimits("a peer says so")
 	}
 	v.stateAnsweredAt = m.SentAt - m.Status.StateAge
-	c.peerStates[m.Peer] = v
-	c.readLeaseGrantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
-	c.releaseHeldReplies()
-	c.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
-	if c.leadership == nil {
+	pm.peerStates[m.Peer] = v
+	pm.readLeases.readLeaseGrantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
+	pm.readLeases.releaseHeldReplies()
+	pm.elector.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
+	if pm.elector.leadership == nil {
 		return
 	}
-	if m.Status.FencingToken > c.leadership.token {
+	if m.Status.FencingToken > pm.elector.leadership.token {
 		// The state service may refuse this controller alone. A token is
 		// raised by nothing but a take-over, so this is proof.
-		c.stepDown("a peer knows of a newer leader")
+		pm.elector.stepDown("a peer knows of a newer leader")
 		return
 	}
-	c.readLeaseAnswered(m)
+	pm.readLeases.readLeaseAnswered(m)
 }
 
 // Refusal is an error by which the other side has answered.
@@ -79,89 +106,16 @@
 	return connectivity.NoResponse
 }
 
-// noteStateResult notes how a request to the state service has ended.
-func (c *Core) noteStateResult(side *connectivity.Link, err error) {
-	if err == nil {
-		c.stateAnsweredAt = c.now
-		side.RecordSuccess(c.now, c.now)
-	} else {
-		c.stateFailedAt = c.now
-		side.RecordFailure(c.now, c.now, faultOf(err))
-		c.pingAll()
-	}
-}
-
-// noteTransactionResult notes how a transaction has ended. One that was refused for its rate
-// or its size says nothing of the link.
-func (c *Core) noteTransactionResult(m Committed) {
-	w := &c.connectivity.Writes
-	switch m.Status {
-	case 200, 409:
-		c.stateAnsweredAt = c.now
-		w.RecordSuccess(c.now, c.now)
-		c.noteAnnouncedRevision(m.Revision)
-	case 0:
-		c.stateFailedAt = c.now
-		w.RecordFailure(c.now, c.now, connectivity.NoResponse)
-		c.pingAll()
-	default:
-		c.stateFailedAt = c.now
-		if m.Status == 503 {
-			w.RecordFailure(c.now, c.now, connectivity.Refused)
-		}
-		c.pingAll()
-	}
-}
-
-// noteAnnouncedRevision notes a revision that the state service has told of. A watch that
-// does not bring it is silent, however well requests are answered.
-func (c *Core) noteAnnouncedRevision(rev uint64) {
-	if rev <= max(c.appliedRevision, c.announcedRevision) {
-		return
-	}
-	if c.announcedRevision <= c.appliedRevision {
-		c.announcedAt = c.now
-	}
-	c.announcedRevision = rev
-}
-
-// maxWatchDelay is how long a watch may take to bring a change that is known of.
-const maxWatchDelay = 600_000
-
-// watchdogTick reads what a silent watch keeps back: a leader that learned of jobs
-// by it alone would leave them waiting for as long as the connection is held.
-func (c *Core) watchdogTick() {
-	if !c.synced || c.announcedRevision <= c.appliedRevision || c.now-c.announcedAt < maxWatchDelay || !c.watching {
-		return
-	}
-	c.announcedAt = c.now
-	c.connectivity.Watch.RecordFailure(c.now, c.now, connectivity.NoResponse)
-	c.emit(ReadState{AfterRevision: c.appliedRevision})
-}
-
-// stateUnavailable says that the state service has not answered for a while.
-func (c *Core) stateUnavailable() bool {
-	return c.stateFailedAt > c.stateAnsweredAt && c.now-c.stateAnsweredAt > 1500_000
-}
-
-// stateAge is how long the state service is known not to answer.
-func (c *Core) stateAge() int64 {
-	if c.stateFailedAt <= c.stateAnsweredAt {
-		return 0
-	}
-	return c.now - c.stateAnsweredAt
-}
-
 // forwardToPeer hands a request on to a peer that the state service answers. A
 // request that was handed on is not handed on again.
-func (c *Core) forwardToPeer(a *request) bool {
+func (pm *peerMonitor) forwardToPeer(a *request) bool {
 	if a.forwarded {
 		return false
 	}
 	best := ""
-	for _, p := range c.settings.Peers {
-		v := c.peerStates[p]
-		if c.connectivity.PeerUp(p, c.now) && c.now-v.stateAnsweredAt < 3*second && (best == "" || v.stateAnsweredAt > c.peerStates[best].stateAnsweredAt) {
+	for _, p := range pm.settings.Peers {
+		v := pm.peerStates[p]
+		if pm.connectivity.PeerUp(p, pm.now) && pm.now-v.stateAnsweredAt < 3*second && (best == "" || v.stateAnsweredAt > pm.peerStates[best].stateAnsweredAt) {
 			best = p
 		}
 	}
@@ -185,15 +139,42 @@
 	default:
 		r = QueryJob{ID: a.jobID, Forwarded: true}
 	}
-	c.emit(ForwardRequest{RequestID: a.id, To: best, Request: r})
+	pm.emit(ForwardRequest{RequestID: a.id, To: best, Request: r})
 	return true
 }
 
-func (c *Core) onRequestForwarded(m RequestForwarded) {
+func (pm *peerMonitor) onRequestForwarded(m RequestForwarded) {
 	r := m.Answer
 	if m.Err != nil {
 		r = stateUnavailableReply
 	}
 	r.RequestID = m.RequestID
-	c.emit(r)
+	pm.emit(r)
+}
+
+// ping asks a peer how it is. A leader that the state service does not answer asks
+// it to vouch; and it is told of cancellations that it has to know of first.
+func (pm *peerMonitor) ping(p string) {
+	e := PingPeer{Peer: p, NeedMachines: pm.settings.Ops.Reach && pm.connectivity.Workers.NeedsMachines(pm.settings.Zones), Incarnation: pm.settings.Incarnation}
+	if pm.elector.leadership != nil && (pm.health.stateFailedAt > pm.health.stateAnsweredAt || pm.now-pm.elector.leadership.provenByState() > readLeaseAfter) {
+		q := pm.elector.leadership.readLeases.NextRequest(p, pm.cache.appliedRevision, pm.now)
+		e.Question = &q
+	}
+	if at, ok := pm.readLeases.heldReplies.informedAt[p]; ok && at == pm.now {
+		t := pm.readLeases.readLeaseGrantor.PageFor(p)
+		e.Cancellations = &t
+	}
+	pm.emit(e)
+}
+
+// pingAll has all peers vouch as soon as the state service fails a leader: what one
+// of them has told before it crashes is known only if it was heard out by then.
+func (pm *peerMonitor) pingAll() {
+	if pm.elector.leadership == nil || pm.now-pm.elector.leadership.peersAskedAt < second/2 {
+		return
+	}
+	pm.elector.leadership.peersAskedAt = pm.now
+	for _, p := range pm.settings.Peers {
+		pm.ping(p)
+	}
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -46,23 +46,36 @@
 	})
 }
 
+// planner runs the rounds of scheduling: quotas, queues, pivots and preemption.
+type planner struct {
+	*engine
+
+	cache        *stateCache
+	committer    *committer
+	dependencies *dependencyResolver
+	elector      *elector
+	prefetcher   *prefetcher
+	sweepManager *sweepManager
+	tasks        *taskManager
+}
+
 // queueOf is equation (1) with our cutoffs; services never end and go to the
 // long queue.
-func (c *Core) queueOf(s *jobstate.Spec) int {
+func (pl *planner) queueOf(s *jobstate.Spec) int {
 	switch {
 	case s.Kind == jobstate.Service:
 		return 2
-	case s.Estimate < c.settings.Ops.ShortCutoff:
+	case s.Estimate < pl.settings.Ops.ShortCutoff:
 		return 0
-	case s.Estimate < c.settings.Ops.LongCutoff:
+	case s.Estimate < pl.settings.Ops.LongCutoff:
 		return 1
 	}
 	return 2
 }
 
 // wantsTrial says whether a job's next run is its trial.
-func (c *Core) wantsTrial(j *jobstate.Job) bool {
-	return j.Checkpoint > 0 && !j.TrialDone && j.Kind != jobstate.Service && c.queueOf(j.Spec) > 0
+func (pl *planner) wantsTrial(j *jobstate.Job) bool {
+	return j.Checkpoint > 0 && !j.TrialDone && j.Kind != jobstate.Service && pl.queueOf(j.Spec) > 0
 }
 
 const distantFuture = int64(1) << 50
@@ -71,9 +84,9 @@
 
 // usage is what the teams' placements take, stored or planned, and what
 // warming tasks take in their names.
-func (c *Core) usage() map[string]teamUsage {
-	used := maps.Clone(c.leadership.prefetch.usedByTeam)
-	for _, j := range c.jobs {
+func (pl *planner) usage() map[string]teamUsage {
+	used := maps.Clone(pl.elector.leadership.prefetch.usedByTeam)
+	for _, j := range pl.cache.jobs {
 		u := used[j.Team]
 		u.cpu += j.Need.CPU * int64(j.NumPlaced)
 		u.gpu += j.Need.GPU * int64(j.NumPlaced)
@@ -83,25 +96,25 @@
 }
 
 // plan runs one planning round and carries it out.
-func (c *Core) plan() {
-	l := c.leadership
-	l.planWanted, l.plannedAt = false, c.now
-	if !c.mayStartTasks() || len(c.machineTypes) == 0 {
+func (pl *planner) plan() {
+	l := pl.elector.leadership
+	l.planWanted, l.plannedAt = false, pl.now
+	if !pl.elector.mayStartTasks() || len(pl.cache.machineTypes) == 0 {
 		return
 	}
-	c.inheritPriorities()
-	used := c.usage()
-	unfinished := c.unfinished()
-	guaranteed := c.jobsWithinQuota(unfinished)
-	machines := c.refreshIndex()
+	pl.inheritPriorities()
+	used := pl.usage()
+	unfinished := pl.unfinished()
+	guaranteed := pl.jobsWithinQuota(unfinished)
+	machines := pl.refreshIndex()
 	l.capacity = machines.Capacity()
-	jobs := c.schedJobs(unfinished, used, guaranteed)
-	report := config.MicrosOf(c.settings.Workers.ReportS)
-	p := sched.Planner{Now: c.now, Queues: queueCount, Index: machines, ImageWorth: c.imageWorth(), MaxStarts: maxPlannedTasks, PreemptDelay: 2*report + 3*second,
-		PreferSpot: c.spotPreferred(), ReserveAhead: machines.Len() / machinesPerUrgentJob, Claims: c.activeClaims(), LargestGPUTask: c.largestMachine(),
-		LoadRunningTasks: func(m *sched.Machine) { c.loadRuns(m, guaranteed) },
+	jobs := pl.schedJobs(unfinished, used, guaranteed)
+	report := config.MicrosOf(pl.settings.Workers.ReportS)
+	p := sched.Planner{Now: pl.now, Queues: queueCount, Index: machines, ImageWorth: pl.prefetcher.imageWorth(), MaxStarts: maxPlannedTasks, PreemptDelay: 2*report + 3*second,
+		PreferSpot: pl.spotPreferred(), ReserveAhead: machines.Len() / machinesPerUrgentJob, Claims: pl.activeClaims(), LargestGPUTask: pl.largestMachine(),
+		LoadRunningTasks: func(m *sched.Machine) { pl.loadRuns(m, guaranteed) },
 		BeyondGuarantee: func(team string, need jobstate.Resources) bool {
-			t := c.settings.Team(team)
+			t := pl.settings.Team(team)
 			return t == nil || used[team].gpu-need.GPU >= int64(t.GPUs*1000) && (t.CPUs == 0 || used[team].cpu-need.CPU >= int64(t.CPUs*1000))
 		}}
 	p.HasSpareMachines = l.scaling.idleOnDemand >= minRoomyTasks
@@ -115,26 +128,26 @@
 			attempts[j] = a
 		}
 		m := l.fleet.Get(s.Machine.Name)
-		c.log.Debug("placed", "class", j.Class, "team", j.Team, "guaranteed", s.Job.Guaranteed, "job", j.ID, "task", s.Index, "attempt", a, "machine", m.Name, "type", m.Type,
-			"spot", m.Spot, "image", j.Image, "has_image", m.Images[j.Image].LastUsed != 0, "known_s", float64(c.now-j.ReadyAt)/1e6)
-		j.PlaceTask(s.Index, m.Name, a, c.now)
-		j.Task(s.Index).Trial = c.wantsTrial(j)
+		pl.log.Debug("placed", "class", j.Class, "team", j.Team, "guaranteed", s.Job.Guaranteed, "job", j.ID, "task", s.Index, "attempt", a, "machine", m.Name, "type", m.Type,
+			"spot", m.Spot, "image", j.Image, "has_image", m.Images[j.Image].LastUsed != 0, "known_s", float64(pl.now-j.ReadyAt)/1e6)
+		j.PlaceTask(s.Index, m.Name, a, pl.now)
+		j.Task(s.Index).Trial = pl.wantsTrial(j)
 		m.AddPlacement(fleet.TaskRef{Job: j, Index: s.Index})
 		m.IdleSince = 0
 		l.heldHeartbeats.expectCommands(m.Name)
-		c.markDirty(j)
-		c.dropClaim(j, m.Name)
+		pl.committer.markDirty(j)
+		pl.dropClaim(j, m.Name)
 	}
 	for _, cl := range plan.Claims {
-		l.claims = append(l.claims, claim{cl, c.now + claimFor + 2*report})
+		l.claims = append(l.claims, claim{cl, pl.now + claimFor + 2*report})
 	}
 	for _, r := range plan.Preemptions {
-		c.log.Debug("stopping to make room", "job", r.Job.ID, "task", r.Index, "machine", r.Job.Task(r.Index).Machine, "for", r.For.ID, "for_class", r.For.Class)
+		pl.log.Debug("stopping to make room", "job", r.Job.ID, "task", r.Index, "machine", r.Job.Task(r.Index).Machine, "for", r.For.ID, "for_class", r.For.Class)
 		grace := checkpointGrace(r.Job)
 		if r.Kill {
 			grace = 0
 		}
-		c.stopAtCheckpoint(r.Job, r.Index, stopPreempt, grace)
+		pl.tasks.stopAtCheckpoint(r.Job, r.Index, stopPreempt, grace)
 	}
 	l.pivots = l.pivots[:0]
 	for _, pv := range plan.Pivots {
@@ -147,9 +160,9 @@
 	if len(plan.Starts) >= maxPlannedTasks {
 		l.planWanted = true
 	}
-	c.endTrials(plan, guaranteed)
+	pl.endTrials(plan, guaranteed)
 	if len(plan.Waiting) > 0 || len(plan.Pivots) > 0 {
-		c.log.Debug("round", "machines", machines.Len(), "starts", len(plan.Starts), "waiting", len(plan.Waiting), "pivots", len(plan.Pivots), "stops", len(plan.Preemptions))
+		pl.log.Debug("round", "machines", machines.Len(), "starts", len(plan.Starts), "waiting", len(plan.Waiting), "pivots", len(plan.Pivots), "stops", len(plan.Preemptions))
 	}
 }
 
@@ -163,10 +176,10 @@
 // claimFor is how long it takes to stop work in order, beyond two reports.
 const claimFor = 10 * second
 
-func (c *Core) activeClaims() []sched.Claim {
-	l := c.leadership
+func (pl *planner) activeClaims() []sched.Claim {
+	l := pl.elector.leadership
 	l.claims = slices.DeleteFunc(l.claims, func(cl claim) bool {
-		return c.now > cl.until || cl.Job.Outcome != "" || cl.Job.Unplaced() == 0
+		return pl.now > cl.until || cl.Job.Outcome != "" || cl.Job.Unplaced() == 0
 	})
 	out := make([]sched.Claim, len(l.claims))
 	for i := range l.claims {
@@ -176,8 +189,8 @@
 }
 
 // dropClaim ends a claim that has been used.
-func (c *Core) dropClaim(j *jobstate.Job, machine string) {
-	l := c.leadership
+func (pl *planner) dropClaim(j *jobstate.Job, machine string) {
+	l := pl.elector.leadership
 	if i := slices.IndexFunc(l.claims, func(cl claim) bool { return cl.Job == j && cl.Machine == machine }); i >= 0 {
 		l.claims = slices.Delete(l.claims, i, i+1)
 	}
@@ -187,12 +200,12 @@
 // they are on who would come before the job when it is requeued. Otherwise
 // the job itself would be started again there at once, after a save and an
 // image fetch for nothing, so it goes on as if it had been.
-func (c *Core) endTrials(plan sched.Plan, guaranteed map[*jobstate.Job]bool) {
+func (pl *planner) endTrials(plan sched.Plan, guaranteed map[*jobstate.Job]bool) {
 	if len(plan.Waiting) == 0 {
 		return
 	}
 	var tried []*jobstate.Job
-	for _, j := range c.jobs {
+	for _, j := range pl.cache.jobs {
 		if j.NumPlaced > 0 && !j.TrialDone && j.Outcome == "" && j.Checkpoint > 0 {
 			tried = append(tried, j)
 		}
@@ -200,17 +213,17 @@
 	slices.SortFunc(tried, func(a, b *jobstate.Job) int { return cmp.Compare(a.ID, b.ID) })
 	for _, j := range tried {
 		due := false
-		requeued := &sched.Job{Job: j, QueueOrder: c.queueOrder(j), Guaranteed: guaranteed[j]}
+		requeued := &sched.Job{Job: j, QueueOrder: pl.queueOrder(j), Guaranteed: guaranteed[j]}
 		j.EachPlaced(func(i int, t *jobstate.Task) {
-			due = due || t.Trial && t.StopReason == "" && t.Phase == jobstate.Running && c.now-t.PlacedAt >= c.settings.Ops.Trial && c.hasWaitingUse(t.Machine, requeued, plan.Waiting)
+			due = due || t.Trial && t.StopReason == "" && t.Phase == jobstate.Running && pl.now-t.PlacedAt >= pl.settings.Ops.Trial && pl.hasWaitingUse(t.Machine, requeued, plan.Waiting)
 		})
 		if !due {
 			continue
 		}
-		c.log.Debug("trial over", "job", j.ID)
+		pl.log.Debug("trial over", "job", j.ID)
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			if t.Trial {
-				c.preemptGang(j, i, stopTrial)
+				pl.tasks.preemptGang(j, i, stopTrial)
 			}
 		})
 	}
@@ -218,8 +231,8 @@
 
 // hasWaitingUse says whether a job that waits could use a machine, and
 // would go before the requeued one.
-func (c *Core) hasWaitingUse(machine string, requeued *sched.Job, waiting []*sched.Job) bool {
-	m := c.leadership.fleet.Get(machine)
+func (pl *planner) hasWaitingUse(machine string, requeued *sched.Job, waiting []*sched.Job) bool {
+	m := pl.elector.leadership.fleet.Get(machine)
 	if m == nil {
 		return false
 	}
@@ -235,43 +248,43 @@
 // travel in the answer to a report, so a parked one takes them at once, and
 // else they wait for the next. Where reports are seconds apart that decides
 // when an urgent job starts.
-func (c *Core) nextHeartbeatAt(m *fleet.Machine) int64 {
-	if c.leadership.heldHeartbeats.has(m.Name) {
+func (pl *planner) nextHeartbeatAt(m *fleet.Machine) int64 {
+	if pl.elector.leadership.heldHeartbeats.has(m.Name) {
 		return 0
 	}
-	return m.LastHeartbeat + config.MicrosOf(c.settings.Workers.ReportS)
+	return m.LastHeartbeat + config.MicrosOf(pl.settings.Workers.ReportS)
 }
 
 // plannedRun estimates how long a placed task holds its room. One past its estimate
 // is taken to end one report interval later.
-func (c *Core) plannedRun(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
+func (pl *planner) plannedRun(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
 	j, t := ref.Job, ref.Job.Task(ref.Index)
-	report := config.MicrosOf(c.settings.Workers.ReportS)
+	report := config.MicrosOf(pl.settings.Workers.ReportS)
 	r := sched.RunningTask{Job: j, Index: ref.Index, Guaranteed: guaranteed}
 	switch {
 	case j.Outcome != "" || t.StopReason != "":
-		r.End = max(t.StopRequestedAt+t.Grace+report, c.now+second)
+		r.End = max(t.StopRequestedAt+t.Grace+report, pl.now+second)
 		return r
 	case j.Kind == jobstate.Service:
-		r.End = c.now + distantFuture
+		r.End = pl.now + distantFuture
 	case t.StartedAt != 0:
 		r.End = t.StartedAt + j.Estimate
 	default:
 		r.End = t.PlacedAt + j.Estimate + j.FetchTime(m.FetchRate)
 	}
-	if r.End <= c.now {
-		r.End = c.now + report
+	if r.End <= pl.now {
+		r.End = pl.now + report
 	}
 	r.Preemptible = t.StartSent
 	switch {
 	case t.StartedAt == 0:
-		r.LostWork = c.now - t.PlacedAt
+		r.LostWork = pl.now - t.PlacedAt
 	case j.Checkpoint > 0:
 		r.LostWork = j.Save + 10*second
 	default:
-		r.LostWork = c.now - t.StartedAt
+		r.LostWork = pl.now - t.StartedAt
 	}
-	if (t.StartedAt == 0 || c.now-t.StartedAt < 30*second) && (guaranteed || c.settings.StartTimeMatters(j.Class)) {
+	if (t.StartedAt == 0 || pl.now-t.StartedAt < 30*second) && (guaranteed || pl.settings.StartTimeMatters(j.Class)) {
 		// A start that is stopped this early was no start for its user.
 		r.LostWork += 30 * second
 	}
@@ -284,10 +297,10 @@
 }
 
 // unfinished lists the jobs that are not over and wait for no other, by arrival.
-func (c *Core) unfinished() []*jobstate.Job {
+func (pl *planner) unfinished() []*jobstate.Job {
 	var all []*jobstate.Job
-	for _, j := range c.jobs {
-		if j.Outcome == "" && !j.IsBlocked() && c.endIsUnconfirmed(j) {
+	for _, j := range pl.cache.jobs {
+		if j.Outcome == "" && !j.IsBlocked() && pl.sweepManager.endIsUnconfirmed(j) {
 			all = append(all, j)
 		}
 	}
@@ -299,7 +312,7 @@
 
 // jobsWithinQuota finds the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
-func (c *Core) jobsWithinQuota(unfinished []*jobstate.Job) map[*jobstate.Job]bool {
+func (pl *planner) jobsWithinQuota(unfinished []*jobstate.Job) map[*jobstate.Job]bool {
 	asked := map[string]teamUsage{}
 	in := map[*jobstate.Job]bool{}
 	for _, j := range unfinished {
@@ -308,7 +321,7 @@
 		u.cpu += j.Need.CPU * left
 		u.gpu += j.Need.GPU * left
 		asked[j.Team] = u
-		if t := c.settings.Team(j.Team); t != nil {
+		if t := pl.settings.Team(j.Team); t != nil {
 			in[j] = (t.GPUs > 0 || t.CPUs > 0) && (t.GPUs == 0 || u.gpu <= int64(t.GPUs*1000)) && (t.CPUs == 0 || u.cpu <= int64(t.CPUs*1000))
 		}
 	}
@@ -316,28 +329,28 @@
 }
 
 // schedJobs lists the jobs that have tasks to place.
-func (c *Core) schedJobs(unfinished []*jobstate.Job, used map[string]teamUsage, guaranteed map[*jobstate.Job]bool) []*sched.Job {
+func (pl *planner) schedJobs(unfinished []*jobstate.Job, used map[string]teamUsage, guaranteed map[*jobstate.Job]bool) []*sched.Job {
 	rooms := map[string]*sched.Headroom{}
 	var jobs []*sched.Job
 	for _, j := range unfinished {
-		if j.Unplaced() <= 0 || c.now < j.NotBefore || j.IsBlocked() {
+		if j.Unplaced() <= 0 || pl.now < j.NotBefore || j.IsBlocked() {
 			continue
 		}
 		if j.Kind == jobstate.Gang && j.NumPlaced > 0 {
 			continue // what is left of the last attempt has to go first
 		}
-		sj := &sched.Job{Job: j, Queue: c.queueOf(j.Spec), ExpectedDuration: j.Estimate, Headroom: c.quotaHeadroom(rooms, used, j.Team), Guaranteed: guaranteed[j]}
-		if c.wantsTrial(j) {
-			sj.ExpectedDuration = min(sj.ExpectedDuration, c.settings.Ops.Trial)
+		sj := &sched.Job{Job: j, Queue: pl.queueOf(j.Spec), ExpectedDuration: j.Estimate, Headroom: pl.quotaHeadroom(rooms, used, j.Team), Guaranteed: guaranteed[j]}
+		if pl.wantsTrial(j) {
+			sj.ExpectedDuration = min(sj.ExpectedDuration, pl.settings.Ops.Trial)
 		}
 		if j.Kind == jobstate.Service {
 			sj.ExpectedDuration = distantFuture
 		}
-		sj.NeedsGPUMachine = j.Need.GPU == 0 && !fleet.FitsWithoutGPUs(c.machineTypes, j.Spec)
-		sj.DeadlineLost, sj.QueueOrder, sj.StartOverdue = c.startsLate(j), c.queueOrder(j), c.startIsOverdue(j)
-		sj.StartBy = c.makeRoomBy(j, sj.Guaranteed)
+		sj.NeedsGPUMachine = j.Need.GPU == 0 && !fleet.FitsWithoutGPUs(pl.cache.machineTypes, j.Spec)
+		sj.DeadlineLost, sj.QueueOrder, sj.StartOverdue = pl.startsLate(j), pl.queueOrder(j), pl.startIsOverdue(j)
+		sj.StartBy = pl.makeRoomBy(j, sj.Guaranteed)
 		if j.OneZone || j.Spread {
-			sj.TasksByZone = c.zonesOf(j)
+			sj.TasksByZone = pl.zonesOf(j)
 			if sj.TasksByZone == nil {
 				continue
 			}
@@ -353,14 +366,14 @@
 
 // makeRoomBy is when a job needs its room to start as its class should, if its
 // image has to be fetched; 0 if nobody says when it should.
-func (c *Core) makeRoomBy(j *jobstate.Job, guaranteed bool) int64 {
-	within := c.settings.StartWithin(j.Class, guaranteed)
+func (pl *planner) makeRoomBy(j *jobstate.Job, guaranteed bool) int64 {
+	within := pl.settings.StartWithin(j.Class, guaranteed)
 	if within == 0 {
 		return 0
 	}
 	var fetch int64
-	for i := range c.machineTypes {
-		if t := &c.machineTypes[i]; j.Need.Fits(t.Cap) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) {
+	for i := range pl.cache.machineTypes {
+		if t := &pl.cache.machineTypes[i]; j.Need.Fits(t.Cap) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) {
 			fetch = max(fetch, j.FetchTime(t.FetchRate))
 		}
 	}
@@ -369,14 +382,14 @@
 
 // inheritPriorities treats jobs as those that need them: a job in front of an
 // urgent one holds it up.
-func (c *Core) inheritPriorities() {
-	c.dependencyGraph.InheritPriorities(maps.Values(c.jobs), config.MicrosOf(c.settings.Workers.ReportS)/2+second)
+func (pl *planner) inheritPriorities() {
+	pl.dependencies.dependencyGraph.InheritPriorities(maps.Values(pl.cache.jobs), config.MicrosOf(pl.settings.Workers.ReportS)/2+second)
 }
 
 // largestMachine is what the largest task with GPUs of any job needs.
-func (c *Core) largestMachine() jobstate.Resources {
+func (pl *planner) largestMachine() jobstate.Resources {
 	var most jobstate.Resources
-	for _, j := range c.jobs {
+	for _, j := range pl.cache.jobs {
 		if n := j.Need; n.GPU > most.GPU || n.GPU == most.GPU && n.GPU > 0 && n.CPU > most.CPU {
 			most = n
 		}
@@ -386,15 +399,15 @@
 
 // queueOrder is when a job came or, with a deadline, its latest start, later by how
 // much the job would hold up others.
-func (c *Core) queueOrder(j *jobstate.Job) int64 {
+func (pl *planner) queueOrder(j *jobstate.Job) int64 {
 	switch {
 	case j.EffectiveDeadline == 0:
 		return j.ReadyAt
-	case len(j.Dependencies) > 0 || c.dependencyGraph.HasDependents(j):
+	case len(j.Dependencies) > 0 || pl.dependencies.dependencyGraph.HasDependents(j):
 		// A stage of a pipeline: its deadline is all of its stages'.
 		return max(j.SubmittedAt, j.EffectiveDeadline-j.Estimate)
 	}
-	return max(j.SubmittedAt, j.EffectiveDeadline-j.Estimate) + shortFirstFactor*c.quotaShare(j)
+	return max(j.SubmittedAt, j.EffectiveDeadline-j.Estimate) + shortFirstFactor*pl.quotaShare(j)
 }
 
 // shortFirstFactor is how many times the time that the whole fleet needs for a job
@@ -403,8 +416,8 @@
 const shortFirstFactor = 10
 
 // quotaShare is how long all machines together would work on what is left of a job.
-func (c *Core) quotaShare(j *jobstate.Job) int64 {
-	all, left := c.leadership.capacity, int64(j.Tasks-j.NumDone)
+func (pl *planner) quotaShare(j *jobstate.Job) int64 {
+	all, left := pl.elector.leadership.capacity, int64(j.Tasks-j.NumDone)
 	need, of := left*j.Need.CPU, all.CPU
 	if j.Need.GPU > 0 {
 		need, of = left*j.Need.GPU, all.GPU
@@ -421,21 +434,21 @@
 
 // spotPreferred finds the machine types on which jobs that may use spot machines
 // leave the ordinary ones to others.
-func (c *Core) spotPreferred() map[string]bool {
-	l := c.leadership
-	for _, j := range c.jobs {
+func (pl *planner) spotPreferred() map[string]bool {
+	l := pl.elector.leadership
+	for _, j := range pl.cache.jobs {
 		if j.Spot || j.Outcome != "" || j.IsBlocked() {
 			continue
 		}
-		for i := range c.machineTypes {
-			if t := &c.machineTypes[i]; j.Need.Fits(t.Cap) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Need.GPU > 0 || t.Cap.GPU == 0) {
-				l.onDemandWantedAt[t.Name] = c.now
+		for i := range pl.cache.machineTypes {
+			if t := &pl.cache.machineTypes[i]; j.Need.Fits(t.Cap) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Need.GPU > 0 || t.Cap.GPU == 0) {
+				l.onDemandWantedAt[t.Name] = pl.now
 			}
 		}
 	}
 	first := map[string]bool{}
 	for t, at := range l.onDemandWantedAt {
-		first[t] = c.now-at < onDemandWantedFor
+		first[t] = pl.now-at < onDemandWantedFor
 	}
 	return first
 }
@@ -444,24 +457,24 @@
 // those that still can go first, until it has waited for many times its
 // deadline: with more work than machines, strict arrival order would make
 // every job late by the same backlog.
-func (c *Core) startsLate(j *jobstate.Job) bool {
+func (pl *planner) startsLate(j *jobstate.Job) bool {
 	if j.Deadline == 0 || j.Unplaced() == 0 {
 		return false
 	}
-	age := c.now - j.SubmittedAt
+	age := pl.now - j.SubmittedAt
 	return age+j.Estimate > j.Deadline && age < 8*j.Deadline
 }
 
 // quotaHeadroom is what a team's limit leaves. All its jobs share it, so that one
 // round can't place for each of them what is there once.
-func (c *Core) quotaHeadroom(rooms map[string]*sched.Headroom, used map[string]teamUsage, team string) *sched.Headroom {
+func (pl *planner) quotaHeadroom(rooms map[string]*sched.Headroom, used map[string]teamUsage, team string) *sched.Headroom {
 	if r := rooms[team]; r != nil {
 		return r
 	}
 	r := &sched.Headroom{CPU: sched.Unlimited, GPU: sched.Unlimited}
-	t := c.settings.Team(team)
+	t := pl.settings.Team(team)
 	left := 1.0
-	if c.earlierPrefetchesRunning() {
+	if pl.prefetcher.earlierPrefetchesRunning() {
 		left -= prefetchQuotaShare
 	}
 	if t != nil && t.CPUsMax > 0 {
@@ -476,11 +489,11 @@
 
 // zonesOf counts a job's placements by zone; nil if a machine's zone is not
 // known, as after a take-over before it reports.
-func (c *Core) zonesOf(j *jobstate.Job) map[string]int {
+func (pl *planner) zonesOf(j *jobstate.Job) map[string]int {
 	zones := map[string]int{}
 	known := true
 	j.EachPlaced(func(_ int, t *jobstate.Task) {
-		m := c.leadership.fleet.Get(t.Machine)
+		m := pl.elector.leadership.fleet.Get(t.Machine)
 		if m == nil || m.Zone == "" {
 			known = false
 			return
@@ -495,57 +508,57 @@
 
 // leadTick does what the leader does in its own time.
 func (c *Core) leadTick() {
-	l := c.leadership
+	l := c.elector.leadership
 	if c.now-l.plannedAt >= 2*second {
 		l.planWanted = true // estimated ends move with time
 	}
 	l.releaseWanted = true // the time of some may be up
-	c.refreshMirrorTick()
-	c.partitionsTick()
+	c.reader.refreshMirrorTick()
+	c.partitionManager.partitionsTick()
 	if c.now-l.machinesSweptAt >= second/4 {
 		// What goes through all machines, and can wait.
 		l.machinesSweptAt = c.now
-		c.silentTick()
-		c.probeNotReceiving()
-		c.probeUnreachable()
-		c.cloudTick()
-		c.progressLogTick()
-	}
-	c.inheritPrefetchSources()
-	c.prefetchTick()
-	c.activationTick()
-	c.sweepTick()
-	c.imageHintsTick()
-	c.stuckQueuesTick()
+		c.planner.silentTick()
+		c.workers.probeNotReceiving()
+		c.workers.probeUnreachable()
+		c.scaler.cloudTick()
+		c.committer.progressLogTick()
+	}
+	c.prefetcher.inheritPrefetchSources()
+	c.prefetcher.prefetchTick()
+	c.membership.activationTick()
+	c.sweepManager.sweepTick()
+	c.prefetcher.imageHintsTick()
+	c.operators.stuckQueuesTick()
 }
 
 // leadStep plans, writes and answers what the last message made possible.
 func (c *Core) leadStep() {
-	if l := c.leadership; l.planWanted && c.now-l.plannedAt >= planGap {
-		c.plan()
+	if l := c.elector.leadership; l.planWanted && c.now-l.plannedAt >= planGap {
+		c.planner.plan()
 	}
-	c.commitNow()
-	if l := c.leadership; l != nil && l.releaseWanted {
-		c.releaseReadyReplies()
+	c.committer.commitNow()
+	if l := c.elector.leadership; l != nil && l.releaseWanted {
+		c.workers.releaseReadyReplies()
 	}
 }
 
 // silentTick clears the placements of machines whose lease must have run
 // out: hold and lease after the last answer that anybody can have given.
-func (c *Core) silentTick() {
-	lease := c.settings.EpochTimeout()
-	for _, m := range c.leadership.fleet.All() {
-		if len(m.Placed) == 0 || c.now-m.LastAnswer < lease {
+func (pl *planner) silentTick() {
+	lease := pl.settings.EpochTimeout()
+	for _, m := range pl.elector.leadership.fleet.All() {
+		if len(m.Placed) == 0 || pl.now-m.LastAnswer < lease {
 			continue
 		}
-		c.machineGone(m, "its lease has run out")
+		pl.machineGone(m, "its lease has run out")
 	}
 }
 
 // machineGone clears everything on a machine: all of it has ended for certain.
-func (c *Core) machineGone(m *fleet.Machine, why string) {
+func (pl *planner) machineGone(m *fleet.Machine, why string) {
 	if len(m.Placed) > 0 {
-		c.log.Info("machine's tasks are gone", "machine", m.Name, "tasks", len(m.Placed), "why", why)
+		pl.log.Info("machine's tasks are gone", "machine", m.Name, "tasks", len(m.Placed), "why", why)
 	}
 	refs := make([]fleet.TaskRef, 0, len(m.Placed))
 	for ref := range m.Placed {
@@ -554,114 +567,9 @@
 	sortRefs(refs)
 	for _, ref := range refs {
 		if ref.Job.Task(ref.Index).Machine == m.Name {
-			c.taskLost(ref.Job, ref.Index)
+			pl.tasks.taskLost(ref.Job, ref.Index)
 		}
 	}
 	m.HasCurrentToken = false
 	m.MarkChanged()
 }
-
-// partitionsTick writes the partitions' bounds and holders: when a holder is
-// lost, when machines have come or gone, and before the term is over.
-func (c *Core) partitionsTick() {
-	l := c.leadership
-	if l.partitionsWriting || c.now-l.partitionsWrittenAt < second || c.now-l.partitionsCheckedAt < second/4 {
-		return
-	}
-	l.partitionsCheckedAt = c.now
-	// A machine counts while it reports: the interval is the settings'.
-	hashes := l.machineHashes[:0]
-	for _, m := range l.fleet.All() {
-		if m.LastHeartbeat != 0 && c.now-m.LastHeartbeat < 10*second+2*config.MicrosOf(c.settings.Workers.ReportS) {
-			hashes = append(hashes, m.Hash)
-		}
-	}
-	l.machineHashes = hashes
-	b := fleet.Partitions{Boundaries: c.partitions.Boundaries, Holders: c.holders(), LeaseDuration: c.settings.Ops.Term, FencingToken: l.token, Seq: l.partitionsTerm + 1}
-	if len(b.Boundaries) != queueCount-1 || c.partitionsUnequal(hashes) {
-		b.Boundaries = fleet.PartitionHashes(hashes, queueCount)
-	}
-	same := c.partitions.FencingToken == l.token && slices.Equal(b.Holders, c.partitions.Holders) && slices.Equal(b.Boundaries, c.partitions.Boundaries)
-	if same && c.now-l.partitionsWrittenAt < c.settings.Ops.Term/2 {
-		return
-	}
-	if c.writeBudget.Level() < 1 {
-		return
-	}
-	c.writeBudget.Spend(1)
-	l.partitionsWriting, l.partitionsWrittenAt = true, c.now
-	l.partitionsTerm++
-	// The leader plans by the new cuts at once: a loan or a moved boundary
-	// is bookkeeping and moves no worker's task.
-	c.partitions = b
-	c.putAsLeader(partitionsKey, encodeJSON(b), func(m Committed) {
-		if c.leadership != l {
-			return
-		}
-		l.partitionsWriting = false
-		if m.Status != 200 {
-			l.partitionsWrittenAt = c.now - c.settings.Ops.Term/2
-		}
-	})
-}
-
-// shunHolder says that a controller has held a partition for a while and no report
-// came straight to it, though they come by others: workers can't reach it.
-func (c *Core) shunHolder(node string) bool {
-	l := c.leadership
-	if l.shunnedUntil[node] > c.now {
-		return true
-	}
-	quiet := 3*config.MicrosOf(c.settings.Workers.ReportS) + second
-	if !slices.Contains(c.partitions.Holders, node) || c.partitions.FencingToken != l.token || c.now-l.since < 2*quiet || c.now-max(l.lastHeartbeatVia[node], l.shunnedUntil[node]) < quiet {
-		return false
-	}
-	machines, heard := 0, 0
-	for _, m := range l.fleet.All() {
-		if m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > 60*second {
-			continue
-		}
-		if c.partitions.Holder(m.Name) == node {
-			machines++
-		}
-		if c.now-m.LastHeartbeat < quiet {
-			heard++
-		}
-	}
-	if machines < 2 || heard < 2 {
-		return false
-	}
-	c.log.Info("no reports come to a controller, leasing its partition to another", "controller", node)
-	l.shunnedUntil[node] = c.now + keepWorkerTime
-	return true
-}
-
-// partitionsUnequal says whether the partitions have drifted apart in size.
-func (c *Core) partitionsUnequal(hashes []uint32) bool {
-	var n [queueCount]int
-	for _, h := range hashes {
-		n[min(c.partitions.PartitionOfHash(h), queueCount-1)]++
-	}
-	lo, hi := slices.Min(n[:]), slices.Max(n[:])
-	return hi-lo > 2+len(hashes)/6
-}
-
-// holders leases the partitions to the controllers that answer, and that
-// their workers can reach.
-func (c *Core) holders() []string {
-	up := []string{}
-	for _, p := range append([]string{c.settings.Name}, c.settings.Peers...) {
-		if (p == c.settings.Name || c.connectivity.PeerUp(p, c.now)) && !c.connectivity.CannotReachMostZones(p) && !c.shunHolder(p) {
-			up = append(up, p)
-		}
-	}
-	if len(up) == 0 {
-		up = append(up, c.settings.Name)
-	}
-	slices.Sort(up)
-	h := make([]string, queueCount)
-	for i := range h {
-		h[i] = up[i%len(up)]
-	}
-	return h
-}
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -33,11 +33,11 @@
 			s.Checkpoint = second
 		}
 		j := jobstate.NewJob(s)
-		if q := r.c.queueOf(s); q != tc.queue || r.c.wantsTrial(j) != tc.trial {
-			t.Errorf("%s of %d s: queue %d, trial %v", tc.kind, tc.estimate/second, q, r.c.wantsTrial(j))
+		if q := r.c.planner.queueOf(s); q != tc.queue || r.c.planner.wantsTrial(j) != tc.trial {
+			t.Errorf("%s of %d s: queue %d, trial %v", tc.kind, tc.estimate/second, q, r.c.planner.wantsTrial(j))
 		}
 		j.TrialDone = true
-		if r.c.wantsTrial(j) {
+		if r.c.planner.wantsTrial(j) {
 			t.Error("a second trial")
 		}
 	}
@@ -45,9 +45,9 @@
 
 // place puts a job's tasks on machines of their own, stored and running.
 func (r *rig) place(j *jobstate.Job, trial bool) {
-	r.c.jobs[j.ID] = j
+	r.c.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
-		m := r.c.machine(fmt.Sprint("x", i))
+		m := r.c.workers.machine(fmt.Sprint("x", i))
 		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, r.now, true, "a"
 		j.PlaceTask(i, m.Name, 1, r.now)
 		t := j.Task(i)
@@ -85,16 +85,16 @@
 				if tc.early {
 					w.ReadyAt = -second
 				}
-				r.c.jobs["waits"] = w
+				r.c.cache.jobs["waits"] = w
 			} else {
-				delete(r.c.jobs, "j")
+				delete(r.c.cache.jobs, "j")
 			}
-			m := r.c.leadership.fleet.Get("x0")
+			m := r.c.elector.leadership.fleet.Get("x0")
 			m.LastHeartbeat = r.now
 			m.MarkChanged()
 			r.c.now = r.now
-			r.c.leadership.mirrorFreshAt, r.c.leadership.tokenProvenAt = r.now, r.now
-			r.c.plan()
+			r.c.elector.leadership.mirrorFreshAt, r.c.elector.leadership.tokenProvenAt = r.now, r.now
+			r.c.planner.plan()
 			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
 				t.Errorf("stop %q with %d s", got.StopReason, got.Grace/second)
 			}
@@ -127,7 +127,7 @@
 		r.place(j, true)
 		j.Task(0).StartedAt = r.now
 		r.c.now = r.now + tc.ran
-		got := r.c.plannedRun(r.c.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
+		got := r.c.planner.plannedRun(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
 		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
 			t.Errorf("%s: stopping it after %d s costs %d s", tc.name, tc.ran/second, got.LostWork/second)
 		}
@@ -146,7 +146,7 @@
 		r.place(j, true)
 		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
 		r.c.now = r.now + 60*second
-		if got := r.c.plannedRun(r.c.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
+		if got := r.c.planner.plannedRun(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
 			t.Errorf("kind %v: %d s, want %d", tc.kind, got/second, tc.n*60)
 		}
 	}
@@ -156,7 +156,7 @@
 func TestRoomBy(t *testing.T) {
 	r := newRig(t)
 	r.c.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
-	r.c.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
+	r.c.cache.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
 	for _, tc := range []struct {
 		class string
 		cpu   int64
@@ -164,7 +164,7 @@
 	}{{"fit", 1000, 100 + 25 - 3 - 10}, {"fit", 2000, 100 + 25 - 3 - 4}, {"other", 1000, 0}} {
 		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Class: tc.class, Need: jobstate.Resources{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
 		j.ReadyAt = 100 * second
-		if got := r.c.makeRoomBy(j, false); got != tc.want*second {
+		if got := r.c.planner.makeRoomBy(j, false); got != tc.want*second {
 			t.Errorf("%s of %d: %d s, want %d", tc.class, tc.cpu, got/second, tc.want)
 		}
 	}
@@ -174,7 +174,7 @@
 // long it would hold up the others; one without by when it came.
 func TestTurn(t *testing.T) {
 	r := newRig(t)
-	r.c.leadership.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
+	r.c.elector.leadership.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
 		name           string
 		tasks, done    int
@@ -200,7 +200,7 @@
 		for i := range tc.done {
 			j.SetDone(i, 1)
 		}
-		if got := r.c.queueOrder(j); got != tc.want*second {
+		if got := r.c.planner.queueOrder(j); got != tc.want*second {
 			t.Errorf("%s: %d s, want %d", tc.name, got/second, tc.want)
 		}
 	}
@@ -220,53 +220,53 @@
 		do   func(r *rig, j *jobstate.Job)
 		want string
 	}{
-		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.taskLost(j, 0) }, "1:gang 2:gang "},
+		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
 		{"one loses its peers", func(r *rig, j *jobstate.Job) {
-			r.c.taskExited(r.c.machine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: "exited", Reason: "peers"})
+			r.c.tasks.taskExited(r.c.workers.machine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: "exited", Reason: "peers"})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
 		// fetch anew in the next attempt, and that be incomplete as well.
 		{"one is incomplete, and what fetches goes on", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.machine("x1")
+			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.taskExited(r.c.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
 		}, "1: 2:gang "},
 		{"until it has its image", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.machine("x1")
+			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.taskExited(r.c.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
-			r.c.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "waiting"}}})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
+			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "waiting"}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
 				r.t.Error("the image is not there")
 			}
 		}, "1:gang 2:gang "},
 		{"or for too long", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.machine("x1")
+			x1 := r.c.workers.machine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.taskExited(r.c.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
 			r.c.now += 41 * second
-			r.c.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "fetching"}}})
+			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "fetching"}}})
 		}, "1:gang 2:gang "},
 		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.machine("x1")
+			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.noteTaskPhase(x1, j, j.Task(1), "fetching")
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
 			if !x1.Images["im"].Fetching {
 				r.t.Error("the image does not come")
 			}
-			r.c.taskLost(j, 1)
+			r.c.tasks.taskLost(j, 1)
 			if len(x1.Images) > 0 {
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.preemptGang(j, 2, stopPreempt) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preemptGang(j, 2, stopPreempt) }, "0:preempt 1:preempt 2:preempt "},
 		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
-			r.c.taskDone(j, 0)
-			r.c.taskExited(r.c.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "done"})
+			r.c.tasks.taskDone(j, 0)
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "done"})
 		}, "1: 2: "},
 	}
 	for _, tc := range cases {
@@ -279,9 +279,9 @@
 			if got := stops(j); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
-			all := r.c.unfinished()
-			used, in := r.c.usage(), r.c.jobsWithinQuota(all)
-			for _, s := range r.c.schedJobs(all, used, in) {
+			all := r.c.planner.unfinished()
+			used, in := r.c.planner.usage(), r.c.planner.jobsWithinQuota(all)
+			for _, s := range r.c.planner.schedJobs(all, used, in) {
 				if s.ID == "g" {
 					t.Error("planned again before its last attempt is gone")
 				}
