--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -85,18 +85,30 @@
 	used[w.Team] = u
 }
 
+// prefetcher brings images to idle machines before they are needed.
+type prefetcher struct {
+	*engine
+
+	cache      *stateCache
+	committer  *committer
+	elector    *elector
+	health     *stateHealth
+	membership *membership
+	planner    *planner
+}
+
 // noteImageDemand counts a job's wish for its image; urgent jobs count for more.
-func (c *Core) noteImageDemand(s *jobstate.Spec) {
-	w := &c.leadership.prefetch
+func (p *prefetcher) noteImageDemand(s *jobstate.Spec) {
+	w := &p.elector.leadership.prefetch
 	if s.Image == "" {
 		return
 	}
 	u := w.demand[s.Image]
-	for ; c.now-u.at > demandHalfLife && u.score > 0.01; u.at += demandHalfLife {
+	for ; p.now-u.at > demandHalfLife && u.score > 0.01; u.at += demandHalfLife {
 		u.score /= 2
 	}
-	u.score += float64(1+2*s.Priority) * c.machinesNeeded(s)
-	u.at = c.now
+	u.score += float64(1+2*s.Priority) * p.machinesNeeded(s)
+	u.at = p.now
 	w.demand[s.Image] = u
 	if len(w.demand) > maxImagesTracked {
 		var least string
@@ -112,11 +124,11 @@
 
 // machinesNeeded is about how many machines a job takes, up to a few: an image
 // whose jobs are wide is wanted on more machines.
-func (c *Core) machinesNeeded(s *jobstate.Spec) float64 {
+func (p *prefetcher) machinesNeeded(s *jobstate.Spec) float64 {
 	const most = 16
 	n := float64(most)
-	for i := range c.machineTypes {
-		if t := &c.machineTypes[i]; s.Need.Fits(t.Cap) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
+	for i := range p.cache.machineTypes {
+		if t := &p.cache.machineTypes[i]; s.Need.Fits(t.Cap) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
 			n = min(n, float64(s.Tasks)/float64(tasksPerMachine(s.Need, t.Cap)))
 		}
 	}
@@ -130,13 +142,13 @@
 // imageWorth shares that out by demand. With few machines idle, those with the
 // images of urgent jobs would else be used up by jobs that have to fetch theirs
 // wherever they go.
-func (c *Core) imageWorth() map[string]int64 {
+func (p *prefetcher) imageWorth() map[string]int64 {
 	var all float64
-	for _, im := range sortedKeys(c.leadership.prefetch.demand) {
-		all += c.leadership.prefetch.demand[im].score
+	for _, im := range sortedKeys(p.elector.leadership.prefetch.demand) {
+		all += p.elector.leadership.prefetch.demand[im].score
 	}
-	worth := make(map[string]int64, len(c.leadership.prefetch.demand))
-	for im, u := range c.leadership.prefetch.demand {
+	worth := make(map[string]int64, len(p.elector.leadership.prefetch.demand))
+	for im, u := range p.elector.leadership.prefetch.demand {
 		if all > 0 {
 			worth[im] = int64(float64(allImagesWorth) * u.score / all)
 		}
@@ -146,13 +158,13 @@
 
 // addPrefetchSources takes the tasks of a job that is done, and of which no task is on
 // a machine any more. As many are kept as can be out at once in a large fleet.
-func (c *Core) addPrefetchSources(s *jobstate.Spec) {
+func (p *prefetcher) addPrefetchSources(s *jobstate.Spec) {
 	if s.Image == "" || s.Spread || s.Kind == jobstate.Service {
 		return
 	}
-	w := &c.leadership.prefetch
+	w := &p.elector.leadership.prefetch
 	list := w.sources[s.Image]
-	most := minPrefetchSources + c.leadership.fleet.Len()/16
+	most := minPrefetchSources + p.elector.leadership.fleet.Len()/16
 	job := &prefetchJob{}
 	for i := range min(s.Tasks, most/2) {
 		list = append(list, &prefetchSource{job: job, spec: s, index: i})
@@ -167,19 +179,19 @@
 }
 
 // prefetchTick gives idle machines images that they lack.
-func (c *Core) prefetchTick() {
-	l := c.leadership
-	if c.now-l.prefetch.at < second || !c.mayStartTasks() {
+func (p *prefetcher) prefetchTick() {
+	l := p.elector.leadership
+	if p.now-l.prefetch.at < second || !p.elector.mayStartTasks() {
 		return
 	}
-	l.prefetch.at, l.releaseWanted = c.now, true
+	l.prefetch.at, l.releaseWanted = p.now, true
 	var idle []*fleet.Machine
 	// Half of the idle machines of a type stay quite idle, for jobs that come.
 	// Counted over all types, the many small machines took the turns of the few
 	// whose images matter most.
 	warming, free := map[string]int{}, map[string]int{}
 	for _, m := range l.fleet.All() {
-		if !c.usable(m) || m.SeqRestarted() || len(m.Placed) > 0 || m.OrphanUsage != (jobstate.Resources{}) {
+		if !p.planner.usable(m) || m.SeqRestarted() || len(m.Placed) > 0 || m.OrphanUsage != (jobstate.Resources{}) {
 			continue
 		}
 		free[m.Type]++
@@ -190,13 +202,13 @@
 		idle = append(idle, m)
 	}
 	slices.SortFunc(idle, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	used := c.usage()
-	wants := c.imageWants(idle)
+	used := p.planner.usage()
+	wants := p.imageWants(idle)
 	for _, m := range idle {
-		if warming[m.Type] >= (free[m.Type]+1)/2 || c.waitedFor(m) {
+		if warming[m.Type] >= (free[m.Type]+1)/2 || p.waitedFor(m) {
 			continue
 		}
-		if s := c.pickSource(m, used, wants); s != nil {
+		if s := p.pickSource(m, used, wants); s != nil {
 			l.prefetch.serial++
 			s.start(m)
 			wants.have(s.spec.Image)
@@ -209,8 +221,8 @@
 	}
 }
 
-func (c *Core) waitedFor(m *fleet.Machine) bool {
-	for _, w := range c.leadership.waitingJobs {
+func (p *prefetcher) waitedFor(m *fleet.Machine) bool {
+	for _, w := range p.elector.leadership.waitingJobs {
 		if (len(w.spec.Types) == 0 || slices.Contains(w.spec.Types, m.Type)) && (w.spec.Spot || !m.Spot) && w.spec.Need.Fits(m.Cap) {
 			return true
 		}
@@ -237,8 +249,8 @@
 
 // wantedImages counts which images that there are sources of the idle machines
 // have: each is to be on as many as its share of the demand.
-func (c *Core) imageWants(idle []*fleet.Machine) wantedImages {
-	w := &c.leadership.prefetch
+func (p *prefetcher) imageWants(idle []*fleet.Machine) wantedImages {
+	w := &p.elector.leadership.prefetch
 	var wants wantedImages
 	for im, u := range w.demand {
 		if len(w.sources[im]) > 0 {
@@ -258,8 +270,8 @@
 
 // pickSource finds the image most wanted that a machine lacks, has room for
 // in its cache, and may get.
-func (c *Core) pickSource(m *fleet.Machine, used map[string]teamUsage, wants wantedImages) *prefetchSource {
-	w := &c.leadership.prefetch
+func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wants wantedImages) *prefetchSource {
+	w := &p.elector.leadership.prefetch
 	var held int64
 	for _, im := range m.Images {
 		held += im.MB
@@ -273,7 +285,7 @@
 		}
 		for _, s := range w.sources[im] {
 			sp := s.spec
-			if !s.mayRunIn(m.Zone) || !sp.Allows(m.Type, m.Zone, m.Spot, m.Cap) || sp.Need.GPU == 0 && m.Cap.GPU > 0 || held+sp.ImageMB > m.CacheMB*8/10 || !c.withinLimit(sp.Team, used[sp.Team], 1, sp.Need) || !c.withinLimit(sp.Team, w.usedByTeam[sp.Team], c.quotaShareForPrefetch(), sp.Need) {
+			if !s.mayRunIn(m.Zone) || !sp.Allows(m.Type, m.Zone, m.Spot, m.Cap) || sp.Need.GPU == 0 && m.Cap.GPU > 0 || held+sp.ImageMB > m.CacheMB*8/10 || !p.withinLimit(sp.Team, used[sp.Team], 1, sp.Need) || !p.withinLimit(sp.Team, w.usedByTeam[sp.Team], p.quotaShareForPrefetch(), sp.Need) {
 				continue
 			}
 			best, most = s, score
@@ -285,8 +297,8 @@
 
 // withinLimit says whether a team that uses so much may use more, of a share of
 // its limit.
-func (c *Core) withinLimit(team string, u teamUsage, share float64, need jobstate.Resources) bool {
-	t := c.settings.Team(team)
+func (p *prefetcher) withinLimit(team string, u teamUsage, share float64, need jobstate.Resources) bool {
+	t := p.settings.Team(team)
 	return t != nil && (t.CPUsMax == 0 || u.cpu+need.CPU <= int64(t.CPUsMax*1000*share)) && (t.GPUsMax == 0 || u.gpu+need.GPU <= int64(t.GPUsMax*1000*share))
 }
 
@@ -297,44 +309,44 @@
 const prefetchQuotaShare = 0.125
 
 // earlierPrefetchesRunning says whether an earlier leader's warming may still be on machines.
-func (c *Core) earlierPrefetchesRunning() bool {
-	return c.leadership.token > 1 && c.now-c.leadership.since < c.settings.FailoverEpochTimeout()
+func (p *prefetcher) earlierPrefetchesRunning() bool {
+	return p.elector.leadership.token > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
 }
 
 // quotaShareForPrefetch is the share of a limit that warming may use now.
-func (c *Core) quotaShareForPrefetch() float64 {
-	if c.earlierPrefetchesRunning() {
+func (p *prefetcher) quotaShareForPrefetch() float64 {
+	if p.earlierPrefetchesRunning() {
 		return 0
 	}
 	return prefetchQuotaShare
 }
 
 // endPrefetch forgets a machine's warming; its source can be used again.
-func (c *Core) endPrefetch(m *fleet.Machine) {
+func (p *prefetcher) endPrefetch(m *fleet.Machine) {
 	if m.Prefetch == nil {
 		return
 	}
-	for _, s := range c.leadership.prefetch.sources[m.Prefetch.Image] {
+	for _, s := range p.elector.leadership.prefetch.sources[m.Prefetch.Image] {
 		if s.machine == m.Name {
 			s.end()
 		}
 	}
-	c.leadership.prefetch.addUsage(c.leadership.prefetch.usedByTeam, m.Prefetch, -1)
+	p.elector.leadership.prefetch.addUsage(p.elector.leadership.prefetch.usedByTeam, m.Prefetch, -1)
 	m.Prefetch = nil
 }
 
 // reconcilePrefetch handles the report of a warming task. It makes way for any
 // placement, at once: orders are executed in their order.
-func (c *Core) reconcilePrefetch(m *fleet.Machine, tr *TaskStatus) []Command {
+func (p *prefetcher) reconcilePrefetch(m *fleet.Machine, tr *TaskStatus) []Command {
 	o := Command{Op: "forget", Task: tr.Name, Attempt: uint32(tr.Attempt)}
 	switch {
 	case tr.State == "exited":
-		c.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
+		p.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
 		if tr.Reason == "done" {
-			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, c.now)
-			c.leadership.planWanted = true
+			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
+			p.elector.leadership.planWanted = true
 		}
-		c.endPrefetch(m)
+		p.endPrefetch(m)
 		return []Command{o}
 	case len(m.Placed) > 0 || m.Draining || m.ReclaimAt != 0:
 		o.Op = "stop"
@@ -345,16 +357,16 @@
 
 // prefetchCommand starts a machine's warming in the answer to a report, if that is
 // still wanted.
-func (c *Core) prefetchCommand(m *fleet.Machine, listed bool) []Command {
+func (p *prefetcher) prefetchCommand(m *fleet.Machine, listed bool) []Command {
 	w := m.Prefetch
 	switch {
 	case w == nil || listed || m.SeqRestarted() && w.Sent:
 		return nil // of one that counts anew a report proves nothing
 	case w.Sent && m.HasCurrentToken, len(m.Placed) > 0 && !w.Sent:
 		// The order was dropped, or something better came.
-		c.endPrefetch(m)
+		p.endPrefetch(m)
 		return nil
-	case w.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !c.mayStartTasks():
+	case w.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !p.elector.mayStartTasks():
 		return nil
 	}
 	w.Sent = true
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -16,23 +16,23 @@
 	r := newRig(t)
 	r.c.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
 	used := map[string]teamUsage{"t": {gpu: 12_000}}
-	room := func() int64 { return r.c.quotaHeadroom(map[string]*sched.Headroom{}, used, "t").GPU }
+	room := func() int64 { return r.c.planner.quotaHeadroom(map[string]*sched.Headroom{}, used, "t").GPU }
 	warms := func() bool {
-		return r.c.withinLimit("t", teamUsage{gpu: 1000}, r.c.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000})
+		return r.c.prefetcher.withinLimit("t", teamUsage{gpu: 1000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000})
 	}
 	if got := room(); got != 2000 || warms() {
 		t.Errorf("a new leader has room for %d, and warms: %v", got, warms())
 	}
-	r.c.leadership.token = 1
+	r.c.elector.leadership.token = 1
 	if got := room(); got != 4000 || !warms() {
 		t.Errorf("the first leader of all has room for %d, and warms: %v", got, warms())
 	}
-	r.c.leadership.token = 6
+	r.c.elector.leadership.token = 6
 	r.tick(r.c.settings.FailoverEpochTimeout())
 	if got := room(); got != 4000 || !warms() {
 		t.Errorf("once they are gone there is room for %d, and it warms: %v", got, warms())
 	}
-	if r.c.withinLimit("t", teamUsage{gpu: 2000}, r.c.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000}) {
+	if r.c.prefetcher.withinLimit("t", teamUsage{gpu: 2000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000}) {
 		t.Error("more than its share of the limit is out")
 	}
 }
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -26,9 +26,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
-			r.c.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
+			r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
 			got := ""
-			for i, s := range r.c.leadership.prefetch.sources["im"] {
+			for i, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				m := &fleet.Machine{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%2))}
 				may := s.mayRunIn(m.Zone)
 				got += fmt.Sprintf("%s:%v ", m.Zone, may)
@@ -42,12 +42,12 @@
 			if got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
-			for _, s := range r.c.leadership.prefetch.sources["im"] {
+			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				if s.machine != "" {
 					s.end()
 				}
 			}
-			for _, s := range r.c.leadership.prefetch.sources["im"] {
+			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				if !s.mayRunIn("b") {
 					t.Error("all are back, and may go anywhere")
 				}
@@ -65,10 +65,10 @@
 			r := newRig(t)
 			r.c.settings.State.ValueKB = 8
 			for k := range 20 {
-				r.c.noteImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
+				r.c.prefetcher.noteImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
 			}
 			for i := range machines {
-				m := r.c.machine(fmt.Sprintf("host-%06d", i))
+				m := r.c.workers.machine(fmt.Sprintf("host-%06d", i))
 				for k := range 20 {
 					if (i+k)%3 == 0 {
 						m.RecordImageUse(fmt.Sprint("im-", k), 5000, 1)
@@ -76,32 +76,32 @@
 				}
 			}
 			for k := range 20 {
-				r.c.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
+				r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
 			}
-			images := r.c.hintedImages()
+			images := r.c.prefetcher.hintedImages()
 			of := 1 + machines*machineBytes/6000
 			next := newRig(t)
 			for part := range of {
-				v := r.c.encodeImageHints(images, part, of)
+				v := r.c.prefetcher.encodeImageHints(images, part, of)
 				if len(v) > 8000 {
 					t.Fatalf("value of %d bytes", len(v))
 				}
-				next.c.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
+				next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
 			}
 			// A value that an earlier leader left beyond the last.
-			next.c.imageHints[fmt.Sprint(hintsKey, "/", of)] = next.c.imageHints[hintsKey+"/0"]
-			next.c.loadImageHints()
-			next.c.loadImageHints()
+			next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", of)] = next.c.cache.imageHints[hintsKey+"/0"]
+			next.c.prefetcher.loadImageHints()
+			next.c.prefetcher.loadImageHints()
 			for i := range machines {
-				m := next.c.machine(fmt.Sprintf("host-%06d", i))
-				next.c.restoreKnownImages(m)
+				m := next.c.workers.machine(fmt.Sprintf("host-%06d", i))
+				next.c.prefetcher.restoreKnownImages(m)
 				for k := range 20 {
 					if _, has := m.Images[fmt.Sprint("im-", k)]; has != ((i+k)%3 == 0) {
 						t.Fatalf("%s has im-%d: %v", m.Name, k, has)
 					}
 				}
 			}
-			if n := len(next.c.leadership.inheritedSources); n > 20 || machines < 1000 && n < 10 {
+			if n := len(next.c.elector.leadership.inheritedSources); n > 20 || machines < 1000 && n < 10 {
 				t.Errorf("%d jobs inherited", n)
 			}
 		})
@@ -122,29 +122,29 @@
 	for _, tc := range cases {
 		r := newRig(t)
 		c := r.c
-		c.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
+		c.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}}}
 		add := func(n int, typ string) {
 			for i := range n {
 				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), c.now)
 				m.Type, m.Zone, m.HasCurrentToken, m.LastHeartbeat = typ, "a", true, c.now
-				m.SetType(c.machineTypes)
-				c.leadership.fleet.Add(m)
+				m.SetType(c.cache.machineTypes)
+				c.elector.leadership.fleet.Add(m)
 			}
 		}
 		add(tc.small, "c")
 		add(tc.large, "g")
 		for i, need := range []jobstate.Resources{{CPU: 1000}, {CPU: 1000, GPU: 1000}} {
 			s := &jobstate.Spec{ID: fmt.Sprint("done-", i), Team: "t", Image: fmt.Sprint("im-", i), ImageMB: 1000, Kind: jobstate.Array, Tasks: 40, Need: need}
-			c.noteImageDemand(s)
+			c.prefetcher.noteImageDemand(s)
 			for range 3 {
-				c.addPrefetchSources(s)
+				c.prefetcher.addPrefetchSources(s)
 			}
 		}
-		c.leadership.prefetch.at = 0
-		c.prefetchTick()
+		c.elector.leadership.prefetch.at = 0
+		c.prefetcher.prefetchTick()
 		n := map[string]int{}
-		for _, m := range c.leadership.fleet.All() {
+		for _, m := range c.elector.leadership.fleet.All() {
 			if m.Prefetch != nil {
 				n[m.Type]++
 			}
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"fmt"
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"maps"
 	"slices"
 	"strconv"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
@@ -43,23 +44,23 @@
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
 
 // applyPage takes over what is new in a page.
-func (c *Core) applyPage(num string, ch Change, bad func(error)) {
+func (s *stateCache) applyPage(num string, ch Change, bad func(error)) {
 	n, err := strconv.Atoi(num)
 	if err != nil {
 		bad(err)
 		return
 	}
-	if c.leadership != nil {
+	if s.elector.leadership != nil {
 		return // the leader is the one that writes these
 	}
-	i, had := slices.BinarySearchFunc(c.progressLog, n, func(p *logPage, n int) int { return cmp.Compare(p.number, n) })
+	i, had := slices.BinarySearchFunc(s.progressLog, n, func(p *logPage, n int) int { return cmp.Compare(p.number, n) })
 	if ch.Removed {
 		if had {
-			c.progressLog = slices.Delete(c.progressLog, i, i+1)
+			s.progressLog = slices.Delete(s.progressLog, i, i+1)
 		}
 		return
 	}
-	if had && c.progressLog[i].Revision >= ch.Revision {
+	if had && s.progressLog[i].Revision >= ch.Revision {
 		return
 	}
 	p, err := jobstate.DecodeLogPage(ch.Value)
@@ -70,26 +71,26 @@
 	p.Revision = ch.Revision
 	from := 0
 	if had {
-		from = len(c.progressLog[i].Entries)
-		c.progressLog[i].LogPage = p
+		from = len(s.progressLog[i].Entries)
+		s.progressLog[i].LogPage = p
 	} else {
-		c.progressLog = slices.Insert(c.progressLog, i, &logPage{LogPage: p, number: n})
+		s.progressLog = slices.Insert(s.progressLog, i, &logPage{LogPage: p, number: n})
 	}
 	for k := from; k < len(p.Entries); k++ {
-		if j := c.jobs[p.Entries[k].Job]; j != nil {
-			j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
-			c.imageHistory.placed(p.Entries[k].Machine, j)
+		if j := s.jobs[p.Entries[k].Job]; j != nil {
+			j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), s.now)
+			s.imageHistory.placed(p.Entries[k].Machine, j)
 		}
 	}
 }
 
 // reapply goes through the log again for a job of which something older was
 // read after it.
-func (c *Core) reapply(j *jobstate.Job) {
-	for _, p := range c.progressLog {
+func (s *stateCache) reapply(j *jobstate.Job) {
+	for _, p := range s.progressLog {
 		for k := range p.Entries {
 			if p.Entries[k].Job == j.ID {
-				j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
+				j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), s.now)
 			}
 		}
 	}
@@ -97,18 +98,18 @@
 
 // openProgressLog is called when this controller begins to lead, and when chunks are
 // split: it finds out what each page is needed for.
-func (c *Core) openProgressLog() {
-	l := c.leadership
-	for _, p := range c.progressLog {
+func (c *committer) openProgressLog() {
+	l := c.elector.leadership
+	for _, p := range c.cache.progressLog {
 		p.unfoldedChunks = map[chunkRef]struct{}{}
 		for k := range p.Entries {
-			if j := c.jobs[p.Entries[k].Job]; j != nil && j.Task(p.Entries[k].Task) != nil {
+			if j := c.cache.jobs[p.Entries[k].Job]; j != nil && j.Task(p.Entries[k].Task) != nil {
 				p.unfoldedChunks[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
 		l.nextLogEntry = max(l.nextLogEntry, p.NextSeq())
 	}
-	for _, j := range c.jobs {
+	for _, j := range c.cache.jobs {
 		for n := range j.NumChunks() {
 			l.nextLogEntry = max(l.nextLogEntry, j.FirstUnstoredSeq(n))
 		}
@@ -117,14 +118,14 @@
 
 // newPage begins the page that is written to next. One of an earlier leader is
 // never gone on with.
-func (c *Core) newPage() *logPage {
+func (c *committer) newPage() *logPage {
 	n := 1
-	if len(c.progressLog) > 0 {
-		n = c.progressLog[len(c.progressLog)-1].number + 1
+	if len(c.cache.progressLog) > 0 {
+		n = c.cache.progressLog[len(c.cache.progressLog)-1].number + 1
 	}
-	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.leadership.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
-	c.progressLog = append(c.progressLog, p)
-	c.leadership.logTail = p
+	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.elector.leadership.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+	c.cache.progressLog = append(c.cache.progressLog, p)
+	c.elector.leadership.logTail = p
 	return p
 }
 
@@ -165,7 +166,7 @@
 
 // pageWrites are the pages of a transaction that is being put together.
 type pageWrites struct {
-	c     *Core
+	c     *committer
 	pages []*logPage
 }
 
@@ -176,15 +177,15 @@
 // much room for writes.
 func (w *pageWrites) append(j *jobstate.Job, n, room int) (version uint64, ok bool) {
 	c := w.c
-	if !c.logEnabled() {
+	if !c.membership.logEnabled() {
 		return 0, false
 	}
 	entries, whole := j.ChangedEntries(n)
 	if whole {
 		return 0, false
 	}
-	ref, limit := chunkRef{j, n}, c.valueLimit()
-	p := c.leadership.logTail
+	ref, limit := chunkRef{j, n}, c.membership.valueLimit()
+	p := c.elector.leadership.logTail
 	if p == nil {
 		p = c.newPage()
 	}
@@ -203,7 +204,7 @@
 	if !begun {
 		w.pages = append(w.pages, p)
 	}
-	c.leadership.nextLogEntry = p.NextSeq()
+	c.elector.leadership.nextLogEntry = p.NextSeq()
 	return j.BeginLogWrite(n), true
 }
 
@@ -221,33 +222,33 @@
 
 // logGarbage are the keys that a transaction removes because nothing needs them.
 type logGarbage struct {
-	c     *Core
+	c     *committer
 	pages int
 	runs  map[string][]jobstate.ChunkRef
 }
 
 // addGarbage fills up a transaction with removals, if writes can be spared.
-func (c *Core) addGarbage(room int, scarce bool, add func(Write, Cond)) *logGarbage {
+func (c *committer) addGarbage(room int, scarce bool, add func(Write, Cond)) *logGarbage {
 	g := &logGarbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
-	if !c.logEnabled() || c.now < c.leadership.keepGarbageUntil {
+	if !c.membership.logEnabled() || c.now < c.elector.leadership.keepGarbageUntil {
 		return g
 	}
 	if scarce {
 		room = min(room, 1)
 	}
-	for ; g.pages < c.leadership.unneededPages && room > 0; room-- {
-		p := c.progressLog[g.pages]
+	for ; g.pages < c.elector.leadership.unneededPages && room > 0; room-- {
+		p := c.cache.progressLog[g.pages]
 		add(Write{Key: pageKey(p.number)}, kv.RevisionIs(pageKey(p.number), p.Revision))
 		g.pages++
 	}
 	if scarce {
 		return g
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.orphanedChunks)) {
-		if c.jobs[id] != nil {
+	for _, id := range slices.Sorted(maps.Keys(c.cache.orphanedChunks)) {
+		if c.cache.jobs[id] != nil {
 			continue
 		}
-		for v, ch := range c.orphanedChunks[id] {
+		for v, ch := range c.cache.orphanedChunks[id] {
 			if room <= 0 {
 				return g
 			}
@@ -261,8 +262,8 @@
 
 func (g *logGarbage) done() {
 	c := g.c
-	c.progressLog = slices.Delete(c.progressLog, 0, g.pages)
-	c.leadership.unneededPages -= g.pages
+	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, g.pages)
+	c.elector.leadership.unneededPages -= g.pages
 	for id, values := range g.runs {
 		for _, v := range values {
 			c.setOrphanedRevision(id, v, 0)
@@ -271,30 +272,30 @@
 }
 
 // setOrphanedRevision sets the version of a value without its job, 0 for none.
-func (c *Core) setOrphanedRevision(id string, v jobstate.ChunkRef, stamp uint64) {
-	m := c.orphanedChunks[id]
+func (c *committer) setOrphanedRevision(id string, v jobstate.ChunkRef, stamp uint64) {
+	m := c.cache.orphanedChunks[id]
 	if m == nil {
 		return
 	}
 	if stamp != 0 {
 		m[v] = Change{Revision: stamp}
 	} else if delete(m, v); len(m) == 0 {
-		delete(c.orphanedChunks, id)
+		delete(c.cache.orphanedChunks, id)
 	}
 }
 
 // lacksEntries says that the stored value of a chunk does not have all of a page's
 // entries, and that its job is still there to need them.
-func (c *Core) lacksEntries(r chunkRef, p *logPage) bool {
-	return c.jobs[r.job.ID] == r.job && r.job.FirstUnstoredSeq(r.chunk) < p.NextSeq()
+func (c *committer) lacksEntries(r chunkRef, p *logPage) bool {
+	return c.cache.jobs[r.job.ID] == r.job && r.job.FirstUnstoredSeq(r.chunk) < p.NextSeq()
 }
 
 // progressLogTick finds the pages that nothing needs any more, and folds the oldest
 // when there are too many.
-func (c *Core) progressLogTick() {
-	l := c.leadership
+func (c *committer) progressLogTick() {
+	l := c.elector.leadership
 	l.unneededPages = 0
-	for i, p := range c.progressLog {
+	for i, p := range c.cache.progressLog {
 		for r := range p.unfoldedChunks {
 			if !c.lacksEntries(r, p) {
 				delete(p.unfoldedChunks, r)
@@ -305,10 +306,10 @@
 		}
 		l.unneededPages = i + 1
 	}
-	most := max(8, maxLogBytes/max(c.valueLimit(), 1))
-	for i := range c.progressLog[:max(0, len(c.progressLog)-most)] {
-		for r := range c.progressLog[i].unfoldedChunks {
-			if c.lacksEntries(r, c.progressLog[i]) {
+	most := max(8, maxLogBytes/max(c.membership.valueLimit(), 1))
+	for i := range c.cache.progressLog[:max(0, len(c.cache.progressLog)-most)] {
+		for r := range c.cache.progressLog[i].unfoldedChunks {
+			if c.lacksEntries(r, c.cache.progressLog[i]) {
 				r.job.CompactChunk(r.chunk, c.now)
 				c.markDirty(r.job)
 			}
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -43,7 +43,7 @@
 	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
 	r.step(StateListed{Revision: 10, Changes: []Change{{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: over}), Revision: 1},
 		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2}, {Key: tokenKey, Value: encodeJSON(tokenRecord{r.token}), Revision: 3}, {Key: typesKey, Value: encodeJSON(types), Revision: 4}}})
-	for i := 0; r.c.leadership == nil; i++ {
+	for i := 0; r.c.elector.leadership == nil; i++ {
 		if i > 100 {
 			t.Fatal("never leads")
 		}
@@ -115,7 +115,7 @@
 
 // placed tells where task 0 is placed, and as which attempt.
 func (r *rig) placed() string {
-	j := r.c.jobs["j"]
+	j := r.c.cache.jobs["j"]
 	if j == nil {
 		return "over"
 	}
@@ -139,11 +139,11 @@
 		// A report from before its worker knew the token: an earlier leader's order
 		// may still be taken from an answer that is on its way.
 		{"to be stopped, and absent in a report that does not know the token", func(r *rig) {
-			r.c.requestStop(r.c.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
 			r.beat(5, 1)
 		}, "m.3"},
 		{"to be stopped, and absent in one that does", func(r *rig) {
-			r.c.requestStop(r.c.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
 			r.beat(5, 1)
 			r.beat(r.token, 1)
 			r.tick(second)
@@ -232,14 +232,14 @@
 	r := newRig(t)
 	r.beat(5, 1, running(3))
 	r.mute = true
-	start := r.c.leadership.mayAnswerSince()
+	start := r.c.elector.leadership.mayAnswerSince()
 	for r.now-start < r.c.settings.LeaderAuthorityTime()-second {
 		if s, _ := r.beat(r.token, 1, running(3)); s != 200 {
 			t.Fatalf("status %d after %d ms of hold", s, (r.now-start)/1000)
 		}
 		r.tick(second / 2)
 	}
-	if r.c.mayStartTasks() {
+	if r.c.elector.mayStartTasks() {
 		t.Error("still starts attempts")
 	}
 	r.tick(2 * second)
@@ -256,23 +256,23 @@
 func TestNewerToken(t *testing.T) {
 	r := newRig(t)
 	r.c.settings.Peers = []string{"n1"}
-	r.c.leadership.readLeases = readlease.NewHolder(r.c.settings.Peers, r.c.settings.LeaderAuthorityTime())
+	r.c.elector.leadership.readLeases = readlease.NewHolder(r.c.settings.Peers, r.c.settings.LeaderAuthorityTime())
 	r.mute = true
 	r.tick(5 * second)
-	right := r.c.leadership.mayAnswerSince()
+	right := r.c.elector.leadership.mayAnswerSince()
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0"}})
-	if r.c.leadership == nil || r.c.leadership.mayAnswerSince() != right {
+	if r.c.elector.leadership == nil || r.c.elector.leadership.mayAnswerSince() != right {
 		t.Error("a peer of an older program vouches for nothing")
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Boot: "x", Upto: 1, Whole: true, Cancelled: []string{"j"}}}})
-	if r.c.jobs["j"].Outcome != jobstate.Cancelled {
+	if r.c.cache.jobs["j"].Outcome != jobstate.Cancelled {
 		t.Error("a cancellation told by a peer counts")
 	}
-	if r.c.leadership.mayAnswerSince() != r.now+1 {
-		t.Errorf("right from %d, asked at %d", r.c.leadership.mayAnswerSince(), r.now+1)
+	if r.c.elector.leadership.mayAnswerSince() != r.now+1 {
+		t.Errorf("right from %d, asked at %d", r.c.elector.leadership.mayAnswerSince(), r.now+1)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 2, OK: true, Status: PeerStatus{FencingToken: r.token + 1, Leader: "n1"}})
-	if r.c.leadership != nil {
+	if r.c.elector.leadership != nil {
 		t.Error("still leads")
 	}
 }
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -36,117 +36,111 @@
 	since  int64
 }
 
-// ping asks a peer how it is. A leader that the state service does not answer asks
-// it to vouch; and it is told of cancellations that it has to know of first.
-func (c *Core) ping(p string) {
-	e := PingPeer{Peer: p, NeedMachines: c.settings.Ops.Reach && c.connectivity.Workers.NeedsMachines(c.settings.Zones), Incarnation: c.settings.Incarnation}
-	if c.leadership != nil && (c.stateFailedAt > c.stateAnsweredAt || c.now-c.leadership.provenByState() > readLeaseAfter) {
-		q := c.leadership.readLeases.NextRequest(p, c.appliedRevision, c.now)
-		e.Question = &q
-	}
-	if at, ok := c.heldReplies.informedAt[p]; ok && at == c.now {
-		t := c.readLeaseGrantor.PageFor(p)
-		e.Cancellations = &t
-	}
-	c.emit(e)
+// readLeaseManager grants read leases to leaders that the state service fails, and holds answers back that such a leader has to know of first.
+type readLeaseManager struct {
+	*engine
+
+	cache        *stateCache
+	elector      *elector
+	peers        *peerMonitor
+	sweepManager *sweepManager
+
+	readLeaseGrantor *readlease.Grantor
+	heldReplies      heldReplies
 }
 
-// pingAll has all peers vouch as soon as the state service fails a leader: what one
-// of them has told before it crashes is known only if it was heard out by then.
-func (c *Core) pingAll() {
-	if c.leadership == nil || c.now-c.leadership.peersAskedAt < second/2 {
-		return
-	}
-	c.leadership.peersAskedAt = c.now
-	for _, p := range c.settings.Peers {
-		c.ping(p)
+func newReadLeaseManager(run *engine) *readLeaseManager {
+	set := &run.settings
+	return &readLeaseManager{
+		engine: run, readLeaseGrantor: readlease.NewGrantor(set.Incarnation, set.Peers, set.LeaderAuthorityTime(), run.now),
+		heldReplies: heldReplies{informedAt: map[string]int64{}},
 	}
 }
 
 // grantReadLease adds to the answer to a ping what this controller vouches for, and
 // whether it lives on the word of who asks.
-func (c *Core) grantReadLease(m PingReceived, n *PeerStatus) {
+func (rl *readLeaseManager) grantReadLease(m PingReceived, n *PeerStatus) {
 	if m.Incarnation == "" {
-		n.Cancelled = c.readLeaseGrantor.RecentCancellations()
+		n.Cancelled = rl.readLeaseGrantor.RecentCancellations()
 		return
 	}
 	if m.Question != nil {
-		p := c.readLeaseGrantor.Grant(m.From, *m.Question, c.appliedRevision > 0, c.now)
+		p := rl.readLeaseGrantor.Grant(m.From, *m.Question, rl.cache.appliedRevision > 0, rl.now)
 		n.ReadLease = &p
 	}
 	n.Ack = &readlease.HolderAck{}
-	if c.leadership == nil {
+	if rl.elector.leadership == nil {
 		return
 	}
-	c.leadership.readLeases.SetIncarnation(m.From, m.Incarnation)
-	if m.Cancellations != nil && c.leadership.readLeases.ApplyPage(m.From, *m.Cancellations) {
-		c.noteCancelled(m.Cancellations.Cancelled)
+	rl.elector.leadership.readLeases.SetIncarnation(m.From, m.Incarnation)
+	if m.Cancellations != nil && rl.elector.leadership.readLeases.ApplyPage(m.From, *m.Cancellations) {
+		rl.noteCancelled(m.Cancellations.Cancelled)
 	}
-	a := c.leadership.readLeases.Ack(m.From, c.appliedRevision, c.now)
+	a := rl.elector.leadership.readLeases.Ack(m.From, rl.cache.appliedRevision, rl.now)
 	n.Ack = &a
 }
 
 // readLeaseAnswered takes a peer's word.
-func (c *Core) readLeaseAnswered(m PeerPinged) {
-	c.noteCancelled(m.Status.Cancelled)
+func (rl *readLeaseManager) readLeaseAnswered(m PeerPinged) {
+	rl.noteCancelled(m.Status.Cancelled)
 	if m.Status.ReadLease == nil {
 		return
 	}
-	c.noteCancelled(m.Status.ReadLease.Cancelled)
-	if c.leadership == nil {
+	rl.noteCancelled(m.Status.ReadLease.Cancelled)
+	if rl.elector.leadership == nil {
 		return
 	}
-	c.leadership.readLeases.HandleGrant(m.Peer, m.SentAt, c.now, *m.Status.ReadLease)
+	rl.elector.leadership.readLeases.HandleGrant(m.Peer, m.SentAt, rl.now, *m.Status.ReadLease)
 	if m.Status.ReadLease.More {
-		c.ping(m.Peer)
+		rl.peers.ping(m.Peer)
 	}
 }
 
 // noteCancelled takes note of what another controller knows to be cancelled.
-func (c *Core) noteCancelled(ids []string) {
+func (rl *readLeaseManager) noteCancelled(ids []string) {
 	for _, id := range ids {
 		if sweep, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
-			c.noteSweepCancelled(sweep)
+			rl.sweepManager.noteSweepCancelled(sweep)
 			continue
 		}
 		e := jobstate.End{Outcome: jobstate.Cancelled}
-		if j := c.jobs[id]; j != nil {
+		if j := rl.cache.jobs[id]; j != nil {
 			e.Tasks = j.Tasks
 		}
-		c.noteEnd(id, e, 0)
+		rl.cache.noteEnd(id, e, 0)
 	}
 }
 
 // cancelledWithSweep says whether a job is a run that is cancelled with its sweep: then
 // that is what is told, once for all runs.
-func (c *Core) cancelledWithSweep(id string) bool {
-	j := c.jobs[id]
+func (rl *readLeaseManager) cancelledWithSweep(id string) bool {
+	j := rl.cache.jobs[id]
 	if j == nil || j.Sweep == "" {
 		return false
 	}
-	s := c.sweeps[j.Sweep]
+	s := rl.sweepManager.sweeps[j.Sweep]
 	return s != nil && s.outcome == jobstate.Cancelled
 }
 
 // replyCancelled answers a user with one or more cancellations, once every leader that lives
 // on this controller's word knows of them. It is asked to come again if that takes
 // too long: such a leader is cut off, and its right runs out.
-func (c *Core) replyCancelled(r Reply, ids ...string) {
+func (rl *readLeaseManager) replyCancelled(r Reply, ids ...string) {
 	for i, id := range ids {
-		if c.cancelledWithSweep(id) {
-			id = cancelledSweepPrefix + c.jobs[id].Sweep
+		if rl.cancelledWithSweep(id) {
+			id = cancelledSweepPrefix + rl.cache.jobs[id].Sweep
 			ids[i] = id
 		}
-		c.readLeaseGrantor.RecordCancellation(id, 0)
+		rl.readLeaseGrantor.RecordCancellation(id, 0)
 	}
 	switch {
-	case len(c.readLeaseGrantor.Uninformed(ids, c.now)) == 0:
-		c.emit(r)
-	case len(c.heldReplies.held) >= maxQueuedRequests:
-		c.emit(cancellationUnconfirmed(r.RequestID))
+	case len(rl.readLeaseGrantor.Uninformed(ids, rl.now)) == 0:
+		rl.emit(r)
+	case len(rl.heldReplies.held) >= maxQueuedRequests:
+		rl.emit(cancellationUnconfirmed(r.RequestID))
 	default:
-		c.heldReplies.held = append(c.heldReplies.held, heldReply{r, ids, c.now})
-		c.informLeaders()
+		rl.heldReplies.held = append(rl.heldReplies.held, heldReply{r, ids, rl.now})
+		rl.informLeaders()
 	}
 }
 
@@ -155,48 +149,39 @@
 }
 
 // releaseHeldReplies gives the answers that need not wait any more.
-func (c *Core) releaseHeldReplies() {
-	keep := c.heldReplies.held[:0]
-	for _, t := range c.heldReplies.held {
+func (rl *readLeaseManager) releaseHeldReplies() {
+	keep := rl.heldReplies.held[:0]
+	for _, t := range rl.heldReplies.held {
 		switch {
-		case len(c.readLeaseGrantor.Uninformed(t.jobIDs, c.now)) == 0:
-			c.emit(t.reply)
-		case c.now-t.since > maxHeldReply:
-			c.emit(cancellationUnconfirmed(t.reply.RequestID))
+		case len(rl.readLeaseGrantor.Uninformed(t.jobIDs, rl.now)) == 0:
+			rl.emit(t.reply)
+		case rl.now-t.since > maxHeldReply:
+			rl.emit(cancellationUnconfirmed(t.reply.RequestID))
 		default:
 			keep = append(keep, t)
 		}
 	}
-	clear(c.heldReplies.held[len(keep):])
-	c.heldReplies.held = keep
+	clear(rl.heldReplies.held[len(keep):])
+	rl.heldReplies.held = keep
 }
 
 // informLeaders tells those that have to know first.
-func (c *Core) informLeaders() {
+func (rl *readLeaseManager) informLeaders() {
 	var ids []string
-	for _, t := range c.heldReplies.held {
+	for _, t := range rl.heldReplies.held {
 		ids = append(ids, t.jobIDs...)
 	}
-	for _, p := range c.readLeaseGrantor.Uninformed(ids, c.now) {
-		if c.now-c.heldReplies.informedAt[p] >= informInterval {
-			c.heldReplies.informedAt[p] = c.now
-			c.ping(p)
+	for _, p := range rl.readLeaseGrantor.Uninformed(ids, rl.now) {
+		if rl.now-rl.heldReplies.informedAt[p] >= informInterval {
+			rl.heldReplies.informedAt[p] = rl.now
+			rl.peers.ping(p)
 		}
 	}
 }
 
-func (c *Core) heldRepliesTick() {
-	if len(c.heldReplies.held) > 0 {
-		c.releaseHeldReplies()
-		c.informLeaders()
-	}
-}
-
-// refreshMirrorTick has a leader know what is stored. Its watch brings that, but may hang,
-// and where nothing changes it shows only that nothing had when it began.
-func (c *Core) refreshMirrorTick() {
-	if l := c.leadership; c.now-l.mirrorFreshAt > mirrorMaxAge && c.now-l.mirrorReadAt > mirrorMaxAge/2 {
-		l.mirrorReadAt = c.now
-		c.emit(ReadState{AfterRevision: c.appliedRevision})
+func (rl *readLeaseManager) heldRepliesTick() {
+	if len(rl.heldReplies.held) > 0 {
+		rl.releaseHeldReplies()
+		rl.informLeaders()
 	}
 }
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -16,23 +16,23 @@
 func TestKnows(t *testing.T) {
 	b := newBetween(t, "n0")
 	b.hung = true
-	right := b.c.leadership.mayAnswerSince()
+	right := b.c.elector.leadership.mayAnswerSince()
 	b.run(3 * second)
 	if v := find[ReadState](b); len(v) < 2 || v[0].ForRequests {
 		t.Errorf("a leader without changes reads what is stored: %+v", v)
 	}
-	if at := b.c.leadership.tokenProvenAt; at <= right {
+	if at := b.c.elector.leadership.tokenProvenAt; at <= right {
 		t.Fatal("the lease was not renewed")
 	}
-	if at := b.c.leadership.mayAnswerSince(); at != right {
+	if at := b.c.elector.leadership.mayAnswerSince(); at != right {
 		t.Errorf("renewals moved the right from %d to %d", right, at)
 	}
-	b.step(StateRead{AfterRevision: b.c.appliedRevision, Revision: b.c.appliedRevision, SentAt: b.now - second/2, Immediate: true})
-	if at := b.c.leadership.mayAnswerSince(); at != b.now-second/2 {
+	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.c.cache.appliedRevision, SentAt: b.now - second/2, Immediate: true})
+	if at := b.c.elector.leadership.mayAnswerSince(); at != b.now-second/2 {
 		t.Errorf("right from %d, the mirror is of %d", at, b.now-second/2)
 	}
 	b.run(b.c.settings.LeaderAuthorityTime() + second)
-	if b.c.mayAnswerWorkers() {
+	if b.c.elector.mayAnswerWorkers() {
 		t.Error("answers without knowing what users were told")
 	}
 }
@@ -42,7 +42,7 @@
 func TestTell(t *testing.T) {
 	s := newShelf(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s.c.readLeases.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
 	// ask sends a request and gives what there is of an answer after a while.
 	ask := func(build func(req uint64) any) (uint64, Reply) {
 		s.req++
@@ -97,7 +97,7 @@
 // who has not vouched.
 func TestVouchedOps(t *testing.T) {
 	r := newRig(t)
-	r.c.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
+	r.c.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
 	view := func() *OperatorView {
 		r.got = nil
 		r.step(QueryOperatorView{RequestID: 5})
@@ -141,13 +141,13 @@
 	for i, spec := range sweepOf("s", 2, 1000).Plan.Specs {
 		s.put(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
-	s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
-	s.c.sweep("s").plan = sweepOf("s", 2, 1000).Plan
-	if s.c.jobs["sweep.s.1"] == nil {
+	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
+	s.c.sweepManager.sweep("s").plan = sweepOf("s", 2, 1000).Plan
+	if s.c.cache.jobs["sweep.s.1"] == nil {
 		t.Fatal("no runs")
 	}
 	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s.c.readLeases.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	ask := func() *readlease.CancellationPage {
 		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", Question: &readlease.GrantRequest{}})
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"slices"
 	"strings"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/ratelimit"
@@ -77,105 +78,126 @@
 	return ok
 }
 
+// requestHandler serves users' requests about jobs from reads that are younger than they are.
+type requestHandler struct {
+	*engine
+
+	cache        *stateCache
+	dependencies *dependencyResolver
+	elector      *elector
+	health       *stateHealth
+	membership   *membership
+	peers        *peerMonitor
+	readLeases   *readLeaseManager
+	reader       *stateReader
+	sweepManager *sweepManager
+
+	queues requestQueues
+}
+
+func newRequestHandler(run *engine) *requestHandler {
+	return &requestHandler{engine: run, queues: requestQueues{inFlight: map[string][]*request{}}}
+}
+
 // resumeCoalesced lets those go on that waited for a write.
-func (c *Core) resumeCoalesced(id string) {
-	l := c.queues.inFlight[id]
-	delete(c.queues.inFlight, id)
+func (rh *requestHandler) resumeCoalesced(id string) {
+	l := rh.queues.inFlight[id]
+	delete(rh.queues.inFlight, id)
 	for _, a := range l {
-		c.waitForRead(a)
+		rh.waitForRead(a)
 	}
 }
 
-func (c *Core) onReady(m CheckReady) {
+func (rh *requestHandler) onReady(m CheckReady) {
 	// A controller that has read the state once can take requests; an
 	// outage of the state service is answered request by request, so that
 	// not all controllers are taken out at once.
-	c.connectivity.Users.RecordSuccess(c.now, c.now)
+	rh.peers.connectivity.Users.RecordSuccess(rh.now, rh.now)
 	switch {
-	case c.incompatible != "":
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, Error: c.incompatible})
-	case c.appliedRevision == 0 && !c.synced:
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "starting"})
-	case c.settings.Ops.Reach && c.connectivity.Isolated(c.now):
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "neither the state service nor another controller answers"})
+	case rh.membership.incompatible != "":
+		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: rh.membership.incompatible})
+	case rh.cache.appliedRevision == 0 && !rh.cache.synced:
+		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "starting"})
+	case rh.settings.Ops.Reach && rh.peers.connectivity.Isolated(rh.now):
+		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "neither the state service nor another controller answers"})
 	default:
-		c.emit(Reply{RequestID: m.RequestID, Status: 200})
+		rh.emit(Reply{RequestID: m.RequestID, Status: 200})
 	}
 }
 
-func (c *Core) onStatus(m QueryJob) {
-	if e, ok := c.ends[m.ID]; ok {
-		c.answerEnd(m.RequestID, m.ID, e)
+func (rh *requestHandler) onStatus(m QueryJob) {
+	if e, ok := rh.cache.ends[m.ID]; ok {
+		rh.answerEnd(m.RequestID, m.ID, e)
 		return
 	}
-	c.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestStatus, receivedAt: c.now, forwarded: m.Forwarded})
+	rh.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestStatus, receivedAt: rh.now, forwarded: m.Forwarded})
 }
 
-func (c *Core) onCancel(m CancelJob) {
-	if e, ok := c.ends[m.ID]; ok {
-		c.answerEnd(m.RequestID, m.ID, e)
+func (rh *requestHandler) onCancel(m CancelJob) {
+	if e, ok := rh.cache.ends[m.ID]; ok {
+		rh.answerEnd(m.RequestID, m.ID, e)
 		return
 	}
-	c.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestCancel, receivedAt: c.now, forwarded: m.Forwarded})
+	rh.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestCancel, receivedAt: rh.now, forwarded: m.Forwarded})
 }
 
-func (c *Core) onSubmit(m SubmitJob) {
+func (rh *requestHandler) onSubmit(m SubmitJob) {
 	id := m.Spec.ID
-	if e, ok := c.ends[id]; ok {
-		c.answerEnd(m.RequestID, id, e)
+	if e, ok := rh.cache.ends[id]; ok {
+		rh.answerEnd(m.RequestID, id, e)
 		return
 	}
-	a := &request{id: m.RequestID, jobID: id, kind: requestSubmit, spec: m.Spec, receivedAt: c.now, forwarded: m.Forwarded}
-	if c.jobs[id] != nil {
-		c.waitForRead(a)
+	a := &request{id: m.RequestID, jobID: id, kind: requestSubmit, spec: m.Spec, receivedAt: rh.now, forwarded: m.Forwarded}
+	if rh.cache.jobs[id] != nil {
+		rh.waitForRead(a)
 		return
 	}
-	if !c.synced {
-		c.refuse(a)
+	if !rh.cache.synced {
+		rh.refuse(a)
 		return
 	}
-	if c.sweepsEnabled() && strings.HasPrefix(id, RunPrefix) {
+	if rh.sweepManager.sweepsEnabled() && strings.HasPrefix(id, RunPrefix) {
 		a.refusal = Reply{Status: 400, Error: "name_id: begins like the runs of sweeps"}
-		c.waitForRead(a)
+		rh.waitForRead(a)
 		return
 	}
 	if m.Invalid != "" {
 		a.refusal = Reply{Status: 400, Error: m.Invalid}
-		c.waitForRead(a)
+		rh.waitForRead(a)
 		return
 	}
-	if len(c.machineTypes) == 0 {
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
+	if len(rh.cache.machineTypes) == 0 {
+		rh.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
 		return
 	}
-	if why := c.infeasibleReason(m.Spec); why != "" {
+	if why := rh.infeasibleReason(m.Spec); why != "" {
 		a.refusal = Reply{Status: 422, Error: why}
-		c.waitForRead(a)
+		rh.waitForRead(a)
 		return
 	}
-	if len(m.Spec.Dependencies) > 0 && !c.logEnabled() {
+	if len(m.Spec.Dependencies) > 0 && !rh.membership.logEnabled() {
 		// A controller of version 1 would store the job without what it
 		// awaits, or start it at once.
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "awaits: not before all controllers have the new version"})
+		rh.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "awaits: not before all controllers have the new version"})
 		return
 	}
 	if slices.Contains(m.Spec.Dependencies, id) {
-		c.refuseDependency(a, id, "is the job itself")
+		rh.dependencies.refuseDependency(a, id, "is the job itself")
 		return
 	}
-	c.checkDependencies(a)
+	rh.dependencies.checkDependencies(a)
 }
 
 // infeasibleReason says why a job can never run, or "".
-func (c *Core) infeasibleReason(s *jobstate.Spec) string {
-	t := c.settings.Team(s.Team)
+func (rh *requestHandler) infeasibleReason(s *jobstate.Spec) string {
+	t := rh.settings.Team(s.Team)
 	if t == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
-	if !fleet.FitsAnyType(c.machineTypes, s) {
+	if !fleet.FitsAnyType(rh.cache.machineTypes, s) {
 		return "no allowed machine type has room for a task"
 	}
-	if !fleet.FitsSpread(c.machineTypes, s) {
+	if !fleet.FitsSpread(rh.cache.machineTypes, s) {
 		return "scatter: its tasks have to be in two zones at least, and may be in one only"
 	}
 	n := 1.0
@@ -189,57 +211,57 @@
 }
 
 // waitForRead queues a request for the next view of the state.
-func (c *Core) waitForRead(a *request) {
-	if !c.synced || c.stateUnavailable() && a.tries == 0 || c.queues.stateReads.Waiting() >= maxQueuedRequests {
-		c.refuse(a)
+func (rh *requestHandler) waitForRead(a *request) {
+	if !rh.cache.synced || rh.health.stateUnavailable() && a.tries == 0 || rh.queues.stateReads.Waiting() >= maxQueuedRequests {
+		rh.refuse(a)
 		return
 	}
-	c.queues.stateReads.Add(a)
-	c.readForRequests()
+	rh.queues.stateReads.Add(a)
+	rh.readForRequests()
 }
 
 // readForRequests asks what is stored for those that wait to know, the leader or else the
 // state service, which allows only so many reads. A follower's question costs no
 // request, and the leader paces its own.
-func (c *Core) readForRequests() {
-	v := &c.queues.stateReads
-	source := c.readSource()
-	gap := ratelimit.Interval(c.allowance.Views)
+func (rh *requestHandler) readForRequests() {
+	v := &rh.queues.stateReads
+	source := rh.reader.readSource()
+	gap := ratelimit.Interval(rh.health.allowance.Views)
 	if source != "" {
 		gap = leaderReadGap
 	}
-	if !c.synced || !v.Due(c.now, gap) || source == "" && !c.readBudget.TryTake() {
+	if !rh.cache.synced || !v.Due(rh.now, gap) || source == "" && !rh.health.readBudget.TryTake() {
 		return
 	}
-	c.beginRead(source)
+	rh.beginRead(source)
 }
 
 // beginRead asks now, for all that wait, who may be none.
-func (c *Core) beginRead(source string) {
-	c.queues.stateReads.Begin(c.now)
+func (rh *requestHandler) beginRead(source string) {
+	rh.queues.stateReads.Begin(rh.now)
 	if source == "" {
-		c.emit(ReadState{AfterRevision: c.appliedRevision, ForRequests: true})
+		rh.emit(ReadState{AfterRevision: rh.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	c.emit(ReadFromLeader{To: source, AfterRevision: c.appliedRevision, Number: c.follower.BeginRequest(), WritesNeeded: c.queues.writesLacking(c.writeBudget.Level())})
+	rh.emit(ReadFromLeader{To: source, AfterRevision: rh.cache.appliedRevision, Number: rh.reader.follower.BeginRequest(), WritesNeeded: rh.queues.writesLacking(rh.health.writeBudget.Level())})
 }
 
-func (c *Core) requestsReadDone(ok bool) {
-	v := &c.queues.stateReads
+func (rh *requestHandler) requestsReadDone(ok bool) {
+	v := &rh.queues.stateReads
 	if !v.InFlight() {
 		return
 	}
 	for _, a := range v.End() {
 		switch {
 		case ok:
-			c.resumeRequest(a)
-		case c.now-a.receivedAt < maxReadWait/2 && c.synced:
+			rh.resumeRequest(a)
+		case rh.now-a.receivedAt < maxReadWait/2 && rh.cache.synced:
 			v.Add(a)
 		default:
-			c.refuse(a)
+			rh.refuse(a)
 		}
 	}
-	c.readForRequests()
+	rh.readForRequests()
 }
 
 // stateUnavailableReply is the answer while the state service can't be asked.
@@ -247,87 +269,87 @@
 
 // refuse hands a request on to a peer that can answer it, or says at once
 // that the answer can't be had now.
-func (c *Core) refuse(a *request) {
-	if c.stateUnavailable() && c.forwardToPeer(a) {
+func (rh *requestHandler) refuse(a *request) {
+	if rh.health.stateUnavailable() && rh.peers.forwardToPeer(a) {
 		return
 	}
 	r := stateUnavailableReply
 	r.RequestID = a.id
-	c.emit(r)
+	rh.emit(r)
 }
 
 // resumeRequest goes on with a request after a view that is younger than it.
-func (c *Core) resumeRequest(a *request) {
+func (rh *requestHandler) resumeRequest(a *request) {
 	if a.kind >= requestSweepSubmit {
-		c.resumeSweep(a)
+		rh.sweepManager.resumeSweep(a)
 		return
 	}
 	if a.kind == requestFollowerRead {
-		c.answerFollower(a)
+		rh.reader.answerFollower(a)
 		return
 	}
-	if e, ok := c.ends[a.jobID]; ok {
-		c.answerEnd(a.id, a.jobID, e)
+	if e, ok := rh.cache.ends[a.jobID]; ok {
+		rh.answerEnd(a.id, a.jobID, e)
 		return
 	}
-	j := c.jobs[a.jobID]
+	j := rh.cache.jobs[a.jobID]
 	switch {
 	case j == nil && a.kind == requestSubmit && a.refusal.Status == 0:
-		c.queueWrite(a)
+		rh.queueWrite(a)
 	case j == nil:
-		c.lookUpEnd(a)
+		rh.lookUpEnd(a)
 	case j.Outcome != "":
-		c.answerEnd(a.id, a.jobID, jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks})
+		rh.answerEnd(a.id, a.jobID, jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks})
 	case a.kind == requestCancel:
-		c.queueWrite(a)
-	case !c.dependenciesKnown(j):
+		rh.queueWrite(a)
+	case !rh.dependencies.dependenciesKnown(j):
 		r := stateUnavailableReply
 		r.RequestID, r.Error = a.id, "an end that the job's state depends on is being read"
-		c.emit(r)
+		rh.emit(r)
 	default:
-		c.emit(Reply{RequestID: a.id, Status: 200, Job: stateOf(j)})
+		rh.emit(Reply{RequestID: a.id, Status: 200, Job: stateOf(j)})
 	}
 }
 
 // queueWrite queues a submission or cancellation for the state service.
-func (c *Core) queueWrite(a *request) {
-	if len(c.queues.queuedWrites) >= maxQueuedRequests || c.stateUnavailable() && a.tries == 0 {
-		c.refuse(a)
+func (rh *requestHandler) queueWrite(a *request) {
+	if len(rh.queues.queuedWrites) >= maxQueuedRequests || rh.health.stateUnavailable() && a.tries == 0 {
+		rh.refuse(a)
 		return
 	}
-	c.queues.queuedWrites = append(c.queues.queuedWrites, a)
-	c.writeQueued()
+	rh.queues.queuedWrites = append(rh.queues.queuedWrites, a)
+	rh.writeQueued()
 }
 
-func (c *Core) writeQueued() {
-	d := &c.queues
-	c.writeBudget.Refill(c.now, c.allowance.Changes)
+func (rh *requestHandler) writeQueued() {
+	d := &rh.queues
+	rh.health.writeBudget.Refill(rh.now, rh.health.allowance.Changes)
 	for len(d.queuedWrites) > 0 {
 		a := d.queuedWrites[0]
-		if c.now-a.receivedAt > maxWriteWait {
+		if rh.now-a.receivedAt > maxWriteWait {
 			d.queuedWrites = d.queuedWrites[1:]
-			c.refuse(a)
+			rh.refuse(a)
 			continue
 		}
 		if d.coalesce(a) {
 			d.queuedWrites = d.queuedWrites[1:]
 			continue
 		}
-		if c.writeBudget.Level() < minUserBudget(c.allowance, c.leadership != nil) {
+		if rh.health.writeBudget.Level() < minUserBudget(rh.health.allowance, rh.elector.leadership != nil) {
 			return
 		}
 		d.queuedWrites = d.queuedWrites[1:]
 		switch a.kind {
 		case requestSubmit:
-			c.writeBudget.Spend(1)
-			c.writeJob(a)
+			rh.health.writeBudget.Spend(1)
+			rh.writeJob(a)
 		case requestSweepSubmit:
-			c.createSweep(a)
+			rh.sweepManager.createSweep(a)
 		case requestSweepCancel:
-			c.cancelSweep(a)
+			rh.sweepManager.cancelSweep(a)
 		default:
-			c.writeBudget.Spend(2)
-			c.writeCancellation(a)
+			rh.health.writeBudget.Spend(2)
+			rh.writeCancellation(a)
 		}
 	}
 }
@@ -342,112 +364,112 @@
 	return 1 - s.Changes/4
 }
 
-func (c *Core) writeJob(a *request) {
+func (rh *requestHandler) writeJob(a *request) {
 	job := jobPrefix + a.jobID
-	value := jobstate.Record{Spec: a.spec, SubmittedWall: a.receivedAt + c.wallOffset}.Encode(0)
-	if len(value) > c.valueLimit() {
-		a.refusal = Reply{Status: 400, Error: fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), c.valueLimit())}
-		c.waitForRead(a)
+	value := jobstate.Record{Spec: a.spec, SubmittedWall: a.receivedAt + rh.wallOffset}.Encode(0)
+	if len(value) > rh.membership.valueLimit() {
+		a.refusal = Reply{Status: 400, Error: fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), rh.membership.valueLimit())}
+		rh.waitForRead(a)
 		return
 	}
-	c.queues.inFlight[a.jobID] = nil
-	c.commitTransaction([]Cond{kv.RevisionIs(job, 0), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{{Key: job, Value: value}}, func(m Committed) {
-		defer c.resumeCoalesced(a.jobID)
+	rh.queues.inFlight[a.jobID] = nil
+	rh.commitTransaction([]Cond{kv.RevisionIs(job, 0), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{{Key: job, Value: value}}, func(m Committed) {
+		defer rh.resumeCoalesced(a.jobID)
 		switch m.Status {
 		case 200:
-			c.emit(Reply{RequestID: a.id, Status: 201, Job: &JobState{ID: a.jobID, State: Queued}})
+			rh.emit(Reply{RequestID: a.id, Status: 201, Job: &JobState{ID: a.jobID, State: Queued}})
 		case 409:
 			// It is known: a repeat, perhaps of this very request.
-			c.waitForRead(a)
+			rh.waitForRead(a)
 		case 400:
 			// It is no longer than the limits that were known of.
-			c.lowerLimits("a job's description was refused")
-			c.retryWrite(a)
+			rh.membership.lowerLimits("a job's description was refused")
+			rh.retryWrite(a)
 		default:
-			c.retryWrite(a)
+			rh.retryWrite(a)
 		}
 	})
 }
 
 // retryWrite repeats a write that failed or whose outcome is unknown: its
 // conditions make that safe.
-func (c *Core) retryWrite(a *request) {
+func (rh *requestHandler) retryWrite(a *request) {
 	a.tries++
-	if a.tries > 4 || c.now-a.receivedAt > maxWriteWait {
-		c.refuse(a)
+	if a.tries > 4 || rh.now-a.receivedAt > maxWriteWait {
+		rh.refuse(a)
 		return
 	}
 	if a.kind == requestCancel || a.kind == requestSweepCancel {
-		c.waitForRead(a) // the job's version may have changed
+		rh.waitForRead(a) // the job's version may have changed
 		return
 	}
-	c.queues.queuedWrites = append(c.queues.queuedWrites, a)
+	rh.queues.queuedWrites = append(rh.queues.queuedWrites, a)
 }
 
-func (c *Core) writeCancellation(a *request) {
-	j := c.jobs[a.jobID]
+func (rh *requestHandler) writeCancellation(a *request) {
+	j := rh.cache.jobs[a.jobID]
 	if j == nil || j.Outcome != "" {
-		c.waitForRead(a)
+		rh.waitForRead(a)
 		return
 	}
-	e := c.newEnd(jobstate.Cancelled, j)
+	e := rh.newEnd(jobstate.Cancelled, j)
 	stamp := j.Revision
-	c.queues.inFlight[a.jobID] = nil
-	c.commitTransaction([]Cond{kv.RevisionIs(jobPrefix+a.jobID, stamp), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{
+	rh.queues.inFlight[a.jobID] = nil
+	rh.commitTransaction([]Cond{kv.RevisionIs(jobPrefix+a.jobID, stamp), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{
 		{Key: endPrefix + a.jobID, Value: encodeJSON(e)},
-		{Key: jobPrefix + a.jobID, Value: c.endedRecord(j, jobstate.Cancelled)},
+		{Key: jobPrefix + a.jobID, Value: rh.endedRecord(j, jobstate.Cancelled)},
 	}, func(m Committed) {
-		defer c.resumeCoalesced(a.jobID)
+		defer rh.resumeCoalesced(a.jobID)
 		switch m.Status {
 		case 200:
 			if j.Revision == stamp {
 				j.Revision = m.Revision
 			}
-			c.noteEnd(a.jobID, e, m.Revision)
-			c.answerEnd(a.id, a.jobID, e)
+			rh.cache.noteEnd(a.jobID, e, m.Revision)
+			rh.answerEnd(a.id, a.jobID, e)
 		case 409:
-			c.retryCancellation(a)
+			rh.retryCancellation(a)
 		default:
-			c.retryWrite(a)
+			rh.retryWrite(a)
 		}
 	})
 }
 
 // retryCancellation goes on with a cancellation whose conditions did not hold, from what
 // is stored by now.
-func (c *Core) retryCancellation(a *request) {
+func (rh *requestHandler) retryCancellation(a *request) {
 	if a.tries++; a.tries > 4 {
-		c.refuse(a)
+		rh.refuse(a)
 		return
 	}
-	c.waitForRead(a)
+	rh.waitForRead(a)
 }
 
 // newEnd makes the stored end of a job.
-func (c *Core) newEnd(outcome string, j *jobstate.Job) jobstate.End {
+func (rh *requestHandler) newEnd(outcome string, j *jobstate.Job) jobstate.End {
 	e := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
-	if c.logEnabled() {
-		e.At = c.now + c.wallOffset
+	if rh.membership.logEnabled() {
+		e.At = rh.now + rh.wallOffset
 	}
 	return e
 }
 
 // endedRecord is the stored job from its end until its keys are removed.
-func (c *Core) endedRecord(j *jobstate.Job, outcome string) []byte {
-	return jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: outcome, SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}.Encode(c.valueLimit())
+func (rh *requestHandler) endedRecord(j *jobstate.Job, outcome string) []byte {
+	return jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: outcome, SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}.Encode(rh.membership.valueLimit())
 }
 
-func (c *Core) answerEnd(req uint64, id string, e jobstate.End) {
+func (rh *requestHandler) answerEnd(req uint64, id string, e jobstate.End) {
 	s := &JobState{ID: id, State: e.Outcome}
 	if e.Outcome == jobstate.Done {
 		s.Done = e.Tasks
 	}
 	r := Reply{RequestID: req, Status: 200, Job: s}
 	if e.Outcome == jobstate.Cancelled {
-		c.replyCancelled(r, id)
+		rh.readLeases.replyCancelled(r, id)
 		return
 	}
-	c.emit(r)
+	rh.emit(r)
 }
 
 func stateOf(j *jobstate.Job) *JobState {
@@ -461,29 +483,29 @@
 	return s
 }
 
-func (c *Core) requestsTick() {
-	d := &c.queues
-	if !c.synced {
+func (rh *requestHandler) requestsTick() {
+	d := &rh.queues
+	if !rh.cache.synced {
 		for _, a := range d.stateReads.DropWaiting() {
-			c.refuse(a)
+			rh.refuse(a)
 		}
 	}
-	c.writeQueued()
-	c.readForRequests()
-	c.lookUpEnds()
-	if !c.synced || d.stateReads.InFlight() {
+	rh.writeQueued()
+	rh.readForRequests()
+	rh.lookUpEnds()
+	if !rh.cache.synced || d.stateReads.InFlight() {
 		return
 	}
-	source, age := c.readSource(), d.stateReads.Age(c.now)
+	source, age := rh.reader.readSource(), d.stateReads.Age(rh.now)
 	// The mirror lacks a revision that an answer has told of, or the changes of a
 	// transaction whose answer may be lost.
-	lacks := c.announcedRevision > c.appliedRevision || c.transactions.HasUnansweredWrite(c.now, expectedChangeGap)
+	lacks := rh.health.announcedRevision > rh.cache.appliedRevision || rh.transactions.HasUnansweredWrite(rh.now, expectedChangeGap)
 	switch {
-	case c.stateUnavailable() && age > second/2, c.leadership == nil && !c.stateUnavailable() && c.stateFailedAt > c.stateAnsweredAt && age > expectedChangeGap && c.readBudget.TryTake():
+	case rh.health.stateUnavailable() && age > second/2, rh.elector.leadership == nil && !rh.health.stateUnavailable() && rh.health.stateFailedAt > rh.health.stateAnsweredAt && age > expectedChangeGap && rh.health.readBudget.TryTake():
 		// Requests are refused meanwhile, or soon, so something has to find out
 		// when the state service answers again.
-		c.beginRead("")
-	case source != "" && (c.follower.RefreshDue(c.now, age) || lacks && age > expectedChangeGap || d.writesLacking(c.writeBudget.Level()) > 0):
-		c.beginRead(source)
+		rh.beginRead("")
+	case source != "" && (rh.reader.follower.RefreshDue(rh.now, age) || lacks && age > expectedChangeGap || d.writesLacking(rh.health.writeBudget.Level()) > 0):
+		rh.beginRead(source)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -75,7 +75,7 @@
 	for i := range machines {
 		w.workers = append(w.workers, &worker{name: fmt.Sprintf("host-%06d", i), zone: w.set.Zones[i%3], due: w.now + w.rng.Int64N(8*second), tasks: map[string]*workerTask{}})
 	}
-	for w.c.leadership == nil {
+	for w.c.elector.leadership == nil {
 		w.tick()
 	}
 	return w
@@ -138,7 +138,7 @@
 		h.busy, h.due = false, w.now+w.rng.Int64N(8*second)
 	}
 	w.step(StateListed{Revision: w.rev, Changes: rows})
-	for w.c.leadership == nil {
+	for w.c.elector.leadership == nil {
 		w.tick()
 	}
 }
@@ -285,7 +285,7 @@
 	w.crash()
 	w.play(20, 0)
 	known := 0
-	for _, m := range w.c.leadership.fleet.All() {
+	for _, m := range w.c.elector.leadership.fleet.All() {
 		if m.HasCurrentToken {
 			known++
 		}
@@ -303,7 +303,7 @@
 	var mem runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&mem)
-	t.Logf("heap with the stand-ins %d MB, parked %d", mem.HeapAlloc>>20, len(w.c.leadership.heldHeartbeats.byName))
+	t.Logf("heap with the stand-ins %d MB, parked %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heldHeartbeats.byName))
 	if mem.HeapAlloc > 200<<20 {
 		t.Errorf("the heap has %d MB", mem.HeapAlloc>>20)
 	}
@@ -319,7 +319,7 @@
 	}
 	w := newWorkerFleet(machines)
 	w.c.settings.Limits.Sockets = sockets
-	parked := &w.c.leadership.heldHeartbeats
+	parked := &w.c.elector.leadership.heldHeartbeats
 	most := 0
 	for range 30 * 20 {
 		w.tick()
@@ -350,33 +350,33 @@
 			case 0:
 				h.dead = !h.dead
 			case 1:
-				if m := w.c.leadership.fleet.Get(h.name); m != nil {
-					w.c.queueScaleIn(h.name)
+				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
+					w.c.scaler.queueScaleIn(h.name)
 				}
 			case 2:
-				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.leadership.token})
+				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.elector.leadership.token})
 			case 3:
-				if m := w.c.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
+				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
 					h.noticed = true
 				}
 			case 4:
-				if m := w.c.leadership.fleet.Get(h.name); m != nil {
-					w.c.machineGone(m, "a test says so")
+				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
+					w.c.planner.machineGone(m, "a test says so")
 				}
 			case 5:
-				w.c.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
-				w.step(MachineTypesListed{Types: w.c.machineTypes, FencingToken: w.c.leadership.token})
+				w.c.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
+				w.step(MachineTypesListed{Types: w.c.cache.machineTypes, FencingToken: w.c.elector.leadership.token})
 			case 6:
-				w.c.partitions.Boundaries = fleet.PartitionHashes([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
+				w.c.cache.partitions.Boundaries = fleet.PartitionHashes([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
 			case 7, 8, 9:
 				w.submit()
 			}
 			w.tick()
-			w.c.refreshIndex()
-			l, n := w.c.leadership, 0
+			w.c.planner.refreshIndex()
+			l, n := w.c.elector.leadership, 0
 			for _, m := range l.fleet.All() {
 				v := l.planner.indexed[m]
-				if !w.c.usable(m) {
+				if !w.c.planner.usable(m) {
 					if v != nil {
 						t.Fatalf("%s is of no use, and yet planned with", m.Name)
 					}
@@ -384,7 +384,7 @@
 				}
 				n++
 				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
-				if want := []any{m.Type, m.Zone, m.Spot, w.c.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.planner.index.Find(m.Name) != &v.Machine {
+				if want := []any{m.Type, m.Zone, m.Spot, w.c.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.planner.index.Find(m.Name) != &v.Machine {
 					t.Fatalf("%s: planned with %v, and known is %v", m.Name, got, want)
 				}
 			}
@@ -415,7 +415,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(w.writes)/float64(b.N), "writes/op")
-			b.ReportMetric(float64(len(w.c.leadership.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.c.elector.leadership.waitingJobs)), "waiting")
 		})
 	}
 }
@@ -436,7 +436,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(w.started), "us/start")
-			b.ReportMetric(float64(len(w.c.leadership.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.c.elector.leadership.waitingJobs)), "waiting")
 		})
 	}
 }
@@ -452,7 +452,7 @@
 			}
 			add(tokenKey, encodeJSON(tokenRecord{5}))
 			w := newWorkerFleet(n)
-			add(typesKey, encodeJSON(w.c.machineTypes))
+			add(typesKey, encodeJSON(w.c.cache.machineTypes))
 			for k := range n / 25 {
 				s := &jobstate.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: jobstate.Array, Tasks: 100, Need: jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
 				j := jobstate.NewJob(s)
@@ -470,7 +470,7 @@
 				}
 				next.c = New(w.set, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 				next.step(StateListed{Revision: next.rev, Changes: rows})
-				for next.c.leadership == nil {
+				for next.c.elector.leadership == nil {
 					next.tick()
 				}
 				next.play(2, 0)
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -51,11 +51,26 @@
 	return scalingState{refilledAt: now, scalingOut: map[machineOffer]bool{}, refusedUntil: map[machineOffer]int64{}, lastPause: map[machineOffer]int64{}, booting: map[string]bootingMachine{}, peaks: map[machinePool]usagePeak{}, scaledInAt: map[string]int64{}}
 }
 
-func (c *Core) cloudTick() {
-	s := &c.leadership.scaling
-	rate := c.settings.Cloud.RPS * 0.85
-	s.callBudget = min(s.callBudget+float64(c.now-s.refilledAt)/1e6*rate, 2*rate)
-	s.refilledAt = c.now
+// scaler rents machines from the cloud and returns them.
+type scaler struct {
+	*engine
+
+	cache      *stateCache
+	cloud      *cloudCaller
+	committer  *committer
+	elector    *elector
+	membership *membership
+	planner    *planner
+	prefetcher *prefetcher
+
+	costAware bool
+}
+
+func (sl *scaler) cloudTick() {
+	s := &sl.elector.leadership.scaling
+	rate := sl.settings.Cloud.RPS * 0.85
+	s.callBudget = min(s.callBudget+float64(sl.now-s.refilledAt)/1e6*rate, 2*rate)
+	s.refilledAt = sl.now
 	call := func() bool {
 		if s.callBudget < 1 || s.callsRunning >= 4 {
 			return false
@@ -64,85 +79,85 @@
 		s.callsRunning++
 		return true
 	}
-	if (len(c.machineTypes) == 0 || s.typesListedAt == 0) && c.now-s.typesListedAt >= 2*second || c.now-s.typesListedAt >= 120*second {
+	if (len(sl.cache.machineTypes) == 0 || s.typesListedAt == 0) && sl.now-s.typesListedAt >= 2*second || sl.now-s.typesListedAt >= 120*second {
 		if call() {
-			s.typesListedAt = c.now
-			c.callCloud(CloudCall{ListTypes: true})
+			s.typesListedAt = sl.now
+			sl.cloud.callCloud(CloudCall{ListTypes: true})
 		}
 	}
-	gathers := c.zoneGathers()
-	c.scaleInTick(call, gathers)
+	gathers := sl.zoneGathers()
+	sl.scaleInTick(call, gathers)
 	// A list takes a call for each page, which have to be paced as well:
 	// large fleets are listed less often, so that most calls stay for renting.
-	pages := int64(1 + c.leadership.fleet.Len()/ListPage)
+	pages := int64(1 + sl.elector.leadership.fleet.Len()/ListPage)
 	every := min(pages*5*second, max(5*second, int64(float64(pages)/(rate*listCallShare)*1e6)))
-	if !s.listing && c.now-s.listStartedAt >= every && call() {
-		s.listing, s.listStartedAt = true, c.now
+	if !s.listing && sl.now-s.listStartedAt >= every && call() {
+		s.listing, s.listStartedAt = true, sl.now
 		s.callBudget -= float64(pages - 1)
-		c.callCloud(CloudCall{ListMachines: true, Gap: int64(1e6 / rate)})
+		sl.cloud.callCloud(CloudCall{ListMachines: true, Gap: int64(1e6 / rate)})
 	}
-	c.scaleOutTick(call, gathers)
+	sl.scaleOutTick(call, gathers)
 }
 
-func (c *Core) onMachineTypesListed(m MachineTypesListed) {
-	c.cloudCallEnded(m.ViaPeer, m.Err)
-	if !c.leadership.madeCall(m.FencingToken) {
+func (sl *scaler) onMachineTypesListed(m MachineTypesListed) {
+	sl.cloud.cloudCallEnded(m.ViaPeer, m.Err)
+	if !sl.elector.leadership.madeCall(m.FencingToken) {
 		return
 	}
-	c.leadership.scaling.callsRunning--
+	sl.elector.leadership.scaling.callsRunning--
 	if m.Err != nil || len(m.Types) == 0 {
-		c.leadership.scaling.typesListedAt = c.now - 118*second
+		sl.elector.leadership.scaling.typesListedAt = sl.now - 118*second
 		return
 	}
-	old := encodeJSON(c.machineTypes)
-	c.machineTypes = m.Types
-	if b := encodeJSON(m.Types); c.typesRevision == 0 || string(old) != string(b) {
-		c.writeTypes(b)
+	old := encodeJSON(sl.cache.machineTypes)
+	sl.cache.machineTypes = m.Types
+	if b := encodeJSON(m.Types); sl.cache.typesRevision == 0 || string(old) != string(b) {
+		sl.writeTypes(b)
 	}
-	for _, fm := range c.leadership.fleet.All() {
-		fm.SetType(c.machineTypes)
+	for _, fm := range sl.elector.leadership.fleet.All() {
+		fm.SetType(sl.cache.machineTypes)
 	}
-	c.leadership.planWanted = true
+	sl.elector.leadership.planWanted = true
 }
 
 // writeTypes stores the machine types, those that do not fit one value one by
 // one.
-func (c *Core) writeTypes(all []byte) {
+func (sl *scaler) writeTypes(all []byte) {
 	writes := []Write{{Key: typesKey, Value: all}}
-	if len(all) > c.valueLimit() {
+	if len(all) > sl.membership.valueLimit() {
 		writes = writes[:0]
-		for i, t := range c.machineTypes {
+		for i, t := range sl.cache.machineTypes {
 			writes = append(writes, Write{Key: typesKey + "/" + strconv.Itoa(i), Value: encodeJSON([]fleet.Type{t})})
 		}
 	}
 	for _, w := range writes {
-		c.putAsLeader(w.Key, w.Value, func(r Committed) {
+		sl.committer.putAsLeader(w.Key, w.Value, func(r Committed) {
 			if r.Status == 200 {
-				c.typesRevision = r.Revision
+				sl.cache.typesRevision = r.Revision
 			} else {
-				c.typesRevision = 0
+				sl.cache.typesRevision = 0
 			}
 		})
 	}
 }
 
-func (c *Core) onMachinesListed(m MachinesListed) {
-	c.cloudCallEnded(m.ViaPeer, m.Err)
-	if !c.leadership.madeCall(m.FencingToken) {
+func (sl *scaler) onMachinesListed(m MachinesListed) {
+	sl.cloud.cloudCallEnded(m.ViaPeer, m.Err)
+	if !sl.elector.leadership.madeCall(m.FencingToken) {
 		return
 	}
-	s := &c.leadership.scaling
+	s := &sl.elector.leadership.scaling
 	s.listing = false
 	s.callsRunning--
 	if m.Err != nil {
-		s.listFailedAt = c.now
+		s.listFailedAt = sl.now
 		return
 	}
 	listed := make(map[string]bool, len(m.List))
 	for i := range m.List {
 		x := &m.List[i]
 		listed[x.Name] = true
-		fm := c.leadership.fleet.Get(x.Name)
+		fm := sl.elector.leadership.fleet.Get(x.Name)
 		if fm != nil && fm.Addr == "" {
 			fm.Addr = x.Addr // nothing of it has come, and it may have to be told
 		}
@@ -150,7 +165,7 @@
 		switch {
 		case x.Status == "failed":
 			delete(s.booting, x.Name)
-			c.queueScaleIn(x.Name)
+			sl.queueScaleIn(x.Name)
 		case s.scaledInAt[x.Name] != 0:
 			// The list lags; the release was answered.
 		case fm != nil && fm.LastHeartbeat != 0:
@@ -158,50 +173,50 @@
 		default:
 			b, ok := s.booting[x.Name]
 			if !ok {
-				b = bootingMachine{machineOffer: mk, since: c.now - x.Age}
+				b = bootingMachine{machineOffer: mk, since: sl.now - x.Age}
 			}
 			b.up = b.up || x.Status == "running"
 			s.booting[x.Name] = b
 		}
 	}
-	s.listedAt = c.now
-	c.forgetUnlisted(s.listings.read(s.listStartedAt-2*config.MicrosOf(c.settings.Cloud.ListLagS)-second, c.now, m.List))
+	s.listedAt = sl.now
+	sl.forgetUnlisted(s.listings.read(s.listStartedAt-2*config.MicrosOf(sl.settings.Cloud.ListLagS)-second, sl.now, m.List))
 	for name, at := range s.scaledInAt {
-		if c.now-at > 120*second {
+		if sl.now-at > 120*second {
 			delete(s.scaledInAt, name)
 		}
 	}
-	for _, fm := range c.leadership.fleet.All() {
+	for _, fm := range sl.elector.leadership.fleet.All() {
 		fm.InCloudList = listed[fm.Name]
 	}
 	for name, b := range s.booting {
-		if !listed[name] && c.now-b.since > 60*second+4*config.MicrosOf(c.settings.Cloud.ListLagS) {
+		if !listed[name] && sl.now-b.since > 60*second+4*config.MicrosOf(sl.settings.Cloud.ListLagS) {
 			delete(s.booting, name)
 		}
 	}
-	for _, fm := range slices.Clone(c.leadership.fleet.All()) {
+	for _, fm := range slices.Clone(sl.elector.leadership.fleet.All()) {
 		// Long silent and no longer listed: only its name is left.
-		if !fm.InCloudList && len(fm.Placed) == 0 && c.now-max(fm.LastHeartbeat, c.leadership.since) > 90*second {
-			c.forgetMachine(fm)
+		if !fm.InCloudList && len(fm.Placed) == 0 && sl.now-max(fm.LastHeartbeat, sl.elector.leadership.since) > 90*second {
+			sl.forgetMachine(fm)
 		}
 	}
 }
 
 // scaleInTick returns machines: silent ones, whose tasks a release ends for
 // certain, faulty and never-booting ones, and those idle for long.
-func (c *Core) scaleInTick(call func() bool, gathers []zoneGather) {
-	s := &c.leadership.scaling
-	if !c.mayStartTasks() {
+func (sl *scaler) scaleInTick(call func() bool, gathers []zoneGather) {
+	s := &sl.elector.leadership.scaling
+	if !sl.elector.mayStartTasks() {
 		// It may have been replaced, and its successor may use the machines: a
 		// leader that was cut off once gave up machines that had come up for the
 		// next one. What was decided before waits here as well.
 		return
 	}
-	report := config.MicrosOf(c.settings.Workers.ReportS)
+	report := config.MicrosOf(sl.settings.Workers.ReportS)
 	heard, hush, silent := 0, 0, []*fleet.Machine{}
 	idle := map[machinePool][]*fleet.Machine{}
-	for _, m := range c.leadership.fleet.All() {
-		quiet := c.now - max(m.LastHeartbeat, c.leadership.since)
+	for _, m := range sl.elector.leadership.fleet.All() {
+		quiet := sl.now - max(m.LastHeartbeat, sl.elector.leadership.since)
 		// One that has not been heard under this leader counts too, if it is
 		// known to have work: else a leader that begins while a zone is cut
 		// off takes all of the zone's machines for a few dead ones.
@@ -213,13 +228,13 @@
 		case quiet < 2*report+second && m.LastHeartbeat != 0:
 			heard++
 			if m.Draining && len(m.Placed) == 0 {
-				c.queueScaleIn(m.Name)
+				sl.queueScaleIn(m.Name)
 			}
-			if m.IdleSince != 0 && len(m.Placed) == 0 && c.now-m.IdleSince > c.idleReturnTime() && c.now-c.leadership.since > c.settings.Ops.IdleReturn && !isGathered(gathers, m) {
-				p := c.poolOf(m.Type, m.Spot)
+			if m.IdleSince != 0 && len(m.Placed) == 0 && sl.now-m.IdleSince > sl.idleReturnTime() && sl.now-sl.elector.leadership.since > sl.settings.Ops.IdleReturn && !isGathered(gathers, m) {
+				p := sl.poolOf(m.Type, m.Spot)
 				idle[p] = append(idle[p], m)
 			}
-		case len(m.Placed) > 0 && (quiet > 4*report+2*second || m.ReclaimAt != 0 && c.now > m.ReclaimAt && quiet > 2*report):
+		case len(m.Placed) > 0 && (quiet > 4*report+2*second || m.ReclaimAt != 0 && sl.now > m.ReclaimAt && quiet > 2*report):
 			silent = append(silent, m)
 		}
 	}
@@ -230,9 +245,9 @@
 		slices.SortFunc(l, func(a, b *fleet.Machine) int {
 			return cmp.Or(cmp.Compare(a.IdleSince, b.IdleSince), cmp.Compare(a.Name, b.Name))
 		})
-		for _, m := range l[:max(0, len(l)-c.spareMachines(p))] {
-			c.log.Info("returning an idle machine", "machine", m.Name)
-			c.queueScaleIn(m.Name)
+		for _, m := range l[:max(0, len(l)-sl.spareMachines(p))] {
+			sl.log.Info("returning an idle machine", "machine", m.Name)
+			sl.queueScaleIn(m.Name)
 		}
 	}
 	// When many machines are silent the fault is more likely on the way to
@@ -243,15 +258,15 @@
 	slices.SortFunc(silent, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	few := hush <= max(1, min(heard/8, 6+heard/64))
 	for _, m := range silent {
-		last := max(m.LastHeartbeat, c.leadership.since)
-		if few || !m.InCloudList && last < s.listedAt-2*config.MicrosOf(c.settings.Cloud.ListLagS) {
-			c.log.Info("releasing a silent machine", "machine", m.Name, "tasks", len(m.Placed))
-			c.queueScaleIn(m.Name)
+		last := max(m.LastHeartbeat, sl.elector.leadership.since)
+		if few || !m.InCloudList && last < s.listedAt-2*config.MicrosOf(sl.settings.Cloud.ListLagS) {
+			sl.log.Info("releasing a silent machine", "machine", m.Name, "tasks", len(m.Placed))
+			sl.queueScaleIn(m.Name)
 		}
 	}
 	for _, name := range sortedKeys(s.booting) {
 		b := s.booting[name]
-		if m := c.leadership.fleet.Get(name); m != nil && m.LastHeartbeat != 0 {
+		if m := sl.elector.leadership.fleet.Get(name); m != nil && m.LastHeartbeat != 0 {
 			// It has come up since the last list, as a whole zone does when
 			// a cut that a leader began in is over.
 			delete(s.booting, name)
@@ -259,20 +274,20 @@
 		}
 		// After a take-over machines that are up have yet to report here,
 		// and the list may lag: neither is a sign that one never came up.
-		limit := c.bootTimeout(b.machineType)
+		limit := sl.bootTimeout(b.machineType)
 		known := limit / 2
 		if b.up {
 			limit, known = max(limit, 120*second), max(known, 120*second)
 		}
-		if c.now-b.since > limit && c.now-c.leadership.since > known {
-			c.log.Info("releasing a machine that does not come up", "machine", name)
+		if sl.now-b.since > limit && sl.now-sl.elector.leadership.since > known {
+			sl.log.Info("releasing a machine that does not come up", "machine", name)
 			delete(s.booting, name)
-			c.queueScaleIn(name)
+			sl.queueScaleIn(name)
 		}
 	}
 	// One that came up after it was given up, while this waited, has work by now.
 	s.toScaleIn = slices.DeleteFunc(s.toScaleIn, func(name string) bool {
-		m := c.leadership.fleet.Get(name)
+		m := sl.elector.leadership.fleet.Get(name)
 		return m != nil && !m.Releasing
 	})
 	if len(s.toScaleIn) == 0 || !call() {
@@ -281,22 +296,22 @@
 	n := min(len(s.toScaleIn), 100)
 	names := slices.Clone(s.toScaleIn[:n])
 	s.toScaleIn = slices.Clone(s.toScaleIn[n:])
-	c.callCloud(CloudCall{ScaleIn: names})
+	sl.cloud.callCloud(CloudCall{ScaleIn: names})
 }
 
 // bootTimeout is when a booting machine is given up.
-func (c *Core) bootTimeout(typ string) int64 {
-	for i := range c.machineTypes {
-		if c.machineTypes[i].Name == typ {
-			return c.machineTypes[i].Boot*5 + 30*second
+func (sl *scaler) bootTimeout(typ string) int64 {
+	for i := range sl.cache.machineTypes {
+		if sl.cache.machineTypes[i].Name == typ {
+			return sl.cache.machineTypes[i].Boot*5 + 30*second
 		}
 	}
 	return 300 * second
 }
 
-func (c *Core) queueScaleIn(name string) {
-	s := &c.leadership.scaling
-	if m := c.leadership.fleet.Get(name); m != nil {
+func (sl *scaler) queueScaleIn(name string) {
+	s := &sl.elector.leadership.scaling
+	if m := sl.elector.leadership.fleet.Get(name); m != nil {
 		if m.Releasing {
 			return
 		}
@@ -308,17 +323,17 @@
 	}
 }
 
-func (c *Core) onScaledIn(m ScaledIn) {
-	if c.leadership == nil {
+func (sl *scaler) onScaledIn(m ScaledIn) {
+	if sl.elector.leadership == nil {
 		return
 	}
-	s := &c.leadership.scaling
-	ours := c.leadership.madeCall(m.FencingToken)
+	s := &sl.elector.leadership.scaling
+	ours := sl.elector.leadership.madeCall(m.FencingToken)
 	if ours {
 		s.callsRunning--
 	}
 	for _, name := range m.Names {
-		fm := c.leadership.fleet.Get(name)
+		fm := sl.elector.leadership.fleet.Get(name)
 		if !m.OK {
 			if !ours {
 				continue // since then another leader may have put work on it
@@ -331,50 +346,50 @@
 			continue
 		}
 		if fm != nil {
-			c.machineGone(fm, "released")
-			c.forgetMachine(fm)
+			sl.planner.machineGone(fm, "released")
+			sl.forgetMachine(fm)
 		}
-		c.leadership.departed.note(name, Heartbeat{}, true, c.now)
+		sl.elector.leadership.departed.note(name, Heartbeat{}, true, sl.now)
 		delete(s.booting, name)
-		s.scaledInAt[name] = c.now
+		s.scaledInAt[name] = sl.now
 	}
-	c.leadership.planWanted = true
+	sl.elector.leadership.planWanted = true
 }
 
 // forgetMachine drops a machine that is gone, and what it was warmed with.
-func (c *Core) forgetMachine(m *fleet.Machine) {
-	c.endPrefetch(m)
-	c.leadership.departed.note(m.Name, Heartbeat{Epoch: m.Epoch, Seq: m.Seq}, false, c.now)
-	c.leadership.fleet.Remove(m)
+func (sl *scaler) forgetMachine(m *fleet.Machine) {
+	sl.prefetcher.endPrefetch(m)
+	sl.elector.leadership.departed.note(m.Name, Heartbeat{Epoch: m.Epoch, Seq: m.Seq}, false, sl.now)
+	sl.elector.leadership.fleet.Remove(m)
 }
 
 // scaleOutTick asks for one machine kind at a time where work waits or spare
 // machines are short.
-func (c *Core) scaleOutTick(call func() bool, gathers []zoneGather) {
-	s := &c.leadership.scaling
-	if len(c.machineTypes) == 0 || !c.mayStartTasks() || c.now-c.leadership.since < 5*second {
+func (sl *scaler) scaleOutTick(call func() bool, gathers []zoneGather) {
+	s := &sl.elector.leadership.scaling
+	if len(sl.cache.machineTypes) == 0 || !sl.elector.mayStartTasks() || sl.now-sl.elector.leadership.since < 5*second {
 		return
 	}
 	if len(s.unanswered) > 0 {
 		if call() {
 			r := s.unanswered[0]
 			s.unanswered = s.unanswered[1:]
-			c.callCloud(CloudCall{ScaleOut: &r})
+			sl.cloud.callCloud(CloudCall{ScaleOut: &r})
 		}
 		return
 	}
 	type count struct{ busy, idle, booting int }
 	counts := map[machinePool]*count{}
 	at := func(typ string, spot bool) *count {
-		p := c.poolOf(typ, spot)
+		p := sl.poolOf(typ, spot)
 		if counts[p] == nil {
 			counts[p] = &count{}
 		}
 		return counts[p]
 	}
-	for _, m := range c.leadership.fleet.All() {
+	for _, m := range sl.elector.leadership.fleet.All() {
 		switch {
-		case m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > 15*second || m.Draining || m.Releasing || m.ReclaimAt != 0:
+		case m.LastHeartbeat == 0 || sl.now-m.LastHeartbeat > 15*second || m.Draining || m.Releasing || m.ReclaimAt != 0:
 		case len(m.Placed) > 0:
 			at(m.Type, m.Spot).busy++
 		default:
@@ -382,7 +397,7 @@
 		}
 	}
 	for name, b := range s.booting {
-		if m := c.leadership.fleet.Get(name); m == nil || m.LastHeartbeat == 0 {
+		if m := sl.elector.leadership.fleet.Get(name); m == nil || m.LastHeartbeat == 0 {
 			at(b.machineType, b.spot).booting++
 		}
 	}
@@ -392,17 +407,17 @@
 			s.idleOnDemand += n.idle
 		}
 	}
-	for i := range c.machineTypes {
-		t := &c.machineTypes[i]
-		for _, p := range c.pools(t) {
+	for i := range sl.cache.machineTypes {
+		t := &sl.cache.machineTypes[i]
+		for _, p := range sl.pools(t) {
 			n := at(t.Name, p.spot)
-			need := c.shortage(t, p)
-			s.noteBusy(p, n.busy, c.now, c.idleReturnTime())
-			want := max(need, c.spareMachines(p)-n.idle) - n.booting
+			need := sl.shortage(t, p)
+			s.noteBusy(p, n.busy, sl.now, sl.idleReturnTime())
+			want := max(need, sl.spareMachines(p)-n.idle) - n.booting
 			if want <= 0 {
 				continue
 			}
-			mk, ok := c.chooseMarket(t, c.scaleOutKinds(t, p, need > n.booting), gathers)
+			mk, ok := sl.chooseMarket(t, sl.scaleOutKinds(t, p, need > n.booting), gathers)
 			if !ok {
 				continue
 			}
@@ -410,9 +425,9 @@
 				return
 			}
 			s.requestSerial++
-			r := ScaleOut{Name: fmt.Sprintf("zinclb-%d-%d", c.leadership.token, s.requestSerial), Type: mk.machineType, Zone: mk.zone, Spot: mk.spot, Count: min(want, maxScaleOut)}
+			r := ScaleOut{Name: fmt.Sprintf("zinclb-%d-%d", sl.elector.leadership.token, s.requestSerial), Type: mk.machineType, Zone: mk.zone, Spot: mk.spot, Count: min(want, maxScaleOut)}
 			s.scalingOut[mk] = true
-			c.callCloud(CloudCall{ScaleOut: &r})
+			sl.cloud.callCloud(CloudCall{ScaleOut: &r})
 		}
 	}
 }
@@ -441,13 +456,13 @@
 
 // chooseMarket picks a zone and kind that has not just been refused, of the kinds
 // in their order. Jobs that machines are gathered for have theirs before.
-func (c *Core) chooseMarket(t *fleet.Type, kinds []bool, gathers []zoneGather) (machineOffer, bool) {
-	s := &c.leadership.scaling
+func (sl *scaler) chooseMarket(t *fleet.Type, kinds []bool, gathers []zoneGather) (machineOffer, bool) {
+	s := &sl.elector.leadership.scaling
 	var opts []machineOffer
 	for _, g := range gathers {
 		for _, spot := range kinds {
 			mk := machineOffer{t.Name, g.zone, spot}
-			if g.spec.Allows(t.Name, g.zone, spot, t.Cap) && slices.Contains(t.Zones, g.zone) && s.open(mk, c.now) {
+			if g.spec.Allows(t.Name, g.zone, spot, t.Cap) && slices.Contains(t.Zones, g.zone) && s.open(mk, sl.now) {
 				return mk, true
 			}
 		}
@@ -455,36 +470,36 @@
 	for _, spot := range kinds {
 		for _, z := range t.Zones {
 			mk := machineOffer{t.Name, z, spot}
-			if s.open(mk, c.now) {
+			if s.open(mk, sl.now) {
 				opts = append(opts, mk)
 			}
 		}
 		if len(opts) > 0 {
-			return opts[c.rng.IntN(len(opts))], true
+			return opts[sl.rng.IntN(len(opts))], true
 		}
 	}
 	return machineOffer{}, false
 }
 
-func (c *Core) onScaledOut(m ScaledOut) {
-	if !c.leadership.madeCall(m.Request.FencingToken) {
+func (sl *scaler) onScaledOut(m ScaledOut) {
+	if !sl.elector.leadership.madeCall(m.Request.FencingToken) {
 		return // what was rented shows in the list
 	}
-	s := &c.leadership.scaling
+	s := &sl.elector.leadership.scaling
 	s.callsRunning--
 	mk := machineOffer{m.Request.Type, m.Request.Zone, m.Request.Spot}
 	switch {
 	case m.Status == 200:
 		delete(s.scalingOut, mk)
 		for _, n := range m.Names {
-			s.booting[n] = bootingMachine{machineOffer: mk, since: c.now}
+			s.booting[n] = bootingMachine{machineOffer: mk, since: sl.now}
 		}
 		if len(m.Names) < m.Request.Count {
-			c.backOffMarket(mk)
+			sl.backOffMarket(mk)
 		} else {
 			delete(s.lastPause, mk)
 		}
-		c.log.Info("rented", "type", mk.machineType, "zone", mk.zone, "spot", mk.spot, "asked", m.Request.Count, "got", len(m.Names))
+		sl.log.Info("rented", "type", mk.machineType, "zone", mk.zone, "spot", mk.spot, "asked", m.Request.Count, "got", len(m.Names))
 	case m.Status == 0 || m.Status == 429 || m.Status >= 500 && m.Status != 503:
 		// No answer: the same request again is rented once at most.
 		if len(s.unanswered) < 32 {
@@ -492,14 +507,14 @@
 		}
 	default:
 		delete(s.scalingOut, mk)
-		c.backOffMarket(mk)
+		sl.backOffMarket(mk)
 	}
 }
 
 // backOffMarket leaves a market alone after a refusal, longer each time.
-func (c *Core) backOffMarket(mk machineOffer) {
-	s := &c.leadership.scaling
+func (sl *scaler) backOffMarket(mk machineOffer) {
+	s := &sl.elector.leadership.scaling
 	b := min(max(s.lastPause[mk]*2, 8*second), 40*second)
 	s.lastPause[mk] = b
-	s.refusedUntil[mk] = c.now + b
+	s.refusedUntil[mk] = sl.now + b
 }
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -272,21 +272,21 @@
 		l.Changes = append(l.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
 	}
 	c.Step(second, l)
-	if logged.Len() > 0 || !c.synced {
-		t.Fatalf("read: %v, errors: %s", c.synced, logged.String())
+	if logged.Len() > 0 || !c.cache.synced {
+		t.Fatalf("read: %v, errors: %s", c.cache.synced, logged.String())
 	}
-	for key, got := range map[string]any{LeaderKey: c.leader, tokenKey: c.token, partitionsKey: c.partitions, formatKey: c.format,
-		endPrefix + "e-done": c.ends["e-done"], endPrefix + "e-ended": c.ends["e-ended"], sweepPrefix + "s": c.sweeps["s"].head,
-		memberPrefix + "n1": c.activation.Advertisements()["n1"], memberPrefix + "n2": c.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.imageHints[hintsKey+"/0"])} {
+	for key, got := range map[string]any{LeaderKey: c.cache.leader, tokenKey: c.cache.token, partitionsKey: c.cache.partitions, formatKey: c.membership.format,
+		endPrefix + "e-done": c.cache.ends["e-done"], endPrefix + "e-ended": c.cache.ends["e-ended"], sweepPrefix + "s": c.sweepManager.sweeps["s"].head,
+		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"])} {
 		if !bytes.Equal(raws[key], encodeJSON(got)) {
 			t.Errorf("%s: known as %s", key, encodeJSON(got))
 		}
 	}
-	if len(c.machineTypes) != 2 || c.machineTypes[1].Cap.CPU != 8000 || len(c.progressLog) != 2 || c.chunkTasks != 64 || !c.sweepsEnabled() || !c.activation.Enabled(upgrade.SharedReads) {
-		t.Errorf("types %+v, %d pages, %d tasks a value, features %+v", c.machineTypes, len(c.progressLog), c.chunkTasks, c.activation.FeatureStates())
+	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.sweepsEnabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
+		t.Errorf("types %+v, %d pages, %d tasks a value, features %+v", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
 	}
 	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
-		j := c.jobs[id]
+		j := c.cache.jobs[id]
 		if j == nil || j.Outcome != over || j.Truncated != (id == "j-brief") {
 			t.Errorf("%s: known as %+v", id, j)
 			continue
@@ -307,7 +307,7 @@
 		done    bool
 	}{{"j-least", 255, "host-000001", 4, false}, {"j-least", 9, "", 0, true}, {"j-least", 100, "host-000013", 3, true}, {"j-full", 7, "host-000003", 2, false},
 		{"j-full", 64, "host-000003", 6, false}, {"j-full", 299, "host-000012", 9, false}, {"j-full", 298, "", 8, true}} {
-		if k := c.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
+		if k := c.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
 			t.Errorf("%s/%d: known as %+v", x.job, x.task, k)
 		}
 	}
--- a/internal/core/suspect_test.go
+++ b/internal/core/suspect_test.go
@@ -30,10 +30,10 @@
 				if jobs[f.job] == nil {
 					jobs[f.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", f.job), Tasks: 1})
 				}
-				r.c.suspectMachine(r.c.machine(fmt.Sprint("m", f.machine)), jobs[f.job])
+				r.c.tasks.suspectMachine(r.c.workers.machine(fmt.Sprint("m", f.machine)), jobs[f.job])
 			}
 			drained := 0
-			for _, m := range r.c.leadership.fleet.All() {
+			for _, m := range r.c.elector.leadership.fleet.All() {
 				if m.Draining {
 					drained++
 				}
@@ -73,26 +73,26 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
 			r.now += 100 * second
-			r.c.now, r.c.leadership.since = r.now, r.now
+			r.c.now, r.c.elector.leadership.since = r.now, r.now
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.heard, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
 			r.place(j, false)
 			for i := range tc.silent {
-				if m := r.c.machine(fmt.Sprint("x", i)); !tc.ever {
+				if m := r.c.workers.machine(fmt.Sprint("x", i)); !tc.ever {
 					m.LastHeartbeat = 0
 				}
 			}
-			r.c.leadership.fleet.Remove(r.c.leadership.fleet.Get("m"))
+			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
 			r.now += tc.after * second
 			r.c.now = r.now
 			for i := range tc.heard {
-				r.c.machine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
+				r.c.workers.machine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
 			}
-			r.c.leadership.tokenProvenAt = r.now
+			r.c.elector.leadership.tokenProvenAt = r.now
 			if tc.unproved {
-				r.c.leadership.tokenProvenAt = r.now - 10*second
+				r.c.elector.leadership.tokenProvenAt = r.now - 10*second
 			}
-			r.c.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.leadership.scaling.toScaleIn); got != tc.releases {
+			r.c.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(r.c.elector.leadership.scaling.toScaleIn); got != tc.releases {
 				t.Errorf("%d released, want %d", got, tc.releases)
 			}
 		})
@@ -119,15 +119,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
 			r.now += 5000 * second
-			r.c.now, r.c.leadership.since, r.c.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
-			r.c.machineTypes[0].Boot = 30 * second
-			r.c.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, up: tc.up}
+			r.c.now, r.c.elector.leadership.since, r.c.elector.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
+			r.c.cache.machineTypes[0].Boot = 30 * second
+			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, up: tc.up}
 			if tc.heard {
-				r.c.machine("b").LastHeartbeat = r.now
+				r.c.workers.machine("b").LastHeartbeat = r.now
 			}
-			r.c.leadership.fleet.Remove(r.c.leadership.fleet.Get("m"))
-			r.c.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.leadership.scaling.toScaleIn) == 1; got != tc.released {
+			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
+			r.c.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(r.c.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
 				t.Errorf("released: %v", got)
 			}
 		})
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -6,11 +6,12 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"slices"
 	"strconv"
 	"strings"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/RoaringBitmap/roaring/v2"
 
 	"github.com/zinclb/zinclb/internal/core/jobstate"
@@ -176,28 +177,47 @@
 	maxPlanRequests = 100
 )
 
-func (c *Core) sweepsEnabled() bool { return c.activation.Enabled(upgrade.Sweeps) }
+// sweepManager expands sweeps into jobs and follows how these end.
+type sweepManager struct {
+	*engine
+
+	cache        *stateCache
+	committer    *committer
+	dependencies *dependencyResolver
+	elector      *elector
+	health       *stateHealth
+	membership   *membership
+	readLeases   *readLeaseManager
+	requests     *requestHandler
+	tasks        *taskManager
+
+	sweeps          map[string]*sweep
+	lastPlan        string
+	mayHaveOpenRuns bool
+}
+
+func (sw *sweepManager) sweepsEnabled() bool { return sw.membership.activation.Enabled(upgrade.Sweeps) }
 
 // sweep finds a sweep, or makes what is to be filled by the keys that are read.
-func (c *Core) sweep(id string) *sweep {
-	s := c.sweeps[id]
+func (sw *sweepManager) sweep(id string) *sweep {
+	s := sw.sweeps[id]
 	if s == nil {
 		s = &sweep{id: id, parts: map[int]string{}, ended: roaring.New(), withdrawn: roaring.New()}
-		c.sweeps[id] = s
+		sw.sweeps[id] = s
 	}
 	return s
 }
 
 // knownSweep finds an accepted sweep, or nil.
-func (c *Core) knownSweep(id string) *sweep {
-	if s := c.sweeps[id]; s != nil && s.headRevision != 0 {
+func (sw *sweepManager) knownSweep(id string) *sweep {
+	if s := sw.sweeps[id]; s != nil && s.headRevision != 0 {
 		return s
 	}
 	return nil
 }
 
 // applySweep takes a key of a sweep over; key is without the prefix of all.
-func (c *Core) applySweep(key string, ch Change, bad func(error)) {
+func (sw *sweepManager) applySweep(key string, ch Change, bad func(error)) {
 	if ch.Removed {
 		return // none ever is
 	}
@@ -210,7 +230,7 @@
 	}
 	kind, id, _ := strings.Cut(key, "/")
 	id, num, part := strings.Cut(id, "/")
-	s := c.sweep(id)
+	s := sw.sweep(id)
 	switch {
 	case kind == "sweep" && part:
 		n, err := strconv.Atoi(num)
@@ -243,17 +263,17 @@
 		if ch.Revision <= s.positionRevision || !read(&at) {
 			return
 		}
-		c.mergeSweep(s, at, ch.Revision, bad)
+		sw.mergeSweep(s, at, ch.Revision, bad)
 	case kind == "sweepend":
 		var e sweepEndRecord
 		if read(&e) {
-			c.sweepEnded(id, e.Outcome, ch.Revision)
+			sw.sweepEnded(id, e.Outcome, ch.Revision)
 		}
 	}
 }
 
 // mergeSweep takes stored progress over; all of it only ever grows.
-func (c *Core) mergeSweep(s *sweep, at sweepPosition, stamp uint64, bad func(error)) {
+func (sw *sweepManager) mergeSweep(s *sweep, at sweepPosition, stamp uint64, bad func(error)) {
 	open, err := decodeBitmap(at.Open)
 	if err != nil {
 		bad(err)
@@ -265,25 +285,25 @@
 	s.ended.Or(b)
 	s.next, s.positionRevision = max(s.next, at.Next), stamp
 	if at.Closed {
-		c.closeSweep(s)
+		sw.closeSweep(s)
 	}
 }
 
 // closeSweep forgets what only a sweep under way needs.
-func (c *Core) closeSweep(s *sweep) {
+func (sw *sweepManager) closeSweep(s *sweep) {
 	s.closed = true
 	s.parts, s.plan = map[int]string{}, nil
 }
 
 // sweepEnded notes how a sweep has ended.
-func (c *Core) sweepEnded(id, outcome string, rev uint64) {
-	s := c.sweep(id)
+func (sw *sweepManager) sweepEnded(id, outcome string, rev uint64) {
+	s := sw.sweep(id)
 	if outcome == jobstate.Cancelled {
-		c.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+id, rev)
+		sw.readLeases.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+id, rev)
 	}
 	if s.outcome == "" {
 		s.outcome = outcome
-		c.mayHaveOpenRuns = c.mayHaveOpenRuns || outcome == jobstate.Cancelled
+		sw.mayHaveOpenRuns = sw.mayHaveOpenRuns || outcome == jobstate.Cancelled
 	}
 }
 
@@ -294,44 +314,44 @@
 // It is called only when the mirror has all that was stored before some moment:
 // a run whose end was stored before its sweep was cancelled is done, and a list,
 // a key that was read or another's word would miss that.
-func (c *Core) endCancelledRuns() {
-	if !c.mayHaveOpenRuns {
+func (sw *sweepManager) endCancelledRuns() {
+	if !sw.mayHaveOpenRuns {
 		return
 	}
-	c.mayHaveOpenRuns = false
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
+	sw.mayHaveOpenRuns = false
+	for _, id := range sortedKeys(sw.cache.jobs) {
+		j := sw.cache.jobs[id]
 		if j.Sweep == "" || j.Outcome != "" {
 			continue
 		}
-		if s := c.sweeps[j.Sweep]; s != nil && s.outcome == jobstate.Cancelled {
-			c.deriveEnd(j)
+		if s := sw.sweeps[j.Sweep]; s != nil && s.outcome == jobstate.Cancelled {
+			sw.dependencies.deriveEnd(j)
 		}
 	}
 }
 
 // noteSweepCancelled is called when a sweep is known to be cancelled but the mirror may
 // lag: its tasks are stopped, and none is started.
-func (c *Core) noteSweepCancelled(id string) {
-	s := c.sweep(id)
+func (sw *sweepManager) noteSweepCancelled(id string) {
+	s := sw.sweep(id)
 	if s.cancelConfirmed || s.outcome != "" {
 		return
 	}
 	s.cancelConfirmed = true
-	c.emit(ReadState{AfterRevision: c.appliedRevision})
-	if c.leadership == nil {
+	sw.emit(ReadState{AfterRevision: sw.cache.appliedRevision})
+	if sw.elector.leadership == nil {
 		return
 	}
-	for _, j := range c.jobs {
+	for _, j := range sw.cache.jobs {
 		if j.Sweep != id || j.Outcome != "" {
 			continue
 		}
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			if !t.StartSent {
-				c.clearPlacement(j, i)
+				sw.tasks.clearPlacement(j, i)
 				return
 			}
-			c.requestStop(j, i, stopSweep, 0)
+			sw.tasks.requestStop(j, i, stopSweep, 0)
 		})
 	}
 }
@@ -340,51 +360,51 @@
 const stopSweep = "sweep"
 
 // endIsUnconfirmed says that nothing speaks against starting a job's tasks.
-func (c *Core) endIsUnconfirmed(j *jobstate.Job) bool {
+func (sw *sweepManager) endIsUnconfirmed(j *jobstate.Job) bool {
 	if j.Sweep == "" {
 		return true
 	}
-	s := c.sweeps[j.Sweep]
+	s := sw.sweeps[j.Sweep]
 	return s == nil || !s.cancelConfirmed
 }
 
 // resetSweeps is called before the stored state is read anew.
-func (c *Core) resetSweeps() {
-	for _, id := range sortedKeys(c.sweeps) {
-		for _, a := range c.sweeps[id].planRequests {
-			c.refuse(a)
+func (sw *sweepManager) resetSweeps() {
+	for _, id := range sortedKeys(sw.sweeps) {
+		for _, a := range sw.sweeps[id].planRequests {
+			sw.requests.refuse(a)
 		}
 	}
-	c.sweeps = map[string]*sweep{}
+	sw.sweeps = map[string]*sweep{}
 }
 
-func (c *Core) onSubmitSweep(m SubmitSweep) {
-	a := &request{id: m.RequestID, jobID: m.Plan.ID, kind: requestSweepSubmit, receivedAt: c.now, sweep: &m, forwarded: m.Forwarded}
+func (sw *sweepManager) onSubmitSweep(m SubmitSweep) {
+	a := &request{id: m.RequestID, jobID: m.Plan.ID, kind: requestSweepSubmit, receivedAt: sw.now, sweep: &m, forwarded: m.Forwarded}
 	refuse := func(status int, why string) {
 		a.refusal = Reply{Status: status, Error: why}
-		c.waitForRead(a)
+		sw.requests.waitForRead(a)
 	}
 	switch {
-	case !c.settings.Ops.Sweeps:
-		c.emit(Reply{RequestID: m.RequestID, Status: 404, Error: "sweeps are switched off"})
+	case !sw.settings.Ops.Sweeps:
+		sw.emit(Reply{RequestID: m.RequestID, Status: 404, Error: "sweeps are switched off"})
 		return
-	case !c.synced:
-		c.refuse(a)
+	case !sw.cache.synced:
+		sw.requests.refuse(a)
 		return
 	case m.Invalid != "":
 		refuse(400, m.Invalid)
 		return
-	case len(c.machineTypes) == 0:
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
+	case len(sw.cache.machineTypes) == 0:
+		sw.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
 		return
-	case !c.sweepsEnabled():
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "not before all controllers have sweeps switched on"})
+	case !sw.sweepsEnabled():
+		sw.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "not before all controllers have sweeps switched on"})
 		return
 	}
 	own := make(map[string]bool, len(m.Plan.Specs))
 	var awaits []string
 	for i, s := range m.Plan.Specs {
-		if why := c.infeasibleReason(s); why != "" {
+		if why := sw.requests.infeasibleReason(s); why != "" {
 			refuse(422, fmt.Sprintf("run %s: %s", m.Plan.Values[i], why))
 			return
 		}
@@ -399,60 +419,60 @@
 			return
 		}
 	}
-	if most := c.valueLimit(); m.Plan.Longest > most {
+	if most := sw.membership.valueLimit(); m.Plan.Longest > most {
 		refuse(400, fmt.Sprintf("a run's description takes %d bytes, and %d can be stored", m.Plan.Longest, most))
 		return
 	}
-	if parts := c.sweepParts(m.Stored); len(parts) >= c.limits().TxnOps || len(m.Stored) > maxTxnBytes {
-		refuse(400, fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", len(m.Stored), min(maxTxnBytes, (c.limits().TxnOps-1)*(c.valueLimit()-2))))
+	if parts := sw.sweepParts(m.Stored); len(parts) >= sw.membership.limits().TxnOps || len(m.Stored) > maxTxnBytes {
+		refuse(400, fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", len(m.Stored), min(maxTxnBytes, (sw.membership.limits().TxnOps-1)*(sw.membership.valueLimit()-2))))
 		return
 	}
 	a.spec = &jobstate.Spec{ID: a.jobID, Dependencies: awaits}
-	c.checkDependencies(a)
+	sw.dependencies.checkDependencies(a)
 }
 
 // sweepParts cuts a description into values.
-func (c *Core) sweepParts(stored string) []string {
+func (sw *sweepManager) sweepParts(stored string) []string {
 	var parts []string
-	for most := c.valueLimit() - 2; len(stored) > 0; {
+	for most := sw.membership.valueLimit() - 2; len(stored) > 0; {
 		n := min(most, len(stored))
 		parts, stored = append(parts, stored[:n]), stored[n:]
 	}
 	return parts
 }
 
-func (c *Core) requestSweep(a *request) {
-	a.receivedAt = c.now
-	if !c.settings.Ops.Sweeps && c.knownSweep(a.jobID) == nil {
-		c.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
+func (sw *sweepManager) requestSweep(a *request) {
+	a.receivedAt = sw.now
+	if !sw.settings.Ops.Sweeps && sw.knownSweep(a.jobID) == nil {
+		sw.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
 		return
 	}
-	c.waitForRead(a)
+	sw.requests.waitForRead(a)
 }
 
 // resumeSweep goes on with a request about a sweep after a view that is younger
 // than it.
-func (c *Core) resumeSweep(a *request) {
-	s := c.knownSweep(a.jobID)
+func (sw *sweepManager) resumeSweep(a *request) {
+	s := sw.knownSweep(a.jobID)
 	switch {
 	case s == nil && a.kind == requestSweepSubmit && a.refusal.Status != 0:
 		r := a.refusal
 		r.RequestID = a.id
-		c.emit(r)
+		sw.emit(r)
 	case s == nil && a.kind == requestSweepSubmit:
-		c.queueWrite(a)
+		sw.requests.queueWrite(a)
 	case s == nil:
-		c.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
+		sw.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
 	case a.kind == requestSweepSubmit && a.sweep.Invalid == "" && a.sweep.Plan.Digest != s.head.Digest:
-		c.emit(Reply{RequestID: a.id, Status: 409, Error: "id: in use by another sweep"})
+		sw.emit(Reply{RequestID: a.id, Status: 409, Error: "id: in use by another sweep"})
 	case a.kind == requestSweepRuns:
-		c.sweepRuns(s, a)
+		sw.sweepRuns(s, a)
 	case a.kind == requestSweepCancel && s.outcome == "":
-		c.queueWrite(a)
+		sw.requests.queueWrite(a)
 	case s.outcome == jobstate.Cancelled:
-		c.replyCancelled(Reply{RequestID: a.id, Status: 200, Sweep: s.state()}, cancelledSweepPrefix+s.id)
+		sw.readLeases.replyCancelled(Reply{RequestID: a.id, Status: 200, Sweep: s.state()}, cancelledSweepPrefix+s.id)
 	default:
-		c.emit(Reply{RequestID: a.id, Status: 200, Sweep: s.state()})
+		sw.emit(Reply{RequestID: a.id, Status: 200, Sweep: s.state()})
 	}
 }
 
@@ -471,44 +491,44 @@
 }
 
 // createSweep stores a sweep: all of it, or nothing.
-func (c *Core) createSweep(a *request) {
-	parts := c.sweepParts(a.sweep.Stored)
+func (sw *sweepManager) createSweep(a *request) {
+	parts := sw.sweepParts(a.sweep.Stored)
 	key := sweepPrefix + a.jobID
-	head := sweepHead{Runs: len(a.sweep.Plan.Specs), Parts: len(parts), Pending: a.sweep.Plan.Pending, Digest: a.sweep.Plan.Digest, Submitted: a.receivedAt + c.wallOffset}
+	head := sweepHead{Runs: len(a.sweep.Plan.Specs), Parts: len(parts), Pending: a.sweep.Plan.Pending, Digest: a.sweep.Plan.Digest, Submitted: a.receivedAt + sw.wallOffset}
 	writes := []Write{{Key: key, Value: encodeJSON(head)}}
 	for i, p := range parts {
 		writes = append(writes, Write{Key: key + "/" + strconv.Itoa(i), Value: encodeJSON(p)})
 	}
-	c.writeBudget.Spend(float64(len(writes)))
-	c.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
+	sw.health.writeBudget.Spend(float64(len(writes)))
+	sw.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
 		switch m.Status {
 		case 200:
-			c.emit(Reply{RequestID: a.id, Status: 201, Sweep: &SweepState{ID: a.jobID, State: Queued, Runs: head.Runs}})
+			sw.emit(Reply{RequestID: a.id, Status: 201, Sweep: &SweepState{ID: a.jobID, State: Queued, Runs: head.Runs}})
 		case 409:
-			c.waitForRead(a)
+			sw.requests.waitForRead(a)
 		case 400:
-			c.lowerLimits("a sweep's description was refused")
-			c.refuse(a)
+			sw.membership.lowerLimits("a sweep's description was refused")
+			sw.requests.refuse(a)
 		default:
-			c.retryWrite(a)
+			sw.requests.retryWrite(a)
 		}
 	})
 }
 
 // cancelSweep creates the one key that ends a sweep.
-func (c *Core) cancelSweep(a *request) {
-	c.writeBudget.Spend(1)
+func (sw *sweepManager) cancelSweep(a *request) {
+	sw.health.writeBudget.Spend(1)
 	key := sweepEndPrefix + a.jobID
-	c.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encodeJSON(sweepEndRecord{jobstate.Cancelled, c.now + c.wallOffset})}}, func(m Committed) {
+	sw.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encodeJSON(sweepEndRecord{jobstate.Cancelled, sw.now + sw.wallOffset})}}, func(m Committed) {
 		switch m.Status {
 		case 200:
-			c.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+a.jobID, m.Revision)
-			c.noteSweepCancelled(a.jobID)
-			c.waitForRead(a) // what was done before is told from a view
+			sw.readLeases.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+a.jobID, m.Revision)
+			sw.noteSweepCancelled(a.jobID)
+			sw.requests.waitForRead(a) // what was done before is told from a view
 		case 409:
-			c.retryCancellation(a)
+			sw.requests.retryCancellation(a)
 		default:
-			c.retryWrite(a)
+			sw.requests.retryWrite(a)
 		}
 	})
 }
@@ -518,8 +538,8 @@
 const cancelledSweepPrefix = "sweep/"
 
 // loadSweepPlan makes sure that a sweep's plan is there or comes.
-func (c *Core) loadSweepPlan(s *sweep) {
-	if s.plan != nil || s.expanding || s.stoppedReason != "" || c.now < s.notBefore {
+func (sw *sweepManager) loadSweepPlan(s *sweep) {
+	if s.plan != nil || s.expanding || s.stoppedReason != "" || sw.now < s.notBefore {
 		return
 	}
 	for i := range s.head.Parts {
@@ -528,15 +548,15 @@
 		}
 		// It was closed, and its parts are not kept in memory.
 		s.expanding = true
-		c.readKey(sweepPrefix+s.id+"/"+strconv.Itoa(i), func(g KeyRead) {
+		sw.readKey(sweepPrefix+s.id+"/"+strconv.Itoa(i), func(g KeyRead) {
 			s.expanding = false
 			var text string
 			if g.Err != nil || g.Revision == 0 || json.Unmarshal(g.Value, &text) != nil {
-				c.sweepPlanFailed(s, "its description can't be read now")
+				sw.sweepPlanFailed(s, "its description can't be read now")
 				return
 			}
 			s.parts[i] = text
-			c.loadSweepPlan(s)
+			sw.loadSweepPlan(s)
 		})
 		return
 	}
@@ -545,20 +565,20 @@
 		b.WriteString(s.parts[i])
 	}
 	s.expanding = true
-	c.emit(ExpandSweep{ID: s.id, Stored: b.String()})
+	sw.emit(ExpandSweep{ID: s.id, Stored: b.String()})
 }
 
 // sweepPlanFailed refuses what waits for a plan.
-func (c *Core) sweepPlanFailed(s *sweep, why string) {
-	s.notBefore = c.now + second
+func (sw *sweepManager) sweepPlanFailed(s *sweep, why string) {
+	s.notBefore = sw.now + second
 	for _, a := range s.planRequests {
-		c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 1, Error: why})
+		sw.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 1, Error: why})
 	}
 	s.planRequests = nil
 }
 
-func (c *Core) onExpanded(m SweepExpanded) {
-	s := c.knownSweep(m.ID)
+func (sw *sweepManager) onExpanded(m SweepExpanded) {
+	s := sw.knownSweep(m.ID)
 	if s == nil {
 		return
 	}
@@ -568,42 +588,42 @@
 	}
 	if m.Err != nil {
 		s.stoppedReason = m.Err.Error()
-		c.log.Error("stored sweep can't be expanded", "sweep", s.id, "err", m.Err)
-		c.sweepPlanFailed(s, s.stoppedReason)
+		sw.log.Error("stored sweep can't be expanded", "sweep", s.id, "err", m.Err)
+		sw.sweepPlanFailed(s, s.stoppedReason)
 		return
 	}
 	s.plan = m.Plan
 	asks := s.planRequests
 	s.planRequests = nil
 	for _, a := range asks {
-		c.sweepRuns(s, a)
+		sw.sweepRuns(s, a)
 	}
 	if s.closed {
 		// Only the one that was last asked for is kept.
-		if o := c.sweeps[c.lastPlan]; o != nil && o != s && o.closed {
+		if o := sw.sweeps[sw.lastPlan]; o != nil && o != s && o.closed {
 			o.plan, o.parts = nil, map[int]string{}
 		}
-		c.lastPlan = s.id
+		sw.lastPlan = s.id
 	}
 }
 
 // sweepRuns answers with a page of runs.
-func (c *Core) sweepRuns(s *sweep, a *request) {
+func (sw *sweepManager) sweepRuns(s *sweep, a *request) {
 	if s.plan == nil {
 		switch {
 		case s.stoppedReason != "":
-			c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 30, Error: s.stoppedReason})
+			sw.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 30, Error: s.stoppedReason})
 		case len(s.planRequests) >= maxPlanRequests:
-			c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 2, Error: "too many ask for runs"})
+			sw.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 2, Error: "too many ask for runs"})
 		default:
 			s.planRequests = append(s.planRequests, a)
-			c.loadSweepPlan(s)
+			sw.loadSweepPlan(s)
 		}
 		return
 	}
 	page := &SweepPage{}
 	for i := a.after; i < len(s.plan.Specs) && len(page.Runs) < min(max(a.limit, 1), maxSweepPage); i++ {
-		page.Runs = append(page.Runs, SweepRun{Number: i, ID: s.plan.Specs[i].ID, State: c.runState(s, i), Values: s.plan.Values[i], Sets: s.plan.Sets[i]})
+		page.Runs = append(page.Runs, SweepRun{Number: i, ID: s.plan.Specs[i].ID, State: sw.runState(s, i), Values: s.plan.Values[i], Sets: s.plan.Sets[i]})
 	}
 	var gone []string
 	for _, r := range page.Runs {
@@ -619,16 +639,16 @@
 	}
 	r := Reply{RequestID: a.id, Status: 200, Runs: page}
 	if len(gone) > 0 {
-		c.replyCancelled(r, gone...)
+		sw.readLeases.replyCancelled(r, gone...)
 		return
 	}
-	c.emit(r)
+	sw.emit(r)
 }
 
-func (c *Core) runState(s *sweep, i int) string {
+func (sw *sweepManager) runState(s *sweep, i int) string {
 	id := s.plan.Specs[i].ID
-	j := c.jobs[id]
-	switch e, ok := c.knownEnd(id); {
+	j := sw.cache.jobs[id]
+	switch e, ok := sw.dependencies.knownEnd(id); {
 	case ok:
 		return e.Outcome
 	case s.withdrawn.ContainsInt(i):
@@ -646,15 +666,15 @@
 }
 
 // sweepTick goes on with the sweeps under way, when this controller leads.
-func (c *Core) sweepTick() {
-	l := c.leadership
-	if !c.sweepsEnabled() || len(c.sweeps) == 0 || c.now-l.sweepsAdvancedAt < sweepGap || !c.mayStartTasks() {
+func (sw *sweepManager) sweepTick() {
+	l := sw.elector.leadership
+	if !sw.sweepsEnabled() || len(sw.sweeps) == 0 || sw.now-l.sweepsAdvancedAt < sweepGap || !sw.elector.mayStartTasks() {
 		return
 	}
-	l.sweepsAdvancedAt = c.now
+	l.sweepsAdvancedAt = sw.now
 	var ready []*sweep
-	for _, s := range c.sweeps {
-		if s.headRevision != 0 && !s.closed && !s.writing && s.stoppedReason == "" && c.now >= s.notBefore {
+	for _, s := range sw.sweeps {
+		if s.headRevision != 0 && !s.closed && !s.writing && s.stoppedReason == "" && sw.now >= s.notBefore {
 			ready = append(ready, s)
 		}
 	}
@@ -664,21 +684,21 @@
 	})
 	for _, s := range ready {
 		if s.plan == nil {
-			c.loadSweepPlan(s)
+			sw.loadSweepPlan(s)
 			continue
 		}
-		c.advanceSweep(s, c.countRuns(s))
+		sw.advanceSweep(s, sw.countRuns(s))
 	}
 }
 
 // countRuns counts the runs that have ended, and returns how many have not.
-func (c *Core) countRuns(s *sweep) (open int) {
+func (sw *sweepManager) countRuns(s *sweep) (open int) {
 	reading := 0
 	for it := s.open().Iterator(); it.HasNext(); {
 		i := int(it.Next())
 		id := s.plan.Specs[i].ID
-		j := c.jobs[id]
-		e, ok := c.knownEnd(id)
+		j := sw.cache.jobs[id]
+		e, ok := sw.dependencies.knownEnd(id)
 		switch {
 		case ok && (j == nil || !j.CancelledByDependency):
 			s.ended.AddInt(i)
@@ -686,18 +706,18 @@
 				s.withdrawn.AddInt(i)
 			}
 			if s.countPendingSince == 0 {
-				s.countPendingSince = c.now
+				s.countPendingSince = sw.now
 			}
 			continue
-		case j == nil && !ok && reading < maxEndReads && c.endReads[id] <= c.now:
+		case j == nil && !ok && reading < maxEndReads && sw.dependencies.endReads[id] <= sw.now:
 			// It ended before this controller began to lead.
 			reading++
-			c.endReads[id] = c.now + endReadRetry
-			c.readKey(endPrefix+id, func(g KeyRead) {
+			sw.dependencies.endReads[id] = sw.now + endReadRetry
+			sw.readKey(endPrefix+id, func(g KeyRead) {
 				var e jobstate.End
 				if g.Err == nil && g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil {
-					delete(c.endReads, id)
-					c.noteEnd(id, e, g.Revision)
+					delete(sw.dependencies.endReads, id)
+					sw.cache.noteEnd(id, e, g.Revision)
 				}
 			})
 		}
@@ -708,11 +728,11 @@
 
 // advanceSweep makes the next transaction of a sweep, if there is one to make and
 // writes can be spared: users' requests and starts go first.
-func (c *Core) advanceSweep(s *sweep, open int) {
-	l := c.leadership
-	c.writeBudget.Refill(c.now, c.allowance.Changes)
-	spare := int(c.writeBudget.Level() - c.allowance.Changes*sweepReserve)
-	if len(c.queues.queuedWrites) > 0 || spare < 2 {
+func (sw *sweepManager) advanceSweep(s *sweep, open int) {
+	l := sw.elector.leadership
+	sw.health.writeBudget.Refill(sw.now, sw.health.allowance.Changes)
+	spare := int(sw.health.writeBudget.Level() - sw.health.allowance.Changes*sweepReserve)
+	if len(sw.requests.queues.queuedWrites) > 0 || spare < 2 {
 		return
 	}
 	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(sweepPositionPrefix+s.id, s.positionRevision)}
@@ -725,14 +745,14 @@
 	case s.outcome != "" || s.cancelConfirmed:
 	case s.next == all && open == 0:
 		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
-		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encodeJSON(sweepEndRecord{jobstate.Done, c.now + c.wallOffset})})
+		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encodeJSON(sweepEndRecord{jobstate.Done, sw.now + sw.wallOffset})})
 		at.Closed = true
 	default:
 		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
 		size := 0
-		for at.Next < all && at.Next-s.next < min(s.head.Pending-open, spare-1, c.limits().TxnOps-2) {
+		for at.Next < all && at.Next-s.next < min(s.head.Pending-open, spare-1, sw.membership.limits().TxnOps-2) {
 			spec := s.plan.Specs[at.Next]
-			v := jobstate.Record{Spec: spec, SubmittedWall: c.now + c.wallOffset}.Encode(0)
+			v := jobstate.Record{Spec: spec, SubmittedWall: sw.now + sw.wallOffset}.Encode(0)
 			if size += len(v) + 200; size > maxTxnBytes {
 				break
 			}
@@ -741,7 +761,7 @@
 			at.Next++
 		}
 	}
-	if len(writes) == 0 && !at.Closed && (s.countPendingSince == 0 || c.now-s.countPendingSince < sweepCountDelay) {
+	if len(writes) == 0 && !at.Closed && (s.countPendingSince == 0 || sw.now-s.countPendingSince < sweepCountDelay) {
 		return
 	}
 	left := roaring.New()
@@ -753,11 +773,11 @@
 	if gone != s.withdrawnStored {
 		writes = append(writes, Write{Key: sweepPositionPrefix + s.id + decommissionedRunsSuffix, Value: encodeJSON(sweepWithdrawn{encodeBitmap(s.withdrawn)})})
 	}
-	c.writeBudget.Spend(float64(len(writes)))
+	sw.health.writeBudget.Spend(float64(len(writes)))
 	s.writing = true
 	counted := s.countPendingSince
-	c.commitTransaction(when, writes, func(m Committed) {
-		if c.sweeps[s.id] != s {
+	sw.commitTransaction(when, writes, func(m Committed) {
+		if sw.sweeps[s.id] != s {
 			return // the state was read anew meanwhile
 		}
 		switch m.Status {
@@ -768,13 +788,13 @@
 				s.countPendingSince = 0
 			}
 			if at.Closed {
-				c.sweepEnded(s.id, jobstate.Done, 0) // unless it was cancelled
-				c.closeSweep(s)
+				sw.sweepEnded(s.id, jobstate.Done, 0) // unless it was cancelled
+				sw.closeSweep(s)
 			}
 		case 409:
-			c.sweepConflict(l, s, m.Failed)
+			sw.sweepConflict(l, s, m.Failed)
 		default:
-			c.rereadSweep(s)
+			sw.rereadSweep(s)
 		}
 	})
 }
@@ -838,34 +858,34 @@
 }
 
 // sweepConflict finds out why a transaction's conditions failed.
-func (c *Core) sweepConflict(l *leadership, s *sweep, failed []string) {
+func (sw *sweepManager) sweepConflict(l *leadership, s *sweep, failed []string) {
 	for _, key := range failed {
 		switch {
 		case key == LeaderKey:
-			if c.leadership == l {
-				c.resolveConflict(l, key)
+			if sw.elector.leadership == l {
+				sw.committer.resolveConflict(l, key)
 			}
 		case strings.HasPrefix(key, jobPrefix), strings.HasPrefix(key, endPrefix):
 			// This step may have been executed before, without an answer; then
 			// the progress says so. If not, somebody else has the id.
 			if !slices.Contains(failed, sweepPositionPrefix+s.id) {
 				s.stoppedReason = "a job has the id of a run: " + key
-				c.log.Error("a job has the id of a run", "sweep", s.id, "key", key)
+				sw.log.Error("a job has the id of a run", "sweep", s.id, "key", key)
 			}
 		}
 	}
-	c.rereadSweep(s)
+	sw.rereadSweep(s)
 }
 
 // rereadSweep reads what is stored of a sweep after a write whose outcome is not
 // known. A late one fails: its condition is on the progress as it was.
-func (c *Core) rereadSweep(s *sweep) {
+func (sw *sweepManager) rereadSweep(s *sweep) {
 	again := func() {
-		s.notBefore = c.now + second
+		s.notBefore = sw.now + second
 		s.writing = false
 	}
-	c.readKey(sweepPositionPrefix+s.id, func(g KeyRead) {
-		if c.sweeps[s.id] != s {
+	sw.readKey(sweepPositionPrefix+s.id, func(g KeyRead) {
+		if sw.sweeps[s.id] != s {
 			return
 		}
 		if g.Err != nil {
@@ -873,22 +893,22 @@
 			return
 		}
 		if g.Revision != 0 {
-			c.apply(Change{Key: sweepPositionPrefix + s.id, Value: g.Value, Revision: g.Revision})
+			sw.cache.apply(Change{Key: sweepPositionPrefix + s.id, Value: g.Value, Revision: g.Revision})
 		}
-		c.readSweepEnd(s.id, again, func() { s.writing = false })
+		sw.readSweepEnd(s.id, again, func() { s.writing = false })
 	})
 }
 
 // readSweepEnd reads whether a sweep was cancelled.
-func (c *Core) readSweepEnd(id string, failed, then func()) {
-	c.readKey(sweepEndPrefix+id, func(g KeyRead) {
+func (sw *sweepManager) readSweepEnd(id string, failed, then func()) {
+	sw.readKey(sweepEndPrefix+id, func(g KeyRead) {
 		var e sweepEndRecord
 		switch {
 		case g.Err != nil:
 			failed()
 			return
 		case g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil && e.Outcome == jobstate.Cancelled:
-			c.noteSweepCancelled(id)
+			sw.noteSweepCancelled(id)
 		}
 		then()
 	})
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -33,7 +33,7 @@
 	s.c = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	s.list()
 	s.run(2 * second)
-	if s.c.leadership == nil {
+	if s.c.elector.leadership == nil {
 		t.Fatal("does not lead")
 	}
 	return s
@@ -136,9 +136,9 @@
 			for i, v := range tc.versions {
 				s.put(memberPrefix+set.Peers[i], upgrade.Advertisement{Format: v, Incarnation: "x"})
 			}
-			s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
+			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
 			s.run(3 * second)
-			if f := s.c.format; f.Version != tc.want || f.Tasks != 32 {
+			if f := s.c.membership.format; f.Version != tc.want || f.Tasks != 32 {
 				t.Errorf("the format is %+v", f)
 			}
 			if r := s.submitSweep(sweepOf("s", 1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
@@ -160,20 +160,20 @@
 	for i := range 2 {
 		s.put(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: sweepOf("s", 2, 1000).Plan.Specs[i], SubmittedWall: 1})
 	}
-	s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
-	j := s.c.jobs["sweep.s.1"]
+	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
+	j := s.c.cache.jobs["sweep.s.1"]
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + "s"}}})
-	if j == nil || j.Outcome != "" || s.c.ends["sweep.s.1"].Outcome != "" {
+	if j == nil || j.Outcome != "" || s.c.cache.ends["sweep.s.1"].Outcome != "" {
 		t.Fatal("a run is called cancelled on another's word")
 	}
-	if s.c.endIsUnconfirmed(j) {
+	if s.c.sweepManager.endIsUnconfirmed(j) {
 		t.Error("its tasks may still be started")
 	}
 	// What was stored before: run 0 is done. Then the cancellation.
 	s.put(endPrefix+"sweep.s.0", jobstate.End{Outcome: jobstate.Done, Tasks: 1})
 	s.put(sweepEndPrefix+"s", sweepEndRecord{Outcome: jobstate.Cancelled})
-	s.view(StateRead{AfterRevision: s.c.appliedRevision, Immediate: true})
-	if a, b := s.c.ends["sweep.s.0"].Outcome, s.c.ends["sweep.s.1"].Outcome; a != jobstate.Done || b != jobstate.Cancelled {
+	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
+	if a, b := s.c.cache.ends["sweep.s.0"].Outcome, s.c.cache.ends["sweep.s.1"].Outcome; a != jobstate.Done || b != jobstate.Cancelled {
 		t.Errorf("the runs are %q and %q", a, b)
 	}
 }
@@ -196,9 +196,9 @@
 	}
 	c := sweepShelf(t, true, formatRecord{Version: 3, Tasks: 64}).c
 	bad := func(err error) { t.Error(err) }
-	c.applySweep("sweepat/s", Change{Value: encodeJSON(at), Revision: 5}, bad)
-	c.applySweep("sweepat/s/gone", Change{Value: encodeJSON(g), Revision: 5}, bad)
-	if s := c.sweep("s"); !s.open().Equals(open) || !s.withdrawn.Equals(gone) || s.next != 10_000 {
+	c.sweepManager.applySweep("sweepat/s", Change{Value: encodeJSON(at), Revision: 5}, bad)
+	c.sweepManager.applySweep("sweepat/s/gone", Change{Value: encodeJSON(g), Revision: 5}, bad)
+	if s := c.sweepManager.sweep("s"); !s.open().Equals(open) || !s.withdrawn.Equals(gone) || s.next != 10_000 {
 		t.Error("it is read as something else")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"github.com/zinclb/zinclb/internal/core/kv"
 	"testing"
 
+	"github.com/zinclb/zinclb/internal/core/kv"
+
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -17,24 +17,24 @@
 const maxUnreachableProbes = 8
 
 // missedHeartbeat says that a machine's reports have not come for more than one interval.
-func (c *Core) missedHeartbeat(m *fleet.Machine) bool {
-	return m.LastHeartbeat == 0 || c.now-m.LastHeartbeat > config.MicrosOf(c.settings.Workers.ReportS)*3/2
+func (wm *workerManager) missedHeartbeat(m *fleet.Machine) bool {
+	return m.LastHeartbeat == 0 || wm.now-m.LastHeartbeat > config.MicrosOf(wm.settings.Workers.ReportS)*3/2
 }
 
 // probeUnreachable asks silent machines on which something is to stop.
-func (c *Core) probeUnreachable() {
+func (wm *workerManager) probeUnreachable() {
 	asked := 0
-	for _, m := range c.leadership.fleet.All() {
-		if asked < maxUnreachableProbes && m.Addr != "" && len(m.Placed) > 0 && c.missedHeartbeat(m) && c.hasFinalStops(m) && m.BeginProbe(c.now) {
+	for _, m := range wm.elector.leadership.fleet.All() {
+		if asked < maxUnreachableProbes && m.Addr != "" && len(m.Placed) > 0 && wm.missedHeartbeat(m) && wm.hasFinalStops(m) && m.BeginProbe(wm.now) {
 			asked++
-			c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+			wm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 		}
 	}
 }
 
-func (c *Core) hasFinalStops(m *fleet.Machine) bool {
+func (wm *workerManager) hasFinalStops(m *fleet.Machine) bool {
 	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); c.mayDeliverStop(ref.Job, t) && isUnwanted(ref.Job, t) {
+		if t := ref.Job.Task(ref.Index); wm.mayDeliverStop(ref.Job, t) && isUnwanted(ref.Job, t) {
 			return true
 		}
 	}
@@ -49,28 +49,28 @@
 
 // mayDeliverStop says whether a task is to be stopped, and this controller may say so: a
 // job that is over stays so, whoever leads by now.
-func (c *Core) mayDeliverStop(j *jobstate.Job, t *jobstate.Task) bool {
-	return t.StopReason != "" && t.StartSent && (c.mayStartTasks() || j.Outcome != "" || t.StopReason == stopSweep)
+func (wm *workerManager) mayDeliverStop(j *jobstate.Job, t *jobstate.Task) bool {
+	return t.StopReason != "" && t.StartSent && (wm.elector.mayStartTasks() || j.Outcome != "" || t.StopReason == stopSweep)
 }
 
 // stopListedTasks stops what a silent machine's answer lists and is to stop.
-func (c *Core) stopListedTasks(m *fleet.Machine, r *Heartbeat) {
-	if !c.missedHeartbeat(m) {
+func (wm *workerManager) stopListedTasks(m *fleet.Machine, r *Heartbeat) {
+	if !wm.missedHeartbeat(m) {
 		return
 	}
 	var orders []Command
 	for k := range r.Tasks {
 		tr := &r.Tasks[k]
 		id, i, err := jobstate.ParseTaskName(tr.Name)
-		j := c.jobs[id]
+		j := wm.cache.jobs[id]
 		if err != nil || j == nil || tr.State == "exited" {
 			continue
 		}
-		if t := j.Task(i); t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt && c.mayDeliverStop(j, t) && isUnwanted(j, t) && len(orders) < maxDirectCommands {
+		if t := j.Task(i); t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt && wm.mayDeliverStop(j, t) && isUnwanted(j, t) && len(orders) < maxDirectCommands {
 			orders = append(orders, Command{Op: "stop", Task: tr.Name, Attempt: t.Attempt, Grace: t.Grace})
 		}
 	}
 	if len(orders) > 0 {
-		c.emit(SendCommands{Addr: m.Addr, FencingToken: c.leadership.token, Epoch: r.Epoch, Commands: orders})
+		wm.emit(SendCommands{Addr: m.Addr, FencingToken: wm.elector.leadership.token, Epoch: r.Epoch, Commands: orders})
 	}
 }
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -25,9 +25,9 @@
 		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: "exited", Reason: "stopped"}}, ""},
 		{"nothing is to stop", "", nil, []TaskStatus{running(3)}, ""},
 		{"its reports come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.requestStop(r.c.jobs["j"], 0, stopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0) }, []TaskStatus{running(3)}, ""},
 		{"preempted, and nothing proves it", "", func(r *rig) {
-			r.c.requestStop(r.c.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
 			r.mute = true
 			r.tick(4 * second)
 		}, []TaskStatus{running(3)}, ""},
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -24,17 +24,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := newShelf(t, tc.keys)
 			s.run(2 * second)
-			if led := s.c.leadership != nil; led != (tc.then != nil) {
+			if led := s.c.elector.leadership != nil; led != (tc.then != nil) {
 				t.Fatalf("leads %v", led)
 			}
 			for k, v := range tc.then {
 				s.put(k, v)
 			}
-			s.view(StateRead{AfterRevision: s.c.appliedRevision})
+			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision})
 			before := s.rev
 			s.run(10 * second)
-			if s.rev != before || s.c.leadership != nil {
-				t.Errorf("leads %v, and has written %d times", s.c.leadership != nil, s.rev-before)
+			if s.rev != before || s.c.elector.leadership != nil {
+				t.Errorf("leads %v, and has written %d times", s.c.elector.leadership != nil, s.rev-before)
 			}
 			s.step(CheckReady{RequestID: 1})
 			s.step(QueryJob{RequestID: 2, ID: "x"})
@@ -49,9 +49,9 @@
 func TestQuit(t *testing.T) {
 	quits := func(starting bool) (n int) {
 		b := newBetween(t, "n1")
-		b.c.appliedRevision = 0
+		b.c.cache.appliedRevision = 0
 		if !starting {
-			b.c.appliedRevision = 7
+			b.c.cache.appliedRevision = 7
 		}
 		for range 2 {
 			b.step(StateListed{Revision: 30, Changes: []Change{{Key: formatKey, Value: encodeJSON(formatRecord{9, 64}), Revision: 9}}})
@@ -78,7 +78,7 @@
 		if r := find[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
 			t.Errorf("%s gone %v: %+v", tc.name, tc.gone, r)
 		}
-		if stored := b.c.decommissionedRevisions["n2"] != 0; tc.name == "n2" && stored != tc.gone {
+		if stored := b.c.membership.decommissionedRevisions["n2"] != 0; tc.name == "n2" && stored != tc.gone {
 			t.Errorf("%s gone %v: stored %v", tc.name, tc.gone, stored)
 		}
 	}
@@ -87,7 +87,7 @@
 	b.rev++
 	b.step(StateRead{AfterRevision: b.rev - 1, Revision: b.rev, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.rev}}})
 	b.run(3 * second)
-	if b.c.decommissionedRevisions["n2"] != 0 {
+	if b.c.membership.decommissionedRevisions["n2"] != 0 {
 		t.Error("it is there, and still taken for gone")
 	}
 	b.mute = true
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -50,7 +50,7 @@
 	if logged.Len() > 0 {
 		t.Fatalf("errors: %s", logged.String())
 	}
-	if c.logEnabled() || c.chunkTasks != jobstate.DefaultChunkSize {
+	if c.membership.logEnabled() || c.membership.chunkTasks != jobstate.DefaultChunkSize {
 		t.Error("the format is the first")
 	}
 	same := func(key string, got []byte) {
@@ -61,7 +61,7 @@
 		}
 		delete(want, key)
 	}
-	for id, j := range c.jobs {
+	for id, j := range c.cache.jobs {
 		same(jobPrefix+id, jobstate.Record{Spec: j.Spec, SubmittedWall: j.SubmittedWall}.Encode(8000))
 		for n := range j.NumChunks() {
 			if j.Chunk(n).Revision != 0 {
@@ -70,14 +70,14 @@
 			}
 		}
 	}
-	for id, e := range c.ends {
+	for id, e := range c.cache.ends {
 		same(endPrefix+id, encodeJSON(e))
 	}
-	same(LeaderKey, encodeJSON(c.leader))
-	same(tokenKey, encodeJSON(c.token))
-	same(partitionsKey, encodeJSON(c.partitions))
-	same(typesKey, encodeJSON(c.machineTypes))
-	for key, v := range c.imageHints {
+	same(LeaderKey, encodeJSON(c.cache.leader))
+	same(tokenKey, encodeJSON(c.cache.token))
+	same(partitionsKey, encodeJSON(c.cache.partitions))
+	same(typesKey, encodeJSON(c.cache.machineTypes))
+	for key, v := range c.cache.imageHints {
 		var h hintsRecord
 		if err := json.Unmarshal(v, &h); err != nil {
 			t.Error(err)
@@ -220,14 +220,14 @@
 			}
 			c.Step(second, StateListed{Changes: rows, Revision: 1})
 			for _, ch := range tc.news {
-				c.apply(ch)
+				c.cache.apply(ch)
 			}
 			if order == "job last" {
-				c.apply(job)
+				c.cache.apply(job)
 			}
 			got := ""
 			for i := range 4 {
-				switch x := c.jobs["j"].Task(i); {
+				switch x := c.cache.jobs["j"].Task(i); {
 				case x.Done:
 					got += "d"
 				case x.Machine != "":
--- a/internal/core/zonegather.go
+++ b/internal/core/zonegather.go
@@ -21,24 +21,24 @@
 const maxZoneGathers = 4
 
 // zoneGathers are those jobs, in the order in which they wait.
-func (c *Core) zoneGathers() (list []zoneGather) {
-	if !slices.ContainsFunc(c.leadership.waitingJobs, func(w waitingJob) bool { return w.spec.OneZone }) {
+func (sl *scaler) zoneGathers() (list []zoneGather) {
+	if !slices.ContainsFunc(sl.elector.leadership.waitingJobs, func(w waitingJob) bool { return w.spec.OneZone }) {
 		return nil
 	}
 	here, coming := map[machineOffer]int64{}, map[machineOffer]int64{}
-	for _, m := range c.leadership.fleet.All() {
-		if c.usable(m) {
+	for _, m := range sl.elector.leadership.fleet.All() {
+		if sl.planner.usable(m) {
 			here[machineOffer{m.Type, m.Zone, m.Spot}]++
 		}
 	}
-	for _, b := range c.leadership.scaling.booting {
+	for _, b := range sl.elector.leadership.scaling.booting {
 		coming[b.machineOffer]++
 	}
-	for _, w := range c.leadership.waitingJobs {
+	for _, w := range sl.elector.leadership.waitingJobs {
 		if !w.spec.OneZone {
 			continue
 		}
-		if zone := c.gatherZone(w.spec, here, coming); zone != "" {
+		if zone := sl.gatherZone(w.spec, here, coming); zone != "" {
 			if list = append(list, zoneGather{w.spec, zone}); len(list) == maxZoneGathers {
 				break
 			}
@@ -50,18 +50,18 @@
 // gatherZone is the zone in which machines are gathered for a job: the one with
 // the most that are there or coming, of those where more can be had. It is empty
 // if some zone has enough.
-func (c *Core) gatherZone(s *jobstate.Spec, here, coming map[machineOffer]int64) string {
+func (sl *scaler) gatherZone(s *jobstate.Spec, here, coming map[machineOffer]int64) string {
 	type option struct {
 		zone  string
 		open  bool
 		tasks int64
 	}
 	var best option
-	for _, z := range c.settings.Zones {
+	for _, z := range sl.settings.Zones {
 		o := option{zone: z}
 		var now int64
-		for i := range c.machineTypes {
-			t := &c.machineTypes[i]
+		for i := range sl.cache.machineTypes {
+			t := &sl.cache.machineTypes[i]
 			for _, spot := range []bool{false, true} {
 				if !s.Allows(t.Name, z, spot, t.Cap) || !slices.Contains(t.Zones, z) {
 					continue
@@ -70,7 +70,7 @@
 				per := tasksPerMachine(s.Need, t.Cap)
 				now += here[mk] * per
 				o.tasks += (here[mk] + coming[mk]) * per
-				o.open = o.open || c.leadership.scaling.refusedUntil[mk] <= c.now
+				o.open = o.open || sl.elector.leadership.scaling.refusedUntil[mk] <= sl.now
 			}
 		}
 		if now >= int64(s.Tasks) {
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"github.com/zinclb/zinclb/internal/config"
+
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
@@ -34,10 +36,14 @@
 		{"two tasks on each machine", &jobstate.Spec{Tasks: 4, OneZone: true, Need: jobstate.Resources{CPU: 6000}}, map[machineOffer]int64{a: 2}, nil, nil, false, ""},
 	}
 	for _, tc := range cases {
-		c := &Core{now: now, machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}, leadership: &leadership{leaderState: newLeaderState(0)}}
-		c.settings.Zones = []string{"a", "b"}
+		l := &leadership{leaderState: newLeaderState(0)}
+		c := &scaler{
+			engine:  &engine{now: now, settings: Settings{Deployment: config.Deployment{Zones: []string{"a", "b"}}}},
+			cache:   &stateCache{machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}},
+			elector: &elector{leadership: l},
+		}
 		for _, m := range tc.refused {
-			c.leadership.scaling.refusedUntil[m] = now + second
+			l.scaling.refusedUntil[m] = now + second
 		}
 		tc.spec.Spot = tc.spot
 		if got := c.gatherZone(tc.spec, tc.here, tc.coming); got != tc.want {
