--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -72,7 +72,7 @@
 		sl.log.Info("the cloud lists a machine no more", "machine", name, "tasks", len(m.Placed))
 		sl.planner.machineGone(m, "the cloud lists it no more")
 		sl.forgetMachine(m)
-		sl.elector.leadership.departed.note(name, Heartbeat{}, true, sl.now)
-		sl.elector.leadership.planWanted = true
+		sl.elector.leadership.heartbeats.departed.note(name, Heartbeat{}, true, sl.now)
+		sl.elector.leadership.planning.wanted = true
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -12,71 +12,32 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// leaderState is the leader's work in progress.
-type leaderState struct {
-	dirty              map[*jobstate.Job]struct{}
-	committing         bool
-	conflictsResolving int
-	commitNotBefore    int64
-
-	planWanted  bool
-	plannedAt   int64
-	pivots      []plannedPivot
-	waitingJobs []waitingJob
-	claims      []claim
-
-	partitionsTerm      uint64
-	partitionsWrittenAt int64
-	partitionsCheckedAt int64 // when they were last looked at
-	partitionsWriting   bool
-	// capacity is what all usable machines have together.
-	capacity      jobstate.Resources
-	machineHashes []uint32 // of the machines that report, kept for its room
-	// hintedImages are the images that the last leader knew of, inherited its
-	// sources; hints is what this one has written.
-	hintedImages     map[string][]hintImage
-	inheritedSources []*jobstate.Spec
-	writtenHints     map[string][]byte
-	hintsWrittenAt   int64
-	nextHintPart     int
-	// stuckQueues tells operators of queues that do not move.
-	stuckQueues    []string
-	stuckCheckedAt int64
-	stuckLoggedAt  map[string]int64
-	// lastHeartbeatVia is when a report last came straight to a controller, shunned until
-	// when one gets no partition because none came to it.
-	lastHeartbeatVia, shunnedUntil map[string]int64
-
-	// onDemandWantedAt is when a type's ordinary machines were last wanted.
-	onDemandWantedAt map[string]int64
-	scaling          scalingState
-	heldHeartbeats   heldHeartbeats
-	// releaseWanted: orders may have come for parked reports.
-	releaseWanted bool
+// commitState is what the committer keeps while this controller leads.
+type commitState struct {
+	// dirty are the jobs of which something is to be written.
+	dirty map[*jobstate.Job]struct{}
+	// inFlight: a transaction is under way. conflicts counts the keys that are read
+	// again because their revision was not the expected one.
+	inFlight  bool
+	conflicts int
+	notBefore int64
 	// chunkTasksWanted is a smaller number of tasks for values that did not fit.
-	chunkTasksWanted  int
-	activating        bool
-	activateNotBefore int64
-	// writeBackoffUntil are jobs whose writes were refused or too long, until when; alone
-	// says that each is written alone, to find the one that is refused.
-	writeBackoffUntil map[*jobstate.Job]int64
-	commitAlone       bool
-	// logTail is the page that is written to, seq the number of the next entry,
-	// unneeded how many pages at the front can go.
+	chunkTasksWanted int
+	// backoffUntil has the jobs whose writes were refused or too long; oneByOne says
+	// that each is written alone, to find the one that is refused.
+	backoffUntil map[*jobstate.Job]int64
+	oneByOne     bool
+	// logTail is the page that is written to, nextLogEntry the number of the next
+	// entry, unneededPages how many pages at the front can go.
 	logTail       *logPage
 	nextLogEntry  uint64
 	unneededPages int
 	// keepGarbageUntil puts removals of what is not needed off.
 	keepGarbageUntil int64
-	machinesSweptAt  int64
-	departed         departedMachines
-	classSizes       classSizes
-	sweepsAdvancedAt int64 // when sweeps were last gone on with
-	prefetch         prefetchState
 }
 
-func newLeaderState(now int64) leaderState {
-	return leaderState{dirty: map[*jobstate.Job]struct{}{}, planWanted: true, scaling: newScalingState(now), heldHeartbeats: newHeldHeartbeats(), onDemandWantedAt: map[string]int64{}, stuckLoggedAt: map[string]int64{}, hintedImages: map[string][]hintImage{}, writtenHints: map[string][]byte{}, writeBackoffUntil: map[*jobstate.Job]int64{}, hintsWrittenAt: now, prefetch: newPrefetchState(), lastHeartbeatVia: map[string]int64{}, shunnedUntil: map[string]int64{}, departed: departedMachines{byName: map[string]departure{}}, classSizes: classSizes{}}
+func newCommitState() commitState {
+	return commitState{dirty: map[*jobstate.Job]struct{}{}, backoffUntil: map[*jobstate.Job]int64{}}
 }
 
 // committer writes what the leader has decided, in transactions that hold only while it leads.
@@ -115,7 +76,7 @@
 const maxTxnBytes = 44 << 10
 
 func (c *committer) markDirty(j *jobstate.Job) {
-	c.elector.leadership.dirty[j] = struct{}{}
+	c.elector.leadership.commits.dirty[j] = struct{}{}
 }
 
 // maxEndDelay is how long the ends of tasks may wait to be written while the
@@ -161,7 +122,7 @@
 // this controller's leadership key stands as it was.
 func (c *committer) commitNow() {
 	l := c.elector.leadership
-	if l == nil || l.committing || l.conflictsResolving > 0 || c.now < l.commitNotBefore || len(l.dirty) == 0 && l.unneededPages == 0 && len(c.cache.orphanedChunks) == 0 {
+	if l == nil || l.commits.inFlight || l.commits.conflicts > 0 || c.now < l.commits.notBefore || len(l.commits.dirty) == 0 && l.commits.unneededPages == 0 && len(c.cache.orphanedChunks) == 0 {
 		return
 	}
 	c.health.writeBudget.Refill(c.now, c.health.allowance.Changes)
@@ -170,8 +131,8 @@
 	if ops < 1 {
 		return
 	}
-	jobs := make([]*jobstate.Job, 0, len(l.dirty))
-	for j := range l.dirty {
+	jobs := make([]*jobstate.Job, 0, len(l.commits.dirty))
+	for j := range l.commits.dirty {
 		jobs = append(jobs, j)
 	}
 	order := make(map[*jobstate.Job]commitOrder, len(jobs))
@@ -212,14 +173,14 @@
 	}
 	for _, j := range jobs {
 		room := ops - len(writes) - pages.ops()
-		if room < 1 && pages.ops() == 0 || full() || l.commitAlone && len(items) > 0 {
+		if room < 1 && pages.ops() == 0 || full() || l.commits.oneByOne && len(items) > 0 {
 			break
 		}
-		if until, ok := l.writeBackoffUntil[j]; ok {
+		if until, ok := l.commits.backoffUntil[j]; ok {
 			if c.now < until {
 				continue
 			}
-			delete(l.writeBackoffUntil, j)
+			delete(l.commits.backoffUntil, j)
 		}
 		it := jobWrite{job: j}
 		switch {
@@ -265,7 +226,7 @@
 				if scarce && !j.HasPlacementToWrite(n) && c.now-j.Chunk(n).DirtySince < maxEndDelay {
 					continue
 				}
-				v, version := j.BeginChunkWrite(n, l.nextLogEntry)
+				v, version := j.BeginChunkWrite(n, l.commits.nextLogEntry)
 				if len(v) > c.membership.valueLimit() {
 					c.valueTooLong(j, n)
 					continue
@@ -285,28 +246,28 @@
 		return
 	}
 	c.health.writeBudget.Spend(float64(len(writes)))
-	l.committing = true
+	l.commits.inFlight = true
 	sent := c.now
 	c.commitTransaction(when, writes, func(m Committed) {
 		if c.elector.leadership != l {
 			return
 		}
-		l.committing = false
-		l.commitNotBefore = sent + commitGap
+		l.commits.inFlight = false
+		l.commits.notBefore = sent + commitGap
 		if scarce {
-			l.commitNotBefore = sent + scarceCommitGap
+			l.commits.notBefore = sent + scarceCommitGap
 		}
 		if m.Status == 200 {
 			if !m.Observed {
 				c.elector.tokenProven(sent)
 			}
-			l.commitAlone = false
+			l.commits.oneByOne = false
 			pages.written(m.Revision)
 			removals.done()
 			for i := range items {
 				c.itemCommitted(&items[i], m.Revision)
 			}
-			l.planWanted, l.releaseWanted = true, true
+			l.planning.wanted, l.heartbeats.releaseWanted = true, true
 			return
 		}
 		// Refused, or nobody knows. Either way the same keys are written
@@ -318,7 +279,7 @@
 				items[i].job.AbortChunkWrite(w.chunk)
 			}
 		}
-		l.commitNotBefore = c.now + 150_000
+		l.commits.notBefore = c.now + 150_000
 		if m.Status == 409 {
 			for _, k := range m.Failed {
 				c.resolveConflict(l, k)
@@ -335,7 +296,7 @@
 	l := c.elector.leadership
 	if len(items) == 0 {
 		c.log.Error("the state service calls a transaction malformed", "writes", writes)
-		l.keepGarbageUntil = c.now + writeBackoff // it had only removals
+		l.commits.keepGarbageUntil = c.now + writeBackoff // it had only removals
 		return
 	}
 	c.log.Error("the state service calls a transaction malformed", "writes", writes, "job", items[0].job.ID)
@@ -344,11 +305,11 @@
 			return // it is made again, within them
 		}
 	}
-	l.logTail = nil // what the page was to have goes into another
+	l.commits.logTail = nil // what the page was to have goes into another
 	if len(items) == 1 {
-		l.writeBackoffUntil[items[0].job] = c.now + writeBackoff
+		l.commits.backoffUntil[items[0].job] = c.now + writeBackoff
 	}
-	l.commitAlone = true
+	l.commits.oneByOne = true
 }
 
 // writeBackoff is for how long a job is left alone whose write was refused.
@@ -357,9 +318,9 @@
 // valueTooLong puts a value off that does not fit, and asks for smaller ones.
 func (c *committer) valueTooLong(j *jobstate.Job, n int) {
 	j.AbortChunkWrite(n)
-	c.elector.leadership.writeBackoffUntil[j] = c.now + second
+	c.elector.leadership.commits.backoffUntil[j] = c.now + second
 	if j.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
-		c.elector.leadership.chunkTasksWanted = c.membership.chunkTasks / 2
+		c.elector.leadership.commits.chunkTasksWanted = c.membership.chunkTasks / 2
 	}
 }
 
@@ -437,25 +398,25 @@
 		c.markDirty(j)
 		return
 	}
-	delete(c.elector.leadership.dirty, j)
+	delete(c.elector.leadership.commits.dirty, j)
 }
 
 // resolveConflict reads a key whose version was not the expected one.
 func (c *committer) resolveConflict(l *leadership, key string) {
 	if key == LeaderKey {
 		c.emit(ReadState{AfterRevision: c.cache.appliedRevision})
-		l.conflictsResolving++ // nothing more is written under this leadership
+		l.commits.conflicts++ // nothing more is written under this leadership
 		if c.elector.leadership == l {
 			c.elector.stepDown("the leadership key changed")
 		}
 		return
 	}
-	l.conflictsResolving++
+	l.commits.conflicts++
 	c.readKey(key, func(g KeyRead) {
 		if c.elector.leadership != l {
 			return
 		}
-		l.conflictsResolving--
+		l.commits.conflicts--
 		if g.Err != nil {
 			return // the write is tried again and fails again
 		}
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -26,7 +26,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
 			c := r.c
-			clear(c.elector.leadership.dirty)
+			clear(c.elector.leadership.commits.dirty)
 			add := func(id string, priority int) *jobstate.Job {
 				j := jobstate.NewJob(&jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 2, Priority: priority, Need: jobstate.Resources{CPU: 1000}, Estimate: 10 * second})
 				c.cache.jobs[id] = j
@@ -46,7 +46,7 @@
 			done.SetDone(0, then)
 			done.SetDone(1, then)
 			c.health.writeBudget = ratelimit.NewTokenBucket(c.now, tc.level)
-			c.elector.leadership.committing, c.elector.leadership.commitNotBefore = false, 0
+			c.elector.leadership.commits.inFlight, c.elector.leadership.commits.notBefore = false, 0
 			c.committer.commitNow()
 			got := ""
 			for _, e := range c.effects {
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -38,8 +38,20 @@
 	// directCommands are orders that go to machines' own addresses, by machine.
 	directCommands map[string][]Command
 	fleet          *fleet.MachineSet
-	planner        plannerIndex
-	leaderState
+	plannerIndex   plannerIndex
+
+	// What each part keeps while this controller leads.
+	commits    commitState
+	planning   planState
+	partitions partitionState
+	heartbeats heartbeatState
+	scaling    scalingState
+	prefetch   prefetchState
+	hints      hintState
+	activation activationState
+
+	machinesSweptAt  int64
+	sweepsAdvancedAt int64
 }
 
 // madeCall says whether a call of the cloud was made under this leadership; there may be
@@ -209,14 +221,17 @@
 func (el *elector) becomeLeader(known int64) {
 	el.leadership = &leadership{token: el.cache.leader.Token, keyRevision: el.cache.leaderRevision, since: el.now, tokenProvenAt: el.candidacy.leaseProvenAt, mirrorFreshAt: known,
 		readLeases: readlease.NewHolder(el.settings.Peers, el.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
-		fleet: fleet.NewMachineSet(), planner: newPlannerIndex(), leaderState: newLeaderState(el.now)}
+		fleet: fleet.NewMachineSet(), plannerIndex: newPlannerIndex(),
+		commits: newCommitState(), planning: newPlanState(), partitions: newPartitionState(), heartbeats: newHeartbeatState(),
+		scaling: newScalingState(el.now), prefetch: newPrefetchState(), hints: newHintState(el.now),
+	}
 	el.health.allowance = el.health.currentAllowance()
 	el.prefetcher.loadImageHints()
 	placed := 0
 	for _, id := range sortedKeys(el.cache.jobs) {
 		j := el.cache.jobs[id]
 		el.prefetcher.noteImageDemand(j.Spec)
-		el.leadership.classSizes.note(j.Spec)
+		el.leadership.planning.classSizes.note(j.Spec)
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			t.Phase, t.StopReason = jobstate.Unconfirmed, ""
 			el.workers.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
@@ -237,8 +252,8 @@
 
 func (el *elector) stepDown(why string) {
 	el.log.Info("no longer leading", "token", el.leadership.token, "why", why)
-	for _, name := range sortedKeys(el.leadership.heldHeartbeats.byName) {
-		el.emit(Reply{RequestID: el.leadership.heldHeartbeats.byName[name].requestID, Status: 503, Error: "no longer leading"})
+	for _, name := range sortedKeys(el.leadership.heartbeats.held.byName) {
+		el.emit(Reply{RequestID: el.leadership.heartbeats.held.byName[name].requestID, Status: 503, Error: "no longer leading"})
 	}
 	el.leadership = nil
 	el.health.allowance = el.health.currentAllowance()
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -47,6 +47,12 @@
 	return upgrade.New(program, set.Name, set.Incarnation, set.Peers, chosen, held)
 }
 
+// activationState is what membership keeps while this controller leads.
+type activationState struct {
+	writing   bool
+	notBefore int64
+}
+
 // membership knows which controllers there are, what their programs can do, and which features are active.
 type membership struct {
 	*engine
@@ -253,18 +259,18 @@
 // older program meanwhile is not overlooked. It lowers the tasks of a value too.
 func (mb *membership) activationTick() {
 	l := mb.elector.leadership
-	if l.activating || mb.now < l.activateNotBefore || !mb.elector.mayStartTasks() || mb.health.writeBudget.Level() < 1 {
+	if l.activation.writing || mb.now < l.activation.notBefore || !mb.elector.mayStartTasks() || mb.health.writeBudget.Level() < 1 {
 		return
 	}
 	for _, n := range mb.activation.Returned() {
 		// Operators took it for gone, and it is there.
-		l.activating, l.activateNotBefore = true, mb.now+second
+		l.activation.writing, l.activation.notBefore = true, mb.now+second
 		mb.health.writeBudget.Spend(1)
-		mb.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, mb.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activating = false })
+		mb.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, mb.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activation.writing = false })
 		return
 	}
 	f, by := mb.activation.NextFeature()
-	tasks := l.chunkTasksWanted
+	tasks := l.commits.chunkTasksWanted
 	if f == nil && (!mb.logEnabled() || tasks == 0 || tasks >= mb.format.Tasks) {
 		return
 	}
@@ -295,10 +301,10 @@
 			when = append(when, kv.RevisionIs(memberPrefix+m.Name, m.Revision))
 		}
 	}
-	l.activating, l.activateNotBefore = true, mb.now+second
+	l.activation.writing, l.activation.notBefore = true, mb.now+second
 	mb.health.writeBudget.Spend(1)
 	mb.commitTransaction(when, []Write{write}, func(Committed) {
-		l.activating = false // it holds when the mirror shows it
+		l.activation.writing = false // it holds when the mirror shows it
 	})
 }
 
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -15,6 +15,18 @@
 	keepWorkerTime     = 60 * second
 )
 
+// heartbeatState is what the worker manager keeps while this controller leads.
+type heartbeatState struct {
+	held heldHeartbeats
+	// releaseWanted: commands may have come for held heartbeats.
+	releaseWanted bool
+	departed      departedMachines
+}
+
+func newHeartbeatState() heartbeatState {
+	return heartbeatState{held: newHeldHeartbeats(), departed: departedMachines{byName: map[string]departure{}}}
+}
+
 // workerManager handles the heartbeats of all workers at the leader and reconciles what they list with what is placed.
 type workerManager struct {
 	*engine
@@ -33,7 +45,7 @@
 			// An earlier leader may go on answering it for the hold time.
 			m.LastAnswer = wm.now + wm.settings.LeaderAuthorityTime()
 		}
-		if r, ok := wm.elector.leadership.departed.byName[name]; ok {
+		if r, ok := wm.elector.leadership.heartbeats.departed.byName[name]; ok {
 			// Copies of its reports may still come: they are not news.
 			m.Epoch, m.Seq = r.epoch, r.seq
 		}
@@ -57,7 +69,7 @@
 		refuse("a newer token exists")
 		return
 	}
-	if l.departed.wasReturned(r.Machine) {
+	if l.heartbeats.departed.wasReturned(r.Machine) {
 		// The machine is gone for certain, so this was sent long ago.
 		refuse("a report of a machine that was returned")
 		return
@@ -73,7 +85,7 @@
 	if via == "" {
 		via = wm.settings.Name
 	}
-	l.lastHeartbeatVia[via] = wm.now
+	l.partitions.lastHeartbeatVia[via] = wm.now
 	first := m.LastHeartbeat == 0
 	newSession := r.Epoch != m.Epoch
 	wm.releaseReply(r.Machine, false)
@@ -89,7 +101,7 @@
 	wasFresh := m.HasCurrentToken
 	m.HasCurrentToken = r.FencingToken == l.token
 	if first || newSession || !wasFresh && m.HasCurrentToken {
-		l.planWanted = true
+		l.planning.wanted = true
 	}
 	if r.PreemptionNotice >= 0 && m.ReclaimAt == 0 {
 		m.ReclaimAt = wm.now + r.PreemptionNotice
@@ -104,7 +116,7 @@
 	orders, ended := wm.reconcileListed(m, r)
 	orders = wm.reconcileMissing(m, r, orders)
 	if wait := wm.holdTime(m, orders, ended); wait > 0 && wm.mayPark(b.From) {
-		l.heldHeartbeats.hold(m, heldHeartbeat{requestID: b.RequestID, heartbeat: *r, until: wm.now + wait, by: b.From})
+		l.heartbeats.held.hold(m, heldHeartbeat{requestID: b.RequestID, heartbeat: *r, until: wm.now + wait, by: b.From})
 		return
 	}
 	wm.answerHeartbeat(m, b.RequestID, orders)
@@ -152,8 +164,8 @@
 // It is called after what may have made orders and with the ticks, and not
 // after every message.
 func (wm *workerManager) releaseReadyReplies() {
-	wm.elector.leadership.releaseWanted = false
-	for _, name := range wm.elector.leadership.heldHeartbeats.ready(wm.now, func(name string) bool {
+	wm.elector.leadership.heartbeats.releaseWanted = false
+	for _, name := range wm.elector.leadership.heartbeats.held.ready(wm.now, func(name string) bool {
 		m := wm.elector.leadership.fleet.Get(name)
 		return m != nil && hasCommands(m)
 	}) {
@@ -173,7 +185,7 @@
 
 // releaseReply answers a parked report, with orders unless a newer one has come.
 func (wm *workerManager) releaseReply(name string, answer bool) {
-	p, ok := wm.elector.leadership.heldHeartbeats.take(name)
+	p, ok := wm.elector.leadership.heartbeats.held.take(name)
 	if !ok {
 		return
 	}
@@ -275,7 +287,7 @@
 			m.RecordImageUse(j.Image, j.ImageMB, wm.now)
 		}
 		j.SetPhase(t, p)
-		wm.elector.leadership.planWanted = true
+		wm.elector.leadership.planning.wanted = true
 	}
 }
 
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -40,26 +40,42 @@
 	imageBytes      = 40
 )
 
+// hintState is what is known of cached images from an earlier leader, and what this
+// one has written of them for the next.
+type hintState struct {
+	// known are the images of each machine that the last leader knew of,
+	// inheritedSources the finished jobs that can bring images.
+	known            map[string][]hintImage
+	inheritedSources []*jobstate.Spec
+	written          map[string][]byte
+	writtenAt        int64
+	nextPart         int
+}
+
+func newHintState(now int64) hintState {
+	return hintState{known: map[string][]hintImage{}, written: map[string][]byte{}, writtenAt: now}
+}
+
 func (p *prefetcher) imageHintsTick() {
 	l := p.elector.leadership
 	room := p.membership.valueLimit() * 4 / 5
 	images := p.hintedImages()
 	// Every value names all images.
 	of := 1 + (l.fleet.Len()*machineBytes+len(images)*2*sourceBytes)/(room-len(images)*imageBytes)
-	if p.now-l.hintsWrittenAt < max(hintsInterval/int64(of), int64(1e6/(p.health.allowance.Changes*hintsWriteShare))) || !p.elector.mayStartTasks() || p.health.writeBudget.Level() < 4 {
+	if p.now-l.hints.writtenAt < max(hintsInterval/int64(of), int64(1e6/(p.health.allowance.Changes*hintsWriteShare))) || !p.elector.mayStartTasks() || p.health.writeBudget.Level() < 4 {
 		return
 	}
-	l.hintsWrittenAt = p.now
-	l.nextHintPart = (l.nextHintPart + 1) % of
-	key := hintsKey + "/" + strconv.Itoa(l.nextHintPart)
-	value := p.encodeImageHints(images, l.nextHintPart, of)
-	if string(value) == string(l.writtenHints[key]) {
+	l.hints.writtenAt = p.now
+	l.hints.nextPart = (l.hints.nextPart + 1) % of
+	key := hintsKey + "/" + strconv.Itoa(l.hints.nextPart)
+	value := p.encodeImageHints(images, l.hints.nextPart, of)
+	if string(value) == string(l.hints.written[key]) {
 		return
 	}
 	p.health.writeBudget.Spend(1)
 	p.committer.putAsLeader(key, value, func(m Committed) {
 		if p.elector.leadership == l && m.Status == 200 {
-			l.writtenHints[key] = value
+			l.hints.written[key] = value
 		}
 	})
 }
@@ -139,48 +155,48 @@
 		for n, bits := range h.Machines {
 			for i, im := range h.Images {
 				if bits&(1<<i) != 0 {
-					p.elector.leadership.hintedImages[n] = append(p.elector.leadership.hintedImages[n], im)
+					p.elector.leadership.hints.known[n] = append(p.elector.leadership.hints.known[n], im)
 				}
 			}
 		}
 		for _, s := range h.Sources {
 			if s != nil && s.Tasks > 0 {
 				p.noteImageDemand(s)
-				p.elector.leadership.inheritedSources = append(p.elector.leadership.inheritedSources, s)
+				p.elector.leadership.hints.inheritedSources = append(p.elector.leadership.hints.inheritedSources, s)
 			}
 		}
 	}
 	for n, images := range p.cache.imageHistory.machines {
-		p.elector.leadership.hintedImages[n] = append(p.elector.leadership.hintedImages[n], images...)
+		p.elector.leadership.hints.known[n] = append(p.elector.leadership.hints.known[n], images...)
 	}
 	for _, image := range sortedKeys(p.cache.imageHistory.done) {
 		for _, s := range p.cache.imageHistory.done[image] {
 			p.noteImageDemand(s)
-			p.elector.leadership.inheritedSources = append(p.elector.leadership.inheritedSources, s)
+			p.elector.leadership.hints.inheritedSources = append(p.elector.leadership.hints.inheritedSources, s)
 		}
 	}
 	// A job may stand in two values, as they are written at different times.
 	// It must be one carrier all the same: two would start a task twice.
 	byID := func(a, b *jobstate.Spec) int { return cmp.Compare(a.ID, b.ID) }
-	slices.SortFunc(p.elector.leadership.inheritedSources, byID)
-	p.elector.leadership.inheritedSources = slices.CompactFunc(p.elector.leadership.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
+	slices.SortFunc(p.elector.leadership.hints.inheritedSources, byID)
+	p.elector.leadership.hints.inheritedSources = slices.CompactFunc(p.elector.leadership.hints.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
 }
 
 // inheritPrefetchSources puts the last leader's sources to use.
 func (p *prefetcher) inheritPrefetchSources() {
 	l := p.elector.leadership
-	if len(l.inheritedSources) == 0 || p.now-l.since < p.settings.FailoverEpochTimeout() {
+	if len(l.hints.inheritedSources) == 0 || p.now-l.since < p.settings.FailoverEpochTimeout() {
 		return
 	}
-	for _, s := range l.inheritedSources {
+	for _, s := range l.hints.inheritedSources {
 		p.addPrefetchSources(s)
 	}
-	l.inheritedSources = nil
+	l.hints.inheritedSources = nil
 }
 
 // restoreKnownImages gives a machine the images that the last leader knew it has.
 func (p *prefetcher) restoreKnownImages(m *fleet.Machine) {
-	for _, im := range p.elector.leadership.hintedImages[m.Name] {
+	for _, im := range p.elector.leadership.hints.known[m.Name] {
 		m.RecordImageUse(im.Name, im.MB, p.now)
 	}
 }
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -49,7 +49,7 @@
 // setting of the sockets there is no bound.
 func (wm *workerManager) mayPark(by string) bool {
 	sockets := wm.settings.Limits.Sockets
-	return sockets == 0 || wm.elector.leadership.heldHeartbeats.heldBy[by] < sockets/2
+	return sockets == 0 || wm.elector.leadership.heartbeats.held.heldBy[by] < sockets/2
 }
 
 // has says whether a machine's report is parked.
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -105,7 +105,7 @@
 // shortage is how many machines of a pool the waiting tasks would fill.
 func (sl *scaler) shortage(t *fleet.Type, p machinePool) int {
 	var all float64
-	for _, w := range sl.elector.leadership.waitingJobs {
+	for _, w := range sl.elector.leadership.planning.waitingJobs {
 		if len(w.spec.Types) > 0 && !slices.Contains(w.spec.Types, t.Name) || !w.spec.Need.Fits(t.Cap) || w.spec.Need.GPU == 0 && t.Cap.GPU > 0 {
 			continue
 		}
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -46,7 +46,7 @@
 			r.c.settings.Ops.WeighMoney = tc.weigh
 			r.c.scaler.costAware = r.c.settings.WeighsCost(&r.c.settings.Ops)
 			r.c.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
-			r.c.elector.leadership.waitingJobs = tc.waiting
+			r.c.elector.leadership.planning.waitingJobs = tc.waiting
 			j := jobstate.NewJob(&jobstate.Spec{ID: "busy", Team: "t", Tasks: 100})
 			for kind, n := range tc.busy {
 				for i := range n {
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -273,12 +273,12 @@
 	}
 	v.Machines.Booting = len(l.scaling.booting)
 	v.Queues = make([]QueueView, queueCount)
-	for _, w := range l.waitingJobs {
+	for _, w := range l.planning.waitingJobs {
 		q := &v.Queues[ov.planner.queueOf(w.spec)]
 		q.Waiting++
 		q.Tasks += w.tasks
 	}
-	for _, p := range l.pivots {
+	for _, p := range l.planning.pivots {
 		q := &v.Queues[p.queue]
 		if j := ov.cache.jobs[p.job]; j != nil && q.Pivot == "" {
 			q.Pivot, q.WaitsS = p.job, float64(ov.now-j.ReadyAt)/1e6
@@ -288,7 +288,7 @@
 			}
 		}
 	}
-	v.Conditions = append(v.Conditions, l.stuckQueues...)
+	v.Conditions = append(v.Conditions, l.planning.stuckQueues...)
 	slices.Sort(v.Conditions)
 }
 
@@ -316,12 +316,12 @@
 // stuckQueuesTick tells operators of queues that do not move, before users do.
 func (ov *operatorViewer) stuckQueuesTick() {
 	l := ov.elector.leadership
-	if ov.now-l.stuckCheckedAt < 10*second {
+	if ov.now-l.planning.stuckCheckedAt < 10*second {
 		return
 	}
-	l.stuckCheckedAt = ov.now
-	l.stuckQueues = l.stuckQueues[:0]
-	pivots := slices.Clone(l.pivots)
+	l.planning.stuckCheckedAt = ov.now
+	l.planning.stuckQueues = l.planning.stuckQueues[:0]
+	pivots := slices.Clone(l.planning.pivots)
 	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
 	for _, p := range pivots {
 		j := ov.cache.jobs[p.job]
@@ -329,16 +329,16 @@
 			continue
 		}
 		why := ov.whyWaiting(p)
-		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (ov.now-j.ReadyAt)/second, why))
-		if ov.now-l.stuckLoggedAt[p.job] >= stuckAfter {
-			l.stuckLoggedAt[p.job] = ov.now
+		l.planning.stuckQueues = append(l.planning.stuckQueues, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (ov.now-j.ReadyAt)/second, why))
+		if ov.now-l.planning.stuckLoggedAt[p.job] >= stuckAfter {
+			l.planning.stuckLoggedAt[p.job] = ov.now
 			ov.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (ov.now-j.ReadyAt)/second, "why", why)
 		}
 	}
 	ov.logLateDependencies()
-	for id := range l.stuckLoggedAt {
+	for id := range l.planning.stuckLoggedAt {
 		if ov.cache.jobs[id] == nil {
-			delete(l.stuckLoggedAt, id)
+			delete(l.planning.stuckLoggedAt, id)
 		}
 	}
 }
@@ -366,9 +366,9 @@
 			how = "queued"
 		}
 		late := (ov.now + ov.remainingTime(j) - j.EffectiveDeadline) / second
-		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, j.ID, how, j.NumDone, j.Tasks))
-		if ov.now-l.stuckLoggedAt[j.ID] >= stuckAfter {
-			l.stuckLoggedAt[j.ID] = ov.now
+		l.planning.stuckQueues = append(l.planning.stuckQueues, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, j.ID, how, j.NumDone, j.Tasks))
+		if ov.now-l.planning.stuckLoggedAt[j.ID] >= stuckAfter {
+			l.planning.stuckLoggedAt[j.ID] = ov.now
 			ov.log.Info("pipeline will be late", "job", last.ID, "held_by", j.ID, "late_s", late, "state", how, "done", j.NumDone, "tasks", j.Tasks)
 		}
 	}
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -7,6 +7,21 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
+// partitionState is what the partition manager keeps while this controller leads.
+type partitionState struct {
+	term                 uint64
+	writtenAt, checkedAt int64
+	writing              bool
+	machineHashes        []uint32 // of the machines that send heartbeats, kept for its room
+	// lastHeartbeatVia is when a heartbeat last came straight to a controller,
+	// shunnedUntil until when one gets no partition because none came to it.
+	lastHeartbeatVia, shunnedUntil map[string]int64
+}
+
+func newPartitionState() partitionState {
+	return partitionState{lastHeartbeatVia: map[string]int64{}, shunnedUntil: map[string]int64{}}
+}
+
 // partitionManager leases the partitions of the machines to the controllers.
 type partitionManager struct {
 	*engine
@@ -22,32 +37,32 @@
 // lost, when machines have come or gone, and before the term is over.
 func (pt *partitionManager) partitionsTick() {
 	l := pt.elector.leadership
-	if l.partitionsWriting || pt.now-l.partitionsWrittenAt < second || pt.now-l.partitionsCheckedAt < second/4 {
+	if l.partitions.writing || pt.now-l.partitions.writtenAt < second || pt.now-l.partitions.checkedAt < second/4 {
 		return
 	}
-	l.partitionsCheckedAt = pt.now
+	l.partitions.checkedAt = pt.now
 	// A machine counts while it reports: the interval is the settings'.
-	hashes := l.machineHashes[:0]
+	hashes := l.partitions.machineHashes[:0]
 	for _, m := range l.fleet.All() {
 		if m.LastHeartbeat != 0 && pt.now-m.LastHeartbeat < 10*second+2*config.MicrosOf(pt.settings.Workers.ReportS) {
 			hashes = append(hashes, m.Hash)
 		}
 	}
-	l.machineHashes = hashes
-	b := fleet.Partitions{Boundaries: pt.cache.partitions.Boundaries, Holders: pt.holders(), LeaseDuration: pt.settings.Ops.Term, FencingToken: l.token, Seq: l.partitionsTerm + 1}
+	l.partitions.machineHashes = hashes
+	b := fleet.Partitions{Boundaries: pt.cache.partitions.Boundaries, Holders: pt.holders(), LeaseDuration: pt.settings.Ops.Term, FencingToken: l.token, Seq: l.partitions.term + 1}
 	if len(b.Boundaries) != queueCount-1 || pt.partitionsUnequal(hashes) {
 		b.Boundaries = fleet.PartitionHashes(hashes, queueCount)
 	}
 	same := pt.cache.partitions.FencingToken == l.token && slices.Equal(b.Holders, pt.cache.partitions.Holders) && slices.Equal(b.Boundaries, pt.cache.partitions.Boundaries)
-	if same && pt.now-l.partitionsWrittenAt < pt.settings.Ops.Term/2 {
+	if same && pt.now-l.partitions.writtenAt < pt.settings.Ops.Term/2 {
 		return
 	}
 	if pt.health.writeBudget.Level() < 1 {
 		return
 	}
 	pt.health.writeBudget.Spend(1)
-	l.partitionsWriting, l.partitionsWrittenAt = true, pt.now
-	l.partitionsTerm++
+	l.partitions.writing, l.partitions.writtenAt = true, pt.now
+	l.partitions.term++
 	// The leader plans by the new cuts at once: a loan or a moved boundary
 	// is bookkeeping and moves no worker's task.
 	pt.cache.partitions = b
@@ -55,9 +70,9 @@
 		if pt.elector.leadership != l {
 			return
 		}
-		l.partitionsWriting = false
+		l.partitions.writing = false
 		if m.Status != 200 {
-			l.partitionsWrittenAt = pt.now - pt.settings.Ops.Term/2
+			l.partitions.writtenAt = pt.now - pt.settings.Ops.Term/2
 		}
 	})
 }
@@ -66,11 +81,11 @@
 // came straight to it, though they come by others: workers can't reach it.
 func (pt *partitionManager) shunHolder(node string) bool {
 	l := pt.elector.leadership
-	if l.shunnedUntil[node] > pt.now {
+	if l.partitions.shunnedUntil[node] > pt.now {
 		return true
 	}
 	quiet := 3*config.MicrosOf(pt.settings.Workers.ReportS) + second
-	if !slices.Contains(pt.cache.partitions.Holders, node) || pt.cache.partitions.FencingToken != l.token || pt.now-l.since < 2*quiet || pt.now-max(l.lastHeartbeatVia[node], l.shunnedUntil[node]) < quiet {
+	if !slices.Contains(pt.cache.partitions.Holders, node) || pt.cache.partitions.FencingToken != l.token || pt.now-l.since < 2*quiet || pt.now-max(l.partitions.lastHeartbeatVia[node], l.partitions.shunnedUntil[node]) < quiet {
 		return false
 	}
 	machines, heard := 0, 0
@@ -89,7 +104,7 @@
 		return false
 	}
 	pt.log.Info("no reports come to a controller, leasing its partition to another", "controller", node)
-	l.shunnedUntil[node] = pt.now + keepWorkerTime
+	l.partitions.shunnedUntil[node] = pt.now + keepWorkerTime
 	return true
 }
 
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -46,6 +46,28 @@
 	})
 }
 
+// planState is what the planner keeps while this controller leads.
+type planState struct {
+	wanted      bool
+	plannedAt   int64
+	pivots      []plannedPivot
+	waitingJobs []waitingJob
+	claims      []claim
+	// capacity is what all usable machines have together.
+	capacity   jobstate.Resources
+	classSizes classSizes
+	// stuckQueues tells operators of queues that do not move.
+	stuckQueues    []string
+	stuckCheckedAt int64
+	stuckLoggedAt  map[string]int64
+	// onDemandWantedAt is when a type's on-demand machines were last wanted.
+	onDemandWantedAt map[string]int64
+}
+
+func newPlanState() planState {
+	return planState{wanted: true, classSizes: classSizes{}, stuckLoggedAt: map[string]int64{}, onDemandWantedAt: map[string]int64{}}
+}
+
 // planner runs the rounds of scheduling: quotas, queues, pivots and preemption.
 type planner struct {
 	*engine
@@ -98,7 +120,7 @@
 // plan runs one planning round and carries it out.
 func (pl *planner) plan() {
 	l := pl.elector.leadership
-	l.planWanted, l.plannedAt = false, pl.now
+	l.planning.wanted, l.planning.plannedAt = false, pl.now
 	if !pl.elector.mayStartTasks() || len(pl.cache.machineTypes) == 0 {
 		return
 	}
@@ -107,7 +129,7 @@
 	unfinished := pl.unfinished()
 	guaranteed := pl.jobsWithinQuota(unfinished)
 	machines := pl.refreshIndex()
-	l.capacity = machines.Capacity()
+	l.planning.capacity = machines.Capacity()
 	jobs := pl.schedJobs(unfinished, used, guaranteed)
 	report := config.MicrosOf(pl.settings.Workers.ReportS)
 	p := sched.Planner{Now: pl.now, Queues: queueCount, Index: machines, ImageWorth: pl.prefetcher.imageWorth(), MaxStarts: maxPlannedTasks, PreemptDelay: 2*report + 3*second,
@@ -134,12 +156,12 @@
 		j.Task(s.Index).Trial = pl.wantsTrial(j)
 		m.AddPlacement(fleet.TaskRef{Job: j, Index: s.Index})
 		m.IdleSince = 0
-		l.heldHeartbeats.expectCommands(m.Name)
+		l.heartbeats.held.expectCommands(m.Name)
 		pl.committer.markDirty(j)
 		pl.dropClaim(j, m.Name)
 	}
 	for _, cl := range plan.Claims {
-		l.claims = append(l.claims, claim{cl, pl.now + claimFor + 2*report})
+		l.planning.claims = append(l.planning.claims, claim{cl, pl.now + claimFor + 2*report})
 	}
 	for _, r := range plan.Preemptions {
 		pl.log.Debug("stopping to make room", "job", r.Job.ID, "task", r.Index, "machine", r.Job.Task(r.Index).Machine, "for", r.For.ID, "for_class", r.For.Class)
@@ -149,16 +171,16 @@
 		}
 		pl.tasks.stopAtCheckpoint(r.Job, r.Index, stopPreempt, grace)
 	}
-	l.pivots = l.pivots[:0]
+	l.planning.pivots = l.planning.pivots[:0]
 	for _, pv := range plan.Pivots {
-		l.pivots = append(l.pivots, plannedPivot{pv.Queue, pv.Job.ID, pv.StartAt})
+		l.planning.pivots = append(l.planning.pivots, plannedPivot{pv.Queue, pv.Job.ID, pv.StartAt})
 	}
-	l.waitingJobs = l.waitingJobs[:0]
+	l.planning.waitingJobs = l.planning.waitingJobs[:0]
 	for _, j := range plan.Waiting {
-		l.waitingJobs = append(l.waitingJobs, waitingJob{j.Spec, j.Unplaced(), j.ReadyAt})
+		l.planning.waitingJobs = append(l.planning.waitingJobs, waitingJob{j.Spec, j.Unplaced(), j.ReadyAt})
 	}
 	if len(plan.Starts) >= maxPlannedTasks {
-		l.planWanted = true
+		l.planning.wanted = true
 	}
 	pl.endTrials(plan, guaranteed)
 	if len(plan.Waiting) > 0 || len(plan.Pivots) > 0 {
@@ -178,12 +200,12 @@
 
 func (pl *planner) activeClaims() []sched.Claim {
 	l := pl.elector.leadership
-	l.claims = slices.DeleteFunc(l.claims, func(cl claim) bool {
+	l.planning.claims = slices.DeleteFunc(l.planning.claims, func(cl claim) bool {
 		return pl.now > cl.until || cl.Job.Outcome != "" || cl.Job.Unplaced() == 0
 	})
-	out := make([]sched.Claim, len(l.claims))
-	for i := range l.claims {
-		out[i] = l.claims[i].Claim
+	out := make([]sched.Claim, len(l.planning.claims))
+	for i := range l.planning.claims {
+		out[i] = l.planning.claims[i].Claim
 	}
 	return out
 }
@@ -191,8 +213,8 @@
 // dropClaim ends a claim that has been used.
 func (pl *planner) dropClaim(j *jobstate.Job, machine string) {
 	l := pl.elector.leadership
-	if i := slices.IndexFunc(l.claims, func(cl claim) bool { return cl.Job == j && cl.Machine == machine }); i >= 0 {
-		l.claims = slices.Delete(l.claims, i, i+1)
+	if i := slices.IndexFunc(l.planning.claims, func(cl claim) bool { return cl.Job == j && cl.Machine == machine }); i >= 0 {
+		l.planning.claims = slices.Delete(l.planning.claims, i, i+1)
 	}
 }
 
@@ -249,7 +271,7 @@
 // else they wait for the next. Where reports are seconds apart that decides
 // when an urgent job starts.
 func (pl *planner) nextHeartbeatAt(m *fleet.Machine) int64 {
-	if pl.elector.leadership.heldHeartbeats.has(m.Name) {
+	if pl.elector.leadership.heartbeats.held.has(m.Name) {
 		return 0
 	}
 	return m.LastHeartbeat + config.MicrosOf(pl.settings.Workers.ReportS)
@@ -417,7 +439,7 @@
 
 // quotaShare is how long all machines together would work on what is left of a job.
 func (pl *planner) quotaShare(j *jobstate.Job) int64 {
-	all, left := pl.elector.leadership.capacity, int64(j.Tasks-j.NumDone)
+	all, left := pl.elector.leadership.planning.capacity, int64(j.Tasks-j.NumDone)
 	need, of := left*j.Need.CPU, all.CPU
 	if j.Need.GPU > 0 {
 		need, of = left*j.Need.GPU, all.GPU
@@ -442,12 +464,12 @@
 		}
 		for i := range pl.cache.machineTypes {
 			if t := &pl.cache.machineTypes[i]; j.Need.Fits(t.Cap) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Need.GPU > 0 || t.Cap.GPU == 0) {
-				l.onDemandWantedAt[t.Name] = pl.now
+				l.planning.onDemandWantedAt[t.Name] = pl.now
 			}
 		}
 	}
 	first := map[string]bool{}
-	for t, at := range l.onDemandWantedAt {
+	for t, at := range l.planning.onDemandWantedAt {
 		first[t] = pl.now-at < onDemandWantedFor
 	}
 	return first
@@ -509,10 +531,10 @@
 // leadTick does what the leader does in its own time.
 func (c *Core) leadTick() {
 	l := c.elector.leadership
-	if c.now-l.plannedAt >= 2*second {
-		l.planWanted = true // estimated ends move with time
+	if c.now-l.planning.plannedAt >= 2*second {
+		l.planning.wanted = true // estimated ends move with time
 	}
-	l.releaseWanted = true // the time of some may be up
+	l.heartbeats.releaseWanted = true // the time of some may be up
 	c.reader.refreshMirrorTick()
 	c.partitionManager.partitionsTick()
 	if c.now-l.machinesSweptAt >= second/4 {
@@ -534,11 +556,11 @@
 
 // leadStep plans, writes and answers what the last message made possible.
 func (c *Core) leadStep() {
-	if l := c.elector.leadership; l.planWanted && c.now-l.plannedAt >= planGap {
+	if l := c.elector.leadership; l.planning.wanted && c.now-l.planning.plannedAt >= planGap {
 		c.planner.plan()
 	}
 	c.committer.commitNow()
-	if l := c.elector.leadership; l != nil && l.releaseWanted {
+	if l := c.elector.leadership; l != nil && l.heartbeats.releaseWanted {
 		c.workers.releaseReadyReplies()
 	}
 }
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -174,7 +174,7 @@
 // long it would hold up the others; one without by when it came.
 func TestTurn(t *testing.T) {
 	r := newRig(t)
-	r.c.elector.leadership.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
+	r.c.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
 		name           string
 		tasks, done    int
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -43,7 +43,7 @@
 // refreshIndex repairs the index and returns it.
 func (pl *planner) refreshIndex() *sched.Index {
 	l := pl.elector.leadership
-	r := &l.planner
+	r := &l.plannerIndex
 	if !slices.Equal(r.partitionCuts, pl.cache.partitions.Boundaries) {
 		r.partitionCuts = slices.Clone(pl.cache.partitions.Boundaries)
 		l.fleet.MarkAllChanged()
@@ -61,7 +61,7 @@
 
 // repairIndexed makes the index say of one machine what is known of it now.
 func (pl *planner) repairIndexed(m *fleet.Machine) {
-	r := &pl.elector.leadership.planner
+	r := &pl.elector.leadership.plannerIndex
 	v := r.indexed[m]
 	if pl.elector.leadership.fleet.Get(m.Name) != m || !pl.usable(m) {
 		if v != nil {
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -184,7 +184,7 @@
 	if p.now-l.prefetch.at < second || !p.elector.mayStartTasks() {
 		return
 	}
-	l.prefetch.at, l.releaseWanted = p.now, true
+	l.prefetch.at, l.heartbeats.releaseWanted = p.now, true
 	var idle []*fleet.Machine
 	// Half of the idle machines of a type stay quite idle, for jobs that come.
 	// Counted over all types, the many small machines took the turns of the few
@@ -213,7 +213,7 @@
 			s.start(m)
 			wants.have(s.spec.Image)
 			m.Prefetch = &fleet.Prefetch{Task: jobstate.TaskName(s.spec.ID, s.index), Attempt: prefetchAttempt + l.prefetch.serial, Image: s.spec.Image, ImageMB: s.spec.ImageMB, Need: s.spec.Need, Team: s.spec.Team}
-			l.heldHeartbeats.expectCommands(m.Name)
+			l.heartbeats.held.expectCommands(m.Name)
 			l.prefetch.addUsage(used, m.Prefetch, 1)
 			l.prefetch.addUsage(l.prefetch.usedByTeam, m.Prefetch, 1)
 			warming[m.Type]++
@@ -222,7 +222,7 @@
 }
 
 func (p *prefetcher) waitedFor(m *fleet.Machine) bool {
-	for _, w := range p.elector.leadership.waitingJobs {
+	for _, w := range p.elector.leadership.planning.waitingJobs {
 		if (len(w.spec.Types) == 0 || slices.Contains(w.spec.Types, m.Type)) && (w.spec.Spot || !m.Spot) && w.spec.Need.Fits(m.Cap) {
 			return true
 		}
@@ -344,7 +344,7 @@
 		p.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
 		if tr.Reason == "done" {
 			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
-			p.elector.leadership.planWanted = true
+			p.elector.leadership.planning.wanted = true
 		}
 		p.endPrefetch(m)
 		return []Command{o}
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -101,7 +101,7 @@
 					}
 				}
 			}
-			if n := len(next.c.elector.leadership.inheritedSources); n > 20 || machines < 1000 && n < 10 {
+			if n := len(next.c.elector.leadership.hints.inheritedSources); n > 20 || machines < 1000 && n < 10 {
 				t.Errorf("%d jobs inherited", n)
 			}
 		})
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -107,11 +107,11 @@
 				p.unfoldedChunks[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
-		l.nextLogEntry = max(l.nextLogEntry, p.NextSeq())
+		l.commits.nextLogEntry = max(l.commits.nextLogEntry, p.NextSeq())
 	}
 	for _, j := range c.cache.jobs {
 		for n := range j.NumChunks() {
-			l.nextLogEntry = max(l.nextLogEntry, j.FirstUnstoredSeq(n))
+			l.commits.nextLogEntry = max(l.commits.nextLogEntry, j.FirstUnstoredSeq(n))
 		}
 	}
 }
@@ -123,9 +123,9 @@
 	if len(c.cache.progressLog) > 0 {
 		n = c.cache.progressLog[len(c.cache.progressLog)-1].number + 1
 	}
-	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.elector.leadership.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.elector.leadership.commits.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
 	c.cache.progressLog = append(c.cache.progressLog, p)
-	c.elector.leadership.logTail = p
+	c.elector.leadership.commits.logTail = p
 	return p
 }
 
@@ -185,7 +185,7 @@
 		return 0, false
 	}
 	ref, limit := chunkRef{j, n}, c.membership.valueLimit()
-	p := c.elector.leadership.logTail
+	p := c.elector.leadership.commits.logTail
 	if p == nil {
 		p = c.newPage()
 	}
@@ -204,7 +204,7 @@
 	if !begun {
 		w.pages = append(w.pages, p)
 	}
-	c.elector.leadership.nextLogEntry = p.NextSeq()
+	c.elector.leadership.commits.nextLogEntry = p.NextSeq()
 	return j.BeginLogWrite(n), true
 }
 
@@ -230,13 +230,13 @@
 // addGarbage fills up a transaction with removals, if writes can be spared.
 func (c *committer) addGarbage(room int, scarce bool, add func(Write, Cond)) *logGarbage {
 	g := &logGarbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
-	if !c.membership.logEnabled() || c.now < c.elector.leadership.keepGarbageUntil {
+	if !c.membership.logEnabled() || c.now < c.elector.leadership.commits.keepGarbageUntil {
 		return g
 	}
 	if scarce {
 		room = min(room, 1)
 	}
-	for ; g.pages < c.elector.leadership.unneededPages && room > 0; room-- {
+	for ; g.pages < c.elector.leadership.commits.unneededPages && room > 0; room-- {
 		p := c.cache.progressLog[g.pages]
 		add(Write{Key: pageKey(p.number)}, kv.RevisionIs(pageKey(p.number), p.Revision))
 		g.pages++
@@ -263,7 +263,7 @@
 func (g *logGarbage) done() {
 	c := g.c
 	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, g.pages)
-	c.elector.leadership.unneededPages -= g.pages
+	c.elector.leadership.commits.unneededPages -= g.pages
 	for id, values := range g.runs {
 		for _, v := range values {
 			c.setOrphanedRevision(id, v, 0)
@@ -294,17 +294,17 @@
 // when there are too many.
 func (c *committer) progressLogTick() {
 	l := c.elector.leadership
-	l.unneededPages = 0
+	l.commits.unneededPages = 0
 	for i, p := range c.cache.progressLog {
 		for r := range p.unfoldedChunks {
 			if !c.lacksEntries(r, p) {
 				delete(p.unfoldedChunks, r)
 			}
 		}
-		if p == l.logTail || len(p.unfoldedChunks) > 0 {
+		if p == l.commits.logTail || len(p.unfoldedChunks) > 0 {
 			break // they go in their order
 		}
-		l.unneededPages = i + 1
+		l.commits.unneededPages = i + 1
 	}
 	most := max(8, maxLogBytes/max(c.membership.valueLimit(), 1))
 	for i := range c.cache.progressLog[:max(0, len(c.cache.progressLog)-most)] {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -303,7 +303,7 @@
 	var mem runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&mem)
-	t.Logf("heap with the stand-ins %d MB, parked %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heldHeartbeats.byName))
+	t.Logf("heap with the stand-ins %d MB, parked %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
 	if mem.HeapAlloc > 200<<20 {
 		t.Errorf("the heap has %d MB", mem.HeapAlloc>>20)
 	}
@@ -319,7 +319,7 @@
 	}
 	w := newWorkerFleet(machines)
 	w.c.settings.Limits.Sockets = sockets
-	parked := &w.c.elector.leadership.heldHeartbeats
+	parked := &w.c.elector.leadership.heartbeats.held
 	most := 0
 	for range 30 * 20 {
 		w.tick()
@@ -375,7 +375,7 @@
 			w.c.planner.refreshIndex()
 			l, n := w.c.elector.leadership, 0
 			for _, m := range l.fleet.All() {
-				v := l.planner.indexed[m]
+				v := l.plannerIndex.indexed[m]
 				if !w.c.planner.usable(m) {
 					if v != nil {
 						t.Fatalf("%s is of no use, and yet planned with", m.Name)
@@ -384,15 +384,15 @@
 				}
 				n++
 				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
-				if want := []any{m.Type, m.Zone, m.Spot, w.c.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.planner.index.Find(m.Name) != &v.Machine {
+				if want := []any{m.Type, m.Zone, m.Spot, w.c.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.plannerIndex.index.Find(m.Name) != &v.Machine {
 					t.Fatalf("%s: planned with %v, and known is %v", m.Name, got, want)
 				}
 			}
-			if n != l.planner.index.Len() || n != l.planner.byLastHeartbeat.Len() || n != len(l.planner.indexed) {
-				t.Fatalf("%d machines are of use, %d in the index, %d by their reports", n, l.planner.index.Len(), l.planner.byLastHeartbeat.Len())
+			if n != l.plannerIndex.index.Len() || n != l.plannerIndex.byLastHeartbeat.Len() || n != len(l.plannerIndex.indexed) {
+				t.Fatalf("%d machines are of use, %d in the index, %d by their reports", n, l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len())
 			}
-			for name, p := range l.heldHeartbeats.byName {
-				_, likely := l.heldHeartbeats.maybeReady[name]
+			for name, p := range l.heartbeats.held.byName {
+				_, likely := l.heartbeats.held.maybeReady[name]
 				if m := l.fleet.Get(name); m != nil && hasCommands(m) && !likely && p.until > w.now {
 					t.Fatalf("there are orders for %s, and its answer waits", name)
 				}
@@ -415,7 +415,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(w.writes)/float64(b.N), "writes/op")
-			b.ReportMetric(float64(len(w.c.elector.leadership.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.c.elector.leadership.planning.waitingJobs)), "waiting")
 		})
 	}
 }
@@ -436,7 +436,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(w.started), "us/start")
-			b.ReportMetric(float64(len(w.c.elector.leadership.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.c.elector.leadership.planning.waitingJobs)), "waiting")
 		})
 	}
 }
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -117,7 +117,7 @@
 	for _, fm := range sl.elector.leadership.fleet.All() {
 		fm.SetType(sl.cache.machineTypes)
 	}
-	sl.elector.leadership.planWanted = true
+	sl.elector.leadership.planning.wanted = true
 }
 
 // writeTypes stores the machine types, those that do not fit one value one by
@@ -349,17 +349,17 @@
 			sl.planner.machineGone(fm, "released")
 			sl.forgetMachine(fm)
 		}
-		sl.elector.leadership.departed.note(name, Heartbeat{}, true, sl.now)
+		sl.elector.leadership.heartbeats.departed.note(name, Heartbeat{}, true, sl.now)
 		delete(s.booting, name)
 		s.scaledInAt[name] = sl.now
 	}
-	sl.elector.leadership.planWanted = true
+	sl.elector.leadership.planning.wanted = true
 }
 
 // forgetMachine drops a machine that is gone, and what it was warmed with.
 func (sl *scaler) forgetMachine(m *fleet.Machine) {
 	sl.prefetcher.endPrefetch(m)
-	sl.elector.leadership.departed.note(m.Name, Heartbeat{Epoch: m.Epoch, Seq: m.Seq}, false, sl.now)
+	sl.elector.leadership.heartbeats.departed.note(m.Name, Heartbeat{Epoch: m.Epoch, Seq: m.Seq}, false, sl.now)
 	sl.elector.leadership.fleet.Remove(m)
 }
 
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -28,7 +28,7 @@
 		t.StopRequestedAt = tm.now
 	}
 	t.StopReason, t.Grace = why, grace
-	tm.elector.leadership.releaseWanted = true
+	tm.elector.leadership.heartbeats.releaseWanted = true
 	tm.queueDirectCommand(j, i)
 }
 
@@ -46,7 +46,7 @@
 	}
 	j.UnplaceTask(i, tm.now)
 	tm.committer.markDirty(j)
-	tm.elector.leadership.planWanted = true
+	tm.elector.leadership.planning.wanted = true
 }
 
 // preemptGang stops a task, or the whole gang, with time to save.
@@ -149,9 +149,9 @@
 // jobArrived, jobEnded and jobRemoved are called by the mirror.
 func (tm *taskManager) jobArrived(j *jobstate.Job) {
 	if tm.elector.leadership != nil {
-		tm.elector.leadership.planWanted = true
+		tm.elector.leadership.planning.wanted = true
 		tm.prefetcher.noteImageDemand(j.Spec)
-		tm.elector.leadership.classSizes.note(j.Spec)
+		tm.elector.leadership.planning.classSizes.note(j.Spec)
 	}
 }
 
@@ -168,7 +168,7 @@
 		tm.requestStop(j, i, j.Outcome, 0)
 	})
 	tm.committer.markDirty(j)
-	tm.elector.leadership.planWanted = true
+	tm.elector.leadership.planning.wanted = true
 }
 
 func (tm *taskManager) jobRemoved(j *jobstate.Job) {
@@ -176,14 +176,14 @@
 	if tm.elector.leadership == nil {
 		return
 	}
-	delete(tm.elector.leadership.dirty, j)
-	delete(tm.elector.leadership.writeBackoffUntil, j)
+	delete(tm.elector.leadership.commits.dirty, j)
+	delete(tm.elector.leadership.commits.backoffUntil, j)
 	j.EachPlaced(func(i int, t *jobstate.Task) {
 		if m := tm.elector.leadership.fleet.Get(t.Machine); m != nil {
 			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
 		}
 	})
-	tm.elector.leadership.planWanted = true
+	tm.elector.leadership.planning.wanted = true
 }
 
 // taskDone notes a completed task; the tasks of a gang complete together.
@@ -271,7 +271,7 @@
 		}
 		tm.preemptGang(j, ref.Index, stopDrain)
 	}
-	tm.elector.leadership.planWanted = true
+	tm.elector.leadership.planning.wanted = true
 }
 
 func (tm *taskManager) finishesWithin(j *jobstate.Job, t *jobstate.Task, d int64) bool {
--- a/internal/core/zonegather.go
+++ b/internal/core/zonegather.go
@@ -22,7 +22,7 @@
 
 // zoneGathers are those jobs, in the order in which they wait.
 func (sl *scaler) zoneGathers() (list []zoneGather) {
-	if !slices.ContainsFunc(sl.elector.leadership.waitingJobs, func(w waitingJob) bool { return w.spec.OneZone }) {
+	if !slices.ContainsFunc(sl.elector.leadership.planning.waitingJobs, func(w waitingJob) bool { return w.spec.OneZone }) {
 		return nil
 	}
 	here, coming := map[machineOffer]int64{}, map[machineOffer]int64{}
@@ -34,7 +34,7 @@
 	for _, b := range sl.elector.leadership.scaling.booting {
 		coming[b.machineOffer]++
 	}
-	for _, w := range sl.elector.leadership.waitingJobs {
+	for _, w := range sl.elector.leadership.planning.waitingJobs {
 		if !w.spec.OneZone {
 			continue
 		}
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -36,7 +36,7 @@
 		{"two tasks on each machine", &jobstate.Spec{Tasks: 4, OneZone: true, Need: jobstate.Resources{CPU: 6000}}, map[machineOffer]int64{a: 2}, nil, nil, false, ""},
 	}
 	for _, tc := range cases {
-		l := &leadership{leaderState: newLeaderState(0)}
+		l := &leadership{scaling: newScalingState(0)}
 		c := &scaler{
 			engine:  &engine{now: now, settings: Settings{Deployment: config.Deployment{Zones: []string{"a", "b"}}}},
 			cache:   &stateCache{machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}},
