--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -114,7 +114,8 @@
 		p, usual := given, scale.Default(n)
 		p.Workers = n
 		for flag, v := range map[string]struct{ to, from *int }{
-			"accelerators": {&p.Accelerators, &usual.Accelerators}, "running": {&p.Running, &usual.Running}, "starts": {&p.Starts, &usual.Starts}} {
+			"accelerators": {&p.Accelerators, &usual.Accelerators}, "running": {&p.Running, &usual.Running}, "starts": {&p.Starts, &usual.Starts},
+		} {
 			if !cmd.Flags().Changed(flag) {
 				*v.to = *v.from
 			}
--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -79,7 +79,8 @@
 	}
 	answer := string(EncodeReply(core.Reply{Status: 200, Runs: &core.SweepPage{Next: 2, Runs: []core.SweepRun{
 		{Number: 0, ID: p.Specs[0].ID, State: core.Running, Values: p.Values[0], Sets: p.Sets[0]},
-		{Number: 1, ID: "x", State: core.RunStatePlanned, Values: p.Values[1], Sets: p.Sets[1]}}}}))
+		{Number: 1, ID: "x", State: core.RunStatePlanned, Values: p.Values[1], Sets: p.Sets[1]},
+	}}}))
 	want := `{"runs":[{"run":0,"name_id":"` + p.Specs[0].ID + `","status":"running","values":{"a":1},"sets":[0,2]},{"run":1,"name_id":"x","status":"planned","values":{"a":"x\"y"}}],"next":2}`
 	if answer != want {
 		t.Errorf("got  %s\nwant %s", answer, want)
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -27,8 +27,10 @@
 	} `json:"hands"`
 }
 
-var exitReasons = map[string]string{"done": "done", "stopped": "stopped", "mates_gone": "peers", "incomplete": "alone",
-	"error": "error", "no_room": "no_room", "in_use": "busy", "no_such": "unknown"}
+var exitReasons = map[string]string{
+	"done": "done", "stopped": "stopped", "mates_gone": "peers", "incomplete": "alone",
+	"error": "error", "no_room": "no_room", "in_use": "busy", "no_such": "unknown",
+}
 
 // DecodeHeartbeat reads a worker's report.
 func DecodeHeartbeat(body []byte) (core.Heartbeat, error) {
@@ -39,8 +41,10 @@
 	if w.Machine == "" || len(w.Machine) > MaxIDLength || w.Epoch == 0 {
 		return core.Heartbeat{}, errors.New("report: stoker or shift is missing")
 	}
-	r := core.Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Epoch: w.Epoch, Seq: w.Seq, FencingToken: w.FencingToken, PreemptionNotice: -1}
+	r := core.Heartbeat{
+		Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		Epoch: w.Epoch, Seq: w.Seq, FencingToken: w.FencingToken, PreemptionNotice: -1,
+	}
 	if w.ReclaimIn != nil {
 		r.PreemptionNotice = max(0, int64(*w.ReclaimIn*1e6))
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -74,8 +74,10 @@
 
 // ToCore is the type as the core has it.
 func (t MachineType) ToCore() fleet.Type {
-	return fleet.Type{Name: t.Name, Cap: jobstate.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000), Mem: int64(t.MemGB * 1000)},
-		FetchRate: int64(t.FetchRate * 1000), CacheMB: int64(t.CacheGB * 1000), Price: t.Price, SpotPrice: t.SpotPrice, Boot: int64(t.BootS * 1e6), Zones: t.Zones}
+	return fleet.Type{
+		Name: t.Name, Cap: jobstate.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000), Mem: int64(t.MemGB * 1000)},
+		FetchRate: int64(t.FetchRate * 1000), CacheMB: int64(t.CacheGB * 1000), Price: t.Price, SpotPrice: t.SpotPrice, Boot: int64(t.BootS * 1e6), Zones: t.Zones,
+	}
 }
 
 // MachineListing is a machine of the cloud's list on the wire.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -290,8 +290,10 @@
 
 // Defaults are the operators' settings where no file says otherwise.
 func Defaults() Operators {
-	return Operators{ShortCutoff: 60 * Second, LongCutoff: 600 * Second, Term: 10 * Second, Trial: 180 * Second,
-		IdleReturn: 40 * Second, LeaderLease: 3 * Second, SpareShare: 1, Reach: true}
+	return Operators{
+		ShortCutoff: 60 * Second, LongCutoff: 600 * Second, Term: 10 * Second, Trial: 180 * Second,
+		IdleReturn: 40 * Second, LeaderLease: 3 * Second, SpareShare: 1, Reach: true,
+	}
 }
 
 // LoadOperators reads the operators' file; an empty path gives the defaults.
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -35,8 +35,12 @@
 	set.Cloud.RPS = 1
 	b := &between{now: second, rev: 20}
 	b.c = New(set, b.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
-		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5}, {Key: typesKey, Value: encodeJSON([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Revision: 5}}
+	rows := []Change{
+		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
+		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
+		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5},
+		{Key: typesKey, Value: encodeJSON([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Revision: 5},
+	}
 	if leader != "n0" {
 		rows = append(rows, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -219,7 +219,8 @@
 }
 
 func (el *elector) becomeLeader(known int64) {
-	el.leadership = &leadership{token: el.cache.leader.Token, keyRevision: el.cache.leaderRevision, since: el.now, tokenProvenAt: el.candidacy.leaseProvenAt, mirrorFreshAt: known,
+	el.leadership = &leadership{
+		token: el.cache.leader.Token, keyRevision: el.cache.leaderRevision, since: el.now, tokenProvenAt: el.candidacy.leaseProvenAt, mirrorFreshAt: known,
 		readLeases: readlease.NewHolder(el.settings.Peers, el.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
 		fleet: fleet.NewMachineSet(), plannerIndex: newPlannerIndex(),
 		commits: newCommitState(), planning: newPlanState(), partitions: newPartitionState(), heartbeats: newHeartbeatState(),
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -187,8 +187,10 @@
 
 // NewMachine makes a machine that nothing is known of but its name.
 func NewMachine(name string, now int64) *Machine {
-	return &Machine{Name: name, Hash: Hash(name), Placed: make(map[TaskRef]struct{}), Images: make(map[string]Image),
-		FailedJobs: make(map[string]bool), LastAnswer: now, IdleSince: now}
+	return &Machine{
+		Name: name, Hash: Hash(name), Placed: make(map[TaskRef]struct{}), Images: make(map[string]Image),
+		FailedJobs: make(map[string]bool), LastAnswer: now, IdleSince: now,
+	}
 }
 
 // IsNewer says whether a report is newer than the newest so far.
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -88,6 +88,8 @@
 	l := h.membership.limits()
 	present, older := h.membership.activation.CountMembers(upgrade.SharedReads, h.cache.leader.Name)
 	proven := h.elector.candidacy.lease != 0 && h.now-h.elector.candidacy.leaseProvenAt < h.settings.Ops.LeaderLease && h.membership.activation.MemberFor(h.now) > ratelimit.SettleTime && h.now-h.cache.mirrorFreshAt < ratelimit.MaxViewAge
-	return ratelimit.ShareFor(ratelimit.Limits{Requests: l.RPS, Changes: l.WriteRPS}, ratelimit.Members{Configured: len(h.settings.Peers) + 1, Present: present, Legacy: older,
-		Confirmed: proven, HasLeader: h.cache.leaderRevision != 0 && !h.elector.leadership.isNew(h.now), IsLeader: h.elector.leadership != nil, SharingEnabled: h.membership.activation.Enabled(upgrade.SharedReads)})
+	return ratelimit.ShareFor(ratelimit.Limits{Requests: l.RPS, Changes: l.WriteRPS}, ratelimit.Members{
+		Configured: len(h.settings.Peers) + 1, Present: present, Legacy: older,
+		Confirmed: proven, HasLeader: h.cache.leaderRevision != 0 && !h.elector.leadership.isNew(h.now), IsLeader: h.elector.leadership != nil, SharingEnabled: h.membership.activation.Enabled(upgrade.SharedReads),
+	})
 }
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -20,8 +20,10 @@
 	r := &rig{t: t, now: second, rev: 10, token: 5, lease: 9}
 	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	r.c.elector.candidacy.lease, r.c.elector.candidacy.leaseProvenAt = 9, r.now
-	r.step(StateListed{Revision: 10, Changes: []Change{{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n0", Incarnation: "old", Token: 5, Lease: 9}), Revision: 4},
-		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3}}})
+	r.step(StateListed{Revision: 10, Changes: []Change{
+		{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n0", Incarnation: "old", Token: 5, Lease: 9}), Revision: 4},
+		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
+	}})
 	r.step(StateRead{AfterRevision: 10, Revision: 10})
 	if r.c.elector.leadership != nil {
 		t.Fatal("leads by the key of its earlier start")
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -273,8 +273,10 @@
 
 // NewJob makes a job without progress.
 func NewJob(s *Spec) *Job {
-	j := &Job{Spec: s, EffectivePriority: s.Priority, chunkSize: DefaultChunkSize, tasks: make([]Task, s.Tasks), chunks: make([]Chunk, (s.Tasks+DefaultChunkSize-1)/DefaultChunkSize),
-		unplaced: roaring.New(), placed: roaring.New()}
+	j := &Job{
+		Spec: s, EffectivePriority: s.Priority, chunkSize: DefaultChunkSize, tasks: make([]Task, s.Tasks), chunks: make([]Chunk, (s.Tasks+DefaultChunkSize-1)/DefaultChunkSize),
+		unplaced: roaring.New(), placed: roaring.New(),
+	}
 	j.unplaced.AddRange(0, uint64(s.Tasks))
 	return j
 }
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -164,8 +164,10 @@
 
 func (ov *operatorViewer) onQueryOperatorView(m QueryOperatorView) {
 	ov.elector.noteNewestLeader(ov.cache.leader)
-	v := &OperatorView{Controller: ov.settings.Name, Leader: ov.elector.newestLeader.Name, FencingToken: ov.elector.newestLeader.Token, Leading: ov.elector.leadership != nil, Synced: ov.cache.synced,
-		Revision: ov.cache.appliedRevision, StateAgeS: float64(ov.health.stateAge()) / 1e6, WritesLeft: ov.health.writeBudget.Level(), ReadsLeft: ov.health.readBudget.Level(), ReadsBy: ov.reader.readSource(), Jobs: len(ov.cache.jobs), Format: max(ov.membership.format.Version, 1), LimitsLowered: ov.membership.limitsLowered, Conditions: []string{}}
+	v := &OperatorView{
+		Controller: ov.settings.Name, Leader: ov.elector.newestLeader.Name, FencingToken: ov.elector.newestLeader.Token, Leading: ov.elector.leadership != nil, Synced: ov.cache.synced,
+		Revision: ov.cache.appliedRevision, StateAgeS: float64(ov.health.stateAge()) / 1e6, WritesLeft: ov.health.writeBudget.Level(), ReadsLeft: ov.health.readBudget.Level(), ReadsBy: ov.reader.readSource(), Jobs: len(ov.cache.jobs), Format: max(ov.membership.format.Version, 1), LimitsLowered: ov.membership.limitsLowered, Conditions: []string{},
+	}
 	for _, j := range ov.cache.jobs {
 		if j.Outcome == "" && j.IsBlocked() {
 			v.Awaiting++
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -132,13 +132,15 @@
 	l.planning.capacity = machines.Capacity()
 	jobs := pl.schedJobs(unfinished, used, guaranteed)
 	report := config.MicrosOf(pl.settings.Workers.ReportS)
-	p := sched.Planner{Now: pl.now, Queues: queueCount, Index: machines, ImageWorth: pl.prefetcher.imageWorth(), MaxStarts: maxPlannedTasks, PreemptDelay: 2*report + 3*second,
+	p := sched.Planner{
+		Now: pl.now, Queues: queueCount, Index: machines, ImageWorth: pl.prefetcher.imageWorth(), MaxStarts: maxPlannedTasks, PreemptDelay: 2*report + 3*second,
 		PreferSpot: pl.spotPreferred(), ReserveAhead: machines.Len() / machinesPerUrgentJob, Claims: pl.activeClaims(), LargestGPUTask: pl.largestMachine(),
 		LoadRunningTasks: func(m *sched.Machine) { pl.loadRuns(m, guaranteed) },
 		BeyondGuarantee: func(team string, need jobstate.Resources) bool {
 			t := pl.settings.Team(team)
 			return t == nil || used[team].gpu-need.GPU >= int64(t.GPUs*1000) && (t.CPUs == 0 || used[team].cpu-need.CPU >= int64(t.CPUs*1000))
-		}}
+		},
+	}
 	p.HasSpareMachines = l.scaling.idleOnDemand >= minRoomyTasks
 	plan := p.Plan(jobs)
 	attempts := map[*jobstate.Job]uint32{}
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -122,8 +122,10 @@
 	for _, tc := range cases {
 		r := newRig(t)
 		c := r.c
-		c.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
-			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}}}
+		c.cache.machineTypes = []fleet.Type{
+			{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
+			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
+		}
 		add := func(n int, typ string) {
 			for i := range n {
 				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), c.now)
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -41,8 +41,12 @@
 	j.PlaceTask(0, "m", 3, 1)
 	v, _ := j.BeginChunkWrite(0, 0)
 	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
-	r.step(StateListed{Revision: 10, Changes: []Change{{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: over}), Revision: 1},
-		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2}, {Key: tokenKey, Value: encodeJSON(tokenRecord{r.token}), Revision: 3}, {Key: typesKey, Value: encodeJSON(types), Revision: 4}}})
+	r.step(StateListed{Revision: 10, Changes: []Change{
+		{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: over}), Revision: 1},
+		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2},
+		{Key: tokenKey, Value: encodeJSON(tokenRecord{r.token}), Revision: 3},
+		{Key: typesKey, Value: encodeJSON(types), Revision: 4},
+	}})
 	for i := 0; r.c.elector.leadership == nil; i++ {
 		if i > 100 {
 			t.Fatal("never leads")
--- a/internal/core/sched/imagepreempt_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -46,34 +46,62 @@
 		want     []string // starts
 		stops    string   // machines, with ! for those without saving
 	}{
-		{name: "lower work makes way on the machine that has the image", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, stops: "warm! "},
-		{name: "not if the fetch is short", job: urgent(1, 4_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"}},
-		{name: "not if much is lost", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 25, nil))}, want: []string{"cold"}},
-		{name: "not if it is as urgent", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", jobstate.Urgent, 5, nil))}, want: []string{"cold"}},
-		{name: "not for a job that is not urgent", job: normal,
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"}},
-		{name: "not a gang of several, as all of it would stop", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"cold"}},
-		{name: "not if the image is on a free machine too", job: urgent(1, 12_000),
-			machines: []*Machine{warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, want: []string{"free"}},
-		{name: "a save that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 5)))}, stops: "warm "},
-		{name: "but not if it takes as long as the fetch", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 9)))}, want: []string{"cold"}},
-		{name: "a gang starts with its last task, so one image does not help", job: urgent(2, 12_000),
-			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold-0", "cold-1"}},
-		{name: "two do", job: urgent(2, 12_000),
-			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, stops: "warm! "},
-		{name: "it waits for what it has claimed", job: urgent(1, 12_000), claims: []string{"warm"},
-			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))}},
-		{name: "and goes where there is room when the claim has run out", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))}, want: []string{"cold"}},
-		{name: "without a free machine it is a matter of the pivot", job: urgent(1, 12_000),
-			machines: []*Machine{warm(busy("warm", 0, 5, nil))}, stops: "warm! "},
+		{
+			name: "lower work makes way on the machine that has the image", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+		},
+		{
+			name: "not if the fetch is short", job: urgent(1, 4_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"},
+		},
+		{
+			name: "not if much is lost", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 25, nil))}, want: []string{"cold"},
+		},
+		{
+			name: "not if it is as urgent", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", jobstate.Urgent, 5, nil))}, want: []string{"cold"},
+		},
+		{
+			name: "not for a job that is not urgent", job: normal,
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"},
+		},
+		{
+			name: "not a gang of several, as all of it would stop", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"cold"},
+		},
+		{
+			name: "not if the image is on a free machine too", job: urgent(1, 12_000),
+			machines: []*Machine{warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, want: []string{"free"},
+		},
+		{
+			name: "a save that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 5)))}, stops: "warm ",
+		},
+		{
+			name: "but not if it takes as long as the fetch", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 9)))}, want: []string{"cold"},
+		},
+		{
+			name: "a gang starts with its last task, so one image does not help", job: urgent(2, 12_000),
+			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold-0", "cold-1"},
+		},
+		{
+			name: "two do", job: urgent(2, 12_000),
+			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+		},
+		{
+			name: "it waits for what it has claimed", job: urgent(1, 12_000), claims: []string{"warm"},
+			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))},
+		},
+		{
+			name: "and goes where there is room when the claim has run out", job: urgent(1, 12_000),
+			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))}, want: []string{"cold"},
+		},
+		{
+			name: "without a free machine it is a matter of the pivot", job: urgent(1, 12_000),
+			machines: []*Machine{warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/sched/recorded_test.go
+++ b/internal/core/sched/recorded_test.go
@@ -20,15 +20,19 @@
 func problem(seed uint64) ([]*Machine, []*Job, Planner) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	pick := func(list ...string) string { return list[r.IntN(len(list))] }
-	p := Planner{Now: 1000 * s, Queues: 3, MaxStarts: []int{400, 60, 5}[r.IntN(3)], PreemptDelay: int64(5+r.IntN(20)) * s, ReserveAhead: r.IntN(4),
-		PreferSpot: map[string]bool{"g": r.IntN(2) == 0}, LargestGPUTask: jobstate.Resources{CPU: 10000, GPU: 2000, Mem: 38000}}
+	p := Planner{
+		Now: 1000 * s, Queues: 3, MaxStarts: []int{400, 60, 5}[r.IntN(3)], PreemptDelay: int64(5+r.IntN(20)) * s, ReserveAhead: r.IntN(4),
+		PreferSpot: map[string]bool{"g": r.IntN(2) == 0}, LargestGPUTask: jobstate.Resources{CPU: 10000, GPU: 2000, Mem: 38000},
+	}
 	teams := []string{"red", "blue", "green"}
 	over := map[string]bool{"red": r.IntN(2) == 0, "blue": r.IntN(2) == 0}
 	p.BeyondGuarantee = func(team string, _ jobstate.Resources) bool { return over[team] }
 	caps := map[string]jobstate.Resources{"v": {CPU: 8000, Mem: 16000}, "m": {CPU: 16000, Mem: 64000}, "g": {CPU: 12000, GPU: 2000, Mem: 48000}}
 	spec := func(id string) *jobstate.Spec {
-		sp := &jobstate.Spec{ID: id, Team: teams[r.IntN(3)], Priority: r.IntN(4), Kind: jobstate.Array, Tasks: 1 + r.IntN(40), Need: jobstate.Resources{CPU: int64(1+r.IntN(3)) * 1000, Mem: 3200},
-			Spot: r.IntN(3) > 0, Image: fmt.Sprint("im", r.IntN(5)), ImageMB: int64(1+r.IntN(8)) * 1000, Estimate: int64(10+r.IntN(300)) * s}
+		sp := &jobstate.Spec{
+			ID: id, Team: teams[r.IntN(3)], Priority: r.IntN(4), Kind: jobstate.Array, Tasks: 1 + r.IntN(40), Need: jobstate.Resources{CPU: int64(1+r.IntN(3)) * 1000, Mem: 3200},
+			Spot: r.IntN(3) > 0, Image: fmt.Sprint("im", r.IntN(5)), ImageMB: int64(1+r.IntN(8)) * 1000, Estimate: int64(10+r.IntN(300)) * s,
+		}
 		if r.IntN(2) == 0 {
 			sp.Need = jobstate.Resources{CPU: int64(5+5*r.IntN(2)) * 1000, GPU: int64(1+r.IntN(2)) * 1000, Mem: 18000}
 		}
@@ -54,8 +58,10 @@
 	busy := r.IntN(4)
 	for i := range n {
 		typ := pick("v", "m", "g")
-		m := &Machine{Name: fmt.Sprintf("host-%04d", i), Type: typ, Zone: pick("a", "b", "c"), Spot: r.IntN(3) == 0, Partition: r.IntN(3), Cap: caps[typ], Free: caps[typ],
-			FetchRate: []int64{0, 400, 1000}[r.IntN(3)], Images: map[string]fleet.Image{}}
+		m := &Machine{
+			Name: fmt.Sprintf("host-%04d", i), Type: typ, Zone: pick("a", "b", "c"), Spot: r.IntN(3) == 0, Partition: r.IntN(3), Cap: caps[typ], Free: caps[typ],
+			FetchRate: []int64{0, 400, 1000}[r.IntN(3)], Images: map[string]fleet.Image{},
+		}
 		setReach(&p, m, int64(r.IntN(3))*2*s)
 		for range r.IntN(3) {
 			m.Images[fmt.Sprint("im", r.IntN(5))] = fleet.Image{MB: 1000, LastUsed: 1}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -30,9 +30,11 @@
 
 // fullSpec is a job with every field.
 func fullSpec(id string, kind jobstate.Kind, priority int) *jobstate.Spec {
-	return &jobstate.Spec{ID: id, Class: "train", Team: "t", Kind: kind, Priority: priority, Tasks: 300, Need: jobstate.Resources{CPU: 1500, GPU: 2000, Mem: 4250},
+	return &jobstate.Spec{
+		ID: id, Class: "train", Team: "t", Kind: kind, Priority: priority, Tasks: 300, Need: jobstate.Resources{CPU: 1500, GPU: 2000, Mem: 4250},
 		Types: []string{"big", "small"}, Zone: "a", OneZone: true, Spread: true, Spot: true, Image: "img/a<b>&c", ImageMB: 2048, Estimate: 90 * second,
-		Checkpoint: 30 * second, Save: 2 * second, Deadline: 600 * second, Dependencies: []string{"j-0", "j-1"}, Sweep: "s", Run: 7}
+		Checkpoint: 30 * second, Save: 2 * second, Deadline: 600 * second, Dependencies: []string{"j-0", "j-1"}, Sweep: "s", Run: 7,
+	}
 }
 
 func storedSets() (few, many *roaring.Bitmap) {
@@ -275,9 +277,11 @@
 	if logged.Len() > 0 || !c.cache.synced {
 		t.Fatalf("read: %v, errors: %s", c.cache.synced, logged.String())
 	}
-	for key, got := range map[string]any{LeaderKey: c.cache.leader, tokenKey: c.cache.token, partitionsKey: c.cache.partitions, formatKey: c.membership.format,
+	for key, got := range map[string]any{
+		LeaderKey: c.cache.leader, tokenKey: c.cache.token, partitionsKey: c.cache.partitions, formatKey: c.membership.format,
 		endPrefix + "e-done": c.cache.ends["e-done"], endPrefix + "e-ended": c.cache.ends["e-ended"], sweepPrefix + "s": c.sweepManager.sweeps["s"].head,
-		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"])} {
+		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"]),
+	} {
 		if !bytes.Equal(raws[key], encodeJSON(got)) {
 			t.Errorf("%s: known as %s", key, encodeJSON(got))
 		}
@@ -305,8 +309,15 @@
 		machine string
 		attempt uint32
 		done    bool
-	}{{"j-least", 255, "host-000001", 4, false}, {"j-least", 9, "", 0, true}, {"j-least", 100, "host-000013", 3, true}, {"j-full", 7, "host-000003", 2, false},
-		{"j-full", 64, "host-000003", 6, false}, {"j-full", 299, "host-000012", 9, false}, {"j-full", 298, "", 8, true}} {
+	}{
+		{"j-least", 255, "host-000001", 4, false},
+		{"j-least", 9, "", 0, true},
+		{"j-least", 100, "host-000013", 3, true},
+		{"j-full", 7, "host-000003", 2, false},
+		{"j-full", 64, "host-000003", 6, false},
+		{"j-full", 299, "host-000012", 9, false},
+		{"j-full", 298, "", 8, true},
+	} {
 		if k := c.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
 			t.Errorf("%s/%d: known as %+v", x.job, x.task, k)
 		}
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -207,8 +207,12 @@
 		{"the chunk is newer", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: run, Value: chunk(1, nil, 0), Revision: 3}}, "d..."},
 		{"the chunk is older", []Change{{Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 2}, {Key: p1, Value: page(1, entry(0, true, "")), Revision: 3}}, "d..."},
 		{"the chunk was read after a newer page", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 4}, {Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3}}, "ab.."},
-		{"two pages, the first is gone", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3},
-			{Key: p2, Value: page(1, entry(3, false, "c")), Revision: 4}, {Key: p1, Removed: true, Revision: 5}}, "a..c"},
+		{"two pages, the first is gone", []Change{
+			{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2},
+			{Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3},
+			{Key: p2, Value: page(1, entry(3, false, "c")), Revision: 4},
+			{Key: p1, Removed: true, Revision: 5},
+		}, "a..c"},
 	}
 	for _, tc := range cases {
 		for _, order := range []string{"job first", "job last"} {
--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -49,8 +49,10 @@
 }
 
 func newCloud(w *Environment) *cloud {
-	return &cloud{env: w, machines: map[string]*machine{}, rentRequests: map[string][]string{}, used: map[Capacity]int{}, capacityShare: 1, bootFactor: 1,
-		calls: bucket{level: 2 * w.Params.Cloud.RPS}, versions: []listVersion{{math.MinInt64 / 2, immutable.NewSortedMap[string, listedMachine](nil)}}}
+	return &cloud{
+		env: w, machines: map[string]*machine{}, rentRequests: map[string][]string{}, used: map[Capacity]int{}, capacityShare: 1, bootFactor: 1,
+		calls: bucket{level: 2 * w.Params.Cloud.RPS}, versions: []listVersion{{math.MinInt64 / 2, immutable.NewSortedMap[string, listedMachine](nil)}},
+	}
 }
 
 func (c *cloud) machineType(name string) *wire.MachineType {
@@ -176,8 +178,10 @@
 			break
 		}
 		m := l.machine
-		out.Machines = append(out.Machines, wire.Listing{Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: l.status,
-			AgeS: float64(max(at-m.createdAt, 0)) / 1e6})
+		out.Machines = append(out.Machines, wire.Listing{
+			Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: l.status,
+			AgeS: float64(max(at-m.createdAt, 0)) / 1e6,
+		})
 	}
 	return out
 }
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -59,8 +59,10 @@
 type duplicateReports struct{ share, leases float64 }
 
 func newMachine(w *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
-	m := &machine{env: w, name: name, machineType: t, zone: zone, spot: spot, createdAt: w.now, session: 1,
-		speed: 0.95 + w.rng.Float64()*0.1, clockRate: 1 + (w.rng.Float64()*2-1)*w.ClockDrift, controllerIndex: w.rng.IntN(w.Params.Size)}
+	m := &machine{
+		env: w, name: name, machineType: t, zone: zone, spot: spot, createdAt: w.now, session: 1,
+		speed: 0.95 + w.rng.Float64()*0.1, clockRate: 1 + (w.rng.Float64()*2-1)*w.ClockDrift, controllerIndex: w.rng.IntN(w.Params.Size),
+	}
 	m.cache.machine = m
 	return m
 }
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -26,8 +26,10 @@
 }
 
 func newStage(t *testing.T) *stage {
-	c := Config{Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
-		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}}}
+	c := Config{
+		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
+		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}},
+	}
 	p := &c.Params
 	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2, 16, 20, 4, 36
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -40,8 +40,10 @@
 const workerResumes = "machine_goes_on"
 
 // RemoteFaults are the kinds of faults that a world with RemoteWorkers can play.
-var RemoteFaults = []string{"crash", "roll", "freeze", "cut", "state_outage", "state_refuse", "state_slow",
-	"cloud_outage", "cloud_refuse", "cloud_capacity", "cloud_slow", "machine_die", "machine_hang", "machine_back", "machine_anew"}
+var RemoteFaults = []string{
+	"crash", "roll", "freeze", "cut", "state_outage", "state_refuse", "state_slow",
+	"cloud_outage", "cloud_refuse", "cloud_capacity", "cloud_slow", "machine_die", "machine_hang", "machine_back", "machine_anew",
+}
 
 // NewWorkerEnvironment makes a world of workers, in which no machine is up yet. Cuts of the
 // network are played in it as in the world that has the cloud; all other faults
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -84,8 +84,10 @@
 
 func newState(w *Environment) *stateService {
 	l := w.Params.State.StateLimits
-	return &stateService{env: w, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
-		calls: bucket{level: l.RPS}, writes: bucket{level: l.WriteRPS}}
+	return &stateService{
+		env: w, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
+		calls: bucket{level: l.RPS}, writes: bucket{level: l.WriteRPS},
+	}
 }
 
 // refuses says whether a caller gets 503.
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -158,8 +158,10 @@
 }
 
 func coreReport(q *wire.Report) core.Heartbeat {
-	r := core.Heartbeat{Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
-		Tasks: make([]core.TaskStatus, len(q.Tasks))}
+	r := core.Heartbeat{
+		Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
+		Tasks: make([]core.TaskStatus, len(q.Tasks)),
+	}
 	if q.NoticeS != nil {
 		r.PreemptionNotice = int64(*q.NoticeS * 1e6)
 	}
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -44,8 +44,10 @@
 	for i := range 30 {
 		j := job{At: second + rng.Int64N(180*second), Run: 4*second + rng.Int64N(30*second)}
 		s := &j.Spec
-		*s = wire.Job{ID: fmt.Sprintf("job-%02d", i), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Priority: []string{"idle", "normal", "urgent"}[rng.IntN(3)],
-			Image: fmt.Sprintf("im-%d", rng.IntN(2)), ImageGB: 2, EstimateS: float64(5 + rng.IntN(100)), Spot: rng.IntN(2) == 0}
+		*s = wire.Job{
+			ID: fmt.Sprintf("job-%02d", i), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Priority: []string{"idle", "normal", "urgent"}[rng.IntN(3)],
+			Image: fmt.Sprintf("im-%d", rng.IntN(2)), ImageGB: 2, EstimateS: float64(5 + rng.IntN(100)), Spot: rng.IntN(2) == 0,
+		}
 		switch rng.IntN(3) {
 		case 0:
 			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Gang, 1+rng.IntN(3), 10, 2, 30
@@ -84,8 +86,10 @@
 		at := 20*second + rng.Int64N(150*second)
 		add := func(k int, kind string, tasks int, awaits ...string) *job {
 			j := job{At: at, Run: 3*second + rng.Int64N(8*second)}
-			j.Spec = wire.Job{ID: id(k), Class: "p", Team: "blue", Kind: kind, Tasks: tasks, CPUs: 1, MemGB: 0.5,
-				Priority: []string{"idle", "normal"}[k/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, DependsOn: awaits, OneZone: kind == wire.Gang}
+			j.Spec = wire.Job{
+				ID: id(k), Class: "p", Team: "blue", Kind: kind, Tasks: tasks, CPUs: 1, MemGB: 0.5,
+				Priority: []string{"idle", "normal"}[k/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, DependsOn: awaits, OneZone: kind == wire.Gang,
+			}
 			d.Jobs = append(d.Jobs, j)
 			return &d.Jobs[len(d.Jobs)-1]
 		}
@@ -180,8 +184,10 @@
 	{name: "one controller crashes", faults: []fault{at(60, "crash", 0, "node-0"), at(90, "crash", 0, "node-1")}},
 	{name: "two crash at once", faults: []fault{at(70, "crash", 0, "node-0", "node-1")}},
 	{name: "all crash", faults: []fault{at(50, "crash", 0), at(120, "crash", 0)}},
-	{name: "all are restarted in turn while capacity is refused and the state service comes back cold",
-		faults: []fault{at(50, "cloud_refuse", 120), at(60, "roll", 7), at(63, "state_cold", 12), at(80, "machine_die", 0, "host-000003")}},
+	{
+		name:   "all are restarted in turn while capacity is refused and the state service comes back cold",
+		faults: []fault{at(50, "cloud_refuse", 120), at(60, "roll", 7), at(63, "state_cold", 12), at(80, "machine_die", 0, "host-000003")},
+	},
 	{name: "state outage", faults: []fault{at(60, "state_outage", 15)}},
 	{name: "state outage longer than hold and lease", faults: []fault{at(60, "state_outage", 45)}},
 	{name: "all crash in a state outage", faults: []fault{at(60, "state_outage", 15), at(65, "crash", 0)}},
@@ -194,13 +200,18 @@
 	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
 	{name: "the leader hears no worker", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
 	{name: "answers are lost and requests executed late", loss: 0.05, faults: []fault{at(100, "crash", 0, "node-1")}},
-	{name: "machines go silent and die", faults: []fault{at(40, "machine_silent", 12, "host-000000"), at(60, "machine_silent", 40, "host-000001"),
-		at(80, "machine_die", 0, "host-000002"), at(82, "crash", 0)}},
-	{name: "a third hangs for half a lease while a new leader begins", faults: []fault{at(60, "crash", 0, "node-0", "node-1"),
-		at(61, "machine_hang", 8, "host-000000", "host-000003", "host-000006")}},
+	{name: "machines go silent and die", faults: []fault{
+		at(40, "machine_silent", 12, "host-000000"), at(60, "machine_silent", 40, "host-000001"),
+		at(80, "machine_die", 0, "host-000002"), at(82, "crash", 0),
+	}},
+	{name: "a third hangs for half a lease while a new leader begins", faults: []fault{
+		at(60, "crash", 0, "node-0", "node-1"),
+		at(61, "machine_hang", 8, "host-000000", "host-000003", "host-000006"),
+	}},
 	{name: "a third dies as all controllers end", faults: []fault{at(70, "machine_die", 0, "host-000001", "host-000004", "host-000007"), at(71, "crash", 0)}},
 	{name: "a controller is cut off with a third of the machines, and another crashes", faults: []fault{
-		at(60, "cut", 35, "node-0"), at(60, "machine_silent", 35, "host-000000", "host-000002", "host-000005"), at(63, "crash", 0, "node-1")}},
+		at(60, "cut", 35, "node-0"), at(60, "machine_silent", 35, "host-000000", "host-000002", "host-000005"), at(63, "crash", 0, "node-1"),
+	}},
 	{name: "silent machines in a cloud outage", faults: []fault{at(40, "cloud_outage", 100), at(60, "machine_silent", 30, "host-000001"), at(70, "machine_silent", 50, "host-000003")}},
 	{name: "machines fail every task", faults: []fault{at(40, "machine_faulty", 60, "host-000001", "host-000002")}},
 	{name: "spot machines are taken in a wave", faults: []fault{{At: 60 * second, Kind: "spot_wave", Share: 1}, {At: 130 * second, Kind: "spot_wave", Share: 0.5}}},
@@ -276,8 +287,10 @@
 			d.Params.Teams[0].GPUsMax = 0
 			d.up(tc.machines)
 			d.Length = tc.length * second
-			d.Jobs = []job{{At: second, Run: 2 * second, Spec: wire.Job{ID: tc.name, Class: "c", Team: "red", Kind: wire.Array, Priority: "idle", Image: "i",
-				Tasks: tc.tasks, CPUs: tc.cpus, GPUs: tc.gpus, MemGB: tc.mem, EstimateS: 2}}}
+			d.Jobs = []job{{At: second, Run: 2 * second, Spec: wire.Job{
+				ID: tc.name, Class: "c", Team: "red", Kind: wire.Array, Priority: "idle", Image: "i",
+				Tasks: tc.tasks, CPUs: tc.cpus, GPUs: tc.gpus, MemGB: tc.mem, EstimateS: 2,
+			}}}
 			d.Jobs[0].Spec.ID = strings.ReplaceAll(tc.name, " ", "-")
 			d.Faults = []fault{at(tc.crash, "crash", 0)}
 			if tc.limits != 0 {
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -42,7 +42,8 @@
 func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, befall func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
-	o := Options{Operators: d.ops, Programs: programs,
+	o := Options{
+		Operators: d.ops, Programs: programs,
 		OnQuery: func(node string, q core.ReadFromLeader) {
 			f.asked++
 			if f.meet != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
@@ -62,7 +63,8 @@
 			for i := range int(150 * second / every) {
 				c.After(20*second+int64(i)*every, func() { again(c, befall, i) })
 			}
-		}}
+		},
+	}
 	c, err := Run(d.Config, o)
 	if err != nil || f.err != nil {
 		t.Fatal(err, f.err)
@@ -224,7 +226,8 @@
 			var cluster *Cluster
 			led := int64(0)
 			var failed error
-			c, err := Run(d.Config, Options{Operators: d.ops,
+			c, err := Run(d.Config, Options{
+				Operators: d.ops,
 				OnEvent: func(e history.Event) {
 					if e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == "put" {
 						led = e.At
@@ -238,7 +241,8 @@
 							c.ScheduleFaults(&failed, environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1]})
 						})
 					}
-				}})
+				},
+			})
 			if err != nil || failed != nil {
 				t.Fatal(err, failed)
 			}
--- a/internal/emulator/faketime/largest_test.go
+++ b/internal/emulator/faketime/largest_test.go
@@ -26,8 +26,10 @@
 			d.Jobs = nil
 			due := 30.0
 			for i := range 7 {
-				j := job{At: int64(20+25*i) * second, Run: 15 * second, Spec: wire.Job{ID: fmt.Sprintf("wide-%d", i), Class: "wide", Team: "blue", Kind: kind, Priority: "normal",
-					Tasks: 1 + 3*((i+1)%2), CPUs: 11, GPUs: 1, MemGB: 4, EstimateS: 15, Image: "w", ImageGB: 1}}
+				j := job{At: int64(20+25*i) * second, Run: 15 * second, Spec: wire.Job{
+					ID: fmt.Sprintf("wide-%d", i), Class: "wide", Team: "blue", Kind: kind, Priority: "normal",
+					Tasks: 1 + 3*((i+1)%2), CPUs: 11, GPUs: 1, MemGB: 4, EstimateS: 15, Image: "w", ImageGB: 1,
+				}}
 				if kind == wire.Array {
 					j.Spec.DeadlineS = &due
 				}
@@ -36,12 +38,16 @@
 				}
 			}
 			for i := range 200 {
-				d.Jobs = append(d.Jobs, job{At: int64(5+2*i) * second, Run: 25 * second, Spec: wire.Job{ID: fmt.Sprintf("small-%03d", i), Class: "small", Team: "red", Kind: wire.Array, Priority: "normal",
-					Tasks: 4, CPUs: 1, MemGB: 1, EstimateS: 5, Image: "s", ImageGB: 1, DeadlineS: &due}})
+				d.Jobs = append(d.Jobs, job{At: int64(5+2*i) * second, Run: 25 * second, Spec: wire.Job{
+					ID: fmt.Sprintf("small-%03d", i), Class: "small", Team: "red", Kind: wire.Array, Priority: "normal",
+					Tasks: 4, CPUs: 1, MemGB: 1, EstimateS: 5, Image: "s", ImageGB: 1, DeadlineS: &due,
+				}})
 			}
 			if kind == wire.Gang {
-				d.Jobs = append(d.Jobs, job{At: 10 * second, Run: 5 * second, Spec: wire.Job{ID: "narrow", Class: "wide", Team: "blue", Kind: kind, Priority: "normal",
-					Tasks: 1, CPUs: 11, MemGB: 4, EstimateS: 5, Image: "w", ImageGB: 1}})
+				d.Jobs = append(d.Jobs, job{At: 10 * second, Run: 5 * second, Spec: wire.Job{
+					ID: "narrow", Class: "wide", Team: "blue", Kind: kind, Priority: "normal",
+					Tasks: 1, CPUs: 11, MemGB: 4, EstimateS: 5, Image: "w", ImageGB: 1,
+				}})
 			}
 			c := d.play(t, nil)
 			if l := breaches(c); len(l) > 0 {
--- a/internal/emulator/faketime/mute_test.go
+++ b/internal/emulator/faketime/mute_test.go
@@ -17,8 +17,10 @@
 			d := small(21)
 			d.Jobs, d.Length = nil, 120*second
 			for i := range 6 {
-				d.Jobs = append(d.Jobs, job{At: 2 * second, Run: 60 * second, Cancel: 47 * second, Spec: wire.Job{ID: fmt.Sprintf("long-%d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 2,
-					CPUs: 2, GPUs: 0.5, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 60}})
+				d.Jobs = append(d.Jobs, job{At: 2 * second, Run: 60 * second, Cancel: 47 * second, Spec: wire.Job{
+					ID: fmt.Sprintf("long-%d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 2,
+					CPUs: 2, GPUs: 0.5, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 60,
+				}})
 			}
 			d.Faults = []fault{{At: 40 * second, Kind: "machine_mute", Share: 1, Duration: 14 * second}}
 			if crash {
--- a/internal/emulator/faketime/nothing_test.go
+++ b/internal/emulator/faketime/nothing_test.go
@@ -24,11 +24,15 @@
 	}{
 		{"machines die and spot machines are taken", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
 		{"a roll with a wave of taken machines and a crash", []fault{at(65, "roll", 9), wave, at(110, "crash", 0, "node-1")}},
-		{"a slow state service, a zone cut off, two zones apart", []fault{{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
-			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true})}},
+		{"a slow state service, a zone cut off, two zones apart", []fault{
+			{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
+			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
+		}},
 		{"all controllers end in an outage, and machines die", []fault{at(80, "state_outage", 10), at(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
-		{"controllers are refused, cut off and apart", []fault{at(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
-			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), at(135, "cut", 20, "node-2")}},
+		{"controllers are refused, cut off and apart", []fault{
+			at(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
+			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), at(135, "cut", 20, "node-2"),
+		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -40,8 +44,10 @@
 			d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
 			d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 			for k := range 3 {
-				d.Jobs = append(d.Jobs, job{At: second, Cancel: int64(200+20*k) * second, Spec: wire.Job{ID: fmt.Sprintf("serve-%d", k), Class: "serve", Team: "red", Kind: wire.Service,
-					Priority: "production", Tasks: 4, CPUs: 2, GPUs: 0.5, MemGB: 4, Image: "s", ImageGB: 2, Spread: true}})
+				d.Jobs = append(d.Jobs, job{At: second, Cancel: int64(200+20*k) * second, Spec: wire.Job{
+					ID: fmt.Sprintf("serve-%d", k), Class: "serve", Team: "red", Kind: wire.Service,
+					Priority: "production", Tasks: 4, CPUs: 2, GPUs: 0.5, MemGB: 4, Image: "s", ImageGB: 2, Spread: true,
+				}})
 			}
 			d.Faults = tc.faults
 			d.whole(t)
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -21,8 +21,10 @@
 	d.up(16)
 	const n = 720
 	for i := range n {
-		j := job{At: 20*second + int64(i)*250_000, Run: 5 * second, Spec: wire.Job{ID: fmt.Sprintf("tiny-%03d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 1,
-			CPUs: 1, GPUs: 0.1, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 5}}
+		j := job{At: 20*second + int64(i)*250_000, Run: 5 * second, Spec: wire.Job{
+			ID: fmt.Sprintf("tiny-%03d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 1,
+			CPUs: 1, GPUs: 0.1, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 5,
+		}}
 		if i%4 == 3 {
 			j.Cancel = j.At + int64(i%40)*200_000
 		}
--- a/internal/emulator/faketime/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -31,8 +31,10 @@
 			d.ops.Reach = tc.on
 			d.up(8)
 			d.Length = 500 * second
-			d.Jobs = []job{{At: 60 * second, Run: 120 * second, Spec: wire.Job{ID: "burst", Class: "c", Team: "red", Kind: wire.Array, Tasks: 12, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
-				{At: 61 * second, Run: 120 * second, Spec: wire.Job{ID: "more", Class: "c", Team: "blue", Kind: wire.Array, Tasks: 10, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}}}
+			d.Jobs = []job{
+				{At: 60 * second, Run: 120 * second, Spec: wire.Job{ID: "burst", Class: "c", Team: "red", Kind: wire.Array, Tasks: 12, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
+				{At: 61 * second, Run: 120 * second, Spec: wire.Job{ID: "more", Class: "c", Team: "blue", Kind: wire.Array, Tasks: 10, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
+			}
 			const from, until = 50 * second, 170 * second
 			c := d.play(t, func(c *Cluster) {
 				c.After(from, func() {
--- a/internal/emulator/faultcombos/faultcombos.go
+++ b/internal/emulator/faultcombos/faultcombos.go
@@ -106,8 +106,12 @@
 		return l
 	}},
 	{name: "a third of the machines can't be reached, and the leader ends", begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "machine_silent", Share: 0.34, Duration: 12 * second}, {At: second, Kind: "crash", Hosts: n[:1]},
-			{At: 24 * second, Kind: "machine_silent", Share: 0.34, Duration: 12 * second}, {At: 25 * second, Kind: "crash", Hosts: n[:2]}}
+		return []environment.Fault{
+			{Kind: "machine_silent", Share: 0.34, Duration: 12 * second},
+			{At: second, Kind: "crash", Hosts: n[:1]},
+			{At: 24 * second, Kind: "machine_silent", Share: 0.34, Duration: 12 * second},
+			{At: 25 * second, Kind: "crash", Hosts: n[:2]},
+		}
 	}},
 	{name: "a third of the machines is deaf, and the leader ends", begin: func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: "machine_deaf", Share: 0.34, Duration: faultDuration}, {At: second, Kind: "crash", Hosts: n[:1]}}
@@ -284,8 +288,10 @@
 }
 
 func (d *deploymentBuilder) addJob(id, class, team, kind string, at int64, tasks int, cpus float64, run int64) *environment.Job {
-	d.Jobs = append(d.Jobs, environment.Job{At: at, Run: run, Spec: wire.Job{ID: id, Class: class, Team: team, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1,
-		Priority: "normal", Image: "im-" + class, ImageGB: 1, EstimateS: float64(run) / 1e6}})
+	d.Jobs = append(d.Jobs, environment.Job{At: at, Run: run, Spec: wire.Job{
+		ID: id, Class: class, Team: team, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1,
+		Priority: "normal", Image: "im-" + class, ImageGB: 1, EstimateS: float64(run) / 1e6,
+	}})
 	return &d.Jobs[len(d.Jobs)-1]
 }
 
--- a/internal/emulator/faultcombos/more_faults.go
+++ b/internal/emulator/faultcombos/more_faults.go
@@ -19,15 +19,26 @@
 		return []environment.Fault{{Kind: "late_writes", Share: 0.4, OnlyAnswers: true, Duration: faultDuration}, {Kind: "close_looks", Duration: faultDuration}}
 	}},
 	{name: "copies of reports wait for the next leader", mustOccur: history.OccurHeldCopy, begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "report_copies", Share: 0.5, UntilNextLeader: true, Duration: faultDuration}, {At: 8 * second, Kind: "crash", Hosts: n[:1]},
-			{At: 20 * second, Kind: "state_refuse", Hosts: n[1:], Duration: 2 * second}, {At: 20*second + 50_000, Kind: "crash", Hosts: n[:2]}, {At: 33 * second, Kind: "crash", Hosts: []string{"all"}}}
+		return []environment.Fault{
+			{Kind: "report_copies", Share: 0.5, UntilNextLeader: true, Duration: faultDuration},
+			{At: 8 * second, Kind: "crash", Hosts: n[:1]},
+			{At: 20 * second, Kind: "state_refuse", Hosts: n[1:], Duration: 2 * second},
+			{At: 20*second + 50_000, Kind: "crash", Hosts: n[:2]},
+			{At: 33 * second, Kind: "crash", Hosts: []string{"all"}},
+		}
 	}},
 	{name: "a third of the machines is mute", mustOccur: history.OccurMuteReport, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: "machine_mute", Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: "cancel_now", Count: 4}}
 	}},
 	{name: "a third of the machines is mute for a moment, and the leader ends", mustOccur: history.OccurMuteReport, begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "machine_mute", Share: 0.34, Duration: 9 * second}, {At: second, Kind: "crash", Hosts: n[:1]}, {At: 2 * second, Kind: "cancel_now", Count: 3},
-			{At: 22 * second, Kind: "machine_mute", Share: 0.34, Duration: 13 * second}, {At: 23 * second, Kind: "cancel_now", Count: 3}, {At: 24 * second, Kind: "crash", Hosts: n[:2]}}
+		return []environment.Fault{
+			{Kind: "machine_mute", Share: 0.34, Duration: 9 * second},
+			{At: second, Kind: "crash", Hosts: n[:1]},
+			{At: 2 * second, Kind: "cancel_now", Count: 3},
+			{At: 22 * second, Kind: "machine_mute", Share: 0.34, Duration: 13 * second},
+			{At: 23 * second, Kind: "cancel_now", Count: 3},
+			{At: 24 * second, Kind: "crash", Hosts: n[:2]},
+		}
 	}},
 	{name: "jobs are called off and their machines hang", mustOccur: history.OccurHungMachine, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{At: 2 * second, Kind: "cancel_now", Count: 4, Duration: 20 * second}, {At: 14 * second, Kind: "cancel_now", Count: 4, Duration: 5 * second}, {At: 26 * second, Kind: "cancel_now", Count: 4, Duration: 12 * second}}
@@ -40,8 +51,16 @@
 		return []environment.Fault{{Kind: "odd_requests", Duration: faultDuration}}
 	}},
 	{name: "machines are up at once, and leaders end", mustOccur: history.OccurQuickBoot, begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "cloud_slow", Factor: 0.06, Duration: faultDuration}, {Kind: "late_writes", Share: 0.25, Duration: faultDuration}, {At: 300_000, Kind: "machine_die", Count: 2},
-			{At: 3 * second, Kind: "crash", Hosts: n[:1]}, {At: 12 * second, Kind: "machine_die", Count: 2}, {At: 15 * second, Kind: "crash", Hosts: []string{"all"}}, {At: 25 * second, Kind: "machine_die", Count: 2}, {At: 26_500_000, Kind: "crash", Hosts: n[1:2]}}
+		return []environment.Fault{
+			{Kind: "cloud_slow", Factor: 0.06, Duration: faultDuration},
+			{Kind: "late_writes", Share: 0.25, Duration: faultDuration},
+			{At: 300_000, Kind: "machine_die", Count: 2},
+			{At: 3 * second, Kind: "crash", Hosts: n[:1]},
+			{At: 12 * second, Kind: "machine_die", Count: 2},
+			{At: 15 * second, Kind: "crash", Hosts: []string{"all"}},
+			{At: 25 * second, Kind: "machine_die", Count: 2},
+			{At: 26_500_000, Kind: "crash", Hosts: n[1:2]},
+		}
 	}},
 	{name: "a zone is cut off for longer than a lease", mustOccur: occurLease, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b", "services", "users"}, Duration: 34 * second}, {At: 4 * second, Kind: "cancel_now", Count: 4}}
@@ -76,8 +95,15 @@
 			d.addJob(fmt.Sprintf("single-%02d", i), "single", "one", wire.Array, faultsBegin-10*second+int64(i)*2*second, 1, 1, 3*second)
 		}
 	}, begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{At: second, Kind: "cancel_now", Count: 5, Duration: 22 * second}, {At: 1500 * second / 1000, Kind: "crash", Hosts: n[:1]}, {At: 2 * second, Kind: "machine_silent", Share: 0.3, Duration: 9 * second},
-			{At: 20 * second, Kind: "cancel_now", Count: 4, Duration: 6 * second}, {At: 20_500_000, Kind: "crash", Hosts: n[:2]}, {At: 27 * second, Kind: "cancel_now", Count: 4, Duration: 9 * second}, {At: 30 * second, Kind: "state_refuse", Hosts: n[:1], Duration: 5 * second}}
+		return []environment.Fault{
+			{At: second, Kind: "cancel_now", Count: 5, Duration: 22 * second},
+			{At: 1500 * second / 1000, Kind: "crash", Hosts: n[:1]},
+			{At: 2 * second, Kind: "machine_silent", Share: 0.3, Duration: 9 * second},
+			{At: 20 * second, Kind: "cancel_now", Count: 4, Duration: 6 * second},
+			{At: 20_500_000, Kind: "crash", Hosts: n[:2]},
+			{At: 27 * second, Kind: "cancel_now", Count: 4, Duration: 9 * second},
+			{At: 30 * second, Kind: "state_refuse", Hosts: n[:1], Duration: 5 * second},
+		}
 	}},
 	{name: "one-task jobs come four a second", mustOccur: occurTiny, minOccurrences: 120, prepare: func(d *deploymentBuilder) {
 		d.Params.State.WriteRPS = 25
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -188,8 +188,10 @@
 	}
 	cfg.Length = c.outageStart() + c.outageDuration() + taskDuration + 60*second + int64(c.Jobs)*second/30
 	for i := range c.Jobs {
-		j := environment.Job{At: 2*second + int64(i)*min(200_000, 10*second/int64(c.Jobs)), Run: taskDuration, Spec: wire.Job{ID: fmt.Sprintf("job-%02d", i), Class: "long", Team: "red", Kind: wire.Array, Tasks: 2, CPUs: 1, MemGB: 1,
-			Priority: "normal", Image: "im", ImageGB: 1, EstimateS: float64(taskDuration) / 1e6}}
+		j := environment.Job{At: 2*second + int64(i)*min(200_000, 10*second/int64(c.Jobs)), Run: taskDuration, Spec: wire.Job{
+			ID: fmt.Sprintf("job-%02d", i), Class: "long", Team: "red", Kind: wire.Array, Tasks: 2, CPUs: 1, MemGB: 1,
+			Priority: "normal", Image: "im", ImageGB: 1, EstimateS: float64(taskDuration) / 1e6,
+		}}
 		if i%4 == 1 {
 			j.Spec.Kind = wire.Gang
 		}
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -50,8 +50,10 @@
 
 // FromScenario is a plan that plays a given world.
 func FromScenario(name string, c environment.Config, alone int) (Plan, error) {
-	p := Plan{Scenario: name, givenConfig: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
-		Dedicated: alone, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.CrossRegion)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond}
+	p := Plan{
+		Scenario: name, givenConfig: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
+		Dedicated: alone, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.CrossRegion)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond,
+	}
 	var errs []error
 	for _, m := range c.Machines {
 		p.Workers += m.Count
@@ -87,9 +89,11 @@
 // Default is the operators' plan at a number of workers.
 func Default(workers int) Plan {
 	share := func(n int) int { return max(1, int(math.Round(float64(n)*float64(workers)/planWorkers))) }
-	return Plan{Workers: workers, Accelerators: share(planAccelerators), Controllers: 12, Zones: 15, Regions: 4, Teams: 380,
+	return Plan{
+		Workers: workers, Accelerators: share(planAccelerators), Controllers: 12, Zones: 15, Regions: 4, Teams: 380,
 		Running: share(planRunning), Starts: share(planStarts), LargestGang: 64, Dedicated: 3, StateRPS: 250, StateWrites: 90, RemoteMS: 8,
-		Seed: 1, Length: 130 * time.Second}
+		Seed: 1, Length: 130 * time.Second,
+	}
 }
 
 // FailureKinds are what a run can lose once, and what that is.
@@ -179,8 +183,10 @@
 		c.RemoteWorkers = true
 		return c
 	}
-	c := environment.Config{Seed: p.Seed, Length: p.Length.Microseconds(), RestartTime: 4 * config.Second, StateDelay: 3000, CloudDelay: 250_000, ClockDrift: 0.0005, StrayRequestRate: 0.1, RemoteWorkers: true,
-		Network: environment.Network{SameZone: 400, CrossZone: 800, CrossRegion: int64(p.RemoteMS * 1000), Jitter: 0.25, Regions: map[string]string{}, HomeRegion: regionName(0)}}
+	c := environment.Config{
+		Seed: p.Seed, Length: p.Length.Microseconds(), RestartTime: 4 * config.Second, StateDelay: 3000, CloudDelay: 250_000, ClockDrift: 0.0005, StrayRequestRate: 0.1, RemoteWorkers: true,
+		Network: environment.Network{SameZone: 400, CrossZone: 800, CrossRegion: int64(p.RemoteMS * 1000), Jitter: 0.25, Regions: map[string]string{}, HomeRegion: regionName(0)},
+	}
 	p.platform(&c)
 	p.machines(&c)
 	p.jobs(&c)
@@ -224,8 +230,10 @@
 		if x.count == 0 {
 			continue
 		}
-		c.Types = append(c.Types, wire.MachineType{Name: x.name, CPUs: cpusPerMachine, GPUs: x.gpus, MemGB: memoryGBPerMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
-			Price: 1 + x.gpus, SpotPrice: 0.4, BootS: bootSeconds, Zones: c.Params.Zones})
+		c.Types = append(c.Types, wire.MachineType{
+			Name: x.name, CPUs: cpusPerMachine, GPUs: x.gpus, MemGB: memoryGBPerMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
+			Price: 1 + x.gpus, SpotPrice: 0.4, BootS: bootSeconds, Zones: c.Params.Zones,
+		})
 		for i, zone := range c.Params.Zones {
 			n := x.count / p.Zones
 			if i < x.count%p.Zones {
@@ -353,9 +361,11 @@
 }
 
 func (p *Plan) job(c *environment.Config, rng *rand.Rand, l load, at int64, tasks int, run float64) {
-	spec := wire.Job{ID: fmt.Sprintf("req-%06d", len(c.Jobs)+1), Class: l.class, Team: teamName(rng.IntN(p.Teams)), Kind: l.kind, Priority: l.priority, Tasks: tasks,
+	spec := wire.Job{
+		ID: fmt.Sprintf("req-%06d", len(c.Jobs)+1), Class: l.class, Team: teamName(rng.IntN(p.Teams)), Kind: l.kind, Priority: l.priority, Tasks: tasks,
 		CPUs: l.cpus, GPUs: l.gpus, MemGB: l.mem, Image: fmt.Sprintf("%s-%02d", l.class, rng.IntN(l.images)), ImageGB: l.imageGB, OneZone: l.kind == wire.Gang,
-		EstimateS: run * (1 + estimateError*(2*rng.Float64()-1))}
+		EstimateS: run * (1 + estimateError*(2*rng.Float64()-1)),
+	}
 	j := environment.Job{At: at, Run: int64(run * 1e6), Spec: spec}
 	if l.class != classUrgent && rng.Float64() < cancelledShare {
 		j.Cancel = at + 5*config.Second + rng.Int64N(20*config.Second)
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -262,9 +262,11 @@
 // figures works out what the run has shown.
 func (r *execution) figures(events []history.Event) *Figures {
 	terms := r.driver.Expectations()
-	f := &Figures{Plan: r.Plan, Sources: r.Sources, Cores: runtime.NumCPU(), Windows: map[string]Window{}, TimerLateness: r.lateness,
+	f := &Figures{
+		Plan: r.Plan, Sources: r.Sources, Cores: runtime.NumCPU(), Windows: map[string]Window{}, TimerLateness: r.lateness,
 		Urgent: startWaits(events, terms, classUrgent, urgentWithin), Gangs: startWaits(events, terms, classGang, 30),
-		Submit: requestLatencies(events, history.Submit), Poll: requestLatencies(events, history.Poll), Events: len(events), PeakMemoryMB: float64(r.peakMemoryMB.Load())}
+		Submit: requestLatencies(events, history.Submit), Poll: requestLatencies(events, history.Poll), Events: len(events), PeakMemoryMB: float64(r.peakMemoryMB.Load()),
+	}
 	if f.TimerLateness.P99 > maxTimerLateness {
 		f.MachineLimited = fmt.Sprintf("the workers' or the emulator's timers ran %.0f ms late at the 99th percentile, and %d are allowed", f.TimerLateness.P99, maxTimerLateness)
 	}
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -55,11 +55,13 @@
 			n := max(1, int(math.Round(tasks(rng))))
 			runS := max(0.1, run(rng))
 			img := int(float64(len(sizes)) * math.Pow(rng.Float64(), 2)) // the first ones are the most wanted
-			j := environment.Job{At: at, Run: config.MicrosOf(runS), Spec: wire.Job{Class: l.GetClass(), Team: teams[rng.IntN(len(teams))], Kind: kindNames[l.GetKind()],
+			j := environment.Job{At: at, Run: config.MicrosOf(runS), Spec: wire.Job{
+				Class: l.GetClass(), Team: teams[rng.IntN(len(teams))], Kind: kindNames[l.GetKind()],
 				Priority: []string{"normal", "idle", "urgent", "production"}[l.GetPriority()], Tasks: min(n, 100_000),
 				CPUs: r.number(f+".cpus", l.Cpus, 1, 0.001, 1e4), GPUs: r.number(f+".gpus", l.Gpus, 0, 0, 1e3), MemGB: r.number(f+".memory_gb", l.MemoryGb, 1, 0, 1e5),
 				Image: fmt.Sprintf("%s-%d", l.GetClass(), img), ImageGB: sizes[img], Types: l.Types, Zone: l.Zone,
-				OneZone: l.GetOneZone(), Spread: l.GetSpread(), Spot: l.GetSpot(), CheckpointS: l.GetCheckpointS(), CheckpointCostS: l.GetSaveS()}}
+				OneZone: l.GetOneZone(), Spread: l.GetSpread(), Spot: l.GetSpot(), CheckpointS: l.GetCheckpointS(), CheckpointCostS: l.GetSaveS(),
+			}}
 			if l.GetKind() != pb.Load_SERVICE {
 				j.Spec.EstimateS = math.Round(100*runS*math.Exp(rng.NormFloat64()*wrong)) / 100
 			}
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -137,8 +137,10 @@
 	p.Limits.Sockets = r.count("controllers.sockets", c.Sockets, 1000, 32, 1e6)
 	p.ClockErrorMS = r.number("controllers.clock_error_ms", c.ClockErrorMs, 100, 0, 1e6)
 	n := m.GetNetwork()
-	s.Network = environment.Network{SameZone: int64(1000 * r.number("network.near_ms", n.NearMs, 0.4, 0.001, 1e4)), CrossZone: int64(1000 * r.number("network.far_ms", n.FarMs, 0.8, 0.001, 1e4)),
-		Jitter: r.number("network.jitter", n.Jitter, 0.25, 0, 1), Loss: r.number("network.loss", n.Loss, 0, 0, 0.5)}
+	s.Network = environment.Network{
+		SameZone: int64(1000 * r.number("network.near_ms", n.NearMs, 0.4, 0.001, 1e4)), CrossZone: int64(1000 * r.number("network.far_ms", n.FarMs, 0.8, 0.001, 1e4)),
+		Jitter: r.number("network.jitter", n.Jitter, 0.25, 0, 1), Loss: r.number("network.loss", n.Loss, 0, 0, 0.5),
+	}
 	r.regions(m, s)
 	t := m.GetState()
 	p.State.RPS = r.number("state.rps", t.Rps, 200, 1, 1e6)
@@ -177,8 +179,10 @@
 			r.addError(f+".name", "missing or used twice")
 		}
 		seen[x.GetName()] = true
-		p.Teams = append(p.Teams, config.Team{Name: x.GetName(), CPUs: r.number(f+".cpus", x.Cpus, 0, 0, 1e7), CPUsMax: r.number(f+".cpus_max", x.CpusMax, 0, 0, 1e7),
-			GPUs: r.number(f+".gpus", x.Gpus, 0, 0, 1e7), GPUsMax: r.number(f+".gpus_max", x.GpusMax, 0, 0, 1e7)})
+		p.Teams = append(p.Teams, config.Team{
+			Name: x.GetName(), CPUs: r.number(f+".cpus", x.Cpus, 0, 0, 1e7), CPUsMax: r.number(f+".cpus_max", x.CpusMax, 0, 0, 1e7),
+			GPUs: r.number(f+".gpus", x.Gpus, 0, 0, 1e7), GPUsMax: r.number(f+".gpus_max", x.GpusMax, 0, 0, 1e7),
+		})
 	}
 	if len(p.Teams) == 0 {
 		r.addError("team", "at least one is needed")
@@ -220,9 +224,11 @@
 		if t.GetName() == "" || slices.ContainsFunc(s.Types, func(o wire.MachineType) bool { return o.Name == t.GetName() }) {
 			r.addError(f+".name", "missing or used twice")
 		}
-		x := wire.MachineType{Name: t.GetName(), CPUs: r.number(f+".cpus", t.Cpus, 8, 0.1, 1e4), GPUs: r.number(f+".gpus", t.Gpus, 0, 0, 1e3), MemGB: r.number(f+".memory_gb", t.MemoryGb, 32, 0.1, 1e5),
+		x := wire.MachineType{
+			Name: t.GetName(), CPUs: r.number(f+".cpus", t.Cpus, 8, 0.1, 1e4), GPUs: r.number(f+".gpus", t.Gpus, 0, 0, 1e3), MemGB: r.number(f+".memory_gb", t.MemoryGb, 32, 0.1, 1e5),
 			CacheGB: r.number(f+".cache_gb", t.CacheGb, 50, 0, 1e5), FetchRate: r.number(f+".fetch_gb_per_s", t.FetchGbPerS, 0.5, 0.001, 1e3),
-			Price: r.number(f+".price", t.Price, 1, 0, 1e5), BootS: r.number(f+".boot_s", t.BootS, 20, 0, 3600), Zones: t.Zones}
+			Price: r.number(f+".price", t.Price, 1, 0, 1e5), BootS: r.number(f+".boot_s", t.BootS, 20, 0, 3600), Zones: t.Zones,
+		}
 		x.SpotPrice = r.number(f+".spot_price", t.SpotPrice, x.Price*0.4, 0, 1e5)
 		for _, z := range t.Zones {
 			if !slices.Contains(s.Params.Zones, z) {
@@ -258,8 +264,10 @@
 func (r *reader) faults(m *pb.Scenario, s *Scenario) {
 	for i, x := range m.Sweep {
 		f := fmt.Sprintf("sweep[%d]", i)
-		w, err := Expand(environment.Sweep{At: r.seconds(f+".at_s", x.AtS, 1), Cancel: r.seconds(f+".cancel_s", x.CancelS, 0), Run: r.seconds(f+".run_s", x.RunS, 5),
-			Times: r.count(f+".times", x.Times, 1, 1, 1000), Text: x.GetText()})
+		w, err := Expand(environment.Sweep{
+			At: r.seconds(f+".at_s", x.AtS, 1), Cancel: r.seconds(f+".cancel_s", x.CancelS, 0), Run: r.seconds(f+".run_s", x.RunS, 5),
+			Times: r.count(f+".times", x.Times, 1, 1, 1000), Text: x.GetText(),
+		})
 		if err != nil {
 			r.addError(f+".text", "%v", err)
 		}
@@ -280,8 +288,10 @@
 	if environment.FaultKinds[x.GetKind()] == "" {
 		r.addError(f+".kind", "%q is none of %v", x.GetKind(), environment.FaultKindNames())
 	}
-	w := environment.Fault{At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: x.GetKind(), Hosts: x.Hosts, To: x.To,
-		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), OnlyAnswers: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()}}
+	w := environment.Fault{
+		At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: x.GetKind(), Hosts: x.Hosts, To: x.To,
+		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), OnlyAnswers: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()},
+	}
 	if l := x.GetLose(); l != nil {
 		w.TransactionLoss = &environment.TransactionLoss{Prefix: l.GetPrefix(), Skip: r.count(f+".lose.skip", l.Skip, 0, 0, 1e6), Outcome: l.GetHow(), Delay: r.seconds(f+".lose.late_s", l.LateS, 0)}
 	}
--- a/internal/emulator/scenario/sweep.go
+++ b/internal/emulator/scenario/sweep.go
@@ -26,10 +26,12 @@
 	}
 	s.ID = sub.Plan.ID
 	for i, x := range sub.Plan.Specs {
-		j := wire.Job{ID: x.ID, Class: x.Class, Team: x.Team, Kind: wireKinds[x.Kind], Priority: priorities[x.Priority], Tasks: x.Tasks,
+		j := wire.Job{
+			ID: x.ID, Class: x.Class, Team: x.Team, Kind: wireKinds[x.Kind], Priority: priorities[x.Priority], Tasks: x.Tasks,
 			CPUs: float64(x.Need.CPU) / 1000, GPUs: float64(x.Need.GPU) / 1000, MemGB: float64(x.Need.Mem) / 1000, Image: x.Image, ImageGB: float64(x.ImageMB) / 1000,
 			Types: x.Types, OneZone: x.OneZone, Spread: x.Spread, Spot: x.Spot, EstimateS: float64(x.Estimate) / 1e6,
-			CheckpointS: float64(x.Checkpoint) / 1e6, CheckpointCostS: float64(x.Save) / 1e6, DependsOn: x.Dependencies}
+			CheckpointS: float64(x.Checkpoint) / 1e6, CheckpointCostS: float64(x.Save) / 1e6, DependsOn: x.Dependencies,
+		}
 		if x.Zone != "" {
 			j.Zone = &x.Zone
 		}
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -113,9 +113,11 @@
 }
 
 func newDriver(cfg environment.Config, o Options) *Driver {
-	return &Driver{Options: o, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
+	return &Driver{
+		Options: o, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
 		stop: make(chan struct{}), expectations: cfg.Expectations(), userClient: client(true), peerReportClient: client(false),
-		lateness: hdrhistogram.New(1, maxTrackedLateness, 3)}
+		lateness: hdrhistogram.New(1, maxTrackedLateness, 3),
+	}
 }
 
 // maxTrackedLateness bounds what is told apart of late timers, in microseconds.
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -24,8 +24,10 @@
 
 // bare is a world in which nobody does anything by themselves.
 func bare() environment.Config {
-	c := environment.Config{Seed: 1, Length: 600_000_000, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 50, BootS: 5, Price: 1, Zones: []string{"a"}}},
-		Capacity: []environment.Capacity{{Type: "big", Zone: "a", Count: 3}}}
+	c := environment.Config{
+		Seed: 1, Length: 600_000_000, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 50, BootS: 5, Price: 1, Zones: []string{"a"}}},
+		Capacity: []environment.Capacity{{Type: "big", Zone: "a", Count: 3}},
+	}
 	p := &c.Params
 	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2, 16, 30, 4, 36
@@ -223,8 +225,10 @@
 				c.Params.Workers.ReportS = 8
 				c.Capacity, c.Machines = nil, []environment.Machines{{Type: "big", Zone: "a", Count: machines}}
 				for i := range machines / 2 {
-					c.Jobs = append(c.Jobs, environment.Job{At: int64(5_000_000 + i*100_000_000/machines*2), Run: 20_000_000, Spec: wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "t", Kind: wire.Array,
-						Priority: "normal", Tasks: 16, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, EstimateS: 20}})
+					c.Jobs = append(c.Jobs, environment.Job{At: int64(5_000_000 + i*100_000_000/machines*2), Run: 20_000_000, Spec: wire.Job{
+						ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "t", Kind: wire.Array,
+						Priority: "normal", Tasks: 16, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, EstimateS: 20,
+					}})
 				}
 				start := time.Now()
 				r, err := faketime.Run(c, faketime.Options{Operators: config.Defaults()})
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -23,9 +23,11 @@
 
 // client never follows a redirect; a user makes a new connection each time.
 func client(fresh bool) *http.Client {
-	return &http.Client{Timeout: 6 * time.Second,
+	return &http.Client{
+		Timeout:       6 * time.Second,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		Transport:     &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second}}
+		Transport:     &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second},
+	}
 }
 
 // endpoint is an address that is served.
--- a/internal/emulator/sockets/workers.go
+++ b/internal/emulator/sockets/workers.go
@@ -67,14 +67,16 @@
 		names[n.publicAddr] = n.name
 	}
 	var dialer net.Dialer
-	c.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
+	c.Transport = &http.Transport{
+		MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
 			return d.Meter.Conn(conn, meter.Key{Host: machine, Kind: ReportKind}, meter.Key{Host: names[addr], Kind: ReportKind}), nil
-		}}
+		},
+	}
 	return c
 }
 
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -223,9 +223,11 @@
 	Close       bool
 }
 
-var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasons = map[int]string{
+	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content", 429: "Too Many Requests",
-	503: "Service Unavailable"}
+	503: "Service Unavailable",
+}
 
 // AppendResponse writes a response.
 func AppendResponse(b []byte, r Response) []byte {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -66,8 +66,10 @@
 
 // Run submits a trace, in the order of its times.
 func Run(trace []Entry, o Options) Totals {
-	r := &runner{Options: o, start: time.Now(), stop: make(chan struct{}),
-		client: &http.Client{Timeout: submitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	r := &runner{
+		Options: o, start: time.Now(), stop: make(chan struct{}),
+		client: &http.Client{Timeout: submitTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 	r.totals.Accept, r.totals.Complete = hdrhistogram.New(1, maxTrackedMicros, 3), hdrhistogram.New(1, maxTrackedMicros, 3)
 	over := time.AfterFunc(o.Duration, func() { close(r.stop) })
 	defer over.Stop()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,10 +12,12 @@
 
 // TestText reads back what is written, for a leader and for another controller.
 func TestText(t *testing.T) {
-	v := core.OperatorView{FencingToken: 7, Synced: true, Jobs: 12, Peers: []core.PeerView{{Name: "node \"1\"", Up: true}, {Name: "node-2"}},
+	v := core.OperatorView{
+		FencingToken: 7, Synced: true, Jobs: 12, Peers: []core.PeerView{{Name: "node \"1\"", Up: true}, {Name: "node-2"}},
 		Queues: []core.QueueView{{Waiting: 3, Tasks: 40, WaitsS: 1.5}, {}}, Machines: core.MachinesView{Busy: 5, Booting: 2},
 		Reach:     core.ConnectivityView{Links: []core.LinkView{{Link: "to node-2", State: "lost"}, {Link: "cloud", State: "slow"}}, Matrix: map[string]core.ConnectivityRowView{"node-2": {Workers: map[string]int{"a": 6}}}, SteppedAside: &core.LeadershipTransferView{To: "node-2", AgeS: 3}},
-		Latencies: []core.LatencyView{{Call: "submit", Answers: 10, Mean: 20, P50: 15, P95: 40, P99: 50}}}
+		Latencies: []core.LatencyView{{Call: "submit", Answers: 10, Mean: 20, P50: 15, P95: 40, P99: 50}},
+	}
 	cases := []struct {
 		leading bool
 		want    map[string]float64
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -41,8 +41,10 @@
 	var v []core.LatencyView
 	for _, call := range []string{"submit", "status", "cancel"} {
 		if h := l[call]; h != nil {
-			v = append(v, core.LatencyView{Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
-				P95: milliseconds(h.ValueAtQuantile(95)), P99: milliseconds(h.ValueAtQuantile(99)), Max: milliseconds(h.Max())})
+			v = append(v, core.LatencyView{
+				Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
+				P95: milliseconds(h.ValueAtQuantile(95)), P99: milliseconds(h.ValueAtQuantile(99)), Max: milliseconds(h.Max()),
+			})
 		}
 	}
 	return v
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,9 +108,11 @@
 
 // New wires a controller up.
 func New(p *config.Platform, ops config.Operators) *Node {
-	n := &Node{platform: p, inbox: make(chan envelope, inboxSize(p.Deployment.Limits.Sockets)), start: time.Now(), replies: map[uint64]pendingRequest{}, latencies: latencyRecorder{}, sweepSlots: make(chan struct{}, maxWaitingSweeps), fatal: make(chan error, 1),
+	n := &Node{
+		platform: p, inbox: make(chan envelope, inboxSize(p.Deployment.Limits.Sockets)), start: time.Now(), replies: map[uint64]pendingRequest{}, latencies: latencyRecorder{}, sweepSlots: make(chan struct{}, maxWaitingSweeps), fatal: make(chan error, 1),
 		state: store.New(p.Services.State, stateConns), watches: store.New(p.Services.State, watchConns), cloud: cloud.New(p.Services.Cloud),
-		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Deployment.Limits.Sockets))}
+		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Deployment.Limits.Sockets)),
+	}
 	set := core.Settings{Name: p.Name, Deployment: p.Deployment, Ops: ops, Incarnation: strconv.FormatUint(rand.Uint64(), 36)}
 	for _, m := range p.Peers {
 		set.Peers = append(set.Peers, m.Name)
@@ -134,8 +136,10 @@
 	errs := make(chan error, 2)
 	sockets := n.platform.Deployment.Limits.Sockets
 	go func() {
-		s := &httpwire.Server{Addr: n.platform.UserAddr, Handle: n.handle, MaxBody: api.MaxBodyBytes, MaxConns: frontConns(sockets),
-			ReadTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
+		s := &httpwire.Server{
+			Addr: n.platform.UserAddr, Handle: n.handle, MaxBody: api.MaxBodyBytes, MaxConns: frontConns(sockets),
+			ReadTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second,
+		}
 		errs <- s.Serve()
 	}()
 	ctx, stopServing := context.WithCancel(context.Background())
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -108,8 +108,19 @@
 // messages.
 func TestComplete(t *testing.T) {
 	roots := []any{
-		core.PingReceived{}, PingAnswer{}, core.HeartbeatReceived{}, core.Reply{},
-		core.SubmitJob{}, core.QueryJob{}, core.CancelJob{}, core.CloudCallRequested{}, core.FollowerRead{}, core.ForwardedSweep{}, core.QuerySweep{}, core.ListSweepRuns{}, core.CancelSweep{},
+		core.PingReceived{},
+		PingAnswer{},
+		core.HeartbeatReceived{},
+		core.Reply{},
+		core.SubmitJob{},
+		core.QueryJob{},
+		core.CancelJob{},
+		core.CloudCallRequested{},
+		core.FollowerRead{},
+		core.ForwardedSweep{},
+		core.QuerySweep{},
+		core.ListSweepRuns{},
+		core.CancelSweep{},
 	}
 	var messages []any
 	for _, message := range completeMessages() {
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -30,11 +30,15 @@
 func messages4() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", NeedMachines: true},
-		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, LimitsLowered: true,
+		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{
+			FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, LimitsLowered: true,
 			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Connectivity: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
-			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}}}},
-		"BeatArgs": core.HeartbeatReceived{From: "node-1", ViaPeer: true, Heartbeat: core.Heartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
-			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "running"}}}},
+			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}},
+		}},
+		"BeatArgs": core.HeartbeatReceived{From: "node-1", ViaPeer: true, Heartbeat: core.Heartbeat{
+			Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
+			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "running"}},
+		}},
 		"AskArgs submit":      core.SubmitJob{Spec: &jobstate.Spec{ID: "job-01", Team: "t", Tasks: 2, Dependencies: []string{"job-00"}}, Forwarded: true},
 		"AskArgs status":      core.QueryJob{ID: "job-01", Forwarded: true},
 		"AskArgs cancel":      core.CancelJob{ID: "job-01", Forwarded: true},
@@ -47,8 +51,10 @@
 		"Reply orders":        core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
 		"Reply job":           core.Reply{RequestID: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
 		"Reply sweep":         core.Reply{RequestID: 1, Status: 200, Sweep: &core.SweepState{ID: "s", State: "running", Runs: 3, Done: 1}},
-		"Reply cloud": core.Reply{RequestID: 1, Status: 200, Cloud: &core.CloudResult{Status: 200, Names: []string{"host-000002"}, Types: []fleet.Type{{Name: "big", Zones: []string{"a"}}},
-			List: []core.CloudMachine{{Name: "host-000002", Type: "big", Zone: "a", Status: "running", Age: 5}}}},
+		"Reply cloud": core.Reply{RequestID: 1, Status: 200, Cloud: &core.CloudResult{
+			Status: 200, Names: []string{"host-000002"}, Types: []fleet.Type{{Name: "big", Zones: []string{"a"}}},
+			List: []core.CloudMachine{{Name: "host-000002", Type: "big", Zone: "a", Status: "running", Age: 5}},
+		}},
 		"Reply refused": core.Reply{RequestID: 1, Status: 503, RetryAfter: 2, Error: "why"},
 	}
 }
@@ -58,8 +64,10 @@
 func messagesVouch() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", Question: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
-		"PingReply": PingAnswer{Name: "node-2", News: core.PeerStatus{FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
-			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8}}},
+		"PingReply": PingAnswer{Name: "node-2", News: core.PeerStatus{
+			FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
+			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
+		}},
 		"AskArgs rent": core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2, FencingToken: 3}}},
 	}
 }
@@ -69,8 +77,10 @@
 func messagesShared() map[string]any {
 	return map[string]any{
 		"AskArgs view": core.FollowerRead{AfterRevision: 7, WritesNeeded: 2},
-		"Reply view": core.Reply{RequestID: 1, Status: 200, View: &replica.View{Revision: 9, Granted: 2,
-			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Revision: 8}, {Key: "zinclb/job/b", Revision: 9, Removed: true}}}},
+		"Reply view": core.Reply{RequestID: 1, Status: 200, View: &replica.View{
+			Revision: 9, Granted: 2,
+			Changes: []core.Change{{Key: "zinclb/job/a", Value: []byte("{}"), Revision: 8}, {Key: "zinclb/job/b", Revision: 9, Removed: true}},
+		}},
 	}
 }
 
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -30,8 +30,10 @@
 	cases := map[string]any{
 		"PingArgs":  core.PingReceived{From: "node-1"},
 		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}}},
-		"BeatArgs": core.HeartbeatReceived{From: "node-1", Heartbeat: core.Heartbeat{Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
-			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "exited", Reason: "done", Checkpointed: true}}}},
+		"BeatArgs": core.HeartbeatReceived{From: "node-1", Heartbeat: core.Heartbeat{
+			Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
+			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "exited", Reason: "done", Checkpointed: true}},
+		}},
 		"AskArgs submit": nil,
 		"AskArgs status": core.QueryJob{RequestID: 1, Forwarded: true, ID: "job-01"},
 		"AskArgs cancel": core.CancelJob{RequestID: 1, Forwarded: true, ID: "job-01"},
@@ -70,8 +72,10 @@
 		}
 	}
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerStatus{FencingToken: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, LimitsLowered: true,
-		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Connectivity: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}}})); err != nil {
+	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerStatus{
+		FencingToken: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, LimitsLowered: true,
+		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Connectivity: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}},
+	})); err != nil {
 		t.Fatal(err)
 	}
 	if err := gob.NewDecoder(&b).Decode(&old); err != nil || old.Name != "n" || old.News.Token != 3 || old.News.Leader != "l" || old.News.StateAge != 5 || len(old.News.Cancelled) != 1 {
--- a/internal/sweep/expr.go
+++ b/internal/sweep/expr.go
@@ -96,7 +96,8 @@
 		return fail(bad)
 	}
 	file := &syntax.File{Path: where, Options: dialect, Stmts: []syntax.Stmt{
-		&syntax.AssignStmt{Op: syntax.EQ, LHS: &syntax.Ident{Name: resultName}, RHS: guardProducts(tree)}}}
+		&syntax.AssignStmt{Op: syntax.EQ, LHS: &syntax.Ident{Name: resultName}, RHS: guardProducts(tree)},
+	}}
 	program, err := starlark.FileProgram(file, func(name string) bool {
 		return name == productName || slices.Contains(builtins, name) || slices.Contains(names, name)
 	})
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -40,13 +40,19 @@
 	files := map[string]string{"p.csv": "x,name\n1,a\n2.5,\"b, c\"\n", "p.jsonl": `{"x": 1, "ok": true}` + "\n" + `{"x": 7, "ok": false}`, "odd.csv": "x\n1\n2,3\n"}
 	head := `id: "s" job { herd: "h" } `
 	cases := []struct{ name, text, want, fails string }{
-		{name: "the last parameter changes fastest", text: `parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { text: "x" } value { text: "y" } }`,
-			want: `{a: 1, b: "x"}[0] {a: 1, b: "y"}[1] {a: 2, b: "x"}[2] {a: 2, b: "y"}[3]`},
-		{name: "zip", text: `combine: ZIP parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { flag: true } value { flag: false } }`,
-			want: `{a: 1, b: true}[0] {a: 2, b: false}[1]`},
+		{
+			name: "the last parameter changes fastest", text: `parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { text: "x" } value { text: "y" } }`,
+			want: `{a: 1, b: "x"}[0] {a: 1, b: "y"}[1] {a: 2, b: "x"}[2] {a: 2, b: "y"}[3]`,
+		},
+		{
+			name: "zip", text: `combine: ZIP parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { flag: true } value { flag: false } }`,
+			want: `{a: 1, b: true}[0] {a: 2, b: false}[1]`,
+		},
 		{name: "zip of unequal lists", text: `combine: ZIP parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { int: 1 } }`, fails: "parameter b: 1 values, and a has 2"},
-		{name: "a table", text: `row { cell { name: "a" value { int: 1 } } cell { name: "b" value { int: 2 } } } row { cell { name: "b" value { int: 4 } } cell { name: "a" value { int: 3 } } }`,
-			want: `{a: 1, b: 2}[0] {a: 3, b: 4}[1]`},
+		{
+			name: "a table", text: `row { cell { name: "a" value { int: 1 } } cell { name: "b" value { int: 2 } } } row { cell { name: "b" value { int: 4 } } cell { name: "a" value { int: 3 } } }`,
+			want: `{a: 1, b: 2}[0] {a: 3, b: 4}[1]`,
+		},
 		{name: "a table with a hole", text: `row { cell { name: "a" value { int: 1 } } cell { name: "b" value { int: 2 } } } row { cell { name: "b" value { int: 4 } } }`, fails: "row 2: no cell a"},
 		{name: "a range", text: `parameter { name: "a" range { from: 0.1 to: 0.5 step: 0.2 } }`, want: `{a: 0.1}[0] {a: 0.30000000000000004}[1] {a: 0.5}[2]`},
 		{name: "a range down", text: `parameter { name: "a" range { from: 3 to: 1 step: -1 } }`, want: `{a: 3}[0] {a: 2}[1] {a: 1}[2]`},
