--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -123,7 +123,7 @@
 		{core.Reply{Status: 421}, `{}`},
 		{core.Reply{Status: 200, FencingToken: 7}, `{"baton":7,"orders":[]}`},
 		{
-			core.Reply{Status: 200, FencingToken: 7, Commands: []core.Command{{Op: "start", Task: "a/0", Attempt: 2}, {Op: "stop", Task: "a/1", Attempt: 1, Grace: 2_500_000}}},
+			core.Reply{Status: 200, FencingToken: 7, Commands: []core.Command{{Kind: "start", Task: "a/0", Attempt: 2}, {Kind: "stop", Task: "a/1", Attempt: 1, Grace: 2_500_000}}},
 			`{"baton":7,"orders":[{"verb":"run","hand":"a/0","try":2},{"verb":"kill","hand":"a/1","try":1,"wind_down_s":2.5}]}`,
 		},
 		{core.Reply{Status: 503, Error: "why"}, `{"error":"why"}`},
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -200,10 +200,14 @@
 	Grace   *float64 `json:"wind_down_s,omitempty"`
 }
 
-var orderVerbs = map[string]string{"start": "run", "stop": "kill", "forget": "forget"}
+var orderVerbs = map[core.CommandKind]string{
+	core.CommandStart:  "run",
+	core.CommandStop:   "kill",
+	core.CommandForget: "forget",
+}
 
 // OrderVerb is an order's on the wire.
-func OrderVerb(o core.Command) string { return orderVerbs[o.Op] }
+func OrderVerb(o core.Command) string { return orderVerbs[o.Kind] }
 
 // JobStateName is a job's state on the wire.
 func JobStateName(state string) string { return jobStates[state] }
@@ -212,7 +216,7 @@
 	out := make([]orderWire, len(orders))
 	for i, o := range orders {
 		out[i] = orderWire{Op: OrderVerb(o), Task: o.Task, Attempt: o.Attempt}
-		if o.Op == "stop" {
+		if o.Kind == core.CommandStop {
 			g := float64(o.Grace) / 1e6
 			out[i].Grace = &g
 		}
--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -17,10 +17,10 @@
 // everyOrder has an order of each kind, with and without time to save.
 func everyOrder() []core.Command {
 	return []core.Command{
-		{Op: "start", Task: "job-1/0", Attempt: 2},
-		{Op: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000},
-		{Op: "stop", Task: "job-1/2", Attempt: 4},
-		{Op: "forget", Task: "job-1/3", Attempt: 5},
+		{Kind: "start", Task: "job-1/0", Attempt: 2},
+		{Kind: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000},
+		{Kind: "stop", Task: "job-1/2", Attempt: 4},
+		{Kind: "forget", Task: "job-1/3", Attempt: 5},
 	}
 }
 
@@ -124,9 +124,9 @@
 	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeDirectOrders(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4, Commands: everyOrder()}))
 	fmt.Fprintf(&b, "no orders: %s\n", EncodeDirectOrders(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4}))
 	golden.Compare(t, "testdata/direct.txt", b.String())
-	for order, want := range map[core.Command]string{{Op: "start"}: "run", {Op: "stop"}: "kill", {Op: "forget"}: "forget"} {
+	for order, want := range map[core.Command]string{{Kind: "start"}: "run", {Kind: "stop"}: "kill", {Kind: "forget"}: "forget"} {
 		if got := OrderVerb(order); got != want {
-			t.Errorf("%s is %q on the wire, want %q", order.Op, got, want)
+			t.Errorf("%s is %q on the wire, want %q", order.Kind, got, want)
 		}
 	}
 }
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -27,9 +27,15 @@
 	} `json:"hands"`
 }
 
-var exitReasons = map[string]string{
-	"done": "done", "stopped": "stopped", "mates_gone": "peers", "incomplete": "alone",
-	"error": "error", "no_room": "no_room", "in_use": "busy", "no_such": "unknown",
+var exitReasons = map[string]core.ExitReason{
+	"done":       core.ExitDone,
+	"stopped":    core.ExitStopped,
+	"mates_gone": core.ExitPeersLost,
+	"incomplete": core.ExitGangIncomplete,
+	"error":      core.ExitError,
+	"no_room":    core.ExitNoRoom,
+	"in_use":     core.ExitBusy,
+	"no_such":    core.ExitUnknownTask,
 }
 
 // DecodeHeartbeat reads a worker's report.
@@ -57,13 +63,20 @@
 
 // NewTaskStatus is a task of a report in the core's words.
 func NewTaskStatus(name string, attempt uint64, state, why string, saved bool) core.TaskStatus {
+	status := core.TaskStatus{
+		Name:         name,
+		Attempt:      attempt,
+		State:        core.TaskState(state),
+		Reason:       core.ExitReason(why),
+		Checkpointed: saved,
+	}
 	if state == "ended" {
-		state = "exited"
+		status.State = core.TaskExited
 	}
-	if w := exitReasons[why]; w != "" {
-		why = w
+	if reason, ok := exitReasons[why]; ok {
+		status.Reason = reason
 	}
-	return core.TaskStatus{Name: name, Attempt: attempt, State: state, Reason: why, Checkpointed: saved}
+	return status
 }
 
 // EncodeDirectOrders makes the body of orders to a worker's own address.
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -170,7 +170,7 @@
 // leader n1.
 func TestAside(t *testing.T) {
 	report := func(n uint64) HeartbeatReceived {
-		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: -1}}
+		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
 	}
 	cases := []struct {
 		name   string
@@ -233,7 +233,7 @@
 			b.peer("n1", reaches(8, 8))
 		}
 		b.out = nil
-		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.onward, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: -1}})
+		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.onward, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
 		out := b.out
 		r := find[RelayHeartbeat](b)
 		b.out = out
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -45,10 +45,6 @@
 // wasReturned says whether a machine is gone for certain.
 func (d *departedMachines) wasReturned(name string) bool { return d.byName[name].returned }
 
-// stopNotReceiving is why an attempt is given up whose machine was told to start it and
-// does not hear.
-const stopNotReceiving = "deaf"
-
 // judgeDelivery judges by a new report whether its machine hears what it is told.
 func (wm *workerManager) judgeDelivery(m *fleet.Machine, r *Heartbeat) {
 	h := &m.Delivery
@@ -77,13 +73,13 @@
 func (wm *workerManager) abandonUnacknowledged(m *fleet.Machine) {
 	var refs []fleet.TaskRef
 	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); !t.Confirmed && t.StopReason == "" {
+		if t := ref.Job.Task(ref.Index); !t.Confirmed && !t.IsStopping() {
 			refs = append(refs, ref)
 		}
 	}
 	sortRefs(refs)
 	for _, ref := range refs {
-		wm.tasks.requestStop(ref.Job, ref.Index, stopNotReceiving, 0)
+		wm.tasks.requestStop(ref.Job, ref.Index, jobstate.StopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome == "" {
 			wm.tasks.breakGang(ref.Job, false) // it would wait for this one in vain
 		}
@@ -141,8 +137,8 @@
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
 		if !listsAttempt(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt) {
-			doubt = doubt || t.Confirmed || t.StopReason != "" && t.StartSent
-			wait = wait || !t.Confirmed && t.StopReason != "" && t.StartSent
+			doubt = doubt || t.Confirmed || t.IsStopping() && t.StartSent
+			wait = wait || !t.Confirmed && t.IsStopping() && t.StartSent
 		}
 	}
 	if doubt && (!wait || wm.now-m.LastAnswer > answerLifetime) && m.BeginProbe(wm.now) {
@@ -199,7 +195,7 @@
 		case listsAttempt(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt):
 		case t.Confirmed:
 			lost = append(lost, ref)
-		case t.StopReason != "" && t.StartSent && sent > m.LastAnswer+answerLifetime:
+		case t.IsStopping() && t.StartSent && sent > m.LastAnswer+answerLifetime:
 			never = append(never, ref)
 		}
 	}
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -11,7 +11,7 @@
 // peer or come late.
 func (r *rig) report(session, seq, token uint64, tasks ...TaskStatus) int {
 	r.got = nil
-	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, PreemptionNotice: -1, Tasks: tasks}})
+	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.got) == 0 && i < 100; i++ {
 		r.tick(50_000)
 	}
@@ -44,7 +44,7 @@
 		{"what it has shown stays until its lease is over", func(r *rig) {
 			r.beat(5, 1, running(3))
 			for range 4 {
-				r.beat(r.token, 1, running(3), TaskStatus{Name: "other/0", Attempt: 1, State: "exited", Reason: "stopped"})
+				r.beat(r.token, 1, running(3), TaskStatus{Name: "other/0", Attempt: 1, State: TaskExited, Reason: ExitStopped})
 			}
 		}, false, "m.3"},
 		{"it answers a question", func(r *rig) {
@@ -57,7 +57,7 @@
 			r.beat(5, 1)
 			r.beat(r.token, 1)
 			r.beat(r.token, 1)
-			r.beat(r.token, 1, TaskStatus{Name: "other/0", Attempt: 1, State: "exited", Reason: "stopped"})
+			r.beat(r.token, 1, TaskStatus{Name: "other/0", Attempt: 1, State: TaskExited, Reason: ExitStopped})
 			r.beat(r.token, 1)
 		}, true, "m.4"},
 		{"it can't be asked, is tried again after a while, and does not hear", func(r *rig) {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -127,8 +127,8 @@
 func (wm *workerManager) answerHeartbeat(m *fleet.Machine, req uint64, orders []Command) {
 	m.Delivery.SentCommands = m.Delivery.SentCommands[:0]
 	for _, o := range orders {
-		if o.Op != "stop" {
-			m.Delivery.SentCommands = append(m.Delivery.SentCommands, fleet.SentCommand{Task: o.Task, Attempt: o.Attempt, Forget: o.Op == "forget"})
+		if o.Kind != CommandStop {
+			m.Delivery.SentCommands = append(m.Delivery.SentCommands, fleet.SentCommand{Task: o.Task, Attempt: o.Attempt, Forget: o.Kind == CommandForget})
 		}
 	}
 	wm.emit(Reply{RequestID: req, Status: 200, FencingToken: wm.elector.leadership.token, Commands: orders})
@@ -143,7 +143,7 @@
 
 func (wm *workerManager) holdTime(m *fleet.Machine, orders []Command, ended bool) int64 {
 	for _, o := range orders {
-		if o.Op != "forget" {
+		if o.Kind != CommandForget {
 			return 0
 		}
 	}
@@ -176,7 +176,7 @@
 // hasCommands says whether an answer to a machine's report would have orders.
 func hasCommands(m *fleet.Machine) bool {
 	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); t.Stored && !t.StartSent || t.StopReason != "" {
+		if t := ref.Job.Task(ref.Index); t.Stored && !t.StartSent || t.IsStopping() {
 			return true
 		}
 	}
@@ -226,8 +226,8 @@
 		}
 		order := Command{Task: tr.Name, Attempt: uint32(tr.Attempt)}
 		mine := t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt
-		if tr.State == "exited" {
-			if t != nil && j.Outcome == "" && tr.Reason == "done" {
+		if tr.State == TaskExited {
+			if t != nil && j.Outcome == "" && tr.Reason == ExitDone {
 				wm.tasks.taskDone(j, i)
 			}
 			if mine {
@@ -237,13 +237,13 @@
 			// The exit must be stored first: a run could follow from the
 			// stored placement, and would start the task again.
 			if t == nil || j.Outcome != "" || j.IsTaskStored(i) {
-				order.Op = "forget"
+				order.Kind = CommandForget
 				orders = append(orders, order)
 			}
 			continue
 		}
 		if !mine {
-			order.Op = "stop"
+			order.Kind = CommandStop
 			orders = append(orders, order)
 			if j != nil {
 				m.OrphanUsage = m.OrphanUsage.Add(j.Need)
@@ -252,32 +252,32 @@
 		}
 		t.Confirmed, t.StartSent = true, true
 		wm.noteTaskPhase(m, j, t, tr.State)
-		if j.IsPartiallyPlaced() && t.StopReason == "" && (t.Phase != jobstate.Fetching || wm.now-t.PlacedAt > abandonedFetchFactor*j.FetchTime(m.FetchRate)) {
-			wm.tasks.requestStop(j, i, stopGang, 0) // it was left to fetch its image
+		if j.IsPartiallyPlaced() && !t.IsStopping() && (t.Phase != jobstate.Fetching || wm.now-t.PlacedAt > abandonedFetchFactor*j.FetchTime(m.FetchRate)) {
+			wm.tasks.requestStop(j, i, jobstate.StopGang, 0) // it was left to fetch its image
 		}
-		if j.Outcome != "" && t.StopReason == "" {
-			t.StopReason, t.StopRequestedAt = j.Outcome, wm.now
+		if j.Outcome != "" && !t.IsStopping() {
+			t.StopReason, t.StopRequestedAt = j.OutcomeStopReason(), wm.now
 		}
-		if t.StopReason != "" {
-			order.Op, order.Grace = "stop", t.Grace
+		if t.IsStopping() {
+			order.Kind, order.Grace = CommandStop, t.Grace
 			orders = append(orders, order)
 		}
 	}
 	return append(orders, wm.prefetcher.prefetchCommand(m, warmListed)...), ended
 }
 
-func (wm *workerManager) noteTaskPhase(m *fleet.Machine, j *jobstate.Job, t *jobstate.Task, state string) {
+func (wm *workerManager) noteTaskPhase(m *fleet.Machine, j *jobstate.Job, t *jobstate.Task, state TaskState) {
 	p := jobstate.Fetching
 	switch state {
-	case "waiting":
+	case TaskWaiting:
 		p = jobstate.Waiting
-	case "running":
+	case TaskRunning:
 		p = jobstate.Running
 		if t.StartedAt == 0 {
 			t.StartedAt = wm.now
 			wm.log.Debug("running", "class", j.Class, "job", j.ID, "machine", m.Name, "after_s", float64(wm.now-t.PlacedAt)/1e6, "known_s", float64(wm.now-j.ReadyAt)/1e6)
 		}
-	case "saving":
+	case TaskCheckpointing:
 		p = jobstate.Checkpointing
 	}
 	if p != t.Phase {
@@ -309,16 +309,16 @@
 			continue
 		}
 		switch {
-		case m.SeqRestarted() && (t.Confirmed || t.StopReason != "" && t.StartSent):
+		case m.SeqRestarted() && (t.Confirmed || t.IsStopping() && t.StartSent):
 			// It is asked, see unsettled.
 		case t.Confirmed && m.HasCurrentToken:
 			// It was here and is gone: a new session has killed it.
 			lost = append(lost, ref)
-		case t.StopReason != "" && (m.HasCurrentToken || !t.StartSent):
+		case t.IsStopping() && (m.HasCurrentToken || !t.StartSent):
 			// The order was dropped, or never given: had the worker taken
 			// it, this later report would list the task.
 			never = append(never, ref)
-		case t.StopReason == "" && j.Outcome == "" && t.Stored && wm.elector.mayStartTasks():
+		case !t.IsStopping() && j.Outcome == "" && t.Stored && wm.elector.mayStartTasks():
 			runs = append(runs, ref)
 		}
 	}
@@ -326,11 +326,11 @@
 	sortRefs(runs)
 	for _, ref := range runs {
 		t := ref.Job.Task(ref.Index)
-		if t.Machine != m.Name || t.StopReason != "" {
+		if t.Machine != m.Name || t.IsStopping() {
 			continue // the rest of its gang was lost just now
 		}
 		t.StartSent = true
-		orders = append(orders, Command{Op: "start", Task: jobstate.TaskName(ref.Job.ID, ref.Index), Attempt: t.Attempt})
+		orders = append(orders, Command{Kind: CommandStart, Task: jobstate.TaskName(ref.Job.ID, ref.Index), Attempt: t.Attempt})
 	}
 	return orders
 }
@@ -343,14 +343,6 @@
 // taken to be the cause.
 const minFailedMachines = 2
 
-// Reasons for which attempts are stopped.
-const (
-	stopTrial   = "trial"
-	stopGang    = "gang"
-	stopDrain   = "drain"
-	stopPreempt = "preempt"
-)
-
 // checkpointGrace is long enough for a task to save, if it can.
 func checkpointGrace(j *jobstate.Job) int64 {
 	if j.Checkpoint > 0 {
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -195,7 +195,7 @@
 	// running, both on the leader's steady clock.
 	PlacedAt, StartedAt int64
 	// StopReason is why the attempt is to be stopped, StopRequestedAt since when.
-	StopReason      string
+	StopReason      StopReason
 	Grace           int64
 	StopRequestedAt int64
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -223,32 +223,6 @@
 	Age                            int64
 }
 
-// Heartbeat is what a worker says of its machine.
-type Heartbeat struct {
-	Machine, Addr, Type, Zone string
-	Spot                      bool
-	Epoch, Seq, FencingToken  uint64
-	PreemptionNotice          int64 // microseconds, -1 for none
-	Tasks                     []TaskStatus
-}
-
-// TaskStatus is one task of a report.
-type TaskStatus struct {
-	Name         string
-	Attempt      uint64
-	State        string
-	Reason       string
-	Checkpointed bool
-}
-
-// Command is a command to a worker.
-type Command struct {
-	Op      string
-	Task    string
-	Attempt uint32
-	Grace   int64 // microseconds
-}
-
 // Effects of the core.
 type (
 	// Reply answers a request.
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -171,7 +171,7 @@
 		if r.Kill {
 			grace = 0
 		}
-		pl.tasks.stopAtCheckpoint(r.Job, r.Index, stopPreempt, grace)
+		pl.tasks.stopAtCheckpoint(r.Job, r.Index, jobstate.StopPreempt, grace)
 	}
 	l.planning.pivots = l.planning.pivots[:0]
 	for _, pv := range plan.Pivots {
@@ -239,7 +239,7 @@
 		due := false
 		requeued := &sched.Job{Job: j, QueueOrder: pl.queueOrder(j), Guaranteed: guaranteed[j]}
 		j.EachPlaced(func(i int, t *jobstate.Task) {
-			due = due || t.Trial && t.StopReason == "" && t.Phase == jobstate.Running && pl.now-t.PlacedAt >= pl.settings.Ops.Trial && pl.hasWaitingUse(t.Machine, requeued, plan.Waiting)
+			due = due || t.Trial && !t.IsStopping() && t.Phase == jobstate.Running && pl.now-t.PlacedAt >= pl.settings.Ops.Trial && pl.hasWaitingUse(t.Machine, requeued, plan.Waiting)
 		})
 		if !due {
 			continue
@@ -247,7 +247,7 @@
 		pl.log.Debug("trial over", "job", j.ID)
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			if t.Trial {
-				pl.tasks.preemptGang(j, i, stopTrial)
+				pl.tasks.preemptGang(j, i, jobstate.StopTrial)
 			}
 		})
 	}
@@ -286,7 +286,7 @@
 	report := config.MicrosOf(pl.settings.Workers.ReportS)
 	r := sched.RunningTask{Job: j, Index: ref.Index, Guaranteed: guaranteed}
 	switch {
-	case j.Outcome != "" || t.StopReason != "":
+	case j.Outcome != "" || t.IsStopping():
 		r.End = max(t.StopRequestedAt+t.Grace+report, pl.now+second)
 		return r
 	case j.Kind == jobstate.Service:
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -65,11 +65,11 @@
 		after   int64
 		waiting bool
 		early   bool // the one that waits came first
-		stop    string
+		stop    jobstate.StopReason
 	}{
 		{"not over", 100 * second, true, true, ""},
 		{"over, nobody waits", 200 * second, false, false, ""},
-		{"over, somebody waits", 200 * second, true, true, stopTrial},
+		{"over, somebody waits", 200 * second, true, true, jobstate.StopTrial},
 		// Requeued it would go before the other, and start again at once.
 		{"over, somebody waits who came later", 200 * second, true, false, ""},
 	}
@@ -222,22 +222,22 @@
 	}{
 		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
 		{"one loses its peers", func(r *rig, j *jobstate.Job) {
-			r.c.tasks.taskExited(r.c.workers.machine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: "exited", Reason: "peers"})
+			r.c.tasks.taskExited(r.c.workers.machine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
 		// fetch anew in the next attempt, and that be incomplete as well.
 		{"one is incomplete, and what fetches goes on", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
 		{"until it has its image", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
-			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "waiting"}}})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
 				r.t.Error("the image is not there")
 			}
@@ -246,15 +246,15 @@
 			x1 := r.c.workers.machine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "alone"})
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.now += 41 * second
-			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: "fetching"}}})
+			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
 		}, "1:gang 2:gang "},
 		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *jobstate.Job) {
 			x1 := r.c.workers.machine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), "fetching")
+			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
 				r.t.Error("the image does not come")
 			}
@@ -263,10 +263,10 @@
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preemptGang(j, 2, stopPreempt) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preemptGang(j, 2, jobstate.StopPreempt) }, "0:preempt 1:preempt 2:preempt "},
 		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
 			r.c.tasks.taskDone(j, 0)
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: "exited", Reason: "done"})
+			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
 		}, "1: 2: "},
 	}
 	for _, tc := range cases {
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -338,18 +338,18 @@
 // reconcilePrefetch handles the report of a warming task. It makes way for any
 // placement, at once: orders are executed in their order.
 func (p *prefetcher) reconcilePrefetch(m *fleet.Machine, tr *TaskStatus) []Command {
-	o := Command{Op: "forget", Task: tr.Name, Attempt: uint32(tr.Attempt)}
+	o := Command{Kind: CommandForget, Task: tr.Name, Attempt: uint32(tr.Attempt)}
 	switch {
-	case tr.State == "exited":
+	case tr.State == TaskExited:
 		p.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
-		if tr.Reason == "done" {
+		if tr.Reason == ExitDone {
 			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
 			p.elector.leadership.planning.wanted = true
 		}
 		p.endPrefetch(m)
 		return []Command{o}
 	case len(m.Placed) > 0 || m.Draining || m.ReclaimAt != 0:
-		o.Op = "stop"
+		o.Kind = CommandStop
 		return []Command{o}
 	}
 	return nil
@@ -370,5 +370,5 @@
 		return nil
 	}
 	w.Sent = true
-	return []Command{{Op: "start", Task: w.Task, Attempt: w.Attempt}}
+	return []Command{{Kind: CommandStart, Task: w.Task, Attempt: w.Attempt}}
 }
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -103,7 +103,7 @@
 func (r *rig) beat(token uint64, session uint64, tasks ...TaskStatus) (int, string) {
 	r.seq++
 	r.got = nil
-	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: -1, Tasks: tasks}})
+	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.got) == 0 && i < 100; i++ {
 		r.tick(50_000) // an answer may be parked
 	}
@@ -112,7 +112,7 @@
 	}
 	s := ""
 	for _, o := range r.got[0].Commands {
-		s += fmt.Sprintf("%s %s.%d;", o.Op, o.Task, o.Attempt)
+		s += fmt.Sprintf("%s %s.%d;", o.Kind, o.Task, o.Attempt)
 	}
 	return r.got[0].Status, s
 }
@@ -128,7 +128,7 @@
 }
 
 func running(attempt uint64) TaskStatus {
-	return TaskStatus{Name: "j/0", Attempt: attempt, State: "running"}
+	return TaskStatus{Name: "j/0", Attempt: attempt, State: TaskRunning}
 }
 
 // TestProofOfAbsence goes through what does and what does not prove that a
@@ -143,11 +143,11 @@
 		// A report from before its worker knew the token: an earlier leader's order
 		// may still be taken from an answer that is on its way.
 		{"to be stopped, and absent in a report that does not know the token", func(r *rig) {
-			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.beat(5, 1)
 		}, "m.3"},
 		{"to be stopped, and absent in one that does", func(r *rig) {
-			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.beat(5, 1)
 			r.beat(r.token, 1)
 			r.tick(second)
@@ -185,7 +185,7 @@
 		{"an exit is proof, and forgotten only once it is stored", func(r *rig) {
 			r.beat(5, 1, running(3))
 			r.mute = true
-			if _, o := r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: "exited", Reason: "stopped"}); o != "" {
+			if _, o := r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
 				r.t.Errorf("orders %q before the exit is stored", o)
 			}
 		}, "m.4"}, // planned anew, which is not stored either
@@ -199,7 +199,7 @@
 		{"a release of an earlier term that was answered", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token - 2}) }, ".3"},
 		{"a release of an earlier term without an answer", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token - 2}) }, "m.3"},
 		{"done is done, and the job with it", func(r *rig) {
-			r.beat(5, 1, TaskStatus{Name: "j/0", Attempt: 3, State: "exited", Reason: "done"})
+			r.beat(5, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitDone})
 			r.tick(second)
 		}, "over"},
 	}
@@ -222,7 +222,7 @@
 	if _, o := r.beat(5, 1, running(3)); o != "stop j/0.3;" {
 		t.Errorf("orders %q", o)
 	}
-	r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: "exited", Reason: "stopped"})
+	r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
 	r.tick(second)
 	if got := r.placed(); got != "over" {
 		t.Errorf("placed %s", got)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -54,7 +54,8 @@
 type workerTask struct {
 	name        string
 	attempt     uint32
-	state, why  string
+	state       TaskState
+	why         ExitReason
 	runs, ready int64
 }
 
@@ -150,19 +151,19 @@
 	}
 	for _, o := range r.Commands {
 		t := h.tasks[o.Task]
-		switch o.Op {
-		case "start":
+		switch o.Kind {
+		case CommandStart:
 			if t != nil {
 				continue
 			}
-			h.tasks[o.Task] = &workerTask{name: o.Task, attempt: o.Attempt, state: "fetching", ready: w.now + 3*second, runs: 10*second + w.rng.Int64N(60*second)}
+			h.tasks[o.Task] = &workerTask{name: o.Task, attempt: o.Attempt, state: TaskFetching, ready: w.now + 3*second, runs: 10*second + w.rng.Int64N(60*second)}
 			h.order = append(h.order, h.tasks[o.Task])
 			h.changed = true
-		case "stop":
-			if t != nil && t.state != "exited" {
-				t.state, t.why, h.changed = "exited", "stopped", true
+		case CommandStop:
+			if t != nil && t.state != TaskExited {
+				t.state, t.why, h.changed = TaskExited, ExitStopped, true
 			}
-		case "forget":
+		case CommandForget:
 			delete(h.tasks, o.Task)
 			h.order = slices.DeleteFunc(h.order, func(t *workerTask) bool { return t.name == o.Task })
 		}
@@ -183,12 +184,12 @@
 			continue
 		}
 		for _, t := range h.order {
-			if t.state == "fetching" && w.now >= t.ready {
-				t.state, h.changed = "running", true
+			if t.state == TaskFetching && w.now >= t.ready {
+				t.state, h.changed = TaskRunning, true
 				w.started++
 			}
-			if t.state == "running" && w.now >= t.ready+t.runs && !w.endless {
-				t.state, t.why, h.changed = "exited", "done", true
+			if t.state == TaskRunning && w.now >= t.ready+t.runs && !w.endless {
+				t.state, t.why, h.changed = TaskExited, ExitDone, true
 				w.done++
 			}
 		}
@@ -201,7 +202,7 @@
 		h.due, h.busy, h.changed = w.now+6*second+w.rng.Int64N(4*second), true, false
 		h.seq++
 		w.req++
-		r := Heartbeat{Machine: h.name, Addr: "a", Type: "c", Zone: h.zone, Epoch: 1, Seq: h.seq, FencingToken: h.token, PreemptionNotice: -1}
+		r := Heartbeat{Machine: h.name, Addr: "a", Type: "c", Zone: h.zone, Epoch: 1, Seq: h.seq, FencingToken: h.token, PreemptionNotice: NoPreemptionNotice}
 		if h.noticed {
 			r.PreemptionNotice = 20 * second
 		}
@@ -252,7 +253,7 @@
 	on := map[string]string{}
 	for _, h := range w.workers {
 		for name, task := range h.tasks {
-			if h.dead || task.state == "exited" {
+			if h.dead || task.state == TaskExited {
 				continue
 			}
 			if o := on[name]; o != "" {
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -346,19 +346,10 @@
 		if j.Sweep != id || j.Outcome != "" {
 			continue
 		}
-		j.EachPlaced(func(i int, t *jobstate.Task) {
-			if !t.StartSent {
-				sw.tasks.clearPlacement(j, i)
-				return
-			}
-			sw.tasks.requestStop(j, i, stopSweep, 0)
-		})
+		sw.tasks.stopAllPlaced(j, jobstate.StopSweep)
 	}
 }
 
-// stopSweep is why tasks of a sweep that is known to be cancelled are stopped.
-const stopSweep = "sweep"
-
 // endIsUnconfirmed says that nothing speaks against starting a job's tasks.
 func (sw *sweepManager) endIsUnconfirmed(j *jobstate.Job) bool {
 	if j.Sweep == "" {
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -19,15 +19,15 @@
 }
 
 // requestStop asks for an attempt to be stopped; grace 0 ends it at once.
-func (tm *taskManager) requestStop(j *jobstate.Job, i int, why string, grace int64) {
+func (tm *taskManager) requestStop(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
 	t := j.Task(i)
-	if t.StopReason != "" && grace >= t.Grace {
+	if t.IsStopping() && grace >= t.Grace {
 		return
 	}
-	if t.StopReason == "" {
+	if !t.IsStopping() {
 		t.StopRequestedAt = tm.now
 	}
-	t.StopReason, t.Grace = why, grace
+	t.StopReason, t.Grace = reason, grace
 	tm.elector.leadership.heartbeats.releaseWanted = true
 	tm.queueDirectCommand(j, i)
 }
@@ -50,29 +50,40 @@
 }
 
 // preemptGang stops a task, or the whole gang, with time to save.
-func (tm *taskManager) preemptGang(j *jobstate.Job, i int, why string) {
-	tm.stopAtCheckpoint(j, i, why, checkpointGrace(j))
+func (tm *taskManager) preemptGang(j *jobstate.Job, i int, reason jobstate.StopReason) {
+	tm.stopAtCheckpoint(j, i, reason, checkpointGrace(j))
 }
 
-func (tm *taskManager) stopAtCheckpoint(j *jobstate.Job, i int, why string, grace int64) {
+func (tm *taskManager) stopAtCheckpoint(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
 	if j.Kind != jobstate.Gang {
-		tm.stopTask(j, i, why, grace)
+		tm.stopTask(j, i, reason, grace)
 		return
 	}
-	j.EachPlaced(func(i int, _ *jobstate.Task) { tm.stopTask(j, i, why, grace) })
+	j.EachPlaced(func(i int, _ *jobstate.Task) { tm.stopTask(j, i, reason, grace) })
 }
 
-func (tm *taskManager) stopTask(j *jobstate.Job, i int, why string, grace int64) {
+func (tm *taskManager) stopTask(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
 	t := j.Task(i)
 	if !t.StartSent {
 		tm.clearPlacement(j, i)
 		return
 	}
-	if t.StopReason == "" {
-		tm.requestStop(j, i, why, grace)
+	if !t.IsStopping() {
+		tm.requestStop(j, i, reason, grace)
 	}
 }
 
+// stopAllPlaced stops all placed tasks of a job at once.
+func (tm *taskManager) stopAllPlaced(j *jobstate.Job, reason jobstate.StopReason) {
+	j.EachPlaced(func(i int, t *jobstate.Task) {
+		if !t.StartSent {
+			tm.clearPlacement(j, i) // no worker knows of it
+			return
+		}
+		tm.requestStop(j, i, reason, 0)
+	})
+}
+
 // queueDirectCommand sends a stop to the worker's own address, which is faster than its
 // next report. That is safe however late it arrives: an attempt that was
 // once told to stop is never wanted again. One of a job that is over may be sent
@@ -83,7 +94,7 @@
 	if m == nil || m.Addr == "" || m.Epoch == 0 || !tm.workers.mayDeliverStop(j, t) {
 		return
 	}
-	tm.elector.leadership.directCommands[m.Name] = append(tm.elector.leadership.directCommands[m.Name], Command{Op: "stop", Task: jobstate.TaskName(j.ID, i), Attempt: t.Attempt, Grace: t.Grace})
+	tm.elector.leadership.directCommands[m.Name] = append(tm.elector.leadership.directCommands[m.Name], Command{Kind: CommandStop, Task: jobstate.TaskName(j.ID, i), Attempt: t.Attempt, Grace: t.Grace})
 }
 
 // sendDirectCommands sends a machine's orders together: hundreds of tasks may be stopped
@@ -115,8 +126,8 @@
 			tm.clearPlacement(j, i)
 			return
 		}
-		if t.StopReason == "" && !(incomplete && t.Phase == jobstate.Fetching) {
-			tm.requestStop(j, i, stopGang, 0)
+		if !t.IsStopping() && !(incomplete && t.Phase == jobstate.Fetching) {
+			tm.requestStop(j, i, jobstate.StopGang, 0)
 		}
 	})
 }
@@ -160,13 +171,7 @@
 	if tm.elector.leadership == nil {
 		return
 	}
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if !t.StartSent {
-			tm.clearPlacement(j, i) // no worker was ever told of it
-			return
-		}
-		tm.requestStop(j, i, j.Outcome, 0)
-	})
+	tm.stopAllPlaced(j, j.OutcomeStopReason())
 	tm.committer.markDirty(j)
 	tm.elector.leadership.planning.wanted = true
 }
@@ -204,29 +209,29 @@
 	stopped := t.StopReason
 	tm.log.Debug("exited", "class", j.Class, "task", tr.Name, "attempt", tr.Attempt, "machine", m.Name, "why", tr.Reason, "stopped", stopped,
 		"ran_s", float64(tm.now-t.StartedAt)/1e6, "estimate_s", float64(j.Estimate)/1e6)
-	if t.Trial && stopped == stopTrial {
+	if t.Trial && stopped == jobstate.StopTrial {
 		j.SetTrialDone(tm.now)
 	}
 	switch tr.Reason {
-	case "done", "error", "alone":
+	case ExitDone, ExitError, ExitGangIncomplete:
 		m.RecordImageUse(j.Image, j.ImageMB, tm.now) // it had it
 	}
 	tm.clearPlacement(j, i)
 	switch tr.Reason {
-	case "done":
+	case ExitDone:
 		clear(m.FailedJobs)
 		return
-	case "error":
+	case ExitError:
 		j.Failures++
 		// A bad submission fails everywhere; it comes back more and more
 		// seldom, so that it harms nobody.
 		j.NotBefore = tm.now + min(int64(j.Failures)*2*second, 30*second)
 		tm.suspectMachine(m, j)
-	case "no_room", "busy", "unknown":
+	case ExitNoRoom, ExitBusy, ExitUnknownTask:
 		j.NotBefore = tm.now + second
 	}
 	if j.Kind == jobstate.Gang && j.Outcome == "" {
-		tm.breakGang(j, tr.Reason == "alone")
+		tm.breakGang(j, tr.Reason == ExitGangIncomplete)
 	}
 }
 
@@ -269,7 +274,7 @@
 		if j.Checkpoint == 0 && notice > 0 && tm.finishesWithin(j, j.Task(ref.Index), notice) {
 			continue
 		}
-		tm.preemptGang(j, ref.Index, stopDrain)
+		tm.preemptGang(j, ref.Index, jobstate.StopDrain)
 	}
 	tm.elector.leadership.planning.wanted = true
 }
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -44,13 +44,13 @@
 // isUnwanted says whether nobody wants a task any more. One that only makes room, or is
 // to go elsewhere, goes on where it is: nobody hears when the room is there.
 func isUnwanted(j *jobstate.Job, t *jobstate.Task) bool {
-	return j.Outcome != "" || t.StopReason == stopSweep
+	return j.Outcome != "" || t.StopReason == jobstate.StopSweep
 }
 
 // mayDeliverStop says whether a task is to be stopped, and this controller may say so: a
 // job that is over stays so, whoever leads by now.
 func (wm *workerManager) mayDeliverStop(j *jobstate.Job, t *jobstate.Task) bool {
-	return t.StopReason != "" && t.StartSent && (wm.elector.mayStartTasks() || j.Outcome != "" || t.StopReason == stopSweep)
+	return t.IsStopping() && t.StartSent && (wm.elector.mayStartTasks() || j.Outcome != "" || t.StopReason == jobstate.StopSweep)
 }
 
 // stopListedTasks stops what a silent machine's answer lists and is to stop.
@@ -63,11 +63,11 @@
 		tr := &r.Tasks[k]
 		id, i, err := jobstate.ParseTaskName(tr.Name)
 		j := wm.cache.jobs[id]
-		if err != nil || j == nil || tr.State == "exited" {
+		if err != nil || j == nil || tr.State == TaskExited {
 			continue
 		}
 		if t := j.Task(i); t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt && wm.mayDeliverStop(j, t) && isUnwanted(j, t) && len(orders) < maxDirectCommands {
-			orders = append(orders, Command{Op: "stop", Task: tr.Name, Attempt: t.Attempt, Grace: t.Grace})
+			orders = append(orders, Command{Kind: CommandStop, Task: tr.Name, Attempt: t.Attempt, Grace: t.Grace})
 		}
 	}
 	if len(orders) > 0 {
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -22,12 +22,12 @@
 		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskStatus{running(3)}, "stop j/0.3 in 4;"},
 		{"it does not list it", jobstate.Cancelled, nil, nil, ""},
 		{"another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
-		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: "exited", Reason: "stopped"}}, ""},
+		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"nothing is to stop", "", nil, []TaskStatus{running(3)}, ""},
 		{"its reports come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
 		{"preempted, and nothing proves it", "", func(r *rig) {
-			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, stopPreempt, 0)
+			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.mute = true
 			r.tick(4 * second)
 		}, []TaskStatus{running(3)}, ""},
@@ -48,7 +48,7 @@
 						for _, e := range r.c.Step(r.now, MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
 							if d, ok := e.(SendCommands); ok {
 								for _, o := range d.Commands {
-									got += fmt.Sprintf("%s %s.%d in %d;", o.Op, o.Task, o.Attempt, d.Epoch)
+									got += fmt.Sprintf("%s %s.%d in %d;", o.Kind, o.Task, o.Attempt, d.Epoch)
 								}
 							}
 						}
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -75,7 +75,7 @@
 			Submit: &wire.Submit{}, Status: &wire.Status{}, Cancel: &wire.Cancel{}, Cloud: &wire.CloudFor{Call: wire.CloudCall{Rent: &wire.Rent{}}}, View: &wire.ViewFor{},
 			Sweep: &wire.HandedSweep{}, SweepStatus: &wire.SweepStatus{}, SweepRuns: &wire.SweepRuns{}, CancelSweep: &wire.CancelSweep{},
 		},
-		"Reply orders": core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Op: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
+		"Reply orders": core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Kind: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Kind: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
 		"Reply job":    core.Reply{RequestID: 2, Status: 200, Job: &core.JobState{ID: "job-01", State: "running", Done: 2, Running: 3}},
 		"Reply sweep":  core.Reply{RequestID: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Withdrawn: 4}},
 		"Reply runs": core.Reply{RequestID: 4, Status: 200, Runs: &core.SweepPage{
--- a/internal/peer/internal/wire/heartbeat.go
+++ b/internal/peer/internal/wire/heartbeat.go
@@ -49,8 +49,8 @@
 	return TaskReport{
 		Name:    in.Name,
 		Attempt: in.Attempt,
-		State:   in.State,
-		Why:     in.Reason,
+		State:   string(in.State),
+		Why:     string(in.Reason),
 		Saved:   in.Checkpointed,
 	}
 }
@@ -59,15 +59,15 @@
 	return core.TaskStatus{
 		Name:         in.Name,
 		Attempt:      in.Attempt,
-		State:        in.State,
-		Reason:       in.Why,
+		State:        core.TaskState(in.State),
+		Reason:       core.ExitReason(in.Why),
 		Checkpointed: in.Saved,
 	}
 }
 
 func newOrder(in core.Command) Order {
 	return Order{
-		Op:      in.Op,
+		Op:      string(in.Kind),
 		Task:    in.Task,
 		Attempt: in.Attempt,
 		Grace:   in.Grace,
@@ -76,7 +76,7 @@
 
 func (in Order) core() core.Command {
 	return core.Command{
-		Op:      in.Op,
+		Kind:    core.CommandKind(in.Op),
 		Task:    in.Task,
 		Attempt: in.Attempt,
 		Grace:   in.Grace,
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -48,7 +48,7 @@
 		"AskArgs sweep end":   core.CancelSweep{ID: "s", Forwarded: true},
 		"AskArgs rent":        core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2}}},
 		"AskArgs list":        core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ListMachines: true, Gap: 7}},
-		"Reply orders":        core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
+		"Reply orders":        core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Kind: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
 		"Reply job":           core.Reply{RequestID: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
 		"Reply sweep":         core.Reply{RequestID: 1, Status: 200, Sweep: &core.SweepState{ID: "s", State: "running", Runs: 3, Done: 1}},
 		"Reply cloud": core.Reply{RequestID: 1, Status: 200, Cloud: &core.CloudResult{
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -37,7 +37,7 @@
 		"AskArgs submit": nil,
 		"AskArgs status": core.QueryJob{RequestID: 1, Forwarded: true, ID: "job-01"},
 		"AskArgs cancel": core.CancelJob{RequestID: 1, Forwarded: true, ID: "job-01"},
-		"Reply orders":   core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Op: "start", Task: "job-01/0", Attempt: 1}, {Op: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
+		"Reply orders":   core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Kind: "start", Task: "job-01/0", Attempt: 1}, {Kind: "stop", Task: "job-01/1", Attempt: 1, Grace: 5}}},
 		"Reply job":      core.Reply{RequestID: 1, Status: 200, Job: &core.JobState{ID: "job-01", State: "done", Done: 2}},
 	}
 	for name, want := range cases {
