--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -94,20 +94,20 @@
 func (c *cloudCaller) callCloud(call CloudCall) {
 	until := c.elector.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
 	if by := c.cloudPeer(); by != "" {
-		c.emit(CallCloudViaPeer{To: by, FencingToken: c.elector.leadership.token, Call: call, NotAfter: until})
+		c.emit(CallCloudViaPeer{To: by, FencingToken: c.elector.fencingToken(), Call: call, NotAfter: until})
 		return
 	}
 	switch {
 	case call.ListTypes:
-		c.emit(ListMachineTypes{FencingToken: c.elector.leadership.token})
+		c.emit(ListMachineTypes{FencingToken: c.elector.fencingToken()})
 	case call.ListMachines:
-		c.emit(ListMachines{Gap: call.Gap, FencingToken: c.elector.leadership.token})
+		c.emit(ListMachines{Gap: call.Gap, FencingToken: c.elector.fencingToken()})
 	case call.ScaleOut != nil:
 		r := *call.ScaleOut
-		r.NotAfter, r.FencingToken = until, c.elector.leadership.token
+		r.NotAfter, r.FencingToken = until, c.elector.fencingToken()
 		c.emit(r)
 	default:
-		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: until, FencingToken: c.elector.leadership.token})
+		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: until, FencingToken: c.elector.fencingToken()})
 	}
 }
 
@@ -126,7 +126,7 @@
 	if err == nil {
 		c.peers.connectivity.Cloud.RecordSuccess(c.now, c.now)
 	} else {
-		c.peers.connectivity.Cloud.RecordFailure(c.now, c.now, faultOf(err))
+		c.peers.connectivity.Cloud.RecordFailure(c.now, c.now, failureOf(err))
 	}
 }
 
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -54,10 +54,10 @@
 	}
 	for _, tc := range cases {
 		b := newBetween(t, "n0")
-		b.step(MachineTypesListed{FencingToken: b.c.elector.leadership.token})
+		b.step(MachineTypesListed{FencingToken: b.c.elector.leadership.fencingToken})
 		b.run(5 * second)
 		for range 3 {
-			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.token})
+			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.fencingToken})
 		}
 		for i, v := range tc.say {
 			b.peer([]string{"n1", "n2"}[i], v)
@@ -77,7 +77,7 @@
 		by := find[CallCloudViaPeer](b)
 		b.out = out
 		direct := find[ScaleIn](b)
-		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.token || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
+		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
 			t.Errorf("%s: %+v, %+v", tc.name, by, direct)
 		}
 	}
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -125,9 +125,9 @@
 	if l == nil || l.commits.inFlight || l.commits.conflicts > 0 || c.now < l.commits.notBefore || len(l.commits.dirty) == 0 && l.commits.unneededPages == 0 && len(c.cache.orphanedChunks) == 0 {
 		return
 	}
-	c.health.writeBudget.Refill(c.now, c.health.allowance.Changes)
+	c.health.refillWrites()
 	c.membership.changeChunkSize()
-	ops := min(c.membership.limits().TxnOps, int(c.health.writeBudget.Level())-1)
+	ops := min(c.membership.limits().TxnOps, int(c.health.writesLeft())-1)
 	if ops < 1 {
 		return
 	}
@@ -145,7 +145,7 @@
 	})
 	// While the budget is short, what can wait does so for a while, so that
 	// one write takes many tasks' ends.
-	scarce := c.health.writeBudget.Level() < c.health.allowance.Changes/2
+	scarce := c.health.writesLeft() < c.health.writeRate()/2
 	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision)}
 	var writes []Write
 	var items []jobWrite
@@ -245,7 +245,7 @@
 	if len(writes) == 0 {
 		return
 	}
-	c.health.writeBudget.Spend(float64(len(writes)))
+	c.health.spendWrites(float64(len(writes)))
 	l.commits.inFlight = true
 	sent := c.now
 	c.commitTransaction(when, writes, func(m Committed) {
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -34,7 +34,7 @@
 		return
 	}
 	pm.publishConnectivity()
-	if pm.elector.leadership != nil && pm.elector.mayStartTasks() {
+	if pm.elector.isLeader() && pm.elector.mayStartTasks() {
 		if to, why := pm.connectivity.HandoverTarget(pm.now); to != "" {
 			pm.log.Info("giving way", "to", to, "why", why)
 			pm.elector.resign("gave way to " + to)
@@ -47,7 +47,7 @@
 // and reaches the state service.
 func (pm *peerMonitor) publishConnectivity() {
 	v, news := pm.connectivity.PendingAdvertisement(pm.now)
-	if !news || !pm.membership.activation.Enabled(upgrade.Connectivity) || pm.health.stateUnavailable() || pm.health.writeBudget.Level() < 1 {
+	if !news || !pm.membership.activation.Enabled(upgrade.Connectivity) || pm.health.unavailable() || pm.health.writesLeft() < 1 {
 		return
 	}
 	if pm.elector.candidacy.lease != 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,7 +7,6 @@
 	"log/slog"
 	"math/rand/v2"
 
-	"github.com/zinclb/zinclb/internal/core/ratelimit"
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
@@ -88,8 +87,7 @@
 		operators:        &operatorViewer{engine: run},
 	}
 	c.connect()
-	c.health.allowance = c.health.currentAllowance()
-	c.health.readBudget = ratelimit.NewTokenBucket(now, ratelimit.InitialTokens)
+	c.health.start()
 	c.cache.listState()
 	return c
 }
@@ -117,10 +115,10 @@
 		if !c.transactions.IsConditionOnly(m.ID) {
 			c.membership.noteRateLimited(m.Status)
 		}
-		c.health.noteTransactionResult(m)
+		c.health.recordTransaction(m)
 		c.transactions.Complete(m)
 	case KeyRead:
-		c.health.noteStateResult(&c.peers.connectivity.Reads, m.Err)
+		c.health.recordResult(&c.peers.connectivity.Reads, m.Err)
 		if f := c.keyReads[m.ID]; f != nil {
 			delete(c.keyReads, m.ID)
 			f(m)
@@ -179,10 +177,10 @@
 	case ScaledIn:
 		c.scaler.onScaledIn(m)
 	}
-	if c.elector.leadership != nil {
+	if c.elector.isLeader() {
 		c.leadStep()
 	}
-	if c.elector.leadership != nil {
+	if c.elector.isLeader() {
 		c.tasks.sendDirectCommands()
 	}
 	out := c.effects
@@ -191,19 +189,10 @@
 }
 
 func (c *Core) tick() {
-	c.health.allowance = c.health.currentAllowance()
-	c.health.readBudget.Refill(c.now, c.health.allowance.Reads)
-	c.health.writeBudget.Refill(c.now, c.health.allowance.Changes)
-	if c.now-c.peers.pingedAt >= second {
-		c.peers.pingedAt = c.now
-		for _, p := range c.settings.Peers {
-			c.peers.ping(p)
-		}
-		for m, r := range c.router.redirects {
-			if c.now-max(r.sentAt, r.keepUntil, r.servedAt) > 2*redirectReturnTime {
-				delete(c.router.redirects, m)
-			}
-		}
+	c.health.refillBudgets()
+	if c.peers.pingDue() {
+		c.peers.pingEach()
+		c.router.expireRedirects()
 	}
 	for _, answer := range c.transactions.Overdue(c.now) {
 		c.transactions.Complete(answer)
@@ -215,7 +204,7 @@
 	c.membership.membershipTick()
 	c.peers.connectivityTick()
 	c.dependencies.dependencyTick()
-	if c.elector.leadership != nil {
+	if c.elector.isLeader() {
 		c.leadTick()
 	}
 }
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -159,7 +159,7 @@
 
 // onMachineProbed takes a machine's answer to a question.
 func (wm *workerManager) onMachineProbed(p MachineProbed) {
-	if wm.elector.leadership == nil || !p.OK {
+	if !wm.elector.isLeader() || !p.OK {
 		return
 	}
 	m := wm.elector.leadership.fleet.Get(p.Machine)
@@ -181,7 +181,7 @@
 		m.LastHeartbeat, m.HasCurrentToken = wm.now, false
 		m.MarkChanged()
 	}
-	if m.SeqRestarted() && r.FencingToken == wm.elector.leadership.token {
+	if m.SeqRestarted() && r.FencingToken == wm.elector.fencingToken() {
 		wm.clearUnlisted(m, r, p.SentAt)
 	}
 }
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -119,7 +119,7 @@
 	}{
 		{"of a machine that was returned", func(r *rig) int {
 			r.report(1, 7, r.token, running(3))
-			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.elector.leadership.token})
+			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.elector.leadership.fencingToken})
 			return r.report(1, 8, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, an older number", func(r *rig) int {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -54,7 +54,7 @@
 // job that it needed, at a time of day; 0 where the first format has none.
 func (d *dependencyResolver) startDependents(j *jobstate.Job, last int64) {
 	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(last))
-	if d.elector.leadership != nil {
+	if d.elector.isLeader() {
 		d.elector.leadership.planning.wanted = true
 	}
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -537,7 +537,7 @@
 	for i := range 30 {
 		types = append(types, fleet.Type{Name: fmt.Sprintf("type-%02d", i), Cap: jobstate.Resources{CPU: 1000}, Zones: []string{"a", "b"}})
 	}
-	s.step(MachineTypesListed{Types: types, FencingToken: s.c.elector.leadership.token})
+	s.step(MachineTypesListed{Types: types, FencingToken: s.c.elector.leadership.fencingToken})
 	s.run(second)
 	s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	s.list()
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -5,71 +5,58 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/kv"
-	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// candidacy is this controller's side of choosing a leader: a lease in the
-// state service, and a key on it that one controller at a time can create.
-type candidacy struct {
-	lease           uint64
-	leaseProvenAt   int64 // when the lease or its last renewal was sent
-	requestingLease bool  // for a lease
-	renewing        bool
-	renewedAt       int64
-	campaigning     bool  // the key
-	notUntil        int64 // no attempt before this
-	backoffChosen   bool  // a pause was chosen since the leader went
-	publishAt       int64 // when this controller's version may next be written
-}
+// The times of an election.
+const (
+	// backoffRange is the longest random pause of a candidate once the leader is gone;
+	// it keeps candidates from colliding. Controllers that write the newer format take
+	// legacyBackoffRange before it is active, so that in the middle of an upgrade they
+	// win over the older ones, which are about to be restarted.
+	backoffRange       = 300_000
+	legacyBackoffRange = backoffRange / 5
+	// campaignRetryDelay is the least pause after a campaign has failed, and again the
+	// range of the random pause that is added to it.
+	campaignRetryDelay = 300_000
+	// leaseRetryDelay is the pause after the state service granted no lease.
+	leaseRetryDelay = 300_000
+	// revokeInterval is how often the revocation of an earlier incarnation's lease is
+	// repeated.
+	revokeInterval = second
+	// silentLeaseMargin is how long after its lease a leader without answers waits
+	// until it tries to renew it again.
+	silentLeaseMargin = second / 2
+	// leadershipSeenWithin is how long the others may take to see that a controller leads.
+	leadershipSeenWithin = 300_000
+)
 
-// leadership is what only the leader has.
-type leadership struct {
-	token       uint64
-	keyRevision uint64 // of the leadership key
-	since       int64
-	// tokenProvenAt is when a question was sent by whose answer the state service proved
-	// the token, mirrored up to when all that was stored is known here.
-	tokenProvenAt, mirrorFreshAt int64
-	// mirrorReadAt is when what is stored was last asked for only to know it, asked when
-	// the peers were last asked out of turn.
-	mirrorReadAt, peersAskedAt int64
-	// readLeases is what the other controllers have vouched for.
-	readLeases *readlease.Holder
-	// directCommands are orders that go to machines' own addresses, by machine.
-	directCommands map[string][]Command
-	fleet          *fleet.MachineSet
-	plannerIndex   plannerIndex
-
-	// What each part keeps while this controller leads.
-	commits    commitState
-	planning   planState
-	partitions partitionState
-	heartbeats heartbeatState
-	scaling    scalingState
-	prefetch   prefetchState
-	hints      hintState
-	activation activationState
-
-	machinesSweptAt  int64
-	sweepsAdvancedAt int64
+// candidacy is this controller's side of the election: a lease in the state service, and
+// the attempts to create the leadership key on that lease, which exists once.
+type candidacy struct {
+	lease           uint64 // 0 for none
+	leaseProvenAt   int64  // when the request was sent that last proved the lease
+	requestingLease bool   // a GrantLease is not answered yet
+	renewing        bool   // a RenewLease is not answered yet
+	renewedAt       int64  // when the lease was granted or its renewal last sent
+	campaigning     bool   // the transaction that creates the key is not answered yet
+	notBefore       int64  // no attempt before this time
+	backoffChosen   bool   // the random pause was chosen since the leader went
 }
 
-// madeCall says whether a call of the cloud was made under this leadership; there may be
-// none. The answer to one of an earlier term of this controller says nothing of the
-// calls of this one: another has led in between.
-func (l *leadership) madeCall(token uint64) bool { return l != nil && l.token == token }
-
-// isNew says whether this leadership, if there is one, has just begun: the others may
-// still use what nobody leading leaves them.
-func (l *leadership) isNew(now int64) bool { return l != nil && now-l.since < leadershipSeenWithin }
-
-// leadershipSeenWithin is how long the others may take to see that a controller leads.
-const leadershipSeenWithin = 300_000
-
-// withClockDrift widens a duration by what two steady clocks may differ.
-func withClockDrift(d int64) int64 { return d + d/1000 }
-
-// elector campaigns for the leadership of the controllers, keeps its lease, and holds the term while this controller leads.
+// elector campaigns for the leadership of the controllers and holds the term while this
+// controller leads. It alone decides on candidacy and leadership; other parts ask it
+// whether this controller leads and may act, and report what bears on that.
+//
+// The leader is the controller whose name is in the leadership key. The key is bound to
+// the controller's lease, so it disappears when the lease expires. A candidate creates it
+// in a transaction that raises the stored fencing token by one on the condition that
+// there is no leadership key and that the token is the one that the candidate knows. Its
+// term begins when its mirror shows the key, and with it all that was written before.
+//
+// A leader steps down when the key is not its own any more, when its lease expires, and
+// when a peer knows of a higher fencing token. It resigns, that is, it revokes its lease
+// as well so that a successor need not wait, when it hands the leadership over to a
+// controller with better links or must not go on.
 type elector struct {
 	*engine
 
@@ -83,215 +70,300 @@
 	workers    *workerManager
 
 	candidacy    candidacy
-	leadership   *leadership
+	leadership   *leadership // nil unless this controller leads
 	newestLeader leaderRecord
 }
 
-func (el *elector) electionTick() {
-	e := &el.candidacy
-	ttl := el.settings.Ops.LeaderLease
-	renew := ttl / 4
-	if el.leadership == nil && el.membership.logEnabled() {
-		renew = ttl / 3 // what rides on it is this controller's word alone
+// isLeader reports whether this controller leads.
+func (e *elector) isLeader() bool { return e.leadership != nil }
+
+// isNewLeader reports whether this controller leads and its term has just begun: the
+// others may still use what is left to them while nobody leads.
+func (e *elector) isNewLeader() bool {
+	return e.isLeader() && e.now-e.leadership.since < leadershipSeenWithin
+}
+
+// fencingToken is that of the present term; it must not be asked of a follower.
+func (e *elector) fencingToken() uint64 { return e.leadership.fencingToken }
+
+// leadsWithToken reports whether this controller leads, and in the term of a fencing token.
+// A result that belongs to an earlier term of this controller says nothing about the calls
+// of this one: another controller has led in between.
+func (e *elector) leadsWithToken(fencingToken uint64) bool {
+	return e.isLeader() && e.fencingToken() == fencingToken
+}
+
+// mayAnswerWorkers reports whether heartbeats may be answered. An answer keeps what is on
+// the machine alive, so it needs recent proof that every cancellation is known here.
+func (e *elector) mayAnswerWorkers() bool {
+	return e.isLeader() && e.now-e.leadership.authorityProvenAt() < e.settings.LeaderAuthorityTime()
+}
+
+// mayStartTasks reports whether new attempts may be started: the state service itself has
+// proved the fencing token within the time of its lease.
+func (e *elector) mayStartTasks() bool {
+	return e.isLeader() && e.now-e.leadership.tokenProvenAt < e.settings.Ops.LeaderLease
+}
+
+// hasLease reports whether this controller has a lease, as far as it knows.
+func (e *elector) hasLease() bool { return e.candidacy.lease != 0 }
+
+// leaseValid reports whether the lease can't have expired yet.
+func (e *elector) leaseValid() bool {
+	return e.hasLease() && e.now-e.candidacy.leaseProvenAt < e.settings.Ops.LeaderLease
+}
+
+// noteNewestLeader notes a leadership that was learned of, if its fencing token is the highest.
+func (e *elector) noteNewestLeader(leader leaderRecord) {
+	if leader.Token > e.newestLeader.Token {
+		e.newestLeader = leader
+	}
+}
+
+// electionTick keeps the lease alive, and campaigns while there is no leader.
+func (e *elector) electionTick() {
+	e.renewLease()
+	switch {
+	case !e.cache.synced:
+		e.candidacy.backoffChosen = false
+	case e.cache.leaderRevision != 0:
+		e.candidacy.backoffChosen = false
+		e.revokeEarlierLease()
+	case !e.isLeader():
+		e.campaignTick()
 	}
-	if e.lease != 0 && !e.renewing && el.now-e.renewedAt >= renew {
-		e.renewing, e.renewedAt = true, el.now
-		el.emit(RenewLease{Lease: e.lease})
+}
+
+// renewLease renews the lease well before it expires.
+func (e *elector) renewLease() {
+	c := &e.candidacy
+	interval := e.settings.Ops.LeaderLease / 4
+	if !e.isLeader() && e.membership.logEnabled() {
+		// Only what this controller advertises is bound to a follower's lease.
+		interval = e.settings.Ops.LeaderLease / 3
 	}
-	if !el.cache.synced || el.cache.leaderRevision != 0 {
-		e.backoffChosen = false
-		if el.cache.synced && el.cache.leader.Name == el.settings.Name && el.cache.leader.Incarnation != el.settings.Incarnation && el.leadership == nil {
-			// An earlier start of this very controller: it is dead, so
-			// its lease need not run out.
-			if e.notUntil <= el.now {
-				e.notUntil = el.now + second
-				el.emit(RevokeLease{Lease: el.cache.leader.Lease})
-			}
-		}
-		return
+	if e.hasLease() && !c.renewing && e.now-c.renewedAt >= interval {
+		c.renewing, c.renewedAt = true, e.now
+		e.emit(RenewLease{Lease: c.lease})
 	}
-	if el.leadership != nil {
+}
+
+// revokeEarlierLease revokes the lease of a leader that was an earlier incarnation of this
+// very controller: that process is dead, so nobody needs to wait until the lease expires.
+func (e *elector) revokeEarlierLease() {
+	leader := &e.cache.leader
+	if leader.Name != e.settings.Name || leader.Incarnation == e.settings.Incarnation || e.isLeader() || e.now < e.candidacy.notBefore {
 		return
 	}
-	if !e.backoffChosen {
-		// A short pause of random length keeps candidates apart. In the middle
-		// of an upgrade the new ones go first: an old one that led would soon
-		// be restarted in its turn.
-		e.backoffChosen = true
-		pause := int64(300_000)
-		if !el.membership.logEnabled() {
-			pause /= 5
-		}
-		e.notUntil = el.now + el.rng.Int64N(pause)
-		if el.settings.Ops.Reach {
-			e.notUntil += el.peers.connectivity.CandidateDelay()
-		}
+	e.candidacy.notBefore = e.now + revokeInterval
+	e.emit(RevokeLease{Lease: leader.Lease})
+}
+
+// campaignTick takes the next step towards leadership: a random pause, a lease, the key.
+func (e *elector) campaignTick() {
+	c := &e.candidacy
+	if !c.backoffChosen {
+		c.backoffChosen = true
+		c.notBefore = e.now + e.electionBackoff()
 	}
-	if el.now < e.notUntil || e.campaigning {
-		return
+	switch {
+	case e.now < c.notBefore || c.campaigning:
+	case !e.hasLease():
+		e.requestLease()
+	default:
+		e.campaign()
 	}
-	if e.lease == 0 {
-		el.requestLease()
-		return
+}
+
+// electionBackoff is how long to wait before this controller campaigns. A candidate that
+// knows of another with better links leaves it the first try.
+func (e *elector) electionBackoff() int64 {
+	longest := int64(backoffRange)
+	if !e.membership.logEnabled() {
+		longest = legacyBackoffRange
+	}
+	backoff := e.rng.Int64N(longest)
+	if e.settings.Ops.Reach {
+		backoff += e.peers.connectivity.CandidateDelay()
 	}
-	el.campaign()
+	return backoff
 }
 
-func (el *elector) requestLease() {
-	if e := &el.candidacy; !e.requestingLease && el.now >= e.notUntil {
-		e.requestingLease = true
-		el.emit(GrantLease{TTL: el.settings.Ops.LeaderLease})
+// requestLease asks the state service for a lease, unless it was just asked.
+func (e *elector) requestLease() {
+	c := &e.candidacy
+	if !c.requestingLease && e.now >= c.notBefore {
+		c.requestingLease = true
+		e.emit(GrantLease{TTL: e.settings.Ops.LeaderLease})
 	}
 }
 
-func (el *elector) campaign() {
-	e := &el.candidacy
-	e.campaigning = true
-	token := el.cache.token.Token + 1
-	v := leaderRecord{Name: el.settings.Name, Incarnation: el.settings.Incarnation, Token: token, Lease: e.lease}
-	el.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, el.cache.tokenRevision)}, []Write{
-		{Key: LeaderKey, Value: encodeJSON(v), Lease: e.lease},
-		{Key: tokenKey, Value: encodeJSON(tokenRecord{token})},
-	}, func(m Committed) {
-		e.campaigning = false
-		e.notUntil = el.now + 300_000 + el.rng.Int64N(300_000)
-		switch m.Status {
-		case 400:
-			e.lease = 0
-		case 200, 409, 0:
-			// Leadership begins when the mirror shows the key, and with it
-			// everything written before.
-			el.emit(ReadState{AfterRevision: el.cache.appliedRevision})
-		}
-	})
+// campaign tries to create the leadership key, and raises the fencing token with it.
+func (e *elector) campaign() {
+	c := &e.candidacy
+	c.campaigning = true
+	leader := leaderRecord{
+		Name:        e.settings.Name,
+		Incarnation: e.settings.Incarnation,
+		Token:       e.cache.token.Token + 1,
+		Lease:       c.lease,
+	}
+	e.commitTransaction([]Cond{
+		kv.RevisionIs(LeaderKey, 0),
+		kv.RevisionIs(tokenKey, e.cache.tokenRevision),
+	}, []Write{
+		{Key: LeaderKey, Value: encodeJSON(leader), Lease: c.lease},
+		{Key: tokenKey, Value: encodeJSON(tokenRecord{leader.Token})},
+	}, e.onCampaignEnded)
+}
+
+// onCampaignEnded has the state read after a campaign, also after a lost one: leadership
+// begins when the mirror shows the key.
+func (e *elector) onCampaignEnded(m Committed) {
+	c := &e.candidacy
+	c.campaigning = false
+	c.notBefore = e.now + campaignRetryDelay + e.rng.Int64N(campaignRetryDelay)
+	switch m.Status {
+	case 400: // the lease has expired
+		c.lease = 0
+	case 200, 409, 0:
+		e.emit(ReadState{AfterRevision: e.cache.appliedRevision})
+	}
 }
 
-func (el *elector) onLeaseGranted(m LeaseGranted) {
-	e := &el.candidacy
-	e.requestingLease = false
+func (e *elector) onLeaseGranted(m LeaseGranted) {
+	c := &e.candidacy
+	c.requestingLease = false
 	if m.Err != nil {
-		e.notUntil = el.now + 300_000
+		c.notBefore = e.now + leaseRetryDelay
 		return
 	}
-	e.lease, e.leaseProvenAt, e.renewedAt, e.renewing = m.Lease, m.SentAt, el.now, false
+	c.lease, c.leaseProvenAt, c.renewedAt, c.renewing = m.Lease, m.SentAt, e.now, false
 }
 
-func (el *elector) onLeaseRenewed(m LeaseRenewed) {
-	e := &el.candidacy
-	if m.Lease != e.lease {
+func (e *elector) onLeaseRenewed(m LeaseRenewed) {
+	c := &e.candidacy
+	if m.Lease != c.lease {
 		return
 	}
-	e.renewing = false
-	el.health.noteStateResult(&el.peers.connectivity.Lease, m.Err)
+	c.renewing = false
+	e.health.recordResult(&e.peers.connectivity.Lease, m.Err)
 	switch {
 	case m.Expired:
-		e.lease = 0
-		if el.leadership != nil {
-			el.stepDown("the leader's lease ran out")
+		c.lease = 0
+		if e.isLeader() {
+			e.stepDown("lease expired")
 		}
 	case m.Err == nil:
-		e.leaseProvenAt = m.SentAt
-		if el.leadership != nil {
-			el.tokenProven(m.SentAt)
+		c.leaseProvenAt = m.SentAt
+		if e.isLeader() {
+			e.tokenProven(m.SentAt)
 		}
 	default:
-		ttl := el.settings.Ops.LeaderLease
-		e.renewedAt = el.now - ttl/8 // try again soon
-		if el.settings.Ops.Reach && el.now-e.leaseProvenAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
-			// What is sent may arrive though no answer does: such a leader would
-			// keep its lease alive, and everybody else from leading. So it lets
-			// it run out before it tries once more.
-			e.renewedAt = el.now + ttl + second/2
-		}
+		e.retryRenewal(m.Err)
 	}
 }
 
-// checkLeadership compares the mirror's leader with what this controller
-// takes itself for; asked is when the mirror was, at the earliest, as it is now.
-func (el *elector) checkLeadership(asked int64) {
-	mine := el.cache.synced && el.cache.leaderRevision != 0 && el.cache.leader.Name == el.settings.Name && el.cache.leader.Incarnation == el.settings.Incarnation
-	switch {
-	case el.leadership != nil && (!mine || el.cache.leaderRevision != el.leadership.keyRevision):
-		el.stepDown("another controller leads")
-	case el.leadership == nil && mine && el.cache.leader.Lease == el.candidacy.lease:
-		el.becomeLeader(asked)
+// retryRenewal sets when the lease is renewed again after a renewal has failed.
+func (e *elector) retryRenewal(err error) {
+	c := &e.candidacy
+	ttl := e.settings.Ops.LeaderLease
+	c.renewedAt = e.now - ttl/8 // try again soon
+	if e.settings.Ops.Reach && e.now-c.leaseProvenAt > ttl && failureOf(err) == connectivity.NoResponse {
+		// The renewals may be executed though no answer arrives: such a leader
+		// would keep its lease alive, and everybody else from leading. So it lets
+		// the lease expire before it tries once more.
+		c.renewedAt = e.now + ttl + silentLeaseMargin
 	}
 }
 
-func (el *elector) becomeLeader(known int64) {
-	el.leadership = &leadership{
-		token: el.cache.leader.Token, keyRevision: el.cache.leaderRevision, since: el.now, tokenProvenAt: el.candidacy.leaseProvenAt, mirrorFreshAt: known,
-		readLeases: readlease.NewHolder(el.settings.Peers, el.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
-		fleet: fleet.NewMachineSet(), plannerIndex: newPlannerIndex(),
-		commits: newCommitState(), planning: newPlanState(), partitions: newPartitionState(), heartbeats: newHeartbeatState(),
-		scaling: newScalingState(el.now), prefetch: newPrefetchState(), hints: newHintState(el.now),
-	}
-	el.health.allowance = el.health.currentAllowance()
-	el.prefetcher.loadImageHints()
-	placed := 0
-	for _, id := range sortedKeys(el.cache.jobs) {
-		j := el.cache.jobs[id]
-		el.prefetcher.noteImageDemand(j.Spec)
-		el.leadership.planning.classSizes.note(j.Spec)
-		j.EachPlaced(func(i int, t *jobstate.Task) {
-			t.Phase, t.StopReason = jobstate.Unconfirmed, ""
-			el.workers.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
-			placed++
-		})
-		switch {
-		case j.Outcome != "":
-			// It ended under an earlier leader, and its tasks may still
-			// be on their machines.
-			el.tasks.jobEnded(j)
-		case j.NumDone == j.Tasks:
-			el.committer.markDirty(j)
-		}
+// leaseRefused notes that the state service has refused a write on a lease, as an expired
+// lease. A leader waits for the answer to its renewal, which proves the same.
+func (e *elector) leaseRefused(lease uint64) {
+	if e.candidacy.lease == lease && !e.isLeader() {
+		e.candidacy.lease = 0
 	}
-	el.committer.openProgressLog()
-	el.log.Info("leading", "token", el.leadership.token, "jobs", len(el.cache.jobs), "placements", placed)
 }
 
-func (el *elector) stepDown(why string) {
-	el.log.Info("no longer leading", "token", el.leadership.token, "why", why)
-	for _, name := range sortedKeys(el.leadership.heartbeats.held.byName) {
-		el.emit(Reply{RequestID: el.leadership.heartbeats.held.byName[name].requestID, Status: 503, Error: "no longer leading"})
-	}
-	el.leadership = nil
-	el.health.allowance = el.health.currentAllowance()
-	el.cache.partitions = fleet.Partitions{}
-	el.cache.listState()
+// tokenProven notes that the state service has proved the fencing token in the answer to a
+// request that was sent at a time.
+func (e *elector) tokenProven(sentAt int64) {
+	e.leadership.tokenProvenAt = max(e.leadership.tokenProvenAt, sentAt)
 }
 
-// resign ends a leadership whose lease would go on. Its key goes at once, so that
-// nobody waits for the lease.
-func (el *elector) resign(why string) {
-	el.emit(RevokeLease{Lease: el.candidacy.lease})
-	el.candidacy.lease = 0
-	el.stepDown(why)
+// mirrorRefreshed notes that all that was stored at a time is known here.
+func (e *elector) mirrorRefreshed(at int64) {
+	if e.isLeader() {
+		e.leadership.mirrorFreshAt = max(e.leadership.mirrorFreshAt, at)
+	}
 }
 
-// provenByState is up to when the state service has proved the token and shown all that
-// is stored. A renewal proves the token alone: the mirror may lag behind it.
-func (l *leadership) provenByState() int64 { return min(l.tokenProvenAt, l.mirrorFreshAt) }
+// checkLeadership compares the leadership key in the mirror with what this controller takes
+// itself for. The mirror was as it is now at mirrorFreshAt, at the earliest.
+func (e *elector) checkLeadership(mirrorFreshAt int64) {
+	leader := &e.cache.leader
+	mine := e.cache.synced && e.cache.leaderRevision != 0 && leader.Name == e.settings.Name && leader.Incarnation == e.settings.Incarnation
+	switch {
+	case e.isLeader() && (!mine || e.cache.leaderRevision != e.leadership.keyRevision):
+		e.stepDown("another controller leads")
+	case !e.isLeader() && mine && leader.Lease == e.candidacy.lease:
+		e.becomeLeader(mirrorFreshAt)
+	}
+}
 
-// mayAnswerSince is up to when nobody else led, and everything that users were told is
-// known here. The other controllers can vouch for both: a token is raised by a
-// take-over alone, and one that leads says so.
-func (l *leadership) mayAnswerSince() int64 {
-	return max(l.provenByState(), l.readLeases.OldestGrant())
+// becomeLeader begins a term. It finds the tasks where earlier leaders have placed them;
+// whether they run is not known before their machines' heartbeats say so.
+func (e *elector) becomeLeader(mirrorFreshAt int64) {
+	e.leadership = e.newLeadership(mirrorFreshAt)
+	e.health.updateShare()
+	e.prefetcher.loadImageHints()
+	placements := 0
+	for _, id := range sortedKeys(e.cache.jobs) {
+		job := e.cache.jobs[id]
+		e.prefetcher.noteImageDemand(job.Spec)
+		e.leadership.planning.classSizes.note(job.Spec)
+		placements += e.restorePlacements(job)
+		switch {
+		case job.Outcome != "":
+			// It ended under an earlier leader, and its tasks may still be on
+			// their machines.
+			e.tasks.jobEnded(job)
+		case job.NumDone == job.Tasks:
+			e.committer.markDirty(job)
+		}
+	}
+	e.committer.openProgressLog()
+	e.log.Info("elected leader", "fencing_token", e.fencingToken(), "jobs", len(e.cache.jobs), "placements", placements)
 }
 
-// mayAnswerWorkers says whether reports may be answered, sure whether new attempts
-// may be started: the state service's own proof is younger than its lease.
-func (el *elector) mayAnswerWorkers() bool {
-	return el.leadership != nil && el.now-el.leadership.mayAnswerSince() < el.settings.LeaderAuthorityTime()
+// restorePlacements enters a job's placed tasks at their machines, and counts them.
+func (e *elector) restorePlacements(job *jobstate.Job) (placements int) {
+	job.EachPlaced(func(i int, t *jobstate.Task) {
+		t.Phase, t.StopReason = jobstate.Unconfirmed, ""
+		e.workers.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: job, Index: i})
+		placements++
+	})
+	return placements
 }
 
-func (el *elector) mayStartTasks() bool {
-	return el.leadership != nil && el.now-el.leadership.tokenProvenAt < el.settings.Ops.LeaderLease
+// stepDown ends the term, and has the state read anew: plans of the term that were never
+// stored must not be taken for placements.
+func (e *elector) stepDown(reason string) {
+	e.log.Info("stepped down", "fencing_token", e.fencingToken(), "reason", reason)
+	held := e.leadership.heartbeats.held.byName
+	for _, machine := range sortedKeys(held) {
+		e.emit(Reply{RequestID: held[machine].requestID, Status: 503, Error: "no longer leading"})
+	}
+	e.leadership = nil
+	e.health.updateShare()
+	e.cache.dropPartitions()
+	e.cache.listState()
 }
 
-// tokenProven notes that the state service proved the token to a request of then.
-func (el *elector) tokenProven(sent int64) {
-	el.leadership.tokenProvenAt = max(el.leadership.tokenProvenAt, sent)
+// resign ends a term whose lease has not expired. The lease is revoked, so that the
+// successor need not wait for its expiry.
+func (e *elector) resign(reason string) {
+	e.emit(RevokeLease{Lease: e.candidacy.lease})
+	e.candidacy.lease = 0
+	e.stepDown(reason)
 }
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -7,7 +7,6 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 
 	"github.com/zinclb/zinclb/internal/core/jobstate"
-	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
 // Whoever asks about a job that is not unfinished costs a read of its end, and most
@@ -41,7 +40,7 @@
 // lookUpEnds asks about the ends that requests wait for, if nothing is under way.
 func (rh *requestHandler) lookUpEnds() {
 	l := &rh.queues.endLookups
-	if !l.Due(rh.now, ratelimit.Interval(rh.health.allowance.Views)) || rh.elector.leadership == nil && !rh.health.readBudget.TryTake() {
+	if !l.Due(rh.now, rh.health.viewInterval()) || !rh.elector.isLeader() && !rh.health.tryTakeRead() {
 		return
 	}
 	ids, byID := l.Begin(rh.now, min(4*rh.membership.limits().TxnOps, maxLookup))
@@ -72,7 +71,7 @@
 // retryLookup has requests asked about once more, those that may still wait.
 func (rh *requestHandler) retryLookup(asks []*request) {
 	for _, a := range asks {
-		if a.tries++; rh.now-a.receivedAt > a.maxWait()*3/4 || rh.health.stateUnavailable() || rh.queues.endLookups.Waiting() >= maxQueuedRequests {
+		if a.tries++; rh.now-a.receivedAt > a.maxWait()*3/4 || rh.health.unavailable() || rh.queues.endLookups.Waiting() >= maxQueuedRequests {
 			rh.refuse(a)
 		} else {
 			rh.queues.endLookups.Add(a.jobID, a)
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -63,7 +63,7 @@
 		refuse("no proof of leadership")
 		return
 	}
-	if r.FencingToken > l.token {
+	if r.FencingToken > l.fencingToken {
 		// There is a newer leader somewhere; the state will say so.
 		wm.emit(ReadState{AfterRevision: wm.cache.appliedRevision})
 		refuse("a newer token exists")
@@ -99,7 +99,7 @@
 	// A worker that knew the token when it sent the report takes no orders
 	// of an earlier leader any more: only then does it prove what is absent.
 	wasFresh := m.HasCurrentToken
-	m.HasCurrentToken = r.FencingToken == l.token
+	m.HasCurrentToken = r.FencingToken == l.fencingToken
 	if first || newSession || !wasFresh && m.HasCurrentToken {
 		l.planning.wanted = true
 	}
@@ -131,7 +131,7 @@
 			m.Delivery.SentCommands = append(m.Delivery.SentCommands, fleet.SentCommand{Task: o.Task, Attempt: o.Attempt, Forget: o.Kind == CommandForget})
 		}
 	}
-	wm.emit(Reply{RequestID: req, Status: 200, FencingToken: wm.elector.leadership.token, Commands: orders})
+	wm.emit(Reply{RequestID: req, Status: 200, FencingToken: wm.elector.fencingToken(), Commands: orders})
 }
 
 // How long an answer may wait. The worker gives up on it after 4 s and tells
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -30,9 +30,9 @@
 		h.peers.connectivity.RecordInbound(b.From, h.now)
 		h.peers.connectivity.Workers.Add(at, h.now)
 	}
-	if h.elector.leadership != nil {
+	if h.elector.isLeader() {
 		holder := h.cache.partitions.Holder(name)
-		if b.From == "" && holder != "" && holder != h.settings.Name && h.peers.connectivity.PeerUp(holder, h.now) && !h.peers.connectivity.CannotReachZone(holder, b.Heartbeat.Zone) && h.mayRedirect(&b.Heartbeat, h.elector.leadership.token) {
+		if b.From == "" && holder != "" && holder != h.settings.Name && h.peers.connectivity.PeerUp(holder, h.now) && !h.peers.connectivity.CannotReachZone(holder, b.Heartbeat.Zone) && h.mayRedirect(&b.Heartbeat, h.elector.fencingToken()) {
 			h.emit(Reply{RequestID: b.RequestID, Status: 421, Leader: holder})
 			return
 		}
@@ -75,7 +75,7 @@
 	if h.settings.Ops.Reach && leader != "" && leader != h.settings.Name {
 		way := h.peers.connectivity.RelayTo(leader)
 		to := way
-		if to == "" && !h.health.stateUnavailable() && h.peers.connectivity.ReachesZone(leader, b.Heartbeat.Zone) {
+		if to == "" && !h.health.unavailable() && h.peers.connectivity.ReachesZone(leader, b.Heartbeat.Zone) {
 			to = leader // by its stored word, which is as old as the mirror
 		}
 		switch {
@@ -124,6 +124,15 @@
 	return true
 }
 
+// expireRedirects forgets the workers that no redirect concerns any more.
+func (h *heartbeatRouter) expireRedirects() {
+	for machine, r := range h.redirects {
+		if h.now-max(r.sentAt, r.keepUntil, r.servedAt) > 2*redirectReturnTime {
+			delete(h.redirects, machine)
+		}
+	}
+}
+
 func (h *heartbeatRouter) onHeartbeatRelayed(m HeartbeatRelayed) {
 	a := m.Answer
 	if m.Err != nil {
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -62,7 +62,7 @@
 	images := p.hintedImages()
 	// Every value names all images.
 	of := 1 + (l.fleet.Len()*machineBytes+len(images)*2*sourceBytes)/(room-len(images)*imageBytes)
-	if p.now-l.hints.writtenAt < max(hintsInterval/int64(of), int64(1e6/(p.health.allowance.Changes*hintsWriteShare))) || !p.elector.mayStartTasks() || p.health.writeBudget.Level() < 4 {
+	if p.now-l.hints.writtenAt < max(hintsInterval/int64(of), int64(1e6/(p.health.writeRate()*hintsWriteShare))) || !p.elector.mayStartTasks() || p.health.writesLeft() < 4 {
 		return
 	}
 	l.hints.writtenAt = p.now
@@ -72,7 +72,7 @@
 	if string(value) == string(l.hints.written[key]) {
 		return
 	}
-	p.health.writeBudget.Spend(1)
+	p.health.spendWrites(1)
 	p.committer.putAsLeader(key, value, func(m Committed) {
 		if p.elector.leadership == l && m.Status == 200 {
 			l.hints.written[key] = value
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -48,7 +48,7 @@
 	for i := 0; r.c.elector.leadership == nil && i < 100; i++ {
 		r.tick(100_000)
 	}
-	if r.c.elector.leadership == nil || r.c.elector.leadership.token != 6 {
+	if r.c.elector.leadership == nil || r.c.elector.leadership.fencingToken != 6 {
 		t.Error("does not lead under a new token once the old key is gone")
 	}
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -70,6 +70,8 @@
 	incompatible            string
 	limitsLowered           bool
 	chunkTasks              int
+	// publishNotBefore is when this controller's advertisement may next be written.
+	publishNotBefore int64
 }
 
 func newMembership(run *engine) *membership {
@@ -140,7 +142,7 @@
 	}
 	mb.format, mb.formatRevision = f, ch.Revision
 	mb.activation.SetFormat(f.Version)
-	if mb.elector.leadership == nil {
+	if !mb.elector.isLeader() {
 		mb.changeChunkSize()
 	}
 }
@@ -155,7 +157,7 @@
 	for _, j := range mb.cache.jobs {
 		j.SplitChunks(mb.chunkTasks)
 	}
-	if mb.elector.leadership != nil {
+	if mb.elector.isLeader() {
 		mb.committer.openProgressLog()
 	}
 }
@@ -206,7 +208,7 @@
 	if mb.incompatible == "" {
 		mb.incompatible = why
 		mb.log.Error("this program must not go on", "why", why)
-		if mb.elector.leadership != nil {
+		if mb.elector.isLeader() {
 			mb.elector.resign(why)
 		}
 		mb.cache.synced = false
@@ -217,39 +219,36 @@
 	return false
 }
 
-// putOnLease stores what this controller says of itself, on its lease: it is there
-// only while the controller lives and reaches the state service. done is told
-// whether it was stored.
-func (mb *membership) putOnLease(key string, stamp uint64, v any, done func(ok bool)) {
-	e := &mb.elector.candidacy
-	if e.lease == 0 {
+// putOnLease stores what this controller advertises, on its lease: it is there only while
+// the controller lives and reaches the state service. done is told whether it was stored.
+func (mb *membership) putOnLease(key string, revision uint64, v any, done func(ok bool)) {
+	if !mb.elector.hasLease() {
 		mb.elector.requestLease()
 		done(false)
 		return
 	}
-	mb.health.writeBudget.Spend(1)
-	lease := e.lease
-	mb.commitTransaction([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encodeJSON(v), Lease: lease}}, func(r Committed) {
-		if r.Status == 400 && e.lease == lease && mb.elector.leadership == nil {
-			e.lease = 0 // it has run out
+	mb.health.spendWrites(1)
+	lease := mb.elector.candidacy.lease
+	mb.commitTransaction([]Cond{kv.RevisionIs(key, revision)}, []Write{{Key: key, Value: encodeJSON(v), Lease: lease}}, func(r Committed) {
+		if r.Status == 400 {
+			mb.elector.leaseRefused(lease)
 		}
 		done(r.Status == 200)
 	})
 }
 
-// membershipTick says what this controller is, for as long as it runs.
+// membershipTick stores what this controller advertises, for as long as it runs.
 func (mb *membership) membershipTick() {
-	e := &mb.elector.candidacy
-	if !mb.cache.synced || mb.now < e.publishAt || mb.health.writeBudget.Level() < 1 {
+	if !mb.cache.synced || mb.now < mb.publishNotBefore || mb.health.writesLeft() < 1 {
 		return
 	}
-	w, stamp, say := mb.activation.LocalAdvertisement()
-	if !say {
+	advertisement, revision, pending := mb.activation.LocalAdvertisement()
+	if !pending {
 		return
 	}
-	mb.putOnLease(memberPrefix+mb.settings.Name, stamp, w, func(bool) {})
-	if e.lease != 0 {
-		e.publishAt = mb.now + second // a lease is worth no wait
+	mb.putOnLease(memberPrefix+mb.settings.Name, revision, advertisement, func(bool) {})
+	if mb.elector.hasLease() {
+		mb.publishNotBefore = mb.now + second // a lease is worth no wait
 	}
 }
 
@@ -259,13 +258,13 @@
 // older program meanwhile is not overlooked. It lowers the tasks of a value too.
 func (mb *membership) activationTick() {
 	l := mb.elector.leadership
-	if l.activation.writing || mb.now < l.activation.notBefore || !mb.elector.mayStartTasks() || mb.health.writeBudget.Level() < 1 {
+	if l.activation.writing || mb.now < l.activation.notBefore || !mb.elector.mayStartTasks() || mb.health.writesLeft() < 1 {
 		return
 	}
 	for _, n := range mb.activation.Returned() {
 		// Operators took it for gone, and it is there.
 		l.activation.writing, l.activation.notBefore = true, mb.now+second
-		mb.health.writeBudget.Spend(1)
+		mb.health.spendWrites(1)
 		mb.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, mb.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activation.writing = false })
 		return
 	}
@@ -302,7 +301,7 @@
 		}
 	}
 	l.activation.writing, l.activation.notBefore = true, mb.now+second
-	mb.health.writeBudget.Spend(1)
+	mb.health.spendWrites(1)
 	mb.commitTransaction(when, []Write{write}, func(Committed) {
 		l.activation.writing = false // it holds when the mirror shows it
 	})
@@ -321,7 +320,7 @@
 	switch {
 	case !slices.Contains(mb.settings.Peers, m.Name):
 		reply(404, "no other controller is called "+strconv.Quote(m.Name))
-	case !mb.cache.synced || mb.health.stateUnavailable():
+	case !mb.cache.synced || mb.health.unavailable():
 		reply(503, "the state service does not answer")
 	case m.Decommissioned && there:
 		reply(409, m.Name+" is there, and says what it can")
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -165,8 +165,8 @@
 func (ov *operatorViewer) onQueryOperatorView(m QueryOperatorView) {
 	ov.elector.noteNewestLeader(ov.cache.leader)
 	v := &OperatorView{
-		Controller: ov.settings.Name, Leader: ov.elector.newestLeader.Name, FencingToken: ov.elector.newestLeader.Token, Leading: ov.elector.leadership != nil, Synced: ov.cache.synced,
-		Revision: ov.cache.appliedRevision, StateAgeS: float64(ov.health.stateAge()) / 1e6, WritesLeft: ov.health.writeBudget.Level(), ReadsLeft: ov.health.readBudget.Level(), ReadsBy: ov.reader.readSource(), Jobs: len(ov.cache.jobs), Format: max(ov.membership.format.Version, 1), LimitsLowered: ov.membership.limitsLowered, Conditions: []string{},
+		Controller: ov.settings.Name, Leader: ov.elector.newestLeader.Name, FencingToken: ov.elector.newestLeader.Token, Leading: ov.elector.isLeader(), Synced: ov.cache.synced,
+		Revision: ov.cache.appliedRevision, StateAgeS: float64(ov.health.outageAge()) / 1e6, WritesLeft: ov.health.writesLeft(), ReadsLeft: ov.health.readsLeft(), ReadsBy: ov.reader.readSource(), Jobs: len(ov.cache.jobs), Format: max(ov.membership.format.Version, 1), LimitsLowered: ov.membership.limitsLowered, Conditions: []string{},
 	}
 	for _, j := range ov.cache.jobs {
 		if j.Outcome == "" && j.IsBlocked() {
@@ -182,7 +182,7 @@
 			v.Conditions = append(v.Conditions, "controller "+p+" does not answer")
 		}
 	}
-	if ov.health.stateUnavailable() {
+	if ov.health.unavailable() {
 		v.Conditions = append(v.Conditions, "the state service does not answer")
 	}
 	if ov.elector.newestLeader.Name == "" || ov.cache.leaderRevision == 0 && ov.cache.synced {
@@ -206,7 +206,7 @@
 		v.Conditions = append(v.Conditions, ov.membership.incompatible)
 	}
 	ov.viewConnectivity(v)
-	if ov.elector.leadership != nil {
+	if ov.elector.isLeader() {
 		ov.viewLeadership(v)
 	}
 	ov.emit(Reply{RequestID: m.RequestID, Status: 200, Ops: v})
@@ -236,8 +236,8 @@
 
 func (ov *operatorViewer) viewLeadership(v *OperatorView) {
 	l := ov.elector.leadership
-	v.AnswersForS = float64(l.mayAnswerSince()+ov.settings.LeaderAuthorityTime()-ov.now) / 1e6
-	if ov.now-l.provenByState() > readLeaseAfter {
+	v.AnswersForS = float64(l.authorityProvenAt()+ov.settings.LeaderAuthorityTime()-ov.now) / 1e6
+	if ov.now-l.stateProofAt() > readLeaseAfter {
 		silent := l.readLeases.StaleGrantors(ov.now, readLeaseAfter)
 		for _, p := range sortedKeys(silent) {
 			since := "yet"
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -49,18 +49,18 @@
 		}
 	}
 	l.partitions.machineHashes = hashes
-	b := fleet.Partitions{Boundaries: pt.cache.partitions.Boundaries, Holders: pt.holders(), LeaseDuration: pt.settings.Ops.Term, FencingToken: l.token, Seq: l.partitions.term + 1}
+	b := fleet.Partitions{Boundaries: pt.cache.partitions.Boundaries, Holders: pt.holders(), LeaseDuration: pt.settings.Ops.Term, FencingToken: l.fencingToken, Seq: l.partitions.term + 1}
 	if len(b.Boundaries) != queueCount-1 || pt.partitionsUnequal(hashes) {
 		b.Boundaries = fleet.PartitionHashes(hashes, queueCount)
 	}
-	same := pt.cache.partitions.FencingToken == l.token && slices.Equal(b.Holders, pt.cache.partitions.Holders) && slices.Equal(b.Boundaries, pt.cache.partitions.Boundaries)
+	same := pt.cache.partitions.FencingToken == l.fencingToken && slices.Equal(b.Holders, pt.cache.partitions.Holders) && slices.Equal(b.Boundaries, pt.cache.partitions.Boundaries)
 	if same && pt.now-l.partitions.writtenAt < pt.settings.Ops.Term/2 {
 		return
 	}
-	if pt.health.writeBudget.Level() < 1 {
+	if pt.health.writesLeft() < 1 {
 		return
 	}
-	pt.health.writeBudget.Spend(1)
+	pt.health.spendWrites(1)
 	l.partitions.writing, l.partitions.writtenAt = true, pt.now
 	l.partitions.term++
 	// The leader plans by the new cuts at once: a loan or a moved boundary
@@ -85,7 +85,7 @@
 		return true
 	}
 	quiet := 3*config.MicrosOf(pt.settings.Workers.ReportS) + second
-	if !slices.Contains(pt.cache.partitions.Holders, node) || pt.cache.partitions.FencingToken != l.token || pt.now-l.since < 2*quiet || pt.now-max(l.partitions.lastHeartbeatVia[node], l.partitions.shunnedUntil[node]) < quiet {
+	if !slices.Contains(pt.cache.partitions.Holders, node) || pt.cache.partitions.FencingToken != l.fencingToken || pt.now-l.since < 2*quiet || pt.now-max(l.partitions.lastHeartbeatVia[node], l.partitions.shunnedUntil[node]) < quiet {
 		return false
 	}
 	machines, heard := 0, 0
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -7,6 +7,9 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
+// pingInterval is how often the peers are pinged.
+const pingInterval = second
+
 // peerState is what is known of a peer.
 type peerState struct {
 	answeredAt      int64 // when the ping was sent that it last answered
@@ -42,7 +45,7 @@
 func (pm *peerMonitor) onPingReceived(m PingReceived) {
 	pm.connectivity.RecordInbound(m.From, pm.now)
 	pm.elector.noteNewestLeader(pm.cache.leader)
-	n := &PeerStatus{FencingToken: pm.elector.newestLeader.Token, Leader: pm.elector.newestLeader.Name, StateAge: pm.health.stateAge(), Version: pm.membership.writableFormat(), Features: pm.membership.activation.Features(), LimitsLowered: pm.membership.limitsLowered}
+	n := &PeerStatus{FencingToken: pm.elector.newestLeader.Token, Leader: pm.elector.newestLeader.Name, StateAge: pm.health.outageAge(), Version: pm.membership.writableFormat(), Features: pm.membership.activation.Features(), LimitsLowered: pm.membership.limitsLowered}
 	pm.readLeases.grantReadLease(m, n)
 	if pm.settings.Ops.Reach {
 		v := pm.connectivity.LocalAdvertisement(pm.now)
@@ -54,12 +57,6 @@
 	pm.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: n})
 }
 
-func (el *elector) noteNewestLeader(v leaderRecord) {
-	if v.Token > el.newestLeader.Token {
-		el.newestLeader = v
-	}
-}
-
 func (pm *peerMonitor) onPeerPinged(m PeerPinged) {
 	pm.connectivity.RecordPing(m.Peer, m.SentAt, pm.now, m.OK, m.Status.Connectivity)
 	for _, x := range m.Status.Machines {
@@ -82,10 +79,10 @@
 	pm.readLeases.readLeaseGrantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
 	pm.readLeases.releaseHeldReplies()
 	pm.elector.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
-	if pm.elector.leadership == nil {
+	if !pm.elector.isLeader() {
 		return
 	}
-	if m.Status.FencingToken > pm.elector.leadership.token {
+	if m.Status.FencingToken > pm.elector.fencingToken() {
 		// The state service may refuse this controller alone. A token is
 		// raised by nothing but a take-over, so this is proof.
 		pm.elector.stepDown("a peer knows of a newer leader")
@@ -97,8 +94,8 @@
 // Refusal is an error by which the other side has answered.
 type Refusal interface{ Refused() bool }
 
-// faultOf tells a refusal from silence.
-func faultOf(err error) connectivity.Failure {
+// failureOf tells a refusal from silence.
+func failureOf(err error) connectivity.Failure {
 	var r Refusal
 	if errors.As(err, &r) && r.Refused() {
 		return connectivity.Refused
@@ -156,7 +153,7 @@
 // it to vouch; and it is told of cancellations that it has to know of first.
 func (pm *peerMonitor) ping(p string) {
 	e := PingPeer{Peer: p, NeedMachines: pm.settings.Ops.Reach && pm.connectivity.Workers.NeedsMachines(pm.settings.Zones), Incarnation: pm.settings.Incarnation}
-	if pm.elector.leadership != nil && (pm.health.stateFailedAt > pm.health.stateAnsweredAt || pm.now-pm.elector.leadership.provenByState() > readLeaseAfter) {
+	if pm.elector.isLeader() && (pm.health.lastRequestFailed() || pm.now-pm.elector.leadership.stateProofAt() > readLeaseAfter) {
 		q := pm.elector.leadership.readLeases.NextRequest(p, pm.cache.appliedRevision, pm.now)
 		e.Question = &q
 	}
@@ -167,10 +164,26 @@
 	pm.emit(e)
 }
 
+// pingDue reports once a second that it is time to ping the peers.
+func (pm *peerMonitor) pingDue() bool {
+	if pm.now-pm.pingedAt < pingInterval {
+		return false
+	}
+	pm.pingedAt = pm.now
+	return true
+}
+
+// pingEach pings all peers.
+func (pm *peerMonitor) pingEach() {
+	for _, p := range pm.settings.Peers {
+		pm.ping(p)
+	}
+}
+
 // pingAll has all peers vouch as soon as the state service fails a leader: what one
 // of them has told before it crashes is known only if it was heard out by then.
 func (pm *peerMonitor) pingAll() {
-	if pm.elector.leadership == nil || pm.now-pm.elector.leadership.peersAskedAt < second/2 {
+	if !pm.elector.isLeader() || pm.now-pm.elector.leadership.peersAskedAt < second/2 {
 		return
 	}
 	pm.elector.leadership.peersAskedAt = pm.now
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -310,7 +310,7 @@
 
 // earlierPrefetchesRunning says whether an earlier leader's warming may still be on machines.
 func (p *prefetcher) earlierPrefetchesRunning() bool {
-	return p.elector.leadership.token > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
+	return p.elector.fencingToken() > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
 }
 
 // quotaShareForPrefetch is the share of a limit that warming may use now.
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -23,11 +23,11 @@
 	if got := room(); got != 2000 || warms() {
 		t.Errorf("a new leader has room for %d, and warms: %v", got, warms())
 	}
-	r.c.elector.leadership.token = 1
+	r.c.elector.leadership.fencingToken = 1
 	if got := room(); got != 4000 || !warms() {
 		t.Errorf("the first leader of all has room for %d, and warms: %v", got, warms())
 	}
-	r.c.elector.leadership.token = 6
+	r.c.elector.leadership.fencingToken = 6
 	r.tick(r.c.settings.FailoverEpochTimeout())
 	if got := room(); got != 4000 || !warms() {
 		t.Errorf("once they are gone there is room for %d, and it warms: %v", got, warms())
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -50,7 +50,7 @@
 		bad(err)
 		return
 	}
-	if s.elector.leadership != nil {
+	if s.elector.isLeader() {
 		return // the leader is the one that writes these
 	}
 	i, had := slices.BinarySearchFunc(s.progressLog, n, func(p *logPage, n int) int { return cmp.Compare(p.number, n) })
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -236,7 +236,7 @@
 	r := newRig(t)
 	r.beat(5, 1, running(3))
 	r.mute = true
-	start := r.c.elector.leadership.mayAnswerSince()
+	start := r.c.elector.leadership.authorityProvenAt()
 	for r.now-start < r.c.settings.LeaderAuthorityTime()-second {
 		if s, _ := r.beat(r.token, 1, running(3)); s != 200 {
 			t.Fatalf("status %d after %d ms of hold", s, (r.now-start)/1000)
@@ -263,17 +263,17 @@
 	r.c.elector.leadership.readLeases = readlease.NewHolder(r.c.settings.Peers, r.c.settings.LeaderAuthorityTime())
 	r.mute = true
 	r.tick(5 * second)
-	right := r.c.elector.leadership.mayAnswerSince()
+	right := r.c.elector.leadership.authorityProvenAt()
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0"}})
-	if r.c.elector.leadership == nil || r.c.elector.leadership.mayAnswerSince() != right {
+	if r.c.elector.leadership == nil || r.c.elector.leadership.authorityProvenAt() != right {
 		t.Error("a peer of an older program vouches for nothing")
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Boot: "x", Upto: 1, Whole: true, Cancelled: []string{"j"}}}})
 	if r.c.cache.jobs["j"].Outcome != jobstate.Cancelled {
 		t.Error("a cancellation told by a peer counts")
 	}
-	if r.c.elector.leadership.mayAnswerSince() != r.now+1 {
-		t.Errorf("right from %d, asked at %d", r.c.elector.leadership.mayAnswerSince(), r.now+1)
+	if r.c.elector.leadership.authorityProvenAt() != r.now+1 {
+		t.Errorf("right from %d, asked at %d", r.c.elector.leadership.authorityProvenAt(), r.now+1)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 2, OK: true, Status: PeerStatus{FencingToken: r.token + 1, Leader: "n1"}})
 	if r.c.elector.leadership != nil {
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -69,7 +69,7 @@
 		n.ReadLease = &p
 	}
 	n.Ack = &readlease.HolderAck{}
-	if rl.elector.leadership == nil {
+	if !rl.elector.isLeader() {
 		return
 	}
 	rl.elector.leadership.readLeases.SetIncarnation(m.From, m.Incarnation)
@@ -87,7 +87,7 @@
 		return
 	}
 	rl.noteCancelled(m.Status.ReadLease.Cancelled)
-	if rl.elector.leadership == nil {
+	if !rl.elector.isLeader() {
 		return
 	}
 	rl.elector.leadership.readLeases.HandleGrant(m.Peer, m.SentAt, rl.now, *m.Status.ReadLease)
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -16,7 +16,7 @@
 func TestKnows(t *testing.T) {
 	b := newBetween(t, "n0")
 	b.hung = true
-	right := b.c.elector.leadership.mayAnswerSince()
+	right := b.c.elector.leadership.authorityProvenAt()
 	b.run(3 * second)
 	if v := find[ReadState](b); len(v) < 2 || v[0].ForRequests {
 		t.Errorf("a leader without changes reads what is stored: %+v", v)
@@ -24,11 +24,11 @@
 	if at := b.c.elector.leadership.tokenProvenAt; at <= right {
 		t.Fatal("the lease was not renewed")
 	}
-	if at := b.c.elector.leadership.mayAnswerSince(); at != right {
+	if at := b.c.elector.leadership.authorityProvenAt(); at != right {
 		t.Errorf("renewals moved the right from %d to %d", right, at)
 	}
 	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.c.cache.appliedRevision, SentAt: b.now - second/2, Immediate: true})
-	if at := b.c.elector.leadership.mayAnswerSince(); at != b.now-second/2 {
+	if at := b.c.elector.leadership.authorityProvenAt(); at != b.now-second/2 {
 		t.Errorf("right from %d, the mirror is of %d", at, b.now-second/2)
 	}
 	b.run(b.c.settings.LeaderAuthorityTime() + second)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -9,7 +9,6 @@
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
-	"github.com/zinclb/zinclb/internal/core/ratelimit"
 	"github.com/zinclb/zinclb/internal/core/sharedread"
 )
 
@@ -212,7 +211,7 @@
 
 // waitForRead queues a request for the next view of the state.
 func (rh *requestHandler) waitForRead(a *request) {
-	if !rh.cache.synced || rh.health.stateUnavailable() && a.tries == 0 || rh.queues.stateReads.Waiting() >= maxQueuedRequests {
+	if !rh.cache.synced || rh.health.unavailable() && a.tries == 0 || rh.queues.stateReads.Waiting() >= maxQueuedRequests {
 		rh.refuse(a)
 		return
 	}
@@ -226,11 +225,11 @@
 func (rh *requestHandler) readForRequests() {
 	v := &rh.queues.stateReads
 	source := rh.reader.readSource()
-	gap := ratelimit.Interval(rh.health.allowance.Views)
+	gap := rh.health.viewInterval()
 	if source != "" {
 		gap = leaderReadGap
 	}
-	if !rh.cache.synced || !v.Due(rh.now, gap) || source == "" && !rh.health.readBudget.TryTake() {
+	if !rh.cache.synced || !v.Due(rh.now, gap) || source == "" && !rh.health.tryTakeRead() {
 		return
 	}
 	rh.beginRead(source)
@@ -243,7 +242,7 @@
 		rh.emit(ReadState{AfterRevision: rh.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	rh.emit(ReadFromLeader{To: source, AfterRevision: rh.cache.appliedRevision, Number: rh.reader.follower.BeginRequest(), WritesNeeded: rh.queues.writesLacking(rh.health.writeBudget.Level())})
+	rh.emit(ReadFromLeader{To: source, AfterRevision: rh.cache.appliedRevision, Number: rh.reader.follower.BeginRequest(), WritesNeeded: rh.queues.writesLacking(rh.health.writesLeft())})
 }
 
 func (rh *requestHandler) requestsReadDone(ok bool) {
@@ -270,7 +269,7 @@
 // refuse hands a request on to a peer that can answer it, or says at once
 // that the answer can't be had now.
 func (rh *requestHandler) refuse(a *request) {
-	if rh.health.stateUnavailable() && rh.peers.forwardToPeer(a) {
+	if rh.health.unavailable() && rh.peers.forwardToPeer(a) {
 		return
 	}
 	r := stateUnavailableReply
@@ -313,7 +312,7 @@
 
 // queueWrite queues a submission or cancellation for the state service.
 func (rh *requestHandler) queueWrite(a *request) {
-	if len(rh.queues.queuedWrites) >= maxQueuedRequests || rh.health.stateUnavailable() && a.tries == 0 {
+	if len(rh.queues.queuedWrites) >= maxQueuedRequests || rh.health.unavailable() && a.tries == 0 {
 		rh.refuse(a)
 		return
 	}
@@ -323,7 +322,7 @@
 
 func (rh *requestHandler) writeQueued() {
 	d := &rh.queues
-	rh.health.writeBudget.Refill(rh.now, rh.health.allowance.Changes)
+	rh.health.refillWrites()
 	for len(d.queuedWrites) > 0 {
 		a := d.queuedWrites[0]
 		if rh.now-a.receivedAt > maxWriteWait {
@@ -335,35 +334,25 @@
 			d.queuedWrites = d.queuedWrites[1:]
 			continue
 		}
-		if rh.health.writeBudget.Level() < minUserBudget(rh.health.allowance, rh.elector.leadership != nil) {
+		if rh.health.writesLeft() < rh.health.minUserBudget() {
 			return
 		}
 		d.queuedWrites = d.queuedWrites[1:]
 		switch a.kind {
 		case requestSubmit:
-			rh.health.writeBudget.Spend(1)
+			rh.health.spendWrites(1)
 			rh.writeJob(a)
 		case requestSweepSubmit:
 			rh.sweepManager.createSweep(a)
 		case requestSweepCancel:
 			rh.sweepManager.cancelSweep(a)
 		default:
-			rh.health.writeBudget.Spend(2)
+			rh.health.spendWrites(2)
 			rh.writeCancellation(a)
 		}
 	}
 }
 
-// minUserBudget is the least budget with which a user's request is written. Users come
-// before placements, so they may use what the leader's own writes keep back, and some
-// of what it will have.
-func minUserBudget(s ratelimit.Share, leads bool) float64 {
-	if !leads {
-		return 1
-	}
-	return 1 - s.Changes/4
-}
-
 func (rh *requestHandler) writeJob(a *request) {
 	job := jobPrefix + a.jobID
 	value := jobstate.Record{Spec: a.spec, SubmittedWall: a.receivedAt + rh.wallOffset}.Encode(0)
@@ -499,13 +488,13 @@
 	source, age := rh.reader.readSource(), d.stateReads.Age(rh.now)
 	// The mirror lacks a revision that an answer has told of, or the changes of a
 	// transaction whose answer may be lost.
-	lacks := rh.health.announcedRevision > rh.cache.appliedRevision || rh.transactions.HasUnansweredWrite(rh.now, expectedChangeGap)
+	lacks := rh.health.watchLags() || rh.transactions.HasUnansweredWrite(rh.now, expectedChangeGap)
 	switch {
-	case rh.health.stateUnavailable() && age > second/2, rh.elector.leadership == nil && !rh.health.stateUnavailable() && rh.health.stateFailedAt > rh.health.stateAnsweredAt && age > expectedChangeGap && rh.health.readBudget.TryTake():
+	case rh.health.unavailable() && age > second/2, !rh.elector.isLeader() && !rh.health.unavailable() && rh.health.lastRequestFailed() && age > expectedChangeGap && rh.health.tryTakeRead():
 		// Requests are refused meanwhile, or soon, so something has to find out
 		// when the state service answers again.
 		rh.beginRead("")
-	case source != "" && (rh.reader.follower.RefreshDue(rh.now, age) || lacks && age > expectedChangeGap || d.writesLacking(rh.health.writeBudget.Level()) > 0):
+	case source != "" && (rh.reader.follower.RefreshDue(rh.now, age) || lacks && age > expectedChangeGap || d.writesLacking(rh.health.writesLeft()) > 0):
 		rh.beginRead(source)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -355,7 +355,7 @@
 					w.c.scaler.queueScaleIn(h.name)
 				}
 			case 2:
-				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.elector.leadership.token})
+				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.elector.leadership.fencingToken})
 			case 3:
 				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
 					h.noticed = true
@@ -366,7 +366,7 @@
 				}
 			case 5:
 				w.c.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
-				w.step(MachineTypesListed{Types: w.c.cache.machineTypes, FencingToken: w.c.elector.leadership.token})
+				w.step(MachineTypesListed{Types: w.c.cache.machineTypes, FencingToken: w.c.elector.leadership.fencingToken})
 			case 6:
 				w.c.cache.partitions.Boundaries = fleet.PartitionHashes([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
 			case 7, 8, 9:
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -101,7 +101,7 @@
 
 func (sl *scaler) onMachineTypesListed(m MachineTypesListed) {
 	sl.cloud.cloudCallEnded(m.ViaPeer, m.Err)
-	if !sl.elector.leadership.madeCall(m.FencingToken) {
+	if !sl.elector.leadsWithToken(m.FencingToken) {
 		return
 	}
 	sl.elector.leadership.scaling.callsRunning--
@@ -143,7 +143,7 @@
 
 func (sl *scaler) onMachinesListed(m MachinesListed) {
 	sl.cloud.cloudCallEnded(m.ViaPeer, m.Err)
-	if !sl.elector.leadership.madeCall(m.FencingToken) {
+	if !sl.elector.leadsWithToken(m.FencingToken) {
 		return
 	}
 	s := &sl.elector.leadership.scaling
@@ -324,11 +324,11 @@
 }
 
 func (sl *scaler) onScaledIn(m ScaledIn) {
-	if sl.elector.leadership == nil {
+	if !sl.elector.isLeader() {
 		return
 	}
 	s := &sl.elector.leadership.scaling
-	ours := sl.elector.leadership.madeCall(m.FencingToken)
+	ours := sl.elector.leadsWithToken(m.FencingToken)
 	if ours {
 		s.callsRunning--
 	}
@@ -425,7 +425,7 @@
 				return
 			}
 			s.requestSerial++
-			r := ScaleOut{Name: fmt.Sprintf("zinclb-%d-%d", sl.elector.leadership.token, s.requestSerial), Type: mk.machineType, Zone: mk.zone, Spot: mk.spot, Count: min(want, maxScaleOut)}
+			r := ScaleOut{Name: fmt.Sprintf("zinclb-%d-%d", sl.elector.fencingToken(), s.requestSerial), Type: mk.machineType, Zone: mk.zone, Spot: mk.spot, Count: min(want, maxScaleOut)}
 			s.scalingOut[mk] = true
 			sl.cloud.callCloud(CloudCall{ScaleOut: &r})
 		}
@@ -482,7 +482,7 @@
 }
 
 func (sl *scaler) onScaledOut(m ScaledOut) {
-	if !sl.elector.leadership.madeCall(m.Request.FencingToken) {
+	if !sl.elector.leadsWithToken(m.Request.FencingToken) {
 		return // what was rented shows in the list
 	}
 	s := &sl.elector.leadership.scaling
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -18,6 +18,9 @@
 	Program *upgrade.Program
 }
 
+// withClockDrift widens a duration by what two steady clocks may differ.
+func withClockDrift(d int64) int64 { return d + d/1000 }
+
 // EpochTimeout is after how long without an answer a worker has certainly ended its
 // session.
 func (s *Settings) EpochTimeout() int64 {
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -83,6 +83,9 @@
 	}
 }
 
+// dropPartitions forgets the partitions that this controller has assigned as the leader.
+func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
+
 // startupRequests is how many requests a start takes beside the list.
 const startupRequests = 5
 
@@ -94,7 +97,7 @@
 
 func (s *stateCache) onStateListed(m StateListed) {
 	s.listingState = false
-	s.health.noteStateResult(&s.peers.connectivity.Reads, m.Err)
+	s.health.recordResult(&s.peers.connectivity.Reads, m.Err)
 	if m.Err != nil {
 		s.log.Debug("listing the state failed", "err", m.Err)
 		s.listingState = true
@@ -140,10 +143,10 @@
 		side = &s.peers.connectivity.Reads
 	}
 	if !m.ViaLeader {
-		s.health.noteStateResult(side, m.Err)
+		s.health.recordResult(side, m.Err)
 	}
 	switch {
-	case m.Compacted && s.elector.leadership != nil:
+	case m.Compacted && s.elector.isLeader():
 		// A leader takes its own progress from no list, so it begins anew.
 		s.elector.resign("the watch is too old")
 	case m.Compacted:
@@ -165,9 +168,7 @@
 			return
 		}
 		s.sweepManager.endCancelledRuns()
-		if s.elector.leadership != nil {
-			s.elector.leadership.mirrorFreshAt = max(s.elector.leadership.mirrorFreshAt, m.SentAt)
-		}
+		s.elector.mirrorRefreshed(m.SentAt)
 		s.elector.checkLeadership(m.SentAt)
 	}
 	if !m.Immediate {
@@ -241,7 +242,7 @@
 		s.peers.applyConnectivity(key[len("reach/"):], ch, bad)
 	case strings.HasPrefix(key, "hints/") && !ch.Removed:
 		s.imageHints[ch.Key] = ch.Value
-	case key == "bounds" && !ch.Removed && s.elector.leadership == nil:
+	case key == "bounds" && !ch.Removed && !s.elector.isLeader():
 		var b fleet.Partitions
 		if err := json.Unmarshal(ch.Value, &b); err != nil {
 			bad(err)
@@ -316,7 +317,7 @@
 		bad(err)
 		return
 	}
-	if s.elector.leadership != nil {
+	if s.elector.isLeader() {
 		return // the leader is the one that writes these
 	}
 	j := s.jobs[id]
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -38,7 +38,7 @@
 // service itself: for a leader, where nobody leads, and where the state service has
 // just failed this controller, which then has to find out whether it still does.
 func (sr *stateReader) readSource() string {
-	if sr.elector.leadership != nil || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.stateFailedAt > sr.health.stateAnsweredAt || !sr.membership.activation.Enabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
+	if sr.elector.isLeader() || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.lastRequestFailed() || !sr.membership.activation.Enabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
 		return ""
 	}
 	sr.follower.SetLeader(sr.cache.leader.Name, sr.cache.leader.Token)
@@ -70,13 +70,13 @@
 // question came.
 func (sr *stateReader) answerFollower(a *request) {
 	changes, ok := sr.recentChanges.Since(a.revision)
-	if sr.elector.leadership == nil || !ok {
+	if !sr.elector.isLeader() || !ok {
 		r := stateUnavailableReply
 		r.RequestID, r.Error = a.id, "this controller does not lead, or has forgotten the revision"
 		sr.emit(r)
 		return
 	}
-	granted := sr.health.writeBudget.Withdraw(a.writesNeeded, minUserBudget(sr.health.allowance, sr.elector.leadership != nil))
+	granted := sr.health.grantWrites(a.writesNeeded)
 	sr.emit(Reply{RequestID: a.id, Status: 200, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
@@ -92,7 +92,7 @@
 		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	sr.health.writeBudget.Deposit(v.Granted)
+	sr.health.receiveWrites(v.Granted)
 	sr.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
 	sr.requests.writeQueued()
 }
@@ -107,7 +107,7 @@
 			sr.watchingLeader = true
 			sr.emit(WatchLeader{AfterRevision: sr.cache.appliedRevision})
 		}
-	case !sr.watching && (sr.elector.leadership != nil || sr.health.readBudget.TryTake()):
+	case !sr.watching && (sr.elector.isLeader() || sr.health.tryTakeRead()):
 		sr.watching = true
 		sr.emit(WatchState{AfterRevision: sr.cache.appliedRevision})
 	}
@@ -117,7 +117,7 @@
 // asks nobody else, as the leader may be gone.
 func (sr *stateReader) onLeaderWatched(m LeaderWatched) {
 	sr.watchingLeader = false
-	sr.health.noteStateResult(&sr.peers.connectivity.Watch, m.Err)
+	sr.health.recordResult(&sr.peers.connectivity.Watch, m.Err)
 	if m.Changed && sr.cache.synced {
 		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
 	}
@@ -130,10 +130,10 @@
 // watchdogTick reads what a silent watch keeps back: a leader that learned of jobs
 // by it alone would leave them waiting for as long as the connection is held.
 func (sr *stateReader) watchdogTick() {
-	if !sr.cache.synced || sr.health.announcedRevision <= sr.cache.appliedRevision || sr.now-sr.health.announcedAt < maxWatchDelay || !sr.watching {
+	if !sr.cache.synced || !sr.health.watchLags() || sr.health.watchLag() < maxWatchDelay || !sr.watching {
 		return
 	}
-	sr.health.announcedAt = sr.now
+	sr.health.restartWatchLag()
 	sr.peers.connectivity.Watch.RecordFailure(sr.now, sr.now, connectivity.NoResponse)
 	sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
 }
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -339,7 +339,7 @@
 	}
 	s.cancelConfirmed = true
 	sw.emit(ReadState{AfterRevision: sw.cache.appliedRevision})
-	if sw.elector.leadership == nil {
+	if !sw.elector.isLeader() {
 		return
 	}
 	for _, j := range sw.cache.jobs {
@@ -490,7 +490,7 @@
 	for i, p := range parts {
 		writes = append(writes, Write{Key: key + "/" + strconv.Itoa(i), Value: encodeJSON(p)})
 	}
-	sw.health.writeBudget.Spend(float64(len(writes)))
+	sw.health.spendWrites(float64(len(writes)))
 	sw.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
 		switch m.Status {
 		case 200:
@@ -508,7 +508,7 @@
 
 // cancelSweep creates the one key that ends a sweep.
 func (sw *sweepManager) cancelSweep(a *request) {
-	sw.health.writeBudget.Spend(1)
+	sw.health.spendWrites(1)
 	key := sweepEndPrefix + a.jobID
 	sw.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encodeJSON(sweepEndRecord{jobstate.Cancelled, sw.now + sw.wallOffset})}}, func(m Committed) {
 		switch m.Status {
@@ -721,8 +721,8 @@
 // writes can be spared: users' requests and starts go first.
 func (sw *sweepManager) advanceSweep(s *sweep, open int) {
 	l := sw.elector.leadership
-	sw.health.writeBudget.Refill(sw.now, sw.health.allowance.Changes)
-	spare := int(sw.health.writeBudget.Level() - sw.health.allowance.Changes*sweepReserve)
+	sw.health.refillWrites()
+	spare := int(sw.health.writesLeft() - sw.health.writeRate()*sweepReserve)
 	if len(sw.requests.queues.queuedWrites) > 0 || spare < 2 {
 		return
 	}
@@ -764,7 +764,7 @@
 	if gone != s.withdrawnStored {
 		writes = append(writes, Write{Key: sweepPositionPrefix + s.id + decommissionedRunsSuffix, Value: encodeJSON(sweepWithdrawn{encodeBitmap(s.withdrawn)})})
 	}
-	sw.health.writeBudget.Spend(float64(len(writes)))
+	sw.health.spendWrites(float64(len(writes)))
 	s.writing = true
 	counted := s.countPendingSince
 	sw.commitTransaction(when, writes, func(m Committed) {
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		for orders := range slices.Chunk(tm.elector.leadership.directCommands[name], maxDirectCommands) {
-			tm.emit(SendCommands{Addr: m.Addr, FencingToken: tm.elector.leadership.token, Epoch: m.Epoch, Commands: orders})
+			tm.emit(SendCommands{Addr: m.Addr, FencingToken: tm.elector.fencingToken(), Epoch: m.Epoch, Commands: orders})
 		}
 	}
 	clear(tm.elector.leadership.directCommands)
@@ -159,7 +159,7 @@
 
 // jobArrived, jobEnded and jobRemoved are called by the mirror.
 func (tm *taskManager) jobArrived(j *jobstate.Job) {
-	if tm.elector.leadership != nil {
+	if tm.elector.isLeader() {
 		tm.elector.leadership.planning.wanted = true
 		tm.prefetcher.noteImageDemand(j.Spec)
 		tm.elector.leadership.planning.classSizes.note(j.Spec)
@@ -168,7 +168,7 @@
 
 func (tm *taskManager) jobEnded(j *jobstate.Job) {
 	tm.dependencies.dependencyGraph.Remove(j)
-	if tm.elector.leadership == nil {
+	if !tm.elector.isLeader() {
 		return
 	}
 	tm.stopAllPlaced(j, j.OutcomeStopReason())
@@ -178,7 +178,7 @@
 
 func (tm *taskManager) jobRemoved(j *jobstate.Job) {
 	tm.dependencies.dependencyGraph.Remove(j)
-	if tm.elector.leadership == nil {
+	if !tm.elector.isLeader() {
 		return
 	}
 	delete(tm.elector.leadership.commits.dirty, j)
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -71,6 +71,6 @@
 		}
 	}
 	if len(orders) > 0 {
-		wm.emit(SendCommands{Addr: m.Addr, FencingToken: wm.elector.leadership.token, Epoch: r.Epoch, Commands: orders})
+		wm.emit(SendCommands{Addr: m.Addr, FencingToken: wm.elector.fencingToken(), Epoch: r.Epoch, Commands: orders})
 	}
 }
