--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -73,6 +73,6 @@
 		sl.planner.machineGone(m, "the cloud lists it no more")
 		sl.forgetMachine(m)
 		sl.elector.leadership.heartbeats.departed.note(name, Heartbeat{}, true, sl.now)
-		sl.elector.leadership.planning.wanted = true
+		sl.elector.leadership.planning.requestRound()
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -208,3 +208,43 @@
 		c.leadTick()
 	}
 }
+
+// leadTick does what the leader does in its own time.
+func (c *Core) leadTick() {
+	term := c.elector.leadership
+	if c.now-term.planning.plannedAt >= replanInterval {
+		term.planning.requestRound()
+	}
+	term.heartbeats.releaseWanted = true // some may have been held for long enough
+	c.reader.refreshMirrorTick()
+	c.partitionManager.partitionsTick()
+	if c.now-term.machinesSweptAt >= machineSweepInterval {
+		// What goes through all machines, and can wait.
+		term.machinesSweptAt = c.now
+		c.planner.expireMachineLeases()
+		c.workers.probeNotReceiving()
+		c.workers.probeUnreachable()
+		c.scaler.cloudTick()
+		c.committer.progressLogTick()
+	}
+	c.prefetcher.inheritPrefetchSources()
+	c.prefetcher.prefetchTick()
+	c.membership.activationTick()
+	c.sweepManager.sweepTick()
+	c.prefetcher.imageHintsTick()
+	c.operators.stuckQueuesTick()
+}
+
+// machineSweepInterval is how often a leader does what goes through all machines.
+const machineSweepInterval = second / 4
+
+// leadStep plans, writes and answers what the last message made possible.
+func (c *Core) leadStep() {
+	if term := c.elector.leadership; term.planning.wanted && c.now-term.planning.plannedAt >= planInterval {
+		c.planner.plan()
+	}
+	c.committer.commitNow()
+	if term := c.elector.leadership; term != nil && term.heartbeats.releaseWanted {
+		c.workers.releaseReadyReplies()
+	}
+}
--- a/internal/core/deadlinestart.go
+++ b/internal/core/deadlinestart.go
@@ -59,6 +59,6 @@
 
 // startIsOverdue says that a job is one of its class's largest and should have begun. An
 // array begins with its first task, a gang whole.
-func (pl *planner) startIsOverdue(j *jobstate.Job) bool {
-	return j.NumPlaced == 0 && j.NumDone == 0 && pl.now-j.ReadyAt >= startDeadline/4 && pl.elector.leadership.planning.classSizes.isAmongLargest(j.Spec)
+func (p *planner) startIsOverdue(j *jobstate.Job) bool {
+	return j.NumPlaced == 0 && j.NumDone == 0 && p.now-j.ReadyAt >= startDeadline/4 && p.elector.leadership.planning.classSizes.isAmongLargest(j.Spec)
 }
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -89,7 +89,7 @@
 func (wm *workerManager) deliveryRestored(m *fleet.Machine) {
 	wm.log.Info("a deaf machine hears again", "machine", m.Name)
 	m.MarkChanged()
-	wm.elector.leadership.planning.wanted = true
+	wm.elector.leadership.planning.requestRound()
 }
 
 // maxDeliveryProbes bounds the machines that are asked in a tick.
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -55,7 +55,7 @@
 func (d *dependencyResolver) startDependents(j *jobstate.Job, last int64) {
 	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(last))
 	if d.elector.isLeader() {
-		d.elector.leadership.planning.wanted = true
+		d.elector.leadership.planning.requestRound()
 	}
 }
 
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"math/rand/v2"
 
+	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
@@ -51,3 +52,8 @@
 	}
 	return min(e.now, wall-e.wallOffset)
 }
+
+// heartbeatInterval is how often each worker sends a heartbeat.
+func (e *engine) heartbeatInterval() int64 {
+	return config.MicrosOf(e.settings.Workers.ReportS)
+}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -101,7 +101,7 @@
 	wasFresh := m.HasCurrentToken
 	m.HasCurrentToken = r.FencingToken == l.fencingToken
 	if first || newSession || !wasFresh && m.HasCurrentToken {
-		l.planning.wanted = true
+		l.planning.requestRound()
 	}
 	if r.PreemptionNotice >= 0 && m.ReclaimAt == 0 {
 		m.ReclaimAt = wm.now + r.PreemptionNotice
@@ -287,7 +287,7 @@
 			m.RecordImageUse(j.Image, j.ImageMB, wm.now)
 		}
 		j.SetPhase(t, p)
-		wm.elector.leadership.planning.wanted = true
+		wm.elector.leadership.planning.requestRound()
 	}
 }
 
--- /dev/null
+++ b/internal/core/machineloss.go
@@ -0,0 +1,47 @@
+package core
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+)
+
+// expireMachineLeases clears the placements of machines whose lease must have run
+// out: the leader's authority and the lease after the last response that any controller
+// can have given.
+func (p *planner) expireMachineLeases() {
+	lease := p.settings.EpochTimeout()
+	for _, m := range p.elector.leadership.fleet.All() {
+		if len(m.Placed) == 0 || p.now-m.LastAnswer < lease {
+			continue
+		}
+		p.machineGone(m, "its lease has expired")
+	}
+}
+
+// machineGone clears everything on a machine: all of it has ended for certain.
+func (p *planner) machineGone(m *fleet.Machine, reason string) {
+	if len(m.Placed) > 0 {
+		p.log.Info("machine's tasks are lost", "machine", m.Name, "tasks", len(m.Placed), "reason", reason)
+	}
+	refs := make([]fleet.TaskRef, 0, len(m.Placed))
+	for ref := range m.Placed {
+		refs = append(refs, ref)
+	}
+	sortRefs(refs)
+	for _, ref := range refs {
+		if ref.Job.Task(ref.Index).Machine == m.Name {
+			p.tasks.taskLost(ref.Job, ref.Index)
+		}
+	}
+	m.HasCurrentToken = false
+	m.MarkChanged()
+}
+
+// sortRefs puts tasks in the order of their jobs' arrival.
+func sortRefs(refs []fleet.TaskRef) {
+	slices.SortFunc(refs, func(a, b fleet.TaskRef) int {
+		return cmp.Or(cmp.Compare(a.Job.Arrival, b.Job.Arrival), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
+	})
+}
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -164,7 +164,7 @@
 	}{{"fit", 1000, 100 + 25 - 3 - 10}, {"fit", 2000, 100 + 25 - 3 - 4}, {"other", 1000, 0}} {
 		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Class: tc.class, Need: jobstate.Resources{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
 		j.ReadyAt = 100 * second
-		if got := r.c.planner.makeRoomBy(j, false); got != tc.want*second {
+		if got := r.c.planner.startBy(j, false); got != tc.want*second {
 			t.Errorf("%s of %d: %d s, want %d", tc.class, tc.cpu, got/second, tc.want)
 		}
 	}
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -36,34 +36,34 @@
 
 // usable says whether tasks may be placed on a machine now: its worker has
 // accepted this leader, hears it, reports in time, and the machine is to stay.
-func (pl *planner) usable(m *fleet.Machine) bool {
-	return m.HasCurrentToken && !m.Delivery.CannotReceive && !m.Draining && !m.Releasing && m.ReclaimAt == 0 && m.LastHeartbeat > pl.now-pl.settings.Overdue() && m.Cap != jobstate.Resources{}
+func (p *planner) usable(m *fleet.Machine) bool {
+	return m.HasCurrentToken && !m.Delivery.CannotReceive && !m.Draining && !m.Releasing && m.ReclaimAt == 0 && m.LastHeartbeat > p.now-p.settings.Overdue() && m.Cap != jobstate.Resources{}
 }
 
 // refreshIndex repairs the index and returns it.
-func (pl *planner) refreshIndex() *sched.Index {
-	l := pl.elector.leadership
+func (p *planner) refreshIndex() *sched.Index {
+	l := p.elector.leadership
 	r := &l.plannerIndex
-	if !slices.Equal(r.partitionCuts, pl.cache.partitions.Boundaries) {
-		r.partitionCuts = slices.Clone(pl.cache.partitions.Boundaries)
+	if !slices.Equal(r.partitionCuts, p.cache.partitions.Boundaries) {
+		r.partitionCuts = slices.Clone(p.cache.partitions.Boundaries)
 		l.fleet.MarkAllChanged()
 	}
 	// Those that are forgotten go first, so that all that were heard are there.
-	l.fleet.DrainChanged(pl.repairIndexed)
+	l.fleet.DrainChanged(p.repairIndexed)
 	for {
 		v, ok := r.byLastHeartbeat.Min()
-		if !ok || v.heard > pl.now-pl.settings.Overdue() {
+		if !ok || v.heard > p.now-p.settings.Overdue() {
 			return r.index
 		}
-		pl.repairIndexed(l.fleet.Get(v.Name))
+		p.repairIndexed(l.fleet.Get(v.Name))
 	}
 }
 
 // repairIndexed makes the index say of one machine what is known of it now.
-func (pl *planner) repairIndexed(m *fleet.Machine) {
-	r := &pl.elector.leadership.plannerIndex
+func (p *planner) repairIndexed(m *fleet.Machine) {
+	r := &p.elector.leadership.plannerIndex
 	v := r.indexed[m]
-	if pl.elector.leadership.fleet.Get(m.Name) != m || !pl.usable(m) {
+	if p.elector.leadership.fleet.Get(m.Name) != m || !p.usable(m) {
 		if v != nil {
 			r.byLastHeartbeat.Delete(v)
 			r.index.Remove(&v.Machine)
@@ -81,17 +81,17 @@
 		v.heard = m.LastHeartbeat
 		r.byLastHeartbeat.Set(v)
 	}
-	v.Type, v.Zone, v.Spot, v.Partition = m.Type, m.Zone, m.Spot, pl.cache.partitions.PartitionOfHash(m.Hash)
-	v.Cap, v.Free, v.NextContact, v.FetchRate, v.Images = m.Cap, m.Free(), pl.nextHeartbeatAt(m), m.FetchRate, m.Images
+	v.Type, v.Zone, v.Spot, v.Partition = m.Type, m.Zone, m.Spot, p.cache.partitions.PartitionOfHash(m.Hash)
+	v.Cap, v.Free, v.NextContact, v.FetchRate, v.Images = m.Cap, m.Free(), p.nextHeartbeatAt(m), m.FetchRate, m.Images
 	r.index.Put(&v.Machine)
 }
 
 // loadRuns tells the planner what occupies a machine.
-func (pl *planner) loadRuns(sm *sched.Machine, guaranteed map[*jobstate.Job]bool) {
-	m := pl.elector.leadership.fleet.Get(sm.Name)
+func (p *planner) loadRuns(sm *sched.Machine, guaranteed map[*jobstate.Job]bool) {
+	m := p.elector.leadership.fleet.Get(sm.Name)
 	sm.RunningTasks = sm.RunningTasks[:0]
 	for ref := range m.Placed {
-		sm.RunningTasks = append(sm.RunningTasks, pl.plannedRun(m, ref, guaranteed[ref.Job]))
+		sm.RunningTasks = append(sm.RunningTasks, p.plannedRun(m, ref, guaranteed[ref.Job]))
 	}
 	slices.SortFunc(sm.RunningTasks, func(a, b sched.RunningTask) int {
 		return cmp.Or(cmp.Compare(a.End, b.End), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -344,7 +344,7 @@
 		p.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
 		if tr.Reason == ExitDone {
 			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
-			p.elector.leadership.planning.wanted = true
+			p.elector.leadership.planning.requestRound()
 		}
 		p.endPrefetch(m)
 		return []Command{o}
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -117,7 +117,7 @@
 	for _, fm := range sl.elector.leadership.fleet.All() {
 		fm.SetType(sl.cache.machineTypes)
 	}
-	sl.elector.leadership.planning.wanted = true
+	sl.elector.leadership.planning.requestRound()
 }
 
 // writeTypes stores the machine types, those that do not fit one value one by
@@ -353,7 +353,7 @@
 		delete(s.booting, name)
 		s.scaledInAt[name] = sl.now
 	}
-	sl.elector.leadership.planning.wanted = true
+	sl.elector.leadership.planning.requestRound()
 }
 
 // forgetMachine drops a machine that is gone, and what it was warmed with.
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -46,7 +46,7 @@
 	}
 	j.UnplaceTask(i, tm.now)
 	tm.committer.markDirty(j)
-	tm.elector.leadership.planning.wanted = true
+	tm.elector.leadership.planning.requestRound()
 }
 
 // preemptGang stops a task, or the whole gang, with time to save.
@@ -160,7 +160,7 @@
 // jobArrived, jobEnded and jobRemoved are called by the mirror.
 func (tm *taskManager) jobArrived(j *jobstate.Job) {
 	if tm.elector.isLeader() {
-		tm.elector.leadership.planning.wanted = true
+		tm.elector.leadership.planning.requestRound()
 		tm.prefetcher.noteImageDemand(j.Spec)
 		tm.elector.leadership.planning.classSizes.note(j.Spec)
 	}
@@ -173,7 +173,7 @@
 	}
 	tm.stopAllPlaced(j, j.OutcomeStopReason())
 	tm.committer.markDirty(j)
-	tm.elector.leadership.planning.wanted = true
+	tm.elector.leadership.planning.requestRound()
 }
 
 func (tm *taskManager) jobRemoved(j *jobstate.Job) {
@@ -188,7 +188,7 @@
 			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
 		}
 	})
-	tm.elector.leadership.planning.wanted = true
+	tm.elector.leadership.planning.requestRound()
 }
 
 // taskDone notes a completed task; the tasks of a gang complete together.
@@ -276,7 +276,7 @@
 		}
 		tm.preemptGang(j, ref.Index, jobstate.StopDrain)
 	}
-	tm.elector.leadership.planning.wanted = true
+	tm.elector.leadership.planning.requestRound()
 }
 
 func (tm *taskManager) finishesWithin(j *jobstate.Job, t *jobstate.Task, d int64) bool {
