--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -85,7 +85,7 @@
 	if via == "" {
 		via = wm.settings.Name
 	}
-	l.partitions.lastHeartbeatVia[via] = wm.now
+	l.partitions.recordHeartbeatVia(via, wm.now)
 	first := m.LastHeartbeat == 0
 	newSession := r.Epoch != m.Epoch
 	wm.releaseReply(r.Machine, false)
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -3,26 +3,51 @@
 import (
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
+const (
+	// partitionWriteGap is the least time between two writes of the partitions,
+	// partitionCheckGap between two looks whether they are to be written.
+	partitionWriteGap = second
+	partitionCheckGap = second / 4
+	// maxHeartbeatGap is how long a machine counts after its last heartbeat, beyond two
+	// heartbeat intervals.
+	maxHeartbeatGap = 10 * second
+	// holderEvidence is how many machines of a partition, and how many machines that
+	// send heartbeats elsewhere, it takes to find that workers can't reach a holder.
+	holderEvidence = 2
+	// knownMachineTimeout is how long a machine that sends no heartbeats counts as one
+	// of its partition when the holder is judged.
+	knownMachineTimeout = 60 * second
+)
+
 // partitionState is what the partition manager keeps while this controller leads.
 type partitionState struct {
-	term                 uint64
-	writtenAt, checkedAt int64
-	writing              bool
-	machineHashes        []uint32 // of the machines that send heartbeats, kept for its room
-	// lastHeartbeatVia is when a heartbeat last came straight to a controller,
-	// shunnedUntil until when one gets no partition because none came to it.
-	lastHeartbeatVia, shunnedUntil map[string]int64
+	seq       uint64
+	writtenAt int64
+	checkedAt int64
+	writing   bool
+	// machineHashes are of the machines that send heartbeats; kept to be filled anew.
+	machineHashes []uint32
+	// lastHeartbeatVia is when a heartbeat last came straight to a controller.
+	lastHeartbeatVia map[string]int64
+	// excludedUntil is until when a controller gets no partition because no
+	// heartbeats came to it.
+	excludedUntil map[string]int64
 }
 
 func newPartitionState() partitionState {
-	return partitionState{lastHeartbeatVia: map[string]int64{}, shunnedUntil: map[string]int64{}}
+	return partitionState{lastHeartbeatVia: map[string]int64{}, excludedUntil: map[string]int64{}}
+}
+
+// recordHeartbeatVia notes that a heartbeat came straight to a controller.
+func (s *partitionState) recordHeartbeatVia(controller string, now int64) {
+	s.lastHeartbeatVia[controller] = now
 }
 
-// partitionManager leases the partitions of the machines to the controllers.
+// partitionManager leases the partitions of the machines to the controllers, to which
+// their workers then send heartbeats.
 type partitionManager struct {
 	*engine
 
@@ -33,107 +58,149 @@
 	peers     *peerMonitor
 }
 
-// partitionsTick writes the partitions' bounds and holders: when a holder is
-// lost, when machines have come or gone, and before the term is over.
-func (pt *partitionManager) partitionsTick() {
-	l := pt.elector.leadership
-	if l.partitions.writing || pt.now-l.partitions.writtenAt < second || pt.now-l.partitions.checkedAt < second/4 {
+// partitionsTick writes the partitions' boundaries and holders: when a holder is
+// lost, when machines have come or gone, and before the leases of the holders are over.
+func (p *partitionManager) partitionsTick() {
+	state := &p.elector.leadership.partitions
+	if state.writing || p.now-state.writtenAt < partitionWriteGap || p.now-state.checkedAt < partitionCheckGap {
 		return
 	}
-	l.partitions.checkedAt = pt.now
-	// A machine counts while it reports: the interval is the settings'.
-	hashes := l.partitions.machineHashes[:0]
-	for _, m := range l.fleet.All() {
-		if m.LastHeartbeat != 0 && pt.now-m.LastHeartbeat < 10*second+2*config.MicrosOf(pt.settings.Workers.ReportS) {
-			hashes = append(hashes, m.Hash)
-		}
-	}
-	l.partitions.machineHashes = hashes
-	b := fleet.Partitions{Boundaries: pt.cache.partitions.Boundaries, Holders: pt.holders(), LeaseDuration: pt.settings.Ops.Term, FencingToken: l.fencingToken, Seq: l.partitions.term + 1}
-	if len(b.Boundaries) != queueCount-1 || pt.partitionsUnequal(hashes) {
-		b.Boundaries = fleet.PartitionHashes(hashes, queueCount)
-	}
-	same := pt.cache.partitions.FencingToken == l.fencingToken && slices.Equal(b.Holders, pt.cache.partitions.Holders) && slices.Equal(b.Boundaries, pt.cache.partitions.Boundaries)
-	if same && pt.now-l.partitions.writtenAt < pt.settings.Ops.Term/2 {
+	state.checkedAt = p.now
+	partitions := p.newPartitions()
+	if p.isStored(partitions) && p.now-state.writtenAt < p.settings.Ops.Term/2 {
 		return
 	}
-	if pt.health.writesLeft() < 1 {
+	if p.health.writesLeft() < 1 {
 		return
 	}
-	pt.health.spendWrites(1)
-	l.partitions.writing, l.partitions.writtenAt = true, pt.now
-	l.partitions.term++
-	// The leader plans by the new cuts at once: a loan or a moved boundary
-	// is bookkeeping and moves no worker's task.
-	pt.cache.partitions = b
-	pt.committer.putAsLeader(partitionsKey, encodeJSON(b), func(m Committed) {
-		if pt.elector.leadership != l {
+	p.health.spendWrites(1)
+	p.writePartitions(partitions)
+}
+
+// newPartitions is how the machines should be divided now, and who should hold what.
+func (p *partitionManager) newPartitions() fleet.Partitions {
+	term := p.elector.leadership
+	hashes := p.liveMachineHashes()
+	partitions := fleet.Partitions{
+		Boundaries:    p.cache.partitions.Boundaries,
+		Holders:       p.holders(),
+		LeaseDuration: p.settings.Ops.Term,
+		FencingToken:  term.fencingToken,
+		Seq:           term.partitions.seq + 1,
+	}
+	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnequal(hashes) {
+		partitions.Boundaries = fleet.PartitionHashes(hashes, queueCount)
+	}
+	return partitions
+}
+
+// liveMachineHashes are the hashes of the machines that send heartbeats.
+func (p *partitionManager) liveMachineHashes() []uint32 {
+	term := p.elector.leadership
+	hashes := term.partitions.machineHashes[:0]
+	for _, m := range term.fleet.All() {
+		if m.LastHeartbeat != 0 && p.now-m.LastHeartbeat < maxHeartbeatGap+2*p.heartbeatInterval() {
+			hashes = append(hashes, m.Hash)
+		}
+	}
+	term.partitions.machineHashes = hashes
+	return hashes
+}
+
+// isStored says whether this leadership has written the same boundaries and holders.
+func (p *partitionManager) isStored(partitions fleet.Partitions) bool {
+	stored := &p.cache.partitions
+	return stored.FencingToken == partitions.FencingToken &&
+		slices.Equal(partitions.Holders, stored.Holders) && slices.Equal(partitions.Boundaries, stored.Boundaries)
+}
+
+// writePartitions stores the partitions. The leader plans by the new boundaries at once:
+// a loan or a moved boundary is bookkeeping and moves no worker's task.
+func (p *partitionManager) writePartitions(partitions fleet.Partitions) {
+	term := p.elector.leadership
+	term.partitions.writing, term.partitions.writtenAt = true, p.now
+	term.partitions.seq++
+	p.cache.partitions = partitions
+	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m Committed) {
+		if p.elector.leadership != term {
 			return
 		}
-		l.partitions.writing = false
+		term.partitions.writing = false
 		if m.Status != 200 {
-			l.partitions.writtenAt = pt.now - pt.settings.Ops.Term/2
+			term.partitions.writtenAt = p.now - p.settings.Ops.Term/2
 		}
 	})
 }
 
-// shunHolder says that a controller has held a partition for a while and no report
-// came straight to it, though they come by others: workers can't reach it.
-func (pt *partitionManager) shunHolder(node string) bool {
-	l := pt.elector.leadership
-	if l.partitions.shunnedUntil[node] > pt.now {
+// isExcluded says whether a controller gets no partition: it has held one for a while
+// and no heartbeat came straight to it, though they come by others, so workers can't
+// reach it.
+func (p *partitionManager) isExcluded(controller string) bool {
+	term := p.elector.leadership
+	if term.partitions.excludedUntil[controller] > p.now {
 		return true
 	}
-	quiet := 3*config.MicrosOf(pt.settings.Workers.ReportS) + second
-	if !slices.Contains(pt.cache.partitions.Holders, node) || pt.cache.partitions.FencingToken != l.fencingToken || pt.now-l.since < 2*quiet || pt.now-max(l.partitions.lastHeartbeatVia[node], l.partitions.shunnedUntil[node]) < quiet {
+	if !p.receivesNone(controller) {
 		return false
 	}
-	machines, heard := 0, 0
-	for _, m := range l.fleet.All() {
-		if m.LastHeartbeat == 0 || pt.now-m.LastHeartbeat > 60*second {
+	p.log.Info("no heartbeats reach a controller, leasing its partition to another", "controller", controller)
+	term.partitions.excludedUntil[controller] = p.now + keepWorkerTime
+	return true
+}
+
+// receivesNone says whether a holder has received no heartbeat for long while others did.
+func (p *partitionManager) receivesNone(controller string) bool {
+	term := p.elector.leadership
+	patience := 3*p.heartbeatInterval() + second
+	partitions := &p.cache.partitions
+	if !slices.Contains(partitions.Holders, controller) || partitions.FencingToken != term.fencingToken {
+		return false
+	}
+	last := max(term.partitions.lastHeartbeatVia[controller], term.partitions.excludedUntil[controller])
+	if p.now-term.since < 2*patience || p.now-last < patience {
+		return false
+	}
+	held, live := 0, 0
+	for _, m := range term.fleet.All() {
+		if m.LastHeartbeat == 0 || p.now-m.LastHeartbeat > knownMachineTimeout {
 			continue
 		}
-		if pt.cache.partitions.Holder(m.Name) == node {
-			machines++
+		if partitions.Holder(m.Name) == controller {
+			held++
 		}
-		if pt.now-m.LastHeartbeat < quiet {
-			heard++
+		if p.now-m.LastHeartbeat < patience {
+			live++
 		}
 	}
-	if machines < 2 || heard < 2 {
-		return false
-	}
-	pt.log.Info("no reports come to a controller, leasing its partition to another", "controller", node)
-	l.partitions.shunnedUntil[node] = pt.now + keepWorkerTime
-	return true
+	return held >= holderEvidence && live >= holderEvidence
 }
 
 // partitionsUnequal says whether the partitions have drifted apart in size.
-func (pt *partitionManager) partitionsUnequal(hashes []uint32) bool {
-	var n [queueCount]int
+func (p *partitionManager) partitionsUnequal(hashes []uint32) bool {
+	var sizes [queueCount]int
 	for _, h := range hashes {
-		n[min(pt.cache.partitions.PartitionOfHash(h), queueCount-1)]++
+		sizes[min(p.cache.partitions.PartitionOfHash(h), queueCount-1)]++
 	}
-	lo, hi := slices.Min(n[:]), slices.Max(n[:])
-	return hi-lo > 2+len(hashes)/6
+	return slices.Max(sizes[:])-slices.Min(sizes[:]) > 2+len(hashes)/6
 }
 
 // holders leases the partitions to the controllers that answer, and that
 // their workers can reach.
-func (pt *partitionManager) holders() []string {
-	up := []string{}
-	for _, p := range append([]string{pt.settings.Name}, pt.settings.Peers...) {
-		if (p == pt.settings.Name || pt.peers.connectivity.PeerUp(p, pt.now)) && !pt.peers.connectivity.CannotReachMostZones(p) && !pt.shunHolder(p) {
-			up = append(up, p)
+func (p *partitionManager) holders() []string {
+	candidates := []string{}
+	for _, name := range append([]string{p.settings.Name}, p.settings.Peers...) {
+		isUp := name == p.settings.Name || p.peers.connectivity.PeerUp(name, p.now)
+		if isUp && !p.peers.connectivity.CannotReachMostZones(name) && !p.isExcluded(name) {
+			candidates = append(candidates, name)
 		}
 	}
-	if len(up) == 0 {
-		up = append(up, pt.settings.Name)
+	if len(candidates) == 0 {
+		candidates = append(candidates, p.settings.Name)
 	}
-	slices.Sort(up)
-	h := make([]string, queueCount)
-	for i := range h {
-		h[i] = up[i%len(up)]
+	slices.Sort(candidates)
+	holders := make([]string, queueCount)
+	for i := range holders {
+		holders[i] = candidates[i%len(candidates)]
 	}
-	return h
+	return holders
 }
