--- /dev/null
+++ b/internal/core/cancellation.go
@@ -0,0 +1,77 @@
+package core
+
+import (
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
+)
+
+func (h *requestHandler) onCancel(m CancelJob) {
+	h.requestJob(m.RequestID, m.ID, requestCancel, m.Forwarded)
+}
+
+// writeCancellation stores that a job is cancelled.
+func (h *requestHandler) writeCancellation(r *request) {
+	j := h.cache.jobs[r.targetID]
+	if j == nil || j.Outcome != "" {
+		h.waitForRead(r)
+		return
+	}
+	end := h.newEnd(jobstate.Cancelled, j)
+	revision := j.Revision
+	h.queues.inFlight[r.targetID] = nil
+	conditions := []Cond{
+		kv.RevisionIs(jobPrefix+r.targetID, revision),
+		kv.RevisionIs(endPrefix+r.targetID, 0),
+	}
+	writes := []Write{
+		{Key: endPrefix + r.targetID, Value: encodeJSON(end)},
+		{Key: jobPrefix + r.targetID, Value: h.endedRecord(j, jobstate.Cancelled)},
+	}
+	h.commitTransaction(conditions, writes, func(result Committed) {
+		defer h.resumeCoalesced(r.targetID)
+		switch result.Status {
+		case 200:
+			if j.Revision == revision {
+				j.Revision = result.Revision
+			}
+			h.cache.noteEnd(r.targetID, end, result.Revision)
+			h.answerEnd(r.id, r.targetID, end)
+		case 409:
+			h.retryCancellation(r)
+		default:
+			h.retryWrite(r)
+		}
+	})
+}
+
+// retryCancellation goes on with a cancellation whose conditions did not hold, from what
+// is stored by now.
+func (h *requestHandler) retryCancellation(r *request) {
+	r.tries++
+	if r.tries > maxWriteTries {
+		h.refuse(r)
+		return
+	}
+	h.waitForRead(r)
+}
+
+// newEnd makes the stored end of a job.
+func (h *requestHandler) newEnd(outcome string, j *jobstate.Job) jobstate.End {
+	end := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
+	if h.membership.logEnabled() {
+		end.At = h.now + h.wallOffset
+	}
+	return end
+}
+
+// endedRecord is the stored job from its end until its keys are removed.
+func (h *requestHandler) endedRecord(j *jobstate.Job, outcome string) []byte {
+	record := jobstate.Record{
+		Spec:          j.Spec,
+		Arrival:       j.Arrival,
+		Outcome:       outcome,
+		SubmittedWall: j.SubmittedWall,
+		Truncated:     j.Truncated,
+	}
+	return record.Encode(h.membership.valueLimit())
+}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -108,7 +108,7 @@
 	case LeaderWatched:
 		c.reader.onLeaderWatched(m)
 	case FollowerRead:
-		c.requests.waitForRead(&request{id: m.RequestID, kind: requestFollowerRead, revision: m.AfterRevision, writesNeeded: m.WritesNeeded, receivedAt: c.now, forwarded: true})
+		c.requests.onFollowerRead(m)
 	case LeaderReadDone:
 		c.reader.onLeaderReadDone(m)
 	case Committed:
@@ -136,11 +136,11 @@
 	case SubmitSweep:
 		c.sweepManager.onSubmitSweep(m)
 	case QuerySweep:
-		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepStatus, forwarded: m.Forwarded})
+		c.sweepManager.onQuerySweep(m)
 	case ListSweepRuns:
-		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepRuns, after: m.After, limit: m.Limit, forwarded: m.Forwarded})
+		c.sweepManager.onListSweepRuns(m)
 	case CancelSweep:
-		c.sweepManager.requestSweep(&request{id: m.RequestID, jobID: m.ID, kind: requestSweepCancel, forwarded: m.Forwarded})
+		c.sweepManager.onCancelSweep(m)
 	case SweepExpanded:
 		c.sweepManager.onExpanded(m)
 	case CheckReady:
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,7 +6,18 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// dependencyResolver starts jobs when the jobs that they depend on are done, and ends those that depend on one that is not.
+// Bounds of the reads of dependencies' ends: how many are under way at once, and how long
+// after a failure one is read again.
+const (
+	maxEndReads  = 8
+	endReadRetry = second
+)
+
+// endReadInFlight stands in endReads for a read that is under way.
+const endReadInFlight = 0
+
+// dependencyResolver starts jobs when the jobs that they depend on are done, and ends
+// those that depend on one that is cancelled.
 type dependencyResolver struct {
 	*engine
 
@@ -16,17 +27,22 @@
 	tasks    *taskManager
 
 	dependencyGraph *jobstate.DependencyGraph
-	endReads        map[string]int64
+	// endReads has when the end of a job may be read again, or endReadInFlight.
+	endReads map[string]int64
 }
 
 func newDependencyResolver(run *engine) *dependencyResolver {
-	return &dependencyResolver{engine: run, dependencyGraph: jobstate.NewDependencyGraph(), endReads: map[string]int64{}}
+	return &dependencyResolver{
+		engine:          run,
+		dependencyGraph: jobstate.NewDependencyGraph(),
+		endReads:        map[string]int64{},
+	}
 }
 
 // knownEnd is the stored end of a job, as far as it is known here.
 func (d *dependencyResolver) knownEnd(id string) (jobstate.End, bool) {
-	if e, ok := d.cache.ends[id]; ok {
-		return e, true
+	if end, ok := d.cache.ends[id]; ok {
+		return end, true
 	}
 	if j := d.cache.jobs[id]; j != nil && j.Outcome != "" {
 		return jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks}, true
@@ -39,42 +55,42 @@
 	if len(j.Dependencies) == 0 {
 		return
 	}
-	last, cancelled := d.dependencyGraph.Add(j, d.knownEnd)
+	lastEndWall, cancelled := d.dependencyGraph.Add(j, d.knownEnd)
 	switch {
 	case cancelled:
 		d.deriveEnd(j)
 	case j.IsBlocked():
-		j.DependenciesEndedWall = last
+		j.DependenciesEndedWall = lastEndWall
 	default:
-		d.startDependents(j, last)
+		d.startDependent(j, lastEndWall)
 	}
 }
 
-// startDependents lets a job's tasks start: its times count from the end of the last
-// job that it needed, at a time of day; 0 where the first format has none.
-func (d *dependencyResolver) startDependents(j *jobstate.Job, last int64) {
-	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(last))
+// startDependent lets a job's tasks start. Its times count from the end of the last of
+// its dependencies, a time of day that is 0 where the first format has none.
+func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
+	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(lastEndWall))
 	if d.elector.isLeader() {
 		d.elector.leadership.planning.requestRound()
 	}
 }
 
-// resolveDependents tells the jobs that wait for one that has ended. Each that is
-// cancelled by it tells those behind it in turn.
-func (d *dependencyResolver) resolveDependents(id string, e jobstate.End) {
-	released, cancelled := d.dependencyGraph.RecordEnd(id, e)
+// resolveDependents passes the end of a job on to the jobs that depend on it. Each that is
+// cancelled by it passes that on in turn.
+func (d *dependencyResolver) resolveDependents(id string, end jobstate.End) {
+	released, cancelled := d.dependencyGraph.RecordEnd(id, end)
 	for _, j := range released {
-		d.startDependents(j, j.DependenciesEndedWall)
+		d.startDependent(j, j.DependenciesEndedWall)
 	}
 	for _, j := range cancelled {
 		d.deriveEnd(j)
 	}
 }
 
-// deriveEnd ends a job because one that it needs is cancelled. Every controller
-// does so for itself, from ends and needs that are stored and never change: so
-// all users are told at once, however many jobs there are, and the leader
-// stores the ends as its budget allows.
+// deriveEnd ends a job because one that it depends on is cancelled. Every controller
+// does so for itself, from ends and dependencies that are stored and never change: so
+// all users see it at once, however many jobs there are, and the leader stores the ends
+// as its budget allows.
 func (d *dependencyResolver) deriveEnd(j *jobstate.Job) {
 	if j.Outcome != "" {
 		return
@@ -100,112 +116,152 @@
 // dependenciesKnown says whether a job is certainly not cancelled by an end that this
 // controller has not read.
 func (d *dependencyResolver) dependenciesKnown(j *jobstate.Job) bool {
-	return !j.IsBlocked() || d.dependencyGraph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
+	if !j.IsBlocked() {
+		return true
+	}
+	return d.dependencyGraph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
 }
 
-// maxEndReads is how many ends are read at once, endReadRetry how long after a
-// failure one is read again.
-const (
-	maxEndReads  = 8
-	endReadRetry = second
-)
-
-// dependencyTick reads the ends of awaited jobs that are not known here, as after a
+// dependencyTick reads the ends of dependencies that are not known here, as after a
 // start, when only unfinished jobs are listed.
 func (d *dependencyResolver) dependencyTick() {
 	if !d.cache.synced || d.dependencyGraph.Empty() {
 		return
 	}
-	reading := 0
-	for id, until := range d.endReads {
-		if until != 0 && until < d.now {
-			delete(d.endReads, id)
-		} else if until == 0 {
-			reading++
-		}
-	}
+	inFlight := d.countEndReads()
 	ids := d.dependencyGraph.Unresolved(func(id string) bool {
 		j := d.cache.jobs[id]
-		_, asked := d.endReads[id]
-		return j != nil && j.Outcome == "" || asked
-	}, max(0, maxEndReads-reading))
+		_, read := d.endReads[id]
+		return j != nil && j.Outcome == "" || read
+	}, max(0, maxEndReads-inFlight))
 	for _, id := range ids {
-		if e, ok := d.knownEnd(id); ok {
-			d.resolveDependents(id, e)
+		if end, ok := d.knownEnd(id); ok {
+			d.resolveDependents(id, end)
 			continue
 		}
-		d.endReads[id] = 0
-		d.readKey(endPrefix+id, func(g KeyRead) {
-			var e jobstate.End
-			d.endReads[id] = d.now + endReadRetry
-			switch {
-			case g.Err != nil || g.Revision == 0:
-				// A job that another awaits was accepted before it, so its
-				// end comes if the job itself is gone.
-			case json.Unmarshal(g.Value, &e) != nil:
-				d.log.Error("stored end can't be read", "job", id)
-			default:
-				delete(d.endReads, id)
-				d.cache.noteEnd(id, e, g.Revision)
-				d.resolveDependents(id, e) // if the end was known, but not to the graph
-			}
-		})
+		d.readDependencyEnd(id)
 	}
 }
 
-// checkDependencies goes on with a submission whose awaited jobs are all known to
-// have been accepted. Those that are not known here are read, the job before
-// its end, so that one which ends meanwhile is not missed.
-func (d *dependencyResolver) checkDependencies(a *request) {
-	for ; a.dependenciesChecked < len(a.spec.Dependencies); a.dependenciesChecked++ {
-		id := a.spec.Dependencies[a.dependenciesChecked]
+// countEndReads counts the reads under way, and forgets those that may be repeated.
+func (d *dependencyResolver) countEndReads() int {
+	inFlight := 0
+	for id, retryAt := range d.endReads {
+		switch {
+		case retryAt == endReadInFlight:
+			inFlight++
+		case retryAt < d.now:
+			delete(d.endReads, id)
+		}
+	}
+	return inFlight
+}
+
+// readDependencyEnd reads the end of a job that others depend on.
+func (d *dependencyResolver) readDependencyEnd(id string) {
+	d.endReads[id] = endReadInFlight
+	d.readKey(endPrefix+id, func(read KeyRead) {
+		var end jobstate.End
+		d.endReads[id] = d.now + endReadRetry
+		switch {
+		case read.Err != nil || read.Revision == 0:
+			// A job that another depends on was accepted before it, so its end comes if
+			// the job itself is gone.
+		case json.Unmarshal(read.Value, &end) != nil:
+			d.log.Error("stored end can't be read", "job", id)
+		default:
+			delete(d.endReads, id)
+			d.cache.noteEnd(id, end, read.Revision)
+			d.resolveDependents(id, end) // if the end was known, but not to the graph
+		}
+	})
+}
+
+// readRunEnd reads the end of a run whose job is not here: it ended before this
+// controller led. The result is only noted, and the read is not counted as under way.
+func (d *dependencyResolver) readRunEnd(id string) {
+	d.endReads[id] = d.now + endReadRetry
+	d.readKey(endPrefix+id, func(read KeyRead) {
+		var end jobstate.End
+		if read.Err == nil && read.Revision != 0 && json.Unmarshal(read.Value, &end) == nil {
+			delete(d.endReads, id)
+			d.cache.noteEnd(id, end, read.Revision)
+		}
+	})
+}
+
+// mayReadRunEnd says whether the end of a run was not read of late.
+func (d *dependencyResolver) mayReadRunEnd(id string) bool { return d.endReads[id] <= d.now }
+
+// checkDependencies goes on with a submission once all its dependencies are known to
+// have been accepted. Those that are not known here are read, the job before its end, so
+// that one which ends meanwhile is not missed.
+func (d *dependencyResolver) checkDependencies(r *request) {
+	for ; r.dependenciesChecked < len(r.spec.Dependencies); r.dependenciesChecked++ {
+		id := r.spec.Dependencies[r.dependenciesChecked]
 		if j := d.cache.jobs[id]; j != nil {
 			if j.Kind == jobstate.Service {
-				d.refuseDependency(a, id, "is a service, which is never done")
+				d.refuseService(r, id)
 				return
 			}
-		} else if _, ok := d.cache.ends[id]; !ok {
-			d.readDependencyEnd(a, id)
+			continue
+		}
+		if _, ok := d.cache.ends[id]; !ok {
+			d.checkDependencyJob(r, id)
 			return
 		}
 	}
-	d.requests.queueWrite(a)
+	d.requests.queueWrite(r)
 }
 
-// refuseDependency refuses a submission for a job that it names, unless it is known
+// refuseDependency refuses a submission for a job that it depends on, unless it is known
 // itself.
-func (d *dependencyResolver) refuseDependency(a *request, id, why string) {
-	a.refusal = Reply{Status: 422, Error: "awaits: " + id + " " + why}
-	d.requests.waitForRead(a)
+func (d *dependencyResolver) refuseDependency(r *request, id, reason string) {
+	d.requests.refuseUnlessKnown(r, 422, "awaits: "+id+" "+reason)
 }
 
-func (d *dependencyResolver) readDependencyEnd(a *request, id string) {
-	known := func() {
-		a.dependenciesChecked++
-		d.checkDependencies(a)
-	}
-	d.readKey(jobPrefix+id, func(g KeyRead) {
-		var r jobstate.Record
+func (d *dependencyResolver) refuseService(r *request, id string) {
+	d.refuseDependency(r, id, "is a service, which is never done")
+}
+
+// checkDependencyJob reads the job that a submission depends on, or else its end.
+func (d *dependencyResolver) checkDependencyJob(r *request, id string) {
+	d.readKey(jobPrefix+id, func(read KeyRead) {
 		switch {
-		case g.Err != nil:
-			d.requests.refuse(a)
-			return
-		case g.Revision != 0 && json.Unmarshal(g.Value, &r) == nil && r.Spec != nil && r.Spec.Kind == jobstate.Service:
-			d.refuseDependency(a, id, "is a service, which is never done")
-			return
-		case g.Revision != 0:
-			known()
-			return
+		case read.Err != nil:
+			d.requests.refuse(r)
+		case read.Revision == 0:
+			d.checkDependencyEnd(r, id)
+		case isStoredService(read.Value):
+			d.refuseService(r, id)
+		default:
+			d.dependencyAccepted(r)
 		}
-		d.readKey(endPrefix+id, func(g KeyRead) {
-			switch {
-			case g.Err != nil:
-				d.requests.refuse(a)
-			case g.Revision == 0:
-				d.refuseDependency(a, id, "was never accepted")
-			default:
-				known()
-			}
-		})
 	})
 }
+
+func (d *dependencyResolver) checkDependencyEnd(r *request, id string) {
+	d.readKey(endPrefix+id, func(read KeyRead) {
+		switch {
+		case read.Err != nil:
+			d.requests.refuse(r)
+		case read.Revision == 0:
+			d.refuseDependency(r, id, "was never accepted")
+		default:
+			d.dependencyAccepted(r)
+		}
+	})
+}
+
+// dependencyAccepted goes on with a submission whose next dependency was accepted.
+func (d *dependencyResolver) dependencyAccepted(r *request) {
+	r.dependenciesChecked++
+	d.checkDependencies(r)
+}
+
+// isStoredService says whether a stored job is a service.
+func isStoredService(value []byte) bool {
+	var record jobstate.Record
+	err := json.Unmarshal(value, &record)
+	return err == nil && record.Spec != nil && record.Spec.Kind == jobstate.Service
+}
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -4,113 +4,114 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/kv"
-
 	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// Whoever asks about a job that is not unfinished costs a read of its end, and most
-// such questions are about jobs that are over for long or were never accepted. So
-// they are asked together: a transaction that only compares says in one request which
-// of many ends are absent, and those that are not are read. What the state service
-// refuses for its rate is asked again, within what users wait for.
+// A request about a job that is not unfinished costs a read of its end, and most such
+// requests are about jobs that ended long ago or were never accepted. So their ends are
+// looked up together: one transaction that only compares says which of many ends are
+// absent, and the others are read. What the state service refuses for its rate is tried
+// again, within the time that users wait.
 
-// maxLookup is how many ends are asked about at once.
+// maxLookup is how many ends are looked up at once.
 const maxLookup = 64
 
-// maxWait is how long a request may be tried.
-func (a *request) maxWait() int64 {
-	if a.kind == requestStatus {
-		return maxReadWait
-	}
-	return maxWriteWait
-}
-
 // lookUpEnd looks for the end of a job that is not unfinished: it was either
 // finished earlier or never accepted.
-func (rh *requestHandler) lookUpEnd(a *request) {
-	if rh.queues.endLookups.Waiting() >= maxQueuedRequests {
-		rh.refuse(a)
+func (h *requestHandler) lookUpEnd(r *request) {
+	if h.queues.endLookups.Waiting() >= maxQueuedRequests {
+		h.refuse(r)
 		return
 	}
-	rh.queues.endLookups.Add(a.jobID, a)
-	rh.lookUpEnds()
+	h.queues.endLookups.Add(r.targetID, r)
+	h.lookUpEnds()
 }
 
-// lookUpEnds asks about the ends that requests wait for, if nothing is under way.
-func (rh *requestHandler) lookUpEnds() {
-	l := &rh.queues.endLookups
-	if !l.Due(rh.now, rh.health.viewInterval()) || !rh.elector.isLeader() && !rh.health.tryTakeRead() {
+// lookUpEnds looks up the ends that requests wait for, if no lookup is under way.
+func (h *requestHandler) lookUpEnds() {
+	lookups := &h.queues.endLookups
+	if !lookups.Due(h.now, h.health.viewInterval()) {
 		return
 	}
-	ids, byID := l.Begin(rh.now, min(4*rh.membership.limits().TxnOps, maxLookup))
+	if !h.elector.isLeader() && !h.health.tryTakeRead() {
+		return
+	}
+	ids, byID := lookups.Begin(h.now, min(4*h.membership.limits().TxnOps, maxLookup))
 	if len(ids) == 1 {
-		rh.readEnd(byID[ids[0]], l.End)
+		h.readEnd(byID[ids[0]], lookups.End)
 		return
 	}
-	var when []Cond
+	var conditions []Cond
 	for _, id := range ids {
-		when = append(when, kv.RevisionIs(endPrefix+id, 0))
+		conditions = append(conditions, kv.RevisionIs(endPrefix+id, 0))
 	}
-	rh.commitTransaction(when, nil, func(m Committed) {
-		l.End()
+	h.commitTransaction(conditions, nil, func(result Committed) {
+		lookups.End()
 		for _, id := range ids {
-			asks := byID[id]
-			switch {
-			case m.Status == 200:
-				rh.answerNoEnd(asks)
-			case m.Status == 409 && slices.Contains(m.Failed, endPrefix+id):
-				rh.readEnd(asks, func() {})
-			default:
-				rh.retryLookup(asks)
-			}
+			h.onEndCompared(id, byID[id], result)
 		}
 	})
 }
 
-// retryLookup has requests asked about once more, those that may still wait.
-func (rh *requestHandler) retryLookup(asks []*request) {
-	for _, a := range asks {
-		if a.tries++; rh.now-a.receivedAt > a.maxWait()*3/4 || rh.health.unavailable() || rh.queues.endLookups.Waiting() >= maxQueuedRequests {
-			rh.refuse(a)
-		} else {
-			rh.queues.endLookups.Add(a.jobID, a)
+// onEndCompared goes on with the requests about a job whose end was compared with none.
+func (h *requestHandler) onEndCompared(id string, requests []*request, result Committed) {
+	switch {
+	case result.Status == 200:
+		h.answerNoEnd(requests)
+	case result.Status == 409 && slices.Contains(result.Failed, endPrefix+id):
+		h.readEnd(requests, func() {})
+	default:
+		h.retryLookup(requests)
+	}
+}
+
+// retryLookup looks up once more for the requests that may still wait.
+func (h *requestHandler) retryLookup(requests []*request) {
+	lookups := &h.queues.endLookups
+	for _, r := range requests {
+		r.tries++
+		late := h.now-r.receivedAt > r.maxWait()*3/4
+		if late || h.health.unavailable() || lookups.Waiting() >= maxQueuedRequests {
+			h.refuse(r)
+			continue
 		}
+		lookups.Add(r.targetID, r)
 	}
 }
 
-// answerNoEnd answers requests about a job that is neither unfinished nor over.
-func (rh *requestHandler) answerNoEnd(asks []*request) {
-	for _, a := range asks {
-		r := a.refusal
-		if r.Status == 0 {
-			r = Reply{Status: 404, Error: "no such job"}
+// answerNoEnd answers requests about a job that is neither unfinished nor ended.
+func (h *requestHandler) answerNoEnd(requests []*request) {
+	for _, r := range requests {
+		reply := r.refusal
+		if reply.Status == 0 {
+			reply = Reply{Status: 404, Error: "no such job"}
 		}
-		r.RequestID = a.id
-		rh.emit(r)
+		reply.RequestID = r.id
+		h.emit(reply)
 	}
 }
 
-// lookUpEnd reads an end for requests about one job.
-func (rh *requestHandler) readEnd(asks []*request, done func()) {
-	id := asks[0].jobID
-	rh.readKey(endPrefix+id, func(g KeyRead) {
+// readEnd reads an end for requests about one job; done is called when it is read.
+func (h *requestHandler) readEnd(requests []*request, done func()) {
+	id := requests[0].targetID
+	h.readKey(endPrefix+id, func(read KeyRead) {
 		done()
-		var e jobstate.End
+		var end jobstate.End
 		switch {
-		case g.Err != nil:
-			rh.retryLookup(asks)
-		case g.Revision == 0:
-			rh.answerNoEnd(asks)
-		case json.Unmarshal(g.Value, &e) != nil:
-			rh.log.Error("stored end can't be read", "job", id)
-			for _, a := range asks {
-				rh.refuse(a)
+		case read.Err != nil:
+			h.retryLookup(requests)
+		case read.Revision == 0:
+			h.answerNoEnd(requests)
+		case json.Unmarshal(read.Value, &end) != nil:
+			h.log.Error("stored end can't be read", "job", id)
+			for _, r := range requests {
+				h.refuse(r)
 			}
 		default:
-			rh.cache.noteEnd(id, e, g.Revision)
-			for _, a := range asks {
-				rh.answerEnd(a.id, id, e)
+			h.cache.noteEnd(id, end, read.Revision)
+			for _, r := range requests {
+				h.answerEnd(r.id, id, end)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/core/jobstatus.go
@@ -0,0 +1,43 @@
+package core
+
+import "github.com/zinclb/zinclb/internal/core/jobstate"
+
+func (h *requestHandler) onStatus(m QueryJob) {
+	h.requestJob(m.RequestID, m.ID, requestStatus, m.Forwarded)
+}
+
+// requestJob receives a query or a cancellation. An end never changes, so one that is
+// known is answered without a read.
+func (h *requestHandler) requestJob(requestID uint64, jobID string, kind requestKind, forwarded bool) {
+	if end, ok := h.cache.ends[jobID]; ok {
+		h.answerEnd(requestID, jobID, end)
+		return
+	}
+	h.waitForRead(&request{id: requestID, kind: kind, targetID: jobID, receivedAt: h.now, forwarded: forwarded})
+}
+
+// answerEnd answers a request about a job that has ended.
+func (h *requestHandler) answerEnd(requestID uint64, jobID string, end jobstate.End) {
+	state := &JobState{ID: jobID, State: end.Outcome}
+	if end.Outcome == jobstate.Done {
+		state.Done = end.Tasks
+	}
+	reply := Reply{RequestID: requestID, Status: 200, Job: state}
+	if end.Outcome == jobstate.Cancelled {
+		h.readLeases.replyCancelled(reply, jobID)
+		return
+	}
+	h.emit(reply)
+}
+
+// stateOf is what users are told of an unfinished job.
+func stateOf(j *jobstate.Job) *JobState {
+	state := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
+	if j.NumRunning == 0 && j.NumPlaced > 0 {
+		state.Running = j.NumPlaced // only the leader knows which of them run
+	}
+	if state.Running > 0 {
+		state.State = Running
+	}
+	return state
+}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -124,17 +124,17 @@
 	case requestSubmit:
 		r = SubmitJob{Spec: a.spec, Forwarded: true}
 	case requestCancel:
-		r = CancelJob{ID: a.jobID, Forwarded: true}
+		r = CancelJob{ID: a.targetID, Forwarded: true}
 	case requestSweepSubmit:
-		r = ForwardedSweep{ID: a.jobID, Stored: a.sweep.Stored, Invalid: a.sweep.Invalid}
+		r = ForwardedSweep{ID: a.targetID, Stored: a.sweep.submission.Stored, Invalid: a.sweep.submission.Invalid}
 	case requestSweepStatus:
-		r = QuerySweep{ID: a.jobID, Forwarded: true}
+		r = QuerySweep{ID: a.targetID, Forwarded: true}
 	case requestSweepRuns:
-		r = ListSweepRuns{ID: a.jobID, After: a.after, Limit: a.limit, Forwarded: true}
+		r = ListSweepRuns{ID: a.targetID, After: a.sweep.after, Limit: a.sweep.limit, Forwarded: true}
 	case requestSweepCancel:
-		r = CancelSweep{ID: a.jobID, Forwarded: true}
+		r = CancelSweep{ID: a.targetID, Forwarded: true}
 	default:
-		r = QueryJob{ID: a.jobID, Forwarded: true}
+		r = QueryJob{ID: a.targetID, Forwarded: true}
 	}
 	pm.emit(ForwardRequest{RequestID: a.id, To: best, Request: r})
 	return true
@@ -143,7 +143,7 @@
 func (pm *peerMonitor) onRequestForwarded(m RequestForwarded) {
 	r := m.Answer
 	if m.Err != nil {
-		r = stateUnavailableReply
+		r = stateUnavailableReply(m.RequestID)
 	}
 	r.RequestID = m.RequestID
 	pm.emit(r)
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -57,7 +57,7 @@
 func (p *planner) unfinished() []*jobstate.Job {
 	var jobs []*jobstate.Job
 	for _, job := range p.cache.jobs {
-		if job.Outcome == "" && !job.IsBlocked() && p.sweepManager.endIsUnconfirmed(job) {
+		if job.Outcome == "" && !job.IsBlocked() && p.sweepManager.mayStart(job) {
 			jobs = append(jobs, job)
 		}
 	}
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -118,8 +118,7 @@
 	if j == nil || j.Sweep == "" {
 		return false
 	}
-	s := rl.sweepManager.sweeps[j.Sweep]
-	return s != nil && s.outcome == jobstate.Cancelled
+	return rl.sweepManager.sweepCancelled(j.Sweep)
 }
 
 // replyCancelled answers a user with one or more cancellations, once every leader that lives
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -1,13 +1,6 @@
 package core
 
 import (
-	"fmt"
-	"slices"
-	"strings"
-
-	"github.com/zinclb/zinclb/internal/core/kv"
-
-	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/sharedread"
 )
@@ -17,28 +10,50 @@
 	maxReadWait       = 1_500_000 // of the 2 s for a poll
 	maxWriteWait      = 3_500_000 // of the 5 s for a submission
 	maxQueuedRequests = 2000
+
+	// maxWriteTries bounds how often a failed write is repeated.
+	maxWriteTries = 4
 )
 
-// request is a user's request under way.
+// request is a request of a user, or of a follower, under way. It is received, waits
+// for a read of the state that began after it came, may then queue a write, and ends
+// with one Reply. A write that fails, or that another request makes for it, sends it
+// back to wait for a read.
 type request struct {
-	id         uint64
-	jobID      string
-	kind       requestKind
-	spec       *jobstate.Spec
+	id   uint64
+	kind requestKind
+	// targetID is the id of the job or sweep that the request is about.
+	targetID   string
 	receivedAt int64
-	// refusal is what a submission gets if it is not known already: only an
-	// id that is surely new may be refused for good.
-	refusal             Reply
-	dependenciesChecked int // how many of the awaited jobs are known to be accepted
-	tries               int
-	// forwarded: a peer has handed the request on.
+	// forwarded: a peer has forwarded the request, so it is not forwarded again.
 	forwarded bool
-	// sweep is a submitted one; after and most say which runs are asked for.
-	sweep        *SubmitSweep
+	tries     int
+
+	// spec is a submitted job. A submitted sweep has one too, with the dependencies of
+	// all its runs.
+	spec *jobstate.Spec
+	// dependenciesChecked is how many of the dependencies are known to be accepted.
+	dependenciesChecked int
+	// refusal is the reply to a submission whose id is not known already: only an id
+	// that is surely new may be refused for good.
+	refusal Reply
+
+	sweep        sweepRequest
+	followerRead followerRead
+}
+
+// sweepRequest is what only requests about sweeps carry.
+type sweepRequest struct {
+	submission *SubmitSweep
+	// after and limit say which runs are listed.
 	after, limit int
-	// revision is what a follower has that asks for a view, need how many changes
-	// it lacks.
-	revision     uint64
+}
+
+// followerRead is what a follower says that reads the state from its leader.
+type followerRead struct {
+	// revision is the one up to which the follower has the state.
+	revision uint64
+	// writesNeeded is how many writes its budget lacks.
 	writesNeeded int
 }
 
@@ -48,7 +63,7 @@
 	requestStatus requestKind = iota
 	requestSubmit
 	requestCancel
-	requestFollowerRead // another controller asks what is stored
+	requestFollowerRead // another controller reads the state from this one
 	// All from here on are about sweeps.
 	requestSweepSubmit
 	requestSweepStatus
@@ -56,23 +71,44 @@
 	requestSweepCancel
 )
 
-// requestQueues serves the users: it shares one read of the moment among all requests
-// that wait for one, and holds writes back while the budget is used up.
+// isAboutSweep says whether a request is about a sweep and not about a job.
+func (k requestKind) isAboutSweep() bool { return k >= requestSweepSubmit }
+
+// maxWait is how long the end of a job may be looked up for a request.
+func (r *request) maxWait() int64 {
+	if r.kind == requestStatus {
+		return maxReadWait
+	}
+	return maxWriteWait
+}
+
+// retryLaterReply asks a user to repeat the request in so many seconds.
+func retryLaterReply(requestID uint64, seconds int, reason string) Reply {
+	return Reply{RequestID: requestID, Status: 503, RetryAfter: seconds, Error: reason}
+}
+
+// stateUnavailableReply is the answer while the state service does not answer.
+func stateUnavailableReply(requestID uint64) Reply {
+	return retryLaterReply(requestID, 1, "the state service does not answer")
+}
+
+// requestQueues has the requests under way: they share one read of the state, and
+// their writes wait for budget.
 type requestQueues struct {
 	stateReads   sharedread.Batch[*request]
 	queuedWrites []*request
 	endLookups   sharedread.KeyBatch[*request] // by the job's id
-	// inFlight has, for each job that a write is under way about, the requests that
-	// wait for what it makes true: a user who repeats one is to cost no more.
+	// inFlight has, for each job with a write under way, the requests that wait for its
+	// outcome: a user's repeated request costs no write of its own.
 	inFlight map[string][]*request
 }
 
 // coalesce says whether a write about the same job is under way; then the request goes
 // on from what is stored after it.
-func (d *requestQueues) coalesce(a *request) bool {
-	l, ok := d.inFlight[a.jobID]
+func (q *requestQueues) coalesce(r *request) bool {
+	waiting, ok := q.inFlight[r.targetID]
 	if ok {
-		d.inFlight[a.jobID] = append(l, a)
+		q.inFlight[r.targetID] = append(waiting, r)
 	}
 	return ok
 }
@@ -98,403 +134,209 @@
 	return &requestHandler{engine: run, queues: requestQueues{inFlight: map[string][]*request{}}}
 }
 
-// resumeCoalesced lets those go on that waited for a write.
-func (rh *requestHandler) resumeCoalesced(id string) {
-	l := rh.queues.inFlight[id]
-	delete(rh.queues.inFlight, id)
-	for _, a := range l {
-		rh.waitForRead(a)
-	}
-}
+// hasQueuedWrites says whether users' writes wait for budget.
+func (h *requestHandler) hasQueuedWrites() bool { return len(h.queues.queuedWrites) > 0 }
 
-func (rh *requestHandler) onReady(m CheckReady) {
-	// A controller that has read the state once can take requests; an
-	// outage of the state service is answered request by request, so that
-	// not all controllers are taken out at once.
-	rh.peers.connectivity.Users.RecordSuccess(rh.now, rh.now)
-	switch {
-	case rh.membership.incompatible != "":
-		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: rh.membership.incompatible})
-	case rh.cache.appliedRevision == 0 && !rh.cache.synced:
-		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "starting"})
-	case rh.settings.Ops.Reach && rh.peers.connectivity.Isolated(rh.now):
-		rh.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "neither the state service nor another controller answers"})
-	default:
-		rh.emit(Reply{RequestID: m.RequestID, Status: 200})
-	}
-}
-
-func (rh *requestHandler) onStatus(m QueryJob) {
-	if e, ok := rh.cache.ends[m.ID]; ok {
-		rh.answerEnd(m.RequestID, m.ID, e)
-		return
+// resumeCoalesced lets those go on that waited for a write.
+func (h *requestHandler) resumeCoalesced(id string) {
+	waiting := h.queues.inFlight[id]
+	delete(h.queues.inFlight, id)
+	for _, r := range waiting {
+		h.waitForRead(r)
 	}
-	rh.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestStatus, receivedAt: rh.now, forwarded: m.Forwarded})
 }
 
-func (rh *requestHandler) onCancel(m CancelJob) {
-	if e, ok := rh.cache.ends[m.ID]; ok {
-		rh.answerEnd(m.RequestID, m.ID, e)
+func (h *requestHandler) onReady(m CheckReady) {
+	h.peers.connectivity.Users.RecordSuccess(h.now, h.now)
+	reason := h.unreadyReason()
+	if reason != "" {
+		h.emit(Reply{RequestID: m.RequestID, Status: 503, Error: reason})
 		return
 	}
-	rh.waitForRead(&request{id: m.RequestID, jobID: m.ID, kind: requestCancel, receivedAt: rh.now, forwarded: m.Forwarded})
+	h.emit(Reply{RequestID: m.RequestID, Status: 200})
 }
 
-func (rh *requestHandler) onSubmit(m SubmitJob) {
-	id := m.Spec.ID
-	if e, ok := rh.cache.ends[id]; ok {
-		rh.answerEnd(m.RequestID, id, e)
-		return
-	}
-	a := &request{id: m.RequestID, jobID: id, kind: requestSubmit, spec: m.Spec, receivedAt: rh.now, forwarded: m.Forwarded}
-	if rh.cache.jobs[id] != nil {
-		rh.waitForRead(a)
-		return
-	}
-	if !rh.cache.synced {
-		rh.refuse(a)
-		return
-	}
-	if rh.sweepManager.sweepsEnabled() && strings.HasPrefix(id, RunPrefix) {
-		a.refusal = Reply{Status: 400, Error: "name_id: begins like the runs of sweeps"}
-		rh.waitForRead(a)
-		return
-	}
-	if m.Invalid != "" {
-		a.refusal = Reply{Status: 400, Error: m.Invalid}
-		rh.waitForRead(a)
-		return
-	}
-	if len(rh.cache.machineTypes) == 0 {
-		rh.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
-		return
-	}
-	if why := rh.infeasibleReason(m.Spec); why != "" {
-		a.refusal = Reply{Status: 422, Error: why}
-		rh.waitForRead(a)
-		return
-	}
-	if len(m.Spec.Dependencies) > 0 && !rh.membership.logEnabled() {
-		// A controller of version 1 would store the job without what it
-		// awaits, or start it at once.
-		rh.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "awaits: not before all controllers have the new version"})
-		return
-	}
-	if slices.Contains(m.Spec.Dependencies, id) {
-		rh.dependencies.refuseDependency(a, id, "is the job itself")
-		return
+// unreadyReason says why this controller can't take requests, or "".
+//
+// One that has read the state once can: an outage of the state service is answered
+// request by request, so that not all controllers are taken out at once.
+func (h *requestHandler) unreadyReason() string {
+	switch {
+	case h.membership.incompatible != "":
+		return h.membership.incompatible
+	case h.cache.appliedRevision == 0 && !h.cache.synced:
+		return "starting"
+	case h.settings.Ops.Reach && h.peers.connectivity.Isolated(h.now):
+		return "neither the state service nor another controller answers"
 	}
-	rh.dependencies.checkDependencies(a)
+	return ""
 }
 
-// infeasibleReason says why a job can never run, or "".
-func (rh *requestHandler) infeasibleReason(s *jobstate.Spec) string {
-	t := rh.settings.Team(s.Team)
-	if t == nil {
-		return fmt.Sprintf("unknown team %q", s.Team)
-	}
-	if !fleet.FitsAnyType(rh.cache.machineTypes, s) {
-		return "no allowed machine type has room for a task"
-	}
-	if !fleet.FitsSpread(rh.cache.machineTypes, s) {
-		return "scatter: its tasks have to be in two zones at least, and may be in one only"
-	}
-	n := 1.0
-	if s.Kind != jobstate.Array {
-		n = float64(s.Tasks)
-	}
-	if t.CPUsMax > 0 && float64(s.Need.CPU)*n > t.CPUsMax*1000 || t.GPUsMax > 0 && float64(s.Need.GPU)*n > t.GPUsMax*1000 {
-		return "the job needs more than its team's limit"
-	}
-	return ""
+func (h *requestHandler) onFollowerRead(m FollowerRead) {
+	h.waitForRead(&request{
+		id:           m.RequestID,
+		kind:         requestFollowerRead,
+		receivedAt:   h.now,
+		forwarded:    true, // no other controller can answer it
+		followerRead: followerRead{revision: m.AfterRevision, writesNeeded: m.WritesNeeded},
+	})
 }
 
-// waitForRead queues a request for the next view of the state.
-func (rh *requestHandler) waitForRead(a *request) {
-	if !rh.cache.synced || rh.health.unavailable() && a.tries == 0 || rh.queues.stateReads.Waiting() >= maxQueuedRequests {
-		rh.refuse(a)
+// waitForRead queues a request for the next read of the state.
+func (h *requestHandler) waitForRead(r *request) {
+	if !h.cache.synced || h.health.unavailable() && r.tries == 0 || h.queues.stateReads.Waiting() >= maxQueuedRequests {
+		h.refuse(r)
 		return
 	}
-	rh.queues.stateReads.Add(a)
-	rh.readForRequests()
+	h.queues.stateReads.Add(r)
+	h.readForRequests()
 }
 
-// readForRequests asks what is stored for those that wait to know, the leader or else the
-// state service, which allows only so many reads. A follower's question costs no
-// request, and the leader paces its own.
-func (rh *requestHandler) readForRequests() {
-	v := &rh.queues.stateReads
-	source := rh.reader.readSource()
-	gap := rh.health.viewInterval()
+// readForRequests reads the state for the requests that wait, from the leader or else
+// from the state service, which allows only so many reads. A read from the leader costs
+// none of them, and the leader paces its own.
+func (h *requestHandler) readForRequests() {
+	reads := &h.queues.stateReads
+	source := h.reader.readSource()
+	gap := h.health.viewInterval()
 	if source != "" {
 		gap = leaderReadGap
 	}
-	if !rh.cache.synced || !v.Due(rh.now, gap) || source == "" && !rh.health.tryTakeRead() {
+	if !h.cache.synced || !reads.Due(h.now, gap) || source == "" && !h.health.tryTakeRead() {
 		return
 	}
-	rh.beginRead(source)
+	h.beginRead(source)
 }
 
-// beginRead asks now, for all that wait, who may be none.
-func (rh *requestHandler) beginRead(source string) {
-	rh.queues.stateReads.Begin(rh.now)
+// beginRead reads now, for all requests that wait, of which there may be none.
+func (h *requestHandler) beginRead(source string) {
+	h.queues.stateReads.Begin(h.now)
 	if source == "" {
-		rh.emit(ReadState{AfterRevision: rh.cache.appliedRevision, ForRequests: true})
+		h.emit(ReadState{AfterRevision: h.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	rh.emit(ReadFromLeader{To: source, AfterRevision: rh.cache.appliedRevision, Number: rh.reader.follower.BeginRequest(), WritesNeeded: rh.queues.writesLacking(rh.health.writesLeft())})
+	h.emit(ReadFromLeader{
+		To:            source,
+		AfterRevision: h.cache.appliedRevision,
+		Number:        h.reader.follower.BeginRequest(),
+		WritesNeeded:  h.queues.writesLacking(h.health.writesLeft()),
+	})
 }
 
-func (rh *requestHandler) requestsReadDone(ok bool) {
-	v := &rh.queues.stateReads
-	if !v.InFlight() {
+func (h *requestHandler) requestsReadDone(ok bool) {
+	reads := &h.queues.stateReads
+	if !reads.InFlight() {
 		return
 	}
-	for _, a := range v.End() {
+	for _, r := range reads.End() {
 		switch {
 		case ok:
-			rh.resumeRequest(a)
-		case rh.now-a.receivedAt < maxReadWait/2 && rh.cache.synced:
-			v.Add(a)
+			h.resumeRequest(r)
+		case h.now-r.receivedAt < maxReadWait/2 && h.cache.synced:
+			reads.Add(r)
 		default:
-			rh.refuse(a)
+			h.refuse(r)
 		}
 	}
-	rh.readForRequests()
+	h.readForRequests()
 }
 
-// stateUnavailableReply is the answer while the state service can't be asked.
-var stateUnavailableReply = Reply{Status: 503, RetryAfter: 1, Error: "the state service does not answer"}
-
-// refuse hands a request on to a peer that can answer it, or says at once
-// that the answer can't be had now.
-func (rh *requestHandler) refuse(a *request) {
-	if rh.health.unavailable() && rh.peers.forwardToPeer(a) {
+// refuse forwards a request to a peer that can answer it, or says at once that it can't
+// be answered now.
+func (h *requestHandler) refuse(r *request) {
+	if h.health.unavailable() && h.peers.forwardToPeer(r) {
 		return
 	}
-	r := stateUnavailableReply
-	r.RequestID = a.id
-	rh.emit(r)
+	h.emit(stateUnavailableReply(r.id))
 }
 
-// resumeRequest goes on with a request after a view that is younger than it.
-func (rh *requestHandler) resumeRequest(a *request) {
-	if a.kind >= requestSweepSubmit {
-		rh.sweepManager.resumeSweep(a)
-		return
-	}
-	if a.kind == requestFollowerRead {
-		rh.reader.answerFollower(a)
-		return
-	}
-	if e, ok := rh.cache.ends[a.jobID]; ok {
-		rh.answerEnd(a.id, a.jobID, e)
-		return
-	}
-	j := rh.cache.jobs[a.jobID]
+// refuseUnlessKnown refuses a submission for good, unless its id turns out to be known.
+func (h *requestHandler) refuseUnlessKnown(r *request, status int, reason string) {
+	r.refusal = Reply{Status: status, Error: reason}
+	h.waitForRead(r)
+}
+
+// resumeRequest goes on with a request after a read that is younger than it.
+func (h *requestHandler) resumeRequest(r *request) {
 	switch {
-	case j == nil && a.kind == requestSubmit && a.refusal.Status == 0:
-		rh.queueWrite(a)
-	case j == nil:
-		rh.lookUpEnd(a)
-	case j.Outcome != "":
-		rh.answerEnd(a.id, a.jobID, jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks})
-	case a.kind == requestCancel:
-		rh.queueWrite(a)
-	case !rh.dependencies.dependenciesKnown(j):
-		r := stateUnavailableReply
-		r.RequestID, r.Error = a.id, "an end that the job's state depends on is being read"
-		rh.emit(r)
+	case r.kind.isAboutSweep():
+		h.sweepManager.resumeSweepRequest(r)
+	case r.kind == requestFollowerRead:
+		h.reader.answerFollower(r)
 	default:
-		rh.emit(Reply{RequestID: a.id, Status: 200, Job: stateOf(j)})
+		h.resumeJobRequest(r)
 	}
 }
 
-// queueWrite queues a submission or cancellation for the state service.
-func (rh *requestHandler) queueWrite(a *request) {
-	if len(rh.queues.queuedWrites) >= maxQueuedRequests || rh.health.unavailable() && a.tries == 0 {
-		rh.refuse(a)
+func (h *requestHandler) resumeJobRequest(r *request) {
+	if end, ok := h.cache.ends[r.targetID]; ok {
+		h.answerEnd(r.id, r.targetID, end)
 		return
 	}
-	rh.queues.queuedWrites = append(rh.queues.queuedWrites, a)
-	rh.writeQueued()
-}
-
-func (rh *requestHandler) writeQueued() {
-	d := &rh.queues
-	rh.health.refillWrites()
-	for len(d.queuedWrites) > 0 {
-		a := d.queuedWrites[0]
-		if rh.now-a.receivedAt > maxWriteWait {
-			d.queuedWrites = d.queuedWrites[1:]
-			rh.refuse(a)
-			continue
-		}
-		if d.coalesce(a) {
-			d.queuedWrites = d.queuedWrites[1:]
-			continue
-		}
-		if rh.health.writesLeft() < rh.health.minUserBudget() {
-			return
-		}
-		d.queuedWrites = d.queuedWrites[1:]
-		switch a.kind {
-		case requestSubmit:
-			rh.health.spendWrites(1)
-			rh.writeJob(a)
-		case requestSweepSubmit:
-			rh.sweepManager.createSweep(a)
-		case requestSweepCancel:
-			rh.sweepManager.cancelSweep(a)
-		default:
-			rh.health.spendWrites(2)
-			rh.writeCancellation(a)
-		}
+	j := h.cache.jobs[r.targetID]
+	switch {
+	case j == nil && r.kind == requestSubmit && r.refusal.Status == 0:
+		h.queueWrite(r)
+	case j == nil:
+		h.lookUpEnd(r)
+	case j.Outcome != "":
+		h.answerEnd(r.id, r.targetID, jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks})
+	case r.kind == requestCancel:
+		h.queueWrite(r)
+	case !h.dependencies.dependenciesKnown(j):
+		h.emit(retryLaterReply(r.id, 1, "an end that the job's state depends on is being read"))
+	default:
+		h.emit(Reply{RequestID: r.id, Status: 200, Job: stateOf(j)})
 	}
 }
 
-func (rh *requestHandler) writeJob(a *request) {
-	job := jobPrefix + a.jobID
-	value := jobstate.Record{Spec: a.spec, SubmittedWall: a.receivedAt + rh.wallOffset}.Encode(0)
-	if len(value) > rh.membership.valueLimit() {
-		a.refusal = Reply{Status: 400, Error: fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), rh.membership.valueLimit())}
-		rh.waitForRead(a)
-		return
-	}
-	rh.queues.inFlight[a.jobID] = nil
-	rh.commitTransaction([]Cond{kv.RevisionIs(job, 0), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{{Key: job, Value: value}}, func(m Committed) {
-		defer rh.resumeCoalesced(a.jobID)
-		switch m.Status {
-		case 200:
-			rh.emit(Reply{RequestID: a.id, Status: 201, Job: &JobState{ID: a.jobID, State: Queued}})
-		case 409:
-			// It is known: a repeat, perhaps of this very request.
-			rh.waitForRead(a)
-		case 400:
-			// It is no longer than the limits that were known of.
-			rh.membership.lowerLimits("a job's description was refused")
-			rh.retryWrite(a)
-		default:
-			rh.retryWrite(a)
+// requestsTick goes on with the requests for which there is time or budget by now.
+func (h *requestHandler) requestsTick() {
+	reads := &h.queues.stateReads
+	if !h.cache.synced {
+		for _, r := range reads.DropWaiting() {
+			h.refuse(r)
 		}
-	})
-}
-
-// retryWrite repeats a write that failed or whose outcome is unknown: its
-// conditions make that safe.
-func (rh *requestHandler) retryWrite(a *request) {
-	a.tries++
-	if a.tries > 4 || rh.now-a.receivedAt > maxWriteWait {
-		rh.refuse(a)
-		return
-	}
-	if a.kind == requestCancel || a.kind == requestSweepCancel {
-		rh.waitForRead(a) // the job's version may have changed
-		return
 	}
-	rh.queues.queuedWrites = append(rh.queues.queuedWrites, a)
-}
-
-func (rh *requestHandler) writeCancellation(a *request) {
-	j := rh.cache.jobs[a.jobID]
-	if j == nil || j.Outcome != "" {
-		rh.waitForRead(a)
-		return
-	}
-	e := rh.newEnd(jobstate.Cancelled, j)
-	stamp := j.Revision
-	rh.queues.inFlight[a.jobID] = nil
-	rh.commitTransaction([]Cond{kv.RevisionIs(jobPrefix+a.jobID, stamp), kv.RevisionIs(endPrefix+a.jobID, 0)}, []Write{
-		{Key: endPrefix + a.jobID, Value: encodeJSON(e)},
-		{Key: jobPrefix + a.jobID, Value: rh.endedRecord(j, jobstate.Cancelled)},
-	}, func(m Committed) {
-		defer rh.resumeCoalesced(a.jobID)
-		switch m.Status {
-		case 200:
-			if j.Revision == stamp {
-				j.Revision = m.Revision
-			}
-			rh.cache.noteEnd(a.jobID, e, m.Revision)
-			rh.answerEnd(a.id, a.jobID, e)
-		case 409:
-			rh.retryCancellation(a)
-		default:
-			rh.retryWrite(a)
-		}
-	})
-}
-
-// retryCancellation goes on with a cancellation whose conditions did not hold, from what
-// is stored by now.
-func (rh *requestHandler) retryCancellation(a *request) {
-	if a.tries++; a.tries > 4 {
-		rh.refuse(a)
+	h.writeQueued()
+	h.readForRequests()
+	h.lookUpEnds()
+	if !h.cache.synced || reads.InFlight() {
 		return
 	}
-	rh.waitForRead(a)
-}
-
-// newEnd makes the stored end of a job.
-func (rh *requestHandler) newEnd(outcome string, j *jobstate.Job) jobstate.End {
-	e := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
-	if rh.membership.logEnabled() {
-		e.At = rh.now + rh.wallOffset
+	source, age := h.reader.readSource(), reads.Age(h.now)
+	switch {
+	case h.shouldProbeState(age):
+		h.beginRead("")
+	case source != "" && h.shouldRefresh(age):
+		h.beginRead(source)
 	}
-	return e
 }
 
-// endedRecord is the stored job from its end until its keys are removed.
-func (rh *requestHandler) endedRecord(j *jobstate.Job, outcome string) []byte {
-	return jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: outcome, SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}.Encode(rh.membership.valueLimit())
-}
-
-func (rh *requestHandler) answerEnd(req uint64, id string, e jobstate.End) {
-	s := &JobState{ID: id, State: e.Outcome}
-	if e.Outcome == jobstate.Done {
-		s.Done = e.Tasks
-	}
-	r := Reply{RequestID: req, Status: 200, Job: s}
-	if e.Outcome == jobstate.Cancelled {
-		rh.readLeases.replyCancelled(r, id)
-		return
+// shouldProbeState says whether to read from the state service although no request
+// waits: requests are refused meanwhile, or soon, so something has to find out when it
+// answers again. age is how long ago the last read began.
+func (h *requestHandler) shouldProbeState(age int64) bool {
+	if h.health.unavailable() {
+		return age > second/2
 	}
-	rh.emit(r)
+	return !h.elector.isLeader() && h.health.lastRequestFailed() && age > expectedChangeGap && h.health.tryTakeRead()
 }
 
-func stateOf(j *jobstate.Job) *JobState {
-	s := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
-	if j.NumRunning == 0 && j.NumPlaced > 0 {
-		s.Running = j.NumPlaced // another controller knows the details
+// shouldRefresh says whether to read from the leader although no request waits: the
+// cache may lack a change, or queued writes need the leader's budget.
+func (h *requestHandler) shouldRefresh(age int64) bool {
+	if h.reader.follower.RefreshDue(h.now, age) {
+		return true
 	}
-	if s.Running > 0 {
-		s.State = Running
+	if age > expectedChangeGap && h.mayLackChanges() {
+		return true
 	}
-	return s
+	return h.queues.writesLacking(h.health.writesLeft()) > 0
 }
 
-func (rh *requestHandler) requestsTick() {
-	d := &rh.queues
-	if !rh.cache.synced {
-		for _, a := range d.stateReads.DropWaiting() {
-			rh.refuse(a)
-		}
-	}
-	rh.writeQueued()
-	rh.readForRequests()
-	rh.lookUpEnds()
-	if !rh.cache.synced || d.stateReads.InFlight() {
-		return
-	}
-	source, age := rh.reader.readSource(), d.stateReads.Age(rh.now)
-	// The mirror lacks a revision that an answer has told of, or the changes of a
-	// transaction whose answer may be lost.
-	lacks := rh.health.watchLags() || rh.transactions.HasUnansweredWrite(rh.now, expectedChangeGap)
-	switch {
-	case rh.health.unavailable() && age > second/2, !rh.elector.isLeader() && !rh.health.unavailable() && rh.health.lastRequestFailed() && age > expectedChangeGap && rh.health.tryTakeRead():
-		// Requests are refused meanwhile, or soon, so something has to find out
-		// when the state service answers again.
-		rh.beginRead("")
-	case source != "" && (rh.reader.follower.RefreshDue(rh.now, age) || lacks && age > expectedChangeGap || d.writesLacking(rh.health.writesLeft()) > 0):
-		rh.beginRead(source)
-	}
+// mayLackChanges says whether the cache is known to be behind, or lacks the changes of
+// a transaction whose answer may be lost.
+func (h *requestHandler) mayLackChanges() bool {
+	return h.health.watchLags() || h.transactions.HasUnansweredWrite(h.now, expectedChangeGap)
 }
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -296,7 +296,7 @@
 			s.tasks.jobEnded(j)
 		} else if r.Outcome == "" {
 			s.dependencies.addDependencies(j)
-			s.sweepManager.mayHaveOpenRuns = s.sweepManager.mayHaveOpenRuns || j.Sweep != ""
+			s.sweepManager.noteRun(j)
 		}
 		s.tasks.jobArrived(j)
 	}
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -46,37 +46,35 @@
 }
 
 // writesLacking is how many changes requests wait for, with so many left.
-func (d *requestQueues) writesLacking(left float64) int {
-	if len(d.queuedWrites) == 0 || left >= 1 {
+func (q *requestQueues) writesLacking(left float64) int {
+	if len(q.queuedWrites) == 0 || left >= 1 {
 		return 0
 	}
 	n := 0
-	for _, a := range d.queuedWrites {
-		n += a.writeCost()
+	for _, r := range q.queuedWrites {
+		n += r.writeCost()
 	}
 	return n
 }
 
 // writeCost is how many changes a request takes; a sweep's are told from its size when
 // it is written.
-func (a *request) writeCost() int {
-	if a.kind == requestCancel {
-		return 2
+func (r *request) writeCost() int {
+	if r.kind == requestCancel {
+		return cancelWrites
 	}
-	return 1
+	return submitWrites
 }
 
 // answerFollower answers a controller that asks what is stored. It was read after the
 // question came.
 func (sr *stateReader) answerFollower(a *request) {
-	changes, ok := sr.recentChanges.Since(a.revision)
+	changes, ok := sr.recentChanges.Since(a.followerRead.revision)
 	if !sr.elector.isLeader() || !ok {
-		r := stateUnavailableReply
-		r.RequestID, r.Error = a.id, "this controller does not lead, or has forgotten the revision"
-		sr.emit(r)
+		sr.emit(retryLaterReply(a.id, 1, "this controller does not lead, or has forgotten the revision"))
 		return
 	}
-	granted := sr.health.grantWrites(a.writesNeeded)
+	granted := sr.health.grantWrites(a.followerRead.writesNeeded)
 	sr.emit(Reply{RequestID: a.id, Status: 200, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -80,15 +80,15 @@
 		connectivityPrefix + "n1":   connectivity.Advertisement{Boot: "b1", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"n0", "n2"}, Cloud: true, Flaps: true},
 		connectivityPrefix + "n2":   connectivity.Advertisement{},
 
-		sweepPrefix + "s":                                      sweepHead{Runs: 9000, Parts: 2, Pending: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
-		sweepPrefix + "s/0":                                    "KLUv/QQAaQAAaWQ6ICJzIg",
-		sweepPrefix + "s/1":                                    "second/part+",
-		sweepPositionPrefix + "s":                              sweepPosition{Next: 9000, Open: encodeBitmap(few), Closed: true},
-		sweepPositionPrefix + "new":                            sweepPosition{Next: 1},
-		sweepPositionPrefix + "s" + decommissionedRunsSuffix:   sweepWithdrawn{Runs: encodeBitmap(many)},
-		sweepPositionPrefix + "new" + decommissionedRunsSuffix: sweepWithdrawn{Runs: encodeBitmap(few)},
-		sweepEndPrefix + "s":                                   sweepEndRecord{Outcome: jobstate.Done, At: 1_700_000_000_000_009},
-		sweepEndPrefix + "ended":                               sweepEndRecord{Outcome: jobstate.Cancelled, At: 1_700_000_000_000_010},
+		sweepPrefix + "s":                                 sweepHead{Runs: 9000, Parts: 2, Pending: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
+		sweepPrefix + "s/0":                               "KLUv/QQAaQAAaWQ6ICJzIg",
+		sweepPrefix + "s/1":                               "second/part+",
+		sweepPositionPrefix + "s":                         sweepPosition{Next: 9000, Open: encodeRunSet(few), Closed: true},
+		sweepPositionPrefix + "new":                       sweepPosition{Next: 1},
+		sweepPositionPrefix + "s" + cancelledRunsSuffix:   cancelledRuns{Runs: encodeRunSet(many)},
+		sweepPositionPrefix + "new" + cancelledRunsSuffix: cancelledRuns{Runs: encodeRunSet(few)},
+		sweepEndPrefix + "s":                              sweepEndRecord{Outcome: jobstate.Done, At: 1_700_000_000_000_009},
+		sweepEndPrefix + "ended":                          sweepEndRecord{Outcome: jobstate.Cancelled, At: 1_700_000_000_000_010},
 	}
 	return values
 }
@@ -251,9 +251,9 @@
 // TestStoredSets reads the sets of runs as bits and as runs of numbers.
 func TestStoredSets(t *testing.T) {
 	few, many := storedSets()
-	for text, want := range map[string]*roaring.Bitmap{"bCgAC": few, storedValues()[sweepPositionPrefix+"s"+decommissionedRunsSuffix].(sweepWithdrawn).Runs: many} {
-		if got, err := decodeBitmap(text); err != nil || !got.Equals(want) || encodeBitmap(got) != text {
-			t.Errorf("%s: %v, %v, packed as %s", text, got, err, encodeBitmap(want))
+	for text, want := range map[string]*roaring.Bitmap{"bCgAC": few, storedValues()[sweepPositionPrefix+"s"+cancelledRunsSuffix].(cancelledRuns).Runs: many} {
+		if got, err := decodeRunSet(text); err != nil || !got.Equals(want) || encodeRunSet(got) != text {
+			t.Errorf("%s: %v, %v, packed as %s", text, got, err, encodeRunSet(want))
 		}
 	}
 }
--- /dev/null
+++ b/internal/core/sweepadvance.go
@@ -0,0 +1,267 @@
+package core
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+	"strings"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
+)
+
+// Bounds of the work on sweeps.
+const (
+	sweepGap        = 200_000
+	sweepCountDelay = 5 * second // how long a count may wait for a write of its own
+	sweepRetry      = second     // how long after a failed read a sweep is advanced again
+	sweepReserve    = 0.4        // of the leader's writes in a second, left to all else
+
+	positionWrites   = 1   // of a step, beside the runs that it creates
+	runOverheadBytes = 200 // of a run in a transaction, beside its value
+)
+
+// sweepTick goes on with the sweeps under way, when this controller leads.
+func (m *sweepManager) sweepTick() {
+	term := m.elector.leadership
+	if !m.sweepsEnabled() || len(m.sweeps) == 0 || m.now-term.sweepsAdvancedAt < sweepGap || !m.elector.mayStartTasks() {
+		return
+	}
+	term.sweepsAdvancedAt = m.now
+	for _, s := range m.readySweeps() {
+		if s.plan == nil {
+			m.loadSweepPlan(s)
+			continue
+		}
+		m.advanceSweep(s, m.countRuns(s))
+	}
+}
+
+// readySweeps are the sweeps that can be advanced now, the first accepted first.
+func (m *sweepManager) readySweeps() []*sweep {
+	var ready []*sweep
+	for _, s := range m.sweeps {
+		if s.headRevision != 0 && !s.closed && !s.writing && s.stoppedReason == "" && m.now >= s.notBefore {
+			ready = append(ready, s)
+		}
+	}
+	slices.SortFunc(ready, func(a, b *sweep) int {
+		return cmp.Or(cmp.Compare(a.headRevision, b.headRevision), cmp.Compare(a.id, b.id))
+	})
+	return ready
+}
+
+// countRuns counts the runs that have ended, and returns how many have not.
+func (m *sweepManager) countRuns(s *sweep) (open int) {
+	reads := 0
+	for it := s.open().Iterator(); it.HasNext(); {
+		i := int(it.Next())
+		id := s.plan.Specs[i].ID
+		j := m.cache.jobs[id]
+		end, ended := m.dependencies.knownEnd(id)
+		switch {
+		case ended && (j == nil || !j.CancelledByDependency):
+			s.countRun(i, end.Outcome, m.now)
+			continue
+		case !ended && j == nil && reads < maxEndReads && m.dependencies.mayReadRunEnd(id):
+			reads++
+			m.dependencies.readRunEnd(id)
+		}
+		open++
+	}
+	return open
+}
+
+// countRun counts a run whose end is stored.
+func (s *sweep) countRun(i int, outcome string, now int64) {
+	s.ended.AddInt(i)
+	if outcome != jobstate.Done {
+		s.cancelled.AddInt(i)
+	}
+	if s.countPendingSince == 0 {
+		s.countPendingSince = now
+	}
+}
+
+// sweepStep is one transaction of a sweep.
+type sweepStep struct {
+	conditions []Cond
+	writes     []Write
+	// position, cancelled and countPendingSince are those of the sweep that the step
+	// stores.
+	position          sweepPosition
+	cancelled         uint64
+	countPendingSince int64
+}
+
+// advanceSweep makes the next transaction of a sweep, if there is one to make and
+// writes can be spared: users' requests and starts go first. open is how many of its
+// runs are unfinished.
+func (m *sweepManager) advanceSweep(s *sweep, open int) {
+	m.health.refillWrites()
+	spare := int(m.health.writesLeft() - m.health.writeRate()*sweepReserve)
+	if m.requests.hasQueuedWrites() || spare < positionWrites+1 {
+		return
+	}
+	step := m.nextStep(s, open, spare)
+	countDue := s.countPendingSince != 0 && m.now-s.countPendingSince >= sweepCountDelay
+	if len(step.writes) == 0 && !step.position.Closed && !countDue {
+		return
+	}
+	s.addProgress(step)
+	m.health.spendWrites(float64(len(step.writes)))
+	m.commitStep(s, step)
+}
+
+// nextStep says what a sweep's next transaction creates or ends.
+func (m *sweepManager) nextStep(s *sweep, open, spare int) *sweepStep {
+	step := &sweepStep{
+		conditions: []Cond{
+			kv.RevisionIs(LeaderKey, m.elector.leadership.keyRevision),
+			kv.RevisionIs(sweepPositionPrefix+s.id, s.positionRevision),
+		},
+		position: sweepPosition{Next: s.next},
+	}
+	endKey := sweepEndPrefix + s.id
+	switch {
+	case s.outcome != "":
+		step.position.Closed = open == 0
+	case s.cancelConfirmed:
+		// Nothing more is created.
+	case s.next == len(s.plan.Specs) && open == 0:
+		end := sweepEndRecord{Outcome: jobstate.Done, At: m.now + m.wallOffset}
+		step.conditions = append(step.conditions, kv.RevisionIs(endKey, 0))
+		step.writes = append(step.writes, Write{Key: endKey, Value: encodeJSON(end)})
+		step.position.Closed = true
+	default:
+		step.conditions = append(step.conditions, kv.RevisionIs(endKey, 0))
+		m.addRuns(s, step, min(s.head.Pending-open, spare-positionWrites, m.membership.limits().TxnOps-2))
+	}
+	return step
+}
+
+// addRuns adds at most so many runs to a step, as far as they fit the transaction.
+func (m *sweepManager) addRuns(s *sweep, step *sweepStep, most int) {
+	size := 0
+	position := &step.position
+	for position.Next < len(s.plan.Specs) && position.Next-s.next < most {
+		spec := s.plan.Specs[position.Next]
+		value := jobstate.Record{Spec: spec, SubmittedWall: m.now + m.wallOffset}.Encode(0)
+		size += len(value) + runOverheadBytes
+		if size > maxTxnBytes {
+			return
+		}
+		step.conditions = append(step.conditions, kv.RevisionIs(jobPrefix+spec.ID, 0), kv.RevisionIs(endPrefix+spec.ID, 0))
+		step.writes = append(step.writes, Write{Key: jobPrefix + spec.ID, Value: value})
+		position.Next++
+	}
+}
+
+// addProgress adds to a step how far the sweep has come with it.
+func (s *sweep) addProgress(step *sweepStep) {
+	key := sweepPositionPrefix + s.id
+	open := roaring.New()
+	open.AddRange(uint64(s.next), uint64(step.position.Next))
+	open.Or(s.open())
+	step.position.Open = encodeRunSet(open)
+	step.writes = append(step.writes, Write{Key: key, Value: encodeJSON(step.position)})
+
+	step.countPendingSince = s.countPendingSince
+	step.cancelled = s.cancelled.GetCardinality()
+	if step.cancelled != s.cancelledStored {
+		stored := cancelledRuns{Runs: encodeRunSet(s.cancelled)}
+		step.writes = append(step.writes, Write{Key: key + cancelledRunsSuffix, Value: encodeJSON(stored)})
+	}
+}
+
+func (m *sweepManager) commitStep(s *sweep, step *sweepStep) {
+	term := m.elector.leadership
+	s.writing = true
+	m.commitTransaction(step.conditions, step.writes, func(result Committed) {
+		if m.sweeps[s.id] != s {
+			return // the state was read anew meanwhile
+		}
+		switch result.Status {
+		case 200:
+			m.stepCommitted(s, step, result.Revision)
+		case 409:
+			m.sweepConflict(term, s, result.Failed)
+		default:
+			m.rereadSweep(s)
+		}
+	})
+}
+
+func (m *sweepManager) stepCommitted(s *sweep, step *sweepStep, revision uint64) {
+	s.writing = false
+	s.next = step.position.Next
+	s.positionRevision = max(s.positionRevision, revision)
+	s.cancelledStored = step.cancelled
+	if s.countPendingSince == step.countPendingSince {
+		s.countPendingSince = 0
+	}
+	if step.position.Closed {
+		m.sweepEnded(s.id, jobstate.Done, 0) // unless it was cancelled
+		s.close()
+	}
+}
+
+// sweepConflict finds out why a step's conditions failed.
+func (m *sweepManager) sweepConflict(term *leadership, s *sweep, failed []string) {
+	for _, key := range failed {
+		switch {
+		case key == LeaderKey:
+			if m.elector.leadership == term {
+				m.committer.resolveConflict(term, key)
+			}
+		case strings.HasPrefix(key, jobPrefix), strings.HasPrefix(key, endPrefix):
+			// This step may have been executed before, without an answer; then the
+			// position says so. If not, another job has the id.
+			if !slices.Contains(failed, sweepPositionPrefix+s.id) {
+				s.stoppedReason = "a job has the id of a run: " + key
+				m.log.Error("a job has the id of a run", "sweep", s.id, "key", key)
+			}
+		}
+	}
+	m.rereadSweep(s)
+}
+
+// rereadSweep reads what is stored of a sweep after a write whose outcome is not
+// known. A late one fails: its condition is on the position as it was.
+func (m *sweepManager) rereadSweep(s *sweep) {
+	retryLater := func() {
+		s.notBefore = m.now + sweepRetry
+		s.writing = false
+	}
+	m.readKey(sweepPositionPrefix+s.id, func(read KeyRead) {
+		if m.sweeps[s.id] != s {
+			return
+		}
+		if read.Err != nil {
+			retryLater()
+			return
+		}
+		if read.Revision != 0 {
+			m.cache.apply(Change{Key: sweepPositionPrefix + s.id, Value: read.Value, Revision: read.Revision})
+		}
+		m.readSweepEnd(s.id, retryLater, func() { s.writing = false })
+	})
+}
+
+// readSweepEnd reads whether a sweep was cancelled, and calls done, or failed if it could
+// not be read.
+func (m *sweepManager) readSweepEnd(id string, failed, done func()) {
+	m.readKey(sweepEndPrefix+id, func(read KeyRead) {
+		if read.Err != nil {
+			failed()
+			return
+		}
+		var end sweepEndRecord
+		if read.Revision != 0 && json.Unmarshal(read.Value, &end) == nil && end.Outcome == jobstate.Cancelled {
+			m.noteSweepCancelled(id)
+		}
+		done()
+	})
+}
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -166,7 +166,7 @@
 	if j == nil || j.Outcome != "" || s.c.cache.ends["sweep.s.1"].Outcome != "" {
 		t.Fatal("a run is called cancelled on another's word")
 	}
-	if s.c.sweepManager.endIsUnconfirmed(j) {
+	if s.c.sweepManager.mayStart(j) {
 		t.Error("its tasks may still be started")
 	}
 	// What was stored before: run 0 is done. Then the cancellation.
@@ -190,7 +190,7 @@
 			open.AddInt(i)
 		}
 	}
-	at, g := sweepPosition{Next: 10_000, Open: encodeBitmap(open)}, sweepWithdrawn{encodeBitmap(gone)}
+	at, g := sweepPosition{Next: 10_000, Open: encodeRunSet(open)}, cancelledRuns{encodeRunSet(gone)}
 	if a, b := len(encodeJSON(at)), len(encodeJSON(g)); max(a, b) > 2000 {
 		t.Errorf("%d and %d bytes", a, b)
 	}
@@ -198,11 +198,11 @@
 	bad := func(err error) { t.Error(err) }
 	c.sweepManager.applySweep("sweepat/s", Change{Value: encodeJSON(at), Revision: 5}, bad)
 	c.sweepManager.applySweep("sweepat/s/gone", Change{Value: encodeJSON(g), Revision: 5}, bad)
-	if s := c.sweepManager.sweep("s"); !s.open().Equals(open) || !s.withdrawn.Equals(gone) || s.next != 10_000 {
+	if s := c.sweepManager.sweep("s"); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != 10_000 {
 		t.Error("it is read as something else")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
-		if _, err := decodeBitmap(text); err == nil {
+		if _, err := decodeRunSet(text); err == nil {
 			t.Errorf("%q is read as a set", text)
 		}
 	}
