--- a/cmd/zinclb/main.go
+++ b/cmd/zinclb/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
@@ -34,7 +35,8 @@
 				return err
 			}
 			setupLogging(p.Name)
-			return node.New(p, ops).Run()
+			// A controller serves until it is killed: the context never ends.
+			return node.New(p, ops).Run(context.Background())
 		},
 	}
 	cmd.PersistentFlags().StringVar(&path, "config", "", "the platform's settings, a JSON file")
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -35,6 +35,9 @@
 // New makes a client.
 func New(addr string) *Client { return &Client{httpwire.NewClient(addr, 6, 4<<20)} }
 
+// Close closes all connections. Calls under way and later ones fail.
+func (c *Client) Close() { c.http.Close() }
+
 func (c *Client) do(method, target string, in, out any) (int, error) {
 	var body []byte
 	if in != nil {
--- a/internal/cloud/recorded_test.go
+++ b/internal/cloud/recorded_test.go
@@ -28,7 +28,7 @@
 func TestRecorded(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr)
-	defer client.http.Close()
+	defer client.Close()
 	rent := core.ScaleOut{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 3, NotAfter: 99, FencingToken: 7}
 	types := func() any { return client.ListTypes() }
 	list := func() any { return client.ListMachines(time.Microsecond) }
@@ -73,7 +73,7 @@
 func TestRecordedFaults(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr)
-	defer client.http.Close()
+	defer client.Close()
 	for _, tc := range []struct {
 		answer  httpwire.Response
 		want    string
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -1,6 +1,8 @@
 package httpwire
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -25,7 +27,15 @@
 	serving := make(chan struct{})
 	s.Serving = func() { close(serving) }
 	s.Addr, s.MaxBody, s.ReadTimeout, s.IdleTimeout = addr, 1000, time.Minute, time.Minute
-	go func() { _ = s.Serve() }()
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-served; !errors.Is(err, context.Canceled) {
+			t.Errorf("served: %v", err)
+		}
+	})
 	<-serving
 	return addr
 }
@@ -145,6 +155,7 @@
 		},
 	})
 	c := NewClient(addr, 2, 4<<20)
+	defer c.Close()
 	m, err := c.Do("POST", "/", []byte("hello"), 10*time.Second)
 	if err != nil || string(m.Body) != "hello" {
 		t.Fatalf("got %v, %v", m, err)
@@ -160,7 +171,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		for _, p := range parts {
 			if _, err := conn.Write([]byte(p)); err != nil {
 				t.Fatal(err)
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -1,53 +1,78 @@
 package node
 
 import (
+	"time"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// maxLatency is beyond what any request waits for its answer, in microseconds.
-const maxLatency = 60_000_000
+// Range and precision of the recorded latencies. maxLatency is beyond what any
+// request waits for its answer, in microseconds.
+const (
+	minLatency         = 1
+	maxLatency         = int64(time.Minute / time.Microsecond)
+	significantFigures = 2
+)
+
+// userCall is a kind of users' request whose latencies are recorded.
+type userCall string
 
-// latencyRecorder are how long users' requests took in this process, from the
-// request read to the answer handed over. The core's actor owns them.
-// Workers' reports are left out: their answers are held back on purpose.
-type latencyRecorder map[string]*hdrhistogram.Histogram
+const (
+	submitCall userCall = "submit"
+	statusCall userCall = "status"
+	cancelCall userCall = "cancel"
+)
+
+// latencyRecorder has how long users' requests took in this process, from the
+// request read to the answer handed over. The actor owns it. Workers' heartbeats
+// are left out: their answers are held back on purpose.
+type latencyRecorder map[userCall]*hdrhistogram.Histogram
 
-// record counts an answer to a request.
+// record counts an answer to a request that took some microseconds.
 func (l latencyRecorder) record(request any, took int64) {
-	var call string
+	var call userCall
 	switch request.(type) {
 	case core.SubmitJob:
-		call = "submit"
+		call = submitCall
 	case core.QueryJob:
-		call = "status"
+		call = statusCall
 	case core.CancelJob:
-		call = "cancel"
+		call = cancelCall
 	default:
 		return
 	}
-	h := l[call]
-	if h == nil {
-		h = hdrhistogram.New(1, maxLatency, 2)
-		l[call] = h
+	histogram := l[call]
+	if histogram == nil {
+		histogram = hdrhistogram.New(minLatency, maxLatency, significantFigures)
+		l[call] = histogram
 	}
 	// It fails for values out of range only.
-	_ = h.RecordValue(min(max(took, 1), maxLatency))
+	_ = histogram.RecordValue(min(max(took, minLatency), maxLatency))
 }
 
-// summary is what operators are shown.
+// summary is what operators are shown, in milliseconds.
 func (l latencyRecorder) summary() []core.LatencyView {
-	var v []core.LatencyView
-	for _, call := range []string{"submit", "status", "cancel"} {
-		if h := l[call]; h != nil {
-			v = append(v, core.LatencyView{
-				Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
-				P95: milliseconds(h.ValueAtQuantile(95)), P99: milliseconds(h.ValueAtQuantile(99)), Max: milliseconds(h.Max()),
-			})
+	var views []core.LatencyView
+	for _, call := range []userCall{submitCall, statusCall, cancelCall} {
+		histogram := l[call]
+		if histogram == nil {
+			continue
 		}
+		views = append(views, core.LatencyView{
+			Call:    string(call),
+			Answers: histogram.TotalCount(),
+			Mean:    histogram.Mean() / microsPerMilli,
+			P50:     milliseconds(histogram.ValueAtQuantile(50)),
+			P95:     milliseconds(histogram.ValueAtQuantile(95)),
+			P99:     milliseconds(histogram.ValueAtQuantile(99)),
+			Max:     milliseconds(histogram.Max()),
+		})
 	}
-	return v
+	return views
 }
 
-func milliseconds(us int64) float64 { return float64(us) / 1000 }
+const microsPerMilli = 1000
+
+func milliseconds(micros int64) float64 { return float64(micros) / microsPerMilli }
--- a/internal/node/sockets_test.go
+++ b/internal/node/limits_test.go
@@ -7,12 +7,12 @@
 func TestSockets(t *testing.T) {
 	const (
 		cloudConns = 6
-		probes     = 80 // deaf, mute and sampled machines asked within a second
+		probes     = 80 // machines probed within a second
 		process    = 16 // listeners, pollers, standard streams
 	)
 	for _, sockets := range []int{1500, 3500, 4000, 10_000} {
 		for _, peers := range []int{0, 2, 11, 39} {
-			n := frontConns(sockets) + ordersAtOnce(sockets) + stateConns + watchConns + cloudConns + peerConns(peers) + peers + probes + process
+			n := maxUserConns(sockets) + maxCommandCalls(sockets) + stateConns + watchConns + cloudConns + maxPeerConns(peers) + peers + probes + process
 			if n > sockets {
 				t.Errorf("%d sockets and %d peers: up to %d are opened", sockets, peers, n)
 			}
@@ -29,7 +29,7 @@
 			t.Errorf("%d sockets: an inbox of %d, want %d", tc.sockets, got, tc.inbox)
 		}
 	}
-	if few, many := peerConns(11), peerConns(39); few != 32 || many < 39 {
+	if few, many := maxPeerConns(11), maxPeerConns(39); few != 32 || many < 39 {
 		t.Errorf("%d connections for 11 peers, %d for 39", few, many)
 	}
 }
--- a/internal/node/recorded_test.go
+++ b/internal/node/recorded_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/golden"
@@ -53,11 +52,10 @@
 func TestRecordedDirect(t *testing.T) {
 	service := golden.NewService(t)
 	service.Answer(httpwire.Response{Status: 200, Body: []byte("{}")})
-	newWorkerPool(1).send(core.SendCommands{Addr: service.Addr, FencingToken: 7, Epoch: 4, Commands: []core.Command{
+	workers := newWorkerPool(1)
+	workers.send(core.SendCommands{Addr: service.Addr, FencingToken: 7, Epoch: 4, Commands: []core.Command{
 		{Kind: "start", Task: "job-1/0", Attempt: 2}, {Kind: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000}, {Kind: "forget", Task: "job-1/2", Attempt: 4},
 	}})
-	for deadline := time.Now().Add(5 * time.Second); service.Requests() == "" && time.Now().Before(deadline); {
-		time.Sleep(time.Millisecond)
-	}
+	workers.wait()
 	golden.Compare(t, "testdata/direct.txt", service.Requests())
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("serving ended by %v", err)
 		}
 		if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
-			conn.Close()
+			closeLogged(conn)
 			t.Error("still listening")
 		}
 	})
@@ -61,9 +61,11 @@
 func TestCalls(t *testing.T) {
 	h := &recorder{given: make(chan any, 1)}
 	client := NewClient(serving(t, h), 1)
+	defer client.Close()
 	for name, message := range completeMessages() {
+		want := message
+		var answered any
 		var err error
-		want, answered := message, any(h.answer)
 		switch m := message.(type) {
 		case wire.AskArgs:
 			continue // no message of the core's
@@ -73,7 +75,7 @@
 			answered, err = client.Ask(want, patience)
 		case PingAnswer:
 			want = core.PingReceived{From: "node-0"}
-			h.answer = core.Reply{PeerStatus: &m.News}
+			h.answer = core.Reply{PeerStatus: &m.Status}
 			var answer PingAnswer
 			answer, err = client.Ping(core.PingReceived{From: "node-0"}, patience)
 			if !reflect.DeepEqual(answer, m) {
@@ -85,7 +87,7 @@
 			_, err = client.Ping(m, patience)
 			answered = h.answer
 		case core.HeartbeatReceived:
-			answered, err = client.RelayBeat(m, patience)
+			answered, err = client.RelayHeartbeat(m, patience)
 		default:
 			answered, err = client.Ask(m, patience)
 		}
@@ -105,6 +107,7 @@
 func TestErrors(t *testing.T) {
 	h := &recorder{given: make(chan any)}
 	client := NewClient(serving(t, h), 1)
+	defer client.Close()
 	t.Run("not handed on", func(t *testing.T) {
 		if _, err := client.Ask(core.Tick{}, patience); !errors.Is(err, ErrEmptyRequest) {
 			t.Error(err)
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -48,9 +48,9 @@
 			Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}, More: true, Whole: true},
 		},
 		"PingArgs with nothing in its pointers":  core.PingReceived{From: "node-1", Question: &readlease.GrantRequest{}, Cancellations: &readlease.CancellationPage{}},
-		"PingReply":                              PingAnswer{Name: "node-1", News: news},
-		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", News: core.PeerStatus{ReadLease: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Connectivity: &connectivity.Advertisement{}}},
-		"PingReply with an empty map":            PingAnswer{Name: "node-1", News: core.PeerStatus{Connectivity: &connectivity.Advertisement{Workers: map[string]int{}}}},
+		"PingReply":                              PingAnswer{Name: "node-1", Status: news},
+		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", Status: core.PeerStatus{ReadLease: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Connectivity: &connectivity.Advertisement{}}},
+		"PingReply with an empty map":            PingAnswer{Name: "node-1", Status: core.PeerStatus{Connectivity: &connectivity.Advertisement{Workers: map[string]int{}}}},
 		"BeatArgs": core.HeartbeatReceived{
 			From: "node-1", ViaPeer: true,
 			Heartbeat: core.Heartbeat{
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer is what controllers say to each other, over net/rpc.
+// Package peer carries calls between controllers, over net/rpc.
 //
 // Its callers and handlers use the core's types. What is sent are the types of
 // package wire, so that a field of the core can be renamed without a controller of
@@ -7,8 +7,12 @@
 
 import (
 	"context"
+	"errors"
+	"io"
+	"log/slog"
 	"net"
 	"net/rpc"
+	"sync"
 	"time"
 
 	"github.com/zinclb/zinclb/internal/core"
@@ -25,11 +29,11 @@
 // yet.
 type Handler interface {
 	// HandleRelayedHeartbeat answers a heartbeat that a peer relays.
-	HandleRelayedHeartbeat(beat core.HeartbeatReceived) (core.Reply, error)
-	// HandlePing answers a ping with the controller's news.
+	HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error)
+	// HandlePing answers a ping with the controller's status.
 	HandlePing(ping core.PingReceived) (core.Reply, error)
-	// HandleRequest answers a request that a peer hands on: a core.ForwardedSweep, or one that
-	// Numbered makes a message of.
+	// HandleRequest answers a request that a peer forwards: a core.ForwardedSweep, or
+	// one that Numbered makes a message of.
 	HandleRequest(request any) (core.Reply, error)
 }
 
@@ -39,71 +43,86 @@
 	handler Handler
 }
 
-// Ping answers at once.
-func (s *service) Ping(in wire.PingArgs, out *wire.PingReply) error {
-	r, err := s.handler.HandlePing(in.Core())
+// Ping answers that the controller is there, with its status.
+func (s *service) Ping(args wire.PingArgs, reply *wire.PingReply) error {
+	r, err := s.handler.HandlePing(args.Core())
 	if err != nil || r.PeerStatus == nil {
 		return ErrNoAnswer
 	}
-	*out = wire.NewPingReply(s.name, *r.PeerStatus)
+	*reply = wire.NewPingReply(s.name, *r.PeerStatus)
 	return nil
 }
 
-// Ask takes a user's request that a peer can't answer itself, or a call of the
-// cloud that it can't make.
-func (s *service) Ask(in wire.AskArgs, out *wire.Reply) error {
-	request, ok := in.Core()
+// Ask answers a user's request that a peer can't answer itself, or makes a call of
+// the cloud that a peer can't make.
+func (s *service) Ask(args wire.AskArgs, reply *wire.Reply) error {
+	request, ok := args.Core()
 	if !ok {
 		return ErrEmptyRequest
 	}
 	r, err := s.handler.HandleRequest(request)
-	*out = wire.NewReply(r)
+	*reply = wire.NewReply(r)
 	return err
 }
 
-// Beat hands a heartbeat to the core.
-func (s *service) Beat(in wire.BeatArgs, out *wire.Reply) error {
-	r, err := s.handler.HandleRelayedHeartbeat(in.Core())
-	*out = wire.NewReply(r)
+// Beat answers a worker's heartbeat that a peer relays.
+func (s *service) Beat(args wire.BeatArgs, reply *wire.Reply) error {
+	r, err := s.handler.HandleRelayedHeartbeat(args.Core())
+	*reply = wire.NewReply(r)
 	return err
 }
 
-// Serve answers peers on addr until the context ends; before that it returns only if
-// it can't listen.
+// Serve answers peers on addr until the context ends, and returns its error; before
+// that it returns only if it can't listen.
 func Serve(ctx context.Context, addr, name string, h Handler, maxConns int) error {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, l, name, h, maxConns)
+	return serve(ctx, listener, name, h, maxConns)
 }
 
-// serve answers peers on a listener, which it closes when the context ends.
-func serve(ctx context.Context, l net.Listener, name string, h Handler, maxConns int) error {
-	stop := context.AfterFunc(ctx, func() { l.Close() })
+// serve answers peers on a listener. When the context ends it closes the listener
+// and all connections, and waits for the calls under way.
+func serve(ctx context.Context, listener net.Listener, name string, h Handler, maxConns int) error {
+	stop := context.AfterFunc(ctx, func() { closeLogged(listener) })
 	defer stop()
-	srv := rpc.NewServer()
-	if err := srv.RegisterName(serviceName, &service{name, h}); err != nil {
+	server := rpc.NewServer()
+	if err := server.RegisterName(serviceName, &service{name, h}); err != nil {
 		return err
 	}
 	slots := make(chan struct{}, maxConns)
+	var conns sync.WaitGroup
+	defer conns.Wait()
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
-			if ctx.Err() != nil {
+			select {
+			case <-ctx.Done():
 				return ctx.Err()
+			case <-time.After(acceptRetry):
 			}
-			time.Sleep(acceptRetry)
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
-			go func() {
+			conns.Go(func() {
 				defer func() { <-slots }()
-				srv.ServeConn(conn)
-			}()
+				stop := context.AfterFunc(ctx, func() { closeLogged(conn) })
+				defer stop()
+				server.ServeConn(conn)
+			})
 		default:
-			conn.Close()
+			closeLogged(conn)
 		}
 	}
 }
+
+// closeLogged closes a listener or connection that is given up. An error changes
+// nothing for its owner, and one that the other side or a call has closed gives one.
+func closeLogged(c io.Closer) {
+	err := c.Close()
+	if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, rpc.ErrShutdown) {
+		slog.Debug("closing a connection failed", "error", err)
+	}
+}
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -30,7 +30,7 @@
 func messages4() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", NeedMachines: true},
-		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{
+		"PingReply": PingAnswer{Name: "node-1", Status: core.PeerStatus{
 			FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, LimitsLowered: true,
 			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Connectivity: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
 			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}},
@@ -64,7 +64,7 @@
 func messagesVouch() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", Question: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
-		"PingReply": PingAnswer{Name: "node-2", News: core.PeerStatus{
+		"PingReply": PingAnswer{Name: "node-2", Status: core.PeerStatus{
 			FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
 			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
 		}},
@@ -171,7 +171,7 @@
 	case core.PingReceived:
 		return wire.NewPing(m)
 	case PingAnswer:
-		return wire.NewPingReply(m.Name, m.News)
+		return wire.NewPingReply(m.Name, m.Status)
 	case core.HeartbeatReceived:
 		return wire.NewHeartbeat(m)
 	case core.Reply:
@@ -194,7 +194,7 @@
 	case wire.PingArgs:
 		return m.Core()
 	case wire.PingReply:
-		return PingAnswer{Name: m.Name, News: m.Core()}
+		return PingAnswer{Name: m.Name, Status: m.Core()}
 	case wire.BeatArgs:
 		return m.Core()
 	case wire.Reply:
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -29,7 +29,7 @@
 	}
 	cases := map[string]any{
 		"PingArgs":  core.PingReceived{From: "node-1"},
-		"PingReply": PingAnswer{Name: "node-1", News: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}}},
+		"PingReply": PingAnswer{Name: "node-1", Status: core.PeerStatus{FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}}},
 		"BeatArgs": core.HeartbeatReceived{From: "node-1", Heartbeat: core.Heartbeat{
 			Machine: "host-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Epoch: 2, Seq: 9, FencingToken: 3, PreemptionNotice: -1,
 			Tasks: []core.TaskStatus{{Name: "job-01/0", Attempt: 2, State: "exited", Reason: "done", Checkpointed: true}},
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -40,7 +40,7 @@
 func TestRecorded(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr, 2)
-	defer client.http.Close()
+	defer client.Close()
 	list := func() any {
 		var l listed
 		l.Rows, l.Ledger, l.Err = client.List("zinclb/job/", func() { l.Paced++ })
@@ -120,7 +120,7 @@
 func TestRecordedFaults(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr, 2)
-	defer client.http.Close()
+	defer client.Close()
 	for _, tc := range []struct {
 		body, want string
 		call       func() error
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,6 +26,9 @@
 	return &Client{http: httpwire.NewClient(addr, conns, maxBody)}
 }
 
+// Close closes all connections. Calls under way and later ones fail.
+func (c *Client) Close() { c.http.Close() }
+
 // StatusError is an answer other than those a call expects.
 type StatusError int
 
