--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -162,7 +162,7 @@
 				return err
 			}
 			defer func() { _ = resp.Body.Close() }()
-			if b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<16)); resp.StatusCode != 200 {
+			if b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<16)); resp.StatusCode != http.StatusOK {
 				return fmt.Errorf("%s", strings.TrimSpace(string(b)))
 			}
 			return nil
--- a/cmd/zinclb-load/main.go
+++ b/cmd/zinclb-load/main.go
@@ -115,8 +115,11 @@
 		lines.Buffer(nil, 1<<20)
 		for n := 1; lines.Scan(); n++ {
 			var e load.Entry
-			if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Job.ID == "" || e.At < 0 {
-				return nil, fmt.Errorf("%s: line %d: no entry with at_us and job: %v", trace, n, err)
+			if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
+				return nil, fmt.Errorf("%s: line %d: no entry with at_us and job: %w", trace, n, err)
+			}
+			if e.Job.ID == "" || e.At < 0 {
+				return nil, fmt.Errorf("%s: line %d: no entry with at_us and job", trace, n)
 			}
 			entries = append(entries, e)
 		}
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -1,4 +1,4 @@
-// Package world is a model of everything that zinclb's controllers deal with:
+// Package environment is a model of everything that zinclb's controllers deal with:
 // the state service, the cloud, workers, users with their balancer, and the
 // network between all of them, as the published protocol has it, with faults.
 //
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -26,6 +26,7 @@
 }
 
 func newStage(t *testing.T) *stage {
+	t.Helper()
 	c := Config{
 		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
 		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}},
@@ -105,8 +106,8 @@
 	return wire.Order{Op: "run", Task: task, Attempt: attempt}
 }
 
-func kill(task string, attempt uint64, grace float64) wire.Order {
-	return wire.Order{Op: "kill", Task: task, Attempt: attempt, GraceS: grace}
+func kill(task string, grace float64) wire.Order {
+	return wire.Order{Op: "kill", Task: task, Attempt: 1, GraceS: grace}
 }
 
 // task is how a machine has last reported an attempt: its state, why and
@@ -178,7 +179,7 @@
 			s.is(m0, "wide/0", 1, "ended no_room")
 		}},
 		{"run has no effect on an attempt in any state; after forget it starts again", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1), kill("a/0", 1, 0), run("a/0", 1))
+			s.do(m0, 5, 1, run("a/0", 1), kill("a/0", 0), run("a/0", 1))
 			s.run(1)
 			s.is(m0, "a/0", 1, "ended stopped")
 			s.do(m0, 5, 1, wire.Order{Op: "forget", Task: "a/0", Attempt: 1}, run("a/0", 1))
@@ -193,11 +194,11 @@
 		{"with enough grace it saves and then exits; a second kill ends it", func(s *stage) {
 			s.do(m0, 5, 1, run("a/0", 1), run("a/1", 1), run("a/2", 1))
 			s.run(9)
-			s.do(m0, 5, 1, kill("a/0", 1, 2), kill("a/1", 1, 1), kill("a/2", 1, 5))
+			s.do(m0, 5, 1, kill("a/0", 2), kill("a/1", 1), kill("a/2", 5))
 			s.run(0.7)
 			s.is(m0, "a/0", 1, "saving")
 			s.is(m0, "a/1", 1, "ended stopped")
-			s.do(m0, 5, 1, kill("a/2", 1, 0))
+			s.do(m0, 5, 1, kill("a/2", 0))
 			s.run(2.5)
 			s.is(m0, "a/0", 1, "ended stopped stored")
 			s.is(m0, "a/2", 1, "ended stopped")
@@ -224,7 +225,7 @@
 			s.do(m0, 5, 1, run("a/0", 1))
 			s.run(5)
 			s.token = 4
-			s.orders[m0] = []wire.Order{kill("a/0", 1, 0)}
+			s.orders[m0] = []wire.Order{kill("a/0", 0)}
 			s.run(10)
 			s.is(m0, "a/0", 1, "running")
 			s.run(12)
@@ -280,7 +281,7 @@
 		{"before the start a replacement with the same attempt completes it", func(s *stage) {
 			s.do(m0, 5, 1, run("g/0", 1))
 			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 1, 0))
+			s.do(m0, 5, 1, kill("g/0", 0))
 			s.do(m1, 5, 1, run("g/1", 1))
 			s.run(5)
 			s.is(m1, "g/1", 1, "waiting")
@@ -306,8 +307,8 @@
 		}},
 		{"an orderly stop saves all of its progress", func(s *stage) {
 			gang(s)
-			s.do(m0, 5, 1, kill("g/0", 1, 5))
-			s.do(m1, 5, 1, kill("g/1", 1, 5))
+			s.do(m0, 5, 1, kill("g/0", 5))
+			s.do(m1, 5, 1, kill("g/1", 5))
 			s.run(4)
 			s.is(m0, "g/0", 1, "ended stopped stored")
 			s.is(m1, "g/1", 1, "ended stopped stored")
@@ -318,7 +319,7 @@
 		{"tasks that are not told in time exit, and the save fails", func(s *stage) {
 			gang(s)
 			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 1, 5))
+			s.do(m0, 5, 1, kill("g/0", 5))
 			s.run(9)
 			s.is(m1, "g/1", 1, "ended mates_gone")
 			if got := s.task(m0, "g/0", 1); got == "ended stopped stored" {
@@ -331,7 +332,7 @@
 		{"with too little grace it falls back to the last checkpoint", func(s *stage) {
 			gang(s)
 			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 1, 1))
+			s.do(m0, 5, 1, kill("g/0", 1))
 			s.run(5)
 			s.is(m0, "g/0", 1, "ended stopped")
 			s.is(m1, "g/1", 1, "ended mates_gone")
@@ -341,7 +342,7 @@
 			s.run(5)
 			m := s.w.cloud.machine(m0)
 			m.hang()
-			s.do(m0, 5, 1, kill("a/0", 1, 0))
+			s.do(m0, 5, 1, kill("a/0", 0))
 			s.run(8)
 			m.resume()
 			s.run(1)
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -352,7 +352,7 @@
 func (g *gang) taskLost(t *task, why string) {
 	t.gang = nil
 	g.tasks = slices.DeleteFunc(g.tasks, func(o *task) bool { return o == t })
-	if why != "done" && !(why == "stopped" && t.saved) {
+	if why != "done" && (why != "stopped" || !t.saved) {
 		g.fail()
 	}
 	if len(g.tasks) == 0 {
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -22,7 +22,7 @@
 
 // askController asks a controller, past the balancer.
 func (f *loadBalancer) askController(n *controller, op, job string, request any, done func(AskAnswer, wire.JobAnswer)) {
-	most := int64(submitTimeout)
+	most := submitTimeout
 	if op == history.Poll {
 		most = pollTimeout
 	}
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -1,5 +1,6 @@
-// Package fake drives the emulated world and real controllers' cores in fake
-// time: no sockets, no goroutines, and with one seed the same history.
+// Package faketime runs the emulated environment and the cores of real controllers in
+// simulated time: without sockets and goroutines, so that a seed always gives the same
+// history.
 package faketime
 
 import (
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -116,11 +116,11 @@
 }
 
 // play plays it.
-func (d *day) play(t testing.TB, begin func(*Cluster)) *Cluster {
-	t.Helper()
+func (d *day) play(tb testing.TB, begin func(*Cluster)) *Cluster {
+	tb.Helper()
 	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.missing, OnStart: begin})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return c
 }
@@ -135,21 +135,21 @@
 
 // whole plays a day on which every rule has to hold, and everything that was
 // accepted to come to its end.
-func (d *day) whole(t testing.TB) *Cluster {
-	t.Helper()
-	c := d.play(t, nil)
-	keeps(t, c)
+func (d *day) whole(tb testing.TB) *Cluster {
+	tb.Helper()
+	c := d.play(tb, nil)
+	keeps(tb, c)
 	return c
 }
 
 // keeps fails a day that broke a rule, or did not bring to its end what was accepted.
-func keeps(t testing.TB, c *Cluster) {
-	t.Helper()
+func keeps(tb testing.TB, c *Cluster) {
+	tb.Helper()
 	for _, b := range breaches(c) {
-		t.Error(b)
+		tb.Error(b)
 	}
 	if l := c.Environment.Unfinished(); len(l) > 0 {
-		t.Errorf("not over at the end: %v", l)
+		tb.Errorf("not over at the end: %v", l)
 	}
 }
 
@@ -166,10 +166,10 @@
 	return 3
 }
 
-// inTurn befalls one controller after the other.
-func inTurn(kind string, from, each, forS int64) (l []fault) {
+// inTurn lets a fault happen to one controller after the other, from 50 s on.
+func inTurn(kind string, each, forS int64) (l []fault) {
 	for i := range int64(3) {
-		l = append(l, at(from+i*each, kind, forS, environment.ControllerName(int(i))))
+		l = append(l, at(50+i*each, kind, forS, environment.ControllerName(int(i))))
 	}
 	return l
 }
@@ -191,10 +191,10 @@
 	{name: "state outage", faults: []fault{at(60, "state_outage", 15)}},
 	{name: "state outage longer than hold and lease", faults: []fault{at(60, "state_outage", 45)}},
 	{name: "all crash in a state outage", faults: []fault{at(60, "state_outage", 15), at(65, "crash", 0)}},
-	{name: "the state service refuses one after the other", faults: inTurn("state_refuse", 50, 45, 40)},
+	{name: "the state service refuses one after the other", faults: inTurn("state_refuse", 45, 40)},
 	{name: "the state service is slow", faults: []fault{{At: 50 * second, Duration: 60 * second, Kind: "state_slow", Factor: 100}}},
-	{name: "each is cut in turn", faults: inTurn("cut", 50, 35, 30)},
-	{name: "each stands still in turn", faults: inTurn("freeze", 50, 50, 40)},
+	{name: "each is cut in turn", faults: inTurn("cut", 35, 30)},
+	{name: "each stands still in turn", faults: inTurn("freeze", 50, 40)},
 	{name: "controllers cannot reach each other", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"controllers"}, PartitionMode: environment.PartitionMode{Reset: true}}}},
 	{name: "a zone is cut off", faults: []fault{at(60, "cut", 40, "zone:a")}},
 	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
@@ -247,8 +247,8 @@
 		{name: "limits fall in a take-over", faults: []fault{limits, at(69, "crash", 0), at(120, "crash", 0, "node-0")}},
 		{name: "crashes", faults: []fault{limits, at(60, "crash", 0, "node-0"), at(90, "crash", 0, "node-1"), at(130, "crash", 0)}},
 		{name: "state outage", faults: []fault{limits, at(80, "state_outage", 45)}},
-		{name: "each is refused in turn", faults: append(inTurn("state_refuse", 50, 45, 40), limits)},
-		{name: "each is cut in turn", faults: append(inTurn("cut", 50, 35, 30), limits)},
+		{name: "each is refused in turn", faults: append(inTurn("state_refuse", 45, 40), limits)},
+		{name: "each is cut in turn", faults: append(inTurn("cut", 35, 30), limits)},
 		{name: "answers are lost", loss: 0.05, faults: []fault{limits, at(100, "crash", 0, "node-1")}},
 	}
 	for i, tc := range cases {
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -20,8 +20,9 @@
 	var mu sync.Mutex
 	told := 0
 	day := func(t *testing.T, size int, lose string, back bool) {
+		t.Helper()
 		t.Parallel()
-		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 2, 20)})
+		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 20)})
 		d.Params.Size, d.Length = size, 420*second
 		long := wire.Job{Class: "p", Team: "blue", Kind: wire.Array, Tasks: 3, CPUs: 1, MemGB: 0.5, Priority: "urgent", Image: "im-p", ImageGB: 0.5, EstimateS: 200}
 		first, behind := long, long
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -82,14 +82,15 @@
 }
 
 // mixed is a day with a third of the kinds of load, by its number.
-func mixed(t testing.TB, i int, seed uint64) *day {
+func mixed(tb testing.TB, i int, seed uint64) *day {
+	tb.Helper()
 	d := small(seed)
 	switch i % 3 {
 	case 1:
 		d.piped(8)
 		d.tighten()
 	case 2:
-		d = sweeping(t, seed, environment.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: forecast("rain", 40, 2, 40)})
+		d = sweeping(tb, seed, environment.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: forecast("rain", 40, 40)})
 	}
 	d.Length = 500 * second
 	d.Faults, d.AnswerLoss = cases[i].faults, cases[i].loss
--- a/internal/emulator/faketime/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -51,7 +51,7 @@
 					})
 					for id, want := range known {
 						send(id, func(r core.Reply) {
-							if r.Status != 200 || r.Job == nil || r.Job.State != want && !(want == core.Queued && r.Job.State == core.Running) {
+							if r.Status != 200 || r.Job == nil || r.Job.State != want && (want != core.Queued || r.Job.State != core.Running) {
 								t.Errorf("%s, %s of %s: %d %+v, want %s", n.name, o.Reason, id, r.Status, r.Job, want)
 							}
 						})
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -16,41 +16,42 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// forecast is the text of a sweep of a times b sets; each fit awaits its clean-up.
-func forecast(id string, a, b, pending int) string {
+// forecast is the text of a sweep of a times two sets; the second of each pair depends on the first.
+func forecast(id string, a, pending int) string {
 	return fmt.Sprintf(`id: %q pending: %d
 		job { herd: "s" steward: "red" shape: "sweep" urgency: "normal" vcpus: 1 mem_gb: 1 seedstock: "im-s" pull_gb: 0.5 }
 		set { field: "hands" is: "1 + a %% 3" }
 		set { field: "expect_s" is: "4 + b" }
 		set { field: "awaits" is: "[run(b=0)] if b == 1 else []" }
-		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: %d } }`, id, pending, a, b-1)
+		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, a)
 }
 
 // sweeping is a small day with a sweep and some other work.
-func sweeping(t testing.TB, seed uint64, s environment.Sweep) *day {
+func sweeping(tb testing.TB, seed uint64, s environment.Sweep) *day {
+	tb.Helper()
 	d := small(seed)
 	d.ops.Sweeps = true
 	d.Jobs = d.Jobs[:6]
-	d.Sweeps = []environment.Sweep{expand(t, s)}
+	d.Sweeps = []environment.Sweep{expand(tb, s)}
 	return d
 }
 
 // expand fills in the runs of a sweep.
-func expand(t testing.TB, s environment.Sweep) environment.Sweep {
-	t.Helper()
+func expand(tb testing.TB, s environment.Sweep) environment.Sweep {
+	tb.Helper()
 	s, err := scenario.Expand(s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
 // accountFor plays a day to its end and checks that each run of its sweeps came to
 // one end, told the same by every controller.
-func accountFor(t *testing.T, d *day, begin func(*Cluster)) (c *Cluster, over string) {
+func accountFor(t *testing.T, d *day, begin func(*Cluster)) (over string) {
 	t.Helper()
 	var listed [][]core.SweepRun
-	c = d.play(t, func(c *Cluster) {
+	c := d.play(t, func(c *Cluster) {
 		if begin != nil {
 			begin(c)
 		}
@@ -80,7 +81,7 @@
 	if len(wrong) > 0 {
 		t.Errorf("%s", strings.Join(wrong[:min(len(wrong), 12)], "\n"))
 	}
-	return c, over
+	return over
 }
 
 // pages asks a controller for all runs of a sweep and calls f with them.
@@ -195,7 +196,7 @@
 		for seed := range seeds() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := sweeping(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 2, 40)})
+				d := sweeping(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 40)})
 				d.Length = 500 * second
 				if tc.tight {
 					d.tighten()
@@ -204,7 +205,7 @@
 					d.Faults = tc.faults(seed)
 				}
 				d.AnswerLoss = tc.loss
-				_, over := accountFor(t, d, nil)
+				over := accountFor(t, d, nil)
 				if tc.cancel == 0 && over != wire.Done {
 					t.Errorf("it is %q", over)
 				}
@@ -221,12 +222,12 @@
 	if raceEnabled || testing.Short() {
 		pairs, length = 300, 700 // it is the same code, many times as slow
 	}
-	d := sweeping(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 2, 100)})
+	d := sweeping(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 100)})
 	d.tighten()
 	d.up(30)
 	d.Length = length * second
 	d.Faults = []fault{at(20, "state_limits", 0), at(90, "crash", 0), at(120, "crash", 0, "node-0"), at(150, "crash", 0)}
-	if _, over := accountFor(t, d, nil); over != wire.Done {
+	if over := accountFor(t, d, nil); over != wire.Done {
 		t.Errorf("it is %q", over)
 	}
 }
@@ -239,7 +240,7 @@
 		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
 	}
 	day := func() *day {
-		d := sweeping(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 2, 8)})
+		d := sweeping(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 8)})
 		d.Length = 240 * second
 		return d
 	}
@@ -255,7 +256,7 @@
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			_, over := accountFor(t, day(), func(c *Cluster) {
+			over := accountFor(t, day(), func(c *Cluster) {
 				n, last := 0, int64(0)
 				c.OnEvent = func(e history.Event) {
 					if !about(e) || e.At == last {
@@ -333,7 +334,7 @@
 						spec := wire.Job{ID: fmt.Sprintf("job-%03d", k), Class: "c", Image: "i", Priority: "normal", Team: "blue", Kind: wire.Array, Tasks: 1, CPUs: 0.5, EstimateS: 1}
 						d.Jobs = append(d.Jobs, job{At: 20*second + int64(k)*d.Length/260, Run: second, Spec: spec})
 					}
-					s := expand(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 2, 400)})
+					s := expand(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 400)})
 					switch as {
 					case "sweep":
 						d.Sweeps = []environment.Sweep{s}
--- a/internal/emulator/faketime/writes_test.go
+++ b/internal/emulator/faketime/writes_test.go
@@ -96,7 +96,7 @@
 	first.missing = true
 	first.Faults = []fault{at(60, "crash", 0)}
 	play(first)
-	sweeps := sweeping(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: forecast("rain", 40, 2, 40)})
+	sweeps := sweeping(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: forecast("rain", 40, 40)})
 	play(sweeps)
 	for _, k := range writes {
 		if k.keys != "gone/" && met[k.keys] == 0 { // operators write it, see TestSetGone
--- a/internal/emulator/faultcombos/faultcombos.go
+++ b/internal/emulator/faultcombos/faultcombos.go
@@ -1,8 +1,8 @@
-// Package troubles enumerates what may go wrong beside crashes and cuts:
-// machines that are heard and do not hear, copies of reports that come late,
-// controllers that only workers reach, and processes and machines that are back
-// at once. Each is played in fake time, alone and in pairs, with something else
-// inside, on a day with every kind of job, and judged by all rules.
+// Package faultcombos enumerates combinations of faults beside crashes and partitions:
+// one-way partitions of machines, delayed copies of heartbeats, controllers that only
+// workers can reach, and processes and machines that restart at once. Each fault runs in
+// simulated time, alone and in pairs, with a further fault inside, under a load with every
+// kind of job, and the history is checked against all rules.
 package faultcombos
 
 import (
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"net/http"
 	"slices"
 
 	"github.com/anishathalye/porcupine"
@@ -208,10 +209,10 @@
 
 // reportedState is the state that an answer tells.
 func reportedState(a operationOutput) int {
-	switch {
-	case a.status == 404:
+	switch a.status {
+	case http.StatusNotFound:
 		return jobAbsent
-	case a.status == 0:
+	case 0:
 		return stateUnknown
 	}
 	switch a.state {
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -1,8 +1,8 @@
-// Package gaps enumerates days on which the state service refuses the leader
-// alone, users are told of cancellations by other controllers, and then the state
-// service is down for all, for up to three times as long as a cancellation may
-// take. They are played in fake time and judged by all rules; and what was not
-// cancelled is to go on running, as far as that can be.
+// Package outages enumerates runs in which the state service refuses the leader alone, other
+// controllers confirm cancellations to users, and then the state service is down for all,
+// for up to three times as long as a cancellation may take. They run in simulated time, and
+// their histories are checked against all rules; jobs that were not cancelled have to keep
+// running as far as that is possible.
 package outages
 
 import (
@@ -146,7 +146,7 @@
 // second before a long outage, by writes that get no answer if unanswered is set.
 func ManyJobs(size, jobs int, unanswered bool) Case {
 	m := cancelTimings[1]
-	m.interval = int64(outageDelay) / 2 / int64(jobs)
+	m.interval = outageDelay / 2 / int64(jobs)
 	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], quarters: 8, Jobs: jobs}
 	if unanswered {
 		c.writeLoss = &environment.TransactionLoss{Outcome: "after"}
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -1,5 +1,6 @@
-// Package cuts enumerates cuts between hosts that leave some links up, plays
-// each in fake time, and says whether the service went on as far as it could.
+// Package partitions enumerates partial network partitions, in which some links of a
+// controller stay up, runs each in simulated time, and tells whether the service went on
+// as far as it could.
 package partitions
 
 import (
--- a/internal/emulator/scale/report.go
+++ b/internal/emulator/scale/report.go
@@ -11,12 +11,9 @@
 	"text/tabwriter"
 )
 
-// Roles in the order in which they are told of.
+// roleOrder is the order in which roles are printed.
 var roleOrder = []string{RoleLeader, RoleStandBy, RoleBusiest, RoleState, RoleCloud, RoleSharedWorkers, RoleDedicated, RoleEmulator}
 
-// RoleNames are the roles in the order in which they are told of.
-func RoleNames() []string { return slices.Clone(roleOrder) }
-
 // Total is what a role has of all kinds of messages with a prefix.
 func (r Role) Total(prefix string) (sum Rate) {
 	for kind, x := range r.Kinds {
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -38,10 +38,10 @@
 	Out io.Writer
 }
 
-// ErrMemory: the processes of a run have grown over their limit.
+// ErrMemory is returned if the processes of a run grow beyond their memory limit.
 var ErrMemory = errors.New("the run holds more than half of the machine's memory")
 
-// ErrStopped: the run was ended before its time.
+// ErrStopped is returned if a run is interrupted before its end.
 var ErrStopped = errors.New("the run was ended")
 
 // maxTimerLateness is how late the timers of workers may run, at the 99th percentile and in
--- a/internal/emulator/scale/scale_test.go
+++ b/internal/emulator/scale/scale_test.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"errors"
 	"io"
 	"os"
 	"os/exec"
@@ -210,7 +211,7 @@
 	}
 	stop := make(chan struct{})
 	close(stop)
-	if _, err := Run(p, Options{Dir: dir, Port: 17700, Binaries: []string{binary}, Workers: []string{os.Args[0]}, Out: io.Discard}, stop); err != ErrStopped {
+	if _, err := Run(p, Options{Dir: dir, Port: 17700, Binaries: []string{binary}, Workers: []string{os.Args[0]}, Out: io.Discard}, stop); !errors.Is(err, ErrStopped) {
 		t.Errorf("ended before its time: %v", err)
 	}
 }
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -15,7 +15,7 @@
 	cases := []struct{ text, wants string }{
 		{least, ""},
 		{least + `length_s: -1`, "length_s: -1"},
-		{least + `lenght_s: 1`, "lenght_s"},
+		{least + `len_s: 1`, "len_s"},
 		{least + `controllers { count: 99 }`, "controllers.count: 99"},
 		{least + `workers { lease_s: 40 cancel_s: 30 }`, "workers.cancel_s: 30 leaves no time"},
 		{`team { name: "t" }`, "machine_type: at least one"},
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -171,33 +171,33 @@
 		return n, err == nil
 	}
 	switch {
-	case r.Method == "GET" && strings.HasPrefix(path, "/kv/"):
+	case r.Method == http.MethodGet && strings.HasPrefix(path, "/kv/"):
 		return wire.Get{Key: path[len("/kv/"):]}
-	case r.Method == "GET" && path == "/kv":
+	case r.Method == http.MethodGet && path == "/kv":
 		if n, ok := num("most", 1000); ok {
 			return wire.List{Prefix: v.Get("starts"), After: v.Get("after"), Limit: int(n)}
 		}
-	case r.Method == "GET" && path == "/watch":
+	case r.Method == http.MethodGet && path == "/watch":
 		after, ok := num("after", 0)
 		wait, ok2 := num("wait_ms", 0)
 		if ok && ok2 {
 			return wire.Watch{Prefix: v.Get("starts"), After: after, WaitMS: int64(wait)}
 		}
-	case r.Method == "POST" && path == "/multi":
+	case r.Method == http.MethodPost && path == "/multi":
 		var m wire.Transaction
 		if decode(r, &m) {
 			return m
 		}
-	case r.Method == "POST" && path == "/leases":
+	case r.Method == http.MethodPost && path == "/leases":
 		var m wire.NewLease
 		if decode(r, &m) {
 			return m
 		}
-	case r.Method == "POST" && strings.HasSuffix(path, "/touch"):
+	case r.Method == http.MethodPost && strings.HasSuffix(path, "/touch"):
 		if n, ok := lease(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch")); ok {
 			return wire.RenewLease{Lease: n}
 		}
-	case r.Method == "DELETE" && strings.HasPrefix(path, "/leases/"):
+	case r.Method == http.MethodDelete && strings.HasPrefix(path, "/leases/"):
 		if n, ok := lease(strings.TrimPrefix(path, "/leases/")); ok {
 			return wire.RevokeLease{Lease: n}
 		}
@@ -389,12 +389,12 @@
 	op, job := "", ""
 	var jobs []wire.Job
 	switch parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/"); {
-	case r.URL.Path == "/work" && r.Method == "POST":
+	case r.URL.Path == "/work" && r.Method == http.MethodPost:
 		var j wire.Job
 		if json.Unmarshal(body, &j) == nil && j.ID != "" && j.Tasks > 0 {
 			op, job, jobs = history.Submit, j.ID, []wire.Job{j}
 		}
-	case r.URL.Path == "/sweeps" && r.Method == "POST":
+	case r.URL.Path == "/sweeps" && r.Method == http.MethodPost:
 		if s, err := scenario.Expand(environment.Sweep{Text: string(body)}); err == nil {
 			jobs = s.Jobs
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -186,7 +186,7 @@
 		var a wire.JobAnswer
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		_ = resp.Body.Close()
-		if err != nil || resp.StatusCode != 200 || a.State != wire.Done && a.State != wire.Cancelled {
+		if err != nil || resp.StatusCode != http.StatusOK || a.State != wire.Done && a.State != wire.Cancelled {
 			continue
 		}
 		r.update(func(t *Totals) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,12 +28,12 @@
 		mu.Unlock()
 		switch {
 		case strings.HasPrefix(j.ID, "bad"):
-			w.WriteHeader(422)
+			w.WriteHeader(http.StatusUnprocessableEntity)
 		case strings.HasPrefix(j.ID, "again") && n == 1:
 			w.Header().Set("Retry-After", "1")
-			w.WriteHeader(503)
-		case r.Method == "POST":
-			w.WriteHeader(201)
+			w.WriteHeader(http.StatusServiceUnavailable)
+		case r.Method == http.MethodPost:
+			w.WriteHeader(http.StatusCreated)
 		default:
 			_ = json.NewEncoder(w).Encode(wire.JobAnswer{ID: id, State: map[bool]string{true: wire.Cancelled, false: wire.Done}[strings.Contains(id, "gone")]})
 		}
