--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -6,7 +6,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
@@ -24,18 +23,17 @@
 // tickInterval is how often a controller's core gets a tick.
 const tickInterval = 50_000
 
-// startOfDay is the time of day at which days begin.
+// startOfDay is the time of day at which a run begins.
 const startOfDay = 1_000_000 * second
 
-// Options are what a driver adds to a world.
+// Options are what a run adds to the configuration of the environment.
 type Options struct {
 	Operators config.Operators
-	// OneMissing: the settings name one more controller, which is never there.
+	// OneMissing adds a controller to the settings that never starts.
 	OneMissing bool
 	// Programs, if set, is what a controller runs from its epoch-th start on.
 	Programs func(node, epoch int) upgrade.Program
-	// Legacy, if set, says which controllers run a program from before they
-	// vouched for what they tell users.
+	// Legacy, if set, says which controllers run a program without read leases.
 	Legacy func(node string) bool
 	// OnStart, if set, is called before anything happens.
 	OnStart func(*Cluster)
@@ -43,52 +41,37 @@
 	OnEvent func(history.Event)
 	// OnTransaction, if set, is called with each transaction that a controller sends.
 	OnTransaction func(core.CommitTransaction)
-	// OnQuery, if set, is called with each question of a follower to a leader, and Shows
-	// with its end, which it may change.
-	OnQuery    func(node string, q core.ReadFromLeader)
-	OnQueryEnd func(node string, s *core.LeaderReadDone)
+	// OnQuery, if set, is called with each read of a follower from the leader, and
+	// OnQueryEnd with its result, which it may change.
+	OnQuery    func(node string, query core.ReadFromLeader)
+	OnQueryEnd func(node string, result *core.LeaderReadDone)
 	// OnProgress, if set, is called every simulated minute.
 	OnProgress func(now int64)
-	Log        *slog.Logger
+	// Log, if set, gets what the controllers log.
+	Log *slog.Logger
 }
 
-// Cluster is a world with its controllers.
+// Cluster is an environment with its controllers.
 type Cluster struct {
 	Options
 	Environment *environment.Environment
 	Config      environment.Config
 	Controllers []*Controller
-	// History is all that has happened.
+	// History is every event so far.
 	History []history.Event
 	now     int64
 	timers  environment.Timers
 	rng     *rand.Rand
 }
 
-// Controller is a controller.
-type Controller struct {
-	cluster     *Cluster
-	name        string
-	index       int
-	core        *core.Core
-	up          bool
-	frozen      bool
-	deferred    []func()
-	epoch       int
-	clockOffset int64 // how far its time of day is off
-	replies     map[uint64]func(core.Reply)
-	calls       map[uint64]func(int, any)
-	nextID      uint64
-}
-
-// Run plays a world from its beginning to its length.
-func Run(cfg environment.Config, o Options) (*Cluster, error) {
-	c := &Cluster{Options: o, Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
+// Run runs a cluster from its start to the configured length.
+func Run(cfg environment.Config, options Options) (*Cluster, error) {
+	c := &Cluster{Options: options, Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	c.Log = slog.New(simulatedTimeHandler{c.Log.Handler(), c})
-	w, err := environment.New(cfg, func(e history.Event) {
+	env, err := environment.New(cfg, func(e history.Event) {
 		c.History = append(c.History, e)
 		if c.OnEvent != nil {
 			c.OnEvent(e)
@@ -97,27 +80,40 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Environment = w
-	off := int64(cfg.Params.ClockErrorMS * 1000)
-	for i := range cfg.Params.Size {
+	c.Environment = env
+	c.startControllers()
+	if c.OnStart != nil {
+		c.OnStart(c)
+	}
+	c.runTimers()
+	env.Close()
+	return c, nil
+}
+
+// startControllers starts all controllers, each with a clock that is a little off.
+func (c *Cluster) startControllers() {
+	maxClockError := int64(c.Config.Params.ClockErrorMS * 1000)
+	for i := range c.Config.Params.Size {
 		n := &Controller{cluster: c, name: environment.ControllerName(i), index: i}
-		if off > 0 {
-			n.clockOffset = c.rng.Int64N(off+1) - off/2
+		if maxClockError > 0 {
+			n.clockOffset = c.rng.Int64N(maxClockError+1) - maxClockError/2
 		}
 		c.Controllers = append(c.Controllers, n)
 		c.Start(n)
 	}
-	if o.OnStart != nil {
-		o.OnStart(c)
-	}
+}
+
+// runTimers advances the time from one timer to the next until the configured length. At
+// the same time those of the environment come before the cluster's own.
+func (c *Cluster) runTimers() {
 	for minute := int64(0); ; {
 		at, ok := c.timers.Next()
 		own := ok
-		if t, there := w.Next(); there && (!ok || t <= at) {
-			at, ok, own = t, true, false
+		if envAt, envOK := c.Environment.Next(); envOK && (!ok || envAt <= at) {
+			at, ok, own = envAt, true, false
 		}
-		if !ok || at > cfg.Length {
-			break
+		if !ok || at > c.Config.Length {
+			return
 		}
 		c.now = max(c.now, at)
 		if own {
@@ -130,11 +126,9 @@
 			c.OnProgress(c.now)
 		}
 	}
-	w.Close()
-	return c, nil
 }
 
-// simulatedTimeHandler gives what is logged the time of the day that is played.
+// simulatedTimeHandler gives log records the simulated time.
 type simulatedTimeHandler struct {
 	slog.Handler
 	cluster *Cluster
@@ -149,35 +143,35 @@
 	return simulatedTimeHandler{h.Handler.WithAttrs(a), h.cluster}
 }
 
-// Now is the present.
+// Now is the simulated time.
 func (c *Cluster) Now() int64 { return c.now }
 
 // After calls f after a time.
 func (c *Cluster) After(d int64, f func()) { c.timers.Add(c.now+d, f) }
 
-// Leaders are the controllers that take themselves for the leader, the one with
-// the highest token last.
-func (c *Cluster) Leaders() (l []string) {
+// Leaders are the controllers that consider themselves the leader, the one with the highest
+// fencing token last.
+func (c *Cluster) Leaders() (leaders []string) {
 	tokens := map[string]uint64{}
 	for _, n := range c.Controllers {
 		n.Request(func(req uint64) any { return core.QueryOperatorView{RequestID: req} }, func(r core.Reply) {
 			if r.Ops != nil && r.Ops.Leading {
-				l, tokens[n.name] = append(l, n.name), r.Ops.FencingToken
+				leaders, tokens[n.name] = append(leaders, n.name), r.Ops.FencingToken
 			}
 		})
 	}
-	slices.SortFunc(l, func(a, b string) int { return cmp.Compare(tokens[a], tokens[b]) })
-	return l
+	slices.SortFunc(leaders, func(a, b string) int { return cmp.Compare(tokens[a], tokens[b]) })
+	return leaders
 }
 
-// InjectFault lets a fault happen now.
+// InjectFault begins a fault now.
 func (c *Cluster) InjectFault(f environment.Fault) error {
 	err := c.Environment.InjectFault(f)
 	c.step(nil)
 	return err
 }
 
-// DeliverHeldReports lets the copies of reports that are kept for the next leader arrive now.
+// DeliverHeldReports delivers the copies of heartbeats that are held back for the next leader.
 func (c *Cluster) DeliverHeldReports() {
 	c.Environment.DeliverHeldReports()
 	c.step(nil)
@@ -189,15 +183,14 @@
 	for i := range names {
 		names[i] = environment.ControllerName(i)
 	}
-	if l := c.Leaders(); len(l) > 0 {
-		i := slices.Index(names, l[len(l)-1])
+	if leaders := c.Leaders(); len(leaders) > 0 {
+		i := slices.Index(names, leaders[len(leaders)-1])
 		names[0], names[i] = names[i], names[0]
 	}
 	return names
 }
 
-// ScheduleFaults lets faults happen, each its At from now. The first that can't is
-// noted in failed.
+// ScheduleFaults injects faults, each its At from now, and keeps the first error in failed.
 func (c *Cluster) ScheduleFaults(failed *error, faults ...environment.Fault) {
 	for _, f := range faults {
 		c.After(f.At, func() {
@@ -208,10 +201,10 @@
 	}
 }
 
-// Expectations are what the rules are judged by.
+// Expectations are what the rules are checked against.
 func (c *Cluster) Expectations() history.Expectations { return c.Config.Expectations() }
 
-// step brings a message to the world, and what it returns to controllers.
+// step gives the environment a message and carries out the effects that it returns.
 func (c *Cluster) step(msg any) {
 	for _, e := range c.Environment.Step(c.now, msg) {
 		switch e := e.(type) {
@@ -237,128 +230,3 @@
 	}
 	return nil
 }
-
-// Start starts a controller's process.
-func (c *Cluster) Start(n *Controller) {
-	n.up, n.frozen, n.deferred = true, false, nil
-	n.epoch++
-	n.replies, n.calls = map[uint64]func(core.Reply){}, map[uint64]func(int, any){}
-	set := core.Settings{Name: n.name, Deployment: c.Config.Params, Ops: c.Operators, Incarnation: fmt.Sprintf("%s-%d", n.name, n.epoch)}
-	for i := range c.Config.Params.Size {
-		if i != n.index {
-			set.Peers = append(set.Peers, environment.ControllerName(i))
-		}
-	}
-	if c.Programs != nil {
-		p := c.Programs(n.index, n.epoch)
-		set.Program = &p
-	}
-	if c.OneMissing {
-		set.Peers = append(set.Peers, "missing")
-	}
-	n.core = core.New(set, c.now+1, rand.New(rand.NewPCG(c.Config.Seed, uint64(n.index*1000+n.epoch))), c.Log.With("node", n.name))
-	c.step(environment.ControllerUp{Controller: n.name, Up: true})
-	n.tick(n.epoch)
-}
-
-// Kill ends it.
-func (c *Cluster) Kill(n *Controller) {
-	n.up = false
-	n.epoch++
-	c.step(environment.ControllerUp{Controller: n.name})
-}
-
-func (n *Controller) tick(epoch int) {
-	if n.epoch != epoch || !n.up {
-		return
-	}
-	if !n.frozen {
-		n.step(core.Tick{TimeOfDay: n.cluster.now + startOfDay + n.clockOffset})
-	}
-	n.cluster.After(tickInterval, func() { n.tick(epoch) })
-}
-
-func (n *Controller) freeze(on bool) {
-	n.frozen = on
-	if !on {
-		held := n.deferred
-		n.deferred = nil
-		for _, f := range held {
-			f()
-		}
-	}
-}
-
-// runUnlessEnded calls f unless the process has ended since, or later if it stands still.
-func (n *Controller) runUnlessEnded(epoch int, f func()) {
-	switch {
-	case !n.up || n.epoch != epoch:
-	case n.frozen:
-		n.deferred = append(n.deferred, func() { n.runUnlessEnded(epoch, f) })
-	default:
-		f()
-	}
-}
-
-// legacy says whether it runs a program from before controllers vouched: it does
-// not read what that takes, and does not say it.
-func (n *Controller) legacy() bool { return n.cluster.Legacy != nil && n.cluster.Legacy(n.name) }
-
-func (n *Controller) step(msg any) {
-	for _, e := range n.core.Step(n.cluster.now+1, msg) {
-		n.execute(e)
-	}
-}
-
-// Request asks a controller directly, past the world.
-func (n *Controller) Request(build func(req uint64) any, reply func(core.Reply)) {
-	n.nextID++
-	n.replies[n.nextID] = reply
-	n.step(build(n.nextID))
-}
-
-// call sends a request into the world; f gets status 0 if no answer comes in
-// time.
-func (n *Controller) call(to string, request any, timeout int64, f func(status int, body any)) {
-	c, epoch := n.cluster, n.epoch
-	n.nextID++
-	id := uint64(n.index)<<48 | uint64(n.epoch)<<32 | n.nextID
-	n.calls[id] = f
-	c.After(timeout, func() {
-		n.runUnlessEnded(epoch, func() { n.finishCall(id, 0, nil) })
-	})
-	c.step(environment.Call{ID: id, From: n.name, To: to, Request: request})
-}
-
-func (n *Controller) finishCall(id uint64, status int, body any) {
-	if f := n.calls[id]; f != nil {
-		delete(n.calls, id)
-		f(status, body)
-	}
-}
-
-func (n *Controller) onAnswer(a environment.Answer) {
-	n.runUnlessEnded(n.epoch, func() { n.finishCall(a.ID, a.Status, a.Body) })
-}
-
-// onRequest is a request that has reached the controller.
-func (n *Controller) onRequest(a environment.Ask) {
-	if !n.up {
-		n.cluster.step(environment.AskAnswer{ID: a.ID})
-		return
-	}
-	n.runUnlessEnded(n.epoch, func() {
-		if q, ok := a.Request.(pingRequest); ok && n.legacy() {
-			q.Incarnation, q.Question, q.Cancellations = "", nil, nil
-			a.Request = q
-		}
-		build, bad := toCoreMessage(a.Request)
-		if bad != nil {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: bad.Status, RetryAfter: bad.RetryAfter})
-			return
-		}
-		n.Request(build, func(r core.Reply) {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: r.Status, RetryAfter: r.RetryAfter, Body: responseBody(a.Request, r)})
-		})
-	})
-}
--- /dev/null
+++ b/internal/emulator/faketime/messages.go
@@ -0,0 +1,183 @@
+package faketime
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"github.com/zinclb/zinclb/internal/api"
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+	"github.com/zinclb/zinclb/internal/peer"
+)
+
+// errNoAnswer stands for a request without a response.
+var errNoAnswer = errors.New("no answer")
+
+// refusedError is the status of a response that declines the request.
+type refusedError int
+
+func (r refusedError) Error() string { return "refused" }
+
+// Refused reports that the other side can be reached.
+func (r refusedError) Refused() bool { return true }
+
+// statusError is the error that a response's status stands for.
+func statusError(status int) error {
+	switch status {
+	case http.StatusOK:
+		return nil
+	case 0:
+		return errNoAnswer
+	}
+	return refusedError(status)
+}
+
+// pingRequest is a ping between controllers.
+type pingRequest struct {
+	from string
+	core.PingPeer
+}
+
+// coreMessage makes a message to a core of the number that its reply will have.
+type coreMessage func(requestID uint64) any
+
+// toCoreMessage turns a request that reaches a controller into a message to its core, or
+// into an immediate answer.
+func toCoreMessage(request any) (coreMessage, *core.Reply) {
+	switch q := request.(type) {
+	case *wire.Report:
+		heartbeat := coreReport(q)
+		return func(id uint64) any { return core.HeartbeatReceived{RequestID: id, Heartbeat: heartbeat} }, nil
+	case *wire.Job:
+		body, err := json.Marshal(q)
+		if err != nil {
+			panic(err) // plain structs always encode
+		}
+		return submissionMessage(body)
+	case wire.RawSubmission:
+		return submissionMessage(q.Body)
+	case wire.Sweep:
+		sweep, err := api.DecodeSweep([]byte(q.Text))
+		if err != nil {
+			return nil, &core.Reply{Status: http.StatusBadRequest}
+		}
+		return func(id uint64) any { sweep.RequestID = id; return sweep }, nil
+	case wire.Poll:
+		return func(id uint64) any { return core.QueryJob{RequestID: id, ID: q.ID} }, nil
+	case wire.Cancel:
+		return func(id uint64) any { return core.CancelJob{RequestID: id, ID: q.ID} }, nil
+	case wire.SweepPoll:
+		return func(id uint64) any { return core.QuerySweep{RequestID: id, ID: q.ID} }, nil
+	case wire.SweepCancel:
+		return func(id uint64) any { return core.CancelSweep{RequestID: id, ID: q.ID} }, nil
+	case wire.ReadyProbe:
+		return func(id uint64) any { return core.CheckReady{RequestID: id} }, nil
+	}
+	return peerMessage(request)
+}
+
+// submissionMessage is toCoreMessage for a job as a user sends it.
+func submissionMessage(body []byte) (coreMessage, *core.Reply) {
+	submission, err := api.DecodeSubmission(body)
+	if err != nil {
+		return nil, &core.Reply{Status: http.StatusBadRequest}
+	}
+	return func(id uint64) any { submission.RequestID = id; return submission }, nil
+}
+
+// peerMessage is toCoreMessage for requests of other controllers.
+func peerMessage(request any) (coreMessage, *core.Reply) {
+	switch q := request.(type) {
+	case pingRequest:
+		return func(id uint64) any {
+			return core.PingReceived{
+				RequestID: id, From: q.from, NeedMachines: q.NeedMachines, Incarnation: q.Incarnation,
+				Question: q.Question, Cancellations: q.Cancellations,
+			}
+		}, nil
+	case core.HeartbeatReceived:
+		return func(id uint64) any { q.RequestID = id; return q }, nil
+	case core.ForwardedSweep:
+		return forwardedSweepMessage(q)
+	}
+	if peer.Numbered(request, 0) == nil {
+		return nil, &core.Reply{Status: http.StatusNotFound}
+	}
+	return func(id uint64) any { return peer.Numbered(request, id) }, nil
+}
+
+// forwardedSweepMessage is toCoreMessage for a sweep that another controller forwards.
+func forwardedSweepMessage(q core.ForwardedSweep) (coreMessage, *core.Reply) {
+	submission := core.SubmitSweep{Plan: &core.SweepPlan{ID: q.ID}, Stored: q.Stored, Invalid: q.Invalid, Forwarded: true}
+	if q.Invalid == "" {
+		plan, err := api.UnpackSweep(q.Stored)
+		if err != nil {
+			return nil, &core.Reply{Status: http.StatusServiceUnavailable}
+		}
+		submission.Plan = plan
+	}
+	return func(id uint64) any { submission.RequestID = id; return submission }, nil
+}
+
+// responseBody is the body of the response to a request, made of the core's reply.
+func responseBody(request any, r core.Reply) any {
+	switch request.(type) {
+	case *wire.Report:
+		answer := wire.HeartbeatAnswer{Token: r.FencingToken, Leader: r.Leader}
+		for _, command := range r.Commands {
+			answer.Orders = append(answer.Orders, wireOrder(command))
+		}
+		return answer
+	case *wire.Job, wire.RawSubmission, wire.Poll, wire.Cancel, wire.Sweep, wire.SweepPoll, wire.SweepCancel:
+		switch {
+		case r.Job != nil:
+			return wire.JobAnswer{ID: r.Job.ID, State: api.JobStateName(r.Job.State), Done: r.Job.Done, Running: r.Job.Running}
+		case r.Sweep != nil:
+			return wire.JobAnswer{State: api.JobStateName(r.Sweep.State)}
+		}
+		return wire.JobAnswer{}
+	}
+	return r // to another controller
+}
+
+func wireOrder(o core.Command) wire.Order {
+	return wire.Order{Op: api.OrderVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
+}
+
+func coreReport(q *wire.Report) core.Heartbeat {
+	r := core.Heartbeat{
+		Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
+		Tasks: make([]core.TaskStatus, len(q.Tasks)),
+	}
+	if q.NoticeS != nil {
+		r.PreemptionNotice = int64(*q.NoticeS * 1e6)
+	}
+	for i, t := range q.Tasks {
+		r.Tasks[i] = api.NewTaskStatus(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
+	}
+	return r
+}
+
+// controllerReply is the reply of another controller, errNoAnswer if there is none.
+func controllerReply(body any) (core.Reply, error) {
+	if r, ok := body.(core.Reply); ok {
+		return r, nil
+	}
+	return core.Reply{}, errNoAnswer
+}
+
+func wireTransaction(e core.CommitTransaction) wire.Transaction {
+	var transaction wire.Transaction
+	for _, condition := range e.Conditions {
+		transaction.Conditions = append(transaction.Conditions, wire.Cond(condition))
+	}
+	for _, write := range e.Writes {
+		if write.Value == nil {
+			transaction.Writes = append(transaction.Writes, wire.Write{Remove: write.Key})
+		} else {
+			transaction.Writes = append(transaction.Writes, wire.Write{Put: write.Key, Value: write.Value, Lease: write.Lease})
+		}
+	}
+	return transaction
+}
--- /dev/null
+++ b/internal/emulator/faketime/state.go
@@ -0,0 +1,144 @@
+package faketime
+
+import (
+	"net/http"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// executeStateEffect starts a request to the state service; false if the effect is none.
+func (n *Controller) executeStateEffect(effect any) bool {
+	switch e := effect.(type) {
+	case core.ListState:
+		n.list(&core.StateListed{}, 0, "", e, 0)
+	case core.WatchState:
+		n.watch(e.AfterRevision, watchWait, watchTimeout, core.StateRead{SentAt: n.sentAt()})
+	case core.ReadState:
+		n.watch(e.AfterRevision, 0, watchTimeout-watchWait, core.StateRead{SentAt: n.sentAt(), Immediate: true, ForRequests: e.ForRequests})
+	case core.WatchLeader:
+		n.watchLeader(e)
+	case core.CommitTransaction:
+		n.commitTransaction(e)
+	case core.ReadKey:
+		n.readKey(e)
+	case core.GrantLease:
+		n.grantLease(e)
+	case core.RenewLease:
+		n.renewLease(e)
+	case core.RevokeLease:
+		n.call(environment.StateHost, wire.RevokeLease{Lease: e.Lease}, leaseTimeout, func(int, any) {})
+	default:
+		return false
+	}
+	return true
+}
+
+func (n *Controller) commitTransaction(e core.CommitTransaction) {
+	if n.cluster.OnTransaction != nil {
+		n.cluster.OnTransaction(e)
+	}
+	n.call(environment.StateHost, wireTransaction(e), commitTimeout, func(status int, body any) {
+		answer, _ := body.(wire.TransactionAnswer)
+		n.step(core.Committed{ID: e.ID, Status: status, Revision: answer.Revision, Failed: answer.Failed})
+	})
+}
+
+func (n *Controller) readKey(e core.ReadKey) {
+	n.call(environment.StateHost, wire.Get{Key: e.Key}, getTimeout, func(status int, body any) {
+		read := core.KeyRead{ID: e.ID, Key: e.Key}
+		if row, ok := body.(wire.Row); ok {
+			read.Value, read.Revision = row.Value, row.Stamp
+		} else if status != http.StatusNotFound {
+			read.Err = statusError(status)
+		}
+		n.step(read)
+	})
+}
+
+func (n *Controller) grantLease(e core.GrantLease) {
+	sent := n.sentAt()
+	n.call(environment.StateHost, wire.NewLease{DurationMS: e.TTL / 1000}, leaseTimeout, func(status int, body any) {
+		lease, _ := body.(wire.Lease)
+		n.step(core.LeaseGranted{Lease: lease.Lease, SentAt: sent, Err: statusError(status)})
+	})
+}
+
+func (n *Controller) renewLease(e core.RenewLease) {
+	sent := n.sentAt()
+	n.call(environment.StateHost, wire.RenewLease{Lease: e.Lease}, leaseTimeout, func(status int, _ any) {
+		renewed := core.LeaseRenewed{Lease: e.Lease, SentAt: sent, Expired: status == http.StatusNotFound}
+		if !renewed.Expired {
+			renewed.Err = statusError(status)
+		}
+		n.step(renewed)
+	})
+}
+
+// list reads the start prefixes, page by page, at the pace that is asked for. What has been
+// read is in listed; it goes on after a key of the prefix of an index.
+func (n *Controller) list(listed *core.StateListed, prefix int, after string, e core.ListState, pages int) {
+	if pages == e.AtOnce && prefix < len(core.StartPrefixes) {
+		n.callAfter(e.Gap, func() { n.list(listed, prefix, after, core.ListState{AtOnce: 1, Gap: e.Gap}, 0) })
+		return
+	}
+	if prefix == len(core.StartPrefixes) {
+		n.step(*listed)
+		return
+	}
+	request := wire.List{Prefix: core.StartPrefixes[prefix], After: after, Limit: core.ListPage}
+	n.call(environment.StateHost, request, listTimeout, func(status int, body any) {
+		page, ok := body.(wire.Page)
+		if status != http.StatusOK || !ok {
+			n.stepAfter(errorRetryDelay, core.StateListed{Err: statusError(status)})
+			return
+		}
+		if prefix == 0 && after == "" {
+			listed.Revision = page.Revision
+		}
+		for _, row := range page.Rows {
+			listed.Changes = append(listed.Changes, core.Change{Key: row.Key, Value: row.Value, Revision: row.Stamp})
+			after = row.Key
+		}
+		if page.More {
+			n.list(listed, prefix, after, e, pages+1)
+		} else {
+			n.list(listed, prefix+1, "", e, pages+1)
+		}
+	})
+}
+
+// watch asks for the changes after a revision, waits so long for the first, and gives the
+// core the result with what read has already.
+func (n *Controller) watch(after uint64, wait, timeout int64, read core.StateRead) {
+	n.call(environment.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, timeout, func(status int, body any) {
+		read.AfterRevision, read.Compacted = after, status == http.StatusGone
+		if answer, ok := body.(wire.WatchAnswer); ok {
+			read.Revision = answer.Revision
+			for _, change := range answer.Changes {
+				read.Changes = append(read.Changes, core.Change{Key: change.Key(), Value: change.Value, Revision: change.Stamp, Removed: change.Put == ""})
+			}
+		} else if !read.Compacted {
+			read.Err = statusError(status)
+		}
+		if read.Err != nil && !read.Immediate {
+			n.stepAfter(errorRetryDelay, read)
+			return
+		}
+		n.step(read)
+	})
+}
+
+func (n *Controller) watchLeader(e core.WatchLeader) {
+	n.call(environment.StateHost, wire.Watch{Prefix: core.LeaderKey, After: e.AfterRevision, WaitMS: watchWait / 1000}, watchTimeout, func(status int, body any) {
+		answer, _ := body.(wire.WatchAnswer)
+		watched := core.LeaderWatched{Changed: status == http.StatusGone || len(answer.Changes) > 0}
+		if status == http.StatusOK || status == http.StatusGone {
+			n.step(watched)
+			return
+		}
+		watched.Err = statusError(status)
+		n.stepAfter(errorRetryDelay, watched)
+	})
+}
