--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -7,73 +7,81 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// connectivityGap is how often the links are looked at.
-const connectivityGap = 200_000
-
-// maxStandstill is how late the next look has to come for this controller to have
-// stood still.
-const maxStandstill = 2 * second
+const (
+	// connectivityInterval is how often the links are evaluated.
+	connectivityInterval = 200_000
+	// maxPause is how late an evaluation has to come for this controller to have been
+	// suspended, so that its evidence on links is outdated.
+	maxPause = 2 * second
+)
 
-// connectivityTick asks machines that have not reported here, says in the state service
-// what this controller reaches, and has a leader give way to one that could
-// serve more.
-func (pm *peerMonitor) connectivityTick() {
-	pm.reader.watchdogTick()
-	if !pm.settings.Ops.Reach || pm.now-pm.connectivityCheckedAt < connectivityGap {
+// connectivityTick evaluates the links: it probes machines that have sent no heartbeat here,
+// advertises in the state service what this controller reaches, and has a leader step down
+// in favour of a controller that could serve more.
+func (p *peerMonitor) connectivityTick() {
+	p.reader.watchdogTick()
+	if !p.settings.Ops.Reach || p.now-p.connectivityCheckedAt < connectivityInterval {
 		return
 	}
-	if pm.connectivityCheckedAt != 0 && pm.now-pm.connectivityCheckedAt > maxStandstill {
-		pm.connectivity.Workers.Invalidate(pm.now)
+	if p.connectivityCheckedAt != 0 && p.now-p.connectivityCheckedAt > maxPause {
+		p.connectivity.Workers.Invalidate(p.now)
 	}
-	pm.connectivityCheckedAt = pm.now
-	pm.connectivity.Refresh(pm.now)
-	for _, m := range pm.connectivity.Workers.DueProbes(pm.now) {
-		pm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+	p.connectivityCheckedAt = p.now
+	p.connectivity.Refresh(p.now)
+	for _, machine := range p.connectivity.Workers.DueProbes(p.now) {
+		p.emit(ProbeMachine{Machine: machine.Name, Addr: machine.Addr})
 	}
-	if !pm.cache.synced {
+	if !p.cache.synced {
 		return
 	}
-	pm.publishConnectivity()
-	if pm.elector.isLeader() && pm.elector.mayStartTasks() {
-		if to, why := pm.connectivity.HandoverTarget(pm.now); to != "" {
-			pm.log.Info("giving way", "to", to, "why", why)
-			pm.elector.resign("gave way to " + to)
-		}
+	p.publishConnectivity()
+	p.handOver()
+}
+
+// handOver ends a term if another controller should lead instead.
+func (p *peerMonitor) handOver() {
+	if !p.elector.mayStartTasks() {
+		return
+	}
+	if to, reason := p.connectivity.HandoverTarget(p.now); to != "" {
+		p.log.Info("stepping down in favour of a better connected controller", "controller", to, "reason", reason)
+		p.elector.resign("handed over to " + to)
 	}
 }
 
-// publishConnectivity stores what this controller reaches, for those that its pings do not
-// get to. It is on its lease, so it is there only while the controller lives
-// and reaches the state service.
-func (pm *peerMonitor) publishConnectivity() {
-	v, news := pm.connectivity.PendingAdvertisement(pm.now)
-	if !news || !pm.membership.activation.Enabled(upgrade.Connectivity) || pm.health.unavailable() || pm.health.writesLeft() < 1 {
+// publishConnectivity advertises in the state service what this controller reaches, for
+// those controllers that its pings do not reach.
+func (p *peerMonitor) publishConnectivity() {
+	advertisement, pending := p.connectivity.PendingAdvertisement(p.now)
+	if !pending || !p.membership.featureEnabled(upgrade.Connectivity) || p.health.unavailable() || p.health.writesLeft() < 1 {
 		return
 	}
-	if pm.elector.candidacy.lease != 0 {
-		pm.connectivity.MarkAdvertised(v, pm.now)
+	if p.elector.hasLease() {
+		p.connectivity.MarkAdvertised(advertisement, p.now)
 	}
-	pm.membership.putOnLease(connectivityPrefix+pm.settings.Name, pm.connectivityRevisions[pm.settings.Name], v, func(ok bool) {
+	name := p.settings.Name
+	p.membership.putOnLease(connectivityPrefix+name, p.connectivityRevisions[name], advertisement, func(ok bool) {
 		if !ok {
-			pm.connectivity.ClearAdvertised()
+			p.connectivity.ClearAdvertised()
 		}
 	})
 }
 
-func (pm *peerMonitor) applyConnectivity(name string, ch Change, bad func(error)) {
+// applyConnectivity takes over what a controller advertises in the state service.
+func (p *peerMonitor) applyConnectivity(name string, ch Change, bad func(error)) {
 	if ch.Removed {
-		delete(pm.connectivityRevisions, name)
-		pm.connectivity.SetStored(name, nil)
-		if name == pm.settings.Name {
-			pm.connectivity.ClearAdvertised()
+		delete(p.connectivityRevisions, name)
+		p.connectivity.SetStored(name, nil)
+		if name == p.settings.Name {
+			p.connectivity.ClearAdvertised()
 		}
 		return
 	}
-	var v connectivity.Advertisement
-	if err := json.Unmarshal(ch.Value, &v); err != nil {
+	var advertisement connectivity.Advertisement
+	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
 		bad(err)
 		return
 	}
-	pm.connectivityRevisions[name] = ch.Revision
-	pm.connectivity.SetStored(name, &v)
+	p.connectivityRevisions[name] = ch.Revision
+	p.connectivity.SetStored(name, &advertisement)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,7 +41,7 @@
 	c.elector.cache, c.elector.committer, c.elector.health, c.elector.membership, c.elector.peers, c.elector.prefetcher, c.elector.tasks, c.elector.workers = c.cache, c.committer, c.health, c.membership, c.peers, c.prefetcher, c.tasks, c.workers
 	c.membership.cache, c.membership.committer, c.membership.elector, c.membership.health = c.cache, c.committer, c.elector, c.health
 	c.peers.cache, c.peers.elector, c.peers.health, c.peers.membership, c.peers.readLeases, c.peers.reader = c.cache, c.elector, c.health, c.membership, c.readLeases, c.reader
-	c.readLeases.cache, c.readLeases.elector, c.readLeases.peers, c.readLeases.sweepManager = c.cache, c.elector, c.peers, c.sweepManager
+	c.readLeases.cache, c.readLeases.elector, c.readLeases.health, c.readLeases.peers, c.readLeases.sweepManager = c.cache, c.elector, c.health, c.peers, c.sweepManager
 	c.health.cache, c.health.elector, c.health.membership, c.health.peers = c.cache, c.elector, c.membership, c.peers
 	c.reader.cache, c.reader.elector, c.reader.health, c.reader.membership, c.reader.peers, c.reader.requests = c.cache, c.elector, c.health, c.membership, c.peers, c.requests
 	c.cache.committer, c.cache.dependencies, c.cache.elector, c.cache.health, c.cache.membership, c.cache.peers, c.cache.readLeases, c.cache.reader, c.cache.requests, c.cache.sweepManager, c.cache.tasks = c.committer, c.dependencies, c.elector, c.health, c.membership, c.peers, c.readLeases, c.reader, c.requests, c.sweepManager, c.tasks
@@ -191,7 +191,7 @@
 func (c *Core) tick() {
 	c.health.refillBudgets()
 	if c.peers.pingDue() {
-		c.peers.pingEach()
+		c.peers.pingAll()
 		c.router.expireRedirects()
 	}
 	for _, answer := range c.transactions.Overdue(c.now) {
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -49,7 +49,7 @@
 	}
 	h.failedAt = h.now
 	link.RecordFailure(h.now, h.now, failureOf(err))
-	h.peers.pingAll()
+	h.peers.pingUrgently()
 }
 
 // recordTransaction notes how a transaction has ended. One that was refused for its rate
@@ -68,7 +68,7 @@
 		link.RecordFailure(h.now, h.now, connectivity.Refused)
 	}
 	h.failedAt = h.now
-	h.peers.pingAll()
+	h.peers.pingUrgently()
 }
 
 // recordAnnouncedRevision notes a revision that the state service named in an answer. A
@@ -122,7 +122,7 @@
 		Confirmed:      h.membershipConfirmed(),
 		HasLeader:      h.cache.leaderRevision != 0 && !h.elector.isNewLeader(),
 		IsLeader:       h.elector.isLeader(),
-		SharingEnabled: h.membership.activation.Enabled(upgrade.SharedReads),
+		SharingEnabled: h.membership.featureEnabled(upgrade.SharedReads),
 	})
 }
 
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -7,8 +7,15 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
-// pingInterval is how often the peers are pinged.
-const pingInterval = second
+const (
+	// pingInterval is how often the peers are pinged.
+	pingInterval = second
+	// urgentPingInterval is the least time between two rounds of pings out of turn.
+	urgentPingInterval = second / 2
+	// maxForwardStateAge is how long ago the state service may have answered a peer for
+	// requests to be forwarded to it.
+	maxForwardStateAge = 3 * second
+)
 
 // peerState is what is known of a peer.
 type peerState struct {
@@ -29,165 +36,189 @@
 
 	peerStates            map[string]peerState
 	connectivity          *connectivity.Links
-	connectivityRevisions map[string]uint64
+	connectivityRevisions map[string]uint64 // of the stored advertisements, by controller
 	connectivityCheckedAt int64
 	pingedAt              int64
 }
 
 func newPeerMonitor(run *engine) *peerMonitor {
-	set := &run.settings
+	settings := &run.settings
 	return &peerMonitor{
-		engine: run, peerStates: map[string]peerState{}, connectivityRevisions: map[string]uint64{},
-		connectivity: connectivity.New(set.Name, set.Incarnation, set.Peers, set.Zones, config.MicrosOf(set.Workers.ReportS)),
+		engine:                run,
+		peerStates:            map[string]peerState{},
+		connectivityRevisions: map[string]uint64{},
+		connectivity: connectivity.New(settings.Name, settings.Incarnation, settings.Peers, settings.Zones,
+			config.MicrosOf(settings.Workers.ReportS)),
 	}
 }
 
-func (pm *peerMonitor) onPingReceived(m PingReceived) {
-	pm.connectivity.RecordInbound(m.From, pm.now)
-	pm.elector.noteNewestLeader(pm.cache.leader)
-	n := &PeerStatus{FencingToken: pm.elector.newestLeader.Token, Leader: pm.elector.newestLeader.Name, StateAge: pm.health.outageAge(), Version: pm.membership.writableFormat(), Features: pm.membership.activation.Features(), LimitsLowered: pm.membership.limitsLowered}
-	pm.readLeases.grantReadLease(m, n)
-	if pm.settings.Ops.Reach {
-		v := pm.connectivity.LocalAdvertisement(pm.now)
-		n.Connectivity = &v
-		if m.NeedMachines {
-			n.Machines = pm.connectivity.Workers.Machines()
-		}
+// restart forgets what is stored of links, before it is read anew.
+func (p *peerMonitor) restart() {
+	p.connectivityRevisions = map[string]uint64{}
+	p.connectivity.Restart()
+}
+
+// pingDue reports, once in each interval, that the peers are to be pinged.
+func (p *peerMonitor) pingDue() bool {
+	if p.now-p.pingedAt < pingInterval {
+		return false
 	}
-	pm.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: n})
+	p.pingedAt = p.now
+	return true
 }
 
-func (pm *peerMonitor) onPeerPinged(m PeerPinged) {
-	pm.connectivity.RecordPing(m.Peer, m.SentAt, pm.now, m.OK, m.Status.Connectivity)
-	for _, x := range m.Status.Machines {
-		pm.connectivity.Workers.Add(x, pm.now)
+// pingAll pings all peers.
+func (p *peerMonitor) pingAll() {
+	for _, peer := range p.settings.Peers {
+		p.ping(peer)
 	}
-	if !m.OK {
+}
+
+// pingUrgently asks all peers for read leases as soon as the state service fails a leader:
+// what a peer has told users before it crashes is known only if the peer was asked by then.
+func (p *peerMonitor) pingUrgently() {
+	term := p.elector.leadership
+	if term == nil || p.now-term.peersAskedAt < urgentPingInterval {
 		return
 	}
-	v := pm.peerStates[m.Peer]
-	if m.SentAt < v.answeredAt {
+	term.peersAskedAt = p.now
+	p.pingAll()
+}
+
+// ping asks a peer for its status. A leader that the state service does not answer asks it
+// for a read lease as well, and a holder of a read lease learns of the cancellations that it
+// has to know of before users are answered.
+func (p *peerMonitor) ping(peer string) {
+	ping := PingPeer{
+		Peer:         peer,
+		NeedMachines: p.settings.Ops.Reach && p.connectivity.Workers.NeedsMachines(p.settings.Zones),
+		Incarnation:  p.settings.Incarnation,
+	}
+	p.readLeases.addToPing(&ping)
+	p.emit(ping)
+}
+
+// onPingReceived answers a peer's ping with this controller's status.
+func (p *peerMonitor) onPingReceived(m PingReceived) {
+	p.connectivity.RecordInbound(m.From, p.now)
+	p.elector.noteNewestLeader(p.cache.leader)
+	leader := p.elector.newestLeader
+	status := &PeerStatus{
+		FencingToken:  leader.Token,
+		Leader:        leader.Name,
+		StateAge:      p.health.outageAge(),
+		Version:       p.membership.writableFormat(),
+		Features:      p.membership.activation.Features(),
+		LimitsLowered: p.membership.limitsLowered,
+	}
+	p.readLeases.addToStatus(m, status)
+	if p.settings.Ops.Reach {
+		advertisement := p.connectivity.LocalAdvertisement(p.now)
+		status.Connectivity = &advertisement
+		if m.NeedMachines {
+			status.Machines = p.connectivity.Workers.Machines()
+		}
+	}
+	p.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: status})
+}
+
+// onPeerPinged takes a peer's answer to a ping, or notes that there is none.
+func (p *peerMonitor) onPeerPinged(m PeerPinged) {
+	p.connectivity.RecordPing(m.Peer, m.SentAt, p.now, m.OK, m.Status.Connectivity)
+	for _, machine := range m.Status.Machines {
+		p.connectivity.Workers.Add(machine, p.now)
+	}
+	if !m.OK || m.SentAt < p.peerStates[m.Peer].answeredAt {
 		return
 	}
-	v.answeredAt = m.SentAt
-	pm.membership.activation.RecordPing(m.Peer, m.SentAt, m.Status.Version, m.Status.Features)
+	p.peerStates[m.Peer] = peerState{answeredAt: m.SentAt, stateAnsweredAt: m.SentAt - m.Status.StateAge}
+	p.membership.activation.RecordPing(m.Peer, m.SentAt, m.Status.Version, m.Status.Features)
 	if m.Status.LimitsLowered {
-		pm.membership.lowerLimits("a peer says so")
-	}
-	v.stateAnsweredAt = m.SentAt - m.Status.StateAge
-	pm.peerStates[m.Peer] = v
-	pm.readLeases.readLeaseGrantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
-	pm.readLeases.releaseHeldReplies()
-	pm.elector.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
-	if !pm.elector.isLeader() {
+		p.membership.lowerLimits("reported by a peer")
+	}
+	p.readLeases.onAck(m)
+	p.elector.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
+	if !p.elector.isLeader() {
 		return
 	}
-	if m.Status.FencingToken > pm.elector.fencingToken() {
-		// The state service may refuse this controller alone. A token is
-		// raised by nothing but a take-over, so this is proof.
-		pm.elector.stepDown("a peer knows of a newer leader")
+	if m.Status.FencingToken > p.elector.fencingToken() {
+		// The state service may be out of reach for this controller alone. Only a
+		// failover raises the fencing token, so this is proof that another leads.
+		p.elector.stepDown("a peer knows of a newer leader")
 		return
 	}
-	pm.readLeases.readLeaseAnswered(m)
+	p.readLeases.onGrant(m)
 }
 
-// Refusal is an error by which the other side has answered.
+// Refusal is an error that is the answer of the other side, which therefore is there.
 type Refusal interface{ Refused() bool }
 
-// failureOf tells a refusal from silence.
+// failureOf tells a refusal from an answer that never came.
 func failureOf(err error) connectivity.Failure {
-	var r Refusal
-	if errors.As(err, &r) && r.Refused() {
+	var refusal Refusal
+	if errors.As(err, &refusal) && refusal.Refused() {
 		return connectivity.Refused
 	}
 	return connectivity.NoResponse
 }
 
-// forwardToPeer hands a request on to a peer that the state service answers. A
-// request that was handed on is not handed on again.
-func (pm *peerMonitor) forwardToPeer(a *request) bool {
+// forwardToPeer forwards a request to a peer that the state service answers, and reports
+// whether there is one. A forwarded request is not forwarded again.
+func (p *peerMonitor) forwardToPeer(a *request) bool {
 	if a.forwarded {
 		return false
 	}
-	best := ""
-	for _, p := range pm.settings.Peers {
-		v := pm.peerStates[p]
-		if pm.connectivity.PeerUp(p, pm.now) && pm.now-v.stateAnsweredAt < 3*second && (best == "" || v.stateAnsweredAt > pm.peerStates[best].stateAnsweredAt) {
-			best = p
-		}
-	}
-	if best == "" {
+	peer := p.forwardTarget()
+	if peer == "" {
 		return false
 	}
-	var r any
+	p.emit(ForwardRequest{RequestID: a.id, To: peer, Request: forwardedRequest(a)})
+	return true
+}
+
+// forwardTarget is the reachable peer that the state service has answered last, "" if it has
+// answered none of late.
+func (p *peerMonitor) forwardTarget() string {
+	target := ""
+	for _, peer := range p.settings.Peers {
+		answeredAt := p.peerStates[peer].stateAnsweredAt
+		if !p.connectivity.PeerUp(peer, p.now) || p.now-answeredAt >= maxForwardStateAge {
+			continue
+		}
+		if target == "" || answeredAt > p.peerStates[target].stateAnsweredAt {
+			target = peer
+		}
+	}
+	return target
+}
+
+// forwardedRequest is a request in the form in which it goes to a peer.
+func forwardedRequest(a *request) any {
 	switch a.kind {
 	case requestSubmit:
-		r = SubmitJob{Spec: a.spec, Forwarded: true}
+		return SubmitJob{Spec: a.spec, Forwarded: true}
 	case requestCancel:
-		r = CancelJob{ID: a.targetID, Forwarded: true}
+		return CancelJob{ID: a.targetID, Forwarded: true}
 	case requestSweepSubmit:
-		r = ForwardedSweep{ID: a.targetID, Stored: a.sweep.submission.Stored, Invalid: a.sweep.submission.Invalid}
+		return ForwardedSweep{ID: a.targetID, Stored: a.sweep.submission.Stored, Invalid: a.sweep.submission.Invalid}
 	case requestSweepStatus:
-		r = QuerySweep{ID: a.targetID, Forwarded: true}
+		return QuerySweep{ID: a.targetID, Forwarded: true}
 	case requestSweepRuns:
-		r = ListSweepRuns{ID: a.targetID, After: a.sweep.after, Limit: a.sweep.limit, Forwarded: true}
+		return ListSweepRuns{ID: a.targetID, After: a.sweep.after, Limit: a.sweep.limit, Forwarded: true}
 	case requestSweepCancel:
-		r = CancelSweep{ID: a.targetID, Forwarded: true}
+		return CancelSweep{ID: a.targetID, Forwarded: true}
 	default:
-		r = QueryJob{ID: a.targetID, Forwarded: true}
+		return QueryJob{ID: a.targetID, Forwarded: true}
 	}
-	pm.emit(ForwardRequest{RequestID: a.id, To: best, Request: r})
-	return true
 }
 
-func (pm *peerMonitor) onRequestForwarded(m RequestForwarded) {
-	r := m.Answer
+// onRequestForwarded answers the user with what the peer has answered.
+func (p *peerMonitor) onRequestForwarded(m RequestForwarded) {
 	if m.Err != nil {
-		r = stateUnavailableReply(m.RequestID)
-	}
-	r.RequestID = m.RequestID
-	pm.emit(r)
-}
-
-// ping asks a peer how it is. A leader that the state service does not answer asks
-// it to vouch; and it is told of cancellations that it has to know of first.
-func (pm *peerMonitor) ping(p string) {
-	e := PingPeer{Peer: p, NeedMachines: pm.settings.Ops.Reach && pm.connectivity.Workers.NeedsMachines(pm.settings.Zones), Incarnation: pm.settings.Incarnation}
-	if pm.elector.isLeader() && (pm.health.lastRequestFailed() || pm.now-pm.elector.leadership.stateProofAt() > readLeaseAfter) {
-		q := pm.elector.leadership.readLeases.NextRequest(p, pm.cache.appliedRevision, pm.now)
-		e.Question = &q
-	}
-	if at, ok := pm.readLeases.heldReplies.informedAt[p]; ok && at == pm.now {
-		t := pm.readLeases.readLeaseGrantor.PageFor(p)
-		e.Cancellations = &t
-	}
-	pm.emit(e)
-}
-
-// pingDue reports once a second that it is time to ping the peers.
-func (pm *peerMonitor) pingDue() bool {
-	if pm.now-pm.pingedAt < pingInterval {
-		return false
-	}
-	pm.pingedAt = pm.now
-	return true
-}
-
-// pingEach pings all peers.
-func (pm *peerMonitor) pingEach() {
-	for _, p := range pm.settings.Peers {
-		pm.ping(p)
-	}
-}
-
-// pingAll has all peers vouch as soon as the state service fails a leader: what one
-// of them has told before it crashes is known only if it was heard out by then.
-func (pm *peerMonitor) pingAll() {
-	if !pm.elector.isLeader() || pm.now-pm.elector.leadership.peersAskedAt < second/2 {
+		p.emit(stateUnavailableReply(m.RequestID))
 		return
 	}
-	pm.elector.leadership.peersAskedAt = pm.now
-	for _, p := range pm.settings.Peers {
-		pm.ping(p)
-	}
+	reply := m.Answer
+	reply.RequestID = m.RequestID
+	p.emit(reply)
 }
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -7,180 +7,205 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// What the right to answer workers rests on is told in package vouch. Here it
-// meets the pings, the users' answers and the leadership.
-
 const (
 	// readLeaseAfter is how old the state service's own proof has to be for a leader to
-	// have the others vouch. Nobody waits for a leader that asks for nothing.
+	// ask for read leases. Users of the others never wait for a leader that asks for none.
 	readLeaseAfter = 2 * second
 	// mirrorMaxAge is how old the mirror may be before a leader reads what is stored.
 	mirrorMaxAge = second
-	// maxHeldReply is how long a user waits for a leader to learn of a
-	// cancellation, below what is waited for the answer to a poll.
+	// maxHeldReply is how long a user's answer is held back for a leader to learn of a
+	// cancellation, below the time that users wait for the answer to a poll.
 	maxHeldReply = 1_200_000
-	// informInterval is how often a leader is told, while somebody waits.
+	// informInterval is the least time between two pings that inform a leader, while
+	// answers are held back.
 	informInterval = 100_000
 )
 
-// heldReplies are answers that wait until whoever lives on this controller's word knows
-// of the cancellations in them.
-type heldReplies struct {
-	held       []heldReply
-	informedAt map[string]int64 // when a controller was last told
-}
-
+// heldReply is an answer with cancellations that some holder of a read lease of this
+// controller does not know of yet.
 type heldReply struct {
-	reply  Reply
-	jobIDs []string
-	since  int64
+	reply Reply
+	ids   []string // what is cancelled
+	since int64
 }
 
-// readLeaseManager grants read leases to leaders that the state service fails, and holds answers back that such a leader has to know of first.
+// readLeaseManager has both sides of read leases, whose protocol is described in package
+// readlease: it grants them to leaders that the state service does not answer, and collects
+// those of the peers for this controller's own term. It holds back answers with cancellations
+// until every holder of a read lease knows of these.
 type readLeaseManager struct {
 	*engine
 
 	cache        *stateCache
 	elector      *elector
+	health       *stateHealth
 	peers        *peerMonitor
 	sweepManager *sweepManager
 
-	readLeaseGrantor *readlease.Grantor
-	heldReplies      heldReplies
+	grantor     *readlease.Grantor
+	heldReplies []heldReply
+	informedAt  map[string]int64 // when a controller was last informed of cancellations
 }
 
 func newReadLeaseManager(run *engine) *readLeaseManager {
-	set := &run.settings
+	settings := &run.settings
 	return &readLeaseManager{
-		engine: run, readLeaseGrantor: readlease.NewGrantor(set.Incarnation, set.Peers, set.LeaderAuthorityTime(), run.now),
-		heldReplies: heldReplies{informedAt: map[string]int64{}},
+		engine:     run,
+		grantor:    readlease.NewGrantor(settings.Incarnation, settings.Peers, settings.LeaderAuthorityTime(), run.now),
+		informedAt: map[string]int64{},
+	}
+}
+
+// addToPing adds to a ping the request for a read lease, if this controller leads and the
+// state service does not answer it, and the cancellations of which the peer is to be informed
+// right now.
+func (r *readLeaseManager) addToPing(ping *PingPeer) {
+	term := r.elector.leadership
+	if term != nil && (r.health.lastRequestFailed() || r.now-term.stateProofAt() > readLeaseAfter) {
+		request := term.readLeases.NextRequest(ping.Peer, r.cache.appliedRevision, r.now)
+		ping.Question = &request
+	}
+	if at, ok := r.informedAt[ping.Peer]; ok && at == r.now {
+		page := r.grantor.PageFor(ping.Peer)
+		ping.Cancellations = &page
 	}
 }
 
-// grantReadLease adds to the answer to a ping what this controller vouches for, and
-// whether it lives on the word of who asks.
-func (rl *readLeaseManager) grantReadLease(m PingReceived, n *PeerStatus) {
-	if m.Incarnation == "" {
-		n.Cancelled = rl.readLeaseGrantor.RecentCancellations()
+// addToStatus adds to the answer to a ping the read lease that it asks for, and whether this
+// controller holds one of the peer that asks.
+func (r *readLeaseManager) addToStatus(m PingReceived, status *PeerStatus) {
+	if m.Incarnation == "" { // a program without read leases
+		status.Cancelled = r.grantor.RecentCancellations()
 		return
 	}
 	if m.Question != nil {
-		p := rl.readLeaseGrantor.Grant(m.From, *m.Question, rl.cache.appliedRevision > 0, rl.now)
-		n.ReadLease = &p
+		page := r.grantor.Grant(m.From, *m.Question, r.cache.appliedRevision > 0, r.now)
+		status.ReadLease = &page
 	}
-	n.Ack = &readlease.HolderAck{}
-	if !rl.elector.isLeader() {
+	status.Ack = &readlease.HolderAck{}
+	if !r.elector.isLeader() {
 		return
 	}
-	rl.elector.leadership.readLeases.SetIncarnation(m.From, m.Incarnation)
-	if m.Cancellations != nil && rl.elector.leadership.readLeases.ApplyPage(m.From, *m.Cancellations) {
-		rl.noteCancelled(m.Cancellations.Cancelled)
+	holder := r.elector.leadership.readLeases
+	holder.SetIncarnation(m.From, m.Incarnation)
+	if m.Cancellations != nil && holder.ApplyPage(m.From, *m.Cancellations) {
+		r.noteCancelled(m.Cancellations.Cancelled)
 	}
-	a := rl.elector.leadership.readLeases.Ack(m.From, rl.cache.appliedRevision, rl.now)
-	n.Ack = &a
+	ack := holder.Ack(m.From, r.cache.appliedRevision, r.now)
+	status.Ack = &ack
+}
+
+// onAck takes what a peer's answer says of the read lease that it may hold, which may release
+// answers that were held back for it.
+func (r *readLeaseManager) onAck(m PeerPinged) {
+	r.grantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
+	r.releaseHeldReplies()
 }
 
-// readLeaseAnswered takes a peer's word.
-func (rl *readLeaseManager) readLeaseAnswered(m PeerPinged) {
-	rl.noteCancelled(m.Status.Cancelled)
-	if m.Status.ReadLease == nil {
+// onGrant takes the read lease in a peer's answer, and asks for the next page at once.
+func (r *readLeaseManager) onGrant(m PeerPinged) {
+	r.noteCancelled(m.Status.Cancelled)
+	page := m.Status.ReadLease
+	if page == nil {
 		return
 	}
-	rl.noteCancelled(m.Status.ReadLease.Cancelled)
-	if !rl.elector.isLeader() {
+	r.noteCancelled(page.Cancelled)
+	if !r.elector.isLeader() {
 		return
 	}
-	rl.elector.leadership.readLeases.HandleGrant(m.Peer, m.SentAt, rl.now, *m.Status.ReadLease)
-	if m.Status.ReadLease.More {
-		rl.peers.ping(m.Peer)
+	r.elector.leadership.readLeases.HandleGrant(m.Peer, m.SentAt, r.now, *page)
+	if page.More {
+		r.peers.ping(m.Peer)
 	}
 }
 
+// recordCancellation notes that a job or sweep is known to be cancelled, stored with a
+// revision, or 0 if that is not known.
+func (r *readLeaseManager) recordCancellation(id string, revision uint64) {
+	r.grantor.RecordCancellation(id, revision)
+}
+
 // noteCancelled takes note of what another controller knows to be cancelled.
-func (rl *readLeaseManager) noteCancelled(ids []string) {
+func (r *readLeaseManager) noteCancelled(ids []string) {
 	for _, id := range ids {
-		if sweep, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
-			rl.sweepManager.noteSweepCancelled(sweep)
+		if sweepID, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
+			r.sweepManager.noteSweepCancelled(sweepID)
 			continue
 		}
-		e := jobstate.End{Outcome: jobstate.Cancelled}
-		if j := rl.cache.jobs[id]; j != nil {
-			e.Tasks = j.Tasks
+		end := jobstate.End{Outcome: jobstate.Cancelled}
+		if job := r.cache.jobs[id]; job != nil {
+			end.Tasks = job.Tasks
 		}
-		rl.cache.noteEnd(id, e, 0)
+		r.cache.noteEnd(id, end, 0)
 	}
 }
 
-// cancelledWithSweep says whether a job is a run that is cancelled with its sweep: then
-// that is what is told, once for all runs.
-func (rl *readLeaseManager) cancelledWithSweep(id string) bool {
-	j := rl.cache.jobs[id]
-	if j == nil || j.Sweep == "" {
-		return false
-	}
-	return rl.sweepManager.sweepCancelled(j.Sweep)
+// cancelledWithSweep reports whether a job is a run that is cancelled with its sweep. Then the
+// cancellation of the sweep stands for all of its runs.
+func (r *readLeaseManager) cancelledWithSweep(id string) bool {
+	job := r.cache.jobs[id]
+	return job != nil && job.Sweep != "" && r.sweepManager.sweepCancelled(job.Sweep)
 }
 
-// replyCancelled answers a user with one or more cancellations, once every leader that lives
-// on this controller's word knows of them. It is asked to come again if that takes
-// too long: such a leader is cut off, and its right runs out.
-func (rl *readLeaseManager) replyCancelled(r Reply, ids ...string) {
+// replyCancelled sends a user an answer with cancellations, once every holder of a read lease
+// of this controller knows of them. If that takes too long the user is asked to retry: such a
+// holder is cut off, and its lease expires.
+func (r *readLeaseManager) replyCancelled(reply Reply, ids ...string) {
 	for i, id := range ids {
-		if rl.cancelledWithSweep(id) {
-			id = cancelledSweepPrefix + rl.cache.jobs[id].Sweep
-			ids[i] = id
+		if r.cancelledWithSweep(id) {
+			ids[i] = cancelledSweepPrefix + r.cache.jobs[id].Sweep
 		}
-		rl.readLeaseGrantor.RecordCancellation(id, 0)
+		r.recordCancellation(ids[i], 0)
 	}
 	switch {
-	case len(rl.readLeaseGrantor.Uninformed(ids, rl.now)) == 0:
-		rl.emit(r)
-	case len(rl.heldReplies.held) >= maxQueuedRequests:
-		rl.emit(cancellationUnconfirmed(r.RequestID))
+	case len(r.grantor.Uninformed(ids, r.now)) == 0:
+		r.emit(reply)
+	case len(r.heldReplies) >= maxQueuedRequests:
+		r.emit(cancellationUnconfirmed(reply.RequestID))
 	default:
-		rl.heldReplies.held = append(rl.heldReplies.held, heldReply{r, ids, rl.now})
-		rl.informLeaders()
+		r.heldReplies = append(r.heldReplies, heldReply{reply, ids, r.now})
+		r.informHolders()
 	}
 }
 
-func cancellationUnconfirmed(req uint64) Reply {
-	return Reply{RequestID: req, Status: 503, RetryAfter: 1, Error: "a controller that may lead has yet to learn of the cancellation"}
+func cancellationUnconfirmed(requestID uint64) Reply {
+	return Reply{RequestID: requestID, Status: 503, RetryAfter: 1, Error: "a controller that may lead has yet to learn of the cancellation"}
 }
 
-// releaseHeldReplies gives the answers that need not wait any more.
-func (rl *readLeaseManager) releaseHeldReplies() {
-	keep := rl.heldReplies.held[:0]
-	for _, t := range rl.heldReplies.held {
+// releaseHeldReplies sends the answers that need not be held back any more.
+func (r *readLeaseManager) releaseHeldReplies() {
+	kept := r.heldReplies[:0]
+	for _, held := range r.heldReplies {
 		switch {
-		case len(rl.readLeaseGrantor.Uninformed(t.jobIDs, rl.now)) == 0:
-			rl.emit(t.reply)
-		case rl.now-t.since > maxHeldReply:
-			rl.emit(cancellationUnconfirmed(t.reply.RequestID))
+		case len(r.grantor.Uninformed(held.ids, r.now)) == 0:
+			r.emit(held.reply)
+		case r.now-held.since > maxHeldReply:
+			r.emit(cancellationUnconfirmed(held.reply.RequestID))
 		default:
-			keep = append(keep, t)
+			kept = append(kept, held)
 		}
 	}
-	clear(rl.heldReplies.held[len(keep):])
-	rl.heldReplies.held = keep
+	clear(r.heldReplies[len(kept):])
+	r.heldReplies = kept
 }
 
-// informLeaders tells those that have to know first.
-func (rl *readLeaseManager) informLeaders() {
+// informHolders pings the holders of read leases for which answers are held back.
+func (r *readLeaseManager) informHolders() {
 	var ids []string
-	for _, t := range rl.heldReplies.held {
-		ids = append(ids, t.jobIDs...)
+	for _, held := range r.heldReplies {
+		ids = append(ids, held.ids...)
 	}
-	for _, p := range rl.readLeaseGrantor.Uninformed(ids, rl.now) {
-		if rl.now-rl.heldReplies.informedAt[p] >= informInterval {
-			rl.heldReplies.informedAt[p] = rl.now
-			rl.peers.ping(p)
+	for _, holder := range r.grantor.Uninformed(ids, r.now) {
+		if r.now-r.informedAt[holder] >= informInterval {
+			r.informedAt[holder] = r.now
+			r.peers.ping(holder)
 		}
 	}
 }
 
-func (rl *readLeaseManager) heldRepliesTick() {
-	if len(rl.heldReplies.held) > 0 {
-		rl.releaseHeldReplies()
-		rl.informLeaders()
+func (r *readLeaseManager) heldRepliesTick() {
+	if len(r.heldReplies) > 0 {
+		r.releaseHeldReplies()
+		r.informHolders()
 	}
 }
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -42,7 +42,7 @@
 func TestTell(t *testing.T) {
 	s := newShelf(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeases.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s.c.readLeases.grantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
 	// ask sends a request and gives what there is of an answer after a while.
 	ask := func(build func(req uint64) any) (uint64, Reply) {
 		s.req++
@@ -147,7 +147,7 @@
 		t.Fatal("no runs")
 	}
 	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeases.readLeaseGrantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s.c.readLeases.grantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	ask := func() *readlease.CancellationPage {
 		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", Question: &readlease.GrantRequest{}})
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -83,6 +83,9 @@
 	}
 }
 
+// suspend takes what is known for outdated, so that nothing is decided by it any more.
+func (s *stateCache) suspend() { s.synced = false }
+
 // dropPartitions forgets the partitions that this controller has assigned as the leader.
 func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
 
@@ -109,11 +112,9 @@
 	s.leader, s.leaderRevision = leaderRecord{}, 0
 	s.token, s.tokenRevision = tokenRecord{}, 0
 	s.dependencies.dependencyGraph = jobstate.NewDependencyGraph()
-	s.membership.activation.Restart()
-	s.membership.featuresRevision, s.membership.decommissionedRevisions = 0, map[string]uint64{}
-	s.peers.connectivityRevisions = map[string]uint64{}
+	s.membership.restart()
 	s.keyRevisions = map[string]uint64{}
-	s.peers.connectivity.Restart()
+	s.peers.restart()
 	s.progressLog = nil
 	s.sweepManager.resetSweeps()
 	starting := s.appliedRevision == 0
@@ -237,7 +238,7 @@
 	case strings.HasPrefix(key, "sweep"):
 		s.sweepManager.applySweep(key, ch, bad)
 	case key == "features" || strings.HasPrefix(key, "gone/") || strings.HasPrefix(key, "member/"):
-		s.membership.applyActivation(key, ch, bad)
+		s.membership.applyActivation(ch, bad)
 	case strings.HasPrefix(key, "reach/"):
 		s.peers.applyConnectivity(key[len("reach/"):], ch, bad)
 	case strings.HasPrefix(key, "hints/") && !ch.Removed:
@@ -366,7 +367,7 @@
 // this controller begins to vouch for a cancellation.
 func (s *stateCache) noteEnd(id string, e jobstate.End, rev uint64) {
 	if e.Outcome == jobstate.Cancelled && !s.readLeases.cancelledWithSweep(id) {
-		s.readLeases.readLeaseGrantor.RecordCancellation(id, rev)
+		s.readLeases.recordCancellation(id, rev)
 	}
 	if _, ok := s.ends[id]; ok {
 		return
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -38,7 +38,7 @@
 // service itself: for a leader, where nobody leads, and where the state service has
 // just failed this controller, which then has to find out whether it still does.
 func (sr *stateReader) readSource() string {
-	if sr.elector.isLeader() || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.lastRequestFailed() || !sr.membership.activation.Enabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
+	if sr.elector.isLeader() || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.lastRequestFailed() || !sr.membership.featureEnabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
 		return ""
 	}
 	sr.follower.SetLeader(sr.cache.leader.Name, sr.cache.leader.Token)
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -217,7 +217,7 @@
 	m.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(result Committed) {
 		switch result.Status {
 		case 200:
-			m.readLeases.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
+			m.readLeases.recordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
 			m.noteSweepCancelled(r.targetID)
 			m.requests.waitForRead(r) // the reply says what was done before
 		case 409:
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -65,7 +65,7 @@
 	mayHaveOpenRuns bool
 }
 
-func (m *sweepManager) sweepsEnabled() bool { return m.membership.activation.Enabled(upgrade.Sweeps) }
+func (m *sweepManager) sweepsEnabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
 
 // sweep finds a sweep, or makes what is to be filled by the keys that are read.
 func (m *sweepManager) sweep(id string) *sweep {
@@ -153,7 +153,7 @@
 func (m *sweepManager) sweepEnded(id, outcome string, revision uint64) {
 	s := m.sweep(id)
 	if outcome == jobstate.Cancelled {
-		m.readLeases.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+id, revision)
+		m.readLeases.recordCancellation(cancelledSweepPrefix+id, revision)
 	}
 	if s.outcome != "" {
 		return
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -78,7 +78,7 @@
 		if r := find[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
 			t.Errorf("%s gone %v: %+v", tc.name, tc.gone, r)
 		}
-		if stored := b.c.membership.decommissionedRevisions["n2"] != 0; tc.name == "n2" && stored != tc.gone {
+		if stored := b.c.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
 			t.Errorf("%s gone %v: stored %v", tc.name, tc.gone, stored)
 		}
 	}
@@ -87,7 +87,7 @@
 	b.rev++
 	b.step(StateRead{AfterRevision: b.rev - 1, Revision: b.rev, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.rev}}})
 	b.run(3 * second)
-	if b.c.membership.decommissionedRevisions["n2"] != 0 {
+	if b.c.membership.isDecommissioned("n2") {
 		t.Error("it is there, and still taken for gone")
 	}
 	b.mute = true
