--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -24,7 +24,7 @@
 	if r := find[ScaleIn](b); len(r) != 0 {
 		t.Errorf("returned by one that may be replaced: %+v", r)
 	}
-	b.c.workers.machine("came up").LastHeartbeat = b.now
+	b.c.workers.getOrAddMachine("came up").LastHeartbeat = b.now
 	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
 	b.mute = false
 	b.run(2 * second)
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -79,6 +79,12 @@
 	c.elector.leadership.commits.dirty[j] = struct{}{}
 }
 
+// forget drops what is to be written of a job whose keys are gone.
+func (c *committer) forget(j *jobstate.Job) {
+	delete(c.elector.leadership.commits.dirty, j)
+	delete(c.elector.leadership.commits.backoffUntil, j)
+}
+
 // maxEndDelay is how long the ends of tasks may wait to be written while the
 // budget is short. Nothing waits for them: the worker keeps an exited task
 // until it is told to forget it, and a new leader learns of it from there.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -74,7 +74,7 @@
 		cache:            newStateCache(run),
 		committer:        &committer{engine: run},
 		tasks:            &taskManager{engine: run},
-		router:           &heartbeatRouter{engine: run, redirects: map[string]redirect{}},
+		router:           newHeartbeatRouter(run),
 		workers:          &workerManager{engine: run},
 		requests:         newRequestHandler(run),
 		dependencies:     newDependencyResolver(run),
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -124,14 +124,14 @@
 		}, 503, false, ".3"},
 		{"of one that was forgotten, an older number", func(r *rig) int {
 			r.report(1, 7, r.token)
-			r.c.planner.machineGone(r.c.workers.machine("m"), "test")
-			r.c.scaler.forgetMachine(r.c.workers.machine("m"))
+			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
+			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
 			return r.report(1, 7, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, and is there after all", func(r *rig) int {
 			r.report(1, 7, r.token)
-			r.c.planner.machineGone(r.c.workers.machine("m"), "test")
-			r.c.scaler.forgetMachine(r.c.workers.machine("m"))
+			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
+			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
 			return r.report(1, 8, r.token)
 		}, 200, true, "m.4"},
 		{"a lower number is no news", func(r *rig) int {
@@ -219,7 +219,7 @@
 	for i, name := range []string{"deaf", "m"} {
 		r.c.tasks.place(j, i, name)
 	}
-	r.c.workers.abandonUnacknowledged(r.c.workers.machine("deaf"))
+	r.c.workers.abandonUnacknowledged(r.c.workers.getOrAddMachine("deaf"))
 	for i := range 2 {
 		if j.Task(i).StopReason == "" {
 			t.Errorf("task %d goes on", i)
@@ -228,8 +228,8 @@
 }
 
 // place is a stored and sent placement.
-func (tm *taskManager) place(j *jobstate.Job, i int, machine string) {
-	j.PlaceTask(i, machine, 1, tm.now)
+func (t *taskManager) place(j *jobstate.Job, i int, machine string) {
+	j.PlaceTask(i, machine, 1, t.now)
 	j.Task(i).Stored, j.Task(i).StartSent = true, true
-	tm.workers.machine(machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
+	t.workers.getOrAddMachine(machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -340,7 +340,7 @@
 func (e *elector) restorePlacements(job *jobstate.Job) (placements int) {
 	job.EachPlaced(func(i int, t *jobstate.Task) {
 		t.Phase, t.StopReason = jobstate.Unconfirmed, ""
-		e.workers.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: job, Index: i})
+		e.workers.getOrAddMachine(t.Machine).AddPlacement(fleet.TaskRef{Job: job, Index: i})
 		placements++
 	})
 	return placements
@@ -350,10 +350,7 @@
 // stored must not be taken for placements.
 func (e *elector) stepDown(reason string) {
 	e.log.Info("stepped down", "fencing_token", e.fencingToken(), "reason", reason)
-	held := e.leadership.heartbeats.held.byName
-	for _, machine := range sortedKeys(held) {
-		e.emit(Reply{RequestID: held[machine].requestID, Status: 503, Error: "no longer leading"})
-	}
+	e.workers.refuseHeld()
 	e.leadership = nil
 	e.health.updateShare()
 	e.cache.dropPartitions()
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -2,7 +2,8 @@
 
 import "github.com/zinclb/zinclb/internal/core/connectivity"
 
-// heartbeatRouter takes a worker's heartbeat to the leader, by the controller that holds the machine's partition.
+// heartbeatRouter takes a worker's heartbeat to the leader, by way of the controller that
+// holds the lease of the machine's partition.
 type heartbeatRouter struct {
 	*engine
 
@@ -15,129 +16,187 @@
 	redirects map[string]redirect
 }
 
-// redirect is when a worker was last sent elsewhere, until when it is not
-// sent elsewhere again, and when it was last served here.
+func newHeartbeatRouter(run *engine) *heartbeatRouter {
+	return &heartbeatRouter{engine: run, redirects: map[string]redirect{}}
+}
+
+// redirect is when a worker was last redirected to another controller, until when it is
+// not redirected again, and when its heartbeat was last accepted here.
 type redirect struct{ sentAt, keepUntil, servedAt int64 }
 
-// onHeartbeat routes a report to the one who decides: the partition's holder
-// takes it from the worker and hands it to the leader.
-func (h *heartbeatRouter) onHeartbeat(b HeartbeatReceived) {
-	name := b.Heartbeat.Machine
-	at := connectivity.Machine{Name: name, Addr: b.Heartbeat.Addr, Zone: b.Heartbeat.Zone}
-	if b.From == "" {
-		h.peers.connectivity.Workers.RecordHeartbeat(at, b.Heartbeat.Epoch, b.Heartbeat.Seq, h.now)
-	} else {
-		h.peers.connectivity.RecordInbound(b.From, h.now)
-		h.peers.connectivity.Workers.Add(at, h.now)
-	}
-	if h.elector.isLeader() {
-		holder := h.cache.partitions.Holder(name)
-		if b.From == "" && holder != "" && holder != h.settings.Name && h.peers.connectivity.PeerUp(holder, h.now) && !h.peers.connectivity.CannotReachZone(holder, b.Heartbeat.Zone) && h.mayRedirect(&b.Heartbeat, h.elector.fencingToken()) {
-			h.emit(Reply{RequestID: b.RequestID, Status: 421, Leader: holder})
-			return
-		}
-		h.noteServedHere(name, b.From)
-		h.workers.handleHeartbeat(b)
+// A worker that comes back soon after a redirect could not be served there, as when it
+// can't reach that controller: it is kept for a while, so that it does not lose seconds
+// again and again, and so that two controllers do not redirect it to each other without
+// end.
+const (
+	redirectReturnTime = 15 * second
+	keepWorkerTime     = 60 * second
+)
+
+// onHeartbeat handles a heartbeat at the leader, relays it to the leader, or redirects its
+// worker to a controller that can do so.
+func (r *heartbeatRouter) onHeartbeat(m HeartbeatReceived) {
+	r.recordContact(m)
+	if r.elector.isLeader() {
+		r.routeAsLeader(m)
 		return
 	}
-	h.elector.noteNewestLeader(h.cache.leader)
-	leader := h.elector.newestLeader.Name
-	up := leader != "" && leader != h.settings.Name && h.peers.connectivity.PeerUp(leader, h.now)
-	if b.From != "" {
-		if b.ViaPeer && up {
-			h.emit(RelayHeartbeat{RequestID: b.RequestID, To: leader, Heartbeat: b.Heartbeat})
-			return
-		}
-		h.emit(Reply{RequestID: b.RequestID, Status: 503, Error: "not leading"})
+	r.elector.noteNewestLeader(r.cache.leader)
+	leader := r.elector.newestLeader.Name
+	leaderUp := leader != "" && leader != r.settings.Name && r.peers.connectivity.PeerUp(leader, r.now)
+	switch {
+	case m.From != "" && m.ViaPeer && leaderUp:
+		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: leader, Heartbeat: m.Heartbeat})
+	case m.From != "":
+		r.refuse(m.RequestID, "not leading")
+	case leaderUp:
+		r.routeToLeader(m, leader)
+	default:
+		r.routeWithoutLeader(m, leader)
+	}
+}
+
+// recordContact notes what the arrival of a heartbeat shows of the links.
+func (r *heartbeatRouter) recordContact(m HeartbeatReceived) {
+	machine := connectivity.Machine{
+		Name: m.Heartbeat.Machine,
+		Addr: m.Heartbeat.Addr,
+		Zone: m.Heartbeat.Zone,
+	}
+	links := r.peers.connectivity
+	if m.From == "" {
+		links.Workers.RecordHeartbeat(machine, m.Heartbeat.Epoch, m.Heartbeat.Seq, r.now)
 		return
 	}
-	if !up {
-		h.redirectFromLeaderless(b, leader)
+	links.RecordInbound(m.From, r.now)
+	links.Workers.Add(machine, r.now)
+}
+
+// routeAsLeader handles a heartbeat here, unless its worker is to go by way of the holder
+// of its partition.
+func (r *heartbeatRouter) routeAsLeader(m HeartbeatReceived) {
+	holder := r.cache.partitions.Holder(m.Heartbeat.Machine)
+	if m.From == "" && r.canServe(holder, m.Heartbeat.Zone) && r.mayRedirect(&m.Heartbeat, r.elector.fencingToken()) {
+		r.redirectTo(m.RequestID, holder)
 		return
 	}
-	if h.holdsPartition(name) || h.peers.connectivity.CannotReachZone(leader, b.Heartbeat.Zone) || !h.mayRedirect(&b.Heartbeat, h.elector.newestLeader.Token) {
-		h.noteServedHere(name, "")
-		h.emit(RelayHeartbeat{RequestID: b.RequestID, To: leader, Heartbeat: b.Heartbeat})
+	r.noteServedHere(m.Heartbeat.Machine, m.From)
+	r.workers.handleHeartbeat(m)
+}
+
+// routeToLeader relays a worker's own heartbeat to a leader that is up, where this
+// controller holds the machine's partition or nobody else would serve the worker better.
+func (r *heartbeatRouter) routeToLeader(m HeartbeatReceived, leader string) {
+	name, zone := m.Heartbeat.Machine, m.Heartbeat.Zone
+	if r.holdsPartition(name) || r.peers.connectivity.CannotReachZone(leader, zone) || !r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token) {
+		r.noteServedHere(name, "")
+		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: leader, Heartbeat: m.Heartbeat})
 		return
 	}
-	to := h.cache.partitions.Holder(name)
-	if to == "" || to == h.settings.Name || !h.peers.connectivity.PeerUp(to, h.now) || h.peers.connectivity.CannotReachZone(to, b.Heartbeat.Zone) {
+	to := r.cache.partitions.Holder(name)
+	if !r.canServe(to, zone) {
 		to = leader
 	}
-	h.emit(Reply{RequestID: b.RequestID, Status: 421, Leader: to})
+	r.redirectTo(m.RequestID, to)
 }
 
-// redirectFromLeaderless handles a report that can't be handed to the leader. Its worker is sent
-// to a controller that can do that, or to the leader itself where that reaches
-// the worker's zone; one that comes back can reach neither, and its report goes
-// by way of another controller.
-func (h *heartbeatRouter) redirectFromLeaderless(b HeartbeatReceived, leader string) {
-	if h.settings.Ops.Reach && leader != "" && leader != h.settings.Name {
-		way := h.peers.connectivity.RelayTo(leader)
-		to := way
-		if to == "" && !h.health.unavailable() && h.peers.connectivity.ReachesZone(leader, b.Heartbeat.Zone) {
-			to = leader // by its stored word, which is as old as the mirror
-		}
-		switch {
-		case to != "" && h.mayRedirect(&b.Heartbeat, h.elector.newestLeader.Token):
-			h.emit(Reply{RequestID: b.RequestID, Status: 421, Leader: to})
-			return
-		case way != "":
-			h.noteServedHere(b.Heartbeat.Machine, "")
-			h.emit(RelayHeartbeat{RequestID: b.RequestID, To: way, Heartbeat: b.Heartbeat, ViaPeer: true})
-			return
-		}
+// routeWithoutLeader handles a worker's own heartbeat that this controller can't relay to
+// the leader. The worker is redirected to a controller that can, or to the leader itself
+// where that reaches the worker's zone; one that comes back can reach neither, and its
+// heartbeat is relayed by way of another controller.
+func (r *heartbeatRouter) routeWithoutLeader(m HeartbeatReceived, leader string) {
+	if !r.settings.Ops.Reach || leader == "" || leader == r.settings.Name {
+		r.refuse(m.RequestID, "no leader known")
+		return
+	}
+	relay := r.peers.connectivity.RelayTo(leader)
+	to := relay
+	if to == "" && !r.health.unavailable() && r.peers.connectivity.ReachesZone(leader, m.Heartbeat.Zone) {
+		to = leader // by its stored advertisement, which is as old as the cached state
+	}
+	switch {
+	case to != "" && r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token):
+		r.redirectTo(m.RequestID, to)
+	case relay != "":
+		r.noteServedHere(m.Heartbeat.Machine, "")
+		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: relay, Heartbeat: m.Heartbeat, ViaPeer: true})
+	default:
+		r.refuse(m.RequestID, "no leader known")
 	}
-	h.emit(Reply{RequestID: b.RequestID, Status: 503, Error: "no leader known"})
+}
+
+// canServe says whether another controller can take the heartbeats of a zone's workers.
+func (r *heartbeatRouter) canServe(controller, zone string) bool {
+	return controller != "" && controller != r.settings.Name &&
+		r.peers.connectivity.PeerUp(controller, r.now) &&
+		!r.peers.connectivity.CannotReachZone(controller, zone)
 }
 
 // holdsPartition says whether this controller holds the lease of a machine's partition.
-func (h *heartbeatRouter) holdsPartition(name string) bool {
-	return h.cache.partitions.Holder(name) == h.settings.Name && h.cache.partitions.FencingToken == h.cache.leader.Token && h.now-h.cache.partitionsReadAt < h.cache.partitions.LeaseDuration
+func (r *heartbeatRouter) holdsPartition(machine string) bool {
+	partitions := &r.cache.partitions
+	return partitions.Holder(machine) == r.settings.Name &&
+		partitions.FencingToken == r.cache.leader.Token &&
+		r.now-r.cache.partitionsReadAt < partitions.LeaseDuration
 }
 
-// noteServedHere notes that a worker's report is taken here.
-func (h *heartbeatRouter) noteServedHere(name, from string) {
+// noteServedHere notes that a heartbeat is accepted here, from the worker itself if from
+// is empty.
+func (r *heartbeatRouter) noteServedHere(machine, from string) {
 	if from == "" {
-		r := h.redirects[name]
-		r.servedAt = h.now
-		h.redirects[name] = r
+		v := r.redirects[machine]
+		v.servedAt = r.now
+		r.redirects[machine] = v
 	}
 }
 
-// mayRedirect says whether a worker is to be sent to its holder.
-func (h *heartbeatRouter) mayRedirect(rep *Heartbeat, token uint64) bool {
-	r := h.redirects[rep.Machine]
-	if h.now < r.keepUntil {
+// mayRedirect says whether a worker is to be redirected, and notes that it is.
+func (r *heartbeatRouter) mayRedirect(heartbeat *Heartbeat, token uint64) bool {
+	v := r.redirects[heartbeat.Machine]
+	if r.now < v.keepUntil {
 		return false
 	}
-	// One that has orders of this leader, and not from here, has left its
-	// holder for a reason.
-	left := rep.FencingToken == token && (r.servedAt == 0 || h.now-r.servedAt > redirectReturnTime)
-	if left || r.sentAt != 0 && h.now-r.sentAt < redirectReturnTime {
-		r.keepUntil = h.now + keepWorkerTime
-		h.redirects[rep.Machine] = r
+	// One that has accepted commands of this leader, and not from here, has left the
+	// holder of its partition for a reason.
+	leftHolder := heartbeat.FencingToken == token && (v.servedAt == 0 || r.now-v.servedAt > redirectReturnTime)
+	cameBack := v.sentAt != 0 && r.now-v.sentAt < redirectReturnTime
+	if leftHolder || cameBack {
+		v.keepUntil = r.now + keepWorkerTime
+		r.redirects[heartbeat.Machine] = v
 		return false
 	}
-	r.sentAt = h.now
-	h.redirects[rep.Machine] = r
+	v.sentAt = r.now
+	r.redirects[heartbeat.Machine] = v
 	return true
 }
 
-// expireRedirects forgets the workers that no redirect concerns any more.
-func (h *heartbeatRouter) expireRedirects() {
-	for machine, r := range h.redirects {
-		if h.now-max(r.sentAt, r.keepUntil, r.servedAt) > 2*redirectReturnTime {
-			delete(h.redirects, machine)
+// expireRedirects forgets the redirects that decide nothing any more.
+func (r *heartbeatRouter) expireRedirects() {
+	for machine, v := range r.redirects {
+		if r.now-max(v.sentAt, v.keepUntil, v.servedAt) > 2*redirectReturnTime {
+			delete(r.redirects, machine)
 		}
 	}
 }
 
-func (h *heartbeatRouter) onHeartbeatRelayed(m HeartbeatRelayed) {
-	a := m.Answer
+// onHeartbeatRelayed hands the answer to a relayed heartbeat on to whoever sent it.
+func (r *heartbeatRouter) onHeartbeatRelayed(m HeartbeatRelayed) {
 	if m.Err != nil {
-		a = Reply{Status: 503, Error: "the leader does not answer"}
+		r.refuse(m.RequestID, "the leader does not answer")
+		return
 	}
-	a.RequestID = m.RequestID
-	h.emit(a)
+	answer := m.Answer
+	answer.RequestID = m.RequestID
+	r.emit(answer)
+}
+
+// redirectTo answers a heartbeat with the controller that its worker is to turn to.
+func (r *heartbeatRouter) redirectTo(requestID uint64, controller string) {
+	r.emit(Reply{RequestID: requestID, Status: 421, Leader: controller})
+}
+
+// refuse answers a heartbeat that can't be handled here; the worker tries another
+// controller.
+func (r *heartbeatRouter) refuse(requestID uint64, why string) {
+	r.emit(Reply{RequestID: requestID, Status: 503, Error: why})
 }
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -50,7 +50,7 @@
 			j := jobstate.NewJob(&jobstate.Spec{ID: "busy", Team: "t", Tasks: 100})
 			for kind, n := range tc.busy {
 				for i := range n {
-					m := r.c.workers.machine(fmt.Sprintf("m-%d-%d", kind, i))
+					m := r.c.workers.getOrAddMachine(fmt.Sprintf("m-%d-%d", kind, i))
 					m.Type, m.Spot, m.LastHeartbeat = "c", kind == 1, r.now
 					m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 				}
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -47,7 +47,7 @@
 func (r *rig) place(j *jobstate.Job, trial bool) {
 	r.c.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
-		m := r.c.workers.machine(fmt.Sprint("x", i))
+		m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i))
 		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, r.now, true, "a"
 		j.PlaceTask(i, m.Name, 1, r.now)
 		t := j.Task(i)
@@ -222,37 +222,37 @@
 	}{
 		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
 		{"one loses its peers", func(r *rig, j *jobstate.Job) {
-			r.c.tasks.taskExited(r.c.workers.machine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
+			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
 		// fetch anew in the next attempt, and that be incomplete as well.
 		{"one is incomplete, and what fetches goes on", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.workers.machine("x1")
+			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
 		{"until it has its image", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.workers.machine("x1")
+			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
 				r.t.Error("the image is not there")
 			}
 		}, "1:gang 2:gang "},
 		{"or for too long", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.workers.machine("x1")
+			x1 := r.c.workers.getOrAddMachine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.now += 41 * second
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
 		}, "1:gang 2:gang "},
 		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *jobstate.Job) {
-			x1 := r.c.workers.machine("x1")
+			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
@@ -263,10 +263,10 @@
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preemptGang(j, 2, jobstate.StopPreempt) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
 		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
 			r.c.tasks.taskDone(j, 0)
-			r.c.tasks.taskExited(r.c.workers.machine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
+			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
 		}, "1: 2: "},
 	}
 	for _, tc := range cases {
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -177,7 +177,7 @@
 		if victim.Kill {
 			grace = 0
 		}
-		p.tasks.stopAtCheckpoint(victim.Job, victim.Index, jobstate.StopPreempt, grace)
+		p.tasks.preempt(victim.Job, victim.Index, grace)
 	}
 }
 
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -68,7 +68,7 @@
 				r.c.prefetcher.noteImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
 			}
 			for i := range machines {
-				m := r.c.workers.machine(fmt.Sprintf("host-%06d", i))
+				m := r.c.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
 				for k := range 20 {
 					if (i+k)%3 == 0 {
 						m.RecordImageUse(fmt.Sprint("im-", k), 5000, 1)
@@ -93,7 +93,7 @@
 			next.c.prefetcher.loadImageHints()
 			next.c.prefetcher.loadImageHints()
 			for i := range machines {
-				m := next.c.workers.machine(fmt.Sprintf("host-%06d", i))
+				m := next.c.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
 				next.c.prefetcher.restoreKnownImages(m)
 				for k := range 20 {
 					if _, has := m.Images[fmt.Sprint("im-", k)]; has != ((i+k)%3 == 0) {
--- /dev/null
+++ b/internal/core/reconcile.go
@@ -0,0 +1,219 @@
+package core
+
+import (
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// abandonedFetchFactor is how many times as long as it should take the fetch of an
+// image may go on after its gang was given up.
+const abandonedFetchFactor = 4
+
+// reconcile compares a heartbeat with what is placed on its machine. It returns the
+// commands that bring the machine in line, and whether a placed attempt has exited.
+func (w *workerManager) reconcile(machine *fleet.Machine, heartbeat *Heartbeat) (commands []Command, exited bool) {
+	commands, exited = w.reconcileListed(machine, heartbeat)
+	return w.reconcileMissing(machine, heartbeat, commands), exited
+}
+
+// listedTask is a task of a heartbeat with what is known of it.
+type listedTask struct {
+	status *TaskStatus
+	// job and task are nil where they are not known.
+	job   *jobstate.Job
+	task  *jobstate.Task
+	index int
+	// isPlaced: this attempt is placed on the machine that lists it.
+	isPlaced bool
+}
+
+// command makes a command for the attempt that is listed.
+func (l *listedTask) command(kind CommandKind, grace int64) Command {
+	return Command{Kind: kind, Task: l.status.Name, Attempt: uint32(l.status.Attempt), Grace: grace}
+}
+
+// findListed looks up a task of a heartbeat.
+func (w *workerManager) findListed(machine *fleet.Machine, status *TaskStatus) (listedTask, error) {
+	id, index, err := jobstate.ParseTaskName(status.Name)
+	if err != nil {
+		return listedTask{}, err
+	}
+	listed := listedTask{status: status, job: w.cache.jobs[id], index: index}
+	if listed.job != nil {
+		listed.task = listed.job.Task(index)
+	}
+	if task := listed.task; task != nil {
+		listed.isPlaced = task.Machine == machine.Name && uint64(task.Attempt) == status.Attempt
+	}
+	return listed, nil
+}
+
+// reconcileListed goes through the tasks that a heartbeat lists.
+func (w *workerManager) reconcileListed(machine *fleet.Machine, heartbeat *Heartbeat) (commands []Command, exited bool) {
+	machine.OrphanUsage = jobstate.Resources{}
+	prefetchListed := false
+	for k := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[k]
+		if p := machine.Prefetch; p != nil && p.Task == status.Name && uint64(p.Attempt) == status.Attempt {
+			prefetchListed = true
+			commands = append(commands, w.prefetcher.reconcilePrefetch(machine, status)...)
+			continue
+		}
+		listed, err := w.findListed(machine, status)
+		if err != nil {
+			continue // no task of this cluster has such a name
+		}
+		switch {
+		case status.State == TaskExited:
+			exited = exited || listed.isPlaced
+			if w.reconcileExited(machine, &listed) {
+				commands = append(commands, listed.command(CommandForget, 0))
+			}
+		case !listed.isPlaced:
+			// An attempt that was given up, or of an earlier leader.
+			commands = append(commands, listed.command(CommandStop, 0))
+			if listed.job != nil {
+				machine.OrphanUsage = machine.OrphanUsage.Add(listed.job.Need)
+			}
+		default:
+			w.reconcilePlaced(machine, &listed)
+			if listed.task.IsStopping() {
+				commands = append(commands, listed.command(CommandStop, listed.task.Grace))
+			}
+		}
+	}
+	return append(commands, w.prefetcher.prefetchCommand(machine, prefetchListed)...), exited
+}
+
+// reconcileExited takes over the end of an attempt, and says whether the worker may forget
+// it. The end must be stored first: a start could follow from the stored placement, and
+// run the task again.
+func (w *workerManager) reconcileExited(machine *fleet.Machine, listed *listedTask) (forget bool) {
+	job, task := listed.job, listed.task
+	if task == nil {
+		return true
+	}
+	if job.Outcome == "" && listed.status.Reason == ExitDone {
+		w.tasks.taskDone(job, listed.index)
+	}
+	if listed.isPlaced {
+		task.Confirmed = true
+		w.tasks.taskExited(machine, job, listed.index, listed.status)
+	}
+	return job.Outcome != "" || job.IsTaskStored(listed.index)
+}
+
+// reconcilePlaced takes over the state of a placed attempt, and requests its stop where its
+// gang or its job is over.
+func (w *workerManager) reconcilePlaced(machine *fleet.Machine, listed *listedTask) {
+	job, task := listed.job, listed.task
+	task.Confirmed, task.StartSent = true, true
+	w.noteTaskPhase(machine, job, task, listed.status.State)
+	if job.IsPartiallyPlaced() && !task.IsStopping() && !w.mayFinishFetch(machine, job, task) {
+		w.tasks.requestStop(job, listed.index, jobstate.StopGang, 0)
+	}
+	if job.Outcome != "" && !task.IsStopping() {
+		task.StopReason, task.StopRequestedAt = job.OutcomeStopReason(), w.now
+	}
+}
+
+// mayFinishFetch says whether a task whose gang was given up may go on until it has its
+// image, see breakGang.
+func (w *workerManager) mayFinishFetch(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task) bool {
+	return task.Phase == jobstate.Fetching &&
+		w.now-task.PlacedAt <= abandonedFetchFactor*job.FetchTime(machine.FetchRate)
+}
+
+// phaseOf is the phase of an attempt whose worker gives its state.
+func phaseOf(state TaskState) jobstate.Phase {
+	switch state {
+	case TaskWaiting:
+		return jobstate.Waiting
+	case TaskRunning:
+		return jobstate.Running
+	case TaskCheckpointing:
+		return jobstate.Checkpointing
+	}
+	return jobstate.Fetching
+}
+
+// noteTaskPhase takes over the state of a placed attempt.
+func (w *workerManager) noteTaskPhase(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task, state TaskState) {
+	phase := phaseOf(state)
+	if phase == jobstate.Running && task.StartedAt == 0 {
+		task.StartedAt = w.now
+		w.log.Debug("task running", "class", job.Class, "job", job.ID, "machine", machine.Name,
+			"placed_s", float64(w.now-task.PlacedAt)/1e6, "ready_s", float64(w.now-job.ReadyAt)/1e6)
+	}
+	if phase == task.Phase {
+		return
+	}
+	if phase == jobstate.Fetching {
+		machine.RecordImageFetch(job.Image, job.ImageMB, w.now)
+	} else {
+		machine.RecordImageUse(job.Image, job.ImageMB, w.now)
+	}
+	job.SetPhase(task, phase)
+	w.elector.leadership.planning.requestRound()
+}
+
+// missingTasks are placements that a heartbeat does not list.
+type missingTasks struct {
+	// toStart are stored and were not started yet, or their start was lost.
+	toStart []fleet.TaskRef
+	// lost were on the machine, neverStarted were not; none of them is there.
+	lost, neverStarted []fleet.TaskRef
+}
+
+// reconcileMissing goes through the placements that a heartbeat does not list. It adds a
+// start for those that are stored, and clears those that can't be there any more.
+func (w *workerManager) reconcileMissing(machine *fleet.Machine, heartbeat *Heartbeat, commands []Command) []Command {
+	if len(machine.Placed) == 0 {
+		return commands
+	}
+	missing := w.findMissing(machine, heartbeat)
+	w.tasks.clearGone(missing.lost, missing.neverStarted)
+	sortRefs(missing.toStart)
+	for _, ref := range missing.toStart {
+		task := ref.Job.Task(ref.Index)
+		if task.Machine != machine.Name || task.IsStopping() {
+			continue // the rest of its gang was lost just now
+		}
+		task.StartSent = true
+		commands = append(commands, Command{
+			Kind:    CommandStart,
+			Task:    jobstate.TaskName(ref.Job.ID, ref.Index),
+			Attempt: task.Attempt,
+		})
+	}
+	return commands
+}
+
+// findMissing sorts the placements that a heartbeat does not list by what follows.
+func (w *workerManager) findMissing(machine *fleet.Machine, heartbeat *Heartbeat) (missing missingTasks) {
+	listed := make(map[string]uint64, len(heartbeat.Tasks))
+	for k := range heartbeat.Tasks {
+		listed[heartbeat.Tasks[k].Name] = heartbeat.Tasks[k].Attempt
+	}
+	for ref := range machine.Placed {
+		job, task := ref.Job, ref.Job.Task(ref.Index)
+		name := jobstate.TaskName(job.ID, ref.Index)
+		if attempt, ok := listed[name]; ok && attempt == uint64(task.Attempt) {
+			continue
+		}
+		switch {
+		case machine.SeqRestarted() && (task.Confirmed || task.IsStopping() && task.StartSent):
+			// The heartbeat may be a copy: the machine is probed, see needsProbe.
+		case task.Confirmed && machine.HasCurrentToken:
+			// It was here and is gone: the worker ended it with its last epoch.
+			missing.lost = append(missing.lost, ref)
+		case task.IsStopping() && (machine.HasCurrentToken || !task.StartSent):
+			// The start was lost, or never sent: had the worker received it, this
+			// later heartbeat would list the task.
+			missing.neverStarted = append(missing.neverStarted, ref)
+		case !task.IsStopping() && job.Outcome == "" && task.Stored && w.elector.mayStartTasks():
+			missing.toStart = append(missing.toStart, ref)
+		}
+	}
+	return missing
+}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -325,8 +325,8 @@
 	for range 30 * 20 {
 		w.tick()
 		most = max(most, len(parked.byName))
-		if len(parked.byName) != parked.heldBy[""] {
-			t.Fatalf("%d are parked, %d by the count", len(parked.byName), parked.heldBy[""])
+		if len(parked.byName) != parked.countVia[""] {
+			t.Fatalf("%d are parked, %d by the count", len(parked.byName), parked.countVia[""])
 		}
 	}
 	if most != sockets/2 {
--- a/internal/core/suspect_test.go
+++ b/internal/core/suspect_test.go
@@ -30,7 +30,7 @@
 				if jobs[f.job] == nil {
 					jobs[f.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", f.job), Tasks: 1})
 				}
-				r.c.tasks.suspectMachine(r.c.workers.machine(fmt.Sprint("m", f.machine)), jobs[f.job])
+				r.c.tasks.suspectMachine(r.c.workers.getOrAddMachine(fmt.Sprint("m", f.machine)), jobs[f.job])
 			}
 			drained := 0
 			for _, m := range r.c.elector.leadership.fleet.All() {
@@ -77,7 +77,7 @@
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.heard, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
 			r.place(j, false)
 			for i := range tc.silent {
-				if m := r.c.workers.machine(fmt.Sprint("x", i)); !tc.ever {
+				if m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
 					m.LastHeartbeat = 0
 				}
 			}
@@ -85,7 +85,7 @@
 			r.now += tc.after * second
 			r.c.now = r.now
 			for i := range tc.heard {
-				r.c.workers.machine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
+				r.c.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
 			}
 			r.c.elector.leadership.tokenProvenAt = r.now
 			if tc.unproved {
@@ -123,7 +123,7 @@
 			r.c.cache.machineTypes[0].Boot = 30 * second
 			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, up: tc.up}
 			if tc.heard {
-				r.c.workers.machine("b").LastHeartbeat = r.now
+				r.c.workers.getOrAddMachine("b").LastHeartbeat = r.now
 			}
 			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
 			r.c.scaler.scaleInTick(func() bool { return false }, nil)
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -198,7 +198,7 @@
 	}
 	for _, j := range m.cache.jobs {
 		if j.Sweep == id && j.Outcome == "" {
-			m.tasks.stopAllPlaced(j, jobstate.StopSweep)
+			m.tasks.cancel(j, jobstate.StopSweep)
 		}
 	}
 }
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -1,13 +1,12 @@
 package core
 
 import (
-	"slices"
-
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// taskManager places, stops and clears tasks, and sends commands straight to workers where they are urgent.
+// taskManager stops tasks and clears their placements, keeps account of how attempts end,
+// and sends commands straight to workers where they are urgent.
 type taskManager struct {
 	*engine
 
@@ -18,267 +17,220 @@
 	workers      *workerManager
 }
 
-// requestStop asks for an attempt to be stopped; grace 0 ends it at once.
-func (tm *taskManager) requestStop(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
-	t := j.Task(i)
-	if t.IsStopping() && grace >= t.Grace {
-		return
-	}
-	if !t.IsStopping() {
-		t.StopRequestedAt = tm.now
-	}
-	t.StopReason, t.Grace = reason, grace
-	tm.elector.leadership.heartbeats.releaseWanted = true
-	tm.queueDirectCommand(j, i)
-}
+// For how long a job is not started again after an attempt of it has failed. A bad
+// submission fails everywhere; it comes back more and more seldom, so that it harms nobody.
+const (
+	failureBackoff    = 2 * second // for each failure
+	maxFailureBackoff = 30 * second
+	notStartedBackoff = second // the worker could not start it
+)
 
-// clearPlacement removes a placement that is proven to be gone.
-func (tm *taskManager) clearPlacement(j *jobstate.Job, i int) {
-	t := j.Task(i)
-	if m := tm.elector.leadership.fleet.Get(t.Machine); m != nil {
-		m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
-		if t.Phase == jobstate.Fetching && !fetchesImage(m, j.Image) {
-			m.AbandonFetch(j.Image)
-		}
-		if len(m.Placed) == 0 {
-			m.IdleSince = tm.now
-		}
+// checkpointGrace is long enough for a task to save a checkpoint, if it can.
+func checkpointGrace(job *jobstate.Job) int64 {
+	if job.Checkpoint > 0 {
+		return job.Save*3/2 + second
 	}
-	j.UnplaceTask(i, tm.now)
-	tm.committer.markDirty(j)
-	tm.elector.leadership.planning.requestRound()
+	return 0
 }
 
-// preemptGang stops a task, or the whole gang, with time to save.
-func (tm *taskManager) preemptGang(j *jobstate.Job, i int, reason jobstate.StopReason) {
-	tm.stopAtCheckpoint(j, i, reason, checkpointGrace(j))
+// preempt makes room for other work: it stops a task, or the whole gang, within a grace
+// period.
+func (t *taskManager) preempt(job *jobstate.Job, index int, grace int64) {
+	t.stopWithGang(job, index, jobstate.StopPreempt, grace)
 }
 
-func (tm *taskManager) stopAtCheckpoint(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
-	if j.Kind != jobstate.Gang {
-		tm.stopTask(j, i, reason, grace)
-		return
-	}
-	j.EachPlaced(func(i int, _ *jobstate.Task) { tm.stopTask(j, i, reason, grace) })
+// endTrial stops a task whose trial run is over, or the whole gang, with time for a
+// checkpoint.
+func (t *taskManager) endTrial(job *jobstate.Job, index int) {
+	t.stopWithGang(job, index, jobstate.StopTrial, checkpointGrace(job))
 }
 
-func (tm *taskManager) stopTask(j *jobstate.Job, i int, reason jobstate.StopReason, grace int64) {
-	t := j.Task(i)
-	if !t.StartSent {
-		tm.clearPlacement(j, i)
-		return
-	}
-	if !t.IsStopping() {
-		tm.requestStop(j, i, reason, grace)
-	}
+// drain stops a task whose machine is to go, or the whole gang, with time for a checkpoint.
+func (t *taskManager) drain(job *jobstate.Job, index int) {
+	t.stopWithGang(job, index, jobstate.StopDrain, checkpointGrace(job))
 }
 
-// stopAllPlaced stops all placed tasks of a job at once.
-func (tm *taskManager) stopAllPlaced(j *jobstate.Job, reason jobstate.StopReason) {
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if !t.StartSent {
-			tm.clearPlacement(j, i) // no worker knows of it
+// cancel stops all placed tasks of a job at once: nobody wants them any more.
+func (t *taskManager) cancel(job *jobstate.Job, reason jobstate.StopReason) {
+	job.EachPlaced(func(i int, task *jobstate.Task) {
+		if !task.StartSent {
+			t.clearPlacement(job, i) // no worker knows of it
 			return
 		}
-		tm.requestStop(j, i, reason, 0)
+		t.requestStop(job, i, reason, 0)
 	})
 }
 
-// queueDirectCommand sends a stop to the worker's own address, which is faster than its
-// next report. That is safe however late it arrives: an attempt that was
-// once told to stop is never wanted again. One of a job that is over may be sent
-// even by a leader that was replaced and does not know.
-func (tm *taskManager) queueDirectCommand(j *jobstate.Job, i int) {
-	t := j.Task(i)
-	m := tm.elector.leadership.fleet.Get(t.Machine)
-	if m == nil || m.Addr == "" || m.Epoch == 0 || !tm.workers.mayDeliverStop(j, t) {
+// breakGang ends what is left of a gang's attempt; the next one begins when all of its
+// tasks are gone. If it was only incomplete for too long, those that still fetch the image
+// go on until they have it: stopped, they would begin the fetch anew with the next attempt,
+// which would be incomplete as well, and so on for ever where a machine fetches slowly and
+// the others have the image.
+func (t *taskManager) breakGang(job *jobstate.Job, incomplete bool) {
+	if job.NumDone == job.Tasks {
 		return
 	}
-	tm.elector.leadership.directCommands[m.Name] = append(tm.elector.leadership.directCommands[m.Name], Command{Kind: CommandStop, Task: jobstate.TaskName(j.ID, i), Attempt: t.Attempt, Grace: t.Grace})
-}
-
-// sendDirectCommands sends a machine's orders together: hundreds of tasks may be stopped
-// in one moment, and each message takes a connection.
-func (tm *taskManager) sendDirectCommands() {
-	for _, name := range sortedKeys(tm.elector.leadership.directCommands) {
-		m := tm.elector.leadership.fleet.Get(name)
-		if m == nil {
-			continue
-		}
-		for orders := range slices.Chunk(tm.elector.leadership.directCommands[name], maxDirectCommands) {
-			tm.emit(SendCommands{Addr: m.Addr, FencingToken: tm.elector.fencingToken(), Epoch: m.Epoch, Commands: orders})
+	job.EachPlaced(func(i int, task *jobstate.Task) {
+		if incomplete && task.StartSent && task.Phase == jobstate.Fetching {
+			return
 		}
-	}
-	clear(tm.elector.leadership.directCommands)
+		t.stopTask(job, i, jobstate.StopGang, 0)
+	})
 }
 
-// breakGang ends what is left of a gang's attempt; the next one begins when
-// all of its tasks are gone. If it was only incomplete for too long, those that
-// still fetch the image go on until they have it: stopped, they would begin
-// the fetch anew with the next attempt, which would be incomplete as well, and
-// so on for ever where a machine fetches slowly and the others have the image.
-func (tm *taskManager) breakGang(j *jobstate.Job, incomplete bool) {
-	if j.NumDone == j.Tasks {
+// stopWithGang stops a task, and where it is one of a gang all of the gang.
+func (t *taskManager) stopWithGang(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
+	if job.Kind != jobstate.Gang {
+		t.stopTask(job, index, reason, grace)
 		return
 	}
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if !t.StartSent {
-			tm.clearPlacement(j, i)
-			return
-		}
-		if !t.IsStopping() && !(incomplete && t.Phase == jobstate.Fetching) {
-			tm.requestStop(j, i, jobstate.StopGang, 0)
-		}
-	})
+	job.EachPlaced(func(i int, _ *jobstate.Task) { t.stopTask(job, i, reason, grace) })
 }
 
-// taskLost handles a task that is proven to be gone without an exit.
-func (tm *taskManager) taskLost(j *jobstate.Job, i int) {
-	tm.log.Debug("attempt lost", "job", j.ID, "task", i, "machine", j.Task(i).Machine)
-	tm.clearPlacement(j, i)
-	if j.Kind == jobstate.Gang && j.Outcome == "" {
-		tm.breakGang(j, false)
+// stopTask clears a placement that no worker knows of, and requests the stop of one that
+// may be started. One that is stopping already keeps its reason and grace period.
+func (t *taskManager) stopTask(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
+	task := job.Task(index)
+	if !task.StartSent {
+		t.clearPlacement(job, index)
+		return
+	}
+	if !task.IsStopping() {
+		t.requestStop(job, index, reason, grace)
 	}
 }
 
-// clearGone clears placements that are proven to be gone: lost ones were there,
-// the others never came to be. It goes by their order, as orders for the rest of
-// a gang go out for each, and changes are written in the order they were made.
-func (tm *taskManager) clearGone(lost, never []fleet.TaskRef) {
-	sortRefs(lost)
-	for _, ref := range lost {
-		tm.taskLost(ref.Job, ref.Index)
+// requestStop asks for an attempt to be stopped within a grace period; 0 ends it at once.
+// One that is stopping already can only be given less time.
+func (t *taskManager) requestStop(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
+	task := job.Task(index)
+	if task.IsStopping() && grace >= task.Grace {
+		return
 	}
-	sortRefs(never)
-	for _, ref := range never {
-		if t := ref.Job.Task(ref.Index); t.Machine != "" {
-			tm.clearPlacement(ref.Job, ref.Index)
-		}
+	if !task.IsStopping() {
+		task.StopRequestedAt = t.now
 	}
+	task.StopReason, task.Grace = reason, grace
+	t.elector.leadership.heartbeats.releaseWanted = true
+	t.queueDirectStop(job, index)
 }
 
-// jobArrived, jobEnded and jobRemoved are called by the mirror.
-func (tm *taskManager) jobArrived(j *jobstate.Job) {
-	if tm.elector.isLeader() {
-		tm.elector.leadership.planning.requestRound()
-		tm.prefetcher.noteImageDemand(j.Spec)
-		tm.elector.leadership.planning.classSizes.note(j.Spec)
+// clearPlacement removes a placement that is proven to be gone.
+func (t *taskManager) clearPlacement(job *jobstate.Job, index int) {
+	task := job.Task(index)
+	if machine := t.elector.leadership.fleet.Get(task.Machine); machine != nil {
+		machine.RemovePlacement(fleet.TaskRef{Job: job, Index: index})
+		if task.Phase == jobstate.Fetching && !fetchesImage(machine, job.Image) {
+			machine.AbandonFetch(job.Image)
+		}
+		if len(machine.Placed) == 0 {
+			machine.IdleSince = t.now
+		}
 	}
+	job.UnplaceTask(index, t.now)
+	t.committer.markDirty(job)
+	t.elector.leadership.planning.requestRound()
 }
 
-func (tm *taskManager) jobEnded(j *jobstate.Job) {
-	tm.dependencies.dependencyGraph.Remove(j)
-	if !tm.elector.isLeader() {
-		return
+// clearGone clears placements that are proven to be gone: lost ones were on their machine,
+// the others were never started. It goes by their order, as the rest of a gang is stopped
+// for each, and changes are written in the order in which they were made.
+func (t *taskManager) clearGone(lost, neverStarted []fleet.TaskRef) {
+	sortRefs(lost)
+	for _, ref := range lost {
+		t.taskLost(ref.Job, ref.Index)
+	}
+	sortRefs(neverStarted)
+	for _, ref := range neverStarted {
+		if ref.Job.Task(ref.Index).Machine != "" {
+			t.clearPlacement(ref.Job, ref.Index)
+		}
 	}
-	tm.stopAllPlaced(j, j.OutcomeStopReason())
-	tm.committer.markDirty(j)
-	tm.elector.leadership.planning.requestRound()
 }
 
-func (tm *taskManager) jobRemoved(j *jobstate.Job) {
-	tm.dependencies.dependencyGraph.Remove(j)
-	if !tm.elector.isLeader() {
-		return
+// taskLost handles a task that is proven to be gone without an exit.
+func (t *taskManager) taskLost(job *jobstate.Job, index int) {
+	t.log.Debug("task lost", "job", job.ID, "task", index, "machine", job.Task(index).Machine)
+	t.clearPlacement(job, index)
+	if job.Kind == jobstate.Gang && job.Outcome == "" {
+		t.breakGang(job, false)
 	}
-	delete(tm.elector.leadership.commits.dirty, j)
-	delete(tm.elector.leadership.commits.backoffUntil, j)
-	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if m := tm.elector.leadership.fleet.Get(t.Machine); m != nil {
-			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
-		}
-	})
-	tm.elector.leadership.planning.requestRound()
 }
 
 // taskDone notes a completed task; the tasks of a gang complete together.
-func (tm *taskManager) taskDone(j *jobstate.Job, i int) {
-	if j.Kind == jobstate.Gang {
-		for k := range j.Tasks {
-			j.SetDone(k, tm.now)
+func (t *taskManager) taskDone(job *jobstate.Job, index int) {
+	if job.Kind == jobstate.Gang {
+		for i := range job.Tasks {
+			job.SetDone(i, t.now)
 		}
 	} else {
-		j.SetDone(i, tm.now)
+		job.SetDone(index, t.now)
 	}
-	tm.committer.markDirty(j)
+	t.committer.markDirty(job)
 }
 
 // taskExited handles the end of a placed attempt.
-func (tm *taskManager) taskExited(m *fleet.Machine, j *jobstate.Job, i int, tr *TaskStatus) {
-	t := j.Task(i)
-	stopped := t.StopReason
-	tm.log.Debug("exited", "class", j.Class, "task", tr.Name, "attempt", tr.Attempt, "machine", m.Name, "why", tr.Reason, "stopped", stopped,
-		"ran_s", float64(tm.now-t.StartedAt)/1e6, "estimate_s", float64(j.Estimate)/1e6)
-	if t.Trial && stopped == jobstate.StopTrial {
-		j.SetTrialDone(tm.now)
-	}
-	switch tr.Reason {
+func (t *taskManager) taskExited(machine *fleet.Machine, job *jobstate.Job, index int, status *TaskStatus) {
+	task := job.Task(index)
+	t.log.Debug("task exited", "class", job.Class, "task", status.Name, "attempt", status.Attempt, "machine", machine.Name,
+		"reason", status.Reason, "stop_reason", task.StopReason,
+		"ran_s", float64(t.now-task.StartedAt)/1e6, "estimate_s", float64(job.Estimate)/1e6)
+	if task.Trial && task.StopReason == jobstate.StopTrial {
+		job.SetTrialDone(t.now)
+	}
+	switch status.Reason {
 	case ExitDone, ExitError, ExitGangIncomplete:
-		m.RecordImageUse(j.Image, j.ImageMB, tm.now) // it had it
+		machine.RecordImageUse(job.Image, job.ImageMB, t.now) // it was there
 	}
-	tm.clearPlacement(j, i)
-	switch tr.Reason {
+	t.clearPlacement(job, index)
+	switch status.Reason {
 	case ExitDone:
-		clear(m.FailedJobs)
+		clear(machine.FailedJobs)
 		return
 	case ExitError:
-		j.Failures++
-		// A bad submission fails everywhere; it comes back more and more
-		// seldom, so that it harms nobody.
-		j.NotBefore = tm.now + min(int64(j.Failures)*2*second, 30*second)
-		tm.suspectMachine(m, j)
+		job.Failures++
+		job.NotBefore = t.now + min(int64(job.Failures)*failureBackoff, maxFailureBackoff)
+		t.suspectMachine(machine, job)
 	case ExitNoRoom, ExitBusy, ExitUnknownTask:
-		j.NotBefore = tm.now + second
+		job.NotBefore = t.now + notStartedBackoff
 	}
-	if j.Kind == jobstate.Gang && j.Outcome == "" {
-		tm.breakGang(j, tr.Reason == ExitGangIncomplete)
+	if job.Kind == jobstate.Gang && job.Outcome == "" {
+		t.breakGang(job, status.Reason == ExitGangIncomplete)
 	}
 }
 
-// suspectMachine counts failures of different jobs on a machine: a faulty machine
-// fails everything, a faulty job fails everywhere.
-func (tm *taskManager) suspectMachine(m *fleet.Machine, j *jobstate.Job) {
-	if j.FailedOn == nil {
-		j.FailedOn = map[string]bool{}
-	}
-	j.FailedOn[m.Name] = true
-	if len(j.FailedOn) > minFailedMachines {
-		// It is the job: two such must not have every machine drained.
-		for _, o := range tm.elector.leadership.fleet.All() {
-			delete(o.FailedJobs, j.ID)
-		}
+// jobArrived notes a job that the state cache has not had.
+func (t *taskManager) jobArrived(job *jobstate.Job) {
+	if !t.elector.isLeader() {
 		return
 	}
-	m.FailedJobs[j.ID] = true
-	if len(m.FailedJobs) >= 2 && !m.Draining {
-		tm.log.Info("machine looks faulty, draining it", "machine", m.Name, "jobs", len(m.FailedJobs))
-		m.Draining = true
-		m.MarkChanged()
-		tm.drainMachine(m, 0)
-	}
+	t.elector.leadership.planning.requestRound()
+	t.prefetcher.noteImageDemand(job.Spec)
+	t.elector.leadership.planning.classSizes.note(job.Spec)
 }
 
-// drainMachine stops what is on a machine that is to go, with time to save where
-// the notice leaves it.
-func (tm *taskManager) drainMachine(m *fleet.Machine, notice int64) {
-	refs := make([]fleet.TaskRef, 0, len(m.Placed))
-	for ref := range m.Placed {
-		refs = append(refs, ref)
-	}
-	sortRefs(refs)
-	for _, ref := range refs {
-		j := ref.Job
-		if j.Outcome != "" || j.Task(ref.Index) == nil || j.Task(ref.Index).Machine != m.Name {
-			continue
-		}
-		if j.Checkpoint == 0 && notice > 0 && tm.finishesWithin(j, j.Task(ref.Index), notice) {
-			continue
-		}
-		tm.preemptGang(j, ref.Index, jobstate.StopDrain)
+// jobEnded stops what is left of a job that has an outcome by now.
+func (t *taskManager) jobEnded(job *jobstate.Job) {
+	t.dependencies.dependencyGraph.Remove(job)
+	if !t.elector.isLeader() {
+		return
 	}
-	tm.elector.leadership.planning.requestRound()
+	t.cancel(job, job.OutcomeStopReason())
+	t.committer.markDirty(job)
+	t.elector.leadership.planning.requestRound()
 }
 
-func (tm *taskManager) finishesWithin(j *jobstate.Job, t *jobstate.Task, d int64) bool {
-	return t.StartedAt != 0 && t.StartedAt+j.Estimate < tm.now+d*3/4
+// jobRemoved forgets a job whose keys are gone.
+func (t *taskManager) jobRemoved(job *jobstate.Job) {
+	t.dependencies.dependencyGraph.Remove(job)
+	if !t.elector.isLeader() {
+		return
+	}
+	t.committer.forget(job)
+	job.EachPlaced(func(i int, task *jobstate.Task) {
+		if machine := t.elector.leadership.fleet.Get(task.Machine); machine != nil {
+			machine.RemovePlacement(fleet.TaskRef{Job: job, Index: i})
+		}
+	})
+	t.elector.leadership.planning.requestRound()
 }
--- a/internal/core/trials.go
+++ b/internal/core/trials.go
@@ -31,7 +31,7 @@
 		p.log.Debug("trial over", "job", job.ID)
 		job.EachPlaced(func(i int, t *jobstate.Task) {
 			if t.Trial {
-				p.tasks.preemptGang(job, i, jobstate.StopTrial)
+				p.tasks.endTrial(job, i)
 			}
 		})
 	}
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -6,71 +6,84 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// A machine may reach no controller while direct commands reach it: then its reports
-// bring it no stops, and a leader that has begun since does not know its session, nor
-// its address but from the cloud's list. What is to stop there would go on until the
-// machine's lease has run out. So a silent machine with something to stop is asked for
-// a report, and what that lists is stopped by the session that it names. An answer
-// proves nothing else here: what it lacks may still come to be.
+// A machine may reach no controller while direct commands reach it: then no answer to a
+// heartbeat brings it stops, and a leader that was elected since does not know its epoch,
+// nor its address but from the cloud's list. What is to stop there would go on until the
+// machine's lease has expired. So a silent machine with something to stop is probed, and
+// what its answer lists is stopped under the epoch that the answer names. An answer proves
+// nothing else here: what it does not list may still start.
 
-// maxUnreachableProbes bounds the silent machines that are asked in a tick.
+// maxUnreachableProbes bounds the silent machines that are probed in a tick.
 const maxUnreachableProbes = 8
 
-// missedHeartbeat says that a machine's reports have not come for more than one interval.
-func (wm *workerManager) missedHeartbeat(m *fleet.Machine) bool {
-	return m.LastHeartbeat == 0 || wm.now-m.LastHeartbeat > config.MicrosOf(wm.settings.Workers.ReportS)*3/2
+// missedHeartbeat says that a machine's heartbeats have not come for more than one interval.
+func (w *workerManager) missedHeartbeat(machine *fleet.Machine) bool {
+	return machine.LastHeartbeat == 0 ||
+		w.now-machine.LastHeartbeat > config.MicrosOf(w.settings.Workers.ReportS)*3/2
 }
 
-// probeUnreachable asks silent machines on which something is to stop.
-func (wm *workerManager) probeUnreachable() {
-	asked := 0
-	for _, m := range wm.elector.leadership.fleet.All() {
-		if asked < maxUnreachableProbes && m.Addr != "" && len(m.Placed) > 0 && wm.missedHeartbeat(m) && wm.hasFinalStops(m) && m.BeginProbe(wm.now) {
-			asked++
-			wm.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
+// probeUnreachable probes silent machines on which something is to stop for good.
+func (w *workerManager) probeUnreachable() {
+	probed := 0
+	for _, machine := range w.elector.leadership.fleet.All() {
+		if probed == maxUnreachableProbes {
+			return
+		}
+		if machine.Addr == "" || len(machine.Placed) == 0 || !w.missedHeartbeat(machine) || !w.hasFinalStops(machine) {
+			continue
+		}
+		if w.probe(machine, machine.Addr) {
+			probed++
 		}
 	}
 }
 
-func (wm *workerManager) hasFinalStops(m *fleet.Machine) bool {
-	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); wm.mayDeliverStop(ref.Job, t) && isUnwanted(ref.Job, t) {
+// hasFinalStops says whether something on a machine is to stop for good.
+func (w *workerManager) hasFinalStops(machine *fleet.Machine) bool {
+	for ref := range machine.Placed {
+		if task := ref.Job.Task(ref.Index); w.mayDeliverStop(ref.Job, task) && isUnwanted(ref.Job, task) {
 			return true
 		}
 	}
 	return false
 }
 
-// isUnwanted says whether nobody wants a task any more. One that only makes room, or is
-// to go elsewhere, goes on where it is: nobody hears when the room is there.
-func isUnwanted(j *jobstate.Job, t *jobstate.Task) bool {
-	return j.Outcome != "" || t.StopReason == jobstate.StopSweep
+// isUnwanted says whether a task is to run nowhere any more, as its job or sweep is over,
+// whoever leads by now. One that only makes room, or is to go elsewhere, goes on on a
+// silent machine: no heartbeat would show that the room is there.
+func isUnwanted(job *jobstate.Job, task *jobstate.Task) bool {
+	return job.Outcome != "" || task.StopReason == jobstate.StopSweep
 }
 
-// mayDeliverStop says whether a task is to be stopped, and this controller may say so: a
-// job that is over stays so, whoever leads by now.
-func (wm *workerManager) mayDeliverStop(j *jobstate.Job, t *jobstate.Task) bool {
-	return t.IsStopping() && t.StartSent && (wm.elector.mayStartTasks() || j.Outcome != "" || t.StopReason == jobstate.StopSweep)
+// mayDeliverStop says whether a task is to be stopped, and this controller may command it.
+// A job that is over stays so, whoever leads by now.
+func (w *workerManager) mayDeliverStop(job *jobstate.Job, task *jobstate.Task) bool {
+	return task.IsStopping() && task.StartSent && (w.elector.mayStartTasks() || isUnwanted(job, task))
 }
 
-// stopListedTasks stops what a silent machine's answer lists and is to stop.
-func (wm *workerManager) stopListedTasks(m *fleet.Machine, r *Heartbeat) {
-	if !wm.missedHeartbeat(m) {
+// stopListedTasks stops what a silent machine lists in its answer to a probe, as far as it
+// is to stop for good.
+func (w *workerManager) stopListedTasks(machine *fleet.Machine, heartbeat *Heartbeat) {
+	if !w.missedHeartbeat(machine) {
 		return
 	}
-	var orders []Command
-	for k := range r.Tasks {
-		tr := &r.Tasks[k]
-		id, i, err := jobstate.ParseTaskName(tr.Name)
-		j := wm.cache.jobs[id]
-		if err != nil || j == nil || tr.State == TaskExited {
+	var commands []Command
+	for k := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[k]
+		listed, err := w.findListed(machine, status)
+		if err != nil || status.State == TaskExited || !listed.isPlaced {
 			continue
 		}
-		if t := j.Task(i); t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt && wm.mayDeliverStop(j, t) && isUnwanted(j, t) && len(orders) < maxDirectCommands {
-			orders = append(orders, Command{Kind: CommandStop, Task: tr.Name, Attempt: t.Attempt, Grace: t.Grace})
+		if len(commands) < maxDirectCommands && w.mayDeliverStop(listed.job, listed.task) && isUnwanted(listed.job, listed.task) {
+			commands = append(commands, listed.command(CommandStop, listed.task.Grace))
 		}
 	}
-	if len(orders) > 0 {
-		wm.emit(SendCommands{Addr: m.Addr, FencingToken: wm.elector.fencingToken(), Epoch: r.Epoch, Commands: orders})
+	if len(commands) > 0 {
+		w.emit(SendCommands{
+			Addr:         machine.Addr,
+			FencingToken: w.elector.fencingToken(),
+			Epoch:        heartbeat.Epoch,
+			Commands:     commands,
+		})
 	}
 }
