--- /dev/null
+++ b/internal/core/alerts.go
@@ -0,0 +1,130 @@
+package core
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+const (
+	// alertInterval is how often a leader looks for what to report.
+	alertInterval = 10 * second
+	// stuckAfter is when a pivot is reported as stuck, and how often again.
+	stuckAfter = 60 * second
+	// maxLatePipelines bounds the pipelines that are reported at once.
+	maxLatePipelines = 5
+)
+
+// alertState is what the leader reports to operators of its queues and pipelines.
+type alertState struct {
+	checkedAt int64
+	current   []string
+	loggedAt  map[string]int64 // by the job's id
+}
+
+func newAlertState() alertState { return alertState{loggedAt: map[string]int64{}} }
+
+// shouldLog says whether a job's alert was not logged of late, and notes that it is now.
+func (a *alertState) shouldLog(id string, now int64) bool {
+	if now-a.loggedAt[id] < stuckAfter {
+		return false
+	}
+	a.loggedAt[id] = now
+	return true
+}
+
+// alertTick reports queues that do not move and pipelines that will be late to
+// operators, before users do.
+func (o *operatorViewer) alertTick() {
+	alerts := &o.elector.leadership.alerts
+	if o.now-alerts.checkedAt < alertInterval {
+		return
+	}
+	alerts.checkedAt = o.now
+	alerts.current = alerts.current[:0]
+	o.reportStuckQueues(alerts)
+	o.reportLatePipelines(alerts)
+	for id := range alerts.loggedAt {
+		if o.cache.jobs[id] == nil {
+			delete(alerts.loggedAt, id)
+		}
+	}
+}
+
+// reportStuckQueues reports the pivots that have waited for long.
+func (o *operatorViewer) reportStuckQueues(alerts *alertState) {
+	pivots := slices.Clone(o.elector.leadership.planning.pivots)
+	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
+	for _, pivot := range pivots {
+		j := o.cache.jobs[pivot.job]
+		if j == nil || j.NumPlaced > 0 || o.now-j.ReadyAt < stuckAfter {
+			continue
+		}
+		reason := o.waitReason(pivot)
+		waited := (o.now - j.ReadyAt) / second
+		alerts.current = append(alerts.current, fmt.Sprintf("queue %d: %s has waited %d s %s", pivot.queue, pivot.job, waited, reason))
+		if alerts.shouldLog(pivot.job, o.now) {
+			o.log.Info("queue does not move", "queue", pivot.queue, "job", pivot.job, "waited_s", waited, "reason", reason)
+		}
+	}
+}
+
+// reportLatePipelines reports the pipelines that will miss their deadline by the owners'
+// estimates, before they do, and the stage that delays each.
+func (o *operatorViewer) reportLatePipelines(alerts *alertState) {
+	stages := o.lateStages()
+	for _, stage := range stages[:min(len(stages), maxLatePipelines)] {
+		last := o.dependencies.dependencyGraph.DeadlineOwner(stage)
+		state := Running
+		if stage.NumPlaced == 0 {
+			state = Queued
+		}
+		late := (o.now + o.remainingTime(stage) - stage.EffectiveDeadline) / second
+		alerts.current = append(alerts.current, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, stage.ID, state, stage.NumDone, stage.Tasks))
+		if alerts.shouldLog(stage.ID, o.now) {
+			o.log.Info("pipeline will be late", "job", last.ID, "delayed_by", stage.ID, "late_s", late, "state", state, "done", stage.NumDone, "tasks", stage.Tasks)
+		}
+	}
+}
+
+// lateStages are the jobs that delay a pipeline beyond its deadline, the earliest
+// deadline first.
+func (o *operatorViewer) lateStages() []*jobstate.Job {
+	var late []*jobstate.Job
+	for _, j := range o.cache.jobs {
+		if j.Outcome != "" || j.IsBlocked() || j.EffectiveDeadline == 0 || !o.isStage(j) {
+			continue
+		}
+		if o.now+o.remainingTime(j) > j.EffectiveDeadline {
+			late = append(late, j)
+		}
+	}
+	slices.SortFunc(late, func(a, b *jobstate.Job) int {
+		return cmp.Or(cmp.Compare(a.EffectiveDeadline, b.EffectiveDeadline), cmp.Compare(a.ID, b.ID))
+	})
+	return late
+}
+
+// isStage says whether a job is part of a pipeline.
+func (o *operatorViewer) isStage(j *jobstate.Job) bool {
+	return len(j.Dependencies) > 0 || o.dependencies.dependencyGraph.HasDependents(j)
+}
+
+// remainingTime is how long a job still takes by its owner's estimate, if all of
+// its tasks that wait start now.
+func (o *operatorViewer) remainingTime(j *jobstate.Job) int64 {
+	if j.Unplaced() > 0 {
+		return j.Estimate
+	}
+	var remaining int64
+	j.EachPlaced(func(_ int, t *jobstate.Task) {
+		startedAt := t.StartedAt
+		if startedAt == 0 {
+			startedAt = o.now
+		}
+		remaining = max(remaining, startedAt+j.Estimate-o.now)
+	})
+	return max(remaining, 0)
+}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -232,7 +232,7 @@
 	c.membership.activationTick()
 	c.sweepManager.sweepTick()
 	c.prefetcher.imageHintsTick()
-	c.operators.stuckQueuesTick()
+	c.operators.alertTick()
 }
 
 // machineSweepInterval is how often a leader does what goes through all machines.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -41,6 +41,7 @@
 	prefetch   prefetchState
 	hints      hintState
 	activation activationState
+	alerts     alertState
 
 	machinesSweptAt  int64
 	sweepsAdvancedAt int64
@@ -79,5 +80,6 @@
 		scaling:    newScalingState(e.now),
 		prefetch:   newPrefetchState(),
 		hints:      newHintState(e.now),
+		alerts:     newAlertState(),
 	}
 }
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -52,10 +52,6 @@
 	// capacity is what all usable machines have together.
 	capacity   jobstate.Resources
 	classSizes classSizes
-	// stuckQueues are the queues that do not move, as operators are shown them.
-	stuckQueues    []string
-	stuckCheckedAt int64
-	stuckLoggedAt  map[string]int64
 	// onDemandWantedAt is when a type's on-demand machines were last wanted.
 	onDemandWantedAt map[string]int64
 }
@@ -64,7 +60,6 @@
 	return planState{
 		wanted:           true,
 		classSizes:       classSizes{},
-		stuckLoggedAt:    map[string]int64{},
 		onDemandWantedAt: map[string]int64{},
 	}
 }
