--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,9 +1,15 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud's interface. The cloud's wire names stand
+// only here.
+//
+// An error that is a StatusError says that the cloud has refused the call. Any other
+// one leaves open whether the call was executed.
 package cloud
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 	"time"
@@ -14,51 +20,92 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-const timeout = 4 * time.Second
+const (
+	// callTimeout is how long a call may take; a page of a list is one.
+	callTimeout = 4 * time.Second
+	// maxConns bounds the connections.
+	maxConns = 6
+	// maxBody bounds the cloud's answers, in bytes.
+	maxBody = 4 << 20
+)
+
+const (
+	machineTypesPath = "/machine_types"
+	rentalsPath      = "/rentals"
+)
+
+// statusUnknown is the status of a call whose outcome is unknown.
+const statusUnknown = 0
+
+// Units of the core for one of the wire's.
+const (
+	milli           = 1000
+	mbPerGB         = 1000
+	microsPerSecond = 1e6
+)
+
+var _ core.Refusal = StatusError{}
 
-// statusError is an answer other than 200.
-type statusError struct {
-	status int
-	body   string
+// StatusError is an answer other than 200.
+type StatusError struct {
+	Status int
+	Body   string
 }
 
-func (e statusError) Error() string {
-	return fmt.Sprintf("cloud answered %d: %.100s", e.status, e.body)
+func (e StatusError) Error() string {
+	return fmt.Sprintf("cloud answered %d: %.100s", e.Status, e.Body)
 }
 
 // Refused says that the cloud has answered, so that it can be reached.
-func (e statusError) Refused() bool { return true }
+func (e StatusError) Refused() bool { return true }
 
 // Client calls the cloud.
 type Client struct{ http *httpwire.Client }
 
 // New makes a client.
-func New(addr string) *Client { return &Client{httpwire.NewClient(addr, 6, 4<<20)} }
+func New(addr string) *Client {
+	return &Client{http: httpwire.NewClient(addr, maxConns, maxBody)}
+}
 
 // Close closes all connections. Calls under way and later ones fail.
 func (c *Client) Close() { c.http.Close() }
 
-func (c *Client) do(method, target string, in, out any) (int, error) {
-	var body []byte
-	if in != nil {
-		var err error
-		if body, err = json.Marshal(in); err != nil {
-			return 0, err
-		}
-	}
-	m, err := c.http.Do(method, target, body, timeout)
+// call makes a call and decodes the body of its answer, if answer is not nil. Any
+// status but 200 is a StatusError.
+func (c *Client) call(method, target string, body []byte, answer any) error {
+	m, err := c.http.Do(method, target, body, callTimeout)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	if m.Status != 200 {
-		return m.Status, statusError{m.Status, string(m.Body)}
+	if m.Status != http.StatusOK {
+		return StatusError{Status: m.Status, Body: string(m.Body)}
 	}
-	if out != nil {
-		if err := json.Unmarshal(m.Body, out); err != nil {
-			return 0, fmt.Errorf("cloud: %w", err)
-		}
+	if answer == nil {
+		return nil
+	}
+	if err := json.Unmarshal(m.Body, answer); err != nil {
+		return fmt.Errorf("cloud: %w", err)
+	}
+	return nil
+}
+
+// post sends a request that changes something. The status is 0 if its outcome is
+// unknown.
+func (c *Client) post(target string, request, answer any) (status int) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return statusUnknown
+	}
+	err = c.call(http.MethodPost, target, body, answer)
+	var refused StatusError
+	switch {
+	case err == nil:
+		return http.StatusOK
+	case errors.As(err, &refused):
+		return refused.Status
+	default:
+		return statusUnknown
 	}
-	return 200, nil
 }
 
 // MachineType is a machine type on the wire.
@@ -78,8 +125,18 @@
 // ToCore is the type as the core has it.
 func (t MachineType) ToCore() fleet.Type {
 	return fleet.Type{
-		Name: t.Name, Cap: jobstate.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000), Mem: int64(t.MemGB * 1000)},
-		FetchRate: int64(t.FetchRate * 1000), CacheMB: int64(t.CacheGB * 1000), Price: t.Price, SpotPrice: t.SpotPrice, Boot: int64(t.BootS * 1e6), Zones: t.Zones,
+		Name: t.Name,
+		Cap: jobstate.Resources{
+			CPU: int64(t.CPUs * milli),
+			GPU: int64(t.GPUs * milli),
+			Mem: int64(t.MemGB * mbPerGB),
+		},
+		FetchRate: int64(t.FetchRate * mbPerGB),
+		CacheMB:   int64(t.CacheGB * mbPerGB),
+		Price:     t.Price,
+		SpotPrice: t.SpotPrice,
+		Boot:      int64(t.BootS * microsPerSecond),
+		Zones:     t.Zones,
 	}
 }
 
@@ -96,66 +153,96 @@
 
 // ToCore is the listing as the core has it.
 func (l MachineListing) ToCore() core.CloudMachine {
-	return core.CloudMachine{Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Status: l.Status, Age: int64(l.AgeS * 1e6)}
+	return core.CloudMachine{
+		Name:   l.Name,
+		Addr:   l.Addr,
+		Type:   l.Type,
+		Zone:   l.Zone,
+		Spot:   l.Spot,
+		Status: l.Status,
+		Age:    int64(l.AgeS * microsPerSecond),
+	}
 }
 
 // ListTypes reads the machine types.
 func (c *Client) ListTypes() core.MachineTypesListed {
-	var r struct {
+	var answer struct {
 		Types []MachineType `json:"breeds"`
 	}
-	if _, err := c.do("GET", "/machine_types", nil, &r); err != nil {
+	if err := c.call(http.MethodGet, machineTypesPath, nil, &answer); err != nil {
 		return core.MachineTypesListed{Err: err}
 	}
-	var t core.MachineTypesListed
-	for _, w := range r.Types {
-		t.Types = append(t.Types, w.ToCore())
+	var listed core.MachineTypesListed
+	for _, t := range answer.Types {
+		listed.Types = append(listed.Types, t.ToCore())
 	}
-	return t
+	return listed
+}
+
+// pageWire is a page of the list of machines.
+type pageWire struct {
+	Machines []MachineListing `json:"stokers"`
+	More     bool             `json:"truncated"`
 }
 
 // ListMachines reads all machines, page by page with a gap between them.
 func (c *Client) ListMachines(gap time.Duration) core.MachinesListed {
-	var out core.MachinesListed
+	var listed core.MachinesListed
 	after := ""
 	for {
-		var r struct {
-			Machines []MachineListing `json:"stokers"`
-			More     bool             `json:"truncated"`
-		}
-		if _, err := c.do("GET", "/rentals?after="+url.QueryEscape(after)+"&most="+strconv.Itoa(core.ListPage), nil, &r); err != nil {
+		page, err := c.listPage(after)
+		if err != nil {
 			return core.MachinesListed{Err: err}
 		}
-		for _, m := range r.Machines {
-			out.List = append(out.List, m.ToCore())
+		for _, m := range page.Machines {
+			listed.List = append(listed.List, m.ToCore())
 			after = m.Name
 		}
-		if !r.More || len(r.Machines) == 0 {
-			return out
+		if !page.More || len(page.Machines) == 0 {
+			return listed
 		}
 		time.Sleep(gap)
 	}
 }
 
+// listPage reads the machines that follow one of a name, "" for the first.
+func (c *Client) listPage(after string) (pageWire, error) {
+	var page pageWire
+	target := rentalsPath + "?after=" + url.QueryEscape(after) + "&most=" + strconv.Itoa(core.ListPage)
+	err := c.call(http.MethodGet, target, nil, &page)
+	return page, err
+}
+
+// rentalWire asks for machines. Repeated under the same name it is the same request.
+type rentalWire struct {
+	Name  string `json:"hire"`
+	Type  string `json:"breed"`
+	Zone  string `json:"paddock"`
+	Spot  bool   `json:"borrowed"`
+	Count int    `json:"number"`
+}
+
+// machinesWire names machines.
+type machinesWire struct {
+	Machines []string `json:"stokers"`
+}
+
 // ScaleOut asks for machines.
-func (c *Client) ScaleOut(q core.ScaleOut) core.ScaledOut {
-	var r struct {
-		Machines []string `json:"stokers"`
+func (c *Client) ScaleOut(request core.ScaleOut) core.ScaledOut {
+	rental := rentalWire{
+		Name:  request.Name,
+		Type:  request.Type,
+		Zone:  request.Zone,
+		Spot:  request.Spot,
+		Count: request.Count,
 	}
-	status, _ := c.do("POST", "/rentals", struct {
-		Request string `json:"hire"`
-		Type    string `json:"breed"`
-		Zone    string `json:"paddock"`
-		Spot    bool   `json:"borrowed"`
-		Count   int    `json:"number"`
-	}{q.Name, q.Type, q.Zone, q.Spot, q.Count}, &r)
-	return core.ScaledOut{Request: q, Names: r.Machines, Status: status}
+	var rented machinesWire
+	status := c.post(rentalsPath, rental, &rented)
+	return core.ScaledOut{Request: request, Names: rented.Machines, Status: status}
 }
 
 // ScaleIn returns machines.
 func (c *Client) ScaleIn(names []string) core.ScaledIn {
-	status, _ := c.do("POST", "/rentals/release", struct {
-		Machines []string `json:"stokers"`
-	}{names}, nil)
-	return core.ScaledIn{Names: names, OK: status == 200}
+	status := c.post(rentalsPath+"/release", machinesWire{Machines: names}, nil)
+	return core.ScaledIn{Names: names, OK: status == http.StatusOK}
 }
--- /dev/null
+++ b/internal/store/read.go
@@ -0,0 +1,148 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/zinclb/zinclb/internal/core"
+)
+
+const (
+	listTimeout = 5 * time.Second
+	getTimeout  = 1500 * time.Millisecond
+	// watchGrace is how long after the end of its wait a watch is given up.
+	watchGrace = 1500 * time.Millisecond
+	// listPageSize is how many keys a page of a list has at most.
+	listPageSize = 500
+)
+
+var errNoRevision = errors.New("no stamp")
+
+// rowWire is a key as it is stored.
+type rowWire struct {
+	Key      string          `json:"path"`
+	Value    json.RawMessage `json:"data"`
+	Revision uint64          `json:"stamp"`
+}
+
+// pageWire is a page of a list.
+type pageWire struct {
+	Rows     []rowWire `json:"rows"`
+	More     bool      `json:"truncated"`
+	Revision uint64    `json:"ledger"`
+}
+
+// List reads all keys of a prefix, page by page; pace is called before each. The
+// revision returned is that of the first page, so that watching from it misses
+// nothing.
+func (c *Client) List(prefix string, pace func()) (rows []core.Change, revision uint64, err error) {
+	after := ""
+	for first := true; ; first = false {
+		pace()
+		page, err := c.listPage(prefix, after)
+		if err != nil {
+			return nil, 0, err
+		}
+		if first {
+			revision = page.Revision
+		}
+		for _, row := range page.Rows {
+			rows = append(rows, core.Change{Key: row.Key, Value: row.Value, Revision: row.Revision})
+			after = row.Key
+		}
+		if !page.More || len(page.Rows) == 0 {
+			return rows, revision, nil
+		}
+	}
+}
+
+// listPage reads the keys of a prefix that follow a key, "" for the first.
+func (c *Client) listPage(prefix, after string) (pageWire, error) {
+	target := "/kv?starts=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(listPageSize)
+	if after != "" {
+		target += "&after=" + url.QueryEscape(after)
+	}
+	body, err := c.call(http.MethodGet, target, nil, listTimeout)
+	if err != nil {
+		return pageWire{}, err
+	}
+	var page pageWire
+	if err := json.Unmarshal(body, &page); err != nil {
+		return pageWire{}, fmt.Errorf("list: %w", err)
+	}
+	return page, nil
+}
+
+// Get reads a key; revision 0 means that it does not exist.
+func (c *Client) Get(key string) (value []byte, revision uint64, err error) {
+	body, err := c.call(http.MethodGet, "/kv/"+key, nil, getTimeout)
+	switch {
+	case errors.Is(err, StatusError(http.StatusNotFound)):
+		return nil, 0, nil
+	case err != nil:
+		return nil, 0, err
+	}
+	var row rowWire
+	if err := json.Unmarshal(body, &row); err != nil {
+		return nil, 0, fmt.Errorf("get: %w", err)
+	}
+	if row.Revision == 0 {
+		return nil, 0, fmt.Errorf("get: %w", errNoRevision)
+	}
+	return row.Value, row.Revision, nil
+}
+
+// changesWire is the answer of a watch.
+type changesWire struct {
+	Revision uint64       `json:"ledger"`
+	Changes  []changeWire `json:"news"`
+}
+
+// changeWire is a key that was written or, with Delete, one that was deleted.
+type changeWire struct {
+	Put      string          `json:"put"`
+	Value    json.RawMessage `json:"data"`
+	Delete   string          `json:"remove"`
+	Revision uint64          `json:"stamp"`
+}
+
+// toCore is the change as the core has it.
+func (w changeWire) toCore() core.Change {
+	if w.Put == "" {
+		return core.Change{Key: w.Delete, Revision: w.Revision, Removed: true}
+	}
+	return core.Change{Key: w.Put, Value: w.Value, Revision: w.Revision}
+}
+
+// Watch reads the changes of a prefix after a revision, and waits for one if there is
+// none yet. Compacted says that the service no longer has all of them.
+func (c *Client) Watch(prefix string, after uint64, wait time.Duration) core.StateRead {
+	read := core.StateRead{AfterRevision: after}
+	target := "/watch?starts=" + url.QueryEscape(prefix) +
+		"&after=" + strconv.FormatUint(after, 10) +
+		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+	body, err := c.call(http.MethodGet, target, nil, wait+watchGrace)
+	switch {
+	case errors.Is(err, StatusError(http.StatusGone)):
+		read.Compacted = true
+		return read
+	case err != nil:
+		read.Err = err
+		return read
+	}
+	var answer changesWire
+	if err := json.Unmarshal(body, &answer); err != nil {
+		read.Err = fmt.Errorf("watch: %w", err)
+		return read
+	}
+	read.Revision = answer.Revision
+	for _, change := range answer.Changes {
+		read.Changes = append(read.Changes, change.toCore())
+	}
+	return read
+}
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -129,6 +129,7 @@
 		{`{`, "get: unexpected end of JSON input", func() error { _, _, err := client.Get("p"); return err }},
 		{`{"data":1}`, "get: no stamp", func() error { _, _, err := client.Get("p"); return err }},
 		{`{`, "lease: bad answer unexpected end of JSON input", func() error { _, err := client.GrantLease(time.Second); return err }},
+		{`{}`, "lease: bad answer no tenure", func() error { _, err := client.GrantLease(time.Second); return err }},
 		{`{`, "watch: unexpected end of JSON input", func() error { return client.Watch("p", 1, 0).Err }},
 	} {
 		service.Answer(answered(200, tc.body))
