--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -6,16 +6,18 @@
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // machinePool is the machines that are rented and kept ready together: those of a type,
-// or, where money is weighed, its ordinary and its spot ones apart. Then jobs that
-// may use spot machines get these, and ordinary ones are rented for the others.
+// or, where cost is an objective, its on-demand and its spot ones apart. Then jobs that
+// may use spot machines get these, and on-demand ones are rented for the others.
 type machinePool struct {
 	machineType string
-	spot        bool // only spot machines; the pool of the ordinary ones is without it
+	spot        bool // only spot machines; the pool of the on-demand ones is without it
 }
 
+// compare orders pools by type, on-demand ones first.
 func (p machinePool) compare(o machinePool) int {
 	if c := cmp.Compare(p.machineType, o.machineType); c != 0 || p.spot == o.spot {
 		return c
@@ -28,37 +30,37 @@
 
 // splitsPools says whether a type's spot machines are a pool of their own. What is lost
 // with one is half a checkpoint interval or a run, now and then, and the price
-// differs all the time; where it does not, ordinary ones stay.
-func (sl *scaler) splitsPools(t *fleet.Type) bool { return sl.costAware && t.SpotPrice < t.Price }
+// differs all the time; where it does not, on-demand ones are rented first.
+func (s *scaler) splitsPools(t *fleet.Type) bool { return s.costAware && t.SpotPrice < t.Price }
 
 // pools are those of a type.
-func (sl *scaler) pools(t *fleet.Type) []machinePool {
-	if sl.splitsPools(t) {
+func (s *scaler) pools(t *fleet.Type) []machinePool {
+	if s.splitsPools(t) {
 		return []machinePool{{t.Name, false}, {t.Name, true}}
 	}
 	return []machinePool{{t.Name, false}}
 }
 
 // poolOf is the pool of a machine.
-func (sl *scaler) poolOf(typ string, spot bool) machinePool {
-	for i := range sl.cache.machineTypes {
-		if t := &sl.cache.machineTypes[i]; t.Name == typ {
-			return machinePool{typ, spot && sl.splitsPools(t)}
+func (s *scaler) poolOf(machineType string, spot bool) machinePool {
+	for i := range s.cache.machineTypes {
+		if t := &s.cache.machineTypes[i]; t.Name == machineType {
+			return machinePool{machineType, spot && s.splitsPools(t)}
 		}
 	}
-	return machinePool{typ, false}
+	return machinePool{machineType, false}
 }
 
 // scaleOutKinds are the kinds of machines to rent for a pool, spot or not, in order. Where
 // pools are apart the other kind comes only in need: jobs that may use spot
-// machines take ordinary ones before they wait.
-func (sl *scaler) scaleOutKinds(t *fleet.Type, p machinePool, needed bool) []bool {
+// machines take on-demand ones before they wait.
+func (s *scaler) scaleOutKinds(t *fleet.Type, pool machinePool, needed bool) []bool {
 	switch {
-	case !sl.splitsPools(t):
-		return []bool{false, true} // ordinary ones: any job may use them and they stay
-	case p.spot && needed:
+	case !s.splitsPools(t):
+		return []bool{false, true} // on-demand ones: any job may use them and they stay
+	case pool.spot && needed:
 		return []bool{true, false}
-	case p.spot:
+	case pool.spot:
 		return []bool{true}
 	}
 	return []bool{false}
@@ -70,50 +72,58 @@
 	at   int64
 }
 
-// noteBusy keeps the peak for the time that idle machines are kept.
-func (s *scalingState) noteBusy(p machinePool, busy int, now, keep int64) {
-	if k := s.peaks[p]; busy >= k.busy || now-k.at > keep {
-		s.peaks[p] = usagePeak{busy, now}
+// recordBusy keeps the peak for the time that idle machines are kept.
+func (s *scalingState) recordBusy(pool machinePool, busy int, now, keep int64) {
+	if peak := s.peaks[pool]; busy >= peak.busy || now-peak.at > keep {
+		s.peaks[pool] = usagePeak{busy, now}
 	}
 }
 
+// spareFactor is how many roots of the number of machines in use are kept spare
+// where cost is an objective: arrivals that are independent vary by one.
+const spareFactor = 1
+
 // spareMachines is how many idle machines of a pool are kept ready: a share of those in
-// use of late, and none once nothing has run for a while. Where money is weighed
+// use of late, and none once nothing has run for a while. Where cost is an objective
 // they are no more than what a load of that size varies by.
-func (sl *scaler) spareMachines(p machinePool) int {
-	busy := float64(sl.elector.leadership.scaling.peaks[p].busy)
-	n := busy * sl.settings.Ops.SpareShare
-	if sl.costAware {
-		n = min(n, spareFactor*math.Sqrt(busy))
+func (s *scaler) spareMachines(pool machinePool) int {
+	busy := float64(s.elector.leadership.scaling.peaks[pool].busy)
+	spare := busy * s.settings.Ops.SpareShare
+	if s.costAware {
+		spare = min(spare, spareFactor*math.Sqrt(busy))
 	}
-	return int(math.Ceil(n))
+	return int(math.Ceil(spare))
 }
 
-// spareFactor is how many roots of the number of machines in use are kept spare
-// where money is weighed: arrivals that know nothing of each other vary by one.
-const spareFactor = 1
-
 // idleReturnTime is how long a machine that is no spare one may be idle before it is
-// returned: half as long where money is weighed.
-func (sl *scaler) idleReturnTime() int64 {
-	if sl.costAware {
-		return sl.settings.Ops.IdleReturn / 2
+// returned: half as long where cost is an objective.
+func (s *scaler) idleReturnTime() int64 {
+	if s.costAware {
+		return s.settings.Ops.IdleReturn / 2
 	}
-	return sl.settings.Ops.IdleReturn
+	return s.settings.Ops.IdleReturn
 }
 
 // shortage is how many machines of a pool the waiting tasks would fill.
-func (sl *scaler) shortage(t *fleet.Type, p machinePool) int {
-	var all float64
-	for _, w := range sl.elector.leadership.planning.waitingJobs {
-		if len(w.spec.Types) > 0 && !slices.Contains(w.spec.Types, t.Name) || !w.spec.Need.Fits(t.Cap) || w.spec.Need.GPU == 0 && t.Cap.GPU > 0 {
+func (s *scaler) shortage(t *fleet.Type, pool machinePool) int {
+	var machines float64
+	for _, waiting := range s.elector.leadership.planning.waitingJobs {
+		if !s.isForPool(waiting.spec, t, pool) {
 			continue
 		}
-		if sl.splitsPools(t) && w.spec.Spot != p.spot {
-			continue
-		}
-		per := tasksPerMachine(w.spec.Need, t.Cap)
-		all += float64(w.tasks) / float64(per)
+		machines += float64(waiting.tasks) / float64(tasksPerMachine(waiting.spec.Need, t.Cap))
+	}
+	return int(machines + 0.999)
+}
+
+// isForPool says whether machines of a pool are rented for a job: none with GPUs for a
+// job that needs none.
+func (s *scaler) isForPool(spec *jobstate.Spec, t *fleet.Type, pool machinePool) bool {
+	if len(spec.Types) > 0 && !slices.Contains(spec.Types, t.Name) || !spec.Need.Fits(t.Cap) {
+		return false
+	}
+	if spec.Need.GPU == 0 && t.Cap.GPU > 0 {
+		return false
 	}
-	return int(all + 0.999)
+	return !s.splitsPools(t) || spec.Spot == pool.spot
 }
--- /dev/null
+++ b/internal/core/machinetypes.go
@@ -0,0 +1,52 @@
+package core
+
+import (
+	"strconv"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+)
+
+// onMachineTypesListed takes over the machine types that the cloud offers, and stores
+// them for the leaders that come when the cloud does not answer.
+func (s *scaler) onMachineTypesListed(m MachineTypesListed) {
+	s.cloud.cloudCallEnded(m.ViaPeer, m.Err)
+	if !s.elector.leadsWithToken(m.FencingToken) {
+		return
+	}
+	state := &s.elector.leadership.scaling
+	state.callsRunning--
+	if m.Err != nil || len(m.Types) == 0 {
+		state.typesListedAt = s.now - typesInterval + typesRetryGap
+		return
+	}
+	old := encodeJSON(s.cache.machineTypes)
+	s.cache.machineTypes = m.Types
+	if types := encodeJSON(m.Types); s.cache.typesRevision == 0 || string(old) != string(types) {
+		s.writeTypes(types)
+	}
+	for _, machine := range s.elector.leadership.fleet.All() {
+		machine.SetType(s.cache.machineTypes)
+	}
+	s.elector.leadership.planning.requestRound()
+}
+
+// writeTypes stores the machine types, those that do not fit one value one by
+// one.
+func (s *scaler) writeTypes(all []byte) {
+	writes := []Write{{Key: typesKey, Value: all}}
+	if len(all) > s.membership.valueLimit() {
+		writes = writes[:0]
+		for i, t := range s.cache.machineTypes {
+			writes = append(writes, Write{Key: typesKey + "/" + strconv.Itoa(i), Value: encodeJSON([]fleet.Type{t})})
+		}
+	}
+	for _, w := range writes {
+		s.committer.putAsLeader(w.Key, w.Value, func(r Committed) {
+			if r.Status == 200 {
+				s.cache.typesRevision = r.Revision
+			} else {
+				s.cache.typesRevision = 0
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/core/scaleout.go
@@ -0,0 +1,224 @@
+package core
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+const (
+	// maxScaleOut is how many machines the cloud rents out at one request.
+	maxScaleOut = 50
+	// maxUnanswered bounds the requests without an answer that are repeated.
+	maxUnanswered = 32
+	// scaleOutGrace is how long a new leader waits for the heartbeats of the machines
+	// that there are.
+	scaleOutGrace = 5 * second
+	// liveWithin is how old the last heartbeat of a machine may be that counts as there.
+	liveWithin = 15 * second
+	// minOfferBackoff and maxOfferBackoff bound how long an offer is left alone after a
+	// refusal.
+	minOfferBackoff = 8 * second
+	maxOfferBackoff = 40 * second
+	// unboundedTasks is how many tasks that need nothing fit on a machine.
+	unboundedTasks = 1 << 20
+)
+
+// poolCount is how many machines of a pool there are.
+type poolCount struct{ busy, idle, booting int }
+
+// poolCounts are the counts of each pool.
+type poolCounts map[machinePool]*poolCount
+
+// of is the count of a pool, which can be added to.
+func (c poolCounts) of(pool machinePool) *poolCount {
+	if c[pool] == nil {
+		c[pool] = &poolCount{}
+	}
+	return c[pool]
+}
+
+// idleOnDemand is how many idle on-demand machines there are in all.
+func (c poolCounts) idleOnDemand() int {
+	idle := 0
+	for pool, count := range c {
+		if !pool.spot {
+			idle += count.idle
+		}
+	}
+	return idle
+}
+
+// scaleOutTick rents machines, of one pool after the other, where work waits or spare
+// machines are short. Requests without an answer go first.
+func (s *scaler) scaleOutTick(takeCall func() bool, gathers []zoneGather) {
+	state := &s.elector.leadership.scaling
+	if len(s.cache.machineTypes) == 0 || !s.elector.mayStartTasks() || s.now-s.elector.leadership.since < scaleOutGrace {
+		return
+	}
+	if len(state.unanswered) > 0 {
+		if takeCall() {
+			request := state.unanswered[0]
+			state.unanswered = state.unanswered[1:]
+			s.cloud.callCloud(CloudCall{ScaleOut: &request})
+		}
+		return
+	}
+	counts := s.countMachines()
+	state.idleOnDemand = counts.idleOnDemand()
+	for i := range s.cache.machineTypes {
+		t := &s.cache.machineTypes[i]
+		for _, pool := range s.pools(t) {
+			offer, count := s.chooseScaleOut(t, pool, counts.of(s.poolOf(t.Name, pool.spot)), gathers)
+			if count <= 0 {
+				continue
+			}
+			if !takeCall() {
+				return
+			}
+			s.requestScaleOut(offer, count)
+		}
+	}
+}
+
+// countMachines counts the machines of each pool that may be used, and those that boot.
+func (s *scaler) countMachines() poolCounts {
+	counts := poolCounts{}
+	for _, m := range s.elector.leadership.fleet.All() {
+		switch {
+		case m.LastHeartbeat == 0 || s.now-m.LastHeartbeat > liveWithin || m.Draining || m.Releasing || m.ReclaimAt != 0:
+		case len(m.Placed) > 0:
+			counts.of(s.poolOf(m.Type, m.Spot)).busy++
+		default:
+			counts.of(s.poolOf(m.Type, m.Spot)).idle++
+		}
+	}
+	for name, b := range s.elector.leadership.scaling.booting {
+		if m := s.elector.leadership.fleet.Get(name); m == nil || m.LastHeartbeat == 0 {
+			counts.of(s.poolOf(b.machineType, b.spot)).booting++
+		}
+	}
+	return counts
+}
+
+// chooseScaleOut is how many more machines a pool should have, and by which offer; 0 if
+// it has enough or there is no offer.
+func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, gathers []zoneGather) (machineOffer, int) {
+	needed := s.shortage(t, pool)
+	s.elector.leadership.scaling.recordBusy(pool, count.busy, s.now, s.idleReturnTime())
+	wanted := max(needed, s.spareMachines(pool)-count.idle) - count.booting
+	if wanted <= 0 {
+		return machineOffer{}, 0
+	}
+	offer, ok := s.chooseOffer(t, s.scaleOutKinds(t, pool, needed > count.booting), gathers)
+	if !ok {
+		return machineOffer{}, 0
+	}
+	return offer, min(wanted, maxScaleOut)
+}
+
+// requestScaleOut rents machines, under a name by which the cloud knows a repetition of
+// the request.
+func (s *scaler) requestScaleOut(offer machineOffer, count int) {
+	state := &s.elector.leadership.scaling
+	state.requestSerial++
+	state.scalingOut[offer] = true
+	s.cloud.callCloud(CloudCall{ScaleOut: &ScaleOut{
+		Name:  fmt.Sprintf("zinclb-%d-%d", s.elector.fencingToken(), state.requestSerial),
+		Type:  offer.machineType,
+		Zone:  offer.zone,
+		Spot:  offer.spot,
+		Count: count,
+	}})
+}
+
+// tasksPerMachine is how many tasks of a need fit on a machine, at least one.
+func tasksPerMachine(need, capacity jobstate.Resources) int64 {
+	tasks := int64(unboundedTasks)
+	for _, x := range [][2]int64{{need.CPU, capacity.CPU}, {need.GPU, capacity.GPU}, {need.Mem, capacity.Mem}} {
+		if x[0] > 0 {
+			tasks = min(tasks, x[1]/x[0])
+		}
+	}
+	return max(tasks, 1)
+}
+
+// isOpen says whether machines may be asked for by an offer now.
+func (s *scalingState) isOpen(offer machineOffer, now int64) bool {
+	return !s.scalingOut[offer] && s.refusedUntil[offer] <= now
+}
+
+// chooseOffer picks a zone and kind that has not just been refused, of the kinds
+// (spot or not) in their order. Jobs that machines are gathered for have theirs before.
+func (s *scaler) chooseOffer(t *fleet.Type, kinds []bool, gathers []zoneGather) (machineOffer, bool) {
+	state := &s.elector.leadership.scaling
+	for _, gather := range gathers {
+		for _, spot := range kinds {
+			offer := machineOffer{t.Name, gather.zone, spot}
+			isUsable := gather.spec.Allows(t.Name, gather.zone, spot, t.Cap) && slices.Contains(t.Zones, gather.zone)
+			if isUsable && state.isOpen(offer, s.now) {
+				return offer, true
+			}
+		}
+	}
+	for _, spot := range kinds {
+		var open []machineOffer
+		for _, zone := range t.Zones {
+			if offer := (machineOffer{t.Name, zone, spot}); state.isOpen(offer, s.now) {
+				open = append(open, offer)
+			}
+		}
+		if len(open) > 0 {
+			return open[s.rng.IntN(len(open))], true
+		}
+	}
+	return machineOffer{}, false
+}
+
+// onScaledOut handles the result of a scale-out.
+func (s *scaler) onScaledOut(m ScaledOut) {
+	if !s.elector.leadsWithToken(m.Request.FencingToken) {
+		return // what was rented shows in the list
+	}
+	state := &s.elector.leadership.scaling
+	state.callsRunning--
+	offer := machineOffer{m.Request.Type, m.Request.Zone, m.Request.Spot}
+	switch {
+	case m.Status == 200:
+		s.machinesRented(offer, &m)
+	case m.Status == 0 || m.Status == 429 || m.Status >= 500 && m.Status != 503:
+		// No answer: the same request again is executed once at most.
+		if len(state.unanswered) < maxUnanswered {
+			state.unanswered = append(state.unanswered, m.Request)
+		}
+	default:
+		delete(state.scalingOut, offer)
+		state.backOff(offer, s.now)
+	}
+}
+
+// machinesRented notes the machines that boot now. Where there were fewer than asked for
+// the offer has none left.
+func (s *scaler) machinesRented(offer machineOffer, m *ScaledOut) {
+	state := &s.elector.leadership.scaling
+	delete(state.scalingOut, offer)
+	for _, name := range m.Names {
+		state.booting[name] = bootingMachine{machineOffer: offer, since: s.now}
+	}
+	if len(m.Names) < m.Request.Count {
+		state.backOff(offer, s.now)
+	} else {
+		delete(state.backoff, offer)
+	}
+	s.log.Info("scaled out", "type", offer.machineType, "zone", offer.zone, "spot", offer.spot,
+		"requested", m.Request.Count, "count", len(m.Names))
+}
+
+// backOff leaves an offer alone after a refusal, longer each time.
+func (s *scalingState) backOff(offer machineOffer, now int64) {
+	pause := min(max(s.backoff[offer]*2, minOfferBackoff), maxOfferBackoff)
+	s.backoff[offer] = pause
+	s.refusedUntil[offer] = now + pause
+}
