--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -6,21 +6,22 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
-// CloudCall is one call of the cloud's interface: one of the four.
+// CloudCall is one call of the cloud's interface: exactly one of the four is set.
 type CloudCall struct {
 	ListTypes, ListMachines bool
 	// Gap is the time between two pages of a list.
 	Gap      int64
 	ScaleOut *ScaleOut
-	ScaleIn  []string
+	// ScaleIn are the names of the machines to return.
+	ScaleIn []string
 }
 
-// CloudResult is how it ended; Status is 0 if nobody knows.
+// CloudResult is how a call of the cloud ended; Status is 0 where that is not known.
 type CloudResult struct {
 	Status int
 	Types  []fleet.Type
 	List   []CloudMachine
-	// Names are of the machines that were rented.
+	// Names are the machines that were rented.
 	Names []string
 }
 
@@ -56,29 +57,33 @@
 	}
 )
 
-var errPeerSilent = errors.New("the cloud does not answer")
+var (
+	errCloudNoAnswer   = errors.New("the cloud does not answer")
+	errCloudNotReached = errors.New("the cloud was not reached")
+)
 
-// Message is the answer to a call that a peer made, as the message that the call
+// Message is the result of a call that a peer made, as the message that the call
 // has when it is made by the leader itself.
-func (a CloudResult) Message(call CloudCall, by string, token uint64) any {
+func (r CloudResult) Message(call CloudCall, peer string, fencingToken uint64) any {
 	var err error
-	if a.Status != 200 {
-		err = errPeerSilent
+	if r.Status != 200 {
+		err = errCloudNoAnswer
 	}
 	switch {
 	case call.ListTypes:
-		return MachineTypesListed{Types: a.Types, Err: err, ViaPeer: by, FencingToken: token}
+		return MachineTypesListed{Types: r.Types, Err: err, ViaPeer: peer, FencingToken: fencingToken}
 	case call.ListMachines:
-		return MachinesListed{List: a.List, Err: err, ViaPeer: by, FencingToken: token}
+		return MachinesListed{List: r.List, Err: err, ViaPeer: peer, FencingToken: fencingToken}
 	case call.ScaleOut != nil:
-		r := *call.ScaleOut
-		r.FencingToken = token
-		return ScaledOut{Request: r, Names: a.Names, Status: a.Status}
+		request := *call.ScaleOut
+		request.FencingToken = fencingToken
+		return ScaledOut{Request: request, Names: r.Names, Status: r.Status}
 	}
-	return ScaledIn{Names: call.ScaleIn, OK: a.Status == 200, FencingToken: token}
+	return ScaledIn{Names: call.ScaleIn, OK: r.Status == 200, FencingToken: fencingToken}
 }
 
-// cloudCaller makes calls of the cloud, by way of a peer where this controller does not reach it.
+// cloudCaller makes calls of the cloud, by way of a peer where this controller does not
+// reach it.
 type cloudCaller struct {
 	*engine
 
@@ -92,25 +97,27 @@
 // that is checked again next to the socket, as this process may stand still in
 // between.
 func (c *cloudCaller) callCloud(call CloudCall) {
-	until := c.elector.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
-	if by := c.cloudPeer(); by != "" {
-		c.emit(CallCloudViaPeer{To: by, FencingToken: c.elector.fencingToken(), Call: call, NotAfter: until})
+	notAfter := c.elector.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
+	fencingToken := c.elector.fencingToken()
+	if peer := c.cloudPeer(); peer != "" {
+		c.emit(CallCloudViaPeer{To: peer, FencingToken: fencingToken, Call: call, NotAfter: notAfter})
 		return
 	}
 	switch {
 	case call.ListTypes:
-		c.emit(ListMachineTypes{FencingToken: c.elector.fencingToken()})
+		c.emit(ListMachineTypes{FencingToken: fencingToken})
 	case call.ListMachines:
-		c.emit(ListMachines{Gap: call.Gap, FencingToken: c.elector.fencingToken()})
+		c.emit(ListMachines{Gap: call.Gap, FencingToken: fencingToken})
 	case call.ScaleOut != nil:
-		r := *call.ScaleOut
-		r.NotAfter, r.FencingToken = until, c.elector.fencingToken()
-		c.emit(r)
+		request := *call.ScaleOut
+		request.NotAfter, request.FencingToken = notAfter, fencingToken
+		c.emit(request)
 	default:
-		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: until, FencingToken: c.elector.fencingToken()})
+		c.emit(ScaleIn{Names: call.ScaleIn, NotAfter: notAfter, FencingToken: fencingToken})
 	}
 }
 
+// cloudPeer is the peer by whose way calls are made, empty if they are made from here.
 func (c *cloudCaller) cloudPeer() string {
 	if !c.settings.Ops.Reach {
 		return ""
@@ -118,9 +125,9 @@
 	return c.peers.connectivity.CloudProxy(c.now)
 }
 
-// cloudCallEnded notes how a call has ended, if it was made here.
-func (c *cloudCaller) cloudCallEnded(by string, err error) {
-	if by != "" {
+// cloudCallEnded notes how a call has ended, if it was made here and not by a peer.
+func (c *cloudCaller) cloudCallEnded(peer string, err error) {
+	if peer != "" {
 		return
 	}
 	if err == nil {
@@ -141,25 +148,26 @@
 	c.emit(CallCloudForPeer{RequestID: m.RequestID, Call: m.Call})
 }
 
+// onCloudCalledForPeer hands the result of a call on to the leader that it was made for.
+// Without a status the cloud has not answered this controller either.
 func (c *cloudCaller) onCloudCalledForPeer(m CloudCalledForPeer) {
-	// It was silent for this controller too if it has no status.
 	var err error
 	if m.Answer.Status == 0 {
-		err = errPeerSilent
+		err = errCloudNoAnswer
 	}
 	c.cloudCallEnded("", err)
 	c.emit(Reply{RequestID: m.RequestID, Status: 200, Cloud: &m.Answer})
 }
 
 // CloudViaPeerResult makes the two messages by which a call by way of a peer ends, from
-// the peer's reply.
-func CloudViaPeerResult(e CallCloudViaPeer, r Reply, err error) (told PeerCloudCallEnded, answer any) {
-	var a CloudResult
+// the peer's reply: how the way by the peer ended, and the result of the call.
+func CloudViaPeerResult(e CallCloudViaPeer, r Reply, err error) (ended PeerCloudCallEnded, answer any) {
+	var result CloudResult
 	if r.Cloud != nil {
-		a = *r.Cloud
+		result = *r.Cloud
 	}
-	if err == nil && a.Status == 0 {
-		err = errors.New("the cloud was not reached")
+	if err == nil && result.Status == 0 {
+		err = errCloudNotReached
 	}
-	return PeerCloudCallEnded{Peer: e.To, Err: err}, a.Message(e.Call, e.To, e.FencingToken)
+	return PeerCloudCallEnded{Peer: e.To, Err: err}, result.Message(e.Call, e.To, e.FencingToken)
 }
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -4,11 +4,12 @@
 	"cmp"
 	"slices"
 
+	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// Warming brings images to idle machines before they are needed. A worker
+// Prefetching brings images to idle machines before they are needed. A worker
 // keeps the result of a task that is done: started again, such a task fetches
 // its image and exits as done. So a finished task carries its image to a
 // machine at no risk: it does no work, and it can be stopped at any moment.
@@ -18,15 +19,42 @@
 // limit. They are not stored: to a later leader they are tasks without a
 // placement, which it stops.
 
+const (
+	// minPrefetchSources is how many sources of an image are kept at least,
+	// machinesPerSource for how many machines there is one more.
+	minPrefetchSources = 12
+	machinesPerSource  = 16
+	// maxImagesTracked bounds the images whose demand is remembered, demandHalfLife is
+	// after what time half of a demand is forgotten.
+	maxImagesTracked = 200
+	demandHalfLife   = 300 * second
+	// prefetchAttempt is above any attempt of a job's own.
+	prefetchAttempt = 1 << 24
+	// prefetchInterval is the time between two rounds of prefetching.
+	prefetchInterval = second
+	// maxMachinesCounted bounds for how many machines one job's demand counts.
+	maxMachinesCounted = 16
+	// allImagesWorth is what having every image that is asked for is worth, as a delay:
+	// less than a fetch, so that it only decides between machines that are as good.
+	allImagesWorth = 3 * second
+	// cachePercent is how much of a machine's image cache prefetches may fill.
+	cachePercent = 80
+	// prefetchQuotaShare is what prefetches may use of a team's limit at most. What the last
+	// leader had running is stored nowhere, so for as long as any of it may be on its
+	// machine a new one leaves that share of the limit alone, and sends no prefetches of
+	// teams with a limit itself: else the next would have two leaders' to reckon with.
+	prefetchQuotaShare = 0.125
+)
+
 // prefetchSource is a finished task that can carry its image.
 type prefetchSource struct {
 	job     *prefetchJob
 	spec    *jobstate.Spec
 	index   int
-	machine string // the machine that it is on
+	machine string // where it runs, empty if nowhere
 }
 
-// prefetchJob is a finished job of which tasks carry images: how many are out, and
+// prefetchJob is a finished job whose tasks carry images: how many run, and
 // in which zone. Those of a job that sets one_zone stay in one, as its rule
 // holds for tasks that are started again as well.
 type prefetchJob struct {
@@ -39,7 +67,7 @@
 	return s.machine == "" && (!s.spec.OneZone || s.job.running == 0 || s.job.zone == zone)
 }
 
-// start and back keep account of where a source is.
+// start and end keep account of where a source is.
 func (s *prefetchSource) start(m *fleet.Machine) {
 	s.machine, s.job.zone = m.Name, m.Zone
 	s.job.running++
@@ -56,33 +84,44 @@
 	at    int64
 }
 
+// decayed is what is left of a demand at a time.
+func (d imageDemand) decayed(now int64) imageDemand {
+	const negligible = 0.01
+	for ; now-d.at > demandHalfLife && d.score > negligible; d.at += demandHalfLife {
+		d.score /= 2
+	}
+	return d
+}
+
+// prefetchState is what the prefetcher keeps while this controller leads.
 type prefetchState struct {
-	sources map[string][]*prefetchSource
-	demand  map[string]imageDemand
-	// usedByTeam is what warming tasks take in their teams' names.
+	sources map[string][]*prefetchSource // by image
+	demand  map[string]imageDemand       // by image
+	// usedByTeam is what prefetches take in their teams' names.
 	usedByTeam map[string]teamUsage
 	serial     uint32
 	at         int64
 }
 
-// Bounds of what is remembered for warming.
-const (
-	minPrefetchSources = 12
-	maxImagesTracked   = 200
-	demandHalfLife     = 300 * second
-	prefetchAttempt    = 1 << 24 // above any attempt of a job's own
-)
-
 func newPrefetchState() prefetchState {
-	return prefetchState{sources: map[string][]*prefetchSource{}, demand: map[string]imageDemand{}, usedByTeam: map[string]teamUsage{}}
+	return prefetchState{
+		sources:    map[string][]*prefetchSource{},
+		demand:     map[string]imageDemand{},
+		usedByTeam: map[string]teamUsage{},
+	}
 }
 
-// addUsage adds a warming task, or several or fewer, to what teams use.
-func (prefetchState) addUsage(used map[string]teamUsage, w *fleet.Prefetch, n int64) {
-	u := used[w.Team]
-	u.cpu += n * w.Need.CPU
-	u.gpu += n * w.Need.GPU
-	used[w.Team] = u
+// forgetLeastRecent drops the image whose demand is oldest.
+func (s *prefetchState) forgetLeastRecent() {
+	var oldest string
+	for image, demand := range s.demand {
+		at := s.demand[oldest].at
+		if oldest == "" || demand.at < at || demand.at == at && image < oldest {
+			oldest = image
+		}
+	}
+	delete(s.demand, oldest)
+	delete(s.sources, oldest)
 }
 
 // prefetcher brings images to idle machines before they are needed.
@@ -97,133 +136,154 @@
 	planner    *planner
 }
 
-// noteImageDemand counts a job's wish for its image; urgent jobs count for more.
-func (p *prefetcher) noteImageDemand(s *jobstate.Spec) {
-	w := &p.elector.leadership.prefetch
-	if s.Image == "" {
+// noteImageDemand counts a job's demand for its image; urgent jobs count for more.
+func (p *prefetcher) noteImageDemand(spec *jobstate.Spec) {
+	state := &p.elector.leadership.prefetch
+	if spec.Image == "" {
 		return
 	}
-	u := w.demand[s.Image]
-	for ; p.now-u.at > demandHalfLife && u.score > 0.01; u.at += demandHalfLife {
-		u.score /= 2
-	}
-	u.score += float64(1+2*s.Priority) * p.machinesNeeded(s)
-	u.at = p.now
-	w.demand[s.Image] = u
-	if len(w.demand) > maxImagesTracked {
-		var least string
-		for im, u := range w.demand {
-			if least == "" || u.at < w.demand[least].at || u.at == w.demand[least].at && im < least {
-				least = im
-			}
-		}
-		delete(w.demand, least)
-		delete(w.sources, least)
+	demand := state.demand[spec.Image].decayed(p.now)
+	demand.score += float64(1+2*spec.Priority) * p.machinesNeeded(spec)
+	demand.at = p.now
+	state.demand[spec.Image] = demand
+	if len(state.demand) > maxImagesTracked {
+		state.forgetLeastRecent()
 	}
 }
 
 // machinesNeeded is about how many machines a job takes, up to a few: an image
 // whose jobs are wide is wanted on more machines.
-func (p *prefetcher) machinesNeeded(s *jobstate.Spec) float64 {
-	const most = 16
-	n := float64(most)
+func (p *prefetcher) machinesNeeded(spec *jobstate.Spec) float64 {
+	machines := float64(maxMachinesCounted)
 	for i := range p.cache.machineTypes {
-		if t := &p.cache.machineTypes[i]; s.Need.Fits(t.Cap) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
-			n = min(n, float64(s.Tasks)/float64(tasksPerMachine(s.Need, t.Cap)))
+		if t := &p.cache.machineTypes[i]; mayUseType(spec, t) {
+			machines = min(machines, float64(spec.Tasks)/float64(tasksPerMachine(spec.Need, t.Cap)))
 		}
 	}
-	return max(n, 1)
+	return max(machines, 1)
 }
 
-// allImagesWorth is what having every image that is asked for is worth: less than
-// a fetch, so that it only decides between machines that are as good.
-const allImagesWorth = 3 * second
-
-// imageWorth shares that out by demand. With few machines idle, those with the
+// imageWorth shares allImagesWorth out by demand. With few machines idle, those with the
 // images of urgent jobs would else be used up by jobs that have to fetch theirs
 // wherever they go.
 func (p *prefetcher) imageWorth() map[string]int64 {
-	var all float64
-	for _, im := range sortedKeys(p.elector.leadership.prefetch.demand) {
-		all += p.elector.leadership.prefetch.demand[im].score
+	demand := p.elector.leadership.prefetch.demand
+	var total float64
+	for _, image := range sortedKeys(demand) {
+		total += demand[image].score
 	}
-	worth := make(map[string]int64, len(p.elector.leadership.prefetch.demand))
-	for im, u := range p.elector.leadership.prefetch.demand {
-		if all > 0 {
-			worth[im] = int64(float64(allImagesWorth) * u.score / all)
-		}
+	worth := make(map[string]int64, len(demand))
+	if total <= 0 {
+		return worth
+	}
+	for image, d := range demand {
+		worth[image] = int64(float64(allImagesWorth) * d.score / total)
 	}
 	return worth
 }
 
 // addPrefetchSources takes the tasks of a job that is done, and of which no task is on
-// a machine any more. As many are kept as can be out at once in a large fleet.
-func (p *prefetcher) addPrefetchSources(s *jobstate.Spec) {
-	if s.Image == "" || s.Spread || s.Kind == jobstate.Service {
+// a machine any more. As many are kept as can run at once in a large fleet.
+func (p *prefetcher) addPrefetchSources(spec *jobstate.Spec) {
+	if spec.Image == "" || spec.Spread || spec.Kind == jobstate.Service {
 		return
 	}
-	w := &p.elector.leadership.prefetch
-	list := w.sources[s.Image]
-	most := minPrefetchSources + p.elector.leadership.fleet.Len()/16
+	state := &p.elector.leadership.prefetch
+	sources := state.sources[spec.Image]
+	limit := minPrefetchSources + p.elector.leadership.fleet.Len()/machinesPerSource
 	job := &prefetchJob{}
-	for i := range min(s.Tasks, most/2) {
-		list = append(list, &prefetchSource{job: job, spec: s, index: i})
+	for i := range min(spec.Tasks, limit/2) {
+		sources = append(sources, &prefetchSource{job: job, spec: spec, index: i})
 	}
-	if n := len(list) - most; n > 0 {
-		list = slices.DeleteFunc(list, func(x *prefetchSource) bool {
-			n--
-			return n >= 0 && x.machine == ""
+	if surplus := len(sources) - limit; surplus > 0 {
+		sources = slices.DeleteFunc(sources, func(s *prefetchSource) bool {
+			surplus--
+			return surplus >= 0 && s.machine == ""
 		})
 	}
-	w.sources[s.Image] = list
+	state.sources[spec.Image] = sources
+}
+
+// idleMachines are the machines that prefetches may go to.
+type idleMachines struct {
+	// machines are those without a prefetch, by name.
+	machines []*fleet.Machine
+	// total and fetching count by type all that are idle, and those with a prefetch.
+	total, fetching map[string]int
+}
+
+// mayFetch says whether one more machine of a type may fetch. Half of the idle machines
+// of a type stay quite idle, for jobs that come. Counted over all types, the many small
+// machines took the turns of the few whose images matter most.
+func (i *idleMachines) mayFetch(machineType string) bool {
+	return i.fetching[machineType] < (i.total[machineType]+1)/2
 }
 
 // prefetchTick gives idle machines images that they lack.
 func (p *prefetcher) prefetchTick() {
-	l := p.elector.leadership
-	if p.now-l.prefetch.at < second || !p.elector.mayStartTasks() {
+	term := p.elector.leadership
+	if p.now-term.prefetch.at < prefetchInterval || !p.elector.mayStartTasks() {
 		return
 	}
-	l.prefetch.at, l.heartbeats.releaseWanted = p.now, true
-	var idle []*fleet.Machine
-	// Half of the idle machines of a type stay quite idle, for jobs that come.
-	// Counted over all types, the many small machines took the turns of the few
-	// whose images matter most.
-	warming, free := map[string]int{}, map[string]int{}
-	for _, m := range l.fleet.All() {
-		if !p.planner.usable(m) || m.SeqRestarted() || len(m.Placed) > 0 || m.OrphanUsage != (jobstate.Resources{}) {
+	term.prefetch.at, term.heartbeats.releaseWanted = p.now, true
+	idle := p.idleMachines()
+	used := p.planner.usage()
+	wanted := p.wantedImages(idle.machines)
+	for _, m := range idle.machines {
+		if !idle.mayFetch(m.Type) || p.hasWaitingJob(m) {
 			continue
 		}
-		free[m.Type]++
-		if m.Prefetch != nil {
-			warming[m.Type]++
-			continue
+		if source := p.pickSource(m, used, wanted); source != nil {
+			p.startPrefetch(m, source)
+			used[source.spec.Team] = used[source.spec.Team].plus(source.spec.Need, 1)
+			wanted.addMachine(source.spec.Image)
+			idle.fetching[m.Type]++
 		}
-		idle = append(idle, m)
 	}
-	slices.SortFunc(idle, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	used := p.planner.usage()
-	wants := p.imageWants(idle)
-	for _, m := range idle {
-		if warming[m.Type] >= (free[m.Type]+1)/2 || p.waitedFor(m) {
+}
+
+// idleMachines finds the machines on which nothing runs.
+func (p *prefetcher) idleMachines() idleMachines {
+	idle := idleMachines{total: map[string]int{}, fetching: map[string]int{}}
+	for _, m := range p.elector.leadership.fleet.All() {
+		if !p.planner.usable(m) || m.SeqRestarted() || len(m.Placed) > 0 || m.OrphanUsage != (jobstate.Resources{}) {
 			continue
 		}
-		if s := p.pickSource(m, used, wants); s != nil {
-			l.prefetch.serial++
-			s.start(m)
-			wants.have(s.spec.Image)
-			m.Prefetch = &fleet.Prefetch{Task: jobstate.TaskName(s.spec.ID, s.index), Attempt: prefetchAttempt + l.prefetch.serial, Image: s.spec.Image, ImageMB: s.spec.ImageMB, Need: s.spec.Need, Team: s.spec.Team}
-			l.heartbeats.held.expectCommands(m.Name)
-			l.prefetch.addUsage(used, m.Prefetch, 1)
-			l.prefetch.addUsage(l.prefetch.usedByTeam, m.Prefetch, 1)
-			warming[m.Type]++
+		idle.total[m.Type]++
+		if m.Prefetch != nil {
+			idle.fetching[m.Type]++
+			continue
 		}
+		idle.machines = append(idle.machines, m)
+	}
+	slices.SortFunc(idle.machines, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
+	return idle
+}
+
+// startPrefetch has a source started on a machine by the response to its next heartbeat.
+func (p *prefetcher) startPrefetch(m *fleet.Machine, source *prefetchSource) {
+	term := p.elector.leadership
+	spec := source.spec
+	term.prefetch.serial++
+	source.start(m)
+	m.Prefetch = &fleet.Prefetch{
+		Task:    jobstate.TaskName(spec.ID, source.index),
+		Attempt: prefetchAttempt + term.prefetch.serial,
+		Image:   spec.Image,
+		ImageMB: spec.ImageMB,
+		Need:    spec.Need,
+		Team:    spec.Team,
 	}
+	term.heartbeats.held.expectCommands(m.Name)
+	usedByTeam := term.prefetch.usedByTeam
+	usedByTeam[spec.Team] = usedByTeam[spec.Team].plus(spec.Need, 1)
 }
 
-func (p *prefetcher) waitedFor(m *fleet.Machine) bool {
-	for _, w := range p.elector.leadership.planning.waitingJobs {
-		if (len(w.spec.Types) == 0 || slices.Contains(w.spec.Types, m.Type)) && (w.spec.Spot || !m.Spot) && w.spec.Need.Fits(m.Cap) {
+// hasWaitingJob says whether a job that waits could use a machine.
+func (p *prefetcher) hasWaitingJob(m *fleet.Machine) bool {
+	for _, waiting := range p.elector.leadership.planning.waitingJobs {
+		spec := waiting.spec
+		if (len(spec.Types) == 0 || slices.Contains(spec.Types, m.Type)) && (spec.Spot || !m.Spot) && spec.Need.Fits(m.Cap) {
 			return true
 		}
 	}
@@ -237,9 +297,14 @@
 	machines int // idle ones that have it
 }
 
+// scoreForNext is how much it is wanted on the next machine: each image is to be on as
+// many as its share of the demand.
+func (w *wantedImage) scoreForNext() float64 { return w.score / float64(1+w.machines) }
+
 type wantedImages []wantedImage
 
-func (w wantedImages) have(image string) {
+// addMachine notes that one more machine will have an image.
+func (w wantedImages) addMachine(image string) {
 	for i := range w {
 		if w[i].image == image {
 			w[i].machines++
@@ -247,73 +312,84 @@
 	}
 }
 
-// wantedImages counts which images that there are sources of the idle machines
-// have: each is to be on as many as its share of the demand.
-func (p *prefetcher) imageWants(idle []*fleet.Machine) wantedImages {
-	w := &p.elector.leadership.prefetch
-	var wants wantedImages
-	for im, u := range w.demand {
-		if len(w.sources[im]) > 0 {
-			wants = append(wants, wantedImage{image: im, score: u.score})
+// wantedImages counts which images that there are sources of the idle machines have.
+func (p *prefetcher) wantedImages(idle []*fleet.Machine) wantedImages {
+	state := &p.elector.leadership.prefetch
+	var wanted wantedImages
+	for image, demand := range state.demand {
+		if len(state.sources[image]) > 0 {
+			wanted = append(wanted, wantedImage{image: image, score: demand.score})
 		}
 	}
-	slices.SortFunc(wants, func(a, b wantedImage) int { return cmp.Compare(a.image, b.image) })
-	for i := range wants {
+	slices.SortFunc(wanted, func(a, b wantedImage) int { return cmp.Compare(a.image, b.image) })
+	for i := range wanted {
 		for _, m := range idle {
-			if _, ok := m.Images[wants[i].image]; ok {
-				wants[i].machines++
+			if _, ok := m.Images[wanted[i].image]; ok {
+				wanted[i].machines++
 			}
 		}
 	}
-	return wants
+	return wanted
 }
 
 // pickSource finds the image most wanted that a machine lacks, has room for
 // in its cache, and may get.
-func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wants wantedImages) *prefetchSource {
-	w := &p.elector.leadership.prefetch
-	var held int64
-	for _, im := range m.Images {
-		held += im.MB
+func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wanted wantedImages) *prefetchSource {
+	var cachedMB int64
+	for _, image := range m.Images {
+		cachedMB += image.MB
 	}
 	var best *prefetchSource
-	var most float64
-	for i := range wants {
-		im, score := wants[i].image, wants[i].score/float64(1+wants[i].machines)
-		if _, ok := m.Images[im]; ok || score <= most {
+	var bestScore float64
+	for i := range wanted {
+		image, score := wanted[i].image, wanted[i].scoreForNext()
+		if _, ok := m.Images[image]; ok || score <= bestScore {
 			continue
 		}
-		for _, s := range w.sources[im] {
-			sp := s.spec
-			if !s.mayRunIn(m.Zone) || !sp.Allows(m.Type, m.Zone, m.Spot, m.Cap) || sp.Need.GPU == 0 && m.Cap.GPU > 0 || held+sp.ImageMB > m.CacheMB*8/10 || !p.withinLimit(sp.Team, used[sp.Team], 1, sp.Need) || !p.withinLimit(sp.Team, w.usedByTeam[sp.Team], p.quotaShareForPrefetch(), sp.Need) {
-				continue
+		for _, source := range p.elector.leadership.prefetch.sources[image] {
+			if p.mayCarry(source, m, cachedMB, used) {
+				best, bestScore = source, score
+				break
 			}
-			best, most = s, score
-			break
 		}
 	}
 	return best
 }
 
+// mayCarry says whether a source may bring its image to a machine.
+func (p *prefetcher) mayCarry(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
+	spec := source.spec
+	if !source.mayRunIn(m.Zone) || !spec.Allows(m.Type, m.Zone, m.Spot, m.Cap) || spec.Need.GPU == 0 && m.Cap.GPU > 0 {
+		return false
+	}
+	if cachedMB+spec.ImageMB > m.CacheMB*cachePercent/100 {
+		return false
+	}
+	usedByPrefetches := p.elector.leadership.prefetch.usedByTeam[spec.Team]
+	return p.withinLimit(spec.Team, used[spec.Team], 1, spec.Need) &&
+		p.withinLimit(spec.Team, usedByPrefetches, p.quotaShareForPrefetch(), spec.Need)
+}
+
 // withinLimit says whether a team that uses so much may use more, of a share of
 // its limit.
-func (p *prefetcher) withinLimit(team string, u teamUsage, share float64, need jobstate.Resources) bool {
-	t := p.settings.Team(team)
-	return t != nil && (t.CPUsMax == 0 || u.cpu+need.CPU <= int64(t.CPUsMax*1000*share)) && (t.GPUsMax == 0 || u.gpu+need.GPU <= int64(t.GPUsMax*1000*share))
+func (p *prefetcher) withinLimit(name string, used teamUsage, share float64, need jobstate.Resources) bool {
+	team := p.settings.Team(name)
+	return team != nil && fitsLimit(team, used.plus(need, 1), share)
 }
 
-// prefetchQuotaShare is what warming may use of a team's limit at most. What the last
-// leader had out is stored nowhere, so for as long as any of it may be on its
-// machine a new one leaves that share of the limit alone, and sends out nothing of
-// teams with a limit itself: else the next would have two leaders' to reckon with.
-const prefetchQuotaShare = 0.125
+// fitsLimit says whether so much lies within a share of a team's limit.
+func fitsLimit(team *config.Team, total teamUsage, share float64) bool {
+	return (team.CPUsMax == 0 || total.cpu <= int64(team.CPUsMax*milliPerUnit*share)) &&
+		(team.GPUsMax == 0 || total.gpu <= int64(team.GPUsMax*milliPerUnit*share))
+}
 
-// earlierPrefetchesRunning says whether an earlier leader's warming may still be on machines.
+// earlierPrefetchesRunning says whether an earlier leader's prefetches may still be on
+// machines.
 func (p *prefetcher) earlierPrefetchesRunning() bool {
 	return p.elector.fencingToken() > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
 }
 
-// quotaShareForPrefetch is the share of a limit that warming may use now.
+// quotaShareForPrefetch is the share of a limit that prefetches may use now.
 func (p *prefetcher) quotaShareForPrefetch() float64 {
 	if p.earlierPrefetchesRunning() {
 		return 0
@@ -321,54 +397,62 @@
 	return prefetchQuotaShare
 }
 
-// endPrefetch forgets a machine's warming; its source can be used again.
+// endPrefetch forgets a machine's prefetch; its source can be used again.
 func (p *prefetcher) endPrefetch(m *fleet.Machine) {
 	if m.Prefetch == nil {
 		return
 	}
-	for _, s := range p.elector.leadership.prefetch.sources[m.Prefetch.Image] {
-		if s.machine == m.Name {
-			s.end()
+	state := &p.elector.leadership.prefetch
+	for _, source := range state.sources[m.Prefetch.Image] {
+		if source.machine == m.Name {
+			source.end()
 		}
 	}
-	p.elector.leadership.prefetch.addUsage(p.elector.leadership.prefetch.usedByTeam, m.Prefetch, -1)
+	team := m.Prefetch.Team
+	state.usedByTeam[team] = state.usedByTeam[team].plus(m.Prefetch.Need, -1)
 	m.Prefetch = nil
 }
 
-// reconcilePrefetch handles the report of a warming task. It makes way for any
-// placement, at once: orders are executed in their order.
-func (p *prefetcher) reconcilePrefetch(m *fleet.Machine, tr *TaskStatus) []Command {
-	o := Command{Kind: CommandForget, Task: tr.Name, Attempt: uint32(tr.Attempt)}
+// reconcilePrefetch handles the status of a prefetch in a heartbeat. A prefetch is stopped
+// for any placement, at once: commands are executed in their order.
+func (p *prefetcher) reconcilePrefetch(m *fleet.Machine, status *TaskStatus) []Command {
+	command := Command{Task: status.Name, Attempt: uint32(status.Attempt)}
 	switch {
-	case tr.State == TaskExited:
-		p.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Reason)
-		if tr.Reason == ExitDone {
-			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
-			p.elector.leadership.planning.requestRound()
-		}
-		p.endPrefetch(m)
-		return []Command{o}
+	case status.State == TaskExited:
+		p.prefetchExited(m, status.Reason)
+		command.Kind = CommandForget
+		return []Command{command}
 	case len(m.Placed) > 0 || m.Draining || m.ReclaimAt != 0:
-		o.Kind = CommandStop
-		return []Command{o}
+		command.Kind = CommandStop
+		return []Command{command}
 	}
 	return nil
 }
 
-// prefetchCommand starts a machine's warming in the answer to a report, if that is
-// still wanted.
+// prefetchExited takes an image to be in a machine's cache if the task is done.
+func (p *prefetcher) prefetchExited(m *fleet.Machine, reason ExitReason) {
+	p.log.Debug("prefetch ended", "machine", m.Name, "image", m.Prefetch.Image, "reason", reason)
+	if reason == ExitDone {
+		m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, p.now)
+		p.elector.leadership.planning.requestRound()
+	}
+	p.endPrefetch(m)
+}
+
+// prefetchCommand starts a machine's prefetch in the response to a heartbeat, if that is
+// still wanted; listed says whether the heartbeat has the prefetch already.
 func (p *prefetcher) prefetchCommand(m *fleet.Machine, listed bool) []Command {
-	w := m.Prefetch
+	prefetch := m.Prefetch
 	switch {
-	case w == nil || listed || m.SeqRestarted() && w.Sent:
-		return nil // of one that counts anew a report proves nothing
-	case w.Sent && m.HasCurrentToken, len(m.Placed) > 0 && !w.Sent:
-		// The order was dropped, or something better came.
+	case prefetch == nil || listed || m.SeqRestarted() && prefetch.Sent:
+		return nil // of one that counts anew a heartbeat proves nothing
+	case prefetch.Sent && m.HasCurrentToken, len(m.Placed) > 0 && !prefetch.Sent:
+		// The command was dropped, or a task was placed.
 		p.endPrefetch(m)
 		return nil
-	case w.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !p.elector.mayStartTasks():
+	case prefetch.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !p.elector.mayStartTasks():
 		return nil
 	}
-	w.Sent = true
-	return []Command{{Kind: CommandStart, Task: w.Task, Attempt: w.Attempt}}
+	prefetch.Sent = true
+	return []Command{{Kind: CommandStart, Task: prefetch.Task, Attempt: prefetch.Attempt}}
 }
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -78,7 +78,7 @@
 			for k := range 20 {
 				r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
 			}
-			images := r.c.prefetcher.hintedImages()
+			images := r.c.prefetcher.mostWantedImages()
 			of := 1 + machines*machineBytes/6000
 			next := newRig(t)
 			for part := range of {
