--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -59,7 +59,7 @@
 	for _, name := range settings.Ops.HoldFeatures {
 		withheld = append(withheld, upgrade.FeatureName(name))
 	}
-	return upgrade.New(program, settings.Name, settings.Incarnation, settings.Peers, optedIn, withheld)
+	return upgrade.NewActivation(program, settings.Name, settings.Incarnation, settings.Peers, optedIn, withheld)
 }
 
 // featureEnabled reports whether a feature is active.
@@ -130,7 +130,7 @@
 	if ch.Removed {
 		m.decommissionedRevisions[name] = 0
 	}
-	m.activation.SetGone(name, !ch.Removed)
+	m.activation.SetDecommissioned(name, !ch.Removed)
 }
 
 func (m *membership) applyAdvertisement(name string, ch Change, bad func(error)) {
--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -60,8 +60,8 @@
 	at int64
 }
 
-// New makes a controller's links, of which nothing is known.
-func New(self, boot string, peers, zones []string, report int64) *Links {
+// NewLinks makes a controller's links, of which nothing is known.
+func NewLinks(self, boot string, peers, zones []string, report int64) *Links {
 	l := &Links{self: self, incarnation: boot, zones: zones, Workers: NewSample(report), outbound: map[string]*Link{}, inbound: map[string]*Link{}, stored: map[string]Advertisement{}, received: map[string]receivedAdvertisement{}, advertiseInterval: minAdvertiseInterval, cloudProxyFailedAt: map[string]int64{}}
 	for _, p := range peers {
 		l.outbound[p], l.inbound[p] = &Link{}, &Link{}
@@ -112,13 +112,13 @@
 
 // LocalAdvertisement is what this controller says of itself.
 func (l *Links) LocalAdvertisement(now int64) Advertisement {
-	v := Advertisement{Boot: l.incarnation, Cloud: l.Cloud.succeededAt != 0 && !l.Cloud.down()}
+	v := Advertisement{Incarnation: l.incarnation, Cloud: l.Cloud.succeededAt != 0 && !l.Cloud.down()}
 	for _, z := range l.Workers.Zones() {
 		if n, ok := l.Workers.ReachableEighths(z); ok {
-			if v.Workers == nil {
-				v.Workers = map[string]int{}
+			if v.ReachableEighths == nil {
+				v.ReachableEighths = map[string]int{}
 			}
-			v.Workers[z] = n
+			v.ReachableEighths[z] = n
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(l.outbound)) {
@@ -127,7 +127,7 @@
 			v.Peers = append(v.Peers, p)
 		}
 	}
-	v.Flaps = l.Lease.IsFlapping(now) || l.Workers.IsFlapping(now)
+	v.Flapping = l.Lease.IsFlapping(now) || l.Workers.IsFlapping(now)
 	return v
 }
 
@@ -264,13 +264,13 @@
 
 // ReachesZone says whether a controller has said that it reaches most of a zone.
 func (l *Links) ReachesZone(name, zone string) bool {
-	return l.matrix[name].Workers[zone] > wholeZone/2
+	return l.matrix[name].ReachableEighths[zone] > wholeZone/2
 }
 
 // CannotReachZone says that a controller has said of a zone that it reaches less than
 // half of it, and another that it reaches more: it is not the zone.
 func (l *Links) CannotReachZone(name, zone string) bool {
-	n, ok := l.matrix[name].Workers[zone]
+	n, ok := l.matrix[name].ReachableEighths[zone]
 	if !ok || n >= wholeZone/2 {
 		return false
 	}
@@ -322,12 +322,12 @@
 // CannotReachMostZones says that a controller is blind to most of the zones.
 func (l *Links) CannotReachMostZones(name string) bool {
 	blind := 0
-	for z := range l.matrix[name].Workers {
+	for z := range l.matrix[name].ReachableEighths {
 		if l.CannotReachZone(name, z) {
 			blind++
 		}
 	}
-	return blind > 0 && 2*blind >= len(l.matrix[name].Workers)
+	return blind > 0 && 2*blind >= len(l.matrix[name].ReachableEighths)
 }
 
 // Handover is a time at which this controller gave way.
--- a/internal/core/connectivity/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -10,24 +10,24 @@
 // Advertisement is what a controller says of its links, to its peers and on its lease
 // in the state service. A field that is missing says nothing.
 type Advertisement struct {
-	Boot string `json:"b,omitempty"`
-	// Workers has for each zone how many eighths of its machines are reached.
-	Workers map[string]int `json:"w,omitempty"`
+	Incarnation string `json:"b,omitempty"`
+	// ReachableEighths has for each zone how many eighths of its machines are reached.
+	ReachableEighths map[string]int `json:"w,omitempty"`
 	// Peers are the controllers that answer this one.
 	Peers []string `json:"p,omitempty"`
 	// Cloud: the cloud answers. Flaps: what is said here comes and goes.
-	Cloud bool `json:"c,omitempty"`
-	Flaps bool `json:"f,omitempty"`
+	Cloud    bool `json:"c,omitempty"`
+	Flapping bool `json:"f,omitempty"`
 }
 
 // Differs says whether another value tells something else that matters: a
 // machine more or less in a zone does not.
 func (v *Advertisement) Differs(o *Advertisement) bool {
-	if v.Boot != o.Boot || v.Cloud != o.Cloud || v.Flaps != o.Flaps || !slices.Equal(v.Peers, o.Peers) || len(v.Workers) != len(o.Workers) {
+	if v.Incarnation != o.Incarnation || v.Cloud != o.Cloud || v.Flapping != o.Flapping || !slices.Equal(v.Peers, o.Peers) || len(v.ReachableEighths) != len(o.ReachableEighths) {
 		return true
 	}
-	for z, n := range v.Workers {
-		if m, ok := o.Workers[z]; !ok || max(n-m, m-n) >= wholeZone/2 || (n == wholeZone) != (m == wholeZone) && (n == 0) != (m == 0) {
+	for z, n := range v.ReachableEighths {
+		if m, ok := o.ReachableEighths[z]; !ok || max(n-m, m-n) >= wholeZone/2 || (n == wholeZone) != (m == wholeZone) && (n == 0) != (m == 0) {
 			return true
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 	out := map[string]int{}
 	for i := range seen.EachSet() {
-		for z, n := range m[names[i]].Workers {
+		for z, n := range m[names[i]].ReachableEighths {
 			out[z] = max(out[z], n)
 		}
 	}
@@ -87,7 +87,7 @@
 func (m Matrix) BetterLeader(self string) (name string) {
 	own, gain := m.Coverage(self), 0
 	for _, o := range slices.Sorted(maps.Keys(m)) {
-		if o == self || m[o].Flaps {
+		if o == self || m[o].Flapping {
 			continue
 		}
 		g := 0
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -117,7 +117,7 @@
 }
 
 func reaches(a, b int, peers ...string) connectivity.Advertisement {
-	return connectivity.Advertisement{Workers: map[string]int{"a": a, "b": b}, Peers: peers}
+	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
 // TestOtherViews: an unfinished answer needs a view that was asked for after the
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -134,12 +134,12 @@
 	// for an older one, Need that it knows too few machines. Boot is the start of
 	// who asks, Ask what this controller is to vouch for, Tell cancellations.
 	PingReceived struct {
-		RequestID     uint64
-		From          string
-		NeedMachines  bool
-		Incarnation   string
-		Question      *readlease.GrantRequest
-		Cancellations *readlease.CancellationPage
+		RequestID        uint64
+		From             string
+		NeedMachines     bool
+		Incarnation      string
+		ReadLeaseRequest *readlease.GrantRequest
+		Cancellations    *readlease.CancellationPage
 	}
 	// MachineProbed is how a Probe that was sent at Sent ended; Report is what the
 	// machine said of itself, if it could be read.
@@ -301,11 +301,11 @@
 	}
 	// PingPeer asks a peer whether it is there; see Pinged.
 	PingPeer struct {
-		Peer          string
-		NeedMachines  bool
-		Incarnation   string
-		Question      *readlease.GrantRequest
-		Cancellations *readlease.CancellationPage
+		Peer             string
+		NeedMachines     bool
+		Incarnation      string
+		ReadLeaseRequest *readlease.GrantRequest
+		Cancellations    *readlease.CancellationPage
 	}
 	// ProbeMachine asks a machine whether it can be reached.
 	ProbeMachine struct{ Machine, Addr string }
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -146,7 +146,7 @@
 	v.Reach.Matrix = map[string]ConnectivityRowView{}
 	for name, row := range matrix {
 		v.Reach.Matrix[name] = ConnectivityRowView{
-			Workers: row.Workers,
+			Workers: row.ReachableEighths,
 			Leading: matrix.Coverage(name),
 			Peers:   row.Peers,
 			Cloud:   row.Cloud,
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -268,7 +268,7 @@
 	if r.c.elector.leadership == nil || r.c.elector.leadership.authorityProvenAt() != right {
 		t.Error("a peer of an older program vouches for nothing")
 	}
-	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Boot: "x", Upto: 1, Whole: true, Cancelled: []string{"j"}}}})
+	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Incarnation: "x", UpTo: 1, Complete: true, Cancelled: []string{"j"}}}})
 	if r.c.cache.jobs["j"].Outcome != jobstate.Cancelled {
 		t.Error("a cancellation told by a peer counts")
 	}
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -63,7 +63,7 @@
 	term := r.elector.leadership
 	if term != nil && (r.health.lastRequestFailed() || r.now-term.stateProofAt() > readLeaseAfter) {
 		request := term.readLeases.NextRequest(ping.Peer, r.cache.appliedRevision, r.now)
-		ping.Question = &request
+		ping.ReadLeaseRequest = &request
 	}
 	if at, ok := r.informedAt[ping.Peer]; ok && at == r.now {
 		page := r.grantor.PageFor(ping.Peer)
@@ -78,8 +78,8 @@
 		status.Cancelled = r.grantor.RecentCancellations()
 		return
 	}
-	if m.Question != nil {
-		page := r.grantor.Grant(m.From, *m.Question, r.cache.appliedRevision > 0, r.now)
+	if m.ReadLeaseRequest != nil {
+		page := r.grantor.Grant(m.From, *m.ReadLeaseRequest, r.cache.appliedRevision > 0, r.now)
 		status.ReadLease = &page
 	}
 	status.Ack = &readlease.HolderAck{}
--- a/internal/core/readlease/readlease.go
+++ b/internal/core/readlease/readlease.go
@@ -27,30 +27,30 @@
 // Boot is the start of that controller that the leader has heard out up to Upto,
 // Applied the revision up to which the leader knows what is stored.
 type GrantRequest struct {
-	Boot    string
-	Upto    uint64
-	Applied uint64
+	Incarnation     string
+	UpTo            uint64
+	AppliedRevision uint64
 }
 
 // CancellationPage is a part of what a controller knows to be cancelled, of numbers above
 // After up to Upto.
 type CancellationPage struct {
-	Boot        string
-	After, Upto uint64
+	Incarnation string
+	After, UpTo uint64
 	Cancelled   []string
 	// More: there are others. Whole: with this page the asker has all that this
 	// start of the controller and the earlier ones have told; without it, all
 	// that this start has told.
-	More, Whole bool
+	More, Complete bool
 }
 
 // HolderAck is what a controller answers to one that tells it of cancellations. Holds
 // says that it lives on the word of some start of the teller.
 type HolderAck struct {
-	Holds   bool
-	Boot    string
-	Upto    uint64
-	Applied uint64
+	Holds           bool
+	Incarnation     string
+	UpTo            uint64
+	AppliedRevision uint64
 }
 
 // cancellation is a cancellation that is known; Rev is the revision that it was stored
@@ -131,9 +131,9 @@
 func (w *Grantor) Grant(from string, q GrantRequest, synced bool, now int64) CancellationPage {
 	if l := w.holders[from]; l != nil {
 		l.grantedAt = now
-		w.recordProgress(l, q.Boot, q.Upto, q.Applied)
+		w.recordProgress(l, q.Incarnation, q.UpTo, q.AppliedRevision)
 	}
-	return w.pageAfter(q.Boot, q.Upto, q.Applied, synced)
+	return w.pageAfter(q.Incarnation, q.UpTo, q.AppliedRevision, synced)
 }
 
 func (w *Grantor) recordProgress(l *holderState, boot string, upto, applied uint64) {
@@ -148,16 +148,16 @@
 	if boot != w.incarnation {
 		upto = 0
 	}
-	p := CancellationPage{Boot: w.incarnation, After: upto, Upto: upto, Whole: synced}
+	p := CancellationPage{Incarnation: w.incarnation, After: upto, UpTo: upto, Complete: synced}
 	if upto+1 < w.cancellations.firstNumber {
-		p.Upto = w.cancellations.firstNumber - 1
+		p.UpTo = w.cancellations.firstNumber - 1
 		if w.cancellations.droppedUnknown || w.cancellations.droppedRevision > applied {
-			p.Whole, p.Boot = false, "" // it can't be told all
+			p.Complete, p.Incarnation = false, "" // it can't be told all
 			return p
 		}
 	}
-	for p.Upto < w.cancellations.lastNumber() {
-		e := w.cancellations.entries[p.Upto+1-w.cancellations.firstNumber]
+	for p.UpTo < w.cancellations.lastNumber() {
+		e := w.cancellations.entries[p.UpTo+1-w.cancellations.firstNumber]
 		if e.revision == 0 || e.revision > applied {
 			if len(p.Cancelled) == maxPageEntries {
 				p.More = true
@@ -165,7 +165,7 @@
 			}
 			p.Cancelled = append(p.Cancelled, e.id)
 		}
-		p.Upto++
+		p.UpTo++
 	}
 	return p
 }
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	w.recordProgress(l, ack.Boot, ack.Upto, ack.Applied)
+	w.recordProgress(l, ack.Incarnation, ack.UpTo, ack.AppliedRevision)
 }
 
 // uninformedOf are the controllers that have to be told first.
@@ -268,25 +268,25 @@
 		return GrantRequest{}
 	}
 	s.requestedAt = now
-	return GrantRequest{Boot: s.incarnation, Upto: s.upTo, Applied: applied}
+	return GrantRequest{Incarnation: s.incarnation, UpTo: s.upTo, AppliedRevision: applied}
 }
 
 // ApplyPage takes a page, and says whether it is one that goes on from what is known.
 func (w *Holder) ApplyPage(peer string, p CancellationPage) bool {
 	s := w.grants[peer]
-	if s == nil || p.Boot == "" || s.runningIncarnation != "" && p.Boot != s.runningIncarnation {
+	if s == nil || p.Incarnation == "" || s.runningIncarnation != "" && p.Incarnation != s.runningIncarnation {
 		return false // of an older program, or of an earlier start
 	}
-	if p.Boot != s.incarnation {
+	if p.Incarnation != s.incarnation {
 		if p.After != 0 {
 			return false
 		}
-		s.incarnation, s.upTo = p.Boot, 0
+		s.incarnation, s.upTo = p.Incarnation, 0
 	}
 	if p.After > s.upTo {
 		return false // a page is missing
 	}
-	s.upTo = max(s.upTo, p.Upto)
+	s.upTo = max(s.upTo, p.UpTo)
 	return true
 }
 
@@ -300,7 +300,7 @@
 	// One that has just begun vouches for itself alone. What its earlier start
 	// told is known if that one's word has not run out: it told nobody without
 	// telling this leader first, for as long as the word could last.
-	if p.Whole || s.grantedAt != 0 && now-s.grantedAt < w.leaseDuration {
+	if p.Complete || s.grantedAt != 0 && now-s.grantedAt < w.leaseDuration {
 		s.grantedAt = max(s.grantedAt, sent)
 	}
 }
@@ -325,7 +325,7 @@
 			return HolderAck{}
 		}
 	}
-	return HolderAck{Holds: true, Boot: s.incarnation, Upto: s.upTo, Applied: applied}
+	return HolderAck{Holds: true, Incarnation: s.incarnation, UpTo: s.upTo, AppliedRevision: applied}
 }
 
 // StaleGrantors names the controllers that have not vouched for a while, and for how long
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -132,7 +132,7 @@
 			m.fill(maxLogEntries)
 			m.round()
 		}, second + (maxLogEntries/maxPageEntries-1)*1000, maxLogEntries},
-		{"an older program", func(m *meeting) { m.take(m.now, CancellationPage{Whole: true}) }, 0, 0},
+		{"an older program", func(m *meeting) { m.take(m.now, CancellationPage{Complete: true}) }, 0, 0},
 		{"the answer of an earlier start, late", func(m *meeting) {
 			sent, p := m.ask()
 			m.l.SetIncarnation("x", "x2")
@@ -194,10 +194,16 @@
 			m.ask()
 			m.w.HandleAck("l", m.now-1, &HolderAck{})
 		}, false},
-		{"asked, and the leader has the number", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Boot: "x1", Upto: 1}) }, true},
-		{"asked, and the leader has the number of an earlier start", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Boot: "x0", Upto: 1}) }, false},
-		{"asked, and the leader has read it", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Applied: 9}) }, true},
-		{"asked, and the leader has read less", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Applied: 8}) }, false},
+		{"asked, and the leader has the number", func(m *meeting) {
+			m.ask()
+			m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Incarnation: "x1", UpTo: 1})
+		}, true},
+		{"asked, and the leader has the number of an earlier start", func(m *meeting) {
+			m.ask()
+			m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Incarnation: "x0", UpTo: 1})
+		}, false},
+		{"asked, and the leader has read it", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, AppliedRevision: 9}) }, true},
+		{"asked, and the leader has read less", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, AppliedRevision: 8}) }, false},
 		{"asked long ago", func(m *meeting) { m.ask(); m.now += hold + second }, true},
 		{"told", func(m *meeting) {
 			m.round()
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -59,8 +59,8 @@
 	}
 	s.run(second)
 	ack(&readlease.HolderAck{})
-	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", Question: &readlease.GrantRequest{}})
-	if p := s.got[900].PeerStatus.ReadLease; p == nil || !p.Whole || len(p.Cancelled) != 0 {
+	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
+	if p := s.got[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
 		t.Fatalf("vouched %+v", p)
 	}
 	// Its own write, another user's poll, and a repeated submission.
@@ -78,7 +78,7 @@
 		}
 	}
 	n, _ := ask(poll)
-	ack(&readlease.HolderAck{Holds: true, Boot: "b", Upto: 1})
+	ack(&readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: 1})
 	if r := s.got[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
 		t.Errorf("once the leader knows: %+v", r)
 	}
@@ -121,7 +121,7 @@
 	if v := view(); of(v) != 2 {
 		t.Errorf("nobody has vouched: %v", v.Conditions)
 	}
-	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Boot: "x", Whole: true}}})
+	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
 	if v := view(); of(v) != 1 {
 		t.Errorf("one has: %v", v.Conditions)
 	}
@@ -150,7 +150,7 @@
 	s.c.readLeases.grantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	ask := func() *readlease.CancellationPage {
-		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", Question: &readlease.GrantRequest{}})
+		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 		return s.got[900].PeerStatus.ReadLease
 	}
 	ask()
@@ -172,7 +172,7 @@
 	if !slices.Contains(p.Cancelled, cancelledSweepPrefix+"s") {
 		t.Errorf("the leader is told %v", p.Cancelled)
 	}
-	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Boot: "b", Upto: p.Upto}}})
+	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
 	builds = slices.Delete(builds, 2, 3) // the plan of one that is over is not there at once
 	for _, build := range builds {
 		if r := s.sweepAsk(build); r.Status != 200 {
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -77,7 +77,7 @@
 		memberPrefix + "n2":         upgrade.Advertisement{Format: 2, Incarnation: "b2"},
 		featuresKey:                 featuresRecord{On: []upgrade.StoredFeature{{Name: "alien", Required: false}, {Name: upgrade.Connectivity}, {Name: upgrade.SharedReads, Required: true}}},
 		decommissionedPrefix + "n3": decommissionedRecord{At: 1_700_000_000_000_007},
-		connectivityPrefix + "n1":   connectivity.Advertisement{Boot: "b1", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"n0", "n2"}, Cloud: true, Flaps: true},
+		connectivityPrefix + "n1":   connectivity.Advertisement{Incarnation: "b1", ReachableEighths: map[string]int{"a": 8, "b": 0}, Peers: []string{"n0", "n2"}, Cloud: true, Flapping: true},
 		connectivityPrefix + "n2":   connectivity.Advertisement{},
 
 		sweepPrefix + "s":                                 sweepHead{Runs: 9000, Parts: 2, Pending: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -57,8 +57,8 @@
 	answeredAt int64
 	format     int
 	features   []FeatureName
-	// gone: operators say that it will not come back.
-	gone bool
+	// decommissioned: operators say that it will not come back.
+	decommissioned bool
 }
 
 // Activation is one controller's knowledge of all.
@@ -74,9 +74,9 @@
 	unknownFeatures []StoredFeature
 }
 
-// New makes the activation of a controller. chosen are the features that its operators
+// NewActivation makes the activation of a controller. chosen are the features that its operators
 // want of those that have to be wanted, held those that they hold back.
-func New(program Program, self, boot string, peers []string, chosen, held []FeatureName) *Activation {
+func NewActivation(program Program, self, boot string, peers []string, chosen, held []FeatureName) *Activation {
 	l := &Activation{program: program, self: self, names: append([]string{self}, peers...), members: map[string]*member{}, enabled: map[FeatureName]bool{}, format: 1}
 	slices.Sort(l.names)
 	l.local = Advertisement{Format: 1, Incarnation: boot, Program: program.Version, OldestFormat: 1}
@@ -110,7 +110,7 @@
 			m = &member{}
 			l.members[n] = m
 		}
-		m.advertisement, m.revision, m.seenAt, m.gone = Advertisement{}, 0, 0, false
+		m.advertisement, m.revision, m.seenAt, m.decommissioned = Advertisement{}, 0, 0, false
 	}
 }
 
@@ -146,17 +146,17 @@
 	}
 }
 
-// SetGone notes whether operators say that a controller will not come back.
-func (l *Activation) SetGone(name string, gone bool) {
+// SetDecommissioned notes whether operators say that a controller will not come back.
+func (l *Activation) SetDecommissioned(name string, gone bool) {
 	if m := l.members[name]; m != nil {
-		m.gone = gone
+		m.decommissioned = gone
 	}
 }
 
 // Returned are those that were said to be gone and have a word again.
 func (l *Activation) Returned() (names []string) {
 	for _, n := range l.names {
-		if m := l.members[n]; m.gone && m.revision != 0 {
+		if m := l.members[n]; m.decommissioned && m.revision != 0 {
 			names = append(names, n)
 		}
 	}
@@ -206,7 +206,7 @@
 func (l *Activation) blockerOf(name string, f *Feature) string {
 	m := l.members[name]
 	switch {
-	case m.revision == 0 && m.gone:
+	case m.revision == 0 && m.decommissioned:
 		return ""
 	case m.revision == 0:
 		return name + " has not said what it can"
--- a/internal/core/upgrade/activation_test.go
+++ b/internal/core/upgrade/activation_test.go
@@ -23,7 +23,7 @@
 }
 
 func word(p Program, held ...FeatureName) Advertisement {
-	w, _, _ := New(p, "x", "boot", nil, nil, held).LocalAdvertisement()
+	w, _, _ := NewActivation(p, "x", "boot", nil, nil, held).LocalAdvertisement()
 	return w
 }
 
@@ -49,8 +49,8 @@
 			l.SetAdvertisement("n1", word(CurrentProgram()), 2, 5)
 			l.RemoveAdvertisement("n1")
 		}, "", "n1 has not said"},
-		{"it is gone for good", 2, nil, func(l *Activation) { l.SetGone("n1", true) }, Connectivity, ""},
-		{"it was gone, and is back with an older program", 2, nil, func(l *Activation) { l.SetGone("n1", true); l.SetAdvertisement("n1", word(older()), 2, 5) }, "", "n1 does not have it"},
+		{"it is gone for good", 2, nil, func(l *Activation) { l.SetDecommissioned("n1", true) }, Connectivity, ""},
+		{"it was gone, and is back with an older program", 2, nil, func(l *Activation) { l.SetDecommissioned("n1", true); l.SetAdvertisement("n1", word(older()), 2, 5) }, "", "n1 does not have it"},
 		{"replaced within its lease: it answers otherwise since", 2, nil, func(l *Activation) {
 			l.SetAdvertisement("n1", word(CurrentProgram()), 2, 5)
 			l.RecordPing("n1", 6, 2, nil)
@@ -63,7 +63,7 @@
 		{"a newer one has it too", 2, nil, func(l *Activation) { l.SetAdvertisement("n1", word(next()), 2, 5) }, Connectivity, ""},
 	}
 	for _, tc := range cases {
-		l := New(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
+		l := NewActivation(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
 		l.SetAdvertisement("n0", word(CurrentProgram()), 1, 1)
 		l.SetFormat(tc.format)
 		l.SetEnabled(tc.on)
@@ -104,7 +104,7 @@
 		{"a newer format", CurrentProgram(), 9, nil, "format is 9"},
 	}
 	for _, tc := range cases {
-		l := New(tc.p, "n0", "b", nil, nil, nil)
+		l := NewActivation(tc.p, "n0", "b", nil, nil, nil)
 		l.SetFormat(tc.format)
 		l.SetEnabled(tc.on)
 		if got := l.Incompatibility(); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
@@ -115,14 +115,14 @@
 
 // TestOn: what is on stays on, also what this program does not know.
 func TestOn(t *testing.T) {
-	l := New(CurrentProgram(), "n0", "b", nil, nil, nil)
+	l := NewActivation(CurrentProgram(), "n0", "b", nil, nil, nil)
 	l.SetEnabled([]StoredFeature{{Name: "other"}})
 	if got := fmt.Sprint(l.EnabledWith(l.program.feature(Connectivity))); got != "[{other false} {reach false}]" {
 		t.Errorf("stored %s", got)
 	}
 	l.SetEnabled([]StoredFeature{{Name: "other"}, {Name: Connectivity}})
 	p := next()
-	n := New(p, "n0", "b", nil, nil, nil)
+	n := NewActivation(p, "n0", "b", nil, nil, nil)
 	n.SetEnabled([]StoredFeature{{Name: "other"}, {Name: Connectivity}})
 	if got := fmt.Sprint(n.EnabledWith(n.program.feature("next"))); got != "[{other false} {reach false} {next true}]" {
 		t.Errorf("stored %s", got)
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -49,7 +49,7 @@
 
 // decide asks the activation itself.
 func (s *model) decide(f flaw) bool {
-	l := New(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
+	l := NewActivation(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
 	l.SetFormat(2)
 	for i := range s.m {
 		name := fmt.Sprint("n", i)
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -143,7 +143,7 @@
 	}
 	n.runUnlessEnded(n.epoch, func() {
 		if q, ok := a.Request.(pingRequest); ok && n.legacy() {
-			q.Incarnation, q.Question, q.Cancellations = "", nil, nil
+			q.Incarnation, q.ReadLeaseRequest, q.Cancellations = "", nil, nil
 			a.Request = q
 		}
 		build, bad := toCoreMessage(a.Request)
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -93,7 +93,7 @@
 		return func(id uint64) any {
 			return core.PingReceived{
 				RequestID: id, From: q.from, NeedMachines: q.NeedMachines, Incarnation: q.Incarnation,
-				Question: q.Question, Cancellations: q.Cancellations,
+				ReadLeaseRequest: q.ReadLeaseRequest, Cancellations: q.Cancellations,
 			}
 		}, nil
 	case core.HeartbeatReceived:
--- a/internal/emulator/faketime/peers.go
+++ b/internal/emulator/faketime/peers.go
@@ -58,7 +58,7 @@
 func (n *Controller) pingPeer(e core.PingPeer) {
 	sent := n.sentAt()
 	if n.legacy() {
-		e.Incarnation, e.Question, e.Cancellations = "", nil, nil
+		e.Incarnation, e.ReadLeaseRequest, e.Cancellations = "", nil, nil
 	}
 	n.call(e.Peer, pingRequest{n.name, e}, pingTimeout, func(_ int, body any) {
 		pinged := core.PeerPinged{Peer: e.Peer, SentAt: sent}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -105,11 +105,11 @@
 
 func (n *Node) pingPeer(e core.PingPeer, sentAt int64) {
 	ping := core.PingReceived{
-		From:          n.platform.Name,
-		NeedMachines:  e.NeedMachines,
-		Incarnation:   e.Incarnation,
-		Question:      e.Question,
-		Cancellations: e.Cancellations,
+		From:             n.platform.Name,
+		NeedMachines:     e.NeedMachines,
+		Incarnation:      e.Incarnation,
+		ReadLeaseRequest: e.ReadLeaseRequest,
+		Cancellations:    e.Cancellations,
 	}
 	answer, err := n.peers[e.Peer].Ping(ping, pingTimeout)
 	n.deliver(core.PeerPinged{
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -19,10 +19,10 @@
 func completeNews() core.PeerStatus {
 	return core.PeerStatus{
 		FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01", "job-02"},
-		ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
-		Ack:       &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
+		ReadLease: &readlease.CancellationPage{Incarnation: "b2", After: 3, UpTo: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Complete: true},
+		Ack:       &readlease.HolderAck{Holds: true, Incarnation: "b1", UpTo: 2, AppliedRevision: 8},
 		Version:   6, Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, LimitsLowered: true,
-		Connectivity: &connectivity.Advertisement{Boot: "b3", Workers: map[string]int{"zone-a": 7}, Peers: []string{"node-0", "node-2"}, Cloud: true, Flaps: true},
+		Connectivity: &connectivity.Advertisement{Incarnation: "b3", ReachableEighths: map[string]int{"zone-a": 7}, Peers: []string{"node-0", "node-2"}, Cloud: true, Flapping: true},
 		Machines:     []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "zone-a"}, {Name: "host-000002", Addr: "10.1.0.2:9000", Zone: "zone-b"}},
 	}
 }
@@ -44,13 +44,13 @@
 	return map[string]any{
 		"PingArgs": core.PingReceived{
 			From: "node-1", NeedMachines: true, Incarnation: "b1",
-			Question:      &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9},
-			Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}, More: true, Whole: true},
+			ReadLeaseRequest: &readlease.GrantRequest{Incarnation: "b2", UpTo: 3, AppliedRevision: 9},
+			Cancellations:    &readlease.CancellationPage{Incarnation: "b1", After: 1, UpTo: 2, Cancelled: []string{"job-02"}, More: true, Complete: true},
 		},
-		"PingArgs with nothing in its pointers":  core.PingReceived{From: "node-1", Question: &readlease.GrantRequest{}, Cancellations: &readlease.CancellationPage{}},
+		"PingArgs with nothing in its pointers":  core.PingReceived{From: "node-1", ReadLeaseRequest: &readlease.GrantRequest{}, Cancellations: &readlease.CancellationPage{}},
 		"PingReply":                              PingAnswer{Name: "node-1", Status: news},
 		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", Status: core.PeerStatus{ReadLease: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Connectivity: &connectivity.Advertisement{}}},
-		"PingReply with an empty map":            PingAnswer{Name: "node-1", Status: core.PeerStatus{Connectivity: &connectivity.Advertisement{Workers: map[string]int{}}}},
+		"PingReply with an empty map":            PingAnswer{Name: "node-1", Status: core.PeerStatus{Connectivity: &connectivity.Advertisement{ReachableEighths: map[string]int{}}}},
 		"BeatArgs": core.HeartbeatReceived{
 			From: "node-1", ViaPeer: true,
 			Heartbeat: core.Heartbeat{
--- a/internal/peer/internal/wire/ping.go
+++ b/internal/peer/internal/wire/ping.go
@@ -13,7 +13,7 @@
 		From: in.From,
 		Need: in.NeedMachines,
 		Boot: in.Incarnation,
-		Ask:  optional(in.Question, newQuestion),
+		Ask:  optional(in.ReadLeaseRequest, newQuestion),
 		Tell: optional(in.Cancellations, newPage),
 	}
 }
@@ -21,11 +21,11 @@
 // Core is the ping as a message to the core, not numbered yet.
 func (in PingArgs) Core() core.PingReceived {
 	return core.PingReceived{
-		From:          in.From,
-		NeedMachines:  in.Need,
-		Incarnation:   in.Boot,
-		Question:      optional(in.Ask, Question.core),
-		Cancellations: optional(in.Tell, Page.core),
+		From:             in.From,
+		NeedMachines:     in.Need,
+		Incarnation:      in.Boot,
+		ReadLeaseRequest: optional(in.Ask, Question.core),
+		Cancellations:    optional(in.Tell, Page.core),
 	}
 }
 
@@ -41,57 +41,57 @@
 
 func newQuestion(in readlease.GrantRequest) Question {
 	return Question{
-		Boot:    in.Boot,
-		Upto:    in.Upto,
-		Applied: in.Applied,
+		Boot:    in.Incarnation,
+		Upto:    in.UpTo,
+		Applied: in.AppliedRevision,
 	}
 }
 
 func (in Question) core() readlease.GrantRequest {
 	return readlease.GrantRequest{
-		Boot:    in.Boot,
-		Upto:    in.Upto,
-		Applied: in.Applied,
+		Incarnation:     in.Boot,
+		UpTo:            in.Upto,
+		AppliedRevision: in.Applied,
 	}
 }
 
 func newPage(in readlease.CancellationPage) Page {
 	return Page{
-		Boot:      in.Boot,
+		Boot:      in.Incarnation,
 		After:     in.After,
-		Upto:      in.Upto,
+		Upto:      in.UpTo,
 		Cancelled: in.Cancelled,
 		More:      in.More,
-		Whole:     in.Whole,
+		Whole:     in.Complete,
 	}
 }
 
 func (in Page) core() readlease.CancellationPage {
 	return readlease.CancellationPage{
-		Boot:      in.Boot,
-		After:     in.After,
-		Upto:      in.Upto,
-		Cancelled: in.Cancelled,
-		More:      in.More,
-		Whole:     in.Whole,
+		Incarnation: in.Boot,
+		After:       in.After,
+		UpTo:        in.Upto,
+		Cancelled:   in.Cancelled,
+		More:        in.More,
+		Complete:    in.Whole,
 	}
 }
 
 func newAck(in readlease.HolderAck) Ack {
 	return Ack{
 		Holds:   in.Holds,
-		Boot:    in.Boot,
-		Upto:    in.Upto,
-		Applied: in.Applied,
+		Boot:    in.Incarnation,
+		Upto:    in.UpTo,
+		Applied: in.AppliedRevision,
 	}
 }
 
 func (in Ack) core() readlease.HolderAck {
 	return readlease.HolderAck{
-		Holds:   in.Holds,
-		Boot:    in.Boot,
-		Upto:    in.Upto,
-		Applied: in.Applied,
+		Holds:           in.Holds,
+		Incarnation:     in.Boot,
+		UpTo:            in.Upto,
+		AppliedRevision: in.Applied,
 	}
 }
 
@@ -129,21 +129,21 @@
 
 func newReach(in connectivity.Advertisement) Reach {
 	return Reach{
-		Boot:    in.Boot,
-		Workers: in.Workers,
+		Boot:    in.Incarnation,
+		Workers: in.ReachableEighths,
 		Peers:   in.Peers,
 		Cloud:   in.Cloud,
-		Flaps:   in.Flaps,
+		Flaps:   in.Flapping,
 	}
 }
 
 func (in Reach) core() connectivity.Advertisement {
 	return connectivity.Advertisement{
-		Boot:    in.Boot,
-		Workers: in.Workers,
-		Peers:   in.Peers,
-		Cloud:   in.Cloud,
-		Flaps:   in.Flaps,
+		Incarnation:      in.Boot,
+		ReachableEighths: in.Workers,
+		Peers:            in.Peers,
+		Cloud:            in.Cloud,
+		Flapping:         in.Flaps,
 	}
 }
 
--- a/internal/peer/ping_test.go
+++ b/internal/peer/ping_test.go
@@ -42,15 +42,15 @@
 				ping := core.PingReceived{From: "n0", Incarnation: "b"}
 				if vouched != nil {
 					q := vouched.NextRequest(p, 7, now)
-					ping.Question = &q
+					ping.ReadLeaseRequest = &q
 				}
 				var received wire.PingArgs
 				args := wire.NewPing(ping)
 				send(&args, &received)
 				asked := received.Core()
 				news := core.PeerStatus{FencingToken: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
-				if asked.Question != nil {
-					page := witnesses[i].Grant("n0", *asked.Question, true, now)
+				if asked.ReadLeaseRequest != nil {
+					page := witnesses[i].Grant("n0", *asked.ReadLeaseRequest, true, now)
 					news.ReadLease = &page
 				}
 				var answered wire.PingReply
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -32,7 +32,7 @@
 		"PingArgs": core.PingReceived{From: "node-1", NeedMachines: true},
 		"PingReply": PingAnswer{Name: "node-1", Status: core.PeerStatus{
 			FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01"}, Version: 2, LimitsLowered: true,
-			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Connectivity: &connectivity.Advertisement{Boot: "b", Workers: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flaps: true},
+			Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Connectivity: &connectivity.Advertisement{Incarnation: "b", ReachableEighths: map[string]int{"a": 8, "b": 0}, Peers: []string{"node-0"}, Cloud: true, Flapping: true},
 			Machines: []connectivity.Machine{{Name: "host-000001", Addr: "10.1.0.1:9000", Zone: "a"}},
 		}},
 		"BeatArgs": core.HeartbeatReceived{From: "node-1", ViaPeer: true, Heartbeat: core.Heartbeat{
@@ -63,10 +63,10 @@
 // they tell users, which took no other program number: nothing stored depends on it.
 func messagesVouch() map[string]any {
 	return map[string]any{
-		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", Question: &readlease.GrantRequest{Boot: "b2", Upto: 3, Applied: 9}, Cancellations: &readlease.CancellationPage{Boot: "b1", After: 1, Upto: 2, Cancelled: []string{"job-02"}}},
+		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", ReadLeaseRequest: &readlease.GrantRequest{Incarnation: "b2", UpTo: 3, AppliedRevision: 9}, Cancellations: &readlease.CancellationPage{Incarnation: "b1", After: 1, UpTo: 2, Cancelled: []string{"job-02"}}},
 		"PingReply": PingAnswer{Name: "node-2", Status: core.PeerStatus{
-			FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Boot: "b2", After: 3, Upto: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Whole: true},
-			Ack: &readlease.HolderAck{Holds: true, Boot: "b1", Upto: 2, Applied: 8},
+			FencingToken: 3, Leader: "node-1", ReadLease: &readlease.CancellationPage{Incarnation: "b2", After: 3, UpTo: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Complete: true},
+			Ack: &readlease.HolderAck{Holds: true, Incarnation: "b1", UpTo: 2, AppliedRevision: 8},
 		}},
 		"AskArgs rent": core.CloudCallRequested{FencingToken: 3, Call: core.CloudCall{ScaleOut: &core.ScaleOut{Name: "r", Type: "big", Zone: "a", Spot: true, Count: 2, FencingToken: 3}}},
 	}
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -74,7 +74,7 @@
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(wire.NewPingReply("n", core.PeerStatus{
 		FencingToken: 3, Leader: "l", StateAge: 5, Cancelled: []string{"j"}, Version: 3, LimitsLowered: true,
-		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Connectivity: &connectivity.Advertisement{Workers: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}},
+		Features: []upgrade.FeatureName{upgrade.ProgressLog}, Connectivity: &connectivity.Advertisement{ReachableEighths: map[string]int{"a": 8}, Peers: []string{"m"}}, Machines: []connectivity.Machine{{Name: "h", Addr: "x", Zone: "a"}},
 	})); err != nil {
 		t.Fatal(err)
 	}
