--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -180,7 +180,7 @@
 		s.log.Info("the cloud no longer lists a machine", "machine", name, "tasks", len(m.Placed))
 		s.planner.machineGone(m, "the cloud no longer lists it")
 		s.forgetMachine(m)
-		term.heartbeats.departed.note(name, Heartbeat{}, true, s.now)
+		term.heartbeats.departed.noteReturned(name, s.now)
 		term.planning.requestRound()
 	}
 }
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -273,7 +273,8 @@
 			for i := range items {
 				c.itemCommitted(&items[i], m.Revision)
 			}
-			l.planning.wanted, l.heartbeats.releaseWanted = true, true
+			l.planning.requestRound()
+			l.heartbeats.requestRelease()
 			return
 		}
 		// Refused, or nobody knows. Either way the same keys are written
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -215,7 +215,7 @@
 	if c.now-term.planning.plannedAt >= replanInterval {
 		term.planning.requestRound()
 	}
-	term.heartbeats.releaseWanted = true // some may have been held for long enough
+	term.heartbeats.requestRelease() // some may have been held for long enough
 	c.reader.refreshMirrorTick()
 	c.partitionManager.partitionsTick()
 	if c.now-term.machinesSweptAt >= machineSweepInterval {
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -1,5 +1,7 @@
 package core
 
+import "github.com/zinclb/zinclb/internal/core/fleet"
+
 // departedRetention is how long a machine's departure is remembered: copies of heartbeats
 // come well over a lease late.
 const departedRetention = 900 * second
@@ -24,16 +26,25 @@
 	return departedMachines{byName: map[string]departure{}}
 }
 
-// note remembers a machine's departure, and forgets those of long ago.
-func (d *departedMachines) note(name string, newest Heartbeat, returned bool, now int64) {
+// noteReturned remembers a machine whose release the cloud has confirmed.
+func (d *departedMachines) noteReturned(name string, now int64) {
+	d.note(name, departure{returned: true, at: now})
+}
+
+// noteRemoved remembers a machine that the leader knows no longer.
+func (d *departedMachines) noteRemoved(machine *fleet.Machine, now int64) {
+	d.note(machine.Name, departure{epoch: machine.Epoch, seq: machine.Seq, at: now})
+}
+
+// note remembers a departure beside what is known of earlier ones of the machine, and
+// forgets those of long ago.
+func (d *departedMachines) note(name string, newest departure) {
 	known := d.byName[name]
-	d.byName[name] = departure{
-		epoch:    max(known.epoch, newest.Epoch),
-		seq:      max(known.seq, newest.Seq),
-		returned: known.returned || returned,
-		at:       now,
-	}
-	if now-d.expiredAt > departedRetention/8 {
+	newest.epoch = max(known.epoch, newest.epoch)
+	newest.seq = max(known.seq, newest.seq)
+	newest.returned = known.returned || newest.returned
+	d.byName[name] = newest
+	if now := newest.at; now-d.expiredAt > departedRetention/8 {
 		d.expire(now)
 	}
 }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -20,6 +20,9 @@
 	}
 }
 
+// requestRelease has the held heartbeats looked at once the present message is handled.
+func (s *heartbeatState) requestRelease() { s.releaseWanted = true }
+
 // workerManager handles the heartbeats of all workers at the leader, and reconciles the
 // tasks that they list with those that are placed.
 type workerManager struct {
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -48,15 +48,15 @@
 	name string
 }
 
-// compareDeadlines orders held heartbeats by when they are to be answered.
-func compareDeadlines(a, b heldDeadline) bool {
+// hasEarlierDeadline orders held heartbeats by when they are to be answered.
+func hasEarlierDeadline(a, b heldDeadline) bool {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) < 0
 }
 
 func newHeldHeartbeats() heldHeartbeats {
 	return heldHeartbeats{
 		byName:     map[string]heldHeartbeat{},
-		byDeadline: btree.NewBTreeGOptions(compareDeadlines, btree.Options{NoLocks: true}),
+		byDeadline: btree.NewBTreeGOptions(hasEarlierDeadline, btree.Options{NoLocks: true}),
 		maybeReady: map[string]struct{}{},
 		countVia:   map[string]int{},
 	}
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -128,7 +128,7 @@
 		Claims:           p.activeClaims(),
 		LargestGPUTask:   p.largestGPUTask(),
 		HasSpareMachines: p.elector.leadership.scaling.idleOnDemand >= minSpareMachines,
-		LoadRunningTasks: func(m *sched.Machine) { p.loadRuns(m, guaranteed) },
+		LoadRunningTasks: func(m *sched.Machine) { p.loadRunningTasks(m, guaranteed) },
 		BeyondGuarantee: func(team string, need jobstate.Resources) bool {
 			return p.isBeyondGuarantee(team, used[team], need)
 		},
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -11,89 +11,120 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// plannerIndex keeps the planner's index of machines in step with what is known of
-// them. A machine is looked at when it was touched, when the partitions moved,
-// and when it has been silent for too long; a round costs nothing for the rest.
+// plannerIndex keeps the planner's index of machines in step with what is known of them. A
+// machine is looked at when it has changed, when the partitions have, and when it has been
+// silent for too long; a round costs nothing for the rest.
 type plannerIndex struct {
 	index   *sched.Index
 	indexed map[*fleet.Machine]*indexedMachine
-	// byLastHeartbeat are the machines in the index by their last report.
+	// byLastHeartbeat are the machines in the index by their last heartbeat.
 	byLastHeartbeat *btree.BTreeG[*indexedMachine]
-	partitionCuts   []uint32
+	// boundaries are the partitions' for which the index holds.
+	boundaries []uint32
 }
 
 // indexedMachine is what the planner has of a machine.
 type indexedMachine struct {
 	sched.Machine
-	heard int64
+	lastHeartbeat int64
+}
+
+// hasEarlierHeartbeat orders machines by their last heartbeat.
+func hasEarlierHeartbeat(a, b *indexedMachine) bool {
+	return cmp.Or(cmp.Compare(a.lastHeartbeat, b.lastHeartbeat), cmp.Compare(a.Name, b.Name)) < 0
 }
 
 func newPlannerIndex() plannerIndex {
-	return plannerIndex{index: sched.NewIndex(), indexed: map[*fleet.Machine]*indexedMachine{}, byLastHeartbeat: btree.NewBTreeGOptions(func(a, b *indexedMachine) bool {
-		return cmp.Or(cmp.Compare(a.heard, b.heard), cmp.Compare(a.Name, b.Name)) < 0
-	}, btree.Options{NoLocks: true})}
+	return plannerIndex{
+		index:           sched.NewIndex(),
+		indexed:         map[*fleet.Machine]*indexedMachine{},
+		byLastHeartbeat: btree.NewBTreeGOptions(hasEarlierHeartbeat, btree.Options{NoLocks: true}),
+	}
+}
+
+// put enters a machine, or moves it to its new last heartbeat, and returns its entry.
+func (x *plannerIndex) put(machine *fleet.Machine) *indexedMachine {
+	entry := x.indexed[machine]
+	switch {
+	case entry == nil:
+		entry = &indexedMachine{lastHeartbeat: machine.LastHeartbeat}
+		entry.Name = machine.Name
+		x.indexed[machine] = entry
+		x.byLastHeartbeat.Set(entry)
+	case entry.lastHeartbeat != machine.LastHeartbeat:
+		x.byLastHeartbeat.Delete(entry)
+		entry.lastHeartbeat = machine.LastHeartbeat
+		x.byLastHeartbeat.Set(entry)
+	}
+	return entry
 }
 
-// usable says whether tasks may be placed on a machine now: its worker has
-// accepted this leader, hears it, reports in time, and the machine is to stay.
-func (p *planner) usable(m *fleet.Machine) bool {
-	return m.HasCurrentToken && !m.Delivery.CannotReceive && !m.Draining && !m.Releasing && m.ReclaimAt == 0 && m.LastHeartbeat > p.now-p.settings.Overdue() && m.Cap != jobstate.Resources{}
+// remove drops a machine that the planner may not use.
+func (x *plannerIndex) remove(machine *fleet.Machine) {
+	entry := x.indexed[machine]
+	if entry == nil {
+		return
+	}
+	x.byLastHeartbeat.Delete(entry)
+	x.index.Remove(&entry.Machine)
+	delete(x.indexed, machine)
+}
+
+// usable says whether tasks may be placed on a machine now: its worker has accepted this
+// leader, receives answers and sends heartbeats in time, and the machine is to stay.
+func (p *planner) usable(machine *fleet.Machine) bool {
+	return machine.HasCurrentToken &&
+		!machine.Delivery.CannotReceive &&
+		!machine.Draining &&
+		!machine.Releasing &&
+		machine.ReclaimAt == 0 &&
+		machine.LastHeartbeat > p.now-p.settings.Overdue() &&
+		machine.Cap != jobstate.Resources{}
 }
 
-// refreshIndex repairs the index and returns it.
+// refreshIndex brings the index up to date and returns it.
 func (p *planner) refreshIndex() *sched.Index {
-	l := p.elector.leadership
-	r := &l.plannerIndex
-	if !slices.Equal(r.partitionCuts, p.cache.partitions.Boundaries) {
-		r.partitionCuts = slices.Clone(p.cache.partitions.Boundaries)
-		l.fleet.MarkAllChanged()
+	term := p.elector.leadership
+	index := &term.plannerIndex
+	if !slices.Equal(index.boundaries, p.cache.partitions.Boundaries) {
+		index.boundaries = slices.Clone(p.cache.partitions.Boundaries)
+		term.fleet.MarkAllChanged()
 	}
-	// Those that are forgotten go first, so that all that were heard are there.
-	l.fleet.DrainChanged(p.repairIndexed)
+	// Those that were removed go first, so that all that follow are in the fleet.
+	term.fleet.DrainChanged(p.updateIndexed)
 	for {
-		v, ok := r.byLastHeartbeat.Min()
-		if !ok || v.heard > p.now-p.settings.Overdue() {
-			return r.index
+		oldest, ok := index.byLastHeartbeat.Min()
+		if !ok || oldest.lastHeartbeat > p.now-p.settings.Overdue() {
+			return index.index
 		}
-		p.repairIndexed(l.fleet.Get(v.Name))
+		p.updateIndexed(term.fleet.Get(oldest.Name))
 	}
 }
 
-// repairIndexed makes the index say of one machine what is known of it now.
-func (p *planner) repairIndexed(m *fleet.Machine) {
-	r := &p.elector.leadership.plannerIndex
-	v := r.indexed[m]
-	if p.elector.leadership.fleet.Get(m.Name) != m || !p.usable(m) {
-		if v != nil {
-			r.byLastHeartbeat.Delete(v)
-			r.index.Remove(&v.Machine)
-			delete(r.indexed, m)
-		}
+// updateIndexed makes the index say of one machine what is known of it now.
+func (p *planner) updateIndexed(machine *fleet.Machine) {
+	term := p.elector.leadership
+	if term.fleet.Get(machine.Name) != machine || !p.usable(machine) {
+		term.plannerIndex.remove(machine)
 		return
 	}
-	if v == nil {
-		v = &indexedMachine{heard: m.LastHeartbeat}
-		v.Name = m.Name
-		r.indexed[m] = v
-		r.byLastHeartbeat.Set(v)
-	} else if v.heard != m.LastHeartbeat {
-		r.byLastHeartbeat.Delete(v)
-		v.heard = m.LastHeartbeat
-		r.byLastHeartbeat.Set(v)
-	}
-	v.Type, v.Zone, v.Spot, v.Partition = m.Type, m.Zone, m.Spot, p.cache.partitions.PartitionOfHash(m.Hash)
-	v.Cap, v.Free, v.NextContact, v.FetchRate, v.Images = m.Cap, m.Free(), p.nextHeartbeatAt(m), m.FetchRate, m.Images
-	r.index.Put(&v.Machine)
+	entry := term.plannerIndex.put(machine)
+	entry.Type, entry.Zone, entry.Spot = machine.Type, machine.Zone, machine.Spot
+	entry.Partition = p.cache.partitions.PartitionOfHash(machine.Hash)
+	entry.Cap, entry.Free = machine.Cap, machine.Free()
+	entry.NextContact = p.nextHeartbeatAt(machine)
+	entry.FetchRate, entry.Images = machine.FetchRate, machine.Images
+	term.plannerIndex.index.Put(&entry.Machine)
 }
 
-// loadRuns tells the planner what occupies a machine.
-func (p *planner) loadRuns(sm *sched.Machine, guaranteed map[*jobstate.Job]bool) {
-	m := p.elector.leadership.fleet.Get(sm.Name)
-	sm.RunningTasks = sm.RunningTasks[:0]
-	for ref := range m.Placed {
-		sm.RunningTasks = append(sm.RunningTasks, p.plannedRun(m, ref, guaranteed[ref.Job]))
+// loadRunningTasks gives the planner the tasks that occupy a machine.
+func (p *planner) loadRunningTasks(entry *sched.Machine, guaranteed map[*jobstate.Job]bool) {
+	machine := p.elector.leadership.fleet.Get(entry.Name)
+	entry.RunningTasks = entry.RunningTasks[:0]
+	for ref := range machine.Placed {
+		entry.RunningTasks = append(entry.RunningTasks, p.plannedRun(machine, ref, guaranteed[ref.Job]))
 	}
-	slices.SortFunc(sm.RunningTasks, func(a, b sched.RunningTask) int {
+	slices.SortFunc(entry.RunningTasks, func(a, b sched.RunningTask) int {
 		return cmp.Or(cmp.Compare(a.End, b.End), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
 	})
 }
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -225,7 +225,8 @@
 	if p.now-term.prefetch.at < prefetchInterval || !p.elector.mayStartTasks() {
 		return
 	}
-	term.prefetch.at, term.heartbeats.releaseWanted = p.now, true
+	term.prefetch.at = p.now
+	term.heartbeats.requestRelease()
 	idle := p.idleMachines()
 	used := p.planner.usage()
 	wanted := p.wantedImages(idle.machines)
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -230,7 +230,7 @@
 		s.planner.machineGone(m, "it was returned")
 		s.forgetMachine(m)
 	}
-	term.heartbeats.departed.note(name, Heartbeat{}, true, s.now)
+	term.heartbeats.departed.noteReturned(name, s.now)
 	delete(term.scaling.booting, name)
 	term.scaling.scaledInAt[name] = s.now
 }
@@ -238,6 +238,6 @@
 // forgetMachine drops a machine that is gone, and the prefetch that ran on it.
 func (s *scaler) forgetMachine(m *fleet.Machine) {
 	s.prefetcher.endPrefetch(m)
-	s.elector.leadership.heartbeats.departed.note(m.Name, Heartbeat{Epoch: m.Epoch, Seq: m.Seq}, false, s.now)
+	s.elector.leadership.heartbeats.departed.noteRemoved(m, s.now)
 	s.elector.leadership.fleet.Remove(m)
 }
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -111,7 +111,7 @@
 		task.StopRequestedAt = t.now
 	}
 	task.StopReason, task.Grace = reason, grace
-	t.elector.leadership.heartbeats.releaseWanted = true
+	t.elector.leadership.heartbeats.requestRelease()
 	t.queueDirectStop(job, index)
 }
 
