--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -50,7 +50,7 @@
 	// Interfaces to the outside, each on its own, and what puts them together.
 	"internal/api":                {"internal/core", "internal/core/jobstate", "internal/httpwire", "internal/sweep", "internal/sweep/sweeppb"},
 	"internal/cloud":              {"internal/core", "internal/core/fleet", "internal/core/jobstate", "internal/httpwire"},
-	"internal/store":              {"internal/core", "internal/httpwire"},
+	"internal/store":              {"internal/core", "internal/core/kv", "internal/httpwire"},
 	"internal/peer":               {"internal/core", "internal/peer/internal/wire"},
 	"internal/peer/internal/wire": {"internal/core", "internal/core/connectivity", "internal/core/fleet", "internal/core/jobstate", "internal/core/readlease", "internal/core/replica", "internal/core/upgrade"},
 	"internal/metrics":            {"internal/core"},
@@ -97,6 +97,7 @@
 	"internal/emulator/faketime": {
 		"internal/api", "internal/cloud", "internal/config", "internal/core", "internal/core/replica",
 		"internal/core/upgrade", "internal/emulator/environment", "internal/emulator/history", "internal/emulator/wire",
+		"internal/store",
 	},
 	"internal/emulator/partitions": {
 		"internal/config", "internal/emulator/environment", "internal/emulator/faketime",
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -232,7 +232,7 @@
 	state := &m.elector.leadership.activation
 	state.writing, state.notBefore = true, m.now+activationInterval
 	m.health.spendWrites(1)
-	m.commitTransaction(conditions, []Write{write}, func(Committed) { state.writing = false })
+	m.commitTransaction(conditions, []Write{write}, func(TransactionResult) { state.writing = false })
 }
 
 // leaderCondition is the condition that this controller still leads, in the same term.
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -27,16 +27,16 @@
 		{Key: endPrefix + r.targetID, Value: encodeJSON(end)},
 		{Key: jobPrefix + r.targetID, Value: h.endedRecord(j, jobstate.Cancelled)},
 	}
-	h.commitTransaction(conditions, writes, func(result Committed) {
+	h.commitTransaction(conditions, writes, func(result TransactionResult) {
 		defer h.resumeCoalesced(r.targetID)
-		switch result.Status {
-		case 200:
+		switch result.Outcome {
+		case kv.Committed:
 			if j.Revision == revision {
 				j.Revision = result.Revision
 			}
 			h.cache.noteEnd(r.targetID, end, result.Revision)
 			h.answerEnd(r.id, r.targetID, end)
-		case 409:
+		case kv.Conflict:
 			h.retryCancellation(r)
 		default:
 			h.retryWrite(r)
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -57,9 +57,9 @@
 
 // putAsLeader writes a value as a whole, if nothing newer is stored: one of its own
 // that got no answer may be executed after later ones.
-func (c *committer) putAsLeader(key string, value []byte, done func(Committed)) {
-	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision), kv.RevisionIs(key, c.cache.keyRevisions[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
-		if m.Status == 200 {
+func (c *committer) putAsLeader(key string, value []byte, done func(TransactionResult)) {
+	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision), kv.RevisionIs(key, c.cache.keyRevisions[key])}, []Write{{Key: key, Value: value}}, func(m TransactionResult) {
+		if m.Outcome == kv.Committed {
 			c.cache.keyRevisions[key] = max(c.cache.keyRevisions[key], m.Revision)
 		}
 		done(m)
@@ -254,7 +254,7 @@
 	c.health.spendWrites(float64(len(writes)))
 	l.commits.inFlight = true
 	sent := c.now
-	c.commitTransaction(when, writes, func(m Committed) {
+	c.commitTransaction(when, writes, func(m TransactionResult) {
 		if c.elector.leadership != l {
 			return
 		}
@@ -263,7 +263,7 @@
 		if scarce {
 			l.commits.notBefore = sent + scarceCommitGap
 		}
-		if m.Status == 200 {
+		if m.Outcome == kv.Committed {
 			if !m.Observed {
 				c.elector.tokenProven(sent)
 			}
@@ -287,11 +287,11 @@
 			}
 		}
 		l.commits.notBefore = c.now + 150_000
-		if m.Status == 409 {
+		if m.Outcome == kv.Conflict {
 			for _, k := range m.Failed {
 				c.resolveConflict(l, k)
 			}
-		} else if m.Status == 400 {
+		} else if m.Outcome == kv.Malformed {
 			c.transactionMalformed(items, len(writes))
 		}
 	})
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -9,6 +9,7 @@
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/kv"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -75,7 +76,7 @@
 			b.step(LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: err})
 		case CommitTransaction:
 			if b.mute {
-				b.step(Committed{ID: e.ID})
+				b.step(TransactionResult{ID: e.ID})
 				continue
 			}
 			b.rev++
@@ -86,7 +87,7 @@
 			if !b.hung {
 				b.step(w)
 			}
-			b.step(Committed{ID: e.ID, Status: 200, Revision: b.rev})
+			b.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: b.rev})
 		case PingPeer, ProbeMachine:
 		default:
 			b.out = append(b.out, e)
@@ -148,8 +149,8 @@
 	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
 	b.rev += 3                                                 // others write, and nothing of it comes
 	id := b.c.newID()
-	b.c.transactions.Begin(id, nil, nil, b.now, func(Committed) {})
-	b.step(Committed{ID: id, Status: 409, Revision: b.rev})
+	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
+	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.rev})
 	b.run(maxWatchDelay - 100_000)
 	if v := find[ReadState](b); len(v) != 0 {
 		t.Error("the watch was given no time")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -111,9 +111,9 @@
 		c.requests.onFollowerRead(m)
 	case LeaderReadDone:
 		c.reader.onLeaderReadDone(m)
-	case Committed:
+	case TransactionResult:
 		if !c.transactions.IsConditionOnly(m.ID) {
-			c.membership.noteRateLimited(m.Status)
+			c.membership.noteRateLimited(m.Outcome)
 		}
 		c.health.recordTransaction(m)
 		c.transactions.Complete(m)
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -14,6 +14,7 @@
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
 // shelf is a core with a small state service that answers at once.
@@ -139,28 +140,28 @@
 		s.later = append(s.later, e)
 		return
 	}
-	m := Committed{ID: e.ID, Status: 200}
+	m := TransactionResult{ID: e.ID, Outcome: kv.Committed}
 	for _, w := range e.Conditions {
 		if s.keys[w.Key].Revision != w.Revision {
-			m.Failed, m.Status = append(m.Failed, w.Key), 409
+			m.Failed, m.Outcome = append(m.Failed, w.Key), kv.Conflict
 		}
 	}
 	for _, w := range e.Writes {
 		if len(w.Value) > s.value || len(e.Writes) > s.ops {
-			m.Status = 400
+			m.Outcome = kv.Malformed
 		}
 	}
-	if m.Status == 400 {
+	if m.Outcome == kv.Malformed {
 		s.malformed++
 	}
 	if s.down {
-		m.Status = 503
+		m.Outcome = kv.Unavailable
 	}
 	if len(e.Writes) == 0 && s.refuses() {
-		m.Status, m.Failed = 429, nil
+		m.Outcome, m.Failed = kv.RateLimited, nil
 	}
 	var news []Change
-	if m.Status == 200 {
+	if m.Outcome == kv.Committed {
 		s.rev++
 		m.Revision = s.rev
 		for _, w := range e.Writes {
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -219,14 +219,14 @@
 
 // onCampaignEnded has the state read after a campaign, also after a lost one: leadership
 // begins when the mirror shows the key.
-func (e *elector) onCampaignEnded(m Committed) {
+func (e *elector) onCampaignEnded(m TransactionResult) {
 	c := &e.candidacy
 	c.campaigning = false
 	c.notBefore = e.now + campaignRetryDelay + e.rng.Int64N(campaignRetryDelay)
-	switch m.Status {
-	case 400: // the lease has expired
+	switch m.Outcome {
+	case kv.Malformed: // the lease has expired
 		c.lease = 0
-	case 200, 409, 0:
+	case kv.Committed, kv.Conflict, kv.Unknown:
 		e.emit(ReadState{AfterRevision: e.cache.appliedRevision})
 	}
 }
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -46,7 +46,7 @@
 	for _, id := range ids {
 		conditions = append(conditions, kv.RevisionIs(endPrefix+id, 0))
 	}
-	h.commitTransaction(conditions, nil, func(result Committed) {
+	h.commitTransaction(conditions, nil, func(result TransactionResult) {
 		lookups.End()
 		for _, id := range ids {
 			h.onEndCompared(id, byID[id], result)
@@ -55,11 +55,11 @@
 }
 
 // onEndCompared goes on with the requests about a job whose end was compared with none.
-func (h *requestHandler) onEndCompared(id string, requests []*request, result Committed) {
+func (h *requestHandler) onEndCompared(id string, requests []*request, result TransactionResult) {
 	switch {
-	case result.Status == 200:
+	case result.Outcome == kv.Committed:
 		h.answerNoEnd(requests)
-	case result.Status == 409 && slices.Contains(result.Failed, endPrefix+id):
+	case result.Outcome == kv.Conflict && slices.Contains(result.Failed, endPrefix+id):
 		h.readEnd(requests, func() {})
 	default:
 		h.retryLookup(requests)
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -32,7 +32,7 @@
 	return e.lastID
 }
 
-func (e *engine) commitTransaction(when []Cond, writes []Write, f func(Committed)) {
+func (e *engine) commitTransaction(when []Cond, writes []Write, f func(TransactionResult)) {
 	id := e.newID()
 	e.transactions.Begin(id, when, writes, e.now, f)
 	e.emit(CommitTransaction{ID: id, Conditions: when, Writes: writes})
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/zinclb/zinclb/internal/core/connectivity"
+	"github.com/zinclb/zinclb/internal/core/kv"
 	"github.com/zinclb/zinclb/internal/core/ratelimit"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
@@ -54,17 +55,17 @@
 
 // recordTransaction notes how a transaction has ended. One that was refused for its rate
 // or its size says nothing about the link.
-func (h *stateHealth) recordTransaction(m Committed) {
+func (h *stateHealth) recordTransaction(m TransactionResult) {
 	link := &h.peers.connectivity.Writes
-	switch m.Status {
-	case 200, 409:
+	switch m.Outcome {
+	case kv.Committed, kv.Conflict:
 		h.answeredAt = h.now
 		link.RecordSuccess(h.now, h.now)
 		h.recordAnnouncedRevision(m.Revision)
 		return
-	case 0: // no answer
+	case kv.Unknown:
 		link.RecordFailure(h.now, h.now, connectivity.NoResponse)
-	case 503:
+	case kv.Unavailable:
 		link.RecordFailure(h.now, h.now, connectivity.Refused)
 	}
 	h.failedAt = h.now
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -9,6 +9,7 @@
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
 // hintsRecord is what a leader leaves to the next about images: which machine has
@@ -80,8 +81,8 @@
 	}
 	p.health.spendWrites(1)
 	term := p.elector.leadership
-	p.committer.putAsLeader(key, value, func(m Committed) {
-		if p.elector.leadership == term && m.Status == 200 {
+	p.committer.putAsLeader(key, value, func(m TransactionResult) {
+		if p.elector.leadership == term && m.Outcome == kv.Committed {
 			term.hints.written[key] = value
 		}
 	})
--- a/internal/core/kv/kv.go
+++ b/internal/core/kv/kv.go
@@ -23,16 +23,43 @@
 	Removed  bool
 }
 
-// Committed is the answer to a transaction.
-type Committed struct {
-	ID       uint64
-	Status   int // 0: no answer, so unknown
+// RevisionIs is the condition that a key has a revision.
+func RevisionIs(key string, revision uint64) Condition {
+	return Condition{Key: key, Revision: revision}
+}
+
+// Outcome is how a transaction ended.
+type Outcome uint8
+
+// The outcomes of a transaction. Of one whose outcome is Unknown there is no readable
+// answer: it may have been executed, or be executed yet.
+const (
+	Unknown Outcome = iota
+	// Committed: all conditions held, and all writes were made.
+	Committed
+	// Conflict: some condition did not hold, and nothing was written.
+	Conflict
+	// Malformed: the state service does not accept such a transaction, for instance
+	// because it is too large or because a lease that it names has expired.
+	Malformed
+	// RateLimited: too many requests were sent.
+	RateLimited
+	// Unavailable: the state service answers, and can't serve now.
+	Unavailable
+	// Rejected: any other refusal.
+	Rejected
+)
+
+// TransactionResult is the answer to a transaction, or its absence.
+type TransactionResult struct {
+	ID      uint64
+	Outcome Outcome
+	// Revision is that of the writes if they were made, and else the newest one of
+	// the state service, if it named one.
 	Revision uint64
-	Failed   []string
+	// Failed are the keys whose conditions did not hold.
+	Failed []string
 	// Observed: nobody answered, and the changes were read; so it is not known
 	// when it was carried out.
 	Observed bool
 }
-
-// RevisionIs is the condition that a key has a version.
-func RevisionIs(key string, stamp uint64) Condition { return Condition{Key: key, Revision: stamp} }
--- a/internal/core/machinetypes.go
+++ b/internal/core/machinetypes.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
 // onMachineTypesListed takes over the machine types that the cloud offers, and stores
@@ -41,8 +42,8 @@
 		}
 	}
 	for _, w := range writes {
-		s.committer.putAsLeader(w.Key, w.Value, func(r Committed) {
-			if r.Status == 200 {
+		s.committer.putAsLeader(w.Key, w.Value, func(r TransactionResult) {
+			if r.Outcome == kv.Committed {
 				s.cache.typesRevision = r.Revision
 			} else {
 				s.cache.typesRevision = 0
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -90,8 +90,8 @@
 
 // noteRateLimited takes a transaction that was refused for its rate as the sign that the
 // announced limits are in force. While version 1 of the format is in use they can't be.
-func (m *membership) noteRateLimited(status int) {
-	if status == 429 && m.logEnabled() {
+func (m *membership) noteRateLimited(outcome kv.Outcome) {
+	if outcome == kv.RateLimited && m.logEnabled() {
 		m.lowerLimits("request rate limited")
 	}
 }
@@ -117,11 +117,11 @@
 	m.commitTransaction(
 		[]Cond{kv.RevisionIs(key, revision)},
 		[]Write{{Key: key, Value: encodeJSON(value), Lease: lease}},
-		func(r Committed) {
-			if r.Status == 400 {
+		func(r TransactionResult) {
+			if r.Outcome == kv.Malformed {
 				m.elector.leaseRefused(lease)
 			}
-			done(r.Status == 200)
+			done(r.Outcome == kv.Committed)
 		})
 }
 
@@ -176,8 +176,8 @@
 		write.Value = encodeJSON(decommissionedRecord{m.now + m.wallOffset})
 	}
 	conditions := []Cond{kv.RevisionIs(write.Key, m.decommissionedRevisions[msg.Name])}
-	m.commitTransaction(conditions, []Write{write}, func(r Committed) {
-		if r.Status != 200 {
+	m.commitTransaction(conditions, []Write{write}, func(r TransactionResult) {
+		if r.Outcome != kv.Committed {
 			m.emit(Reply{RequestID: msg.RequestID, Status: 503, RetryAfter: 1, Error: "it was not stored"})
 			return
 		}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -12,10 +12,10 @@
 
 // What is stored, as package kv has it.
 type (
-	Cond      = kv.Condition
-	Write     = kv.Write
-	Change    = kv.Change
-	Committed = kv.Committed
+	Cond              = kv.Condition
+	Write             = kv.Write
+	Change            = kv.Change
+	TransactionResult = kv.TransactionResult
 )
 
 // ListPage is how many machines a page of the cloud's list holds.
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
 const (
@@ -121,12 +122,12 @@
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
 	term.partitions.seq++
 	p.cache.partitions = partitions
-	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m Committed) {
+	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m TransactionResult) {
 		if p.elector.leadership != term {
 			return
 		}
 		term.partitions.writing = false
-		if m.Status != 200 {
+		if m.Outcome != kv.Committed {
 			term.partitions.writtenAt = p.now - p.settings.Ops.Term/2
 		}
 	})
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -9,6 +9,7 @@
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
@@ -79,11 +80,11 @@
 			}
 		case CommitTransaction:
 			if r.mute {
-				r.step(Committed{ID: e.ID})
+				r.step(TransactionResult{ID: e.ID})
 				continue
 			}
 			r.rev++
-			r.step(Committed{ID: e.ID, Status: 200, Revision: r.rev})
+			r.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: r.rev})
 			var news []Change
 			for _, w := range e.Writes {
 				if w.Key == LeaderKey || w.Key == tokenKey {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -14,6 +14,7 @@
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
 // workerFleet is a leader with a fleet of workers and a stream of jobs, all in one
@@ -109,7 +110,7 @@
 					news = append(news, Change{Key: x.Key, Value: x.Value, Revision: w.rev})
 				}
 			}
-			w.late = append(w.late, Committed{ID: e.ID, Status: 200, Revision: w.rev}, StateRead{AfterRevision: w.rev - 1, Revision: w.rev, SentAt: w.now, Changes: news})
+			w.late = append(w.late, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.rev}, StateRead{AfterRevision: w.rev - 1, Revision: w.rev, SentAt: w.now, Changes: news})
 		case ScaleOut:
 			w.late = append(w.late, ScaledOut{Request: e, Status: 503})
 		case ListMachines:
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -115,20 +115,20 @@
 	}
 	h.queues.inFlight[r.targetID] = nil
 	conditions := []Cond{kv.RevisionIs(jobKey, 0), kv.RevisionIs(endPrefix+r.targetID, 0)}
-	h.commitTransaction(conditions, []Write{{Key: jobKey, Value: value}}, func(result Committed) {
+	h.commitTransaction(conditions, []Write{{Key: jobKey, Value: value}}, func(result TransactionResult) {
 		defer h.resumeCoalesced(r.targetID)
 		h.onJobWritten(r, result)
 	})
 }
 
-func (h *requestHandler) onJobWritten(r *request, result Committed) {
-	switch result.Status {
-	case 200:
+func (h *requestHandler) onJobWritten(r *request, result TransactionResult) {
+	switch result.Outcome {
+	case kv.Committed:
 		h.emit(Reply{RequestID: r.id, Status: 201, Job: &JobState{ID: r.targetID, State: Queued}})
-	case 409:
+	case kv.Conflict:
 		// It is known: a repeat, perhaps of this very request.
 		h.waitForRead(r)
-	case 400:
+	case kv.Malformed:
 		// It is no longer than the limits that were known.
 		h.membership.lowerLimits("a job's description was refused")
 		h.retryWrite(r)
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -179,14 +179,14 @@
 func (m *sweepManager) commitStep(s *sweep, step *sweepStep) {
 	term := m.elector.leadership
 	s.writing = true
-	m.commitTransaction(step.conditions, step.writes, func(result Committed) {
+	m.commitTransaction(step.conditions, step.writes, func(result TransactionResult) {
 		if m.sweeps[s.id] != s {
 			return // the state was read anew meanwhile
 		}
-		switch result.Status {
-		case 200:
+		switch result.Outcome {
+		case kv.Committed:
 			m.stepCommitted(s, step, result.Revision)
-		case 409:
+		case kv.Conflict:
 			m.sweepConflict(term, s, result.Failed)
 		default:
 			m.rereadSweep(s)
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -187,14 +187,14 @@
 		writes = append(writes, Write{Key: sweepPartKey(r.targetID, i), Value: encodeJSON(part)})
 	}
 	m.health.spendWrites(float64(len(writes)))
-	m.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(result Committed) {
-		switch result.Status {
-		case 200:
+	m.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(result TransactionResult) {
+		switch result.Outcome {
+		case kv.Committed:
 			state := &SweepState{ID: r.targetID, State: Queued, Runs: head.Runs}
 			m.emit(Reply{RequestID: r.id, Status: 201, Sweep: state})
-		case 409:
+		case kv.Conflict:
 			m.requests.waitForRead(r)
-		case 400:
+		case kv.Malformed:
 			m.membership.lowerLimits("a sweep's description was refused")
 			m.requests.refuse(r)
 		default:
@@ -214,13 +214,13 @@
 	key := sweepEndPrefix + r.targetID
 	end := sweepEndRecord{Outcome: jobstate.Cancelled, At: m.now + m.wallOffset}
 	writes := []Write{{Key: key, Value: encodeJSON(end)}}
-	m.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(result Committed) {
-		switch result.Status {
-		case 200:
+	m.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(result TransactionResult) {
+		switch result.Outcome {
+		case kv.Committed:
 			m.readLeases.recordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
 			m.noteSweepCancelled(r.targetID)
 			m.requests.waitForRead(r) // the reply says what was done before
-		case 409:
+		case kv.Conflict:
 			m.requests.retryCancellation(r)
 		default:
 			m.requests.retryWrite(r)
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -37,8 +37,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t)
-			var got []Committed
-			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m Committed) { got = append(got, m) })
+			var got []TransactionResult
+			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
 			r.c.effects = nil // nobody answers
 			r.c.transactions.Observe(tc.seen, r.c.now)
 			r.tick(txn.AnswerTimeout - 50_000)
@@ -46,7 +46,7 @@
 				t.Fatal("the answer was given no time")
 			}
 			r.tick(100_000)
-			if ok := len(got) == 1 && got[0].Status == 200 && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
+			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
 				t.Errorf("%+v, want an answer: %v", got, tc.want)
 			}
 		})
@@ -57,18 +57,18 @@
 // is what was read.
 func TestObservedOrAnswered(t *testing.T) {
 	for _, tc := range []struct {
-		status, want int
+		answer, want kv.Outcome
 		observed     bool
-	}{{200, 200, false}, {409, 409, false}, {503, 503, false}, {0, 200, true}} {
+	}{{kv.Committed, kv.Committed, false}, {kv.Conflict, kv.Conflict, false}, {kv.Unavailable, kv.Unavailable, false}, {kv.Unknown, kv.Committed, true}} {
 		r := newRig(t)
-		var got []Committed
-		r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m Committed) { got = append(got, m) })
+		var got []TransactionResult
+		r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m TransactionResult) { got = append(got, m) })
 		r.c.effects = nil // nobody answers
 		r.c.transactions.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, r.c.now)
-		r.c.transactions.Complete(Committed{ID: r.c.lastID, Status: tc.status, Revision: 9})
+		r.c.transactions.Complete(TransactionResult{ID: r.c.lastID, Outcome: tc.answer, Revision: 9})
 		r.tick(second)
-		if len(got) != 1 || got[0].Status != tc.want || got[0].Observed != tc.observed {
-			t.Errorf("answered %d: %+v", tc.status, got)
+		if len(got) != 1 || got[0].Outcome != tc.want || got[0].Observed != tc.observed {
+			t.Errorf("answered %d: %+v", tc.answer, got)
 		}
 	}
 }
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -5,7 +5,7 @@
 // and writes it again, in vain. So a writer goes by what it reads as well: if its
 // mirror shows every change of a transaction, all of one revision, it was carried
 // out, by this sending or by an earlier one of the same changes. That proves what is
-// stored, and nothing of when: see kv.Committed.Observed.
+// stored, and nothing of when: see kv.TransactionResult.Observed.
 package txn
 
 import (
@@ -31,7 +31,7 @@
 	// minRevision is the newest revision that it is conditional on: what was stored up to
 	// then is something earlier, however alike.
 	minRevision uint64
-	complete    func(kv.Committed)
+	complete    func(kv.TransactionResult)
 	// storedRevision is the revision at which its changes were seen, 0 for not yet, and seen
 	// is when.
 	storedRevision uint64
@@ -42,7 +42,7 @@
 func New() *Table { return &Table{pending: map[uint64]*transaction{}} }
 
 // Begin notes a transaction that is sent now; done gets its answer.
-func (t *Table) Begin(id uint64, when []kv.Condition, writes []kv.Write, now int64, done func(kv.Committed)) {
+func (t *Table) Begin(id uint64, when []kv.Condition, writes []kv.Write, now int64, done func(kv.TransactionResult)) {
 	x := &transaction{writes: writes, startedAt: now, complete: done}
 	for _, w := range when {
 		x.minRevision = max(x.minRevision, w.Revision)
@@ -94,7 +94,7 @@
 
 // Overdue are the answers to transactions that are known to be stored and that
 // nobody answers, in the order in which they were sent. They are still under way.
-func (t *Table) Overdue(now int64) (answers []kv.Committed) {
+func (t *Table) Overdue(now int64) (answers []kv.TransactionResult) {
 	var ids []uint64
 	for id, x := range t.pending {
 		if x.storedRevision != 0 && now-x.seenAt >= AnswerTimeout {
@@ -103,19 +103,19 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		answers = append(answers, kv.Committed{ID: id, Status: 200, Revision: t.pending[id].storedRevision, Observed: true})
+		answers = append(answers, kv.TransactionResult{ID: id, Outcome: kv.Committed, Revision: t.pending[id].storedRevision, Observed: true})
 	}
 	return answers
 }
 
 // Complete takes the answer to a transaction, or its absence, and tells who waits for it.
-func (t *Table) Complete(m kv.Committed) {
+func (t *Table) Complete(m kv.TransactionResult) {
 	x := t.pending[m.ID]
 	if x == nil {
 		return
 	}
-	if m.Status == 0 && x.storedRevision != 0 {
-		m.Status, m.Revision, m.Observed = 200, x.storedRevision, true
+	if m.Outcome == kv.Unknown && x.storedRevision != 0 {
+		m.Outcome, m.Revision, m.Observed = kv.Committed, x.storedRevision, true
 	}
 	delete(t.pending, m.ID)
 	x.complete(m)
--- a/internal/emulator/faketime/state.go
+++ b/internal/emulator/faketime/state.go
@@ -6,6 +6,7 @@
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
+	"github.com/zinclb/zinclb/internal/store"
 )
 
 // executeStateEffect starts a request to the state service; false if the effect is none.
@@ -41,7 +42,7 @@
 	}
 	n.call(environment.StateHost, wireTransaction(e), commitTimeout, func(status int, body any) {
 		answer, _ := body.(wire.TransactionAnswer)
-		n.step(core.Committed{ID: e.ID, Status: status, Revision: answer.Revision, Failed: answer.Failed})
+		n.step(core.TransactionResult{ID: e.ID, Outcome: store.Outcome(status), Revision: answer.Revision, Failed: answer.Failed})
 	})
 }
 
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/kv"
 	"github.com/zinclb/zinclb/internal/golden"
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
@@ -86,11 +87,11 @@
 		{"get", get, []httpwire.Response{answered(200, `{"path":"zinclb/job/a","data":{"x":1},"stamp":8}`)}, gotten{Value: `{"x":1}`, Stamp: 8}},
 		{"get, absent", get, []httpwire.Response{answered(404, `{}`)}, gotten{}},
 		{"get, refused", get, []httpwire.Response{answered(503, `{}`)}, gotten{Err: StatusError(503)}},
-		{"multi, done", multi, []httpwire.Response{answered(200, `{"ledger":43}`)}, core.Committed{ID: 5, Status: 200, Revision: 43}},
-		{"multi, conditions fail", multi, []httpwire.Response{answered(409, `{"ledger":44,"failed":["zinclb/leader"]}`)}, core.Committed{ID: 5, Status: 409, Revision: 44, Failed: []string{"zinclb/leader"}}},
-		{"multi, refused", multi, []httpwire.Response{answered(429, `{}`)}, core.Committed{ID: 5, Status: 429}},
-		{"multi, unreadable", multi, []httpwire.Response{answered(200, `{`)}, core.Committed{ID: 5}},
-		{"multi, nothing", func() any { return client.Transact(core.CommitTransaction{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.Committed{ID: 6, Status: 200, Revision: 45}},
+		{"multi, done", multi, []httpwire.Response{answered(200, `{"ledger":43}`)}, core.TransactionResult{ID: 5, Outcome: kv.Committed, Revision: 43}},
+		{"multi, conditions fail", multi, []httpwire.Response{answered(409, `{"ledger":44,"failed":["zinclb/leader"]}`)}, core.TransactionResult{ID: 5, Outcome: kv.Conflict, Revision: 44, Failed: []string{"zinclb/leader"}}},
+		{"multi, refused", multi, []httpwire.Response{answered(429, `{}`)}, core.TransactionResult{ID: 5, Outcome: kv.RateLimited}},
+		{"multi, unreadable", multi, []httpwire.Response{answered(200, `{`)}, core.TransactionResult{ID: 5}},
+		{"multi, nothing", func() any { return client.Transact(core.CommitTransaction{ID: 6}, time.Second) }, []httpwire.Response{answered(200, `{"ledger":45}`)}, core.TransactionResult{ID: 6, Outcome: kv.Committed, Revision: 45}},
 		{"lease", lease, []httpwire.Response{answered(200, `{"tenure":77}`)}, leased{Lease: 77}},
 		{"lease, refused", lease, []httpwire.Response{answered(429, `{}`)}, leased{Err: StatusError(429)}},
 		{"touch", touch, []httpwire.Response{answered(200, `{}`)}, leased{}},
@@ -116,6 +117,23 @@
 	golden.Compare(t, "testdata/requests.txt", service.Requests())
 }
 
+// TestOutcomes: what follows from an answer depends on its status alone, and each status
+// that the state service is known to answer with has an outcome of its own.
+func TestOutcomes(t *testing.T) {
+	want := map[int]kv.Outcome{
+		0: kv.Unknown, 200: kv.Committed, 400: kv.Malformed, 409: kv.Conflict, 429: kv.RateLimited, 503: kv.Unavailable,
+	}
+	for status := range 600 {
+		expected, named := want[status]
+		if !named {
+			expected = kv.Rejected
+		}
+		if got := Outcome(status); got != expected {
+			t.Errorf("%d: outcome %d, want %d", status, got, expected)
+		}
+	}
+}
+
 // TestRecordedFaults has what is said of answers that can't be read.
 func TestRecordedFaults(t *testing.T) {
 	service := golden.NewService(t)
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -6,11 +6,9 @@
 	"time"
 
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// statusUnknown is the status of a transaction whose outcome is unknown.
-const statusUnknown = 0
-
 // transactionWire is a transaction: the writes are executed if every condition holds.
 type transactionWire struct {
 	Conditions []conditionWire `json:"when"`
@@ -51,26 +49,50 @@
 	return w
 }
 
-// Transact executes a transaction. Status 0 means that its outcome is unknown.
-func (c *Client) Transact(t core.CommitTransaction, timeout time.Duration) core.Committed {
+// noAnswer stands for the status of an answer that did not come.
+const noAnswer = 0
+
+// Outcome is the outcome of a transaction that the state service answers with an HTTP
+// status; 0 stands for no answer.
+func Outcome(status int) kv.Outcome {
+	switch status {
+	case noAnswer:
+		return kv.Unknown
+	case http.StatusOK:
+		return kv.Committed
+	case http.StatusConflict:
+		return kv.Conflict
+	case http.StatusBadRequest:
+		return kv.Malformed
+	case http.StatusTooManyRequests:
+		return kv.RateLimited
+	case http.StatusServiceUnavailable:
+		return kv.Unavailable
+	}
+	return kv.Rejected
+}
+
+// Transact executes a transaction. Without a readable answer its outcome is kv.Unknown.
+func (c *Client) Transact(t core.CommitTransaction, timeout time.Duration) core.TransactionResult {
 	body, err := json.Marshal(newTransaction(t))
 	if err != nil {
-		return core.Committed{ID: t.ID, Status: http.StatusBadRequest}
+		return core.TransactionResult{ID: t.ID, Outcome: kv.Malformed}
 	}
 	m, err := c.http.Do(http.MethodPost, "/multi", body, timeout)
 	if err != nil {
-		return core.Committed{ID: t.ID, Status: statusUnknown}
+		return core.TransactionResult{ID: t.ID, Outcome: kv.Unknown}
 	}
-	var outcome outcomeWire
-	if m.Status == http.StatusOK || m.Status == http.StatusConflict {
-		if err := json.Unmarshal(m.Body, &outcome); err != nil {
-			return core.Committed{ID: t.ID, Status: statusUnknown}
+	outcome := Outcome(m.Status)
+	var answer outcomeWire
+	if outcome == kv.Committed || outcome == kv.Conflict {
+		if err := json.Unmarshal(m.Body, &answer); err != nil {
+			return core.TransactionResult{ID: t.ID, Outcome: kv.Unknown}
 		}
 	}
-	return core.Committed{
+	return core.TransactionResult{
 		ID:       t.ID,
-		Status:   m.Status,
-		Revision: outcome.Revision,
-		Failed:   outcome.Failed,
+		Outcome:  outcome,
+		Revision: answer.Revision,
+		Failed:   answer.Failed,
 	}
 }
