--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
@@ -15,6 +16,20 @@
 const (
 	MaxHeadBytes = 16 << 10
 	MaxHeaders   = 100
+	// maxChunkLine bounds the line before a chunk.
+	maxChunkLine = 1024
+)
+
+// Ends of a line and of a message's head.
+const (
+	lineEnd = "\r\n"
+	headEnd = lineEnd + lineEnd
+)
+
+// Statuses that a response may have.
+const (
+	minStatus = 100
+	maxStatus = 599
 )
 
 // Faults that the server answers with a status of their own.
@@ -60,100 +75,139 @@
 }
 
 func parse(buf []byte, maxBody int, response bool) (*Message, int, error) {
-	end := bytes.Index(buf, []byte("\r\n\r\n"))
-	if end < 0 {
-		if len(buf) > MaxHeadBytes {
-			return nil, 0, fmt.Errorf("%w: head too long", ErrMalformed)
-		}
-		return nil, 0, nil
-	}
-	if end > MaxHeadBytes {
+	headLength := bytes.Index(buf, []byte(headEnd))
+	switch {
+	case headLength > MaxHeadBytes || headLength < 0 && len(buf) > MaxHeadBytes:
 		return nil, 0, fmt.Errorf("%w: head too long", ErrMalformed)
+	case headLength < 0:
+		return nil, 0, nil
 	}
-	head := string(buf[:end])
-	line, rest, _ := strings.Cut(head, "\r\n")
 	m := &Message{}
-	version, err := parseStartLine(m, line, response)
+	framing, err := parseHead(m, string(buf[:headLength]), response)
 	if err != nil {
 		return nil, 0, err
 	}
+	bodyStart := headLength + len(headEnd)
+	body, bodyLength, complete, err := framing.parseBody(buf[bodyStart:], maxBody)
+	if err != nil || !complete {
+		return nil, 0, err
+	}
+	m.Body = body
+	return m, bodyStart + bodyLength, nil
+}
+
+// framing is how a head says where its body ends. A message without either has none.
+type framing struct {
+	hasLength bool
+	length    int
+	chunked   bool
+}
+
+// parseHead reads the start line and the headers.
+func parseHead(m *Message, head string, response bool) (framing, error) {
+	var f framing
+	line, rest, _ := strings.Cut(head, lineEnd)
+	version, err := parseStartLine(m, line, response)
+	if err != nil {
+		return f, err
+	}
 	m.Close = version == "HTTP/1.0"
-	length, chunked := -1, false
 	for rest != "" {
-		line, rest, _ = strings.Cut(rest, "\r\n")
+		line, rest, _ = strings.Cut(rest, lineEnd)
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") || len(m.Headers) >= MaxHeaders {
-			return nil, 0, fmt.Errorf("%w: header line", ErrMalformed)
+			return f, fmt.Errorf("%w: header line", ErrMalformed)
 		}
-		h := Header{strings.ToLower(name), strings.Trim(value, " \t")}
-		m.Headers = append(m.Headers, h)
-		switch h.Name {
-		case "content-length":
-			n, err := strconv.ParseUint(h.Value, 10, 31)
-			if err != nil || (length >= 0 && length != int(n)) {
-				return nil, 0, fmt.Errorf("%w: content-length", ErrMalformed)
-			}
-			length = int(n)
-		case "transfer-encoding":
-			if !strings.EqualFold(h.Value, "chunked") {
-				return nil, 0, fmt.Errorf("%w: transfer-encoding", ErrMalformed)
-			}
-			chunked = true
-		case "connection":
-			if strings.EqualFold(h.Value, "close") {
-				m.Close = true
-			}
+		header := Header{Name: strings.ToLower(name), Value: strings.Trim(value, " \t")}
+		m.Headers = append(m.Headers, header)
+		if err := f.note(m, header); err != nil {
+			return f, err
 		}
 	}
-	at := end + 4
-	switch {
-	case chunked && length >= 0:
+	if f.chunked && f.hasLength {
 		// Two lengths for one body are how requests get smuggled.
-		return nil, 0, fmt.Errorf("%w: both length and chunks", ErrMalformed)
-	case chunked:
-		body, n, err := parseChunks(buf[at:], maxBody)
-		if err != nil || n == 0 {
-			return nil, 0, err
+		return f, fmt.Errorf("%w: both length and chunks", ErrMalformed)
+	}
+	return f, nil
+}
+
+// note takes what a header says of the body's end and of the connection's.
+func (f *framing) note(m *Message, header Header) error {
+	switch header.Name {
+	case "content-length":
+		length, err := strconv.ParseUint(header.Value, 10, 31)
+		if err != nil || f.hasLength && f.length != int(length) {
+			return fmt.Errorf("%w: content-length", ErrMalformed)
 		}
-		m.Body = body
-		return m, at + n, nil
-	case length > maxBody:
-		return nil, 0, ErrTooLarge
-	case length > 0:
-		if len(buf) < at+length {
-			return nil, 0, nil
+		f.hasLength, f.length = true, int(length)
+	case "transfer-encoding":
+		if !strings.EqualFold(header.Value, "chunked") {
+			return fmt.Errorf("%w: transfer-encoding", ErrMalformed)
 		}
-		m.Body = append([]byte(nil), buf[at:at+length]...)
-		return m, at + length, nil
+		f.chunked = true
+	case "connection":
+		if strings.EqualFold(header.Value, "close") {
+			m.Close = true
+		}
+	}
+	return nil
+}
+
+// parseBody reads the body from what follows the head. It returns how many bytes it
+// took, and whether the body is complete.
+func (f *framing) parseBody(buf []byte, maxBody int) (body []byte, length int, complete bool, err error) {
+	switch {
+	case f.chunked:
+		body, length, err = parseChunks(buf, maxBody)
+		return body, length, length > 0, err
+	case f.length > maxBody:
+		return nil, 0, false, ErrTooLarge
+	case f.length == 0:
+		return nil, 0, true, nil
+	case len(buf) < f.length:
+		return nil, 0, false, nil
 	}
-	return m, at, nil
+	return bytes.Clone(buf[:f.length]), f.length, true, nil
 }
 
 func parseStartLine(m *Message, line string, response bool) (version string, err error) {
-	f := strings.SplitN(line, " ", 3)
 	if response {
-		if len(f) < 2 || !strings.HasPrefix(f[0], "HTTP/1.") {
-			return "", fmt.Errorf("%w: status line", ErrMalformed)
-		}
-		m.Status, err = strconv.Atoi(f[1])
-		if err != nil || m.Status < 100 || m.Status > 599 {
-			return "", fmt.Errorf("%w: status", ErrMalformed)
-		}
-		return f[0], nil
+		return parseStatusLine(m, line)
+	}
+	return parseRequestLine(m, line)
+}
+
+func parseStatusLine(m *Message, line string) (version string, err error) {
+	fields := strings.SplitN(line, " ", 3)
+	if len(fields) < 2 || !strings.HasPrefix(fields[0], "HTTP/1.") {
+		return "", fmt.Errorf("%w: status line", ErrMalformed)
+	}
+	m.Status, err = strconv.Atoi(fields[1])
+	if err != nil || m.Status < minStatus || m.Status > maxStatus {
+		return "", fmt.Errorf("%w: status", ErrMalformed)
 	}
-	if len(f) != 3 || f[0] == "" || !strings.HasPrefix(f[1], "/") || (f[2] != "HTTP/1.1" && f[2] != "HTTP/1.0") {
+	return fields[0], nil
+}
+
+func parseRequestLine(m *Message, line string) (version string, err error) {
+	fields := strings.SplitN(line, " ", 3)
+	if len(fields) != 3 || fields[0] == "" || !strings.HasPrefix(fields[1], "/") {
 		return "", fmt.Errorf("%w: request line", ErrMalformed)
 	}
-	m.Method, m.Target = f[0], f[1]
-	return f[2], nil
+	method, target, version := fields[0], fields[1], fields[2]
+	if version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return "", fmt.Errorf("%w: request line", ErrMalformed)
+	}
+	m.Method, m.Target = method, target
+	return version, nil
 }
 
 // parseChunks decodes a chunked body; n is 0 while it is incomplete.
 func parseChunks(buf []byte, maxBody int) (body []byte, n int, err error) {
 	for {
-		eol := bytes.Index(buf[n:], []byte("\r\n"))
+		eol := bytes.Index(buf[n:], []byte(lineEnd))
 		if eol < 0 {
-			if len(buf)-n > 1024 {
+			if len(buf)-n > maxChunkLine {
 				return nil, 0, fmt.Errorf("%w: chunk line", ErrMalformed)
 			}
 			return nil, 0, nil
@@ -163,37 +217,38 @@
 		if err != nil {
 			return nil, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
 		}
-		n += eol + 2
+		n += eol + len(lineEnd)
 		if size == 0 {
 			return parseTrailer(buf, body, n)
 		}
 		if len(body)+int(size) > maxBody {
 			return nil, 0, ErrTooLarge
 		}
-		if len(buf) < n+int(size)+2 {
+		if len(buf) < n+int(size)+len(lineEnd) {
 			return nil, 0, nil
 		}
 		body = append(body, buf[n:n+int(size)]...)
 		n += int(size)
-		if buf[n] != '\r' || buf[n+1] != '\n' {
+		if !bytes.HasPrefix(buf[n:], []byte(lineEnd)) {
 			return nil, 0, fmt.Errorf("%w: chunk end", ErrMalformed)
 		}
-		n += 2
+		n += len(lineEnd)
 	}
 }
 
+// parseTrailer skips the headers after the last chunk.
 func parseTrailer(buf, body []byte, n int) ([]byte, int, error) {
 	for {
-		eol := bytes.Index(buf[n:], []byte("\r\n"))
+		eol := bytes.Index(buf[n:], []byte(lineEnd))
 		switch {
 		case eol == 0:
-			return body, n + 2, nil
+			return body, n + len(lineEnd), nil
 		case eol < 0 && len(buf)-n > MaxHeadBytes:
 			return nil, 0, fmt.Errorf("%w: trailer", ErrMalformed)
 		case eol < 0:
 			return nil, 0, nil
 		}
-		n += eol + 2
+		n += eol + len(lineEnd)
 	}
 }
 
@@ -223,10 +278,32 @@
 	Close       bool
 }
 
-var reasons = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content", 429: "Too Many Requests",
-	503: "Service Unavailable",
+// reason is the reason phrase of a status, "" for one that no handler answers with.
+func reason(status int) string {
+	switch status {
+	case http.StatusOK:
+		return "OK"
+	case http.StatusCreated:
+		return "Created"
+	case http.StatusBadRequest:
+		return "Bad Request"
+	case http.StatusNotFound:
+		return "Not Found"
+	case http.StatusMethodNotAllowed:
+		return "Method Not Allowed"
+	case http.StatusRequestEntityTooLarge:
+		return "Content Too Large"
+	case http.StatusMisdirectedRequest:
+		return "Misdirected Request"
+	case http.StatusUnprocessableEntity:
+		return "Unprocessable Content"
+	case http.StatusTooManyRequests:
+		return "Too Many Requests"
+	case http.StatusServiceUnavailable:
+		return "Service Unavailable"
+	default:
+		return ""
+	}
 }
 
 // AppendResponse writes a response.
@@ -234,7 +311,7 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[r.Status]...)
+	b = append(b, reason(r.Status)...)
 	b = append(b, "\r\nContent-Type: "...)
 	b = append(b, cmp.Or(r.ContentType, "application/json")...)
 	b = append(b, "\r\nContent-Length: "...)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -120,7 +120,7 @@
 func (c *Client) Ask(request any, timeout time.Duration) (core.Reply, error) {
 	args, ok := wire.NewRequest(request)
 	if !ok {
-		return core.Reply{}, fmt.Errorf("%T is not handed on: %w", request, ErrEmptyRequest)
+		return core.Reply{}, fmt.Errorf("%T is not forwarded: %w", request, ErrEmptyRequest)
 	}
 	return c.callForReply("Ask", args, timeout)
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -16,15 +16,15 @@
 // patience is how long a call of a test may take that ought to be answered.
 const patience = 10 * time.Second
 
-// recorder is a Handler that answers each call alike and hands on what it was given.
+// recorder is a Handler that answers each call alike and passes on what it was given.
 type recorder struct {
 	given  chan any
 	answer core.Reply
 	err    error
 }
 
-func (r *recorder) HandleRelayedHeartbeat(beat core.HeartbeatReceived) (core.Reply, error) {
-	return r.take(beat)
+func (r *recorder) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
+	return r.take(heartbeat)
 }
 func (r *recorder) HandlePing(ping core.PingReceived) (core.Reply, error) { return r.take(ping) }
 func (r *recorder) HandleRequest(request any) (core.Reply, error)         { return r.take(request) }
@@ -108,7 +108,7 @@
 	h := &recorder{given: make(chan any)}
 	client := NewClient(serving(t, h), 1)
 	defer client.Close()
-	t.Run("not handed on", func(t *testing.T) {
+	t.Run("not forwarded", func(t *testing.T) {
 		if _, err := client.Ask(core.Tick{}, patience); !errors.Is(err, ErrEmptyRequest) {
 			t.Error(err)
 		}
@@ -120,7 +120,7 @@
 			}
 		}
 	})
-	t.Run("no news", func(t *testing.T) {
+	t.Run("no status", func(t *testing.T) {
 		go func() { <-h.given }()
 		if _, err := client.Ping(core.PingReceived{}, patience); !errors.Is(err, ErrNoAnswer) {
 			t.Error(err)
@@ -154,7 +154,7 @@
 }
 
 // TestNumbered has each request but a sweep numbered anew and otherwise be what was
-// handed on.
+// forwarded.
 func TestNumbered(t *testing.T) {
 	spec := completeSpec()
 	for _, c := range []struct{ request, want any }{
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -40,7 +40,7 @@
 // completeMessages are all calls and answers between controllers with each field
 // set, and with those pointers whose presence alone says something.
 func completeMessages() map[string]any {
-	news := completeNews()
+	status := completeNews()
 	return map[string]any{
 		"PingArgs": core.PingReceived{
 			From: "node-1", NeedMachines: true, Incarnation: "b1",
@@ -48,7 +48,7 @@
 			Cancellations:    &readlease.CancellationPage{Incarnation: "b1", After: 1, UpTo: 2, Cancelled: []string{"job-02"}, More: true, Complete: true},
 		},
 		"PingArgs with nothing in its pointers":  core.PingReceived{From: "node-1", ReadLeaseRequest: &readlease.GrantRequest{}, Cancellations: &readlease.CancellationPage{}},
-		"PingReply":                              PingAnswer{Name: "node-1", Status: news},
+		"PingReply":                              PingAnswer{Name: "node-1", Status: status},
 		"PingReply with nothing in its pointers": PingAnswer{Name: "node-1", Status: core.PeerStatus{ReadLease: &readlease.CancellationPage{}, Ack: &readlease.HolderAck{}, Connectivity: &connectivity.Advertisement{}}},
 		"PingReply with an empty map":            PingAnswer{Name: "node-1", Status: core.PeerStatus{Connectivity: &connectivity.Advertisement{ReachableEighths: map[string]int{}}}},
 		"BeatArgs": core.HeartbeatReceived{
@@ -81,7 +81,7 @@
 		"Reply runs": core.Reply{RequestID: 4, Status: 200, Runs: &core.SweepPage{
 			Runs: []core.SweepRun{{Number: 1, ID: "job-01", State: "done", Values: json.RawMessage(`{"a":1}`), Sets: []int{2, 3}}, {Number: 2, ID: "job-02", State: "waiting"}}, Next: 5,
 		}},
-		"Reply news":          core.Reply{RequestID: 5, Status: 200, PeerStatus: &news},
+		"Reply news":          core.Reply{RequestID: 5, Status: 200, PeerStatus: &status},
 		"Reply cloud types":   core.Reply{RequestID: 6, Status: 200, Cloud: &core.CloudResult{Status: 200, Types: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 1, GPU: 2, Mem: 3}, FetchRate: 4, CacheMB: 5, Price: 6.5, SpotPrice: 7.5, Boot: 8, Zones: []string{"zone-a"}}}}},
 		"Reply cloud list":    core.Reply{RequestID: 7, Status: 200, Cloud: &core.CloudResult{Status: 200, List: []core.CloudMachine{{Name: "host-000002", Addr: "10.1.0.2:9000", Type: "big", Zone: "zone-a", Status: "running", Spot: true, Age: 5}}}},
 		"Reply cloud rent":    core.Reply{RequestID: 8, Status: 200, Cloud: &core.CloudResult{Status: 202, Names: []string{"host-000002"}}},
@@ -101,7 +101,7 @@
 }
 
 // neverSent are the fields that no message between controllers has: numbers, which
-// each core gives anew, and an operator's view, which is no request that is handed on.
+// each core gives anew, and an operator's view, which is no request that is forwarded.
 var neverSent = map[string]bool{"PingReceived.RequestID": true, "HeartbeatReceived.RequestID": true, "Reply.Ops": true}
 
 // TestComplete has each field of the core at each depth set in one of the complete
--- a/internal/peer/internal/wire/ping.go
+++ b/internal/peer/internal/wire/ping.go
@@ -30,11 +30,11 @@
 }
 
 // NewPingReply is the answer of the controller of a name as it is sent.
-func NewPingReply(name string, news core.PeerStatus) PingReply {
-	return PingReply{Name: name, News: newPeerNews(news)}
+func NewPingReply(name string, status core.PeerStatus) PingReply {
+	return PingReply{Name: name, News: newPeerNews(status)}
 }
 
-// Core is what the controller that answered knows.
+// Core is the status of the controller that answered.
 func (in PingReply) Core() core.PeerStatus {
 	return in.News.core()
 }
--- a/internal/peer/internal/wire/request.go
+++ b/internal/peer/internal/wire/request.go
@@ -5,7 +5,7 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// NewRequest is a request of the core as it is handed on; ok is false if it is none
+// NewRequest is a request of the core as it is forwarded; ok is false if it is none
 // that can be.
 func NewRequest(request any) (out AskArgs, ok bool) {
 	switch in := request.(type) {
--- a/internal/peer/internal/wire/wire.go
+++ b/internal/peer/internal/wire/wire.go
@@ -18,7 +18,7 @@
 	Need bool
 	// Boot is the incarnation of the sender.
 	Boot string
-	// Ask is what the sender wants vouched for.
+	// Ask is the read lease that the sender asks for.
 	Ask *Question
 	// Tell is what the sender knows to be cancelled.
 	Tell *Page
@@ -40,7 +40,7 @@
 	Onward bool
 }
 
-// AskArgs is a request that is handed on: one of them all. A version that does not
+// AskArgs is a request that is forwarded: one of them all. A version that does not
 // know the request reads an empty one, and says so.
 type AskArgs struct {
 	Submit *Submit
@@ -58,7 +58,7 @@
 // Reply answers a BeatArgs or an AskArgs.
 //
 // Versions before this type sent the core's reply, which also has a field Ops. No
-// request that is handed on is answered with it, so the name stays unused.
+// request that is forwarded is answered with it, so the name stays unused.
 type Reply struct {
 	Req    uint64
 	Status int
@@ -79,7 +79,8 @@
 	Leader string
 }
 
-// Question asks a controller to vouch for the cancellations that it has confirmed.
+// Question asks a controller for a read lease on the cancellations that it has
+// confirmed.
 type Question struct {
 	Boot    string
 	Upto    uint64
@@ -102,7 +103,7 @@
 	Applied uint64
 }
 
-// PeerNews is what controllers tell each other once a second.
+// PeerNews is the status that a controller sends its peers.
 type PeerNews struct {
 	// Token and Leader are of the newest leadership that is known.
 	Token  uint64
--- a/internal/peer/ping_test.go
+++ b/internal/peer/ping_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkPing is what a leader's round of pings to four other controllers costs
 // with 3,000 cancellations outstanding, both sides and the encoding together: in
-// calm, when they are heard out first, and each second from then on.
+// calm, when they are granted at first, and each second from then on.
 func BenchmarkPing(b *testing.B) {
 	const others, outstanding, second = 4, 3000, 1_000_000
 	var buffer bytes.Buffer
@@ -29,37 +29,37 @@
 		}
 	}
 	peers := []string{"n1", "n2", "n3", "n4"}
-	var witnesses [others]*readlease.Grantor
-	for i := range witnesses {
-		witnesses[i] = readlease.NewGrantor(peers[i], []string{"n0"}, 10*second, 0)
+	var grantors [others]*readlease.Grantor
+	for i := range grantors {
+		grantors[i] = readlease.NewGrantor(peers[i], []string{"n0"}, 10*second, 0)
 		for n := range outstanding {
-			witnesses[i].RecordCancellation(fmt.Sprintf("req-%06d", n), 0)
+			grantors[i].RecordCancellation(fmt.Sprintf("req-%06d", n), 0)
 		}
 	}
-	round := func(vouched *readlease.Holder, now int64) {
+	round := func(holder *readlease.Holder, now int64) {
 		for i, p := range peers {
 			for more := true; more; {
 				ping := core.PingReceived{From: "n0", Incarnation: "b"}
-				if vouched != nil {
-					q := vouched.NextRequest(p, 7, now)
+				if holder != nil {
+					q := holder.NextRequest(p, 7, now)
 					ping.ReadLeaseRequest = &q
 				}
 				var received wire.PingArgs
 				args := wire.NewPing(ping)
 				send(&args, &received)
 				asked := received.Core()
-				news := core.PeerStatus{FencingToken: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
+				status := core.PeerStatus{FencingToken: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
 				if asked.ReadLeaseRequest != nil {
-					page := witnesses[i].Grant("n0", *asked.ReadLeaseRequest, true, now)
-					news.ReadLease = &page
+					page := grantors[i].Grant("n0", *asked.ReadLeaseRequest, true, now)
+					status.ReadLease = &page
 				}
 				var answered wire.PingReply
-				answer := wire.NewPingReply(p, news)
+				answer := wire.NewPingReply(p, status)
 				send(&answer, &answered)
 				reply := answered.Core()
 				more = false
-				if vouched != nil {
-					vouched.HandleGrant(p, now, now, *reply.ReadLease)
+				if holder != nil {
+					holder.HandleGrant(p, now, now, *reply.ReadLease)
 					more = reply.ReadLease.More
 				}
 			}
@@ -72,19 +72,19 @@
 		}
 		b.ReportMetric(float64(total)/float64(b.N), "B/round")
 	})
-	b.Run("heard out first", func(b *testing.B) {
+	b.Run("first grants", func(b *testing.B) {
 		total = 0
 		for b.Loop() {
 			round(readlease.NewHolder(peers, 10*second), 0)
 		}
 		b.ReportMetric(float64(total)/float64(b.N), "B/round")
 	})
-	b.Run("from then on", func(b *testing.B) {
-		vouched := readlease.NewHolder(peers, 10*second)
-		round(vouched, 0)
+	b.Run("later grants", func(b *testing.B) {
+		holder := readlease.NewHolder(peers, 10*second)
+		round(holder, 0)
 		total = 0
 		for b.Loop() {
-			round(vouched, 0)
+			round(holder, 0)
 		}
 		b.ReportMetric(float64(total)/float64(b.N), "B/round")
 	})
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// messagesVouch are those that changed when controllers began to vouch for what
+// messagesVouch are those that changed when controllers began to grant read leases on what
 // they tell users, which took no other program number: nothing stored depends on it.
 func messagesVouch() map[string]any {
 	return map[string]any{
@@ -181,7 +181,7 @@
 	}
 	args, ok := wire.NewRequest(message)
 	if !ok {
-		t.Fatalf("%T is not handed on", message)
+		t.Fatalf("%T is not forwarded", message)
 	}
 	return args
 }
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -2,8 +2,8 @@
 
 import "github.com/zinclb/zinclb/internal/core"
 
-// Numbered is a request that was handed on as a message to the core, under the
-// number that its reply will have. It is nil for anything else, also for a
+// Numbered is a forwarded request as a message to the core, under the number that
+// its reply will have. It is nil for anything else, also for a
 // core.ForwardedSweep, which has to be expanded first.
 func Numbered(request any, number uint64) any {
 	switch r := request.(type) {
