--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -4,10 +4,14 @@
 
 import (
 	"errors"
+	"go/ast"
 	"go/build"
+	"go/parser"
+	"go/token"
 	"io/fs"
 	"maps"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -32,7 +36,7 @@
 //   - the wire types of messages between controllers are seen by peer alone;
 //   - the controller knows nothing of the emulator. Of the emulator, environment and
 //     history know the protocols from the outside (wire), and not the controller;
-//   - golden is for tests.
+//   - golden and rapidtest are for tests.
 var allowedImports = map[string][]string{
 	"cmd/zinclb": {
 		"internal/api", "internal/config", "internal/core", "internal/httpwire", "internal/node",
@@ -133,7 +137,8 @@
 	"internal/load": {"internal/emulator/wire"},
 
 	// For tests.
-	"internal/golden": {"internal/httpwire"},
+	"internal/golden":    {"internal/httpwire"},
+	"internal/rapidtest": {},
 }
 
 // TestImports compares the imports of all packages with the table. It reads the
@@ -176,6 +181,118 @@
 	}
 }
 
+// pureTrees are the directories whose code decides and computes without input, output
+// or a clock: with the same input they do the same, which replaying a seed relies on.
+var pureTrees = []string{
+	"internal/core",
+	"internal/emulator/environment",
+	"internal/emulator/history",
+	"internal/emulator/wire",
+	"internal/sweep",
+}
+
+// pureImports are the packages from outside the module that they may import.
+var pureImports = []string{
+	"bytes", "cmp", "container/heap", "encoding/base64", "encoding/binary", "encoding/csv", "encoding/hex",
+	"encoding/json", "errors", "fmt", "hash/fnv", "iter", "log/slog", "maps", "math", "math/rand/v2",
+	"net/http", "net/netip", "regexp", "slices", "strconv", "strings",
+	"io", // of sweep: the end of a table
+
+	"github.com/HdrHistogram/hdrhistogram-go", "github.com/RoaringBitmap/roaring/v2",
+	"github.com/anishathalye/porcupine", "github.com/benbjohnson/immutable",
+	"github.com/bits-and-blooms/bitset", "github.com/gaissmai/bart", "github.com/tidwall/btree",
+	"github.com/zeebo/blake3", "github.com/zeebo/xxh3", "go.starlark.net/starlark", "go.starlark.net/syntax",
+	"google.golang.org/protobuf/encoding/prototext", "google.golang.org/protobuf/reflect/protoreflect",
+}
+
+// impureUses are what these packages have that writes, or that draws from a source
+// which no seed decides.
+var impureUses = map[string]*regexp.Regexp{
+	"fmt":  regexp.MustCompile(`^(Print|Scan)`),
+	"slog": regexp.MustCompile(`^(Debug|Info|Warn|Error|Log$|LogAttrs|Default|SetDefault)`),
+	"rand": regexp.MustCompile(`^(Int|Uint|Float|Perm|Shuffle|N$|NormFloat|ExpFloat)`),
+}
+
+// constantsOnly are packages that are imported for constants alone.
+var constantsOnly = map[string]*regexp.Regexp{
+	"http": regexp.MustCompile(`^(Status|Method)[A-Z]\w*$`),
+}
+
+// TestPure keeps input, output, clocks and unseeded draws out of the pure packages.
+func TestPure(t *testing.T) {
+	files := 0
+	for _, tree := range pureTrees {
+		err := filepath.WalkDir(filepath.Join(moduleRoot, tree), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
+				return err
+			}
+			files++
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			for _, fault := range impurities(file) {
+				t.Errorf("%s %s", path, fault)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	if files < len(pureTrees) {
+		t.Fatalf("%d files", files)
+	}
+}
+
+// impurities says what a file imports or uses that a pure package may not.
+func impurities(file *ast.File) []string {
+	var faults []string
+	for _, spec := range file.Imports {
+		name := strings.Trim(spec.Path.Value, `"`)
+		if !strings.HasPrefix(name, modulePath) && !slices.Contains(pureImports, name) {
+			faults = append(faults, "imports "+name)
+		}
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		selector, ok := node.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		if pkg, ok := selector.X.(*ast.Ident); ok {
+			impure, constant := impureUses[pkg.Name], constantsOnly[pkg.Name]
+			if impure != nil && impure.MatchString(selector.Sel.Name) || constant != nil && !constant.MatchString(selector.Sel.Name) {
+				faults = append(faults, "uses "+pkg.Name+"."+selector.Sel.Name)
+			}
+		}
+		return true
+	})
+	return faults
+}
+
+// TestImpurities shows that each kind is found.
+func TestImpurities(t *testing.T) {
+	const source = `package p
+import ("fmt"; "log/slog"; "math/rand/v2"; "net/http"; "time"; "slices")
+func f(l *slog.Logger, r *rand.Rand) {
+	l.Info("fine")
+	_ = r.IntN(3)
+	_ = fmt.Sprint(slices.Max([]int{1}))
+	fmt.Println(time.Now(), rand.IntN(3))
+	slog.Info("to the default logger")
+	_, _ = http.StatusOK, http.StatusText(200)
+	http.Get("")
+}`
+	file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []string{"imports time", "uses fmt.Println", "uses rand.IntN", "uses slog.Info", "uses http.Get"}
+	if got := impurities(file); !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
 // addImports adds what the package in a directory imports of the module, if there is
 // a package that is not of tests alone.
 func addImports(found map[string][]string, dir string) error {
