--- a/internal/core/sched/index_test.go
+++ b/internal/core/sched/index_test.go
@@ -90,9 +90,10 @@
 		p := Planner{Queues: 3, Index: x, MaxStarts: 9, ImageWorth: map[string]int64{"im2": 7}}
 		x.beginRound(p.ImageWorth)
 		y.beginRound(p.ImageWorth)
-		c := p.search(j, draw(3, "in part")-1, nil, map[string]int{})
+		partition := draw(3, "in part") - 1
+		c := p.search(j, partition, nil, map[string]int{})
 		for got := c.next(); ; got = c.next() {
-			want := plainBest(&p, j, c.part, anew)
+			want := plainBest(&p, j, partition, anew)
 			if got == nil || want == nil {
 				if (got == nil) != (want == nil) {
 					t.Fatalf("got %v, want %v", got, want)
@@ -110,14 +111,14 @@
 }
 
 // plainBest goes through all machines for the one that costs least.
-func plainBest(p *Planner, j *Job, part int, machines []*Machine) *Machine {
+func plainBest(p *Planner, j *Job, partition int, machines []*Machine) *Machine {
 	var best *Machine
 	for _, m := range machines {
 		class := MachineClass{m.Type, m.Zone, m.Spot, m.Partition, m.Cap}
-		if part >= 0 && m.Partition != part || !j.allows(class) || !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(class) {
+		if partition >= 0 && m.Partition != partition || !j.allows(class) || !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(class) {
 			continue
 		}
-		if best == nil || p.cost(j, m, part) < p.cost(j, best, part) {
+		if best == nil || p.cost(j, m) < p.cost(j, best) {
 			best = m
 		}
 	}
--- a/internal/core/sched/search.go
+++ b/internal/core/sched/search.go
@@ -1,7 +1,6 @@
 package sched
 
 import (
-	"cmp"
 	"container/heap"
 )
 
@@ -11,8 +10,8 @@
 		m.round, m.tasksLoaded = p.Index.round, p.LoadRunningTasks == nil
 		m.reservations, m.plannedImages = m.reservations[:0], m.plannedImages[:0]
 		m.imageWorth = 0
-		for _, im := range m.images {
-			m.imageWorth += im.worth
+		for _, holders := range m.images {
+			m.imageWorth += holders.worth
 		}
 	}
 	return m
@@ -27,33 +26,33 @@
 	return m.RunningTasks
 }
 
-// contactDelay is how long it takes until orders can get to a machine.
+// contactDelay is how long it takes until commands can get to a machine.
 func (p *Planner) contactDelay(m *Machine) int64 { return max(0, m.NextContact-p.Now) }
 
-// eachSuitable calls f for all machines that could take a task of j, were they empty.
-func (p *Planner) eachSuitable(j *Job, f func(*Machine)) {
+// eachSuitable calls visit for all machines that could take a task of j, were they empty.
+func (p *Planner) eachSuitable(j *Job, visit func(*Machine)) {
 	for _, g := range p.Index.groups {
 		if j.suits(g.MachineClass) {
 			g.free.Scan(func(m *Machine) bool {
-				f(p.resetForRound(m))
+				visit(p.resetForRound(m))
 				return true
 			})
 		}
 	}
 }
 
-// eachFitting calls f for the machines of a group that have room for a task of j:
-// with GPUs that it would leave idle only if shunned says so.
-func (p *Planner) eachFitting(j *Job, g *machineGroup, shunned bool, f func(*Machine)) {
+// eachFitting calls visit for the machines of a group that have room for a task of j.
+// Those whose free GPUs j would leave idle are among them only if avoided says so.
+func (p *Planner) eachFitting(j *Job, g *machineGroup, avoided bool, visit func(*Machine)) {
 	from := Machine{free: j.Need}
-	shuns := j.avoidsGPUs(g.MachineClass) && !shunned
+	skipsGPUs := j.avoidsGPUs(g.MachineClass) && !avoided
 	g.free.Ascend(&from, func(m *Machine) bool {
-		if shuns && m.Free.GPU > 0 {
+		if skipsGPUs && m.Free.GPU > 0 {
 			// What is beside busy GPUs it may have.
 			return false
 		}
 		if j.Need.Fits(m.Free) {
-			f(p.resetForRound(m))
+			visit(p.resetForRound(m))
 		}
 		return true
 	})
@@ -67,44 +66,47 @@
 
 // machineSearch finds, one after the other, the machines that cost least for the tasks
 // of a job. A task that is placed changes only what its own machine costs.
+// It is a heap of the machines by cost, and implements heap.Interface.
 type machineSearch struct {
 	planner *Planner
 	job     *Job
-	part    int
-	zones   map[string]int
-	heap    []candidate
+	// tasksByZone counts the job's tasks; it may grow meanwhile.
+	tasksByZone map[string]int
+	heap        []candidate
 }
 
-// search begins with the machines of one partition and zone, or of all; zones
-// counts the job's tasks and may grow meanwhile.
-func (p *Planner) search(j *Job, part int, zone *string, zones map[string]int) *machineSearch {
-	c := &machineSearch{planner: p, job: j, part: part, zones: zones, heap: p.searchBuffer[:0]}
+// search begins with the machines of one partition and zone, or of all.
+func (p *Planner) search(j *Job, partition int, zone *string, tasksByZone map[string]int) *machineSearch {
+	s := &machineSearch{planner: p, job: j, tasksByZone: tasksByZone, heap: p.searchBuffer[:0]}
 	for _, g := range p.Index.groups {
-		if part >= 0 && g.Partition != part || zone != nil && g.Zone != *zone || !j.allows(g.MachineClass) || !zoneFits(j, g.Zone, zones) {
+		if partition != anyPartition && g.Partition != partition || zone != nil && g.Zone != *zone {
+			continue
+		}
+		if !j.allows(g.MachineClass) || !zoneFits(j, g.Zone, tasksByZone) {
 			continue
 		}
 		p.eachFitting(j, g, false, func(m *Machine) {
 			if p.respectsReservations(m, j, p.Now+j.durationOn(m)) {
-				c.heap = append(c.heap, candidate{p.cost(j, m, part), m})
+				s.heap = append(s.heap, candidate{p.cost(j, m), m})
 			}
 		})
 	}
-	p.searchBuffer = c.heap
-	heap.Init(c)
-	return c
+	p.searchBuffer = s.heap
+	heap.Init(s)
+	return s
 }
 
 // next takes the best machine out, nil if there is none.
-func (c *machineSearch) next() *Machine {
-	for len(c.heap) > 0 {
-		last := len(c.heap) - 1
-		m := c.heap[0].m
-		c.heap[0], c.heap = c.heap[last], c.heap[:last]
+func (s *machineSearch) next() *Machine {
+	for len(s.heap) > 0 {
+		last := len(s.heap) - 1
+		m := s.heap[0].m
+		s.heap[0], s.heap = s.heap[last], s.heap[:last]
 		if last > 0 {
-			heap.Fix(c, 0)
+			heap.Fix(s, 0)
 		}
 		// Zones only ever get full.
-		if zoneFits(c.job, m.Zone, c.zones) {
+		if zoneFits(s.job, m.Zone, s.tasksByZone) {
 			return m
 		}
 	}
@@ -112,51 +114,29 @@
 }
 
 // reinsert enters a machine that a task was put on, if there is room for another.
-func (c *machineSearch) reinsert(m *Machine) {
-	p, j := c.planner, c.job
-	if !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(m.group.MachineClass) || !p.respectsReservations(m, j, p.Now+j.durationOn(m)) {
+func (s *machineSearch) reinsert(m *Machine) {
+	p, j := s.planner, s.job
+	if !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(m.group.MachineClass) {
+		return
+	}
+	if !p.respectsReservations(m, j, p.Now+j.durationOn(m)) {
 		return
 	}
-	c.heap = append(c.heap, candidate{p.cost(j, m, c.part), m})
-	heap.Fix(c, len(c.heap)-1)
+	s.heap = append(s.heap, candidate{p.cost(j, m), m})
+	heap.Fix(s, len(s.heap)-1)
 }
 
-func (c *machineSearch) Len() int { return len(c.heap) }
+func (s *machineSearch) Len() int { return len(s.heap) }
 
-func (c *machineSearch) Less(a, b int) bool {
-	x, y := &c.heap[a], &c.heap[b]
+func (s *machineSearch) Less(a, b int) bool {
+	x, y := &s.heap[a], &s.heap[b]
 	return x.cost < y.cost || x.cost == y.cost && x.m.Name < y.m.Name
 }
 
-func (c *machineSearch) Swap(a, b int) { c.heap[a], c.heap[b] = c.heap[b], c.heap[a] }
+func (s *machineSearch) Swap(a, b int) { s.heap[a], s.heap[b] = s.heap[b], s.heap[a] }
 
 // Push and Pop are not used: they would box every candidate.
-func (c *machineSearch) Push(any) {}
+func (s *machineSearch) Push(any) {}
 
 // Pop is not used.
-func (c *machineSearch) Pop() any { return nil }
-
-// freeSlot is when a machine has room for one task.
-type freeSlot struct {
-	m  *Machine
-	at int64
-}
-
-// slotHeap are a heap by time.
-type slotHeap []freeSlot
-
-func (s slotHeap) Len() int { return len(s) }
-
-func (s slotHeap) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(s[a].at, s[b].at), cmp.Compare(s[a].m.Name, s[b].m.Name)) < 0
-}
-
-func (s slotHeap) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
-
-func (s *slotHeap) Push(x any) { *s = append(*s, x.(freeSlot)) }
-
-func (s *slotHeap) Pop() any {
-	x := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
-	return x
-}
+func (s *machineSearch) Pop() any { return nil }
