--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestUse: a cache keeps the most recently used images, so that an image is
+// TestImageEviction: a cache keeps the most recently used images, so that an image is
 // not counted on where it must have been dropped.
-func TestUse(t *testing.T) {
+func TestImageEviction(t *testing.T) {
 	type use struct {
 		image  string
 		mb, at int64
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -126,7 +126,7 @@
 // than the newest of this epoch: it is a copy that comes late.
 func (w *workerManager) isOutdated(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	return !machine.IsNewer(heartbeat.Epoch, heartbeat.Seq) ||
-		!machine.Plausible(heartbeat.Epoch, heartbeat.Seq, w.now)
+		!machine.IsPlausible(heartbeat.Epoch, heartbeat.Seq, w.now)
 }
 
 // noteHeartbeatVia notes by way of which controller a heartbeat came, "" for this one.
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -91,7 +91,7 @@
 		term.fleet.MarkAllChanged()
 	}
 	// Those that were removed go first, so that all that follow are in the fleet.
-	term.fleet.DrainChanged(p.updateIndexed)
+	term.fleet.ForEachChanged(p.updateIndexed)
 	for {
 		oldest, ok := index.byLastHeartbeat.Min()
 		if !ok || oldest.lastHeartbeat > p.now-p.settings.Overdue() {
