--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d runs, %d at once, %d bytes to be stored, digest %s\n", plan.ID, len(plan.Specs), plan.Pending, len(stored), plan.Digest)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d runs, %d at once, %d bytes to be stored, digest %s\n", plan.ID, len(plan.Specs), plan.MaxUnfinished, len(stored), plan.Digest)
 			return nil
 		},
 	}
--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -54,7 +54,7 @@
 		return core.Reply{Status: 200, Job: &core.JobState{ID: "job-1", State: state, Done: 3, Running: 4}}
 	}
 	sweepIn := func(state string) core.Reply {
-		return core.Reply{Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: state, Runs: 9, Created: 8, Done: 5, Withdrawn: 2}}
+		return core.Reply{Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: state, Runs: 9, Created: 8, Done: 5, Cancelled: 2}}
 	}
 	runs := func(next int, runs ...core.SweepRun) core.Reply {
 		return core.Reply{Status: 200, Runs: &core.SweepPage{Runs: runs, Next: next}}
@@ -312,7 +312,7 @@
 		t.Fatal(err, m.Invalid)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s, %d at once, digest %s, longest %d\n", m.Plan.ID, m.Plan.Pending, m.Plan.Digest, m.Plan.Longest)
+	fmt.Fprintf(&b, "%s, %d at once, digest %s, longest %d\n", m.Plan.ID, m.Plan.MaxUnfinished, m.Plan.Digest, m.Plan.Longest)
 	for i, spec := range m.Plan.Specs {
 		fmt.Fprintf(&b, "%s %s sets %v: %s\n", spec.ID, m.Plan.Values[i], m.Plan.Sets[i], jobstate.Encode(spec))
 	}
--- a/internal/api/stored_test.go
+++ b/internal/api/stored_test.go
@@ -60,7 +60,7 @@
 		Specs   []*jobstate.Spec  `json:"specs"`
 		Values  []json.RawMessage `json:"values"`
 		Sets    [][]int           `json:"sets"`
-	}{p.ID, p.Digest, p.Pending, p.Longest, p.Specs, p.Values, p.Sets})
+	}{p.ID, p.Digest, p.MaxUnfinished, p.Longest, p.Specs, p.Values, p.Sets})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return &core.SweepPlan{ID: s.Id}, err
 	}
-	plan := &core.SweepPlan{ID: x.ID, Digest: x.Digest, Pending: x.Pending}
+	plan := &core.SweepPlan{ID: x.ID, Digest: x.Digest, MaxUnfinished: x.MaxUnfinished}
 	for i := range x.Runs {
 		r := &x.Runs[i]
 		body, err := json.Marshal(r.Job)
@@ -152,7 +152,7 @@
 
 func sweepResponseOf(r core.Reply) any {
 	if s := r.Sweep; s != nil {
-		return SweepResponse{s.ID, JobStateName(s.State), s.Runs, s.Created, s.Done, s.Withdrawn}
+		return SweepResponse{s.ID, JobStateName(s.State), s.Runs, s.Created, s.Done, s.Cancelled}
 	}
 	out := RunPageResponse{Runs: []RunResponse{}, Next: r.Runs.Next}
 	for _, x := range r.Runs.Runs {
--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -85,7 +85,7 @@
 	if answer != want {
 		t.Errorf("got  %s\nwant %s", answer, want)
 	}
-	state := string(EncodeReply(core.Reply{Status: 201, Sweep: &core.SweepState{ID: "s", State: jobstate.Cancelled, Runs: 3, Withdrawn: 3}}))
+	state := string(EncodeReply(core.Reply{Status: 201, Sweep: &core.SweepState{ID: "s", State: jobstate.Cancelled, Runs: 3, Cancelled: 3}}))
 	if want := `{"id":"s","status":"withdrawn","runs":3,"created":0,"done":0,"withdrawn":3}`; state != want {
 		t.Errorf("got %s", state)
 	}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -80,7 +80,7 @@
 		connectivityPrefix + "n1":   connectivity.Advertisement{Incarnation: "b1", ReachableEighths: map[string]int{"a": 8, "b": 0}, Peers: []string{"n0", "n2"}, Cloud: true, Flapping: true},
 		connectivityPrefix + "n2":   connectivity.Advertisement{},
 
-		sweepPrefix + "s":                                 sweepHead{Runs: 9000, Parts: 2, Pending: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
+		sweepPrefix + "s":                                 sweepHead{Runs: 9000, Parts: 2, MaxUnfinished: 100, Digest: "0123456789abcdef", Submitted: 1_700_000_000_000_008},
 		sweepPrefix + "s/0":                               "KLUv/QQAaQAAaWQ6ICJzIg",
 		sweepPrefix + "s/1":                               "second/part+",
 		sweepPositionPrefix + "s":                         sweepPosition{Next: 9000, Open: encodeRunSet(few), Closed: true},
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -137,7 +137,7 @@
 		step.position.Closed = true
 	default:
 		step.conditions = append(step.conditions, kv.RevisionIs(endKey, 0))
-		m.addRuns(s, step, min(s.head.Pending-open, spare-positionWrites, m.membership.limits().TxnOps-2))
+		m.addRuns(s, step, min(s.head.MaxUnfinished-open, spare-positionWrites, m.membership.limits().TxnOps-2))
 	}
 	return step
 }
--- a/internal/core/sweepmessages.go
+++ b/internal/core/sweepmessages.go
@@ -9,9 +9,9 @@
 // SweepPlan is what a description expands to.
 type SweepPlan struct {
 	ID, Digest string
-	// Pending is how many runs may be unfinished at once.
-	Pending int
-	Specs   []*jobstate.Spec
+	// MaxUnfinished is how many runs may be unfinished at once.
+	MaxUnfinished int
+	Specs         []*jobstate.Spec
 	// Values are the runs' values as JSON, in the order of Specs.
 	Values []json.RawMessage
 	// Sets has, in the same order, which sets of values each run stands for: several
@@ -73,11 +73,10 @@
 
 // Replies about sweeps.
 type (
-	// SweepState is the state of a sweep. Withdrawn counts the runs that were
-	// cancelled.
+	// SweepState is the state of a sweep, with counts of its runs.
 	SweepState struct {
 		ID, State                      string
-		Runs, Created, Done, Withdrawn int
+		Runs, Created, Done, Cancelled int
 	}
 	// SweepRun is one run.
 	SweepRun struct {
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -176,11 +176,11 @@
 	parts := m.splitDescription(r.sweep.submission.Stored)
 	key := sweepPrefix + r.targetID
 	head := sweepHead{
-		Runs:      len(plan.Specs),
-		Parts:     len(parts),
-		Pending:   plan.Pending,
-		Digest:    plan.Digest,
-		Submitted: r.receivedAt + m.wallOffset,
+		Runs:          len(plan.Specs),
+		Parts:         len(parts),
+		MaxUnfinished: plan.MaxUnfinished,
+		Digest:        plan.Digest,
+		Submitted:     r.receivedAt + m.wallOffset,
 	}
 	writes := []Write{{Key: key, Value: encodeJSON(head)}}
 	for i, part := range parts {
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -110,11 +110,11 @@
 		Runs:      s.head.Runs,
 		Created:   s.next,
 		Done:      int(s.ended.GetCardinality()) - cancelled,
-		Withdrawn: cancelled,
+		Cancelled: cancelled,
 	}
 	switch {
 	case s.outcome == jobstate.Cancelled:
-		state.Withdrawn = s.head.Runs - state.Done // what is not done never will be
+		state.Cancelled = s.head.Runs - state.Done // what is not done never will be
 	case s.outcome == "" && s.next > 0:
 		state.State = Running
 	case s.outcome == "":
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -16,7 +16,7 @@
 
 // sweepOf is a sweep of n runs of a CPU each, more for every step.
 func sweepOf(id string, n int, cpus int64) SubmitSweep {
-	p := &SweepPlan{ID: id, Digest: fmt.Sprint("d", n, cpus), Pending: 3, Longest: 300}
+	p := &SweepPlan{ID: id, Digest: fmt.Sprint("d", n, cpus), MaxUnfinished: 3, Longest: 300}
 	for i := range n {
 		p.Specs = append(p.Specs, &jobstate.Spec{ID: fmt.Sprintf("sweep.%s.%d", id, i), Class: "c", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: cpus}, Estimate: 10 * second, Sweep: id, Run: i})
 		p.Values = append(p.Values, json.RawMessage(fmt.Sprintf(`{"a":%d}`, i)))
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -27,11 +27,11 @@
 
 // sweepHead is stored once, when a sweep is accepted.
 type sweepHead struct {
-	Runs      int    `json:"n"`
-	Parts     int    `json:"p"`
-	Pending   int    `json:"b"`
-	Digest    string `json:"d"`
-	Submitted int64  `json:"t"`
+	Runs          int    `json:"n"`
+	Parts         int    `json:"p"`
+	MaxUnfinished int    `json:"b"`
+	Digest        string `json:"d"`
+	Submitted     int64  `json:"t"`
 }
 
 // sweepPosition is how far a sweep has come: the runs before Next are created, and all
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,94 +14,144 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// ContentType is that of Text.
+// ContentType is that of what Encode returns.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// collector is one moment of a controller.
-type collector struct{ *core.OperatorView }
+// prefix begins the names of all metrics.
+const prefix = "zinclb_"
+
+const millisPerSecond = 1e3
+
+// Encode is the view in the text format.
+func Encode(view *core.OperatorView) ([]byte, error) {
+	registry := prometheus.NewPedanticRegistry()
+	if err := registry.Register(collector{view}); err != nil {
+		return nil, fmt.Errorf("metrics: %w", err)
+	}
+	families, err := registry.Gather()
+	if err != nil {
+		return nil, fmt.Errorf("metrics: %w", err)
+	}
+	var text bytes.Buffer
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(&text, family); err != nil {
+			return nil, fmt.Errorf("metrics: %w", err)
+		}
+	}
+	return text.Bytes(), nil
+}
+
+// collector has the metrics of one view.
+type collector struct{ view *core.OperatorView }
 
 // Describe sends nothing: which metrics there are depends on the moment (only a
 // leader has queues), so the registry checks none in advance.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the metrics of the moment.
-func (v collector) Collect(out chan<- prometheus.Metric) {
-	gauge := func(name, help string, value float64, labels ...string) {
-		var names, values []string
-		for i := 0; i < len(labels); i += 2 {
-			names, values = append(names, labels[i]), append(values, labels[i+1])
-		}
-		out <- prometheus.MustNewConstMetric(prometheus.NewDesc("zinclb_"+name, help, names, nil), prometheus.GaugeValue, value, values...)
+// Collect sends the metrics of the view.
+func (c collector) Collect(out chan<- prometheus.Metric) {
+	s := sink(out)
+	s.controller(c.view)
+	s.connectivity(c.view)
+	if c.view.Leading {
+		s.gauge("cloud_calls_left", "Calls that the budget for the cloud has left.", c.view.CallsLeft)
+		s.machines(&c.view.Machines)
+		s.queues(c.view.Queues)
 	}
-	yes := func(b bool) float64 {
-		if b {
-			return 1
-		}
-		return 0
-	}
-	gauge("leading", "1 if this controller leads.", yes(v.Leading))
-	gauge("synced", "1 if it has read the state service.", yes(v.Synced))
-	gauge("token", "Token of the newest leadership it knows.", float64(v.FencingToken))
-	gauge("state_revision", "Revision of the state service it has seen.", float64(v.Revision))
-	gauge("state_silent_seconds", "Time since the state service last answered it.", v.StateAgeS)
-	gauge("state_limits_fallen", "1 if the state service's limits to come are here.", yes(v.LimitsLowered))
-	gauge("writes_left", "Changes that its budget has left at this moment.", v.WritesLeft)
-	gauge("reads_left", "Reads of the state service that its budget has left at this moment.", v.ReadsLeft)
-	gauge("format", "Version of stored data.", float64(v.Format))
-	gauge("unfinished_jobs", "Accepted jobs that are not over.", float64(v.Jobs))
-	gauge("awaiting_jobs", "Unfinished jobs that wait for others to be done.", float64(v.Awaiting))
-	gauge("troubles", "Troubles that operators are told of.", float64(len(v.Conditions)))
-	for _, p := range v.Peers {
-		gauge("peer_up", "1 if another controller answers.", yes(p.Up), "peer", p.Name)
+	s.latencies(c.view.Latencies)
+}
+
+// label tells metrics of one name apart.
+type label struct{ name, value string }
+
+// sink is where metrics are sent.
+type sink chan<- prometheus.Metric
+
+func (s sink) gauge(name, help string, value float64, labels ...label) {
+	var names, values []string
+	for _, l := range labels {
+		names = append(names, l.name)
+		values = append(values, l.value)
 	}
-	for _, l := range v.Reach.Links {
-		gauge("link_usable", "1 if a link of this controller is up, slow or comes and goes; 0 if it is lost, refusing or was not tried of late.", yes(l.State == "up" || l.State == "slow" || l.State == "flapping"), "link", l.Link)
+	desc := prometheus.NewDesc(prefix+name, help, names, nil)
+	s <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, values...)
+}
+
+func (s sink) flag(name, help string, is bool, labels ...label) {
+	value := 0.0
+	if is {
+		value = 1
 	}
-	for name, row := range v.Reach.Matrix {
-		for zone, n := range row.Workers {
-			gauge("reach_eighths", "Eighths of a zone's machines that a controller says it reaches.", float64(n), "controller", name, "zone", zone)
-		}
+	s.gauge(name, help, value, labels...)
+}
+
+// controller sends what any controller knows of itself.
+func (s sink) controller(view *core.OperatorView) {
+	s.flag("leading", "1 if this controller leads.", view.Leading)
+	s.flag("synced", "1 if it has read the state service.", view.Synced)
+	s.gauge("token", "Token of the newest leadership it knows.", float64(view.FencingToken))
+	s.gauge("state_revision", "Revision of the state service it has seen.", float64(view.Revision))
+	s.gauge("state_silent_seconds", "Time since the state service last answered it.", view.StateAgeS)
+	s.flag("state_limits_fallen", "1 if the state service's limits to come are here.", view.LimitsLowered)
+	s.gauge("writes_left", "Changes that its budget has left at this moment.", view.WritesLeft)
+	s.gauge("reads_left", "Reads of the state service that its budget has left at this moment.", view.ReadsLeft)
+	s.gauge("format", "Version of stored data.", float64(view.Format))
+	s.gauge("unfinished_jobs", "Accepted jobs that are not over.", float64(view.Jobs))
+	s.gauge("awaiting_jobs", "Unfinished jobs that wait for others to be done.", float64(view.Awaiting))
+	s.gauge("troubles", "Troubles that operators are told of.", float64(len(view.Conditions)))
+}
+
+// connectivity sends which controllers, links and machines are reached.
+func (s sink) connectivity(view *core.OperatorView) {
+	for _, peer := range view.Peers {
+		s.flag("peer_up", "1 if another controller answers.", peer.Up, label{"peer", peer.Name})
 	}
-	if g := v.Reach.SteppedAside; g != nil {
-		gauge("gave_way_seconds", "Time since this controller left the leadership to one that serves more.", g.AgeS, "to", g.To)
+	for _, link := range view.Reach.Links {
+		usable := link.State == "up" || link.State == "slow" || link.State == "flapping"
+		s.flag("link_usable", "1 if a link of this controller is up, slow or comes and goes; 0 if it is lost, refusing or was not tried of late.", usable, label{"link", link.Link})
 	}
-	if v.Leading {
-		gauge("cloud_calls_left", "Calls that the budget for the cloud has left.", v.CallsLeft)
-		m := v.Machines
-		for _, s := range []struct {
-			state string
-			n     int
-		}{{"busy", m.Busy}, {"idle", m.Idle}, {"warming", m.Prefetching}, {"silent", m.Silent}, {"deaf", m.NotReceiving}, {"draining", m.Draining}, {"booting", m.Booting}} {
-			gauge("machines", "Machines by what they are doing, as the leader knows them.", float64(s.n), "state", s.state)
-		}
-		for i, q := range v.Queues {
-			gauge("queue_waiting_jobs", "Jobs that wait in a queue.", float64(q.Waiting), "queue", strconv.Itoa(i))
-			gauge("queue_waiting_tasks", "Tasks of jobs that wait in a queue.", float64(q.Tasks), "queue", strconv.Itoa(i))
-			gauge("queue_pivot_waits_seconds", "How long a queue's pivot has waited.", q.WaitsS, "queue", strconv.Itoa(i))
+	for controller, row := range view.Reach.Matrix {
+		for zone, eighths := range row.Workers {
+			s.gauge("reach_eighths", "Eighths of a zone's machines that a controller says it reaches.", float64(eighths), label{"controller", controller}, label{"zone", zone})
 		}
 	}
-	desc := prometheus.NewDesc("zinclb_request_seconds", "How long users' requests took in this process.", []string{"call"}, nil)
-	for _, l := range v.Latencies {
-		out <- prometheus.MustNewConstSummary(desc, uint64(l.Answers), l.Mean*float64(l.Answers)/1e3,
-			map[float64]float64{0.5: l.P50 / 1e3, 0.95: l.P95 / 1e3, 0.99: l.P99 / 1e3}, l.Call)
+	if last := view.Reach.SteppedAside; last != nil {
+		s.gauge("gave_way_seconds", "Time since this controller left the leadership to one that serves more.", last.AgeS, label{"to", last.To})
 	}
 }
 
-// Encode is the view in the text format.
-func Encode(v *core.OperatorView) ([]byte, error) {
-	r := prometheus.NewPedanticRegistry()
-	if err := r.Register(collector{v}); err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+func (s sink) machines(machines *core.MachinesView) {
+	count := func(state string, n int) {
+		s.gauge("machines", "Machines by what they are doing, as the leader knows them.", float64(n), label{"state", state})
 	}
-	families, err := r.Gather()
-	if err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+	count("busy", machines.Busy)
+	count("idle", machines.Idle)
+	count("warming", machines.Prefetching)
+	count("silent", machines.Silent)
+	count("deaf", machines.NotReceiving)
+	count("draining", machines.Draining)
+	count("booting", machines.Booting)
+}
+
+func (s sink) queues(queues []core.QueueView) {
+	for i, queue := range queues {
+		number := label{"queue", strconv.Itoa(i)}
+		s.gauge("queue_waiting_jobs", "Jobs that wait in a queue.", float64(queue.Waiting), number)
+		s.gauge("queue_waiting_tasks", "Tasks of jobs that wait in a queue.", float64(queue.Tasks), number)
+		s.gauge("queue_pivot_waits_seconds", "How long a queue's pivot has waited.", queue.WaitsS, number)
 	}
-	var b bytes.Buffer
-	for _, f := range families {
-		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
-			return nil, fmt.Errorf("metrics: %w", err)
+}
+
+// latencies sends a summary of each of the users' calls.
+func (s sink) latencies(calls []core.LatencyView) {
+	desc := prometheus.NewDesc(prefix+"request_seconds", "How long users' requests took in this process.", []string{"call"}, nil)
+	for _, call := range calls {
+		sum := call.Mean * float64(call.Answers) / millisPerSecond
+		quantiles := map[float64]float64{
+			0.5:  call.P50 / millisPerSecond,
+			0.95: call.P95 / millisPerSecond,
+			0.99: call.P99 / millisPerSecond,
 		}
+		s <- prometheus.MustNewConstSummary(desc, uint64(call.Answers), sum, quantiles, call.Call)
 	}
-	return b.Bytes(), nil
 }
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -77,7 +77,7 @@
 		},
 		"Reply orders": core.Reply{RequestID: 1, Status: 200, FencingToken: 3, Commands: []core.Command{{Kind: "start", Task: "job-01/0", Attempt: 1, Grace: 4}, {Kind: "stop", Task: "job-01/1", Attempt: 2, Grace: 5}}},
 		"Reply job":    core.Reply{RequestID: 2, Status: 200, Job: &core.JobState{ID: "job-01", State: "running", Done: 2, Running: 3}},
-		"Reply sweep":  core.Reply{RequestID: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Withdrawn: 4}},
+		"Reply sweep":  core.Reply{RequestID: 3, Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: "running", Runs: 3, Created: 2, Done: 1, Cancelled: 4}},
 		"Reply runs": core.Reply{RequestID: 4, Status: 200, Runs: &core.SweepPage{
 			Runs: []core.SweepRun{{Number: 1, ID: "job-01", State: "done", Values: json.RawMessage(`{"a":1}`), Sets: []int{2, 3}}, {Number: 2, ID: "job-02", State: "waiting"}}, Next: 5,
 		}},
--- a/internal/peer/internal/wire/reply.go
+++ b/internal/peer/internal/wire/reply.go
@@ -71,7 +71,7 @@
 		Runs:      in.Runs,
 		Created:   in.Created,
 		Done:      in.Done,
-		Withdrawn: in.Withdrawn,
+		Withdrawn: in.Cancelled,
 	}
 }
 
@@ -82,7 +82,7 @@
 		Runs:      in.Runs,
 		Created:   in.Created,
 		Done:      in.Done,
-		Withdrawn: in.Withdrawn,
+		Cancelled: in.Withdrawn,
 	}
 }
 
--- /dev/null
+++ b/internal/sweep/runid.go
@@ -0,0 +1,65 @@
+package sweep
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"hash"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/zeebo/blake3"
+)
+
+// Prefix begins the ids of all runs; no other job may have one that does.
+const Prefix = "sweep."
+
+// runHashBytes is how much of the hash of its values a run's id has.
+const runHashBytes = 12
+
+// The kinds of hashed fields, which tell equal bytes of different types apart.
+const (
+	hashedSweep = 's'
+	hashedName  = 'n'
+	hashedInt   = 'i'
+	hashedFloat = 'f'
+	hashedText  = 't'
+	hashedBool  = 'b'
+)
+
+// RunID is the id of the run of a sweep with a set of values. The order in which
+// parameters are declared does not matter.
+func RunID(sweep string, names []string, values []Value) string {
+	h := blake3.New()
+	hashField(h, hashedSweep, []byte(sweep))
+	order := make([]int, len(names))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortFunc(order, func(a, b int) int { return strings.Compare(names[a], names[b]) })
+	for _, i := range order {
+		hashField(h, hashedName, []byte(names[i]))
+		switch value := values[i].(type) {
+		case int64:
+			hashField(h, hashedInt, strconv.AppendInt(nil, value, 10))
+		case float64:
+			hashField(h, hashedFloat, binary.BigEndian.AppendUint64(nil, math.Float64bits(value)))
+		case string:
+			hashField(h, hashedText, []byte(value))
+		case bool:
+			hashField(h, hashedBool, strconv.AppendBool(nil, value))
+		}
+	}
+	return Prefix + sweep + "." + hex.EncodeToString(h.Sum(nil)[:runHashBytes])
+}
+
+// hashField hashes a field with its kind and length, so that no two lists of fields are
+// the same bytes.
+func hashField(h hash.Hash, kind byte, content []byte) {
+	var head [9]byte
+	head[0] = kind
+	binary.BigEndian.PutUint64(head[1:], uint64(len(content)))
+	h.Write(head[:])
+	h.Write(content)
+}
