--- /dev/null
+++ b/internal/core/readlease/log.go
@@ -0,0 +1,67 @@
+package readlease
+
+// cancellation is one that is known, with the revision at which it was stored, 0 if that is
+// not known.
+type cancellation struct {
+	id       string
+	revision uint64
+}
+
+// cancellationLog is what a controller knows to be cancelled, numbered in the order in which
+// it learned of it. Only the newest are kept.
+type cancellationLog struct {
+	entries     []cancellation
+	firstNumber uint64 // the number of the oldest entry
+	numberByID  map[string]uint64
+	// droppedRevision is the newest revision of the entries that are no longer kept;
+	// droppedUnknown: the revision of one of them was not known.
+	droppedRevision uint64
+	droppedUnknown  bool
+}
+
+func (l *cancellationLog) lastNumber() uint64 { return l.firstNumber + uint64(len(l.entries)) - 1 }
+
+func (l *cancellationLog) entry(number uint64) *cancellation { return &l.entries[number-l.firstNumber] }
+
+func (l *cancellationLog) record(id string, revision uint64) {
+	if number, ok := l.numberByID[id]; ok {
+		if entry := l.entry(number); entry.revision == 0 {
+			entry.revision = revision
+		}
+		return
+	}
+	l.entries = append(l.entries, cancellation{id, revision})
+	l.numberByID[id] = l.lastNumber()
+	if len(l.entries) > maxLogEntries {
+		l.dropOldest()
+	}
+}
+
+func (l *cancellationLog) dropOldest() {
+	oldest := l.entries[0]
+	l.entries[0] = cancellation{} // frees the text
+	l.entries = l.entries[1:]
+	l.firstNumber++
+	delete(l.numberByID, oldest.id)
+	l.droppedRevision = max(l.droppedRevision, oldest.revision)
+	l.droppedUnknown = l.droppedUnknown || oldest.revision == 0
+}
+
+// droppedUnknownTo reports whether an entry that is no longer kept may be unknown to a
+// controller that knows what is stored up to a revision.
+func (l *cancellationLog) droppedUnknownTo(appliedRevision uint64) bool {
+	return l.droppedUnknown || l.droppedRevision > appliedRevision
+}
+
+// knownTo reports whether a holder knows of a cancellation.
+func (l *cancellationLog) knownTo(h *holderState, id string) bool {
+	number, kept := l.numberByID[id]
+	if !kept {
+		return !l.droppedUnknown && l.droppedRevision != 0 && h.appliedRevision >= l.droppedRevision
+	}
+	if h.upTo >= number {
+		return true
+	}
+	revision := l.entry(number).revision
+	return revision != 0 && h.appliedRevision >= revision
+}
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -6,226 +6,235 @@
 	"testing"
 )
 
-const (
-	second = 1_000_000
-	hold   = 10 * second
-)
+const leaseDuration = 10 * second
 
-// meeting is a leader and another controller, which begins anew now and then.
-type meeting struct {
-	now  int64
-	boot int
-	w    *Grantor
-	l    *Holder
-	// synced: the witness has read what is stored.
-	synced  bool
-	applied uint64
-	knows   map[string]bool
+// pair is a leader l and another controller x, which restarts now and then.
+type pair struct {
+	now         int64
+	incarnation int
+	grantor     *Grantor
+	holder      *Holder
+	// mirrored: the grantor has read what is stored.
+	mirrored bool
+	// appliedRevision is up to where the leader knows what is stored.
+	appliedRevision uint64
+	known           map[string]bool // the cancellations that the leader knows
 }
 
-func newMeeting() *meeting {
-	m := &meeting{now: second, synced: true, knows: map[string]bool{}, l: NewHolder([]string{"x"}, hold)}
-	m.begin()
-	return m
+func newPair() *pair {
+	p := &pair{now: second, mirrored: true, known: map[string]bool{}, holder: NewHolder([]string{"x"}, leaseDuration)}
+	p.restartGrantor()
+	return p
 }
 
-func (m *meeting) begin() {
-	m.boot++
-	m.w = NewGrantor(fmt.Sprint("x", m.boot), []string{"l"}, hold, m.now)
+func (p *pair) restartGrantor() {
+	p.incarnation++
+	p.grantor = NewGrantor(fmt.Sprint("x", p.incarnation), []string{"l"}, leaseDuration, p.now)
 }
 
-func (m *meeting) ask() (int64, CancellationPage) {
-	return m.now, m.w.Grant("l", m.l.NextRequest("x", m.applied, m.now), m.synced, m.now)
+// request has the leader send a request, and returns when, and the answer.
+func (p *pair) request() (sentAt int64, page CancellationPage) {
+	request := p.holder.NextRequest("x", p.appliedRevision, p.now)
+	return p.now, p.grantor.Grant("l", request, p.mirrored, p.now)
 }
 
-func (m *meeting) take(sent int64, p CancellationPage) {
-	for _, id := range p.Cancelled {
-		m.knows[id] = true
+// receive has the answer arrive.
+func (p *pair) receive(sentAt int64, page CancellationPage) {
+	for _, id := range page.Cancelled {
+		p.known[id] = true
 	}
-	m.l.HandleGrant("x", sent, m.now, p)
+	p.holder.HandleGrant("x", sentAt, p.now, page)
 }
 
-// round asks and takes pages until there are no more.
-func (m *meeting) round() {
+// exchange requests pages until there are no more.
+func (p *pair) exchange() {
 	for more := true; more; {
-		sent, p := m.ask()
-		m.now += 1000
-		m.take(sent, p)
-		more = p.More
+		sentAt, page := p.request()
+		p.now += 1000
+		p.receive(sentAt, page)
+		more = page.More
 	}
 }
 
-func (m *meeting) fill(n int) {
-	for i := range n {
-		m.w.RecordCancellation(fmt.Sprint("j", i), 0)
+// cancel has so many jobs cancelled, which are not stored yet.
+func (p *pair) cancel(jobs int) {
+	for i := range jobs {
+		p.grantor.RecordCancellation(fmt.Sprint("j", i), 0)
 	}
 }
 
-// TestWords: what a controller's word is worth to a leader, and from when on.
-func TestWords(t *testing.T) {
+// TestHolder: up to when a grantor has confirmed that the leader knows its cancellations.
+func TestHolder(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(m *meeting)
-		// since is the time that is vouched for, knows how many cancellations
-		// the leader knows then.
-		since int64
-		knows int
+		do   func(p *pair)
+		// grantedAt is the time that is confirmed, known how many cancellations the
+		// leader knows then.
+		grantedAt int64
+		known     int
 	}{
-		{"nobody was asked", func(*meeting) {}, 0, 0},
-		{"by the question, not the answer", func(m *meeting) {
-			sent, p := m.ask()
-			m.now += second
-			m.take(sent, p)
+		{"none requested", func(*pair) {}, 0, 0},
+		{"counts from the request, not the answer", func(p *pair) {
+			sentAt, page := p.request()
+			p.now += second
+			p.receive(sentAt, page)
 		}, second, 0},
-		{"an answer that comes too late", func(m *meeting) {
-			sent, p := m.ask()
-			m.now += 2 * second
-			m.take(sent, p)
+		{"answer too late", func(p *pair) {
+			sentAt, page := p.request()
+			p.now += 2 * second
+			p.receive(sentAt, page)
 		}, 0, 0},
-		{"with all pages", func(m *meeting) { m.fill(1200); m.round() }, second + 2000, 1200},
-		{"without the last page", func(m *meeting) {
-			m.fill(1200)
+		{"all pages", func(p *pair) { p.cancel(1200); p.exchange() }, second + 2000, 1200},
+		{"last page outstanding", func(p *pair) {
+			p.cancel(1200)
 			for range 2 {
-				sent, p := m.ask()
-				m.take(sent, p)
+				sentAt, page := p.request()
+				p.receive(sentAt, page)
 			}
 		}, 0, 1000},
-		{"a page is missing", func(m *meeting) {
-			m.fill(1200)
-			m.l.grants["x"].upTo = 700 // as if it had gone by another's pages
-			m.l.grants["x"].incarnation = "x1"
-			sent, p := m.ask()
-			m.l.grants["x"].upTo = 500
-			m.take(sent, p)
+		{"page missing", func(p *pair) {
+			p.cancel(1200)
+			p.holder.grants["x"].upTo = 700 // as if it had received other pages
+			p.holder.grants["x"].incarnation = "x1"
+			sentAt, page := p.request()
+			p.holder.grants["x"].upTo = 500
+			p.receive(sentAt, page)
 		}, 0, 500},
-		{"one that has read nothing", func(m *meeting) { m.synced = false; m.round() }, 0, 0},
-		{"one that has begun anew, at once", func(m *meeting) {
-			m.round()
-			m.now, m.synced = 8*second, false
-			m.begin()
-			m.round()
+		{"grantor without the stored state", func(p *pair) { p.mirrored = false; p.exchange() }, 0, 0},
+		{"grantor restarted, earlier lease valid", func(p *pair) {
+			p.exchange()
+			p.now, p.mirrored = 8*second, false
+			p.restartGrantor()
+			p.exchange()
 		}, 8 * second, 0},
-		{"one that has begun anew, after its word ran out", func(m *meeting) {
-			m.round()
-			m.now, m.synced = 12*second, false
-			m.begin()
-			m.round()
+		{"grantor restarted, earlier lease expired", func(p *pair) {
+			p.exchange()
+			p.now, p.mirrored = 12*second, false
+			p.restartGrantor()
+			p.exchange()
 		}, second, 0},
-		{"that one when it has read", func(m *meeting) {
-			m.round()
-			m.now = 12 * second
-			m.begin()
-			m.fill(3)
-			m.round()
+		{"grantor restarted, earlier lease expired, stored state read", func(p *pair) {
+			p.exchange()
+			p.now = 12 * second
+			p.restartGrantor()
+			p.cancel(3)
+			p.exchange()
 		}, 12 * second, 3},
-		{"what is stored and known is not told", func(m *meeting) {
-			m.applied = 7
-			m.w.RecordCancellation("a", 7)
-			m.w.RecordCancellation("b", 8)
-			m.w.RecordCancellation("c", 0)
-			m.round()
+		{"stored cancellations that the leader has read are not sent", func(p *pair) {
+			p.appliedRevision = 7
+			p.grantor.RecordCancellation("a", 7)
+			p.grantor.RecordCancellation("b", 8)
+			p.grantor.RecordCancellation("c", 0)
+			p.exchange()
 		}, second, 2},
-		{"more than is kept", func(m *meeting) { m.fill(maxLogEntries + 1); m.round() }, 0, 0},
-		{"more than is kept, of which it knows the rest", func(m *meeting) {
-			m.applied = 5
-			m.w.RecordCancellation("old", 5)
-			m.fill(maxLogEntries)
-			m.round()
+		{"more than are kept", func(p *pair) { p.cancel(maxLogEntries + 1); p.exchange() }, 0, 0},
+		{"more than are kept, the others stored and read", func(p *pair) {
+			p.appliedRevision = 5
+			p.grantor.RecordCancellation("old", 5)
+			p.cancel(maxLogEntries)
+			p.exchange()
 		}, second + (maxLogEntries/maxPageEntries-1)*1000, maxLogEntries},
-		{"an older program", func(m *meeting) { m.take(m.now, CancellationPage{Complete: true}) }, 0, 0},
-		{"the answer of an earlier start, late", func(m *meeting) {
-			sent, p := m.ask()
-			m.l.SetIncarnation("x", "x2")
-			m.take(sent, p)
+		{"grantor without read leases", func(p *pair) { p.receive(p.now, CancellationPage{Complete: true}) }, 0, 0},
+		{"late answer of an earlier incarnation", func(p *pair) {
+			sentAt, page := p.request()
+			p.holder.SetIncarnation("x", "x2")
+			p.receive(sentAt, page)
 		}, 0, 0},
-		{"after it was said not to hold", func(m *meeting) {
-			m.round()
-			m.now += 11 * second
-			m.l.Ack("x", 0, m.now)
-			m.synced = false
-			m.round()
+		{"acknowledged as not held", func(p *pair) {
+			p.exchange()
+			p.now += 11 * second
+			p.holder.Ack("x", 0, p.now)
+			p.mirrored = false
+			p.exchange()
 		}, 0, 0},
-		{"after it was said to hold, as the answer was on its way", func(m *meeting) {
-			sent, p := m.ask()
-			if a := m.l.Ack("x", 0, m.now); !a.Holds {
+		{"acknowledged as held while the answer is on its way", func(p *pair) {
+			sentAt, page := p.request()
+			if a := p.holder.Ack("x", 0, p.now); !a.Holds {
 				return
 			}
-			m.take(sent, p)
-			m.now += 3 * second
-			if a := m.l.Ack("x", 0, m.now); !a.Holds {
-				m.l.grants["x"].grantedAt = 0
+			p.receive(sentAt, page)
+			p.now += 3 * second
+			if a := p.holder.Ack("x", 0, p.now); !a.Holds {
+				p.holder.grants["x"].grantedAt = 0
 			}
 		}, second, 0},
-		{"asked long ago, without an answer", func(m *meeting) {
-			m.ask()
-			m.now += 2 * second
-			if m.l.Ack("x", 0, m.now).Holds {
-				m.l.grants["x"].grantedAt = -1
+		{"request without an answer, long ago", func(p *pair) {
+			p.request()
+			p.now += 2 * second
+			if p.holder.Ack("x", 0, p.now).Holds {
+				p.holder.grants["x"].grantedAt = -1
 			}
 		}, 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			m := newMeeting()
-			tc.do(m)
-			if got := m.l.OldestGrant(); got != tc.since {
-				t.Errorf("vouched for up to %d, want %d", got, tc.since)
+			p := newPair()
+			tc.do(p)
+			if got := p.holder.OldestGrant(); got != tc.grantedAt {
+				t.Errorf("confirmed up to %d, want %d", got, tc.grantedAt)
 			}
-			if len(m.knows) != tc.knows {
-				t.Errorf("knows %d, want %d", len(m.knows), tc.knows)
+			if len(p.known) != tc.known {
+				t.Errorf("knows %d, want %d", len(p.known), tc.known)
 			}
 		})
 	}
 }
 
-// TestWitness: when users may be told of a cancellation, and whom to tell first.
-func TestWitness(t *testing.T) {
+// TestGrantor: when users may be told of a cancellation, and whom to inform first.
+func TestGrantor(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(m *meeting)
-		may  bool
+		do   func(p *pair)
+		// mayConfirm: nobody has to be informed first.
+		mayConfirm bool
 	}{
-		{"just begun", func(*meeting) {}, false},
-		{"just begun, and nobody lives on an earlier word", func(m *meeting) { m.w.HandleAck("l", m.now, &HolderAck{}) }, true},
-		{"just begun beside an older program", func(m *meeting) { m.w.HandleAck("l", m.now, nil) }, true},
-		{"begun long ago", func(m *meeting) { m.now += hold + second }, true},
-		{"asked", func(m *meeting) { m.w.HandleAck("l", m.now, &HolderAck{}); m.ask() }, false},
-		{"asked after who asks said that it holds nothing", func(m *meeting) {
-			m.ask()
-			m.w.HandleAck("l", m.now-1, &HolderAck{})
+		{"grantor just started", func(*pair) {}, false},
+		{"grantor just started, earlier lease disclaimed", func(p *pair) { p.grantor.HandleAck("l", p.now, &HolderAck{}) }, true},
+		{"grantor just started, holder without read leases", func(p *pair) { p.grantor.HandleAck("l", p.now, nil) }, true},
+		{"grantor started long ago", func(p *pair) { p.now += leaseDuration + second }, true},
+		{"granted", func(p *pair) { p.grantor.HandleAck("l", p.now, &HolderAck{}); p.request() }, false},
+		{"granted after the disclaimer was sent", func(p *pair) {
+			p.request()
+			p.grantor.HandleAck("l", p.now-1, &HolderAck{})
+		}, false},
+		{"granted, holder knows the number", func(p *pair) {
+			p.request()
+			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, Incarnation: "x1", UpTo: 1})
+		}, true},
+		{"granted, holder knows the number of an earlier incarnation", func(p *pair) {
+			p.request()
+			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, Incarnation: "x0", UpTo: 1})
 		}, false},
-		{"asked, and the leader has the number", func(m *meeting) {
-			m.ask()
-			m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Incarnation: "x1", UpTo: 1})
+		{"granted, holder has read it", func(p *pair) {
+			p.request()
+			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, AppliedRevision: 9})
 		}, true},
-		{"asked, and the leader has the number of an earlier start", func(m *meeting) {
-			m.ask()
-			m.w.HandleAck("l", m.now, &HolderAck{Holds: true, Incarnation: "x0", UpTo: 1})
+		{"granted, holder has read less", func(p *pair) {
+			p.request()
+			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, AppliedRevision: 8})
 		}, false},
-		{"asked, and the leader has read it", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, AppliedRevision: 9}) }, true},
-		{"asked, and the leader has read less", func(m *meeting) { m.ask(); m.w.HandleAck("l", m.now, &HolderAck{Holds: true, AppliedRevision: 8}) }, false},
-		{"asked long ago", func(m *meeting) { m.ask(); m.now += hold + second }, true},
-		{"told", func(m *meeting) {
-			m.round()
-			m.w.RecordCancellation("next", 0)
-			p := m.w.PageFor("l")
-			if !m.l.ApplyPage("x", p) || !slices.Contains(p.Cancelled, "next") {
-				m.boot = -1
+		{"granted long ago", func(p *pair) { p.request(); p.now += leaseDuration + second }, true},
+		{"informed", func(p *pair) {
+			p.exchange()
+			p.grantor.RecordCancellation("next", 0)
+			page := p.grantor.PageFor("l")
+			if !p.holder.ApplyPage("x", page) || !slices.Contains(page.Cancelled, "next") {
+				p.incarnation = -1
 			}
-			a := m.l.Ack("x", 0, m.now)
-			m.w.HandleAck("l", m.now, &a)
+			a := p.holder.Ack("x", 0, p.now)
+			p.grantor.HandleAck("l", p.now, &a)
 		}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			m := newMeeting()
-			m.w.RecordCancellation("a", 9)
-			tc.do(m)
-			if got := len(m.w.Uninformed([]string{"a"}, m.now)) == 0; got != tc.may || m.boot < 0 {
-				t.Errorf("may tell: %v, want %v", got, tc.may)
+			p := newPair()
+			p.grantor.RecordCancellation("a", 9)
+			tc.do(p)
+			if got := len(p.grantor.Uninformed([]string{"a"}, p.now)) == 0; got != tc.mayConfirm || p.incarnation < 0 {
+				t.Errorf("may confirm: %v, want %v", got, tc.mayConfirm)
 			}
-			if got := m.w.Uninformed([]string{"a", "a"}, m.now); (len(got) == 0) != tc.may {
-				t.Errorf("lacking: %v", got)
+			if got := p.grantor.Uninformed([]string{"a", "a"}, p.now); (len(got) == 0) != tc.mayConfirm {
+				t.Errorf("uninformed: %v", got)
 			}
 		})
 	}
