--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -13,8 +13,8 @@
 func TestListings(t *testing.T) {
 	const lag = 8 * second // twice the nominal one
 	type read struct {
-		at, shows int64 // seconds: when it came, and the moment that it describes
-		names     string
+		at, describes int64 // seconds: when it came, and the moment that it describes
+		names         string
 	}
 	cases := []struct {
 		name  string
@@ -25,17 +25,17 @@
 		{"gone from a list that is later for certain", []read{{20, 16, "abc"}, {40, 36, "ac"}}, "b"},
 		{"the list may be as old as the one that had it", []read{{20, 18, "abc"}, {28, 24, "ac"}}, ""},
 		{"it is older", []read{{20, 12, "ac"}, {24, 23, "abc"}, {30, 22, "ac"}}, ""},
-		{"ages have told how late lists are", []read{{20, 12, "abc"}, {24, 23, "abc"}, {28, 26, "ac"}}, "b"},
+		{"ages show how late lists are", []read{{20, 12, "abc"}, {24, 23, "abc"}, {28, 26, "ac"}}, "b"},
 		{"at the end of the list", []read{{20, 16, "abc"}, {40, 36, "ab"}}, "c"},
-		{"a machine beside it that is new tells nothing by its age", []read{{20, 19, "ab"}, {24, 23, "ac"}}, ""},
-		{"an empty list tells nothing", []read{{20, 16, "a"}, {40, 36, ""}}, ""},
+		{"the age of a new machine beside it proves nothing", []read{{20, 19, "ab"}, {24, 23, "ac"}}, ""},
+		{"an empty list proves nothing", []read{{20, 16, "a"}, {40, 36, ""}}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			var l cloudListings
+			var listings cloudListings
 			got := ""
 			for _, r := range tc.reads {
-				got += strings.Join(l.read(r.at*second-lag, r.at*second, shown(r.names, r.shows*second)), "")
+				got += strings.Join(listings.read(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
 			}
 			if got != tc.want {
 				t.Errorf("gone %q, want %q", got, tc.want)
@@ -44,8 +44,8 @@
 	}
 }
 
-// shown is the list of a moment; machines were rented one after the other.
-func shown(names string, at int64) (list []CloudMachine) {
+// listedAt is the list of a moment; machines were rented one after the other.
+func listedAt(names string, at int64) (list []CloudMachine) {
 	for i, n := range strings.Split(names, "") {
 		list = append(list, CloudMachine{Name: n, Age: at - int64(i)*second})
 	}
@@ -53,23 +53,23 @@
 }
 
 // TestListingsNeverWrong plays random fleets, lists and pages that lag as they
-// may: nothing that is there is ever taken for gone, and what is gone is found.
+// may: no machine that is there is ever taken for gone, and those that are gone are found.
 func TestListingsNeverWrong(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	found, missed := 0, 0
 	for range 40 {
-		type life struct{ made, listed, gone int64 }
-		lives := map[string]life{}
-		var l cloudListings
-		told := map[string]bool{}
-		for now := int64(20 * second); now < 400*second; now += 5*second + rng.Int64N(10*second) {
+		type lifetime struct{ made, listed, gone int64 }
+		lifetimes := map[string]lifetime{}
+		var listings cloudListings
+		proven := map[string]bool{}
+		for now := 20 * second; now < 400*second; now += 5*second + rng.Int64N(10*second) {
 			for range rng.IntN(6) {
 				made := now - rng.Int64N(5*second)
-				lives[fmt.Sprintf("m%05d", len(lives))] = life{made, made + rng.Int64N(2*second), now + rng.Int64N(200*second)}
+				lifetimes[fmt.Sprintf("m%05d", len(lifetimes))] = lifetime{made, made + rng.Int64N(2*second), now + rng.Int64N(200*second)}
 			}
 			var list []CloudMachine
-			names := make([]string, 0, len(lives))
-			for n := range lives {
+			names := make([]string, 0, len(lifetimes))
+			for n := range lifetimes {
 				names = append(names, n)
 			}
 			slices.Sort(names)
@@ -78,20 +78,20 @@
 				if i%7 == 0 { // a page
 					moment = now - rng.Int64N(8*second)
 				}
-				if x := lives[n]; x.listed <= moment && moment < x.gone {
+				if x := lifetimes[n]; x.listed <= moment && moment < x.gone {
 					list = append(list, CloudMachine{Name: n, Age: moment - x.made})
 				}
 			}
-			for _, n := range l.read(now-8*second, now, list) {
-				told[n] = true
-				if lives[n].gone > now {
-					t.Fatalf("%s is taken for gone %d ms before it is", n, (lives[n].gone-now)/1000)
+			for _, n := range listings.read(now-8*second, now, list) {
+				proven[n] = true
+				if lifetimes[n].gone > now {
+					t.Fatalf("%s is taken for gone %d ms before it is", n, (lifetimes[n].gone-now)/1000)
 				}
 			}
 		}
-		for n, x := range lives {
+		for n, x := range lifetimes {
 			if x.gone < 340*second && x.gone-x.made > 40*second {
-				if told[n] {
+				if proven[n] {
 					found++
 				} else {
 					missed++
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -7,22 +7,22 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
-// TestReturnsFenced: machines are returned and rented only while nobody else can
+// TestScaleInFenced: machines are returned and rented only while nobody else can
 // lead, and the call carries until when. One that was decided and waited, as for
 // the budget, used to go out whatever had become of the leadership since.
-func TestReturnsFenced(t *testing.T) {
+func TestScaleInFenced(t *testing.T) {
 	b := newBetween(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
 	b.mute = true
 	b.run(ttl + second)
 	if b.c.elector.mayStartTasks() {
-		t.Fatal("sure without a proof")
+		t.Fatal("it may act although nothing proves that it still leads")
 	}
 	b.c.scaler.queueScaleIn("m")
 	b.out = nil
 	b.run(3 * second)
 	if r := find[ScaleIn](b); len(r) != 0 {
-		t.Errorf("returned by one that may be replaced: %+v", r)
+		t.Errorf("returned by a leader that may have been replaced: %+v", r)
 	}
 	b.c.workers.getOrAddMachine("came up").LastHeartbeat = b.now
 	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
@@ -34,23 +34,23 @@
 	}
 }
 
-// TestCloudByPeer: who makes a leader's calls of the cloud, and what a peer
-// makes of them.
-func TestCloudByPeer(t *testing.T) {
-	silent, refused := errors.New("no answer"), refusal{}
+// TestCloudViaPeer: who makes a leader's calls of the cloud, and which of them a peer
+// makes for it.
+func TestCloudViaPeer(t *testing.T) {
+	noAnswer, refused := errors.New("no answer"), refusal{}
 	cases := []struct {
 		name string
 		err  error                        // of the leader's own calls
-		say  []connectivity.Advertisement // of n1 and n2
+		ads  []connectivity.Advertisement // of n1 and n2
 		fail string                       // a peer that could not either
 		want string
 	}{
 		{"the cloud answers", nil, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
-		{"it is silent, and n2 has an answer", silent, []connectivity.Advertisement{{}, {Cloud: true}}, "", "n2"},
-		{"nobody has asked it", silent, []connectivity.Advertisement{{}, {}}, "", "n1"},
-		{"n1 could not either", silent, []connectivity.Advertisement{{}, {}}, "n1", "n2"},
-		{"it refuses, which it would all", refused, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
-		{"no peer answers", silent, nil, "", ""},
+		{"it does not answer, but answers n2", noAnswer, []connectivity.Advertisement{{}, {Cloud: true}}, "", "n2"},
+		{"no peer has an answer", noAnswer, []connectivity.Advertisement{{}, {}}, "", "n1"},
+		{"n1 could not either", noAnswer, []connectivity.Advertisement{{}, {}}, "n1", "n2"},
+		{"it refuses, as it would refuse every controller", refused, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
+		{"no peer answers", noAnswer, nil, "", ""},
 	}
 	for _, tc := range cases {
 		b := newBetween(t, "n0")
@@ -59,13 +59,13 @@
 		for range 3 {
 			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.fencingToken})
 		}
-		for i, v := range tc.say {
+		for i, v := range tc.ads {
 			b.peer([]string{"n1", "n2"}[i], v)
 			b.stored([]string{"n1", "n2"}[i], v)
 		}
 		b.run(250_000)
 		if tc.fail != "" {
-			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: silent})
+			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
 		}
 		if got := b.c.cloud.cloudPeer(); got != tc.want {
 			t.Errorf("%s: by %q, not %q", tc.name, got, tc.want)
@@ -81,7 +81,7 @@
 			t.Errorf("%s: %+v, %+v", tc.name, by, direct)
 		}
 	}
-	// The peer's side: not for one that was replaced.
+	// The peer's side: no calls for a leader that was replaced.
 	b := newBetween(t, "n1")
 	for token, want := range map[uint64]int{4: 0, 5: 1, 6: 1} {
 		b.out = nil
--- a/internal/core/plan_test.go
+++ b/internal/core/planner_test.go
@@ -9,7 +9,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestClassification is equation (1) with our cutoffs, and who gets a trial.
+// TestClassification: the queue of a job by equation (1) with our cutoffs, and which jobs
+// have a trial.
 func TestClassification(t *testing.T) {
 	cases := []struct {
 		kind     jobstate.Kind
@@ -57,21 +58,21 @@
 	}
 }
 
-// TestTrials: a trial is stopped, with time to save, when it is over and
-// somebody waits for its machine, and not otherwise.
+// TestTrials: a trial is stopped, with time for a checkpoint, when it is over and
+// a job waits for its machine, and not otherwise.
 func TestTrials(t *testing.T) {
 	cases := []struct {
 		name    string
 		after   int64
 		waiting bool
-		early   bool // the one that waits came first
+		early   bool // the job that waits came first
 		stop    jobstate.StopReason
 	}{
 		{"not over", 100 * second, true, true, ""},
-		{"over, nobody waits", 200 * second, false, false, ""},
-		{"over, somebody waits", 200 * second, true, true, jobstate.StopTrial},
+		{"over, no job waits", 200 * second, false, false, ""},
+		{"over, a job waits", 200 * second, true, true, jobstate.StopTrial},
 		// Requeued it would go before the other, and start again at once.
-		{"over, somebody waits who came later", 200 * second, true, false, ""},
+		{"over, a job waits that came later", 200 * second, true, false, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -102,9 +103,9 @@
 	}
 }
 
-// TestYoungStarts: a start that somebody counts is not stopped early if anything
-// else can be; others may be.
-func TestYoungStarts(t *testing.T) {
+// TestLostWorkOfYoungStarts: a start for which there is an objective is not preempted early
+// if anything else can be; others may be.
+func TestLostWorkOfYoungStarts(t *testing.T) {
 	objectives := []config.Objective{{Kind: "wait", Class: "starts"}, {Kind: "deadline", Class: "ends"}, {Kind: "guarantee"}}
 	cases := []struct {
 		name       string
@@ -114,11 +115,11 @@
 		ran        int64
 		spared     bool
 	}{
-		{"an aim on its class's starts", "starts", objectives, false, 10 * second, true},
-		{"but not for ever", "starts", objectives, false, 31 * second, false},
-		{"an aim on its ends only", "ends", objectives, false, 10 * second, false},
+		{"an objective for its class's starts", "starts", objectives, false, 10 * second, true},
+		{"but not for long", "starts", objectives, false, 31 * second, false},
+		{"an objective for its ends only", "ends", objectives, false, 10 * second, false},
 		{"within its team's guarantee", "ends", objectives, true, 10 * second, true},
-		{"operators who say nothing", "ends", nil, false, 10 * second, true},
+		{"no objectives at all", "ends", nil, false, 10 * second, true},
 	}
 	for _, tc := range cases {
 		r := newRig(t)
@@ -129,14 +130,14 @@
 		r.c.now = r.now + tc.ran
 		got := r.c.planner.plannedRun(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
 		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
-			t.Errorf("%s: stopping it after %d s costs %d s", tc.name, tc.ran/second, got.LostWork/second)
+			t.Errorf("%s: preempting it after %d s costs %d s", tc.name, tc.ran/second, got.LostWork/second)
 		}
 	}
 }
 
-// TestLostWithGang: what stopping a task costs counts its whole gang, as all of
+// TestLostWorkOfGangs: preempting a task costs the work of its whole gang, as all of
 // it stops.
-func TestLostWithGang(t *testing.T) {
+func TestLostWorkOfGangs(t *testing.T) {
 	for _, tc := range []struct {
 		kind jobstate.Kind
 		n    int64
@@ -152,8 +153,8 @@
 	}
 }
 
-// TestRoomBy: room is made early enough for the image to be fetched.
-func TestRoomBy(t *testing.T) {
+// TestStartBy: machines are freed early enough for the image to be fetched.
+func TestStartBy(t *testing.T) {
 	r := newRig(t)
 	r.c.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
 	r.c.cache.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
@@ -170,9 +171,9 @@
 	}
 }
 
-// TestTurn: a job with a deadline has its turn by its latest start and by how
+// TestQueueOrder: a job with a deadline is ordered by its latest start and by how
 // long it would hold up the others; one without by when it came.
-func TestTurn(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	r := newRig(t)
 	r.c.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
@@ -180,7 +181,7 @@
 		tasks, done    int
 		need           jobstate.Resources
 		deadline, want int64 // in seconds
-		awaits         []string
+		dependencies   []string
 	}{
 		{"no deadline", 100, 0, jobstate.Resources{CPU: 1000}, 0, 10, nil},
 		{"a small one", 1, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50/100, nil},
@@ -188,11 +189,11 @@
 		{"half of it done", 100, 50, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*25, nil},
 		{"by GPUs where it needs any", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 200, 10 + 200 - 50 + 10*5, nil},
 		{"a deadline that is lost", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 20, 10 + 10*5, nil},
-		// A stage that stood back missed the deadline of its whole pipeline.
+		// A stage that lets others go first misses the deadline of its whole pipeline.
 		{"a stage of a pipeline", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50, []string{"a"}},
 	}
 	for _, tc := range cases {
-		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Kind: jobstate.Array, Tasks: tc.tasks, Need: tc.need, Estimate: 50 * second, Dependencies: tc.awaits})
+		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Kind: jobstate.Array, Tasks: tc.tasks, Need: tc.need, Estimate: 50 * second, Dependencies: tc.dependencies})
 		j.SubmittedAt, j.ReadyAt = 10*second, 10*second
 		if tc.deadline > 0 {
 			j.EffectiveDeadline = j.SubmittedAt + tc.deadline*second
@@ -263,7 +264,7 @@
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is stopped in order, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is preempted, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
 		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
 			r.c.tasks.taskDone(j, 0)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -8,19 +8,19 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestCarriers: the tasks of a finished gang that sets one_zone carry their
+// TestPrefetchSources: the tasks of a finished gang that sets one_zone carry their
 // image in one zone at a time, as its rule holds for them as for any start.
-func TestCarriers(t *testing.T) {
+func TestPrefetchSources(t *testing.T) {
 	cases := []struct {
 		name    string
 		kind    jobstate.Kind
 		oneZone bool
 		spread  bool
-		want    string // for each of the zones in turn, with none coming back
+		want    string // for each of the zones in turn, with none ending
 	}{
 		{"a gang of one zone", jobstate.Gang, true, false, "a:true b:false a:true b:false "},
 		{"an array", jobstate.Array, false, false, "a:true b:true a:true b:true "},
-		{"one that is to be scattered carries nothing", jobstate.Array, false, true, ""},
+		{"a job that is to be spread carries nothing", jobstate.Array, false, true, ""},
 		{"nor does a service", jobstate.Service, false, false, ""},
 	}
 	for _, tc := range cases {
@@ -49,17 +49,17 @@
 			}
 			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				if !s.mayRunIn("b") {
-					t.Error("all are back, and may go anywhere")
+					t.Error("all have ended, and may go anywhere")
 				}
 			}
 		})
 	}
 }
 
-// TestHints: what one leader leaves to the next fits the state service's
-// values at any size, and a finished job is one carrier even if two values
-// tell of it, as two would start a task on two machines.
-func TestHints(t *testing.T) {
+// TestImageHints: what one leader leaves to the next fits the state service's
+// values at any size, and a finished job is one source even if two values
+// name it, as two would start a task on two machines.
+func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			r := newRig(t)
@@ -79,17 +79,17 @@
 				r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
 			}
 			images := r.c.prefetcher.mostWantedImages()
-			of := 1 + machines*machineBytes/6000
+			parts := 1 + machines*machineBytes/6000
 			next := newRig(t)
-			for part := range of {
-				v := r.c.prefetcher.encodeImageHints(images, part, of)
+			for part := range parts {
+				v := r.c.prefetcher.encodeImageHints(images, part, parts)
 				if len(v) > 8000 {
 					t.Fatalf("value of %d bytes", len(v))
 				}
 				next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
 			}
 			// A value that an earlier leader left beyond the last.
-			next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", of)] = next.c.cache.imageHints[hintsKey+"/0"]
+			next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", parts)] = next.c.cache.imageHints[hintsKey+"/0"]
 			next.c.prefetcher.loadImageHints()
 			next.c.prefetcher.loadImageHints()
 			for i := range machines {
@@ -108,12 +108,12 @@
 	}
 }
 
-// TestWarmByType: each type of machine has its own half that stays idle. The
-// many small machines had the turns of the few with GPUs before.
-func TestWarmByType(t *testing.T) {
+// TestPrefetchByType: each type of machine has its own half that stays idle. The
+// many small machines took the turns of the few with GPUs before.
+func TestPrefetchByType(t *testing.T) {
 	cases := []struct {
 		small, large int
-		want         string // warming of each type
+		want         string // prefetches of each type
 	}{
 		{20, 4, "10 2"},
 		{2, 4, "1 2"},
@@ -152,7 +152,7 @@
 			}
 		}
 		if got := fmt.Sprint(n["c"], n["g"]); got != tc.want {
-			t.Errorf("%d and %d idle: %s are warmed, want %s", tc.small, tc.large, got, tc.want)
+			t.Errorf("%d and %d idle: %s fetch, want %s", tc.small, tc.large, got, tc.want)
 		}
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -29,8 +29,8 @@
 	wait    map[uint64]*worker
 	req     uint64
 	jobs    int
-	late    []any
-	// stored are the keys of the state service, for a leader that takes over.
+	late    []any // messages of the next tick
+	// stored are the keys of the state service, for the next leader.
 	stored map[string]Change
 	// started counts tasks that came to run, writes the changes stored.
 	started, done, writes int
@@ -91,7 +91,7 @@
 				delete(w.wait, e.RequestID)
 				h.busy = false
 				if e.Status == 200 {
-					w.obey(h, e)
+					w.execute(h, e)
 				}
 			}
 		case GrantLease:
@@ -145,8 +145,8 @@
 	}
 }
 
-// obey carries out the orders of an answer.
-func (w *workerFleet) obey(h *worker, r Reply) {
+// execute carries out the commands of a response.
+func (w *workerFleet) execute(h *worker, r Reply) {
 	if r.FencingToken > h.token {
 		h.token, h.changed = r.FencingToken, true
 	}
@@ -250,7 +250,8 @@
 
 // running counts the tasks that run on machines that are there, and fails for
 // one that is on two.
-func (w *workerFleet) running(t testing.TB) int {
+func (w *workerFleet) running(tb testing.TB) int {
+	tb.Helper()
 	on := map[string]string{}
 	for _, h := range w.workers {
 		for name, task := range h.tasks {
@@ -258,7 +259,7 @@
 				continue
 			}
 			if o := on[name]; o != "" {
-				t.Fatalf("%s is on %s and %s", name, o, h.name)
+				tb.Fatalf("%s is on %s and %s", name, o, h.name)
 			}
 			on[name] = h.name
 		}
@@ -293,7 +294,7 @@
 		}
 	}
 	if n := w.running(t); n != jobs*each || known != machines {
-		t.Fatalf("after the take-over %d tasks run, want %d, and %d machines are known", n, jobs*each, known)
+		t.Fatalf("after the failover %d tasks run, want %d, and %d machines are known", n, jobs*each, known)
 	}
 	for i, h := range w.workers {
 		h.dead = i%3 == 0
@@ -305,33 +306,33 @@
 	var mem runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&mem)
-	t.Logf("heap with the stand-ins %d MB, parked %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
+	t.Logf("heap with the workers %d MB, held replies %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
 	if mem.HeapAlloc > 200<<20 {
 		t.Errorf("the heap has %d MB", mem.HeapAlloc>>20)
 	}
 	runtime.KeepAlive(w)
 }
 
-// TestParkedShare: a leader with fewer sockets than idle machines answers them all,
-// and parks no more than half of the sockets, however many report.
-func TestParkedShare(t *testing.T) {
+// TestHeldReplyShare: a leader with fewer sockets than idle machines answers them all,
+// and holds replies on no more than half of the sockets, however many heartbeats come.
+func TestHeldReplyShare(t *testing.T) {
 	machines, sockets := 4000, 1500
 	if raceEnabled || testing.Short() {
 		machines, sockets = 800, 300
 	}
 	w := newWorkerFleet(machines)
 	w.c.settings.Limits.Sockets = sockets
-	parked := &w.c.elector.leadership.heartbeats.held
+	held := &w.c.elector.leadership.heartbeats.held
 	most := 0
 	for range 30 * 20 {
 		w.tick()
-		most = max(most, len(parked.byName))
-		if len(parked.byName) != parked.countVia[""] {
-			t.Fatalf("%d are parked, %d by the count", len(parked.byName), parked.countVia[""])
+		most = max(most, len(held.byName))
+		if len(held.byName) != held.countVia[""] {
+			t.Fatalf("%d replies are held, %d by the count", len(held.byName), held.countVia[""])
 		}
 	}
 	if most != sockets/2 {
-		t.Errorf("%d were parked at once, want %d", most, sockets/2)
+		t.Errorf("%d replies were held at once, want %d", most, sockets/2)
 	}
 	w.add(&jobstate.Spec{ID: "wide", Class: "c", Team: "red", Kind: jobstate.Array, Tasks: machines, Need: jobstate.Resources{CPU: 40000}, Estimate: 600 * second})
 	w.endless = true
@@ -341,9 +342,9 @@
 	}
 }
 
-// TestRoster: whatever happens to machines, the planner's index has what going
+// TestPlannerIndex: whatever happens to machines, the planner's index has what going
 // through all of them would give it.
-func TestRoster(t *testing.T) {
+func TestPlannerIndex(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newWorkerFleet(40)
 		w.rng = rand.New(rand.NewPCG(seed, 5))
@@ -380,7 +381,7 @@
 				v := l.plannerIndex.indexed[m]
 				if !w.c.planner.usable(m) {
 					if v != nil {
-						t.Fatalf("%s is of no use, and yet planned with", m.Name)
+						t.Fatalf("%s is not usable, and yet in the index", m.Name)
 					}
 					continue
 				}
@@ -391,12 +392,12 @@
 				}
 			}
 			if n != l.plannerIndex.index.Len() || n != l.plannerIndex.byLastHeartbeat.Len() || n != len(l.plannerIndex.indexed) {
-				t.Fatalf("%d machines are of use, %d in the index, %d by their reports", n, l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len())
+				t.Fatalf("%d machines are usable, %d in the index, %d by their heartbeats", n, l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len())
 			}
 			for name, p := range l.heartbeats.held.byName {
 				_, likely := l.heartbeats.held.maybeReady[name]
 				if m := l.fleet.Get(name); m != nil && hasCommands(m) && !likely && p.until > w.now {
-					t.Fatalf("there are orders for %s, and its answer waits", name)
+					t.Fatalf("there are commands for %s, and its reply is held", name)
 				}
 			}
 		}
@@ -443,9 +444,9 @@
 	}
 }
 
-// BenchmarkTakeOver is the cost of beginning to lead: reading the stored
-// state, taking the placements over, and the first report of every machine.
-func BenchmarkTakeOver(b *testing.B) {
+// BenchmarkFailover is the cost of beginning to lead: reading the stored
+// state, taking the placements over, and the first heartbeat of every machine.
+func BenchmarkFailover(b *testing.B) {
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var rows []Change
--- a/internal/core/sched/imagepreempt_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -9,19 +9,19 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestSwap: an urgent gang that would have to fetch its image on the machines
+// TestImagePreemption: an urgent gang that would have to fetch its image on the machines
 // that are free takes some that have it from lower work, and waits for them.
-func TestSwap(t *testing.T) {
-	// warm is a machine that has the image; busy ones run one task of a job of
-	// the kind, that has run for so many seconds.
-	warm := func(m *Machine) *Machine {
+func TestImagePreemption(t *testing.T) {
+	// withImage is a machine that has the image; busy ones run one task of a job, which
+	// has run for so many seconds.
+	withImage := func(m *Machine) *Machine {
 		m.Images["im"] = fleet.Image{LastUsed: 1}
 		return m
 	}
-	busy := func(name string, rank, ran int64, change func(*jobstate.Job)) *Machine {
+	busy := func(name string, priority, ran int64, change func(*jobstate.Job)) *Machine {
 		m := box(name, 0, 8, 500)
 		j := m.RunningTasks[0].Job
-		j.EffectivePriority, j.NumPlaced = int(rank), 1
+		j.EffectivePriority, j.NumPlaced = int(priority), 1
 		if change != nil {
 			change(j)
 		}
@@ -44,63 +44,63 @@
 		job      *Job
 		claims   []string
 		want     []string // starts
-		stops    string   // machines, with ! for those without saving
+		preempts string   // machines, with ! for those without a checkpoint
 	}{
 		{
-			name: "lower work makes way on the machine that has the image", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+			name: "lower work is preempted on the machine that has the image", job: urgent(1, 12_000),
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 		{
 			name: "not if the fetch is short", job: urgent(1, 4_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
 		},
 		{
 			name: "not if much is lost", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 25, nil))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 25, nil))}, want: []string{"without"},
 		},
 		{
 			name: "not if it is as urgent", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", jobstate.Urgent, 5, nil))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", jobstate.Urgent, 5, nil))}, want: []string{"without"},
 		},
 		{
 			name: "not for a job that is not urgent", job: normal,
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
 		},
 		{
 			name: "not a gang of several, as all of it would stop", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"without"},
 		},
 		{
 			name: "not if the image is on a free machine too", job: urgent(1, 12_000),
-			machines: []*Machine{warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, want: []string{"free"},
+			machines: []*Machine{withImage(box("free", 0)), withImage(busy("with", 0, 5, nil))}, want: []string{"free"},
 		},
 		{
-			name: "a save that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 5)))}, stops: "warm ",
+			name: "a checkpoint that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, saving(60, 5)))}, preempts: "with ",
 		},
 		{
 			name: "but not if it takes as long as the fetch", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(busy("warm", 0, 5, saving(60, 9)))}, want: []string{"cold"},
+			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, saving(60, 9)))}, want: []string{"without"},
 		},
 		{
 			name: "a gang starts with its last task, so one image does not help", job: urgent(2, 12_000),
-			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(busy("warm", 0, 5, nil))}, want: []string{"cold-0", "cold-1"},
+			machines: []*Machine{box("without-0", 0), box("without-1", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without-0", "without-1"},
 		},
 		{
 			name: "two do", job: urgent(2, 12_000),
-			machines: []*Machine{box("cold-0", 0), box("cold-1", 0), warm(box("free", 0)), warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+			machines: []*Machine{box("without-0", 0), box("without-1", 0), withImage(box("free", 0)), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 		{
-			name: "it waits for what it has claimed", job: urgent(1, 12_000), claims: []string{"warm"},
-			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))},
+			name: "it waits for what it has claimed", job: urgent(1, 12_000), claims: []string{"with"},
+			machines: []*Machine{box("without", 0), withImage(stopping(busy("with", 0, 5, nil)))},
 		},
 		{
-			name: "and goes where there is room when the claim has run out", job: urgent(1, 12_000),
-			machines: []*Machine{box("cold", 0), warm(stopping(busy("warm", 0, 5, nil)))}, want: []string{"cold"},
+			name: "and goes to a free machine when the claim has expired", job: urgent(1, 12_000),
+			machines: []*Machine{box("without", 0), withImage(stopping(busy("with", 0, 5, nil)))}, want: []string{"without"},
 		},
 		{
-			name: "without a free machine it is a matter of the pivot", job: urgent(1, 12_000),
-			machines: []*Machine{warm(busy("warm", 0, 5, nil))}, stops: "warm! ",
+			name: "without a free machine it is preempted for as a pivot", job: urgent(1, 12_000),
+			machines: []*Machine{withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 	}
 	for _, tc := range cases {
@@ -117,19 +117,19 @@
 			if !slices.Equal(got, tc.want) {
 				t.Errorf("starts on %v, want %v", got, tc.want)
 			}
-			stops := ""
+			preempts := ""
 			for _, st := range plan.Preemptions {
 				i := slices.IndexFunc(tc.machines, func(m *Machine) bool {
 					return slices.ContainsFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == st.Job })
 				})
-				stops += tc.machines[i].Name + map[bool]string{true: "!"}[st.Kill] + " "
+				preempts += tc.machines[i].Name + map[bool]string{true: "!"}[st.Kill] + " "
 			}
-			if stops != tc.stops {
-				t.Errorf("stops on %q, want %q", stops, tc.stops)
+			if preempts != tc.preempts {
+				t.Errorf("preempts on %q, want %q", preempts, tc.preempts)
 			}
 			for _, st := range plan.Preemptions {
 				if !slices.ContainsFunc(plan.Claims, func(c Claim) bool { return c.Job == st.For.Job }) {
-					t.Error(fmt.Sprint("room is made for ", st.For.ID, " and claimed by nobody"))
+					t.Error(fmt.Sprint("machines are freed for ", st.For.ID, " without a claim"))
 				}
 			}
 		})
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -34,10 +34,10 @@
 		name     string
 		machines []*Machine
 		jobs     []*Job
-		room     int64 // CPUs left to the team, 0 for no limit
+		headroom int64 // CPUs left to the team, 0 for no limit
 		want     []string
 		pivots   string
-		stops    int
+		preempts int
 		ahead    int
 		claims   []string // job@machine of an earlier round
 	}{
@@ -46,7 +46,7 @@
 			jobs: []*Job{job("a", 1, 0, jobstate.Array, 1, 2, 10)}, want: []string{"a@m1"},
 		},
 		{
-			name: "a pivot borrows where its partition has no room", machines: []*Machine{box("m0", 0), box("m1", 1, 8, 50)},
+			name: "a pivot borrows where its partition is full", machines: []*Machine{box("m0", 0), box("m1", 1, 8, 50)},
 			jobs: []*Job{job("a", 1, 0, jobstate.Array, 1, 2, 10)}, want: []string{"a@m0"},
 		},
 		{
@@ -81,27 +81,27 @@
 		},
 		{
 			name: "a deadline that leaves time lets a later arrival go first", machines: []*Machine{box("m0", 0)},
-			jobs: []*Job{turn(90, arrive(1, job("slack", 0, 0, jobstate.Array, 1, 8, 10))), turn(20, arrive(2, job("tight", 0, 0, jobstate.Array, 1, 8, 10)))},
+			jobs: []*Job{queueOrder(90, arrive(1, job("slack", 0, 0, jobstate.Array, 1, 8, 10))), queueOrder(20, arrive(2, job("tight", 0, 0, jobstate.Array, 1, 8, 10)))},
 			want: []string{"tight@m0"}, pivots: "slack:10",
 		},
 		{
 			name: "a lost deadline comes last", machines: []*Machine{box("m0", 0)},
-			jobs: []*Job{late(arrive(1, job("lost", 0, 0, jobstate.Array, 1, 8, 10))), turn(20, arrive(2, job("tight", 0, 0, jobstate.Array, 1, 8, 10)))},
+			jobs: []*Job{deadlineLost(arrive(1, job("lost", 0, 0, jobstate.Array, 1, 8, 10))), queueOrder(20, arrive(2, job("tight", 0, 0, jobstate.Array, 1, 8, 10)))},
 			want: []string{"tight@m0"}, pivots: "lost:10",
 		},
 		{
-			name: "a large one that must begin goes before its equals", machines: []*Machine{box("m0", 0)},
-			jobs: []*Job{mustBegin(late(arrive(3, job("wide", 0, 0, jobstate.Gang, 1, 8, 10)))), arrive(1, job("first", 0, 0, jobstate.Array, 1, 8, 10))},
+			name: "a large one whose start is overdue goes before its equals", machines: []*Machine{box("m0", 0)},
+			jobs: []*Job{overdue(deadlineLost(arrive(3, job("wide", 0, 0, jobstate.Gang, 1, 8, 10)))), arrive(1, job("first", 0, 0, jobstate.Array, 1, 8, 10))},
 			want: []string{"wide@m0"}, pivots: "first:10",
 		},
 		{
 			name: "but not before higher priority, and others within a guarantee", machines: []*Machine{box("m0", 0), box("m1", 0)},
-			jobs: []*Job{mustBegin(arrive(1, job("wide", 0, 0, jobstate.Gang, 1, 8, 10))), arrive(2, job("high", 0, 2, jobstate.Array, 1, 8, 10)), within(arrive(3, job("in", 0, 0, jobstate.Array, 1, 8, 10)))},
+			jobs: []*Job{overdue(arrive(1, job("wide", 0, 0, jobstate.Gang, 1, 8, 10))), arrive(2, job("high", 0, 2, jobstate.Array, 1, 8, 10)), within(arrive(3, job("in", 0, 0, jobstate.Array, 1, 8, 10)))},
 			want: []string{"high@m0", "in@m1"}, pivots: "wide:10",
 		},
 		{
 			name: "what comes free for it is kept, also from what would end in time by its estimate", machines: []*Machine{box("m0", 0, 4, 50)},
-			jobs:   []*Job{mustBegin(arrive(1, job("wide", 0, 0, jobstate.Gang, 1, 8, 100))), arrive(2, job("short", 0, 0, jobstate.Array, 1, 4, 10))},
+			jobs:   []*Job{overdue(arrive(1, job("wide", 0, 0, jobstate.Gang, 1, 8, 100))), arrive(2, job("short", 0, 0, jobstate.Array, 1, 4, 10))},
 			pivots: "wide:50",
 		},
 		{
@@ -117,36 +117,36 @@
 			jobs: []*Job{spread(job("x", 0, 0, jobstate.Array, 4, 1, 10))}, want: []string{"x@m0", "x@m0"}, pivots: "x:99",
 		},
 		{
-			name: "the team's limit is shared by its jobs", machines: []*Machine{box("m0", 0), box("m1", 0)}, room: 5,
+			name: "the team's limit is shared by its jobs", machines: []*Machine{box("m0", 0), box("m1", 0)}, headroom: 5,
 			jobs: []*Job{arrive(1, job("a", 0, 0, jobstate.Array, 1, 4, 10)), arrive(2, job("b", 1, 0, jobstate.Array, 1, 4, 10))}, want: []string{"a@m0"},
 		},
 		{
-			name: "lower work is stopped for a high pivot that would wait long", machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 400)},
-			jobs: []*Job{job("high", 0, 2, jobstate.Array, 1, 8, 10)}, pivots: "high:400", stops: 1,
+			name: "lower work is preempted for a high pivot that would wait long", machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 400)},
+			jobs: []*Job{job("high", 0, 2, jobstate.Array, 1, 8, 10)}, pivots: "high:400", preempts: 1,
 		},
 		{
 			name: "equal work of a team beyond its guarantee is, for a job within its own", machines: []*Machine{box("m0", 0, 8, 500)},
-			jobs: []*Job{within(job("in", 0, 0, jobstate.Array, 1, 8, 10))}, pivots: "in:500", stops: 1,
+			jobs: []*Job{within(job("in", 0, 0, jobstate.Array, 1, 8, 10))}, pivots: "in:500", preempts: 1,
 		},
 		{
 			name: "but not a job that is itself within its team's", machines: []*Machine{guarded(box("m0", 0, 8, 500))},
 			jobs: []*Job{within(job("in", 0, 0, jobstate.Array, 1, 8, 10))}, pivots: "in:500",
 		},
 		{
-			name: "in a large fleet lower work is stopped for urgent jobs behind the pivot too", ahead: 1,
+			name: "in a large fleet lower work is preempted for urgent jobs behind the pivot too", ahead: 1,
 			machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 400), box("m2", 0, 8, 450)},
 			jobs:     []*Job{arrive(1, job("u1", 0, 2, jobstate.Array, 1, 8, 10)), arrive(2, job("u2", 0, 2, jobstate.Array, 1, 8, 10)), arrive(3, job("u3", 0, 2, jobstate.Array, 1, 8, 10))},
-			pivots:   "u1:400u2:450", stops: 2,
+			pivots:   "u1:400u2:450", preempts: 2,
 		},
 		{
 			name: "but not for others", ahead: 1, machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 400)},
 			jobs:   []*Job{arrive(1, job("n1", 0, 1, jobstate.Array, 1, 8, 10)), arrive(2, job("n2", 0, 1, jobstate.Array, 1, 8, 10))},
-			pivots: "n1:400", stops: 1,
+			pivots: "n1:400", preempts: 1,
 		},
-		// u1 is the pivot, and u2 may stop what other's runs; m1 has half of
-		// its room free already, which other's next job must not take.
+		// u1 is the pivot, and u2 may preempt what other runs; half of m1 is free
+		// already, which the next job of other must not take.
 		{
-			name: "what is held behind the pivot binds what might be stopped there", ahead: 1, machines: []*Machine{box("m0", 0, 8, 40), box("m1", 0, 4, 50)},
+			name: "a reservation behind the pivot binds what might be preempted there", ahead: 1, machines: []*Machine{box("m0", 0, 8, 40), box("m1", 0, 4, 50)},
 			jobs:   []*Job{within(arrive(1, job("u1", 0, 2, jobstate.Array, 1, 8, 10))), within(arrive(2, job("u2", 0, 2, jobstate.Array, 1, 8, 10))), other(arrive(3, job("u3", 0, 2, jobstate.Array, 1, 4, 100)))},
 			pivots: "u1:40u2:50",
 		},
@@ -156,24 +156,24 @@
 			want: []string{"u3@m1"}, pivots: "u1:40u2:50",
 		},
 		{
-			name: "a gang takes free machines along, and stops work only where there are none", machines: []*Machine{box("m0", 0), box("m1", 0, 8, 500)},
-			jobs: []*Job{job("g", 0, 2, jobstate.Gang, 2, 8, 100)}, pivots: "g:500", stops: 1,
+			name: "a gang takes free machines too, and preempts work only where there are none", machines: []*Machine{box("m0", 0), box("m1", 0, 8, 500)},
+			jobs: []*Job{job("g", 0, 2, jobstate.Gang, 2, 8, 100)}, pivots: "g:500", preempts: 1,
 		},
 		{
-			name: "what is claimed for one is not stopped for another", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 900)}, ahead: 1,
-			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100)), arrive(2, job("v", 0, 2, jobstate.Array, 1, 8, 100))}, pivots: "u:500v:900", stops: 2,
+			name: "what is claimed for one is not preempted for another", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0, 8, 500), box("m1", 0, 8, 900)}, ahead: 1,
+			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100)), arrive(2, job("v", 0, 2, jobstate.Array, 1, 8, 100))}, pivots: "u:500v:900", preempts: 2,
 		},
 		{
-			name: "room that is being made is not given to what is stopped there", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0, 4, 3), box("m1", 0, 8, 2)},
+			name: "what comes free by preemption is not given to what was preempted there", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0, 4, 3), box("m1", 0, 8, 2)},
 			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100)), arrive(2, job("low", 0, 0, jobstate.Array, 1, 4, 100))}, pivots: "u:2",
 		},
 		{
-			name: "without a claim it would be", machines: []*Machine{box("m0", 0, 4, 3), box("m1", 0, 8, 2)},
+			name: "without a claim it is", machines: []*Machine{box("m0", 0, 4, 3), box("m1", 0, 8, 2)},
 			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100)), arrive(2, job("low", 0, 0, jobstate.Array, 1, 4, 100))},
 			want: []string{"low@m0"}, pivots: "u:2",
 		},
 		{
-			name: "its own claim does not keep a job off", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0)},
+			name: "its own claim does not block a job", claims: []string{"u@m0"}, machines: []*Machine{box("m0", 0)},
 			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100))}, want: []string{"u@m0"},
 		},
 		{
@@ -181,30 +181,30 @@
 			jobs: []*Job{arrive(1, job("u", 0, 2, jobstate.Array, 1, 8, 100)), arrive(2, job("low", 0, 0, jobstate.Array, 1, 8, 100))}, want: []string{"u@m0"}, pivots: "low:100",
 		},
 		// On a large fleet some machine always seems to come free within the
-		// patience, as a task past its estimate is taken to end soon.
+		// delay, as a task past its estimate is taken to end soon.
 		{
 			name: "a pivot whose start is near lets lower work run out", machines: []*Machine{box("m0", 0, 8, 40)},
 			jobs: []*Job{job("u", 0, 2, jobstate.Array, 1, 8, 10)}, pivots: "u:40",
 		},
 		{
-			name: "unless it has waited for most of the patience", machines: []*Machine{box("m0", 0, 8, 40)},
-			jobs: []*Job{since(-30, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40", stops: 1,
+			name: "unless it has waited for most of the delay", machines: []*Machine{box("m0", 0, 8, 40)},
+			jobs: []*Job{since(-30, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40", preempts: 1,
 		},
 		{
 			name: "or would start too late for its class", machines: []*Machine{box("m0", 0, 8, 40)},
-			jobs: []*Job{roomBy(39, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40", stops: 1,
+			jobs: []*Job{startBy(39, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40", preempts: 1,
 		},
 		{
-			name: "which a later aim does not change", machines: []*Machine{box("m0", 0, 8, 40)},
-			jobs: []*Job{roomBy(40, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40",
+			name: "which a later objective does not change", machines: []*Machine{box("m0", 0, 8, 40)},
+			jobs: []*Job{startBy(40, job("u", 0, 2, jobstate.Array, 1, 8, 10))}, pivots: "u:40",
 		},
 		{
 			name: "an imminent start is waited for", machines: []*Machine{box("m0", 0, 8, 2)},
-			jobs: []*Job{since(-90, roomBy(1, job("u", 0, 2, jobstate.Array, 1, 8, 10)))}, pivots: "u:2",
+			jobs: []*Job{since(-90, startBy(1, job("u", 0, 2, jobstate.Array, 1, 8, 10)))}, pivots: "u:2",
 		},
 		{
-			name: "what is neither urgent nor within a guarantee waits the whole patience", machines: []*Machine{box("m0", 0, 8, 40)},
-			jobs: []*Job{since(-90, roomBy(1, job("n", 0, 1, jobstate.Array, 1, 8, 10)))}, pivots: "n:40",
+			name: "what is neither urgent nor within a guarantee waits the whole delay", machines: []*Machine{box("m0", 0, 8, 40)},
+			jobs: []*Job{since(-90, startBy(1, job("n", 0, 1, jobstate.Array, 1, 8, 10)))}, pivots: "n:40",
 		},
 		{
 			name: "equal work is not", machines: []*Machine{box("m0", 0, 8, 500)},
@@ -213,8 +213,8 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			if tc.room > 0 {
-				shared := &Headroom{CPU: tc.room * 1000, GPU: Unlimited}
+			if tc.headroom > 0 {
+				shared := &Headroom{CPU: tc.headroom * 1000, GPU: Unlimited}
 				for _, j := range tc.jobs {
 					j.Headroom = shared
 				}
@@ -243,8 +243,8 @@
 			if pivots != tc.pivots {
 				t.Errorf("pivots %q, want %q", pivots, tc.pivots)
 			}
-			if len(plan.Preemptions) != tc.stops {
-				t.Errorf("%d stops, want %d", len(plan.Preemptions), tc.stops)
+			if len(plan.Preemptions) != tc.preempts {
+				t.Errorf("%d preemptions, want %d", len(plan.Preemptions), tc.preempts)
 			}
 		})
 	}
@@ -254,15 +254,15 @@
 func zone(z string, m *Machine) *Machine { m.Zone = z; return m }
 func within(j *Job) *Job                 { j.Guaranteed = true; return j }
 func guarded(m *Machine) *Machine        { m.RunningTasks[0].Guaranteed = true; return m }
-func turn(n int64, j *Job) *Job          { j.QueueOrder = n; return j }
+func queueOrder(n int64, j *Job) *Job    { j.QueueOrder = n; return j }
 func since(n int64, j *Job) *Job         { j.ReadyAt = n * s; return j }
-func roomBy(n int64, j *Job) *Job        { j.StartBy = n * s; return j }
-func mustBegin(j *Job) *Job              { j.StartOverdue = true; return j }
+func startBy(n int64, j *Job) *Job       { j.StartBy = n * s; return j }
+func overdue(j *Job) *Job                { j.StartOverdue = true; return j }
 
-func late(j *Job) *Job    { j.DeadlineLost = true; return j }
-func oneZone(j *Job) *Job { j.OneZone = true; return j }
-func other(j *Job) *Job   { j.Team = "other"; return j }
-func spread(j *Job) *Job  { j.Spread = true; return j }
+func deadlineLost(j *Job) *Job { j.DeadlineLost = true; return j }
+func oneZone(j *Job) *Job      { j.OneZone = true; return j }
+func other(j *Job) *Job        { j.Team = "other"; return j }
+func spread(j *Job) *Job       { j.Spread = true; return j }
 
 // BenchmarkPlan is a round with a full fleet and a large array.
 func BenchmarkPlan(b *testing.B) {
@@ -277,27 +277,27 @@
 	}
 }
 
-// TestHurried: a stage before an urgent deadline goes to an ordinary machine, as
+// TestDeadlineCritical: a stage before an urgent deadline goes to an on-demand machine, as
 // the deadline is lost with one task of it. Others that may use spot machines
-// leave the ordinary ones to those that may not.
-func TestHurried(t *testing.T) {
+// leave the on-demand ones to those that may not.
+func TestDeadlineCritical(t *testing.T) {
 	cases := []struct {
-		name    string
-		rank    int
-		lastEnd int64
-		saves   int64
-		want    string
+		name       string
+		priority   int
+		deadline   int64
+		checkpoint int64
+		want       string
 	}{
 		{"no deadline", jobstate.Urgent, 0, 0, "spot"},
 		{"a deadline, and not urgent", jobstate.Normal, 1000, 0, "spot"},
-		{"before an urgent deadline", jobstate.Urgent, 1000, 0, "ordinary"},
+		{"before an urgent deadline", jobstate.Urgent, 1000, 0, "on-demand"},
 		{"the same with checkpoints", jobstate.Urgent, 1000, 10, "spot"},
 	}
 	for _, tc := range cases {
 		size := jobstate.Resources{CPU: 4000, Mem: 4000}
-		machines := []*Machine{{Name: "ordinary", Type: "c", Zone: "a", Cap: size, Free: size}, {Name: "spot", Type: "c", Zone: "a", Spot: true, Cap: size, Free: size}}
-		j := jobstate.NewJob(&jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 3000}, Spot: true, Estimate: 5, Checkpoint: tc.saves})
-		j.EffectivePriority, j.EffectiveDeadline = tc.rank, tc.lastEnd
+		machines := []*Machine{{Name: "on-demand", Type: "c", Zone: "a", Cap: size, Free: size}, {Name: "spot", Type: "c", Zone: "a", Spot: true, Cap: size, Free: size}}
+		j := jobstate.NewJob(&jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 3000}, Spot: true, Estimate: 5, Checkpoint: tc.checkpoint})
+		j.EffectivePriority, j.EffectiveDeadline = tc.priority, tc.deadline
 		p := Planner{Queues: 3, Index: NewIndex(machines...), MaxStarts: 10, PreferSpot: map[string]bool{"c": true}}
 		plan := p.Plan([]*Job{{Job: j, Headroom: &Headroom{CPU: Unlimited, GPU: Unlimited}}})
 		if len(plan.Starts) != 1 || plan.Starts[0].Machine.Name != tc.want {
@@ -306,20 +306,20 @@
 	}
 }
 
-// TestHoles: a service leaves room beside images that it has to fetch itself, as
-// nothing but replicas brings these to a machine.
-func TestHoles(t *testing.T) {
+// TestServiceImageCost: a service leaves room beside images that it has to fetch itself,
+// as nothing but replicas brings these to a machine.
+func TestServiceImageCost(t *testing.T) {
 	cases := []struct {
 		name  string
-		roomy bool
+		spare bool
 		tasks int
 		has   string // the machine in use that has the image
 		want  string
 	}{
-		{"with idle machines it takes half of each", true, 3, "", "idle-0 idle-0 idle-1"},
-		{"and where its image is as much as there is", true, 3, "used", "used used idle-0"},
+		{"with spare machines it takes half of each", true, 3, "", "idle-0 idle-0 idle-1"},
+		{"and all of one that has its image", true, 3, "used", "used used idle-0"},
 		{"without it fills what is in use first", false, 3, "", "used used idle-0"},
-		{"when nothing else is left it fills holes too", true, 10, "", "idle-0 idle-0 idle-0 idle-0 idle-1 idle-1 idle-1 idle-1 used used"},
+		{"when nothing else is left it fills machines in use too", true, 10, "", "idle-0 idle-0 idle-0 idle-0 idle-1 idle-1 idle-1 idle-1 used used"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -332,7 +332,7 @@
 			}
 			j := job("serve", 0, 3, jobstate.Service, tc.tasks, 2, 100)
 			j.Image, j.ImageMB = "im", 7000
-			p := Planner{Queues: 3, Index: NewIndex(machines...), MaxStarts: 100, PreemptDelay: 60 * s, HasSpareMachines: tc.roomy}
+			p := Planner{Queues: 3, Index: NewIndex(machines...), MaxStarts: 100, PreemptDelay: 60 * s, HasSpareMachines: tc.spare}
 			var got []string
 			for _, st := range p.Plan([]*Job{j}).Starts {
 				got = append(got, st.Machine.Name)
--- a/internal/core/sched/recorded_test.go
+++ b/internal/core/sched/recorded_test.go
@@ -62,7 +62,7 @@
 			Name: fmt.Sprintf("host-%04d", i), Type: typ, Zone: pick("a", "b", "c"), Spot: r.IntN(3) == 0, Partition: r.IntN(3), Cap: caps[typ], Free: caps[typ],
 			FetchRate: []int64{0, 400, 1000}[r.IntN(3)], Images: map[string]fleet.Image{},
 		}
-		setReach(&p, m, int64(r.IntN(3))*2*s)
+		setContact(&p, m, int64(r.IntN(3))*2*s)
 		for range r.IntN(3) {
 			m.Images[fmt.Sprint("im", r.IntN(5))] = fleet.Image{MB: 1000, LastUsed: 1}
 		}
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	seed := uint64(0)
 	for in := bufio.NewScanner(f); in.Scan(); seed++ {
 		machines, jobs, p := problem(seed)
@@ -137,7 +137,7 @@
 	}
 }
 
-func setReach(p *Planner, m *Machine, after int64) { m.NextContact = p.Now + after }
+func setContact(p *Planner, m *Machine, after int64) { m.NextContact = p.Now + after }
 
 func planOn(p Planner, machines []*Machine, jobs []*Job) Plan {
 	p.Index = NewIndex(machines...)
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -4,30 +4,29 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
-
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestGather: machines are gathered in one zone only while no zone has enough.
-func TestGather(t *testing.T) {
+// TestGatherZone: machines are gathered in one zone only while no zone has enough.
+func TestGatherZone(t *testing.T) {
 	const now = 100 * second
 	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
 	gang := func(n int) *jobstate.Spec {
 		return &jobstate.Spec{ID: "g", Kind: jobstate.Gang, Tasks: n, OneZone: true, Need: jobstate.Resources{CPU: 10_000, GPU: 2000}}
 	}
 	cases := []struct {
-		name         string
-		spec         *jobstate.Spec
-		here, coming map[machineOffer]int64
-		refused      []machineOffer
-		spot         bool
-		want         string
+		name            string
+		spec            *jobstate.Spec
+		usable, booting map[machineOffer]int64
+		refused         []machineOffer
+		spot            bool
+		want            string
 	}{
 		{"a zone has enough", gang(2), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, ""},
 		{"the one with the most", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, "b"},
-		{"what is coming counts", gang(3), map[machineOffer]int64{a: 1, b: 1}, map[machineOffer]int64{a: 1}, nil, false, "a"},
-		{"what is coming is not enough", gang(3), map[machineOffer]int64{a: 1}, map[machineOffer]int64{a: 2}, nil, false, "a"},
+		{"what boots counts", gang(3), map[machineOffer]int64{a: 1, b: 1}, map[machineOffer]int64{a: 1}, nil, false, "a"},
+		{"what boots is not enough", gang(3), map[machineOffer]int64{a: 1}, map[machineOffer]int64{a: 2}, nil, false, "a"},
 		{"none to be had where the most are", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{b}, false, "a"},
 		{"none to be had anywhere", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{a, b}, false, "b"},
 		{"spot machines are of no use to it", gang(2), map[machineOffer]int64{spotA: 2, b: 1}, nil, nil, false, "b"},
@@ -36,17 +35,17 @@
 		{"two tasks on each machine", &jobstate.Spec{Tasks: 4, OneZone: true, Need: jobstate.Resources{CPU: 6000}}, map[machineOffer]int64{a: 2}, nil, nil, false, ""},
 	}
 	for _, tc := range cases {
-		l := &leadership{scaling: newScalingState(0)}
-		c := &scaler{
+		term := &leadership{scaling: newScalingState(0)}
+		s := &scaler{
 			engine:  &engine{now: now, settings: Settings{Deployment: config.Deployment{Zones: []string{"a", "b"}}}},
 			cache:   &stateCache{machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}},
-			elector: &elector{leadership: l},
+			elector: &elector{leadership: term},
 		}
 		for _, m := range tc.refused {
-			l.scaling.refusedUntil[m] = now + second
+			term.scaling.refusedUntil[m] = now + second
 		}
 		tc.spec.Spot = tc.spot
-		if got := c.gatherZone(tc.spec, tc.here, tc.coming); got != tc.want {
+		if got := s.gatherZone(tc.spec, tc.usable, tc.booting); got != tc.want {
 			t.Errorf("%s: in %q, want %q", tc.name, got, tc.want)
 		}
 	}
