--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -17,69 +17,69 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// shelf is a core with a small state service that answers at once.
-type shelf struct {
-	t    *testing.T
-	c    *Core
-	now  int64
-	rev  uint64
-	keys map[string]Change
-	// down: nothing is answered but views and leases; most bytes and writes
+// harness is a core with a small state service that answers at once.
+type harness struct {
+	t        *testing.T
+	core     *Core
+	now      int64
+	revision uint64
+	keys     map[string]Change
+	// unavailable: nothing is answered but views and leases; most bytes and writes
 	// that it takes, and what it has refused.
-	down        bool
-	value, ops  int
-	malformed   int
-	unreachable map[string]bool
-	got         map[uint64]Reply
-	req         uint64
-	// quiet: changes are not told to the core, as to one whose watch lags.
-	quiet bool
-	// mute: transactions are carried out, and not answered. reads counts what was
+	unavailable      bool
+	maxValue, maxOps int
+	rejected         int
+	unreachable      map[string]bool
+	replies          map[uint64]Reply
+	lastRequest      uint64
+	// watchLags: changes are not told to the core, as to one whose watch lags.
+	watchLags bool
+	// losesAnswers: transactions are carried out, and not answered. reads counts what was
 	// asked of single keys and what only compares; so many more are refused.
-	mute          bool
-	reads, refuse int
-	// slow: transactions are carried out when they are taken from later.
-	slow  bool
-	later []CommitTransaction
+	losesAnswers         bool
+	reads, readsToRefuse int
+	// delaysCommits: transactions are carried out when they are taken from later.
+	delaysCommits  bool
+	delayedCommits []CommitTransaction
 }
 
-// refuses says whether a read is refused for its rate.
-func (s *shelf) refuses() bool {
+// refusesRead says whether a read is refused for its rate.
+func (s *harness) refusesRead() bool {
 	s.reads++
-	s.refuse--
-	return s.refuse >= 0
+	s.readsToRefuse--
+	return s.readsToRefuse >= 0
 }
 
-func (s *shelf) put(key string, v any) {
-	s.rev++
-	s.keys[key] = Change{Key: key, Value: encodeJSON(v), Revision: s.rev}
+func (s *harness) store(key string, v any) {
+	s.revision++
+	s.keys[key] = Change{Key: key, Value: encodeJSON(v), Revision: s.revision}
 }
 
 func job(id string, awaits ...string) jobstate.Record {
 	return jobstate.Record{Spec: &jobstate.Spec{ID: id, Class: "c", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 10 * second, Dependencies: awaits}, SubmittedWall: 1}
 }
 
-func newShelf(t *testing.T, keys map[string]any) *shelf {
-	s := &shelf{t: t, now: second, keys: map[string]Change{}, value: 8192, ops: 12, unreachable: map[string]bool{}, got: map[uint64]Reply{}}
+func newHarness(t *testing.T, keys map[string]any) *harness {
+	s := &harness{t: t, now: second, keys: map[string]Change{}, maxValue: 8192, maxOps: 12, unreachable: map[string]bool{}, replies: map[uint64]Reply{}}
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
-		s.put(k, keys[k])
+		s.store(k, keys[k])
 	}
-	s.put(typesKey, []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}})
+	s.store(typesKey, []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}})
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	s.c = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	s.list()
+	s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	s.listState()
 	return s
 }
 
-// list tells the core all that is stored, in the order of keys as the state
+// listState tells the core all that is stored, in the order of keys as the state
 // service does: parts of a value that was too long come after the whole one
 // which they replace.
-func (s *shelf) list() {
-	l := StateListed{Revision: s.rev}
+func (s *harness) listState() {
+	l := StateListed{Revision: s.revision}
 	for _, p := range StartPrefixes {
 		for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 			if strings.HasPrefix(k, p) {
@@ -90,40 +90,40 @@
 	s.step(l)
 }
 
-func (s *shelf) run(d int64) {
+func (s *harness) advance(d int64) {
 	for end := s.now + d; s.now < end; {
 		s.now += 50_000
 		s.step(Tick{TimeOfDay: s.now + 1_000_000*second})
 	}
 }
 
-func (s *shelf) step(msg any) {
-	for _, e := range s.c.Step(s.now, msg) {
+func (s *harness) step(msg any) {
+	for _, e := range s.core.Step(s.now, msg) {
 		switch e := e.(type) {
 		case Reply:
-			s.got[e.RequestID] = e
+			s.replies[e.RequestID] = e
 		case GrantLease:
 			s.step(LeaseGranted{Lease: 9, SentAt: s.now})
 		case RenewLease:
 			s.step(LeaseRenewed{Lease: e.Lease, SentAt: s.now})
 		case ReadState:
-			s.view(StateRead{AfterRevision: e.AfterRevision, SentAt: s.now, Immediate: true, ForRequests: e.ForRequests})
+			s.readState(StateRead{AfterRevision: e.AfterRevision, SentAt: s.now, Immediate: true, ForRequests: e.ForRequests})
 		case ReadKey:
-			if s.refuses() || s.down || s.unreachable[e.Key] {
+			if s.refusesRead() || s.unavailable || s.unreachable[e.Key] {
 				s.step(KeyRead{ID: e.ID, Key: e.Key, Err: errors.New("no answer")})
 				continue
 			}
 			k := s.keys[e.Key]
 			s.step(KeyRead{ID: e.ID, Key: e.Key, Value: k.Value, Revision: k.Revision})
 		case CommitTransaction:
-			s.multi(e)
+			s.commit(e)
 		}
 	}
 }
 
-// view answers a watch or a view with all that is newer.
-func (s *shelf) view(w StateRead) {
-	w.Revision = s.rev
+// readState answers a watch or a view with all that is newer.
+func (s *harness) readState(w StateRead) {
+	w.Revision = s.revision
 	for _, ch := range s.keys {
 		if ch.Revision > w.AfterRevision {
 			w.Changes = append(w.Changes, ch)
@@ -135,9 +135,9 @@
 	s.step(w)
 }
 
-func (s *shelf) multi(e CommitTransaction) {
-	if s.slow {
-		s.later = append(s.later, e)
+func (s *harness) commit(e CommitTransaction) {
+	if s.delaysCommits {
+		s.delayedCommits = append(s.delayedCommits, e)
 		return
 	}
 	m := TransactionResult{ID: e.ID, Outcome: kv.Committed}
@@ -147,25 +147,25 @@
 		}
 	}
 	for _, w := range e.Writes {
-		if len(w.Value) > s.value || len(e.Writes) > s.ops {
+		if len(w.Value) > s.maxValue || len(e.Writes) > s.maxOps {
 			m.Outcome = kv.Malformed
 		}
 	}
 	if m.Outcome == kv.Malformed {
-		s.malformed++
+		s.rejected++
 	}
-	if s.down {
+	if s.unavailable {
 		m.Outcome = kv.Unavailable
 	}
-	if len(e.Writes) == 0 && s.refuses() {
+	if len(e.Writes) == 0 && s.refusesRead() {
 		m.Outcome, m.Failed = kv.RateLimited, nil
 	}
 	var news []Change
 	if m.Outcome == kv.Committed {
-		s.rev++
-		m.Revision = s.rev
+		s.revision++
+		m.Revision = s.revision
 		for _, w := range e.Writes {
-			ch := Change{Key: w.Key, Value: w.Value, Revision: s.rev, Removed: w.Value == nil}
+			ch := Change{Key: w.Key, Value: w.Value, Revision: s.revision, Removed: w.Value == nil}
 			news = append(news, ch)
 			if ch.Removed {
 				delete(s.keys, w.Key)
@@ -174,42 +174,42 @@
 			}
 		}
 	}
-	if !s.mute {
+	if !s.losesAnswers {
 		s.step(m)
 	}
-	if news != nil && !s.quiet {
-		s.step(StateRead{AfterRevision: s.rev - 1, Revision: s.rev, SentAt: s.now, Changes: news})
+	if news != nil && !s.watchLags {
+		s.step(StateRead{AfterRevision: s.revision - 1, Revision: s.revision, SentAt: s.now, Changes: news})
 	}
 }
 
-// ask sends a request and returns its answer.
-func (s *shelf) ask(msg any) Reply {
+// request sends a request and returns its answer.
+func (s *harness) request(msg any) Reply {
 	s.t.Helper()
-	s.req++
+	s.lastRequest++
 	switch m := msg.(type) {
 	case SubmitJob:
-		m.RequestID = s.req
+		m.RequestID = s.lastRequest
 		s.step(m)
 	case QueryJob:
-		m.RequestID = s.req
+		m.RequestID = s.lastRequest
 		s.step(m)
 	case CancelJob:
-		m.RequestID = s.req
+		m.RequestID = s.lastRequest
 		s.step(m)
 	}
 	for i := 0; i < 40; i++ {
-		if r, ok := s.got[s.req]; ok {
+		if r, ok := s.replies[s.lastRequest]; ok {
 			return r
 		}
-		s.run(50_000)
+		s.advance(50_000)
 	}
 	s.t.Fatal("no answer")
 	return Reply{}
 }
 
-func (s *shelf) state(id string) string {
+func (s *harness) jobState(id string) string {
 	s.t.Helper()
-	r := s.ask(QueryJob{ID: id})
+	r := s.request(QueryJob{ID: id})
 	if r.Job == nil {
 		return fmt.Sprint(r.Status)
 	}
@@ -230,7 +230,7 @@
 	cases := []struct {
 		name   string
 		awaits []string
-		do     func(s *shelf)
+		do     func(s *harness)
 		want   int
 		reason string
 	}{
@@ -240,22 +240,22 @@
 		{"one never accepted", []string{"open", "other"}, nil, 422, "other was never accepted"},
 		{"itself", []string{"new"}, nil, 422, "itself"},
 		{"a service", []string{"service"}, nil, 422, "service"},
-		{"one accepted a moment ago, which the watch has yet to tell", []string{"recent"}, func(s *shelf) { s.put(jobPrefix+"recent", job("recent")) }, 201, ""},
-		{"an end that can't be read is not one that isn't there", []string{"done"}, func(s *shelf) { s.unreachable[endPrefix+"done"] = true }, 503, ""},
-		{"before all controllers have this version", []string{"open"}, func(s *shelf) { s.c.membership.activation = newActivation(&s.c.settings) }, 503, "version"},
-		{"more than can ever be stored", strings.Fields(strings.Repeat("open-"+strings.Repeat("x", 90)+" ", 90)), func(s *shelf) {
-			s.put(jobPrefix+"open-"+strings.Repeat("x", 90), job("open-"+strings.Repeat("x", 90)))
+		{"one accepted a moment ago, which the watch has yet to tell", []string{"recent"}, func(s *harness) { s.store(jobPrefix+"recent", job("recent")) }, 201, ""},
+		{"an end that can't be read is not one that isn't there", []string{"done"}, func(s *harness) { s.unreachable[endPrefix+"done"] = true }, 503, ""},
+		{"before all controllers have this version", []string{"open"}, func(s *harness) { s.core.membership.activation = newActivation(&s.core.settings) }, 503, "version"},
+		{"more than can ever be stored", strings.Fields(strings.Repeat("open-"+strings.Repeat("x", 90)+" ", 90)), func(s *harness) {
+			s.store(jobPrefix+"open-"+strings.Repeat("x", 90), job("open-"+strings.Repeat("x", 90)))
 		}, 400, "bytes"},
-		{"a repeat of a known job, whatever it says", []string{"other"}, func(s *shelf) { s.put(jobPrefix+"new", job("new")) }, 200, ""},
+		{"a repeat of a known job, whatever it says", []string{"other"}, func(s *harness) { s.store(jobPrefix+"new", job("new")) }, 200, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newShelf(t, keys)
-			s.run(200_000)
+			s := newHarness(t, keys)
+			s.advance(200_000)
 			if tc.do != nil {
 				tc.do(s)
 			}
-			r := s.ask(SubmitJob{Spec: job("new", tc.awaits...).Spec})
+			r := s.request(SubmitJob{Spec: job("new", tc.awaits...).Spec})
 			if r.Status != tc.want || !strings.Contains(r.Error, tc.reason) {
 				t.Errorf("%d %q, want %d %q", r.Status, r.Error, tc.want, tc.reason)
 			}
@@ -283,38 +283,38 @@
 	cases := []struct {
 		name    string
 		keys    map[string]any
-		do      func(s *shelf)
+		do      func(s *harness)
 		want    string // states of b, c, d
 		waiting string // those that wait still
 	}{
 		{"nothing ends", chain, nil, "queued queued queued", "bcd"},
 		{"the first is done, only its end is left", with(endPrefix+"a", endDone), nil, "queued queued queued", "cd"},
 		{"the first is cancelled, only its end is left", with(endPrefix+"a", cancelled), nil, "cancelled cancelled cancelled", ""},
-		{"the first is cancelled by its user", chain, func(s *shelf) { s.ask(CancelJob{ID: "a"}) }, "cancelled cancelled cancelled", ""},
-		{"one between is", chain, func(s *shelf) { s.ask(CancelJob{ID: "c"}) }, "queued cancelled cancelled", "b"},
-		{"the end of the first can't be read: nothing unfinished may be told", with(endPrefix+"a", cancelled), func(s *shelf) { s.unreachable[endPrefix+"a"] = true }, "", ""},
+		{"the first is cancelled by its user", chain, func(s *harness) { s.request(CancelJob{ID: "a"}) }, "cancelled cancelled cancelled", ""},
+		{"one between is", chain, func(s *harness) { s.request(CancelJob{ID: "c"}) }, "queued cancelled cancelled", "b"},
+		{"the end of the first can't be read: nothing unfinished may be told", with(endPrefix+"a", cancelled), func(s *harness) { s.unreachable[endPrefix+"a"] = true }, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newShelf(t, tc.keys)
+			s := newHarness(t, tc.keys)
 			if tc.do != nil {
 				tc.do(s)
 			}
 			if tc.want == "" {
-				s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-				s.list()
-				if got := s.state("d"); got != "503" {
+				s.core = New(s.core.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+				s.listState()
+				if got := s.jobState("d"); got != "503" {
 					t.Errorf("told %s", got)
 				}
 				return
 			}
-			s.run(2 * second)
-			if got := s.state("b") + " " + s.state("c") + " " + s.state("d"); got != tc.want {
+			s.advance(2 * second)
+			if got := s.jobState("b") + " " + s.jobState("c") + " " + s.jobState("d"); got != tc.want {
 				t.Errorf("%s, want %s", got, tc.want)
 			}
 			waiting := ""
 			for _, id := range []string{"b", "c", "d"} {
-				if j := s.c.cache.jobs[id]; j != nil && j.IsBlocked() {
+				if j := s.core.cache.jobs[id]; j != nil && j.IsBlocked() {
 					waiting += id
 				}
 			}
@@ -322,10 +322,10 @@
 				t.Errorf("%q wait, want %q", waiting, tc.waiting)
 			}
 			// Whoever starts anew from storage comes to the same.
-			s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-			s.list()
-			s.run(second)
-			if got := s.state("b") + " " + s.state("c") + " " + s.state("d"); got != tc.want {
+			s.core = New(s.core.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			s.listState()
+			s.advance(second)
+			if got := s.jobState("b") + " " + s.jobState("c") + " " + s.jobState("d"); got != tc.want {
 				t.Errorf("after a start: %s, want %s", got, tc.want)
 			}
 		})
@@ -348,23 +348,23 @@
 			for i := 1; i < n; i++ {
 				keys[jobPrefix+id(i)] = job(id(i), awaits(i)...)
 			}
-			s := newShelf(t, keys)
-			s.run(3 * second)
-			if s.c.elector.leadership == nil {
+			s := newHarness(t, keys)
+			s.advance(3 * second)
+			if s.core.elector.leadership == nil {
 				t.Fatal("does not lead")
 			}
-			s.ask(CancelJob{ID: id(0)})
+			s.request(CancelJob{ID: id(0)})
 			for i := range n {
-				if got := s.state(id(i)); got != jobstate.Cancelled {
+				if got := s.jobState(id(i)); got != jobstate.Cancelled {
 					t.Fatalf("%s is %s", id(i), got)
 				}
 			}
 			// A crash halfway changes nothing.
-			s.run(second)
-			s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			s.advance(second)
+			s.core = New(s.core.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 			delete(s.keys, LeaderKey)
-			s.list()
-			s.run(40 * second)
+			s.listState()
+			s.advance(40 * second)
 			for i := range n {
 				if _, ok := s.keys[endPrefix+id(i)]; !ok {
 					t.Fatalf("the end of %s is not stored", id(i))
@@ -399,36 +399,36 @@
 		keys[fmt.Sprintf("%ssmall-%d", jobPrefix, i)] = job(fmt.Sprintf("small-%d", i))
 	}
 	for _, tc := range cases {
-		s := newShelf(t, keys)
-		s.c.settings.Peers = []string{"old"} // it never says that it is of this version
+		s := newHarness(t, keys)
+		s.core.settings.Peers = []string{"old"} // it never says that it is of this version
 		if kb, ops := 2.0, 4; tc.next {
-			s.c.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb, TxnOps: &ops}
+			s.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb, TxnOps: &ops}
 		}
 		if tc.format.Version != 0 {
-			s.put(formatKey, tc.format)
-			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
+			s.store(formatKey, tc.format)
+			s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
 		}
-		s.run(3 * second)
-		s.value, s.ops = 2048, 4
-		for id, j := range s.c.cache.jobs {
+		s.advance(3 * second)
+		s.maxValue, s.maxOps = 2048, 4
+		for id, j := range s.core.cache.jobs {
 			for i := range j.Tasks {
 				j.PlaceTask(i, fmt.Sprintf("host-%06d", i), 1, s.now)
 			}
 			if id != "large" {
 				j.SetDone(0, s.now)
 			}
-			s.c.committer.markDirty(j)
+			s.core.committer.markDirty(j)
 		}
-		s.run(20 * second)
+		s.advance(20 * second)
 		for i := range 5 {
 			if _, ok := s.keys[fmt.Sprintf("%ssmall-%d", endPrefix, i)]; !ok {
 				t.Errorf("%s: small-%d does not end", tc.name, i)
 			}
 		}
-		if s.malformed > tc.most {
-			t.Errorf("%s: %d writes refused", tc.name, s.malformed)
+		if s.rejected > tc.most {
+			t.Errorf("%s: %d writes refused", tc.name, s.rejected)
 		}
-		if j := s.c.cache.jobs["large"]; tc.name == "announced" && !(j.Task(0).Stored && j.Task(199).Stored) {
+		if j := s.core.cache.jobs["large"]; tc.name == "announced" && !(j.Task(0).Stored && j.Task(199).Stored) {
 			t.Error("a job of many tasks is stored in parts")
 		}
 	}
@@ -461,16 +461,16 @@
 				keys[k] = r
 			}
 		}
-		s := newShelf(t, nil)
-		s.run(second) // the time of day has to be known
+		s := newHarness(t, nil)
+		s.advance(second) // the time of day has to be known
 		for _, k := range slices.Sorted(maps.Keys(keys)) {
-			s.put(k, keys[k])
+			s.store(k, keys[k])
 		}
-		s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
-		s.run(15 * second)
-		s.req++
-		s.step(QueryOperatorView{RequestID: s.req})
-		got := strings.Join(s.got[s.req].Ops.Conditions, "; ")
+		s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+		s.advance(15 * second)
+		s.lastRequest++
+		s.step(QueryOperatorView{RequestID: s.lastRequest})
+		got := strings.Join(s.replies[s.lastRequest].Ops.Conditions, "; ")
 		if tc.want == "" && strings.Contains(got, "pipeline") || !strings.Contains(got, tc.want) {
 			t.Errorf("%s: %q", tc.name, got)
 		}
@@ -503,14 +503,14 @@
 		{"parts, then whole", []write{{"/0", whole(1, "a")}, {"/1", whole(1, "b")}, {"", whole(2, "a", "c")}}, "a2 c2"},
 	}
 	for _, tc := range cases {
-		s := newShelf(t, nil)
+		s := newHarness(t, nil)
 		for _, w := range tc.writes {
-			s.put(typesKey+w.key, w.types)
+			s.store(typesKey+w.key, w.types)
 		}
-		s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-		s.list()
+		s.core = New(s.core.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+		s.listState()
 		var got []string
-		for _, x := range s.c.cache.machineTypes {
+		for _, x := range s.core.cache.machineTypes {
 			got = append(got, fmt.Sprint(x.Name, x.Cap.CPU))
 		}
 		if g := strings.Join(got, " "); g != tc.want {
@@ -526,23 +526,23 @@
 	for i := range 40 {
 		long.Spec.Types = append(long.Spec.Types, fmt.Sprintf("%s-%02d", strings.Repeat("x", 100), i))
 	}
-	s := newShelf(t, map[string]any{formatKey: joined, jobPrefix + "long": long})
+	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "long": long})
 	kb := 2.0
-	s.c.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
-	s.value = 2048
-	s.run(3 * second)
-	if r := s.ask(CancelJob{ID: "long"}); r.Status != 200 || s.malformed > 0 {
-		t.Errorf("a job from before the limits: %d, %d refused", r.Status, s.malformed)
+	s.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
+	s.maxValue = 2048
+	s.advance(3 * second)
+	if r := s.request(CancelJob{ID: "long"}); r.Status != 200 || s.rejected > 0 {
+		t.Errorf("a job from before the limits: %d, %d refused", r.Status, s.rejected)
 	}
 	var types []fleet.Type
 	for i := range 30 {
 		types = append(types, fleet.Type{Name: fmt.Sprintf("type-%02d", i), Cap: jobstate.Resources{CPU: 1000}, Zones: []string{"a", "b"}})
 	}
-	s.step(MachineTypesListed{Types: types, FencingToken: s.c.elector.leadership.fencingToken})
-	s.run(second)
-	s.c = New(s.c.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	s.list()
-	if n := len(s.c.cache.machineTypes); n < 30 || s.malformed > 0 {
-		t.Errorf("%d of 30 types are read back, %d writes refused", n, s.malformed)
+	s.step(MachineTypesListed{Types: types, FencingToken: s.core.elector.leadership.fencingToken})
+	s.advance(second)
+	s.core = New(s.core.settings, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	s.listState()
+	if n := len(s.core.cache.machineTypes); n < 30 || s.rejected > 0 {
+		t.Errorf("%d of 30 types are read back, %d writes refused", n, s.rejected)
 	}
 }
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -33,19 +33,19 @@
 					keys[endPrefix+id], want[id] = cancelled, "cancelled"
 				}
 			}
-			s := newShelf(t, keys)
-			s.run(200_000)
-			s.reads, s.refuse = 0, tc.refuse
+			s := newHarness(t, keys)
+			s.advance(200_000)
+			s.reads, s.readsToRefuse = 0, tc.refuse
 			asked := map[uint64]string{}
 			for i := range 200 { // each twice
-				s.req++
+				s.lastRequest++
 				id := fmt.Sprintf("job-%03d", i%100)
-				asked[s.req] = id
-				s.step(QueryJob{RequestID: s.req, ID: id})
+				asked[s.lastRequest] = id
+				s.step(QueryJob{RequestID: s.lastRequest, ID: id})
 			}
-			s.run(maxReadWait + second/2)
+			s.advance(maxReadWait + second/2)
 			for req, id := range asked {
-				r, ok := s.got[req]
+				r, ok := s.replies[req]
 				got := fmt.Sprint(r.Status)
 				if r.Job != nil {
 					got = r.Job.State
@@ -60,10 +60,10 @@
 		})
 	}
 	t.Run("refused for good", func(t *testing.T) {
-		s := newShelf(t, nil)
-		s.run(200_000)
-		s.refuse = 1000
-		if r := s.ask(QueryJob{ID: "other"}); r.Status != 503 || r.RetryAfter == 0 {
+		s := newHarness(t, nil)
+		s.advance(200_000)
+		s.readsToRefuse = 1000
+		if r := s.request(QueryJob{ID: "other"}); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -14,40 +14,40 @@
 // this version. The format is raised for good, so one that is not must never
 // be overlooked.
 func TestLatch(t *testing.T) {
-	says := func(s *shelf, peer string, version int) {
+	says := func(s *harness, peer string, version int) {
 		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
 	}
-	join := func(s *shelf, peer string) {
-		s.put(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
-		s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
+	join := func(s *harness, peer string) {
+		s.store(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
+		s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
 	}
 	cases := []struct {
 		name string
-		do   func(s *shelf)
+		do   func(s *harness)
 		want bool
 	}{
-		{"nothing is known of the others", func(*shelf) {}, false},
-		{"one of two has said it", func(s *shelf) { join(s, "n1") }, false},
-		{"both have", func(s *shelf) { join(s, "n1"); join(s, "n2") }, true},
-		{"both have, and can't be asked", func(s *shelf) {
+		{"nothing is known of the others", func(*harness) {}, false},
+		{"one of two has said it", func(s *harness) { join(s, "n1") }, false},
+		{"both have", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
+		{"both have, and can't be asked", func(s *harness) {
 			join(s, "n1")
 			join(s, "n2")
 			s.step(PeerPinged{Peer: "n2", SentAt: s.now})
 		}, true},
-		{"one answers that it is old, though its key still stands", func(s *shelf) {
+		{"one answers that it is old, though its key still stands", func(s *harness) {
 			join(s, "n1")
 			s.now += 1000
 			says(s, "n1", 0)
 			join(s, "n2")
 		}, false},
-		{"one was old before it came back", func(s *shelf) {
+		{"one was old before it came back", func(s *harness) {
 			says(s, "n1", 0)
 			s.now += 1000
 			join(s, "n1")
 			join(s, "n2")
 		}, true},
-		{"answers alone are no word in the state service", func(s *shelf) { says(s, "n1", 2); says(s, "n2", 2) }, false},
-		{"one's key runs out as the format is written", func(s *shelf) {
+		{"answers alone are no word in the state service", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
+		{"one's key runs out as the format is written", func(s *harness) {
 			join(s, "n1")
 			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // not told yet
 			join(s, "n2")
@@ -55,29 +55,29 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newShelf(t, nil)
-			set := s.c.settings
+			s := newHarness(t, nil)
+			set := s.core.settings
 			set.Peers, set.Size = []string{"n1", "n2"}, 3
 			kb := 2.0
 			set.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
 			begin := func() {
-				s.c = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-				s.list()
+				s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+				s.listState()
 			}
 			begin()
-			s.run(2 * second)
-			if s.c.elector.leadership == nil || s.c.membership.activation.Advertisements()["n0"].Format != 2 {
+			s.advance(2 * second)
+			if s.core.elector.leadership == nil || s.core.membership.activation.Advertisements()["n0"].Format != 2 {
 				t.Fatal("does not lead, or has not said its version")
 			}
 			tc.do(s)
-			s.run(3 * second)
-			if _, stored := s.keys[formatKey]; stored != tc.want || s.c.membership.logEnabled() != tc.want {
-				t.Fatalf("stored %v, known %v", stored, s.c.membership.logEnabled())
+			s.advance(3 * second)
+			if _, stored := s.keys[formatKey]; stored != tc.want || s.core.membership.logEnabled() != tc.want {
+				t.Fatalf("stored %v, known %v", stored, s.core.membership.logEnabled())
 			}
 			begin() // a start finds it again
-			s.run(100_000)
-			if s.c.membership.logEnabled() != tc.want || tc.want && (s.c.membership.chunkTasks != 64 || s.c.membership.format.Tasks != 64) {
-				t.Errorf("after a start: %+v, span %d", s.c.membership.format, s.c.membership.chunkTasks)
+			s.advance(100_000)
+			if s.core.membership.logEnabled() != tc.want || tc.want && (s.core.membership.chunkTasks != 64 || s.core.membership.format.Tasks != 64) {
+				t.Errorf("after a start: %+v, span %d", s.core.membership.format, s.core.membership.chunkTasks)
 			}
 		})
 	}
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -40,15 +40,15 @@
 // TestTell follows a cancellation that a controller knows of while a leader lives
 // on its word: the leader is told before the user is, by whichever request.
 func TestTell(t *testing.T) {
-	s := newShelf(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
-	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeases.grantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
+	s.core.settings.Peers = []string{"n1"}
+	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
 	// ask sends a request and gives what there is of an answer after a while.
 	ask := func(build func(req uint64) any) (uint64, Reply) {
-		s.req++
-		s.step(build(s.req))
-		s.run(second / 2)
-		return s.req, s.got[s.req]
+		s.lastRequest++
+		s.step(build(s.lastRequest))
+		s.advance(second / 2)
+		return s.lastRequest, s.replies[s.lastRequest]
 	}
 	cancel := func(id string) func(uint64) any {
 		return func(req uint64) any { return CancelJob{RequestID: req, ID: id} }
@@ -57,10 +57,10 @@
 	ack := func(a *readlease.HolderAck) {
 		s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: a}})
 	}
-	s.run(second)
+	s.advance(second)
 	ack(&readlease.HolderAck{})
 	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
-	if p := s.got[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
+	if p := s.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
 		t.Fatalf("vouched %+v", p)
 	}
 	// Its own write, another user's poll, and a repeated submission.
@@ -72,14 +72,14 @@
 		if r.Status != 0 {
 			t.Errorf("%T answered %d before the leader knew", build(0), r.Status)
 		}
-		s.run(maxHeldReply)
-		if r := s.got[n]; r.Status != 503 || r.RetryAfter != 1 {
+		s.advance(maxHeldReply)
+		if r := s.replies[n]; r.Status != 503 || r.RetryAfter != 1 {
 			t.Errorf("%T answered %+v in the end", build(0), r)
 		}
 	}
 	n, _ := ask(poll)
 	ack(&readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: 1})
-	if r := s.got[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
+	if r := s.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
 		t.Errorf("once the leader knows: %+v", r)
 	}
 	// Of the next one it never learns: the answer waits until its right has run
@@ -87,7 +87,7 @@
 	if _, r := ask(cancel("c")); r.Status != 0 {
 		t.Errorf("answered %d", r.Status)
 	}
-	s.run(s.c.settings.LeaderAuthorityTime() + 2*second)
+	s.advance(s.core.settings.LeaderAuthorityTime() + 2*second)
 	if _, r := ask(cancel("c")); r.Status != 200 {
 		t.Errorf("nobody can live on its word any more: %+v", r)
 	}
@@ -136,22 +136,22 @@
 // TestTellSweep: a leader that lives on a controller's word is told of a cancelled
 // sweep before anybody is who asks about it or about one of its runs.
 func TestTellSweep(t *testing.T) {
-	s := sweepShelf(t, true, formatRecord{Version: 3, Tasks: 64})
+	s := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64})
 	s.submitSweep(sweepOf("s", 2, 1000))
 	for i, spec := range sweepOf("s", 2, 1000).Plan.Specs {
-		s.put(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
+		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
-	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
-	s.c.sweepManager.sweep("s").plan = sweepOf("s", 2, 1000).Plan
-	if s.c.cache.jobs["sweep.s.1"] == nil {
+	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+	s.core.sweepManager.sweep("s").plan = sweepOf("s", 2, 1000).Plan
+	if s.core.cache.jobs["sweep.s.1"] == nil {
 		t.Fatal("no runs")
 	}
-	s.c.settings.Peers = []string{"n1"}
-	s.c.readLeases.grantor = readlease.NewGrantor("b", s.c.settings.Peers, s.c.settings.LeaderAuthorityTime(), s.now)
+	s.core.settings.Peers = []string{"n1"}
+	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	ask := func() *readlease.CancellationPage {
 		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
-		return s.got[900].PeerStatus.ReadLease
+		return s.replies[900].PeerStatus.ReadLease
 	}
 	ask()
 	builds := []func(req uint64) any{
@@ -161,7 +161,7 @@
 		func(req uint64) any { return QueryJob{RequestID: req, ID: "sweep.s.1"} },
 	}
 	for _, build := range builds {
-		if r := s.sweepAsk(build); r.Status == 200 {
+		if r := s.requestSweep(build); r.Status == 200 {
 			t.Errorf("%T answered before the leader knew: %+v", build(0), r)
 		}
 	}
@@ -175,7 +175,7 @@
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
 	builds = slices.Delete(builds, 2, 3) // the plan of one that is over is not there at once
 	for _, build := range builds {
-		if r := s.sweepAsk(build); r.Status != 200 {
+		if r := s.requestSweep(build); r.Status != 200 {
 			t.Errorf("%T answered %+v when the leader knew", build(0), r)
 		}
 	}
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -25,31 +25,31 @@
 	return SubmitSweep{Plan: p, Stored: strings.Repeat("x", 50)}
 }
 
-// sweepShelf is a leader with sweeps switched on, and the format stored.
-func sweepShelf(t *testing.T, on bool, format formatRecord) *shelf {
-	s := newShelf(t, map[string]any{formatKey: format})
-	set := s.c.settings
+// newSweepHarness is a leader with sweeps switched on, and the format stored.
+func newSweepHarness(t *testing.T, on bool, format formatRecord) *harness {
+	s := newHarness(t, map[string]any{formatKey: format})
+	set := s.core.settings
 	set.Ops.Sweeps = on
-	s.c = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	s.list()
-	s.run(2 * second)
-	if s.c.elector.leadership == nil {
+	s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	s.listState()
+	s.advance(2 * second)
+	if s.core.elector.leadership == nil {
 		t.Fatal("does not lead")
 	}
 	return s
 }
 
 // ask sends a request that carries the next number and returns its answer.
-func (s *shelf) sweepAsk(build func(req uint64) any) Reply {
-	s.req++
-	req := s.req
+func (s *harness) requestSweep(build func(req uint64) any) Reply {
+	s.lastRequest++
+	req := s.lastRequest
 	s.step(build(req))
-	s.run(second)
-	return s.got[req]
+	s.advance(second)
+	return s.replies[req]
 }
 
-func (s *shelf) submitSweep(m SubmitSweep) Reply {
-	return s.sweepAsk(func(req uint64) any {
+func (s *harness) submitSweep(m SubmitSweep) Reply {
+	return s.requestSweep(func(req uint64) any {
 		m.RequestID = req
 		return m
 	})
@@ -88,7 +88,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := sweepShelf(t, !tc.off, tc.format)
+			s := newSweepHarness(t, !tc.off, tc.format)
 			r := s.submitSweep(tc.m)
 			if r.Status != tc.status || !strings.Contains(r.Error, tc.says) {
 				t.Errorf("%d %s", r.Status, r.Error)
@@ -127,18 +127,18 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newShelf(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
-			set := s.c.settings
+			s := newHarness(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
+			set := s.core.settings
 			set.Peers, set.Size, set.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.on
-			s.c = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-			s.list()
-			s.run(2 * second)
+			s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			s.listState()
+			s.advance(2 * second)
 			for i, v := range tc.versions {
-				s.put(memberPrefix+set.Peers[i], upgrade.Advertisement{Format: v, Incarnation: "x"})
+				s.store(memberPrefix+set.Peers[i], upgrade.Advertisement{Format: v, Incarnation: "x"})
 			}
-			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
-			s.run(3 * second)
-			if f := s.c.membership.format; f.Version != tc.want || f.Tasks != 32 {
+			s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+			s.advance(3 * second)
+			if f := s.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
 				t.Errorf("the format is %+v", f)
 			}
 			if r := s.submitSweep(sweepOf("s", 1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
@@ -153,27 +153,27 @@
 // one of them may be done. In an outage right after a cancellation runs were
 // called cancelled whose end was stored as done.
 func TestSweepTold(t *testing.T) {
-	s := sweepShelf(t, true, formatRecord{Version: 3, Tasks: 64})
+	s := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64})
 	if r := s.submitSweep(sweepOf("s", 2, 1000)); r.Status != 201 {
 		t.Fatalf("%d %s", r.Status, r.Error)
 	}
 	for i := range 2 {
-		s.put(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: sweepOf("s", 2, 1000).Plan.Specs[i], SubmittedWall: 1})
+		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: sweepOf("s", 2, 1000).Plan.Specs[i], SubmittedWall: 1})
 	}
-	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
-	j := s.c.cache.jobs["sweep.s.1"]
+	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+	j := s.core.cache.jobs["sweep.s.1"]
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + "s"}}})
-	if j == nil || j.Outcome != "" || s.c.cache.ends["sweep.s.1"].Outcome != "" {
+	if j == nil || j.Outcome != "" || s.core.cache.ends["sweep.s.1"].Outcome != "" {
 		t.Fatal("a run is called cancelled on another's word")
 	}
-	if s.c.sweepManager.mayStart(j) {
+	if s.core.sweepManager.mayStart(j) {
 		t.Error("its tasks may still be started")
 	}
 	// What was stored before: run 0 is done. Then the cancellation.
-	s.put(endPrefix+"sweep.s.0", jobstate.End{Outcome: jobstate.Done, Tasks: 1})
-	s.put(sweepEndPrefix+"s", sweepEndRecord{Outcome: jobstate.Cancelled})
-	s.view(StateRead{AfterRevision: s.c.cache.appliedRevision, Immediate: true})
-	if a, b := s.c.cache.ends["sweep.s.0"].Outcome, s.c.cache.ends["sweep.s.1"].Outcome; a != jobstate.Done || b != jobstate.Cancelled {
+	s.store(endPrefix+"sweep.s.0", jobstate.End{Outcome: jobstate.Done, Tasks: 1})
+	s.store(sweepEndPrefix+"s", sweepEndRecord{Outcome: jobstate.Cancelled})
+	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+	if a, b := s.core.cache.ends["sweep.s.0"].Outcome, s.core.cache.ends["sweep.s.1"].Outcome; a != jobstate.Done || b != jobstate.Cancelled {
 		t.Errorf("the runs are %q and %q", a, b)
 	}
 }
@@ -194,7 +194,7 @@
 	if a, b := len(encodeJSON(at)), len(encodeJSON(g)); max(a, b) > 2000 {
 		t.Errorf("%d and %d bytes", a, b)
 	}
-	c := sweepShelf(t, true, formatRecord{Version: 3, Tasks: 64}).c
+	c := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64}).core
 	bad := func(err error) { t.Error(err) }
 	c.sweepManager.applySweep("sweepat/s", Change{Value: encodeJSON(at), Revision: 5}, bad)
 	c.sweepManager.applySweep("sweepat/s/gone", Change{Value: encodeJSON(g), Revision: 5}, bad)
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -76,15 +76,15 @@
 // TestAnswerLost: a user whose submission or cancellation was carried out, and whose
 // answer alone was lost, is answered at once and not when the writer gives up.
 func TestAnswerLost(t *testing.T) {
-	s := newShelf(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
-	s.run(200_000)
-	s.mute = true
+	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
+	s.advance(200_000)
+	s.losesAnswers = true
 	for _, tc := range []struct {
 		msg  any
 		want string
 	}{{SubmitJob{Spec: job("new").Spec}, Queued}, {CancelJob{ID: "open"}, "cancelled"}, {CancelJob{ID: "new"}, "cancelled"}} {
 		at := s.now
-		r := s.ask(tc.msg)
+		r := s.request(tc.msg)
 		if r.Job == nil || r.Job.State != tc.want {
 			t.Fatalf("%T: %+v, want %s", tc.msg, r, tc.want)
 		}
@@ -102,8 +102,8 @@
 // TestRepeats: users who repeat a submission or a cancellation while it is written
 // cost no writes: there are few a second, and placements need them.
 func TestRepeats(t *testing.T) {
-	s := newShelf(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
-	s.run(200_000)
+	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
+	s.advance(200_000)
 	for _, tc := range []struct {
 		id, want string
 		msg      func(req uint64) any
@@ -112,32 +112,32 @@
 		{"open", "cancelled", func(req uint64) any { return CancelJob{RequestID: req, ID: "open"} }},
 	} {
 		var reqs []uint64
-		s.slow = true
+		s.delaysCommits = true
 		for range 5 {
 			for range 6 {
-				s.req++
-				reqs = append(reqs, s.req)
-				s.step(tc.msg(s.req))
+				s.lastRequest++
+				reqs = append(reqs, s.lastRequest)
+				s.step(tc.msg(s.lastRequest))
 			}
-			s.run(100_000)
+			s.advance(100_000)
 		}
 		n := 0
-		for _, e := range s.later {
+		for _, e := range s.delayedCommits {
 			for _, w := range e.Writes {
 				if w.Key == jobPrefix+tc.id {
 					n++
 				}
 			}
 		}
-		s.slow = false
-		for len(s.later) > 0 {
-			e := s.later[0]
-			s.later = s.later[1:]
-			s.multi(e)
+		s.delaysCommits = false
+		for len(s.delayedCommits) > 0 {
+			e := s.delayedCommits[0]
+			s.delayedCommits = s.delayedCommits[1:]
+			s.commit(e)
 		}
-		s.run(second)
+		s.advance(second)
 		for _, r := range reqs {
-			if a := s.got[r]; a.Job == nil || a.Job.State != tc.want {
+			if a := s.replies[r]; a.Job == nil || a.Job.State != tc.want {
 				t.Errorf("%s: %+v, want %s", tc.id, a, tc.want)
 			}
 		}
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -22,24 +22,24 @@
 		{"while it leads", nil, map[string]any{featuresKey: needed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newShelf(t, tc.keys)
-			s.run(2 * second)
-			if led := s.c.elector.leadership != nil; led != (tc.then != nil) {
+			s := newHarness(t, tc.keys)
+			s.advance(2 * second)
+			if led := s.core.elector.leadership != nil; led != (tc.then != nil) {
 				t.Fatalf("leads %v", led)
 			}
 			for k, v := range tc.then {
-				s.put(k, v)
+				s.store(k, v)
 			}
-			s.view(StateRead{AfterRevision: s.c.cache.appliedRevision})
-			before := s.rev
-			s.run(10 * second)
-			if s.rev != before || s.c.elector.leadership != nil {
-				t.Errorf("leads %v, and has written %d times", s.c.elector.leadership != nil, s.rev-before)
+			s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision})
+			before := s.revision
+			s.advance(10 * second)
+			if s.revision != before || s.core.elector.leadership != nil {
+				t.Errorf("leads %v, and has written %d times", s.core.elector.leadership != nil, s.revision-before)
 			}
 			s.step(CheckReady{RequestID: 1})
 			s.step(QueryJob{RequestID: 2, ID: "x"})
-			if s.got[1].Status != 503 || s.got[2].Status != 503 || !strings.Contains(s.got[1].Error, "start a newer one") {
-				t.Errorf("answers %+v and %+v", s.got[1], s.got[2])
+			if s.replies[1].Status != 503 || s.replies[2].Status != 503 || !strings.Contains(s.replies[1].Error, "start a newer one") {
+				t.Errorf("answers %+v and %+v", s.replies[1], s.replies[2])
 			}
 		})
 	}
