--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -7,20 +7,20 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// report sends a report of machine m with a number of its own, as relayed by a
-// peer or come late.
-func (r *rig) report(session, seq, token uint64, tasks ...TaskStatus) int {
+// sendHeartbeat sends a heartbeat of machine m with a number of its own, as one that comes
+// late, and returns the status of its answer.
+func (r *rig) sendHeartbeat(epoch, seq, token uint64, tasks ...TaskStatus) int {
 	r.got = nil
-	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
+	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: epoch, Seq: seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.got) == 0 && i < 100; i++ {
 		r.tick(50_000)
 	}
 	return r.got[0].Status
 }
 
-// inspected answers a question that was sent just now.
-func (r *rig) inspected(session, seq, token uint64, tasks ...TaskStatus) {
-	r.step(MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: session, Seq: seq, FencingToken: token, Tasks: tasks}})
+// answerProbe answers a probe that was sent just now.
+func (r *rig) answerProbe(epoch, seq, token uint64, tasks ...TaskStatus) {
+	r.step(MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: epoch, Seq: seq, FencingToken: token, Tasks: tasks}})
 }
 
 // usable says whether m may be given work.
@@ -29,10 +29,11 @@
 	return m != nil && r.c.planner.usable(m)
 }
 
-// TestDeaf: that a machine is heard does not show that it hears. One whose orders
-// have no effect twice in turn is given nothing, what it was to start goes
-// elsewhere once a later report lacks it too, and it is used again when it hears.
-func TestDeaf(t *testing.T) {
+// TestCannotReceive: that a machine's heartbeats come does not show that it receives their
+// answers. One whose commands have no effect twice in turn is given nothing, what it was to
+// start goes elsewhere once a later heartbeat does not list it either, and it is used again
+// when it receives something.
+func TestCannotReceive(t *testing.T) {
 	cases := []struct {
 		name   string
 		do     func(r *rig)
@@ -41,26 +42,26 @@
 	}{
 		{"one answer is lost", func(r *rig) { r.beat(5, 1); r.beat(r.token, 1) }, true, "m.3"},
 		{"two answers in turn have no effect", func(r *rig) { r.beat(5, 1); r.beat(r.token, 1); r.beat(r.token, 1) }, false, ".3"},
-		{"what it has shown stays until its lease is over", func(r *rig) {
+		{"what it has listed stays until its lease has expired", func(r *rig) {
 			r.beat(5, 1, running(3))
 			for range 4 {
 				r.beat(r.token, 1, running(3), TaskStatus{Name: "other/0", Attempt: 1, State: TaskExited, Reason: ExitStopped})
 			}
 		}, false, "m.3"},
-		{"it answers a question", func(r *rig) {
+		{"it answers a probe", func(r *rig) {
 			r.beat(5, 1)
 			r.beat(r.token, 1)
 			r.beat(r.token, 1)
-			r.inspected(1, r.seq+1, r.token)
+			r.answerProbe(1, r.seq+1, r.token)
 		}, true, "m.4"},
-		{"an order takes effect", func(r *rig) {
+		{"a command takes effect", func(r *rig) {
 			r.beat(5, 1)
 			r.beat(r.token, 1)
 			r.beat(r.token, 1)
 			r.beat(r.token, 1, TaskStatus{Name: "other/0", Attempt: 1, State: TaskExited, Reason: ExitStopped})
 			r.beat(r.token, 1)
 		}, true, "m.4"},
-		{"it can't be asked, is tried again after a while, and does not hear", func(r *rig) {
+		{"it can't be probed, is tried again after a while, and does not receive the start", func(r *rig) {
 			for range 3 {
 				r.beat(r.token, 1)
 			}
@@ -69,7 +70,7 @@
 				r.beat(r.token, 1)
 			}
 		}, false, ".4"},
-		{"it ends its session twice though it is answered", func(r *rig) {
+		{"it ends its epoch twice though it is answered", func(r *rig) {
 			r.beat(5, 1, running(3))
 			r.seq = 0
 			r.beat(r.token, 2)
@@ -91,24 +92,24 @@
 	}
 }
 
-// TestLateCopies: a report that comes late says nothing about now. It brings no
-// machine back that is gone, and proves no absence; a machine that counts anew is
-// believed on its answer to a question, and copies from before that are not.
+// TestLateCopies: a heartbeat that comes late says nothing about now. It brings no machine
+// back that is gone, and proves no absence; a machine that numbers its heartbeats anew is
+// believed on its answer to a probe, and copies from before that are not.
 func TestLateCopies(t *testing.T) {
-	anew := func(r *rig) {
-		r.report(1, 90, r.token, running(3))
+	restarted := func(r *rig) {
+		r.sendHeartbeat(1, 90, r.token, running(3))
 		r.tick(2 * second)
-		if s := r.report(1, 1, 0); s != 503 {
+		if s := r.sendHeartbeat(1, 1, 0); s != 503 {
 			r.t.Errorf("status %d for an older number", s)
 		}
-		r.inspected(1, 2, 0)
-		r.report(1, 3, 0)
+		r.answerProbe(1, 2, 0)
+		r.sendHeartbeat(1, 3, 0)
 		r.tick(2 * second)
-		r.report(1, 4, r.token)
-		r.inspected(1, 5, r.token)
+		r.sendHeartbeat(1, 4, r.token)
+		r.answerProbe(1, 5, r.token)
 		r.tick(second)
-		r.report(1, 6, r.token)
-		r.report(1, 7, r.token, running(4))
+		r.sendHeartbeat(1, 6, r.token)
+		r.sendHeartbeat(1, 7, r.token, running(4))
 	}
 	cases := []struct {
 		name   string
@@ -118,79 +119,79 @@
 		placed string
 	}{
 		{"of a machine that was returned", func(r *rig) int {
-			r.report(1, 7, r.token, running(3))
+			r.sendHeartbeat(1, 7, r.token, running(3))
 			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.elector.leadership.fencingToken})
-			return r.report(1, 8, r.token)
+			return r.sendHeartbeat(1, 8, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, an older number", func(r *rig) int {
-			r.report(1, 7, r.token)
+			r.sendHeartbeat(1, 7, r.token)
 			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
 			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
-			return r.report(1, 7, r.token)
+			return r.sendHeartbeat(1, 7, r.token)
 		}, 503, false, ".3"},
 		{"of one that was forgotten, and is there after all", func(r *rig) int {
-			r.report(1, 7, r.token)
+			r.sendHeartbeat(1, 7, r.token)
 			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
 			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
-			return r.report(1, 8, r.token)
+			return r.sendHeartbeat(1, 8, r.token)
 		}, 200, true, "m.4"},
-		{"a lower number is no news", func(r *rig) int {
-			r.report(1, 90, r.token, running(3))
-			return r.report(1, 89, r.token)
+		{"a lower number is outdated", func(r *rig) int {
+			r.sendHeartbeat(1, 90, r.token, running(3))
+			return r.sendHeartbeat(1, 89, r.token)
 		}, 503, true, "m.3"},
-		{"a lower number, and the question tells of a higher one", func(r *rig) int {
-			r.report(1, 90, r.token, running(3))
+		{"a lower number, and the probe tells of a higher one", func(r *rig) int {
+			r.sendHeartbeat(1, 90, r.token, running(3))
 			r.tick(2 * second)
-			r.report(1, 89, r.token)
-			r.inspected(1, 91, r.token, running(3))
-			return r.report(1, 92, r.token, running(3))
+			r.sendHeartbeat(1, 89, r.token)
+			r.answerProbe(1, 91, r.token, running(3))
+			return r.sendHeartbeat(1, 92, r.token, running(3))
 		}, 200, true, "m.3"},
-		{"the machine counts anew", func(r *rig) int {
-			anew(r)
-			return r.report(1, 8, r.token, running(4))
+		{"the machine numbers anew", func(r *rig) int {
+			restarted(r)
+			return r.sendHeartbeat(1, 8, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine counts anew, and is asked once more for another purpose", func(r *rig) int {
-			anew(r)
-			r.inspected(1, 8, r.token, running(4))
-			return r.report(1, 9, r.token, running(4))
+		{"the machine numbers anew, and is probed once more for another purpose", func(r *rig) int {
+			restarted(r)
+			r.answerProbe(1, 8, r.token, running(4))
+			return r.sendHeartbeat(1, 9, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine counts anew, and a copy that looks like the next report lacks its task", func(r *rig) int {
-			anew(r)
-			return r.report(1, 9, r.token)
+		{"the machine numbers anew, and a copy that looks like the next heartbeat lacks its task", func(r *rig) int {
+			restarted(r)
+			return r.sendHeartbeat(1, 9, r.token)
 		}, 200, true, "m.4"},
-		{"the machine counts anew, and a copy from before has made its number too high", func(r *rig) int {
-			anew(r)
-			r.report(1, 20, r.token)
+		{"the machine numbers anew, and a copy from before has made its number too high", func(r *rig) int {
+			restarted(r)
+			r.sendHeartbeat(1, 20, r.token)
 			r.tick(2 * second)
-			r.report(1, 8, r.token, running(4))
-			r.inspected(1, 9, r.token, running(4))
-			return r.report(1, 10, r.token, running(4))
+			r.sendHeartbeat(1, 8, r.token, running(4))
+			r.answerProbe(1, 9, r.token, running(4))
+			return r.sendHeartbeat(1, 10, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine counts anew twice", func(r *rig) int {
-			anew(r)
+		{"the machine numbers anew twice", func(r *rig) int {
+			restarted(r)
 			r.tick(2 * second)
-			r.report(1, 1, 0)
-			r.inspected(1, 2, 0)
-			r.report(1, 3, 0)
+			r.sendHeartbeat(1, 1, 0)
+			r.answerProbe(1, 2, 0)
+			r.sendHeartbeat(1, 3, 0)
 			r.tick(2 * second)
-			r.report(1, 4, r.token)
-			r.inspected(1, 5, r.token)
-			return r.report(1, 6, r.token)
+			r.sendHeartbeat(1, 4, r.token)
+			r.answerProbe(1, 5, r.token)
+			return r.sendHeartbeat(1, 6, r.token)
 		}, 200, true, "m.5"},
-		{"the machine counts anew, and a copy from before comes", func(r *rig) int {
-			anew(r)
-			return r.report(1, 91, r.token)
+		{"the machine numbers anew, and a copy from before comes", func(r *rig) int {
+			restarted(r)
+			return r.sendHeartbeat(1, 91, r.token)
 		}, 503, true, "m.4"},
-		{"the machine counts anew, and a copy of an earlier session comes", func(r *rig) int {
-			anew(r)
-			return r.report(2, 8, r.token)
+		{"the machine numbers anew, and a copy of another epoch comes", func(r *rig) int {
+			restarted(r)
+			return r.sendHeartbeat(2, 8, r.token)
 		}, 503, true, "m.4"},
-		{"the machine counts anew, and its session ends", func(r *rig) int {
-			anew(r)
+		{"the machine numbers anew, and its epoch ends", func(r *rig) int {
+			restarted(r)
 			r.tick(3 * second)
-			r.report(2, 8, r.token)
-			r.inspected(2, 9, r.token)
-			return r.report(2, 10, r.token)
+			r.sendHeartbeat(2, 8, r.token)
+			r.answerProbe(2, 9, r.token)
+			return r.sendHeartbeat(2, 10, r.token)
 		}, 200, true, "m.5"},
 	}
 	for _, tc := range cases {
@@ -210,16 +211,16 @@
 	}
 }
 
-// TestGangLeavesDeaf: the others of a gang do not wait for a task whose machine
-// does not hear.
-func TestGangLeavesDeaf(t *testing.T) {
+// TestGangLeavesUnreceivedStart: the others of a gang do not wait for a task whose machine
+// does not receive its start.
+func TestGangLeavesUnreceivedStart(t *testing.T) {
 	r := newRig(t)
 	j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: 2, Need: jobstate.Resources{CPU: 1}, Estimate: second})
 	r.c.cache.jobs["g"] = j
-	for i, name := range []string{"deaf", "m"} {
+	for i, name := range []string{"unreceiving", "m"} {
 		r.c.tasks.place(j, i, name)
 	}
-	r.c.workers.abandonUnacknowledged(r.c.workers.getOrAddMachine("deaf"))
+	r.c.workers.abandonUnacknowledged(r.c.workers.getOrAddMachine("unreceiving"))
 	for i := range 2 {
 		if j.Task(i).StopReason == "" {
 			t.Errorf("task %d goes on", i)
--- /dev/null
+++ b/internal/core/drain_test.go
@@ -0,0 +1,46 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// TestFaultyMachines tells faulty machines from faulty jobs.
+func TestFaultyMachines(t *testing.T) {
+	type failure struct{ machine, job int }
+	cases := []struct {
+		name    string
+		fails   []failure
+		drained int
+	}{
+		{"one failure", []failure{{0, 0}}, 0},
+		{"one job, again and again", []failure{{0, 0}, {0, 0}, {0, 0}}, 0},
+		{"two jobs on one machine", []failure{{0, 0}, {0, 1}}, 1},
+		{"a bad job on every machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}}, 0},
+		{"two bad jobs on every machine, one after the other", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}, {0, 1}, {1, 1}, {2, 1}, {3, 1}}, 0},
+		{"a bad job everywhere and a bad machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 1}, {3, 2}}, 1},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			r := newRig(t)
+			jobs := map[int]*jobstate.Job{}
+			for _, f := range tc.fails {
+				if jobs[f.job] == nil {
+					jobs[f.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", f.job), Tasks: 1})
+				}
+				r.c.tasks.suspectMachine(r.c.workers.getOrAddMachine(fmt.Sprint("m", f.machine)), jobs[f.job])
+			}
+			drained := 0
+			for _, m := range r.c.elector.leadership.fleet.All() {
+				if m.Draining {
+					drained++
+				}
+			}
+			if drained != tc.drained {
+				t.Errorf("%d drained, want %d", drained, tc.drained)
+			}
+		})
+	}
+}
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,11 +7,11 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestMute: what is to stop on a machine whose reports do not come is stopped there by
-// direct commands, also by a leader that has never heard of it: the address comes from
-// the cloud's list and the session from the machine. It once went on until its lease
-// had run out. Nothing is taken for absent by such an answer.
-func TestMute(t *testing.T) {
+// TestUnreachable: what is to stop on a machine whose heartbeats do not come is stopped
+// there by direct commands, also by a leader that never had one of it: the address comes
+// from the cloud's list and the epoch from the machine. It once went on until its lease had
+// expired. Nothing is taken for absent by such an answer.
+func TestUnreachable(t *testing.T) {
 	cases := []struct {
 		name  string
 		over  string
@@ -24,8 +24,8 @@
 		{"another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
 		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"nothing is to stop", "", nil, []TaskStatus{running(3)}, ""},
-		{"its reports come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted: nobody would hear that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"its heartbeats come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
+		{"preempted: no heartbeat would show that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
 		{"preempted, and nothing proves it", "", func(r *rig) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.mute = true
@@ -39,12 +39,12 @@
 			if tc.do != nil {
 				tc.do(r)
 			}
-			asked, got := false, ""
+			probed, got := false, ""
 			for range 20 {
 				r.now += 100_000
 				for _, e := range r.c.Step(r.now, Tick{}) {
-					if p, ok := e.(ProbeMachine); ok && p.Machine == "m" && !asked {
-						asked = true
+					if p, ok := e.(ProbeMachine); ok && p.Machine == "m" && !probed {
+						probed = true
 						for _, e := range r.c.Step(r.now, MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
 							if d, ok := e.(SendCommands); ok {
 								for _, o := range d.Commands {
@@ -56,7 +56,7 @@
 				}
 			}
 			if got != tc.want {
-				t.Errorf("%q, want %q (asked: %v)", got, tc.want, asked)
+				t.Errorf("%q, want %q (probed: %v)", got, tc.want, probed)
 			}
 			if p := r.placed(); p != "m.3" {
 				t.Errorf("placed %s", p)
