--- /dev/null
+++ b/internal/api/fieldchecker.go
@@ -0,0 +1,159 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// roundingError is how far, in the core's units, an amount may exceed a whole one and
+// be taken for it.
+const roundingError = 1e-6
+
+var errMissing = errors.New("missing")
+
+// fieldChecker reads the fields of a submission. err is of the first one that is wrong;
+// what is read of such a field is of no use.
+type fieldChecker struct{ err error }
+
+// fail notes what is wrong with a field.
+func (c *fieldChecker) fail(field string, why error) {
+	if c.err == nil {
+		c.err = fmt.Errorf("%s: %w", field, why)
+	}
+}
+
+// name is a name that has to be there.
+func (c *fieldChecker) name(field string, value *string) string {
+	if value == nil || *value == "" {
+		c.fail(field, errMissing)
+		return ""
+	}
+	return c.optionalName(field, value)
+}
+
+// optionalName is a name, "" if it is missing.
+func (c *fieldChecker) optionalName(field string, value *string) string {
+	if value == nil {
+		return ""
+	}
+	if len(*value) > maxNameLength {
+		c.fail(field, errors.New("too long"))
+	}
+	return *value
+}
+
+// amount is an amount in the core's units, of which scale are one of the wire's. It is
+// rounded up.
+func (c *fieldChecker) amount(field string, value *float64, scale, most float64) int64 {
+	switch {
+	case value == nil:
+		c.fail(field, errMissing)
+		return 0
+	case math.IsNaN(*value) || *value < 0 || *value > most:
+		c.fail(field, errors.New("out of range"))
+		return 0
+	}
+	return int64(math.Ceil(*value*scale - roundingError))
+}
+
+// seconds is a duration in microseconds.
+func (c *fieldChecker) seconds(field string, value *float64) int64 {
+	return c.amount(field, value, microsPerSecond, maxSeconds)
+}
+
+// optionalSeconds is a duration in microseconds, 0 if it is missing.
+func (c *fieldChecker) optionalSeconds(field string, value *float64) int64 {
+	if value == nil {
+		return 0
+	}
+	return c.seconds(field, value)
+}
+
+func (c *fieldChecker) kind(field string, value *string) jobstate.Kind {
+	if value != nil {
+		switch *value {
+		case "sweep":
+			return jobstate.Array
+		case "gang":
+			return jobstate.Gang
+		case "standing":
+			return jobstate.Service
+		}
+	}
+	c.fail(field, errors.New("missing or unknown"))
+	return ""
+}
+
+func (c *fieldChecker) priority(field string, value *string) int {
+	if value == nil {
+		c.fail(field, errMissing)
+		return 0
+	}
+	switch *value {
+	case "idle":
+		return jobstate.Idle
+	case "normal":
+		return jobstate.Normal
+	case "urgent":
+		return jobstate.Urgent
+	case "production":
+		return jobstate.Production
+	}
+	c.fail(field, errors.New("unknown"))
+	return 0
+}
+
+// tasks is how many tasks the job has.
+func (c *fieldChecker) tasks(field string, value *float64) int {
+	if value == nil || *value != math.Trunc(*value) || *value < 1 || *value > jobstate.MaxTasks {
+		c.fail(field, fmt.Errorf("must be a whole number from 1 to %d", jobstate.MaxTasks))
+		return 0
+	}
+	return int(*value)
+}
+
+// types are the machine types that the job may use, nil for all.
+func (c *fieldChecker) types(field string, value *[]string) []string {
+	if value == nil {
+		return nil
+	}
+	for _, name := range *value {
+		if name == "" || len(name) > maxNameLength {
+			c.fail(field, errors.New("invalid name"))
+		}
+	}
+	if len(*value) == 0 {
+		c.fail(field, errors.New("empty"))
+	}
+	return *value
+}
+
+// dependencies are the ids of the jobs that the job depends on, each once.
+func (c *fieldChecker) dependencies(field string, ids []string) []string {
+	if len(ids) > maxDependencies {
+		c.fail(field, fmt.Errorf("more than %d", maxDependencies))
+		return nil
+	}
+	var dependencies []string
+	for _, id := range ids {
+		if !ValidID(id) {
+			c.fail(field, errors.New("invalid id"))
+		}
+		if !slices.Contains(dependencies, id) {
+			dependencies = append(dependencies, id)
+		}
+	}
+	return dependencies
+}
+
+func (c *fieldChecker) flag(field string, value *bool) bool {
+	if value == nil {
+		c.fail(field, errMissing)
+		return false
+	}
+	return *value
+}
--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -121,11 +121,11 @@
 // recorded form.
 func TestRecordedDirect(t *testing.T) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeDirectOrders(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4, Commands: everyOrder()}))
-	fmt.Fprintf(&b, "no orders: %s\n", EncodeDirectOrders(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4}))
+	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeCommands(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4, Commands: everyOrder()}))
+	fmt.Fprintf(&b, "no orders: %s\n", EncodeCommands(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4}))
 	golden.Compare(t, "testdata/direct.txt", b.String())
 	for order, want := range map[core.Command]string{{Kind: "start"}: "run", {Kind: "stop"}: "kill", {Kind: "forget"}: "forget"} {
-		if got := OrderVerb(order); got != want {
+		if got := CommandVerb(order); got != want {
 			t.Errorf("%s is %q on the wire, want %q", order.Kind, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/api/replies.go
@@ -0,0 +1,93 @@
+package api
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// jobResponse is a job's state on the wire.
+type jobResponse struct {
+	ID      string `json:"name_id"`
+	Status  string `json:"status"`
+	Done    int    `json:"done"`
+	Running int    `json:"running"`
+}
+
+// decommissionResponse says whether a controller is decommissioned.
+type decommissionResponse struct {
+	Name string `json:"controller"`
+	Gone bool   `json:"gone"`
+}
+
+// misdirectedResponse names the leader, if it is known.
+type misdirectedResponse struct {
+	Leader string `json:"foreman,omitempty"`
+}
+
+// errorResponse says why a request was refused.
+type errorResponse struct {
+	Error string `json:"error"`
+}
+
+// JobStateName is a job's state on the wire, "" for one that has no name there.
+func JobStateName(state string) string {
+	switch state {
+	case core.Queued:
+		return "pending"
+	case core.Running:
+		return "running"
+	case jobstate.Done:
+		return "done"
+	case jobstate.Cancelled:
+		return "withdrawn"
+	default:
+		return ""
+	}
+}
+
+// EncodeReply makes the body of the answer that carries a reply.
+func EncodeReply(r core.Reply) []byte {
+	switch {
+	case r.Job != nil:
+		return encode(jobResponse{
+			ID:      r.Job.ID,
+			Status:  JobStateName(r.Job.State),
+			Done:    r.Job.Done,
+			Running: r.Job.Running,
+		})
+	case r.Sweep != nil:
+		return encode(newSweepResponse(r.Sweep))
+	case r.Runs != nil:
+		return encode(newRunPageResponse(r.Runs))
+	case r.Ops != nil:
+		return encode(r.Ops)
+	case r.Decommission != nil:
+		return encode(decommissionResponse{
+			Name: r.Decommission.Name,
+			Gone: r.Decommission.Decommissioned,
+		})
+	case r.Status == http.StatusMisdirectedRequest:
+		return encode(misdirectedResponse{Leader: r.Leader})
+	case r.Status == http.StatusOK && r.FencingToken != 0:
+		return encode(heartbeatResponse{
+			FencingToken: r.FencingToken,
+			Commands:     newCommands(r.Commands),
+		})
+	case r.Error != "":
+		return encode(errorResponse{Error: r.Error})
+	default:
+		return []byte("{}")
+	}
+}
+
+// encode encodes a plain struct, for which that can't fail.
+func encode(v any) []byte {
+	b, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	return b
+}
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"strconv"
-	"strings"
 
 	"github.com/klauspost/compress/zstd"
 
@@ -16,107 +15,129 @@
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
 
+const (
+	// storedJobOverhead bounds what a stored job has beside its submission, in bytes:
+	// its times and how it has ended.
+	storedJobOverhead = 100
+	// maxDescriptionBytes bounds what a stored description unpacks to.
+	maxDescriptionBytes = 4 << 20
+	// packWindow is the window of the compression, in bytes.
+	packWindow = 256 << 10
+)
+
 // ExpandSweep makes the plan of a description and checks each run as a
 // submission is checked. An error that comes with a plan is of a sweep of which
 // the id is good.
-func ExpandSweep(s *sweeppb.Sweep) (*core.SweepPlan, error) {
-	x, err := sweep.Expand(s)
+func ExpandSweep(description *sweeppb.Sweep) (*core.SweepPlan, error) {
+	expansion, err := sweep.Expand(description)
 	if err != nil {
-		return &core.SweepPlan{ID: s.Id}, err
+		return &core.SweepPlan{ID: description.Id}, err
 	}
-	plan := &core.SweepPlan{ID: x.ID, Digest: x.Digest, MaxUnfinished: x.MaxUnfinished}
-	for i := range x.Runs {
-		r := &x.Runs[i]
-		body, err := json.Marshal(r.Job)
-		if err != nil {
-			return plan, fmt.Errorf("run %s: %w", x.Describe(r.Values), err)
-		}
-		m, err := DecodeSubmission(body)
-		if err == nil && m.Invalid != "" {
-			err = errors.New(m.Invalid)
-		}
+	plan := &core.SweepPlan{ID: expansion.ID, Digest: expansion.Digest, MaxUnfinished: expansion.MaxUnfinished}
+	for i := range expansion.Runs {
+		run := &expansion.Runs[i]
+		spec, err := decodeRun(run)
 		if err != nil {
-			return plan, fmt.Errorf("run %s: %w", x.Describe(r.Values), err)
+			return plan, fmt.Errorf("run %s: %w", expansion.Describe(run.Values), err)
 		}
-		m.Spec.Sweep, m.Spec.Run = x.ID, i
-		plan.Specs = append(plan.Specs, m.Spec)
-		plan.Values = append(plan.Values, encodeValues(x, r))
-		plan.Sets = append(plan.Sets, r.SetIndexes)
-		// The stored job has its times and what it ended as besides.
-		plan.Longest = max(plan.Longest, len(jobstate.Encode(m.Spec))+100)
+		spec.Sweep, spec.Run = expansion.ID, i
+		plan.Specs = append(plan.Specs, spec)
+		plan.Values = append(plan.Values, encodeValues(expansion, run))
+		plan.Sets = append(plan.Sets, run.SetIndexes)
+		plan.Longest = max(plan.Longest, len(jobstate.Encode(spec))+storedJobOverhead)
 	}
 	return plan, nil
 }
 
+// decodeRun reads a run's job as a submission is read.
+func decodeRun(run *sweep.Run) (*jobstate.Spec, error) {
+	body, err := json.Marshal(run.Job)
+	if err != nil {
+		return nil, err
+	}
+	submitted, err := DecodeSubmission(body)
+	if err != nil {
+		return nil, err
+	}
+	if submitted.Invalid != "" {
+		return nil, errors.New(submitted.Invalid)
+	}
+	return submitted.Spec, nil
+}
+
 // encodeValues writes a run's values in the order of the parameters.
-func encodeValues(x *sweep.Expansion, r *sweep.Run) json.RawMessage {
+func encodeValues(expansion *sweep.Expansion, run *sweep.Run) json.RawMessage {
 	b := []byte{'{'}
-	for i, n := range x.Parameters {
+	for i, parameter := range expansion.Parameters {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = append(strconv.AppendQuote(b, n), ':')
-		b = append(b, jobstate.Encode(r.Values[i])...)
+		b = append(strconv.AppendQuote(b, parameter), ':')
+		b = append(b, jobstate.Encode(run.Values[i])...)
 	}
 	return append(b, '}')
 }
 
-// maxDescriptionBytes bounds what a stored description unpacks to.
-const maxDescriptionBytes = 4 << 20
-
 // PackSweep makes the text that is stored of a description.
-func PackSweep(s *sweeppb.Sweep) (string, error) {
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10))
+func PackSweep(description *sweeppb.Sweep) (string, error) {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
 	if err != nil {
 		return "", fmt.Errorf("pack a sweep: %w", err)
 	}
-	defer w.Close()
-	return base64.RawStdEncoding.EncodeToString(w.EncodeAll(sweep.Encode(s), nil)), nil
+	packed := encoder.EncodeAll(sweep.Encode(description), nil)
+	if err := encoder.Close(); err != nil {
+		return "", fmt.Errorf("pack a sweep: %w", err)
+	}
+	return base64.RawStdEncoding.EncodeToString(packed), nil
 }
 
-// UnpackSweep reads it and expands it.
+// UnpackSweep reads what PackSweep made and expands it.
 func UnpackSweep(stored string) (*core.SweepPlan, error) {
-	fail := func(err error) (*core.SweepPlan, error) { return nil, fmt.Errorf("unpack a sweep: %w", err) }
-	b, err := base64.RawStdEncoding.DecodeString(stored)
+	description, err := unpackDescription(stored)
 	if err != nil {
-		return fail(err)
+		return nil, fmt.Errorf("unpack a sweep: %w", err)
 	}
-	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDescriptionBytes))
+	return ExpandSweep(description)
+}
+
+func unpackDescription(stored string) (*sweeppb.Sweep, error) {
+	packed, err := base64.RawStdEncoding.DecodeString(stored)
 	if err != nil {
-		return fail(err)
+		return nil, err
 	}
-	defer r.Close()
-	if b, err = r.DecodeAll(b, nil); err != nil {
-		return fail(err)
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDescriptionBytes))
+	if err != nil {
+		return nil, err
 	}
-	s, err := sweep.Parse(b)
+	defer decoder.Close()
+	text, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return fail(err)
+		return nil, err
 	}
-	return ExpandSweep(s)
+	return sweep.Parse(text)
 }
 
-// DecodeSweep reads a sweep's submission, a sweep file without references to
-// other files. It takes long for a large sweep.
+// DecodeSweep reads a sweep's submission, a sweep file without references to other
+// files. If only its id is good, the message carries what is wrong with the rest. It
+// takes long for a large sweep.
 func DecodeSweep(body []byte) (core.SubmitSweep, error) {
-	s, err := sweep.Parse(body)
+	description, err := sweep.Parse(body)
 	if err != nil {
 		return core.SubmitSweep{}, err
 	}
-	plan, err := ExpandSweep(s)
-	if err != nil && !sweep.ValidID(s.Id) {
+	plan, err := ExpandSweep(description)
+	switch {
+	case err == nil:
+		stored, err := PackSweep(description)
+		return core.SubmitSweep{Plan: plan, Stored: stored}, err
+	case sweep.ValidID(description.Id):
+		return core.SubmitSweep{Plan: plan, Invalid: err.Error()}, nil
+	default:
 		return core.SubmitSweep{}, err
 	}
-	m := core.SubmitSweep{Plan: plan}
-	if err != nil {
-		m.Invalid = err.Error()
-		return m, nil
-	}
-	m.Stored, err = PackSweep(s)
-	return m, err
 }
 
-// SweepResponse is the wire form of a sweep's state.
+// SweepResponse is a sweep's state on the wire.
 type SweepResponse struct {
 	ID        string `json:"id"`
 	Status    string `json:"status"`
@@ -126,7 +147,18 @@
 	Withdrawn int    `json:"withdrawn"`
 }
 
-// RunResponse is the wire form of a run.
+func newSweepResponse(s *core.SweepState) SweepResponse {
+	return SweepResponse{
+		ID:        s.ID,
+		Status:    JobStateName(s.State),
+		Runs:      s.Runs,
+		Created:   s.Created,
+		Done:      s.Done,
+		Withdrawn: s.Cancelled,
+	}
+}
+
+// RunResponse is a run of a sweep on the wire.
 type RunResponse struct {
 	Run    int             `json:"run"`
 	ID     string          `json:"name_id"`
@@ -136,73 +168,40 @@
 	Sets []int `json:"sets,omitempty"`
 }
 
-// RunPageResponse is that of a page of runs.
-type RunPageResponse struct {
-	Runs []RunResponse `json:"runs"`
-	// Next is the number to ask for next, absent at the end.
-	Next int `json:"next,omitempty"`
-}
-
-func runStateName(s string) string {
-	if w, ok := jobStates[s]; ok {
-		return w
+// NewRunResponse makes the wire form of a run.
+func NewRunResponse(run core.SweepRun) RunResponse {
+	response := RunResponse{
+		Run:    run.Number,
+		ID:     run.ID,
+		Status: runStateName(run.State),
+		Values: run.Values,
 	}
-	return s
+	if len(run.Sets) > 1 {
+		response.Sets = run.Sets
+	}
+	return response
 }
 
-func sweepResponseOf(r core.Reply) any {
-	if s := r.Sweep; s != nil {
-		return SweepResponse{s.ID, JobStateName(s.State), s.Runs, s.Created, s.Done, s.Cancelled}
-	}
-	out := RunPageResponse{Runs: []RunResponse{}, Next: r.Runs.Next}
-	for _, x := range r.Runs.Runs {
-		out.Runs = append(out.Runs, NewRunResponse(x))
+// runStateName is a run's state on the wire: that of its job, or one of its own before
+// there is a job.
+func runStateName(state string) string {
+	if name := JobStateName(state); name != "" {
+		return name
 	}
-	return out
+	return state
 }
 
-// NewRunResponse makes the wire form of a run.
-func NewRunResponse(x core.SweepRun) RunResponse {
-	a := RunResponse{x.Number, x.ID, runStateName(x.State), x.Values, nil}
-	if len(x.Sets) > 1 {
-		a.Sets = x.Sets
-	}
-	return a
+// RunPageResponse is a page of runs on the wire.
+type RunPageResponse struct {
+	Runs []RunResponse `json:"runs"`
+	// Next is the number to ask for next, absent at the end.
+	Next int `json:"next,omitempty"`
 }
 
-// routeSweeps makes the messages of the calls about sweeps that exist. An error
-// comes with the status that it is answered with.
-func routeSweeps(path, query string) (build func(uint64) any, allow string, status int, err error) {
-	id, verb, _ := strings.Cut(strings.TrimPrefix(path, "/sweeps/"), "/")
-	if !sweep.ValidID(id) {
-		return nil, "", 404, errors.New("no such sweep")
-	}
-	allow = "GET"
-	switch verb {
-	case "":
-		build = func(req uint64) any { return core.QuerySweep{RequestID: req, ID: id} }
-	case "withdraw":
-		allow = "POST"
-		build = func(req uint64) any { return core.CancelSweep{RequestID: req, ID: id} }
-	case "runs":
-		after, most := 0, 100
-		for _, kv := range strings.Split(query, "&") {
-			k, v, _ := strings.Cut(kv, "=")
-			n, err := strconv.Atoi(v)
-			switch {
-			case kv == "":
-			case k != "after" && k != "most":
-			case err != nil || n < 0 || n > sweep.MaxRuns:
-				return nil, "", 400, fmt.Errorf("%s: %q is no number from 0 to %d", k, v, sweep.MaxRuns)
-			case k == "after":
-				after = n
-			default:
-				most = n
-			}
-		}
-		build = func(req uint64) any { return core.ListSweepRuns{RequestID: req, ID: id, After: after, Limit: most} }
-	default:
-		return nil, "", 404, errors.New("no such path")
+func newRunPageResponse(page *core.SweepPage) RunPageResponse {
+	response := RunPageResponse{Runs: []RunResponse{}, Next: page.Next}
+	for _, run := range page.Runs {
+		response.Runs = append(response.Runs, NewRunResponse(run))
 	}
-	return build, allow, 0, nil
+	return response
 }
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -142,7 +142,7 @@
 }
 
 func wireOrder(o core.Command) wire.Order {
-	return wire.Order{Op: api.OrderVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
+	return wire.Order{Op: api.CommandVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
 }
 
 func coreReport(q *wire.Report) core.Heartbeat {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -44,7 +44,7 @@
 		defer func() { <-w.slots }()
 		client := httpwire.NewClient(e.Addr, 1, maxWorkerAnswer)
 		defer client.Close()
-		_, err := client.Do(http.MethodPost, "/do", api.EncodeDirectOrders(e), commandTimeout)
+		_, err := client.Do(http.MethodPost, "/do", api.EncodeCommands(e), commandTimeout)
 		if err != nil {
 			slog.Debug("direct command delivery failed", "addr", e.Addr, "error", err)
 		}
