--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -53,7 +53,7 @@
 	return &httpwire.Response{
 		Status: e.status,
 		Allow:  e.allow,
-		Body:   EncodeReply(core.Reply{Status: e.status, Error: e.reason}),
+		Body:   EncodeReply(core.Reply{Status: core.ReplyCode(e.status), Error: e.reason}),
 	}
 }
 
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -142,7 +142,7 @@
 func (c *cloudCaller) onCloudCallRequested(m CloudCallRequested) {
 	c.elector.noteNewestLeader(c.cache.leader)
 	if m.FencingToken < c.elector.newestLeader.Token {
-		c.emit(Reply{RequestID: m.RequestID, Status: 503, Error: "a newer leader is known"})
+		c.emit(Reply{RequestID: m.RequestID, Status: ReplyUnavailable, Error: "a newer leader is known"})
 		return
 	}
 	c.emit(CallCloudForPeer{RequestID: m.RequestID, Call: m.Call})
@@ -156,7 +156,7 @@
 		err = errCloudNoAnswer
 	}
 	c.cloudCallEnded("", err)
-	c.emit(Reply{RequestID: m.RequestID, Status: 200, Cloud: &m.Answer})
+	c.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, Cloud: &m.Answer})
 }
 
 // CloudViaPeerResult makes the two messages by which a call by way of a peer ends, from
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -176,9 +176,9 @@
 	cases := []struct {
 		name   string
 		meet   func(b *between)
-		first  int    // the answer's status, 0 for none yet
-		to     string // of the answer, or of the relay
-		second string // whom the report goes by when the worker is back at once
+		first  ReplyCode // the answer's status, 0 for none yet
+		to     string    // of the answer, or of the relay
+		second string    // whom the report goes by when the worker is back at once
 	}{
 		{"nobody reaches anything", func(*between) {}, 503, "", ""},
 		{"the leader answers", func(b *between) { b.peer("n1", reaches(8, 8)) }, 421, "n1", "n1"},
@@ -286,7 +286,7 @@
 
 // TestReady: a controller that can neither ask nor hand on takes no users.
 func TestReady(t *testing.T) {
-	ask := func(b *between) int {
+	ask := func(b *between) ReplyCode {
 		b.out = nil
 		b.step(CheckReady{RequestID: 1})
 		return find[Reply](b)[0].Status
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -9,7 +9,7 @@
 
 // sendHeartbeat sends a heartbeat of machine m with a number of its own, as one that comes
 // late, and returns the status of its answer.
-func (r *rig) sendHeartbeat(epoch, seq, token uint64, tasks ...TaskStatus) int {
+func (r *rig) sendHeartbeat(epoch, seq, token uint64, tasks ...TaskStatus) ReplyCode {
 	r.got = nil
 	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: epoch, Seq: seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.got) == 0 && i < 100; i++ {
@@ -113,53 +113,53 @@
 	}
 	cases := []struct {
 		name   string
-		do     func(r *rig) int
-		status int
+		do     func(r *rig) ReplyCode
+		status ReplyCode
 		usable bool
 		placed string
 	}{
-		{"of a machine that was returned", func(r *rig) int {
+		{"of a machine that was returned", func(r *rig) ReplyCode {
 			r.sendHeartbeat(1, 7, r.token, running(3))
 			r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.c.elector.leadership.fencingToken})
 			return r.sendHeartbeat(1, 8, r.token)
 		}, 503, false, ".3"},
-		{"of one that was forgotten, an older number", func(r *rig) int {
+		{"of one that was forgotten, an older number", func(r *rig) ReplyCode {
 			r.sendHeartbeat(1, 7, r.token)
 			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
 			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
 			return r.sendHeartbeat(1, 7, r.token)
 		}, 503, false, ".3"},
-		{"of one that was forgotten, and is there after all", func(r *rig) int {
+		{"of one that was forgotten, and is there after all", func(r *rig) ReplyCode {
 			r.sendHeartbeat(1, 7, r.token)
 			r.c.planner.machineGone(r.c.workers.getOrAddMachine("m"), "test")
 			r.c.scaler.forgetMachine(r.c.workers.getOrAddMachine("m"))
 			return r.sendHeartbeat(1, 8, r.token)
 		}, 200, true, "m.4"},
-		{"a lower number is outdated", func(r *rig) int {
+		{"a lower number is outdated", func(r *rig) ReplyCode {
 			r.sendHeartbeat(1, 90, r.token, running(3))
 			return r.sendHeartbeat(1, 89, r.token)
 		}, 503, true, "m.3"},
-		{"a lower number, and the probe tells of a higher one", func(r *rig) int {
+		{"a lower number, and the probe tells of a higher one", func(r *rig) ReplyCode {
 			r.sendHeartbeat(1, 90, r.token, running(3))
 			r.tick(2 * second)
 			r.sendHeartbeat(1, 89, r.token)
 			r.answerProbe(1, 91, r.token, running(3))
 			return r.sendHeartbeat(1, 92, r.token, running(3))
 		}, 200, true, "m.3"},
-		{"the machine numbers anew", func(r *rig) int {
+		{"the machine numbers anew", func(r *rig) ReplyCode {
 			restarted(r)
 			return r.sendHeartbeat(1, 8, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine numbers anew, and is probed once more for another purpose", func(r *rig) int {
+		{"the machine numbers anew, and is probed once more for another purpose", func(r *rig) ReplyCode {
 			restarted(r)
 			r.answerProbe(1, 8, r.token, running(4))
 			return r.sendHeartbeat(1, 9, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine numbers anew, and a copy that looks like the next heartbeat lacks its task", func(r *rig) int {
+		{"the machine numbers anew, and a copy that looks like the next heartbeat lacks its task", func(r *rig) ReplyCode {
 			restarted(r)
 			return r.sendHeartbeat(1, 9, r.token)
 		}, 200, true, "m.4"},
-		{"the machine numbers anew, and a copy from before has made its number too high", func(r *rig) int {
+		{"the machine numbers anew, and a copy from before has made its number too high", func(r *rig) ReplyCode {
 			restarted(r)
 			r.sendHeartbeat(1, 20, r.token)
 			r.tick(2 * second)
@@ -167,7 +167,7 @@
 			r.answerProbe(1, 9, r.token, running(4))
 			return r.sendHeartbeat(1, 10, r.token, running(4))
 		}, 200, true, "m.4"},
-		{"the machine numbers anew twice", func(r *rig) int {
+		{"the machine numbers anew twice", func(r *rig) ReplyCode {
 			restarted(r)
 			r.tick(2 * second)
 			r.sendHeartbeat(1, 1, 0)
@@ -178,15 +178,15 @@
 			r.answerProbe(1, 5, r.token)
 			return r.sendHeartbeat(1, 6, r.token)
 		}, 200, true, "m.5"},
-		{"the machine numbers anew, and a copy from before comes", func(r *rig) int {
+		{"the machine numbers anew, and a copy from before comes", func(r *rig) ReplyCode {
 			restarted(r)
 			return r.sendHeartbeat(1, 91, r.token)
 		}, 503, true, "m.4"},
-		{"the machine numbers anew, and a copy of another epoch comes", func(r *rig) int {
+		{"the machine numbers anew, and a copy of another epoch comes", func(r *rig) ReplyCode {
 			restarted(r)
 			return r.sendHeartbeat(2, 8, r.token)
 		}, 503, true, "m.4"},
-		{"the machine numbers anew, and its epoch ends", func(r *rig) int {
+		{"the machine numbers anew, and its epoch ends", func(r *rig) ReplyCode {
 			restarted(r)
 			r.tick(3 * second)
 			r.sendHeartbeat(2, 8, r.token)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -217,7 +217,7 @@
 // refuseDependency refuses a submission for a job that it depends on, unless it is known
 // itself.
 func (d *dependencyResolver) refuseDependency(r *request, id, reason string) {
-	d.requests.refuseUnlessKnown(r, 422, "awaits: "+id+" "+reason)
+	d.requests.refuseUnlessKnown(r, ReplyUnacceptable, "awaits: "+id+" "+reason)
 }
 
 func (d *dependencyResolver) refuseService(r *request, id string) {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -231,7 +231,7 @@
 		name   string
 		awaits []string
 		do     func(s *harness)
-		want   int
+		want   ReplyCode
 		reason string
 	}{
 		{"an unfinished job", []string{"open"}, nil, 201, ""},
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -85,7 +85,7 @@
 	for _, r := range requests {
 		reply := r.refusal
 		if reply.Status == 0 {
-			reply = Reply{Status: 404, Error: "no such job"}
+			reply = Reply{Status: ReplyNotFound, Error: "no such job"}
 		}
 		reply.RequestID = r.id
 		h.emit(reply)
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -195,5 +195,5 @@
 // refuse answers a heartbeat without commands; the answer does not renew the worker's
 // lease.
 func (w *workerManager) refuse(requestID uint64, refusal heartbeatRefusal) {
-	w.emit(Reply{RequestID: requestID, Status: 503, Error: string(refusal)})
+	w.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: string(refusal)})
 }
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -192,11 +192,11 @@
 
 // redirectTo answers a heartbeat with the controller that its worker is to turn to.
 func (r *heartbeatRouter) redirectTo(requestID uint64, controller string) {
-	r.emit(Reply{RequestID: requestID, Status: 421, Leader: controller})
+	r.emit(Reply{RequestID: requestID, Status: ReplyMisdirected, Leader: controller})
 }
 
 // refuse answers a heartbeat that can't be handled here; the worker tries another
 // controller.
 func (r *heartbeatRouter) refuse(requestID uint64, why string) {
-	r.emit(Reply{RequestID: requestID, Status: 503, Error: why})
+	r.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: why})
 }
--- a/internal/core/jobstatus.go
+++ b/internal/core/jobstatus.go
@@ -22,7 +22,7 @@
 	if end.Outcome == jobstate.Done {
 		state.Done = end.Tasks
 	}
-	reply := Reply{RequestID: requestID, Status: 200, Job: state}
+	reply := Reply{RequestID: requestID, Status: ReplyOK, Job: state}
 	if end.Outcome == jobstate.Cancelled {
 		h.readLeases.replyCancelled(reply, jobID)
 		return
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -151,11 +151,11 @@
 	_, present := m.activation.Advertisements()[msg.Name]
 	switch {
 	case !slices.Contains(m.settings.Peers, msg.Name):
-		m.emit(Reply{RequestID: msg.RequestID, Status: 404, Error: "no other controller is called " + strconv.Quote(msg.Name)})
+		m.emit(Reply{RequestID: msg.RequestID, Status: ReplyNotFound, Error: "no other controller is called " + strconv.Quote(msg.Name)})
 	case !m.cache.synced || m.health.unavailable():
-		m.emit(Reply{RequestID: msg.RequestID, Status: 503, RetryAfter: 1, Error: "the state service does not answer"})
+		m.emit(Reply{RequestID: msg.RequestID, Status: ReplyUnavailable, RetryAfter: 1, Error: "the state service does not answer"})
 	case msg.Decommissioned && present:
-		m.emit(Reply{RequestID: msg.RequestID, Status: 409, Error: msg.Name + " is there, and says what it can"})
+		m.emit(Reply{RequestID: msg.RequestID, Status: ReplyConflict, Error: msg.Name + " is there, and says what it can"})
 	case msg.Decommissioned == m.isDecommissioned(msg.Name):
 		m.replyDecommissioned(msg)
 	default:
@@ -165,7 +165,7 @@
 
 func (m *membership) replyDecommissioned(msg SetDecommissioned) {
 	state := &DecommissionState{Name: msg.Name, Decommissioned: msg.Decommissioned}
-	m.emit(Reply{RequestID: msg.RequestID, Status: 200, Decommission: state})
+	m.emit(Reply{RequestID: msg.RequestID, Status: ReplyOK, Decommission: state})
 }
 
 // writeDecommissioned writes or removes the record of a decommissioned controller, and
@@ -178,7 +178,7 @@
 	conditions := []Cond{kv.RevisionIs(write.Key, m.decommissionedRevisions[msg.Name])}
 	m.commitTransaction(conditions, []Write{write}, func(r TransactionResult) {
 		if r.Outcome != kv.Committed {
-			m.emit(Reply{RequestID: msg.RequestID, Status: 503, RetryAfter: 1, Error: "it was not stored"})
+			m.emit(Reply{RequestID: msg.RequestID, Status: ReplyUnavailable, RetryAfter: 1, Error: "it was not stored"})
 			return
 		}
 		m.replyDecommissioned(msg)
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -223,12 +223,33 @@
 	Age                            int64
 }
 
+// ReplyCode is how a request ended. Its numbers are those of HTTP, in which users and
+// workers get them; 0 stands for a reply that does not exist or did not come.
+type ReplyCode int
+
+// The codes of replies.
+const (
+	ReplyOK      ReplyCode = 200
+	ReplyCreated ReplyCode = 201
+	// ReplyInvalid: the request is malformed or too large.
+	ReplyInvalid  ReplyCode = 400
+	ReplyNotFound ReplyCode = 404
+	// ReplyConflict: what is stored does not allow it.
+	ReplyConflict ReplyCode = 409
+	// ReplyMisdirected: another controller handles such requests; see Reply.Leader.
+	ReplyMisdirected ReplyCode = 421
+	// ReplyUnacceptable: the request is well-formed and can never be fulfilled.
+	ReplyUnacceptable ReplyCode = 422
+	// ReplyUnavailable: it may be fulfilled later.
+	ReplyUnavailable ReplyCode = 503
+)
+
 // Effects of the core.
 type (
 	// Reply answers a request.
 	Reply struct {
 		RequestID    uint64
-		Status       int
+		Status       ReplyCode
 		RetryAfter   int // seconds
 		Error        string
 		Job          *JobState
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -31,7 +31,7 @@
 func inSeconds(microseconds int64) float64 { return float64(microseconds) / float64(second) }
 
 func (o *operatorViewer) onQueryOperatorView(m QueryOperatorView) {
-	o.emit(Reply{RequestID: m.RequestID, Status: 200, Ops: o.view()})
+	o.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, Ops: o.view()})
 }
 
 // view makes the view of this moment, a section at a time.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -119,7 +119,7 @@
 			status.Machines = p.connectivity.Workers.Machines()
 		}
 	}
-	p.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: status})
+	p.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, PeerStatus: status})
 }
 
 // onPeerPinged takes a peer's answer to a ping, or notes that there is none.
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -101,7 +101,7 @@
 }
 
 // beat sends a report and returns the orders of its answer as text.
-func (r *rig) beat(token uint64, session uint64, tasks ...TaskStatus) (int, string) {
+func (r *rig) beat(token uint64, session uint64, tasks ...TaskStatus) (ReplyCode, string) {
 	r.seq++
 	r.got = nil
 	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -169,7 +169,7 @@
 }
 
 func cancellationUnconfirmed(requestID uint64) Reply {
-	return Reply{RequestID: requestID, Status: 503, RetryAfter: 1, Error: "a controller that may lead has yet to learn of the cancellation"}
+	return Reply{RequestID: requestID, Status: ReplyUnavailable, RetryAfter: 1, Error: "a controller that may lead has yet to learn of the cancellation"}
 }
 
 // releaseHeldReplies sends the answers that need not be held back any more.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -84,7 +84,7 @@
 
 // retryLaterReply asks a user to repeat the request in so many seconds.
 func retryLaterReply(requestID uint64, seconds int, reason string) Reply {
-	return Reply{RequestID: requestID, Status: 503, RetryAfter: seconds, Error: reason}
+	return Reply{RequestID: requestID, Status: ReplyUnavailable, RetryAfter: seconds, Error: reason}
 }
 
 // stateUnavailableReply is the answer while the state service does not answer.
@@ -150,10 +150,10 @@
 	h.peers.connectivity.Users.RecordSuccess(h.now, h.now)
 	reason := h.unreadyReason()
 	if reason != "" {
-		h.emit(Reply{RequestID: m.RequestID, Status: 503, Error: reason})
+		h.emit(Reply{RequestID: m.RequestID, Status: ReplyUnavailable, Error: reason})
 		return
 	}
-	h.emit(Reply{RequestID: m.RequestID, Status: 200})
+	h.emit(Reply{RequestID: m.RequestID, Status: ReplyOK})
 }
 
 // unreadyReason says why this controller can't take requests, or "".
@@ -251,7 +251,7 @@
 }
 
 // refuseUnlessKnown refuses a submission for good, unless its id turns out to be known.
-func (h *requestHandler) refuseUnlessKnown(r *request, status int, reason string) {
+func (h *requestHandler) refuseUnlessKnown(r *request, status ReplyCode, reason string) {
 	r.refusal = Reply{Status: status, Error: reason}
 	h.waitForRead(r)
 }
@@ -286,7 +286,7 @@
 	case !h.dependencies.dependenciesKnown(j):
 		h.emit(retryLaterReply(r.id, 1, "an end that the job's state depends on is being read"))
 	default:
-		h.emit(Reply{RequestID: r.id, Status: 200, Job: stateOf(j)})
+		h.emit(Reply{RequestID: r.id, Status: ReplyOK, Job: stateOf(j)})
 	}
 }
 
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -75,14 +75,14 @@
 		return
 	}
 	granted := sr.health.grantWrites(a.followerRead.writesNeeded)
-	sr.emit(Reply{RequestID: a.id, Status: 200, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
+	sr.emit(Reply{RequestID: a.id, Status: ReplyOK, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
 // onLeaderReadDone takes the leader's answer. If there is none the state service is asked
 // instead, for the same requests.
 func (sr *stateReader) onLeaderReadDone(m LeaderReadDone) {
 	v := m.Answer.View
-	ok := m.Err == nil && m.Answer.Status == 200 && v != nil && v.Revision >= m.AfterRevision
+	ok := m.Err == nil && m.Answer.Status == ReplyOK && v != nil && v.Revision >= m.AfterRevision
 	if !sr.follower.EndRequest(m.Number, ok, sr.now) {
 		return // late, or a repeat: what it grants may have been used
 	}
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -47,16 +47,16 @@
 func (h *requestHandler) validateSubmission(r *request, invalid string) {
 	switch {
 	case h.sweepManager.sweepsEnabled() && strings.HasPrefix(r.targetID, RunPrefix):
-		h.refuseUnlessKnown(r, 400, "name_id: begins like the runs of sweeps")
+		h.refuseUnlessKnown(r, ReplyInvalid, "name_id: begins like the runs of sweeps")
 		return
 	case invalid != "":
-		h.refuseUnlessKnown(r, 400, invalid)
+		h.refuseUnlessKnown(r, ReplyInvalid, invalid)
 		return
 	case !h.machineTypesKnown(r):
 		return
 	}
 	if err := h.checkFeasible(r.spec); err != nil {
-		h.refuseUnlessKnown(r, 422, err.Error())
+		h.refuseUnlessKnown(r, ReplyUnacceptable, err.Error())
 		return
 	}
 	switch {
@@ -110,7 +110,7 @@
 	jobKey := jobPrefix + r.targetID
 	value := jobstate.Record{Spec: r.spec, SubmittedWall: r.receivedAt + h.wallOffset}.Encode(0)
 	if limit := h.membership.valueLimit(); len(value) > limit {
-		h.refuseUnlessKnown(r, 400, fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), limit))
+		h.refuseUnlessKnown(r, ReplyInvalid, fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), limit))
 		return
 	}
 	h.queues.inFlight[r.targetID] = nil
@@ -124,7 +124,7 @@
 func (h *requestHandler) onJobWritten(r *request, result TransactionResult) {
 	switch result.Outcome {
 	case kv.Committed:
-		h.emit(Reply{RequestID: r.id, Status: 201, Job: &JobState{ID: r.targetID, State: Queued}})
+		h.emit(Reply{RequestID: r.id, Status: ReplyCreated, Job: &JobState{ID: r.targetID, State: Queued}})
 	case kv.Conflict:
 		// It is known: a repeat, perhaps of this very request.
 		h.waitForRead(r)
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -29,11 +29,11 @@
 	}
 	switch {
 	case !m.settings.Ops.Sweeps:
-		m.emit(Reply{RequestID: r.id, Status: 404, Error: "sweeps are switched off"})
+		m.emit(Reply{RequestID: r.id, Status: ReplyNotFound, Error: "sweeps are switched off"})
 	case !m.cache.synced:
 		m.requests.refuse(r)
 	case submission.Invalid != "":
-		m.requests.refuseUnlessKnown(r, 400, submission.Invalid)
+		m.requests.refuseUnlessKnown(r, ReplyInvalid, submission.Invalid)
 	case !m.requests.machineTypesKnown(r):
 	case !m.sweepsEnabled():
 		m.emit(retryLaterReply(r.id, 2, "not before all controllers have sweeps switched on"))
@@ -63,7 +63,7 @@
 	own := make(map[string]bool, len(plan.Specs))
 	for i, spec := range plan.Specs {
 		if err := m.requests.checkFeasible(spec); err != nil {
-			return nil, Reply{Status: 422, Error: fmt.Sprintf("run %s: %s", plan.Values[i], err)}
+			return nil, Reply{Status: ReplyUnacceptable, Error: fmt.Sprintf("run %s: %s", plan.Values[i], err)}
 		}
 		own[spec.ID] = true
 		for _, id := range spec.Dependencies {
@@ -72,7 +72,7 @@
 			}
 		}
 		if len(dependencies) > maxSweepDependencies {
-			return nil, Reply{Status: 400, Error: fmt.Sprintf("awaits: more than %d jobs of others", maxSweepDependencies)}
+			return nil, Reply{Status: ReplyInvalid, Error: fmt.Sprintf("awaits: more than %d jobs of others", maxSweepDependencies)}
 		}
 	}
 	return dependencies, Reply{}
@@ -82,13 +82,13 @@
 func (m *sweepManager) checkSweepSize(submission *SubmitSweep) (refusal Reply) {
 	valueLimit := m.membership.valueLimit()
 	if longest := submission.Plan.Longest; longest > valueLimit {
-		return Reply{Status: 400, Error: fmt.Sprintf("a run's description takes %d bytes, and %d can be stored", longest, valueLimit)}
+		return Reply{Status: ReplyInvalid, Error: fmt.Sprintf("a run's description takes %d bytes, and %d can be stored", longest, valueLimit)}
 	}
 	size := len(submission.Stored)
 	maxOps := m.membership.limits().TxnOps
 	if len(m.splitDescription(submission.Stored)) >= maxOps || size > maxTxnBytes {
 		most := min(maxTxnBytes, (maxOps-1)*(valueLimit-stringQuoteBytes))
-		return Reply{Status: 400, Error: fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", size, most)}
+		return Reply{Status: ReplyInvalid, Error: fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", size, most)}
 	}
 	return Reply{}
 }
@@ -134,7 +134,7 @@
 }
 
 func noSuchSweep(requestID uint64) Reply {
-	return Reply{RequestID: requestID, Status: 404, Error: "no such sweep"}
+	return Reply{RequestID: requestID, Status: ReplyNotFound, Error: "no such sweep"}
 }
 
 // resumeSweepRequest goes on with a request about a sweep after a read that is younger
@@ -151,16 +151,16 @@
 	case s == nil:
 		m.emit(noSuchSweep(r.id))
 	case r.kind == requestSweepSubmit && r.sweep.differsFrom(s):
-		m.emit(Reply{RequestID: r.id, Status: 409, Error: "id: in use by another sweep"})
+		m.emit(Reply{RequestID: r.id, Status: ReplyConflict, Error: "id: in use by another sweep"})
 	case r.kind == requestSweepRuns:
 		m.answerSweepRuns(s, r)
 	case r.kind == requestSweepCancel && s.outcome == "":
 		m.requests.queueWrite(r)
 	case s.outcome == jobstate.Cancelled:
-		reply := Reply{RequestID: r.id, Status: 200, Sweep: s.state()}
+		reply := Reply{RequestID: r.id, Status: ReplyOK, Sweep: s.state()}
 		m.readLeases.replyCancelled(reply, cancelledSweepPrefix+s.id)
 	default:
-		m.emit(Reply{RequestID: r.id, Status: 200, Sweep: s.state()})
+		m.emit(Reply{RequestID: r.id, Status: ReplyOK, Sweep: s.state()})
 	}
 }
 
@@ -191,7 +191,7 @@
 		switch result.Outcome {
 		case kv.Committed:
 			state := &SweepState{ID: r.targetID, State: Queued, Runs: head.Runs}
-			m.emit(Reply{RequestID: r.id, Status: 201, Sweep: state})
+			m.emit(Reply{RequestID: r.id, Status: ReplyCreated, Sweep: state})
 		case kv.Conflict:
 			m.requests.waitForRead(r)
 		case kv.Malformed:
@@ -235,7 +235,7 @@
 		return
 	}
 	page := m.pageOfRuns(s, r.sweep.after, r.sweep.limit)
-	reply := Reply{RequestID: r.id, Status: 200, Runs: page}
+	reply := Reply{RequestID: r.id, Status: ReplyOK, Runs: page}
 	if cancelled := s.cancellationsIn(page); len(cancelled) > 0 {
 		m.readLeases.replyCancelled(reply, cancelled...)
 		return
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -74,7 +74,7 @@
 		off    bool
 		format formatRecord
 		m      SubmitSweep
-		status int
+		status ReplyCode
 		says   string
 	}{
 		{"accepted", false, three, sweepOf("s", 5, 1000), 201, ""},
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -71,7 +71,7 @@
 	for _, tc := range []struct {
 		name   string
 		gone   bool
-		status int
+		status ReplyCode
 	}{{"n0", true, 404}, {"other", true, 404}, {"n1", true, 409}, {"n2", false, 200}, {"n2", true, 200}, {"n2", true, 200}, {"n2", false, 200}} {
 		b.out = nil
 		b.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -148,11 +148,11 @@
 		}
 		build, bad := toCoreMessage(a.Request)
 		if bad != nil {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: bad.Status, RetryAfter: bad.RetryAfter})
+			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: int(bad.Status), RetryAfter: bad.RetryAfter})
 			return
 		}
 		n.Request(build, func(r core.Reply) {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: r.Status, RetryAfter: r.RetryAfter, Body: responseBody(a.Request, r)})
+			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: int(r.Status), RetryAfter: r.RetryAfter, Body: responseBody(a.Request, r)})
 		})
 	})
 }
--- a/internal/emulator/faketime/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -45,7 +45,7 @@
 						n.Request(build, func(r core.Reply) { answers++; check(r) })
 					}
 					send(fmt.Sprintf("odd-%s-%d", n.name, i), func(r core.Reply) {
-						if r.Status != o.Status || !strings.Contains(r.Error, o.Field) || r.Error == "" {
+						if int(r.Status) != o.Status || !strings.Contains(r.Error, o.Field) || r.Error == "" {
 							t.Errorf("%s, %s: %d %q, want %d naming %q", n.name, o.Reason, r.Status, r.Error, o.Status, o.Field)
 						}
 					})
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -67,7 +67,7 @@
 // httpResponse is the answer that carries a reply of the core.
 func httpResponse(r core.Reply) httpwire.Response {
 	return httpwire.Response{
-		Status:     r.Status,
+		Status:     int(r.Status),
 		Body:       api.EncodeReply(r),
 		RetryAfter: r.RetryAfter,
 	}
--- a/internal/peer/internal/wire/reply.go
+++ b/internal/peer/internal/wire/reply.go
@@ -10,7 +10,7 @@
 func NewReply(in core.Reply) Reply {
 	return Reply{
 		Req:    in.RequestID,
-		Status: in.Status,
+		Status: int(in.Status),
 		Retry:  in.RetryAfter,
 		Error:  in.Error,
 		Job:    optional(in.Job, newJobState),
@@ -30,7 +30,7 @@
 func (in Reply) Core() core.Reply {
 	return core.Reply{
 		RequestID:    in.Req,
-		Status:       in.Status,
+		Status:       core.ReplyCode(in.Status),
 		RetryAfter:   in.Retry,
 		Error:        in.Error,
 		Job:          optional(in.Job, JobState.core),
