--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -167,7 +167,7 @@
 // workers or not, and counts how often it gives way.
 func play(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (gave []int64) {
 	t.Helper()
-	l := NewLinks("n0", "b", []string{"n1"}, []string{"a"}, 2*second)
+	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 	l.Workers.Add(Machine{"host", "x", "a"}, 1)
 	l.SetStored("n1", &Advertisement{ReachableEighths: map[string]int{"a": 8}})
 	l.RecordHandover(1)
@@ -224,7 +224,7 @@
 
 // TestSay: a value is stored on change, at a rate that falls while it changes.
 func TestSay(t *testing.T) {
-	l := NewLinks("n0", "b", []string{"n1"}, []string{"a"}, 2*second)
+	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 	said := 0
 	for now := second; now < 120*second; now += 200_000 {
 		if now/second%10 < 5 {
@@ -269,7 +269,7 @@
 		{"refused and no peer", Refused, false, false},
 	}
 	for _, tc := range cases {
-		l := NewLinks("n0", "b", []string{"n1"}, []string{"a"}, 2*second)
+		l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 		l.Reads.RecordSuccess(second, second)
 		l.Lease.RecordFailure(2*second, 3*second, tc.how)
 		if tc.peers {
@@ -287,7 +287,7 @@
 
 // TestWays: by whom a report gets to a leader, and who is sent no workers.
 func TestWays(t *testing.T) {
-	l := NewLinks("n0", "b", []string{"n1", "n2"}, []string{"a", "b"}, 2*second)
+	l := NewLinks("n0", "b", []string{"n1", "n2"}, 2*second)
 	now := 10 * second
 	say := func(name string, v Advertisement) {
 		l.RecordPing(name, now, now, true, &v)
--- a/internal/core/connectivity/link.go
+++ b/internal/core/connectivity/link.go
@@ -1,15 +1,22 @@
-// Package reach is what one controller knows of its links to all that it deals
-// with, what the others say of theirs, and who could serve more by it. It does
-// no input or output and has one owner, the controller's core.
+// Package connectivity judges the links of one controller: to the state service, the cloud,
+// the other controllers and the workers. It does no input or output.
+//
+// A [Link] collects the evidence of one direction: what was answered, and what failed and
+// how. [Sample] stands for the workers: a few machines of each zone, which are probed when
+// they send no heartbeats here. [Links] sums both up in an [Advertisement], which goes to the
+// other controllers with the answers to pings and, for those that pings do not reach, through
+// the state service, on the controller's lease. The advertisements of all controllers are the
+// [Matrix], by which a leader hands over to a controller that could serve clearly more workers
+// and messages find a way around a broken link.
 package connectivity
 
 // Failure is how a request over a link failed.
 type Failure uint8
 
-// The ways in which requests fail. They prove different things: a refusal that
-// the other side is there, silence nothing at all.
+// The ways in which requests fail. They prove different things: a refusal that the other side
+// is there, a missing response nothing at all.
 const (
-	// NoResponse: no answer came in time, or no connection.
+	// NoResponse: there was no connection, or no answer in time.
 	NoResponse Failure = iota + 1
 	// Refused: the other side answered that it will not.
 	Refused
@@ -18,8 +25,8 @@
 // LinkState is what a link is taken to be.
 type LinkState uint8
 
-// The conditions of a link. Up, Slow and Flapping can be used; Unknown says
-// that nothing was tried of late.
+// The states of a link. One that is Up, Slow or Flapping can be used; of one that is Unknown
+// there is no recent evidence.
 const (
 	Unknown LinkState = iota
 	Up
@@ -29,60 +36,68 @@
 	Lost
 )
 
-func (c LinkState) String() string {
-	return [...]string{"unknown", "up", "slow", "flapping", "refusing", "lost"}[c]
+func (s LinkState) String() string {
+	return [...]string{"unknown", "up", "slow", "flapping", "refusing", "lost"}[s]
 }
 
 const (
 	second = int64(1_000_000)
-	// slowThreshold is from which smoothed time of an answer on a link is slow.
+	// slowThreshold is the smoothed round-trip time from which a link is slow.
 	slowThreshold = 700_000
-	// flapThreshold flips within flapWindow make a link one that comes and goes. Two
-	// are one cut with its end.
+	// rttSmoothing is the part of the newest round-trip time, one in so many, in the
+	// smoothed one.
+	rttSmoothing = 4
+	// flapThreshold changes between up and down within flapWindow make a link a flapping
+	// one. Two changes are a single failure with its end.
 	flapThreshold = 4
 	flapWindow    = 30 * second
 )
 
 // Link is the evidence on one link in one direction.
 type Link struct {
-	// successSentAt and bad are when the newest request that was answered, and the newest
-	// one that failed, were sent; okAt and failedAt when that was known.
+	// successSentAt and failureSentAt are when the newest request that was answered, and
+	// the newest that failed, were sent; succeededAt and failedAt are when that was known.
 	successSentAt, failureSentAt int64
 	succeededAt, failedAt        int64
+	failure                      Failure // how the newest failed
 	smoothedRTT                  int64
-	failure                      Failure
-	flapTimes                    [flapThreshold]int64
+	flapTimes                    [flapThreshold]int64 // a ring, of which flapCount is the end
 	flapCount                    int
 }
 
-// RecordSuccess notes an answer to a request of then.
-func (l *Link) RecordSuccess(sent, now int64) {
-	if l.down() && sent > l.failureSentAt {
-		l.flapTimes[l.flapCount%flapThreshold] = now
-		l.flapCount++
+// RecordSuccess notes that a request which was sent at a time has been answered.
+func (l *Link) RecordSuccess(sentAt, now int64) {
+	if l.down() && sentAt > l.failureSentAt {
+		l.recordFlap(now)
 	}
-	// One that was sent before a failure proves less than the failure.
-	l.successSentAt, l.succeededAt = max(l.successSentAt, sent), now
-	l.smoothedRTT += (now - sent - l.smoothedRTT) / 4
+	// An answer to a request from before a failure proves less than the failure.
+	l.successSentAt, l.succeededAt = max(l.successSentAt, sentAt), now
+	l.smoothedRTT += (now - sentAt - l.smoothedRTT) / rttSmoothing
 }
 
-// RecordFailure notes that a request of then was not answered as it should be.
-func (l *Link) RecordFailure(sent, now int64, how Failure) {
-	if !l.down() && l.succeededAt != 0 && sent > l.successSentAt {
-		l.flapTimes[l.flapCount%flapThreshold] = now
-		l.flapCount++
+// RecordFailure notes that a request which was sent at a time has failed.
+func (l *Link) RecordFailure(sentAt, now int64, failure Failure) {
+	if !l.down() && l.succeededAt != 0 && sentAt > l.successSentAt {
+		l.recordFlap(now)
 	}
-	if sent >= l.failureSentAt {
-		l.failureSentAt, l.failedAt, l.failure = sent, now, how
+	if sentAt >= l.failureSentAt {
+		l.failureSentAt, l.failedAt, l.failure = sentAt, now, failure
 	}
 }
 
+func (l *Link) recordFlap(now int64) {
+	l.flapTimes[l.flapCount%flapThreshold] = now
+	l.flapCount++
+}
+
 func (l *Link) down() bool { return l.failureSentAt > l.successSentAt }
 
-// Usable says whether the newest evidence speaks for the link, and is no older
-// than patience.
-func (l *Link) Usable(now, patience int64) bool {
-	return l.succeededAt != 0 && !l.down() && now-l.succeededAt < patience
+// tried reports whether any request has ended.
+func (l *Link) tried() bool { return max(l.succeededAt, l.failedAt) != 0 }
+
+// Usable reports whether the newest evidence is a success, and no older than maxAge.
+func (l *Link) Usable(now, maxAge int64) bool {
+	return l.succeededAt != 0 && !l.down() && now-l.succeededAt < maxAge
 }
 
 // DownFor is for how long the link is known not to work.
@@ -93,15 +108,15 @@
 	return now - l.succeededAt
 }
 
-// IsFlapping says whether it comes and goes.
+// IsFlapping reports whether the link keeps changing between up and down.
 func (l *Link) IsFlapping(now int64) bool {
 	return l.flapCount >= flapThreshold && now-l.flapTimes[l.flapCount%flapThreshold] < flapWindow
 }
 
-// State is what the link is taken to be, by evidence of at most patience.
-func (l *Link) State(now, patience int64) LinkState {
+// State is what the link is taken to be, by evidence no older than maxAge.
+func (l *Link) State(now, maxAge int64) LinkState {
 	switch {
-	case max(l.succeededAt, l.failedAt) == 0 || now-max(l.succeededAt, l.failedAt) >= patience:
+	case !l.tried() || now-max(l.succeededAt, l.failedAt) >= maxAge:
 		return Unknown
 	case l.IsFlapping(now):
 		return Flapping
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -47,7 +47,7 @@
 		engine:                run,
 		peerStates:            map[string]peerState{},
 		connectivityRevisions: map[string]uint64{},
-		connectivity: connectivity.NewLinks(settings.Name, settings.Incarnation, settings.Peers, settings.Zones,
+		connectivity: connectivity.NewLinks(settings.Name, settings.Incarnation, settings.Peers,
 			config.MicrosOf(settings.Workers.ReportS)),
 	}
 }
