--- /dev/null
+++ b/internal/core/alerts_test.go
@@ -0,0 +1,54 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// TestEndangered: operators see a pipeline that will be late before it is, and the
+// stage that delays it.
+func TestEndangered(t *testing.T) {
+	cases := []struct {
+		name     string
+		deadline int64
+		done     bool // the first stage
+		want     string
+	}{
+		{"time enough", 300 * second, false, ""},
+		{"too little for what is left", 25 * second, false, "the pipeline to c will be about"},
+		{"the second stage delays it", 25 * second, true, "b is queued"},
+	}
+	for _, tc := range cases {
+		last := job("c", "b")
+		last.Spec.Deadline = tc.deadline
+		keys := map[string]any{formatKey: joined, jobPrefix + "b": job("b", "a"), jobPrefix + "c": last}
+		if tc.done {
+			keys[endPrefix+"a"] = endDone
+		} else {
+			keys[jobPrefix+"a"] = job("a")
+		}
+		for key, value := range keys {
+			if record, ok := value.(jobstate.Record); ok {
+				record.SubmittedWall = wallOffsetInTests + second
+				keys[key] = record
+			}
+		}
+		h := newHarness(t, nil)
+		h.advance(second) // the time of day has to be known
+		for _, key := range slices.Sorted(maps.Keys(keys)) {
+			h.store(key, keys[key])
+		}
+		h.refresh()
+		h.advance(15 * second)
+		h.lastRequest++
+		h.step(QueryOperatorView{RequestID: h.lastRequest})
+		got := strings.Join(h.replies[h.lastRequest].Ops.Conditions, "; ")
+		if tc.want == "" && strings.Contains(got, "pipeline") || !strings.Contains(got, tc.want) {
+			t.Errorf("%s: %q", tc.name, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/harness_test.go
@@ -0,0 +1,301 @@
+package core
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/kv"
+)
+
+const (
+	// tickInterval is the time between two ticks of a harness.
+	tickInterval = second / 20
+	// wallOffsetInTests is the time of day less the steady clock.
+	wallOffsetInTests = 1_000_000 * second
+	// maxRequestTicks is after how many ticks a request counts as unanswered.
+	maxRequestTicks = 40
+)
+
+// harness is a core with a small state service that answers at once.
+type harness struct {
+	t    *testing.T
+	core *Core
+	now  int64
+
+	// keys is what is stored, revision the newest revision of it.
+	keys     map[string]Change
+	revision uint64
+
+	// replies are the core's replies by the numbers of the requests.
+	replies     map[uint64]Reply
+	lastRequest uint64
+
+	// maxValue and maxOps are the limits of the state service, in bytes and in writes of
+	// a transaction; rejected counts the transactions beyond them.
+	maxValue, maxOps int
+	rejected         int
+
+	// unavailable: transactions and reads of keys fail; leases and reads of the state
+	// succeed.
+	unavailable bool
+	// unreachable has the keys that can't be read.
+	unreachable map[string]bool
+	// watchLags: the core does not receive changes, as with a watch that lags.
+	watchLags bool
+	// losesAnswers: transactions are executed, and not answered.
+	losesAnswers bool
+	// reads counts the reads of single keys and the transactions that only compare;
+	// the next readsToRefuse of them are refused for their rate.
+	reads, readsToRefuse int
+	// delaysCommits: transactions are kept in delayedCommits until the test commits them.
+	delaysCommits  bool
+	delayedCommits []CommitTransaction
+}
+
+// newHarness starts a core alone in its cluster, from what is stored.
+func newHarness(t *testing.T, stored map[string]any) *harness {
+	t.Helper()
+	h := &harness{
+		t:           t,
+		now:         second,
+		keys:        map[string]Change{},
+		replies:     map[uint64]Reply{},
+		maxValue:    8192,
+		maxOps:      12,
+		unreachable: map[string]bool{},
+	}
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		h.store(key, stored[key])
+	}
+	h.store(typesKey, []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}})
+	settings := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
+	settings.Size, settings.Zones, settings.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
+	settings.Workers.ReportS, settings.Workers.LeaseS, settings.Workers.CancelS = 2, 16, 36
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = 100, 100, 8, 12
+	settings.Cloud.RPS = 1
+	h.start(settings)
+	return h
+}
+
+// start starts a new core from what is stored.
+func (h *harness) start(settings Settings) {
+	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	h.listState()
+}
+
+// restart replaces the core, as after a crash.
+func (h *harness) restart() { h.start(h.core.settings) }
+
+// store stores a value without a transaction.
+func (h *harness) store(key string, value any) {
+	h.revision++
+	h.keys[key] = Change{Key: key, Value: encodeJSON(value), Revision: h.revision}
+}
+
+// listState sends the core all that is stored, in the order of keys as the state
+// service does: parts of a value that was too long come after the whole one
+// which they replace.
+func (h *harness) listState() {
+	list := StateListed{Revision: h.revision}
+	for _, prefix := range StartPrefixes {
+		for _, key := range slices.Sorted(maps.Keys(h.keys)) {
+			if strings.HasPrefix(key, prefix) {
+				list.Changes = append(list.Changes, h.keys[key])
+			}
+		}
+	}
+	h.step(list)
+}
+
+// advance lets time pass, with its ticks.
+func (h *harness) advance(duration int64) {
+	for end := h.now + duration; h.now < end; {
+		h.now += tickInterval
+		h.step(Tick{TimeOfDay: h.now + wallOffsetInTests})
+	}
+}
+
+// step sends the core a message and carries out the effects.
+func (h *harness) step(message any) {
+	for _, effect := range h.core.Step(h.now, message) {
+		switch e := effect.(type) {
+		case Reply:
+			h.replies[e.RequestID] = e
+		case GrantLease:
+			h.step(LeaseGranted{Lease: 9, SentAt: h.now})
+		case RenewLease:
+			h.step(LeaseRenewed{Lease: e.Lease, SentAt: h.now})
+		case ReadState:
+			h.readState(StateRead{AfterRevision: e.AfterRevision, SentAt: h.now, Immediate: true, ForRequests: e.ForRequests})
+		case ReadKey:
+			h.readKey(e)
+		case CommitTransaction:
+			h.commit(e)
+		}
+	}
+}
+
+// refusesRead says whether a read is refused for its rate.
+func (h *harness) refusesRead() bool {
+	h.reads++
+	h.readsToRefuse--
+	return h.readsToRefuse >= 0
+}
+
+func (h *harness) readKey(e ReadKey) {
+	if h.refusesRead() || h.unavailable || h.unreachable[e.Key] {
+		h.step(KeyRead{ID: e.ID, Key: e.Key, Err: errors.New("no answer")})
+		return
+	}
+	stored := h.keys[e.Key]
+	h.step(KeyRead{ID: e.ID, Key: e.Key, Value: stored.Value, Revision: stored.Revision})
+}
+
+// readState answers a watch or a read with all that is newer.
+func (h *harness) readState(read StateRead) {
+	read.Revision = h.revision
+	for _, change := range h.keys {
+		if change.Revision > read.AfterRevision {
+			read.Changes = append(read.Changes, change)
+		}
+	}
+	slices.SortFunc(read.Changes, func(a, b Change) int {
+		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Key, b.Key))
+	})
+	h.step(read)
+}
+
+// refresh has the core read all that is newer than what it has.
+func (h *harness) refresh() {
+	h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision, Immediate: true})
+}
+
+// commit executes a transaction and answers it.
+func (h *harness) commit(e CommitTransaction) {
+	if h.delaysCommits {
+		h.delayedCommits = append(h.delayedCommits, e)
+		return
+	}
+	result := h.check(e)
+	var changes []Change
+	if result.Outcome == kv.Committed {
+		changes = h.write(e.Writes)
+		result.Revision = h.revision
+	}
+	if !h.losesAnswers {
+		h.step(result)
+	}
+	if changes != nil && !h.watchLags {
+		h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now, Changes: changes})
+	}
+}
+
+// check says what comes of a transaction.
+func (h *harness) check(e CommitTransaction) TransactionResult {
+	result := TransactionResult{ID: e.ID, Outcome: kv.Committed}
+	for _, condition := range e.Conditions {
+		if h.keys[condition.Key].Revision != condition.Revision {
+			result.Failed, result.Outcome = append(result.Failed, condition.Key), kv.Conflict
+		}
+	}
+	for _, write := range e.Writes {
+		if len(write.Value) > h.maxValue || len(e.Writes) > h.maxOps {
+			result.Outcome = kv.Malformed
+		}
+	}
+	if result.Outcome == kv.Malformed {
+		h.rejected++
+	}
+	if h.unavailable {
+		result.Outcome = kv.Unavailable
+	}
+	if len(e.Writes) == 0 && h.refusesRead() {
+		result.Outcome, result.Failed = kv.RateLimited, nil
+	}
+	return result
+}
+
+// write stores the writes of a transaction under one revision.
+func (h *harness) write(writes []Write) []Change {
+	h.revision++
+	var changes []Change
+	for _, write := range writes {
+		change := Change{Key: write.Key, Value: write.Value, Revision: h.revision, Removed: write.Value == nil}
+		changes = append(changes, change)
+		if change.Removed {
+			delete(h.keys, write.Key)
+		} else {
+			h.keys[write.Key] = change
+		}
+	}
+	return changes
+}
+
+// request sends a request and returns its answer.
+func (h *harness) request(message any) Reply {
+	h.t.Helper()
+	h.lastRequest++
+	switch m := message.(type) {
+	case SubmitJob:
+		m.RequestID = h.lastRequest
+		h.step(m)
+	case QueryJob:
+		m.RequestID = h.lastRequest
+		h.step(m)
+	case CancelJob:
+		m.RequestID = h.lastRequest
+		h.step(m)
+	}
+	for range maxRequestTicks {
+		if reply, ok := h.replies[h.lastRequest]; ok {
+			return reply
+		}
+		h.advance(tickInterval)
+	}
+	h.t.Fatal("no answer")
+	return Reply{}
+}
+
+// jobState is what users are told of a job: its state, or the status of the refusal.
+func (h *harness) jobState(id string) string {
+	h.t.Helper()
+	reply := h.request(QueryJob{ID: id})
+	if reply.Job == nil {
+		return fmt.Sprint(reply.Status)
+	}
+	return reply.Job.State
+}
+
+// job is the stored record of a job of one task.
+func job(id string, dependencies ...string) jobstate.Record {
+	return jobstate.Record{
+		Spec: &jobstate.Spec{
+			ID:           id,
+			Class:        "c",
+			Team:         "t",
+			Kind:         jobstate.Array,
+			Tasks:        1,
+			Need:         jobstate.Resources{CPU: 1000},
+			Estimate:     10 * second,
+			Dependencies: dependencies,
+		},
+		SubmittedWall: 1,
+	}
+}
+
+// Stored values: a format with the progress log, and ends of jobs of one task.
+var (
+	joined    = formatRecord{Version: 2, Tasks: 64}
+	endDone   = jobstate.End{Outcome: jobstate.Done, Tasks: 1}
+	cancelled = jobstate.End{Outcome: jobstate.Cancelled, Tasks: 1}
+)
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -136,13 +136,13 @@
 // TestTellSweep: a leader that lives on a controller's word is told of a cancelled
 // sweep before anybody is who asks about it or about one of its runs.
 func TestTellSweep(t *testing.T) {
-	s := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64})
-	s.submitSweep(sweepOf("s", 2, 1000))
-	for i, spec := range sweepOf("s", 2, 1000).Plan.Specs {
+	s := newSweepHarness(t, true)
+	s.submitSweep(sweepOf(2, 1000))
+	for i, spec := range sweepOf(2, 1000).Plan.Specs {
 		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
 	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	s.core.sweepManager.sweep("s").plan = sweepOf("s", 2, 1000).Plan
+	s.core.sweepManager.sweep("s").plan = sweepOf(2, 1000).Plan
 	if s.core.cache.jobs["sweep.s.1"] == nil {
 		t.Fatal("no runs")
 	}
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -14,106 +13,117 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// sweepOf is a sweep of n runs of a CPU each, more for every step.
-func sweepOf(id string, n int, cpus int64) SubmitSweep {
-	p := &SweepPlan{ID: id, Digest: fmt.Sprint("d", n, cpus), MaxUnfinished: 3, Longest: 300}
-	for i := range n {
-		p.Specs = append(p.Specs, &jobstate.Spec{ID: fmt.Sprintf("sweep.%s.%d", id, i), Class: "c", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: cpus}, Estimate: 10 * second, Sweep: id, Run: i})
-		p.Values = append(p.Values, json.RawMessage(fmt.Sprintf(`{"a":%d}`, i)))
-		p.Sets = append(p.Sets, []int{i})
+// sweepID is the id of all sweeps in these tests.
+const sweepID = "s"
+
+// runID is the id of a run of a sweep in these tests.
+func runID(i int) string { return fmt.Sprintf("%s%s.%d", RunPrefix, sweepID, i) }
+
+// sweepFormat is the first stored format with sweeps.
+var sweepFormat = formatRecord{Version: 3, Tasks: 64}
+
+// sweepOf is a submitted sweep of so many runs that take so many thousandths of a CPU
+// each.
+func sweepOf(runs int, milliCPUs int64) SubmitSweep {
+	plan := &SweepPlan{ID: sweepID, Digest: fmt.Sprint("d", runs, milliCPUs), MaxUnfinished: 3, Longest: 300}
+	for i := range runs {
+		spec := job(runID(i)).Spec
+		spec.Need.CPU = milliCPUs
+		spec.Sweep, spec.Run = sweepID, i
+		plan.Specs = append(plan.Specs, spec)
+		plan.Values = append(plan.Values, json.RawMessage(fmt.Sprintf(`{"a":%d}`, i)))
+		plan.Sets = append(plan.Sets, []int{i})
 	}
-	return SubmitSweep{Plan: p, Stored: strings.Repeat("x", 50)}
+	return SubmitSweep{Plan: plan, Stored: strings.Repeat("x", 50)}
 }
 
-// newSweepHarness is a leader with sweeps switched on, and the format stored.
-func newSweepHarness(t *testing.T, on bool, format formatRecord) *harness {
-	s := newHarness(t, map[string]any{formatKey: format})
-	set := s.core.settings
-	set.Ops.Sweeps = on
-	s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	s.listState()
-	s.advance(2 * second)
-	if s.core.elector.leadership == nil {
+// newSweepHarness starts a leader that has sweeps switched on or not.
+func newSweepHarness(t *testing.T, enabled bool) *harness {
+	t.Helper()
+	h := newHarness(t, map[string]any{formatKey: sweepFormat})
+	settings := h.core.settings
+	settings.Ops.Sweeps = enabled
+	h.start(settings)
+	h.advance(2 * second)
+	if !h.core.elector.isLeader() {
 		t.Fatal("does not lead")
 	}
-	return s
+	return h
 }
 
-// ask sends a request that carries the next number and returns its answer.
-func (s *harness) requestSweep(build func(req uint64) any) Reply {
-	s.lastRequest++
-	req := s.lastRequest
-	s.step(build(req))
-	s.advance(second)
-	return s.replies[req]
+// requestSweep sends a request with the next number and returns its answer.
+func (h *harness) requestSweep(build func(requestID uint64) any) Reply {
+	h.lastRequest++
+	id := h.lastRequest
+	h.step(build(id))
+	h.advance(second)
+	return h.replies[id]
 }
 
-func (s *harness) submitSweep(m SubmitSweep) Reply {
-	return s.requestSweep(func(req uint64) any {
-		m.RequestID = req
-		return m
+func (h *harness) submitSweep(submission SubmitSweep) Reply {
+	return h.requestSweep(func(requestID uint64) any {
+		submission.RequestID = requestID
+		return submission
 	})
 }
 
 // TestSubmitSweep: what a submission is answered, and that one which is refused
 // leaves nothing in the state service.
 func TestSubmitSweep(t *testing.T) {
-	three := formatRecord{Version: 3, Tasks: 64}
-	big := sweepOf("s", 2, 1000)
+	big := sweepOf(2, 1000)
 	big.Stored = strings.Repeat("x", 45<<10)
-	long := sweepOf("s", 2, 1000)
+	long := sweepOf(2, 1000)
 	long.Plan.Longest = 9000
-	bad := sweepOf("s", 2, 1000)
+	bad := sweepOf(2, 1000)
 	bad.Invalid = "run {a: 1}: herd: missing"
-	orphan := sweepOf("s", 2, 1000)
+	orphan := sweepOf(2, 1000)
 	orphan.Plan.Specs[1].Dependencies = []string{"nobody"}
-	own := sweepOf("s", 2, 1000)
-	own.Plan.Specs[1].Dependencies = []string{"sweep.s.0"}
+	own := sweepOf(2, 1000)
+	own.Plan.Specs[1].Dependencies = []string{runID(0)}
 	cases := []struct {
-		name   string
-		off    bool
-		format formatRecord
-		m      SubmitSweep
-		status ReplyCode
-		says   string
+		name       string
+		off        bool
+		submission SubmitSweep
+		status     ReplyCode
+		reason     string
 	}{
-		{"accepted", false, three, sweepOf("s", 5, 1000), 201, ""},
-		{"one run awaits another", false, three, own, 201, ""},
-		{"switched off", true, three, sweepOf("s", 5, 1000), 404, "switched off"},
-		{"a malformed run", false, three, bad, 400, "run {a: 1}: herd"},
-		{"a run that fits no machine", false, three, sweepOf("s", 5, 5000), 422, `run {"a":0}: no allowed machine type`},
-		{"a run that awaits nobody", false, three, orphan, 422, "awaits: nobody was never accepted"},
-		{"a description that is too long", false, three, big, 400, "46080 bytes when packed"},
-		{"a run that is too long", false, three, long, 400, "a run's description takes 9000 bytes"},
+		{"accepted", false, sweepOf(5, 1000), 201, ""},
+		{"one run depends on another", false, own, 201, ""},
+		{"switched off", true, sweepOf(5, 1000), 404, "switched off"},
+		{"a malformed run", false, bad, 400, "run {a: 1}: herd"},
+		{"a run that fits no machine", false, sweepOf(5, 5000), 422, `run {"a":0}: no allowed machine type`},
+		{"a run that depends on an unknown job", false, orphan, 422, "awaits: nobody was never accepted"},
+		{"a description that is too long", false, big, 400, "46080 bytes when packed"},
+		{"a run that is too long", false, long, 400, "a run's description takes 9000 bytes"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSweepHarness(t, !tc.off, tc.format)
-			r := s.submitSweep(tc.m)
-			if r.Status != tc.status || !strings.Contains(r.Error, tc.says) {
-				t.Errorf("%d %s", r.Status, r.Error)
+			h := newSweepHarness(t, !tc.off)
+			reply := h.submitSweep(tc.submission)
+			if reply.Status != tc.status || !strings.Contains(reply.Error, tc.reason) {
+				t.Errorf("%d %s", reply.Status, reply.Error)
 			}
-			if _, stored := s.keys[sweepPrefix+"s"]; stored != (tc.status == 201) {
+			if _, stored := h.keys[sweepPrefix+sweepID]; stored != (tc.status == 201) {
 				t.Errorf("stored: %v", stored)
 			}
 			if tc.status != 201 {
 				return
 			}
-			if r := s.submitSweep(tc.m); r.Status != 200 || r.Sweep == nil || r.Sweep.Runs != len(tc.m.Plan.Specs) {
+			if r := h.submitSweep(tc.submission); r.Status != 200 || r.Sweep == nil || r.Sweep.Runs != len(tc.submission.Plan.Specs) {
 				t.Errorf("submitted again: %+v", r)
 			}
-			if r := s.submitSweep(sweepOf("s", 9, 1000)); r.Status != 409 {
+			if r := h.submitSweep(sweepOf(9, 1000)); r.Status != 409 {
 				t.Errorf("another with its id: %d", r.Status)
 			}
-			if r := s.submitSweep(bad); r.Status != 200 {
+			if r := h.submitSweep(bad); r.Status != 200 {
 				t.Errorf("a malformed one with its id: %d, and it was accepted", r.Status)
 			}
 		})
 	}
 }
 
-// TestSweepLatch: sweeps raise the format only when every controller has said
-// that it has them, and one that has them switched off raises nothing.
+// TestSweepLatch: sweeps raise the format only when every controller advertises
+// them, and one that has them switched off raises nothing.
 func TestSweepLatch(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -127,78 +137,82 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newHarness(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
-			set := s.core.settings
-			set.Peers, set.Size, set.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.on
-			s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-			s.listState()
-			s.advance(2 * second)
-			for i, v := range tc.versions {
-				s.store(memberPrefix+set.Peers[i], upgrade.Advertisement{Format: v, Incarnation: "x"})
+			h := newHarness(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
+			settings := h.core.settings
+			settings.Peers, settings.Size, settings.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.on
+			h.start(settings)
+			h.advance(2 * second)
+			for i, version := range tc.versions {
+				h.store(memberPrefix+settings.Peers[i], upgrade.Advertisement{Format: version, Incarnation: "x"})
 			}
-			s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-			s.advance(3 * second)
-			if f := s.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
+			h.refresh()
+			h.advance(3 * second)
+			if f := h.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
 				t.Errorf("the format is %+v", f)
 			}
-			if r := s.submitSweep(sweepOf("s", 1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
+			if r := h.submitSweep(sweepOf(1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
 				t.Errorf("a sweep is answered %d %s", r.Status, r.Error)
 			}
 		})
 	}
 }
 
-// TestSweepTold: a controller that hears of a cancelled sweep stops its tasks at
-// once, but calls its runs cancelled only when it has all that was stored before:
-// one of them may be done. In an outage right after a cancellation runs were
+// TestSweepTold: a controller that learns of a cancelled sweep from a peer stops its
+// tasks at once, but calls its runs cancelled only when it has all that was stored
+// before: one of them may be done. In an outage right after a cancellation runs were
 // called cancelled whose end was stored as done.
 func TestSweepTold(t *testing.T) {
-	s := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64})
-	if r := s.submitSweep(sweepOf("s", 2, 1000)); r.Status != 201 {
-		t.Fatalf("%d %s", r.Status, r.Error)
+	h := newSweepHarness(t, true)
+	submission := sweepOf(2, 1000)
+	if reply := h.submitSweep(submission); reply.Status != 201 {
+		t.Fatalf("%d %s", reply.Status, reply.Error)
 	}
-	for i := range 2 {
-		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: sweepOf("s", 2, 1000).Plan.Specs[i], SubmittedWall: 1})
+	for i, spec := range submission.Plan.Specs {
+		h.store(jobPrefix+runID(i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
-	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	j := s.core.cache.jobs["sweep.s.1"]
-	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + "s"}}})
-	if j == nil || j.Outcome != "" || s.core.cache.ends["sweep.s.1"].Outcome != "" {
-		t.Fatal("a run is called cancelled on another's word")
+	h.refresh()
+	cache := h.core.cache
+	run := cache.jobs[runID(1)]
+	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + sweepID}}})
+	if run == nil || run.Outcome != "" || cache.ends[runID(1)].Outcome != "" {
+		t.Fatal("a run is called cancelled although its end may be stored as done")
 	}
-	if s.core.sweepManager.mayStart(j) {
+	if h.core.sweepManager.mayStart(run) {
 		t.Error("its tasks may still be started")
 	}
 	// What was stored before: run 0 is done. Then the cancellation.
-	s.store(endPrefix+"sweep.s.0", jobstate.End{Outcome: jobstate.Done, Tasks: 1})
-	s.store(sweepEndPrefix+"s", sweepEndRecord{Outcome: jobstate.Cancelled})
-	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	if a, b := s.core.cache.ends["sweep.s.0"].Outcome, s.core.cache.ends["sweep.s.1"].Outcome; a != jobstate.Done || b != jobstate.Cancelled {
-		t.Errorf("the runs are %q and %q", a, b)
+	h.store(endPrefix+runID(0), jobstate.End{Outcome: jobstate.Done, Tasks: 1})
+	h.store(sweepEndPrefix+sweepID, sweepEndRecord{Outcome: jobstate.Cancelled})
+	h.refresh()
+	first, last := cache.ends[runID(0)].Outcome, cache.ends[runID(1)].Outcome
+	if first != jobstate.Done || last != jobstate.Cancelled {
+		t.Errorf("the runs are %q and %q", first, last)
 	}
 }
 
-// TestSweepAt: the progress of the largest sweep fits the smallest value, however
-// its runs have come out.
+// TestSweepAt: the position of the largest sweep fits the smallest value, however
+// its runs have ended.
 func TestSweepAt(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	const runs, maxBytes = 10_000, 2000
+	random := rand.New(rand.NewPCG(1, 2))
 	open, gone := roaring.New(), roaring.New()
-	for i := range 10_000 {
-		if r.IntN(2) == 0 {
+	for i := range runs {
+		if random.IntN(2) == 0 {
 			gone.AddInt(i)
-		} else if r.IntN(5) == 0 {
+		} else if random.IntN(5) == 0 {
 			open.AddInt(i)
 		}
 	}
-	at, g := sweepPosition{Next: 10_000, Open: encodeRunSet(open)}, cancelledRuns{encodeRunSet(gone)}
-	if a, b := len(encodeJSON(at)), len(encodeJSON(g)); max(a, b) > 2000 {
-		t.Errorf("%d and %d bytes", a, b)
+	position := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
+	cancelled := encodeJSON(cancelledRuns{Runs: encodeRunSet(gone)})
+	if len(position) > maxBytes || len(cancelled) > maxBytes {
+		t.Errorf("%d and %d bytes", len(position), len(cancelled))
 	}
-	c := newSweepHarness(t, true, formatRecord{Version: 3, Tasks: 64}).core
+	manager := newSweepHarness(t, true).core.sweepManager
 	bad := func(err error) { t.Error(err) }
-	c.sweepManager.applySweep("sweepat/s", Change{Value: encodeJSON(at), Revision: 5}, bad)
-	c.sweepManager.applySweep("sweepat/s/gone", Change{Value: encodeJSON(g), Revision: 5}, bad)
-	if s := c.sweepManager.sweep("s"); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != 10_000 {
+	manager.applySweep("sweepat/s", Change{Value: position, Revision: 5}, bad)
+	manager.applySweep("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, bad)
+	if s := manager.sweep(sweepID); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
 		t.Error("it is read as something else")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
--- /dev/null
+++ b/internal/core/valuelimits_test.go
@@ -0,0 +1,136 @@
+package core
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// TestRefusedWrites: limits that fall before the format allows for smaller
+// values, or further than the settings say, must not stop the rest, and nothing
+// is sent again for ever.
+func TestRefusedWrites(t *testing.T) {
+	cases := []struct {
+		name   string
+		format formatRecord
+		next   bool // the settings announce it
+		most   int  // transactions refused
+	}{
+		{"before the format", formatRecord{}, true, 2},
+		{"announced", joined, true, 0},
+		{"not announced", joined, false, 20},
+	}
+	keys := map[string]any{}
+	large := job("large")
+	large.Spec.Tasks = 200
+	keys[jobPrefix+"large"] = large
+	for i := range 5 {
+		keys[fmt.Sprintf("%ssmall-%d", jobPrefix, i)] = job(fmt.Sprintf("small-%d", i))
+	}
+	for _, tc := range cases {
+		h := newHarness(t, keys)
+		h.core.settings.Peers = []string{"old"} // it never says that it is of this version
+		if kb, ops := 2.0, 4; tc.next {
+			h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb, TxnOps: &ops}
+		}
+		if tc.format.Version != 0 {
+			h.store(formatKey, tc.format)
+			h.refresh()
+		}
+		h.advance(3 * second)
+		h.maxValue, h.maxOps = 2048, 4
+		for id, j := range h.core.cache.jobs {
+			for i := range j.Tasks {
+				j.PlaceTask(i, fmt.Sprintf("host-%06d", i), 1, h.now)
+			}
+			if id != "large" {
+				j.SetDone(0, h.now)
+			}
+			h.core.committer.markDirty(j)
+		}
+		h.advance(20 * second)
+		for i := range 5 {
+			if _, ok := h.keys[fmt.Sprintf("%ssmall-%d", endPrefix, i)]; !ok {
+				t.Errorf("%s: small-%d does not end", tc.name, i)
+			}
+		}
+		if h.rejected > tc.most {
+			t.Errorf("%s: %d writes refused", tc.name, h.rejected)
+		}
+		if j := h.core.cache.jobs["large"]; tc.name == "announced" && (!j.Task(0).Stored || !j.Task(199).Stored) {
+			t.Error("a job of many tasks is stored in parts")
+		}
+	}
+}
+
+// TestTypesInParts: machine types that are read after a change of the limits
+// are those of the later writes, not of parts that were left behind.
+func TestTypesInParts(t *testing.T) {
+	whole := func(cpu int64, names ...string) []fleet.Type {
+		var l []fleet.Type
+		for _, n := range names {
+			l = append(l, fleet.Type{Name: n, Cap: jobstate.Resources{CPU: cpu}})
+		}
+		return l
+	}
+	type write struct {
+		key   string
+		types []fleet.Type
+	}
+	cases := []struct {
+		name   string
+		writes []write
+		want   string
+	}{
+		{"whole", []write{{"", whole(1, "a", "b")}}, "a1 b1"},
+		{"whole, then parts", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}, {"/1", whole(2, "b")}}, "a2 b2"},
+		{"half of the parts written", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}}, "a2 b1"},
+		{"a new type", []write{{"", whole(1, "a")}, {"/0", whole(1, "a")}, {"/1", whole(1, "b")}}, "a1 b1"},
+		{"parts, then whole", []write{{"/0", whole(1, "a")}, {"/1", whole(1, "b")}, {"", whole(2, "a", "c")}}, "a2 c2"},
+	}
+	for _, tc := range cases {
+		h := newHarness(t, nil)
+		for _, w := range tc.writes {
+			h.store(typesKey+w.key, w.types)
+		}
+		h.restart()
+		var got []string
+		for _, x := range h.core.cache.machineTypes {
+			got = append(got, fmt.Sprint(x.Name, x.Cap.CPU))
+		}
+		if g := strings.Join(got, " "); g != tc.want {
+			t.Errorf("%s: %s, want %s", tc.name, g, tc.want)
+		}
+	}
+}
+
+// TestLongValues: what was or would be longer than the limits to come is stored
+// in parts, or as what is left to be known of it.
+func TestLongValues(t *testing.T) {
+	long := job("long")
+	for i := range 40 {
+		long.Spec.Types = append(long.Spec.Types, fmt.Sprintf("%s-%02d", strings.Repeat("x", 100), i))
+	}
+	h := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "long": long})
+	kb := 2.0
+	h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
+	h.maxValue = 2048
+	h.advance(3 * second)
+	if r := h.request(CancelJob{ID: "long"}); r.Status != 200 || h.rejected > 0 {
+		t.Errorf("a job from before the limits: %d, %d refused", r.Status, h.rejected)
+	}
+	var types []fleet.Type
+	for i := range 30 {
+		types = append(types, fleet.Type{Name: fmt.Sprintf("type-%02d", i), Cap: jobstate.Resources{CPU: 1000}, Zones: []string{"a", "b"}})
+	}
+	h.step(MachineTypesListed{Types: types, FencingToken: h.core.elector.leadership.fencingToken})
+	h.advance(second)
+	h.restart()
+	if n := len(h.core.cache.machineTypes); n < 30 || h.rejected > 0 {
+		t.Errorf("%d of 30 types are read back, %d writes refused", n, h.rejected)
+	}
+}
