--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -50,15 +50,15 @@
 		case tc.names == "" && err != nil:
 			t.Errorf("good settings: %v", err)
 		case tc.names == "" && p.Deployment.LeaderAuthorityTime()+MicrosOf(16*1.001)+Second >= MicrosOf(36):
-			t.Errorf("hold %d leaves no margin", p.Deployment.LeaderAuthorityTime())
+			t.Errorf("an authority time of %d leaves no margin", p.Deployment.LeaderAuthorityTime())
 		case tc.names != "" && (err == nil || !strings.Contains(err.Error(), tc.names)):
 			t.Errorf("%s: %v", tc.new, err)
 		}
 	}
 }
 
-// TestTight has the smaller ones of the limits of now and of those to come.
-func TestTight(t *testing.T) {
+// TestStrictestStateLimits has the smaller ones of the limits of now and of those to come.
+func TestStrictestStateLimits(t *testing.T) {
 	rate, large, ops := 18.0, 99.0, 4
 	now := StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
 	cases := []struct {
