--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -3,12 +3,9 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
 
-	"github.com/zinclb/zinclb/internal/core/kv"
-
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
@@ -166,107 +163,61 @@
 
 // pageWrites are the pages of a transaction that is being put together.
 type pageWrites struct {
-	c     *committer
-	pages []*logPage
+	committer *committer
+	pages     []*logPage
 }
 
-// ops is how many writes they take.
-func (w *pageWrites) ops() int { return len(w.pages) }
+// count is how many writes they take.
+func (w *pageWrites) count() int { return len(w.pages) }
 
 // append enters the changes of a chunk in the log, if that can be done with so
 // much room for writes.
-func (w *pageWrites) append(j *jobstate.Job, n, room int) (version uint64, ok bool) {
-	c := w.c
+func (w *pageWrites) append(j *jobstate.Job, index, room int) (version uint64, ok bool) {
+	c := w.committer
 	if !c.membership.logEnabled() {
 		return 0, false
 	}
-	entries, whole := j.ChangedEntries(n)
+	entries, whole := j.ChangedEntries(index)
 	if whole {
 		return 0, false
 	}
-	ref, limit := chunkRef{j, n}, c.membership.valueLimit()
-	p := c.elector.leadership.commits.logTail
-	if p == nil {
-		p = c.newPage()
+	ref, limit := chunkRef{j, index}, c.membership.valueLimit()
+	page := c.elector.leadership.commits.logTail
+	if page == nil {
+		page = c.newPage()
 	}
-	begun := len(w.pages) > 0 && w.pages[len(w.pages)-1] == p
+	begun := len(w.pages) > 0 && w.pages[len(w.pages)-1] == page
 	if !begun && room < 1 {
 		return 0, false
 	}
-	if !p.append(ref, entries, limit) {
-		if room < 1 || len(p.Entries) == 0 {
+	if !page.append(ref, entries, limit) {
+		if room < 1 || len(page.Entries) == 0 {
 			return 0, false
 		}
-		if p, begun = c.newPage(), false; !p.append(ref, entries, limit) {
+		page, begun = c.newPage(), false
+		if !page.append(ref, entries, limit) {
 			return 0, false
 		}
 	}
 	if !begun {
-		w.pages = append(w.pages, p)
-	}
-	c.elector.leadership.commits.nextLogEntry = p.NextSeq()
-	return j.BeginLogWrite(n), true
-}
-
-func (w *pageWrites) add(add func(Write, Cond)) {
-	for _, p := range w.pages {
-		add(Write{Key: pageKey(p.number), Value: p.Encode()}, kv.RevisionIs(pageKey(p.number), p.Revision))
+		w.pages = append(w.pages, page)
 	}
+	c.elector.leadership.commits.nextLogEntry = page.NextSeq()
+	return j.BeginLogWrite(index), true
 }
 
-func (w *pageWrites) written(stamp uint64) {
-	for _, p := range w.pages {
-		p.Revision = stamp
-	}
-}
-
-// logGarbage are the keys that a transaction removes because nothing needs them.
-type logGarbage struct {
-	c     *committer
-	pages int
-	runs  map[string][]jobstate.ChunkRef
-}
-
-// addGarbage fills up a transaction with removals, if writes can be spared.
-func (c *committer) addGarbage(room int, scarce bool, add func(Write, Cond)) *logGarbage {
-	g := &logGarbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
-	if !c.membership.logEnabled() || c.now < c.elector.leadership.commits.keepGarbageUntil {
-		return g
-	}
-	if scarce {
-		room = min(room, 1)
-	}
-	for ; g.pages < c.elector.leadership.commits.unneededPages && room > 0; room-- {
-		p := c.cache.progressLog[g.pages]
-		add(Write{Key: pageKey(p.number)}, kv.RevisionIs(pageKey(p.number), p.Revision))
-		g.pages++
-	}
-	if scarce {
-		return g
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.cache.orphanedChunks)) {
-		if c.cache.jobs[id] != nil {
-			continue
-		}
-		for v, ch := range c.cache.orphanedChunks[id] {
-			if room <= 0 {
-				return g
-			}
-			add(Write{Key: chunkKey(id, v)}, kv.RevisionIs(chunkKey(id, v), ch.Revision))
-			g.runs[id] = append(g.runs[id], v)
-			room--
-		}
+// committed notes the revision at which the pages were written.
+func (w *pageWrites) committed(revision uint64) {
+	for _, page := range w.pages {
+		page.Revision = revision
 	}
-	return g
 }
 
-func (g *logGarbage) done() {
-	c := g.c
-	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, g.pages)
-	c.elector.leadership.commits.unneededPages -= g.pages
-	for id, values := range g.runs {
-		for _, v := range values {
-			c.setOrphanedRevision(id, v, 0)
+// setPageRevision sets the revision of the page that a key is of.
+func (s *stateCache) setPageRevision(key string, revision uint64) {
+	for _, page := range s.progressLog {
+		if pageKey(page.number) == key {
+			page.Revision = revision
 		}
 	}
 }
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -234,3 +234,13 @@
 	})
 	t.elector.leadership.planning.requestRound()
 }
+
+// fetchesImage says whether a task on a machine waits for an image.
+func fetchesImage(m *fleet.Machine, image string) bool {
+	for ref := range m.Placed {
+		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
+			return true
+		}
+	}
+	return false
+}
