--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -60,7 +60,7 @@
 			refs = append(refs, ref)
 		}
 	}
-	sortRefs(refs)
+	fleet.SortTaskRefs(refs)
 	for _, ref := range refs {
 		w.tasks.requestStop(ref.Job, ref.Index, jobstate.StopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome == "" {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -41,12 +41,7 @@
 // drainMachine evicts the tasks of a machine that is to go, with time for a checkpoint. A
 // task that makes none is left to end where the notice is long enough; notice 0 is none.
 func (t *taskManager) drainMachine(machine *fleet.Machine, notice int64) {
-	refs := make([]fleet.TaskRef, 0, len(machine.Placed))
-	for ref := range machine.Placed {
-		refs = append(refs, ref)
-	}
-	sortRefs(refs)
-	for _, ref := range refs {
+	for _, ref := range machine.PlacedInOrder() {
 		job, task := ref.Job, ref.Job.Task(ref.Index)
 		if job.Outcome != "" || task == nil || task.Machine != machine.Name {
 			continue // it went with its gang, or goes anyway
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -4,7 +4,10 @@
 package fleet
 
 import (
+	"cmp"
 	"hash/fnv"
+	"maps"
+	"slices"
 
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
@@ -18,6 +21,17 @@
 	Index int
 }
 
+// SortTaskRefs puts tasks in the order of their jobs' arrival.
+func SortTaskRefs(refs []TaskRef) { slices.SortFunc(refs, compareTaskRefs) }
+
+func compareTaskRefs(a, b TaskRef) int {
+	return cmp.Or(
+		cmp.Compare(a.Job.Arrival, b.Job.Arrival),
+		cmp.Compare(a.Job.ID, b.Job.ID),
+		cmp.Compare(a.Index, b.Index),
+	)
+}
+
 // Machine is what the leader knows of one machine.
 type Machine struct {
 	Name, Addr, Type, Zone string
@@ -116,6 +130,11 @@
 	m.used = m.used.Sub(ref.Job.Need)
 }
 
+// PlacedInOrder lists the placements in the order of their jobs' arrival.
+func (m *Machine) PlacedInOrder() []TaskRef {
+	return slices.SortedFunc(maps.Keys(m.Placed), compareTaskRefs)
+}
+
 // Free is what its placements and orphans leave of it.
 func (m *Machine) Free() jobstate.Resources { return m.Cap.Sub(m.OrphanUsage).Sub(m.used) }
 
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -27,6 +27,16 @@
 // RecordImageFetch notes that the machine fetches an image for a task.
 func (m *Machine) RecordImageFetch(image string, mb, now int64) { m.recordImage(image, mb, now, true) }
 
+// HasTaskFetching says whether a task on the machine waits for an image.
+func (m *Machine) HasTaskFetching(image string) bool {
+	for ref := range m.Placed {
+		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
+			return true
+		}
+	}
+	return false
+}
+
 // AbandonFetch notes that no task on the machine waits for an image any more: unless the
 // machine had it all along the fetch is given up, and begins anew next time.
 func (m *Machine) AbandonFetch(image string) {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -186,7 +186,7 @@
 	}
 	w.emit(Reply{
 		RequestID:    requestID,
-		Status:       200,
+		Status:       ReplyOK,
 		FencingToken: w.elector.fencingToken(),
 		Commands:     commands,
 	})
--- a/internal/core/machineloss.go
+++ b/internal/core/machineloss.go
@@ -1,11 +1,6 @@
 package core
 
-import (
-	"cmp"
-	"slices"
-
-	"github.com/zinclb/zinclb/internal/core/fleet"
-)
+import "github.com/zinclb/zinclb/internal/core/fleet"
 
 // expireMachineLeases clears the placements of machines whose lease must have run
 // out: the leader's authority and the lease after the last response that any controller
@@ -25,12 +20,7 @@
 	if len(m.Placed) > 0 {
 		p.log.Info("machine's tasks are lost", "machine", m.Name, "tasks", len(m.Placed), "reason", reason)
 	}
-	refs := make([]fleet.TaskRef, 0, len(m.Placed))
-	for ref := range m.Placed {
-		refs = append(refs, ref)
-	}
-	sortRefs(refs)
-	for _, ref := range refs {
+	for _, ref := range m.PlacedInOrder() {
 		if ref.Job.Task(ref.Index).Machine == m.Name {
 			p.tasks.taskLost(ref.Job, ref.Index)
 		}
@@ -38,10 +28,3 @@
 	m.HasCurrentToken = false
 	m.MarkChanged()
 }
-
-// sortRefs puts tasks in the order of their jobs' arrival.
-func sortRefs(refs []fleet.TaskRef) {
-	slices.SortFunc(refs, func(a, b fleet.TaskRef) int {
-		return cmp.Or(cmp.Compare(a.Job.Arrival, b.Job.Arrival), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
-	})
-}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -173,7 +173,7 @@
 	}
 	missing := w.findMissing(machine, heartbeat)
 	w.tasks.clearGone(missing.lost, missing.neverStarted)
-	sortRefs(missing.toStart)
+	fleet.SortTaskRefs(missing.toStart)
 	for _, ref := range missing.toStart {
 		task := ref.Job.Task(ref.Index)
 		if task.Machine != machine.Name || task.IsStopping() {
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -120,7 +120,7 @@
 	task := job.Task(index)
 	if machine := t.elector.leadership.fleet.Get(task.Machine); machine != nil {
 		machine.RemovePlacement(fleet.TaskRef{Job: job, Index: index})
-		if task.Phase == jobstate.Fetching && !fetchesImage(machine, job.Image) {
+		if task.Phase == jobstate.Fetching && !machine.HasTaskFetching(job.Image) {
 			machine.AbandonFetch(job.Image)
 		}
 		if len(machine.Placed) == 0 {
@@ -136,11 +136,11 @@
 // the others were never started. It goes by their order, as the rest of a gang is stopped
 // for each, and changes are written in the order in which they were made.
 func (t *taskManager) clearGone(lost, neverStarted []fleet.TaskRef) {
-	sortRefs(lost)
+	fleet.SortTaskRefs(lost)
 	for _, ref := range lost {
 		t.taskLost(ref.Job, ref.Index)
 	}
-	sortRefs(neverStarted)
+	fleet.SortTaskRefs(neverStarted)
 	for _, ref := range neverStarted {
 		if ref.Job.Task(ref.Index).Machine != "" {
 			t.clearPlacement(ref.Job, ref.Index)
@@ -234,13 +234,3 @@
 	})
 	t.elector.leadership.planning.requestRound()
 }
-
-// fetchesImage says whether a task on a machine waits for an image.
-func fetchesImage(m *fleet.Machine, image string) bool {
-	for ref := range m.Placed {
-		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
-			return true
-		}
-	}
-	return false
-}
