--- a/cmd/zinclb/main.go
+++ b/cmd/zinclb/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -22,7 +23,7 @@
 }
 
 func rootCommand() *cobra.Command {
-	var path, operators string
+	var path, operatorsPath string
 	cmd := &cobra.Command{
 		Use:           "zinclb --config FILE",
 		Short:         "Runs a controller of the zinclb cluster scheduler",
@@ -30,45 +31,64 @@
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			p, ops, err := loadSettings(path, operators)
+			platform, operators, err := loadSettings(path, operatorsPath)
 			if err != nil {
 				return err
 			}
-			setupLogging(p.Name)
+			setupLogging(platform.Name)
 			// A controller serves until it is killed: the context never ends.
-			return node.New(p, ops).Run(context.Background())
+			return node.New(platform, operators).Run(context.Background())
 		},
 	}
 	cmd.PersistentFlags().StringVar(&path, "config", "", "the platform's settings, a JSON file")
-	cmd.PersistentFlags().StringVar(&operators, "operators", "", "the operators' settings, protobuf text format")
-	cmd.AddCommand(checkConfigCommand(&path, &operators), versionCommand(), submitCommand(), statusCommand(), cancelCommand(), goneCommand(), sweepCommands())
+	cmd.PersistentFlags().StringVar(&operatorsPath, "operators", "", "the operators' settings, protobuf text format")
+	cmd.AddCommand(
+		checkConfigCommand(&path, &operatorsPath),
+		versionCommand(),
+		submitCommand(),
+		statusCommand(),
+		cancelCommand(),
+		goneCommand(),
+		sweepCommands(),
+	)
 	return cmd
 }
 
-func loadSettings(path, operators string) (*config.Platform, config.Operators, error) {
+// errNoConfig says that a controller was started without its settings.
+var errNoConfig = errors.New("--config is missing; it names the platform's settings file")
+
+// loadSettings reads the platform's file and, if there is a path, the operators'.
+func loadSettings(path, operatorsPath string) (*config.Platform, config.Operators, error) {
 	if path == "" {
-		return nil, config.Operators{}, fmt.Errorf("--config is missing; it names the platform's settings file")
+		return nil, config.Operators{}, errNoConfig
 	}
-	p, err := config.Load(path)
+	platform, err := config.Load(path)
 	if err != nil {
 		return nil, config.Operators{}, err
 	}
-	ops, err := config.LoadOperators(operators)
-	return p, ops, err
+	operators, err := config.LoadOperators(operatorsPath)
+	return platform, operators, err
 }
 
-func setupLogging(name string) {
-	level := slog.LevelInfo
-	switch os.Getenv("LOG_LEVEL") {
+// setupLogging makes the log of the process one of a controller, as the environment
+// says.
+func setupLogging(controller string) {
+	options := &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}
+	var handler slog.Handler = slog.NewTextHandler(os.Stderr, options)
+	if os.Getenv("LOG_FORMAT") == "json" {
+		handler = slog.NewJSONHandler(os.Stderr, options)
+	}
+	slog.SetDefault(slog.New(handler).With("controller", controller))
+}
+
+// logLevel is the least level that is logged; info for a name that is not known.
+func logLevel(name string) slog.Level {
+	switch name {
 	case "error":
-		level = slog.LevelError
+		return slog.LevelError
 	case "debug":
-		level = slog.LevelDebug
-	}
-	o := &slog.HandlerOptions{Level: level}
-	var h slog.Handler = slog.NewTextHandler(os.Stderr, o)
-	if os.Getenv("LOG_FORMAT") == "json" {
-		h = slog.NewJSONHandler(os.Stderr, o)
+		return slog.LevelDebug
+	default:
+		return slog.LevelInfo
 	}
-	slog.SetDefault(slog.New(h).With("node", name))
 }
--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -14,8 +14,8 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-// everyOrder has an order of each kind, with and without time to save.
-func everyOrder() []core.Command {
+// everyCommand has a command of each kind, with and without time to save.
+func everyCommand() []core.Command {
 	return []core.Command{
 		{Kind: "start", Task: "job-1/0", Attempt: 2},
 		{Kind: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000},
@@ -86,7 +86,7 @@
 		{"misdirected, leader known", core.Reply{Status: 421, Leader: "node-1"}},
 		{"misdirected, no leader", core.Reply{Status: 421, Error: "not shown"}},
 		{"report, no orders", core.Reply{Status: 200, FencingToken: 7}},
-		{"report, each kind of order", core.Reply{Status: 200, FencingToken: 7, Commands: everyOrder()}},
+		{"report, each kind of order", core.Reply{Status: 200, FencingToken: 7, Commands: everyCommand()}},
 		{"error 400", core.Reply{Status: 400, Error: "hands: missing"}},
 		{"error 404", core.Reply{Status: 404, Error: "no such job"}},
 		{"error 409", core.Reply{Status: 409, Error: `another job has "job-1" & this <id>`}},
@@ -117,11 +117,11 @@
 	golden.Compare(t, "testdata/ops_empty.json", string(EncodeReply(core.Reply{Status: 200, Ops: &core.OperatorView{}})))
 }
 
-// TestRecordedDirect compares orders to a worker's own address with their
+// TestRecordedDirect compares commands to a worker's own address with their
 // recorded form.
 func TestRecordedDirect(t *testing.T) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeCommands(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4, Commands: everyOrder()}))
+	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeCommands(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4, Commands: everyCommand()}))
 	fmt.Fprintf(&b, "no orders: %s\n", EncodeCommands(core.SendCommands{Addr: "10.1.0.1:9000", FencingToken: 7, Epoch: 4}))
 	golden.Compare(t, "testdata/direct.txt", b.String())
 	for order, want := range map[core.Command]string{{Kind: "start"}: "run", {Kind: "stop"}: "kill", {Kind: "forget"}: "forget"} {
@@ -139,8 +139,8 @@
 {"hand":"job-1/9","try":11,"status":"ended","cause":"in_use"},{"hand":"job-1/10","try":12,"status":"ended","cause":"no_such"},
 {"hand":"job-1/11","try":13,"status":"ended","cause":"something newer"}]}`
 
-// TestRecordedReport reads a worker's report with every field.
-func TestRecordedReport(t *testing.T) {
+// TestRecordedHeartbeat reads a worker's heartbeat with every field.
+func TestRecordedHeartbeat(t *testing.T) {
 	whole := core.Heartbeat{Machine: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 4, Seq: 19, FencingToken: 7, PreemptionNotice: 12_500_000, Tasks: []core.TaskStatus{
 		{Name: "job-1/0", Attempt: 2, State: "fetching"},
 		{Name: "job-1/1", Attempt: 3, State: "ready"},
@@ -204,7 +204,7 @@
 	}
 }
 
-// TestRecordedFaults compares what bad submissions are told, and whole answers to
+// TestRecordedFaults compares what bad submissions are answered, and whole answers to
 // bad requests, with their recorded form. Package json names Go types in its errors:
 // one that is renamed changes what users read.
 func TestRecordedFaults(t *testing.T) {
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -44,7 +44,7 @@
 // Client it connects without a deadline, so that a busy machine fails no test.
 type reporter struct{ conn net.Conn }
 
-// report sends one report, and says whether the answer ended the connection.
+// report sends one heartbeat, and says whether the answer ended the connection.
 func (r *reporter) report(t *testing.T, addr string) (ended bool, err error) {
 	t.Helper()
 	if r.conn == nil {
@@ -68,7 +68,7 @@
 	return m.Close, nil
 }
 
-// TestScarce: more workers than connections report in turn. Each is answered at its
+// TestScarce: more workers than connections send heartbeats in turn. Each is answered at its
 // first try, and as long as connections are not scarce they are kept.
 func TestScarce(t *testing.T) {
 	const rounds, atOnce = 2, 32
--- a/internal/node/cloud_test.go
+++ b/internal/node/cloud_test.go
@@ -14,7 +14,7 @@
 		want bool
 	}{{time.Hour, false}, {-time.Microsecond, true}, {-30 * time.Second, true}} {
 		if got := n.isExpired(n.now() + tc.in.Microseconds()); got != tc.want {
-			t.Errorf("due in %v: late %v", tc.in, got)
+			t.Errorf("due in %v: expired %v", tc.in, got)
 		}
 	}
 }
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestLatencies: each of the users' calls has its own figures, whatever the
-// value, and workers' reports have none.
+// value, and workers' heartbeats have none.
 func TestLatencies(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -21,7 +21,7 @@
 		{"polls", core.QueryJob{}, []int64{4000}, "status", 4, 4},
 		{"a clock that stands", core.CancelJob{}, []int64{0}, "cancel", 0.001, 0.001},
 		{"longer than can be counted", core.CancelJob{}, []int64{10 * maxLatency}, "cancel", 60_000, 60_000},
-		{"reports", core.HeartbeatReceived{}, []int64{1000}, "", 0, 0},
+		{"heartbeats", core.HeartbeatReceived{}, []int64{1000}, "", 0, 0},
 	}
 	for _, tc := range cases {
 		l := latencyRecorder{}
--- a/internal/node/recorded_test.go
+++ b/internal/node/recorded_test.go
@@ -47,7 +47,7 @@
 	golden.Compare(t, "testdata/answers.txt", b.String())
 }
 
-// TestRecordedDirect compares orders to a worker's own address, as a whole
+// TestRecordedDirect compares commands to a worker's own address, as a whole
 // request, with their recorded form.
 func TestRecordedDirect(t *testing.T) {
 	service := golden.NewService(t)
