--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -76,7 +76,7 @@
 func (o *operatorViewer) reportLatePipelines(alerts *alertState) {
 	stages := o.lateStages()
 	for _, stage := range stages[:min(len(stages), maxLatePipelines)] {
-		last := o.dependencies.dependencyGraph.DeadlineOwner(stage)
+		last := o.dependencies.graph.DeadlineOwner(stage)
 		state := Running
 		if stage.NumPlaced == 0 {
 			state = Queued
@@ -94,7 +94,7 @@
 func (o *operatorViewer) lateStages() []*jobstate.Job {
 	var late []*jobstate.Job
 	for _, j := range o.cache.jobs {
-		if j.Outcome != "" || j.IsBlocked() || j.EffectiveDeadline == 0 || !o.isStage(j) {
+		if j.Outcome != "" || j.IsBlocked() || j.EffectiveDeadline == 0 || !o.dependencies.isInPipeline(j) {
 			continue
 		}
 		if o.now+o.remainingTime(j) > j.EffectiveDeadline {
@@ -107,11 +107,6 @@
 	return late
 }
 
-// isStage says whether a job is part of a pipeline.
-func (o *operatorViewer) isStage(j *jobstate.Job) bool {
-	return len(j.Dependencies) > 0 || o.dependencies.dependencyGraph.HasDependents(j)
-}
-
 // remainingTime is how long a job still takes by its owner's estimate, if all of
 // its tasks that wait start now.
 func (o *operatorViewer) remainingTime(j *jobstate.Job) int64 {
--- a/internal/core/alerts_test.go
+++ b/internal/core/alerts_test.go
@@ -9,9 +9,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestEndangered: operators see a pipeline that will be late before it is, and the
+// TestLatePipelines: operators see a pipeline that will be late before it is, and the
 // stage that delays it.
-func TestEndangered(t *testing.T) {
+func TestLatePipelines(t *testing.T) {
 	cases := []struct {
 		name     string
 		deadline int64
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -197,13 +197,13 @@
 	for _, answer := range c.transactions.Overdue(c.now) {
 		c.transactions.Complete(answer)
 	}
-	c.requests.requestsTick()
+	c.requests.tick()
 	c.reader.watchState()
 	c.readLeases.heldRepliesTick()
 	c.elector.electionTick()
 	c.membership.membershipTick()
 	c.peers.connectivityTick()
-	c.dependencies.dependencyTick()
+	c.dependencies.tick()
 	if c.elector.isLeader() {
 		c.leadTick()
 	}
@@ -230,7 +230,7 @@
 	c.prefetcher.inheritPrefetchSources()
 	c.prefetcher.prefetchTick()
 	c.membership.activationTick()
-	c.sweepManager.sweepTick()
+	c.sweepManager.tick()
 	c.prefetcher.imageHintsTick()
 	c.operators.alertTick()
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -26,19 +26,30 @@
 	requests *requestHandler
 	tasks    *taskManager
 
-	dependencyGraph *jobstate.DependencyGraph
+	graph *jobstate.DependencyGraph
 	// endReads has when the end of a job may be read again, or endReadInFlight.
 	endReads map[string]int64
 }
 
 func newDependencyResolver(run *engine) *dependencyResolver {
 	return &dependencyResolver{
-		engine:          run,
-		dependencyGraph: jobstate.NewDependencyGraph(),
-		endReads:        map[string]int64{},
+		engine:   run,
+		graph:    jobstate.NewDependencyGraph(),
+		endReads: map[string]int64{},
 	}
 }
 
+// reset is called before the stored state is read anew.
+func (d *dependencyResolver) reset() { d.graph = jobstate.NewDependencyGraph() }
+
+// removeJob is called for each job that has ended or is gone.
+func (d *dependencyResolver) removeJob(j *jobstate.Job) { d.graph.Remove(j) }
+
+// isInPipeline says whether a job depends on others, or others on it.
+func (d *dependencyResolver) isInPipeline(j *jobstate.Job) bool {
+	return len(j.Dependencies) > 0 || d.graph.HasDependents(j)
+}
+
 // knownEnd is the stored end of a job, as far as it is known here.
 func (d *dependencyResolver) knownEnd(id string) (jobstate.End, bool) {
 	if end, ok := d.cache.ends[id]; ok {
@@ -50,12 +61,12 @@
 	return jobstate.End{}, false
 }
 
-// addDependencies is called for each unfinished job that is new here.
-func (d *dependencyResolver) addDependencies(j *jobstate.Job) {
+// addJob is called for each unfinished job that is new here.
+func (d *dependencyResolver) addJob(j *jobstate.Job) {
 	if len(j.Dependencies) == 0 {
 		return
 	}
-	lastEndWall, cancelled := d.dependencyGraph.Add(j, d.knownEnd)
+	lastEndWall, cancelled := d.graph.Add(j, d.knownEnd)
 	switch {
 	case cancelled:
 		d.deriveEnd(j)
@@ -78,7 +89,7 @@
 // resolveDependents passes the end of a job on to the jobs that depend on it. Each that is
 // cancelled by it passes that on in turn.
 func (d *dependencyResolver) resolveDependents(id string, end jobstate.End) {
-	released, cancelled := d.dependencyGraph.RecordEnd(id, end)
+	released, cancelled := d.graph.RecordEnd(id, end)
 	for _, j := range released {
 		d.startDependent(j, j.DependenciesEndedWall)
 	}
@@ -95,7 +106,7 @@
 	if j.Outcome != "" {
 		return
 	}
-	d.dependencyGraph.Remove(j)
+	d.graph.Remove(j)
 	j.CancelledByDependency = true
 	if _, ok := d.cache.ends[j.ID]; ok {
 		// Its end was known before the job.
@@ -119,17 +130,17 @@
 	if !j.IsBlocked() {
 		return true
 	}
-	return d.dependencyGraph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
+	return d.graph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
 }
 
-// dependencyTick reads the ends of dependencies that are not known here, as after a
+// tick reads the ends of dependencies that are not known here, as after a
 // start, when only unfinished jobs are listed.
-func (d *dependencyResolver) dependencyTick() {
-	if !d.cache.synced || d.dependencyGraph.Empty() {
+func (d *dependencyResolver) tick() {
+	if !d.cache.synced || d.graph.Empty() {
 		return
 	}
 	inFlight := d.countEndReads()
-	ids := d.dependencyGraph.Unresolved(func(id string) bool {
+	ids := d.graph.Unresolved(func(id string) bool {
 		j := d.cache.jobs[id]
 		_, read := d.endReads[id]
 		return j != nil && j.Outcome == "" || read
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestAccept has what a submission may depend on, and the replies.
-func TestAccept(t *testing.T) {
+// TestSubmitWithDependencies has what a submission may depend on, and the replies.
+func TestSubmitWithDependencies(t *testing.T) {
 	service := job("service")
 	service.Spec.Kind = jobstate.Service
 	keys := map[string]any{formatKey: joined, jobPrefix + "open": job("open"), endPrefix + "done": endDone, endPrefix + "cancelled": cancelled, jobPrefix + "service": service}
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestWaiting follows jobs through the ends of those that they depend on.
-func TestWaiting(t *testing.T) {
+// TestBlockedJobs follows jobs through the ends of those that they depend on.
+func TestBlockedJobs(t *testing.T) {
 	chain := map[string]any{formatKey: joined, jobPrefix + "a": job("a"), jobPrefix + "b": job("b", "a"), jobPrefix + "c": job("c", "b"), jobPrefix + "d": job("d", "b", "c")}
 	with := func(key string, v any) map[string]any {
 		m := map[string]any{}
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestLookup: many requests about jobs that ended long ago, or that nobody submitted,
+// TestEndLookup: many requests about jobs that ended long ago, or that nobody submitted,
 // cost a few reads and not one each, and what the state service refuses for its rate is
 // tried again before users give up. Under the tightest limits users once were refused so
 // often that a run about which they asked every 200 s counted as forgotten
 // (TestSweepLargest in full).
-func TestLookup(t *testing.T) {
+func TestEndLookup(t *testing.T) {
 	cases := []struct {
 		name     string
 		refuse   int
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -50,7 +50,7 @@
 // front of an urgent one holds it up.
 func (p *planner) inheritPriorities() {
 	delay := p.heartbeatInterval()/2 + second
-	p.dependencies.dependencyGraph.InheritPriorities(maps.Values(p.cache.jobs), delay)
+	p.dependencies.graph.InheritPriorities(maps.Values(p.cache.jobs), delay)
 }
 
 // unfinished lists the jobs that are not over and wait for no other, by arrival.
@@ -153,7 +153,7 @@
 		return job.ReadyAt
 	}
 	latestStart := max(job.SubmittedAt, job.EffectiveDeadline-job.Estimate)
-	if len(job.Dependencies) > 0 || p.dependencies.dependencyGraph.HasDependents(job) {
+	if p.dependencies.isInPipeline(job) {
 		return latestStart // a stage of a pipeline: its deadline is all of its stages'
 	}
 	return latestStart + shortFirstFactor*p.fleetTime(job)
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -129,7 +129,7 @@
 func (r *readLeaseManager) noteCancelled(ids []string) {
 	for _, id := range ids {
 		if sweepID, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
-			r.sweepManager.noteSweepCancelled(sweepID)
+			r.sweepManager.noteCancelled(sweepID)
 			continue
 		}
 		end := jobstate.End{Outcome: jobstate.Cancelled}
@@ -144,7 +144,7 @@
 // cancellation of the sweep stands for all of its runs.
 func (r *readLeaseManager) cancelledWithSweep(id string) bool {
 	job := r.cache.jobs[id]
-	return job != nil && job.Sweep != "" && r.sweepManager.sweepCancelled(job.Sweep)
+	return job != nil && job.Sweep != "" && r.sweepManager.isCancelled(job.Sweep)
 }
 
 // replyCancelled sends a user an answer with cancellations, once every holder of a read lease
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -223,7 +223,7 @@
 	})
 }
 
-func (h *requestHandler) requestsReadDone(ok bool) {
+func (h *requestHandler) onReadDone(ok bool) {
 	reads := &h.queues.stateReads
 	if !reads.InFlight() {
 		return
@@ -290,8 +290,8 @@
 	}
 }
 
-// requestsTick goes on with the requests for which there is time or budget by now.
-func (h *requestHandler) requestsTick() {
+// tick goes on with the requests for which there is time or budget by now.
+func (h *requestHandler) tick() {
 	reads := &h.queues.stateReads
 	if !h.cache.synced {
 		for _, r := range reads.DropWaiting() {
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -111,12 +111,12 @@
 	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
 	s.leader, s.leaderRevision = leaderRecord{}, 0
 	s.token, s.tokenRevision = tokenRecord{}, 0
-	s.dependencies.dependencyGraph = jobstate.NewDependencyGraph()
+	s.dependencies.reset()
 	s.membership.restart()
 	s.keyRevisions = map[string]uint64{}
 	s.peers.restart()
 	s.progressLog = nil
-	s.sweepManager.resetSweeps()
+	s.sweepManager.reset()
 	starting := s.appliedRevision == 0
 	s.appliedRevision = m.Revision
 	s.reader.recentChanges.Restart(m.Revision)
@@ -178,7 +178,7 @@
 	if m.ForRequests {
 		// Another view, as that of a candidate, may have been read before the
 		// requests came that wait for this one.
-		s.requests.requestsReadDone(m.Err == nil && !m.Compacted && s.synced && m.Revision <= s.appliedRevision)
+		s.requests.onReadDone(m.Err == nil && !m.Compacted && s.synced && m.Revision <= s.appliedRevision)
 	}
 }
 
@@ -236,7 +236,7 @@
 	case strings.HasPrefix(key, "log/"):
 		s.applyPage(key[len("log/"):], ch, bad)
 	case strings.HasPrefix(key, "sweep"):
-		s.sweepManager.applySweep(key, ch, bad)
+		s.sweepManager.apply(key, ch, bad)
 	case key == "features" || strings.HasPrefix(key, "gone/") || strings.HasPrefix(key, "member/"):
 		s.membership.applyActivation(ch, bad)
 	case strings.HasPrefix(key, "reach/"):
@@ -296,7 +296,7 @@
 			j.Outcome, j.CancelledByDependency = e.Outcome, true
 			s.tasks.jobEnded(j)
 		} else if r.Outcome == "" {
-			s.dependencies.addDependencies(j)
+			s.dependencies.addJob(j)
 			s.sweepManager.noteRun(j)
 		}
 		s.tasks.jobArrived(j)
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -286,7 +286,7 @@
 			t.Errorf("%s: known as %s", key, encodeJSON(got))
 		}
 	}
-	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.sweepsEnabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
+	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.enabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
 		t.Errorf("types %+v, %d pages, %d tasks a value, features %+v", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
 	}
 	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -46,7 +46,7 @@
 // dependencies of any other. invalid says why it is malformed, or is "".
 func (h *requestHandler) validateSubmission(r *request, invalid string) {
 	switch {
-	case h.sweepManager.sweepsEnabled() && strings.HasPrefix(r.targetID, RunPrefix):
+	case h.sweepManager.enabled() && strings.HasPrefix(r.targetID, RunPrefix):
 		h.refuseUnlessKnown(r, ReplyInvalid, "name_id: begins like the runs of sweeps")
 		return
 	case invalid != "":
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -23,10 +23,10 @@
 	runOverheadBytes = 200 // of a run in a transaction, beside its value
 )
 
-// sweepTick goes on with the sweeps under way, when this controller leads.
-func (m *sweepManager) sweepTick() {
+// tick goes on with the sweeps under way, when this controller leads.
+func (m *sweepManager) tick() {
 	term := m.elector.leadership
-	if !m.sweepsEnabled() || len(m.sweeps) == 0 || m.now-term.sweepsAdvancedAt < sweepGap || !m.elector.mayStartTasks() {
+	if !m.enabled() || len(m.sweeps) == 0 || m.now-term.sweepsAdvancedAt < sweepGap || !m.elector.mayStartTasks() {
 		return
 	}
 	term.sweepsAdvancedAt = m.now
@@ -260,7 +260,7 @@
 		}
 		var end sweepEndRecord
 		if read.Revision != 0 && json.Unmarshal(read.Value, &end) == nil && end.Outcome == jobstate.Cancelled {
-			m.noteSweepCancelled(id)
+			m.noteCancelled(id)
 		}
 		done()
 	})
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -35,7 +35,7 @@
 	case submission.Invalid != "":
 		m.requests.refuseUnlessKnown(r, ReplyInvalid, submission.Invalid)
 	case !m.requests.machineTypesKnown(r):
-	case !m.sweepsEnabled():
+	case !m.enabled():
 		m.emit(retryLaterReply(r.id, 2, "not before all controllers have sweeps switched on"))
 	default:
 		m.validateSweep(r)
@@ -218,7 +218,7 @@
 		switch result.Outcome {
 		case kv.Committed:
 			m.readLeases.recordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
-			m.noteSweepCancelled(r.targetID)
+			m.noteCancelled(r.targetID)
 			m.requests.waitForRead(r) // the reply says what was done before
 		case kv.Conflict:
 			m.requests.retryCancellation(r)
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -65,7 +65,7 @@
 	mayHaveOpenRuns bool
 }
 
-func (m *sweepManager) sweepsEnabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
+func (m *sweepManager) enabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
 
 // sweep finds a sweep, or makes what is to be filled by the keys that are read.
 func (m *sweepManager) sweep(id string) *sweep {
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// sweepCancelled says whether a sweep is cancelled, as far as it is known here with all
+// isCancelled says whether a sweep is cancelled, as far as it is known here with all
 // that was stored before.
-func (m *sweepManager) sweepCancelled(id string) bool {
+func (m *sweepManager) isCancelled(id string) bool {
 	s := m.sweeps[id]
 	return s != nil && s.outcome == jobstate.Cancelled
 }
@@ -178,15 +178,15 @@
 	m.mayHaveOpenRuns = false
 	for _, id := range sortedKeys(m.cache.jobs) {
 		j := m.cache.jobs[id]
-		if j.Sweep != "" && j.Outcome == "" && m.sweepCancelled(j.Sweep) {
+		if j.Sweep != "" && j.Outcome == "" && m.isCancelled(j.Sweep) {
 			m.dependencies.deriveEnd(j)
 		}
 	}
 }
 
-// noteSweepCancelled is called when a sweep is known to be cancelled but the cache may
+// noteCancelled is called when a sweep is known to be cancelled but the cache may
 // lag: its tasks are stopped, and none is started.
-func (m *sweepManager) noteSweepCancelled(id string) {
+func (m *sweepManager) noteCancelled(id string) {
 	s := m.sweep(id)
 	if s.cancelConfirmed || s.outcome != "" {
 		return
@@ -203,8 +203,8 @@
 	}
 }
 
-// resetSweeps is called before the stored state is read anew.
-func (m *sweepManager) resetSweeps() {
+// reset is called before the stored state is read anew.
+func (m *sweepManager) reset() {
 	for _, id := range sortedKeys(m.sweeps) {
 		for _, r := range m.sweeps[id].planRequests {
 			m.requests.refuse(r)
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestSweepLatch: sweeps raise the format only when every controller advertises
+// TestSweepActivation: sweeps raise the format only when every controller advertises
 // them, and one that has them switched off raises nothing.
-func TestSweepLatch(t *testing.T) {
+func TestSweepActivation(t *testing.T) {
 	cases := []struct {
 		name     string
 		on       bool
@@ -157,11 +157,11 @@
 	}
 }
 
-// TestSweepTold: a controller that learns of a cancelled sweep from a peer stops its
+// TestSweepCancelledAtPeer: a controller that learns of a cancelled sweep from a peer stops its
 // tasks at once, but calls its runs cancelled only when it has all that was stored
 // before: one of them may be done. In an outage right after a cancellation runs were
 // called cancelled whose end was stored as done.
-func TestSweepTold(t *testing.T) {
+func TestSweepCancelledAtPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
 	if reply := h.submitSweep(submission); reply.Status != 201 {
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestSweepAt: the position of the largest sweep fits the smallest value, however
+// TestSweepPositionSize: the position of the largest sweep fits the smallest value, however
 // its runs have ended.
-func TestSweepAt(t *testing.T) {
+func TestSweepPositionSize(t *testing.T) {
 	const runs, maxBytes = 10_000, 2000
 	random := rand.New(rand.NewPCG(1, 2))
 	open, gone := roaring.New(), roaring.New()
@@ -210,8 +210,8 @@
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
 	bad := func(err error) { t.Error(err) }
-	manager.applySweep("sweepat/s", Change{Value: position, Revision: 5}, bad)
-	manager.applySweep("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, bad)
+	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, bad)
+	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, bad)
 	if s := manager.sweep(sweepID); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
 		t.Error("it is read as something else")
 	}
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -79,9 +79,9 @@
 	return sweepKey{kind: sweepKeyKind(kind), id: id, suffix: suffix, hasSuffix: hasSuffix}
 }
 
-// applySweep applies a change of a sweep's key to the cache; key is without Prefix, and
+// apply applies a change of a sweep's key to the cache; key is without Prefix, and
 // bad is called with the error of a value that can't be read.
-func (m *sweepManager) applySweep(key string, change Change, bad func(error)) {
+func (m *sweepManager) apply(key string, change Change, bad func(error)) {
 	if change.Removed {
 		return // none ever is
 	}
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -211,7 +211,7 @@
 
 // jobEnded stops what is left of a job that has an outcome by now.
 func (t *taskManager) jobEnded(job *jobstate.Job) {
-	t.dependencies.dependencyGraph.Remove(job)
+	t.dependencies.removeJob(job)
 	if !t.elector.isLeader() {
 		return
 	}
@@ -222,7 +222,7 @@
 
 // jobRemoved forgets a job whose keys are gone.
 func (t *taskManager) jobRemoved(job *jobstate.Job) {
-	t.dependencies.dependencyGraph.Remove(job)
+	t.dependencies.removeJob(job)
 	if !t.elector.isLeader() {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,8 +10,8 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// TestText reads back what is written, for a leader and for another controller.
-func TestText(t *testing.T) {
+// TestEncode reads back what is written, for a leader and for another controller.
+func TestEncode(t *testing.T) {
 	v := core.OperatorView{
 		FencingToken: 7, Synced: true, Jobs: 12, Peers: []core.PeerView{{Name: "node \"1\"", Up: true}, {Name: "node-2"}},
 		Queues: []core.QueueView{{Waiting: 3, Tasks: 40, WaitsS: 1.5}, {}}, Machines: core.MachinesView{Busy: 5, Booting: 2},
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestIdentity: a run's id is made of the values alone, however they are
+// TestRunID: a run's id is made of the values alone, however they are
 // written, and of the sweep's id. The literal ids are stored in deployments, so
 // they must never change.
-func TestIdentity(t *testing.T) {
+func TestRunID(t *testing.T) {
 	const one = "sweep.s.57f18a6cfe5a6cf3077249d5"
 	a := RunID("s", []string{"a", "b"}, []Value{int64(1), "x"})
 	if a != one {
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestTogether: expressions that are harmless one by one are bounded together.
-func TestTogether(t *testing.T) {
+// TestTotalSteps: expressions that are harmless one by one are bounded together.
+func TestTotalSteps(t *testing.T) {
 	big := strings.Repeat("a+", 900) + "a"
 	text := `id: "s" job { herd: "h" } parameter { name: "a" range { from: 1 to: 100 } } parameter { name: "b" range { from: 1 to: 100 } }`
 	for _, f := range []string{"hands", "vcpus", "expect_s"} {
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestLargest: 10,000 runs expand, all to ids of their own, and the same again.
-func TestLargest(t *testing.T) {
+// TestLargestSweep: 10,000 runs expand, all to ids of their own, and the same again.
+func TestLargestSweep(t *testing.T) {
 	text := `id: "s" job { herd: "h" } set { field: "hands" is: "a % 7 + 1" } parameter { name: "a" range { from: 1 to: 100 } } parameter { name: "b" range { from: 1 to: 100 } }`
 	x, err := expand(text, nil)
 	y, err2 := expand(text, nil)
