--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -16,7 +16,6 @@
 
 	"github.com/zinclb/zinclb/internal/api"
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/jsonlines"
 	"github.com/zinclb/zinclb/internal/sweep"
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
@@ -102,7 +101,13 @@
 // printRuns prints runs; head says that the table has a line with the columns' names.
 func printRuns(w io.Writer, output string, runs []api.RunResponse, head bool) error {
 	if output == jsonOutput {
-		return jsonlines.Write(w, runs)
+		encoder := json.NewEncoder(w)
+		for _, r := range runs {
+			if err := encoder.Encode(r); err != nil {
+				return err
+			}
+		}
+		return nil
 	}
 	var table strings.Builder
 	if head {
