--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -32,7 +32,7 @@
 		{"more than can ever be stored", strings.Fields(strings.Repeat("open-"+strings.Repeat("x", 90)+" ", 90)), func(h *harness) {
 			h.store(jobPrefix+"open-"+strings.Repeat("x", 90), job("open-"+strings.Repeat("x", 90)))
 		}, 400, "bytes"},
-		{"a repeat of a known job, whatever it says", []string{"other"}, func(h *harness) { h.store(jobPrefix+"new", job("new")) }, 200, ""},
+		{"a repeat of a known job with other contents", []string{"other"}, func(h *harness) { h.store(jobPrefix+"new", job("new")) }, 200, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 			if tc.want == "" {
 				h.restart()
 				if got := h.jobState("d"); got != "503" {
-					t.Errorf("told %s", got)
+					t.Errorf("the state is %s", got)
 				}
 				return
 			}
@@ -106,7 +106,7 @@
 			if waiting != tc.waiting {
 				t.Errorf("%q wait, want %q", waiting, tc.waiting)
 			}
-			// Whoever starts anew from storage comes to the same.
+			// A controller that starts from what is stored comes to the same.
 			h.restart()
 			h.advance(second)
 			if got := h.jobState("b") + " " + h.jobState("c") + " " + h.jobState("d"); got != tc.want {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -266,7 +266,7 @@
 	return Reply{}
 }
 
-// jobState is what users are told of a job: its state, or the status of the refusal.
+// jobState is a job's state as users see it, or the status of the refusal.
 func (h *harness) jobState(id string) string {
 	h.t.Helper()
 	reply := h.request(QueryJob{ID: id})
--- a/internal/core/jobstatus.go
+++ b/internal/core/jobstatus.go
@@ -30,7 +30,7 @@
 	h.emit(reply)
 }
 
-// stateOf is what users are told of an unfinished job.
+// stateOf is the state of an unfinished job as users see it.
 func stateOf(j *jobstate.Job) *JobState {
 	state := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
 	if j.NumRunning == 0 && j.NumPlaced > 0 {
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -2,7 +2,7 @@
 
 import "github.com/zinclb/zinclb/internal/core/upgrade"
 
-// QueryOperatorView asks for what operators are shown. It reads and changes nothing.
+// QueryOperatorView requests the operators' view. It changes nothing.
 type QueryOperatorView struct{ RequestID uint64 }
 
 // OperatorView is one controller's view of the service, for operators.
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -290,7 +290,7 @@
 	return cancelled
 }
 
-// runState is the state of a run that users are told.
+// runState is the state of a run as users see it.
 func (m *sweepManager) runState(s *sweep, i int) string {
 	id := s.plan.Specs[i].ID
 	j := m.cache.jobs[id]
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -101,7 +101,7 @@
 	return s == nil || !s.cancelConfirmed
 }
 
-// state is what users are told of a sweep.
+// state is the state of a sweep as users see it.
 func (s *sweep) state() *SweepState {
 	cancelled := int(s.cancelled.GetCardinality())
 	state := &SweepState{
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -15,10 +15,10 @@
 // is sent again for ever.
 func TestRefusedWrites(t *testing.T) {
 	cases := []struct {
-		name   string
-		format formatRecord
-		next   bool // the settings announce it
-		most   int  // transactions refused
+		name        string
+		format      formatRecord
+		announced   bool // by the settings
+		maxRejected int
 	}{
 		{"before the format", formatRecord{}, true, 2},
 		{"announced", joined, true, 0},
@@ -34,7 +34,7 @@
 	for _, tc := range cases {
 		h := newHarness(t, keys)
 		h.core.settings.Peers = []string{"old"} // it never says that it is of this version
-		if kb, ops := 2.0, 4; tc.next {
+		if kb, ops := 2.0, 4; tc.announced {
 			h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb, TxnOps: &ops}
 		}
 		if tc.format.Version != 0 {
@@ -58,7 +58,7 @@
 				t.Errorf("%s: small-%d does not end", tc.name, i)
 			}
 		}
-		if h.rejected > tc.most {
+		if h.rejected > tc.maxRejected {
 			t.Errorf("%s: %d writes refused", tc.name, h.rejected)
 		}
 		if j := h.core.cache.jobs["large"]; tc.name == "announced" && (!j.Task(0).Stored || !j.Task(199).Stored) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics writes what operators are shown of a controller in the text
-// format that monitoring systems read. Nothing is counted for it: it is made of
-// the view of the moment when somebody asks, and costs nothing otherwise.
+// Package metrics writes the operators' view of a controller in the text format that
+// monitoring systems read. Nothing is counted for it: it is made from the view of the
+// moment when it is requested, and costs nothing otherwise.
 package metrics
 
 import (
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,9 +13,17 @@
 // TestEncode reads back what is written, for a leader and for another controller.
 func TestEncode(t *testing.T) {
 	v := core.OperatorView{
-		FencingToken: 7, Synced: true, Jobs: 12, Peers: []core.PeerView{{Name: "node \"1\"", Up: true}, {Name: "node-2"}},
-		Queues: []core.QueueView{{Waiting: 3, Tasks: 40, WaitsS: 1.5}, {}}, Machines: core.MachinesView{Busy: 5, Booting: 2},
-		Reach:     core.ConnectivityView{Links: []core.LinkView{{Link: "to node-2", State: "lost"}, {Link: "cloud", State: "slow"}}, Matrix: map[string]core.ConnectivityRowView{"node-2": {Workers: map[string]int{"a": 6}}}, SteppedAside: &core.LeadershipTransferView{To: "node-2", AgeS: 3}},
+		FencingToken: 7,
+		Synced:       true,
+		Jobs:         12,
+		Peers:        []core.PeerView{{Name: "node \"1\"", Up: true}, {Name: "node-2"}},
+		Queues:       []core.QueueView{{Waiting: 3, Tasks: 40, WaitsS: 1.5}, {}},
+		Machines:     core.MachinesView{Busy: 5, Booting: 2},
+		Reach: core.ConnectivityView{
+			Links:        []core.LinkView{{Link: "to node-2", State: "lost"}, {Link: "cloud", State: "slow"}},
+			Matrix:       map[string]core.ConnectivityRowView{"node-2": {Workers: map[string]int{"a": 6}}},
+			SteppedAside: &core.LeadershipTransferView{To: "node-2", AgeS: 3},
+		},
 		Latencies: []core.LatencyView{{Call: "submit", Answers: 10, Mean: 20, P50: 15, P95: 40, P99: 50}},
 	}
 	cases := []struct {
@@ -23,8 +31,34 @@
 		want    map[string]float64
 		without string
 	}{
-		{false, map[string]float64{"zinclb_unfinished_jobs": 12, "zinclb_token": 7, "zinclb_synced": 1, "zinclb_leading": 0, "zinclb_link_usable{to node-2}": 0, "zinclb_link_usable{cloud}": 1, "zinclb_reach_eighths{node-2}": 6, "zinclb_gave_way_seconds{node-2}": 3, `zinclb_peer_up{node "1"}`: 1, "zinclb_peer_up{node-2}": 0, "zinclb_request_seconds{submit}": 0.2}, "zinclb_machines"},
-		{true, map[string]float64{"zinclb_leading": 1, "zinclb_machines{busy}": 5, "zinclb_machines{booting}": 2, "zinclb_queue_waiting_tasks{0}": 40, "zinclb_queue_pivot_waits_seconds{0}": 1.5}, "nothing"},
+		{
+			leading: false,
+			want: map[string]float64{
+				"zinclb_unfinished_jobs":          12,
+				"zinclb_token":                    7,
+				"zinclb_synced":                   1,
+				"zinclb_leading":                  0,
+				"zinclb_link_usable{to node-2}":   0,
+				"zinclb_link_usable{cloud}":       1,
+				"zinclb_reach_eighths{node-2}":    6,
+				"zinclb_gave_way_seconds{node-2}": 3,
+				`zinclb_peer_up{node "1"}`:        1,
+				"zinclb_peer_up{node-2}":          0,
+				"zinclb_request_seconds{submit}":  0.2,
+			},
+			without: "zinclb_machines",
+		},
+		{
+			leading: true,
+			want: map[string]float64{
+				"zinclb_leading":                      1,
+				"zinclb_machines{busy}":               5,
+				"zinclb_machines{booting}":            2,
+				"zinclb_queue_waiting_tasks{0}":       40,
+				"zinclb_queue_pivot_waits_seconds{0}": 1.5,
+			},
+			without: "nothing",
+		},
 	}
 	for _, tc := range cases {
 		v.Leading = tc.leading
