--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -6,42 +6,14 @@
 	"strings"
 )
 
-// Advertisement is what a controller says of itself in the state service, on its lease,
-// for as long as it runs. Programs before features say Format and Boot alone.
-type Advertisement struct {
-	Format      int    `json:"v"`
-	Incarnation string `json:"b"`
-	// Program is its version, Oldest the oldest stored format that it reads.
-	Program      int `json:"p,omitempty"`
-	OldestFormat int `json:"o,omitempty"`
-	// Features are those that it has, less what its operators hold back.
-	Features []FeatureName `json:"f,omitempty"`
-	// Withheld are those.
-	Withheld []FeatureName `json:"x,omitempty"`
-}
-
-// supports says whether the word is of a controller that may see a feature on. What
-// a program before features has follows from its format.
-func (w *Advertisement) supports(f *Feature) bool {
-	if w.Program == 0 {
-		return f.Format != 0 && w.Format >= f.Format
-	}
-	return slices.Contains(w.Features, f.Name)
-}
-
-// equal says whether two words say the same.
-func (w *Advertisement) equal(o *Advertisement) bool {
-	return w.Format == o.Format && w.Incarnation == o.Incarnation && w.Program == o.Program && w.OldestFormat == o.OldestFormat && slices.Equal(w.Features, o.Features) && slices.Equal(w.Withheld, o.Withheld)
-}
-
-// StoredFeature is a feature that is on by its name, as it is stored. Needed: programs
-// without it must not go on.
+// StoredFeature is an active feature by its name, as it is stored. Programs without a
+// Required one must not go on.
 type StoredFeature struct {
 	Name     FeatureName `json:"n"`
 	Required bool        `json:"d,omitempty"`
 }
 
-// MemberRevision is a controller and the version of its word, 0 for none.
+// MemberRevision is a controller with the revision of its advertisement, 0 for none.
 type MemberRevision struct {
 	Name     string
 	Revision uint64
@@ -50,281 +22,289 @@
 // member is what is known of a controller.
 type member struct {
 	advertisement Advertisement
-	revision      uint64 // of the word, 0 if there is none
-	seenAt        int64
-	// answeredAt is when a ping that it answered was sent, format and features
-	// what it said then.
+	revision      uint64 // of the advertisement, 0 if there is none
+	seenAt        int64  // when the advertisement was read
+
+	// answeredAt is when the newest ping was sent that it answered, format and features
+	// are what it said then.
 	answeredAt int64
 	format     int
 	features   []FeatureName
-	// decommissioned: operators say that it will not come back.
+
+	// decommissioned: operators have declared that it will not come back.
 	decommissioned bool
 }
 
-// Activation is one controller's knowledge of all.
+// Activation is what one controller knows of all controllers' features, and of those that
+// are active.
 type Activation struct {
 	program Program
 	self    string
 	local   Advertisement
-	names   []string // of all controllers, this one too
+	names   []string // of all controllers, this one too, in order
 	members map[string]*member
-	format  int
+
+	format  int // the stored one
 	enabled map[FeatureName]bool
-	// unknownFeatures are features that are on and that this program does not have.
+	// unknownFeatures are active features that this program does not have.
 	unknownFeatures []StoredFeature
 }
 
-// NewActivation makes the activation of a controller. chosen are the features that its operators
-// want of those that have to be wanted, held those that they hold back.
-func NewActivation(program Program, self, boot string, peers []string, chosen, held []FeatureName) *Activation {
-	l := &Activation{program: program, self: self, names: append([]string{self}, peers...), members: map[string]*member{}, enabled: map[FeatureName]bool{}, format: 1}
-	slices.Sort(l.names)
-	l.local = Advertisement{Format: 1, Incarnation: boot, Program: program.Version, OldestFormat: 1}
-	for i := range program.Features {
-		f := &program.Features[i]
-		switch {
-		case f.OptIn && !slices.Contains(chosen, f.Name):
-		case slices.Contains(held, f.Name):
-			l.local.Withheld = append(l.local.Withheld, f.Name)
-		default:
-			l.local.Features = append(l.local.Features, f.Name)
-			l.local.Format = max(l.local.Format, f.Format)
-		}
+// NewActivation makes the activation of a controller. optedIn are the features that its
+// operators have opted in to, withheld those that they hold back.
+func NewActivation(program Program, self, incarnation string, peers []string, optedIn, withheld []FeatureName) *Activation {
+	a := &Activation{
+		program: program,
+		self:    self,
+		local:   localAdvertisement(&program, incarnation, optedIn, withheld),
+		names:   append([]string{self}, peers...),
+		members: map[string]*member{},
+		enabled: map[FeatureName]bool{},
+		format:  firstFormat,
 	}
-	if program.Version < firstVersionWithFeatures {
-		l.local.Program, l.local.OldestFormat, l.local.Features, l.local.Withheld = 0, 0, nil, nil
+	slices.Sort(a.names)
+	for _, name := range a.names {
+		a.members[name] = &member{}
 	}
-	l.Restart()
-	return l
+	return a
 }
 
-// firstVersionWithFeatures is the first program that tells of its features.
-const firstVersionWithFeatures = 4
-
-// Restart forgets what is stored, as before it is read anew. What was answered
-// to pings is kept.
-func (l *Activation) Restart() {
-	for _, n := range l.names {
-		m := l.members[n]
-		if m == nil {
-			m = &member{}
-			l.members[n] = m
-		}
+// Restart forgets what is stored of the controllers, before it is read anew. Their answers to
+// pings are kept.
+func (a *Activation) Restart() {
+	for _, m := range a.members {
 		m.advertisement, m.revision, m.seenAt, m.decommissioned = Advertisement{}, 0, 0, false
 	}
 }
 
-// LocalAdvertisement is this controller's word, and the version of the one that is stored;
-// say is false if it stands there already.
-func (l *Activation) LocalAdvertisement() (w Advertisement, stamp uint64, say bool) {
-	m := l.members[l.self]
-	return l.local, m.revision, m.revision == 0 || !m.advertisement.equal(&l.local)
+// LocalAdvertisement is this controller's advertisement, with the revision of the one that is
+// stored; pending says that this is another one, or none.
+func (a *Activation) LocalAdvertisement() (local Advertisement, revision uint64, pending bool) {
+	m := a.members[a.self]
+	return a.local, m.revision, m.revision == 0 || !m.advertisement.equal(&a.local)
 }
 
 // Features are those that this controller has, for its answers to pings.
-func (l *Activation) Features() []FeatureName { return l.local.Features }
+func (a *Activation) Features() []FeatureName { return a.local.Features }
 
-// SetAdvertisement notes a controller's word in the state service, Unsaid that it is gone.
-func (l *Activation) SetAdvertisement(name string, w Advertisement, stamp uint64, now int64) {
-	if m := l.members[name]; m != nil {
-		m.advertisement, m.revision, m.seenAt = w, stamp, now
+// SetAdvertisement notes a controller's advertisement in the state service.
+func (a *Activation) SetAdvertisement(name string, advertisement Advertisement, revision uint64, now int64) {
+	if m := a.members[name]; m != nil {
+		m.advertisement, m.revision, m.seenAt = advertisement, revision, now
 	}
 }
 
-// RemoveAdvertisement notes that a controller's word has gone with its lease.
-func (l *Activation) RemoveAdvertisement(name string) {
-	if m := l.members[name]; m != nil {
+// RemoveAdvertisement notes that a controller's advertisement disappeared with its lease.
+func (a *Activation) RemoveAdvertisement(name string) {
+	if m := a.members[name]; m != nil {
 		m.advertisement, m.revision = Advertisement{}, 0
 	}
 }
 
-// RecordPing notes an answer to a ping that was sent at sent: the format that the
-// controller can write, 0 before there were any, and its features.
-func (l *Activation) RecordPing(name string, sent int64, format int, features []FeatureName) {
-	if m := l.members[name]; m != nil && sent >= m.answeredAt {
-		m.answeredAt, m.format, m.features = sent, format, features
+// RecordPing notes the answer to a ping that was sent at a time: the newest format that the
+// controller writes, 0 from a program before there were others, and its features.
+func (a *Activation) RecordPing(name string, sentAt int64, format int, features []FeatureName) {
+	if m := a.members[name]; m != nil && sentAt >= m.answeredAt {
+		m.answeredAt, m.format, m.features = sentAt, format, features
 	}
 }
 
-// SetDecommissioned notes whether operators say that a controller will not come back.
-func (l *Activation) SetDecommissioned(name string, gone bool) {
-	if m := l.members[name]; m != nil {
-		m.decommissioned = gone
+// SetDecommissioned notes whether operators have declared that a controller will not come back.
+func (a *Activation) SetDecommissioned(name string, decommissioned bool) {
+	if m := a.members[name]; m != nil {
+		m.decommissioned = decommissioned
 	}
 }
 
-// Returned are those that were said to be gone and have a word again.
-func (l *Activation) Returned() (names []string) {
-	for _, n := range l.names {
-		if m := l.members[n]; m.decommissioned && m.revision != 0 {
-			names = append(names, n)
+// Returned are the decommissioned controllers that have an advertisement again.
+func (a *Activation) Returned() (names []string) {
+	for _, name := range a.names {
+		if m := a.members[name]; m.decommissioned && m.revision != 0 {
+			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// SetFormat notes the stored format, SetEnabled the features that are on by name.
-func (l *Activation) SetFormat(format int) { l.format = max(l.format, format) }
+// SetFormat notes the stored format, which never falls.
+func (a *Activation) SetFormat(format int) { a.format = max(a.format, format) }
 
-// SetEnabled notes the stored features.
-func (l *Activation) SetEnabled(list []StoredFeature) {
-	l.unknownFeatures = nil
-	for _, s := range list {
-		if l.program.feature(s.Name) == nil {
-			l.unknownFeatures = append(l.unknownFeatures, s)
+// SetEnabled notes the features that are stored as active.
+func (a *Activation) SetEnabled(features []StoredFeature) {
+	a.unknownFeatures = nil
+	for _, stored := range features {
+		if a.program.feature(stored.Name) == nil {
+			a.unknownFeatures = append(a.unknownFeatures, stored)
 			continue
 		}
-		l.enabled[s.Name] = true
+		a.enabled[stored.Name] = true
 	}
 }
 
-// Enabled says whether a feature is on.
-func (l *Activation) Enabled(n FeatureName) bool {
-	f := l.program.feature(n)
-	return f != nil && (f.Format != 0 && l.format >= f.Format || f.Format == 0 && l.enabled[n])
+// Enabled reports whether a feature of this program is active.
+func (a *Activation) Enabled(name FeatureName) bool {
+	feature := a.program.feature(name)
+	switch {
+	case feature == nil:
+		return false
+	case feature.Format != 0:
+		return a.format >= feature.Format
+	default:
+		return a.enabled[name]
+	}
 }
 
 // Incompatibility is why this program must not go on, "" if it may: what is stored needs
 // something that it does not have.
-func (l *Activation) Incompatibility() string {
-	if most := l.program.Format(); l.format > most {
-		return fmt.Sprintf("the stored format is %d, and this program reads up to %d: start a newer one", l.format, most)
+func (a *Activation) Incompatibility() string {
+	if newest := a.program.Format(); a.format > newest {
+		return fmt.Sprintf("the stored format is %d, and this program reads up to %d: start a newer one", a.format, newest)
 	}
-	var needed []string
-	for _, s := range l.unknownFeatures {
-		if s.Required {
-			needed = append(needed, string(s.Name))
+	var missing []string
+	for _, stored := range a.unknownFeatures {
+		if stored.Required {
+			missing = append(missing, string(stored.Name))
 		}
 	}
-	if len(needed) > 0 {
-		return fmt.Sprintf("what is stored needs %s, which this program does not have: start a newer one", strings.Join(needed, ", "))
+	if len(missing) > 0 {
+		return fmt.Sprintf("what is stored needs %s, which this program does not have: start a newer one", strings.Join(missing, ", "))
 	}
 	return ""
 }
 
-// blockerOf is why a controller holds a feature back, "" if it does not.
-func (l *Activation) blockerOf(name string, f *Feature) string {
-	m := l.members[name]
+// NextFeature is the feature that the leader may activate now, nil if there is none, with the
+// advertisements that show it: the write has to be conditional on their revisions.
+func (a *Activation) NextFeature() (next *Feature, judgedBy []MemberRevision) {
+	for i := range a.program.Features {
+		feature := &a.program.Features[i]
+		if a.Enabled(feature.Name) || len(a.blockers(feature)) > 0 {
+			continue
+		}
+		for _, name := range a.names {
+			judgedBy = append(judgedBy, MemberRevision{name, a.members[name].revision})
+		}
+		return feature, judgedBy
+	}
+	return nil, nil
+}
+
+// blockers is why a feature can't be activated, for operators; none if it can.
+func (a *Activation) blockers(feature *Feature) (reasons []string) {
+	for _, name := range feature.Requires {
+		if !a.Enabled(name) {
+			reasons = append(reasons, "it needs "+string(name))
+		}
+	}
+	if feature.OptIn && !slices.Contains(a.local.Features, feature.Name) {
+		return append(reasons, "it is not switched on here")
+	}
+	for _, name := range a.names {
+		if reason := a.blockerAt(name, feature); reason != "" {
+			reasons = append(reasons, reason)
+		}
+	}
+	return reasons
+}
+
+// blockerAt is why one controller blocks a feature, "" if it does not.
+func (a *Activation) blockerAt(name string, feature *Feature) string {
+	m := a.members[name]
 	switch {
 	case m.revision == 0 && m.decommissioned:
 		return ""
 	case m.revision == 0:
 		return name + " has not said what it can"
-	case slices.Contains(m.advertisement.Withheld, f.Name):
+	case slices.Contains(m.advertisement.Withheld, feature.Name):
 		return name + " holds it back"
-	case !m.advertisement.supports(f):
+	case !m.advertisement.supports(feature):
 		return name + " does not have it"
-	}
-	// It may have been replaced by an older program within its lease. That it
-	// does not answer is no proof of anything.
-	if f.Format != 0 && m.answeredAt > m.seenAt && m.format < f.Format || f.Format == 0 && m.answeredAt > m.seenAt && !slices.Contains(m.features, f.Name) {
+	case m.answersWithout(feature):
 		return name + " answers that it does not have it"
 	}
 	return ""
 }
 
-// NextFeature is the feature that the leader may switch on now, nil if there is none,
-// with the words that it judged by: the write has to be conditional on them.
-func (l *Activation) NextFeature() (f *Feature, by []MemberRevision) {
-	for i := range l.program.Features {
-		f := &l.program.Features[i]
-		if l.Enabled(f.Name) || len(l.blockers(f)) > 0 {
-			continue
-		}
-		for _, n := range l.names {
-			by = append(by, MemberRevision{n, l.members[n].revision})
-		}
-		return f, by
-	}
-	return nil, nil
-}
-
-// blockers is what holds a feature back.
-func (l *Activation) blockers(f *Feature) (why []string) {
-	for _, n := range f.Requires {
-		if !l.Enabled(n) {
-			why = append(why, "it needs "+string(n))
-		}
+// answersWithout reports whether a controller has answered a ping without a feature since its
+// advertisement was read: it may have been replaced by an older program before its lease
+// expired. That it does not answer is no proof of anything.
+func (m *member) answersWithout(feature *Feature) bool {
+	if m.answeredAt <= m.seenAt {
+		return false
 	}
-	if f.OptIn && !slices.Contains(l.local.Features, f.Name) {
-		return append(why, "it is not switched on here")
-	}
-	for _, n := range l.names {
-		if w := l.blockerOf(n, f); w != "" {
-			why = append(why, w)
-		}
+	if feature.Format != 0 {
+		return m.format < feature.Format
 	}
-	return why
+	return !slices.Contains(m.features, feature.Name)
 }
 
-// EnabledWith are the features to be stored once another is on too.
-func (l *Activation) EnabledWith(f *Feature) (list []StoredFeature) {
-	list = slices.Clone(l.unknownFeatures)
-	for _, x := range l.program.Features {
-		if x.Format == 0 && (l.enabled[x.Name] || x.Name == f.Name) {
-			list = append(list, StoredFeature{x.Name, !x.Ignorable})
+// EnabledWith are the active features to be stored once another one is active too.
+func (a *Activation) EnabledWith(next *Feature) []StoredFeature {
+	features := slices.Clone(a.unknownFeatures)
+	for _, feature := range a.program.Features {
+		if feature.Format == 0 && (a.enabled[feature.Name] || feature.Name == next.Name) {
+			features = append(features, StoredFeature{Name: feature.Name, Required: !feature.Ignorable})
 		}
 	}
-	return list
+	return features
 }
 
 // FeatureState is a feature for operators.
 type FeatureState struct {
 	Name     FeatureName
 	Enabled  bool
-	Blockers []string
+	Blockers []string // why it is not
 }
 
-// FeatureStates are all features with what holds them back.
-func (l *Activation) FeatureStates() (out []FeatureState) {
-	for i := range l.program.Features {
-		f := &l.program.Features[i]
-		s := FeatureState{Name: f.Name, Enabled: l.Enabled(f.Name)}
-		if !s.Enabled {
-			s.Blockers = l.blockers(f)
+// FeatureStates are all features of this program and those that are active without it.
+func (a *Activation) FeatureStates() (states []FeatureState) {
+	for i := range a.program.Features {
+		feature := &a.program.Features[i]
+		state := FeatureState{Name: feature.Name, Enabled: a.Enabled(feature.Name)}
+		if !state.Enabled {
+			state.Blockers = a.blockers(feature)
 		}
-		out = append(out, s)
+		states = append(states, state)
 	}
-	for _, a := range l.unknownFeatures {
-		out = append(out, FeatureState{Name: a.Name, Enabled: true})
+	for _, stored := range a.unknownFeatures {
+		states = append(states, FeatureState{Name: stored.Name, Enabled: true})
 	}
-	return out
+	return states
 }
 
-// CountMembers counts the controllers that are members and have a feature, without the
-// leader, and those that are members and do not have it.
-func (l *Activation) CountMembers(n FeatureName, leader string) (present, without int) {
-	f := l.program.feature(n)
-	for _, name := range l.names {
-		m := l.members[name]
+// CountMembers counts the controllers with an advertisement: those that have a feature, but
+// for the leader, and those that do not have it.
+func (a *Activation) CountMembers(name FeatureName, leader string) (with, without int) {
+	feature := a.program.feature(name)
+	for _, controller := range a.names {
+		m := a.members[controller]
 		switch {
 		case m.revision == 0:
-		case f == nil || !m.advertisement.supports(f):
+		case feature == nil || !m.advertisement.supports(feature):
 			without++
-		case name != leader:
-			present++
+		case controller != leader:
+			with++
 		}
 	}
-	return present, without
+	return with, without
 }
 
-// MemberFor is for how long this controller has seen its own word stored, 0 if it is
+// MemberFor is for how long this controller has seen its own advertisement stored, 0 if it is
 // not.
-func (l *Activation) MemberFor(now int64) int64 {
-	m := l.members[l.self]
+func (a *Activation) MemberFor(now int64) int64 {
+	m := a.members[a.self]
 	if m.revision == 0 {
 		return 0
 	}
 	return now - m.seenAt
 }
 
-// Advertisements are the controllers' words that are there.
-func (l *Activation) Advertisements() map[string]Advertisement {
-	out := map[string]Advertisement{}
-	for n, m := range l.members {
+// Advertisements are the advertisements that are stored, by controller.
+func (a *Activation) Advertisements() map[string]Advertisement {
+	advertisements := map[string]Advertisement{}
+	for name, m := range a.members {
 		if m.revision != 0 {
-			out[n] = m.advertisement
+			advertisements[name] = m.advertisement
 		}
 	}
-	return out
+	return advertisements
 }
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -5,117 +5,118 @@
 	"testing"
 )
 
-// The model: two members and a leader's latch, with the state service between
-// them as PROTOCOL has it. A member runs this program or an older one, says its
-// word on its lease, is restarted as either at any moment, and its lease runs
-// out at any time after. The leader reads words when it reads them, decides by
-// Next, and its write is executed later, if its conditions hold then.
+// The model: two members and a leader that activates features, with the state service between
+// them. A member runs this program or an older one, stores its advertisement on its lease, is
+// restarted as either program at any moment, and its lease expires at any time after. The
+// leader reads an advertisement at any time, decides by NextFeature, and its write is executed
+// later, if its conditions hold then.
 const (
 	modelMembers = 2
 	modelDepth   = 12
 )
 
 type modelMember struct {
-	new     bool   // the program that runs now
-	lease   bool   // the word is there
-	says    bool   // what it says: true for this program
-	stamp   uint64 // of the word
-	mine    bool   // the word is of the process that runs
-	expired bool   // its lease has ended, and it stands all the same: a planted fault
+	current    bool   // this program runs, and not the older one
+	advertised bool   // the advertisement is there
+	saysNew    bool   // it is of this program
+	revision   uint64 // of the advertisement
+	own        bool   // the advertisement is of the process that runs
+	expired    bool   // its lease has expired, and it is there all the same: a planted fault
 }
 
 type model struct {
-	m    [modelMembers]modelMember
+	members [modelMembers]modelMember
+	// read is what the leader has read of each advertisement.
 	read [modelMembers]struct {
-		says, there bool
-		stamp       uint64
+		saysNew, advertised bool
+		revision            uint64
 	}
-	stamp uint64
-	// write is a transaction on its way, by the words' versions.
-	write  bool
-	by     [modelMembers]uint64
-	active bool
+	revision uint64 // the newest
+	// writing: the transaction is on its way, on the condition of the judged revisions.
+	writing  bool
+	judgedBy [modelMembers]uint64
+	active   bool
 }
 
-// flaw is a fault that is planted.
+// flaw is a fault that is planted in the protocol.
 type flaw int
 
 const (
 	sound flaw = iota
 	byPings
-	wordWithoutLease
+	advertisementOutlivesLease
 	unconditional
 )
 
 // decide asks the activation itself.
 func (s *model) decide(f flaw) bool {
-	l := NewActivation(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
-	l.SetFormat(2)
-	for i := range s.m {
+	a := NewActivation(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
+	a.SetFormat(2)
+	for i := range s.members {
 		name := fmt.Sprint("n", i)
 		switch {
-		case f == byPings && s.m[i].new:
-			l.SetAdvertisement(name, word(CurrentProgram()), 1, 1)
+		case f == byPings && s.members[i].current:
+			a.SetAdvertisement(name, advertisementOf(CurrentProgram()), 1, 1)
 		case f == byPings:
-		case s.read[i].there && s.read[i].says:
-			l.SetAdvertisement(name, word(CurrentProgram()), s.read[i].stamp, 1)
-		case s.read[i].there:
-			l.SetAdvertisement(name, word(older()), s.read[i].stamp, 1)
+		case s.read[i].advertised && s.read[i].saysNew:
+			a.SetAdvertisement(name, advertisementOf(CurrentProgram()), s.read[i].revision, 1)
+		case s.read[i].advertised:
+			a.SetAdvertisement(name, advertisementOf(older()), s.read[i].revision, 1)
 		}
 	}
-	next, by := l.NextFeature()
+	next, judgedBy := a.NextFeature()
 	if next == nil || next.Name != Connectivity {
 		return false
 	}
-	for i, b := range by {
-		s.by[i] = b.Revision
+	for i, member := range judgedBy {
+		s.judgedBy[i] = member.Revision
 	}
 	return true
 }
 
 // steps are all that may happen next.
 func (s model) steps(f flaw) (out []model) {
-	for i := range s.m {
-		for _, as := range []bool{true, false} { // restarted as this program or the older one
+	for i := range s.members {
+		for _, current := range []bool{true, false} { // restarted as this program or the older one
 			n := s
-			n.m[i].new, n.m[i].mine = as, false
+			n.members[i].current, n.members[i].own = current, false
 			out = append(out, n)
 		}
-		if !s.m[i].mine { // it says its word, or its own old one's lease runs out
+		if !s.members[i].own { // it advertises, or the lease of its predecessor expires
 			n := s
-			n.stamp++
-			n.m[i].lease, n.m[i].says, n.m[i].stamp, n.m[i].mine = true, s.m[i].new, n.stamp, true
-			n.m[i].expired = false
+			n.revision++
+			n.members[i].advertised, n.members[i].saysNew, n.members[i].revision, n.members[i].own = true, s.members[i].current, n.revision, true
+			n.members[i].expired = false
 			out = append(out, n)
-			if s.m[i].lease {
+			if s.members[i].advertised {
 				n = s
-				if n.m[i].expired = f == wordWithoutLease; !n.m[i].expired {
-					n.m[i].lease, n.m[i].stamp = false, 0
+				if n.members[i].expired = f == advertisementOutlivesLease; !n.members[i].expired {
+					n.members[i].advertised, n.members[i].revision = false, 0
 				}
 				out = append(out, n)
 			}
 		}
-		n := s // the leader reads its word
-		n.read[i].there, n.read[i].says, n.read[i].stamp = s.m[i].lease, s.m[i].says, s.m[i].stamp
+		n := s // the leader reads its advertisement
+		n.read[i].advertised, n.read[i].saysNew, n.read[i].revision = s.members[i].advertised, s.members[i].saysNew, s.members[i].revision
 		out = append(out, n)
 	}
-	if !s.write && !s.active {
+	if !s.writing && !s.active {
 		if n := s; n.decide(f) {
-			n.write = true
+			n.writing = true
 			out = append(out, n)
 		}
 	}
-	if s.write { // it is executed, or lost
+	if s.writing { // it is executed, or lost
 		n := s
-		n.write = false
+		n.writing = false
 		out = append(out, n)
 		holds := true
-		for i := range s.m {
+		for i := range s.members {
 			at := uint64(0)
-			if s.m[i].lease {
-				at = s.m[i].stamp
+			if s.members[i].advertised {
+				at = s.members[i].revision
 			}
-			holds = holds && at == s.by[i]
+			holds = holds && at == s.judgedBy[i]
 		}
 		if holds || f == unconditional || f == byPings {
 			n.active = true
@@ -125,24 +126,23 @@
 	return out
 }
 
-// wrong: the feature has just been switched on while a member runs that has not
-// got it and whose word did not say so at that moment. A process that was
-// replaced within its lease is the one exception there is: its own word stands
-// until the new process speaks or the lease ends, and the new one reads what is
-// on before it does anything.
+// wrong: the feature has just been activated while a member runs that does not have it, and
+// whose advertisement did not say that it has. The one exception is a process that was replaced
+// before its lease expired: its advertisement stays until the new process advertises or the
+// lease expires, and the new one reads what is active before it does anything.
 func (s *model) wrong(before *model) bool {
 	if !s.active || before.active {
 		return false
 	}
-	for i := range s.m {
-		if !s.m[i].new && (s.m[i].mine || !s.m[i].lease || s.m[i].expired) {
+	for i := range s.members {
+		if !s.members[i].current && (s.members[i].own || !s.members[i].advertised || s.members[i].expired) {
 			return true
 		}
 	}
 	return false
 }
 
-// explore goes through all histories to a depth, and counts states.
+// explore goes through all histories to a depth, and counts the states.
 func explore(f flaw, depth int) (states int, found bool) {
 	seen := map[model]int{}
 	var walk func(s model, left int)
@@ -166,15 +166,14 @@
 	return len(seen), found
 }
 
-// TestModel searches all histories of the model to a depth: a feature is never
-// switched on while a controller that says it lacks it, or says nothing, can
-// write. Each planted fault is found.
+// TestModel searches all histories of the model to a depth: a feature is never activated while
+// a controller can write that advertises not to have it, or nothing. Each planted fault is found.
 func TestModel(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		f     flaw
 		found bool
-	}{{"sound", sound, false}, {"judged by pings alone", byPings, true}, {"words that outlive their process", wordWithoutLease, true}, {"a write without conditions", unconditional, true}} {
+	}{{"sound", sound, false}, {"judged by pings alone", byPings, true}, {"advertisements that outlive their leases", advertisementOutlivesLease, true}, {"a write without conditions", unconditional, true}} {
 		states, found := explore(tc.f, modelDepth)
 		t.Logf("%s: %d states to a depth of %d", tc.name, states, modelDepth)
 		if found != tc.found {
