--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -88,7 +88,9 @@
 // controller holds the machine's partition or nobody else would serve the worker better.
 func (r *heartbeatRouter) routeToLeader(m HeartbeatReceived, leader string) {
 	name, zone := m.Heartbeat.Machine, m.Heartbeat.Zone
-	if r.holdsPartition(name) || r.peers.connectivity.CannotReachZone(leader, zone) || !r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token) {
+	if r.holdsPartition(name) ||
+		r.peers.connectivity.CannotReachZone(leader, zone) ||
+		!r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token) {
 		r.noteServedHere(name, "")
 		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: leader, Heartbeat: m.Heartbeat})
 		return
