--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -174,8 +174,8 @@
 
 func faultKindsHelp() string {
 	var b strings.Builder
-	for _, k := range environment.FaultKindNames() {
-		fmt.Fprintf(&b, "  %-16s %s\n", k, environment.FaultKinds[k])
+	for _, kind := range environment.FaultKinds() {
+		fmt.Fprintf(&b, "  %-16s %s\n", kind, kind.Help())
 	}
 	return b.String()
 }
--- /dev/null
+++ b/internal/emulator/cases/cases.go
@@ -0,0 +1,120 @@
+// Package cases has what the packages share that enumerate cases of faults and run each in
+// simulated time: a selection of cases, the deployment they start from, a runner and the
+// share of jobs that was served.
+package cases
+
+import (
+	"fmt"
+	"io"
+	"sync"
+	"time"
+
+	"github.com/zinclb/zinclb/internal/emulator/history"
+)
+
+// Case is one of an enumeration.
+type Case interface {
+	fmt.Stringer
+	// ID is the case's number in its enumeration.
+	ID() uint64
+}
+
+// Result is the result of a case.
+type Result interface {
+	// Shortfall says what falls short of what is required, "" if nothing does.
+	Shortfall() string
+	// HasViolations says whether the history violates a rule.
+	HasViolations() bool
+}
+
+// EveryNth is every n-th case from the first on.
+func EveryNth[C any](all []C, first, n int) (selected []C) {
+	for i := first; i < len(all); i += n {
+		selected = append(selected, all[i])
+	}
+	return selected
+}
+
+// Summary counts the cases that were run, that fell short, and that violated a rule.
+type Summary struct{ Run, Short, Violating int }
+
+// progressInterval is how often a runner prints how far it is.
+const progressInterval = 10 * time.Second
+
+// RunAll runs cases, so many in parallel, and prints those that fall short. It calls note
+// with the results, one at a time.
+func RunAll[C Case, R Result](all []C, parallel int, out io.Writer, run func(C) (R, error), note func(R)) Summary {
+	var mu sync.Mutex
+	var wait sync.WaitGroup
+	var summary Summary
+	printed := time.Now()
+	finish := func(c C, result R, err error) {
+		mu.Lock()
+		defer mu.Unlock()
+		summary.Run++
+		shortfall := ""
+		if err != nil {
+			shortfall = err.Error()
+		} else {
+			shortfall = result.Shortfall()
+			if result.HasViolations() {
+				summary.Violating++
+			}
+			note(result)
+		}
+		if shortfall != "" {
+			summary.Short++
+			_, _ = fmt.Fprintf(out, "case %d, %s: %s\n", c.ID(), c, shortfall)
+		}
+		if time.Since(printed) > progressInterval {
+			printed = time.Now()
+			_, _ = fmt.Fprintf(out, "%d of %d played\n", summary.Run, len(all))
+		}
+	}
+	next := make(chan C)
+	for range parallel {
+		wait.Go(func() {
+			for c := range next {
+				result, err := run(c)
+				finish(c, result, err)
+			}
+		})
+	}
+	for _, c := range all {
+		next <- c
+	}
+	close(next)
+	wait.Wait()
+	return summary
+}
+
+// Deadline is when all tasks of a job have to be done.
+type Deadline struct {
+	Job   string
+	Tasks int
+	By    int64
+}
+
+// ServedShare is the share of jobs that were done by their deadlines, of those that no user
+// asked to cancel.
+func ServedShare(events []history.Event, jobs []Deadline) float64 {
+	left, by := map[string]int{}, map[string]int64{}
+	for _, job := range jobs {
+		left[job.Job], by[job.Job] = job.Tasks, job.By
+	}
+	for i := range events {
+		switch e := &events[i]; {
+		case e.Kind == history.RequestSent && e.Op == history.Cancel:
+			delete(left, e.Job)
+		case e.Kind == history.TaskCompleted && e.At <= by[e.Job] && left[e.Job] > 0:
+			left[e.Job]--
+		}
+	}
+	done := 0
+	for _, tasks := range left {
+		if tasks == 0 {
+			done++
+		}
+	}
+	return float64(done) / float64(max(len(left), 1))
+}
--- /dev/null
+++ b/internal/emulator/cases/deployment.go
@@ -0,0 +1,55 @@
+package cases
+
+import (
+	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+const second = config.Second
+
+// Deployment is a small deployment with one type of machines in two zones. Cases add jobs,
+// teams and what else they need to its Config.
+type Deployment struct {
+	Size             int // controllers
+	Seed             uint64
+	LeaseS, CancelS  float64
+	StateRPS         float64
+	StateWriteRPS    float64
+	StateTxnOps      int
+	ListLagS         float64
+	FetchRate, BootS float64 // of machines
+	// MachinesPerZone are up at the start, CapacityPerZone is what the cloud has.
+	MachinesPerZone, CapacityPerZone int
+}
+
+// Zones are the zones of a Deployment.
+func Zones() []string { return []string{"a", "b"} }
+
+// Config is the configuration of the environment.
+func (d Deployment) Config() environment.Config {
+	zones := Zones()
+	cfg := environment.Config{
+		Seed:        d.Seed,
+		RestartTime: 4 * second,
+		StateDelay:  3000,
+		CloudDelay:  50_000,
+		ClockDrift:  0.0005,
+		Types: []wire.MachineType{{
+			Name: "m", CPUs: 8, MemGB: 32, FetchRate: d.FetchRate, CacheGB: 50, BootS: d.BootS,
+			Price: 1, SpotPrice: 0.4, Zones: zones,
+		}},
+	}
+	p := &cfg.Params
+	p.Size, p.Zones = d.Size, zones
+	p.ClockErrorMS = 500
+	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = 2.5, d.LeaseS, d.CancelS
+	p.Workers.GangWaitS, p.Workers.GangPeerS = 30, 4
+	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = d.StateRPS, d.StateWriteRPS, 8, d.StateTxnOps
+	p.Cloud.RPS, p.Cloud.ListLagS = 3, d.ListLagS
+	for _, zone := range zones {
+		cfg.Machines = append(cfg.Machines, environment.Machines{Type: "m", Zone: zone, Count: d.MachinesPerZone})
+		cfg.Capacity = append(cfg.Capacity, environment.Capacity{Type: "m", Zone: zone, Count: d.CapacityPerZone})
+	}
+	return cfg
+}
--- /dev/null
+++ b/internal/emulator/environment/fault_kinds.go
@@ -0,0 +1,92 @@
+package environment
+
+import (
+	"maps"
+	"slices"
+)
+
+// FaultKind names a kind of fault.
+type FaultKind string
+
+// The kinds of faults, as scenarios name them.
+const (
+	FaultCrash         FaultKind = "crash"
+	FaultRoll          FaultKind = "roll"
+	FaultFreeze        FaultKind = "freeze"
+	FaultPartition     FaultKind = "cut"
+	FaultStateOutage   FaultKind = "state_outage"
+	FaultStateCold     FaultKind = "state_cold"
+	FaultStateRefuse   FaultKind = "state_refuse"
+	FaultStateSlow     FaultKind = "state_slow"
+	FaultStateLimits   FaultKind = "state_limits"
+	FaultStateLose     FaultKind = "state_lose"
+	FaultLateWrites    FaultKind = "late_writes"
+	FaultLateLeases    FaultKind = "late_leases"
+	FaultCloudOutage   FaultKind = "cloud_outage"
+	FaultCloudRefuse   FaultKind = "cloud_refuse"
+	FaultCloudCapacity FaultKind = "cloud_capacity"
+	FaultCloudSlow     FaultKind = "cloud_slow"
+	FaultSpotWave      FaultKind = "spot_wave"
+	FaultMachineDie    FaultKind = "machine_die"
+	FaultMachineHang   FaultKind = "machine_hang"
+	FaultMachineSilent FaultKind = "machine_silent"
+	FaultMachineFaulty FaultKind = "machine_faulty"
+	FaultMachineDeaf   FaultKind = "machine_deaf"
+	FaultMachineBack   FaultKind = "machine_back"
+	FaultMachineAnew   FaultKind = "machine_anew"
+	FaultMachineMute   FaultKind = "machine_mute"
+	FaultReportCopies  FaultKind = "report_copies"
+	FaultCancelNow     FaultKind = "cancel_now"
+	FaultCancelAtEnd   FaultKind = "cancel_at_end"
+	FaultCloseLooks    FaultKind = "close_looks"
+	FaultOddRequests   FaultKind = "odd_requests"
+)
+
+// faultType is what there is to a kind of fault.
+type faultType struct {
+	help    string
+	prepare prepareFault
+}
+
+// faultTypes are all kinds of faults.
+var faultTypes = map[FaultKind]faultType{
+	FaultCrash:         {help: "controllers end, and are started again, after For if that is given", prepare: forControllers(crashControllers)},
+	FaultRoll:          {help: "controllers are restarted one after the other, For apart", prepare: forControllers(restartInTurn)},
+	FaultFreeze:        {help: "controllers are suspended", prepare: forControllers(freezeControllers)},
+	FaultPartition:     {help: "no message passes between Hosts and To", prepare: preparePartition},
+	FaultStateOutage:   {help: "the state service answers nobody", prepare: stateOutage(false)},
+	FaultStateCold:     {help: "the state service answers nobody, and has compacted earlier changes when it is back", prepare: stateOutage(true)},
+	FaultStateRefuse:   {help: "the state service refuses controllers", prepare: forControllers(refuseControllers)},
+	FaultStateSlow:     {help: "the state service takes Factor times as long", prepare: slowdown(func(w *Environment) *float64 { return &w.state.slowFactor })},
+	FaultStateLimits:   {help: "the state service's limits fall to those announced", prepare: lowerStateLimits},
+	FaultStateLose:     {help: "a transaction is lost, or its answer", prepare: loseTransaction},
+	FaultLateWrites:    {help: "Share of the transactions get no answer and are executed 2 to 12 s later, or at once", prepare: lateRequests(func(w *Environment) *float64 { return &w.state.delayedWriteShare })},
+	FaultLateLeases:    {help: "the same of renewals, new leases and revoked ones", prepare: lateRequests(func(w *Environment) *float64 { return &w.state.delayedLeaseShare })},
+	FaultCloudOutage:   {help: "the cloud's interface is down", prepare: toggle(func(w *Environment, on bool) { w.cloud.down = on })},
+	FaultCloudRefuse:   {help: "the cloud has no machine to give", prepare: toggle(func(w *Environment, on bool) { w.cloud.refusing = on })},
+	FaultCloudCapacity: {help: "the cloud has only Share of its capacity", prepare: limitCapacity},
+	FaultCloudSlow:     {help: "machines take Factor times as long to come up", prepare: slowdown(func(w *Environment) *float64 { return &w.cloud.bootFactor })},
+	FaultSpotWave:      {help: "Share of the spot machines are reclaimed", prepare: forMachines(func(m *machine, _ Fault) func() { m.env.cloud.reclaim(m); return nil })},
+	FaultMachineDie:    {help: "machines stop for good", prepare: forMachines(func(m *machine, _ Fault) func() { m.env.cloud.died(m); return nil })},
+	FaultMachineHang:   {help: "machines hang", prepare: forMachines(func(m *machine, _ Fault) func() { m.hang(); return m.resume })},
+	FaultMachineSilent: {help: "machines are partitioned from everybody", prepare: forMachines(isolateMachine)},
+	FaultMachineFaulty: {help: "machines fail every task", prepare: forMachines(func(m *machine, _ Fault) func() { m.faulty = true; return func() { m.faulty = false } })},
+	FaultMachineDeaf:   {help: "machines' reports arrive, and no answer or command reaches them", prepare: forMachines(cutOrders)},
+	FaultMachineBack:   {help: "machines lose their tasks and are back after For; their reports' numbers go on", prepare: restartMachines},
+	FaultMachineAnew:   {help: "machines lose their tasks and are back after For; their reports' numbers begin anew", prepare: restartMachines},
+	FaultMachineMute:   {help: "machines reach no controller, while direct commands reach them", prepare: forMachines(func(m *machine, _ Fault) func() { m.mute = true; return func() { m.mute = false } })},
+	FaultReportCopies:  {help: "copies of Share of the reports come again, up to Factor leases late, or to all controllers as the next leader begins", prepare: copyReports},
+	FaultCancelNow:     {help: "Count jobs that have long to go are cancelled within a fifth of a second; eight of their machines hang for For", prepare: cancelJobsNow},
+	FaultCancelAtEnd:   {help: "Share of the jobs that end are cancelled, asked about and submitted again at that moment", prepare: cancelJobsAtEnd},
+	FaultCloseLooks:    {help: "users ask at all controllers within milliseconds after each acceptance and each end", prepare: toggle(func(w *Environment, on bool) { w.balancer.probeAfterAnswers = on })},
+	FaultOddRequests:   {help: "users repeat submissions, cancel what is done, and send jobs that can't run or lack a field", prepare: sendInvalidRequests},
+}
+
+// FaultKinds are the names of all kinds of faults, in order.
+func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultTypes)) }
+
+// Known says whether there is such a kind of fault.
+func (k FaultKind) Known() bool { return faultTypes[k].prepare != nil }
+
+// Help says in a line what the fault does.
+func (k FaultKind) Help() string { return faultTypes[k].help }
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"math"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
@@ -161,88 +162,120 @@
 	return r
 }
 
+// reportCall is a report under way to a controller.
+type reportCall struct {
+	machine     *machine
+	to          string // the controller
+	report      *wire.Report
+	sentAt      int64
+	session     uint64
+	incarnation int
+	over        bool
+}
+
+// send sends a report to the machine's controller.
 func (m *machine) send() {
 	if m.gone || !m.up || m.sending {
 		return
 	}
-	w := m.env
-	m.sending, m.reportAgain, m.lastSentAt, m.nextReportAt = true, false, w.now, 0
-	sent, session, life, to := w.now, m.session, m.incarnation, w.controllers[m.controllerIndex].name
-	r := m.report()
-	over := false
-	finish := func(next int, wait int64) {
-		if over || m.incarnation != life {
+	env := m.env
+	m.sending, m.reportAgain, m.lastSentAt, m.nextReportAt = true, false, env.now, 0
+	call := &reportCall{
+		machine:     m,
+		to:          env.controllers[m.controllerIndex].name,
+		report:      m.report(),
+		sentAt:      env.now,
+		session:     m.session,
+		incarnation: m.incarnation,
+	}
+	next := (m.controllerIndex + 1) % len(env.controllers)
+	giveUp := func() { call.finish(next, failoverDelay) }
+	env.after(m.workerTime(float64(reportTimeout)/1e6), giveUp)
+	env.holdReportCopy(call.report)
+	if m.mute {
+		env.recordOccurrence(history.OccurMuteReport)
+		env.after(env.network.delay(m.name, call.to), giveUp)
+		return
+	}
+	env.network.send(m.name, call.to, func() {
+		env.ask(m.name, call.to, call.report, func(answer AskAnswer) { call.onAnswer(answer, giveUp) })
+	}, giveUp)
+	call.duplicate()
+}
+
+// onAnswer takes the controller's answer; giveUp has the next controller asked.
+func (c *reportCall) onAnswer(answer AskAnswer, giveUp func()) {
+	m, env := c.machine, c.machine.env
+	if m.hanging {
+		return // it drops the answer once it goes on: it has waited too long
+	}
+	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
+	env.noteLeaderToken(heartbeat.Token)
+	switch {
+	case c.over || m.gone || m.incarnation != c.incarnation:
+	case answer.Status == http.StatusOK:
+		c.finish(m.controllerIndex, 0)
+		if heartbeat.Token < m.token || heartbeat.Token == 0 || m.session != c.session {
 			return
 		}
-		over = true
-		m.controllerIndex = next
-		w.after(wait, func() {
-			if m.incarnation != life {
-				return
-			}
-			m.sending = false
-			if m.gone || m.hanging {
-				return
-			}
-			switch {
-			case wait > 0: // it goes to another node
-				m.send()
-			case m.reportAgain:
-				m.nextReportAt = 0
-				m.scheduleReport(max(w.now, m.lastSentAt+minReportGap))
-			default:
-				m.scheduleReport(m.lastSentAt + m.workerTime(w.Params.Workers.ReportS*(0.75+w.rng.Float64()/2)))
-			}
-		})
+		m.noteToken(heartbeat.Token)
+		m.lastAnsweredAt = c.sentAt
+		m.executeOrders(heartbeat.Orders)
+	case answer.Status == http.StatusMisdirectedRequest && heartbeat.Leader != c.to && env.controller(heartbeat.Leader) != nil:
+		c.finish(slices.Index(env.controllers, env.controller(heartbeat.Leader)), 1+env.rng.Int64N(maxRedirectDelay))
+	default:
+		giveUp()
 	}
-	next := (m.controllerIndex + 1) % len(w.controllers)
-	give := func() { finish(next, failoverDelay) }
-	w.after(m.workerTime(float64(reportTimeout)/1e6), give)
-	w.holdReportCopy(r)
-	if m.mute {
-		w.recordOccurrence(history.OccurMuteReport)
-		w.after(w.network.delay(m.name, to), give)
+}
+
+// finish ends the call, and has the next report go to a controller: after a wait at once,
+// without one when it is due.
+func (c *reportCall) finish(controllerIndex int, wait int64) {
+	m := c.machine
+	if c.over || m.incarnation != c.incarnation {
 		return
 	}
-	w.network.send(m.name, to, func() {
-		w.ask(m.name, to, r, func(t AskAnswer) {
-			if m.hanging {
-				return // it drops the answer once it goes on: it has waited too long
-			}
-			a, _ := t.Body.(wire.HeartbeatAnswer)
-			w.noteLeaderToken(a.Token)
-			switch {
-			case over || m.gone || m.incarnation != life:
-			case t.Status == 200:
-				finish(m.controllerIndex, 0)
-				if a.Token < m.token || a.Token == 0 || m.session != session {
-					return
-				}
-				m.noteToken(a.Token)
-				m.lastAnsweredAt = sent
-				m.executeOrders(a.Orders)
-			case t.Status == 421 && a.Leader != to && w.controller(a.Leader) != nil:
-				finish(slices.Index(w.controllers, w.controller(a.Leader)), 1+w.rng.Int64N(maxRedirectDelay))
-			default:
-				give()
-			}
-		})
-	}, give)
-	if w.copies.share > 0 && w.rng.Float64() < w.copies.share {
-		// From half a second on, each factor of lateness as likely as another.
-		most := w.copies.leases * w.Params.Workers.LeaseS
-		w.after(int64(0.5e6*math.Pow(max(2*most, 1), w.rng.Float64())), func() {
-			w.network.send(m.name, to, func() { w.ask(m.name, to, r, func(AskAnswer) {}) }, func() {})
-		})
+	c.over = true
+	m.controllerIndex = controllerIndex
+	m.env.after(wait, func() {
+		if m.incarnation != c.incarnation {
+			return
+		}
+		m.sending = false
+		if m.gone || m.hanging {
+			return
+		}
+		switch {
+		case wait > 0: // it goes to another controller
+			m.send()
+		case m.reportAgain:
+			m.nextReportAt = 0
+			m.scheduleReport(max(m.env.now, m.lastSentAt+minReportGap))
+		default:
+			m.scheduleReport(m.lastSentAt + m.workerTime(m.env.Params.Workers.ReportS*(0.75+m.env.rng.Float64()/2)))
+		}
+	})
+}
+
+// duplicate sends some reports once more, from half a second on, with each factor of delay
+// as likely as another.
+func (c *reportCall) duplicate() {
+	m, env := c.machine, c.machine.env
+	if env.copies.share <= 0 || env.rng.Float64() >= env.copies.share {
+		return
 	}
+	maxDelay := env.copies.leases * env.Params.Workers.LeaseS
+	env.after(int64(0.5e6*math.Pow(max(2*maxDelay, 1), env.rng.Float64())), func() {
+		env.network.send(m.name, c.to, func() { env.ask(m.name, c.to, c.report, func(AskAnswer) {}) }, func() {})
+	})
 }
 
 // restart ends the worker with all its tasks, and begins it again after a time.
 func (m *machine) restart(away int64, anew bool) {
 	if m.env.RemoteWorkers {
-		kind := "machine_back"
+		kind := FaultMachineBack
 		if anew {
-			kind = "machine_anew"
+			kind = FaultMachineAnew
 		}
 		m.env.emit(WorkerFault{Name: m.name, Kind: kind, Duration: away})
 		return
@@ -301,10 +334,10 @@
 	return true
 }
 
-// hang stops a machine, go on lets it continue.
+// hang suspends a machine, resume lets it go on.
 func (m *machine) hang() {
 	if m.env.RemoteWorkers {
-		m.env.emit(WorkerFault{Name: m.name, Kind: "machine_hang"})
+		m.env.emit(WorkerFault{Name: m.name, Kind: FaultMachineHang})
 		return
 	}
 	m.hanging = true
--- /dev/null
+++ b/internal/emulator/environment/machine_faults.go
@@ -0,0 +1,109 @@
+package environment
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// forMachines makes a fault of machines, which are chosen when it begins; do begins it on
+// one and returns what ends it there, if anything does.
+func forMachines(do func(*machine, Fault) (undo func())) prepareFault {
+	return func(w *Environment, f Fault) (beginFault, error) {
+		return func() func() {
+			var undos []func()
+			for _, m := range w.chooseMachines(f) {
+				if undo := do(m, f); undo != nil {
+					undos = append(undos, undo)
+				}
+			}
+			return func() {
+				for _, undo := range undos {
+					undo()
+				}
+			}
+		}, nil
+	}
+}
+
+// chooseMachines chooses the machines that a fault affects: those that it names, or as many
+// as it says at random, first those with tasks of its class.
+func (w *Environment) chooseMachines(f Fault) []*machine {
+	var up, named []*machine
+	for _, m := range w.cloud.order {
+		switch {
+		case m.gone || !m.up || f.Kind == FaultSpotWave && !m.spot:
+		case slices.Contains(f.Hosts, m.name):
+			named = append(named, m)
+		default:
+			up = append(up, m)
+		}
+	}
+	if len(f.Hosts) > 0 {
+		return named
+	}
+	w.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
+	if f.Class != "" {
+		slices.SortStableFunc(up, func(a, b *machine) int { return cmp.Compare(a.classRank(f.Class), b.classRank(f.Class)) })
+	}
+	count := f.Count
+	if count == 0 {
+		count = int(float64(len(up)) * f.Share)
+	}
+	return up[:min(count, len(up))]
+}
+
+// classRank is 0 for a machine that has a task of a class of jobs, 1 for any other.
+func (m *machine) classRank(class string) int {
+	if slices.ContainsFunc(m.tasks, func(t *task) bool { return t.spec().Class == class && t.state != wire.Ended }) {
+		return 0
+	}
+	return 1
+}
+
+// restartMachines has no end: machines come back by themselves.
+func restartMachines(w *Environment, f Fault) (beginFault, error) {
+	return func() func() {
+		for _, m := range w.chooseMachines(f) {
+			m.restart(f.Duration, f.Kind == FaultMachineAnew)
+		}
+		return nil
+	}, nil
+}
+
+// cutOrders lets no answer and no command of a controller reach a machine.
+func cutOrders(m *machine, f Fault) func() {
+	mode := f.PartitionMode
+	mode.OneWay = true
+	begin, err := m.env.partition([]string{"controllers"}, []string{m.name}, mode)
+	if err != nil {
+		return nil
+	}
+	return begin()
+}
+
+// isolateMachine cuts a machine off from everybody.
+func isolateMachine(m *machine, _ Fault) func() {
+	begin, err := m.env.partition([]string{m.name}, []string{"all"}, PartitionMode{})
+	if err != nil {
+		return nil
+	}
+	return begin()
+}
+
+func copyReports(w *Environment, f Fault) (beginFault, error) {
+	if f.UntilNextLeader {
+		return func() func() {
+			w.heldReports.share = f.Share
+			return func() { w.heldReports.share = 0 }
+		}, nil
+	}
+	if f.Factor <= 0 {
+		return nil, errFactorNotPositive
+	}
+	return func() func() {
+		w.copies = duplicateReports{f.Share, f.Factor}
+		return func() { w.copies = duplicateReports{} }
+	}, nil
+}
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -23,10 +23,11 @@
 	}
 	// WorkerEnd ends a worker and everything on its machine.
 	WorkerEnd struct{ Name, Reason string }
-	// WorkerFault befalls a worker. Kind is that of the fault, or workerResumes.
+	// WorkerFault is a fault of a worker. Kind is that of the fault, or workerResumes.
 	WorkerFault struct {
-		Name, Kind string
-		Duration   int64
+		Name     string
+		Kind     FaultKind
+		Duration int64
 	}
 	// TaskCompleted says that a task was completed on a machine elsewhere: its
 	// result is kept for whoever starts it again.
@@ -36,13 +37,14 @@
 	}
 )
 
-// workerResumes ends the standstill of a worker.
-const workerResumes = "machine_goes_on"
+// workerResumes ends FaultMachineHang.
+const workerResumes FaultKind = "machine_goes_on"
 
-// RemoteFaults are the kinds of faults that a world with RemoteWorkers can play.
-var RemoteFaults = []string{
-	"crash", "roll", "freeze", "cut", "state_outage", "state_refuse", "state_slow",
-	"cloud_outage", "cloud_refuse", "cloud_capacity", "cloud_slow", "machine_die", "machine_hang", "machine_back", "machine_anew",
+// RemoteFaults are the kinds of faults that an environment with RemoteWorkers supports.
+var RemoteFaults = []FaultKind{
+	FaultCrash, FaultRoll, FaultFreeze, FaultPartition, FaultStateOutage, FaultStateRefuse, FaultStateSlow,
+	FaultCloudOutage, FaultCloudRefuse, FaultCloudCapacity, FaultCloudSlow,
+	FaultMachineDie, FaultMachineHang, FaultMachineBack, FaultMachineAnew,
 }
 
 // NewWorkerEnvironment makes a world of workers, in which no machine is up yet. Cuts of the
@@ -59,7 +61,7 @@
 		w.jobs[j.Spec.ID].submitted = true
 	}
 	for i, f := range c.Faults {
-		if f.Kind != "cut" {
+		if f.Kind != FaultPartition {
 			continue
 		}
 		if err := w.schedule(f); err != nil {
@@ -113,11 +115,11 @@
 
 func (m *machine) injectFault(f WorkerFault) {
 	switch f.Kind {
-	case "machine_hang":
+	case FaultMachineHang:
 		m.hang()
 	case workerResumes:
 		m.resume()
 	default:
-		m.restart(f.Duration, f.Kind == "machine_anew")
+		m.restart(f.Duration, f.Kind == FaultMachineAnew)
 	}
 }
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"strings"
 
@@ -19,6 +20,7 @@
 	maxPageBytes        = 512 << 10
 	retainedChanges     = 10_000
 	maxTransactionBytes = 64 << 10
+	maxKeyBytes         = 200
 	maxLeaseDelay       = 100_000
 	maxWatchWaitMS      = 60_000 // ms
 )
@@ -70,15 +72,24 @@
 	done   bool
 }
 
+// LossOutcome is what becomes of a transaction that gets no answer.
+type LossOutcome string
+
+// The outcomes, as scenarios name them.
+const (
+	LostBefore LossOutcome = "before" // it is not executed
+	LostAfter  LossOutcome = "after"  // it is executed, and its answer is lost
+	LostLate   LossOutcome = "late"   // it is executed after a delay
+)
+
 // TransactionLoss is what happens to the first transaction from Skip on that writes a key
-// with a prefix: "before" it is executed it is lost, "after" it only its answer
-// is, and "late" it is executed after Late.
+// with a prefix.
 type TransactionLoss struct {
 	Prefix  string
 	Skip    int
-	Outcome string
-	Delay   int64
-	// Matched counts those that it has met.
+	Outcome LossOutcome
+	Delay   int64 // of LostLate
+	// Matched counts the transactions that write such a key.
 	Matched int
 }
 
@@ -128,7 +139,7 @@
 		s.env.recordOccurrence(history.OccurLostAnswer)
 	}
 	if how := s.matchLoss(req); how != nil {
-		if how.Outcome == "before" {
+		if how.Outcome == LostBefore {
 			return
 		}
 		lost, late = true, how.Delay
@@ -159,7 +170,7 @@
 	return share > 0 && s.env.rng.Float64() < share
 }
 
-// matchLoss is what a Lose has in store for a transaction.
+// matchLoss is the loss that a transaction is subject to, nil for none.
 func (s *stateService) matchLoss(req any) *TransactionLoss {
 	m, ok := req.(wire.Transaction)
 	if !ok {
@@ -298,52 +309,56 @@
 	return p
 }
 
+// commit executes a transaction.
 func (s *stateService) commit(q wire.Transaction) (int, any) {
-	l := &s.limits
-	size := 0
-	for _, x := range q.Writes {
-		size += len(x.Key()) + len(x.Value)
-		bad := ""
-		switch {
-		case (x.Put == "") == (x.Remove == "") || len(x.Key()) > 200 || strings.Contains(x.Key(), " "):
-			bad = "put or remove: one key of 1 to 200 bytes without spaces"
-		case x.Put != "" && !json.Valid(x.Value):
-			bad = "data: no JSON"
-		case float64(len(x.Value)) > l.ValueKB*1024:
-			bad = "data: value too large"
-		}
-		if bad != "" {
-			return 400, wire.Error{Error: bad}
-		}
+	if fault := s.malformed(q); fault != "" {
+		return http.StatusBadRequest, wire.Error{Error: fault}
 	}
-	if len(q.Writes) > l.TxnOps || len(q.Conditions) > 4*l.TxnOps || size > maxTransactionBytes {
-		return 400, wire.Error{Error: "transaction too large"}
+	if !s.writes.take(s.env.now, s.limits.WriteRPS, 1, float64(len(q.Writes))) {
+		return http.StatusTooManyRequests, wire.Error{Error: "too many changes"}
 	}
-	if !s.writes.take(s.env.now, l.WriteRPS, 1, float64(len(q.Writes))) {
-		return 429, wire.Error{Error: "too many changes"}
-	}
-	for _, x := range q.Writes {
-		if x.Lease != 0 && s.leases[x.Lease] == nil {
-			return 400, wire.Error{Error: "no such lease"}
+	for _, write := range q.Writes {
+		if write.Lease != 0 && s.leases[write.Lease] == nil {
+			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 		}
 	}
 	var failed []string
-	for _, c := range q.Conditions {
-		if v, _ := s.keys.Get(c.Key); v.stamp != c.Revision {
-			failed = append(failed, c.Key)
+	for _, condition := range q.Conditions {
+		if v, _ := s.keys.Get(condition.Key); v.stamp != condition.Revision {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
-		return 409, wire.TransactionAnswer{Revision: s.revision, Failed: failed}
+		return http.StatusConflict, wire.TransactionAnswer{Revision: s.revision, Failed: failed}
 	}
 	if len(q.Writes) > 0 {
 		s.revision++
-		for _, x := range q.Writes {
-			s.apply(x)
+		for _, write := range q.Writes {
+			s.apply(write)
 		}
 		s.wakeWatches()
 	}
-	return 200, wire.TransactionAnswer{Revision: s.revision}
+	return http.StatusOK, wire.TransactionAnswer{Revision: s.revision}
+}
+
+// malformed says what is wrong with a transaction, "" if nothing is.
+func (s *stateService) malformed(q wire.Transaction) string {
+	size := 0
+	for _, write := range q.Writes {
+		size += len(write.Key()) + len(write.Value)
+		switch {
+		case (write.Put == "") == (write.Remove == "") || len(write.Key()) > maxKeyBytes || strings.Contains(write.Key(), " "):
+			return "put or remove: one key of 1 to 200 bytes without spaces"
+		case write.Put != "" && !json.Valid(write.Value):
+			return "data: no JSON"
+		case float64(len(write.Value)) > s.limits.ValueKB*1024:
+			return "data: value too large"
+		}
+	}
+	if len(q.Writes) > s.limits.TxnOps || len(q.Conditions) > 4*s.limits.TxnOps || size > maxTransactionBytes {
+		return "transaction too large"
+	}
+	return ""
 }
 
 // changesSince are the changes of a prefix after a revision; ok is false if they are
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -201,6 +201,11 @@
 	}
 }
 
+// Violations are the rules that the history violates, one a line.
+func (c *Cluster) Violations() []string {
+	return history.Lines(history.CheckAll(c.History, c.Expectations()))
+}
+
 // Expectations are what the rules are checked against.
 func (c *Cluster) Expectations() history.Expectations { return c.Config.Expectations() }
 
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -9,7 +9,6 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
-	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
@@ -125,14 +124,6 @@
 	return c
 }
 
-// breaches are the rules that a history breaks.
-func breaches(c *Cluster) (l []string) {
-	for _, b := range history.CheckAll(c.History, c.Expectations()) {
-		l = append(l, b.String())
-	}
-	return l
-}
-
 // whole plays a day on which every rule has to hold, and everything that was
 // accepted to come to its end.
 func (d *day) whole(tb testing.TB) *Cluster {
@@ -145,7 +136,7 @@
 // keeps fails a day that broke a rule, or did not bring to its end what was accepted.
 func keeps(tb testing.TB, c *Cluster) {
 	tb.Helper()
-	for _, b := range breaches(c) {
+	for _, b := range c.Violations() {
 		tb.Error(b)
 	}
 	if l := c.Environment.Unfinished(); len(l) > 0 {
@@ -153,7 +144,7 @@
 	}
 }
 
-func at(s int64, kind string, forS int64, hosts ...string) fault {
+func at(s int64, kind environment.FaultKind, forS int64, hosts ...string) fault {
 	return fault{At: s * second, Duration: forS * second, Kind: kind, Hosts: hosts}
 }
 
@@ -167,7 +158,7 @@
 }
 
 // inTurn lets a fault happen to one controller after the other, from 50 s on.
-func inTurn(kind string, each, forS int64) (l []fault) {
+func inTurn(kind environment.FaultKind, each, forS int64) (l []fault) {
 	for i := range int64(3) {
 		l = append(l, at(50+i*each, kind, forS, environment.ControllerName(int(i))))
 	}
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -246,7 +246,7 @@
 			if err != nil || failed != nil {
 				t.Fatal(err, failed)
 			}
-			if found := breaches(c); (len(found) > 0) != tc.want {
+			if found := c.Violations(); (len(found) > 0) != tc.want {
 				t.Errorf("found %v", found)
 			}
 		})
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -19,7 +19,7 @@
 	const refused, outage, ends = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
 	told := 0
-	day := func(t *testing.T, size int, lose string, back bool) {
+	day := func(t *testing.T, size int, lose environment.LossOutcome, back bool) {
 		t.Helper()
 		t.Parallel()
 		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 20)})
@@ -66,7 +66,7 @@
 	}
 	t.Run("each", func(t *testing.T) {
 		for _, size := range []int{3, 5} {
-			for _, lose := range []string{"", "after", "late"} {
+			for _, lose := range []environment.LossOutcome{"", environment.LostAfter, environment.LostLate} {
 				for _, back := range []bool{false, true} {
 					t.Run(fmt.Sprintf("%d controllers, answers lost %q, another is back at once %v", size, lose, back), func(t *testing.T) {
 						day(t, size, lose, back)
--- a/internal/emulator/faketime/largest_test.go
+++ b/internal/emulator/faketime/largest_test.go
@@ -50,7 +50,7 @@
 				}})
 			}
 			c := d.play(t, nil)
-			if l := breaches(c); len(l) > 0 {
+			if l := c.Violations(); len(l) > 0 {
 				t.Error(l)
 			}
 			got := history.Metrics(c.History, c.Expectations(), nil)
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -45,10 +45,10 @@
 					t.Run(fmt.Sprintf("%s/%s/%d", strings.Trim(kind, "/"), how, skip), func(t *testing.T) {
 						t.Parallel()
 						d := day()
-						l := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: how}
+						l := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: environment.LossOutcome(how)}
 						switch how {
 						case "soon":
-							l.Outcome, l.Delay = "late", 5*second // after newer ones of the same leader
+							l.Outcome, l.Delay = environment.LostLate, 5*second // after newer ones of the same leader
 						case "late":
 							l.Delay = 60 * second
 						}
--- a/internal/emulator/faketime/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -44,7 +44,7 @@
 					}
 				})
 			})
-			if l := breaches(c); len(l) > 0 {
+			if l := c.Violations(); len(l) > 0 {
 				t.Error(strings.Join(l, "\n"))
 			}
 			came := 0
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -63,7 +63,7 @@
 			}
 		})
 	})
-	wrong := breaches(c)
+	wrong := c.Violations()
 	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
 		wrong = append(wrong, fmt.Sprintf("%d controllers have listed the runs", len(listed)))
 	}
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := breaches(c); len(l) > 0 {
+	if l := c.Violations(); len(l) > 0 {
 		t.Error(strings.Join(l, "\n"))
 	}
 	on := features(t, c, next)
--- a/internal/emulator/faketime/version1_test.go
+++ b/internal/emulator/faketime/version1_test.go
@@ -80,7 +80,7 @@
 		}
 	}
 	c := d.play(t, nil)
-	if l, left := breaches(c), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
+	if l, left := c.Violations(), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
 		t.Errorf("%d that await others, %v unfinished, %v", awaits, left, l)
 	}
 	shapes := map[string]func() any{
--- a/internal/emulator/faultcombos/more_faults.go
+++ b/internal/emulator/faultcombos/more_faults.go
@@ -4,86 +4,87 @@
 	"fmt"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/cases"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// moreScripts are the troubles that were named after the first; docs/fault-combinations.md says
-// which meeting each is.
+// moreScripts are further scripts; docs/fault-combinations.md says which combination of
+// faults each stands for.
 var moreScripts = []faultScript{
 	{name: "users ask everywhere at once", mustOccur: history.OccurProbe, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "close_looks", Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultCloseLooks, Duration: faultDuration}}
 	}},
 	{name: "only answers of writes are lost", mustOccur: history.OccurLostAnswer, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "late_writes", Share: 0.4, OnlyAnswers: true, Duration: faultDuration}, {Kind: "close_looks", Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultLateWrites, Share: 0.4, OnlyAnswers: true, Duration: faultDuration}, {Kind: environment.FaultCloseLooks, Duration: faultDuration}}
 	}},
 	{name: "copies of reports wait for the next leader", mustOccur: history.OccurHeldCopy, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
-			{Kind: "report_copies", Share: 0.5, UntilNextLeader: true, Duration: faultDuration},
-			{At: 8 * second, Kind: "crash", Hosts: n[:1]},
-			{At: 20 * second, Kind: "state_refuse", Hosts: n[1:], Duration: 2 * second},
-			{At: 20*second + 50_000, Kind: "crash", Hosts: n[:2]},
-			{At: 33 * second, Kind: "crash", Hosts: []string{"all"}},
+			{Kind: environment.FaultReportCopies, Share: 0.5, UntilNextLeader: true, Duration: faultDuration},
+			{At: 8 * second, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 20 * second, Kind: environment.FaultStateRefuse, Hosts: n[1:], Duration: 2 * second},
+			{At: 20*second + 50_000, Kind: environment.FaultCrash, Hosts: n[:2]},
+			{At: 33 * second, Kind: environment.FaultCrash, Hosts: []string{"all"}},
 		}
 	}},
 	{name: "a third of the machines is mute", mustOccur: history.OccurMuteReport, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "machine_mute", Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: "cancel_now", Count: 4}}
+		return []environment.Fault{{Kind: environment.FaultMachineMute, Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
 	{name: "a third of the machines is mute for a moment, and the leader ends", mustOccur: history.OccurMuteReport, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
-			{Kind: "machine_mute", Share: 0.34, Duration: 9 * second},
-			{At: second, Kind: "crash", Hosts: n[:1]},
-			{At: 2 * second, Kind: "cancel_now", Count: 3},
-			{At: 22 * second, Kind: "machine_mute", Share: 0.34, Duration: 13 * second},
-			{At: 23 * second, Kind: "cancel_now", Count: 3},
-			{At: 24 * second, Kind: "crash", Hosts: n[:2]},
+			{Kind: environment.FaultMachineMute, Share: 0.34, Duration: 9 * second},
+			{At: second, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 2 * second, Kind: environment.FaultCancelNow, Count: 3},
+			{At: 22 * second, Kind: environment.FaultMachineMute, Share: 0.34, Duration: 13 * second},
+			{At: 23 * second, Kind: environment.FaultCancelNow, Count: 3},
+			{At: 24 * second, Kind: environment.FaultCrash, Hosts: n[:2]},
 		}
 	}},
 	{name: "jobs are called off and their machines hang", mustOccur: history.OccurHungMachine, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{At: 2 * second, Kind: "cancel_now", Count: 4, Duration: 20 * second}, {At: 14 * second, Kind: "cancel_now", Count: 4, Duration: 5 * second}, {At: 26 * second, Kind: "cancel_now", Count: 4, Duration: 12 * second}}
+		return []environment.Fault{{At: 2 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 20 * second}, {At: 14 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 5 * second}, {At: 26 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 12 * second}}
 	}},
 	{name: "jobs are called off while work changes hands", mustOccur: history.OccurCancel, minOccurrences: 8, repeats: 5, interval: 8 * second, repeat: handoverFaults},
 	{name: "jobs are called off at their end", mustOccur: history.OccurCancelAtEnd, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "cancel_at_end", Share: 0.6, Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultCancelAtEnd, Share: 0.6, Duration: faultDuration}}
 	}},
 	{name: "users send what they should not", mustOccur: history.OccurInvalid, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "odd_requests", Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultOddRequests, Duration: faultDuration}}
 	}},
 	{name: "machines are up at once, and leaders end", mustOccur: history.OccurQuickBoot, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
-			{Kind: "cloud_slow", Factor: 0.06, Duration: faultDuration},
-			{Kind: "late_writes", Share: 0.25, Duration: faultDuration},
-			{At: 300_000, Kind: "machine_die", Count: 2},
-			{At: 3 * second, Kind: "crash", Hosts: n[:1]},
-			{At: 12 * second, Kind: "machine_die", Count: 2},
-			{At: 15 * second, Kind: "crash", Hosts: []string{"all"}},
-			{At: 25 * second, Kind: "machine_die", Count: 2},
-			{At: 26_500_000, Kind: "crash", Hosts: n[1:2]},
+			{Kind: environment.FaultCloudSlow, Factor: 0.06, Duration: faultDuration},
+			{Kind: environment.FaultLateWrites, Share: 0.25, Duration: faultDuration},
+			{At: 300_000, Kind: environment.FaultMachineDie, Count: 2},
+			{At: 3 * second, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 12 * second, Kind: environment.FaultMachineDie, Count: 2},
+			{At: 15 * second, Kind: environment.FaultCrash, Hosts: []string{"all"}},
+			{At: 25 * second, Kind: environment.FaultMachineDie, Count: 2},
+			{At: 26_500_000, Kind: environment.FaultCrash, Hosts: n[1:2]},
 		}
 	}},
 	{name: "a zone is cut off for longer than a lease", mustOccur: occurLease, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b", "services", "users"}, Duration: 34 * second}, {At: 4 * second, Kind: "cancel_now", Count: 4}}
+		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: []string{"zone:a"}, To: []string{"zone:b", "services", "users"}, Duration: 34 * second}, {At: 4 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
 	{name: "leaders change ten times, also in an outage", mustOccur: occurLeader, minOccurrences: 6, repeats: 10, interval: 4200 * second / 1000, repeat: func(n []string, i int) []environment.Fault {
-		l := []environment.Fault{{Kind: "crash", Hosts: n[:1], Duration: second}}
+		l := []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: second}}
 		if i%3 == 1 {
-			l[0] = environment.Fault{Kind: "state_refuse", Hosts: n[:1], Duration: 4 * second}
+			l[0] = environment.Fault{Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 4 * second}
 		}
 		if i == 4 {
-			l = append(l, environment.Fault{At: 3 * second, Kind: "state_outage", Duration: 6 * second})
+			l = append(l, environment.Fault{At: 3 * second, Kind: environment.FaultStateOutage, Duration: 6 * second})
 		}
 		return l
 	}},
 	{name: "all controllers are away for longer than a lease", mustOccur: occurLease, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "crash", Hosts: []string{"all"}, Duration: 19 * second}}
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: []string{"all"}, Duration: 19 * second}}
 	}},
 	// Nothing can begin in such an outage.
 	{name: "cancellations as the leader is refused, and then all", mustOccur: history.OccurCancel, overloaded: true, outage: true, begin: func(n []string) (l []environment.Fault) {
 		for i := range int64(4) {
-			l = append(l, environment.Fault{At: i * 300_000, Kind: "cancel_now", Count: 2})
+			l = append(l, environment.Fault{At: i * 300_000, Kind: environment.FaultCancelNow, Count: 2})
 		}
-		return append(l, environment.Fault{Kind: "state_refuse", Hosts: n[:1], Duration: 6 * second}, environment.Fault{At: second, Kind: "state_outage", Duration: 38 * second})
+		return append(l, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 6 * second}, environment.Fault{At: second, Kind: environment.FaultStateOutage, Duration: 38 * second})
 	}},
 	{name: "teams are at their limits, machines of cancelled jobs hang, leaders change", mustOccur: history.OccurHungMachine, overloaded: true, prepare: func(d *deploymentBuilder) {
 		d.Params.Teams[1].CPUs, d.Params.Teams[1].CPUsMax = 16, 32
@@ -96,13 +97,13 @@
 		}
 	}, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
-			{At: second, Kind: "cancel_now", Count: 5, Duration: 22 * second},
-			{At: 1500 * second / 1000, Kind: "crash", Hosts: n[:1]},
-			{At: 2 * second, Kind: "machine_silent", Share: 0.3, Duration: 9 * second},
-			{At: 20 * second, Kind: "cancel_now", Count: 4, Duration: 6 * second},
-			{At: 20_500_000, Kind: "crash", Hosts: n[:2]},
-			{At: 27 * second, Kind: "cancel_now", Count: 4, Duration: 9 * second},
-			{At: 30 * second, Kind: "state_refuse", Hosts: n[:1], Duration: 5 * second},
+			{At: second, Kind: environment.FaultCancelNow, Count: 5, Duration: 22 * second},
+			{At: 1500 * second / 1000, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 2 * second, Kind: environment.FaultMachineSilent, Share: 0.3, Duration: 9 * second},
+			{At: 20 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 6 * second},
+			{At: 20_500_000, Kind: environment.FaultCrash, Hosts: n[:2]},
+			{At: 27 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 9 * second},
+			{At: 30 * second, Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 5 * second},
 		}
 	}},
 	{name: "one-task jobs come four a second", mustOccur: occurTiny, minOccurrences: 120, prepare: func(d *deploymentBuilder) {
@@ -125,33 +126,33 @@
 	}},
 	{name: "jobs bound to a zone lose machines", mustOccur: occurBound, prepare: func(d *deploymentBuilder) {
 		for i := range 16 {
-			z := zones[i%2]
+			z := cases.Zones()[i%2]
 			j := d.addJob(fmt.Sprintf("bound-%02d", i), "bound", "red", []string{wire.Array, wire.Gang}[i/2%2], faultsBegin-4*second+int64(i)*2*second, 3, 2, 5*second)
 			if j.Spec.Zone = &z; i%4 == 3 {
 				j.Spec.Zone, j.Spec.OneZone = nil, true
 			}
 		}
 	}, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{At: 2 * second, Kind: "machine_die", Count: 1, Class: "bound"}, {At: 14 * second, Kind: "machine_hang", Count: 1, Class: "bound", Duration: 20 * second}, {At: 26 * second, Kind: "machine_die", Count: 1, Class: "bound"}}
+		return []environment.Fault{{At: 2 * second, Kind: environment.FaultMachineDie, Count: 1, Class: "bound"}, {At: 14 * second, Kind: environment.FaultMachineHang, Count: 1, Class: "bound", Duration: 20 * second}, {At: 26 * second, Kind: environment.FaultMachineDie, Count: 1, Class: "bound"}}
 	}},
 }
 
-// handoverFaults lets work change hands between leaders, and between holders of a part, and
-// jobs be called off before, in and after each of these seconds.
+// handoverFaults hand tasks over between leaders, and between the holders of a partition of
+// the machines, and cancel jobs before, in and after each of these seconds.
 func handoverFaults(n []string, i int) []environment.Fault {
-	l := []environment.Fault{{At: 200_000, Kind: "crash", Hosts: n[:1]}}
+	l := []environment.Fault{{At: 200_000, Kind: environment.FaultCrash, Hosts: n[:1]}}
 	switch i % 5 {
 	case 1:
-		l = []environment.Fault{{At: 200_000, Kind: "cut", Hosts: n[1:2], To: []string{"workers"}, Duration: 5 * second}}
+		l = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: n[1:2], To: []string{"workers"}, Duration: 5 * second}}
 	case 2:
-		l = []environment.Fault{{At: 200_000, Kind: "state_refuse", Hosts: n[:1], Duration: 5 * second}}
+		l = []environment.Fault{{At: 200_000, Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 5 * second}}
 	case 3:
-		l = []environment.Fault{{At: 200_000, Kind: "cut", Hosts: n[1:2], To: []string{"controllers"}, Duration: 5 * second}}
+		l = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: n[1:2], To: []string{"controllers"}, Duration: 5 * second}}
 	case 4:
-		l = []environment.Fault{{At: 200_000, Kind: "freeze", Hosts: n[:1], Duration: 5 * second}}
+		l = []environment.Fault{{At: 200_000, Kind: environment.FaultFreeze, Hosts: n[:1], Duration: 5 * second}}
 	}
 	for _, at := range []int64{0, 800_000, 2600_000} {
-		l = append(l, environment.Fault{At: at, Kind: "cancel_now", Count: 1})
+		l = append(l, environment.Fault{At: at, Kind: environment.FaultCancelNow, Count: 1})
 	}
 	return l
 }
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -117,8 +117,16 @@
 	Detail string `json:"what"`
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("at %.3f s %s: %s", float64(b.At)/1e6, b.Rule, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("at %.3f s %s: %s", float64(v.At)/1e6, v.Rule, v.Detail)
+}
+
+// Lines are violations as text, one each.
+func Lines(violations []Violation) (lines []string) {
+	for _, v := range violations {
+		lines = append(lines, v.String())
+	}
+	return lines
 }
 
 // CheckAll names all that is wrong with a history: rules that it breaks, and jobs
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -10,9 +10,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// What a job is, to its users: it is not there, it is accepted, or it has its
-// end. It gets that end at some moment after its last task has completed, or
-// when it is withdrawn.
+// The states of a job as its users see them. A job ends at some moment after its last task
+// has completed, or when it is cancelled.
 const (
 	jobAbsent = iota
 	jobAccepted
@@ -20,7 +19,7 @@
 	jobCancelled
 )
 
-// asked and got are a request and its answer; finish is the job's own end.
+// operationInput and operationOutput are a request and its answer.
 type (
 	operationInput  struct{ op, job string }
 	operationOutput struct {
@@ -29,94 +28,132 @@
 	}
 )
 
+// finishOp is the end that a job has by itself, beside the requests of users.
 const finishOp = "finish"
 
-// CheckLinearizability says whether acceptance, withdrawal and ends of each job could have
-// happened one after the other, each between its request and its answer, and
-// names the jobs of which they could not. A request without an answer may take
-// effect at any later time. Jobs that await others are left out: they end with
-// those.
+// CheckLinearizability says whether acceptance, cancellation and end of each job could have
+// happened one after the other, each between its request and its answer, and names the jobs
+// of which they could not. A request without an answer may take effect at any later time.
+// Jobs that depend on others are left out, as they end with those.
 func CheckLinearizability(events []Event, terms Expectations) (broken []Violation) {
-	var ops []porcupine.Operation
-	sent := map[uint64]Event{}
-	left := map[string]int{}
-	// Of requests without an answer the first of its kind is enough: what a
-	// later one could do it can have done, and neither does it twice. All of
-	// them would make the search grow beyond measure.
-	open := map[operationInput]bool{}
-	unknown := func(op, job string, at int64) {
-		if q := (operationInput{op, job}); op != Poll && !open[q] {
-			open[q] = true
-			ops = append(ops, porcupine.Operation{Input: q, Call: at, Output: operationOutput{}, Return: math.MaxInt64})
+	for _, part := range byJob(operations(events, terms)) {
+		if !porcupine.CheckOperations(model(), pruneOperations(part)) {
+			last := part[len(part)-1]
+			broken = append(broken, Violation{last.Call, "not_linear", last.Input.(operationInput).job})
 		}
 	}
-	swept := map[string]bool{} // sweeps, and runs, which end with them
+	return broken
+}
+
+// operations are all operations of a history on jobs that end by themselves.
+func operations(events []Event, terms Expectations) []porcupine.Operation {
+	b := operationBuilder{
+		expected: terms,
+		sent:     map[uint64]Event{},
+		left:     map[string]int{},
+		open:     map[operationInput]bool{},
+		swept:    map[string]bool{},
+	}
 	for id, runs := range terms.Sweeps {
-		swept[id] = true
-		for _, r := range runs {
-			swept[r] = true
+		b.swept[id] = true
+		for _, run := range runs {
+			b.swept[run] = true
 		}
 	}
-	tied := func(id string) bool {
-		s := terms.Jobs[id]
-		return s != nil && len(s.DependsOn) > 0 || swept[id]
-	}
-	for _, e := range events {
-		switch e.Kind {
+	for i := range events {
+		switch e := &events[i]; e.Kind {
 		case RequestSent:
-			sent[e.Call] = e
+			b.sent[e.Call] = *e
 		case ResponseReceived:
-			s, ok := sent[e.Call]
-			if !ok || tied(e.Job) {
-				continue
-			}
-			delete(sent, e.Call)
-			switch e.Status {
-			case 200, 201, 404:
-				ops = append(ops, porcupine.Operation{Input: operationInput{e.Op, e.Job}, Call: s.At, Output: operationOutput{e.Status, e.State}, Return: e.At})
-				if e.Op == Submit {
-					// What a submission is told may be younger than what it
-					// did: its job may have been withdrawn meanwhile.
-					ops[len(ops)-1].Output = operationOutput{}
-					ops = append(ops, porcupine.Operation{Input: operationInput{Poll, e.Job}, Call: s.At, Output: operationOutput{e.Status, e.State}, Return: e.At})
-				}
-			case 400, 422:
-			default:
-				unknown(e.Op, e.Job, s.At)
-			}
+			b.onResponse(e)
 		case TaskCompleted:
-			if n, ok := left[e.Job]; !ok {
-				if s := terms.Jobs[e.Job]; s != nil {
-					left[e.Job] = s.Tasks - 1
-				}
-			} else {
-				left[e.Job] = n - 1
-			}
-			if left[e.Job] == 0 && !tied(e.Job) {
-				ops = append(ops, porcupine.Operation{Input: operationInput{finishOp, e.Job}, Call: e.At, Output: operationOutput{}, Return: math.MaxInt64})
-			}
+			b.onCompleted(e)
 		}
 	}
-	for _, e := range events { // those that are under way at the end
-		if _, ok := sent[e.Call]; ok && e.Kind == RequestSent && !tied(e.Job) {
-			unknown(e.Op, e.Job, e.At)
+	for i := range events { // requests that are under way at the end
+		e := &events[i]
+		if _, ok := b.sent[e.Call]; ok && e.Kind == RequestSent && !b.isTied(e.Job) {
+			b.addUnknown(e.Op, e.Job, e.At)
 		}
 	}
-	for _, part := range byJob(ops) {
-		if !porcupine.CheckOperations(model(), pruneOperations(part)) {
-			last := part[len(part)-1]
-			broken = append(broken, Violation{last.Call, "not_linear", last.Input.(operationInput).job})
+	return b.operations
+}
+
+// operationBuilder collects the operations of a history.
+type operationBuilder struct {
+	expected   Expectations
+	operations []porcupine.Operation
+	sent       map[uint64]Event // requests without an answer so far
+	left       map[string]int   // tasks by job
+	// open are requests without an answer. The first of its kind is enough: what a
+	// later one could do it can have done, and neither does it twice. All of them would
+	// make the search grow beyond measure.
+	open  map[operationInput]bool
+	swept map[string]bool // sweeps, and their runs, which end with them
+}
+
+// isTied says whether a job ends with others.
+func (b *operationBuilder) isTied(id string) bool {
+	spec := b.expected.Jobs[id]
+	return spec != nil && len(spec.DependsOn) > 0 || b.swept[id]
+}
+
+// addUnknown adds a request of which nobody knows whether and when it took effect.
+func (b *operationBuilder) addUnknown(op, job string, at int64) {
+	input := operationInput{op, job}
+	if op == Poll || b.open[input] {
+		return
+	}
+	b.open[input] = true
+	b.operations = append(b.operations, porcupine.Operation{Input: input, Call: at, Output: operationOutput{}, Return: math.MaxInt64})
+}
+
+func (b *operationBuilder) onResponse(e *Event) {
+	request, ok := b.sent[e.Call]
+	if !ok || b.isTied(e.Job) {
+		return
+	}
+	delete(b.sent, e.Call)
+	switch e.Status {
+	case http.StatusOK, http.StatusCreated, http.StatusNotFound:
+		operation := porcupine.Operation{
+			Input:  operationInput{e.Op, e.Job},
+			Call:   request.At,
+			Output: operationOutput{e.Status, e.State},
+			Return: e.At,
 		}
+		if e.Op != Submit {
+			b.operations = append(b.operations, operation)
+			return
+		}
+		// The state in the answer to a submission may be later than the submission
+		// itself: its job may have been cancelled meanwhile.
+		submit, poll := operation, operation
+		submit.Output = operationOutput{}
+		poll.Input = operationInput{Poll, e.Job}
+		b.operations = append(b.operations, submit, poll)
+	case http.StatusBadRequest, http.StatusUnprocessableEntity:
+	default:
+		b.addUnknown(e.Op, e.Job, request.At)
+	}
+}
+
+func (b *operationBuilder) onCompleted(e *Event) {
+	if n, ok := b.left[e.Job]; ok {
+		b.left[e.Job] = n - 1
+	} else if spec := b.expected.Jobs[e.Job]; spec != nil {
+		b.left[e.Job] = spec.Tasks - 1
+	}
+	if b.left[e.Job] == 0 && !b.isTied(e.Job) {
+		b.operations = append(b.operations, porcupine.Operation{Input: operationInput{finishOp, e.Job}, Call: e.At, Output: operationOutput{}, Return: math.MaxInt64})
 	}
-	return broken
 }
 
 // pruneOperations leaves out requests that say nothing beside others, since the search grows
-// beyond measure with those that overlap, as when users look closely. A job only goes
-// on, from absent to accepted to its end, so of all answers that tell the same state
-// the last to be asked for and the first to come bound when that was; and what was
-// asked for after an answer that shows the job accepted, or over, can't have made it
-// so, and is no more than a question. TestThin compares.
+// beyond measure with those that overlap. A job only moves on, from absent to accepted to
+// its end, so of all answers with the same state the last to be requested and the first to
+// come bound when that was; and what was requested after an answer that shows the job
+// accepted, or over, can't have made it so, and is no more than a poll. TestThin compares.
 func pruneOperations(ops []porcupine.Operation) (out []porcupine.Operation) {
 	// When the job was at the latest accepted, and over.
 	in, ended := int64(math.MaxInt64), int64(math.MaxInt64)
@@ -129,7 +166,7 @@
 			in = min(in, o.Return)
 		}
 	}
-	bounds := map[int][2]int{} // by what is told: last asked, first answered
+	bounds := map[int][2]int{} // by state: the last requested, the first answered
 	for i, o := range ops {
 		q, a := o.Input.(operationInput), o.Output.(operationOutput)
 		question := q.op == Poll || q.op == Submit && o.Call > in || q.op == Cancel && o.Call > ended
@@ -179,7 +216,7 @@
 	return parts
 }
 
-// model is one job.
+// model is the sequential specification of a job.
 func model() porcupine.Model {
 	return porcupine.Model{
 		Init:  func() any { return jobAbsent },
@@ -204,10 +241,10 @@
 	}
 }
 
-// stateUnknown is an answer that tells no state.
+// stateUnknown stands for an answer without a state.
 const stateUnknown = jobCancelled + 1
 
-// reportedState is the state that an answer tells.
+// reportedState is the state that an answer shows.
 func reportedState(a operationOutput) int {
 	switch a.status {
 	case http.StatusNotFound:
@@ -226,7 +263,7 @@
 	return stateUnknown
 }
 
-// matchesState says whether an answer fits a state. One without a status came never.
+// matchesState says whether an answer is possible in a state. One without a status never came.
 func matchesState(s int, a operationOutput) bool {
 	t := reportedState(a)
 	return t == stateUnknown || t == s
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -2,204 +2,249 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
+// The kinds of objectives.
+const (
+	objectiveAccept   = "accept"
+	objectiveWait     = "wait"
+	objectiveComplete = "complete"
+	objectiveDeadline = "deadline"
+	objectiveServed   = "served"
+)
+
 // Objective is a share of a class's jobs, or of its tasks' starts, within a time; of
 // the kind served, of a class or a team or of whichever is served least.
 type Objective struct {
 	Kind, Class, Team string
 	Within            int64
-	// Share is the least that is aimed at.
+	// Share is the least that is required.
 	Share float64
 }
 
-// jobTimeline is how a job went.
+// jobTimeline is when a job passed its stages.
 type jobTimeline struct {
 	firstSubmit, accepted, lastCompleted int64
 	starts                               map[int]int64
 	leftTasks                            int
 	cancelled                            bool
-	cancelToldAt                         int64 // when its user was first told that it is
+	cancelToldAt                         int64 // when a user first had an answer that it is
+}
+
+// timelines are the stages of all jobs of a history, and what is counted along the way.
+type timelines struct {
+	jobs    map[string]*jobTimeline
+	order   []string // of the jobs' first events
+	end     int64
+	figures map[string]float64
+}
+
+// Metrics says how well a history went, as numbers by name. Times are seconds; they are
+// counted from a job's first attempt to submit, and for a job that depends on others from
+// the moment when the last of them is done. Jobs that still have time at the end are left
+// out of the shares, and cancelled ones are.
+func Metrics(events []Event, terms Expectations, objectives []Objective) map[string]float64 {
+	t := collectTimelines(events, terms)
+	served(t.figures, t.jobs, terms, objectives, t.end)
+	t.countAccepted()
+	for _, objective := range objectives {
+		if r := t.measure(objective, terms); r.total > 0 {
+			t.figures[objective.Name()] = float64(r.met) / float64(r.total)
+		}
+	}
+	return t.figures
 }
 
-// Metrics says how well a history went, as numbers by name. Times are seconds;
-// they are counted from a job's first attempt to submit, and for a job that
-// awaits others from the moment when the last of them is done. Jobs that
-// still have time at the end are left out of the shares, and cancelled ones are.
-func Metrics(events []Event, terms Expectations, aims []Objective) map[string]float64 {
-	out := map[string]float64{}
-	jobs := map[string]*jobTimeline{}
-	var order []string
-	end := int64(0)
+// collectTimelines reads a history.
+func collectTimelines(events []Event, terms Expectations) *timelines {
+	t := &timelines{jobs: map[string]*jobTimeline{}, figures: map[string]float64{}}
 	if len(events) > 0 {
-		end = events[len(events)-1].At
+		t.end = events[len(events)-1].At
 	}
-	for _, e := range events {
+	for i := range events {
+		e := &events[i]
 		if e.Kind == CostRecorded {
-			out["cost"] += e.Cost
+			t.figures["cost"] += e.Cost
 		}
 		spec := terms.Jobs[e.Job]
 		if spec == nil {
 			continue
 		}
-		j := jobs[e.Job]
-		if j == nil {
-			j = &jobTimeline{firstSubmit: e.At, starts: map[int]int64{}, leftTasks: spec.Tasks}
-			jobs[e.Job] = j
-			order = append(order, e.Job)
+		job := t.jobs[e.Job]
+		if job == nil {
+			job = &jobTimeline{firstSubmit: e.At, starts: map[int]int64{}, leftTasks: spec.Tasks}
+			t.jobs[e.Job] = job
+			t.order = append(t.order, e.Job)
 		}
-		switch {
-		case e.Kind == RequestSent && e.Op == Cancel:
-			j.cancelled = true
-		case e.Kind == ResponseReceived && e.Op == Submit && j.accepted == 0 && (e.Status == 200 || e.Status == 201):
-			j.accepted = e.At
-		case e.Kind == ResponseReceived && e.State == wire.Cancelled && j.cancelToldAt == 0:
-			j.cancelToldAt = e.At
-		case e.Kind == TaskEntered && j.cancelToldAt != 0:
-			out[StartsAfter]++
-		case e.Kind == TaskStarted:
-			if j.starts[e.Task] == 0 {
-				j.starts[e.Task] = e.At
-			}
-		case e.Kind == TaskCompleted:
-			if j.leftTasks--; j.leftTasks == 0 {
-				j.lastCompleted = e.At
-			}
-			out["tasks_done"]++
-		case e.Kind == TaskLeft && !slices.Contains([]string{"done", "stopped"}, e.Reason):
-			out["tasks_lost"]++
+		t.note(e, job)
+	}
+	return t
+}
+
+// note adds an event to the timeline of its job.
+func (t *timelines) note(e *Event, job *jobTimeline) {
+	switch {
+	case e.Kind == RequestSent && e.Op == Cancel:
+		job.cancelled = true
+	case e.Kind == ResponseReceived && e.Op == Submit && job.accepted == 0 && isAccepted(e.Status):
+		job.accepted = e.At
+	case e.Kind == ResponseReceived && e.State == wire.Cancelled && job.cancelToldAt == 0:
+		job.cancelToldAt = e.At
+	case e.Kind == TaskEntered && job.cancelToldAt != 0:
+		t.figures[StartsAfter]++
+	case e.Kind == TaskStarted:
+		if job.starts[e.Task] == 0 {
+			job.starts[e.Task] = e.At
+		}
+	case e.Kind == TaskCompleted:
+		if job.leftTasks--; job.leftTasks == 0 {
+			job.lastCompleted = e.At
 		}
+		t.figures["tasks_done"]++
+	case e.Kind == TaskLeft && !slices.Contains([]string{"done", "stopped"}, e.Reason):
+		t.figures["tasks_lost"]++
 	}
-	served(out, jobs, terms, aims, end)
-	var accepts []float64
-	for _, id := range order {
-		if j := jobs[id]; j.accepted != 0 {
-			accepts = append(accepts, float64(j.accepted-j.firstSubmit)/1e6)
-			out["jobs_accepted"]++
+}
+
+// isAccepted says whether a status accepts a submission.
+func isAccepted(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
+
+// countAccepted counts the jobs that were accepted and done, and how long acceptance took.
+func (t *timelines) countAccepted() {
+	var delays []float64
+	for _, id := range t.order {
+		job := t.jobs[id]
+		if job.accepted != 0 {
+			delays = append(delays, float64(job.accepted-job.firstSubmit)/1e6)
+			t.figures["jobs_accepted"]++
 		}
-		if jobs[id].lastCompleted != 0 {
-			out["jobs_done"]++
+		if job.lastCompleted != 0 {
+			t.figures["jobs_done"]++
 		}
 	}
-	slices.Sort(accepts)
-	if len(accepts) > 0 {
-		out["accept_p50_s"], out["accept_p99_s"] = quantile(accepts, 0.5), quantile(accepts, 0.99)
+	slices.Sort(delays)
+	if len(delays) > 0 {
+		t.figures["accept_p50_s"], t.figures["accept_p99_s"] = Quantile(delays, 0.5), Quantile(delays, 0.99)
 	}
-	for _, a := range aims {
-		name := a.Name()
-		good, all := 0, 0
-		for _, id := range order {
-			j, spec := jobs[id], terms.Jobs[id]
-			if a.Class != "" && spec.Class != a.Class || j.cancelled {
-				continue
-			}
-			from := timeOrigin(jobs, spec, j)
-			within := a.Within
-			if a.Kind == "deadline" && spec.DeadlineS != nil {
-				within = int64(*spec.DeadlineS * 1e6)
-			}
-			if from+within > end {
-				continue // its time is not over
-			}
-			in := func(t int64) {
-				all++
-				if t != 0 && t-from <= within {
-					good++
-				}
+}
+
+// measure says how many of the jobs, or starts, of an objective met it.
+func (t *timelines) measure(objective Objective, terms Expectations) (r ratio) {
+	for _, id := range t.order {
+		job, spec := t.jobs[id], terms.Jobs[id]
+		if objective.Class != "" && spec.Class != objective.Class || job.cancelled {
+			continue
+		}
+		from := timeOrigin(t.jobs, spec, job)
+		within := objective.Within
+		if objective.Kind == objectiveDeadline && spec.DeadlineS != nil {
+			within = int64(*spec.DeadlineS * 1e6)
+		}
+		if from+within > t.end {
+			continue // its time is not over
+		}
+		switch objective.Kind {
+		case objectiveAccept:
+			r.add(isWithin(job.accepted, job.firstSubmit, within))
+		case objectiveWait:
+			for i := range spec.Tasks {
+				r.add(isWithin(job.starts[i], from, within))
 			}
-			switch a.Kind {
-			case "accept":
-				from = j.firstSubmit
-				in(j.accepted)
-			case "wait":
-				for i := range spec.Tasks {
-					in(j.starts[i])
-				}
-			case "complete":
-				in(j.lastCompleted)
-			case "deadline":
-				if spec.DeadlineS != nil {
-					from = j.firstSubmit
-					in(j.lastCompleted)
-				}
+		case objectiveComplete:
+			r.add(isWithin(job.lastCompleted, from, within))
+		case objectiveDeadline:
+			if spec.DeadlineS != nil {
+				r.add(isWithin(job.lastCompleted, job.firstSubmit, within))
 			}
 		}
-		if all > 0 {
-			out[name] = float64(good) / float64(all)
-		}
 	}
-	return out
+	return r
 }
 
-// served says of each class and team which share was served, strictly: done by
-// its deadline, or within the longest aim of its class, of what was submitted
-// early enough for that. What nobody says a time of has to be done, if it came
-// early enough to be. ServedLeast is the least of them,
-// LargestLeast that of the largest jobs of each class.
-func served(out map[string]float64, jobs map[string]*jobTimeline, terms Expectations, aims []Objective, end int64) {
+// isWithin says whether something happened at most so long after a moment; 0 is never.
+func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
+
+// served says of each class and team which share was served, strictly: done by its
+// deadline, or within the longest completion objective of its class, of what was submitted
+// early enough for that. A job without any such time has to be done if it came early enough
+// to be. ServedLeast is the least of the shares, LargestLeast that of the largest jobs of
+// each class.
+func served(figures map[string]float64, jobs map[string]*jobTimeline, terms Expectations, objectives []Objective, end int64) {
 	longest := map[string]int64{}
-	for _, a := range aims {
-		if a.Kind == "complete" {
-			longest[a.Class] = max(longest[a.Class], a.Within)
+	for _, objective := range objectives {
+		if objective.Kind == objectiveComplete {
+			longest[objective.Class] = max(longest[objective.Class], objective.Within)
 		}
 	}
 	groups := map[string]*ratio{}
-	large := largestJobs(terms)
-	count := func(name string, good bool) {
+	count := func(name string, met bool) {
 		if groups[name] == nil {
 			groups[name] = &ratio{}
 		}
-		groups[name].total++
-		if good {
-			groups[name].met++
-		}
+		groups[name].add(met)
 	}
-	for id, j := range jobs {
+	large := largestJobs(terms)
+	for id, job := range jobs {
 		spec := terms.Jobs[id]
-		if j.cancelled || spec.Kind == wire.Service {
+		if job.cancelled || spec.Kind == wire.Service {
 			continue
 		}
-		if from := timeOrigin(jobs, spec, j); large[id] && from+largestWait <= end {
-			count("largest begun "+spec.Class, j.begun(spec) != 0 && j.begun(spec) <= from+largestWait)
-		}
-		from, by := timeOrigin(jobs, spec, j), int64(0)
-		switch within := longest[spec.Class]; {
-		case spec.DeadlineS != nil:
-			by = j.firstSubmit + int64(*spec.DeadlineS*1e6)
-		case within > 0:
-			by = from + within
-		case from+defaultDeadlineFactor*int64(spec.EstimateS*1e6)+minDefaultDeadline < end:
-			by = end
+		from := timeOrigin(jobs, spec, job)
+		if large[id] && from+largestWait <= end {
+			count("largest begun "+spec.Class, job.begun(spec) != 0 && job.begun(spec) <= from+largestWait)
 		}
+		by := job.serveBy(spec, from, longest[spec.Class], end)
 		if by == 0 || by > end {
 			continue // its time is not over
 		}
-		good := j.lastCompleted != 0 && j.lastCompleted <= by
-		count("served class "+spec.Class, good)
-		count("served team "+spec.Team, good)
+		met := job.lastCompleted != 0 && job.lastCompleted <= by
+		count("served class "+spec.Class, met)
+		count("served team "+spec.Team, met)
 		if large[id] {
-			count("largest served "+spec.Class, good)
+			count("largest served "+spec.Class, met)
 		}
 	}
-	for name, c := range groups {
-		out[name] = float64(c.met) / float64(c.total)
+	for name, group := range groups {
+		figures[name] = float64(group.met) / float64(group.total)
 		of := ServedLeast
 		if strings.HasPrefix(name, "largest") {
 			of = LargestLeast
 		}
-		if least, ok := out[of]; !ok || out[name] < least {
-			out[of] = out[name]
+		if least, ok := figures[of]; !ok || figures[name] < least {
+			figures[of] = figures[name]
 		}
 	}
 }
 
-// ratio is how many of all were as they should be.
+// serveBy is when a job whose time begins at from has to be done to count as served, 0 if
+// nothing says so. Jobs of its class have so long, the run ends at end.
+func (j *jobTimeline) serveBy(spec *wire.Job, from, within, end int64) int64 {
+	switch {
+	case spec.DeadlineS != nil:
+		return j.firstSubmit + int64(*spec.DeadlineS*1e6)
+	case within > 0:
+		return from + within
+	case from+defaultDeadlineFactor*int64(spec.EstimateS*1e6)+minDefaultDeadline < end:
+		return end
+	}
+	return 0
+}
+
+// ratio is how many of all met what is required.
 type ratio struct{ met, total int }
 
+func (r *ratio) add(met bool) {
+	r.total++
+	if met {
+		r.met++
+	}
+}
+
 // The least of what was served of classes and teams, and of what was served or
 // begun in time of classes' largest jobs.
 const (
@@ -207,8 +252,8 @@
 	LargestLeast = "largest_least"
 )
 
-// StartsAfter is how many tasks entered a machine after users were told that their
-// job is cancelled.
+// StartsAfter is how many tasks entered a machine after users had an answer that their job
+// is cancelled.
 const StartsAfter = "starts_after_cancellation"
 
 // largestWait is how long even a class's largest jobs may wait.
@@ -256,17 +301,17 @@
 	return out
 }
 
-// A job without a time has to be done where so many times its estimate, and the
-// least beside, is left of the day.
+// A job without a time has to be done if so many times its estimate, and the minimum
+// beside, is left of the run.
 const (
 	defaultDeadlineFactor = 10
 	minDefaultDeadline    = 60_000_000
 )
 
-// Name is the aim's figure.
+// Name is the name of the objective's figure.
 func (a Objective) Name() string {
 	switch {
-	case a.Kind != "served":
+	case a.Kind != objectiveServed:
 	case a.Class != "":
 		return "served class " + a.Class
 	case a.Team != "":
@@ -284,7 +329,7 @@
 	return name
 }
 
-// timeOrigin is when a job's time begins.
+// timeOrigin is when the time of a job begins to count.
 func timeOrigin(jobs map[string]*jobTimeline, spec *wire.Job, j *jobTimeline) int64 {
 	t := j.firstSubmit
 	for _, id := range spec.DependsOn {
@@ -295,7 +340,7 @@
 	return t
 }
 
-// quantile is that of sorted values, at least one.
-func quantile(sorted []float64, q float64) float64 {
+// Quantile is a quantile of sorted values, of which there has to be at least one.
+func Quantile(sorted []float64, q float64) float64 {
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/emulator/wire"
@@ -168,22 +169,8 @@
 	if e.Status != 0 {
 		k.answered = e.At
 	}
-	if e.Op == Poll && e.Status != 200 && e.Status != 404 {
-		j.polls++
-		if j.accepted && !j.isOver() && j.polls > 3 && e.At-j.answered > maxSilence && e.At-k.answered < maxSilence/10 {
-			k.addViolation("forgotten", "no answer about %s for 90 s", e.Job)
-		}
-		if j.accepted && j.polls > 1 && e.At-max(j.answered, k.quietSince) > maxQuietSilence {
-			k.addViolation("forgotten", "no answer about %s for 75 s after all troubles", e.Job)
-		}
-	}
-	if e.Status == 404 && c.known {
-		k.addViolation("forgotten", "%s is not found", e.Job)
-	}
-	if e.Op == Submit && (e.Status == 400 || e.Status == 422) && c.known {
-		k.addViolation("forgotten", "%s is refused with %d", e.Job, e.Status)
-	}
-	if e.Status != 200 && e.Status != 201 {
+	k.checkRemembered(e, j, c)
+	if !isAccepted(e.Status) {
 		return
 	}
 	k.checkNotAccepted(e, j)
@@ -196,12 +183,36 @@
 	}
 	j.accepted, j.answered, j.polls = true, e.At, 0
 	if e.State == "" {
-		return // an answer that tells no state, as that to a sweep
+		return // an answer without a state, as that to a sweep
 	}
-	if k.expected.Sweeps[e.Job] != nil {
-		k.checkFinalState(e, j, c)
-		return
+	if k.expected.Sweeps[e.Job] == nil {
+		k.checkState(e, j, c)
 	}
+	k.checkFinalState(e, j, c)
+}
+
+// checkRemembered checks that no answer, and no lack of one, shows an accepted job forgotten.
+func (k *checker) checkRemembered(e *Event, j *jobState, c userCall) {
+	if e.Op == Poll && e.Status != http.StatusOK && e.Status != http.StatusNotFound {
+		j.polls++
+		if j.accepted && !j.isOver() && j.polls > 3 && e.At-j.answered > maxSilence && e.At-k.answered < maxSilence/10 {
+			k.addViolation("forgotten", "no answer about %s for 90 s", e.Job)
+		}
+		if j.accepted && j.polls > 1 && e.At-max(j.answered, k.quietSince) > maxQuietSilence {
+			k.addViolation("forgotten", "no answer about %s for 75 s after all troubles", e.Job)
+		}
+	}
+	if e.Status == http.StatusNotFound && c.known {
+		k.addViolation("forgotten", "%s is not found", e.Job)
+	}
+	if e.Op == Submit && (e.Status == http.StatusBadRequest || e.Status == http.StatusUnprocessableEntity) && c.known {
+		k.addViolation("forgotten", "%s is refused with %d", e.Job, e.Status)
+	}
+}
+
+// checkState checks the state of a job in an answer against its tasks and those who could
+// have cancelled it.
+func (k *checker) checkState(e *Event, j *jobState, c userCall) {
 	// A job that is submitted when one before it is cancelled already is
 	// accepted all the same, and has as long from then on.
 	if before := k.dependencyCancelledAt(e.Job); before != 0 && c.sent > max(before, j.acceptedAt)+k.expected.CancelWithin && (e.State == wire.Pending || e.State == wire.Running) {
@@ -219,7 +230,6 @@
 			k.due = append(k.due, cancelDeadline{e.At + k.expected.CancelWithin, e.Job})
 		}
 	}
-	k.checkFinalState(e, j, c)
 }
 
 func (j *jobState) isOver() bool { return j.state == wire.Done || j.state == wire.Cancelled }
@@ -309,15 +319,14 @@
 	k.taskMachines[r][e.Machine] = true
 	k.placed.give(spec, r, e.Machine)
 	k.checkPlacement(e, name, spec)
-	const dust = 1e-6
-	if l, u := k.expected.Teams[spec.Team], k.teamUse[spec.Team]; l.GPUs > 0 && u.GPUs > l.GPUs+dust || l.CPUs > 0 && u.CPUs > l.CPUs+dust {
+	if l, u := k.expected.Teams[spec.Team], k.teamUse[spec.Team]; l.GPUs > 0 && u.GPUs > l.GPUs+roundingError || l.CPUs > 0 && u.CPUs > l.CPUs+roundingError {
 		k.addViolation("quota", "%s uses %.1f CPUs and %.1f GPUs", spec.Team, u.CPUs, u.GPUs)
 	}
 }
 
 func (k *checker) checkPlacement(e *Event, name string, s *wire.Job) {
 	m := k.machines[e.Machine]
-	bad := s.Zone != nil && *s.Zone != m.Zone || !s.Spot && m.Spot || len(s.Types) > 0 && !slices.Contains(s.Types, m.Type)
+	bad := !isAllowedOn(s, m)
 	if s.OneZone || s.Spread {
 		zones := map[string]int{}
 		for i := range s.Tasks {
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -102,55 +102,87 @@
 			return false
 		}
 	}
-	left, zones := 0, map[string]int{}
-	for i := range s.Tasks {
-		if m, ok := k.placed.where[taskRef{s.ID, i}]; ok {
-			zones[k.machines[m].Zone]++
-		} else if !j.done[i] {
-			left++
-		}
-	}
+	left, zones := k.unplaced(s, j)
 	want := 1
 	if s.Kind == wire.Gang {
 		if want = left; left < s.Tasks {
 			return false // an attempt is under way, or about to end
 		}
 	}
-	const dust = 1e-6
-	l, u := k.expected.Teams[s.Team], k.placed.use[s.Team]
-	n := float64(want)
-	if left == 0 || l.CPUs > 0 && u.CPUs+n*s.CPUs > l.CPUs+dust || l.GPUs > 0 && u.GPUs+n*s.GPUs > l.GPUs+dust {
+	if left == 0 || !k.isUnderLimit(s, want) {
 		return false
 	}
-	room := map[string]int{} // by zone
+	return usableRoom(s, k.roomByZone(s, want), zones) >= want
+}
+
+// roundingError is what sums of CPUs, GPUs and memory may be off.
+const roundingError = 1e-6
+
+// unplaced is how many tasks of a job are neither done nor on a machine, and how many are
+// on machines of each zone.
+func (k *checker) unplaced(s *wire.Job, j *jobState) (left int, zones map[string]int) {
+	zones = map[string]int{}
+	for i := range s.Tasks {
+		if m, ok := k.placed.where[taskRef{s.ID, i}]; ok {
+			zones[k.machines[m].Zone]++
+		} else if !j.done[i] {
+			left++
+		}
+	}
+	return left, zones
+}
+
+// isUnderLimit says whether the limits of a job's team leave room for so many of its tasks.
+func (k *checker) isUnderLimit(s *wire.Job, tasks int) bool {
+	limits, use := k.expected.Teams[s.Team], k.placed.use[s.Team]
+	n := float64(tasks)
+	return (limits.CPUs <= 0 || use.CPUs+n*s.CPUs <= limits.CPUs+roundingError) &&
+		(limits.GPUs <= 0 || use.GPUs+n*s.GPUs <= limits.GPUs+roundingError)
+}
+
+// roomByZone is for how many tasks of a job machines have room, at most so many on each.
+func (k *checker) roomByZone(s *wire.Job, most int) map[string]int {
+	room := map[string]int{}
 	for name, m := range k.machines {
-		if s.Zone != nil && *s.Zone != m.Zone || !s.Spot && m.Spot || len(s.Types) > 0 && !slices.Contains(s.Types, m.Type) {
+		if !isAllowedOn(s, m) {
 			continue
 		}
 		cpus, gpus, mem := k.freeRoom(name)
-		fit := want
-		for _, x := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
-			if x[1] > 0 {
-				fit = min(fit, int((x[0]+dust)/x[1]))
+		fit := most
+		for _, x := range []struct{ free, wanted float64 }{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+			if x.wanted > 0 {
+				fit = min(fit, int((x.free+roundingError)/x.wanted))
 			}
 		}
 		room[m.Zone] += max(fit, 0)
 	}
-	all := 0
-	for z, n := range room {
+	return room
+}
+
+// isAllowedOn says whether a job's constraints allow a machine.
+func isAllowedOn(s *wire.Job, machine Event) bool {
+	return (s.Zone == nil || *s.Zone == machine.Zone) && (s.Spot || !machine.Spot) &&
+		(len(s.Types) == 0 || slices.Contains(s.Types, machine.Type))
+}
+
+// usableRoom is how much of the room in the zones a job can use at once, given where its
+// placed tasks are.
+func usableRoom(s *wire.Job, room, placed map[string]int) int {
+	usable := 0
+	for zone, n := range room {
 		if s.Spread {
-			n = min(n, (s.Tasks+1)/2-zones[z])
+			n = min(n, (s.Tasks+1)/2-placed[zone])
 		}
-		if s.OneZone {
-			if len(zones) > 0 && zones[z] == 0 {
-				n = 0
-			}
-			all = max(all, n)
-		} else {
-			all += max(n, 0)
+		if !s.OneZone {
+			usable += max(n, 0)
+			continue
+		}
+		if len(placed) > 0 && placed[zone] == 0 {
+			n = 0
 		}
+		usable = max(usable, n)
 	}
-	return all >= want
+	return usable
 }
 
 // noteInvalid notes a submission that has to be refused, refused checks that it was.
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -6,11 +6,13 @@
 package outages
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/cases"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/faketime"
 	"github.com/zinclb/zinclb/internal/emulator/history"
@@ -20,7 +22,7 @@
 const second = config.Second
 
 const (
-	refusalStart    = 60 * second // when the leader is refused
+	refusalStart    = 60 * second // when the state service begins to refuse the leader
 	refusalDuration = 14 * second
 	outageDelay     = 2 * second // from then until the outage, less than the leader's lease
 	longOutageDelay = 7 * second // the same, so that another leads by then
@@ -44,72 +46,79 @@
 }
 
 // writeLosses are how the state service treats the writes of cancellations.
-var writeLosses = []*environment.TransactionLoss{nil, {Outcome: "after"}, {Outcome: "late", Delay: second}}
+var writeLosses = []*environment.TransactionLoss{nil, {Outcome: environment.LostAfter}, {Outcome: environment.LostLate, Delay: second}}
 
-// controllerEvent is what befalls the controllers in the outage. The leader is first.
+// controllerEvent is what happens to the controllers in the outage. The leader comes first.
 type controllerEvent struct {
 	name   string
 	at     int64 // since the outage began, or before if it is negative
 	faults func(nodes []string) []environment.Fault
-	// mayLoseTasks: work on machines can't all be kept, as nobody may answer for it.
+	// mayLoseTasks: not all tasks can be kept, as no controller may answer heartbeats.
 	mayLoseTasks bool
 }
 
 var controllerEvents = []controllerEvent{
 	{"nothing else happens", 0, func([]string) []environment.Fault { return nil }, false},
-	{"another crashes", second, func(n []string) []environment.Fault { return []environment.Fault{{Kind: "crash", Hosts: n[1:2]}} }, false},
+	{"another crashes", second, func(n []string) []environment.Fault {
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:2]}}
+	}, false},
 	{"another is back at once", second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "crash", Hosts: n[1:2], Duration: 200_000}}
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, false},
 	{"another crashes late, and once more", 14 * second, func(n []string) []environment.Fault {
 		last := n[len(n)-1:]
-		return []environment.Fault{{Kind: "crash", Hosts: last}, {At: 6 * second, Kind: "crash", Hosts: last, Duration: 200_000}}
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: last}, {At: 6 * second, Kind: environment.FaultCrash, Hosts: last, Duration: 200_000}}
 	}, false},
 	{"all others are back at once, as the outage begins", 20_000, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "crash", Hosts: n[1:], Duration: 200_000}}
-	}, true}, // nobody can have vouched for them before
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
+	}, true}, // nobody can have granted them a read lease before
 	{"another crashes while it is cut from the leader", 4 * second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: "crash", Hosts: n[1:2], Duration: 200_000}}
+		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, true},
 	{"the leader is cut from another", second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 60 * second}}
+		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 60 * second}}
 	}, true},
 	{"the leader is deaf to another", second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 60 * second, PartitionMode: environment.PartitionMode{OneWay: true}}}
+		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[1:2], To: n[:1], Duration: 60 * second, PartitionMode: environment.PartitionMode{OneWay: true}}}
 	}, true},
 	{"the others were cut from the leader before, and crash", -outageDelay - second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 14 * second, Kind: "crash", Hosts: n[1:], Duration: 200_000}}
+		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 14 * second, Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
+	}, true},
+	{"a roll begins", second, func([]string) []environment.Fault {
+		return []environment.Fault{{Kind: environment.FaultRoll, Duration: 6 * second}}
 	}, true},
-	{"a roll begins", second, func([]string) []environment.Fault { return []environment.Fault{{Kind: "roll", Duration: 6 * second}} }, true},
 	{"a third of the machines is deaf", second, func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: "machine_deaf", Share: 0.34, Duration: 40 * second}}
+		return []environment.Fault{{Kind: environment.FaultMachineDeaf, Share: 0.34, Duration: 40 * second}}
 	}, true},
 	{"the leader is back at once", second, func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: "crash", Hosts: n[:1], Duration: 200_000}}
+		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: 200_000}}
 	}, true}, // nobody can lead in an outage
 }
 
-// Case is one such day.
+// ID is the case's number.
+func (c Case) ID() uint64 { return uint64(c.Number) }
+
+// Case is one such run.
 type Case struct {
 	Size      int
 	Number    int
 	timing    cancelTiming
 	writeLoss *environment.TransactionLoss
 	event     controllerEvent
-	// quarters is the outage's in quarters of cancel_s, taken says that another
-	// controller leads before it begins.
+	// quarters is the length of the outage in quarters of cancel_s, newLeader says that
+	// another controller leads before it begins.
 	quarters  int
 	newLeader bool
 	// Jobs is how many there are; two of three are cancelled.
 	Jobs int
-	// Legacy: one of the others runs a program from before controllers vouched.
+	// Legacy: one of the followers runs a program without read leases.
 	Legacy bool
 }
 
 func (c Case) String() string {
 	s := fmt.Sprintf("%d controllers, cancelled %s", c.Size, c.timing.name)
 	if c.writeLoss != nil {
-		s += ", writes executed " + c.writeLoss.Outcome + " their answers' loss"
+		s += ", writes executed " + string(c.writeLoss.Outcome) + " their answers' loss"
 	}
 	if c.newLeader {
 		s += ", after a hand-over"
@@ -139,24 +148,24 @@
 	return out
 }
 
-// defaultJobs is how many jobs a day has.
+// defaultJobs is how many jobs a case has.
 const defaultJobs = 24
 
-// ManyJobs is a day of a size with so many jobs, in which they are cancelled in the
-// second before a long outage, by writes that get no answer if unanswered is set.
+// ManyJobs is a case of a size with so many jobs, which are cancelled in the second before a
+// long outage, by writes that get no answer if unanswered is set.
 func ManyJobs(size, jobs int, unanswered bool) Case {
 	m := cancelTimings[1]
 	m.interval = outageDelay / 2 / int64(jobs)
 	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], quarters: 8, Jobs: jobs}
 	if unanswered {
-		c.writeLoss = &environment.TransactionLoss{Outcome: "after"}
+		c.writeLoss = &environment.TransactionLoss{Outcome: environment.LostAfter}
 	}
 	return c
 }
 
 // WithLegacyController is a case with an older program beside the leader.
 func WithLegacyController(c Case) Case {
-	c.Legacy, c.event.mayLoseTasks = true, true // which vouches for nothing
+	c.Legacy, c.event.mayLoseTasks = true, true // it grants no read lease
 	return c
 }
 
@@ -170,22 +179,23 @@
 
 func (c Case) outageDuration() int64 { return int64(c.quarters) * cancelS / 4 * second }
 
-var zones = []string{"a", "b"}
-
+// deployment is that of the case, with jobs that run for longer than the outage.
 func (c Case) deployment() environment.Config {
-	var cfg environment.Config
-	p := &cfg.Params
-	p.Size, p.Zones, p.Teams = c.Size, zones, []config.Team{{Name: "red"}}
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2.5, leaseS, 30, 4, cancelS
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = 200+float64(c.Jobs), 60+10*float64(c.Jobs), 8, 20
-	p.Cloud.RPS, p.Cloud.ListLagS = 3, 4
-	p.ClockErrorMS = 500
-	cfg.Seed, cfg.RestartTime, cfg.StateDelay, cfg.CloudDelay, cfg.ClockDrift = uint64(c.Number+1), 4*second, 3000, 50_000, 0.0005
-	cfg.Types = []wire.MachineType{{Name: "m", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 50, BootS: 15, Price: 1, SpotPrice: 0.4, Zones: zones}}
-	for _, z := range zones {
-		cfg.Machines = append(cfg.Machines, environment.Machines{Type: "m", Zone: z, Count: max(4, c.Jobs/6)})
-		cfg.Capacity = append(cfg.Capacity, environment.Capacity{Type: "m", Zone: z, Count: max(6, c.Jobs/5)})
-	}
+	cfg := cases.Deployment{
+		Size:            c.Size,
+		Seed:            uint64(c.Number + 1),
+		LeaseS:          leaseS,
+		CancelS:         cancelS,
+		StateRPS:        200 + float64(c.Jobs),
+		StateWriteRPS:   60 + 10*float64(c.Jobs),
+		StateTxnOps:     20,
+		ListLagS:        4,
+		FetchRate:       1,
+		BootS:           15,
+		MachinesPerZone: max(4, c.Jobs/6),
+		CapacityPerZone: max(6, c.Jobs/5),
+	}.Config()
+	cfg.Params.Teams = []config.Team{{Name: "red"}}
 	cfg.Length = c.outageStart() + c.outageDuration() + taskDuration + 60*second + int64(c.Jobs)*second/30
 	for i := range c.Jobs {
 		j := environment.Job{At: 2*second + int64(i)*min(200_000, 10*second/int64(c.Jobs)), Run: taskDuration, Spec: wire.Job{
@@ -207,15 +217,18 @@
 type Result struct {
 	Violations []string
 	Unfinished []string
-	// Killed are tasks that nobody cancelled and that their machines' leases
-	// ended; Told is how many jobs were called cancelled from the refusal on
-	// until the outage's end, Lost how many writes were met by their fate.
+	// Killed are tasks that nobody cancelled and that ended with the leases of their
+	// machines; Confirmed is how many jobs users had an answer of as cancelled from the
+	// refusal on until the outage's end, LostWrites how many writes were lost.
 	Killed, Confirmed, LostWrites int
 	mayLoseTasks                  bool
 }
 
-// Shortfall says what falls short of what there should be, "" if nothing does.
-func (r *Result) Shortfall() string {
+// HasViolations says whether the history violates a rule.
+func (r Result) HasViolations() bool { return len(r.Violations) > 0 }
+
+// Shortfall says what falls short of what is required, "" if nothing does.
+func (r Result) Shortfall() string {
 	switch {
 	case len(r.Violations) > 0:
 		return fmt.Sprintf("broken: %v", r.Violations)
@@ -227,65 +240,80 @@
 	return ""
 }
 
-// Run plays a case; log gets what controllers write, if it is not nil.
+// Run runs a case; log gets what controllers log, if it is not nil.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
-	cfg := c.deployment()
-	r := Result{mayLoseTasks: c.event.mayLoseTasks}
-	var failed error
-
-	var fates []*environment.TransactionLoss
-	if c.writeLoss != nil {
-		for range c.Jobs {
-			l := *c.writeLoss
-			l.Prefix = core.Prefix + "end/"
-			fates = append(fates, &l)
-		}
+	run := caseRun{Case: c, losses: c.losses()}
+	options := faketime.Options{Operators: ops, Log: log, Legacy: c.isLegacy, OnStart: run.schedule}
+	cl, err := faketime.Run(c.deployment(), options)
+	if err = cmp.Or(err, run.failed); err != nil {
+		return Result{}, fmt.Errorf("%s: %w", c, err)
 	}
-	cl, err := faketime.Run(cfg, faketime.Options{Operators: ops, Log: log, Legacy: c.isLegacy, OnStart: func(cl *faketime.Cluster) {
-		cl.After(refusalStart-2*second, func() {
-			for _, l := range fates {
-				cl.ScheduleFaults(&failed, environment.Fault{Kind: "state_lose", TransactionLoss: l})
-			}
-		})
-		cl.After(refusalStart, func() {
-			cl.ScheduleFaults(&failed, environment.Fault{Kind: "state_refuse", Hosts: cl.LeaderFirst()[:1], Duration: refusalDuration})
-		})
-		cl.After(c.outageStart(), func() {
-			cl.ScheduleFaults(&failed, environment.Fault{Kind: "state_outage", Duration: c.outageDuration()})
-		})
-		cl.After(c.outageStart()+c.event.at, func() { cl.ScheduleFaults(&failed, c.event.faults(cl.LeaderFirst())...) })
-	}})
-	if err == nil {
-		err = failed
+	return run.evaluate(cl), nil
+}
+
+// losses are the losses of the writes of cancellations.
+func (c Case) losses() (losses []*environment.TransactionLoss) {
+	if c.writeLoss == nil {
+		return nil
 	}
-	if err != nil {
-		return Result{}, fmt.Errorf("%s: %w", c, err)
+	for range c.Jobs {
+		loss := *c.writeLoss
+		loss.Prefix = core.Prefix + "end/"
+		losses = append(losses, &loss)
 	}
-	for _, b := range history.CheckAll(cl.History, cl.Expectations()) {
-		r.Violations = append(r.Violations, b.String())
+	return losses
+}
+
+// caseRun is a case that is running.
+type caseRun struct {
+	Case
+	losses []*environment.TransactionLoss
+	failed error
+}
+
+// schedule schedules the faults.
+func (r *caseRun) schedule(cl *faketime.Cluster) {
+	cl.After(refusalStart-2*second, func() {
+		for _, loss := range r.losses {
+			cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateLose, TransactionLoss: loss})
+		}
+	})
+	cl.After(refusalStart, func() {
+		cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: cl.LeaderFirst()[:1], Duration: refusalDuration})
+	})
+	cl.After(r.outageStart(), func() {
+		cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateOutage, Duration: r.outageDuration()})
+	})
+	cl.After(r.outageStart()+r.event.at, func() { cl.ScheduleFaults(&r.failed, r.event.faults(cl.LeaderFirst())...) })
+}
+
+func (r *caseRun) evaluate(cl *faketime.Cluster) Result {
+	result := Result{
+		Violations:   cl.Violations(),
+		Unfinished:   cl.Environment.Unfinished(),
+		mayLoseTasks: r.event.mayLoseTasks,
 	}
-	r.Unfinished = cl.Environment.Unfinished()
-	for _, l := range fates {
-		r.LostWrites += l.Matched
+	for _, loss := range r.losses {
+		result.LostWrites += loss.Matched
 	}
-	told, cancelled := map[string]bool{}, map[string]bool{}
-	for _, j := range cfg.Jobs {
+	cancelled, confirmed := map[string]bool{}, map[string]bool{}
+	for _, j := range cl.Config.Jobs {
 		cancelled[j.Spec.ID] = j.Cancel > 0
 	}
-	for _, e := range cl.History {
-		switch {
-		case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At >= refusalStart && e.At < c.outageStart()+c.outageDuration():
-			told[e.Job] = true
+	for i := range cl.History {
+		switch e := &cl.History[i]; {
+		case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At >= refusalStart && e.At < r.outageStart()+r.outageDuration():
+			confirmed[e.Job] = true
 		case e.Kind == history.TaskLeft && e.Reason == "lease" && !cancelled[e.Job]:
-			r.Killed++
+			result.Killed++
 		}
 	}
-	r.Confirmed = len(told)
-	return r, nil
+	result.Confirmed = len(confirmed)
+	return result
 }
 
-// isLegacy says which controllers run a program from before they vouched: the second,
-// unless it leads, which is judged by its name as the days are the same.
+// isLegacy says which controllers run a program without read leases: the last, which does
+// not lead in these cases.
 func (c Case) isLegacy(node string) bool {
 	return c.Legacy && node == environment.ControllerName(c.Size-1)
 }
--- a/internal/emulator/outages/outages_test.go
+++ b/internal/emulator/outages/outages_test.go
@@ -5,47 +5,31 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/cases"
+	"github.com/zinclb/zinclb/internal/emulator/cases/casestest"
 )
 
-// TestGaps plays a part of all days; zinclb-emulator gaps plays them all. The
-// steps have no factor in common with the numbers of moments, fates and lengths.
+// TestGaps runs a part of all cases; zinclb-emulator gaps runs them all. The steps have no
+// factor in common with the numbers of timings, losses and lengths.
 func TestGaps(t *testing.T) {
-	var cases []Case
-	for i, c := range AllCases(3) {
-		if i%13 == 0 {
-			cases = append(cases, c)
-		}
-	}
-	for i, c := range AllCases(5) {
-		if i%41 == 6 {
-			cases = append(cases, c)
-		}
-	}
-	cases = append(cases, ManyJobs(3, 500, false), ManyJobs(5, 500, true), ManyJobs(3, 3000, true))
+	selected := append(cases.EveryNth(AllCases(3), 0, 13), cases.EveryNth(AllCases(5), 6, 41)...)
+	selected = append(selected, ManyJobs(3, 500, false), ManyJobs(5, 500, true), ManyJobs(3, 3000, true))
 	for i := 2; i < 24; i += 7 { // nothing else happens
-		cases = append(cases, WithLegacyController(AllCases(3)[i]))
+		selected = append(selected, WithLegacyController(AllCases(3)[i]))
 	}
 	var mu sync.Mutex
-	told, lost := 0, 0
+	confirmed, lost := 0, 0
+	run := func(c Case) (Result, error) { return Run(c, config.Defaults(), nil) }
 	t.Run("each", func(t *testing.T) {
-		for _, c := range cases {
-			t.Run(c.String(), func(t *testing.T) {
-				t.Parallel()
-				r, err := Run(c, config.Defaults(), nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if s := r.Shortfall(); s != "" {
-					t.Error(s)
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				told, lost = told+r.Confirmed, lost+r.LostWrites
-			})
-		}
+		casestest.Run(t, selected, run, func(t *testing.T, _ Case, r Result) {
+			t.Helper()
+			mu.Lock()
+			defer mu.Unlock()
+			confirmed, lost = confirmed+r.Confirmed, lost+r.LostWrites
+		})
 	})
-	// The days are about nothing if nobody is told, or no write is lost.
-	if told < 4*len(cases) || lost < len(cases) {
-		t.Errorf("%d jobs were called cancelled within, and %d writes were lost", told, lost)
+	// The cases show nothing if no cancellation is confirmed, or no write is lost.
+	if confirmed < 4*len(selected) || lost < len(selected) {
+		t.Errorf("%d jobs were called cancelled within, and %d writes were lost", confirmed, lost)
 	}
 }
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -4,12 +4,14 @@
 package partitions
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 	"slices"
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/cases"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/faketime"
 	"github.com/zinclb/zinclb/internal/emulator/history"
@@ -18,33 +20,53 @@
 
 const second = config.Second
 
-// Roles of the controller that is cut off, by what it is when the cut begins.
+// The roles of the partitioned controller when the partition begins.
 const (
 	Leader   = "leader"
 	Follower = "holder"
 )
 
-// Partition takes some links of one controller.
+// The directions of a partition, seen from the controller.
+const (
+	bothWays = "both"
+	outward  = "out"
+	inward   = "in"
+)
+
+// The modes of a partition: what happens to messages and connections over its links.
+const (
+	modeHold   = "hold"
+	modeReset  = "reset"
+	modeRefuse = "refuse"
+)
+
+// Extra faults, which may happen a moment after the partitions have begun.
+const (
+	extraNone     = ""
+	extraFailover = "take-over"  // the leader crashes
+	extraFreeze   = "standstill" // the leader is suspended for longer than its lease
+	extraCrash    = "crash"      // the first partitioned controller crashes and comes back
+)
+
+// Partition takes some links of one controller down.
 type Partition struct {
-	Role  string
-	Links []string // state, cloud, users, peers, peer-1 and so on, zone:a and so on
-	// Direction is "both", "out" or "in", seen from the controller; How is "hold",
-	// "reset" or "refuse".
+	Role            string
+	Links           []string // state, cloud, users, peers, peer-1 and so on, zone:a and so on
 	Direction, Mode string
 	Duration        int64
 }
 
-// Case is one or two cuts at once, and what else happens a moment later.
+// Case is one or two partitions at once, and an extra fault a moment later.
 type Case struct {
 	Size       int
 	Partitions []Partition
-	// Extra is "", "take-over" (the leader crashes), "standstill" (it stands
-	// still for longer than its lease) or "crash" (the controller that is cut
-	// off first crashes and comes back).
-	Extra string
-	Seed  uint64
+	Extra      string
+	Seed       uint64
 }
 
+// ID is the case's number.
+func (c Case) ID() uint64 { return c.Seed }
+
 func (c Case) String() string {
 	s := fmt.Sprintf("%d controllers", c.Size)
 	for _, x := range c.Partitions {
@@ -56,100 +78,114 @@
 	return s
 }
 
-// Zones of the deployment that is played.
-var zones = []string{"a", "b"}
-
+// links are all links of a controller.
 func links(size int) []string {
-	l := []string{"state"}
+	all := []string{"state"}
 	for i := 1; i < size; i++ {
-		l = append(l, fmt.Sprintf("peer-%d", i))
+		all = append(all, fmt.Sprintf("peer-%d", i))
 	}
-	for _, z := range zones {
-		l = append(l, "zone:"+z)
+	for _, zone := range cases.Zones() {
+		all = append(all, "zone:"+zone)
 	}
-	return append(l, "cloud", "users")
+	return append(all, "cloud", "users")
 }
 
-func subsets(l []string) (out [][]string) {
-	for set := 1; set < 1<<len(l); set++ {
-		var s []string
-		for i, x := range l {
+// subsets are all subsets of some links that are not empty.
+func subsets(links []string) (out [][]string) {
+	for set := 1; set < 1<<len(links); set++ {
+		var subset []string
+		for i, link := range links {
 			if set>>i&1 == 1 {
-				s = append(s, x)
+				subset = append(subset, link)
 			}
 		}
-		out = append(out, s)
+		out = append(out, subset)
 	}
 	return out
 }
 
-// AllCases are all cases of a size: every subset of the links of the leader and of
-// another controller, each way and manner of cutting and length; then pairs of
-// cuts, each alone and with what may happen inside; then every subset of those
-// that service goes by with the same.
-func AllCases(size int) (out []Case) {
+// extraFaults are all extra faults.
+var extraFaults = []string{extraNone, extraFailover, extraFreeze, extraCrash}
+
+// pairLinks are the sets of links that partitions of two controllers are made of.
+var pairLinks = [][]string{{"state"}, {"peers"}, {"zone:a"}, {"zone:a", "zone:b"}, {"state", "peers"}, {"zone:a", "zone:b", "peers"}, {"state", "zone:a", "zone:b"}}
+
+// AllCases are all cases of a size: single partitions, pairs of partitions, and single
+// partitions with an extra fault.
+func AllCases(size int) []Case {
+	all := slices.Concat(singleCases(size), pairCases(size), extraCases(size))
+	for i := range all {
+		all[i].Seed = uint64(i + 1)
+	}
+	return all
+}
+
+// singleCases are every subset of the links of the leader and of a follower, in each
+// direction, mode and length.
+func singleCases(size int) (out []Case) {
 	for _, role := range []string{Leader, Follower} {
 		for _, set := range subsets(links(size)) {
-			for _, way := range []string{"both", "out", "in"} {
-				for _, how := range []string{"hold", "reset", "refuse"} {
-					for _, d := range []int64{4, 16, 90} {
-						out = append(out, Case{Size: size, Partitions: []Partition{{role, set, way, how, d * second}}})
+			for _, direction := range []string{bothWays, outward, inward} {
+				for _, mode := range []string{modeHold, modeReset, modeRefuse} {
+					for _, seconds := range []int64{4, 16, 90} {
+						out = append(out, Case{Size: size, Partitions: []Partition{{role, set, direction, mode, seconds * second}}})
 					}
 				}
 			}
 		}
 	}
-	for _, a := range pairLinks {
-		for _, b := range pairLinks {
-			for _, with := range extraFaults {
-				for _, d := range []int64{16, 90} {
-					out = append(out, Case{Size: size, Extra: with, Partitions: []Partition{{Leader, a, "both", "hold", d * second}, {Follower, b, "both", "reset", d * second}}})
+	return out
+}
+
+// pairCases are partitions of the leader and a follower at once, without and with each
+// extra fault.
+func pairCases(size int) (out []Case) {
+	for _, leaderLinks := range pairLinks {
+		for _, followerLinks := range pairLinks {
+			for _, extra := range extraFaults {
+				for _, seconds := range []int64{16, 90} {
+					out = append(out, Case{Size: size, Extra: extra, Partitions: []Partition{
+						{Leader, leaderLinks, bothWays, modeHold, seconds * second},
+						{Follower, followerLinks, bothWays, modeReset, seconds * second},
+					}})
 				}
 			}
 		}
 	}
-	for _, role := range []string{Leader, Follower} {
-		for _, set := range subsets(links(size)[:size+len(zones)]) {
-			for _, with := range extraFaults[1:] {
-				out = append(out, Case{Size: size, Extra: with, Partitions: []Partition{{role, set, "both", "hold", 90 * second}}})
-			}
-		}
-	}
-	for i := range out {
-		out[i].Seed = uint64(i + 1)
-	}
 	return out
 }
 
-// extraFaults is what may happen a moment after a cut has begun.
-var extraFaults = []string{"", "take-over", "standstill", "crash"}
-
-// pairLinks are the sets of links that cuts of two controllers are made of.
-var pairLinks = [][]string{{"state"}, {"peers"}, {"zone:a"}, {"zone:a", "zone:b"}, {"state", "peers"}, {"zone:a", "zone:b", "peers"}, {"state", "zone:a", "zone:b"}}
-
-// EveryNth is every n-th case, from the first.
-func EveryNth(all []Case, first, n int) (out []Case) {
-	for i := first; i < len(all); i += n {
-		out = append(out, all[i])
+// extraCases are every subset of the links that serving jobs depends on, with each extra
+// fault.
+func extraCases(size int) (out []Case) {
+	for _, role := range []string{Leader, Follower} {
+		for _, set := range subsets(links(size)[:size+len(cases.Zones())]) {
+			for _, extra := range extraFaults[1:] {
+				out = append(out, Case{Size: size, Extra: extra, Partitions: []Partition{{role, set, bothWays, modeHold, 90 * second}}})
+			}
+		}
 	}
 	return out
 }
 
 // Result is how a case went.
 type Result struct {
-	// Serviceable be served: some controller reaches the state service and, itself
-	// or through at most two others, all workers, for as long as it lasts.
+	// Serviceable says that some controller reaches the state service and, itself or
+	// through at most two others, all workers, for as long as the partitions last.
 	Serviceable bool
-	// Served is the share of the jobs submitted from 15 s after the cut, while
-	// it lasts and a little longer, that were done in time; Killed counts tasks
-	// whose worker's lease ran out.
+	// Served is the share of the jobs submitted from 15 s after the partition, while it
+	// lasts and a little longer, that were done in time; Killed counts tasks that
+	// ended with the lease of their worker.
 	Served     float64
 	Killed     int
 	Violations []string
 }
 
-// Shortfall says what falls short of what there should be, "" if nothing does.
-func (r *Result) Shortfall() string {
+// HasViolations says whether the history violates a rule.
+func (r Result) HasViolations() bool { return len(r.Violations) > 0 }
+
+// Shortfall says what falls short of what is required, "" if nothing does.
+func (r Result) Shortfall() string {
 	switch {
 	case len(r.Violations) > 0:
 		return "broken: " + strings.Join(r.Violations, "; ")
@@ -168,28 +204,26 @@
 	jobInterval    = 1 * second
 )
 
-// deployment is small, with more room than is needed, so that only a cut can
-// keep work waiting: a job a second, and tasks that run all the time.
+// deployment is small, with more room than is needed, so that only a partition can keep
+// jobs waiting: a job a second, and tasks that run all the time.
 func deployment(c Case) environment.Config {
-	var cfg environment.Config
-	p := &cfg.Params
-	p.Size, p.Zones = c.Size, zones
-	p.Teams = []config.Team{{Name: "t", CPUs: 100}}
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2.5, 16, 30, 4, 36
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = 200, 100, 8, 24
-	p.Cloud.RPS, p.Cloud.ListLagS = 3, 8
-	p.ClockErrorMS = 500
-	cfg.Seed, cfg.RestartTime, cfg.StateDelay, cfg.CloudDelay, cfg.ClockDrift, cfg.StrayRequestRate = c.Seed, 4*second, 3000, 50_000, 0.0005, 0.1
-	cfg.Types = []wire.MachineType{{Name: "m", CPUs: 8, MemGB: 32, FetchRate: 2, CacheGB: 50, BootS: 20, Price: 1, SpotPrice: 0.4, Zones: zones}}
-	for _, z := range zones {
-		cfg.Machines = append(cfg.Machines, environment.Machines{Type: "m", Zone: z, Count: 5})
-		cfg.Capacity = append(cfg.Capacity, environment.Capacity{Type: "m", Zone: z, Count: 8})
-	}
-	last := int64(0)
-	for _, x := range c.Partitions {
-		last = max(last, x.Duration)
-	}
-	cfg.Length = partitionStart + last + settleTime + 60*second
+	cfg := cases.Deployment{
+		Size:            c.Size,
+		Seed:            c.Seed,
+		LeaseS:          16,
+		CancelS:         36,
+		StateRPS:        200,
+		StateWriteRPS:   100,
+		StateTxnOps:     24,
+		ListLagS:        8,
+		FetchRate:       2,
+		BootS:           20,
+		MachinesPerZone: 5,
+		CapacityPerZone: 8,
+	}.Config()
+	cfg.Params.Teams = []config.Team{{Name: "t", CPUs: 100}}
+	cfg.StrayRequestRate = 0.1
+	cfg.Length = partitionStart + c.longest() + settleTime + 60*second
 	spec := func(id, class string, tasks int, run int64) environment.Job {
 		return environment.Job{Run: run, Spec: wire.Job{ID: id, Class: class, Team: "t", Kind: wire.Array, Tasks: tasks, CPUs: 1, MemGB: 1, Priority: "normal", Image: "i", ImageGB: 0.5, EstimateS: float64(run) / 1e6}}
 	}
@@ -204,87 +238,84 @@
 	return cfg
 }
 
-// Run plays a case with controllers of some settings; log gets what they write,
-// if it is not nil.
+// Run runs a case with controllers of some settings; log gets what they log, if it is not
+// nil.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
-	cfg := deployment(c)
-	var hosts []string // of each cut
-	could := false
-	var failed error
-	gone := ""
-	cl, err := faketime.Run(cfg, faketime.Options{Operators: ops, Log: log, OnStart: func(cl *faketime.Cluster) {
-		cl.After(partitionStart, func() {
-			hosts = affectedControllers(cl, c)
-			for i, x := range c.Partitions {
-				failed = firstError(failed, beginPartition(cl, x, hosts[i]))
-			}
-		})
-		cl.After(partitionStart+3*second, func() {
-			if c.Extra != "" {
-				gone = hosts[0]
-				if l := cl.Leaders(); len(l) > 0 && c.Extra != "crash" {
-					gone = l[len(l)-1]
-				}
-				f := environment.Fault{Kind: "crash", Hosts: []string{gone}}
-				if c.Extra == "standstill" {
-					f.Kind, f.Duration = "freeze", 8*second
-				}
-				failed = firstError(failed, cl.InjectFault(f))
-			}
-			could = serviceable(c, hosts, gone)
-		})
-	}})
-	if err = firstError(err, failed); err != nil {
+	run := caseRun{Case: c}
+	cl, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnStart: run.schedule})
+	if err = cmp.Or(err, run.failed); err != nil {
 		return Result{}, fmt.Errorf("%s: %w", c, err)
 	}
-	return evaluate(cl, c, could), nil
+	return evaluate(cl, c, run.serviceable), nil
 }
 
-func firstError(a, b error) error {
-	if a != nil {
-		return a
-	}
-	return b
+// caseRun is a case that is running.
+type caseRun struct {
+	Case
+	hosts       []string // the controllers of the partitions
+	serviceable bool
+	failed      error
 }
 
-func evaluate(cl *faketime.Cluster, c Case, could bool) Result {
-	r := Result{Serviceable: could}
-	for _, b := range history.CheckAll(cl.History, cl.Expectations()) {
-		r.Violations = append(r.Violations, b.String())
+// schedule schedules the faults.
+func (r *caseRun) schedule(cl *faketime.Cluster) {
+	cl.After(partitionStart, func() {
+		r.hosts = affectedControllers(cl, r.Case)
+		for i, p := range r.Partitions {
+			r.failed = cmp.Or(r.failed, beginPartition(cl, p, r.hosts[i]))
+		}
+	})
+	cl.After(partitionStart+3*second, func() {
+		gone := ""
+		if r.Extra != extraNone {
+			gone = r.injectExtra(cl)
+		}
+		r.serviceable = serviceable(r.Case, r.hosts, gone)
+	})
+}
+
+// injectExtra injects the extra fault and returns the controller that it affects.
+func (r *caseRun) injectExtra(cl *faketime.Cluster) string {
+	gone := r.hosts[0]
+	if leaders := cl.Leaders(); len(leaders) > 0 && r.Extra != extraCrash {
+		gone = leaders[len(leaders)-1]
 	}
-	last := int64(0)
-	for _, x := range c.Partitions {
-		last = max(last, x.Duration)
+	fault := environment.Fault{Kind: environment.FaultCrash, Hosts: []string{gone}}
+	if r.Extra == extraFreeze {
+		fault.Kind, fault.Duration = environment.FaultFreeze, 8*second
 	}
-	from, to := partitionStart+settleTime, partitionStart+max(last, settleTime)+20*second
-	left := map[string]int{}
-	at := map[string]int64{}
+	r.failed = cmp.Or(r.failed, cl.InjectFault(fault))
+	return gone
+}
+
+// longest is how long the longest partition of the case lasts.
+func (c Case) longest() (longest int64) {
+	for _, p := range c.Partitions {
+		longest = max(longest, p.Duration)
+	}
+	return longest
+}
+
+func evaluate(cl *faketime.Cluster, c Case, serviceable bool) Result {
+	r := Result{Serviceable: serviceable, Violations: cl.Violations()}
+	from, to := partitionStart+settleTime, partitionStart+max(c.longest(), settleTime)+20*second
+	var deadlines []cases.Deadline
 	for _, j := range cl.Config.Jobs {
 		if j.Spec.Class == "short" && j.At >= from && j.At < to {
-			left[j.Spec.ID], at[j.Spec.ID] = j.Spec.Tasks, j.At
+			deadlines = append(deadlines, cases.Deadline{Job: j.Spec.ID, Tasks: j.Spec.Tasks, By: j.At + serveWithin})
 		}
 	}
-	all := len(left)
-	for _, e := range cl.History {
-		switch {
-		case e.Kind == history.TaskLeft && e.Reason == "lease":
+	r.Served = cases.ServedShare(cl.History, deadlines)
+	for i := range cl.History {
+		if e := &cl.History[i]; e.Kind == history.TaskLeft && e.Reason == "lease" {
 			r.Killed++
-		case e.Kind == history.TaskCompleted && left[e.Job] > 0 && e.At <= at[e.Job]+serveWithin:
-			left[e.Job]--
 		}
 	}
-	done := 0
-	for _, n := range left {
-		if n == 0 {
-			done++
-		}
-	}
-	r.Served = float64(done) / float64(max(all, 1))
 	return r
 }
 
-// affectedControllers are the controllers that the cuts of a case befall: the leader, and the
-// others in their order.
+// affectedControllers are the controllers of a case's partitions: the leader, and the others
+// in their order.
 func affectedControllers(cl *faketime.Cluster, c Case) (out []string) {
 	lead := cl.Leaders()
 	if len(lead) == 0 {
@@ -305,7 +336,7 @@
 	return out
 }
 
-// farSide is the far side of a cut's links.
+// farSide are the hosts at the far side of a partition's links.
 func farSide(x Partition, host string, size int) (out []string) {
 	peers := []string{}
 	for i := range size {
@@ -332,15 +363,23 @@
 }
 
 func beginPartition(cl *faketime.Cluster, x Partition, host string) error {
-	f := environment.Fault{Kind: "cut", Duration: x.Duration, Hosts: []string{host}, PartitionMode: environment.PartitionMode{Reset: x.Mode == "reset", Refuse: x.Mode == "refuse", OneWay: x.Direction != "both"}}
+	f := environment.Fault{
+		Kind:     environment.FaultPartition,
+		Duration: x.Duration,
+		PartitionMode: environment.PartitionMode{
+			Reset:  x.Mode == modeReset,
+			Refuse: x.Mode == modeRefuse,
+			OneWay: x.Direction != bothWays,
+		},
+	}
 	for _, o := range farSide(x, host, cl.Config.Params.Size) {
 		// A zone's controllers are not part of the link to its workers.
 		to := []string{o}
 		if z, ok := strings.CutPrefix(o, "zone:"); ok {
 			to = []string{"workers:" + z}
 		}
-		f.To = to
-		if x.Direction == "in" {
+		f.Hosts, f.To = []string{host}, to
+		if x.Direction == inward {
 			f.Hosts, f.To = to, []string{host}
 		}
 		if err := cl.InjectFault(f); err != nil {
@@ -350,9 +389,9 @@
 	return nil
 }
 
-// serviceable is the oracle: whether some controller could lead and serve all, with
-// ways through at most two others. A link that is cut one way counts as cut,
-// and a controller that crashes or stands still inside a case as gone.
+// serviceable is the oracle: whether some controller could lead and reach all workers
+// through at most two others. A link that is down in one direction counts as down, and a
+// controller that crashes or is suspended during the case as gone.
 func serviceable(c Case, hosts []string, gone string) bool {
 	cut := map[[2]string]bool{}
 	for i, x := range c.Partitions {
@@ -378,7 +417,7 @@
 				}
 			}
 		}
-		for _, z := range zones {
+		for _, z := range cases.Zones() {
 			if !slices.ContainsFunc(near, func(x string) bool { return !cut[[2]string{x, "zone:" + z}] }) {
 				return false
 			}
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -120,8 +120,13 @@
 		return Latency{}
 	}
 	slices.Sort(values)
-	at := func(q float64) float64 { return values[min(int(q*float64(len(values))), len(values)-1)] }
-	return Latency{at(0.5), at(0.95), at(0.99), values[len(values)-1], len(values)}
+	return Latency{
+		Median: history.Quantile(values, 0.5),
+		P95:    history.Quantile(values, 0.95),
+		P99:    history.Quantile(values, 0.99),
+		Worst:  values[len(values)-1],
+		Count:  len(values),
+	}
 }
 
 // measurement is what had been counted and used at a moment.
@@ -132,32 +137,59 @@
 	counts map[meter.Key]meter.Count
 }
 
-// window is what came between two marks. alone are the machines with processes of
-// their own, machines says which machines are workers of the run.
-func window(from, to measurement, controllers []string, alone map[string]bool) Window {
+// window is what happened between two measurements. dedicated are the machines whose workers
+// have processes of their own.
+func window(from, to measurement, controllers []string, dedicated map[string]bool) Window {
 	w := Window{Seconds: float64(to.at-from.at) / 1e6, Roles: map[string]Role{}}
-	cpu := func(name string) (Role, bool) {
-		a, ok := from.usage[name]
-		b, ok2 := to.usage[name]
-		return Role{Count: 1, CPU: (b.cpu - a.cpu) / w.Seconds, Memory: b.memory, Peak: b.peak, Kinds: map[string]Rate{}}, ok && ok2
-	}
-	byHost := map[string]map[string]Rate{}
-	for k, c := range to.counts {
+	d := difference{from: from, to: to, seconds: w.Seconds, byHost: map[string]map[string]Rate{}}
+	for key, count := range to.counts {
 		r := Rate{}
-		r.add(c.Sub(from.counts[k]), w.Seconds)
-		if byHost[k.Host] == nil {
-			byHost[k.Host] = map[string]Rate{}
+		r.add(count.Sub(from.counts[key]), w.Seconds)
+		if d.byHost[key.Host] == nil {
+			d.byHost[key.Host] = map[string]Rate{}
 		}
-		byHost[k.Host][k.Kind] = r
+		d.byHost[key.Host][key.Kind] = r
 	}
+	d.addControllers(&w, controllers)
+	if r, ok := d.process(emulatorProcess); ok {
+		w.Roles[RoleEmulator] = r
+	}
+	d.addWorkers(&w, controllers, dedicated)
+	w.Roles[RoleState] = serviceRole(d.byHost, controllers, "state ")
+	w.Roles[RoleCloud] = serviceRole(d.byHost, controllers, "cloud")
+	return w
+}
+
+// difference is what was counted and used between two measurements.
+type difference struct {
+	from, to measurement
+	seconds  float64
+	byHost   map[string]map[string]Rate // rates by kind of message
+}
+
+// process is what a process used; false if it was not there all the time.
+func (d *difference) process(name string) (Role, bool) {
+	before, ok := d.from.usage[name]
+	after, ok2 := d.to.usage[name]
+	return Role{
+		Count:  1,
+		CPU:    (after.cpu - before.cpu) / d.seconds,
+		Memory: after.memory,
+		Peak:   after.peak,
+		Kinds:  map[string]Rate{},
+	}, ok && ok2
+}
+
+// addControllers adds the leader's role and those of the stand-by controllers.
+func (d *difference) addControllers(w *Window, controllers []string) {
 	var standBys []Role
 	for _, name := range controllers {
-		r, ok := cpu(name)
+		r, ok := d.process(name)
 		if !ok {
 			continue
 		}
-		r.Kinds = byHost[name]
-		if name == to.leader {
+		r.Kinds = d.byHost[name]
+		if name == d.to.leader {
 			w.Roles[RoleLeader] = r
 		} else {
 			standBys = append(standBys, r)
@@ -167,36 +199,35 @@
 		w.Roles[RoleStandBy] = mean(standBys)
 		w.Roles[RoleBusiest] = slices.MaxFunc(standBys, func(a, b Role) int { return cmp.Compare(a.CPU, b.CPU) })
 	}
-	if r, ok := cpu(emulatorProcess); ok {
-		w.Roles[RoleEmulator] = r
-	}
-	var hollow, single []Role
+}
+
+// addWorkers adds the roles of the workers, and what those in shared processes sent and got.
+func (d *difference) addWorkers(w *Window, controllers []string, dedicated map[string]bool) {
+	var shared, single []Role
 	var bytes []float64
-	for host, kinds := range byHost {
-		if slices.Contains(controllers, host) || kinds[sockets.ReportKind].Messages == 0 {
+	for host, kinds := range d.byHost {
+		reports := kinds[sockets.ReportKind]
+		if slices.Contains(controllers, host) || reports.Messages == 0 {
 			continue
 		}
-		if alone[host] {
-			if r, ok := cpu(host); ok {
-				r.Kinds = kinds
-				single = append(single, r)
-			}
+		if !dedicated[host] {
+			shared = append(shared, Role{Count: 1, Kinds: kinds})
+			bytes = append(bytes, reports.BytesIn+reports.BytesOut)
 			continue
 		}
-		hollow = append(hollow, Role{Count: 1, Kinds: kinds})
-		bytes = append(bytes, kinds[sockets.ReportKind].BytesIn+kinds[sockets.ReportKind].BytesOut)
+		if r, ok := d.process(host); ok {
+			r.Kinds = kinds
+			single = append(single, r)
+		}
 	}
-	w.Workers = len(hollow) + len(single)
+	w.Workers = len(shared) + len(single)
 	w.WorkerBytes = summarize(bytes)
-	if len(hollow) > 0 {
-		w.Roles[RoleSharedWorkers] = mean(hollow)
+	if len(shared) > 0 {
+		w.Roles[RoleSharedWorkers] = mean(shared)
 	}
 	if len(single) > 0 {
 		w.Roles[RoleDedicated] = mean(single)
 	}
-	w.Roles[RoleState] = serviceRole(byHost, controllers, "state ")
-	w.Roles[RoleCloud] = serviceRole(byHost, controllers, "cloud")
-	return w
 }
 
 // mean is the average of several processes, or workers, of a role.
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -378,10 +378,10 @@
 	rng := rand.New(rand.NewPCG(p.Seed, 9))
 	day := 86_400e6 * planWorkers / float64(p.Workers)
 	for _, x := range []struct {
-		kind  string
+		kind  environment.FaultKind
 		aDay  float64
 		lasts int64
-	}{{"machine_die", planDeaths, 0}, {"machine_back", planRestarts, 10 * config.Second}} {
+	}{{environment.FaultMachineDie, planDeaths, 0}, {environment.FaultMachineBack, planRestarts, 10 * config.Second}} {
 		if p.FaultSpeedup == 0 {
 			break
 		}
@@ -391,7 +391,7 @@
 		}
 	}
 	cut := func(hosts string, lasts int64) environment.Fault {
-		return environment.Fault{At: peakTo + 30*config.Second, Duration: lasts, Kind: "cut", Hosts: []string{hosts}, To: []string{"all"}}
+		return environment.Fault{At: peakTo + 30*config.Second, Duration: lasts, Kind: environment.FaultPartition, Hosts: []string{hosts}, To: []string{"all"}}
 	}
 	for _, l := range p.Failures {
 		switch l {
@@ -401,7 +401,7 @@
 			c.Faults = append(c.Faults, cut("region:"+regionName(p.Regions-1), 60*config.Second))
 		case "rack":
 			names := machinesOfType(c, cpuType, zoneName(rackZone%p.Zones))
-			c.Faults = append(c.Faults, environment.Fault{At: peakTo + 25*config.Second, Kind: "machine_die", Hosts: names[:min(rackMachines, len(names))]})
+			c.Faults = append(c.Faults, environment.Fault{At: peakTo + 25*config.Second, Kind: environment.FaultMachineDie, Hosts: names[:min(rackMachines, len(names))]})
 		}
 	}
 }
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -256,7 +256,7 @@
 		return nil // there is none at this moment, which the figures show
 	}
 	r.leaderLostAt = r.now()
-	return r.driver.InjectFault(environment.Fault{Kind: "crash", Hosts: []string{leader}})
+	return r.driver.InjectFault(environment.Fault{Kind: environment.FaultCrash, Hosts: []string{leader}})
 }
 
 // figures works out what the run has shown.
@@ -287,9 +287,7 @@
 	if r.leaderLostAt > 0 {
 		f.Failovers = append(f.Failovers, failoverOf(r.tokenTimes, r.leaderLostAt))
 	}
-	for _, b := range history.CheckAll(events, terms) {
-		f.Violations = append(f.Violations, b.String())
-	}
+	f.Violations = history.Lines(history.CheckAll(events, terms))
 	return f
 }
 
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -25,65 +25,123 @@
 // drawJobs draws the jobs of all loads and numbers them in the order of arrival.
 func (r *reader) drawJobs(m *pb.Scenario, s *Scenario) {
 	var jobs []environment.Job
-	chains := map[int][]int{} // the first of a chain, by its place in jobs
+	after := map[int]int{} // of a job in a chain the one before, by their places in jobs
 	for i, l := range m.Load {
-		f := fmt.Sprintf("load[%d]", i)
+		field := fmt.Sprintf("load[%d]", i)
 		rng := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
-		if l.GetClass() == "" {
-			r.addError(f+".class", "missing")
-		}
-		teams := l.Teams
-		if len(teams) == 0 {
-			teams = []string{s.Params.Teams[0].Name}
-		}
-		for _, t := range teams {
-			if s.Params.Team(t) == nil {
-				r.addError(f+".teams", "no team is called %q", t)
-			}
-		}
-		if l.Zone != nil && !slices.Contains(s.Params.Zones, l.GetZone()) {
-			r.addError(f+".zone", "no zone is called %q", l.GetZone())
-		}
-		tasks, run, image := r.distribution(f+".tasks", l.Tasks, 1), r.distribution(f+".run_s", l.RunS, 30), r.distribution(f+".image_gb", l.ImageGb, 1)
-		sizes := make([]float64, max(1, l.GetImages()))
-		for k := range sizes {
-			sizes[k] = math.Round(image(rng)*100) / 100
-		}
-		wrong := r.number(f+".estimate_error", l.EstimateError, 0.3, 0, 10)
-		cancelled := r.number(f+".cancelled", l.Cancelled, 0, 0, 1)
-		for _, at := range r.arrivals(f, l, s.Length, rng) {
-			n := max(1, int(math.Round(tasks(rng))))
-			runS := max(0.1, run(rng))
-			img := int(float64(len(sizes)) * math.Pow(rng.Float64(), 2)) // the first ones are the most wanted
-			j := environment.Job{At: at, Run: config.MicrosOf(runS), Spec: wire.Job{
-				Class: l.GetClass(), Team: teams[rng.IntN(len(teams))], Kind: kindNames[l.GetKind()],
-				Priority: []string{"normal", "idle", "urgent", "production"}[l.GetPriority()], Tasks: min(n, 100_000),
-				CPUs: r.number(f+".cpus", l.Cpus, 1, 0.001, 1e4), GPUs: r.number(f+".gpus", l.Gpus, 0, 0, 1e3), MemGB: r.number(f+".memory_gb", l.MemoryGb, 1, 0, 1e5),
-				Image: fmt.Sprintf("%s-%d", l.GetClass(), img), ImageGB: sizes[img], Types: l.Types, Zone: l.Zone,
-				OneZone: l.GetOneZone(), Spread: l.GetSpread(), Spot: l.GetSpot(), CheckpointS: l.GetCheckpointS(), CheckpointCostS: l.GetSaveS(),
-			}}
-			if l.GetKind() != pb.Load_SERVICE {
-				j.Spec.EstimateS = math.Round(100*runS*math.Exp(rng.NormFloat64()*wrong)) / 100
-			}
-			if d := l.GetDeadline(); d > 0 {
-				due := d * j.Spec.EstimateS
-				j.Spec.DeadlineS = &due
-			}
-			if rng.Float64() < cancelled {
-				j.Cancel = at + rng.Int64N(60_000_000) + 1
-			}
+		teams := r.checkLoad(field, l, s)
+		source := r.newJobSource(field, l, teams, rng)
+		for _, at := range r.arrivals(field, l, s.Length, rng) {
+			job := source.draw(at)
 			for k := range max(1, l.GetChain()) {
 				if k > 0 {
-					chains[len(jobs)] = []int{len(jobs) - 1}
+					after[len(jobs)] = len(jobs) - 1
 				}
-				jobs = append(jobs, j)
+				jobs = append(jobs, job)
 			}
 			if len(jobs) > maxJobs {
-				r.addError(f+".per_minute", "more than %d jobs", maxJobs)
+				r.addError(field+".per_minute", "more than %d jobs", maxJobs)
 				return
 			}
 		}
 	}
+	s.Jobs = append(s.Jobs, numberJobs(jobs, after)...)
+}
+
+// checkLoad checks the names that a load refers to and returns those of its teams.
+func (r *reader) checkLoad(field string, l *pb.Load, s *Scenario) (teams []string) {
+	if l.GetClass() == "" {
+		r.addError(field+".class", "missing")
+	}
+	teams = l.Teams
+	if len(teams) == 0 {
+		teams = []string{s.Params.Teams[0].Name}
+	}
+	for _, team := range teams {
+		if s.Params.Team(team) == nil {
+			r.addError(field+".teams", "no team is called %q", team)
+		}
+	}
+	if l.Zone != nil && !slices.Contains(s.Params.Zones, l.GetZone()) {
+		r.addError(field+".zone", "no zone is called %q", l.GetZone())
+	}
+	return teams
+}
+
+// jobSource draws the jobs of a load.
+type jobSource struct {
+	reader        *reader
+	field         string
+	load          *pb.Load
+	rng           *rand.Rand
+	teams         []string
+	tasks, run    func(*rand.Rand) float64
+	imageSizes    []float64 // GB
+	estimateError float64
+	cancelled     float64 // share
+}
+
+func (r *reader) newJobSource(field string, l *pb.Load, teams []string, rng *rand.Rand) *jobSource {
+	source := &jobSource{
+		reader: r,
+		field:  field,
+		load:   l,
+		rng:    rng,
+		teams:  teams,
+		tasks:  r.distribution(field+".tasks", l.Tasks, 1),
+		run:    r.distribution(field+".run_s", l.RunS, 30),
+	}
+	image := r.distribution(field+".image_gb", l.ImageGb, 1)
+	source.imageSizes = make([]float64, max(1, l.GetImages()))
+	for k := range source.imageSizes {
+		source.imageSizes[k] = math.Round(image(rng)*100) / 100
+	}
+	source.estimateError = r.number(field+".estimate_error", l.EstimateError, 0.3, 0, 10)
+	source.cancelled = r.number(field+".cancelled", l.Cancelled, 0, 0, 1)
+	return source
+}
+
+// draw draws a job that is submitted at a time. The order of the draws is part of a seed's
+// meaning.
+func (source *jobSource) draw(at int64) environment.Job {
+	r, field, l, rng := source.reader, source.field, source.load, source.rng
+	tasks := max(1, int(math.Round(source.tasks(rng))))
+	runS := max(0.1, source.run(rng))
+	image := int(float64(len(source.imageSizes)) * math.Pow(rng.Float64(), 2)) // the first ones are the most wanted
+	job := environment.Job{At: at, Run: config.MicrosOf(runS), Spec: wire.Job{
+		Class:           l.GetClass(),
+		Team:            source.teams[rng.IntN(len(source.teams))],
+		Kind:            kindNames[l.GetKind()],
+		Priority:        []string{"normal", "idle", "urgent", "production"}[l.GetPriority()],
+		Tasks:           min(tasks, 100_000),
+		CPUs:            r.number(field+".cpus", l.Cpus, 1, 0.001, 1e4),
+		GPUs:            r.number(field+".gpus", l.Gpus, 0, 0, 1e3),
+		MemGB:           r.number(field+".memory_gb", l.MemoryGb, 1, 0, 1e5),
+		Image:           fmt.Sprintf("%s-%d", l.GetClass(), image),
+		ImageGB:         source.imageSizes[image],
+		Types:           l.Types,
+		Zone:            l.Zone,
+		OneZone:         l.GetOneZone(),
+		Spread:          l.GetSpread(),
+		Spot:            l.GetSpot(),
+		CheckpointS:     l.GetCheckpointS(),
+		CheckpointCostS: l.GetSaveS(),
+	}}
+	if l.GetKind() != pb.Load_SERVICE {
+		job.Spec.EstimateS = math.Round(100*runS*math.Exp(rng.NormFloat64()*source.estimateError)) / 100
+	}
+	if factor := l.GetDeadline(); factor > 0 {
+		deadline := factor * job.Spec.EstimateS
+		job.Spec.DeadlineS = &deadline
+	}
+	if rng.Float64() < source.cancelled {
+		job.Cancel = at + rng.Int64N(60_000_000) + 1
+	}
+	return job
+}
+
+// numberJobs gives jobs their IDs and dependencies, and returns them in the order of arrival.
+func numberJobs(jobs []environment.Job, after map[int]int) []environment.Job {
 	order := make([]int, len(jobs))
 	for i := range order {
 		order[i] = i
@@ -92,14 +150,14 @@
 	for n, i := range order {
 		jobs[i].Spec.ID = fmt.Sprintf("req-%06d", firstJobNumber+n)
 	}
-	for i, before := range chains {
-		for _, b := range before {
-			jobs[i].Spec.DependsOn = append(jobs[i].Spec.DependsOn, jobs[b].Spec.ID)
-		}
+	for i, before := range after {
+		jobs[i].Spec.DependsOn = append(jobs[i].Spec.DependsOn, jobs[before].Spec.ID)
 	}
+	sorted := make([]environment.Job, 0, len(jobs))
 	for _, i := range order {
-		s.Jobs = append(s.Jobs, jobs[i])
+		sorted = append(sorted, jobs[i])
 	}
+	return sorted
 }
 
 // arrivals are the times at which a load's jobs are submitted: a Poisson
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -124,9 +124,20 @@
 	return s, nil
 }
 
-// platform is what the controllers' settings have too.
+// platform reads what the controllers' settings contain too.
 func (r *reader) platform(m *pb.Scenario, s *Scenario) {
-	c, p := m.GetControllers(), &s.Params
+	r.controllers(m.GetControllers(), s)
+	r.network(m.GetNetwork(), s)
+	r.regions(m, s)
+	r.stateService(m.GetState(), s)
+	r.cloud(m.GetCloud(), s)
+	r.workers(m.GetWorkers(), s)
+	s.ClockDrift, s.StrayRequestRate = 0.0005, 0.1
+	r.teams(m.Team, s)
+}
+
+func (r *reader) controllers(c *pb.Controllers, s *Scenario) {
+	p := &s.Params
 	p.Size = r.count("controllers.count", c.Count, 3, 1, 40)
 	if p.Zones = c.GetZones(); len(p.Zones) == 0 {
 		p.Zones = []string{"a", "b"}
@@ -136,13 +147,17 @@
 	p.Limits.MemMB = r.number("controllers.mem_mb", c.MemMb, 256, 32, 1e6)
 	p.Limits.Sockets = r.count("controllers.sockets", c.Sockets, 1000, 32, 1e6)
 	p.ClockErrorMS = r.number("controllers.clock_error_ms", c.ClockErrorMs, 100, 0, 1e6)
-	n := m.GetNetwork()
+}
+
+func (r *reader) network(n *pb.Network, s *Scenario) {
 	s.Network = environment.Network{
 		SameZone: int64(1000 * r.number("network.near_ms", n.NearMs, 0.4, 0.001, 1e4)), CrossZone: int64(1000 * r.number("network.far_ms", n.FarMs, 0.8, 0.001, 1e4)),
 		Jitter: r.number("network.jitter", n.Jitter, 0.25, 0, 1), Loss: r.number("network.loss", n.Loss, 0, 0, 0.5),
 	}
-	r.regions(m, s)
-	t := m.GetState()
+}
+
+func (r *reader) stateService(t *pb.State, s *Scenario) {
+	p := &s.Params
 	p.State.RPS = r.number("state.rps", t.Rps, 200, 1, 1e6)
 	p.State.WriteRPS = r.number("state.write_rps", t.WriteRps, 100, 1, 1e6)
 	p.State.ValueKB = r.number("state.value_kb", t.ValueKb, 8, 1, 64)
@@ -156,13 +171,19 @@
 			p.State.Next.TxnOps = &ops
 		}
 	}
-	l := m.GetCloud()
-	p.Cloud.RPS = r.number("cloud.rps", l.Rps, 5, 0.1, 1e6)
-	p.Cloud.ListLagS = r.number("cloud.list_lag_s", l.ListLagS, 2, 0, 600)
-	s.CloudDelay = int64(1000 * r.number("cloud.latency_ms", l.LatencyMs, 100, 0, 1e4))
-	s.Boot = environment.Boot{Slow: r.number("cloud.slow_boots", l.SlowBoots, 0, 0, 1), Never: r.number("cloud.failed_boots", l.FailedBoots, 0, 0, 1)}
-	s.Spot = environment.Spot{PerHour: r.number("cloud.taken_per_hour", l.TakenPerHour, 0, 0, 1e4), Notice: r.seconds("cloud.notice_s", l.NoticeS, 10), Silent: r.number("cloud.silent", l.Silent, 0, 0, 1)}
-	w := m.GetWorkers()
+}
+
+func (r *reader) cloud(c *pb.Cloud, s *Scenario) {
+	p := &s.Params
+	p.Cloud.RPS = r.number("cloud.rps", c.Rps, 5, 0.1, 1e6)
+	p.Cloud.ListLagS = r.number("cloud.list_lag_s", c.ListLagS, 2, 0, 600)
+	s.CloudDelay = int64(1000 * r.number("cloud.latency_ms", c.LatencyMs, 100, 0, 1e4))
+	s.Boot = environment.Boot{Slow: r.number("cloud.slow_boots", c.SlowBoots, 0, 0, 1), Never: r.number("cloud.failed_boots", c.FailedBoots, 0, 0, 1)}
+	s.Spot = environment.Spot{PerHour: r.number("cloud.taken_per_hour", c.TakenPerHour, 0, 0, 1e4), Notice: r.seconds("cloud.notice_s", c.NoticeS, 10), Silent: r.number("cloud.silent", c.Silent, 0, 0, 1)}
+}
+
+func (r *reader) workers(w *pb.Workers, s *Scenario) {
+	p := &s.Params
 	p.Workers.ReportS = r.number("workers.report_s", w.ReportS, 2.5, 0.2, 600)
 	p.Workers.LeaseS = r.number("workers.lease_s", w.LeaseS, 16, 2, 600)
 	p.Workers.GangWaitS = r.number("workers.gang_wait_s", w.GangWaitS, 30, 1, 600)
@@ -171,9 +192,12 @@
 	if p.Workers.CancelS <= p.Workers.LeaseS*1.01+2 {
 		r.addError("workers.cancel_s", "%v leaves no time beyond lease_s %v", p.Workers.CancelS, p.Workers.LeaseS)
 	}
-	s.ClockDrift, s.StrayRequestRate = 0.0005, 0.1
+}
+
+func (r *reader) teams(teams []*pb.Team, s *Scenario) {
+	p := &s.Params
 	seen := map[string]bool{}
-	for i, x := range m.Team {
+	for i, x := range teams {
 		f := fmt.Sprintf("team[%d]", i)
 		if x.GetName() == "" || seen[x.GetName()] {
 			r.addError(f+".name", "missing or used twice")
@@ -285,15 +309,16 @@
 }
 
 func (r *reader) fault(f string, x *pb.Fault) environment.Fault {
-	if environment.FaultKinds[x.GetKind()] == "" {
-		r.addError(f+".kind", "%q is none of %v", x.GetKind(), environment.FaultKindNames())
+	kind := environment.FaultKind(x.GetKind())
+	if !kind.Known() {
+		r.addError(f+".kind", "%q is none of %v", kind, environment.FaultKinds())
 	}
 	w := environment.Fault{
-		At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: x.GetKind(), Hosts: x.Hosts, To: x.To,
+		At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: kind, Hosts: x.Hosts, To: x.To,
 		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), OnlyAnswers: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()},
 	}
 	if l := x.GetLose(); l != nil {
-		w.TransactionLoss = &environment.TransactionLoss{Prefix: l.GetPrefix(), Skip: r.count(f+".lose.skip", l.Skip, 0, 0, 1e6), Outcome: l.GetHow(), Delay: r.seconds(f+".lose.late_s", l.LateS, 0)}
+		w.TransactionLoss = &environment.TransactionLoss{Prefix: l.GetPrefix(), Skip: r.count(f+".lose.skip", l.Skip, 0, 0, 1e6), Outcome: environment.LossOutcome(l.GetHow()), Delay: r.seconds(f+".lose.late_s", l.LateS, 0)}
 	}
 	return w
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -68,9 +68,7 @@
 		return out
 	}
 	out.Figures = history.Metrics(h, terms, s.Objectives)
-	for _, b := range history.CheckAll(h, terms) {
-		out.Violations = append(out.Violations, b.String())
-	}
+	out.Violations = append(out.Violations, history.Lines(history.CheckAll(h, terms))...)
 	sum := blake3.New()
 	if err := jsonlines.Write(sum, h); err != nil {
 		out.FailureReason = err.Error()
