--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -1,6 +1,6 @@
-// Command zinclb-emulator serves the whole world that zinclb's controllers deal
-// with on loopback: the state service, the cloud, workers, users and their
-// balancer, as a scenario has it, with faults. It ends by itself.
+// Command zinclb-emulator serves the environment of zinclb's controllers on loopback: the
+// state service, the cloud, workers, users and their load balancer, as a scenario describes
+// them, with faults. It ends by itself.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	o := sockets.Options{}
 	cmd := &cobra.Command{
 		Use:           "zinclb-emulator --scenario FILE",
-		Short:         "Serves a world for zinclb on loopback, until its time is over",
+		Short:         "Serves an environment for zinclb on loopback, until its time is over",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -24,7 +24,7 @@
 func workersCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workersCommandName,
-		Short:  "Runs workers for a scale run, as it is told on standard input",
+		Short:  "Runs workers for a scale run, as commands on standard input say",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE:   func(*cobra.Command, []string) error { return workerproc.Serve(os.Stdin, os.Stdout) },
@@ -36,7 +36,7 @@
 	sizes   []int
 	figures string
 	name    string
-	// scenario is a world in place of the plan's own.
+	// scenario is run in place of the plan's own load.
 	scenario string
 }
 
@@ -128,7 +128,7 @@
 	return plans, nil
 }
 
-// planOfScenario plays a scenario; flags of the plan's own world are refused.
+// planOfScenario makes a plan of a scenario; flags of the plan's own load are refused.
 func planOfScenario(cmd *cobra.Command, given scale.Plan, path string) ([]scale.Plan, error) {
 	for _, flag := range []string{"workers", "sizes", "accelerators", "controllers", "zones", "regions", "teams", "running", "starts", "largest-gang", "faults-times", "lose", "state-rps", "state-writes", "remote-ms"} {
 		if cmd.Flags().Changed(flag) {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// commitName names the commit that stands here, "" if that can't be told.
+// commitName names the commit of the working tree, "" if it is unknown.
 func commitName() string {
 	cmd := exec.Command("git", "describe", "--always", "--dirty")
 	cmd.Stderr = io.Discard
--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -48,10 +48,10 @@
 	status  string
 }
 
-func newCloud(w *Environment) *cloud {
+func newCloud(env *Environment) *cloud {
 	return &cloud{
-		env: w, machines: map[string]*machine{}, rentRequests: map[string][]string{}, used: map[Capacity]int{}, capacityShare: 1, bootFactor: 1,
-		calls: bucket{level: 2 * w.Params.Cloud.RPS}, versions: []listVersion{{math.MinInt64 / 2, immutable.NewSortedMap[string, listedMachine](nil)}},
+		env: env, machines: map[string]*machine{}, rentRequests: map[string][]string{}, used: map[Capacity]int{}, capacityShare: 1, bootFactor: 1,
+		calls: bucket{level: 2 * env.Params.Cloud.RPS}, versions: []listVersion{{math.MinInt64 / 2, immutable.NewSortedMap[string, listedMachine](nil)}},
 	}
 }
 
@@ -295,10 +295,10 @@
 }
 
 // Close records what the machines that are still there have cost.
-func (w *Environment) Close() {
-	for _, m := range w.cloud.order {
+func (env *Environment) Close() {
+	for _, m := range env.cloud.order {
 		if !m.gone {
-			w.cloud.recordCost(m)
+			env.cloud.recordCost(m)
 		}
 	}
 }
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -3,8 +3,8 @@
 // network between all of them, as the published protocol has it, with faults.
 //
 // It does no input or output: Step takes the time and what a controller sent,
-// and returns what reaches controllers. Drivers put it into fake time or onto
-// sockets. With one seed and the same messages it does the same again.
+// and returns what reaches controllers. Drivers run it in simulated time or on
+// sockets. A seed and the same messages always give the same result.
 package environment
 
 import (
@@ -19,7 +19,7 @@
 
 const second = config.Second
 
-// Config says what world it is. Times are whole microseconds.
+// Config describes an environment. Times are whole microseconds.
 type Config struct {
 	Seed     uint64
 	Length   int64
@@ -31,9 +31,9 @@
 	Sweeps   []Sweep
 	Faults   []Fault
 	Network  Network
-	// StateDelay and CloudDelay are what an answer takes beyond the network.
+	// StateDelay and CloudDelay are the service times, without the network's delay.
 	StateDelay, CloudDelay int64
-	// RestartTime is how long a controller that has ended is away.
+	// RestartTime is how long a controller that has ended takes to restart.
 	RestartTime int64
 	// AnswerLoss is the share of requests to state service and cloud whose answer is
 	// lost; half of these are executed late.
@@ -42,22 +42,22 @@
 	Spot       Spot
 	// ClockDrift is how far workers' clocks may be off, as a share.
 	ClockDrift float64
-	// StrayRequestRate is how often a second somebody asks about a job that nobody
+	// StrayRequestRate is how many requests a second ask about a job that nobody
 	// submitted.
 	StrayRequestRate float64
 	// RemoteWorkers: the machines' workers run in other processes, each of which
-	// has a world of its own, see NewWorkerEnvironment.
+	// has an environment of its own, see NewWorkerEnvironment.
 	RemoteWorkers bool
 }
 
-// Capacity is how many machines the cloud has of a type in a zone: ordinary
-// ones and spot ones.
+// Capacity is how many machines the cloud has of a type in a zone: on-demand ones and spot
+// ones.
 type Capacity struct {
 	Type, Zone  string
 	Count, Spot int
 }
 
-// Machines are there at the start.
+// Machines are up at the start.
 type Machines struct {
 	Type, Zone string
 	Spot       bool
@@ -65,17 +65,17 @@
 }
 
 // Job is submitted at At; Run is how long its tasks really take, each of an array
-// Apart longer than the last. Cancel is when its user cancels it, 0 for never.
+// RunIncrement longer than the last. Cancel is when its user cancels it, 0 for never.
 type Job struct {
 	At, Run, Cancel int64
 	RunIncrement    int64
 	Spec            wire.Job
-	// AfterDependencies: it is submitted when the jobs that it awaits are over.
+	// AfterDependencies: it is submitted when the jobs that it depends on are over.
 	AfterDependencies bool
 }
 
-// Sweep is submitted at At as a sweep file, so many Times by users that do not
-// know of each other. Jobs are its runs, as users of the sweep would expand it.
+// Sweep is submitted at At as a sweep file, so many Times by independent users. Jobs are its
+// runs, as users of the sweep would expand it.
 type Sweep struct {
 	At, Run, Cancel int64
 	Times           int
@@ -85,20 +85,20 @@
 	Values []string
 }
 
-// Boot says how machines come up.
+// Boot describes how machines boot.
 type Boot struct {
 	// Slow is the share that takes five times as long, Never the share that
 	// stays booting.
 	Slow, Never float64
 }
 
-// Spot says how spot machines are taken back.
+// Spot describes how spot machines are reclaimed.
 type Spot struct {
 	PerHour, Silent float64
 	Notice          int64
 }
 
-// What a driver tells the world, besides Fault.
+// The messages of a driver to the environment, besides Fault.
 type (
 	// Call is a request of controller From to a host: "state", "cloud", a
 	// machine or another controller. It is answered by Answer.
@@ -115,14 +115,14 @@
 		RetryAfter int // seconds
 		Body       any
 	}
-	// ControllerUp says whether a controller's process is there.
+	// ControllerUp says whether a controller's process is running.
 	ControllerUp struct {
 		Controller string
 		Up         bool
 	}
 )
 
-// What the world tells a driver.
+// The messages of the environment to a driver.
 type (
 	// Answer reaches the caller; Status 0 is a connection that broke. A call
 	// may also never be answered.
@@ -138,18 +138,17 @@
 		From, To string
 		Request  any
 	}
-	// Kill ends a controller's process, Start starts it, Freeze stops it with
-	// On and lets it go on without.
+	// Kill ends a controller's process.
 	Kill struct{ Controller string }
 	// Start starts a controller's process.
 	Start struct{ Controller string }
-	// Freeze holds a process still.
+	// Freeze suspends a process with On and resumes it without.
 	Freeze struct {
 		Controller string
 		On         bool
 	}
 	// Machine is one that is up or gone, for drivers that give it an address or
-	// run its worker. Why is the reason for which it is gone.
+	// run its worker. Reason is why it is gone.
 	Machine struct {
 		Name, Type, Zone, Reason string
 		Spot, Up                 bool
@@ -181,7 +180,7 @@
 	Record func(history.Event)
 }
 
-// controller is a controller as the world sees it.
+// controller is a controller as the environment sees it.
 type controller struct {
 	name, zone  string
 	up, refused bool
@@ -193,7 +192,7 @@
 	answer   func(AskAnswer)
 }
 
-// New makes a world at time 0. Nothing has happened yet.
+// New makes an environment at time 0.
 func New(c Config, record func(history.Event)) (*Environment, error) {
 	w := newEnvironment(c, record)
 	w.state = newState(w)
@@ -225,7 +224,7 @@
 	return w, nil
 }
 
-// newEnvironment makes a world of hosts alone.
+// newEnvironment makes an environment of hosts alone.
 func newEnvironment(c Config, record func(history.Event)) *Environment {
 	w := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
 	w.network = newNetwork(w)
@@ -241,9 +240,9 @@
 	return w
 }
 
-// Latency is the delay between two zones of the world, "" being that of the
-// regional services, without what varies.
-func (w *Environment) Latency(a, b string) int64 { return w.Network.latency(a, b) }
+// Latency is the delay between two zones without jitter, "" being the zone of the regional
+// services.
+func (env *Environment) Latency(a, b string) int64 { return env.Network.latency(a, b) }
 
 // The names of hosts that are neither controllers nor machines.
 const (
@@ -258,7 +257,7 @@
 // ControllerZone is the zone of a controller.
 func (c *Config) ControllerZone(i int) string { return c.Params.Zones[i%len(c.Params.Zones)] }
 
-// Expectations are what the rules of a world are judged by.
+// Expectations are what the rules are checked against.
 func (c *Config) Expectations() history.Expectations {
 	t := history.Expectations{Jobs: map[string]*wire.Job{}, Sweeps: map[string][]string{}, Teams: map[string]history.Limits{}, CancelWithin: config.MicrosOf(c.Params.Workers.CancelS)}
 	for i := range c.Jobs {
@@ -280,134 +279,134 @@
 	return t
 }
 
-// Next is when something will happen by itself.
-func (w *Environment) Next() (int64, bool) { return w.timers.Next() }
+// Next is when the next timer is due.
+func (env *Environment) Next() (int64, bool) { return env.timers.Next() }
 
-// Step lets everything happen that is due, takes a message, which may be nil,
-// and returns what reaches controllers.
-func (w *Environment) Step(now int64, msg any) []any {
+// Step runs all timers that are due, takes a message, which may be nil, and returns what
+// reaches controllers.
+func (env *Environment) Step(now int64, msg any) []any {
 	for {
-		at, ok := w.timers.Next()
+		at, ok := env.timers.Next()
 		if !ok || at > now {
 			break
 		}
-		w.now = max(w.now, at)
-		w.timers.Take()()
+		env.now = max(env.now, at)
+		env.timers.Take()()
 	}
-	w.now = max(w.now, now)
+	env.now = max(env.now, now)
 	switch m := msg.(type) {
 	case nil:
 	case Call:
-		w.call(m)
+		env.call(m)
 	case AskAnswer:
-		if a := w.pendingAsks[m.ID]; a != nil {
-			delete(w.pendingAsks, m.ID)
-			w.network.send(a.to, a.from, func() { a.answer(m) }, func() { a.answer(AskAnswer{ID: m.ID}) })
+		if a := env.pendingAsks[m.ID]; a != nil {
+			delete(env.pendingAsks, m.ID)
+			env.network.send(a.to, a.from, func() { a.answer(m) }, func() { a.answer(AskAnswer{ID: m.ID}) })
 		}
 	case ControllerUp:
-		if n := w.controller(m.Controller); n != nil && n.up != m.Up {
+		if n := env.controller(m.Controller); n != nil && n.up != m.Up {
 			n.up = m.Up
-			w.record(history.Event{Kind: history.ControllerChanged, Node: m.Controller, State: map[bool]string{true: "up", false: "down"}[m.Up]})
+			env.record(history.Event{Kind: history.ControllerChanged, Node: m.Controller, State: map[bool]string{true: "up", false: "down"}[m.Up]})
 		}
 	default:
-		w.worker(m)
+		env.worker(m)
 	}
-	out := w.outbox
-	w.outbox = nil
+	out := env.outbox
+	env.outbox = nil
 	return out
 }
 
-func (w *Environment) emit(e any) { w.outbox = append(w.outbox, e) }
+func (env *Environment) emit(e any) { env.outbox = append(env.outbox, e) }
 
-func (w *Environment) after(d int64, f func()) { w.timers.Add(w.now+d, f) }
+func (env *Environment) after(d int64, f func()) { env.timers.Add(env.now+d, f) }
 
-// afterUnlessReplanned calls f after d, unless plan has been counted on by then: whoever has
-// one plan at a time, or takes it back, counts.
-func (w *Environment) afterUnlessReplanned(plan *int, d int64, f func()) {
+// afterUnlessReplanned calls f after d, unless plan has been incremented by then: whoever
+// replaces or withdraws the plan increments it.
+func (env *Environment) afterUnlessReplanned(plan *int, d int64, f func()) {
 	*plan++
 	made := *plan
-	w.after(max(d, 0), func() {
+	env.after(max(d, 0), func() {
 		if *plan == made {
 			f()
 		}
 	})
 }
 
-func (w *Environment) record(e history.Event) {
-	if w.Record != nil {
-		e.At = w.now
-		w.Record(e)
+func (env *Environment) record(e history.Event) {
+	if env.Record != nil {
+		e.At = env.now
+		env.Record(e)
 	}
 }
 
-func (w *Environment) recordOccurrence(why string) {
-	w.record(history.Event{Kind: history.Occurred, Reason: why})
+func (env *Environment) recordOccurrence(why string) {
+	env.record(history.Event{Kind: history.Occurred, Reason: why})
 }
 
-func (w *Environment) controller(name string) *controller {
-	if i := slices.IndexFunc(w.controllers, func(n *controller) bool { return n.name == name }); i >= 0 {
-		return w.controllers[i]
+func (env *Environment) controller(name string) *controller {
+	if i := slices.IndexFunc(env.controllers, func(n *controller) bool { return n.name == name }); i >= 0 {
+		return env.controllers[i]
 	}
 	return nil
 }
 
-// call carries a controller's request to where it goes, and the answer back.
-func (w *Environment) call(c Call) {
-	if m := w.cloud.machine(c.To); c.From == "" && m != nil {
-		// On sockets nobody says who sends orders to a machine: it is taken
+// call carries a controller's request to its destination, and the answer back.
+func (env *Environment) call(c Call) {
+	if m := env.cloud.machine(c.To); c.From == "" && m != nil {
+		// On sockets the sender of commands to a machine is unknown: it is taken
 		// for the controller that the machine reports to.
-		c.From = w.controllers[m.controllerIndex].name
+		c.From = env.controllers[m.controllerIndex].name
 	}
 	answer := func(status int, body any) {
-		w.network.send(c.To, c.From, func() { w.emit(Answer{c.ID, c.From, status, body}) }, func() { w.emit(Answer{ID: c.ID, To: c.From}) })
+		env.network.send(c.To, c.From, func() { env.emit(Answer{c.ID, c.From, status, body}) }, func() { env.emit(Answer{ID: c.ID, To: c.From}) })
 	}
-	broken := func() { w.emit(Answer{ID: c.ID, To: c.From}) }
-	w.network.send(c.From, c.To, func() {
+	broken := func() { env.emit(Answer{ID: c.ID, To: c.From}) }
+	env.network.send(c.From, c.To, func() {
 		switch {
 		case c.To == StateHost:
-			w.state.call(c.From, c.Request, answer)
+			env.state.call(c.From, c.Request, answer)
 		case c.To == CloudHost:
-			w.cloud.call(c.Request, answer)
-		case w.controller(c.To) != nil:
-			w.ask(c.From, c.To, c.Request, func(t AskAnswer) { w.emit(Answer{c.ID, c.From, t.Status, t.Body}) })
+			env.cloud.call(c.Request, answer)
+		case env.controller(c.To) != nil:
+			env.ask(c.From, c.To, c.Request, func(t AskAnswer) { env.emit(Answer{c.ID, c.From, t.Status, t.Body}) })
 		default:
-			if m := w.cloud.machine(c.To); m == nil || !m.handleDirect(c.Request, answer) {
-				w.after(w.network.delay(c.To, c.From), broken)
+			if m := env.cloud.machine(c.To); m == nil || !m.handleDirect(c.Request, answer) {
+				env.after(env.network.delay(c.To, c.From), broken)
 			}
 		}
 	}, broken)
 }
 
-// ask brings a request to a controller at once; f gets its answer, after the
-// network's delay, unless nothing ever comes.
-func (w *Environment) ask(from, to string, request any, f func(AskAnswer)) {
-	if n := w.controller(to); n == nil || !n.up {
-		w.after(w.network.delay(to, from), func() { f(AskAnswer{}) })
+// ask delivers a request to a controller at once; f gets the answer, if there is one, after
+// the network's delay.
+func (env *Environment) ask(from, to string, request any, f func(AskAnswer)) {
+	if n := env.controller(to); n == nil || !n.up {
+		env.after(env.network.delay(to, from), func() { f(AskAnswer{}) })
 		return
 	}
-	w.nextID++
-	w.pendingAsks[w.nextID] = &pendingAsk{from, to, f}
-	w.emit(Ask{w.nextID, from, to, request})
+	env.nextID++
+	env.pendingAsks[env.nextID] = &pendingAsk{from, to, f}
+	env.emit(Ask{env.nextID, from, to, request})
 }
 
 // loseAnswer says whether an answer is lost on its way, and how much later the request
 // is executed than it should be.
-func (w *Environment) loseAnswer() (lost bool, late int64) {
-	if w.AnswerLoss == 0 || w.rng.Float64() >= w.AnswerLoss {
+func (env *Environment) loseAnswer() (lost bool, late int64) {
+	if env.AnswerLoss == 0 || env.rng.Float64() >= env.AnswerLoss {
 		return false, 0
 	}
-	if w.rng.IntN(2) == 0 {
-		late = w.rng.Int64N(20 * second)
+	if env.rng.IntN(2) == 0 {
+		late = env.rng.Int64N(20 * second)
 	}
 	return true, late
 }
 
 // jitter is a random time round d, from lo to hi times as long.
-func (w *Environment) jitter(d int64, lo, hi float64) int64 {
-	return int64(float64(d) * (lo + w.rng.Float64()*(hi-lo)))
+func (env *Environment) jitter(d int64, lo, hi float64) int64 {
+	return int64(float64(d) * (lo + env.rng.Float64()*(hi-lo)))
 }
 
-// bucket is a budget of so many a second, with a burst of some seconds' worth.
+// bucket is a token bucket of so many a second, with a burst of some seconds' worth.
 type bucket struct {
 	level float64
 	at    int64
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -33,33 +33,33 @@
 }
 
 // schedule injects a fault at its time.
-func (w *Environment) schedule(f Fault) error {
-	begin, err := w.prepareFault(f)
+func (env *Environment) schedule(f Fault) error {
+	begin, err := env.prepareFault(f)
 	if err != nil {
 		return err
 	}
-	w.timers.Add(f.At, func() { w.runFault(f, begin) })
+	env.timers.Add(f.At, func() { env.runFault(f, begin) })
 	return nil
 }
 
 // InjectFault begins a fault now.
-func (w *Environment) InjectFault(f Fault) error {
-	begin, err := w.prepareFault(f)
+func (env *Environment) InjectFault(f Fault) error {
+	begin, err := env.prepareFault(f)
 	if err == nil {
-		w.runFault(f, begin)
+		env.runFault(f, begin)
 	}
 	return err
 }
 
-func (w *Environment) runFault(f Fault, begin beginFault) {
-	w.record(history.Event{Kind: history.FaultChanged, Reason: string(f.Kind), State: "begins"})
+func (env *Environment) runFault(f Fault, begin beginFault) {
+	env.record(history.Event{Kind: history.FaultChanged, Reason: string(f.Kind), State: "begins"})
 	end := begin()
 	if end == nil || f.Duration <= 0 {
 		return
 	}
-	w.after(f.Duration, func() {
+	env.after(f.Duration, func() {
 		end()
-		w.record(history.Event{Kind: history.FaultChanged, Reason: string(f.Kind), State: "ends"})
+		env.record(history.Event{Kind: history.FaultChanged, Reason: string(f.Kind), State: "ends"})
 	})
 }
 
@@ -70,66 +70,66 @@
 type beginFault func() (end func())
 
 // prepareFault checks a fault and returns what begins it.
-func (w *Environment) prepareFault(f Fault) (beginFault, error) {
+func (env *Environment) prepareFault(f Fault) (beginFault, error) {
 	prepare := faultTypes[f.Kind].prepare
 	if prepare == nil {
 		return nil, fmt.Errorf("unknown kind %q", f.Kind)
 	}
-	return prepare(w, f)
+	return prepare(env, f)
 }
 
 // toggle makes a fault that sets something and, at its end, resets it.
-func toggle(set func(w *Environment, on bool)) prepareFault {
-	return func(w *Environment, _ Fault) (beginFault, error) {
+func toggle(set func(env *Environment, on bool)) prepareFault {
+	return func(env *Environment, _ Fault) (beginFault, error) {
 		return func() func() {
-			set(w, true)
-			return func() { set(w, false) }
+			set(env, true)
+			return func() { set(env, false) }
 		}, nil
 	}
 }
 
 // forControllers makes a fault of the controllers that Hosts names.
 func forControllers(prepare func(*Environment, Fault, []*controller) beginFault) prepareFault {
-	return func(w *Environment, f Fault) (beginFault, error) {
+	return func(env *Environment, f Fault) (beginFault, error) {
 		all := len(f.Hosts) == 0 || slices.Contains(f.Hosts, "all")
 		var chosen []*controller
-		for _, n := range w.controllers {
+		for _, n := range env.controllers {
 			if all || slices.Contains(f.Hosts, n.name) {
 				chosen = append(chosen, n)
 			}
 		}
 		for _, host := range f.Hosts {
-			if host != "all" && w.controller(host) == nil {
+			if host != "all" && env.controller(host) == nil {
 				return nil, fmt.Errorf("no controller is called %q", host)
 			}
 		}
-		return prepare(w, f, chosen), nil
+		return prepare(env, f, chosen), nil
 	}
 }
 
-func crashControllers(w *Environment, f Fault, controllers []*controller) beginFault {
+func crashControllers(env *Environment, f Fault, controllers []*controller) beginFault {
 	return func() func() {
 		for _, n := range controllers {
-			w.crash(n, f.Duration)
+			env.crash(n, f.Duration)
 		}
 		return nil
 	}
 }
 
-func restartInTurn(w *Environment, f Fault, controllers []*controller) beginFault {
+func restartInTurn(env *Environment, f Fault, controllers []*controller) beginFault {
 	return func() func() {
 		for i, n := range controllers {
-			w.after(int64(i)*f.Duration, func() { w.crash(n, 0) })
+			env.after(int64(i)*f.Duration, func() { env.crash(n, 0) })
 		}
 		return nil
 	}
 }
 
-func freezeControllers(w *Environment, _ Fault, controllers []*controller) beginFault {
+func freezeControllers(env *Environment, _ Fault, controllers []*controller) beginFault {
 	set := func(on bool) {
 		for _, n := range controllers {
 			n.frozen = on
-			w.emit(Freeze{n.name, on})
+			env.emit(Freeze{n.name, on})
 		}
 	}
 	return func() func() {
@@ -138,12 +138,12 @@
 	}
 }
 
-func refuseControllers(w *Environment, _ Fault, controllers []*controller) beginFault {
+func refuseControllers(env *Environment, _ Fault, controllers []*controller) beginFault {
 	set := func(on bool) {
 		for _, n := range controllers {
 			n.refused = on
 		}
-		w.state.wakeWatches()
+		env.state.wakeWatches()
 	}
 	return func() func() {
 		set(true)
@@ -152,21 +152,21 @@
 }
 
 // crash ends a controller, which is back after a time, RestartTime if that is 0.
-func (w *Environment) crash(n *controller, away int64) {
+func (env *Environment) crash(n *controller, away int64) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	w.network.forgetConnections(n.name)
-	w.emit(Kill{n.name})
-	w.record(history.Event{Kind: history.ControllerChanged, Node: n.name, State: "killed"})
+	env.network.forgetConnections(n.name)
+	env.emit(Kill{n.name})
+	env.record(history.Event{Kind: history.ControllerChanged, Node: n.name, State: "killed"})
 	if away == 0 {
-		away = w.RestartTime
+		away = env.RestartTime
 	}
-	w.after(away, func() { w.emit(Start{n.name}) })
+	env.after(away, func() { env.emit(Start{n.name}) })
 }
 
-func preparePartition(w *Environment, f Fault) (beginFault, error) {
+func preparePartition(env *Environment, f Fault) (beginFault, error) {
 	if len(f.Hosts) == 0 {
 		return nil, errors.New("hosts: missing")
 	}
@@ -174,20 +174,20 @@
 	if len(to) == 0 {
 		to = []string{"all"}
 	}
-	return w.partition(f.Hosts, to, f.PartitionMode)
+	return env.partition(f.Hosts, to, f.PartitionMode)
 }
 
-func (w *Environment) partition(a, b []string, mode PartitionMode) (beginFault, error) {
-	if _, err := w.network.hostSet(slices.Concat(a, b)); err != nil {
+func (env *Environment) partition(a, b []string, mode PartitionMode) (beginFault, error) {
+	if _, err := env.network.hostSet(slices.Concat(a, b)); err != nil {
 		return nil, err
 	}
 	return func() func() {
 		// The sets were checked; hosts may have come since.
-		x, errA := w.network.hostSet(a)
-		y, errB := w.network.hostSet(b)
+		x, errA := env.network.hostSet(a)
+		y, errB := env.network.hostSet(b)
 		if errA != nil || errB != nil {
 			return nil
 		}
-		return w.network.beginPartition(x, y, mode)
+		return env.network.beginPartition(x, y, mode)
 	}, nil
 }
--- a/internal/emulator/environment/held_reports.go
+++ b/internal/emulator/environment/held_reports.go
@@ -6,22 +6,22 @@
 )
 
 // heldReports are copies of reports that arrive when the next leader has begun, at all
-// controllers at once: such a leader has no newer number to hold them against.
+// controllers at once: such a leader has no newer sequence number to compare them with.
 type heldReports struct {
 	share float64
-	// copies are by machine and in the order of names, so that a seed plays the
-	// same again; token is the highest that an answer had.
+	// copies are by machine and in the order of names, so that a seed always gives the
+	// same result; token is the highest that an answer had.
 	copies map[string][]*wire.Report
 	names  []string
 	token  uint64
 }
 
-// maxHeldCopies is how many copies of one machine are kept.
+// maxHeldCopies is how many copies of a machine's reports are held.
 const maxHeldCopies = 3
 
-func (w *Environment) holdReportCopy(r *wire.Report) {
-	k := &w.heldReports
-	if k.share == 0 || w.rng.Float64() >= k.share {
+func (env *Environment) holdReportCopy(r *wire.Report) {
+	k := &env.heldReports
+	if k.share == 0 || env.rng.Float64() >= k.share {
 		return
 	}
 	if k.copies == nil {
@@ -34,31 +34,31 @@
 	if len(l) < maxHeldCopies {
 		l = append(l, r)
 	} else {
-		l[w.rng.IntN(maxHeldCopies)] = r
+		l[env.rng.IntN(maxHeldCopies)] = r
 	}
 	k.copies[r.Machine] = l
 }
 
-// noteLeaderToken notes the token of an answer: a higher one than any before shows that
-// another leader has begun.
-func (w *Environment) noteLeaderToken(token uint64) {
-	if token > w.heldReports.token {
-		w.heldReports.token = token
-		w.DeliverHeldReports()
+// noteLeaderToken records the fencing token of an answer: a higher one than any before shows
+// that another leader has begun.
+func (env *Environment) noteLeaderToken(token uint64) {
+	if token > env.heldReports.token {
+		env.heldReports.token = token
+		env.DeliverHeldReports()
 	}
 }
 
-// DeliverHeldReports lets the copies that are kept for the next leader arrive now, in no
-// order, at all controllers.
-func (w *Environment) DeliverHeldReports() {
-	k := &w.heldReports
+// DeliverHeldReports delivers the copies that are held for the next leader to all
+// controllers, in random order.
+func (env *Environment) DeliverHeldReports() {
+	k := &env.heldReports
 	for _, name := range k.names {
 		l := k.copies[name]
-		w.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
+		env.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 		for _, r := range l {
-			w.recordOccurrence(history.OccurHeldCopy)
-			for _, n := range w.controllers {
-				w.network.send(r.Machine, n.name, func() { w.ask(r.Machine, n.name, r, func(AskAnswer) {}) }, func() {})
+			env.recordOccurrence(history.OccurHeldCopy)
+			for _, n := range env.controllers {
+				env.network.send(r.Machine, n.name, func() { env.ask(r.Machine, n.name, r, func(AskAnswer) {}) }, func() {})
 			}
 		}
 	}
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -12,7 +12,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The pace of a worker.
+// The pauses and timeouts of a worker.
 const (
 	minReportGap     = second / 2
 	failoverDelay    = second
@@ -32,7 +32,7 @@
 	deleted     bool
 	hanging     bool
 	faulty      bool
-	mute        bool  // it reaches no controller
+	mute        bool  // its reports reach no controller
 	reclaimAt   int64 // when the cloud takes it, 0 for never
 	speed       float64
 	clockRate   float64 // of its clock
@@ -49,7 +49,7 @@
 	nextReportAt    int64   // when the next report is due
 	tasks           []*task // by name and attempt
 	cache           cache
-	// deferred is what came while it hung.
+	// deferred is what has come while it hangs.
 	deferred []func()
 	// incarnation counts its worker's starts: answers to an earlier one go nowhere.
 	incarnation int
@@ -59,10 +59,10 @@
 // may be, in leases.
 type duplicateReports struct{ share, leases float64 }
 
-func newMachine(w *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
+func newMachine(env *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
 	m := &machine{
-		env: w, name: name, machineType: t, zone: zone, spot: spot, createdAt: w.now, session: 1,
-		speed: 0.95 + w.rng.Float64()*0.1, clockRate: 1 + (w.rng.Float64()*2-1)*w.ClockDrift, controllerIndex: w.rng.IntN(w.Params.Size),
+		env: env, name: name, machineType: t, zone: zone, spot: spot, createdAt: env.now, session: 1,
+		speed: 0.95 + env.rng.Float64()*0.1, clockRate: 1 + (env.rng.Float64()*2-1)*env.ClockDrift, controllerIndex: env.rng.IntN(env.Params.Size),
 	}
 	m.cache.machine = m
 	return m
@@ -91,7 +91,7 @@
 	m.send()
 }
 
-// end: the machine and everything on it are gone.
+// end ends the machine and everything on it.
 func (m *machine) end(why string) {
 	if m.gone {
 		return
@@ -111,8 +111,8 @@
 	}
 }
 
-// watchLease ends the session when the last answered report was sent too long
-// ago. A hanging machine's tasks end then too: it finds out when it goes on.
+// watchLease ends the session when the last answered report was sent too long ago. The tasks
+// of a machine that hangs end then too: it notices when it resumes.
 func (m *machine) watchLease() {
 	until := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
 	if m.gone {
@@ -128,7 +128,7 @@
 	m.env.timers.Add(until+1, m.watchLease)
 }
 
-// reportSoon makes a report go out soon.
+// reportSoon sends a report as soon as the gap between reports allows.
 func (m *machine) reportSoon() {
 	if !m.reportAgain {
 		m.reportAgain = true
@@ -136,7 +136,7 @@
 	}
 }
 
-// scheduleReport lets a report go out at a time, if none goes out before.
+// scheduleReport sends a report at a time, unless one is sent before.
 func (m *machine) scheduleReport(at int64) {
 	if m.nextReportAt != 0 && m.nextReportAt <= at {
 		return
@@ -207,7 +207,7 @@
 func (c *reportCall) onAnswer(answer AskAnswer, giveUp func()) {
 	m, env := c.machine, c.machine.env
 	if m.hanging {
-		return // it drops the answer once it goes on: it has waited too long
+		return // it drops the answer once it resumes: it has waited too long
 	}
 	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
 	env.noteLeaderToken(heartbeat.Token)
@@ -296,7 +296,7 @@
 	})
 }
 
-// noteToken notes a token; a higher one is a change, though not too often.
+// noteToken records a fencing token; a higher one is reported, though not too often.
 func (m *machine) noteToken(token uint64) {
 	if token > m.token {
 		m.token = token
@@ -395,7 +395,7 @@
 	m.reportSoon()
 }
 
-// run starts a task, or refuses to. Whether it may be here is for the rules.
+// run starts a task, or refuses to. Whether it may run here is for the rules to check.
 func (m *machine) run(o wire.Order) {
 	id, number, _ := strings.Cut(o.Task, "/")
 	u := m.env.jobs[id]
@@ -439,7 +439,7 @@
 	machine  *machine
 	list     []*image
 	fetching []*image
-	// advancedAt is when the fetches were last moved on; plan numbers the next event.
+	// advancedAt is when the progress of the fetches was last computed; plan numbers the next event.
 	advancedAt int64
 	plan       int
 }
@@ -480,7 +480,7 @@
 	c.advancedAt = c.machine.env.now
 }
 
-// scheduleNext plans the end of the fetch that ends first.
+// scheduleNext schedules the end of the fetch that ends first.
 func (c *cache) scheduleNext() {
 	if len(c.fetching) == 0 || c.machine.hanging {
 		c.plan++
@@ -515,7 +515,7 @@
 	})
 }
 
-// add puts an image into the cache, and the ones used least recently out.
+// add puts an image into the cache and evicts the least recently used ones.
 func (c *cache) add(x *image) {
 	c.list = append(c.list, x)
 	size := 0.0
--- a/internal/emulator/environment/machine_faults.go
+++ b/internal/emulator/environment/machine_faults.go
@@ -10,10 +10,10 @@
 // forMachines makes a fault of machines, which are chosen when it begins; do begins it on
 // one and returns what ends it there, if anything does.
 func forMachines(do func(*machine, Fault) (undo func())) prepareFault {
-	return func(w *Environment, f Fault) (beginFault, error) {
+	return func(env *Environment, f Fault) (beginFault, error) {
 		return func() func() {
 			var undos []func()
-			for _, m := range w.chooseMachines(f) {
+			for _, m := range env.chooseMachines(f) {
 				if undo := do(m, f); undo != nil {
 					undos = append(undos, undo)
 				}
@@ -29,9 +29,9 @@
 
 // chooseMachines chooses the machines that a fault affects: those that it names, or as many
 // as it says at random, first those with tasks of its class.
-func (w *Environment) chooseMachines(f Fault) []*machine {
+func (env *Environment) chooseMachines(f Fault) []*machine {
 	var up, named []*machine
-	for _, m := range w.cloud.order {
+	for _, m := range env.cloud.order {
 		switch {
 		case m.gone || !m.up || f.Kind == FaultSpotWave && !m.spot:
 		case slices.Contains(f.Hosts, m.name):
@@ -43,7 +43,7 @@
 	if len(f.Hosts) > 0 {
 		return named
 	}
-	w.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
+	env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
 	if f.Class != "" {
 		slices.SortStableFunc(up, func(a, b *machine) int { return cmp.Compare(a.classRank(f.Class), b.classRank(f.Class)) })
 	}
@@ -63,9 +63,9 @@
 }
 
 // restartMachines has no end: machines come back by themselves.
-func restartMachines(w *Environment, f Fault) (beginFault, error) {
+func restartMachines(env *Environment, f Fault) (beginFault, error) {
 	return func() func() {
-		for _, m := range w.chooseMachines(f) {
+		for _, m := range env.chooseMachines(f) {
 			m.restart(f.Duration, f.Kind == FaultMachineAnew)
 		}
 		return nil
@@ -92,18 +92,18 @@
 	return begin()
 }
 
-func copyReports(w *Environment, f Fault) (beginFault, error) {
+func copyReports(env *Environment, f Fault) (beginFault, error) {
 	if f.UntilNextLeader {
 		return func() func() {
-			w.heldReports.share = f.Share
-			return func() { w.heldReports.share = 0 }
+			env.heldReports.share = f.Share
+			return func() { env.heldReports.share = 0 }
 		}, nil
 	}
 	if f.Factor <= 0 {
 		return nil, errFactorNotPositive
 	}
 	return func() func() {
-		w.copies = duplicateReports{f.Share, f.Factor}
-		return func() { w.copies = duplicateReports{} }
+		env.copies = duplicateReports{f.Share, f.Factor}
+		return func() { env.copies = duplicateReports{} }
 	}, nil
 }
--- a/internal/emulator/environment/network.go
+++ b/internal/emulator/environment/network.go
@@ -10,7 +10,7 @@
 
 // Network says how long messages take.
 type Network struct {
-	// SameZone and Far are the delays within a zone and between two, Jitter the
+	// SameZone and CrossZone are the delays within a zone and between two, Jitter the
 	// share by which they vary, Loss the share of messages that are lost once
 	// and sent again.
 	SameZone, CrossZone int64
@@ -24,8 +24,8 @@
 	HomeRegion string
 }
 
-// latency is the delay between two zones without what varies. The zone "" is
-// that of the regional services.
+// latency is the delay between two zones without jitter. The zone "" is that of the
+// regional services.
 func (n *Network) latency(a, b string) int64 {
 	region := func(zone string) string {
 		if zone == "" {
@@ -46,7 +46,7 @@
 // retransmitDelay is how long it takes until a lost packet is sent again.
 const retransmitDelay = 200_000
 
-// Hosts have addresses, so that a cut can be between any ranges of them:
+// Hosts have addresses, so that any ranges of them can be partitioned:
 // 10.ZONE.KIND.0 and up, zone 0 being that of the regional services.
 const (
 	serviceHosts = iota
@@ -74,11 +74,11 @@
 	held []func()
 }
 
-func newNetwork(w *Environment) *network {
-	if w.Network.SameZone == 0 {
-		w.Network.SameZone, w.Network.CrossZone, w.Network.Jitter = 400, 800, 0.25
+func newNetwork(env *Environment) *network {
+	if env.Network.SameZone == 0 {
+		env.Network.SameZone, env.Network.CrossZone, env.Network.Jitter = 400, 800, 0.25
 	}
-	return &network{env: w, addrs: map[string]netip.Addr{}, zones: map[string]string{}, hostCount: map[[2]int]int{}, connections: map[[2]string]bool{}}
+	return &network{env: env, addrs: map[string]netip.Addr{}, zones: map[string]string{}, hostCount: map[[2]int]int{}, connections: map[[2]string]bool{}}
 }
 
 func (n *network) zone(name string) int {
@@ -167,16 +167,16 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(zone), 0, 0}), 16)
 }
 
-// PartitionMode is how a cut treats what is sent across it.
+// PartitionMode is how a partition treats what is sent across it.
 type PartitionMode struct {
 	// Reset: connections break instead of being held. Refuse: new ones break,
-	// and those that are there go on.
+	// and existing ones go on.
 	Reset, Refuse bool
-	// OneWay: only what goes from the first hosts to the others is cut.
+	// OneWay: only messages from the first hosts to the others are affected.
 	OneWay bool
 }
 
-// partitionBetween is the cut that separates two hosts, nil if there is none.
+// partitionBetween is the partition that separates two hosts, nil if there is none.
 func (n *network) partitionBetween(from, to string) *partition {
 	if len(n.partitions) == 0 {
 		return nil
@@ -205,10 +205,10 @@
 	return d
 }
 
-// send delivers a message after the network's delay. Across a cut that holds,
-// it is delivered when the cut ends, if the two had a connection before;
-// otherwise the connection is never made and nothing comes. A cut that resets
-// breaks the connection.
+// send delivers a message after the network's delay. Across a partition that holds messages
+// it is delivered when the partition ends, if the two hosts had a connection before;
+// otherwise the connection is never made and nothing arrives. A partition that resets breaks
+// the connection.
 func (n *network) send(from, to string, deliver, broken func()) {
 	n.env.after(n.delay(from, to), func() {
 		pair := [2]string{min(from, to), max(from, to)}
@@ -233,7 +233,7 @@
 	}
 }
 
-// beginPartition begins a cut, whose end is returned.
+// beginPartition begins a partition and returns what ends it.
 func (n *network) beginPartition(a, b *bart.Lite, how PartitionMode) (end func()) {
 	c := &partition{from: a, to: b, mode: how}
 	n.partitions = append(n.partitions, c)
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -8,13 +8,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The workers of a world may run in other processes, so that a large fleet is no
-// burden to the one that serves everything else. Each of these processes has a
-// world of workers alone. What befalls a machine is decided by the world that
-// has the cloud and told to the one that has its worker.
+// The workers of an environment may run in other processes, so that a large fleet is no
+// burden to the one that serves everything else. Each of these processes has an environment
+// of workers alone. The environment that has the cloud decides what happens to a machine and
+// sends it to the one that has its worker.
 
-// Messages to a world of workers, and WorkerFault also from the world that has
-// the cloud.
+// The messages to an environment of workers, and WorkerFault also from the environment that
+// has the cloud.
 type (
 	// WorkerBegin begins the worker of a machine that is up.
 	WorkerBegin struct {
@@ -47,8 +47,8 @@
 	FaultMachineDie, FaultMachineHang, FaultMachineBack, FaultMachineAnew,
 }
 
-// NewWorkerEnvironment makes a world of workers, in which no machine is up yet. Cuts of the
-// network are played in it as in the world that has the cloud; all other faults
+// NewWorkerEnvironment makes an environment of workers, in which no machine is up yet. It
+// applies network partitions as the environment that has the cloud does; all other faults
 // come as messages.
 func NewWorkerEnvironment(c Config, record func(history.Event)) (*Environment, error) {
 	c.RemoteWorkers = false // they are here
@@ -75,40 +75,40 @@
 }
 
 // worker takes a message about a worker.
-func (w *Environment) worker(msg any) {
+func (env *Environment) worker(msg any) {
 	switch m := msg.(type) {
 	case WorkerBegin:
-		w.beginWorker(m)
+		env.beginWorker(m)
 	case WorkerEnd:
-		if x := w.cloud.machines[m.Name]; x != nil {
+		if x := env.cloud.machines[m.Name]; x != nil {
 			x.gone = true
 			x.killAll(m.Reason)
-			delete(w.cloud.machines, m.Name)
-			w.emit(Machine{Name: m.Name, Reason: m.Reason})
+			delete(env.cloud.machines, m.Name)
+			env.emit(Machine{Name: m.Name, Reason: m.Reason})
 		}
 	case WorkerFault:
-		if x := w.cloud.machines[m.Name]; x != nil {
+		if x := env.cloud.machines[m.Name]; x != nil {
 			x.injectFault(m)
 		}
 	case TaskCompleted:
-		if u := w.jobs[m.Job]; u != nil {
+		if u := env.jobs[m.Job]; u != nil {
 			u.done[m.Task] = true
 		}
 	}
 }
 
-func (w *Environment) beginWorker(m WorkerBegin) {
-	i := slices.IndexFunc(w.Types, func(t wire.MachineType) bool { return t.Name == m.Type })
-	if i < 0 || w.cloud.machines[m.Name] != nil {
+func (env *Environment) beginWorker(m WorkerBegin) {
+	i := slices.IndexFunc(env.Types, func(t wire.MachineType) bool { return t.Name == m.Type })
+	if i < 0 || env.cloud.machines[m.Name] != nil {
 		return
 	}
-	x := newMachine(w, m.Name, &w.Types[i], m.Zone, m.Spot)
-	w.cloud.machines[m.Name] = x
-	w.network.addHost(m.Name, m.Zone, workerHosts)
-	w.emit(Machine{Name: m.Name, Up: true, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+	x := newMachine(env, m.Name, &env.Types[i], m.Zone, m.Spot)
+	env.cloud.machines[m.Name] = x
+	env.network.addHost(m.Name, m.Zone, workerHosts)
+	env.emit(Machine{Name: m.Name, Up: true, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 	// As if it had come up at some moment of a report interval.
-	w.after(w.rng.Int64N(second), func() {
-		x.up, x.lastAnsweredAt = true, w.now
+	env.after(env.rng.Int64N(second), func() {
+		x.up, x.lastAnsweredAt = true, env.now
 		x.work()
 	})
 }
--- a/internal/emulator/environment/service_faults.go
+++ b/internal/emulator/environment/service_faults.go
@@ -10,21 +10,21 @@
 // stateOutage makes an outage of the state service, which has compacted its changes
 // afterwards if it is cold.
 func stateOutage(cold bool) prepareFault {
-	return func(w *Environment, _ Fault) (beginFault, error) {
+	return func(env *Environment, _ Fault) (beginFault, error) {
 		return func() func() {
-			w.state.down, w.state.coldRestart = true, cold
-			return w.state.recover
+			env.state.down, env.state.coldRestart = true, cold
+			return env.state.recover
 		}, nil
 	}
 }
 
 // slowdown makes a fault that sets a factor of time.
 func slowdown(factor func(*Environment) *float64) prepareFault {
-	return func(w *Environment, f Fault) (beginFault, error) {
+	return func(env *Environment, f Fault) (beginFault, error) {
 		if f.Factor <= 0 {
 			return nil, errFactorNotPositive
 		}
-		v := factor(w)
+		v := factor(env)
 		return func() func() {
 			*v = f.Factor
 			return func() { *v = 1 }
@@ -32,19 +32,19 @@
 	}
 }
 
-func lowerStateLimits(w *Environment, _ Fault) (beginFault, error) {
+func lowerStateLimits(env *Environment, _ Fault) (beginFault, error) {
 	return func() func() {
-		w.state.limits = w.Params.StrictestStateLimits()
+		env.state.limits = env.Params.StrictestStateLimits()
 		return nil
 	}, nil
 }
 
-func loseTransaction(w *Environment, f Fault) (beginFault, error) {
+func loseTransaction(env *Environment, f Fault) (beginFault, error) {
 	if f.TransactionLoss == nil || !f.TransactionLoss.Outcome.known() {
 		return nil, errors.New("lose.how: must be before, after or late")
 	}
 	return func() func() {
-		w.state.transactionLosses = append(w.state.transactionLosses, f.TransactionLoss)
+		env.state.transactionLosses = append(env.state.transactionLosses, f.TransactionLoss)
 		return nil
 	}, nil
 }
@@ -52,10 +52,10 @@
 // lateRequests makes a fault that sets the share of requests that are executed late, or,
 // with OnlyAnswers, of transactions whose answers alone are lost.
 func lateRequests(share func(*Environment) *float64) prepareFault {
-	return func(w *Environment, f Fault) (beginFault, error) {
-		v := share(w)
+	return func(env *Environment, f Fault) (beginFault, error) {
+		v := share(env)
 		if f.OnlyAnswers {
-			v = &w.state.lostAnswerShare
+			v = &env.state.lostAnswerShare
 		}
 		return func() func() {
 			*v = f.Share
@@ -64,26 +64,26 @@
 	}
 }
 
-func limitCapacity(w *Environment, f Fault) (beginFault, error) {
+func limitCapacity(env *Environment, f Fault) (beginFault, error) {
 	return func() func() {
-		w.cloud.capacityShare = f.Share
-		return func() { w.cloud.capacityShare = 1 }
+		env.cloud.capacityShare = f.Share
+		return func() { env.cloud.capacityShare = 1 }
 	}, nil
 }
 
-func cancelJobsNow(w *Environment, f Fault) (beginFault, error) {
-	return func() func() { return w.cancelNow(f.Count, f.Duration > 0) }, nil
+func cancelJobsNow(env *Environment, f Fault) (beginFault, error) {
+	return func() func() { return env.cancelNow(f.Count, f.Duration > 0) }, nil
 }
 
-func cancelJobsAtEnd(w *Environment, f Fault) (beginFault, error) {
+func cancelJobsAtEnd(env *Environment, f Fault) (beginFault, error) {
 	return func() func() {
-		w.balancer.cancelAtEndShare = f.Share
-		return func() { w.balancer.cancelAtEndShare = 0 }
+		env.balancer.cancelAtEndShare = f.Share
+		return func() { env.balancer.cancelAtEndShare = 0 }
 	}, nil
 }
 
-func sendInvalidRequests(w *Environment, _ Fault) (beginFault, error) {
-	return func() func() { return w.balancer.sendInvalidRequests() }, nil
+func sendInvalidRequests(env *Environment, _ Fault) (beginFault, error) {
+	return func() func() { return env.balancer.sendInvalidRequests() }, nil
 }
 
 func (o LossOutcome) known() bool {
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -31,22 +31,22 @@
 	keys     btree.Map[string, storedValue]
 	changes  []wire.Change
 	revision uint64
-	// compactedRevision is the newest change that it has forgotten.
+	// compactedRevision is the newest revision that is compacted.
 	compactedRevision uint64
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
 	down              bool
-	// coldRestart: it comes back without any change that was before.
+	// coldRestart: it comes back with all earlier changes compacted.
 	coldRestart bool
 	slowFactor  float64
 	limits      config.StateLimits
 	calls       bucket
 	writes      bucket
 	watches     []*watch
-	// transactionLosses are the transactions whose fate is set.
+	// transactionLosses are the losses that transactions are subject to.
 	transactionLosses []*TransactionLoss
-	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of what is
-	// done with leases, that get no answer and are executed late.
+	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of
+	// requests about leases, that get no answer and are executed late.
 	delayedWriteShare, delayedLeaseShare float64
 	// lostAnswerShare is the share of those that are executed at once, and only their
 	// answers are lost.
@@ -93,10 +93,10 @@
 	Matched int
 }
 
-func newState(w *Environment) *stateService {
-	l := w.Params.State.StateLimits
+func newState(env *Environment) *stateService {
+	l := env.Params.State.StateLimits
 	return &stateService{
-		env: w, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
+		env: env, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
 		calls: bucket{level: l.RPS}, writes: bucket{level: l.WriteRPS},
 	}
 }
@@ -258,7 +258,7 @@
 	s.wakeWatches()
 }
 
-// apply carries one change out, at the present revision.
+// apply executes a write at the present revision.
 func (s *stateService) apply(x wire.Write) {
 	key := x.Key()
 	if old, ok := s.keys.Get(key); ok && old.lease != 0 {
@@ -362,7 +362,7 @@
 }
 
 // changesSince are the changes of a prefix after a revision; ok is false if they are
-// forgotten.
+// compacted.
 func (s *stateService) changesSince(prefix string, after uint64) (news []wire.Change, ok bool) {
 	if after < s.compactedRevision {
 		return nil, false
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -17,7 +17,7 @@
 	state   string
 	reason  string
 	saved   bool
-	// planVersion numbers what is to happen to it next; a new plan cancels the last.
+	// planVersion numbers what is scheduled next; a new plan cancels the last.
 	planVersion int
 	// startedAt is when it last began to run, at the progress base.
 	startedAt, startProgress int64
@@ -39,7 +39,7 @@
 	t.machine.env.record(history.Event{Kind: k, Job: t.job.spec.ID, Task: t.index, Attempt: t.attempt, Machine: t.machine.name, Reason: why})
 }
 
-// schedule plans what happens next unless something else happens first.
+// schedule schedules what happens next unless something else happens first.
 func (t *task) schedule(d int64, f func()) {
 	t.machine.env.afterUnlessReplanned(&t.planVersion, d, func() {
 		if t.state != wire.Ended && !t.machine.hanging {
@@ -196,8 +196,7 @@
 	}
 }
 
-// drop ends it and removes it from the reports, as its session or machine is
-// at its end.
+// drop ends it and removes it from the reports, as its session or machine ends.
 func (t *task) drop(why string) {
 	t.remove(why)
 	if i, ok := t.machine.find(t.name, t.attempt); ok {
@@ -205,7 +204,7 @@
 	}
 }
 
-// pause and resume follow the machine, which hangs and goes on.
+// pause and resume follow the machine, which hangs and resumes.
 func (t *task) pause() {
 	if t.state == wire.Ended || t.job == nil {
 		return
@@ -260,12 +259,12 @@
 	stored        bool
 }
 
-func (w *Environment) join(t *task) {
+func (env *Environment) join(t *task) {
 	key := gangKey{t.job.spec.ID, t.attempt}
-	g := w.gangs[key]
+	g := env.gangs[key]
 	if g == nil {
-		g = &gang{env: w, key: key, job: t.job}
-		w.gangs[key] = g
+		g = &gang{env: env, key: key, job: t.job}
+		env.gangs[key] = g
 	}
 	t.gang = g
 	g.tasks = append(g.tasks, t)
@@ -274,7 +273,7 @@
 		t.schedule(g.peerTimeout(), func() { t.exit("mates_gone") })
 		return
 	}
-	t.schedule(int64(w.Params.Workers.GangWaitS*1e6), func() { t.exit("incomplete") })
+	t.schedule(int64(env.Params.Workers.GangWaitS*1e6), func() { t.exit("incomplete") })
 	g.begin()
 }
 
@@ -335,7 +334,7 @@
 	g.planVersion++
 }
 
-// fail lets the tasks that are left notice that one is gone.
+// fail has the remaining tasks notice that one is gone.
 func (g *gang) fail() {
 	if !g.running || g.failed || g.stored {
 		return
@@ -361,14 +360,14 @@
 	}
 }
 
-// machineHung: a machine of the gang hangs, which the others notice in time.
+// machineHung is called when a machine of the gang hangs, which the others notice in time.
 func (g *gang) machineHung() {
 	if g.running {
 		g.fail()
 	}
 }
 
-// machineResumed: a task's machine goes on.
+// machineResumed is called when the machine of a task resumes.
 func (g *gang) machineResumed(t *task) {
 	if g.failed || g.running {
 		t.schedule(0, func() { t.exit("mates_gone") })
@@ -378,8 +377,8 @@
 	g.begin()
 }
 
-// kill is the command to one of its running tasks: with enough grace the orderly
-// stop, in which all have to be told within gang_peer_s of the first.
+// kill is the command to one of its running tasks: with enough grace the orderly stop, in
+// which all have to get it within gang_peer_s of the first.
 func (g *gang) kill(t *task, grace, save int64, saves bool) {
 	if !saves || grace < save || g.failed {
 		t.exit("stopped")
@@ -390,7 +389,7 @@
 		g.halt()
 		g.env.after(g.peerTimeout(), func() {
 			if g.killsReceived < g.job.spec.Tasks {
-				g.fail() // those that were not told exit, and the save fails
+				g.fail() // those that got no command exit, and the save fails
 			}
 			g.exitSaved()
 		})
@@ -404,8 +403,8 @@
 	})
 }
 
-// exitSaved lets the tasks that have saved exit, once all were told and have saved
-// or their time is over. Progress is safe when the first exits.
+// exitSaved has the tasks that have saved exit, once all got the command and have saved or
+// their time is over. Progress is safe when the first exits.
 func (g *gang) exitSaved() {
 	if g.failed || g.killsReceived < g.job.spec.Tasks {
 		return
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -10,21 +10,18 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// What users do at the worst moment: they ask everywhere at once, call off what
-// has just ended, and send what they should not.
-
-// probeDelays are how long after an answer the controllers are asked, in microseconds;
-// it repeats the submission with the second.
+// probeDelays are how long after an answer the controllers are asked, in microseconds; with
+// the second the submission is repeated.
 var probeDelays = []int64{0, 4_000, 25_000, 120_000}
 
-// cancelOneIn is in how many close looks at an acceptance one job is cancelled.
+// cancelOneIn is after how many acceptances that are probed one job is cancelled.
 const cancelOneIn = 8
 
-// askController asks a controller, past the balancer.
+// askController sends a user's request to a controller directly, past the load balancer.
 func (f *loadBalancer) askController(n *controller, op, job string, request any, done func(AskAnswer, wire.JobAnswer)) {
-	most := submitTimeout
+	timeout := submitTimeout
 	if op == history.Poll {
-		most = pollTimeout
+		timeout = pollTimeout
 	}
 	call := f.env.ExternalRequest(op, job)
 	over := false
@@ -37,14 +34,14 @@
 		f.env.ExternalAnswer(call, op, job, t.Status, a.State)
 		done(t, a)
 	}
-	f.env.after(most, func() { finish(AskAnswer{}) })
+	f.env.after(timeout, func() { finish(AskAnswer{}) })
 	f.env.network.send(usersHost, n.name, func() { f.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
 }
 
 func ignoreAnswer(AskAnswer, wire.JobAnswer) {}
 
 // probeControllers asks all controllers about a job, and repeats its submission, right after
-// its user was told that it is accepted or over.
+// its user had the answer that it is accepted or over.
 func (u *jobUser) probeControllers() {
 	w := u.env
 	if !w.balancer.probeAfterAnswers {
@@ -87,20 +84,20 @@
 }
 
 const (
-	// minTimeLeft is what a job has left at least that is called off with others.
+	// minTimeLeft is the least time that a job to be cancelled has left to run.
 	minTimeLeft = 2 * second
-	// within is the time in which they are.
+	// cancelWithin is the time in which the jobs are cancelled.
 	cancelWithin = second / 5
-	// maxHungMachines is how many of their machines hang.
+	// maxHungMachines is how many of their machines hang at most.
 	maxHungMachines = 8
 )
 
-// cancelNow lets users call off so many jobs that run and have long to go. It
-// returns what lets those of their machines that hang go on.
-func (w *Environment) cancelNow(count int, hangs bool) (end func()) {
+// cancelNow has users cancel so many jobs that run and have time left. It returns what
+// resumes those of their machines that hang.
+func (env *Environment) cancelNow(count int, hangs bool) (end func()) {
 	on := map[*jobUser][]*machine{}
 	var users []*jobUser
-	for _, m := range w.cloud.order {
+	for _, m := range env.cloud.order {
 		for _, t := range m.tasks {
 			u := t.job
 			if m.gone || u == nil || t.state != wire.Running || u.spec.Kind == wire.Service || u.cancelRequested || t.totalTime()-t.currentProgress() < minTimeLeft {
@@ -114,14 +111,14 @@
 			}
 		}
 	}
-	w.rng.Shuffle(len(users), func(i, k int) { users[i], users[k] = users[k], users[i] })
+	env.rng.Shuffle(len(users), func(i, k int) { users[i], users[k] = users[k], users[i] })
 	var hang []*machine
 	for _, u := range users[:min(count, len(users))] {
-		w.recordOccurrence(history.OccurCancel)
-		w.after(w.rng.Int64N(cancelWithin), u.cancel)
+		env.recordOccurrence(history.OccurCancel)
+		env.after(env.rng.Int64N(cancelWithin), u.cancel)
 		for _, m := range on[u] {
 			if hangs && len(hang) < maxHungMachines && !m.hanging {
-				w.recordOccurrence(history.OccurHungMachine)
+				env.recordOccurrence(history.OccurHungMachine)
 				hang = append(hang, m)
 				m.hang()
 			}
@@ -134,10 +131,10 @@
 	}
 }
 
-// invalidInterval is how often a request comes that should not.
+// invalidInterval is how often an invalid request comes.
 const invalidInterval = 300_000
 
-// sendInvalidRequests lets users send what they should not, until end is called.
+// sendInvalidRequests has users send invalid requests until end is called.
 func (f *loadBalancer) sendInvalidRequests() (end func()) {
 	over, turn := false, 0
 	var next func()
@@ -235,8 +232,8 @@
 		}, func() {})
 		return
 	}
-	// Of a job that is there: its submission once more, as it was or changed, and
-	// a cancellation of what is done.
+	// For a job that exists: its submission once more, as it was or changed, or, if it
+	// is done, a cancellation.
 	var known []*jobUser
 	for i := range w.Jobs {
 		if u := w.jobs[w.Jobs[i].Spec.ID]; u.accepted {
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -8,7 +8,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The manners of users.
+// The timeouts and intervals of users.
 const (
 	submitTimeout = 5 * second
 	pollTimeout   = 2 * second
@@ -38,18 +38,18 @@
 	cancelRequested bool
 }
 
-func (w *Environment) addJob(j Job) error {
+func (env *Environment) addJob(j Job) error {
 	id := j.Spec.ID
-	if w.jobs[id] != nil {
+	if env.jobs[id] != nil {
 		return fmt.Errorf("job %q is there twice", id)
 	}
-	u := &jobUser{env: w, spec: j.Spec, run: j.Run, runIncrement: j.RunIncrement, afterDependencies: j.AfterDependencies, done: map[int]bool{}, progress: map[int]int64{}, pollInterval: pollInterval}
-	w.jobs[id] = u
+	u := &jobUser{env: env, spec: j.Spec, run: j.Run, runIncrement: j.RunIncrement, afterDependencies: j.AfterDependencies, done: map[int]bool{}, progress: map[int]int64{}, pollInterval: pollInterval}
+	env.jobs[id] = u
 	if j.At >= 0 {
-		w.timers.Add(j.At, u.submit)
+		env.timers.Add(j.At, u.submit)
 	}
 	if j.Cancel > 0 {
-		w.timers.Add(j.Cancel, u.cancel)
+		env.timers.Add(j.Cancel, u.cancel)
 	}
 	return nil
 }
@@ -64,12 +64,12 @@
 	}
 }
 
-// loadBalancer is the balancer, which knows which controllers are healthy.
+// loadBalancer is the load balancer, which knows which controllers are healthy.
 type loadBalancer struct {
 	env         *Environment
 	controllers []*controllerHealth
-	// probeAfterAnswers: users ask everywhere right after each answer; cancelAtEndShare is the share of
-	// the jobs that end that are called off at that moment.
+	// probeAfterAnswers has users ask all controllers right after each answer;
+	// cancelAtEndShare is the share of the jobs that are cancelled as they end.
 	probeAfterAnswers bool
 	cancelAtEndShare  float64
 }
@@ -83,7 +83,7 @@
 	since                            int64  // when it became healthy or unhealthy
 	backoff                          int64
 	failures                         int   // consecutive connections that were refused
-	skipUntil                        int64 // until when it is passed over
+	skipUntil                        int64 // until when it gets no connection
 	removals                         []int64
 }
 
@@ -93,15 +93,15 @@
 	maxBackoff    = 60 * second
 )
 
-func newFront(w *Environment) *loadBalancer {
-	f := &loadBalancer{env: w}
-	for _, n := range w.controllers {
+func newFront(env *Environment) *loadBalancer {
+	f := &loadBalancer{env: env}
+	for _, n := range env.controllers {
 		h := &controllerHealth{controller: n}
 		f.controllers = append(f.controllers, h)
-		w.timers.Add(w.rng.Int64N(probeInterval), func() { f.probe(h) })
+		env.timers.Add(env.rng.Int64N(probeInterval), func() { f.probe(h) })
 	}
-	if w.StrayRequestRate > 0 {
-		w.after(second, f.askUnknownJob)
+	if env.StrayRequestRate > 0 {
+		env.after(second, f.askUnknownJob)
 	}
 	return f
 }
@@ -262,8 +262,8 @@
 	})
 }
 
-// dependenciesAllow says whether the jobs that it awaits are accepted, or over where it
-// is submitted last.
+// dependenciesAllow says whether the jobs that it depends on are accepted, or over if it is
+// submitted after them.
 func (u *jobUser) dependenciesAllow() bool {
 	for _, id := range u.spec.DependsOn {
 		if o := u.env.jobs[id]; o == nil || !o.accepted || u.afterDependencies && o.finalState == "" {
@@ -312,33 +312,33 @@
 	w.after(int64(w.rng.ExpFloat64()/w.StrayRequestRate*1e6), f.askUnknownJob)
 }
 
-// sweepUser is one of a sweep's users; what it is told is checked by its runs.
+// sweepUser is one of a sweep's users; its answers are checked by those about the runs.
 type sweepUser struct {
 	Sweep
 	env      *Environment
 	accepted bool
 }
 
-func (w *Environment) addSweep(s Sweep) error {
+func (env *Environment) addSweep(s Sweep) error {
 	for _, j := range s.Jobs {
-		if err := w.addJob(Job{At: -1, Run: s.Run, Spec: j}); err != nil {
+		if err := env.addJob(Job{At: -1, Run: s.Run, Spec: j}); err != nil {
 			return err
 		}
 	}
 	for range max(s.Times, 1) {
-		u := &sweepUser{Sweep: s, env: w}
-		w.sweeps = append(w.sweeps, u)
-		w.timers.Add(s.At, u.submit)
+		u := &sweepUser{Sweep: s, env: env}
+		env.sweeps = append(env.sweeps, u)
+		env.timers.Add(s.At, u.submit)
 		if s.Cancel > 0 {
-			w.timers.Add(s.Cancel, u.cancel)
+			env.timers.Add(s.Cancel, u.cancel)
 		}
 	}
 	return nil
 }
 
-// CancelSweep lets the users of a sweep withdraw it now.
-func (w *Environment) CancelSweep(id string) {
-	for _, u := range w.sweeps {
+// CancelSweep lets the users of a sweep cancel it now.
+func (env *Environment) CancelSweep(id string) {
+	for _, u := range env.sweeps {
 		if u.ID == id {
 			u.cancel()
 		}
@@ -391,10 +391,10 @@
 	})
 }
 
-// Unfinished names the jobs that their users were not told the end of.
-func (w *Environment) Unfinished() []string {
+// Unfinished are the jobs of whose end their users had no answer.
+func (env *Environment) Unfinished() []string {
 	var l []string
-	for id, u := range w.jobs {
+	for id, u := range env.jobs {
 		if u.finalState == "" && u.spec.Kind != wire.Service {
 			l = append(l, id)
 		}
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -1,6 +1,6 @@
-// Package history is what happened in an emulated world, as one list of events,
-// and the rules that it must keep. Both drivers of the model record the same
-// events, and nothing here depends on how they came about.
+// Package history records what happened in an emulated environment, as one list of events,
+// and checks it against rules. Both drivers of the environment record the same events, and
+// nothing here depends on how they came about.
 package history
 
 import (
@@ -14,32 +14,33 @@
 
 // The kinds of events.
 const (
-	// RequestSent is a user's request (Op, Job, Call), Told its answer: Status is 0
-	// if none came in time.
+	// RequestSent is a user's request (Op, Job, Call), ResponseReceived its answer:
+	// Status is 0 if none came in time.
 	RequestSent      Kind = "sent"
 	ResponseReceived Kind = "told"
 	// MachineUp is a machine that begins to report, with Type, Zone and Spot.
 	MachineUp Kind = "up"
-	// InvalidSubmission: the submission of Call can't run or lacks a field, Why says which.
+	// InvalidSubmission: the submission of Call can't run or lacks a field, Reason says which.
 	InvalidSubmission Kind = "unfit"
 	// TaskPlaced: a task has been given to a machine, and takes room there until it
-	// has left, also while its image is fetched; Freed: it has, in that state.
+	// has left, also while its image is fetched. RoomFreed: it has left before it entered.
 	TaskPlaced Kind = "given"
 	RoomFreed  Kind = "freed"
-	// TaskEntered: a task has its image and is on its machine. Started: it runs
-	// (a gang: all of its tasks do). Completed: its work is done. Left: it is
-	// on the machine no more, Why says for what reason.
+	// TaskEntered: a task has its image and is on its machine. TaskStarted: it runs
+	// (a gang: all of its tasks do). TaskCompleted: its work is done. TaskLeft: it is
+	// no longer on the machine, for the reason Reason.
 	TaskEntered   Kind = "entered"
 	TaskStarted   Kind = "started"
 	TaskCompleted Kind = "completed"
 	TaskLeft      Kind = "left"
 	// StateChanged is a change of a key of the state service.
 	StateChanged Kind = "stored"
-	// FaultChanged is a fault that begins or ends, Node a controller's start or end.
+	// FaultChanged is a fault that begins or ends, ControllerChanged a controller's start
+	// or end.
 	FaultChanged      Kind = "fault"
 	ControllerChanged Kind = "node"
-	// Occurred is a moment that a fault brings about again and again, Why says which:
-	// it shows that the meeting that a test is about took place.
+	// Occurred is an occurrence that a fault brings about repeatedly, Reason says which:
+	// it shows that the combination that a test is about took place.
 	Occurred Kind = "met"
 	// RequestDelayed is a request to the state service that gets no answer and is executed
 	// after newer ones.
@@ -48,7 +49,7 @@
 	CostRecorded Kind = "paid"
 )
 
-// What is met.
+// The reasons of Occurred.
 const (
 	OccurHeldCopy    = "a copy kept for the next leader"
 	OccurProbe       = "a close look"
@@ -90,15 +91,13 @@
 	Cost    float64 `json:"cost,omitempty"`
 }
 
-// Expectations are what the rules are judged by.
+// Expectations are what the rules are checked against.
 type Expectations struct {
 	Jobs map[string]*wire.Job
-	// Sweeps has the runs of each sweep, which are submitted and withdrawn
-	// with it.
+	// Sweeps has the runs of each sweep, which are submitted and cancelled with it.
 	Sweeps map[string][]string
 	Teams  map[string]Limits
-	// Types of machines by name; without them nobody knows whether a job that
-	// waits could run.
+	// Types of machines by name; without them jobs that wait are not checked.
 	Types map[string]wire.MachineType
 	// CancelWithin is how long tasks of a cancelled job may stay, in microseconds.
 	CancelWithin int64
@@ -110,7 +109,7 @@
 // Limits of a team; 0 is none.
 type Limits struct{ CPUs, GPUs float64 }
 
-// Violation is a rule broken.
+// Violation is a violation of a rule.
 type Violation struct {
 	At     int64  `json:"at"`
 	Rule   string `json:"rule"`
@@ -129,8 +128,7 @@
 	return lines
 }
 
-// CheckAll names all that is wrong with a history: rules that it breaks, and jobs
-// whose answers could not have come about one after the other.
+// CheckAll checks a history against all rules and for linearizability.
 func CheckAll(events []Event, terms Expectations) []Violation {
 	return append(CheckRules(events, terms), CheckLinearizability(events, terms)...)
 }
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -9,7 +9,7 @@
 )
 
 // silence is how long an accepted job may go without an answer while others get
-// some, maxQuietSilence how long once all troubles are over, however others fare.
+// some, maxQuietSilence how long once all faults are over, whatever others get.
 const (
 	maxSilence      = 90_000_000
 	maxQuietSilence = 75_000_000
@@ -77,15 +77,15 @@
 	job string
 }
 
-// jobState is what was told of and seen of a job.
+// jobState is what answers said of a job and what happened to it.
 type jobState struct {
 	submitted, accepted, asked bool
 	state                      string
-	cancelledAt, finishedAt    int64 // when its user was first told
+	cancelledAt, finishedAt    int64 // when its user first had the answer
 	done                       map[int]bool
 	answered                   int64 // when its user last got an answer
 	polls                      int   // since then
-	acceptedAt                 int64 // when its user was first told
+	acceptedAt                 int64 // when its user first had the answer
 	invalidReason              string
 }
 
@@ -234,7 +234,7 @@
 
 func (j *jobState) isOver() bool { return j.state == wire.Done || j.state == wire.Cancelled }
 
-// checkFinalState checks that a final state stays, for whoever asks after it was told.
+// checkFinalState checks that a final state is kept in later answers.
 func (k *checker) checkFinalState(e *Event, j *jobState, c userCall) {
 	if j.isOver() && e.State != j.state && c.sent >= j.finishedAt {
 		k.addViolation("went_back", "%s was %s and is %s", e.Job, j.state, e.State)
@@ -251,7 +251,7 @@
 	return 0
 }
 
-// eachDependency calls f for every job that one needs, directly or through others.
+// eachDependency calls f for every job that one depends on, directly or through others.
 func (k *checker) eachDependency(id string, f func(*jobState)) {
 	todo, met := []string{id}, map[string]bool{}
 	for len(todo) > 0 {
@@ -270,8 +270,8 @@
 	}
 }
 
-// dependencyCancelledAt is when a user was first told that a job which this one needs
-// is cancelled, 0 for never.
+// dependencyCancelledAt is when a user first had the answer that a dependency of a job is
+// cancelled, 0 for never.
 func (k *checker) dependencyCancelledAt(id string) (at int64) {
 	k.eachDependency(id, func(j *jobState) {
 		if j.cancelledAt != 0 && (at == 0 || j.cancelledAt < at) {
@@ -286,7 +286,7 @@
 	return asked
 }
 
-// onEntered: a task has its image and is on its machine.
+// onEntered is called when a task has its image and is on its machine.
 func (k *checker) onEntered(e *Event) {
 	k.anyResponse = true
 	r := taskRef{e.Job, e.Task}
@@ -341,7 +341,8 @@
 	}
 }
 
-// onStarted: a gang's tasks have to begin one right after the other, all of them.
+// onStarted collects the tasks of a gang, all of which have to begin one right after the
+// other.
 func (k *checker) onStarted(e *Event) {
 	if s := k.expected.Jobs[e.Job]; s == nil || s.Kind != wire.Gang {
 		return
@@ -352,8 +353,8 @@
 	k.gangTasks[e.Task] = true
 }
 
-// checkGangStart checks the gang that has begun. The published rules don't name it, and
-// operators do.
+// checkGangStart checks that a gang has begun as a whole. The published rules don't name this
+// rule, and operators do.
 func (k *checker) checkGangStart() {
 	if n := k.tasks(k.gang.Job); len(k.gangTasks) != n {
 		k.addViolation("part_of_gang", "%s begins with %d of %d tasks", k.gang.Job, len(k.gangTasks), n)
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -7,19 +7,18 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Work conservation: once all troubles are over, no job is left waiting for long
-// while a machine that fits has room and its team is under its limit. A moment in
-// which there is none begins the time anew, so fetches and ends that fill and free
-// machines in turn are no breach.
+// Work conservation: once all faults are over, no job is left waiting for long while a
+// machine that fits has room and its team is under its limit. A moment without room begins
+// the time anew, so fetches and ends that fill and free machines in turn are no violation.
 
 const (
 	// maxWait is how long a job may be left waiting, waitCheckInterval how often that is
-	// looked at.
+	// checked.
 	maxWait           = 90_000_000
 	waitCheckInterval = 1_000_000
 )
 
-// placements is what machines have: tasks from when they were given until they left.
+// placements are the tasks of machines, from their placement until they left.
 type placements struct {
 	on    map[string]map[taskRef]bool // by machine
 	where map[taskRef]string
@@ -73,7 +72,7 @@
 	return cpus, gpus, mem
 }
 
-// checkWaiting looks at all jobs that wait, now and then.
+// checkWaiting checks all jobs that wait, once in waitCheckInterval.
 func (k *checker) checkWaiting(now int64) {
 	p := &k.placed
 	if now < p.next || k.expected.Types == nil || now < k.quietSince {
@@ -94,8 +93,8 @@
 	}
 }
 
-// hasRoom says whether a task of a job that nobody has could start now; of a gang
-// all of its tasks.
+// hasRoom says whether a task of a job that is on no machine could start now; of a gang all
+// of its tasks.
 func (k *checker) hasRoom(s *wire.Job, j *jobState) bool {
 	for _, a := range s.DependsOn {
 		if n := k.jobs[a]; n == nil || len(n.done) < k.tasks(a) {
@@ -185,7 +184,8 @@
 	return usable
 }
 
-// noteInvalid notes a submission that has to be refused, refused checks that it was.
+// noteInvalid records a submission that has to be refused, checkNotAccepted checks that it
+// was.
 func (k *checker) noteInvalid(e *Event) { k.job(e.Job).invalidReason = e.Reason }
 
 func (k *checker) checkNotAccepted(e *Event, j *jobState) {
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts the messages and bytes that hosts of an emulated world
+// Package meter counts the messages and bytes that hosts of an emulated environment
 // exchange, by host and kind of message.
 package meter
 
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -20,7 +20,7 @@
 	MachineLimited string `json:"limited,omitempty"`
 	// Windows are parts of the run by name.
 	Windows map[string]Window `json:"windows"`
-	// TimerLateness is how late the timers of the hollow workers and of the emulator ran.
+	// TimerLateness is how late the timers of the workers and of the emulator ran.
 	TimerLateness Latency    `json:"late_ms"`
 	Urgent        Starts     `json:"urgent"`
 	Gangs         Starts     `json:"gangs"`
@@ -70,7 +70,7 @@
 	Running int             `json:"running"`
 	Workers int             `json:"workers"`
 	Roles   map[string]Role `json:"roles"`
-	// WorkerBytes are bytes a second of hollow workers, both ways.
+	// WorkerBytes are bytes a second of workers in shared processes, both ways.
 	WorkerBytes Latency `json:"worker_bytes"`
 }
 
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -43,12 +43,12 @@
 	RemoteMS    float64       `json:"remote_ms"`
 	Seed        uint64        `json:"seed"`
 	Length      time.Duration `json:"length"`
-	// Scenario names the world that is played in place of the plan's own.
+	// Scenario names the scenario that is run in place of the plan's own load.
 	Scenario    string              `json:"scenario,omitempty"`
-	givenConfig *environment.Config // that world
+	givenConfig *environment.Config // that of the scenario
 }
 
-// FromScenario is a plan that plays a given world.
+// FromScenario is a plan that runs a given environment.
 func FromScenario(name string, c environment.Config, alone int) (Plan, error) {
 	p := Plan{
 		Scenario: name, givenConfig: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
@@ -176,7 +176,7 @@
 func zoneName(i int) string   { return fmt.Sprintf("zone-%02d", i) }
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// Config is the world of the plan.
+// Config is the environment of the plan.
 func (p *Plan) Config() environment.Config {
 	if p.givenConfig != nil {
 		c := *p.givenConfig
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -120,7 +120,7 @@
 	_, _ = fmt.Fprintf(r.Out, "%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done, %d MB\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done, r.peakMemoryMB.Load())
 }
 
-// execute runs the world to its end and works the figures out.
+// execute runs the environment to its end and computes the figures.
 func (r *execution) execute(stop <-chan struct{}) (*Figures, error) {
 	end, over := make(chan struct{}), make(chan error, 1)
 	var events []history.Event
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -20,7 +20,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Scenario is a world with a name and what is aimed at in it.
+// Scenario is an environment with a name and objectives.
 type Scenario struct {
 	Name string
 	environment.Config
--- a/internal/emulator/sockets/connection_owner.go
+++ b/internal/emulator/sockets/connection_owner.go
@@ -13,8 +13,8 @@
 
 // connectionOwner is the controller that a connection to a machine's address comes from,
 // "" if it is none that was started here. All of them share one address, so it
-// is found by which process has the socket at the other end: a cut between a
-// controller and machines holds its orders too.
+// is found by which process has the socket at the other end: a partition between a
+// controller and machines holds its commands too.
 func (d *Driver) connectionOwner(remote string) string {
 	if d.workersOnly {
 		return "" // the controllers are not processes of this one
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -112,7 +112,7 @@
 }
 
 // begin starts the controller's process. One that ends by itself is started
-// again after the world's time for that.
+// again after the environment's restart time.
 func (n *controllerProcess) begin() {
 	d := n.driver
 	if len(d.Binaries) == 0 { // whoever started it keeps it running
@@ -158,7 +158,7 @@
 	}()
 }
 
-// kill ends its process; the world knows.
+// kill ends its process, which the environment knows of.
 func (n *controllerProcess) kill() {
 	n.incarnation++
 	if n.cmd != nil {
@@ -178,11 +178,11 @@
 	n.driver.log("freeze "+n.name, n.cmd.Process.Signal(s))
 }
 
-// linkPollInterval is how often a held connection looks whether its cut is over.
+// linkPollInterval is how often a held connection checks whether its partition is over.
 const linkPollInterval = 20 * time.Millisecond
 
-// listenBetween opens the address at which one controller reaches another, and carries
-// what it says there, unless the network between them is cut.
+// listenBetween opens the address at which one controller reaches another, and proxies the
+// connections there unless the two are partitioned.
 func (d *Driver) listenBetween(from, to *controllerProcess) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,7 +203,7 @@
 	return l.Addr().String(), nil
 }
 
-// proxy carries one connection both ways.
+// proxy copies one connection in both directions.
 func (d *Driver) proxy(c net.Conn, from, to *controllerProcess) {
 	defer func() { _ = c.Close() }()
 	if !d.waitReachable(from, to) {
@@ -228,7 +228,7 @@
 	}
 }
 
-// chunk is a piece of what goes over a connection, delivered when it is due.
+// chunk is a piece of the data of a connection, delivered when it is due.
 type chunk struct {
 	due   time.Time
 	bytes []byte
@@ -237,8 +237,8 @@
 // maxChunksInFlight bounds what is on its way over a connection.
 const maxChunksInFlight = 256
 
-// copyDelayed carries one direction of a connection between two controllers, each
-// piece after what the way between their regions takes.
+// copyDelayed copies one direction of a connection between two controllers, each piece with
+// the delay between their regions.
 func (d *Driver) copyDelayed(dst, src net.Conn, from, to *controllerProcess) {
 	var latency time.Duration
 	if d.config.Network.CrossRegion > 0 {
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -1,6 +1,6 @@
-// Package sockets drives the emulated world on loopback, for real controllers:
-// it serves the state service, the cloud, every worker and the balancer, carries
-// what controllers say to each other, and starts, stops and ends them.
+// Package sockets runs the emulated environment on loopback, for real controllers: it serves
+// the state service, the cloud, every worker and the load balancer, proxies the connections
+// between controllers, and starts, suspends and ends them.
 package sockets
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Options say where and for whom a world is served.
+// Options say where and for which controllers an environment is served.
 type Options struct {
 	// Dir gets the controllers' settings and logs, Port is the balancer's;
 	// those of the controllers follow it.
@@ -47,14 +47,14 @@
 	OnTokenAccepted func(token uint64, at int64)
 }
 
-// Workers runs machines' workers outside the driver's process. Its methods but
-// Settled must not wait for anything.
+// Workers runs machines' workers outside the driver's process. Its methods except
+// WaitEnded must not block.
 type Workers interface {
 	// Machine begins or ends a worker.
 	Machine(environment.Machine)
-	// Fault befalls a worker.
+	// Fault injects a fault into a worker.
 	Fault(environment.WorkerFault)
-	// Address is a worker's own.
+	// Address is the address of a worker.
 	Address(machine string) string
 	// WaitEnded waits until the workers of machines that are gone have ended.
 	WaitEnded(machines []string)
@@ -66,7 +66,7 @@
 	Events, Accepted, Done, Finished int
 }
 
-// Driver serves a world. Its actor alone touches the world.
+// Driver serves an environment, which only its actor touches.
 type Driver struct {
 	Options
 	config       environment.Config
@@ -80,12 +80,12 @@
 	expectations history.Expectations
 	progress     Progress
 
-	// lateness is how late the world's own timers ran, in microseconds.
+	// lateness is how late the environment's timers ran, in microseconds.
 	lateness *hdrhistogram.Histogram
 	// workersOnly: this process has some machines' workers and nothing else.
 	workersOnly bool
-	// reportClients has the clients by which workers report, where each has its own, and
-	// tokens the highest that each has been answered with.
+	// reportClients are the clients by which workers report, where each has its own, and
+	// workerTokens the highest fencing token that each has had in an answer.
 	reportClients map[string]*http.Client
 	workerTokens  map[string]uint64
 
@@ -98,10 +98,10 @@
 	closers                      []func()
 }
 
-// inboxSize bounds what waits for the actor.
+// inboxSize bounds the queue of the actor.
 const inboxSize = 8192
 
-// New makes a driver of a world; nothing is served yet.
+// New makes a driver of an environment; nothing is served yet.
 func New(cfg environment.Config, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
 	w, err := environment.New(cfg, d.onEvent)
@@ -120,17 +120,17 @@
 	}
 }
 
-// maxTrackedLateness bounds what is told apart of late timers, in microseconds.
+// maxTrackedLateness bounds the lateness that is recorded, in microseconds.
 const maxTrackedLateness = 600_000_000
 
-// onEvent takes an event of the world.
+// onEvent records an event of the environment.
 func (d *Driver) onEvent(e history.Event) {
 	if d.OnEvent != nil {
 		d.OnEvent(e)
 		return
 	}
 	if d.Workers != nil && e.Kind == history.StateChanged {
-		return // a large run stores a great deal, and no rule asks for it
+		return // a large run stores a great deal, and no rule needs it
 	}
 	d.history = append(d.history, e)
 	switch {
@@ -143,7 +143,7 @@
 	}
 }
 
-// AddEvents takes events of workers in other processes.
+// AddEvents adds events of workers in other processes.
 func (d *Driver) AddEvents(events []history.Event) {
 	d.onActor(func() {
 		for _, e := range events {
@@ -152,7 +152,7 @@
 	})
 }
 
-// Lateness is how late the timers of a world ran, in microseconds.
+// Lateness is how late the timers of an environment ran, in microseconds.
 type Lateness struct{ Median, P99, Worst int64 }
 
 // Lateness asks the driver's actor how late its timers have run.
@@ -169,10 +169,10 @@
 	return value
 }
 
-// Start is when the world's time began.
+// Start is when the environment's time began.
 func (d *Driver) Start() time.Time { return d.start }
 
-// now is the time since the world began.
+// now is the time since the start.
 func (d *Driver) now() int64 { return time.Since(d.start).Microseconds() }
 
 // onActor has the actor call f; false if the driver has stopped.
@@ -222,10 +222,10 @@
 	return d.history, nil
 }
 
-// SetStart sets when the world's time begins, for several processes that share it.
+// SetStart sets when the environment's time begins, for several processes that share it.
 func (d *Driver) SetStart(t time.Time) { d.start = t }
 
-// loop lets the world go on until its length is over or the channel is closed.
+// loop is the actor; it runs until the environment's length is over or the channel is closed.
 func (d *Driver) loop(end <-chan struct{}) {
 	over := time.NewTimer(time.Duration(d.config.Length) * time.Microsecond)
 	defer over.Stop()
@@ -266,11 +266,11 @@
 	}
 }
 
-// Expectations are what the rules of this world are judged by, with the jobs that came
-// from outside.
+// Expectations are what the rules are checked against, with the jobs that came from
+// outside.
 func (d *Driver) Expectations() history.Expectations { return d.expectations }
 
-// step gives the world a message and carries out what it returns.
+// step gives the environment a message and carries out the effects that it returns.
 func (d *Driver) step(msg any) {
 	for _, e := range d.env.Step(d.now(), msg) {
 		switch e := e.(type) {
@@ -308,8 +308,8 @@
 	return nil
 }
 
-// call brings a controller's request into the world and waits for the answer,
-// or for whoever asked to go away. Status 0 is a broken connection.
+// call sends a controller's request into the environment and waits for the answer, or for
+// the caller to go away. Status 0 is a broken connection.
 func (d *Driver) call(from, to string, request any, gone <-chan struct{}) (int, any, error) {
 	type answer struct {
 		status int
@@ -368,7 +368,7 @@
 	d.stopped.Wait()
 }
 
-// addJobs gives workers descriptions that come from outside; the actor calls it.
+// addJobs gives workers the descriptions of jobs from outside; the actor calls it.
 func (d *Driver) addJobs(jobs ...wire.Job) {
 	for _, j := range jobs {
 		d.env.AddExternalJob(j)
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// forward makes a handler that reads a request, brings it to a host and writes the
-// answer; alter may change its body first.
+// forward makes a handler that reads a request, sends it to a host of the environment and
+// writes the answer; alter may change its body first.
 func (d *Driver) forward(known, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		q, from := read(r), known
@@ -150,7 +150,7 @@
 	return "other"
 }
 
-// endpoint gives a machine its address, when it is first spoken of.
+// endpoint is the address of a machine, which is opened when it is first needed.
 func (d *Driver) endpoint(name string) string {
 	if d.Workers != nil {
 		return d.Workers.Address(name)
@@ -191,7 +191,7 @@
 	}
 }
 
-// withAddresses puts the addresses of machines into what tells of them.
+// withAddresses puts the addresses of machines into answers and reports that name them.
 func (d *Driver) withAddresses(body any) any {
 	switch b := body.(type) {
 	case wire.MachinesAnswer:
--- a/internal/emulator/sockets/workers.go
+++ b/internal/emulator/sockets/workers.go
@@ -11,8 +11,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// NewWorkerDriver makes a driver of a world of workers alone, which report to
-// controllers at the addresses fronts. Each worker has connections of its own, as
+// NewWorkerDriver makes a driver of an environment of workers alone, which report to
+// controllers at some addresses. Each worker has connections of its own, as
 // one on a machine of its own has.
 func NewWorkerDriver(cfg environment.Config, fronts []string, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
@@ -34,7 +34,7 @@
 	d.loop(end)
 }
 
-// Tell gives the world a message about a worker, and calls then, if it is not nil,
+// Tell gives the environment a message about a worker, and calls then, if it is not nil,
 // when that has taken effect.
 func (d *Driver) Tell(msg any, then func()) {
 	d.onActor(func() {
@@ -45,7 +45,7 @@
 	})
 }
 
-// Endpoint is the address of a worker's own.
+// Endpoint is the address of a worker.
 func (d *Driver) Endpoint(machine string) string { return d.endpoint(machine) }
 
 // reportClient is the client by which a worker reports.
@@ -80,7 +80,7 @@
 	return c
 }
 
-// noteToken notes the token of an answer that a worker got; the actor calls it.
+// noteToken records the fencing token of an answer that a worker got; the actor calls it.
 func (d *Driver) noteToken(request any, t environment.AskAnswer) {
 	report, isReport := request.(*wire.Report)
 	answer, isAnswer := t.Body.(wire.HeartbeatAnswer)
--- a/internal/emulator/workerproc/messages.go
+++ b/internal/emulator/workerproc/messages.go
@@ -1,7 +1,7 @@
-// Package workerproc runs the workers of an emulated world in processes of their
-// own: some hundreds of hollow workers in one process, or one worker alone in a
-// process whose cost can then be measured by itself. Both sides of the exchange
-// are here; it goes over the standard input and output of each process.
+// Package workerproc runs the workers of an emulated environment in other processes: some
+// hundreds of simulated workers in one process, or one worker in a process whose cost can
+// then be measured by itself. Both sides of the exchange are here; it goes over the standard
+// input and output of each process.
 package workerproc
 
 import (
@@ -16,7 +16,7 @@
 	Config environment.Config
 	// ControllerAddresses are the controllers' addresses.
 	ControllerAddresses []string
-	// Start is when the world's time begins, in microseconds of the time of day.
+	// Start is when the environment's time begins, in microseconds of the time of day.
 	Start int64
 }
 
--- a/internal/emulator/workerproc/pool.go
+++ b/internal/emulator/workerproc/pool.go
@@ -31,9 +31,9 @@
 	Dedicated bool
 }
 
-// Pool starts the processes and tells them what to run.
+// Pool starts the processes and sends them commands.
 type Pool struct {
-	// OnEvents takes what happens in the processes.
+	// OnEvents gets the events of the processes.
 	OnEvents func([]history.Event)
 
 	procs []*process
@@ -47,7 +47,7 @@
 	completed    map[environment.TaskCompleted]bool
 }
 
-// process is one of them. Commands are queued, so that nobody waits for it.
+// process is one of the processes. Commands are queued, so that no caller blocks.
 type process struct {
 	Process
 	cmd   *exec.Cmd
@@ -61,7 +61,7 @@
 // noAddress is where nobody listens: a worker's until it has begun.
 const noAddress = "127.0.0.1:9"
 
-// Start starts a process for each zone and for each worker that is to be alone.
+// Start starts a process for each zone and for each dedicated worker.
 // Each is the given program with arguments by which it calls Serve.
 func Start(program string, args []string, cfg environment.Config, fronts []string, start time.Time, layout Layout) (*Pool, error) {
 	p := &Pool{byMachine: map[string]*process{}, addresses: map[string]string{}, ended: map[string]chan struct{}{}, snapshots: map[int]chan Snapshot{}, completed: map[environment.TaskCompleted]bool{}}
@@ -119,7 +119,7 @@
 	_ = x.stdin.Close() // by which it ends
 }
 
-// readUpdates takes what a process says, until it ends.
+// readUpdates applies the updates of a process until it ends.
 func (p *Pool) readUpdates(x *process, out io.Reader) {
 	dec := gob.NewDecoder(out)
 	for {
@@ -155,9 +155,9 @@
 	}
 }
 
-// broadcastCompleted tells the processes with many workers which tasks were completed: a result
-// is kept for whoever starts the task again. Those with one worker are only told
-// what they need, as their cost is measured.
+// broadcastCompleted sends the completed tasks to the processes with many workers: a result
+// is kept for whoever starts the task again. Those with one worker only get what they need,
+// as their cost is measured.
 func (p *Pool) broadcastCompleted(events []history.Event) {
 	var done []environment.TaskCompleted
 	p.mu.Lock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// forwardCompleted tells a process with one worker which of the tasks that it was given were
-// completed elsewhere.
+// forwardCompleted sends a process with one worker those of its tasks that were completed
+// elsewhere.
 func (p *Pool) forwardCompleted(x *process, events []history.Event) {
 	var done []environment.TaskCompleted
 	p.mu.Lock()
@@ -198,7 +198,7 @@
 func (x *process) enqueue(c Command) {
 	select {
 	case x.queue <- c:
-	default: // it has gone, or is hopelessly late; its workers fall silent then
+	default: // it has ended, or is far behind; its workers stop reporting then
 	}
 }
 
@@ -225,7 +225,7 @@
 	p.procs[i].enqueue(Command{Begin: []environment.WorkerBegin{{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}}})
 }
 
-// Fault befalls a worker.
+// Fault injects a fault into a worker.
 func (p *Pool) Fault(f environment.WorkerFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-// Address is a worker's own.
+// Address is the address of a worker.
 func (p *Pool) Address(machine string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,7 +265,7 @@
 	}
 }
 
-// errNoSnapshot: a process did not answer.
+// errNoSnapshot is returned if a process does not answer.
 var errNoSnapshot = errors.New("a process with workers does not answer")
 
 // snapshotTimeout is how long processes may take to answer.
--- a/internal/emulator/workerproc/serve.go
+++ b/internal/emulator/workerproc/serve.go
@@ -16,7 +16,7 @@
 // flushDelay is how long an event waits for others before it goes to the emulator.
 const flushDelay = 50 * time.Millisecond
 
-// Serve runs workers as it is told, until the input ends.
+// Serve runs workers as the commands of the input say, until it ends.
 func Serve(in io.Reader, out io.Writer) error {
 	dec := gob.NewDecoder(in)
 	var hello Hello
@@ -47,7 +47,7 @@
 	}
 }
 
-// server is a process's side.
+// server is the side of the process with the workers.
 type server struct {
 	driver *sockets.Driver
 	meter  *meter.Meter
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,6 @@
-// Package load submits jobs at the times at which they are meant to come,
-// whatever becomes of those before, and says how long that took: an open loop.
-// Latencies are counted from the intended time, so that a service that stands
-// still shows in all submissions that should have come meanwhile.
+// Package load submits jobs in an open loop, at their intended times whatever becomes of those
+// before, and measures how long that took. Latencies are counted from the intended time, so
+// that a service that hangs shows in all submissions that were due meanwhile.
 package load
 
 import (
@@ -25,7 +24,7 @@
 	Job wire.Job `json:"job"`
 }
 
-// The manners of users, as the protocol has them.
+// The timeouts and intervals of users, as in the protocol.
 const (
 	submitTimeout    = 5 * time.Second
 	submitDeadline   = 60 * time.Second
@@ -38,16 +37,16 @@
 type Options struct {
 	Addr string
 	// MaxInFlight is how many submissions may be under way; one that would be more
-	// is not sent and counted as held up.
+	// is not sent and counted as throttled.
 	MaxInFlight int
-	// Follow: jobs are asked about until they are over, or until For.
+	// Follow: jobs are polled until they are over, or Duration is.
 	Follow   bool
 	Duration time.Duration
 	// Progress, if set, is called every ten seconds.
 	Progress func(Totals)
 }
 
-// Totals are what came out.
+// Totals are the results of a run.
 type Totals struct {
 	Sent, Accepted, Refused, GivenUp, Throttled, Done, Cancelled, Retries int
 	// Accept and Complete are in microseconds from the intended time.
