--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -41,7 +41,7 @@
 type listedAge struct{ from, to, age int64 }
 
 // after is the entry with a later age, as exactly as the earlier entry and the bounds
-// of the later list tell.
+// of the later list allow.
 func (a listedAge) after(age, from, to int64) listedAge {
 	apart := age - a.age
 	drift := max(apart, -apart) / clockDriftDivisor
@@ -146,8 +146,8 @@
 	}
 }
 
-// forgetUnlisted drops what the cloud does not list and nothing is heard of: only names
-// are left of them.
+// forgetUnlisted drops machines that the cloud does not list and that send no heartbeats:
+// only their names are left.
 func (s *scaler) forgetUnlisted(listed map[string]bool) {
 	term := s.elector.leadership
 	bootTimeout := unlistedBootTimeout + 4*config.MicrosOf(s.settings.Cloud.ListLagS)
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -16,6 +16,15 @@
 	ScaleIn []string
 }
 
+// Statuses of the cloud's answers that matter here; its numbers are those of HTTP.
+const (
+	cloudNoStatus    = 0 // no answer: whether the call was executed is not known
+	cloudOK          = 200
+	cloudRateLimited = 429
+	cloudServerError = 500
+	cloudNoCapacity  = 503
+)
+
 // CloudResult is how a call of the cloud ended; Status is 0 where that is not known.
 type CloudResult struct {
 	Status int
@@ -66,7 +75,7 @@
 // has when it is made by the leader itself.
 func (r CloudResult) Message(call CloudCall, peer string, fencingToken uint64) any {
 	var err error
-	if r.Status != 200 {
+	if r.Status != cloudOK {
 		err = errCloudNoAnswer
 	}
 	switch {
@@ -79,7 +88,7 @@
 		request.FencingToken = fencingToken
 		return ScaledOut{Request: request, Names: r.Names, Status: r.Status}
 	}
-	return ScaledIn{Names: call.ScaleIn, OK: r.Status == 200, FencingToken: fencingToken}
+	return ScaledIn{Names: call.ScaleIn, OK: r.Status == cloudOK, FencingToken: fencingToken}
 }
 
 // cloudCaller makes calls of the cloud, by way of a peer where this controller does not
@@ -152,7 +161,7 @@
 // Without a status the cloud has not answered this controller either.
 func (c *cloudCaller) onCloudCalledForPeer(m CloudCalledForPeer) {
 	var err error
-	if m.Answer.Status == 0 {
+	if m.Answer.Status == cloudNoStatus {
 		err = errCloudNoAnswer
 	}
 	c.cloudCallEnded("", err)
@@ -166,7 +175,7 @@
 	if r.Cloud != nil {
 		result = *r.Cloud
 	}
-	if err == nil && result.Status == 0 {
+	if err == nil && result.Status == cloudNoStatus {
 		err = errCloudNotReached
 	}
 	return PeerCloudCallEnded{Peer: e.To, Err: err}, result.Message(e.Call, e.To, e.FencingToken)
--- a/internal/core/machinetypes.go
+++ b/internal/core/machinetypes.go
@@ -21,8 +21,8 @@
 		return
 	}
 	old := encodeJSON(s.cache.machineTypes)
-	s.cache.machineTypes = m.Types
-	if types := encodeJSON(m.Types); s.cache.typesRevision == 0 || string(old) != string(types) {
+	isStored := s.cache.setMachineTypes(m.Types)
+	if types := encodeJSON(m.Types); !isStored || string(old) != string(types) {
 		s.writeTypes(types)
 	}
 	for _, machine := range s.elector.leadership.fleet.All() {
@@ -44,9 +44,9 @@
 	for _, w := range writes {
 		s.committer.putAsLeader(w.Key, w.Value, func(r TransactionResult) {
 			if r.Outcome == kv.Committed {
-				s.cache.typesRevision = r.Revision
+				s.cache.typesWritten(r.Revision)
 			} else {
-				s.cache.typesRevision = 0
+				s.cache.typesWritten(0)
 			}
 		})
 	}
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -121,7 +121,7 @@
 	term := p.elector.leadership
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
 	term.partitions.seq++
-	p.cache.partitions = partitions
+	p.cache.assignPartitions(partitions)
 	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m TransactionResult) {
 		if p.elector.leadership != term {
 			return
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// claim is kept until it is used, until its job is over, or until the room should long
+// claim is kept until it is used, until its job is over, or until the machine should long
 // have come free.
 type claim struct {
 	sched.Claim
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -31,6 +31,14 @@
 	idle map[machinePool][]*fleet.Machine
 }
 
+// addIdle notes a machine of a pool that has long been idle; most of the time there is none.
+func (s *machineSurvey) addIdle(pool machinePool, m *fleet.Machine) {
+	if s.idle == nil {
+		s.idle = map[machinePool][]*fleet.Machine{}
+	}
+	s.idle[pool] = append(s.idle[pool], m)
+}
+
 // scaleInTick returns machines: silent ones, whose tasks that ends for
 // certain, faulty and never-booting ones, and those idle for long.
 func (s *scaler) scaleInTick(takeCall func() bool, gathers []zoneGather) {
@@ -49,7 +57,7 @@
 
 // surveyMachines goes through all machines, and queues those that are drained.
 func (s *scaler) surveyMachines(gathers []zoneGather) machineSurvey {
-	survey := machineSurvey{idle: map[machinePool][]*fleet.Machine{}}
+	var survey machineSurvey
 	interval := s.heartbeatInterval()
 	since := s.elector.leadership.since
 	for _, m := range s.elector.leadership.fleet.All() {
@@ -68,8 +76,7 @@
 				s.queueScaleIn(m.Name)
 			}
 			if s.isIdleForLong(m) && !isGathered(gathers, m) {
-				pool := s.poolOf(m.Type, m.Spot)
-				survey.idle[pool] = append(survey.idle[pool], m)
+				survey.addIdle(s.poolOf(m.Type, m.Spot), m)
 			}
 		case len(m.Placed) > 0 && s.isPresumedDead(m, silence):
 			survey.presumedDead = append(survey.presumedDead, m)
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -186,10 +186,10 @@
 	state.callsRunning--
 	offer := machineOffer{m.Request.Type, m.Request.Zone, m.Request.Spot}
 	switch {
-	case m.Status == 200:
+	case m.Status == cloudOK:
 		s.machinesRented(offer, &m)
-	case m.Status == 0 || m.Status == 429 || m.Status >= 500 && m.Status != 503:
-		// No answer: the same request again is executed once at most.
+	case mayBeExecuted(m.Status):
+		// The same request again is executed once at most.
 		if len(state.unanswered) < maxUnanswered {
 			state.unanswered = append(state.unanswered, m.Request)
 		}
@@ -199,6 +199,13 @@
 	}
 }
 
+// mayBeExecuted says whether a request without a result may have been executed, or may
+// be when it is made again.
+func mayBeExecuted(status int) bool {
+	return status == cloudNoStatus || status == cloudRateLimited ||
+		status >= cloudServerError && status != cloudNoCapacity
+}
+
 // machinesRented notes the machines that boot now. Where there were fewer than asked for
 // the offer has none left.
 func (s *scaler) machinesRented(offer machineOffer, m *ScaledOut) {
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -82,9 +82,9 @@
 		return option, false // what is stopped there is stopped for another
 	}
 	option.m = m
-	// What is in the way on a machine that is claimed has been told to
-	// stop. It may take longer than the delay; stopping more elsewhere
-	// in every round until then would free machines for nobody.
+	// What is in the way on a machine that is claimed is being stopped. That may take
+	// longer than the delay; stopping more elsewhere in every round until then would free
+	// machines for nobody.
 	isClaimed := m.claimedFor(j)
 	if !j.Need.Fits(m.Free) {
 		if _, lost, ok := p.victims(j, m); ok {
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -86,6 +86,20 @@
 // suspend takes what is known for outdated, so that nothing is decided by it any more.
 func (s *stateCache) suspend() { s.synced = false }
 
+// assignPartitions takes over the partitions that this controller assigns as the leader.
+func (s *stateCache) assignPartitions(partitions fleet.Partitions) { s.partitions = partitions }
+
+// setMachineTypes takes over the machine types that the cloud offers, and says whether
+// any are stored.
+func (s *stateCache) setMachineTypes(types []fleet.Type) (isStored bool) {
+	s.machineTypes = types
+	return s.typesRevision != 0
+}
+
+// typesWritten notes the revision of the machine types that this controller has stored; 0
+// stands for a write that failed.
+func (s *stateCache) typesWritten(revision uint64) { s.typesRevision = revision }
+
 // dropPartitions forgets the partitions that this controller has assigned as the leader.
 func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
 
