--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -217,25 +217,6 @@
 	}
 }
 
-// inheritSource remembers a finished job of an earlier leadership.
-func (p *prefetcher) inheritSource(spec *jobstate.Spec) {
-	p.noteImageDemand(spec)
-	state := &p.elector.leadership.hints
-	state.inheritedSources = append(state.inheritedSources, spec)
-}
-
-// inheritPrefetchSources puts the last leader's sources to use.
-func (p *prefetcher) inheritPrefetchSources() {
-	term := p.elector.leadership
-	if len(term.hints.inheritedSources) == 0 || p.now-term.since < p.settings.FailoverEpochTimeout() {
-		return
-	}
-	for _, spec := range term.hints.inheritedSources {
-		p.addPrefetchSources(spec)
-	}
-	term.hints.inheritedSources = nil
-}
-
 // restoreKnownImages gives a machine the images that the last leader knew it has.
 func (p *prefetcher) restoreKnownImages(m *fleet.Machine) {
 	for _, image := range p.elector.leadership.hints.known[m.Name] {
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
@@ -20,79 +19,12 @@
 // placement, which it stops.
 
 const (
-	// minPrefetchSources is how many sources of an image are kept at least,
-	// machinesPerSource for how many machines there is one more.
-	minPrefetchSources = 12
-	machinesPerSource  = 16
-	// maxImagesTracked bounds the images whose demand is remembered, demandHalfLife is
-	// after what time half of a demand is forgotten.
-	maxImagesTracked = 200
-	demandHalfLife   = 300 * second
-	// prefetchAttempt is above any attempt of a job's own.
-	prefetchAttempt = 1 << 24
 	// prefetchInterval is the time between two rounds of prefetching.
 	prefetchInterval = second
-	// maxMachinesCounted bounds for how many machines one job's demand counts.
-	maxMachinesCounted = 16
-	// allImagesWorth is what having every image that is asked for is worth, as a delay:
-	// less than a fetch, so that it only decides between machines that are as good.
-	allImagesWorth = 3 * second
-	// cachePercent is how much of a machine's image cache prefetches may fill.
-	cachePercent = 80
-	// prefetchQuotaShare is what prefetches may use of a team's limit at most. What the last
-	// leader had running is stored nowhere, so for as long as any of it may be on its
-	// machine a new one leaves that share of the limit alone, and sends no prefetches of
-	// teams with a limit itself: else the next would have two leaders' to reckon with.
-	prefetchQuotaShare = 0.125
+	// prefetchAttempt is above any attempt of a job's own.
+	prefetchAttempt = 1 << 24
 )
 
-// prefetchSource is a finished task that can carry its image.
-type prefetchSource struct {
-	job     *prefetchJob
-	spec    *jobstate.Spec
-	index   int
-	machine string // where it runs, empty if nowhere
-}
-
-// prefetchJob is a finished job whose tasks carry images: how many run, and
-// in which zone. Those of a job that sets one_zone stay in one, as its rule
-// holds for tasks that are started again as well.
-type prefetchJob struct {
-	running int
-	zone    string
-}
-
-// mayRunIn says whether a source may go to a zone now.
-func (s *prefetchSource) mayRunIn(zone string) bool {
-	return s.machine == "" && (!s.spec.OneZone || s.job.running == 0 || s.job.zone == zone)
-}
-
-// start and end keep account of where a source is.
-func (s *prefetchSource) start(m *fleet.Machine) {
-	s.machine, s.job.zone = m.Name, m.Zone
-	s.job.running++
-}
-
-func (s *prefetchSource) end() {
-	s.machine = ""
-	s.job.running--
-}
-
-// imageDemand is how much an image is asked for.
-type imageDemand struct {
-	score float64
-	at    int64
-}
-
-// decayed is what is left of a demand at a time.
-func (d imageDemand) decayed(now int64) imageDemand {
-	const negligible = 0.01
-	for ; now-d.at > demandHalfLife && d.score > negligible; d.at += demandHalfLife {
-		d.score /= 2
-	}
-	return d
-}
-
 // prefetchState is what the prefetcher keeps while this controller leads.
 type prefetchState struct {
 	sources map[string][]*prefetchSource // by image
@@ -111,19 +43,6 @@
 	}
 }
 
-// forgetLeastRecent drops the image whose demand is oldest.
-func (s *prefetchState) forgetLeastRecent() {
-	var oldest string
-	for image, demand := range s.demand {
-		at := s.demand[oldest].at
-		if oldest == "" || demand.at < at || demand.at == at && image < oldest {
-			oldest = image
-		}
-	}
-	delete(s.demand, oldest)
-	delete(s.sources, oldest)
-}
-
 // prefetcher brings images to idle machines before they are needed.
 type prefetcher struct {
 	*engine
@@ -136,74 +55,6 @@
 	planner    *planner
 }
 
-// noteImageDemand counts a job's demand for its image; urgent jobs count for more.
-func (p *prefetcher) noteImageDemand(spec *jobstate.Spec) {
-	state := &p.elector.leadership.prefetch
-	if spec.Image == "" {
-		return
-	}
-	demand := state.demand[spec.Image].decayed(p.now)
-	demand.score += float64(1+2*spec.Priority) * p.machinesNeeded(spec)
-	demand.at = p.now
-	state.demand[spec.Image] = demand
-	if len(state.demand) > maxImagesTracked {
-		state.forgetLeastRecent()
-	}
-}
-
-// machinesNeeded is about how many machines a job takes, up to a few: an image
-// whose jobs are wide is wanted on more machines.
-func (p *prefetcher) machinesNeeded(spec *jobstate.Spec) float64 {
-	machines := float64(maxMachinesCounted)
-	for i := range p.cache.machineTypes {
-		if t := &p.cache.machineTypes[i]; mayUseType(spec, t) {
-			machines = min(machines, float64(spec.Tasks)/float64(tasksPerMachine(spec.Need, t.Cap)))
-		}
-	}
-	return max(machines, 1)
-}
-
-// imageWorth shares allImagesWorth out by demand. With few machines idle, those with the
-// images of urgent jobs would else be used up by jobs that have to fetch theirs
-// wherever they go.
-func (p *prefetcher) imageWorth() map[string]int64 {
-	demand := p.elector.leadership.prefetch.demand
-	var total float64
-	for _, image := range sortedKeys(demand) {
-		total += demand[image].score
-	}
-	worth := make(map[string]int64, len(demand))
-	if total <= 0 {
-		return worth
-	}
-	for image, d := range demand {
-		worth[image] = int64(float64(allImagesWorth) * d.score / total)
-	}
-	return worth
-}
-
-// addPrefetchSources takes the tasks of a job that is done, and of which no task is on
-// a machine any more. As many are kept as can run at once in a large fleet.
-func (p *prefetcher) addPrefetchSources(spec *jobstate.Spec) {
-	if spec.Image == "" || spec.Spread || spec.Kind == jobstate.Service {
-		return
-	}
-	state := &p.elector.leadership.prefetch
-	sources := state.sources[spec.Image]
-	limit := minPrefetchSources + p.elector.leadership.fleet.Len()/machinesPerSource
-	job := &prefetchJob{}
-	for i := range min(spec.Tasks, limit/2) {
-		sources = append(sources, &prefetchSource{job: job, spec: spec, index: i})
-	}
-	if surplus := len(sources) - limit; surplus > 0 {
-		sources = slices.DeleteFunc(sources, func(s *prefetchSource) bool {
-			surplus--
-			return surplus >= 0 && s.machine == ""
-		})
-	}
-	state.sources[spec.Image] = sources
-}
-
 // idleMachines are the machines that prefetches may go to.
 type idleMachines struct {
 	// machines are those without a prefetch, by name.
@@ -333,71 +184,6 @@
 	return wanted
 }
 
-// pickSource finds the image most wanted that a machine lacks, has room for
-// in its cache, and may get.
-func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wanted wantedImages) *prefetchSource {
-	var cachedMB int64
-	for _, image := range m.Images {
-		cachedMB += image.MB
-	}
-	var best *prefetchSource
-	var bestScore float64
-	for i := range wanted {
-		image, score := wanted[i].image, wanted[i].scoreForNext()
-		if _, ok := m.Images[image]; ok || score <= bestScore {
-			continue
-		}
-		for _, source := range p.elector.leadership.prefetch.sources[image] {
-			if p.mayCarry(source, m, cachedMB, used) {
-				best, bestScore = source, score
-				break
-			}
-		}
-	}
-	return best
-}
-
-// mayCarry says whether a source may bring its image to a machine.
-func (p *prefetcher) mayCarry(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
-	spec := source.spec
-	if !source.mayRunIn(m.Zone) || !spec.Allows(m.Type, m.Zone, m.Spot, m.Cap) || spec.Need.GPU == 0 && m.Cap.GPU > 0 {
-		return false
-	}
-	if cachedMB+spec.ImageMB > m.CacheMB*cachePercent/100 {
-		return false
-	}
-	usedByPrefetches := p.elector.leadership.prefetch.usedByTeam[spec.Team]
-	return p.withinLimit(spec.Team, used[spec.Team], 1, spec.Need) &&
-		p.withinLimit(spec.Team, usedByPrefetches, p.quotaShareForPrefetch(), spec.Need)
-}
-
-// withinLimit says whether a team that uses so much may use more, of a share of
-// its limit.
-func (p *prefetcher) withinLimit(name string, used teamUsage, share float64, need jobstate.Resources) bool {
-	team := p.settings.Team(name)
-	return team != nil && fitsLimit(team, used.plus(need, 1), share)
-}
-
-// fitsLimit says whether so much lies within a share of a team's limit.
-func fitsLimit(team *config.Team, total teamUsage, share float64) bool {
-	return (team.CPUsMax == 0 || total.cpu <= int64(team.CPUsMax*milliPerUnit*share)) &&
-		(team.GPUsMax == 0 || total.gpu <= int64(team.GPUsMax*milliPerUnit*share))
-}
-
-// earlierPrefetchesRunning says whether an earlier leader's prefetches may still be on
-// machines.
-func (p *prefetcher) earlierPrefetchesRunning() bool {
-	return p.elector.fencingToken() > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
-}
-
-// quotaShareForPrefetch is the share of a limit that prefetches may use now.
-func (p *prefetcher) quotaShareForPrefetch() float64 {
-	if p.earlierPrefetchesRunning() {
-		return 0
-	}
-	return prefetchQuotaShare
-}
-
 // endPrefetch forgets a machine's prefetch; its source can be used again.
 func (p *prefetcher) endPrefetch(m *fleet.Machine) {
 	if m.Prefetch == nil {
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -15,6 +15,12 @@
 // milliPerUnit is how many of the units that resources are counted in make a CPU or GPU.
 const milliPerUnit = 1000
 
+// prefetchQuotaShare is what prefetches may use of a team's limit at most. What the last
+// leader had running is stored nowhere, so for as long as any of it may be on its
+// machine a new one leaves that share of the limit alone, and sends no prefetches of
+// teams with a limit itself: else the next would have two leaders' to reckon with.
+const prefetchQuotaShare = 0.125
+
 // teamUsage is what a team uses of what quotas count.
 type teamUsage struct{ cpu, gpu int64 }
 
@@ -87,3 +93,30 @@
 	headrooms[name] = headroom
 	return headroom
 }
+
+// fitsLimit says whether so much lies within a share of a team's limit.
+func fitsLimit(team *config.Team, total teamUsage, share float64) bool {
+	return (team.CPUsMax == 0 || total.cpu <= int64(team.CPUsMax*milliPerUnit*share)) &&
+		(team.GPUsMax == 0 || total.gpu <= int64(team.GPUsMax*milliPerUnit*share))
+}
+
+// withinLimit says whether a team that uses so much may use more, of a share of
+// its limit.
+func (p *prefetcher) withinLimit(name string, used teamUsage, share float64, need jobstate.Resources) bool {
+	team := p.settings.Team(name)
+	return team != nil && fitsLimit(team, used.plus(need, 1), share)
+}
+
+// earlierPrefetchesRunning says whether an earlier leader's prefetches may still be on
+// machines.
+func (p *prefetcher) earlierPrefetchesRunning() bool {
+	return p.elector.fencingToken() > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
+}
+
+// quotaShareForPrefetch is the share of a limit that prefetches may use now.
+func (p *prefetcher) quotaShareForPrefetch() float64 {
+	if p.earlierPrefetchesRunning() {
+		return 0
+	}
+	return prefetchQuotaShare
+}
