--- a/internal/core/sched/job.go
+++ b/internal/core/sched/job.go
@@ -116,7 +116,7 @@
 
 // suits says whether a machine of a class could take a task of j, were it empty.
 func (j *Job) suits(c MachineClass) bool {
-	return j.allows(c) && zoneFits(j, c.Zone, j.TasksByZone) && !j.avoidsGPUs(c)
+	return j.allows(c) && j.fitsZone(c.Zone, j.TasksByZone) && !j.avoidsGPUs(c)
 }
 
 // avoidsGPUs says that a job leaves machines with GPUs to others.
@@ -133,9 +133,9 @@
 	return ""
 }
 
-// zoneFits says whether a job that has so many tasks in each zone may have one more in a
+// fitsZone says whether a job that has so many tasks in each zone may have one more in a
 // zone: one_zone keeps all of them in one, spread at most half of them.
-func zoneFits(j *Job, zone string, tasksByZone map[string]int) bool {
+func (j *Job) fitsZone(zone string, tasksByZone map[string]int) bool {
 	if j.OneZone {
 		for other, tasks := range tasksByZone {
 			if tasks > 0 && other != zone {
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -94,7 +94,7 @@
 	for len(slots) > 0 {
 		slot := heap.Pop(&slots).(freeSlot)
 		if j.Spread && !j.OneZone {
-			if !zoneFits(j, slot.m.Zone, tasksByZone) {
+			if !j.fitsZone(slot.m.Zone, tasksByZone) {
 				continue
 			}
 			tasksByZone[slot.m.Zone]++
@@ -128,7 +128,7 @@
 func (p *Planner) freeSlots(j *Job, tasks int) slotHeap {
 	slots := p.slotBuffer[:0]
 	for _, g := range p.Index.groups {
-		if !j.allows(g.MachineClass) || j.avoidsGPUs(g.MachineClass) || j.OneZone && !zoneFits(j, g.Zone, j.TasksByZone) {
+		if !j.allows(g.MachineClass) || j.avoidsGPUs(g.MachineClass) || j.OneZone && !j.fitsZone(g.Zone, j.TasksByZone) {
 			continue
 		}
 		g.free.Scan(func(m *Machine) bool {
--- a/internal/core/sched/search.go
+++ b/internal/core/sched/search.go
@@ -82,7 +82,7 @@
 		if partition != anyPartition && g.Partition != partition || zone != nil && g.Zone != *zone {
 			continue
 		}
-		if !j.allows(g.MachineClass) || !zoneFits(j, g.Zone, tasksByZone) {
+		if !j.allows(g.MachineClass) || !j.fitsZone(g.Zone, tasksByZone) {
 			continue
 		}
 		p.eachFitting(j, g, false, func(m *Machine) {
@@ -106,7 +106,7 @@
 			heap.Fix(s, 0)
 		}
 		// Zones only ever get full.
-		if zoneFits(s.job, m.Zone, s.tasksByZone) {
+		if s.job.fitsZone(m.Zone, s.tasksByZone) {
 			return m
 		}
 	}
