--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -11,24 +11,24 @@
 // lead, and the call carries until when. One that was decided and waited, as for
 // the budget, used to go out whatever had become of the leadership since.
 func TestScaleInFenced(t *testing.T) {
-	b := newBetween(t, "n0")
+	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
-	b.mute = true
-	b.run(ttl + second)
+	b.stateSilent = true
+	b.advance(ttl + second)
 	if b.c.elector.mayStartTasks() {
 		t.Fatal("it may act although nothing proves that it still leads")
 	}
 	b.c.scaler.queueScaleIn("m")
-	b.out = nil
-	b.run(3 * second)
-	if r := find[ScaleIn](b); len(r) != 0 {
+	b.effects = nil
+	b.advance(3 * second)
+	if r := takeEffects[ScaleIn](b); len(r) != 0 {
 		t.Errorf("returned by a leader that may have been replaced: %+v", r)
 	}
 	b.c.workers.getOrAddMachine("came up").LastHeartbeat = b.now
 	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
-	b.mute = false
-	b.run(2 * second)
-	r := find[ScaleIn](b)
+	b.stateSilent = false
+	b.advance(2 * second)
+	r := takeEffects[ScaleIn](b)
 	if len(r) == 0 || len(r[0].Names) != 1 || r[0].Names[0] != "m" || r[0].NotAfter <= b.now-2*second || r[0].NotAfter > b.now+ttl {
 		t.Errorf("proven again: %+v at %d", r, b.now)
 	}
@@ -53,45 +53,45 @@
 		{"no peer answers", noAnswer, nil, "", ""},
 	}
 	for _, tc := range cases {
-		b := newBetween(t, "n0")
+		b := newPeerHarness(t, "n0")
 		b.step(MachineTypesListed{FencingToken: b.c.elector.leadership.fencingToken})
-		b.run(5 * second)
+		b.advance(5 * second)
 		for range 3 {
 			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.fencingToken})
 		}
 		for i, v := range tc.ads {
-			b.peer([]string{"n1", "n2"}[i], v)
-			b.stored([]string{"n1", "n2"}[i], v)
+			b.peerAnswers([]string{"n1", "n2"}[i], v)
+			b.storeAdvertisement([]string{"n1", "n2"}[i], v)
 		}
-		b.run(250_000)
+		b.advance(250_000)
 		if tc.fail != "" {
 			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
 		}
 		if got := b.c.cloud.cloudPeer(); got != tc.want {
 			t.Errorf("%s: by %q, not %q", tc.name, got, tc.want)
 		}
-		b.out = nil
+		b.effects = nil
 		b.c.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
 		b.step(Tick{})
-		out := b.out
-		by := find[CallCloudViaPeer](b)
-		b.out = out
-		direct := find[ScaleIn](b)
+		out := b.effects
+		by := takeEffects[CallCloudViaPeer](b)
+		b.effects = out
+		direct := takeEffects[ScaleIn](b)
 		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
 			t.Errorf("%s: %+v, %+v", tc.name, by, direct)
 		}
 	}
 	// The peer's side: no calls for a leader that was replaced.
-	b := newBetween(t, "n1")
+	b := newPeerHarness(t, "n1")
 	for token, want := range map[uint64]int{4: 0, 5: 1, 6: 1} {
-		b.out = nil
+		b.effects = nil
 		b.step(CloudCallRequested{RequestID: 1, FencingToken: token, Call: CloudCall{ScaleIn: []string{"m"}}})
-		if got := find[CallCloudForPeer](b); len(got) != want {
+		if got := takeEffects[CallCloudForPeer](b); len(got) != want {
 			t.Errorf("for token %d of 5: %+v", token, got)
 		}
 	}
 	b.step(CloudCalledForPeer{RequestID: 1, Answer: CloudResult{Status: 200}})
-	if r := find[Reply](b); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
+	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
 		t.Errorf("answered %+v", r)
 	}
 }
--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			c := r.c
 			clear(c.elector.leadership.commits.dirty)
 			add := func(id string, priority int) *jobstate.Job {
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -13,28 +13,28 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// between is a controller among three whose messages are given by hand, and
+// peerHarness is a controller among three whose messages are given by hand, and
 // whose effects are kept.
-type between struct {
-	c   *Core
-	now int64
-	rev uint64
-	out []any
-	// mute: the state service answers nothing.
-	mute    bool
-	touches int
-	hung    bool // the watch brings nothing
+type peerHarness struct {
+	c        *Core
+	now      int64
+	revision uint64
+	effects  []any
+	// stateSilent: the state service answers nothing.
+	stateSilent bool
+	renewals    int
+	watchHung   bool // the watch brings nothing
 }
 
-// newBetween has read the state, in which leader leads; it leads itself if that
+// newPeerHarness has read the state, in which leader leads; it leads itself if that
 // is its own name.
-func newBetween(t *testing.T, leader string) *between {
+func newPeerHarness(t *testing.T, leader string) *peerHarness {
 	set := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	b := &between{now: second, rev: 20}
+	b := &peerHarness{now: second, revision: 20}
 	b.c = New(set, b.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	rows := []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
@@ -46,15 +46,15 @@
 		rows = append(rows, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
 	b.step(StateListed{Revision: 20, Changes: rows})
-	b.run(2 * second)
+	b.advance(2 * second)
 	if (b.c.elector.leadership != nil) != (leader == "n0") {
 		t.Fatal("not the leader that was meant")
 	}
-	b.out = nil
+	b.effects = nil
 	return b
 }
 
-func (b *between) run(d int64) {
+func (b *peerHarness) advance(d int64) {
 	for end := b.now + d; b.now < end; {
 		b.now += 50_000
 		b.step(Tick{TimeOfDay: b.now + 1_000_000*second})
@@ -62,58 +62,58 @@
 }
 
 // step answers what goes to the state service, and keeps the rest.
-func (b *between) step(msg any) {
+func (b *peerHarness) step(msg any) {
 	for _, e := range b.c.Step(b.now, msg) {
 		err := errors.New("no answer")
-		if !b.mute {
+		if !b.stateSilent {
 			err = nil
 		}
 		switch e := e.(type) {
 		case GrantLease:
 			b.step(LeaseGranted{Lease: 9, SentAt: b.now, Err: err})
 		case RenewLease:
-			b.touches++
+			b.renewals++
 			b.step(LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: err})
 		case CommitTransaction:
-			if b.mute {
+			if b.stateSilent {
 				b.step(TransactionResult{ID: e.ID})
 				continue
 			}
-			b.rev++
-			w := StateRead{AfterRevision: b.rev - 1, Revision: b.rev, SentAt: b.now}
+			b.revision++
+			w := StateRead{AfterRevision: b.revision - 1, Revision: b.revision, SentAt: b.now}
 			for _, x := range e.Writes {
-				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: b.rev, Removed: x.Value == nil})
+				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: b.revision, Removed: x.Value == nil})
 			}
-			if !b.hung {
+			if !b.watchHung {
 				b.step(w)
 			}
-			b.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: b.rev})
+			b.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: b.revision})
 		case PingPeer, ProbeMachine:
 		default:
-			b.out = append(b.out, e)
+			b.effects = append(b.effects, e)
 		}
 	}
 }
 
-// peer has a peer answer a ping and call, with what it says it reaches; stored
+// peerAnswers has a peer answer a ping and call, with what it says it reaches; stored
 // is its word in the state service.
-func (b *between) peer(name string, v connectivity.Advertisement) {
+func (b *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
 	b.step(PeerPinged{Peer: name, SentAt: b.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
 	b.step(PingReceived{From: name})
 }
 
-func (b *between) stored(name string, v connectivity.Advertisement) {
-	b.rev++
-	b.step(StateRead{AfterRevision: b.rev - 1, Revision: b.rev, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.rev}}})
+func (b *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
+	b.revision++
+	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.revision}}})
 }
 
-func find[T any](b *between) (out []T) {
-	for _, e := range b.out {
+func takeEffects[T any](b *peerHarness) (out []T) {
+	for _, e := range b.effects {
 		if x, ok := e.(T); ok {
 			out = append(out, x)
 		}
 	}
-	b.out = nil
+	b.effects = nil
 	return out
 }
 
@@ -121,162 +121,162 @@
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
-// TestOtherViews: an unfinished answer needs a view that was asked for after the
+// TestReadForRequests: an unfinished answer needs a view that was asked for after the
 // request came. One of another purpose, sent before it, once answered it too: a
 // job accepted in between by another controller was then called unknown.
-func TestOtherViews(t *testing.T) {
-	b := newBetween(t, "n1")
+func TestReadForRequests(t *testing.T) {
+	b := newPeerHarness(t, "n1")
 	b.step(QueryJob{RequestID: 7, ID: "j"})
-	asked := find[ReadState](b)
+	asked := takeEffects[ReadState](b)
 	if len(asked) != 1 || !asked[0].ForRequests {
 		t.Fatalf("views %+v", asked)
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.rev, Immediate: true})
-	if got := find[ReadKey](b); len(got) != 0 {
+	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true})
+	if got := takeEffects[ReadKey](b); len(got) != 0 {
 		t.Error("a view that may be older than the request was taken for its answer")
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.rev, Immediate: true, ForRequests: true})
-	if got := find[ReadKey](b); len(got) != 1 {
+	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true, ForRequests: true})
+	if got := takeEffects[ReadKey](b); len(got) != 1 {
 		t.Error("the view of the request did not answer it")
 	}
 }
 
-// TestSilentWatch: a revision that an answer tells of and the watch does not
+// TestStuckWatch: a revision that an answer tells of and the watch does not
 // bring is read, or a leader would learn of new jobs only when the connection
 // that the watch is held on breaks.
-func TestSilentWatch(t *testing.T) {
-	b := newBetween(t, "n0")
+func TestStuckWatch(t *testing.T) {
+	b := newPeerHarness(t, "n0")
 	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
-	b.rev += 3                                                 // others write, and nothing of it comes
+	b.revision += 3                                            // others write, and nothing of it comes
 	id := b.c.newID()
 	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
-	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.rev})
-	b.run(maxWatchDelay - 100_000)
-	if v := find[ReadState](b); len(v) != 0 {
+	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.revision})
+	b.advance(maxWatchDelay - 100_000)
+	if v := takeEffects[ReadState](b); len(v) != 0 {
 		t.Error("the watch was given no time")
 	}
-	b.run(300_000)
-	v := find[ReadState](b)
+	b.advance(300_000)
+	v := takeEffects[ReadState](b)
 	if len(v) != 1 || v[0].ForRequests {
 		t.Fatalf("views %+v", v)
 	}
-	b.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: b.rev, Immediate: true})
-	b.run(5 * second)
-	if v = find[ReadState](b); len(v) != 0 {
+	b.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: b.revision, Immediate: true})
+	b.advance(5 * second)
+	if v = takeEffects[ReadState](b); len(v) != 0 {
 		t.Errorf("%d views with nothing to read", len(v))
 	}
 }
 
-// TestAside: what becomes of a report at a controller that can't hand it to the
+// TestHeartbeatWithoutLeader: what becomes of a report at a controller that can't hand it to the
 // leader n1.
-func TestAside(t *testing.T) {
+func TestHeartbeatWithoutLeader(t *testing.T) {
 	report := func(n uint64) HeartbeatReceived {
 		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
 	}
 	cases := []struct {
 		name   string
-		meet   func(b *between)
+		meet   func(b *peerHarness)
 		first  ReplyCode // the answer's status, 0 for none yet
 		to     string    // of the answer, or of the relay
 		second string    // whom the report goes by when the worker is back at once
 	}{
-		{"nobody reaches anything", func(*between) {}, 503, "", ""},
-		{"the leader answers", func(b *between) { b.peer("n1", reaches(8, 8)) }, 421, "n1", "n1"},
-		{"another reaches the leader", func(b *between) {
+		{"nobody reaches anything", func(*peerHarness) {}, 503, "", ""},
+		{"the leader answers", func(b *peerHarness) { b.peerAnswers("n1", reaches(8, 8)) }, 421, "n1", "n1"},
+		{"another reaches the leader", func(b *peerHarness) {
 			v := reaches(8, 8, "n0", "n1")
-			b.peer("n2", v)
-			b.stored("n2", v)
+			b.peerAnswers("n2", v)
+			b.storeAdvertisement("n2", v)
 		}, 421, "n2", "n2"},
-		{"the leader says that it reaches the zone", func(b *between) { b.stored("n1", reaches(8, 0)) }, 421, "n1", ""},
-		{"the leader says that it does not", func(b *between) { b.stored("n1", reaches(0, 8)) }, 503, "", ""},
-		{"the leader's word may be old", func(b *between) {
-			b.stored("n1", reaches(8, 8))
-			b.mute = true
-			b.run(3 * second)
+		{"the leader says that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(8, 0)) }, 421, "n1", ""},
+		{"the leader says that it does not", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(0, 8)) }, 503, "", ""},
+		{"the leader's word may be old", func(b *peerHarness) {
+			b.storeAdvertisement("n1", reaches(8, 8))
+			b.stateSilent = true
+			b.advance(3 * second)
 		}, 503, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBetween(t, "n1")
+			b := newPeerHarness(t, "n1")
 			tc.meet(b)
-			b.run(250_000)
-			b.out = nil
+			b.advance(250_000)
+			b.effects = nil
 			b.step(report(1))
-			if r := find[Reply](b); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
+			if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
 				t.Errorf("answers %+v", r)
 			}
-			b.run(second)
-			b.out = nil
+			b.advance(second)
+			b.effects = nil
 			b.step(report(2))
-			out := b.out
-			if r := find[RelayHeartbeat](b); tc.second != "" && (len(r) != 1 || r[0].To != tc.second || r[0].ViaPeer != (tc.second != "n1")) || tc.second == "" && len(r) != 0 {
+			out := b.effects
+			if r := takeEffects[RelayHeartbeat](b); tc.second != "" && (len(r) != 1 || r[0].To != tc.second || r[0].ViaPeer != (tc.second != "n1")) || tc.second == "" && len(r) != 0 {
 				t.Errorf("relays %+v", r)
 			}
-			b.out = out
-			if r := find[Reply](b); tc.second == "" && (len(r) != 1 || r[0].Status != 503) {
+			b.effects = out
+			if r := takeEffects[Reply](b); tc.second == "" && (len(r) != 1 || r[0].Status != 503) {
 				t.Errorf("answers %+v", r)
 			}
 		})
 	}
 }
 
-// TestOnward: a report that is to be handed on goes to the leader and no
+// TestRelayedHeartbeat: a report that is to be handed on goes to the leader and no
 // further, and never to and fro.
-func TestOnward(t *testing.T) {
+func TestRelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		leader bool // the leader answers
 		onward bool
 		relays int
 	}{{"to the leader", true, true, 1}, {"the leader does not answer here either", false, true, 0}, {"an older controller's", true, false, 0}} {
-		b := newBetween(t, "n1")
+		b := newPeerHarness(t, "n1")
 		if tc.leader {
-			b.peer("n1", reaches(8, 8))
+			b.peerAnswers("n1", reaches(8, 8))
 		}
-		b.out = nil
+		b.effects = nil
 		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.onward, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
-		out := b.out
-		r := find[RelayHeartbeat](b)
-		b.out = out
+		out := b.effects
+		r := takeEffects[RelayHeartbeat](b)
+		b.effects = out
 		if len(r) != tc.relays || tc.relays == 1 && (r[0].To != "n1" || r[0].ViaPeer) {
 			t.Errorf("%s: %+v", tc.name, r)
 		}
-		if a := find[Reply](b); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
+		if a := takeEffects[Reply](b); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
 			t.Errorf("%s: %+v", tc.name, a)
 		}
 	}
 }
 
-// TestLeaves: a leader that reaches no worker gives way to one that does, whose
+// TestHandover: a leader that reaches no worker gives way to one that does, whose
 // lease goes at once, and does not take the leadership back before the other
 // has had its chance. Switched off it stays.
-func TestLeaves(t *testing.T) {
+func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b := newBetween(t, "n0")
+		b := newPeerHarness(t, "n0")
 		b.c.settings.Ops.Reach = on
-		b.stored("n1", reaches(8, 8))
+		b.storeAdvertisement("n1", reaches(8, 8))
 		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
 		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
 		for _, m := range []string{"m", "m2"} {
 			b.step(MachineProbed{Machine: m, SentAt: b.now, OK: false})
 		}
-		b.run(3 * second)
+		b.advance(3 * second)
 		if (b.c.elector.leadership == nil) != on {
 			t.Fatalf("on %v, leads %v", on, b.c.elector.leadership != nil)
 		}
 		if !on {
 			continue
 		}
-		if d := find[RevokeLease](b); len(d) != 1 {
+		if d := takeEffects[RevokeLease](b); len(d) != 1 {
 			t.Errorf("leases dropped: %+v", d)
 		}
 		// The key is gone, and the state is read anew; the other has its turn.
-		b.rev++
+		b.revision++
 		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reaches(8, 8)), Revision: 7}}
-		b.step(StateListed{Revision: b.rev, Changes: rows})
+		b.step(StateListed{Revision: b.revision, Changes: rows})
 		begun := b.now
 		for b.c.elector.leadership == nil && b.now < begun+10*second {
-			b.run(50_000)
+			b.advance(50_000)
 		}
 		if d := b.now - begun; d < second || d > 3*second {
 			t.Errorf("leads again %d us later", d)
@@ -286,21 +286,21 @@
 
 // TestReady: a controller that can neither ask nor hand on takes no users.
 func TestReady(t *testing.T) {
-	ask := func(b *between) ReplyCode {
-		b.out = nil
+	ask := func(b *peerHarness) ReplyCode {
+		b.effects = nil
 		b.step(CheckReady{RequestID: 1})
-		return find[Reply](b)[0].Status
+		return takeEffects[Reply](b)[0].Status
 	}
-	b := newBetween(t, "n1")
+	b := newPeerHarness(t, "n1")
 	if s := ask(b); s != 200 {
 		t.Errorf("all well: %d", s)
 	}
-	b.mute = true
-	b.run(4 * second)
+	b.stateSilent = true
+	b.advance(4 * second)
 	if s := ask(b); s != 503 {
 		t.Errorf("nobody answers: %d", s)
 	}
-	b.peer("n2", reaches(8, 8))
+	b.peerAnswers("n2", reaches(8, 8))
 	if s := ask(b); s != 200 {
 		t.Errorf("a peer answers: %d", s)
 	}
@@ -310,23 +310,23 @@
 // leader that hears nothing must not keep its lease alive by such, or nobody
 // else could lead for as long as the cut lasts.
 func TestSilentRenewals(t *testing.T) {
-	b := newBetween(t, "n0")
+	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
-	b.mute = true
-	b.run(2 * ttl)
-	b.touches = 0
-	b.run(ttl)
-	first := b.touches
-	b.touches = 0
-	b.run(ttl)
-	if first+b.touches > 2 || first > 1 && b.touches > 0 {
-		t.Errorf("%d and %d renewals in two leases of silence", first, b.touches)
+	b.stateSilent = true
+	b.advance(2 * ttl)
+	b.renewals = 0
+	b.advance(ttl)
+	first := b.renewals
+	b.renewals = 0
+	b.advance(ttl)
+	if first+b.renewals > 2 || first > 1 && b.renewals > 0 {
+		t.Errorf("%d and %d renewals in two leases of silence", first, b.renewals)
 	}
 }
 
-// TestHandedOn: what the state service does not answer here goes to a peer that
+// TestForwardToPeer: what the state service does not answer here goes to a peer that
 // it does, of every kind, and no further.
-func TestHandedOn(t *testing.T) {
+func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
 		ask  func(handed bool) any
 		want any
@@ -340,23 +340,23 @@
 			return SubmitSweep{RequestID: 1, Plan: &SweepPlan{ID: "x"}, Stored: "packed", Invalid: "bad", Forwarded: h}
 		}, ForwardedSweep{ID: "x", Stored: "packed", Invalid: "bad"}},
 	} {
-		b := newBetween(t, "n1")
+		b := newPeerHarness(t, "n1")
 		b.c.settings.Ops.Sweeps = true
-		b.mute = true
-		b.run(3 * second)
-		b.peer("n2", reaches(8, 8))
-		b.out = nil
+		b.stateSilent = true
+		b.advance(3 * second)
+		b.peerAnswers("n2", reaches(8, 8))
+		b.effects = nil
 		b.step(tc.ask(false))
-		if f := find[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
+		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
 			t.Errorf("%T: handed on as %+v", tc.want, f)
 		}
 		b.step(tc.ask(true))
-		out := b.out
-		if f := find[ForwardRequest](b); len(f) != 0 {
+		out := b.effects
+		if f := takeEffects[ForwardRequest](b); len(f) != 0 {
 			t.Errorf("%T: handed on twice", tc.want)
 		}
-		b.out = out
-		if r := find[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
+		b.effects = out
+		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 			t.Errorf("%T: answered %+v", tc.want, r)
 		}
 	}
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			jobs := map[int]*jobstate.Job{}
 			for _, f := range tc.fails {
 				if jobs[f.job] == nil {
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -17,7 +17,7 @@
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	r := &rig{t: t, now: second, rev: 10, token: 5, lease: 9}
+	r := &leaderHarness{t: t, now: second, revision: 10, token: 5, lease: 9}
 	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	r.c.elector.candidacy.lease, r.c.elector.candidacy.leaseProvenAt = 9, r.now
 	r.step(StateListed{Revision: 10, Changes: []Change{
@@ -43,8 +43,8 @@
 	if !dropped {
 		t.Error("the old lease is left to run out")
 	}
-	r.rev++
-	r.step(StateRead{AfterRevision: 10, Revision: r.rev, Changes: []Change{{Key: LeaderKey, Revision: r.rev, Removed: true}}})
+	r.revision++
+	r.step(StateRead{AfterRevision: 10, Revision: r.revision, Changes: []Change{{Key: LeaderKey, Revision: r.revision, Removed: true}}})
 	for i := 0; r.c.elector.leadership == nil && i < 100; i++ {
 		r.tick(100_000)
 	}
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestTerms: a controller that leads again goes by nothing of its earlier term but
+// TestEarlierTerm: a controller that leads again goes by nothing of its earlier term but
 // what is certain for good. The failed return of a machine, answered after another
 // leader has put work on it, once had it returned all the same; and answers of
 // earlier calls gave calls free that were still under way.
-func TestTerms(t *testing.T) {
-	r := newRig(t)
+func TestEarlierTerm(t *testing.T) {
+	r := newLeaderHarness(t)
 	s := &r.c.elector.leadership.scaling
 	s.callsRunning, s.listing = 3, true
 	before := r.token - 2
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			r.tick(6 * second)
 			r.c.settings.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
 			r.c.settings.Ops.WeighMoney = tc.costs
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestLatch has what does and what does not prove that all controllers are of
+// TestFormatActivation has what does and what does not prove that all controllers are of
 // this version. The format is raised for good, so one that is not must never
 // be overlooked.
-func TestLatch(t *testing.T) {
+func TestFormatActivation(t *testing.T) {
 	says := func(s *harness, peer string, version int) {
 		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
 	}
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestRunKeys: keys of both formats are read as they are written.
-func TestRunKeys(t *testing.T) {
+// TestChunkKeys: keys of both formats are read as they are written.
+func TestChunkKeys(t *testing.T) {
 	for key, v := range map[string]jobstate.ChunkRef{"run/req-1/7": {ChunkSize: jobstate.DefaultChunkSize, Index: 7}, "run/req-1/64-7": {ChunkSize: 64, Index: 7}, "run/a-1/1-390": {ChunkSize: 1, Index: 390}} {
 		id := key[len("run/"):]
 		for i := range id {
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -27,7 +27,7 @@
 		{jobstate.Gang, 600 * second, true, 2, true},
 		{jobstate.Service, 0, true, 2, false},
 	}
-	r := newRig(t)
+	r := newLeaderHarness(t)
 	for _, tc := range cases {
 		s := &jobstate.Spec{Kind: tc.kind, Estimate: tc.estimate, Tasks: 1}
 		if tc.saves {
@@ -45,7 +45,7 @@
 }
 
 // place puts a job's tasks on machines of their own, stored and running.
-func (r *rig) place(j *jobstate.Job, trial bool) {
+func (r *leaderHarness) place(j *jobstate.Job, trial bool) {
 	r.c.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
 		m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i))
@@ -76,7 +76,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
 			r.place(j, true)
 			r.now += tc.after
@@ -122,7 +122,7 @@
 		{"no objectives at all", "ends", nil, false, 10 * second, true},
 	}
 	for _, tc := range cases {
-		r := newRig(t)
+		r := newLeaderHarness(t)
 		r.c.settings.Objectives = tc.objectives
 		j := jobstate.NewJob(&jobstate.Spec{ID: "young", Class: tc.class, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{GPU: 1}, Estimate: 100 * second})
 		r.place(j, true)
@@ -142,7 +142,7 @@
 		kind jobstate.Kind
 		n    int64
 	}{{jobstate.Array, 1}, {jobstate.Gang, 3}} {
-		r := newRig(t)
+		r := newLeaderHarness(t)
 		j := jobstate.NewJob(&jobstate.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: jobstate.Resources{GPU: 1}, Estimate: 900 * second})
 		r.place(j, true)
 		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
@@ -155,7 +155,7 @@
 
 // TestStartBy: machines are freed early enough for the image to be fetched.
 func TestStartBy(t *testing.T) {
-	r := newRig(t)
+	r := newLeaderHarness(t)
 	r.c.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
 	r.c.cache.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
 	for _, tc := range []struct {
@@ -174,7 +174,7 @@
 // TestQueueOrder: a job with a deadline is ordered by its latest start and by how
 // long it would hold up the others; one without by when it came.
 func TestQueueOrder(t *testing.T) {
-	r := newRig(t)
+	r := newLeaderHarness(t)
 	r.c.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
 		name           string
@@ -218,22 +218,22 @@
 	}
 	cases := []struct {
 		name string
-		do   func(r *rig, j *jobstate.Job)
+		do   func(r *leaderHarness, j *jobstate.Job)
 		want string
 	}{
-		{"one is lost", func(r *rig, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
-		{"one loses its peers", func(r *rig, j *jobstate.Job) {
+		{"one is lost", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
+		{"one loses its peers", func(r *leaderHarness, j *jobstate.Job) {
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
 		// fetch anew in the next attempt, and that be incomplete as well.
-		{"one is incomplete, and what fetches goes on", func(r *rig, j *jobstate.Job) {
+		{"one is incomplete, and what fetches goes on", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
-		{"until it has its image", func(r *rig, j *jobstate.Job) {
+		{"until it has its image", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
@@ -243,7 +243,7 @@
 				r.t.Error("the image is not there")
 			}
 		}, "1:gang 2:gang "},
-		{"or for too long", func(r *rig, j *jobstate.Job) {
+		{"or for too long", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
@@ -252,7 +252,7 @@
 			r.c.now += 41 * second
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
 		}, "1:gang 2:gang "},
-		{"one is lost while it fetches, and its machine lacks the image", func(r *rig, j *jobstate.Job) {
+		{"one is lost while it fetches, and its machine lacks the image", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
@@ -264,15 +264,15 @@
 				r.t.Error("a fetch that was given up counts as an image")
 			}
 		}, "0:gang 2:gang "},
-		{"one is preempted, and so are all", func(r *rig, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
-		{"one is done, and so are all", func(r *rig, j *jobstate.Job) {
+		{"one is preempted, and so are all", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
+		{"one is done, and so are all", func(r *leaderHarness, j *jobstate.Job) {
 			r.c.tasks.taskDone(j, 0)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
 		}, "1: 2: "},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: n, Need: jobstate.Resources{CPU: 1000}, Estimate: 50 * second, Checkpoint: second, Save: config.Second, Image: "im", ImageMB: 1000})
 			r.place(j, false)
 			r.c.now = r.now
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -13,7 +13,7 @@
 // the moment in which such a task has its image and is done (TestPipelines, seed
 // 261, at the third leader).
 func TestPrefetchQuota(t *testing.T) {
-	r := newRig(t)
+	r := newLeaderHarness(t)
 	r.c.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
 	used := map[string]teamUsage{"t": {gpu: 12_000}}
 	headroom := func() int64 { return r.c.planner.quotaHeadroom(map[string]*sched.Headroom{}, used, "t").GPU }
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
 			got := ""
 			for i, s := range r.c.elector.leadership.prefetch.sources["im"] {
@@ -62,7 +62,7 @@
 func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			r.c.settings.State.ValueKB = 8
 			for k := range 20 {
 				r.c.prefetcher.noteImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
@@ -80,7 +80,7 @@
 			}
 			images := r.c.prefetcher.mostWantedImages()
 			parts := 1 + machines*machineBytes/6000
-			next := newRig(t)
+			next := newLeaderHarness(t)
 			for part := range parts {
 				v := r.c.prefetcher.encodeImageHints(images, part, parts)
 				if len(v) > 8000 {
@@ -120,7 +120,7 @@
 		{0, 3, "0 2"},
 	}
 	for _, tc := range cases {
-		r := newRig(t)
+		r := newLeaderHarness(t)
 		c := r.c
 		c.cache.machineTypes = []fleet.Type{
 			{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -13,30 +13,30 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// rig is a core that leads alone, with its state service played by hand.
-type rig struct {
-	t     *testing.T
-	c     *Core
-	now   int64
-	rev   uint64
-	token uint64
-	lease uint64
-	mute  bool // the state service does not answer
-	got   []Reply
-	seq   uint64
+// leaderHarness is a core that leads alone, with its state service played by hand.
+type leaderHarness struct {
+	t           *testing.T
+	c           *Core
+	now         int64
+	revision    uint64
+	token       uint64
+	lease       uint64
+	stateSilent bool // the state service does not answer
+	replies     []Reply
+	seq         uint64
 }
 
-// newRig starts a leader that finds job j with task 0 placed on machine m.
-func newRig(t *testing.T) *rig { return newRigOf(t, "") }
+// newLeaderHarness starts a leader that finds job j with task 0 placed on machine m.
+func newLeaderHarness(t *testing.T) *leaderHarness { return newLeaderHarnessOf(t, "") }
 
-// newRigOf is newRig with the job over already, if over is not empty.
-func newRigOf(t *testing.T, over string) *rig {
+// newLeaderHarnessOf is newRig with the job over already, if over is not empty.
+func newLeaderHarnessOf(t *testing.T, over string) *leaderHarness {
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	r := &rig{t: t, now: second, rev: 10, token: 5}
+	r := &leaderHarness{t: t, now: second, revision: 10, token: 5}
 	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	j := jobstate.NewJob(&jobstate.Spec{ID: "j", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
 	j.PlaceTask(0, "m", 3, 1)
@@ -58,68 +58,68 @@
 	return r
 }
 
-func (r *rig) tick(d int64) {
+func (r *leaderHarness) tick(d int64) {
 	r.now += d
 	r.step(Tick{})
 }
 
 // step hands a message over and answers the effects at once.
-func (r *rig) step(msg any) {
+func (r *leaderHarness) step(msg any) {
 	for _, e := range r.c.Step(r.now, msg) {
 		switch e := e.(type) {
 		case Reply:
-			r.got = append(r.got, e)
+			r.replies = append(r.replies, e)
 		case GrantLease:
 			r.lease = 9
 			r.step(LeaseGranted{Lease: 9, SentAt: r.now})
 		case RenewLease:
-			if !r.mute {
+			if !r.stateSilent {
 				r.step(LeaseRenewed{Lease: e.Lease, SentAt: r.now})
 			} else {
 				r.step(LeaseRenewed{Lease: e.Lease, SentAt: r.now, Err: fmt.Errorf("no answer")})
 			}
 		case CommitTransaction:
-			if r.mute {
+			if r.stateSilent {
 				r.step(TransactionResult{ID: e.ID})
 				continue
 			}
-			r.rev++
-			r.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: r.rev})
+			r.revision++
+			r.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: r.revision})
 			var news []Change
 			for _, w := range e.Writes {
 				if w.Key == LeaderKey || w.Key == tokenKey {
-					news = append(news, Change{Key: w.Key, Value: w.Value, Revision: r.rev})
+					news = append(news, Change{Key: w.Key, Value: w.Value, Revision: r.revision})
 				}
 			}
-			r.step(StateRead{AfterRevision: r.rev - 1, Revision: r.rev, SentAt: r.now, Changes: news})
+			r.step(StateRead{AfterRevision: r.revision - 1, Revision: r.revision, SentAt: r.now, Changes: news})
 		case ReadState:
-			if !r.mute {
+			if !r.stateSilent {
 				r.step(StateRead{AfterRevision: e.AfterRevision, Revision: e.AfterRevision, SentAt: r.now, Immediate: true, ForRequests: e.ForRequests})
 			}
 		}
 	}
 }
 
-// beat sends a report and returns the orders of its answer as text.
-func (r *rig) beat(token uint64, session uint64, tasks ...TaskStatus) (ReplyCode, string) {
+// heartbeat sends a report and returns the orders of its answer as text.
+func (r *leaderHarness) heartbeat(token uint64, session uint64, tasks ...TaskStatus) (ReplyCode, string) {
 	r.seq++
-	r.got = nil
+	r.replies = nil
 	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
-	for i := 0; len(r.got) == 0 && i < 100; i++ {
+	for i := 0; len(r.replies) == 0 && i < 100; i++ {
 		r.tick(50_000) // an answer may be parked
 	}
-	if len(r.got) == 0 {
+	if len(r.replies) == 0 {
 		r.t.Fatal("no answer")
 	}
 	s := ""
-	for _, o := range r.got[0].Commands {
+	for _, o := range r.replies[0].Commands {
 		s += fmt.Sprintf("%s %s.%d;", o.Kind, o.Task, o.Attempt)
 	}
-	return r.got[0].Status, s
+	return r.replies[0].Status, s
 }
 
 // placed tells where task 0 is placed, and as which attempt.
-func (r *rig) placed() string {
+func (r *leaderHarness) placed() string {
 	j := r.c.cache.jobs["j"]
 	if j == nil {
 		return "over"
@@ -138,75 +138,75 @@
 	hold := config.Micros(0)
 	cases := []struct {
 		name string
-		do   func(r *rig)
+		do   func(r *leaderHarness)
 		want string
 	}{
 		// A report from before its worker knew the token: an earlier leader's order
 		// may still be taken from an answer that is on its way.
-		{"to be stopped, and absent in a report that does not know the token", func(r *rig) {
+		{"to be stopped, and absent in a report that does not know the token", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
-			r.beat(5, 1)
+			r.heartbeat(5, 1)
 		}, "m.3"},
-		{"to be stopped, and absent in one that does", func(r *rig) {
+		{"to be stopped, and absent in one that does", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
-			r.beat(5, 1)
-			r.beat(r.token, 1)
+			r.heartbeat(5, 1)
+			r.heartbeat(r.token, 1)
 			r.tick(second)
 		}, "m.4"},
-		{"shown, then absent in a report that does not know the token", func(r *rig) {
-			r.beat(5, 1, running(3))
-			r.beat(5, 1)
+		{"shown, then absent in a report that does not know the token", func(r *leaderHarness) {
+			r.heartbeat(5, 1, running(3))
+			r.heartbeat(5, 1)
 		}, "m.3"},
-		{"nothing heard, less than hold and lease", func(r *rig) { r.tick(hold + 15*second) }, "m.3"},
-		{"nothing heard, hold and lease over", func(r *rig) { r.tick(hold + 18*second) }, ".3"},
-		{"absent in a report that does not know the token: run is repeated", func(r *rig) {
-			if _, o := r.beat(5, 1); o != "start j/0.3;" {
+		{"nothing heard, less than hold and lease", func(r *leaderHarness) { r.tick(hold + 15*second) }, "m.3"},
+		{"nothing heard, hold and lease over", func(r *leaderHarness) { r.tick(hold + 18*second) }, ".3"},
+		{"absent in a report that does not know the token: run is repeated", func(r *leaderHarness) {
+			if _, o := r.heartbeat(5, 1); o != "start j/0.3;" {
 				r.t.Errorf("orders %q", o)
 			}
 		}, "m.3"},
-		{"absent in a later report after it was dropped: run is repeated", func(r *rig) {
-			r.beat(5, 1)
-			if _, o := r.beat(r.token, 1); o != "start j/0.3;" {
+		{"absent in a later report after it was dropped: run is repeated", func(r *leaderHarness) {
+			r.heartbeat(5, 1)
+			if _, o := r.heartbeat(r.token, 1); o != "start j/0.3;" {
 				r.t.Errorf("orders %q", o)
 			}
 		}, "m.3"},
-		{"shown, then absent from a new session: it is gone, and placed anew", func(r *rig) {
-			r.beat(5, 1, running(3))
+		{"shown, then absent from a new session: it is gone, and placed anew", func(r *leaderHarness) {
+			r.heartbeat(5, 1, running(3))
 			r.seq = 0
-			r.beat(r.token, 2)
+			r.heartbeat(r.token, 2)
 			r.tick(second)
 		}, "m.4"},
-		{"an older report proves nothing", func(r *rig) {
-			r.beat(5, 1, running(3))
+		{"an older report proves nothing", func(r *leaderHarness) {
+			r.heartbeat(5, 1, running(3))
 			r.seq--
-			if s, _ := r.beat(r.token, 1); s != 503 {
+			if s, _ := r.heartbeat(r.token, 1); s != 503 {
 				r.t.Errorf("status %d", s)
 			}
 		}, "m.3"},
-		{"an exit is proof, and forgotten only once it is stored", func(r *rig) {
-			r.beat(5, 1, running(3))
-			r.mute = true
-			if _, o := r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
+		{"an exit is proof, and forgotten only once it is stored", func(r *leaderHarness) {
+			r.heartbeat(5, 1, running(3))
+			r.stateSilent = true
+			if _, o := r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
 				r.t.Errorf("orders %q before the exit is stored", o)
 			}
 		}, "m.4"}, // planned anew, which is not stored either
-		{"another attempt is stopped and proves nothing", func(r *rig) {
-			if _, o := r.beat(5, 1, running(2)); o != "stop j/0.2;start j/0.3;" {
+		{"another attempt is stopped and proves nothing", func(r *leaderHarness) {
+			if _, o := r.heartbeat(5, 1, running(2)); o != "stop j/0.2;start j/0.3;" {
 				r.t.Errorf("orders %q", o)
 			}
 		}, "m.3"},
-		{"a release that was answered", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token}) }, ".3"},
-		{"a release without an answer", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token}) }, "m.3"},
-		{"a release of an earlier term that was answered", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token - 2}) }, ".3"},
-		{"a release of an earlier term without an answer", func(r *rig) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token - 2}) }, "m.3"},
-		{"done is done, and the job with it", func(r *rig) {
-			r.beat(5, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitDone})
+		{"a release that was answered", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token}) }, ".3"},
+		{"a release without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token}) }, "m.3"},
+		{"a release of an earlier term that was answered", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token - 2}) }, ".3"},
+		{"a release of an earlier term without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token - 2}) }, "m.3"},
+		{"done is done, and the job with it", func(r *leaderHarness) {
+			r.heartbeat(5, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitDone})
 			r.tick(second)
 		}, "over"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			hold = r.c.settings.LeaderAuthorityTime()
 			tc.do(r)
 			if got := r.placed(); got != tc.want {
@@ -216,30 +216,30 @@
 	}
 }
 
-// TestCancelledBefore: a job was cancelled under an earlier leader, and its
+// TestCancelledEarlier: a job was cancelled under an earlier leader, and its
 // task is still running. The new one stops it, and clears the keys.
-func TestCancelledBefore(t *testing.T) {
-	r := newRigOf(t, jobstate.Cancelled)
-	if _, o := r.beat(5, 1, running(3)); o != "stop j/0.3;" {
+func TestCancelledEarlier(t *testing.T) {
+	r := newLeaderHarnessOf(t, jobstate.Cancelled)
+	if _, o := r.heartbeat(5, 1, running(3)); o != "stop j/0.3;" {
 		t.Errorf("orders %q", o)
 	}
-	r.beat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
+	r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
 	r.tick(second)
 	if got := r.placed(); got != "over" {
 		t.Errorf("placed %s", got)
 	}
 }
 
-// TestHold follows a leader that the state service no longer answers: it
+// TestLeaderAuthorityTime follows a leader that the state service no longer answers: it
 // starts nothing new after its lease, and answers nothing after hold, so
 // that a successor's wait for hold and lease is long enough.
-func TestHold(t *testing.T) {
-	r := newRig(t)
-	r.beat(5, 1, running(3))
-	r.mute = true
+func TestLeaderAuthorityTime(t *testing.T) {
+	r := newLeaderHarness(t)
+	r.heartbeat(5, 1, running(3))
+	r.stateSilent = true
 	start := r.c.elector.leadership.authorityProvenAt()
 	for r.now-start < r.c.settings.LeaderAuthorityTime()-second {
-		if s, _ := r.beat(r.token, 1, running(3)); s != 200 {
+		if s, _ := r.heartbeat(r.token, 1, running(3)); s != 200 {
 			t.Fatalf("status %d after %d ms of hold", s, (r.now-start)/1000)
 		}
 		r.tick(second / 2)
@@ -248,7 +248,7 @@
 		t.Error("still starts attempts")
 	}
 	r.tick(2 * second)
-	if s, _ := r.beat(r.token, 1, running(3)); s != 503 {
+	if s, _ := r.heartbeat(r.token, 1, running(3)); s != 503 {
 		t.Errorf("status %d after hold", s)
 	}
 	if cancel := config.MicrosOf(r.c.settings.Workers.CancelS); r.c.settings.LeaderAuthorityTime()+r.c.settings.EpochTimeout() >= cancel {
@@ -256,13 +256,13 @@
 	}
 }
 
-// TestNewerToken: a peer that knows a newer token ends a leadership at once; one
+// TestNewerFencingToken: a peer that knows a newer token ends a leadership at once; one
 // that knows none, and has told all that it vouches for, is proof of the right.
-func TestNewerToken(t *testing.T) {
-	r := newRig(t)
+func TestNewerFencingToken(t *testing.T) {
+	r := newLeaderHarness(t)
 	r.c.settings.Peers = []string{"n1"}
 	r.c.elector.leadership.readLeases = readlease.NewHolder(r.c.settings.Peers, r.c.settings.LeaderAuthorityTime())
-	r.mute = true
+	r.stateSilent = true
 	r.tick(5 * second)
 	right := r.c.elector.leadership.authorityProvenAt()
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0"}})
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,15 +10,15 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestKnows: a renewal of its lease is no proof for a leader that it knows what
+// TestMirrorProof: a renewal of its lease is no proof for a leader that it knows what
 // users were told. It reads what is stored where its watch does not bring it, and
 // answers nobody once hold has passed without.
-func TestKnows(t *testing.T) {
-	b := newBetween(t, "n0")
-	b.hung = true
+func TestMirrorProof(t *testing.T) {
+	b := newPeerHarness(t, "n0")
+	b.watchHung = true
 	right := b.c.elector.leadership.authorityProvenAt()
-	b.run(3 * second)
-	if v := find[ReadState](b); len(v) < 2 || v[0].ForRequests {
+	b.advance(3 * second)
+	if v := takeEffects[ReadState](b); len(v) < 2 || v[0].ForRequests {
 		t.Errorf("a leader without changes reads what is stored: %+v", v)
 	}
 	if at := b.c.elector.leadership.tokenProvenAt; at <= right {
@@ -31,15 +31,15 @@
 	if at := b.c.elector.leadership.authorityProvenAt(); at != b.now-second/2 {
 		t.Errorf("right from %d, the mirror is of %d", at, b.now-second/2)
 	}
-	b.run(b.c.settings.LeaderAuthorityTime() + second)
+	b.advance(b.c.settings.LeaderAuthorityTime() + second)
 	if b.c.elector.mayAnswerWorkers() {
 		t.Error("answers without knowing what users were told")
 	}
 }
 
-// TestTell follows a cancellation that a controller knows of while a leader lives
+// TestInformHolder follows a cancellation that a controller knows of while a leader lives
 // on its word: the leader is told before the user is, by whichever request.
-func TestTell(t *testing.T) {
+func TestInformHolder(t *testing.T) {
 	s := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	s.core.settings.Peers = []string{"n1"}
 	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
@@ -93,15 +93,15 @@
 	}
 }
 
-// TestVouchedOps: operators see for how long a leader may go on in an outage, and
+// TestReadLeaseConditions: operators see for how long a leader may go on in an outage, and
 // who has not vouched.
-func TestVouchedOps(t *testing.T) {
-	r := newRig(t)
+func TestReadLeaseConditions(t *testing.T) {
+	r := newLeaderHarness(t)
 	r.c.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
 	view := func() *OperatorView {
-		r.got = nil
+		r.replies = nil
 		r.step(QueryOperatorView{RequestID: 5})
-		return r.got[0].Ops
+		return r.replies[0].Ops
 	}
 	of := func(v *OperatorView) (n int) {
 		for _, s := range v.Conditions {
@@ -114,7 +114,7 @@
 	if v := view(); of(v) != 0 || v.AnswersForS < 1 {
 		t.Errorf("in calm: %v, for %.1f s", v.Conditions, v.AnswersForS)
 	}
-	r.mute = true
+	r.stateSilent = true
 	for range 30 {
 		r.tick(second / 10)
 	}
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestTellSweep: a leader that lives on a controller's word is told of a cancelled
+// TestInformHolderOfSweep: a leader that lives on a controller's word is told of a cancelled
 // sweep before anybody is who asks about it or about one of its runs.
-func TestTellSweep(t *testing.T) {
+func TestInformHolderOfSweep(t *testing.T) {
 	s := newSweepHarness(t, true)
 	s.submitSweep(sweepOf(2, 1000))
 	for i, spec := range sweepOf(2, 1000).Plan.Specs {
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			r.now += 100 * second
 			r.c.now, r.c.elector.leadership.since = r.now, r.now
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.live, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
@@ -79,7 +79,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			r.now += 5000 * second
 			r.c.now, r.c.elector.leadership.since, r.c.elector.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
 			r.c.cache.machineTypes[0].Boot = 30 * second
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -261,7 +261,7 @@
 // TestStoredAreRead lists them all to a controller, which finds nothing wrong and has them.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
-	set := newRig(t).c.settings
+	set := newLeaderHarness(t).c.settings
 	set.Peers = []string{"n1", "n2", "n3"}
 	set.Ops.Sweeps = true
 	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newLeaderHarness(t)
 			var got []TransactionResult
 			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
 			r.c.effects = nil // nobody answers
@@ -60,7 +60,7 @@
 		answer, want kv.Outcome
 		observed     bool
 	}{{kv.Committed, kv.Committed, false}, {kv.Conflict, kv.Conflict, false}, {kv.Unavailable, kv.Unavailable, false}, {kv.Unknown, kv.Committed, true}} {
-		r := newRig(t)
+		r := newLeaderHarness(t)
 		var got []TransactionResult
 		r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m TransactionResult) { got = append(got, m) })
 		r.c.effects = nil // nobody answers
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -15,7 +15,7 @@
 	cases := []struct {
 		name  string
 		over  string
-		do    func(r *rig)
+		do    func(r *leaderHarness)
 		tasks []TaskStatus
 		want  string
 	}{
@@ -24,17 +24,17 @@
 		{"another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
 		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"nothing is to stop", "", nil, []TaskStatus{running(3)}, ""},
-		{"its heartbeats come", jobstate.Cancelled, func(r *rig) { r.beat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted: no heartbeat would show that there is room", "", func(r *rig) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
-		{"preempted, and nothing proves it", "", func(r *rig) {
+		{"its heartbeats come", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
+		{"preempted: no heartbeat would show that there is room", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted, and nothing proves it", "", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
-			r.mute = true
+			r.stateSilent = true
 			r.tick(4 * second)
 		}, []TaskStatus{running(3)}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRigOf(t, tc.over)
+			r := newLeaderHarnessOf(t, tc.over)
 			r.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: r.token})
 			if tc.do != nil {
 				tc.do(r)
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -7,10 +7,10 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestMustNotGoOn: a program that lacks what is stored ends at its start, or, if
+// TestIncompatible: a program that lacks what is stored ends at its start, or, if
 // it learns of it later, leaves the leadership; it writes nothing from then on
 // and takes no users.
-func TestMustNotGoOn(t *testing.T) {
+func TestIncompatible(t *testing.T) {
 	needed := featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}, {Name: "tomorrow", Required: true}}}
 	for _, tc := range []struct {
 		name string
@@ -48,7 +48,7 @@
 // TestQuit: the one sentence is said once, at the start alone.
 func TestQuit(t *testing.T) {
 	quits := func(starting bool) (n int) {
-		b := newBetween(t, "n1")
+		b := newPeerHarness(t, "n1")
 		b.c.cache.appliedRevision = 0
 		if !starting {
 			b.c.cache.appliedRevision = 7
@@ -56,26 +56,26 @@
 		for range 2 {
 			b.step(StateListed{Revision: 30, Changes: []Change{{Key: formatKey, Value: encodeJSON(formatRecord{9, 64}), Revision: 9}}})
 		}
-		return len(find[Quit](b))
+		return len(takeEffects[Quit](b))
 	}
 	if quits(true) != 1 || quits(false) != 0 {
 		t.Errorf("at the start %d, later %d", quits(true), quits(false))
 	}
 }
 
-// TestSetGone: who may be called gone.
-func TestSetGone(t *testing.T) {
-	b := newBetween(t, "n0")
-	b.rev++
-	b.step(StateRead{AfterRevision: b.rev - 1, Revision: b.rev, Changes: []Change{{Key: memberPrefix + "n1", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.rev}}})
+// TestSetDecommissioned: who may be called gone.
+func TestSetDecommissioned(t *testing.T) {
+	b := newPeerHarness(t, "n0")
+	b.revision++
+	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n1", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
 	for _, tc := range []struct {
 		name   string
 		gone   bool
 		status ReplyCode
 	}{{"n0", true, 404}, {"other", true, 404}, {"n1", true, 409}, {"n2", false, 200}, {"n2", true, 200}, {"n2", true, 200}, {"n2", false, 200}} {
-		b.out = nil
+		b.effects = nil
 		b.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
-		if r := find[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
+		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
 			t.Errorf("%s gone %v: %+v", tc.name, tc.gone, r)
 		}
 		if stored := b.c.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
@@ -84,17 +84,17 @@
 	}
 	// It comes back: what was said of it goes.
 	b.step(SetDecommissioned{RequestID: 2, Name: "n2", Decommissioned: true})
-	b.rev++
-	b.step(StateRead{AfterRevision: b.rev - 1, Revision: b.rev, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.rev}}})
-	b.run(3 * second)
+	b.revision++
+	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
+	b.advance(3 * second)
 	if b.c.membership.isDecommissioned("n2") {
 		t.Error("it is there, and still taken for gone")
 	}
-	b.mute = true
-	b.run(4 * second)
-	b.out = nil
+	b.stateSilent = true
+	b.advance(4 * second)
+	b.effects = nil
 	b.step(SetDecommissioned{RequestID: 3, Name: "n2", Decommissioned: true})
-	if r := find[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
+	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 		t.Errorf("without the state service: %+v", r)
 	}
 }
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -37,7 +37,7 @@
 // as it was: a field that was renamed shows here.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
-	set := newRig(t).c.settings
+	set := newLeaderHarness(t).c.settings
 	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
 	var l StateListed
 	want := map[string]json.RawMessage{}
@@ -216,7 +216,7 @@
 	}
 	for _, tc := range cases {
 		for _, order := range []string{"job first", "job last"} {
-			c := New(newRig(t).c.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			c := New(newLeaderHarness(t).c.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 			job := Change{Key: jobPrefix + "j", Value: record, Revision: 1}
 			var rows []Change
 			if order == "job first" {
