--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -136,8 +136,14 @@
 				return err
 			}
 			runs := make([]api.RunResponse, len(plan.Specs))
-			for i, s := range plan.Specs {
-				runs[i] = api.NewRunResponse(core.SweepRun{Number: i, ID: s.ID, State: core.RunStatePlanned, Values: plan.Values[i], Sets: plan.Sets[i]})
+			for i, spec := range plan.Specs {
+				runs[i] = api.NewRunResponse(core.SweepRun{
+					Number: i,
+					ID:     spec.ID,
+					State:  core.RunStatePlanned,
+					Values: plan.Values[i],
+					Sets:   plan.Sets[i],
+				})
 			}
 			return printRuns(cmd.OutOrStdout(), *output, runs, true)
 		},
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -21,6 +21,8 @@
 	given  chan any
 	answer core.Reply
 	err    error
+	// entered, if set, learns of a call before given takes it.
+	entered chan struct{}
 }
 
 func (r *recorder) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
@@ -30,6 +32,9 @@
 func (r *recorder) HandleRequest(request any) (core.Reply, error)         { return r.take(request) }
 
 func (r *recorder) take(message any) (core.Reply, error) {
+	if r.entered != nil {
+		r.entered <- struct{}{}
+	}
 	r.given <- message
 	return r.answer, r.err
 }
@@ -153,6 +158,26 @@
 	})
 }
 
+// TestClose: Close ends a call under way, and later ones fail.
+func TestClose(t *testing.T) {
+	h := &recorder{given: make(chan any), entered: make(chan struct{}, 1)}
+	client := NewClient(serving(t, h), 1)
+	ended := make(chan error, 1)
+	go func() {
+		_, err := client.Ask(core.QueryJob{}, patience)
+		ended <- err
+	}()
+	<-h.entered
+	client.Close()
+	if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		t.Errorf("under way: %v", err)
+	}
+	<-h.given
+	if _, err := client.Ask(core.QueryJob{}, patience); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("later: %v", err)
+	}
+}
+
 // TestNumbered has each request but a sweep numbered anew and otherwise be what was
 // forwarded.
 func TestNumbered(t *testing.T) {
