--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -2,7 +2,9 @@
 
 // Keys of the state service.
 const (
-	Prefix    = "zinclb/"
+	Prefix = "zinclb/"
+	// A job has its record under jobPrefix while it is unfinished, its progress in chunks
+	// under runPrefix and in the log under logPrefix, and how it ended under endPrefix.
 	jobPrefix = Prefix + "job/"
 	runPrefix = Prefix + "run/"
 	endPrefix = Prefix + "end/"
@@ -14,6 +16,9 @@
 	hintsKey      = Prefix + "hints"
 	formatKey     = Prefix + "format"
 	logPrefix     = Prefix + "log/"
+	// typesPartPrefix and hintsPartPrefix are for the parts of values that do not fit one key.
+	typesPartPrefix = typesKey + "/"
+	hintsPartPrefix = hintsKey + "/"
 	// memberPrefix is for what each controller says of itself.
 	memberPrefix = Prefix + "member/"
 	// featuresKey has the features that are on, decommissionedPrefix is for controllers
@@ -26,4 +31,19 @@
 
 // StartPrefixes are listed at the start; ends are read one by one, as they
 // are kept for ever.
-var StartPrefixes = []string{jobPrefix, runPrefix, LeaderKey, tokenKey, typesKey, partitionsKey, hintsKey, formatKey, memberPrefix, logPrefix, sweepRoot, connectivityPrefix, featuresKey, decommissionedPrefix}
+var StartPrefixes = []string{
+	jobPrefix,
+	runPrefix,
+	LeaderKey,
+	tokenKey,
+	typesKey,
+	partitionsKey,
+	hintsKey,
+	formatKey,
+	memberPrefix,
+	logPrefix,
+	sweepRoot,
+	connectivityPrefix,
+	featuresKey,
+	decommissionedPrefix,
+}
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"slices"
 	"strconv"
 	"strings"
@@ -15,6 +16,7 @@
 // maxEnds bounds the ends kept in memory; older ones are read when asked for.
 const maxEnds = 20_000
 
+// leaderRecord is the value of LeaderKey.
 type leaderRecord struct {
 	Name        string `json:"n"`
 	Incarnation string `json:"b"`
@@ -22,11 +24,13 @@
 	Lease       uint64 `json:"l"`
 }
 
+// tokenRecord is the value of tokenKey: the newest fencing token.
 type tokenRecord struct {
 	Token uint64 `json:"t"`
 }
 
-// stateCache mirrors the keys of the state service.
+// stateCache mirrors the keys of the state service. It takes over lists, watches and reads
+// in the order of their revisions, and has the other parts handle what follows from them.
 type stateCache struct {
 	*engine
 
@@ -42,33 +46,54 @@
 	sweepManager *sweepManager
 	tasks        *taskManager
 
-	synced             bool
-	listingState       bool
-	appliedRevision    uint64
-	jobs               map[string]*jobstate.Job
-	orphanedChunks     map[string]map[jobstate.ChunkRef]Change
-	ends               map[string]jobstate.End
-	endOrder           []string
+	// synced: the cache shows what is stored, up to appliedRevision. It did so at
+	// mirrorFreshAt, at the earliest. listingState: a list is under way.
+	synced          bool
+	listingState    bool
+	appliedRevision uint64
+	mirrorFreshAt   int64
+
+	// jobs are the unfinished jobs and those whose keys are yet to be removed, and
+	// progressLog the pages of the log of their progress. orphanedChunks are chunks
+	// without a job, by its ID.
+	jobs           map[string]*jobstate.Job
+	progressLog    []*logPage
+	orphanedChunks map[string]map[jobstate.ChunkRef]Change
+
+	// ends are how jobs ended that are not long over, endOrder their IDs, the oldest first.
+	ends     map[string]jobstate.End
+	endOrder []string
+
+	// machineTypes are stored at typesRevision, or later in parts;
+	// typesWholeRevision is that at which all were in one value.
 	machineTypes       []fleet.Type
 	typesRevision      uint64
 	typesWholeRevision uint64
-	partitions         fleet.Partitions
-	partitionsReadAt   int64
-	keyRevisions       map[string]uint64
-	leader             leaderRecord
-	leaderRevision     uint64
-	token              tokenRecord
-	tokenRevision      uint64
-	imageHints         map[string][]byte
-	mirrorFreshAt      int64
-	progressLog        []*logPage
-	imageHistory       imageHistory
+
+	partitions       fleet.Partitions
+	partitionsReadAt int64
+
+	// leader is the zero value at leaderRevision 0: nobody leads.
+	leader         leaderRecord
+	leaderRevision uint64
+	token          tokenRecord
+	tokenRevision  uint64
+
+	// keyRevisions are the revisions of the keys that the leader writes as a whole.
+	keyRevisions map[string]uint64
+	imageHints   map[string][]byte
+	imageHistory imageHistory
 }
 
 func newStateCache(run *engine) *stateCache {
 	return &stateCache{
-		engine: run, jobs: map[string]*jobstate.Job{}, orphanedChunks: map[string]map[jobstate.ChunkRef]Change{},
-		ends: map[string]jobstate.End{}, imageHints: map[string][]byte{}, imageHistory: newImageHistory(), keyRevisions: map[string]uint64{},
+		engine:         run,
+		jobs:           map[string]*jobstate.Job{},
+		orphanedChunks: map[string]map[jobstate.ChunkRef]Change{},
+		ends:           map[string]jobstate.End{},
+		keyRevisions:   map[string]uint64{},
+		imageHints:     map[string][]byte{},
+		imageHistory:   newImageHistory(),
 	}
 }
 
@@ -112,30 +137,22 @@
 	return ListState{AtOnce: max(1, int(each)-startupRequests), Gap: ratelimit.Interval(each / 2)}
 }
 
+// onStateListed begins anew with what is stored.
 func (s *stateCache) onStateListed(m StateListed) {
 	s.listingState = false
 	s.health.recordResult(&s.peers.connectivity.Reads, m.Err)
 	if m.Err != nil {
-		s.log.Debug("listing the state failed", "err", m.Err)
+		s.log.Debug("listing the state failed", "error", m.Err)
 		s.listingState = true
 		s.emit(listAll(s.membership.limits(), len(s.settings.Peers)+1)) // the store paces repeats
 		return
 	}
-	s.jobs = map[string]*jobstate.Job{}
-	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
-	s.leader, s.leaderRevision = leaderRecord{}, 0
-	s.token, s.tokenRevision = tokenRecord{}, 0
-	s.dependencies.reset()
-	s.membership.restart()
-	s.keyRevisions = map[string]uint64{}
-	s.peers.restart()
-	s.progressLog = nil
-	s.sweepManager.reset()
+	s.reset()
 	starting := s.appliedRevision == 0
 	s.appliedRevision = m.Revision
 	s.reader.recentChanges.Restart(m.Revision)
-	for _, r := range m.Changes {
-		s.apply(r)
+	for _, change := range m.Changes {
+		s.apply(change)
 	}
 	if !s.membership.checkCompatible(starting) {
 		return
@@ -149,17 +166,23 @@
 	s.emit(ReadState{AfterRevision: s.appliedRevision})
 }
 
+// reset forgets what was stored.
+func (s *stateCache) reset() {
+	s.jobs = map[string]*jobstate.Job{}
+	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
+	s.leader, s.leaderRevision = leaderRecord{}, 0
+	s.token, s.tokenRevision = tokenRecord{}, 0
+	s.dependencies.reset()
+	s.membership.restart()
+	s.keyRevisions = map[string]uint64{}
+	s.peers.restart()
+	s.progressLog = nil
+	s.sweepManager.reset()
+}
+
+// onStateRead takes over what a watch or a read has brought.
 func (s *stateCache) onStateRead(m StateRead) {
-	if !m.Immediate {
-		s.reader.watching = false
-	}
-	side := &s.peers.connectivity.Watch
-	if m.Immediate {
-		side = &s.peers.connectivity.Reads
-	}
-	if !m.ViaLeader {
-		s.health.recordResult(side, m.Err)
-	}
+	s.recordRead(&m)
 	switch {
 	case m.Compacted && s.elector.isLeader():
 		// A leader takes its own progress from no list, so it begins anew.
@@ -168,17 +191,7 @@
 		s.listState()
 	}
 	if m.Err == nil && !m.Compacted && s.synced && m.AfterRevision <= s.appliedRevision {
-		from := s.appliedRevision
-		for _, ch := range m.Changes {
-			// Two watches may bring the same change.
-			if ch.Revision > from {
-				s.reader.recentChanges.Append(ch)
-				s.apply(ch)
-			}
-		}
-		s.appliedRevision = max(s.appliedRevision, m.Revision)
-		s.mirrorFreshAt = max(s.mirrorFreshAt, m.SentAt)
-		s.transactions.Observe(m.Changes, s.now)
+		s.applyChanges(&m)
 		if !s.membership.checkCompatible(false) {
 			return
 		}
@@ -190,266 +203,385 @@
 		s.reader.watchState()
 	}
 	if m.ForRequests {
-		// Another view, as that of a candidate, may have been read before the
+		// Another read, as that of a candidate, may have been made before the
 		// requests came that wait for this one.
 		s.requests.onReadDone(m.Err == nil && !m.Compacted && s.synced && m.Revision <= s.appliedRevision)
 	}
 }
 
-func (s *stateCache) apply(ch Change) {
-	key, ok := strings.CutPrefix(ch.Key, Prefix)
-	if !ok {
-		return
+// recordRead notes whether the state service answered a watch or a read.
+func (s *stateCache) recordRead(m *StateRead) {
+	link := &s.peers.connectivity.Reads
+	if !m.Immediate {
+		s.reader.watching = false
+		link = &s.peers.connectivity.Watch
 	}
-	if key == "bounds" || key == "types" || strings.HasPrefix(key, "types/") || strings.HasPrefix(key, "hints/") {
-		s.keyRevisions[ch.Key] = ch.Revision
-		if ch.Removed {
-			delete(s.keyRevisions, ch.Key)
+	if !m.ViaLeader {
+		s.health.recordResult(link, m.Err)
+	}
+}
+
+// applyChanges takes over the changes that are new.
+func (s *stateCache) applyChanges(m *StateRead) {
+	from := s.appliedRevision
+	for _, change := range m.Changes {
+		// Two watches may bring the same change.
+		if change.Revision > from {
+			s.reader.recentChanges.Append(change)
+			s.apply(change)
 		}
 	}
-	bad := func(err error) {
-		s.log.Error("stored value can't be read", "key", ch.Key, "err", err)
+	s.appliedRevision = max(s.appliedRevision, m.Revision)
+	s.mirrorFreshAt = max(s.mirrorFreshAt, m.SentAt)
+	s.transactions.Observe(m.Changes, s.now)
+}
+
+// apply takes over a change of a key. Each kind of key has a method here, or in the part
+// that it concerns; one of no known kind is from a newer program.
+func (s *stateCache) apply(change Change) {
+	key := change.Key
+	s.noteKeyRevision(change)
+	reject := func(err error) {
+		s.log.Error("stored value can't be read", "key", key, "error", err)
+	}
+	switch key {
+	case LeaderKey:
+		s.applyLeader(change, reject)
+	case tokenKey:
+		s.applyToken(change, reject)
+	case typesKey:
+		s.applyTypes(change, reject)
+	case partitionsKey:
+		s.applyPartitions(change, reject)
+	case formatKey:
+		if !change.Removed {
+			s.membership.applyFormat(change, reject)
+		}
+	case featuresKey:
+		s.membership.applyActivation(change, reject)
+	default:
+		s.applyByPrefix(change, reject)
 	}
+}
+
+// applyByPrefix takes over a change of a key of which there are many.
+func (s *stateCache) applyByPrefix(change Change, reject func(error)) {
+	key := change.Key
 	switch {
-	case strings.HasPrefix(key, "job/"):
-		s.applyJob(key[4:], ch, bad)
-	case strings.HasPrefix(key, "run/"):
-		s.applyRun(key[4:], ch, bad)
-	case strings.HasPrefix(key, "end/"):
-		var e jobstate.End
-		if ch.Removed {
-			return
-		}
-		if err := json.Unmarshal(ch.Value, &e); err != nil {
-			bad(err)
-			return
-		}
-		s.noteEnd(key[4:], e, ch.Revision)
-		s.dependencies.endWasStored(key[4:])
-	case key == "leader":
-		s.leader, s.leaderRevision = leaderRecord{}, 0
-		if !ch.Removed {
-			if err := json.Unmarshal(ch.Value, &s.leader); err != nil {
-				bad(err)
-			}
-			s.leaderRevision = ch.Revision
-			if s.leader.Token > s.elector.newestLeader.Token {
-				s.peers.connectivity.RecordHandover(s.now)
-			}
-			s.elector.noteNewestLeader(s.leader)
-		}
-	case key == "token" && !ch.Removed:
-		if err := json.Unmarshal(ch.Value, &s.token); err != nil {
-			bad(err)
-		}
-		s.tokenRevision = ch.Revision
-	case (key == "types" || strings.HasPrefix(key, "types/")) && !ch.Removed:
-		s.applyTypes(ch, bad)
-	case key == "format" && !ch.Removed:
-		s.membership.applyFormat(ch, bad)
-	case strings.HasPrefix(key, "log/"):
-		s.applyPage(key[len("log/"):], ch, bad)
-	case strings.HasPrefix(key, "sweep"):
-		s.sweepManager.apply(key, ch, bad)
-	case key == "features" || strings.HasPrefix(key, "gone/") || strings.HasPrefix(key, "member/"):
-		s.membership.applyActivation(ch, bad)
-	case strings.HasPrefix(key, "reach/"):
-		s.peers.applyConnectivity(key[len("reach/"):], ch, bad)
-	case strings.HasPrefix(key, "hints/") && !ch.Removed:
-		s.imageHints[ch.Key] = ch.Value
-	case key == "bounds" && !ch.Removed && !s.elector.isLeader():
-		var b fleet.Partitions
-		if err := json.Unmarshal(ch.Value, &b); err != nil {
-			bad(err)
-			return
+	case strings.HasPrefix(key, jobPrefix):
+		s.applyJob(key[len(jobPrefix):], change, reject)
+	case strings.HasPrefix(key, runPrefix):
+		s.applyChunk(key[len(runPrefix):], change, reject)
+	case strings.HasPrefix(key, endPrefix):
+		s.applyEnd(key[len(endPrefix):], change, reject)
+	case strings.HasPrefix(key, typesPartPrefix):
+		s.applyTypes(change, reject)
+	case strings.HasPrefix(key, logPrefix):
+		s.applyPage(key[len(logPrefix):], change, reject)
+	case strings.HasPrefix(key, sweepRoot):
+		s.sweepManager.apply(key[len(Prefix):], change, reject)
+	case strings.HasPrefix(key, decommissionedPrefix), strings.HasPrefix(key, memberPrefix):
+		s.membership.applyActivation(change, reject)
+	case strings.HasPrefix(key, connectivityPrefix):
+		s.peers.applyConnectivity(key[len(connectivityPrefix):], change, reject)
+	case strings.HasPrefix(key, hintsPartPrefix):
+		if !change.Removed {
+			s.imageHints[key] = change.Value
 		}
-		s.partitions, s.partitionsReadAt = b, s.now
 	}
 }
 
-func (s *stateCache) applyJob(id string, ch Change, bad func(error)) {
+// noteKeyRevision keeps the revisions of the keys that the leader writes as a whole.
+func (s *stateCache) noteKeyRevision(change Change) {
+	if !isWrittenWhole(change.Key) {
+		return
+	}
+	if change.Removed {
+		delete(s.keyRevisions, change.Key)
+		return
+	}
+	s.keyRevisions[change.Key] = change.Revision
+}
+
+// isWrittenWhole says whether a key is one that putAsLeader writes.
+func isWrittenWhole(key string) bool {
+	return key == partitionsKey || key == typesKey ||
+		strings.HasPrefix(key, typesPartPrefix) || strings.HasPrefix(key, hintsPartPrefix)
+}
+
+// applyLeader takes over who leads, if anybody.
+func (s *stateCache) applyLeader(change Change, reject func(error)) {
+	s.leader, s.leaderRevision = leaderRecord{}, 0
+	if change.Removed {
+		return
+	}
+	if err := json.Unmarshal(change.Value, &s.leader); err != nil {
+		reject(err)
+	}
+	s.leaderRevision = change.Revision
+	if s.leader.Token > s.elector.newestLeader.Token {
+		s.peers.connectivity.RecordHandover(s.now)
+	}
+	s.elector.noteNewestLeader(s.leader)
+}
+
+// applyToken takes over the newest fencing token.
+func (s *stateCache) applyToken(change Change, reject func(error)) {
+	if change.Removed {
+		return
+	}
+	if err := json.Unmarshal(change.Value, &s.token); err != nil {
+		reject(err)
+	}
+	s.tokenRevision = change.Revision
+}
+
+// applyPartitions takes over which controller has which partition. The leader is the one
+// that says so.
+func (s *stateCache) applyPartitions(change Change, reject func(error)) {
+	if change.Removed || s.elector.isLeader() {
+		return
+	}
+	var partitions fleet.Partitions
+	if err := json.Unmarshal(change.Value, &partitions); err != nil {
+		reject(err)
+		return
+	}
+	s.partitions, s.partitionsReadAt = partitions, s.now
+}
+
+// applyEnd takes over how a job has ended.
+func (s *stateCache) applyEnd(id string, change Change, reject func(error)) {
+	if change.Removed {
+		return
+	}
+	var end jobstate.End
+	if err := json.Unmarshal(change.Value, &end); err != nil {
+		reject(err)
+		return
+	}
+	s.noteEnd(id, end, change.Revision)
+	s.dependencies.endWasStored(id)
+}
+
+// applyJob takes over a job's record, or its removal.
+func (s *stateCache) applyJob(id string, change Change, reject func(error)) {
 	j := s.jobs[id]
-	if ch.Removed {
-		if j != nil && ch.Revision > j.Revision {
+	if change.Removed {
+		if j != nil && change.Revision > j.Revision {
 			delete(s.jobs, id)
 			s.tasks.jobRemoved(j)
 			s.orphanChunks(j)
 		}
 		return
 	}
-	if j != nil && ch.Revision <= j.Revision {
+	if j != nil && change.Revision <= j.Revision {
 		return
 	}
-	var r jobstate.Record
-	if err := json.Unmarshal(ch.Value, &r); err != nil || r.Spec == nil || r.Spec.Tasks < 1 || r.Spec.Tasks > jobstate.MaxTasks {
-		bad(err)
+	var record jobstate.Record
+	if err := json.Unmarshal(change.Value, &record); err != nil || !isValidRecord(&record) {
+		reject(err)
 		return
 	}
 	if j == nil {
-		j = jobstate.NewJob(r.Spec)
-		j.SplitChunks(s.membership.chunkTasks)
-		j.Arrival, j.SubmittedWall, j.Truncated = r.Arrival, r.SubmittedWall, r.Truncated
-		j.SubmittedAt = s.steadyTime(r.SubmittedWall)
-		j.ReadyAt = j.SubmittedAt
-		if j.Arrival == 0 {
-			j.Arrival = ch.Revision
-		}
-		s.jobs[id] = j
-		for v, run := range s.orphanedChunks[id] {
-			if run.Value == nil {
-				continue
-			}
-			if err := j.LoadChunk(v, run.Value, run.Revision, s.now); err != nil {
-				bad(err)
-			}
-		}
-		delete(s.orphanedChunks, id)
-		s.reapply(j)
-		if e, ended := s.ends[id]; ended && r.Outcome == "" {
-			// Derived before the list was read anew, perhaps.
-			j.Outcome, j.CancelledByDependency = e.Outcome, true
-			s.tasks.jobEnded(j)
-		} else if r.Outcome == "" {
-			s.dependencies.addJob(j)
-			s.sweepManager.noteRun(j)
-		}
-		s.tasks.jobArrived(j)
+		j = s.addJob(id, &record, change.Revision, reject)
 	}
-	j.Revision = ch.Revision
-	if r.Outcome != "" && j.Outcome == "" {
-		j.Outcome = r.Outcome
-		s.noteEnd(id, jobstate.End{Outcome: r.Outcome, Tasks: j.Tasks}, ch.Revision)
+	j.Revision = change.Revision
+	if record.Outcome == "" {
+		return
+	}
+	if j.Outcome == "" {
+		j.Outcome = record.Outcome
+		s.noteEnd(id, jobstate.End{Outcome: record.Outcome, Tasks: j.Tasks}, change.Revision)
 		s.tasks.jobEnded(j)
 	}
-	if r.Outcome != "" {
-		j.CancelledByDependency = false
+	j.CancelledByDependency = false
+}
+
+// isValidRecord says whether a job can be made of a record.
+func isValidRecord(record *jobstate.Record) bool {
+	return record.Spec != nil && record.Spec.Tasks >= 1 && record.Spec.Tasks <= jobstate.MaxTasks
+}
+
+// addJob adds a job that was not known, with what was read of its progress before.
+func (s *stateCache) addJob(id string, record *jobstate.Record, revision uint64, reject func(error)) *jobstate.Job {
+	j := jobstate.NewJob(record.Spec)
+	j.SplitChunks(s.membership.chunkTasks)
+	j.Arrival, j.SubmittedWall, j.Truncated = record.Arrival, record.SubmittedWall, record.Truncated
+	j.SubmittedAt = s.steadyTime(record.SubmittedWall)
+	j.ReadyAt = j.SubmittedAt
+	if j.Arrival == 0 {
+		j.Arrival = revision
+	}
+	s.jobs[id] = j
+	s.loadOrphanedChunks(j, reject)
+	s.reapply(j)
+	if end, ended := s.ends[id]; ended && record.Outcome == "" {
+		// Derived before the list was read anew, perhaps.
+		j.Outcome, j.CancelledByDependency = end.Outcome, true
+		s.tasks.jobEnded(j)
+	} else if record.Outcome == "" {
+		s.dependencies.addJob(j)
+		s.sweepManager.noteRun(j)
 	}
+	s.tasks.jobArrived(j)
+	return j
 }
 
-func (s *stateCache) applyRun(rest string, ch Change, bad func(error)) {
-	id, v, err := parseChunkKey(rest)
+// loadOrphanedChunks gives a job the chunks that were read before it.
+func (s *stateCache) loadOrphanedChunks(j *jobstate.Job, reject func(error)) {
+	for ref, stored := range s.orphanedChunks[j.ID] {
+		if stored.Value == nil {
+			continue
+		}
+		if err := j.LoadChunk(ref, stored.Value, stored.Revision, s.now); err != nil {
+			reject(err)
+		}
+	}
+	delete(s.orphanedChunks, j.ID)
+}
+
+// applyChunk takes over a value of a job's progress; name is its key without the prefix.
+func (s *stateCache) applyChunk(name string, change Change, reject func(error)) {
+	id, ref, err := parseChunkKey(name)
 	if err != nil {
-		bad(err)
+		reject(err)
 		return
 	}
 	if s.elector.isLeader() {
 		return // the leader is the one that writes these
 	}
 	j := s.jobs[id]
-	if ch.Removed {
-		s.committer.setOrphanedRevision(id, v, 0)
+	if change.Removed {
+		s.committer.setOrphanedRevision(id, ref, 0)
 		if j != nil {
-			j.SetChunkRevision(v, 0)
+			j.SetChunkRevision(ref, 0)
 		}
 		return
 	}
 	if j == nil {
 		// A job's chunks may be read before the job itself.
-		s.putOrphanedChunk(id, v, ch)
+		s.putOrphanedChunk(id, ref, change)
 		return
 	}
-	if j.ChunkRevision(v) >= ch.Revision {
+	if j.ChunkRevision(ref) >= change.Revision {
 		return
 	}
-	if err := j.LoadChunk(v, ch.Value, ch.Revision, s.now); err != nil {
-		bad(err)
+	if err := j.LoadChunk(ref, change.Value, change.Revision, s.now); err != nil {
+		reject(err)
 	}
 	s.reapply(j)
-	for i := v.Index * v.ChunkSize; i < min((v.Index+1)*v.ChunkSize, j.Tasks); i++ {
+	for i := ref.Index * ref.ChunkSize; i < min((ref.Index+1)*ref.ChunkSize, j.Tasks); i++ {
 		s.imageHistory.placed(j.Task(i).Machine, j)
 	}
 }
 
-// orphanChunks remembers the values that a removed job leaves, for the leader to
+// orphanChunks remembers the chunks that a removed job leaves, for the leader to
 // remove when it can spare a write.
 func (s *stateCache) orphanChunks(j *jobstate.Job) {
-	values, stamps := j.StoredChunks()
-	for i, v := range values {
-		s.putOrphanedChunk(j.ID, v, Change{Revision: stamps[i]})
+	refs, revisions := j.StoredChunks()
+	for i, ref := range refs {
+		s.putOrphanedChunk(j.ID, ref, Change{Revision: revisions[i]})
 	}
 }
 
-func (s *stateCache) putOrphanedChunk(id string, v jobstate.ChunkRef, ch Change) {
+func (s *stateCache) putOrphanedChunk(id string, ref jobstate.ChunkRef, stored Change) {
 	if s.orphanedChunks[id] == nil {
 		s.orphanedChunks[id] = map[jobstate.ChunkRef]Change{}
 	}
-	s.orphanedChunks[id][v] = ch
+	s.orphanedChunks[id][ref] = stored
 }
 
 // noteEnd notes how a job has ended, stored with a revision, or 0 if that is not
 // known. Whatever users are told of an end has passed here, so it is here that
-// this controller begins to vouch for a cancellation.
-func (s *stateCache) noteEnd(id string, e jobstate.End, rev uint64) {
-	if e.Outcome == jobstate.Cancelled && !s.readLeases.cancelledWithSweep(id) {
-		s.readLeases.recordCancellation(id, rev)
+// this controller records a cancellation for its read leases.
+func (s *stateCache) noteEnd(id string, end jobstate.End, revision uint64) {
+	if end.Outcome == jobstate.Cancelled && !s.readLeases.cancelledWithSweep(id) {
+		s.readLeases.recordCancellation(id, revision)
 	}
-	if _, ok := s.ends[id]; ok {
+	if _, known := s.ends[id]; known {
 		return
 	}
-	s.ends[id] = e
-	s.endOrder = append(s.endOrder, id)
-	if len(s.endOrder) > maxEnds {
-		delete(s.ends, s.endOrder[0])
-		s.endOrder = s.endOrder[1:]
-	}
+	s.rememberEnd(id, end)
 	if j := s.jobs[id]; j != nil && j.Outcome == "" {
-		j.Outcome = e.Outcome
-		if e.Outcome == jobstate.Done {
+		j.Outcome = end.Outcome
+		if end.Outcome == jobstate.Done {
 			s.imageHistory.finished(j)
 		}
 		s.tasks.jobEnded(j)
 	}
-	s.dependencies.resolveDependents(id, e)
+	s.dependencies.resolveDependents(id, end)
+}
+
+// rememberEnd keeps an end, and forgets the oldest if there are too many.
+func (s *stateCache) rememberEnd(id string, end jobstate.End) {
+	s.ends[id] = end
+	s.endOrder = append(s.endOrder, id)
+	if len(s.endOrder) > maxEnds {
+		delete(s.ends, s.endOrder[0])
+		s.endOrder = s.endOrder[1:]
+	}
 }
 
 // applyTypes reads machine types, all or some: those that do not fit one value
 // are stored in several.
-func (s *stateCache) applyTypes(ch Change, bad func(error)) {
-	var list []fleet.Type
-	if err := json.Unmarshal(ch.Value, &list); err != nil {
-		bad(err)
+func (s *stateCache) applyTypes(change Change, reject func(error)) {
+	if change.Removed {
 		return
 	}
-	if ch.Key == typesKey {
-		s.machineTypes, s.typesRevision, s.typesWholeRevision = list, ch.Revision, ch.Revision
+	var types []fleet.Type
+	if err := json.Unmarshal(change.Value, &types); err != nil {
+		reject(err)
+		return
+	}
+	if change.Key == typesKey {
+		s.machineTypes, s.typesRevision, s.typesWholeRevision = types, change.Revision, change.Revision
 		return
 	}
 	// Parts of before the value fitted again, as when a list is read.
-	if ch.Revision < s.typesWholeRevision {
+	if change.Revision < s.typesWholeRevision {
 		return
 	}
-	s.typesRevision = ch.Revision
-	for _, t := range list {
-		if i := slices.IndexFunc(s.machineTypes, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
-			s.machineTypes[i] = t
-		} else {
-			s.machineTypes = append(s.machineTypes, t)
-		}
+	s.typesRevision = change.Revision
+	for _, t := range types {
+		s.setMachineType(t)
 	}
 }
 
+// setMachineType replaces the machine type of the same name, or adds one.
+func (s *stateCache) setMachineType(t fleet.Type) {
+	i := slices.IndexFunc(s.machineTypes, func(known fleet.Type) bool { return known.Name == t.Name })
+	if i < 0 {
+		s.machineTypes = append(s.machineTypes, t)
+		return
+	}
+	s.machineTypes[i] = t
+}
+
 // chunkKey is the key of a value of a job's progress. Values of the first format
 // have a number only.
-func chunkKey(id string, v jobstate.ChunkRef) string {
-	n := strconv.Itoa(v.Index)
-	if v.ChunkSize != jobstate.DefaultChunkSize {
-		n = strconv.Itoa(v.ChunkSize) + "-" + n
+func chunkKey(id string, ref jobstate.ChunkRef) string {
+	name := strconv.Itoa(ref.Index)
+	if ref.ChunkSize != jobstate.DefaultChunkSize {
+		name = strconv.Itoa(ref.ChunkSize) + "-" + name
 	}
-	return runPrefix + id + "/" + n
+	return runPrefix + id + "/" + name
 }
 
 // parseChunkKey reads what follows the prefix of such a key.
-func parseChunkKey(rest string) (id string, v jobstate.ChunkRef, err error) {
-	id, num, _ := strings.Cut(rest, "/")
-	v.ChunkSize = jobstate.DefaultChunkSize
-	if span, n, ok := strings.Cut(num, "-"); ok {
-		num = n
-		if v.ChunkSize, err = strconv.Atoi(span); err != nil {
-			return id, v, err
+func parseChunkKey(name string) (id string, ref jobstate.ChunkRef, err error) {
+	id, number, _ := strings.Cut(name, "/")
+	ref.ChunkSize = jobstate.DefaultChunkSize
+	if size, index, ok := strings.Cut(number, "-"); ok {
+		number = index
+		if ref.ChunkSize, err = strconv.Atoi(size); err != nil {
+			return id, ref, fmt.Errorf("size of a chunk: %w", err)
 		}
 	}
-	v.Index, err = strconv.Atoi(num)
-	return id, v, err
+	if ref.Index, err = strconv.Atoi(number); err != nil {
+		return id, ref, fmt.Errorf("index of a chunk: %w", err)
+	}
+	return id, ref, nil
 }
 
 func encodeJSON(v any) []byte { return jobstate.Encode(v) }
