--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,17 +1,44 @@
-// Package core is zinclb without input and output: it takes messages with the
-// time of the steady clock and answers with effects to be carried out. Every
-// controller runs it; the one that holds the leadership key also decides.
+// Package core decides what a controller does. It has no input and output of its own:
+// Core.Step takes one message and the time of the steady clock, and returns the effects
+// that follow, as values, for package node (or an emulator) to carry out. What an effect
+// brings about comes back as a later message. The same messages at the same times have
+// the same effects, so that a whole cluster can be played in simulated time.
+//
+// Every controller runs a Core. One of them is the leader: it holds the leadership key of
+// the state service on a lease, and it alone plans tasks, commands workers and scales the
+// cluster. The others serve users' requests, which all of them can, relay heartbeats, and
+// take over when the lease expires. What must survive is in the state service; it is
+// changed by transactions on conditions (compare-and-swap) alone, and those of a leader
+// are conditional on the leadership key.
+//
+// A Core consists of parts, each a type with a file of its name, which share an engine
+// (clock, settings, log, effects):
+//
+//   - the stored state: stateCache mirrors it, stateReader keeps the mirror fresh by
+//     watches and reads, committer writes what the leader decides, stateHealth knows
+//     whether the state service answers and how many requests may be sent;
+//   - the controllers: elector campaigns and leads, membership says which programs and
+//     features are there, peerMonitor pings the others and forwards requests to them,
+//     readLeaseManager lets followers answer users on the leader's behalf;
+//   - users and operators: requestHandler, sweepManager, dependencyResolver and
+//     operatorViewer;
+//   - machines: heartbeatRouter brings heartbeats to the leader, workerManager keeps
+//     what they say and answers with commands, taskManager follows each task,
+//     partitionManager shares the machines out among the controllers;
+//   - planning: planner decides which task starts where by package sched, prefetcher
+//     has images fetched ahead, scaler rents and returns machines, cloudCaller calls
+//     the cloud by way of a peer where this controller does not reach it.
+//
+// What a part keeps only while this controller leads is in its state in leadership.
 package core
 
 import (
 	"log/slog"
 	"math/rand/v2"
-
-	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
 // Core is one controller: it hands each message to the part that it concerns, and
-// collects the effects that follow.
+// collects the effects that follow. It is not safe for concurrent use.
 type Core struct {
 	*engine
 
@@ -37,32 +64,175 @@
 	operators        *operatorViewer
 }
 
+// connect gives each part those that it uses. They use each other, so this comes after
+// all are made.
 func (c *Core) connect() {
-	c.elector.cache, c.elector.committer, c.elector.health, c.elector.membership, c.elector.peers, c.elector.prefetcher, c.elector.tasks, c.elector.workers = c.cache, c.committer, c.health, c.membership, c.peers, c.prefetcher, c.tasks, c.workers
-	c.membership.cache, c.membership.committer, c.membership.elector, c.membership.health = c.cache, c.committer, c.elector, c.health
-	c.peers.cache, c.peers.elector, c.peers.health, c.peers.membership, c.peers.readLeases, c.peers.reader = c.cache, c.elector, c.health, c.membership, c.readLeases, c.reader
-	c.readLeases.cache, c.readLeases.elector, c.readLeases.health, c.readLeases.peers, c.readLeases.sweepManager = c.cache, c.elector, c.health, c.peers, c.sweepManager
-	c.health.cache, c.health.elector, c.health.membership, c.health.peers = c.cache, c.elector, c.membership, c.peers
-	c.reader.cache, c.reader.elector, c.reader.health, c.reader.membership, c.reader.peers, c.reader.requests = c.cache, c.elector, c.health, c.membership, c.peers, c.requests
-	c.cache.committer, c.cache.dependencies, c.cache.elector, c.cache.health, c.cache.membership, c.cache.peers, c.cache.readLeases, c.cache.reader, c.cache.requests, c.cache.sweepManager, c.cache.tasks = c.committer, c.dependencies, c.elector, c.health, c.membership, c.peers, c.readLeases, c.reader, c.requests, c.sweepManager, c.tasks
-	c.committer.cache, c.committer.dependencies, c.committer.elector, c.committer.health, c.committer.membership, c.committer.prefetcher, c.committer.requests, c.committer.sweepManager, c.committer.tasks = c.cache, c.dependencies, c.elector, c.health, c.membership, c.prefetcher, c.requests, c.sweepManager, c.tasks
-	c.tasks.committer, c.tasks.dependencies, c.tasks.elector, c.tasks.prefetcher, c.tasks.workers = c.committer, c.dependencies, c.elector, c.prefetcher, c.workers
-	c.router.cache, c.router.elector, c.router.health, c.router.peers, c.router.workers = c.cache, c.elector, c.health, c.peers, c.workers
-	c.workers.cache, c.workers.elector, c.workers.prefetcher, c.workers.tasks = c.cache, c.elector, c.prefetcher, c.tasks
-	c.requests.cache, c.requests.dependencies, c.requests.elector, c.requests.health, c.requests.membership, c.requests.peers, c.requests.readLeases, c.requests.reader, c.requests.sweepManager = c.cache, c.dependencies, c.elector, c.health, c.membership, c.peers, c.readLeases, c.reader, c.sweepManager
-	c.dependencies.cache, c.dependencies.elector, c.dependencies.requests, c.dependencies.tasks = c.cache, c.elector, c.requests, c.tasks
-	c.planner.cache, c.planner.committer, c.planner.dependencies, c.planner.elector, c.planner.prefetcher, c.planner.sweepManager, c.planner.tasks = c.cache, c.committer, c.dependencies, c.elector, c.prefetcher, c.sweepManager, c.tasks
-	c.partitionManager.cache, c.partitionManager.committer, c.partitionManager.elector, c.partitionManager.health, c.partitionManager.peers = c.cache, c.committer, c.elector, c.health, c.peers
-	c.scaler.cache, c.scaler.cloud, c.scaler.committer, c.scaler.elector, c.scaler.membership, c.scaler.planner, c.scaler.prefetcher = c.cache, c.cloud, c.committer, c.elector, c.membership, c.planner, c.prefetcher
-	c.cloud.cache, c.cloud.elector, c.cloud.peers = c.cache, c.elector, c.peers
-	c.prefetcher.cache, c.prefetcher.committer, c.prefetcher.elector, c.prefetcher.health, c.prefetcher.membership, c.prefetcher.planner = c.cache, c.committer, c.elector, c.health, c.membership, c.planner
-	c.sweepManager.cache, c.sweepManager.committer, c.sweepManager.dependencies, c.sweepManager.elector, c.sweepManager.health, c.sweepManager.membership, c.sweepManager.readLeases, c.sweepManager.requests, c.sweepManager.tasks = c.cache, c.committer, c.dependencies, c.elector, c.health, c.membership, c.readLeases, c.requests, c.tasks
-	c.operators.cache, c.operators.dependencies, c.operators.elector, c.operators.health, c.operators.membership, c.operators.peers, c.operators.planner, c.operators.reader = c.cache, c.dependencies, c.elector, c.health, c.membership, c.peers, c.planner, c.reader
+	c.connectState()
+	c.connectControllers()
+	c.connectRequests()
+	c.connectMachines()
+}
+
+// connectState gives the parts that read and write the stored state the parts that they use.
+func (c *Core) connectState() {
+	c.health.cache = c.cache
+	c.health.elector = c.elector
+	c.health.membership = c.membership
+	c.health.peers = c.peers
+
+	c.cache.committer = c.committer
+	c.cache.dependencies = c.dependencies
+	c.cache.elector = c.elector
+	c.cache.health = c.health
+	c.cache.membership = c.membership
+	c.cache.peers = c.peers
+	c.cache.readLeases = c.readLeases
+	c.cache.reader = c.reader
+	c.cache.requests = c.requests
+	c.cache.sweepManager = c.sweepManager
+	c.cache.tasks = c.tasks
+
+	c.reader.cache = c.cache
+	c.reader.elector = c.elector
+	c.reader.health = c.health
+	c.reader.membership = c.membership
+	c.reader.peers = c.peers
+	c.reader.requests = c.requests
+
+	c.committer.cache = c.cache
+	c.committer.dependencies = c.dependencies
+	c.committer.elector = c.elector
+	c.committer.health = c.health
+	c.committer.membership = c.membership
+	c.committer.prefetcher = c.prefetcher
+	c.committer.requests = c.requests
+	c.committer.sweepManager = c.sweepManager
+	c.committer.tasks = c.tasks
+
+	c.readLeases.cache = c.cache
+	c.readLeases.elector = c.elector
+	c.readLeases.health = c.health
+	c.readLeases.peers = c.peers
+	c.readLeases.sweepManager = c.sweepManager
+}
+
+// connectControllers does so for those that deal with the other controllers.
+func (c *Core) connectControllers() {
+	c.elector.cache = c.cache
+	c.elector.committer = c.committer
+	c.elector.health = c.health
+	c.elector.membership = c.membership
+	c.elector.peers = c.peers
+	c.elector.prefetcher = c.prefetcher
+	c.elector.tasks = c.tasks
+	c.elector.workers = c.workers
+
+	c.membership.cache = c.cache
+	c.membership.committer = c.committer
+	c.membership.elector = c.elector
+	c.membership.health = c.health
+
+	c.peers.cache = c.cache
+	c.peers.elector = c.elector
+	c.peers.health = c.health
+	c.peers.membership = c.membership
+	c.peers.readLeases = c.readLeases
+	c.peers.reader = c.reader
+
+	c.partitionManager.cache = c.cache
+	c.partitionManager.committer = c.committer
+	c.partitionManager.elector = c.elector
+	c.partitionManager.health = c.health
+	c.partitionManager.peers = c.peers
+
+	c.operators.cache = c.cache
+	c.operators.dependencies = c.dependencies
+	c.operators.elector = c.elector
+	c.operators.health = c.health
+	c.operators.membership = c.membership
+	c.operators.peers = c.peers
+	c.operators.planner = c.planner
+	c.operators.reader = c.reader
+}
+
+// connectRequests does so for those that handle the requests of users.
+func (c *Core) connectRequests() {
+	c.requests.cache = c.cache
+	c.requests.dependencies = c.dependencies
+	c.requests.elector = c.elector
+	c.requests.health = c.health
+	c.requests.membership = c.membership
+	c.requests.peers = c.peers
+	c.requests.readLeases = c.readLeases
+	c.requests.reader = c.reader
+	c.requests.sweepManager = c.sweepManager
+
+	c.dependencies.cache = c.cache
+	c.dependencies.elector = c.elector
+	c.dependencies.requests = c.requests
+	c.dependencies.tasks = c.tasks
+
+	c.sweepManager.cache = c.cache
+	c.sweepManager.committer = c.committer
+	c.sweepManager.dependencies = c.dependencies
+	c.sweepManager.elector = c.elector
+	c.sweepManager.health = c.health
+	c.sweepManager.membership = c.membership
+	c.sweepManager.readLeases = c.readLeases
+	c.sweepManager.requests = c.requests
+	c.sweepManager.tasks = c.tasks
+}
+
+// connectMachines does so for those that deal with machines and their tasks.
+func (c *Core) connectMachines() {
+	c.router.cache = c.cache
+	c.router.elector = c.elector
+	c.router.health = c.health
+	c.router.peers = c.peers
+	c.router.workers = c.workers
+
+	c.workers.cache = c.cache
+	c.workers.elector = c.elector
+	c.workers.prefetcher = c.prefetcher
+	c.workers.tasks = c.tasks
+
+	c.tasks.committer = c.committer
+	c.tasks.dependencies = c.dependencies
+	c.tasks.elector = c.elector
+	c.tasks.prefetcher = c.prefetcher
+	c.tasks.workers = c.workers
+
+	c.planner.cache = c.cache
+	c.planner.committer = c.committer
+	c.planner.dependencies = c.dependencies
+	c.planner.elector = c.elector
+	c.planner.prefetcher = c.prefetcher
+	c.planner.sweepManager = c.sweepManager
+	c.planner.tasks = c.tasks
+
+	c.prefetcher.cache = c.cache
+	c.prefetcher.committer = c.committer
+	c.prefetcher.elector = c.elector
+	c.prefetcher.health = c.health
+	c.prefetcher.membership = c.membership
+	c.prefetcher.planner = c.planner
+
+	c.scaler.cache = c.cache
+	c.scaler.cloud = c.cloud
+	c.scaler.committer = c.committer
+	c.scaler.elector = c.elector
+	c.scaler.membership = c.membership
+	c.scaler.planner = c.planner
+	c.scaler.prefetcher = c.prefetcher
+
+	c.cloud.cache = c.cache
+	c.cloud.elector = c.elector
+	c.cloud.peers = c.peers
 }
 
 // New makes a core. now is the steady clock in microseconds.
 func New(set Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	run := &engine{settings: set, log: log, rng: rng, now: now, transactions: txn.New(), keyReads: map[uint64]func(KeyRead){}}
+	run := newEngine(set, now, rng, log)
 	c := &Core{
 		engine:           run,
 		elector:          &elector{engine: run},
@@ -92,47 +262,86 @@
 	return c
 }
 
-// Step handles one message and returns what is to be done.
+// Step handles one message at a time of the steady clock and returns the effects that
+// follow, to be carried out in their order. A message of no known type has none of its own.
 func (c *Core) Step(now int64, msg any) []any {
 	c.now = max(now, c.now)
+	c.handle(msg)
+	if c.elector.isLeader() {
+		c.leadStep()
+	}
+	if c.elector.isLeader() {
+		c.tasks.sendDirectCommands()
+	}
+	effects := c.effects
+	c.effects = nil
+	return effects
+}
+
+// handle hands a message to the part that it concerns.
+func (c *Core) handle(msg any) {
+	if tick, ok := msg.(Tick); ok {
+		c.onTick(tick)
+		return
+	}
+	handled := c.handleMachineMessage(msg) || c.handleStateMessage(msg) || c.handleRequest(msg) || c.handlePeerMessage(msg)
+	if !handled {
+		c.handleCloudMessage(msg)
+	}
+}
+
+// handleMachineMessage handles what comes from machines, also by way of a peer.
+func (c *Core) handleMachineMessage(msg any) (handled bool) {
+	switch m := msg.(type) {
+	case HeartbeatReceived:
+		c.router.onHeartbeat(m)
+	case HeartbeatRelayed:
+		c.router.onHeartbeatRelayed(m)
+	case MachineProbed:
+		c.peers.connectivity.Workers.RecordProbe(m.Machine, m.SentAt, c.now, m.OK)
+		c.workers.onMachineProbed(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// handleStateMessage handles what the state service answers, or the leader in its place.
+func (c *Core) handleStateMessage(msg any) (handled bool) {
 	switch m := msg.(type) {
-	case Tick:
-		if m.TimeOfDay != 0 {
-			c.wallOffset = m.TimeOfDay - c.now
-		}
-		c.tick()
 	case StateListed:
 		c.cache.onStateListed(m)
 	case StateRead:
 		c.cache.onStateRead(m)
 	case LeaderWatched:
 		c.reader.onLeaderWatched(m)
-	case FollowerRead:
-		c.requests.onFollowerRead(m)
 	case LeaderReadDone:
 		c.reader.onLeaderReadDone(m)
 	case TransactionResult:
-		if !c.transactions.IsConditionOnly(m.ID) {
-			c.membership.noteRateLimited(m.Outcome)
-		}
-		c.health.recordTransaction(m)
-		c.transactions.Complete(m)
+		c.onTransactionResult(m)
 	case KeyRead:
-		c.health.recordResult(&c.peers.connectivity.Reads, m.Err)
-		if f := c.keyReads[m.ID]; f != nil {
-			delete(c.keyReads, m.ID)
-			f(m)
-		}
+		c.onKeyRead(m)
 	case LeaseGranted:
 		c.elector.onLeaseGranted(m)
 	case LeaseRenewed:
 		c.elector.onLeaseRenewed(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// handleRequest handles the requests of users and operators.
+func (c *Core) handleRequest(msg any) (handled bool) {
+	switch m := msg.(type) {
 	case SubmitJob:
 		c.requests.onSubmit(m)
 	case QueryJob:
 		c.requests.onStatus(m)
 	case CancelJob:
 		c.requests.onCancel(m)
+	case CheckReady:
+		c.requests.onReady(m)
 	case SubmitSweep:
 		c.sweepManager.onSubmitSweep(m)
 	case QuerySweep:
@@ -143,31 +352,42 @@
 		c.sweepManager.onCancelSweep(m)
 	case SweepExpanded:
 		c.sweepManager.onExpanded(m)
-	case CheckReady:
-		c.requests.onReady(m)
-	case HeartbeatReceived:
-		c.router.onHeartbeat(m)
-	case HeartbeatRelayed:
-		c.router.onHeartbeatRelayed(m)
-	case PeerPinged:
-		c.peers.onPeerPinged(m)
-	case MachineProbed:
-		c.peers.connectivity.Workers.RecordProbe(m.Machine, m.SentAt, c.now, m.OK)
-		c.workers.onMachineProbed(m)
 	case QueryOperatorView:
 		c.operators.onQueryOperatorView(m)
 	case SetDecommissioned:
 		c.membership.onSetDecommissioned(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// handlePeerMessage handles what the other controllers ask and answer.
+func (c *Core) handlePeerMessage(msg any) (handled bool) {
+	switch m := msg.(type) {
 	case PingReceived:
 		c.peers.onPingReceived(m)
+	case PeerPinged:
+		c.peers.onPeerPinged(m)
 	case RequestForwarded:
 		c.peers.onRequestForwarded(m)
+	case FollowerRead:
+		c.requests.onFollowerRead(m)
 	case CloudCallRequested:
 		c.cloud.onCloudCallRequested(m)
-	case CloudCalledForPeer:
-		c.cloud.onCloudCalledForPeer(m)
 	case PeerCloudCallEnded:
 		c.peers.connectivity.RecordCloudProxy(m.Peer, m.Err == nil, c.now)
+	default:
+		return false
+	}
+	return true
+}
+
+// handleCloudMessage handles the results of calls to the cloud.
+func (c *Core) handleCloudMessage(msg any) {
+	switch m := msg.(type) {
+	case CloudCalledForPeer:
+		c.cloud.onCloudCalledForPeer(m)
 	case MachineTypesListed:
 		c.scaler.onMachineTypesListed(m)
 	case MachinesListed:
@@ -177,25 +397,37 @@
 	case ScaledIn:
 		c.scaler.onScaledIn(m)
 	}
-	if c.elector.isLeader() {
-		c.leadStep()
-	}
-	if c.elector.isLeader() {
-		c.tasks.sendDirectCommands()
+}
+
+// onTransactionResult notes what an answer says of the state service, and has it handled
+// where the transaction was sent.
+func (c *Core) onTransactionResult(m TransactionResult) {
+	if !c.transactions.IsConditionOnly(m.ID) {
+		c.membership.noteRateLimited(m.Outcome)
 	}
-	out := c.effects
-	c.effects = nil
-	return out
+	c.health.recordTransaction(m)
+	c.transactions.Complete(m)
 }
 
-func (c *Core) tick() {
+// onKeyRead notes what an answer says of the state service, and has it handled where the
+// key was read.
+func (c *Core) onKeyRead(m KeyRead) {
+	c.health.recordResult(&c.peers.connectivity.Reads, m.Err)
+	c.completeRead(m)
+}
+
+// onTick does what is due, whether or not anything has come.
+func (c *Core) onTick(m Tick) {
+	if m.TimeOfDay != 0 {
+		c.wallOffset = m.TimeOfDay - c.now
+	}
 	c.health.refillBudgets()
 	if c.peers.pingDue() {
 		c.peers.pingAll()
 		c.router.expireRedirects()
 	}
-	for _, answer := range c.transactions.Overdue(c.now) {
-		c.transactions.Complete(answer)
+	for _, result := range c.transactions.Overdue(c.now) {
+		c.transactions.Complete(result)
 	}
 	c.requests.tick()
 	c.reader.watchState()
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -19,31 +19,59 @@
 	now        int64
 	wallOffset int64
 
-	effects      []any
+	// effects are those of the message that is being handled.
+	effects []any
+
+	// transactions and keyReads are under way; lastID is the number of the newest.
 	lastID       uint64
 	transactions *txn.Table
 	keyReads     map[uint64]func(KeyRead)
 }
 
+func newEngine(settings Settings, now int64, rng *rand.Rand, log *slog.Logger) *engine {
+	return &engine{
+		settings:     settings,
+		log:          log,
+		rng:          rng,
+		now:          now,
+		transactions: txn.New(),
+		keyReads:     map[uint64]func(KeyRead){},
+	}
+}
+
+// emit adds an effect of the message that is being handled.
 func (e *engine) emit(effect any) { e.effects = append(e.effects, effect) }
 
+// newID is the number of a transaction or a read of a key, by which its answer is known.
 func (e *engine) newID() uint64 {
 	e.lastID++
 	return e.lastID
 }
 
-func (e *engine) commitTransaction(when []Cond, writes []Write, f func(TransactionResult)) {
+// commitTransaction sends a transaction; done gets its result.
+func (e *engine) commitTransaction(conditions []Cond, writes []Write, done func(TransactionResult)) {
 	id := e.newID()
-	e.transactions.Begin(id, when, writes, e.now, f)
-	e.emit(CommitTransaction{ID: id, Conditions: when, Writes: writes})
+	e.transactions.Begin(id, conditions, writes, e.now, done)
+	e.emit(CommitTransaction{ID: id, Conditions: conditions, Writes: writes})
 }
 
-func (e *engine) readKey(key string, f func(KeyRead)) {
+// readKey reads a key; done gets what is stored.
+func (e *engine) readKey(key string, done func(KeyRead)) {
 	id := e.newID()
-	e.keyReads[id] = f
+	e.keyReads[id] = done
 	e.emit(ReadKey{ID: id, Key: key})
 }
 
+// completeRead has the answer to a read handled.
+func (e *engine) completeRead(m KeyRead) {
+	done := e.keyReads[m.ID]
+	if done == nil {
+		return
+	}
+	delete(e.keyReads, m.ID)
+	done(m)
+}
+
 // steadyTime converts a time of day to the steady clock; one that is not known, or
 // that lies ahead, is now.
 func (e *engine) steadyTime(wall int64) int64 {
