--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLink: what a link is taken to be, by what was tried when.
-func TestLink(t *testing.T) {
+// TestLinkState: what a link is taken to be, by its evidence.
+func TestLinkState(t *testing.T) {
 	ok := func(sent, now int64) func(*Link) {
 		return func(l *Link) { l.RecordSuccess(sent*second/10, now*second/10) }
 	}
@@ -22,14 +22,14 @@
 		{"nothing tried", nil, 10, Unknown},
 		{"answered", []func(*Link){ok(10, 11)}, 20, Up},
 		{"answered long ago", []func(*Link){ok(10, 11)}, 200, Unknown},
-		{"silent since", []func(*Link){ok(10, 11), bad(20, 30, NoResponse)}, 31, Lost},
+		{"no answer since", []func(*Link){ok(10, 11), bad(20, 30, NoResponse)}, 31, Lost},
 		{"refusing", []func(*Link){ok(10, 11), bad(20, 21, Refused)}, 31, Refusing},
-		{"an answer overtakes a later failure's question", []func(*Link){bad(20, 30, NoResponse), ok(10, 31)}, 32, Lost},
-		{"a late failure of an older question", []func(*Link){ok(20, 21), bad(10, 30, NoResponse)}, 32, Up},
+		{"an answer to a request from before the failure", []func(*Link){bad(20, 30, NoResponse), ok(10, 31)}, 32, Lost},
+		{"a late failure of an older request", []func(*Link){ok(20, 21), bad(10, 30, NoResponse)}, 32, Up},
 		{"back", []func(*Link){ok(10, 11), bad(20, 30, NoResponse), ok(40, 41)}, 42, Up},
 		{"slow", []func(*Link){ok(10, 30), ok(40, 60), ok(70, 90), ok(100, 120)}, 121, Slow},
-		{"comes and goes", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60)}, 61, Flapping},
-		{"came and went long ago", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60), ok(500, 500)}, 501, Up},
+		{"flapping", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60)}, 61, Flapping},
+		{"flapped long ago", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60), ok(500, 500)}, 501, Up},
 	}
 	for _, tc := range cases {
 		var l Link
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestSample: which machines stand for a zone, when they are asked, and what is
-// said of the zone.
+// TestSample: which machines stand for a zone, when they are probed, and how much of the zone
+// counts as reached.
 func TestSample(t *testing.T) {
 	m := func(i int) Machine {
 		return Machine{Name: fmt.Sprintf("host-%03d", i), Addr: "x", Zone: "a"}
@@ -57,28 +57,28 @@
 		t.Fatalf("two that know the same machines sample %s and %s", x, y)
 	}
 	if _, known := a.ReachableEighths("a"); known {
-		t.Error("a zone is known of which nothing was tried")
+		t.Error("a zone is known though nothing was tried")
 	}
-	// All are asked, one after the other, until each is known.
+	// All are probed, one after the other, until there is evidence of each.
 	now := second
-	answer := func(s *Sample, ok func(name string) bool) (asked int) {
+	answer := func(s *Sample, ok func(name string) bool) (probed int) {
 		for _, x := range s.DueProbes(now) {
-			asked++
+			probed++
 			s.RecordProbe(x.Name, now, now, ok(x.Name))
 		}
 		now += probeInterval
-		return asked
+		return probed
 	}
 	all := func(string) bool { return true }
 	for range 2 * machinesPerZone {
 		if n := answer(&a, all); n > 1 {
-			t.Errorf("%d are asked at once while nothing has failed", n)
+			t.Errorf("%d are probed at once while nothing has failed", n)
 		}
 	}
 	if n, known := a.ReachableEighths("a"); !known || n != wholeZone {
 		t.Errorf("all have answered: %d eighths, %v", n, known)
 	}
-	// One fails: the rest of its zone is asked at once.
+	// One fails: the rest of its zone is probed at once.
 	dead := a.Machines()[0].Name
 	one := func(name string) bool { return name != dead }
 	now += a.refreshInterval
@@ -95,9 +95,9 @@
 		most = max(most, answer(&a, none))
 	}
 	if n, _ := a.ReachableEighths("a"); n != 0 || most < machinesPerZone-2 {
-		t.Errorf("none answers: %d eighths, %d asked at once", n, most)
+		t.Errorf("none answers: %d eighths, %d probed at once", n, most)
 	}
-	// One that reports in its place comes in when one has long been dead.
+	// A machine that sends heartbeats takes the place of one that has long been dead.
 	now += staleTimeout
 	spare := m(39)
 	for i := 0; a.byName[spare.Name] != nil; i++ {
@@ -106,10 +106,10 @@
 	if !a.Add(spare, now) || a.byName[dead] != nil && len(a.Machines()) != machinesPerZone {
 		t.Error("a machine that is there finds no room beside dead ones")
 	}
-	// Reports: one alone proves nothing, two in turn do, a gap between does not.
+	// Heartbeats: one alone proves nothing, two in turn do, two with a gap do not.
 	a.RecordHeartbeat(spare, 1, 7, now)
 	if n, _ := a.ReachableEighths("a"); n != 0 {
-		t.Errorf("one report alone: %d eighths", n)
+		t.Errorf("one heartbeat alone: %d eighths", n)
 	}
 	a.RecordHeartbeat(spare, 1, 9, now)
 	if n, _ := a.ReachableEighths("a"); n != 0 {
@@ -117,55 +117,55 @@
 	}
 	a.RecordHeartbeat(spare, 1, 10, now)
 	if n, _ := a.ReachableEighths("a"); n != wholeZone/machinesPerZone {
-		t.Errorf("two reports in turn: %d eighths", n)
+		t.Errorf("two heartbeats in turn: %d eighths", n)
 	}
 	a.Invalidate(now + second)
 	if n, _ := a.ReachableEighths("a"); n != 0 || len(a.DueProbes(now+second)) != machinesPerZone {
-		t.Errorf("after standing still: %d eighths", n)
+		t.Errorf("after being suspended: %d eighths", n)
 	}
 }
 
-// w is a controller that reaches some of two zones, and peers.
-func w(a, b int, peers ...string) Advertisement {
+// reaching is the advertisement of a controller that reaches some of two zones, and peers.
+func reaching(a, b int, peers ...string) Advertisement {
 	return Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
-// TestBetter: who should lead instead of n0.
-func TestBetter(t *testing.T) {
-	flapping := w(8, 8)
+// TestBetterLeader: who should lead instead of n0.
+func TestBetterLeader(t *testing.T) {
+	flapping := reaching(8, 8)
 	flapping.Flapping = true
 	cases := []struct {
-		name string
-		m    Matrix
-		want string
+		name   string
+		matrix Matrix
+		want   string
 	}{
-		{"all well", Matrix{"n0": w(8, 8, "n1", "n2"), "n1": w(8, 8, "n0", "n2"), "n2": w(8, 8, "n0", "n1")}, ""},
-		{"no workers, and others that are not reached", Matrix{"n0": w(0, 0), "n1": w(8, 8, "n2"), "n2": w(8, 8, "n1")}, "n1"},
-		{"no workers, but through another", Matrix{"n0": w(0, 0, "n1"), "n1": w(8, 8, "n0", "n2"), "n2": w(8, 8, "n1")}, ""},
-		{"no workers, but through two others", Matrix{"n0": w(0, 0, "n1"), "n1": w(0, 0, "n0", "n2"), "n2": w(8, 8, "n1")}, ""},
-		{"through three is too far", Matrix{"n0": w(0, 0, "n1"), "n1": w(0, 0, "n0", "n2"), "n2": w(0, 0, "n1", "n3"), "n3": w(8, 8, "n2")}, "n1"},
-		{"it reaches another that does not reach it", Matrix{"n0": w(0, 0, "n1"), "n1": w(8, 8)}, "n1"},
-		{"every worker is cut off from all", Matrix{"n0": w(0, 0), "n1": w(0, 0), "n2": w(0, 0)}, ""},
-		{"one zone of two", Matrix{"n0": w(8, 0), "n1": w(8, 8)}, "n1"},
-		{"a machine fewer", Matrix{"n0": w(8, 6), "n1": w(8, 8)}, ""},
-		{"another zone each", Matrix{"n0": w(8, 0), "n1": w(0, 8)}, ""},
-		{"one zone by another way each", Matrix{"n0": w(8, 0, "n2"), "n1": w(8, 0), "n2": w(0, 8, "n0")}, ""},
-		{"the better one comes and goes", Matrix{"n0": w(0, 0), "n1": flapping}, ""},
-		{"alone", Matrix{"n0": w(0, 0)}, ""},
-		{"an older controller says nothing", Matrix{"n0": w(8, 8), "n1": {}}, ""},
-		{"nothing known here yet", Matrix{"n0": {}, "n1": w(8, 8)}, ""},
-		{"the most of two", Matrix{"n0": w(0, 0), "n1": w(8, 0), "n2": w(8, 8)}, "n2"},
+		{"all well", Matrix{"n0": reaching(8, 8, "n1", "n2"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n0", "n1")}, ""},
+		{"no workers, and others that are not reached", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 8, "n2"), "n2": reaching(8, 8, "n1")}, "n1"},
+		{"no workers, but through another", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
+		{"no workers, but through two others", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
+		{"through three is too far", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(0, 0, "n1", "n3"), "n3": reaching(8, 8, "n2")}, "n1"},
+		{"it reaches another that does not reach it", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8)}, "n1"},
+		{"every worker is cut off from all", Matrix{"n0": reaching(0, 0), "n1": reaching(0, 0), "n2": reaching(0, 0)}, ""},
+		{"one zone of two", Matrix{"n0": reaching(8, 0), "n1": reaching(8, 8)}, "n1"},
+		{"a machine fewer", Matrix{"n0": reaching(8, 6), "n1": reaching(8, 8)}, ""},
+		{"another zone each", Matrix{"n0": reaching(8, 0), "n1": reaching(0, 8)}, ""},
+		{"one zone by another way each", Matrix{"n0": reaching(8, 0, "n2"), "n1": reaching(8, 0), "n2": reaching(0, 8, "n0")}, ""},
+		{"the better one is flapping", Matrix{"n0": reaching(0, 0), "n1": flapping}, ""},
+		{"alone", Matrix{"n0": reaching(0, 0)}, ""},
+		{"an older controller advertises nothing", Matrix{"n0": reaching(8, 8), "n1": {}}, ""},
+		{"nothing known here yet", Matrix{"n0": {}, "n1": reaching(8, 8)}, ""},
+		{"the most of two", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 0), "n2": reaching(8, 8)}, "n2"},
 	}
 	for _, tc := range cases {
-		if got := tc.m.BetterLeader("n0"); got != tc.want {
+		if got := tc.matrix.BetterLeader("n0"); got != tc.want {
 			t.Errorf("%s: %q, not %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// play has links of n0 with a peer that says what it reaches, while n0 reaches
-// workers or not, and counts how often it gives way.
-func play(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (gave []int64) {
+// handovers plays the links of a leader n0 with a peer that reaches all workers, while n0
+// reaches them or not, and returns when it hands over.
+func handovers(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (handedOver []int64) {
 	t.Helper()
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 	l.Workers.Add(Machine{"host", "x", "a"}, 1)
@@ -179,93 +179,94 @@
 		}
 		l.Refresh(now)
 		if to, _ := l.HandoverTarget(now); to != "" {
-			gave = append(gave, now)
+			handedOver = append(handedOver, now)
 			l.RecordHandover(now)             // n1 leads
 			l.RecordHandover(now + 10*second) // and for some reason this one again
 		}
 	}
-	return gave
+	return handedOver
 }
 
-// TestGiveWay: a better leader has to be seen for a while, the longer the more
-// leadership has moved; links that come and go carry it nowhere.
-func TestGiveWay(t *testing.T) {
+// TestHandoverTarget: a better leader has to be seen for a while, the longer the more often the
+// leadership has changed; flapping links do not carry it along.
+func TestHandoverTarget(t *testing.T) {
 	never := func(int64) bool { return false }
-	gave := play(t, 20, never, nil)
-	if len(gave) == 0 || gave[0] < second+baseHandoverDelay || gave[0] > 4*second {
-		t.Errorf("gave way at %v", gave)
+	at := handovers(t, 20, never, nil)
+	if len(at) == 0 || at[0] < second+baseHandoverDelay || at[0] > 4*second {
+		t.Errorf("handed over at %v", at)
 	}
-	if gave = play(t, 120, never, nil); len(gave) > 12 {
-		t.Errorf("%d moves in two minutes", len(gave))
+	if at = handovers(t, 120, never, nil); len(at) > 12 {
+		t.Errorf("%d handovers in two minutes", len(at))
 	}
-	if gave = play(t, 60, func(int64) bool { return true }, nil); len(gave) != 0 {
-		t.Errorf("gave way with all links up at %v", gave)
+	if at = handovers(t, 60, func(int64) bool { return true }, nil); len(at) != 0 {
+		t.Errorf("handed over with all links up at %v", at)
 	}
-	for _, every := range []int64{1, 2, 5, 10} {
-		gave = play(t, 120, func(now int64) bool { return now/second/every%2 == 0 }, nil)
-		if len(gave) > 6 {
-			t.Errorf("a link that comes and goes every %d s: %d moves", every, len(gave))
+	for _, interval := range []int64{1, 2, 5, 10} {
+		at = handovers(t, 120, func(now int64) bool { return now/second/interval%2 == 0 }, nil)
+		if len(at) > 6 {
+			t.Errorf("a link that flaps every %d s: %d handovers", interval, len(at))
 		}
 	}
 	// Writes that are refused while reads are answered.
 	refused := func(l *Links, now int64) { l.Writes.RecordFailure(now, now, Refused) }
 	up := func(int64) bool { return true }
-	if gave = play(t, 30, up, refused); len(gave) == 0 || gave[0] < writeFailureTimeout {
-		t.Errorf("writes refused here alone: gave way at %v", gave)
+	if at = handovers(t, 30, up, refused); len(at) == 0 || at[0] < writeFailureTimeout {
+		t.Errorf("writes refused here alone: handed over at %v", at)
 	}
 	outage := func(l *Links, now int64) {
 		l.Writes.RecordFailure(now+1, now+1, Refused)
 		l.Reads.RecordFailure(now+1, now+1, Refused)
 	}
-	if gave = play(t, 30, up, outage); len(gave) != 0 {
-		t.Errorf("an outage is no reason to give way, at %v", gave)
+	if at = handovers(t, 30, up, outage); len(at) != 0 {
+		t.Errorf("handed over in an outage at %v", at)
 	}
 }
 
-// TestSay: a value is stored on change, at a rate that falls while it changes.
-func TestSay(t *testing.T) {
+// TestPendingAdvertisement: an advertisement is stored on change, at a rate that falls while it
+// keeps changing.
+func TestPendingAdvertisement(t *testing.T) {
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
-	said := 0
+	stored := 0
 	for now := second; now < 120*second; now += 200_000 {
 		if now/second%10 < 5 {
 			l.RecordPing("n1", now, now, true, nil)
 		}
 		l.Refresh(now)
-		if v, news := l.PendingAdvertisement(now); news {
-			l.MarkAdvertised(v, now)
-			said++
+		if local, pending := l.PendingAdvertisement(now); pending {
+			l.MarkAdvertised(local, now)
+			stored++
 		}
 	}
-	if said < 3 || said > 15 {
-		t.Errorf("a peer that comes and goes for two minutes: %d values", said)
+	if stored < 3 || stored > 15 {
+		t.Errorf("a peer that flaps for two minutes: %d stored", stored)
 	}
 	now := 200 * second
 	l.RecordPing("n1", now, now, true, nil)
 	l.Refresh(now)
-	if v, news := l.PendingAdvertisement(now); news {
-		l.MarkAdvertised(v, now)
+	if local, pending := l.PendingAdvertisement(now); pending {
+		l.MarkAdvertised(local, now)
 	}
 	l.Refresh(now + second)
-	if _, news := l.PendingAdvertisement(now + 100*second); news {
+	if _, pending := l.PendingAdvertisement(now + 100*second); pending {
 		t.Error("nothing has changed")
 	}
 	l.ClearAdvertised()
-	if _, news := l.PendingAdvertisement(now + 100*second); !news {
-		t.Error("its lease has ended, and it is not said again")
+	if _, pending := l.PendingAdvertisement(now + 100*second); !pending {
+		t.Error("its lease has expired, and it is not stored again")
 	}
 }
 
-// TestAlone: who neither the state service nor a peer answers can tell users
-// nothing; a refusal may be an outage of all, in which all must not go.
-func TestAlone(t *testing.T) {
+// TestIsolated: a controller is isolated that neither the state service nor a peer answers; a
+// refusal may be an outage for all controllers, which must not all turn users away.
+func TestIsolated(t *testing.T) {
 	cases := []struct {
 		name  string
 		how   Failure
 		peers bool
 		want  bool
 	}{
-		{"silence and no peer", NoResponse, false, true},
-		{"silence and a peer", NoResponse, true, false},
+		{"no response and no peer", NoResponse, false, true},
+		{"no response and a peer", NoResponse, true, false},
 		{"refused and no peer", Refused, false, false},
 	}
 	for _, tc := range cases {
@@ -280,36 +281,36 @@
 		}
 		l.Reads.RecordSuccess(4*second, 4*second)
 		if l.Isolated(4*second + 1) {
-			t.Errorf("%s: alone though the state service has answered", tc.name)
+			t.Errorf("%s: isolated though the state service has answered", tc.name)
 		}
 	}
 }
 
-// TestWays: by whom a report gets to a leader, and who is sent no workers.
-func TestWays(t *testing.T) {
+// TestRelays: by which controller a heartbeat gets to a leader, and which zones one can't reach.
+func TestRelays(t *testing.T) {
 	l := NewLinks("n0", "b", []string{"n1", "n2"}, 2*second)
 	now := 10 * second
-	say := func(name string, v Advertisement) {
+	advertise := func(name string, v Advertisement) {
 		l.RecordPing(name, now, now, true, &v)
 		l.SetStored(name, &v)
 		l.RecordInbound(name, now)
 	}
-	say("n1", w(8, 0, "n0", "n2"))
-	say("n2", w(8, 8, "n0"))
+	advertise("n1", reaching(8, 0, "n0", "n2"))
+	advertise("n2", reaching(8, 8, "n0"))
 	l.Refresh(now)
 	if l.RelayTo("n2") != "n1" || l.RelayTo("n1") != "" {
-		t.Errorf("ways to n2 %q, to n1 %q", l.RelayTo("n2"), l.RelayTo("n1"))
+		t.Errorf("relays to n2 %q, to n1 %q", l.RelayTo("n2"), l.RelayTo("n1"))
 	}
 	if l.CannotReachZone("n1", "a") || !l.CannotReachZone("n1", "b") || l.CannotReachZone("n2", "b") || !l.CannotReachMostZones("n1") || l.CannotReachMostZones("n2") {
 		t.Error("n1 reaches nothing in b, n2 does")
 	}
-	say("n2", w(8, 0, "n0"))
+	advertise("n2", reaching(8, 0, "n0"))
 	l.Refresh(now)
 	if l.CannotReachZone("n1", "b") {
 		t.Error("nobody reaches b, so it is not n1's link")
 	}
 	l.Refresh(now + 4*second)
 	if l.RelayTo("n2") != "" {
-		t.Error("a way by a peer that has not answered for long")
+		t.Error("a relay by a peer that has not answered for long")
 	}
 }
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -13,8 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// peerHarness is a controller among three whose messages are given by hand, and
-// whose effects are kept.
+// peerHarness is one of three controllers; tests give it its messages, and its effects are kept.
 type peerHarness struct {
 	c        *Core
 	now      int64
@@ -23,12 +22,13 @@
 	// stateSilent: the state service answers nothing.
 	stateSilent bool
 	renewals    int
-	watchHung   bool // the watch brings nothing
+	watchHung   bool // the watch delivers nothing
 }
 
-// newPeerHarness has read the state, in which leader leads; it leads itself if that
-// is its own name.
+// newPeerHarness makes the controller n0 that has read the state, in which leader leads; it
+// leads itself if that is its own name.
 func newPeerHarness(t *testing.T, leader string) *peerHarness {
+	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
@@ -61,7 +61,7 @@
 	}
 }
 
-// step answers what goes to the state service, and keeps the rest.
+// step answers the requests to the state service, and keeps the other effects.
 func (b *peerHarness) step(msg any) {
 	for _, e := range b.c.Step(b.now, msg) {
 		err := errors.New("no answer")
@@ -95,13 +95,13 @@
 	}
 }
 
-// peerAnswers has a peer answer a ping and call, with what it says it reaches; stored
-// is its word in the state service.
+// peerAnswers has a peer answer a ping, with what it advertises, and send one.
 func (b *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
 	b.step(PeerPinged{Peer: name, SentAt: b.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
 	b.step(PingReceived{From: name})
 }
 
+// storeAdvertisement has a peer store what it advertises.
 func (b *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
 	b.revision++
 	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.revision}}})
@@ -141,9 +141,8 @@
 	}
 }
 
-// TestStuckWatch: a revision that an answer tells of and the watch does not
-// bring is read, or a leader would learn of new jobs only when the connection
-// that the watch is held on breaks.
+// TestStuckWatch: a revision that an answer names and the watch does not deliver is read, or
+// a leader would learn of new jobs only when the connection of the watch breaks.
 func TestStuckWatch(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
@@ -167,8 +166,8 @@
 	}
 }
 
-// TestHeartbeatWithoutLeader: what becomes of a report at a controller that can't hand it to the
-// leader n1.
+// TestHeartbeatWithoutLeader: what becomes of a heartbeat at a controller that may not be able
+// to relay it to the leader n1.
 func TestHeartbeatWithoutLeader(t *testing.T) {
 	report := func(n uint64) HeartbeatReceived {
 		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
@@ -189,7 +188,7 @@
 		}, 421, "n2", "n2"},
 		{"the leader says that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(8, 0)) }, 421, "n1", ""},
 		{"the leader says that it does not", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(0, 8)) }, 503, "", ""},
-		{"the leader's word may be old", func(b *peerHarness) {
+		{"the leader's advertisement may be outdated", func(b *peerHarness) {
 			b.storeAdvertisement("n1", reaches(8, 8))
 			b.stateSilent = true
 			b.advance(3 * second)
@@ -220,8 +219,8 @@
 	}
 }
 
-// TestRelayedHeartbeat: a report that is to be handed on goes to the leader and no
-// further, and never to and fro.
+// TestRelayedHeartbeat: a heartbeat that a peer relays goes to the leader and no further, and
+// never back.
 func TestRelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -247,9 +246,9 @@
 	}
 }
 
-// TestHandover: a leader that reaches no worker gives way to one that does, whose
-// lease goes at once, and does not take the leadership back before the other
-// has had its chance. Switched off it stays.
+// TestHandover: a leader that reaches no worker hands over to one that does. It revokes its
+// lease at once, and does not campaign before the other has had its chance. With the setting
+// off it goes on.
 func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		b := newPeerHarness(t, "n0")
@@ -268,7 +267,7 @@
 			continue
 		}
 		if d := takeEffects[RevokeLease](b); len(d) != 1 {
-			t.Errorf("leases dropped: %+v", d)
+			t.Errorf("leases revoked: %+v", d)
 		}
 		// The key is gone, and the state is read anew; the other has its turn.
 		b.revision++
@@ -284,7 +283,7 @@
 	}
 }
 
-// TestReady: a controller that can neither ask nor hand on takes no users.
+// TestReady: a controller that can neither answer users nor forward their requests is not ready.
 func TestReady(t *testing.T) {
 	ask := func(b *peerHarness) ReplyCode {
 		b.effects = nil
@@ -306,9 +305,9 @@
 	}
 }
 
-// TestSilentRenewals: a renewal may be executed though its answer never comes. A
-// leader that hears nothing must not keep its lease alive by such, or nobody
-// else could lead for as long as the cut lasts.
+// TestSilentRenewals: a renewal may be executed though its answer never arrives. A leader
+// without answers must not keep its lease alive by such, or nobody else could lead for as long
+// as the one-way partition lasts.
 func TestSilentRenewals(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
@@ -324,20 +323,22 @@
 	}
 }
 
-// TestForwardToPeer: what the state service does not answer here goes to a peer that
-// it does, of every kind, and no further.
+// TestForwardToPeer: requests of every kind are forwarded to a peer that the state service
+// answers while it does not answer here, and no further.
 func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
-		ask  func(handed bool) any
-		want any
+		request func(forwarded bool) any
+		want    any
 	}{
-		{func(h bool) any { return QueryJob{RequestID: 1, ID: "x", Forwarded: h} }, QueryJob{ID: "x", Forwarded: true}},
-		{func(h bool) any { return CancelJob{RequestID: 1, ID: "x", Forwarded: h} }, CancelJob{ID: "x", Forwarded: true}},
-		{func(h bool) any { return QuerySweep{RequestID: 1, ID: "x", Forwarded: h} }, QuerySweep{ID: "x", Forwarded: true}},
-		{func(h bool) any { return ListSweepRuns{RequestID: 1, ID: "x", After: 2, Limit: 5, Forwarded: h} }, ListSweepRuns{ID: "x", After: 2, Limit: 5, Forwarded: true}},
-		{func(h bool) any { return CancelSweep{RequestID: 1, ID: "x", Forwarded: h} }, CancelSweep{ID: "x", Forwarded: true}},
-		{func(h bool) any {
-			return SubmitSweep{RequestID: 1, Plan: &SweepPlan{ID: "x"}, Stored: "packed", Invalid: "bad", Forwarded: h}
+		{func(forwarded bool) any { return QueryJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, QueryJob{ID: "x", Forwarded: true}},
+		{func(forwarded bool) any { return CancelJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, CancelJob{ID: "x", Forwarded: true}},
+		{func(forwarded bool) any { return QuerySweep{RequestID: 1, ID: "x", Forwarded: forwarded} }, QuerySweep{ID: "x", Forwarded: true}},
+		{func(forwarded bool) any {
+			return ListSweepRuns{RequestID: 1, ID: "x", After: 2, Limit: 5, Forwarded: forwarded}
+		}, ListSweepRuns{ID: "x", After: 2, Limit: 5, Forwarded: true}},
+		{func(forwarded bool) any { return CancelSweep{RequestID: 1, ID: "x", Forwarded: forwarded} }, CancelSweep{ID: "x", Forwarded: true}},
+		{func(forwarded bool) any {
+			return SubmitSweep{RequestID: 1, Plan: &SweepPlan{ID: "x"}, Stored: "packed", Invalid: "bad", Forwarded: forwarded}
 		}, ForwardedSweep{ID: "x", Stored: "packed", Invalid: "bad"}},
 	} {
 		b := newPeerHarness(t, "n1")
@@ -346,14 +347,14 @@
 		b.advance(3 * second)
 		b.peerAnswers("n2", reaches(8, 8))
 		b.effects = nil
-		b.step(tc.ask(false))
+		b.step(tc.request(false))
 		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
-			t.Errorf("%T: handed on as %+v", tc.want, f)
+			t.Errorf("%T: forwarded as %+v", tc.want, f)
 		}
-		b.step(tc.ask(true))
+		b.step(tc.request(true))
 		out := b.effects
 		if f := takeEffects[ForwardRequest](b); len(f) != 0 {
-			t.Errorf("%T: handed on twice", tc.want)
+			t.Errorf("%T: forwarded twice", tc.want)
 		}
 		b.effects = out
 		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -8,9 +8,9 @@
 	"github.com/zinclb/zinclb/internal/config"
 )
 
-// TestIncarnation: a controller that is back before its lease has run out finds
-// its earlier start's leadership key. It is not its own, not even if its new lease
-// had the same number; it ends the old lease, and leads under a token of its own.
+// TestIncarnation: a controller that restarts before its lease has expired finds the leadership
+// key of its earlier incarnation. It does not lead by that, not even if its new lease had the
+// same number; it revokes the old lease, and leads with a fencing token of its own.
 func TestIncarnation(t *testing.T) {
 	set := Settings{Name: "n0", Incarnation: "new", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -26,22 +26,22 @@
 	}})
 	r.step(StateRead{AfterRevision: 10, Revision: 10})
 	if r.c.elector.leadership != nil {
-		t.Fatal("leads by the key of its earlier start")
+		t.Fatal("leads by the key of its earlier incarnation")
 	}
-	dropped := false
+	revoked := false
 	for range 30 {
 		r.now += 100_000
 		for _, e := range r.c.Step(r.now, Tick{}) {
 			if d, ok := e.(RevokeLease); ok && d.Lease == 9 {
-				dropped = true
+				revoked = true
 			}
 		}
 		if r.c.elector.leadership != nil {
-			t.Fatal("leads while the old key stands")
+			t.Fatal("leads while the old key is there")
 		}
 	}
-	if !dropped {
-		t.Error("the old lease is left to run out")
+	if !revoked {
+		t.Error("the old lease is left to expire")
 	}
 	r.revision++
 	r.step(StateRead{AfterRevision: 10, Revision: r.revision, Changes: []Change{{Key: LeaderKey, Revision: r.revision, Removed: true}}})
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -10,9 +10,8 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestFormatActivation has what does and what does not prove that all controllers are of
-// this version. The format is raised for good, so one that is not must never
-// be overlooked.
+// TestFormatActivation: what does and what does not prove that all controllers support the
+// newer format. It is raised for good, so one that does not must never be overlooked.
 func TestFormatActivation(t *testing.T) {
 	says := func(s *harness, peer string, version int) {
 		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
@@ -27,14 +26,14 @@
 		want bool
 	}{
 		{"nothing is known of the others", func(*harness) {}, false},
-		{"one of two has said it", func(s *harness) { join(s, "n1") }, false},
-		{"both have", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
-		{"both have, and can't be asked", func(s *harness) {
+		{"one of two advertises it", func(s *harness) { join(s, "n1") }, false},
+		{"both advertise it", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
+		{"both advertise it, and one does not answer", func(s *harness) {
 			join(s, "n1")
 			join(s, "n2")
 			s.step(PeerPinged{Peer: "n2", SentAt: s.now})
 		}, true},
-		{"one answers that it is old, though its key still stands", func(s *harness) {
+		{"one answers that it is old, though its advertisement is still there", func(s *harness) {
 			join(s, "n1")
 			s.now += 1000
 			says(s, "n1", 0)
@@ -46,10 +45,10 @@
 			join(s, "n1")
 			join(s, "n2")
 		}, true},
-		{"answers alone are no word in the state service", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
-		{"one's key runs out as the format is written", func(s *harness) {
+		{"answers alone are no advertisement", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
+		{"one's lease expires as the format is written", func(s *harness) {
 			join(s, "n1")
-			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // not told yet
+			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // not in the mirror yet
 			join(s, "n2")
 		}, false},
 	}
@@ -67,7 +66,7 @@
 			begin()
 			s.advance(2 * second)
 			if s.core.elector.leadership == nil || s.core.membership.activation.Advertisements()["n0"].Format != 2 {
-				t.Fatal("does not lead, or has not said its version")
+				t.Fatal("does not lead, or does not advertise its version")
 			}
 			tc.do(s)
 			s.advance(3 * second)
@@ -77,7 +76,7 @@
 			begin() // a start finds it again
 			s.advance(100_000)
 			if s.core.membership.logEnabled() != tc.want || tc.want && (s.core.membership.chunkTasks != 64 || s.core.membership.format.Tasks != 64) {
-				t.Errorf("after a start: %+v, span %d", s.core.membership.format, s.core.membership.chunkTasks)
+				t.Errorf("after a restart: %+v, %d tasks a chunk", s.core.membership.format, s.core.membership.chunkTasks)
 			}
 		})
 	}
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -29,7 +29,7 @@
 // newLeaderHarness starts a leader that finds job j with task 0 placed on machine m.
 func newLeaderHarness(t *testing.T) *leaderHarness { return newLeaderHarnessOf(t, "") }
 
-// newLeaderHarnessOf is newRig with the job over already, if over is not empty.
+// newLeaderHarnessOf is newLeaderHarness with a job that has ended, if over is not empty.
 func newLeaderHarnessOf(t *testing.T, over string) *leaderHarness {
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -100,13 +100,13 @@
 	}
 }
 
-// heartbeat sends a report and returns the orders of its answer as text.
+// heartbeat sends a heartbeat, and returns the commands in its answer as text.
 func (r *leaderHarness) heartbeat(token uint64, session uint64, tasks ...TaskStatus) (ReplyCode, string) {
 	r.seq++
 	r.replies = nil
 	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.replies) == 0 && i < 100; i++ {
-		r.tick(50_000) // an answer may be parked
+		r.tick(50_000) // an answer may be held
 	}
 	if len(r.replies) == 0 {
 		r.t.Fatal("no answer")
@@ -118,7 +118,7 @@
 	return r.replies[0].Status, s
 }
 
-// placed tells where task 0 is placed, and as which attempt.
+// placed is where task 0 is placed, and as which attempt.
 func (r *leaderHarness) placed() string {
 	j := r.c.cache.jobs["j"]
 	if j == nil {
@@ -132,8 +132,8 @@
 	return TaskStatus{Name: "j/0", Attempt: attempt, State: TaskRunning}
 }
 
-// TestProofOfAbsence goes through what does and what does not prove that a
-// placed task is gone, after a take-over with the task placed on m as 3.
+// TestProofOfAbsence: what does and what does not prove that a placed task is gone, after a
+// failover with the task placed on m as attempt 3.
 func TestProofOfAbsence(t *testing.T) {
 	hold := config.Micros(0)
 	cases := []struct {
@@ -157,17 +157,17 @@
 			r.heartbeat(5, 1, running(3))
 			r.heartbeat(5, 1)
 		}, "m.3"},
-		{"nothing heard, less than hold and lease", func(r *leaderHarness) { r.tick(hold + 15*second) }, "m.3"},
-		{"nothing heard, hold and lease over", func(r *leaderHarness) { r.tick(hold + 18*second) }, ".3"},
+		{"no heartbeat, less than authority time and worker lease", func(r *leaderHarness) { r.tick(hold + 15*second) }, "m.3"},
+		{"no heartbeat, authority time and worker lease over", func(r *leaderHarness) { r.tick(hold + 18*second) }, ".3"},
 		{"absent in a report that does not know the token: run is repeated", func(r *leaderHarness) {
 			if _, o := r.heartbeat(5, 1); o != "start j/0.3;" {
-				r.t.Errorf("orders %q", o)
+				r.t.Errorf("commands %q", o)
 			}
 		}, "m.3"},
 		{"absent in a later report after it was dropped: run is repeated", func(r *leaderHarness) {
 			r.heartbeat(5, 1)
 			if _, o := r.heartbeat(r.token, 1); o != "start j/0.3;" {
-				r.t.Errorf("orders %q", o)
+				r.t.Errorf("commands %q", o)
 			}
 		}, "m.3"},
 		{"shown, then absent from a new session: it is gone, and placed anew", func(r *leaderHarness) {
@@ -187,12 +187,12 @@
 			r.heartbeat(5, 1, running(3))
 			r.stateSilent = true
 			if _, o := r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
-				r.t.Errorf("orders %q before the exit is stored", o)
+				r.t.Errorf("commands %q before the exit is stored", o)
 			}
 		}, "m.4"}, // planned anew, which is not stored either
 		{"another attempt is stopped and proves nothing", func(r *leaderHarness) {
 			if _, o := r.heartbeat(5, 1, running(2)); o != "stop j/0.2;start j/0.3;" {
-				r.t.Errorf("orders %q", o)
+				r.t.Errorf("commands %q", o)
 			}
 		}, "m.3"},
 		{"a release that was answered", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token}) }, ".3"},
@@ -216,12 +216,12 @@
 	}
 }
 
-// TestCancelledEarlier: a job was cancelled under an earlier leader, and its
-// task is still running. The new one stops it, and clears the keys.
+// TestCancelledEarlier: a job was cancelled under an earlier leader, and its task is still
+// running. The new leader stops it, and removes the keys.
 func TestCancelledEarlier(t *testing.T) {
 	r := newLeaderHarnessOf(t, jobstate.Cancelled)
 	if _, o := r.heartbeat(5, 1, running(3)); o != "stop j/0.3;" {
-		t.Errorf("orders %q", o)
+		t.Errorf("commands %q", o)
 	}
 	r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
 	r.tick(second)
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestLeaderAuthorityTime follows a leader that the state service no longer answers: it
-// starts nothing new after its lease, and answers nothing after hold, so
-// that a successor's wait for hold and lease is long enough.
+// TestLeaderAuthorityTime: a leader that the state service no longer answers starts nothing new
+// after its lease, and answers no worker after its authority time, so that a successor waits long
+// enough by waiting for that and a worker lease.
 func TestLeaderAuthorityTime(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.heartbeat(5, 1, running(3))
@@ -240,41 +240,41 @@
 	start := r.c.elector.leadership.authorityProvenAt()
 	for r.now-start < r.c.settings.LeaderAuthorityTime()-second {
 		if s, _ := r.heartbeat(r.token, 1, running(3)); s != 200 {
-			t.Fatalf("status %d after %d ms of hold", s, (r.now-start)/1000)
+			t.Fatalf("status %d after %d ms of authority time", s, (r.now-start)/1000)
 		}
 		r.tick(second / 2)
 	}
 	if r.c.elector.mayStartTasks() {
-		t.Error("still starts attempts")
+		t.Error("still may start attempts")
 	}
 	r.tick(2 * second)
 	if s, _ := r.heartbeat(r.token, 1, running(3)); s != 503 {
-		t.Errorf("status %d after hold", s)
+		t.Errorf("status %d after the authority time", s)
 	}
 	if cancel := config.MicrosOf(r.c.settings.Workers.CancelS); r.c.settings.LeaderAuthorityTime()+r.c.settings.EpochTimeout() >= cancel {
-		t.Errorf("hold %d and lease leave nothing of cancel_s", r.c.settings.LeaderAuthorityTime())
+		t.Errorf("authority time %d and worker lease leave nothing of cancel_s", r.c.settings.LeaderAuthorityTime())
 	}
 }
 
-// TestNewerFencingToken: a peer that knows a newer token ends a leadership at once; one
-// that knows none, and has told all that it vouches for, is proof of the right.
+// TestNewerFencingToken: a peer that knows a newer fencing token ends a term at once; one that
+// knows none, and grants a complete read lease, proves the leader's authority.
 func TestNewerFencingToken(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.settings.Peers = []string{"n1"}
 	r.c.elector.leadership.readLeases = readlease.NewHolder(r.c.settings.Peers, r.c.settings.LeaderAuthorityTime())
 	r.stateSilent = true
 	r.tick(5 * second)
-	right := r.c.elector.leadership.authorityProvenAt()
+	before := r.c.elector.leadership.authorityProvenAt()
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0"}})
-	if r.c.elector.leadership == nil || r.c.elector.leadership.authorityProvenAt() != right {
-		t.Error("a peer of an older program vouches for nothing")
+	if r.c.elector.leadership == nil || r.c.elector.leadership.authorityProvenAt() != before {
+		t.Error("a peer without read leases proved the authority")
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Incarnation: "x", UpTo: 1, Complete: true, Cancelled: []string{"j"}}}})
 	if r.c.cache.jobs["j"].Outcome != jobstate.Cancelled {
-		t.Error("a cancellation told by a peer counts")
+		t.Error("a peer's cancellation was not noted")
 	}
 	if r.c.elector.leadership.authorityProvenAt() != r.now+1 {
-		t.Errorf("right from %d, asked at %d", r.c.elector.leadership.authorityProvenAt(), r.now+1)
+		t.Errorf("proof of %d, requested at %d", r.c.elector.leadership.authorityProvenAt(), r.now+1)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 2, OK: true, Status: PeerStatus{FencingToken: r.token + 1, Leader: "n1"}})
 	if r.c.elector.leadership != nil {
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,26 +10,26 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestMirrorProof: a renewal of its lease is no proof for a leader that it knows what
-// users were told. It reads what is stored where its watch does not bring it, and
-// answers nobody once hold has passed without.
+// TestMirrorProof: the renewal of its lease does not prove that a leader knows what users were
+// told. It reads what is stored where its watch does not deliver it, and answers no worker once
+// the authority time has passed without.
 func TestMirrorProof(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.watchHung = true
-	right := b.c.elector.leadership.authorityProvenAt()
+	before := b.c.elector.leadership.authorityProvenAt()
 	b.advance(3 * second)
 	if v := takeEffects[ReadState](b); len(v) < 2 || v[0].ForRequests {
 		t.Errorf("a leader without changes reads what is stored: %+v", v)
 	}
-	if at := b.c.elector.leadership.tokenProvenAt; at <= right {
+	if at := b.c.elector.leadership.tokenProvenAt; at <= before {
 		t.Fatal("the lease was not renewed")
 	}
-	if at := b.c.elector.leadership.authorityProvenAt(); at != right {
-		t.Errorf("renewals moved the right from %d to %d", right, at)
+	if at := b.c.elector.leadership.authorityProvenAt(); at != before {
+		t.Errorf("renewals moved the proof from %d to %d", before, at)
 	}
 	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.c.cache.appliedRevision, SentAt: b.now - second/2, Immediate: true})
 	if at := b.c.elector.leadership.authorityProvenAt(); at != b.now-second/2 {
-		t.Errorf("right from %d, the mirror is of %d", at, b.now-second/2)
+		t.Errorf("proof of %d, the mirror is of %d", at, b.now-second/2)
 	}
 	b.advance(b.c.settings.LeaderAuthorityTime() + second)
 	if b.c.elector.mayAnswerWorkers() {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestInformHolder follows a cancellation that a controller knows of while a leader lives
-// on its word: the leader is told before the user is, by whichever request.
+// TestInformHolder: while a leader holds a controller's read lease, it is informed of a
+// cancellation before any user is told, by whichever request.
 func TestInformHolder(t *testing.T) {
 	s := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	s.core.settings.Peers = []string{"n1"}
@@ -61,7 +61,7 @@
 	ack(&readlease.HolderAck{})
 	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 	if p := s.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
-		t.Fatalf("vouched %+v", p)
+		t.Fatalf("read lease %+v", p)
 	}
 	// Its own write, another user's poll, and a repeated submission.
 	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
@@ -82,19 +82,19 @@
 	if r := s.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
 		t.Errorf("once the leader knows: %+v", r)
 	}
-	// Of the next one it never learns: the answer waits until its right has run
-	// out, and no longer.
+	// Of the next one it never learns: the answer is held back until its read lease has
+	// expired, and no longer.
 	if _, r := ask(cancel("c")); r.Status != 0 {
 		t.Errorf("answered %d", r.Status)
 	}
 	s.advance(s.core.settings.LeaderAuthorityTime() + 2*second)
 	if _, r := ask(cancel("c")); r.Status != 200 {
-		t.Errorf("nobody can live on its word any more: %+v", r)
+		t.Errorf("the read lease has expired: %+v", r)
 	}
 }
 
-// TestReadLeaseConditions: operators see for how long a leader may go on in an outage, and
-// who has not vouched.
+// TestReadLeaseConditions: operators see for how long a leader may go on in an outage, and who
+// has granted no read lease.
 func TestReadLeaseConditions(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
@@ -119,22 +119,22 @@
 		r.tick(second / 10)
 	}
 	if v := view(); of(v) != 2 {
-		t.Errorf("nobody has vouched: %v", v.Conditions)
+		t.Errorf("no read lease granted: %v", v.Conditions)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
 	if v := view(); of(v) != 1 {
-		t.Errorf("one has: %v", v.Conditions)
+		t.Errorf("one granted: %v", v.Conditions)
 	}
 	for range 200 {
 		r.tick(second / 10)
 	}
 	if v := view(); v.AnswersForS >= 0 || of(v) != 2 {
-		t.Errorf("it is over: %v, for %.1f s", v.Conditions, v.AnswersForS)
+		t.Errorf("expired: %v, for %.1f s", v.Conditions, v.AnswersForS)
 	}
 }
 
-// TestInformHolderOfSweep: a leader that lives on a controller's word is told of a cancelled
-// sweep before anybody is who asks about it or about one of its runs.
+// TestInformHolderOfSweep: a leader that holds a controller's read lease is informed of a
+// cancelled sweep before any user who asks about it or one of its runs.
 func TestInformHolderOfSweep(t *testing.T) {
 	s := newSweepHarness(t, true)
 	s.submitSweep(sweepOf(2, 1000))
@@ -170,7 +170,7 @@
 	}
 	p := ask()
 	if !slices.Contains(p.Cancelled, cancelledSweepPrefix+"s") {
-		t.Errorf("the leader is told %v", p.Cancelled)
+		t.Errorf("the leader is informed of %v", p.Cancelled)
 	}
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
 	builds = slices.Delete(builds, 2, 3) // the plan of one that is over is not there at once
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -7,9 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestIncompatible: a program that lacks what is stored ends at its start, or, if
-// it learns of it later, leaves the leadership; it writes nothing from then on
-// and takes no users.
+// TestIncompatible: a program that is too old for what is stored ends at its start, or, if it
+// learns of it later, resigns as the leader; it writes nothing from then on, and is not ready.
 func TestIncompatible(t *testing.T) {
 	needed := featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}, {Name: "tomorrow", Required: true}}}
 	for _, tc := range []struct {
@@ -45,7 +44,7 @@
 	}
 }
 
-// TestQuit: the one sentence is said once, at the start alone.
+// TestQuit: the process ends once, and only at its start.
 func TestQuit(t *testing.T) {
 	quits := func(starting bool) (n int) {
 		b := newPeerHarness(t, "n1")
@@ -63,7 +62,7 @@
 	}
 }
 
-// TestSetDecommissioned: who may be called gone.
+// TestSetDecommissioned: which controllers may be declared gone.
 func TestSetDecommissioned(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.revision++
@@ -82,13 +81,13 @@
 			t.Errorf("%s gone %v: stored %v", tc.name, tc.gone, stored)
 		}
 	}
-	// It comes back: what was said of it goes.
+	// It comes back: the record is removed.
 	b.step(SetDecommissioned{RequestID: 2, Name: "n2", Decommissioned: true})
 	b.revision++
 	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
 	b.advance(3 * second)
 	if b.c.membership.isDecommissioned("n2") {
-		t.Error("it is there, and still taken for gone")
+		t.Error("it is there, and still decommissioned")
 	}
 	b.stateSilent = true
 	b.advance(4 * second)
