--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -444,9 +444,9 @@
 	}
 }
 
-// BenchmarkFailover is the cost of beginning to lead: reading the stored
+// BenchmarkTakeOver is the cost of beginning to lead: reading the stored
 // state, taking the placements over, and the first heartbeat of every machine.
-func BenchmarkFailover(b *testing.B) {
+func BenchmarkTakeOver(b *testing.B) {
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var rows []Change
