--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -94,7 +94,7 @@
 
 func failureKindsHelp() string {
 	var b strings.Builder
-	for _, name := range []string{"leader", "rack", "region", "zone"} {
+	for _, name := range scale.FailureNames() {
 		fmt.Fprintf(&b, "  %-8s %s\n", name, scale.FailureKinds[name])
 	}
 	return b.String()
--- a/internal/emulator/faultcombos/faultcombos.go
+++ b/internal/emulator/faultcombos/faultcombos.go
@@ -180,11 +180,6 @@
 	return s
 }
 
-// isSingle says whether it has one of moreScripts and nothing else.
-func (c Case) isSingle() bool {
-	return len(c.scripts) == 1 && c.extra.name == "" && slices.ContainsFunc(moreScripts, func(t faultScript) bool { return t.name == c.scripts[0].name })
-}
-
 // AllCases are the cases of a size: each of the base scripts, then each pair of them, with
 // each extra script; then the other scripts.
 func AllCases(size int) (out []Case) {
@@ -379,7 +374,7 @@
 	var failed error
 	var cluster *faketime.Cluster
 	onEvent := func(e history.Event) {
-		if e.Kind == history.StateChanged && e.Key == core.Prefix+"leader" && e.State == "put" {
+		if e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == "put" {
 			cluster.After(heldReportDelays[c.Seed%uint64(len(heldReportDelays))], cluster.DeliverHeldReports)
 		}
 	}
@@ -478,7 +473,7 @@
 	switch {
 	case e.Kind == history.Occurred:
 		return e.Reason
-	case e.Kind == history.StateChanged && e.Key == core.Prefix+"leader" && e.State == "put" && e.At > faultsBegin:
+	case e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == "put" && e.At > faultsBegin:
 		return occurLeader
 	case e.Kind == history.TaskLeft && e.Reason == "lease":
 		return occurLease
--- a/internal/emulator/faultcombos/faultcombos_test.go
+++ b/internal/emulator/faultcombos/faultcombos_test.go
@@ -32,3 +32,8 @@
 		}
 	})
 }
+
+// isSingle says whether it has one of moreScripts and nothing else.
+func (c Case) isSingle() bool {
+	return len(c.scripts) == 1 && c.extra.name == "" && slices.ContainsFunc(moreScripts, func(t faultScript) bool { return t.name == c.scripts[0].name })
+}
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -151,24 +151,6 @@
 // defaultJobs is how many jobs a case has.
 const defaultJobs = 24
 
-// ManyJobs is a case of a size with so many jobs, which are cancelled in the second before a
-// long outage, by writes that get no answer if unanswered is set.
-func ManyJobs(size, jobs int, unanswered bool) Case {
-	m := cancelTimings[1]
-	m.interval = outageDelay / 2 / int64(jobs)
-	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], quarters: 8, Jobs: jobs}
-	if unanswered {
-		c.writeLoss = &environment.TransactionLoss{Outcome: environment.LostAfter}
-	}
-	return c
-}
-
-// WithLegacyController is a case with an older program beside the leader.
-func WithLegacyController(c Case) Case {
-	c.Legacy, c.event.mayLoseTasks = true, true // it grants no read lease
-	return c
-}
-
 // outageStart is when the outage begins.
 func (c Case) outageStart() int64 {
 	if c.newLeader {
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -7,6 +7,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -96,14 +97,25 @@
 	}
 }
 
-// FailureKinds are what a run can lose once, and what that is.
+// What can fail once in a run.
+const (
+	FailureLeader = "leader"
+	FailureRack   = "rack"
+	FailureRegion = "region"
+	FailureZone   = "zone"
+)
+
+// FailureKinds are what can fail once in a run, and what happens then.
 var FailureKinds = map[string]string{
-	"leader": "the leader's process ends, 20 s after the peak",
-	"zone":   "a zone is cut off for 20 s, 30 s after the peak",
-	"region": "a region is cut off for 60 s, 30 s after the peak",
-	"rack":   "sixteen machines of a zone die at once, 25 s after the peak",
+	FailureLeader: "the leader's process ends, 20 s after the peak",
+	FailureZone:   "a zone is partitioned for 20 s, 30 s after the peak",
+	FailureRegion: "a region is partitioned for 60 s, 30 s after the peak",
+	FailureRack:   "sixteen machines of a zone die at once, 25 s after the peak",
 }
 
+// FailureNames are the names of FailureKinds in order.
+func FailureNames() []string { return slices.Sorted(maps.Keys(FailureKinds)) }
+
 // The course of a run.
 const (
 	peakFrom = 15 * config.Second
@@ -395,11 +407,11 @@
 	}
 	for _, l := range p.Failures {
 		switch l {
-		case "zone":
+		case FailureZone:
 			c.Faults = append(c.Faults, cut("zone:"+zoneName(lostZone%p.Zones), 20*config.Second))
-		case "region":
+		case FailureRegion:
 			c.Faults = append(c.Faults, cut("region:"+regionName(p.Regions-1), 60*config.Second))
-		case "rack":
+		case FailureRack:
 			names := machinesOfType(c, cpuType, zoneName(rackZone%p.Zones))
 			c.Faults = append(c.Faults, environment.Fault{At: peakTo + 25*config.Second, Kind: environment.FaultMachineDie, Hosts: names[:min(rackMachines, len(names))]})
 		}
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -87,8 +87,7 @@
 	// leaderLostAt is when the leader's process was ended, 0 for never.
 	leaderLostAt int64
 	lateness     Latency
-	// tokenTimes says for each token when workers first had an answer with it.
-	tokenTimes map[uint64][]int64
+	tokenTimes   workerproc.TokenTimes
 }
 
 func newRun(p Plan, o Options, limits Limits) (*execution, error) {
@@ -96,7 +95,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("look at processes: %w", err)
 	}
-	r := &execution{Plan: p, Options: o, limits: limits, config: p.Config(), procFS: fs, meter: meter.New(), dedicated: map[string]bool{}, marks: map[string]measurement{}, tokenTimes: map[uint64][]int64{}}
+	r := &execution{Plan: p, Options: o, limits: limits, config: p.Config(), procFS: fs, meter: meter.New(), dedicated: map[string]bool{}, marks: map[string]measurement{}, tokenTimes: workerproc.TokenTimes{}}
 	alone := p.dedicatedMachines(&r.config)
 	for _, name := range alone {
 		r.dedicated[name] = true
@@ -157,7 +156,7 @@
 		// Starts take some seconds to reach their rate and to end at it.
 		l = append(l, scheduledAction{peakFrom + 10*config.Second, take("peak from")}, scheduledAction{peakTo, take("peak to")}, scheduledAction{steadyFrom, take("steady from")})
 	}
-	if slices.Contains(r.Failures, "leader") {
+	if slices.Contains(r.Failures, FailureLeader) {
 		l = append(l, scheduledAction{peakTo + 20*config.Second, r.loseLeader})
 	}
 	l = append(l, scheduledAction{end - 2*config.Second, take("steady to")})
@@ -225,12 +224,12 @@
 		}
 	}
 	add(r.meter.Rows())
-	r.tokenTimes = map[uint64][]int64{}
+	r.tokenTimes = workerproc.TokenTimes{}
 	late := r.driver.Lateness()
 	for _, s := range snapshots {
 		add(s.Counts)
 		for token, at := range s.TokenTimes {
-			r.tokenTimes[token] = append(r.tokenTimes[token], at...)
+			r.tokenTimes.Add(token, at...)
 		}
 		late.Median, late.P99, late.Worst = max(late.Median, s.Lateness.Median), max(late.P99, s.Lateness.P99), max(late.Worst, s.Lateness.Worst)
 	}
@@ -244,7 +243,7 @@
 	var v struct {
 		Name string `json:"n"`
 	}
-	if json.Unmarshal(r.driver.StoredValue(core.Prefix+"leader"), &v) != nil {
+	if json.Unmarshal(r.driver.StoredValue(core.LeaderKey), &v) != nil {
 		return ""
 	}
 	return v.Name
@@ -292,7 +291,7 @@
 }
 
 // failoverOf is when workers had an answer of the first leader after a moment.
-func failoverOf(known map[uint64][]int64, lost int64) Failover {
+func failoverOf(known workerproc.TokenTimes, lost int64) Failover {
 	var token uint64
 	for t, at := range known {
 		if slices.Min(at) > lost && (token == 0 || t < token) {
--- a/internal/emulator/workerproc/messages.go
+++ b/internal/emulator/workerproc/messages.go
@@ -45,6 +45,13 @@
 	Number int
 	Counts []meter.Row
 	// TokenTimes says for each token when each worker first took an answer with it.
-	TokenTimes map[uint64][]int64
+	TokenTimes TokenTimes
 	Lateness   sockets.Lateness
 }
+
+// TokenTimes says for each fencing token when workers first had an answer with it, in
+// microseconds since the start.
+type TokenTimes map[uint64][]int64
+
+// Add adds times of a token.
+func (t TokenTimes) Add(token uint64, at ...int64) { t[token] = append(t[token], at...) }
--- a/internal/emulator/workerproc/serve.go
+++ b/internal/emulator/workerproc/serve.go
@@ -23,7 +23,7 @@
 	if err := dec.Decode(&hello); err != nil {
 		return fmt.Errorf("read what to run: %w", err)
 	}
-	p := &server{out: gob.NewEncoder(out), meter: meter.New(), tokenTimes: map[uint64][]int64{}}
+	p := &server{out: gob.NewEncoder(out), meter: meter.New(), tokenTimes: TokenTimes{}}
 	d, err := sockets.NewWorkerDriver(hello.Config, hello.ControllerAddresses, sockets.Options{Meter: p.meter, OnEvent: p.onEvent, OnTokenAccepted: p.onTokenAccepted})
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 	mu         sync.Mutex
 	events     []history.Event
-	tokenTimes map[uint64][]int64
+	tokenTimes TokenTimes
 }
 
 // onEvent and accepted are called by the driver's actor.
@@ -73,7 +73,7 @@
 func (p *server) onTokenAccepted(token uint64, at int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokenTimes[token] = append(p.tokenTimes[token], at)
+	p.tokenTimes.Add(token, at)
 }
 
 func (p *server) send(u Update) {
@@ -120,7 +120,7 @@
 	late := p.driver.Lateness()
 	p.flush()
 	p.mu.Lock()
-	known := make(map[uint64][]int64, len(p.tokenTimes))
+	known := make(TokenTimes, len(p.tokenTimes))
 	for token, at := range p.tokenTimes {
 		known[token] = append([]int64(nil), at...)
 	}
