--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -18,28 +18,17 @@
 const cancelOneIn = 8
 
 // askController sends a user's request to a controller directly, past the load balancer.
-func (f *loadBalancer) askController(n *controller, op, job string, request any, done func(AskAnswer, wire.JobAnswer)) {
+func (f *loadBalancer) askController(n *controller, op, job string, request any) {
 	timeout := submitTimeout
 	if op == history.Poll {
 		timeout = pollTimeout
 	}
-	call := f.env.ExternalRequest(op, job)
-	over := false
-	finish := func(t AskAnswer) {
-		if over {
-			return
-		}
-		over = true
-		a, _ := t.Body.(wire.JobAnswer)
-		f.env.ExternalAnswer(call, op, job, t.Status, a.State)
-		done(t, a)
+	send := func(finish func(AskAnswer)) {
+		f.env.network.send(usersHost, n.name, func() { f.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
 	}
-	f.env.after(timeout, func() { finish(AskAnswer{}) })
-	f.env.network.send(usersHost, n.name, func() { f.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
+	f.exchange(op, job, timeout, send, func(AskAnswer, wire.JobAnswer) {})
 }
 
-func ignoreAnswer(AskAnswer, wire.JobAnswer) {}
-
 // probeControllers asks all controllers about a job, and repeats its submission, right after
 // its user had the answer that it is accepted or over.
 func (u *jobUser) probeControllers() {
@@ -51,10 +40,10 @@
 		for i, d := range probeDelays {
 			w.after(d+w.rng.Int64N(2000), func() {
 				w.recordOccurrence(history.OccurProbe)
-				w.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignoreAnswer)
+				w.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 				if i == 1 {
 					spec := u.spec
-					w.balancer.askController(n, history.Submit, u.spec.ID, &spec, ignoreAnswer)
+					w.balancer.askController(n, history.Submit, u.spec.ID, &spec)
 				}
 			})
 		}
@@ -75,10 +64,10 @@
 		n := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
 		u.env.recordOccurrence(history.OccurCancelAtEnd)
 		u.env.after(u.env.rng.Int64N(d+2000), func() {
-			f.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID}, ignoreAnswer)
-			f.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID}, ignoreAnswer)
+			f.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
+			f.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 			spec := u.spec
-			f.askController(n, history.Submit, u.spec.ID, &spec, ignoreAnswer)
+			f.askController(n, history.Submit, u.spec.ID, &spec)
 		})
 	}
 }
@@ -247,11 +236,11 @@
 	id := u.spec.ID
 	switch {
 	case u.finalState == wire.Done:
-		f.askController(n, history.Cancel, id, wire.Cancel{ID: id}, ignoreAnswer)
+		f.askController(n, history.Cancel, id, wire.Cancel{ID: id})
 	case turn%4 == 1:
 		spec := u.spec
-		f.askController(n, history.Submit, id, &spec, ignoreAnswer)
+		f.askController(n, history.Submit, id, &spec)
 	default:
-		f.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))}, ignoreAnswer)
+		f.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))})
 	}
 }
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -172,20 +172,25 @@
 	return 0
 }
 
-// request sends a user's request on a new connection; f gets the answer or status 0
-// when none came within most.
-func (f *loadBalancer) request(request any, most int64, done func(AskAnswer)) {
+// exchange records a request about a job, or a sweep, sends it, and calls done with the answer,
+// which has status 0 if none comes in time.
+func (f *loadBalancer) exchange(op, job string, timeout int64, send func(finish func(AskAnswer)), done func(AskAnswer, wire.JobAnswer)) {
+	call := f.env.ExternalRequest(op, job)
 	over := false
-	finish := func(t AskAnswer) {
-		if !over {
-			over = true
-			done(t)
+	finish := func(answer AskAnswer) {
+		if over {
+			return
 		}
+		over = true
+		body, _ := answer.Body.(wire.JobAnswer)
+		f.env.ExternalAnswer(call, op, job, answer.Status, body.State)
+		done(answer, body)
 	}
-	f.env.after(most, func() { finish(AskAnswer{}) })
-	f.tryControllers(request, f.pick(), finish)
+	f.env.after(timeout, func() { finish(AskAnswer{}) })
+	send(finish)
 }
 
+// tryControllers sends a request on a new connection to the first controller that accepts it.
 func (f *loadBalancer) tryControllers(request any, nodes []*controllerHealth, finish func(AskAnswer)) {
 	if len(nodes) == 0 {
 		finish(AskAnswer{})
@@ -211,14 +216,9 @@
 	}, refused)
 }
 
-// call makes a request about a job, or a sweep, and records it.
-func (f *loadBalancer) call(op, job string, request any, most int64, done func(t AskAnswer, a wire.JobAnswer)) {
-	call := f.env.ExternalRequest(op, job)
-	f.request(request, most, func(t AskAnswer) {
-		a, _ := t.Body.(wire.JobAnswer)
-		f.env.ExternalAnswer(call, op, job, t.Status, a.State)
-		done(t, a)
-	})
+// call makes a request about a job, or a sweep, over the load balancer.
+func (f *loadBalancer) call(op, job string, request any, timeout int64, done func(AskAnswer, wire.JobAnswer)) {
+	f.exchange(op, job, timeout, func(finish func(AskAnswer)) { f.tryControllers(request, f.pick(), finish) }, done)
 }
 
 // call makes a user's request about its job.
