--- /dev/null
+++ b/internal/core/requestmessages.go
@@ -0,0 +1,59 @@
+package core
+
+import "github.com/zinclb/zinclb/internal/core/jobstate"
+
+// SubmitJob is a user's submission of a job. The reply to a repeated one is the job's state.
+type SubmitJob struct {
+	RequestID uint64
+	// Forwarded: a peer has forwarded the request, as with the others.
+	Forwarded bool
+	Spec      *jobstate.Spec
+	// Invalid says what is wrong with it; then Spec has only an id.
+	Invalid string
+}
+
+// QueryJob asks for a job's state.
+type QueryJob struct {
+	RequestID uint64
+	Forwarded bool
+	ID        string
+}
+
+// CancelJob asks to cancel a job.
+type CancelJob struct {
+	RequestID uint64
+	Forwarded bool
+	ID        string
+}
+
+// JobState is a job's state as users get it.
+type JobState struct {
+	ID string
+	// State is Queued, Running or an outcome of package jobstate.
+	State   string
+	Done    int
+	Running int
+}
+
+// The states of an unfinished job.
+const (
+	Queued  = "queued"
+	Running = "running"
+)
+
+// CheckReady asks whether this controller can take requests; load balancers send it.
+type CheckReady struct{ RequestID uint64 }
+
+// SetDecommissioned says that a controller will not come back, or that it may; operators
+// send it.
+type SetDecommissioned struct {
+	RequestID      uint64
+	Name           string
+	Decommissioned bool
+}
+
+// DecommissionState says whether operators have decommissioned a controller.
+type DecommissionState struct {
+	Name           string
+	Decommissioned bool
+}
--- a/internal/core/workermessages.go
+++ b/internal/core/workermessages.go
@@ -1,5 +1,56 @@
 package core
 
+// HeartbeatReceived is a worker's heartbeat; the reply to it has commands.
+type HeartbeatReceived struct {
+	RequestID uint64
+	Heartbeat Heartbeat
+	// From is the controller that relays it, "" for the worker itself.
+	From string
+	// ViaPeer: that controller does not reach the leader, and this one does.
+	ViaPeer bool
+}
+
+// RelayHeartbeat relays a heartbeat to the leader, or, with ViaPeer, to a peer that
+// reaches it; HeartbeatRelayed answers it.
+type RelayHeartbeat struct {
+	RequestID uint64
+	To        string
+	Heartbeat Heartbeat
+	ViaPeer   bool
+}
+
+// HeartbeatRelayed is the leader's reply to a relayed heartbeat.
+type HeartbeatRelayed struct {
+	RequestID uint64
+	Answer    Reply
+	Err       error
+}
+
+// ProbeMachine asks a machine for a heartbeat, to see whether this controller reaches it;
+// MachineProbed answers it.
+type ProbeMachine struct {
+	Machine string
+	Addr    string
+}
+
+// MachineProbed is how a probe ended; Heartbeat is the machine's answer, if it could be
+// read.
+type MachineProbed struct {
+	Machine   string
+	SentAt    int64
+	OK        bool
+	Heartbeat *Heartbeat
+}
+
+// SendCommands sends commands to a worker's own address, without waiting for its next
+// heartbeat; nothing answers it, but the heartbeats show what was done.
+type SendCommands struct {
+	Addr         string
+	FencingToken uint64
+	Epoch        uint64
+	Commands     []Command
+}
+
 // Heartbeat is what a worker says of its machine.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
