--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -27,10 +27,14 @@
 }
 
 // newLeaderHarness starts a leader that finds job j with task 0 placed on machine m.
-func newLeaderHarness(t *testing.T) *leaderHarness { return newLeaderHarnessOf(t, "") }
+func newLeaderHarness(t *testing.T) *leaderHarness {
+	t.Helper()
+	return newLeaderHarnessOf(t, "")
+}
 
 // newLeaderHarnessOf is newLeaderHarness with a job that has ended, if over is not empty.
 func newLeaderHarnessOf(t *testing.T, over string) *leaderHarness {
+	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
