--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -17,7 +17,7 @@
 	job   = environment.Job
 )
 
-// day is a world, with what its controllers are set to.
+// day is the configuration of a run, with the settings of its controllers.
 type day struct {
 	environment.Config
 	ops     config.Operators
@@ -108,13 +108,13 @@
 	}
 }
 
-// tighten announces limits to come.
+// tighten announces lower limits of the state service.
 func (d *day) tighten() {
 	rate, kb, ops := 18.0, 2.0, 4
 	d.Params.State.Next = &config.UpcomingStateLimits{WriteRPS: &rate, ValueKB: &kb, TxnOps: &ops}
 }
 
-// play plays it.
+// play runs it.
 func (d *day) play(tb testing.TB, begin func(*Cluster)) *Cluster {
 	tb.Helper()
 	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.missing, OnStart: begin})
@@ -124,8 +124,7 @@
 	return c
 }
 
-// whole plays a day on which every rule has to hold, and everything that was
-// accepted to come to its end.
+// whole runs a day on which every rule has to hold, and every accepted job has to end.
 func (d *day) whole(tb testing.TB) *Cluster {
 	tb.Helper()
 	c := d.play(tb, nil)
@@ -133,7 +132,7 @@
 	return c
 }
 
-// keeps fails a day that broke a rule, or did not bring to its end what was accepted.
+// keeps fails a day that violated a rule, or on which an accepted job did not end.
 func keeps(tb testing.TB, c *Cluster) {
 	tb.Helper()
 	for _, b := range c.Violations() {
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -12,8 +12,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// followers is a day on which users look closely at all controllers and cancel, so
-// that followers have to answer right after something has happened elsewhere.
+// followers is a run in which users probe all controllers and cancel, so that followers have
+// to answer right after something has happened elsewhere.
 func followers(seed uint64, size int) *day {
 	d := small(seed)
 	d.Params.Size, d.Length = size, 270*second
@@ -28,18 +28,17 @@
 	return d
 }
 
-// following counts what the followers of a day have asked.
+// following counts the reads of the followers from the leader.
 type following struct {
 	asked, shown, failed int
-	// err is of the first fault that could not befall.
+	// err is that of the first fault that could not be injected.
 	err error
-	// meet, if set, is called with each question, while troubles last.
+	// meet, if set, is called with each read from the leader, while faults last.
 	meet func(c *Cluster, node, leader string)
 }
 
-// playFollowing plays a day, with something that happens every so often from 20 s to
-// 170 s.
-func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, befall func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+// playFollowing runs a day, with a fault every so often from 20 s to 170 s.
+func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
 	o := Options{
@@ -59,9 +58,9 @@
 		},
 		OnStart: func(c *Cluster) {
 			cluster = c
-			befall := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
+			inject := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
 			for i := range int(150 * second / every) {
-				c.After(20*second+int64(i)*every, func() { again(c, befall, i) })
+				c.After(20*second+int64(i)*every, func() { again(c, inject, i) })
 			}
 		},
 	}
@@ -77,7 +76,7 @@
 // before, and all that was accepted comes to its end.
 func TestFollowers(t *testing.T) {
 	nothing := func(*Cluster, func(environment.Fault), int) {}
-	// atQuestion lets something befall the leader at every so manieth question, as
+	// atQuestion injects a fault into the leader at every so manieth question, as
 	// long as it takes the question to arrive.
 	atQuestion := func(nth int, x environment.Fault) func(f *following) {
 		return func(f *following) {
@@ -91,36 +90,36 @@
 			}
 		}
 	}
-	type trouble struct {
+	type faultCase struct {
 		name  string
 		every int64
-		again func(c *Cluster, befall func(environment.Fault), i int)
+		again func(c *Cluster, inject func(environment.Fault), i int)
 		meet  func(f *following)
 		// fails: some questions have to go unanswered.
 		fails bool
 	}
-	troubles := []trouble{
+	faultCases := []faultCase{
 		{name: "calm", every: 150 * second, again: nothing},
 		{name: "the one asked ends", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash"}), fails: true},
 		{name: "the one asked is back at once", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
 		{name: "the one asked stands still for longer than its lease", every: 150 * second, again: nothing, meet: atQuestion(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
-		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), _ int) {
+		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
-			befall(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
+			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), _ int) {
+		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
-			befall(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
+			inject(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, befall func(environment.Fault), i int) {
+		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
 			n := c.LeaderFirst()
-			befall(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
+			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
-		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, befall func(environment.Fault), i int) {
-			befall(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
+		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+			inject(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
 		}},
-		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, befall func(environment.Fault), _ int) {
-			befall(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
+		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+			inject(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
 		}, fails: true},
 	}
 	links := []string{environment.StateHost, "controllers", "workers"}
@@ -131,12 +130,12 @@
 				to = append(to, l)
 			}
 		}
-		troubles = append(troubles, trouble{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, befall func(environment.Fault), _ int) {
-			befall(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
+		faultCases = append(faultCases, faultCase{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+			inject(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
 		}})
 	}
 	for k, size := range []int{3, 5, 12} {
-		for i, x := range troubles {
+		for i, x := range faultCases {
 			if raceEnabled && (i+k)%4 != 0 {
 				continue
 			}
@@ -158,7 +157,7 @@
 }
 
 // TestFollowersMixed: beside a program that shares nothing nobody asks the leader, and
-// one that comes back when all share is no trouble.
+// one that comes back when all share reads does no harm.
 func TestFollowersMixed(t *testing.T) {
 	this := upgrade.CurrentProgram()
 	before := this
@@ -187,8 +186,8 @@
 				t.Parallel()
 				f := &following{}
 				d := followers(uint64(970+3*k+i), size)
-				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, befall func(environment.Fault), i int) {
-					befall(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
+				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
+					inject(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
 				}, tc.programs)
 				keeps(t, c)
 				if tc.asks != (f.asked > 0) {
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -11,14 +11,14 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestGapOfMany: what package gaps plays for jobs, for all that goes with one
+// TestGapOfMany runs what package outages runs for jobs, for all that goes with one
 // cancellation: the runs of a sweep, and the stages of a pipeline behind a
 // cancelled one. The leader is refused, another controller confirms, and the state
 // service is down for twice cancel_s.
 func TestGapOfMany(t *testing.T) {
 	const refused, outage, ends = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
-	told := 0
+	confirmed := 0
 	day := func(t *testing.T, size int, lose environment.LossOutcome, back bool) {
 		t.Helper()
 		t.Parallel()
@@ -54,7 +54,7 @@
 			switch {
 			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < ends && (e.Job == history.SweepJob("rain") || e.Job == "second"):
 				mu.Lock()
-				told++
+				confirmed++
 				mu.Unlock()
 			case e.Kind == history.TaskEntered && e.At < refused:
 				on++
@@ -75,7 +75,7 @@
 			}
 		}
 	})
-	if told < 12 {
-		t.Errorf("%d were told within", told)
+	if confirmed < 12 {
+		t.Errorf("%d cancellations were confirmed within", confirmed)
 	}
 }
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestZoneOutage: a zone is cut off while gangs start, and no gang runs with only
+// TestZoneOutage: a zone is partitioned while gangs start, and no gang runs with only
 // part of its tasks. A planted gang of which one task is missing is caught.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -46,8 +46,8 @@
 	return s
 }
 
-// accountFor plays a day to its end and checks that each run of its sweeps came to
-// one end, told the same by every controller.
+// accountFor runs a day to its end and checks that each run of its sweeps came to one end,
+// which every controller shows alike.
 func accountFor(t *testing.T, d *day, begin func(*Cluster)) (over string) {
 	t.Helper()
 	var listed [][]core.SweepRun
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -123,14 +124,14 @@
 	run := n.incarnation
 	out, err := os.OpenFile(filepath.Join(d.Dir, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		d.log("a controller's log", err)
+		slog.Warn("the log of a controller cannot be opened", "controller", n.name, "error", err)
 		return
 	}
 	cmd := exec.Command(d.Binaries[n.index%len(d.Binaries)], append(append([]string{}, d.Args...), "--config", d.SettingsPath(n.index))...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
-		d.log("start "+n.name, err)
+		slog.Warn("a controller cannot be started", "controller", n.name, "error", err)
 		_ = out.Close()
 		return
 	}
@@ -145,7 +146,7 @@
 			if n.incarnation != run {
 				return
 			}
-			d.log(n.name, fmt.Errorf("it has ended by itself: %s", cmd.ProcessState))
+			slog.Warn("a controller has ended by itself", "controller", n.name, "reason", cmd.ProcessState.String())
 			d.step(environment.ControllerUp{Controller: n.name})
 			time.AfterFunc(time.Duration(d.config.RestartTime)*time.Microsecond, func() {
 				d.onActor(func() {
@@ -167,6 +168,7 @@
 	}
 }
 
+// freeze suspends the process, or resumes it.
 func (n *controllerProcess) freeze(on bool) {
 	if n.cmd == nil {
 		return
@@ -175,7 +177,9 @@
 	if on {
 		s = syscall.SIGSTOP
 	}
-	n.driver.log("freeze "+n.name, n.cmd.Process.Signal(s))
+	if err := n.cmd.Process.Signal(s); err != nil {
+		slog.Warn("a controller cannot be suspended or resumed", "controller", n.name, "error", err)
+	}
 }
 
 // linkPollInterval is how often a held connection checks whether its partition is over.
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -7,7 +7,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -383,10 +382,4 @@
 	return filepath.Join(d.Dir, environment.ControllerName(i)+".json")
 }
 
-func (d *Driver) log(msg string, err error) {
-	if err != nil {
-		slog.Warn(msg, "err", err)
-	}
-}
-
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"time"
@@ -162,7 +163,7 @@
 	}
 	e, err := d.serve("127.0.0.1:0", d.forward("", name, readWorker, d.withAddresses), meter.Key{})
 	if err != nil {
-		d.log("a worker has no address", err)
+		slog.Warn("a worker has no address", "machine", name, "error", err)
 		return "127.0.0.1:9"
 	}
 	d.endpoints[name] = e
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -94,7 +94,7 @@
 		}
 		defer func() {
 			if err := exec.Command("git", "worktree", "remove", "--force", tree).Run(); err != nil {
-				slog.Warn("a working tree is left", "dir", tree, "err", err)
+				slog.Warn("a working tree is left", "dir", tree, "error", err)
 			}
 		}()
 	}
