--- a/internal/core/jobstate/chunks.go
+++ b/internal/core/jobstate/chunks.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 )
 
-// chunkLayer is a job's stored values of one larger span. A value of a smaller span
-// overrides it for its tasks, whatever their versions: it is only ever written
+// chunkLayer is a job's stored values of one larger size. A value of a smaller size
+// overrides it for its tasks, whatever their revisions: it is only ever written
 // by a leader that has read the larger one. So values need not be split
 // in one go, and half of a split is as good as the whole.
 type chunkLayer struct {
@@ -15,13 +16,16 @@
 	revisions []uint64
 }
 
-// ChunkRef names one stored value of a job's progress: number N of those of so
-// many tasks.
-type ChunkRef struct{ ChunkSize, Index int }
+// ChunkRef names one stored value of a job's progress: number Index of those of ChunkSize
+// tasks.
+type ChunkRef struct {
+	ChunkSize int
+	Index     int
+}
 
 // ValidChunkSize says whether values may have so many tasks: an even part of the
 // first format's.
-func ValidChunkSize(span int) bool { return span > 0 && span <= DefaultChunkSize && span&(span-1) == 0 }
+func ValidChunkSize(size int) bool { return size > 0 && size <= DefaultChunkSize && size&(size-1) == 0 }
 
 // ChunkSize is how many tasks a chunk has.
 func (j *Job) ChunkSize() int { return j.chunkSize }
@@ -29,152 +33,203 @@
 // SplitChunks makes the chunks smaller. What is not stored yet is written anew in
 // smaller values; what is stored stands until then. No write may be under way
 // but one whose outcome nobody will ask for.
-func (j *Job) SplitChunks(span int) {
-	if span >= j.chunkSize {
+func (j *Job) SplitChunks(chunkSize int) {
+	if chunkSize >= j.chunkSize {
 		return
 	}
-	old, was := j.chunks, j.chunkSize
-	l := chunkLayer{chunkSize: was, revisions: make([]uint64, len(old))}
-	any := false
-	for i := range old {
-		l.revisions[i] = old[i].Revision
-		any = any || old[i].Revision != 0
+	oldChunks, oldSize := j.chunks, j.chunkSize
+	layer := chunkLayer{chunkSize: oldSize, revisions: make([]uint64, len(oldChunks))}
+	anyStored := false
+	for i := range oldChunks {
+		layer.revisions[i] = oldChunks[i].Revision
+		anyStored = anyStored || oldChunks[i].Revision != 0
 	}
-	if any {
-		j.olderLayers = append(j.olderLayers, l)
+	if anyStored {
+		j.olderLayers = append(j.olderLayers, layer)
 	}
-	j.chunkSize = span
-	j.chunks = make([]Chunk, (len(j.tasks)+span-1)/span)
+	j.chunkSize = chunkSize
+	j.chunks = make([]Chunk, (len(j.tasks)+chunkSize-1)/chunkSize)
 	for n := range j.chunks {
-		o := &old[n*span/was]
-		// What a write under way has is not known to be stored, so all of its
-		// parts are written again.
-		dirty := o.dirty || o.inFlight
-		j.chunks[n] = Chunk{dirty: dirty, hasPlacement: dirty, needsFullWrite: dirty, version: o.version + 1, attempt: o.attempt, seq: o.seq, DirtySince: o.DirtySince}
+		j.chunks[n] = oldChunks[n*chunkSize/oldSize].part()
+	}
+}
+
+// part is a part of a chunk that is split. What a write under way has is not known to be
+// stored, so all parts are written again.
+func (c *Chunk) part() Chunk {
+	dirty := c.dirty || c.inFlight
+	return Chunk{
+		dirty:          dirty,
+		hasPlacement:   dirty,
+		needsFullWrite: dirty,
+		version:        c.version + 1,
+		attempt:        c.attempt,
+		seq:            c.seq,
+		DirtySince:     c.DirtySince,
 	}
 }
 
 // StoredChunks lists the values that the state service has, all of which go when the
-// job's keys are removed, with their versions.
-func (j *Job) StoredChunks() (values []ChunkRef, stamps []uint64) {
+// job's keys are removed, with their revisions.
+func (j *Job) StoredChunks() (refs []ChunkRef, revisions []uint64) {
 	for _, l := range j.olderLayers {
-		for n, stamp := range l.revisions {
-			if stamp != 0 {
-				values, stamps = append(values, ChunkRef{l.chunkSize, n}), append(stamps, stamp)
+		for n, revision := range l.revisions {
+			if revision != 0 {
+				refs, revisions = append(refs, ChunkRef{ChunkSize: l.chunkSize, Index: n}), append(revisions, revision)
 			}
 		}
 	}
 	for n := range j.chunks {
-		if stamp := j.chunks[n].Revision; stamp != 0 {
-			values, stamps = append(values, ChunkRef{j.chunkSize, n}), append(stamps, stamp)
+		if revision := j.chunks[n].Revision; revision != 0 {
+			refs, revisions = append(refs, ChunkRef{ChunkSize: j.chunkSize, Index: n}), append(revisions, revision)
 		}
 	}
-	return values, stamps
+	return refs, revisions
 }
 
-// chunkRevisionPointer is where the version of a value is kept, nil if the job has none
+// chunkRevisionPointer is where the revision of a value is kept, nil if the job has none
 // such.
-func (j *Job) chunkRevisionPointer(v ChunkRef) *uint64 {
-	if v.Index < 0 {
+func (j *Job) chunkRevisionPointer(ref ChunkRef) *uint64 {
+	if ref.Index < 0 {
 		return nil
 	}
-	if v.ChunkSize == j.chunkSize && v.Index < len(j.chunks) {
-		return &j.chunks[v.Index].Revision
+	if ref.ChunkSize == j.chunkSize && ref.Index < len(j.chunks) {
+		return &j.chunks[ref.Index].Revision
 	}
 	for i := range j.olderLayers {
-		if l := &j.olderLayers[i]; l.chunkSize == v.ChunkSize && v.Index < len(l.revisions) {
-			return &l.revisions[v.Index]
+		if l := &j.olderLayers[i]; l.chunkSize == ref.ChunkSize && ref.Index < len(l.revisions) {
+			return &l.revisions[ref.Index]
 		}
 	}
 	return nil
 }
 
-// ChunkRevision is the version of a stored value, 0 for absent.
-func (j *Job) ChunkRevision(v ChunkRef) uint64 {
-	if s := j.chunkRevisionPointer(v); s != nil {
+// ChunkRevision is the revision of a stored value, 0 for absent.
+func (j *Job) ChunkRevision(ref ChunkRef) uint64 {
+	if s := j.chunkRevisionPointer(ref); s != nil {
 		return *s
 	}
 	return 0
 }
 
-// SetChunkRevision notes the version of a value, 0 for its removal.
-func (j *Job) SetChunkRevision(v ChunkRef, stamp uint64) {
-	if s := j.chunkRevisionPointer(v); s != nil {
-		*s = stamp
+// SetChunkRevision notes the revision of a value, 0 for its removal.
+func (j *Job) SetChunkRevision(ref ChunkRef, revision uint64) {
+	if s := j.chunkRevisionPointer(ref); s != nil {
+		*s = revision
 	}
 }
 
-// overridden says whether a value of a smaller span than this is stored for a
+// overridden says whether a value of a smaller size than this is stored for a
 // task.
-func (j *Job) overridden(i, span int) bool {
-	if span > j.chunkSize && j.chunks[i/j.chunkSize].Revision != 0 {
+func (j *Job) overridden(i, size int) bool {
+	if size > j.chunkSize && j.chunks[i/j.chunkSize].Revision != 0 {
 		return true
 	}
 	for k := range j.olderLayers {
-		if l := &j.olderLayers[k]; l.chunkSize < span && l.revisions[i/l.chunkSize] != 0 {
+		if l := &j.olderLayers[k]; l.chunkSize < size && l.revisions[i/l.chunkSize] != 0 {
 			return true
 		}
 	}
 	return false
 }
 
+// Faults of a stored chunk.
+var (
+	errNoSuchChunk = errors.New("the job has none such")
+	errForeignTask = errors.New("a task of another chunk")
+	errPlacedTwice = errors.New("placed twice")
+)
+
 // LoadChunk replaces what is known of a value's tasks by the stored value.
-func (j *Job) LoadChunk(v ChunkRef, value []byte, stamp uint64, now int64) error {
-	fail := func(err error) error {
-		return fmt.Errorf("job %s value %d of %d tasks: %w", j.ID, v.Index, v.ChunkSize, err)
+func (j *Job) LoadChunk(ref ChunkRef, value []byte, revision uint64, now int64) error {
+	if err := j.loadChunk(ref, value, revision, now); err != nil {
+		return fmt.Errorf("job %s value %d of %d tasks: %w", j.ID, ref.Index, ref.ChunkSize, err)
 	}
-	if !ValidChunkSize(v.ChunkSize) || v.Index < 0 || v.Index > (len(j.tasks)-1)/v.ChunkSize {
-		return fail(fmt.Errorf("the job has none such"))
+	return nil
+}
+
+func (j *Job) loadChunk(ref ChunkRef, value []byte, revision uint64, now int64) error {
+	if !ValidChunkSize(ref.ChunkSize) || ref.Index < 0 || ref.Index > (len(j.tasks)-1)/ref.ChunkSize {
+		return errNoSuchChunk
 	}
-	var s storedChunk
-	if err := json.Unmarshal(value, &s); err != nil {
-		return fail(err)
+	var stored storedChunk
+	if err := json.Unmarshal(value, &stored); err != nil {
+		return err
 	}
-	bits, err := hex.DecodeString(s.Done)
+	done, err := hex.DecodeString(stored.Done)
 	if err != nil {
-		return fail(err)
+		return err
 	}
 	// Smaller than is known of: the format was changed meanwhile.
-	j.SplitChunks(v.ChunkSize)
-	if v.ChunkSize > j.chunkSize && j.chunkRevisionPointer(v) == nil {
-		j.olderLayers = append(j.olderLayers, chunkLayer{chunkSize: v.ChunkSize, revisions: make([]uint64, (len(j.tasks)+v.ChunkSize-1)/v.ChunkSize)})
+	j.SplitChunks(ref.ChunkSize)
+	if ref.ChunkSize > j.chunkSize && j.chunkRevisionPointer(ref) == nil {
+		numChunks := (len(j.tasks) + ref.ChunkSize - 1) / ref.ChunkSize
+		j.olderLayers = append(j.olderLayers, chunkLayer{chunkSize: ref.ChunkSize, revisions: make([]uint64, numChunks)})
 	}
-	lo, hi := v.Index*v.ChunkSize, min((v.Index+1)*v.ChunkSize, len(j.tasks))
-	for i := lo; i < hi; i++ {
-		if j.overridden(i, v.ChunkSize) {
+	j.loadDone(ref, done, now)
+	if err := j.loadPlacements(ref, stored.Placed, now); err != nil {
+		return err
+	}
+	if ref.Index == 0 && !j.overridden(0, ref.ChunkSize) {
+		j.TrialDone = stored.TrialDone
+	}
+	j.loadNumbers(ref, &stored, revision)
+	j.SetChunkRevision(ref, revision)
+	return nil
+}
+
+// tasksOf is the range of the tasks that a stored value is of.
+func (j *Job) tasksOf(ref ChunkRef) (first, end int) {
+	first = ref.Index * ref.ChunkSize
+	return first, min(first+ref.ChunkSize, len(j.tasks))
+}
+
+// loadDone replaces what is known of a value's tasks by whether they are done.
+func (j *Job) loadDone(ref ChunkRef, done []byte, now int64) {
+	first, end := j.tasksOf(ref)
+	for i := first; i < end; i++ {
+		if j.overridden(i, ref.ChunkSize) {
 			continue
 		}
-		k := i - lo
-		j.restoreTask(i, Task{Done: k/8 < len(bits) && bits[k/8]&(1<<(k%8)) != 0}, now)
-	}
-	for m, l := range s.Placed {
-		for k := 0; k+1 < len(l); k += 2 {
-			i := int(l[k])
-			if i < lo || i >= hi {
-				return fail(fmt.Errorf("task %d", i))
+		bit := i - first
+		isDone := bit/8 < len(done) && done[bit/8]&(1<<(bit%8)) != 0
+		j.restoreTask(i, Task{Done: isDone}, now)
+	}
+}
+
+// loadPlacements places a value's tasks where the value has them.
+func (j *Job) loadPlacements(ref ChunkRef, placed map[string][]uint32, now int64) error {
+	first, end := j.tasksOf(ref)
+	for machine, numbers := range placed {
+		for k := 0; k+1 < len(numbers); k += 2 {
+			i, attempt := int(numbers[k]), numbers[k+1]
+			if i < first || i >= end {
+				return fmt.Errorf("task %d: %w", i, errForeignTask)
 			}
-			if j.overridden(i, v.ChunkSize) {
+			if j.overridden(i, ref.ChunkSize) {
 				continue
 			}
 			t := &j.tasks[i]
 			if t.Machine != "" {
-				return fail(fmt.Errorf("task %d is placed twice", i))
+				return fmt.Errorf("task %d: %w", i, errPlacedTwice)
 			}
-			j.restoreTask(i, Task{Done: t.Done, Machine: m, Attempt: l[k+1]}, now)
+			j.restoreTask(i, Task{Done: t.Done, Machine: machine, Attempt: attempt}, now)
 		}
 	}
-	if v.Index == 0 && !j.overridden(0, v.ChunkSize) {
-		j.TrialDone = s.TrialDone
-	}
-	for n := lo / j.chunkSize; n*j.chunkSize < hi; n++ {
-		switch c := &j.chunks[n]; {
-		case v.ChunkSize == j.chunkSize:
-			*c = Chunk{Revision: stamp, attempt: s.Attempt, seq: s.Seq}
-		case !j.overridden(n*j.chunkSize, v.ChunkSize):
+	return nil
+}
+
+// loadNumbers takes over the numbers of attempts and of the log's entries.
+func (j *Job) loadNumbers(ref ChunkRef, stored *storedChunk, revision uint64) {
+	first, end := j.tasksOf(ref)
+	for n := first / j.chunkSize; n*j.chunkSize < end; n++ {
+		c := &j.chunks[n]
+		switch {
+		case ref.ChunkSize == j.chunkSize:
+			*c = Chunk{Revision: revision, attempt: stored.Attempt, seq: stored.Seq}
+		case !j.overridden(n*j.chunkSize, ref.ChunkSize):
 			// An attempt's number must be above all earlier ones.
-			c.attempt, c.seq = max(c.attempt, s.Attempt), s.Seq
+			c.attempt, c.seq = max(c.attempt, stored.Attempt), stored.Seq
 		}
 	}
-	j.SetChunkRevision(v, stamp)
-	return nil
 }
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -1,4 +1,4 @@
-// Package ledger keeps the jobs: their specifications, which of their tasks
+// Package jobstate keeps the jobs: their specifications, which of their tasks
 // are done, and where attempts are placed. A job's progress is stored in
 // chunks of tasks, one value each, so that a job of any size fits the state
 // service's limits and a change rewrites little.
@@ -6,9 +6,7 @@
 
 import (
 	"encoding/hex"
-	"encoding/json"
 	"errors"
-	"slices"
 	"strconv"
 	"strings"
 
@@ -18,151 +16,9 @@
 // DefaultChunkSize is how many tasks share one stored value in the first format of
 // stored data. With its placements spread over as many machines as tasks, a
 // chunk still stays below 8 KiB. Later formats split a chunk into parts, see
-// Split.
+// Job.SplitChunks.
 const DefaultChunkSize = 256
 
-// MaxTasks is the largest job.
-const MaxTasks = 100_000
-
-// Priorities of jobs.
-const (
-	Idle = iota
-	Normal
-	Urgent
-	Production
-)
-
-// Kind says how a job's tasks belong together.
-type Kind string
-
-// The kinds of jobs.
-const (
-	Array   Kind = "array"
-	Gang    Kind = "gang"
-	Service Kind = "service"
-)
-
-// Resources is an amount of a machine, in thousandths of a CPU, GPU or GB.
-type Resources struct {
-	CPU int64 `json:"c"`
-	GPU int64 `json:"g"`
-	Mem int64 `json:"m"`
-}
-
-// Add is by component, as Sub and Times are.
-func (v Resources) Add(o Resources) Resources {
-	return Resources{v.CPU + o.CPU, v.GPU + o.GPU, v.Mem + o.Mem}
-}
-
-// Sub is v less o.
-func (v Resources) Sub(o Resources) Resources {
-	return Resources{v.CPU - o.CPU, v.GPU - o.GPU, v.Mem - o.Mem}
-}
-
-// Scale is v n times.
-func (v Resources) Scale(n int64) Resources { return Resources{v.CPU * n, v.GPU * n, v.Mem * n} }
-
-// Fits says whether v is within o.
-func (v Resources) Fits(o Resources) bool { return v.CPU <= o.CPU && v.GPU <= o.GPU && v.Mem <= o.Mem }
-
-// Weight makes work on amounts of different kinds comparable: by GPUs, where
-// there are any.
-func (v Resources) Weight() int64 { return max(v.GPU, v.CPU/8) }
-
-// Spec is a job as its user described it. Durations are microseconds.
-type Spec struct {
-	ID         string    `json:"id"`
-	Class      string    `json:"cl"`
-	Team       string    `json:"tm"`
-	Kind       Kind      `json:"k"`
-	Priority   int       `json:"pr"`
-	Tasks      int       `json:"n"`
-	Need       Resources `json:"v"`
-	Types      []string  `json:"ty,omitempty"`
-	Zone       string    `json:"z,omitempty"`
-	OneZone    bool      `json:"oz,omitempty"`
-	Spread     bool      `json:"sp,omitempty"`
-	Spot       bool      `json:"bo,omitempty"`
-	Image      string    `json:"im,omitempty"`
-	ImageMB    int64     `json:"mb,omitempty"`
-	Estimate   int64     `json:"es,omitempty"`
-	Checkpoint int64     `json:"ck,omitempty"`
-	Save       int64     `json:"sv,omitempty"`
-	Deadline   int64     `json:"dl,omitempty"`
-	// Dependencies are the jobs that have to be done before any task starts.
-	Dependencies []string `json:"aw,omitempty"`
-	// Sweep is the sweep that the job is a run of, and Run its number there.
-	Sweep string `json:"sw,omitempty"`
-	Run   int    `json:"sn,omitempty"`
-}
-
-// FetchTime is how long a machine that lacks the job's image takes to get it,
-// at so many MB a second.
-func (s *Spec) FetchTime(rate int64) int64 {
-	if rate <= 0 {
-		return 0
-	}
-	return s.ImageMB * 1_000_000 / rate
-}
-
-// Allows says whether a task may ever be on a machine of a type, zone, kind
-// and size.
-func (s *Spec) Allows(typ, zone string, spot bool, size Resources) bool {
-	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot) && s.Need.Fits(size)
-}
-
-// Outcomes of a job; the empty one is unfinished.
-const (
-	Done      = "done"
-	Cancelled = "cancelled"
-)
-
-// Record is the stored value of a job: its specification, its place in the
-// order of arrival, and its outcome once it has one but is not cleaned up.
-type Record struct {
-	Spec    *Spec  `json:"s"`
-	Arrival uint64 `json:"a,omitempty"`
-	Outcome string `json:"o,omitempty"`
-	// SubmittedWall is the time of day in microseconds, which lies within the
-	// settings' bound; deadlines are judged by it, and nothing else.
-	SubmittedWall int64 `json:"t,omitempty"`
-	// Truncated: of the specification only what the rest of an ended job's life
-	// needs is left, as the whole did not fit.
-	Truncated bool `json:"b,omitempty"`
-}
-
-// Encode encodes the record within limit bytes, where that can be done.
-func (r Record) Encode(limit int) []byte {
-	b := Encode(r)
-	if len(b) > limit && r.Outcome != "" {
-		// A record from before the limits fell: its job is over, so nothing
-		// of it is started again.
-		s := r.Spec
-		r.Truncated = true
-		r.Spec = &Spec{ID: s.ID, Team: s.Team, Kind: s.Kind, Priority: s.Priority, Tasks: s.Tasks, Need: s.Need}
-		b = Encode(r)
-	}
-	return b
-}
-
-// Encode makes a stored value of a plain struct, map or list.
-func Encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // those always encode
-	}
-	return b
-}
-
-// End is the stored value of a job's end.
-type End struct {
-	Outcome string `json:"o"`
-	Tasks   int    `json:"n"`
-	// At is the time of day in microseconds; the waits of jobs that need this
-	// one count from it. The first format has none.
-	At int64 `json:"t,omitempty"`
-}
-
 // Phase is what is known of an attempt on its machine.
 type Phase uint8
 
@@ -180,11 +36,11 @@
 	Machine string
 	Attempt uint32
 	Done    bool
-	// Stored: the placement is in the state service, so run may be sent.
+	// Stored: the placement is in the state service, so a start may be sent.
 	Stored bool
-	// StartSent: a run may have been sent, by this leader or an earlier one.
+	// StartSent: a start may have been sent, by this leader or an earlier one.
 	StartSent bool
-	// Confirmed: a report under this leader has shown the attempt.
+	// Confirmed: a heartbeat to this leader has shown the attempt.
 	Confirmed bool
 	// version of the chunk that first has the placement.
 	version uint64
@@ -211,10 +67,10 @@
 	attempt      uint32
 	DirtySince   int64 // when it became dirty
 	// seq is the number of the log's first entry that the stored value does
-	// not have; taken is the same of the value under way.
+	// not have; inFlightSeq is the same of the value under way.
 	seq, inFlightSeq uint64
-	// changed are the tasks that changed since the last write was taken, flown
-	// those of the write under way; whole says that they are not all.
+	// changed are the tasks that changed since the last write began, inFlightChanges
+	// those of the write under way; needsFullWrite says that they are not all.
 	changed, inFlightChanges     []int32
 	needsFullWrite, inFlightFull bool // inFlightFull: the write under way has all
 }
@@ -227,21 +83,21 @@
 	Outcome  string
 	tasks    []Task
 	// unplaced are the tasks that are neither done nor placed, placed those that
-	// are placed: a round must not walk 100,000 tasks to find a few.
+	// are placed: a planning round must not walk 100,000 tasks to find a few.
 	unplaced, placed *roaring.Bitmap
-	// chunks are of span tasks each; older are the stored values of larger
-	// spans, which hold for the tasks that no chunk has been stored of.
+	// chunks are of chunkSize tasks each; olderLayers are the stored values of larger
+	// sizes, which hold for the tasks that no chunk has been stored of.
 	chunkSize   int
 	chunks      []Chunk
 	olderLayers []chunkLayer
-	// counters kept in step with tasks
+	// NumDone and the others count tasks, and are kept in step with them.
 	NumDone, NumPlaced, NumRunning int
 	// doneAndPlaced counts tasks that are done while their placement still stands;
 	// counting them anew for every question would cost a walk of all tasks.
 	doneAndPlaced int
 	// TrialDone: the job's trial is behind it.
 	TrialDone bool
-	// SubmittedWall is the time of day of the submission, Born the same on this
+	// SubmittedWall is the time of day of the submission, SubmittedAt the same on this
 	// controller's steady clock.
 	SubmittedWall int64
 	SubmittedAt   int64
@@ -255,8 +111,9 @@
 	CancelledByDependency bool
 	// Truncated: the specification is what is left of an ended job's.
 	Truncated bool
-	// EffectivePriority is the priority that the job is treated as having, and EffectiveDeadline the
-	// latest end that keeps all deadlines behind it, 0 for none; see Inherit.
+	// EffectivePriority is the priority that the job is treated as having, and
+	// EffectiveDeadline the latest end that keeps the deadlines of all that depend on it,
+	// 0 for none.
 	EffectivePriority int
 	EffectiveDeadline int64
 	// DependenciesEndedWall is the time of day of the newest end of a job that it awaits.
@@ -264,7 +121,7 @@
 	visitedRound          int
 	// EndPending: the end is being written by the leader.
 	EndPending bool
-	// NotBefore delays the next start after failures; Errors counts them.
+	// NotBefore delays the next start after failures; Failures counts them.
 	NotBefore int64
 	Failures  int
 	// FailedOn are the machines on which tasks of it failed.
@@ -274,8 +131,13 @@
 // NewJob makes a job without progress.
 func NewJob(s *Spec) *Job {
 	j := &Job{
-		Spec: s, EffectivePriority: s.Priority, chunkSize: DefaultChunkSize, tasks: make([]Task, s.Tasks), chunks: make([]Chunk, (s.Tasks+DefaultChunkSize-1)/DefaultChunkSize),
-		unplaced: roaring.New(), placed: roaring.New(),
+		Spec:              s,
+		EffectivePriority: s.Priority,
+		chunkSize:         DefaultChunkSize,
+		tasks:             make([]Task, s.Tasks),
+		chunks:            make([]Chunk, (s.Tasks+DefaultChunkSize-1)/DefaultChunkSize),
+		unplaced:          roaring.New(),
+		placed:            roaring.New(),
 	}
 	j.unplaced.AddRange(0, uint64(s.Tasks))
 	return j
@@ -402,7 +264,7 @@
 	}
 }
 
-// SetPhase notes what a report says of a placed task.
+// SetPhase notes what a heartbeat says of a placed task.
 func (j *Job) SetPhase(t *Task, p Phase) {
 	if t.Phase >= Running {
 		j.NumRunning--
@@ -481,12 +343,12 @@
 }
 
 // CommitChunkWrite notes that the write of a version of chunk c is committed.
-func (j *Job) CommitChunkWrite(c int, version, stamp uint64) {
+func (j *Job) CommitChunkWrite(c int, version, revision uint64) {
 	ch := &j.chunks[c]
 	if ch.inFlightFull {
 		ch.seq, ch.inFlightFull = ch.inFlightSeq, false
 	}
-	ch.inFlight, ch.Revision, ch.inFlightChanges = false, stamp, nil
+	ch.inFlight, ch.Revision, ch.inFlightChanges = false, revision, nil
 	lo, hi := j.taskRange(c)
 	for i := lo; i < hi; i++ {
 		if t := &j.tasks[i]; t.Machine != "" && t.version <= version {
@@ -496,7 +358,7 @@
 }
 
 // AbortChunkWrite notes that the write failed or that nobody knows: it has to be
-// written again, with the condition on the stamp that is known by then.
+// written again, with the condition on the revision that is known by then.
 func (j *Job) AbortChunkWrite(c int) {
 	ch := &j.chunks[c]
 	ch.inFlight, ch.dirty, ch.hasPlacement = false, true, true
@@ -509,15 +371,6 @@
 	return lo, min(lo+j.chunkSize, len(j.tasks))
 }
 
-type storedChunk struct {
-	Attempt   uint32              `json:"a"`
-	Done      string              `json:"d,omitempty"`
-	Placed    map[string][]uint32 `json:"p,omitempty"`
-	TrialDone bool                `json:"t,omitempty"`
-	// Seq is the number of the log's first entry that this does not have.
-	Seq uint64 `json:"q,omitempty"`
-}
-
 func (j *Job) encodeChunk(c int) []byte {
 	lo, hi := j.taskRange(c)
 	s := storedChunk{Attempt: j.chunks[c].attempt, TrialDone: j.TrialDone && c == 0, Seq: j.chunks[c].inFlightSeq}
@@ -542,6 +395,9 @@
 	return Encode(s)
 }
 
+// errNoTaskNumber is the fault of a name that is no task's.
+var errNoTaskNumber = errors.New("task name without a number")
+
 // TaskName is a task's name on the wire.
 func TaskName(job string, i int) string { return job + "/" + strconv.Itoa(i) }
 
@@ -549,7 +405,7 @@
 func ParseTaskName(name string) (job string, i int, err error) {
 	job, num, ok := strings.Cut(name, "/")
 	if !ok {
-		return "", 0, errors.New("task name without a number")
+		return "", 0, errNoTaskNumber
 	}
 	i, err = strconv.Atoi(num)
 	return job, i, err
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -1,4 +1,4 @@
-// Package rates divides among the controllers what the state service allows, so that
+// Package ratelimit divides among the controllers what the state service allows, so that
 // all of them together stay within it.
 //
 // Each configured controller has a part for good, half of an even share: it may use
--- a/internal/core/sharedread/sharedread.go
+++ b/internal/core/sharedread/sharedread.go
@@ -1,4 +1,4 @@
-// Package reads shares reads of the state service among the requests that wait for
+// Package sharedread shares reads of the state service among the requests that wait for
 // one. It does no input or output.
 package sharedread
 
