--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -106,7 +106,7 @@
 // that is checked again next to the socket, as this process may stand still in
 // between.
 func (c *cloudCaller) callCloud(call CloudCall) {
-	notAfter := c.elector.leadership.tokenProvenAt + c.settings.Ops.LeaderLease
+	notAfter := c.elector.tokenProvenUntil()
 	fencingToken := c.elector.fencingToken()
 	if peer := c.cloudPeer(); peer != "" {
 		c.emit(CallCloudViaPeer{To: peer, FencingToken: fencingToken, Call: call, NotAfter: notAfter})
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -101,13 +101,20 @@
 
 // mayStartTasks reports whether new attempts may be started: the state service itself has
 // proved the fencing token within the time of its lease.
-func (e *elector) mayStartTasks() bool {
-	return e.isLeader() && e.now-e.leadership.tokenProvenAt < e.settings.Ops.LeaderLease
+func (e *elector) mayStartTasks() bool { return e.isLeader() && e.now < e.tokenProvenUntil() }
+
+// tokenProvenUntil is until when no other controller can have become the leader, as the lease
+// can't have expired; it must not be asked of a follower.
+func (e *elector) tokenProvenUntil() int64 {
+	return e.leadership.tokenProvenAt + e.settings.Ops.LeaderLease
 }
 
 // hasLease reports whether this controller has a lease, as far as it knows.
 func (e *elector) hasLease() bool { return e.candidacy.lease != 0 }
 
+// lease is the lease that this controller has, 0 for none.
+func (e *elector) lease() uint64 { return e.candidacy.lease }
+
 // leaseValid reports whether the lease can't have expired yet.
 func (e *elector) leaseValid() bool {
 	return e.hasLease() && e.now-e.candidacy.leaseProvenAt < e.settings.Ops.LeaderLease
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -113,7 +113,7 @@
 		return
 	}
 	m.health.spendWrites(1)
-	lease := m.elector.candidacy.lease
+	lease := m.elector.lease()
 	m.commitTransaction(
 		[]Cond{kv.RevisionIs(key, revision)},
 		[]Write{{Key: key, Value: encodeJSON(value), Lease: lease}},
