--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -9,7 +9,7 @@
 // imageHistory is what a controller remembers of images from what it has seen stored,
 // so that it knows as much as the last leader when it leads itself: jobs that
 // are done can carry their image, and machines have those of the tasks that
-// were placed there. Hints tell the same to one that has just been started.
+// were placed there. Image hints have the same for one that has just been started.
 type imageHistory struct {
 	// done are the newest jobs of each image, images the newest last.
 	done   map[string][]*jobstate.Spec
@@ -35,9 +35,9 @@
 	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
 		return
 	}
-	l := append(r.done[j.Image], j.Spec)
-	r.done[j.Image] = l[max(0, len(l)-historyJobsPerImage):]
-	if r.images = prependUnique(r.images, j.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
+	specs := append(r.done[j.Image], j.Spec)
+	r.done[j.Image] = specs[max(0, len(specs)-historyJobsPerImage):]
+	if r.images = appendUnique(r.images, j.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
 		delete(r.done, r.images[0])
 		r.images = r.images[1:]
 	}
@@ -45,16 +45,16 @@
 
 // placed remembers that a machine fetches a job's image, if it lacks it.
 func (r *imageHistory) placed(machine string, j *jobstate.Job) {
-	l, ok := r.machines[machine]
-	if machine == "" || j.Image == "" || !ok && len(r.machines) >= historyMachines {
+	images, known := r.machines[machine]
+	if machine == "" || j.Image == "" || !known && len(r.machines) >= historyMachines {
 		return
 	}
-	l = prependUnique(l, hintImage{j.Image, j.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
-	r.machines[machine] = l[max(0, len(l)-historyImages):]
+	images = appendUnique(images, hintImage{j.Image, j.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
+	r.machines[machine] = images[max(0, len(images)-historyImages):]
 }
 
-// prependUnique puts x at the end of a list that may have it already.
-func prependUnique[T any](list []T, x T, same func(a, b T) bool) []T {
+// appendUnique puts x at the end of a list that may have it already.
+func appendUnique[T any](list []T, x T, same func(a, b T) bool) []T {
 	if n := len(list); n > 0 && same(list[n-1], x) {
 		return list
 	}
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -22,13 +22,13 @@
 func withClockDrift(d int64) int64 { return d + d/1000 }
 
 // EpochTimeout is after how long without an answer a worker has certainly ended its
-// session.
+// epoch.
 func (s *Settings) EpochTimeout() int64 {
 	return withClockDrift(config.MicrosOf(s.Workers.LeaseS)) + second
 }
 
-// FailoverEpochTimeout is the same for a new leader, as an earlier one may go on answering for the
-// hold time.
+// FailoverEpochTimeout is the same for a new leader, as an earlier one may go on answering
+// for its authority time.
 func (s *Settings) FailoverEpochTimeout() int64 { return s.LeaderAuthorityTime() + s.EpochTimeout() }
 
 // Overdue is for how long a machine may be silent and still be used.
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -17,7 +17,8 @@
 	expectedChangeGap = 150_000
 )
 
-// stateReader decides from whom this controller learns what is stored: a watch of the state service, or the leader.
+// stateReader decides from whom this controller learns what is stored: by a watch of the
+// state service, or from the leader.
 type stateReader struct {
 	*engine
 
@@ -37,12 +38,13 @@
 // readSource is the controller that is asked for what is stored, "" for the state
 // service itself: for a leader, where nobody leads, and where the state service has
 // just failed this controller, which then has to find out whether it still does.
-func (sr *stateReader) readSource() string {
-	if sr.elector.isLeader() || !sr.cache.synced || sr.cache.leaderRevision == 0 || sr.health.lastRequestFailed() || !sr.membership.featureEnabled(upgrade.SharedReads) || !sr.peers.connectivity.PeerUp(sr.cache.leader.Name, sr.now) {
+func (r *stateReader) readSource() string {
+	if r.elector.isLeader() || !r.cache.synced || r.cache.leaderRevision == 0 || r.health.lastRequestFailed() ||
+		!r.membership.featureEnabled(upgrade.SharedReads) || !r.peers.connectivity.PeerUp(r.cache.leader.Name, r.now) {
 		return ""
 	}
-	sr.follower.SetLeader(sr.cache.leader.Name, sr.cache.leader.Token)
-	return sr.follower.Source(sr.now)
+	r.follower.SetLeader(r.cache.leader.Name, r.cache.leader.Token)
+	return r.follower.Source(r.now)
 }
 
 // writesLacking is how many changes requests wait for, with so many left.
@@ -68,79 +70,80 @@
 
 // answerFollower answers a controller that asks what is stored. It was read after the
 // question came.
-func (sr *stateReader) answerFollower(a *request) {
-	changes, ok := sr.recentChanges.Since(a.followerRead.revision)
-	if !sr.elector.isLeader() || !ok {
-		sr.emit(retryLaterReply(a.id, 1, "this controller does not lead, or has forgotten the revision"))
+func (r *stateReader) answerFollower(asked *request) {
+	changes, ok := r.recentChanges.Since(asked.followerRead.revision)
+	if !r.elector.isLeader() || !ok {
+		r.emit(retryLaterReply(asked.id, 1, "this controller does not lead, or has forgotten the revision"))
 		return
 	}
-	granted := sr.health.grantWrites(a.followerRead.writesNeeded)
-	sr.emit(Reply{RequestID: a.id, Status: ReplyOK, View: &replica.View{Revision: sr.cache.appliedRevision, Changes: changes, Granted: granted}})
+	granted := r.health.grantWrites(asked.followerRead.writesNeeded)
+	r.emit(Reply{RequestID: asked.id, Status: ReplyOK, View: &replica.View{Revision: r.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
 // onLeaderReadDone takes the leader's answer. If there is none the state service is asked
 // instead, for the same requests.
-func (sr *stateReader) onLeaderReadDone(m LeaderReadDone) {
+func (r *stateReader) onLeaderReadDone(m LeaderReadDone) {
 	v := m.Answer.View
 	ok := m.Err == nil && m.Answer.Status == ReplyOK && v != nil && v.Revision >= m.AfterRevision
-	if !sr.follower.EndRequest(m.Number, ok, sr.now) {
+	if !r.follower.EndRequest(m.Number, ok, r.now) {
 		return // late, or a repeat: what it grants may have been used
 	}
-	if !ok || !sr.cache.synced || m.AfterRevision > sr.cache.appliedRevision {
-		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision, ForRequests: true})
+	if !ok || !r.cache.synced || m.AfterRevision > r.cache.appliedRevision {
+		r.emit(ReadState{AfterRevision: r.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	sr.health.receiveWrites(v.Granted)
-	sr.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
-	sr.requests.writeQueued()
+	r.health.receiveWrites(v.Granted)
+	r.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
+	r.requests.writeQueued()
 }
 
 // watchState watches what this controller needs to know of at once: a follower the
 // leadership, as it learns of all else by its views, and everybody else everything.
-func (sr *stateReader) watchState() {
+func (r *stateReader) watchState() {
 	switch {
-	case !sr.cache.synced:
-	case sr.readSource() != "" && sr.follower.IsFollowing(sr.now):
-		if !sr.watchingLeader {
-			sr.watchingLeader = true
-			sr.emit(WatchLeader{AfterRevision: sr.cache.appliedRevision})
+	case !r.cache.synced:
+	case r.readSource() != "" && r.follower.IsFollowing(r.now):
+		if !r.watchingLeader {
+			r.watchingLeader = true
+			r.emit(WatchLeader{AfterRevision: r.cache.appliedRevision})
 		}
-	case !sr.watching && (sr.elector.isLeader() || sr.health.tryTakeRead()):
-		sr.watching = true
-		sr.emit(WatchState{AfterRevision: sr.cache.appliedRevision})
+	case !r.watching && (r.elector.isLeader() || r.health.tryTakeRead()):
+		r.watching = true
+		r.emit(WatchState{AfterRevision: r.cache.appliedRevision})
 	}
 }
 
 // onLeaderWatched reads what is stored where the leadership may have changed. It
 // asks nobody else, as the leader may be gone.
-func (sr *stateReader) onLeaderWatched(m LeaderWatched) {
-	sr.watchingLeader = false
-	sr.health.recordResult(&sr.peers.connectivity.Watch, m.Err)
-	if m.Changed && sr.cache.synced {
-		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
+func (r *stateReader) onLeaderWatched(m LeaderWatched) {
+	r.watchingLeader = false
+	r.health.recordResult(&r.peers.connectivity.Watch, m.Err)
+	if m.Changed && r.cache.synced {
+		r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 	}
-	sr.watchState()
+	r.watchState()
 }
 
 // maxWatchDelay is how long a watch may take to bring a change that is known of.
 const maxWatchDelay = 600_000
 
-// watchdogTick reads what a silent watch keeps back: a leader that learned of jobs
+// watchdogTick reads what a stuck watch does not bring: a leader that learned of jobs
 // by it alone would leave them waiting for as long as the connection is held.
-func (sr *stateReader) watchdogTick() {
-	if !sr.cache.synced || !sr.health.watchLags() || sr.health.watchLag() < maxWatchDelay || !sr.watching {
+func (r *stateReader) watchdogTick() {
+	if !r.cache.synced || !r.health.watchLags() || r.health.watchLag() < maxWatchDelay || !r.watching {
 		return
 	}
-	sr.health.restartWatchLag()
-	sr.peers.connectivity.Watch.RecordFailure(sr.now, sr.now, connectivity.NoResponse)
-	sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
+	r.health.restartWatchLag()
+	r.peers.connectivity.Watch.RecordFailure(r.now, r.now, connectivity.NoResponse)
+	r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 }
 
 // refreshMirrorTick has a leader know what is stored. Its watch brings that, but may hang,
 // and where nothing changes it shows only that nothing had when it began.
-func (sr *stateReader) refreshMirrorTick() {
-	if l := sr.elector.leadership; sr.now-l.mirrorFreshAt > mirrorMaxAge && sr.now-l.mirrorReadAt > mirrorMaxAge/2 {
-		l.mirrorReadAt = sr.now
-		sr.emit(ReadState{AfterRevision: sr.cache.appliedRevision})
+func (r *stateReader) refreshMirrorTick() {
+	term := r.elector.leadership
+	if r.now-term.mirrorFreshAt > mirrorMaxAge && r.now-term.mirrorReadAt > mirrorMaxAge/2 {
+		term.mirrorReadAt = r.now
+		r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 	}
 }
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -1,7 +1,7 @@
 // Package txn keeps the transactions that a controller has under way.
 //
 // The answer to a transaction may be lost although it was carried out. Others then
-// read what it wrote, and tell users, while its writer waits for the answer, gives up
+// read what it wrote, and answer users by it, while its writer waits for the answer, gives up
 // and writes it again, in vain. So a writer goes by what it reads as well: if its
 // mirror shows every change of a transaction, all of one revision, it was carried
 // out, by this sending or by an earlier one of the same changes. That proves what is
@@ -42,10 +42,10 @@
 func New() *Table { return &Table{pending: map[uint64]*transaction{}} }
 
 // Begin notes a transaction that is sent now; done gets its answer.
-func (t *Table) Begin(id uint64, when []kv.Condition, writes []kv.Write, now int64, done func(kv.TransactionResult)) {
+func (t *Table) Begin(id uint64, conditions []kv.Condition, writes []kv.Write, now int64, done func(kv.TransactionResult)) {
 	x := &transaction{writes: writes, startedAt: now, complete: done}
-	for _, w := range when {
-		x.minRevision = max(x.minRevision, w.Revision)
+	for _, condition := range conditions {
+		x.minRevision = max(x.minRevision, condition.Revision)
 	}
 	t.pending[id] = x
 }
@@ -71,30 +71,40 @@
 	if len(t.pending) == 0 || len(changes) == 0 {
 		return
 	}
-	at := map[string][]kv.Change{}
-	for _, ch := range changes {
-		at[ch.Key] = append(at[ch.Key], ch)
-	}
-	has := func(w kv.Write, stamp uint64) bool {
-		return slices.ContainsFunc(at[w.Key], func(ch kv.Change) bool {
-			return ch.Revision == stamp && ch.Removed == (w.Value == nil) && bytes.Equal(ch.Value, w.Value)
-		})
+	changesOf := map[string][]kv.Change{}
+	for _, change := range changes {
+		changesOf[change.Key] = append(changesOf[change.Key], change)
 	}
 	for _, x := range t.pending {
 		if x.storedRevision != 0 || len(x.writes) == 0 {
 			continue
 		}
-		for _, ch := range at[x.writes[0].Key] {
-			if ch.Revision > x.minRevision && !slices.ContainsFunc(x.writes, func(w kv.Write) bool { return !has(w, ch.Revision) }) {
-				x.storedRevision, x.seenAt = ch.Revision, now
+		for _, change := range changesOf[x.writes[0].Key] {
+			if change.Revision > x.minRevision && x.isStoredAt(change.Revision, changesOf) {
+				x.storedRevision, x.seenAt = change.Revision, now
 			}
 		}
 	}
 }
 
-// Overdue are the answers to transactions that are known to be stored and that
+// isStoredAt says whether each write of a transaction is among the changes, at a revision.
+func (x *transaction) isStoredAt(revision uint64, changesOf map[string][]kv.Change) bool {
+	for _, write := range x.writes {
+		stored := slices.ContainsFunc(changesOf[write.Key], func(change kv.Change) bool {
+			return change.Revision == revision &&
+				change.Removed == (write.Value == nil) &&
+				bytes.Equal(change.Value, write.Value)
+		})
+		if !stored {
+			return false
+		}
+	}
+	return true
+}
+
+// Overdue are the results of transactions that are known to be stored and that
 // nobody answers, in the order in which they were sent. They are still under way.
-func (t *Table) Overdue(now int64) (answers []kv.TransactionResult) {
+func (t *Table) Overdue(now int64) (results []kv.TransactionResult) {
 	var ids []uint64
 	for id, x := range t.pending {
 		if x.storedRevision != 0 && now-x.seenAt >= AnswerTimeout {
@@ -103,12 +113,17 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		answers = append(answers, kv.TransactionResult{ID: id, Outcome: kv.Committed, Revision: t.pending[id].storedRevision, Observed: true})
+		results = append(results, kv.TransactionResult{
+			ID:       id,
+			Outcome:  kv.Committed,
+			Revision: t.pending[id].storedRevision,
+			Observed: true,
+		})
 	}
-	return answers
+	return results
 }
 
-// Complete takes the answer to a transaction, or its absence, and tells who waits for it.
+// Complete takes the answer to a transaction, or its absence, and passes it on to who waits for it.
 func (t *Table) Complete(m kv.TransactionResult) {
 	x := t.pending[m.ID]
 	if x == nil {
