--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -23,11 +23,13 @@
 	size   int
 }
 
+// chunkRef is a chunk of a job.
 type chunkRef struct {
 	job   *jobstate.Job
 	chunk int
 }
 
+// taskRef is a task of a job by its ID.
 type taskRef struct {
 	job  string
 	task int
@@ -37,46 +39,57 @@
 // into the values of the chunks that it tells of.
 const maxLogBytes = 128 << 10
 
+// emptyPageBytes is no less than the value of a page without entries takes.
+const emptyPageBytes = 80
+
 // pageKey sorts by number.
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
 
-// applyPage takes over what is new in a page.
-func (s *stateCache) applyPage(num string, ch Change, bad func(error)) {
-	n, err := strconv.Atoi(num)
+// applyPage takes over what is new in a page; name is its key without the prefix.
+func (s *stateCache) applyPage(name string, change Change, reject func(error)) {
+	number, err := strconv.Atoi(name)
 	if err != nil {
-		bad(err)
+		reject(err)
 		return
 	}
 	if s.elector.isLeader() {
 		return // the leader is the one that writes these
 	}
-	i, had := slices.BinarySearchFunc(s.progressLog, n, func(p *logPage, n int) int { return cmp.Compare(p.number, n) })
-	if ch.Removed {
-		if had {
+	i, known := slices.BinarySearchFunc(s.progressLog, number, func(page *logPage, number int) int {
+		return cmp.Compare(page.number, number)
+	})
+	if change.Removed {
+		if known {
 			s.progressLog = slices.Delete(s.progressLog, i, i+1)
 		}
 		return
 	}
-	if had && s.progressLog[i].Revision >= ch.Revision {
+	if known && s.progressLog[i].Revision >= change.Revision {
 		return
 	}
-	p, err := jobstate.DecodeLogPage(ch.Value)
+	page, err := jobstate.DecodeLogPage(change.Value)
 	if err != nil {
-		bad(err)
+		reject(err)
 		return
 	}
-	p.Revision = ch.Revision
+	page.Revision = change.Revision
 	from := 0
-	if had {
+	if known {
 		from = len(s.progressLog[i].Entries)
-		s.progressLog[i].LogPage = p
+		s.progressLog[i].LogPage = page
 	} else {
-		s.progressLog = slices.Insert(s.progressLog, i, &logPage{LogPage: p, number: n})
+		s.progressLog = slices.Insert(s.progressLog, i, &logPage{LogPage: page, number: number})
 	}
-	for k := from; k < len(p.Entries); k++ {
-		if j := s.jobs[p.Entries[k].Job]; j != nil {
-			j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), s.now)
-			s.imageHistory.placed(p.Entries[k].Machine, j)
+	s.applyEntries(&page, from)
+}
+
+// applyEntries takes over the entries of a page from an index on.
+func (s *stateCache) applyEntries(page *jobstate.LogPage, from int) {
+	for k := from; k < len(page.Entries); k++ {
+		entry := &page.Entries[k]
+		if j := s.jobs[entry.Job]; j != nil {
+			j.ApplyLogEntry(entry, page.FirstSeq+uint64(k), s.now)
+			s.imageHistory.placed(entry.Machine, j)
 		}
 	}
 }
@@ -96,34 +109,43 @@
 // openProgressLog is called when this controller begins to lead, and when chunks are
 // split: it finds out what each page is needed for.
 func (c *committer) openProgressLog() {
-	l := c.elector.leadership
-	for _, p := range c.cache.progressLog {
-		p.unfoldedChunks = map[chunkRef]struct{}{}
-		for k := range p.Entries {
-			if j := c.cache.jobs[p.Entries[k].Job]; j != nil && j.Task(p.Entries[k].Task) != nil {
-				p.unfoldedChunks[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
+	commits := &c.elector.leadership.commits
+	for _, page := range c.cache.progressLog {
+		page.unfoldedChunks = map[chunkRef]struct{}{}
+		for k := range page.Entries {
+			entry := &page.Entries[k]
+			if j := c.cache.jobs[entry.Job]; j != nil && j.Task(entry.Task) != nil {
+				page.unfoldedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
-		l.commits.nextLogEntry = max(l.commits.nextLogEntry, p.NextSeq())
+		commits.nextLogEntry = max(commits.nextLogEntry, page.NextSeq())
 	}
 	for _, j := range c.cache.jobs {
 		for n := range j.NumChunks() {
-			l.commits.nextLogEntry = max(l.commits.nextLogEntry, j.FirstUnstoredSeq(n))
+			commits.nextLogEntry = max(commits.nextLogEntry, j.FirstUnstoredSeq(n))
 		}
 	}
 }
 
-// newPage begins the page that is written to next. One of an earlier leader is
-// never gone on with.
+// newPage begins the page that is written to next. A leader never goes on with a page of
+// an earlier one.
 func (c *committer) newPage() *logPage {
-	n := 1
-	if len(c.cache.progressLog) > 0 {
-		n = c.cache.progressLog[len(c.cache.progressLog)-1].number + 1
+	number := 1
+	if pages := c.cache.progressLog; len(pages) > 0 {
+		number = pages[len(pages)-1].number + 1
 	}
-	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.elector.leadership.commits.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
-	c.cache.progressLog = append(c.cache.progressLog, p)
-	c.elector.leadership.commits.logTail = p
-	return p
+	commits := &c.elector.leadership.commits
+	page := &logPage{
+		LogPage:        jobstate.LogPage{FirstSeq: commits.nextLogEntry},
+		number:         number,
+		unfoldedChunks: map[chunkRef]struct{}{},
+		newest:         map[taskRef]int{},
+		names:          map[string]struct{}{},
+		size:           emptyPageBytes,
+	}
+	c.cache.progressLog = append(c.cache.progressLog, page)
+	commits.logTail = page
+	return page
 }
 
 // append enters changes of a chunk, or nothing if they don't fit. An entry that
@@ -222,48 +244,65 @@
 	}
 }
 
-// setOrphanedRevision sets the version of a value without its job, 0 for none.
-func (c *committer) setOrphanedRevision(id string, v jobstate.ChunkRef, stamp uint64) {
-	m := c.cache.orphanedChunks[id]
-	if m == nil {
+// setOrphanedRevision sets the revision of a chunk without its job, 0 for none.
+func (c *committer) setOrphanedRevision(id string, ref jobstate.ChunkRef, revision uint64) {
+	chunks := c.cache.orphanedChunks[id]
+	if chunks == nil {
+		return
+	}
+	if revision != 0 {
+		chunks[ref] = Change{Revision: revision}
 		return
 	}
-	if stamp != 0 {
-		m[v] = Change{Revision: stamp}
-	} else if delete(m, v); len(m) == 0 {
+	delete(chunks, ref)
+	if len(chunks) == 0 {
 		delete(c.cache.orphanedChunks, id)
 	}
 }
 
 // lacksEntries says that the stored value of a chunk does not have all of a page's
 // entries, and that its job is still there to need them.
-func (c *committer) lacksEntries(r chunkRef, p *logPage) bool {
-	return c.cache.jobs[r.job.ID] == r.job && r.job.FirstUnstoredSeq(r.chunk) < p.NextSeq()
+func (c *committer) lacksEntries(ref chunkRef, page *logPage) bool {
+	return c.cache.jobs[ref.job.ID] == ref.job && ref.job.FirstUnstoredSeq(ref.chunk) < page.NextSeq()
 }
 
 // progressLogTick finds the pages that nothing needs any more, and folds the oldest
 // when there are too many.
 func (c *committer) progressLogTick() {
-	l := c.elector.leadership
-	l.commits.unneededPages = 0
-	for i, p := range c.cache.progressLog {
-		for r := range p.unfoldedChunks {
-			if !c.lacksEntries(r, p) {
-				delete(p.unfoldedChunks, r)
+	c.findUnneededPages()
+	most := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
+	pages := c.cache.progressLog
+	for _, page := range pages[:max(0, len(pages)-most)] {
+		c.foldPage(page)
+	}
+}
+
+// minLogPages is how many pages are kept at least, however small they are.
+const minLogPages = 8
+
+// findUnneededPages counts the pages at the front that nothing needs any more.
+func (c *committer) findUnneededPages() {
+	commits := &c.elector.leadership.commits
+	commits.unneededPages = 0
+	for i, page := range c.cache.progressLog {
+		for ref := range page.unfoldedChunks {
+			if !c.lacksEntries(ref, page) {
+				delete(page.unfoldedChunks, ref)
 			}
 		}
-		if p == l.commits.logTail || len(p.unfoldedChunks) > 0 {
-			break // they go in their order
+		if page == commits.logTail || len(page.unfoldedChunks) > 0 {
+			return // they go in their order
 		}
-		l.commits.unneededPages = i + 1
+		commits.unneededPages = i + 1
 	}
-	most := max(8, maxLogBytes/max(c.membership.valueLimit(), 1))
-	for i := range c.cache.progressLog[:max(0, len(c.cache.progressLog)-most)] {
-		for r := range c.cache.progressLog[i].unfoldedChunks {
-			if c.lacksEntries(r, c.cache.progressLog[i]) {
-				r.job.CompactChunk(r.chunk, c.now)
-				c.markDirty(r.job)
-			}
+}
+
+// foldPage has the chunks that a page is needed for written as values.
+func (c *committer) foldPage(page *logPage) {
+	for ref := range page.unfoldedChunks {
+		if c.lacksEntries(ref, page) {
+			ref.job.CompactChunk(ref.chunk, c.now)
+			c.markDirty(ref.job)
 		}
 	}
 }
