--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,7 +19,7 @@
 //     whether the state service answers and how many requests may be sent;
 //   - the controllers: elector campaigns and leads, membership says which programs and
 //     features are there, peerMonitor pings the others and forwards requests to them,
-//     readLeaseManager lets followers answer users on the leader's behalf;
+//     readLeaseManager lets a leader that the state service fails go on answering workers;
 //   - users and operators: requestHandler, sweepManager, dependencyResolver and
 //     operatorViewer;
 //   - machines: heartbeatRouter brings heartbeats to the leader, workerManager keeps
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -12,7 +12,7 @@
 // TestFollower: whom a follower asks, and what counts as an answer.
 func TestFollower(t *testing.T) {
 	const start = 100 * second
-	ask := func(f *Follower, ok bool, now int64) bool { return f.EndRequest(f.BeginRequest(), ok, now) }
+	ask := func(f *Follower, ok bool, now int64) { f.EndRequest(f.BeginRequest(), ok, now) }
 	cases := []struct {
 		name    string
 		do      func(f *Follower)
