--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -130,10 +130,9 @@
 	}()
 	err := r.watch(stop, over)
 	close(end)
+	ended := <-over
 	if err == nil {
-		err = <-over
-	} else {
-		<-over
+		err = ended
 	}
 	if err != nil {
 		return nil, err
