--- a/internal/emulator/faketime/race_test.go
+++ b/internal/emulator/faketime/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package fake
+package faketime
 
 // raceEnabled: the tests run many times as slow.
 const raceEnabled = true
