--- /dev/null
+++ b/internal/api/recorded_test.go
@@ -0,0 +1,276 @@
+package api
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/upgrade"
+	"github.com/zinclb/zinclb/internal/golden"
+	"github.com/zinclb/zinclb/internal/httpwire"
+)
+
+// everyOrder has an order of each kind, with and without time to save.
+func everyOrder() []core.Order {
+	return []core.Order{
+		{Op: "start", Task: "job-1/0", Attempt: 2},
+		{Op: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000},
+		{Op: "stop", Task: "job-1/2", Attempt: 4},
+		{Op: "forget", Task: "job-1/3", Attempt: 5},
+	}
+}
+
+// everyOpsField is what operators are shown, with no field left out.
+func everyOpsField() *core.OpsView {
+	return &core.OpsView{
+		Controller: "node-0", Leader: "node-1", Token: 7, Leading: true, Synced: true, Revision: 901, StateAgeS: 0.25,
+		WritesLeft: 12.5, ReadsLeft: 30.5, ReadsBy: "node-2", CallsLeft: 2.75,
+		Peers:      []core.OpsPeer{{Name: "node-1", Up: true}, {Name: "node-2", Up: true}},
+		Partitions: []core.OpsPart{{Holder: "node-0", Ends: 2147483648, Machines: 11}, {Holder: "node-1", Ends: 4294967295, Machines: 12}},
+		Queues: []core.OpsQueue{{Waiting: 3, Tasks: 40, Pivot: "job-1", StartsS: 1.5, WaitsS: 62.25, Why: "for running tasks to end"},
+			{Waiting: 4, Tasks: 41, Pivot: "job-2", StartsS: 2.5, WaitsS: 63.25, Why: "no machine that it may use is up"}},
+		Machines: core.OpsMachines{Busy: 21, Idle: 22, Warming: 23, Silent: 24, Deaf: 25, Draining: 26, Booting: 27},
+		Jobs:     31, AnswersForS: 4.5, Awaiting: 5, Format: 6, Lowered: true, Troubles: []string{"no controller leads", "the cloud does not answer"},
+		Features: []core.OpsFeature{{Name: "log", On: true, Held: []string{"node-2"}}},
+		Members:  map[string]core.OpsMember{"node-0": {Program: 5, Format: 6, Features: []upgrade.Name{upgrade.Log, upgrade.Reach}, Held: []upgrade.Name{upgrade.Reach}}},
+		Reach: core.OpsReach{
+			Links:   []core.OpsLink{{Link: "to node-2", State: "lost", AgeS: 33.5}, {Link: "cloud", State: "slow", AgeS: 0.5}, {Link: "from node-1", State: "flapping", AgeS: 1.25}},
+			Matrix:  map[string]core.OpsRow{"node-2": {Workers: map[string]int{"a": 6, "b": 7}, Leading: map[string]int{"a": 8, "b": 5}, Peers: []string{"node-0"}, Cloud: true}},
+			GaveWay: &core.OpsMove{To: "node-2", Why: "it serves more", AgeS: 55.5},
+		},
+		Latencies: []core.OpsLatency{{Call: "submit", Answers: 10, Mean: 20.5, P50: 15.5, P95: 40.5, P99: 50.5, Max: 60.5}, {Call: "status", Answers: 11, Mean: 2.5, P50: 1.5, P95: 4.5, P99: 5.5, Max: 6.5}},
+	}
+}
+
+// TestRecordedAnswers compares the body of every answer with its recorded form.
+func TestRecordedAnswers(t *testing.T) {
+	job := func(state string) core.Reply {
+		return core.Reply{Status: 200, Job: &core.JobState{ID: "job-1", State: state, Done: 3, Running: 4}}
+	}
+	sweepIn := func(state string) core.Reply {
+		return core.Reply{Status: 200, Sweep: &core.SweepState{ID: "sweep-1", State: state, Runs: 9, Created: 8, Done: 5, Withdrawn: 2}}
+	}
+	runs := func(next int, runs ...core.SweepRun) core.Reply {
+		return core.Reply{Status: 200, Runs: &core.SweepPage{Runs: runs, Next: next}}
+	}
+	var everyRun []core.SweepRun
+	for i, state := range []string{core.RunPlanned, core.Queued, core.Running, ledger.Done, ledger.Cancelled, core.RunEnded} {
+		everyRun = append(everyRun, core.SweepRun{Number: i, ID: fmt.Sprint("sweep.", i), State: state, Values: json.RawMessage(`{"a":1,"b":"x"}`), Sets: []int{i}})
+	}
+	everyRun = append(everyRun, core.SweepRun{Number: 6, ID: "sweep.6", State: core.Queued, Values: json.RawMessage(`{}`), Sets: []int{6, 11}})
+	var b strings.Builder
+	for _, tc := range []struct {
+		name  string
+		reply core.Reply
+	}{
+		{"job queued", job(core.Queued)},
+		{"job running", job(core.Running)},
+		{"job done", job(ledger.Done)},
+		{"job cancelled", job(ledger.Cancelled)},
+		{"sweep queued", sweepIn(core.Queued)},
+		{"sweep running", sweepIn(core.Running)},
+		{"sweep done", sweepIn(ledger.Done)},
+		{"sweep cancelled", sweepIn(ledger.Cancelled)},
+		{"runs, none", runs(0)},
+		{"runs, each state, the last page", runs(0, everyRun...)},
+		{"runs, a page before", runs(7, everyRun[:1]...)},
+		{"gone", core.Reply{Status: 200, Gone: &core.GoneState{Name: "node-2", Gone: true}}},
+		{"not gone", core.Reply{Status: 200, Gone: &core.GoneState{Name: "node-2"}}},
+		{"ready", core.Reply{Status: 200}},
+		{"misdirected, leader known", core.Reply{Status: 421, Leader: "node-1"}},
+		{"misdirected, no leader", core.Reply{Status: 421, Error: "not shown"}},
+		{"report, no orders", core.Reply{Status: 200, Token: 7}},
+		{"report, each kind of order", core.Reply{Status: 200, Token: 7, Orders: everyOrder()}},
+		{"error 400", core.Reply{Status: 400, Error: "hands: missing"}},
+		{"error 404", core.Reply{Status: 404, Error: "no such job"}},
+		{"error 409", core.Reply{Status: 409, Error: `another job has "job-1" & this <id>`}},
+		{"error 422", core.Reply{Status: 422, Error: "steward: unknown"}},
+		{"error 429", core.Reply{Status: 429, Error: "too many", Retry: 2}},
+		{"error 503", core.Reply{Status: 503, Error: "why", Retry: 5}},
+		{"error 503 without a reason", core.Reply{Status: 503, Retry: 5}},
+		{"error with a token", core.Reply{Status: 503, Token: 7, Error: "why"}},
+	} {
+		fmt.Fprintf(&b, "%s: %s\n", tc.name, EncodeReply(tc.reply))
+	}
+	golden.Compare(t, "testdata/answers.txt", b.String())
+}
+
+// TestRecordedOps compares what operators are shown with its recorded form, of
+// which no field may be left out, and reads it back.
+func TestRecordedOps(t *testing.T) {
+	view := everyOpsField()
+	if paths := golden.Unset(view); len(paths) > 0 {
+		t.Errorf("not recorded: %s", paths)
+	}
+	body := EncodeReply(core.Reply{Status: 200, Ops: view})
+	golden.Compare(t, "testdata/ops.json", string(body))
+	var back core.OpsView
+	if err := json.Unmarshal(body, &back); err != nil || !reflect.DeepEqual(&back, view) {
+		t.Errorf("read back as %+v, %v", back, err)
+	}
+	golden.Compare(t, "testdata/ops_empty.json", string(EncodeReply(core.Reply{Status: 200, Ops: &core.OpsView{}})))
+}
+
+// TestRecordedDirect compares orders to a worker's own address with their
+// recorded form.
+func TestRecordedDirect(t *testing.T) {
+	var b strings.Builder
+	fmt.Fprintf(&b, "each kind of order: %s\n", EncodeDirect(core.Direct{Addr: "10.1.0.1:9000", Token: 7, Session: 4, Orders: everyOrder()}))
+	fmt.Fprintf(&b, "no orders: %s\n", EncodeDirect(core.Direct{Addr: "10.1.0.1:9000", Token: 7, Session: 4}))
+	golden.Compare(t, "testdata/direct.txt", b.String())
+	for order, want := range map[core.Order]string{{Op: "start"}: "run", {Op: "stop"}: "kill", {Op: "forget"}: "forget"} {
+		if got := Verb(order); got != want {
+			t.Errorf("%s is %q on the wire, want %q", order.Op, got, want)
+		}
+	}
+}
+
+const wholeReport = `{"stoker":"host-1","endpoint":"10.1.0.1:9000","breed":"g8","paddock":"a","borrowed":true,"shift":4,"tally":19,"baton":7,"recall_s":12.5,"hands":[
+{"hand":"job-1/0","try":2,"status":"fetching"},{"hand":"job-1/1","try":3,"status":"ready"},{"hand":"job-1/2","try":4,"status":"running","stored":true},
+{"hand":"job-1/3","try":5,"status":"ended","cause":"done"},{"hand":"job-1/4","try":6,"status":"ended","cause":"stopped","stored":true},
+{"hand":"job-1/5","try":7,"status":"ended","cause":"mates_gone"},{"hand":"job-1/6","try":8,"status":"ended","cause":"incomplete"},
+{"hand":"job-1/7","try":9,"status":"ended","cause":"error"},{"hand":"job-1/8","try":10,"status":"ended","cause":"no_room"},
+{"hand":"job-1/9","try":11,"status":"ended","cause":"in_use"},{"hand":"job-1/10","try":12,"status":"ended","cause":"no_such"},
+{"hand":"job-1/11","try":13,"status":"ended","cause":"something newer"}]}`
+
+// TestRecordedReport reads a worker's report with every field.
+func TestRecordedReport(t *testing.T) {
+	whole := core.Report{Machine: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Session: 4, Seq: 19, Token: 7, Notice: 12_500_000, Tasks: []core.TaskReport{
+		{Name: "job-1/0", Attempt: 2, State: "fetching"},
+		{Name: "job-1/1", Attempt: 3, State: "ready"},
+		{Name: "job-1/2", Attempt: 4, State: "running", Saved: true},
+		{Name: "job-1/3", Attempt: 5, State: "exited", Why: "done"},
+		{Name: "job-1/4", Attempt: 6, State: "exited", Why: "stopped", Saved: true},
+		{Name: "job-1/5", Attempt: 7, State: "exited", Why: "peers"},
+		{Name: "job-1/6", Attempt: 8, State: "exited", Why: "alone"},
+		{Name: "job-1/7", Attempt: 9, State: "exited", Why: "error"},
+		{Name: "job-1/8", Attempt: 10, State: "exited", Why: "no_room"},
+		{Name: "job-1/9", Attempt: 11, State: "exited", Why: "busy"},
+		{Name: "job-1/10", Attempt: 12, State: "exited", Why: "unknown"},
+		{Name: "job-1/11", Attempt: 13, State: "exited", Why: "something newer"},
+	}}
+	for _, tc := range []struct {
+		name, body string
+		want       core.Report
+	}{
+		{"whole", wholeReport, whole},
+		{"least", `{"stoker":"host-1","shift":1}`, core.Report{Machine: "host-1", Session: 1, Notice: -1, Tasks: []core.TaskReport{}}},
+		{"no notice", `{"stoker":"host-1","shift":1,"recall_s":null,"hands":null}`, core.Report{Machine: "host-1", Session: 1, Notice: -1, Tasks: []core.TaskReport{}}},
+		{"notice over", `{"stoker":"host-1","shift":1,"recall_s":-3}`, core.Report{Machine: "host-1", Session: 1, Tasks: []core.TaskReport{}}},
+	} {
+		if got, err := DecodeReport([]byte(tc.body)); err != nil || !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("%s: %+v, %v", tc.name, got, err)
+		}
+	}
+}
+
+const wholeSubmission = `{"name_id":"job-1","herd":"train","steward":"vision","shape":"gang","urgency":"urgent","hands":16,"vcpus":8.5,"gpus":1.25,"mem_gb":64.125,
+"seedstock":"img-07","pull_gb":6.2,"breeds":["g8","g9"],"paddock":"a","one_zone":true,"scatter":true,"borrowed":true,"expect_s":240.5,"bank_s":30.25,"bank_cost_s":4.5,"due_s":900.75,"awaits":["job-0","job-2"]}`
+
+// TestRecordedSubmission reads a submission with every field, and each value of
+// those that are words.
+func TestRecordedSubmission(t *testing.T) {
+	want := ledger.Spec{ID: "job-1", Class: "train", Team: "vision", Kind: ledger.Gang, Priority: ledger.Urgent, Tasks: 16,
+		Need: ledger.Vec{CPU: 8500, GPU: 1250, Mem: 64125}, Image: "img-07", ImageMB: 6200, Types: []string{"g8", "g9"}, Zone: "a", OneZone: true, Spread: true, Spot: true,
+		Estimate: 240_500_000, Checkpoint: 30_250_000, Save: 4_500_000, Deadline: 900_750_000, Awaits: []string{"job-0", "job-2"}}
+	m, err := DecodeSubmission([]byte(wholeSubmission))
+	if err != nil || m.Invalid != "" || !reflect.DeepEqual(*m.Spec, want) {
+		t.Errorf("read as %+v, %v, %q", m.Spec, err, m.Invalid)
+	}
+	replaced := func(from, to string) *ledger.Spec {
+		m, err := DecodeSubmission([]byte(strings.Replace(wholeSubmission, from, to, 1)))
+		if err != nil || m.Invalid != "" {
+			t.Fatalf("%s: %v %s", to, err, m.Invalid)
+		}
+		return m.Spec
+	}
+	for word, kind := range map[string]ledger.Kind{"sweep": ledger.Array, "gang": ledger.Gang, "standing": ledger.Service} {
+		if got := replaced(`"gang"`, `"`+word+`"`).Kind; got != kind {
+			t.Errorf("%s is read as %q", word, got)
+		}
+	}
+	for word, priority := range map[string]int{"idle": ledger.Idle, "normal": ledger.Normal, "urgent": ledger.Urgent, "production": ledger.Production} {
+		if got := replaced(`"urgent"`, `"`+word+`"`).Priority; got != priority {
+			t.Errorf("%s is read as %d", word, got)
+		}
+	}
+}
+
+// TestRecordedFaults compares what bad submissions are told, and whole answers to
+// bad requests, with their recorded form. Package json names Go types in its errors:
+// one that is renamed changes what users read.
+func TestRecordedFaults(t *testing.T) {
+	var b strings.Builder
+	for _, replace := range [][2]string{
+		{`"name_id":"job-1",`, ``}, {`"herd":"train",`, ``}, {`"steward":"vision",`, ``}, {`"shape":"gang"`, `"shape":"flock"`}, {`"urgency":"urgent",`, ``},
+		{`"urgency":"urgent"`, `"urgency":"asap"`}, {`"hands":16`, `"hands":0`}, {`"hands":16`, `"hands":"16"`}, {`"vcpus":8.5,`, ``}, {`"gpus":1.25`, `"gpus":-1`}, {`"mem_gb":64.125`, `"mem_gb":1e300`},
+		{"\"seedstock\":\"img-07\",", ``}, {`"pull_gb":6.2,`, ``}, {`["g8","g9"]`, `[]`}, {`["g8","g9"]`, `[""]`}, {`"paddock":"a"`, `"paddock":"` + strings.Repeat("x", 257) + `"`},
+		{`"one_zone":true,`, ``}, {`"scatter":true,`, ``}, {`"borrowed":true,`, ``}, {`"expect_s":240.5,`, ``}, {`"bank_s":30.25,`, ``}, {`"bank_cost_s":4.5,`, ``}, {`"due_s":900.75`, `"due_s":-1`}, {`["job-0","job-2"]`, `["a b"]`},
+	} {
+		m, err := DecodeSubmission([]byte(strings.Replace(wholeSubmission, replace[0], replace[1], 1)))
+		if err != nil {
+			m.Invalid = "refused, " + strings.ReplaceAll(err.Error(), "\n", " ")
+		}
+		fmt.Fprintf(&b, "%.40s -> %.40s: %s\n", replace[0], replace[1], m.Invalid)
+	}
+	for _, request := range [][3]string{
+		{"POST", "/ready", ""}, {"GET", "/work", ""}, {"DELETE", "/work/job-1", ""}, {"GET", "/work/job-1/withdraw", ""}, {"GET", "/work/", ""}, {"GET", "/work/a%20b", ""}, {"POST", "/work/job-1/x", ""},
+		{"GET", "/sweeps", ""}, {"POST", "/sweeps/s", ""}, {"GET", "/sweeps/s/withdraw", ""}, {"GET", "/sweeps/s/x", ""}, {"GET", "/sweeps/a%20b", ""}, {"GET", "/sweeps/s/runs?after=x", ""},
+		{"POST", "/ops/status", ""}, {"POST", "/ops/metrics", ""}, {"GET", "/ops/gone/node-1", ""}, {"POST", "/ops/gone/", ""}, {"GET", "/agent/beat", ""}, {"POST", "/agent/beat", `{"stoker":"m"}`}, {"GET", "/", ""},
+		{"POST", "/agent/beat", `{"stoker":1}`}, {"POST", "/agent/beat", `{"stoker":"m","shift":1,"hands":[{"try":-1}]}`}, {"POST", "/work", `[1]`}, {"POST", "/work", `{`},
+	} {
+		_, answer := Route(&httpwire.Message{Method: request[0], Target: request[1], Body: []byte(request[2])})
+		if answer == nil {
+			t.Fatalf("%s: taken", request)
+		}
+		fmt.Fprintf(&b, "%s: %q\n", request, httpwire.AppendResponse(nil, *answer))
+	}
+	golden.Compare(t, "testdata/faults.txt", b.String())
+}
+
+// TestRecordedRoutes has the message that each request makes.
+func TestRecordedRoutes(t *testing.T) {
+	for _, tc := range []struct {
+		method, target, body string
+		want                 any
+	}{
+		{"GET", "/ready", "", core.Ready{Req: 9}},
+		{"GET", "/ops/status", "", core.Ops{Req: 9}},
+		{"GET", "/ops/metrics", "", core.Ops{Req: 9}},
+		{"POST", "/ops/gone/node-1", "{}", core.SetGone{Req: 9, Name: "node-1", Gone: true}},
+		{"DELETE", "/ops/gone/node-1", "{}", core.SetGone{Req: 9, Name: "node-1"}},
+		{"POST", "/agent/beat", `{"stoker":"host-1","shift":1}`, core.Beat{Req: 9, Report: core.Report{Machine: "host-1", Session: 1, Notice: -1, Tasks: []core.TaskReport{}}}},
+		{"POST", "/work", `{"name_id":"job-1"}`, core.Submit{Req: 9, Spec: &ledger.Spec{ID: "job-1"}, Invalid: "herd: missing"}},
+		{"GET", "/work/job-1", "", core.Status{Req: 9, ID: "job-1"}},
+		{"POST", "/work/job-1/withdraw", "", core.Cancel{Req: 9, ID: "job-1"}},
+		{"GET", "/sweeps/s", "", core.SweepStatus{Req: 9, ID: "s"}},
+		{"GET", "/sweeps/s/runs?after=3&most=4", "", core.SweepRuns{Req: 9, ID: "s", After: 3, Most: 4}},
+		{"POST", "/sweeps/s/withdraw", "", core.CancelSweep{Req: 9, ID: "s"}},
+	} {
+		build, answer := Route(&httpwire.Message{Method: tc.method, Target: tc.target, Body: []byte(tc.body)})
+		if answer != nil {
+			t.Errorf("%s %s: answered %d", tc.method, tc.target, answer.Status)
+		} else if got := build(9); !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("%s %s: %+v", tc.method, tc.target, got)
+		}
+	}
+}
+
+// TestRecordedSweep compares the plan of a sweep, and the jobs and values of its
+// runs, with their recorded form.
+func TestRecordedSweep(t *testing.T) {
+	m, err := DecodeSweep([]byte(`id: "s" pending: 3 duplicates: MERGE ` + wholeJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } value { real: 1 } value { real: 0.5 } }`))
+	if err != nil || m.Invalid != "" {
+		t.Fatal(err, m.Invalid)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s, %d at once, digest %s, longest %d\n", m.Plan.ID, m.Plan.Pending, m.Plan.Digest, m.Plan.Longest)
+	for i, spec := range m.Plan.Specs {
+		fmt.Fprintf(&b, "%s %s sets %v: %s\n", spec.ID, m.Plan.Values[i], m.Plan.Sets[i], ledger.Encode(spec))
+	}
+	golden.Compare(t, "testdata/sweep.txt", b.String())
+}
--- /dev/null
+++ b/internal/golden/golden_test.go
@@ -0,0 +1,37 @@
+package golden
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// TestUnset finds zero fields at every depth and passes over plain elements.
+func TestUnset(t *testing.T) {
+	type inner struct {
+		Number int
+		Text   string
+	}
+	type outer struct {
+		Flag    bool
+		List    []inner
+		ByName  map[string]inner
+		Pointer *inner
+		Plain   []int
+		hidden  int
+	}
+	whole := inner{1, "a"}
+	for _, tc := range []struct {
+		name  string
+		value outer
+		want  []string
+	}{
+		{"all set", outer{true, []inner{whole}, map[string]inner{"k": whole}, &whole, []int{0}, 0}, nil},
+		{"nothing set", outer{}, []string{".Flag", ".List", ".ByName", ".Pointer", ".Plain"}},
+		{"deep", outer{true, []inner{whole, {Number: 1}}, map[string]inner{"k": {Text: "a"}}, &inner{Number: 1}, []int{0}, 0}, []string{".List[1].Text", ".ByName[k].Number", ".Pointer.Text"}},
+	} {
+		if got := Unset(tc.value); !reflect.DeepEqual(got, tc.want) && !slices.Equal(got, tc.want) {
+			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
+		}
+	}
+}
