--- /dev/null
+++ b/internal/node/recorded_test.go
@@ -0,0 +1,62 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/golden"
+	"github.com/zinclb/zinclb/internal/httpwire"
+)
+
+// TestRecordedAnswers compares whole HTTP answers, with their headers, with their
+// recorded form.
+func TestRecordedAnswers(t *testing.T) {
+	var b strings.Builder
+	answerTo := func(n *Node, name, method, target string) {
+		answers := make(chan httpwire.Response, 1)
+		n.handle(&httpwire.Message{Method: method, Target: target}, func(r httpwire.Response) { answers <- r })
+		fmt.Fprintf(&b, "%s: %q\n", name, httpwire.AppendResponse(nil, <-answers))
+	}
+	for _, tc := range []struct {
+		name, target string
+		reply        core.Reply
+	}{
+		{"job", "/work/job-1", core.Reply{Status: 200, Job: &core.JobState{ID: "job-1", State: core.Running, Done: 1, Running: 2}}},
+		{"accepted", "/work/job-1", core.Reply{Status: 201, Job: &core.JobState{ID: "job-1", State: core.Queued}}},
+		{"bad", "/work/job-1", core.Reply{Status: 400, Error: "why"}},
+		{"unknown", "/work/job-1", core.Reply{Status: 404, Error: "no such job"}},
+		{"in conflict", "/work/job-1", core.Reply{Status: 409, Error: "why"}},
+		{"misdirected", "/work/job-1", core.Reply{Status: 421, Leader: "node-1"}},
+		{"not to be run", "/work/job-1", core.Reply{Status: 422, Error: "why"}},
+		{"too many", "/work/job-1", core.Reply{Status: 429, Retry: 3, Error: "why"}},
+		{"unavailable", "/work/job-1", core.Reply{Status: 503, Retry: 2, Error: "why"}},
+		{"unavailable, no time named", "/work/job-1", core.Reply{Status: 503, Error: "why"}},
+		{"metrics", "/ops/metrics?x=1", core.Reply{Status: 200, Ops: &core.OpsView{}}},
+		{"operators", "/ops/status", core.Reply{Status: 200, Ops: &core.OpsView{}}},
+	} {
+		n := &Node{inbox: make(chan envelope, 1)}
+		go func() { (<-n.inbox).reply(tc.reply) }()
+		answerTo(n, tc.name, "GET", tc.target)
+	}
+	answerTo(&Node{inbox: make(chan envelope)}, "overloaded", "GET", "/work/job-1")
+	answerTo(&Node{slow: make(chan struct{})}, "other sweeps are expanded", "POST", "/sweeps")
+	answerTo(&Node{}, "no such path", "GET", "/")
+	answerTo(&Node{}, "another method", "POST", "/ready")
+	golden.Compare(t, "testdata/answers.txt", b.String())
+}
+
+// TestRecordedDirect compares orders to a worker's own address, as a whole
+// request, with their recorded form.
+func TestRecordedDirect(t *testing.T) {
+	service := golden.NewService(t)
+	service.Answer(httpwire.Response{Status: 200, Body: []byte("{}")})
+	newWorkerPool(1).send(core.Direct{Addr: service.Addr, Token: 7, Session: 4, Orders: []core.Order{
+		{Op: "start", Task: "job-1/0", Attempt: 2}, {Op: "stop", Task: "job-1/1", Attempt: 3, Grace: 2_500_000}, {Op: "forget", Task: "job-1/2", Attempt: 4}}})
+	for deadline := time.Now().Add(5 * time.Second); service.Requests() == "" && time.Now().Before(deadline); {
+		time.Sleep(time.Millisecond)
+	}
+	golden.Compare(t, "testdata/direct.txt", service.Requests())
+}
