--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -27,8 +27,8 @@
 	c.BytesOut += o.BytesOut
 }
 
-// Less is what came since an earlier count.
-func (c Count) Less(o Count) Count {
+// Sub is what came since an earlier count.
+func (c Count) Sub(o Count) Count {
 	return Count{c.Messages - o.Messages, c.Refused - o.Refused, c.Changes - o.Changes, c.BytesIn - o.BytesIn, c.BytesOut - o.BytesOut}
 }
 
@@ -83,21 +83,21 @@
 	if m == nil {
 		return c
 	}
-	return &conn{Conn: c, m: m, near: near, far: far}
+	return &conn{Conn: c, meter: m, near: near, far: far}
 }
 
 type conn struct {
 	net.Conn
-	m         *Meter
+	meter     *Meter
 	near, far Key
 }
 
 func (c *conn) count(in, out int) {
 	if c.near != (Key{}) {
-		c.m.Add(c.near, Count{BytesIn: int64(in), BytesOut: int64(out)})
+		c.meter.Add(c.near, Count{BytesIn: int64(in), BytesOut: int64(out)})
 	}
 	if c.far != (Key{}) {
-		c.m.Add(c.far, Count{BytesIn: int64(out), BytesOut: int64(in)})
+		c.meter.Add(c.far, Count{BytesIn: int64(out), BytesOut: int64(in)})
 	}
 }
 
@@ -126,8 +126,8 @@
 
 type listener struct {
 	net.Listener
-	m   *Meter
-	far Key
+	meter *Meter
+	far   Key
 }
 
 // Accept accepts a connection whose bytes are counted.
@@ -136,5 +136,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.m.Conn(c, Key{}, l.far), nil
+	return l.meter.Conn(c, Key{}, l.far), nil
 }
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -15,21 +15,21 @@
 	// Sources name what was measured: the commit, and more if there is more to say.
 	Sources string `json:"sources"`
 	Cores   int    `json:"cores"`
-	// Limited says why the machine and not the service was the limit; then nothing
+	// MachineLimited says why the machine and not the service was the limit; then nothing
 	// else here is a figure.
-	Limited string `json:"limited,omitempty"`
+	MachineLimited string `json:"limited,omitempty"`
 	// Windows are parts of the run by name.
 	Windows map[string]Window `json:"windows"`
-	// Late is how late the timers of the hollow workers and of the emulator ran.
-	Late         Latency    `json:"late_ms"`
-	Urgent       Starts     `json:"urgent"`
-	Gangs        Starts     `json:"gangs"`
-	Submit       Latency    `json:"submit_ms"`
-	Poll         Latency    `json:"poll_ms"`
-	Takeover     []Takeover `json:"takeover,omitempty"`
-	Broken       []string   `json:"broken,omitempty"`
-	Events       int        `json:"events"`
-	PeakMemoryMB float64    `json:"peak_memory_mb"`
+	// TimerLateness is how late the timers of the hollow workers and of the emulator ran.
+	TimerLateness Latency    `json:"late_ms"`
+	Urgent        Starts     `json:"urgent"`
+	Gangs         Starts     `json:"gangs"`
+	Submit        Latency    `json:"submit_ms"`
+	Poll          Latency    `json:"poll_ms"`
+	Failovers     []Failover `json:"takeover,omitempty"`
+	Violations    []string   `json:"broken,omitempty"`
+	Events        int        `json:"events"`
+	PeakMemoryMB  float64    `json:"peak_memory_mb"`
 }
 
 // Latency is a distribution.
@@ -49,9 +49,9 @@
 	Share  float64 `json:"share"`
 }
 
-// Takeover is how long it took after a leader was lost until workers had an answer
+// Failover is how long it took after a leader was lost until workers had an answer
 // of the next one, in seconds.
-type Takeover struct {
+type Failover struct {
 	Latency
 	Workers int `json:"workers"`
 }
@@ -76,14 +76,14 @@
 
 // The roles.
 const (
-	RoleLeader   = "leader"
-	RoleStandBy  = "stand-by"
-	RoleBusiest  = "busiest stand-by"
-	RoleHollow   = "hollow worker"
-	RoleAlone    = "worker alone"
-	RoleState    = "state service"
-	RoleCloud    = "cloud"
-	RoleEmulator = "emulator"
+	RoleLeader        = "leader"
+	RoleStandBy       = "stand-by"
+	RoleBusiest       = "busiest stand-by"
+	RoleSharedWorkers = "hollow worker"
+	RoleDedicated     = "worker alone"
+	RoleState         = "state service"
+	RoleCloud         = "cloud"
+	RoleEmulator      = "emulator"
 )
 
 // Role is what one process of a role, or one worker, used in a window.
@@ -114,8 +114,8 @@
 	r.BytesOut += float64(c.BytesOut) / seconds
 }
 
-// latencyOf is the distribution of some values.
-func latencyOf(values []float64) Latency {
+// summarize is the distribution of some values.
+func summarize(values []float64) Latency {
 	if len(values) == 0 {
 		return Latency{}
 	}
@@ -124,27 +124,27 @@
 	return Latency{at(0.5), at(0.95), at(0.99), values[len(values)-1], len(values)}
 }
 
-// mark is what had been counted and used at a moment.
-type mark struct {
+// measurement is what had been counted and used at a moment.
+type measurement struct {
 	at     int64
 	leader string
-	use    map[string]usage
+	usage  map[string]usage
 	counts map[meter.Key]meter.Count
 }
 
 // window is what came between two marks. alone are the machines with processes of
 // their own, machines says which machines are workers of the run.
-func window(from, to mark, controllers []string, alone map[string]bool) Window {
+func window(from, to measurement, controllers []string, alone map[string]bool) Window {
 	w := Window{Seconds: float64(to.at-from.at) / 1e6, Roles: map[string]Role{}}
 	cpu := func(name string) (Role, bool) {
-		a, ok := from.use[name]
-		b, ok2 := to.use[name]
+		a, ok := from.usage[name]
+		b, ok2 := to.usage[name]
 		return Role{Count: 1, CPU: (b.cpu - a.cpu) / w.Seconds, Memory: b.memory, Peak: b.peak, Kinds: map[string]Rate{}}, ok && ok2
 	}
 	byHost := map[string]map[string]Rate{}
 	for k, c := range to.counts {
 		r := Rate{}
-		r.add(c.Less(from.counts[k]), w.Seconds)
+		r.add(c.Sub(from.counts[k]), w.Seconds)
 		if byHost[k.Host] == nil {
 			byHost[k.Host] = map[string]Rate{}
 		}
@@ -167,7 +167,7 @@
 		w.Roles[RoleStandBy] = mean(standBys)
 		w.Roles[RoleBusiest] = slices.MaxFunc(standBys, func(a, b Role) int { return cmp.Compare(a.CPU, b.CPU) })
 	}
-	if r, ok := cpu(emulator); ok {
+	if r, ok := cpu(emulatorProcess); ok {
 		w.Roles[RoleEmulator] = r
 	}
 	var hollow, single []Role
@@ -187,15 +187,15 @@
 		bytes = append(bytes, kinds[sockets.ReportKind].BytesIn+kinds[sockets.ReportKind].BytesOut)
 	}
 	w.Workers = len(hollow) + len(single)
-	w.WorkerBytes = latencyOf(bytes)
+	w.WorkerBytes = summarize(bytes)
 	if len(hollow) > 0 {
-		w.Roles[RoleHollow] = mean(hollow)
+		w.Roles[RoleSharedWorkers] = mean(hollow)
 	}
 	if len(single) > 0 {
-		w.Roles[RoleAlone] = mean(single)
+		w.Roles[RoleDedicated] = mean(single)
 	}
-	w.Roles[RoleState] = served(byHost, controllers, "state ")
-	w.Roles[RoleCloud] = served(byHost, controllers, "cloud")
+	w.Roles[RoleState] = serviceRole(byHost, controllers, "state ")
+	w.Roles[RoleCloud] = serviceRole(byHost, controllers, "cloud")
 	return w
 }
 
@@ -220,8 +220,8 @@
 	return out
 }
 
-// served is what a service got of all controllers, of the kinds with a prefix.
-func served(byHost map[string]map[string]Rate, controllers []string, prefix string) Role {
+// serviceRole is what a service got of all controllers, of the kinds with a prefix.
+func serviceRole(byHost map[string]map[string]Rate, controllers []string, prefix string) Role {
 	out := Role{Count: 1, Kinds: map[string]Rate{}}
 	for _, name := range controllers {
 		for kind, x := range byHost[name] {
@@ -240,10 +240,10 @@
 	return out
 }
 
-// waits are how long jobs of a class waited from their first submission until all
+// startWaits are how long jobs of a class waited from their first submission until all
 // their tasks had begun, in seconds. Cancelled jobs and those that came within the
 // aim before the end are left out; one that has not begun by then waited until it.
-func waits(events []history.Event, terms history.Terms, class string, within float64) Starts {
+func startWaits(events []history.Event, terms history.Expectations, class string, within float64) Starts {
 	type course struct {
 		first, last int64
 		begun       map[int]bool
@@ -263,9 +263,9 @@
 			jobs[e.Job] = j
 		}
 		switch {
-		case e.Kind == history.Sent && e.Op == history.Withdraw:
+		case e.Kind == history.RequestSent && e.Op == history.Cancel:
 			j.cancelled = true
-		case e.Kind == history.Started && !j.begun[e.Task]:
+		case e.Kind == history.TaskStarted && !j.begun[e.Task]:
 			j.begun[e.Task] = true
 			j.last = e.At
 		}
@@ -283,30 +283,30 @@
 		}
 		values = append(values, float64(j.last-j.first)/1e6)
 	}
-	s := Starts{Latency: latencyOf(values), Within: within}
+	s := Starts{Latency: summarize(values), Within: within}
 	if len(values) > 0 {
 		s.Share = float64(good) / float64(len(values))
 	}
 	return s
 }
 
-// answers are how long users' requests of a kind took, in ms; those without an
+// requestLatencies are how long users' requests of a kind took, in ms; those without an
 // answer are left out.
-func answers(events []history.Event, op string) Latency {
+func requestLatencies(events []history.Event, op string) Latency {
 	sent := map[uint64]int64{}
 	var values []float64
 	for _, e := range events {
 		switch {
 		case e.Op != op:
-		case e.Kind == history.Sent:
+		case e.Kind == history.RequestSent:
 			sent[e.Call] = e.At
-		case e.Kind == history.Told && e.Status != 0:
+		case e.Kind == history.ResponseReceived && e.Status != 0:
 			if at, ok := sent[e.Call]; ok {
 				values = append(values, float64(e.At-at)/1000)
 			}
 		}
 	}
-	return latencyOf(values)
+	return summarize(values)
 }
 
 // rates are how many tasks entered a machine a second in a part of the run, and how
@@ -318,12 +318,12 @@
 			break
 		}
 		switch e.Kind {
-		case history.Entered:
+		case history.TaskEntered:
 			running++
 			if e.At >= from {
 				n++
 			}
-		case history.Left:
+		case history.TaskLeft:
 			running--
 		}
 	}
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // Plan is what is to be played.
@@ -31,12 +31,12 @@
 	Starts  int `json:"starts"`
 	// LargestGang is the most tasks of a gang.
 	LargestGang int `json:"largest_gang"`
-	// Alone is how many workers have a process of their own.
-	Alone int `json:"alone"`
-	// FaultsTimes speeds the plan's faults of machines up; 0 is none.
-	FaultsTimes float64 `json:"faults_times"`
-	// Lose are what is lost once in the run, see Losses.
-	Lose []string `json:"lose"`
+	// Dedicated is how many workers have a process of their own.
+	Dedicated int `json:"alone"`
+	// FaultSpeedup speeds the plan's faults of machines up; 0 is none.
+	FaultSpeedup float64 `json:"faults_times"`
+	// Failures are what is lost once in the run, see Losses.
+	Failures []string `json:"lose"`
 	// StateRPS and StateWrites are the state service's limits a second.
 	StateRPS    float64       `json:"state_rps"`
 	StateWrites float64       `json:"state_writes"`
@@ -44,20 +44,20 @@
 	Seed        uint64        `json:"seed"`
 	Length      time.Duration `json:"length"`
 	// Scenario names the world that is played in place of the plan's own.
-	Scenario string        `json:"scenario,omitempty"`
-	given    *world.Config // that world
+	Scenario    string              `json:"scenario,omitempty"`
+	givenConfig *environment.Config // that world
 }
 
-// OfScenario is a plan that plays a given world.
-func OfScenario(name string, c world.Config, alone int) (Plan, error) {
-	p := Plan{Scenario: name, given: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
-		Alone: alone, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.Remote)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond}
+// FromScenario is a plan that plays a given world.
+func FromScenario(name string, c environment.Config, alone int) (Plan, error) {
+	p := Plan{Scenario: name, givenConfig: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
+		Dedicated: alone, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.CrossRegion)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond}
 	var errs []error
 	for _, m := range c.Machines {
 		p.Workers += m.Count
 	}
 	for i, f := range c.Faults {
-		if !slices.Contains(world.RemoteFaults, f.Kind) {
+		if !slices.Contains(environment.RemoteFaults, f.Kind) {
 			errs = append(errs, fmt.Errorf("fault[%d].kind: a scale run can't play %s", i, f.Kind))
 		}
 	}
@@ -88,12 +88,12 @@
 func Default(workers int) Plan {
 	share := func(n int) int { return max(1, int(math.Round(float64(n)*float64(workers)/planWorkers))) }
 	return Plan{Workers: workers, Accelerators: share(planAccelerators), Controllers: 12, Zones: 15, Regions: 4, Teams: 380,
-		Running: share(planRunning), Starts: share(planStarts), LargestGang: 64, Alone: 3, StateRPS: 250, StateWrites: 90, RemoteMS: 8,
+		Running: share(planRunning), Starts: share(planStarts), LargestGang: 64, Dedicated: 3, StateRPS: 250, StateWrites: 90, RemoteMS: 8,
 		Seed: 1, Length: 130 * time.Second}
 }
 
-// Losses are what a run can lose once, and what that is.
-var Losses = map[string]string{
+// FailureKinds are what a run can lose once, and what that is.
+var FailureKinds = map[string]string{
 	"leader": "the leader's process ends, 20 s after the peak",
 	"zone":   "a zone is cut off for 20 s, 30 s after the peak",
 	"region": "a region is cut off for 60 s, 30 s after the peak",
@@ -105,10 +105,10 @@
 	peakFrom = 15 * config.Second
 	peakFor  = 60 * config.Second
 	peakTo   = peakFrom + peakFor
-	// settled is when the load after the peak has become steady.
-	settled = peakTo + 10*config.Second
-	// least is the shortest run in which anything is measured.
-	least = settled + 25*config.Second
+	// steadyFrom is when the load after the peak has become steady.
+	steadyFrom = peakTo + 10*config.Second
+	// minLength is the shortest run in which anything is measured.
+	minLength = steadyFrom + 25*config.Second
 )
 
 // Check names every field that can't be.
@@ -128,14 +128,14 @@
 	within("running", float64(p.Running), 1, 100_000)
 	within("starts", float64(p.Starts), 1, 5000)
 	within("largest-gang", float64(p.LargestGang), 1, 1000)
-	within("alone", float64(p.Alone), 0, 100)
-	within("faults-times", p.FaultsTimes, 0, 1e6)
+	within("alone", float64(p.Dedicated), 0, 100)
+	within("faults-times", p.FaultSpeedup, 0, 1e6)
 	within("state-rps", p.StateRPS, 1, 1e6)
 	within("state-writes", p.StateWrites, 1, 1e6)
 	within("remote-ms", p.RemoteMS, 0.1, 1000)
 	within("length", p.Length.Seconds(), 5, 3600)
-	for _, l := range p.Lose {
-		if Losses[l] == "" {
+	for _, l := range p.Failures {
+		if FailureKinds[l] == "" {
 			errs = append(errs, fmt.Errorf("lose: %q is none of leader, rack, region and zone", l))
 		}
 	}
@@ -144,18 +144,18 @@
 
 // The machines of a run.
 const (
-	cpuType       = "cpu16"
-	gpuType       = "gpu4"
-	gpusAMachine  = 4
-	cpusAMachine  = 16.0
-	memAMachine   = 64.0
-	rackMachines  = 16
-	rackZone      = 1
-	lostZone      = 2
-	fetchGBPerS   = 2.0
-	cacheGB       = 60.0
-	bootSeconds   = 20.0
-	spareCapacity = 1.2 // of what is up at the start
+	cpuType            = "cpu16"
+	gpuType            = "gpu4"
+	gpusPerMachine     = 4
+	cpusPerMachine     = 16.0
+	memoryGBPerMachine = 64.0
+	rackMachines       = 16
+	rackZone           = 1
+	lostZone           = 2
+	fetchGBPerS        = 2.0
+	cacheGB            = 60.0
+	bootSeconds        = 20.0
+	spareCapacity      = 1.2 // of what is up at the start
 )
 
 // The classes of jobs.
@@ -173,14 +173,14 @@
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
 // Config is the world of the plan.
-func (p *Plan) Config() world.Config {
-	if p.given != nil {
-		c := *p.given
+func (p *Plan) Config() environment.Config {
+	if p.givenConfig != nil {
+		c := *p.givenConfig
 		c.RemoteWorkers = true
 		return c
 	}
-	c := world.Config{Seed: p.Seed, Length: p.Length.Microseconds(), Restart: 4 * config.Second, StateDelay: 3000, CloudDelay: 250_000, Drift: 0.0005, Strays: 0.1, RemoteWorkers: true,
-		Network: world.Network{Near: 400, Far: 800, Remote: int64(p.RemoteMS * 1000), Jitter: 0.25, Regions: map[string]string{}, Home: regionName(0)}}
+	c := environment.Config{Seed: p.Seed, Length: p.Length.Microseconds(), RestartTime: 4 * config.Second, StateDelay: 3000, CloudDelay: 250_000, ClockDrift: 0.0005, StrayRequestRate: 0.1, RemoteWorkers: true,
+		Network: environment.Network{SameZone: 400, CrossZone: 800, CrossRegion: int64(p.RemoteMS * 1000), Jitter: 0.25, Regions: map[string]string{}, HomeRegion: regionName(0)}}
 	p.platform(&c)
 	p.machines(&c)
 	p.jobs(&c)
@@ -189,7 +189,7 @@
 }
 
 // platform has the settings of a large site of today, for more of everything.
-func (p *Plan) platform(c *world.Config) {
+func (p *Plan) platform(c *environment.Config) {
 	s := &c.Params
 	s.Size = p.Controllers
 	for i := range p.Zones {
@@ -214,17 +214,17 @@
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
 // machines are all up at the start, spread over the zones.
-func (p *Plan) machines(c *world.Config) {
-	gpu := min(p.Workers, (p.Accelerators+gpusAMachine-1)/gpusAMachine)
+func (p *Plan) machines(c *environment.Config) {
+	gpu := min(p.Workers, (p.Accelerators+gpusPerMachine-1)/gpusPerMachine)
 	for _, x := range []struct {
 		name  string
 		gpus  float64
 		count int
-	}{{cpuType, 0, p.Workers - gpu}, {gpuType, gpusAMachine, gpu}} {
+	}{{cpuType, 0, p.Workers - gpu}, {gpuType, gpusPerMachine, gpu}} {
 		if x.count == 0 {
 			continue
 		}
-		c.Types = append(c.Types, wire.MachineType{Name: x.name, CPUs: cpusAMachine, GPUs: x.gpus, MemGB: memAMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
+		c.Types = append(c.Types, wire.MachineType{Name: x.name, CPUs: cpusPerMachine, GPUs: x.gpus, MemGB: memoryGBPerMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
 			Price: 1 + x.gpus, SpotPrice: 0.4, BootS: bootSeconds, Zones: c.Params.Zones})
 		for i, zone := range c.Params.Zones {
 			n := x.count / p.Zones
@@ -232,21 +232,21 @@
 				n++
 			}
 			if n > 0 {
-				c.Machines = append(c.Machines, world.Machines{Type: x.name, Zone: zone, Count: n})
+				c.Machines = append(c.Machines, environment.Machines{Type: x.name, Zone: zone, Count: n})
 			}
-			c.Capacity = append(c.Capacity, world.Capacity{Type: x.name, Zone: zone, Count: int(math.Ceil(float64(n) * spareCapacity))})
+			c.Capacity = append(c.Capacity, environment.Capacity{Type: x.name, Zone: zone, Count: int(math.Ceil(float64(n) * spareCapacity))})
 		}
 	}
 }
 
-// placed are the names and the zones of the machines that are up at the start, of a
+// machinesOfType are the names and the zones of the machines that are up at the start, of a
 // type, in the order in which the cloud names them.
-func placed(c *world.Config, typ, zone string) (names []string) {
+func machinesOfType(c *environment.Config, typ, zone string) (names []string) {
 	n := 0
 	for _, m := range c.Machines {
 		for range m.Count {
 			if m.Type == typ && (zone == "" || m.Zone == zone) {
-				names = append(names, world.MachineName(n))
+				names = append(names, environment.MachineName(n))
 			}
 			n++
 		}
@@ -254,21 +254,21 @@
 	return names
 }
 
-// alone are the machines whose workers have processes of their own: they have no
+// dedicatedMachines are the machines whose workers have processes of their own: they have no
 // accelerators, as a gang's tasks have to share a process.
-func (p *Plan) alone(c *world.Config) []string {
-	names := placed(c, cpuType, "")
-	if p.given != nil {
-		names = placed(c, ungangedType(c), "")
+func (p *Plan) dedicatedMachines(c *environment.Config) []string {
+	names := machinesOfType(c, cpuType, "")
+	if p.givenConfig != nil {
+		names = machinesOfType(c, typeWithoutGangs(c), "")
 	}
-	return names[:min(p.Alone, len(names))]
+	return names[:min(p.Dedicated, len(names))]
 }
 
-// ungangedType is a type of machines that no gang of several tasks may use, "" if
+// typeWithoutGangs is a type of machines that no gang of several tasks may use, "" if
 // there is none.
-func ungangedType(c *world.Config) string {
+func typeWithoutGangs(c *environment.Config) string {
 	for _, t := range c.Types {
-		fits := func(j world.Job) bool {
+		fits := func(j environment.Job) bool {
 			return j.Spec.Kind == wire.Gang && j.Spec.Tasks > 1 && j.Spec.GPUs <= t.GPUs && j.Spec.CPUs <= t.CPUs && (len(j.Spec.Types) == 0 || slices.Contains(j.Spec.Types, t.Name))
 		}
 		if !slices.ContainsFunc(c.Jobs, fits) {
@@ -320,7 +320,7 @@
 // jobs arrive evenly at the rate of the peak, and at a tenth of it afterwards. In the
 // first part of the peak they run for as long as keeps Running tasks at Starts a
 // second; those of the last part run ten times as long and so stay.
-func (p *Plan) jobs(c *world.Config) {
+func (p *Plan) jobs(c *environment.Config) {
 	rng := rand.New(rand.NewPCG(p.Seed, 7))
 	short := float64(p.Running) / float64(p.Starts)
 	longFrom := float64(peakTo) - short*1e6
@@ -349,14 +349,14 @@
 	for at := peakFrom; at < c.Length; at += urgentEvery {
 		p.job(c, rng, urgent, at, 1, float64(urgentRun)/1e6)
 	}
-	slices.SortStableFunc(c.Jobs, func(a, b world.Job) int { return int(a.At - b.At) })
+	slices.SortStableFunc(c.Jobs, func(a, b environment.Job) int { return int(a.At - b.At) })
 }
 
-func (p *Plan) job(c *world.Config, rng *rand.Rand, l load, at int64, tasks int, run float64) {
+func (p *Plan) job(c *environment.Config, rng *rand.Rand, l load, at int64, tasks int, run float64) {
 	spec := wire.Job{ID: fmt.Sprintf("req-%06d", len(c.Jobs)+1), Class: l.class, Team: teamName(rng.IntN(p.Teams)), Kind: l.kind, Priority: l.priority, Tasks: tasks,
 		CPUs: l.cpus, GPUs: l.gpus, MemGB: l.mem, Image: fmt.Sprintf("%s-%02d", l.class, rng.IntN(l.images)), ImageGB: l.imageGB, OneZone: l.kind == wire.Gang,
 		EstimateS: run * (1 + estimateError*(2*rng.Float64()-1))}
-	j := world.Job{At: at, Run: int64(run * 1e6), Spec: spec}
+	j := environment.Job{At: at, Run: int64(run * 1e6), Spec: spec}
 	if l.class != classUrgent && rng.Float64() < cancelledShare {
 		j.Cancel = at + 5*config.Second + rng.Int64N(20*config.Second)
 	}
@@ -364,7 +364,7 @@
 }
 
 // faults are those of machines at the plan's rates, sped up, and what is lost once.
-func (p *Plan) faults(c *world.Config) {
+func (p *Plan) faults(c *environment.Config) {
 	rng := rand.New(rand.NewPCG(p.Seed, 9))
 	day := 86_400e6 * planWorkers / float64(p.Workers)
 	for _, x := range []struct {
@@ -372,26 +372,26 @@
 		aDay  float64
 		lasts int64
 	}{{"machine_die", planDeaths, 0}, {"machine_back", planRestarts, 10 * config.Second}} {
-		if p.FaultsTimes == 0 {
+		if p.FaultSpeedup == 0 {
 			break
 		}
-		gap := day / x.aDay / p.FaultsTimes
+		gap := day / x.aDay / p.FaultSpeedup
 		for at := float64(peakFrom) + gap*rng.ExpFloat64(); at < float64(c.Length); at += gap * rng.ExpFloat64() {
-			c.Faults = append(c.Faults, world.Fault{At: int64(at), Kind: x.kind, For: x.lasts, Count: 1})
+			c.Faults = append(c.Faults, environment.Fault{At: int64(at), Kind: x.kind, Duration: x.lasts, Count: 1})
 		}
 	}
-	cut := func(hosts string, lasts int64) world.Fault {
-		return world.Fault{At: peakTo + 30*config.Second, For: lasts, Kind: "cut", Hosts: []string{hosts}, To: []string{"all"}}
+	cut := func(hosts string, lasts int64) environment.Fault {
+		return environment.Fault{At: peakTo + 30*config.Second, Duration: lasts, Kind: "cut", Hosts: []string{hosts}, To: []string{"all"}}
 	}
-	for _, l := range p.Lose {
+	for _, l := range p.Failures {
 		switch l {
 		case "zone":
 			c.Faults = append(c.Faults, cut("zone:"+zoneName(lostZone%p.Zones), 20*config.Second))
 		case "region":
 			c.Faults = append(c.Faults, cut("region:"+regionName(p.Regions-1), 60*config.Second))
 		case "rack":
-			names := placed(c, cpuType, zoneName(rackZone%p.Zones))
-			c.Faults = append(c.Faults, world.Fault{At: peakTo + 25*config.Second, Kind: "machine_die", Hosts: names[:min(rackMachines, len(names))]})
+			names := machinesOfType(c, cpuType, zoneName(rackZone%p.Zones))
+			c.Faults = append(c.Faults, environment.Fault{At: peakTo + 25*config.Second, Kind: "machine_die", Hosts: names[:min(rackMachines, len(names))]})
 		}
 	}
 }
--- a/internal/emulator/scale/report.go
+++ b/internal/emulator/scale/report.go
@@ -12,7 +12,7 @@
 )
 
 // Roles in the order in which they are told of.
-var roleOrder = []string{RoleLeader, RoleStandBy, RoleBusiest, RoleState, RoleCloud, RoleHollow, RoleAlone, RoleEmulator}
+var roleOrder = []string{RoleLeader, RoleStandBy, RoleBusiest, RoleState, RoleCloud, RoleSharedWorkers, RoleDedicated, RoleEmulator}
 
 // RoleNames are the roles in the order in which they are told of.
 func RoleNames() []string { return slices.Clone(roleOrder) }
@@ -36,8 +36,8 @@
 func (f *Figures) Write(out io.Writer) error {
 	p := func(format string, a ...any) { _, _ = fmt.Fprintf(out, format, a...) }
 	p("\n%d workers, %d controllers, %d zones in %d regions, %d teams, seed %d (emulated machines, %d cores)\n", f.Plan.Workers, f.Plan.Controllers, f.Plan.Zones, f.Plan.Regions, f.Plan.Teams, f.Plan.Seed, f.Cores)
-	if f.Limited != "" {
-		p("NO FIGURE: the machine was the limit: %s\n", f.Limited)
+	if f.MachineLimited != "" {
+		p("NO FIGURE: the machine was the limit: %s\n", f.MachineLimited)
 	}
 	for _, name := range []string{WindowPeak, WindowSteady} {
 		w, ok := f.Windows[name]
@@ -71,18 +71,18 @@
 	p("\nurgent work: p50 %.2f s, p95 %.2f s, p99 %.2f s, worst %.2f s; %.3f of %d within %.1f s\n", f.Urgent.Median, f.Urgent.P95, f.Urgent.P99, f.Urgent.Worst, f.Urgent.Share, f.Urgent.Count, f.Urgent.Within)
 	p("gangs: p50 %.2f s, p95 %.2f s, worst %.2f s; %.3f of %d within %.0f s\n", f.Gangs.Median, f.Gangs.P95, f.Gangs.Worst, f.Gangs.Share, f.Gangs.Count, f.Gangs.Within)
 	p("submissions: p50 %.0f ms, p95 %.0f ms, worst %.0f ms of %d; polls: p50 %.0f ms, p95 %.0f ms, worst %.0f ms of %d\n", f.Submit.Median, f.Submit.P95, f.Submit.Worst, f.Submit.Count, f.Poll.Median, f.Poll.P95, f.Poll.Worst, f.Poll.Count)
-	for _, t := range f.Takeover {
+	for _, t := range f.Failovers {
 		p("after the leader was lost: %d workers had an answer of the next one, p50 %.2f s, p99 %.2f s, worst %.2f s\n", t.Workers, t.Median, t.P99, t.Worst)
 	}
-	p("timers ran late: p50 %.1f ms, p99 %.1f ms, worst %.0f ms; at most %.0f MB in all processes\n", f.Late.Median, f.Late.P99, f.Late.Worst, f.PeakMemoryMB)
-	for i, b := range f.Broken {
+	p("timers ran late: p50 %.1f ms, p99 %.1f ms, worst %.0f ms; at most %.0f MB in all processes\n", f.TimerLateness.Median, f.TimerLateness.P99, f.TimerLateness.Worst, f.PeakMemoryMB)
+	for i, b := range f.Violations {
 		if i == 20 {
-			p("broken: %d more\n", len(f.Broken)-i)
+			p("broken: %d more\n", len(f.Violations)-i)
 			break
 		}
 		p("broken %s\n", b)
 	}
-	p("%d events, %d breaches of the rules\n", f.Events, len(f.Broken))
+	p("%d events, %d breaches of the rules\n", f.Events, len(f.Violations))
 	return nil
 }
 
--- a/internal/emulator/scale/need.go
+++ b/internal/emulator/scale/requirements.go
@@ -8,34 +8,34 @@
 
 // What a run takes of the machine, at most: a share of its memory, and processes.
 const (
-	memoryShare   = 0.5
-	mostProcesses = 300
+	memoryShare  = 0.5
+	maxProcesses = 300
 )
 
 // What parts of a run hold at most, in MB, by themselves and for each worker: a run
 // of 3,200 workers held 55% of what this reckons.
 const (
-	emulatorMB            = 100
-	emulatorMBAWorker     = 0.15
-	controllerMB          = 25
-	controllerMBAWorker   = 0.02
-	workerProcessMB       = 30
-	workerProcessAWorkers = 0.15
+	emulatorMB               = 100
+	emulatorMBPerWorker      = 0.15
+	controllerMB             = 25
+	controllerMBPerWorker    = 0.02
+	workerProcessMB          = 30
+	workerProcessMBPerWorker = 0.15
 )
 
-// Need is what a run takes.
-type Need struct {
+// Requirements is what a run takes.
+type Requirements struct {
 	Processes int
 	MemoryMB  float64
 }
 
-// Need reckons what the run will take.
-func (p *Plan) Need() Need {
+// Requirements reckons what the run will take.
+func (p *Plan) Requirements() Requirements {
 	workers := float64(p.Workers)
-	return Need{
-		Processes: 1 + p.Controllers + p.Zones + p.Alone,
-		MemoryMB: emulatorMB + emulatorMBAWorker*workers + float64(p.Controllers)*(controllerMB+controllerMBAWorker*workers) +
-			float64(p.Zones+p.Alone)*workerProcessMB + workerProcessAWorkers*workers,
+	return Requirements{
+		Processes: 1 + p.Controllers + p.Zones + p.Dedicated,
+		MemoryMB: emulatorMB + emulatorMBPerWorker*workers + float64(p.Controllers)*(controllerMB+controllerMBPerWorker*workers) +
+			float64(p.Zones+p.Dedicated)*workerProcessMB + workerProcessMBPerWorker*workers,
 	}
 }
 
@@ -58,11 +58,11 @@
 	if m.MemTotal == nil {
 		return Limits{}, fmt.Errorf("read the machine's memory: MemTotal is missing")
 	}
-	return Limits{Processes: mostProcesses, MemoryMB: memoryShare * float64(*m.MemTotal) / 1024}, nil
+	return Limits{Processes: maxProcesses, MemoryMB: memoryShare * float64(*m.MemTotal) / 1024}, nil
 }
 
 // Fits refuses what would take too much, and says which limit.
-func (n Need) Fits(l Limits) error {
+func (n Requirements) Fits(l Limits) error {
 	if n.Processes > l.Processes {
 		return fmt.Errorf("controllers, zones, alone: the run needs %d processes, and %d are allowed", n.Processes, l.Processes)
 	}
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -15,11 +15,11 @@
 
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 	"github.com/zinclb/zinclb/internal/emulator/workerproc"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // Options say how a run is carried out.
@@ -44,9 +44,9 @@
 // ErrStopped: the run was ended before its time.
 var ErrStopped = errors.New("the run was ended")
 
-// mostLate is how late the timers of workers may run, at the 99th percentile and in
+// maxTimerLateness is how late the timers of workers may run, at the 99th percentile and in
 // ms, before the machine rather than the service is taken for the limit.
-const mostLate = 100
+const maxTimerLateness = 100
 
 // sampleEvery is how often the processes are looked at.
 const sampleEvery = time.Second
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.Need().Fits(limits); err != nil {
+	if err := p.Requirements().Fits(limits); err != nil {
 		return nil, err
 	}
 	r, err := newRun(p, o, limits)
@@ -68,60 +68,60 @@
 		return nil, err
 	}
 	defer r.pool.Close()
-	return r.play(stop)
+	return r.execute(stop)
 }
 
-// run is one under way.
-type run struct {
+// execution is one under way.
+type execution struct {
 	Plan
 	Options
-	limits Limits
-	cfg    world.Config
-	fs     procfs.FS
-	meter  *meter.Meter
-	driver *sockets.Driver
-	pool   *workerproc.Pool
-	alone  map[string]bool
-	marks  map[string]mark
-	peak   atomic.Int64 // the most memory that all processes held, in MB
-	// lost is when the leader's process was ended, 0 for never.
-	lost int64
-	late Latency
-	// known says for each token when workers first had an answer with it.
-	known map[uint64][]int64
+	limits       Limits
+	config       environment.Config
+	procFS       procfs.FS
+	meter        *meter.Meter
+	driver       *sockets.Driver
+	pool         *workerproc.Pool
+	dedicated    map[string]bool
+	marks        map[string]measurement
+	peakMemoryMB atomic.Int64 // the most memory that all processes held, in MB
+	// leaderLostAt is when the leader's process was ended, 0 for never.
+	leaderLostAt int64
+	lateness     Latency
+	// tokenTimes says for each token when workers first had an answer with it.
+	tokenTimes map[uint64][]int64
 }
 
-func newRun(p Plan, o Options, limits Limits) (*run, error) {
+func newRun(p Plan, o Options, limits Limits) (*execution, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return nil, fmt.Errorf("look at processes: %w", err)
 	}
-	r := &run{Plan: p, Options: o, limits: limits, cfg: p.Config(), fs: fs, meter: meter.New(), alone: map[string]bool{}, marks: map[string]mark{}, known: map[uint64][]int64{}}
-	alone := p.alone(&r.cfg)
+	r := &execution{Plan: p, Options: o, limits: limits, config: p.Config(), procFS: fs, meter: meter.New(), dedicated: map[string]bool{}, marks: map[string]measurement{}, tokenTimes: map[uint64][]int64{}}
+	alone := p.dedicatedMachines(&r.config)
 	for _, name := range alone {
-		r.alone[name] = true
+		r.dedicated[name] = true
 	}
 	start := time.Now()
-	r.pool, err = workerproc.Start(o.Workers[0], o.Workers[1:], r.cfg, sockets.Fronts(o.Port, p.Controllers), start, workerproc.Layout{Alone: alone})
+	r.pool, err = workerproc.Start(o.Workers[0], o.Workers[1:], r.config, sockets.ControllerAddresses(o.Port, p.Controllers), start, workerproc.Layout{Dedicated: alone})
 	if err != nil {
 		return nil, err
 	}
-	r.driver, err = sockets.New(r.cfg, sockets.Options{Dir: o.Dir, Port: o.Port, Binaries: o.Binaries, Args: o.Args, Workers: r.pool, Meter: r.meter, Progress: r.progress})
+	r.driver, err = sockets.New(r.config, sockets.Options{Dir: o.Dir, Port: o.Port, Binaries: o.Binaries, Args: o.Args, Workers: r.pool, Meter: r.meter, OnProgress: r.progress})
 	if err != nil {
 		r.pool.Close()
 		return nil, err
 	}
-	r.driver.StartsAt(start)
-	r.pool.Events = r.driver.Absorb
+	r.driver.SetStart(start)
+	r.pool.OnEvents = r.driver.AddEvents
 	return r, nil
 }
 
-func (r *run) progress(p sockets.Progress) {
-	_, _ = fmt.Fprintf(r.Out, "%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done, %d MB\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Ran, p.Done, r.peak.Load())
+func (r *execution) progress(p sockets.Progress) {
+	_, _ = fmt.Fprintf(r.Out, "%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done, %d MB\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done, r.peakMemoryMB.Load())
 }
 
-// play runs the world to its end and works the figures out.
-func (r *run) play(stop <-chan struct{}) (*Figures, error) {
+// execute runs the world to its end and works the figures out.
+func (r *execution) execute(stop <-chan struct{}) (*Figures, error) {
 	end, over := make(chan struct{}), make(chan error, 1)
 	var events []history.Event
 	go func() {
@@ -142,34 +142,34 @@
 	return r.figures(events), nil
 }
 
-// moment is something that is done once in a run.
-type moment struct {
-	at int64
-	do func() error
+// scheduledAction is something that is done once in a run.
+type scheduledAction struct {
+	at  int64
+	run func() error
 }
 
-// moments are the marks and what is lost, in their order.
-func (r *run) moments() []moment {
+// scheduledActions are the marks and what is lost, in their order.
+func (r *execution) scheduledActions() []scheduledAction {
 	end := r.Length.Microseconds()
-	take := func(name string) func() error { return func() error { return r.mark(name) } }
-	var l []moment
-	if end >= least {
+	take := func(name string) func() error { return func() error { return r.measure(name) } }
+	var l []scheduledAction
+	if end >= minLength {
 		// Starts take some seconds to reach their rate and to end at it.
-		l = append(l, moment{peakFrom + 10*config.Second, take("peak from")}, moment{peakTo, take("peak to")}, moment{settled, take("steady from")})
+		l = append(l, scheduledAction{peakFrom + 10*config.Second, take("peak from")}, scheduledAction{peakTo, take("peak to")}, scheduledAction{steadyFrom, take("steady from")})
 	}
-	if slices.Contains(r.Lose, "leader") {
-		l = append(l, moment{peakTo + 20*config.Second, r.loseLeader})
+	if slices.Contains(r.Failures, "leader") {
+		l = append(l, scheduledAction{peakTo + 20*config.Second, r.loseLeader})
 	}
-	l = append(l, moment{end - 2*config.Second, take("steady to")})
-	slices.SortStableFunc(l, func(a, b moment) int { return int(a.at - b.at) })
+	l = append(l, scheduledAction{end - 2*config.Second, take("steady to")})
+	slices.SortStableFunc(l, func(a, b scheduledAction) int { return int(a.at - b.at) })
 	return l
 }
 
 // watch waits for the end, looks at the processes and does what has its time.
-func (r *run) watch(stop <-chan struct{}, over chan error) error {
+func (r *execution) watch(stop <-chan struct{}, over chan error) error {
 	tick := time.NewTicker(sampleEvery)
 	defer tick.Stop()
-	moments := r.moments()
+	moments := r.scheduledActions()
 	for {
 		select {
 		case err := <-over:
@@ -180,15 +180,15 @@
 		case <-tick.C:
 		}
 		total := 0.0
-		for _, u := range usages(r.fs, r.processes()) {
+		for _, u := range usages(r.procFS, r.processes()) {
 			total += u.memory
 		}
-		r.peak.Store(max(r.peak.Load(), int64(total)))
+		r.peakMemoryMB.Store(max(r.peakMemoryMB.Load(), int64(total)))
 		if total > r.limits.MemoryMB {
 			return fmt.Errorf("%w: %.0f MB of %.0f", ErrMemory, total, r.limits.MemoryMB)
 		}
 		for len(moments) > 0 && r.now() >= moments[0].at {
-			if err := moments[0].do(); err != nil {
+			if err := moments[0].run(); err != nil {
 				return err
 			}
 			moments = moments[1:]
@@ -196,11 +196,11 @@
 	}
 }
 
-func (r *run) now() int64 { return time.Since(r.driver.Start()).Microseconds() }
+func (r *execution) now() int64 { return time.Since(r.driver.Start()).Microseconds() }
 
 // processes are all of the run by name, the emulator's own too.
-func (r *run) processes() map[string]int {
-	pids := map[string]int{emulator: self()}
+func (r *execution) processes() map[string]int {
+	pids := map[string]int{emulatorProcess: ownPID()}
 	for name, pid := range r.driver.Processes() {
 		pids[name] = pid
 	}
@@ -210,13 +210,13 @@
 	return pids
 }
 
-// mark notes what has been counted and used until now.
-func (r *run) mark(name string) error {
+// measure notes what has been counted and used until now.
+func (r *execution) measure(name string) error {
 	snapshots, err := r.pool.Snapshot()
 	if err != nil {
 		return err
 	}
-	m := mark{at: r.now(), leader: r.leader(), use: usages(r.fs, r.processes()), counts: map[meter.Key]meter.Count{}}
+	m := measurement{at: r.now(), leader: r.leader(), usage: usages(r.procFS, r.processes()), counts: map[meter.Key]meter.Count{}}
 	add := func(rows []meter.Row) {
 		for _, row := range rows {
 			c := m.counts[row.Key]
@@ -225,74 +225,74 @@
 		}
 	}
 	add(r.meter.Rows())
-	r.known = map[uint64][]int64{}
+	r.tokenTimes = map[uint64][]int64{}
 	late := r.driver.Lateness()
 	for _, s := range snapshots {
 		add(s.Counts)
-		for token, at := range s.Known {
-			r.known[token] = append(r.known[token], at...)
+		for token, at := range s.TokenTimes {
+			r.tokenTimes[token] = append(r.tokenTimes[token], at...)
 		}
-		late.Median, late.P99, late.Worst = max(late.Median, s.Late.Median), max(late.P99, s.Late.P99), max(late.Worst, s.Late.Worst)
+		late.Median, late.P99, late.Worst = max(late.Median, s.Lateness.Median), max(late.P99, s.Lateness.P99), max(late.Worst, s.Lateness.Worst)
 	}
-	r.late = Latency{Median: float64(late.Median) / 1000, P99: float64(late.P99) / 1000, Worst: float64(late.Worst) / 1000, Count: len(snapshots) + 1}
+	r.lateness = Latency{Median: float64(late.Median) / 1000, P99: float64(late.P99) / 1000, Worst: float64(late.Worst) / 1000, Count: len(snapshots) + 1}
 	r.marks[name] = m
 	return nil
 }
 
 // leader is the controller that leads, "" if there is none.
-func (r *run) leader() string {
+func (r *execution) leader() string {
 	var v struct {
 		Name string `json:"n"`
 	}
-	if json.Unmarshal(r.driver.Stored(core.Prefix+"leader"), &v) != nil {
+	if json.Unmarshal(r.driver.StoredValue(core.Prefix+"leader"), &v) != nil {
 		return ""
 	}
 	return v.Name
 }
 
-func (r *run) loseLeader() error {
+func (r *execution) loseLeader() error {
 	leader := r.leader()
 	if leader == "" {
 		return nil // there is none at this moment, which the figures show
 	}
-	r.lost = r.now()
-	return r.driver.Befall(world.Fault{Kind: "crash", Hosts: []string{leader}})
+	r.leaderLostAt = r.now()
+	return r.driver.InjectFault(environment.Fault{Kind: "crash", Hosts: []string{leader}})
 }
 
 // figures works out what the run has shown.
-func (r *run) figures(events []history.Event) *Figures {
-	terms := r.driver.Terms()
-	f := &Figures{Plan: r.Plan, Sources: r.Sources, Cores: runtime.NumCPU(), Windows: map[string]Window{}, Late: r.late,
-		Urgent: waits(events, terms, classUrgent, urgentWithin), Gangs: waits(events, terms, classGang, 30),
-		Submit: answers(events, history.Submit), Poll: answers(events, history.Poll), Events: len(events), PeakMemoryMB: float64(r.peak.Load())}
-	if f.Late.P99 > mostLate {
-		f.Limited = fmt.Sprintf("the workers' or the emulator's timers ran %.0f ms late at the 99th percentile, and %d are allowed", f.Late.P99, mostLate)
+func (r *execution) figures(events []history.Event) *Figures {
+	terms := r.driver.Expectations()
+	f := &Figures{Plan: r.Plan, Sources: r.Sources, Cores: runtime.NumCPU(), Windows: map[string]Window{}, TimerLateness: r.lateness,
+		Urgent: startWaits(events, terms, classUrgent, urgentWithin), Gangs: startWaits(events, terms, classGang, 30),
+		Submit: requestLatencies(events, history.Submit), Poll: requestLatencies(events, history.Poll), Events: len(events), PeakMemoryMB: float64(r.peakMemoryMB.Load())}
+	if f.TimerLateness.P99 > maxTimerLateness {
+		f.MachineLimited = fmt.Sprintf("the workers' or the emulator's timers ran %.0f ms late at the 99th percentile, and %d are allowed", f.TimerLateness.P99, maxTimerLateness)
 	}
 	var controllers []string
 	for i := range r.Controllers {
-		controllers = append(controllers, world.NodeName(i))
+		controllers = append(controllers, environment.ControllerName(i))
 	}
 	for _, name := range []string{WindowPeak, WindowSteady} {
 		from, ok := r.marks[name+" from"]
 		to, ok2 := r.marks[name+" to"]
-		if !ok || !ok2 || len(r.Lose) > 0 && name == WindowSteady {
+		if !ok || !ok2 || len(r.Failures) > 0 && name == WindowSteady {
 			continue // what is lost is no steady load
 		}
-		w := window(from, to, controllers, r.alone)
+		w := window(from, to, controllers, r.dedicated)
 		w.Starts, w.Running = rates(events, from.at, to.at)
 		f.Windows[name] = w
 	}
-	if r.lost > 0 {
-		f.Takeover = append(f.Takeover, takeover(r.known, r.lost))
+	if r.leaderLostAt > 0 {
+		f.Failovers = append(f.Failovers, failoverOf(r.tokenTimes, r.leaderLostAt))
 	}
-	for _, b := range history.Judge(events, terms) {
-		f.Broken = append(f.Broken, b.String())
+	for _, b := range history.CheckAll(events, terms) {
+		f.Violations = append(f.Violations, b.String())
 	}
 	return f
 }
 
-// takeover is when workers had an answer of the first leader after a moment.
-func takeover(known map[uint64][]int64, lost int64) Takeover {
+// failoverOf is when workers had an answer of the first leader after a moment.
+func failoverOf(known map[uint64][]int64, lost int64) Failover {
 	var token uint64
 	for t, at := range known {
 		if slices.Min(at) > lost && (token == 0 || t < token) {
@@ -303,7 +303,7 @@
 	for _, at := range known[token] {
 		values = append(values, float64(at-lost)/1e6)
 	}
-	return Takeover{Latency: latencyOf(values), Workers: len(values)}
+	return Failover{Latency: summarize(values), Workers: len(values)}
 }
 
 // CheckPrograms says which of the programs can't be run.
--- a/internal/emulator/scale/sample.go
+++ b/internal/emulator/scale/sample.go
@@ -13,10 +13,10 @@
 	cpu, memory, peak float64
 }
 
-const bytesAMB = 1 << 20
+const bytesPerMB = 1 << 20
 
-// usageOf reads a process's usage.
-func usageOf(fs procfs.FS, pid int) (usage, error) {
+// processUsage reads a process's usage.
+func processUsage(fs procfs.FS, pid int) (usage, error) {
 	proc, err := fs.Proc(pid)
 	if err != nil {
 		return usage{}, fmt.Errorf("process %d: %w", pid, err)
@@ -29,7 +29,7 @@
 	if err != nil {
 		return usage{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	return usage{cpu: stat.CPUTime(), memory: float64(status.VmRSS) / bytesAMB, peak: float64(status.VmHWM) / bytesAMB}, nil
+	return usage{cpu: stat.CPUTime(), memory: float64(status.VmRSS) / bytesPerMB, peak: float64(status.VmHWM) / bytesPerMB}, nil
 }
 
 // usages reads those of all processes of a run by name; those that have just ended
@@ -40,15 +40,15 @@
 		if pid == 0 {
 			continue
 		}
-		if u, err := usageOf(fs, pid); err == nil {
+		if u, err := processUsage(fs, pid); err == nil {
 			out[name] = u
 		}
 	}
 	return out
 }
 
-// emulator is the name of the emulator's own process among the others.
-const emulator = "emulator"
+// emulatorProcess is the name of the emulator's own process among the others.
+const emulatorProcess = "emulator"
 
-// self is this process's number.
-func self() int { return os.Getpid() }
+// ownPID is this process's number.
+func ownPID() int { return os.Getpid() }
--- a/internal/emulator/sockets/source.go
+++ b/internal/emulator/sockets/connection_owner.go
@@ -11,11 +11,11 @@
 	"strings"
 )
 
-// source is the controller that a connection to a machine's address comes from,
+// connectionOwner is the controller that a connection to a machine's address comes from,
 // "" if it is none that was started here. All of them share one address, so it
 // is found by which process has the socket at the other end: a cut between a
 // controller and machines holds its orders too.
-func (d *Driver) source(remote string) string {
+func (d *Driver) connectionOwner(remote string) string {
 	if d.workersOnly {
 		return "" // the controllers are not processes of this one
 	}
@@ -27,7 +27,7 @@
 	if err != nil {
 		return ""
 	}
-	inode := socketOf(uint16(n))
+	inode := socketInode(uint16(n))
 	if inode == "" {
 		return ""
 	}
@@ -36,9 +36,9 @@
 		pid  int
 	}
 	ch := make(chan []process, 1)
-	if !d.do(func() {
+	if !d.onActor(func() {
 		var l []process
-		for _, n := range d.nodes {
+		for _, n := range d.controllers {
 			if n.cmd != nil {
 				l = append(l, process{n.name, n.cmd.Process.Pid})
 			}
@@ -59,8 +59,8 @@
 	return ""
 }
 
-// socketOf is the number of the socket on loopback with a local port.
-func socketOf(port uint16) string {
+// socketInode is the number of the socket on loopback with a local port.
+func socketInode(port uint16) string {
 	b, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		return "" // not on this system; orders are nobody's then
--- a/internal/emulator/sockets/proc.go
+++ b/internal/emulator/sockets/controller.go
@@ -14,25 +14,25 @@
 	"time"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
-// proc is a controller: its addresses, and its process if it has one here.
-type proc struct {
-	d           *Driver
-	index       int
-	name        string
-	front, back string
-	cmd         *exec.Cmd
-	// run numbers its processes, so that the end of one is not taken for that
+// controllerProcess is a controller: its addresses, and its process if it has one here.
+type controllerProcess struct {
+	driver               *Driver
+	index                int
+	name                 string
+	publicAddr, peerAddr string
+	cmd                  *exec.Cmd
+	// incarnation numbers its processes, so that the end of one is not taken for that
 	// of the next.
-	run int
+	incarnation int
 }
 
 // listen opens all addresses and writes the controllers' settings.
 func (d *Driver) listen() error {
-	size := d.cfg.Params.Size
+	size := d.config.Params.Size
 	serve := func(addr string, h http.HandlerFunc, by meter.Key) (string, error) {
 		e, err := d.serve(addr, h, by)
 		if err == nil {
@@ -43,26 +43,26 @@
 	if _, err := serve(loopback(d.Port), d.balance, meter.Key{}); err != nil {
 		return err
 	}
-	for i, front := range Fronts(d.Port, size) {
-		d.nodes = append(d.nodes, &proc{d: d, index: i, name: world.NodeName(i), front: front, back: loopback(d.Port + 1 + size + i)})
+	for i, front := range ControllerAddresses(d.Port, size) {
+		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: front, peerAddr: loopback(d.Port + 1 + size + i)})
 	}
-	for i, n := range d.nodes {
-		state, err := serve("127.0.0.1:0", d.pass(n.name, world.StateHost, readState, nil), meter.Key{Host: n.name, Kind: "state"})
+	for i, n := range d.controllers {
+		state, err := serve("127.0.0.1:0", d.forward(n.name, environment.StateHost, readState, nil), meter.Key{Host: n.name, Kind: "state"})
 		if err != nil {
 			return err
 		}
-		cloud, err := serve("127.0.0.1:0", d.pass(n.name, world.CloudHost, readCloud, d.addressed), meter.Key{})
+		cloud, err := serve("127.0.0.1:0", d.forward(n.name, environment.CloudHost, readCloud, d.withAddresses), meter.Key{})
 		if err != nil {
 			return err
 		}
-		p := config.Platform{Name: n.name, Zone: d.cfg.NodeZone(i), Front: n.front, Back: n.back, Outside: config.Outside{State: state, Cloud: cloud}, Params: d.cfg.Params}
-		for k, o := range d.nodes {
+		p := config.Platform{Name: n.name, Zone: d.config.ControllerZone(i), Front: n.publicAddr, Back: n.peerAddr, Outside: config.Outside{State: state, Cloud: cloud}, Params: d.config.Params}
+		for k, o := range d.controllers {
 			if k != i {
-				addr, err := d.between(n, o)
+				addr, err := d.listenBetween(n, o)
 				if err != nil {
 					return err
 				}
-				p.Peers = append(p.Peers, config.Peer{Name: o.name, Zone: d.cfg.NodeZone(k), Addr: addr})
+				p.Peers = append(p.Peers, config.Peer{Name: o.name, Zone: d.config.ControllerZone(k), Addr: addr})
 			}
 		}
 		if err := p.Check(); err != nil {
@@ -72,15 +72,15 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(d.Settings(i), b, 0o600); err != nil {
+		if err := os.WriteFile(d.SettingsPath(i), b, 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Fronts are the addresses of a driver's controllers for users and workers.
-func Fronts(port, size int) (addrs []string) {
+// ControllerAddresses are the addresses of a driver's controllers for users and workers.
+func ControllerAddresses(port, size int) (addrs []string) {
 	for i := range size {
 		addrs = append(addrs, loopback(port+1+i))
 	}
@@ -91,9 +91,9 @@
 // that is not there.
 func (d *Driver) Processes() map[string]int {
 	ch := make(chan map[string]int, 1)
-	if !d.do(func() {
+	if !d.onActor(func() {
 		pids := map[string]int{}
-		for _, n := range d.nodes {
+		for _, n := range d.controllers {
 			pids[n.name] = 0
 			if n.cmd != nil {
 				pids[n.name] = n.cmd.Process.Pid
@@ -113,20 +113,20 @@
 
 // begin starts the controller's process. One that ends by itself is started
 // again after the world's time for that.
-func (n *proc) begin() {
-	d := n.d
+func (n *controllerProcess) begin() {
+	d := n.driver
 	if len(d.Binaries) == 0 { // whoever started it keeps it running
-		d.step(world.NodeUp{Node: n.name, Up: true})
+		d.step(environment.ControllerUp{Controller: n.name, Up: true})
 		return
 	}
-	n.run++
-	run := n.run
+	n.incarnation++
+	run := n.incarnation
 	out, err := os.OpenFile(filepath.Join(d.Dir, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		d.log("a controller's log", err)
 		return
 	}
-	cmd := exec.Command(d.Binaries[n.index%len(d.Binaries)], append(append([]string{}, d.Args...), "--config", d.Settings(n.index))...)
+	cmd := exec.Command(d.Binaries[n.index%len(d.Binaries)], append(append([]string{}, d.Args...), "--config", d.SettingsPath(n.index))...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -135,21 +135,21 @@
 		return
 	}
 	n.cmd = cmd
-	d.step(world.NodeUp{Node: n.name, Up: true})
+	d.step(environment.ControllerUp{Controller: n.name, Up: true})
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
 		_ = cmd.Wait() // how it ended does not matter
 		_ = out.Close()
-		d.do(func() {
-			if n.run != run {
+		d.onActor(func() {
+			if n.incarnation != run {
 				return
 			}
 			d.log(n.name, fmt.Errorf("it has ended by itself: %s", cmd.ProcessState))
-			d.step(world.NodeUp{Node: n.name})
-			time.AfterFunc(time.Duration(d.cfg.Restart)*time.Microsecond, func() {
-				d.do(func() {
-					if n.run == run {
+			d.step(environment.ControllerUp{Controller: n.name})
+			time.AfterFunc(time.Duration(d.config.RestartTime)*time.Microsecond, func() {
+				d.onActor(func() {
+					if n.incarnation == run {
 						n.begin()
 					}
 				})
@@ -159,15 +159,15 @@
 }
 
 // kill ends its process; the world knows.
-func (n *proc) kill() {
-	n.run++
+func (n *controllerProcess) kill() {
+	n.incarnation++
 	if n.cmd != nil {
 		_ = n.cmd.Process.Kill() // it may have ended already
 		n.cmd = nil
 	}
 }
 
-func (n *proc) freeze(on bool) {
+func (n *controllerProcess) freeze(on bool) {
 	if n.cmd == nil {
 		return
 	}
@@ -175,15 +175,15 @@
 	if on {
 		s = syscall.SIGSTOP
 	}
-	n.d.log("freeze "+n.name, n.cmd.Process.Signal(s))
+	n.driver.log("freeze "+n.name, n.cmd.Process.Signal(s))
 }
 
-// lookAgain is how often a held connection looks whether its cut is over.
-const lookAgain = 20 * time.Millisecond
+// linkPollInterval is how often a held connection looks whether its cut is over.
+const linkPollInterval = 20 * time.Millisecond
 
-// between opens the address at which one controller reaches another, and carries
+// listenBetween opens the address at which one controller reaches another, and carries
 // what it says there, unless the network between them is cut.
-func (d *Driver) between(from, to *proc) (string, error) {
+func (d *Driver) listenBetween(from, to *controllerProcess) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("listen between controllers: %w", err)
@@ -197,19 +197,19 @@
 			if err != nil {
 				return
 			}
-			go d.carry(c, from, to)
+			go d.proxy(c, from, to)
 		}
 	}()
 	return l.Addr().String(), nil
 }
 
-// carry carries one connection both ways.
-func (d *Driver) carry(c net.Conn, from, to *proc) {
+// proxy carries one connection both ways.
+func (d *Driver) proxy(c net.Conn, from, to *controllerProcess) {
 	defer func() { _ = c.Close() }()
-	if !d.open(from, to) {
+	if !d.waitReachable(from, to) {
 		return
 	}
-	o, err := net.DialTimeout("tcp", to.back, time.Second)
+	o, err := net.DialTimeout("tcp", to.peerAddr, time.Second)
 	if err != nil {
 		return
 	}
@@ -218,7 +218,7 @@
 	over := make(chan struct{}, 2)
 	copyTo := func(dst, src net.Conn) {
 		defer func() { over <- struct{}{} }()
-		d.copyLate(dst, src, from, to)
+		d.copyDelayed(dst, src, from, to)
 	}
 	go copyTo(o, c)
 	go copyTo(c, o)
@@ -234,17 +234,17 @@
 	bytes []byte
 }
 
-// chunksUnderWay bounds what is on its way over a connection.
-const chunksUnderWay = 256
+// maxChunksInFlight bounds what is on its way over a connection.
+const maxChunksInFlight = 256
 
-// copyLate carries one direction of a connection between two controllers, each
+// copyDelayed carries one direction of a connection between two controllers, each
 // piece after what the way between their regions takes.
-func (d *Driver) copyLate(dst, src net.Conn, from, to *proc) {
+func (d *Driver) copyDelayed(dst, src net.Conn, from, to *controllerProcess) {
 	var latency time.Duration
-	if d.cfg.Network.Remote > 0 {
-		latency = time.Duration(d.w.Latency(d.cfg.NodeZone(from.index), d.cfg.NodeZone(to.index))) * time.Microsecond
+	if d.config.Network.CrossRegion > 0 {
+		latency = time.Duration(d.env.Latency(d.config.ControllerZone(from.index), d.config.ControllerZone(to.index))) * time.Microsecond
 	}
-	way := make(chan chunk, chunksUnderWay)
+	way := make(chan chunk, maxChunksInFlight)
 	var delivery sync.WaitGroup
 	broken := make(chan struct{})
 	delivery.Go(func() {
@@ -256,7 +256,7 @@
 			if wait := time.Until(c.due); latency > 0 && wait > 0 {
 				time.Sleep(wait)
 			}
-			if !d.open(from, to) {
+			if !d.waitReachable(from, to) {
 				return
 			}
 			if _, err := dst.Write(c.bytes); err != nil {
@@ -282,14 +282,14 @@
 	}
 }
 
-// open waits until two controllers can reach each other; false if the
+// waitReachable waits until two controllers can reach each other; false if the
 // connection is to break.
-func (d *Driver) open(a, b *proc) bool {
+func (d *Driver) waitReachable(a, b *controllerProcess) bool {
 	for {
 		type state struct{ cut, reset bool }
 		ch := make(chan state, 1)
-		if !d.do(func() {
-			cut, reset := d.w.Cut(a.name, b.name)
+		if !d.onActor(func() {
+			cut, reset := d.env.LinkState(a.name, b.name)
 			ch <- state{cut, reset}
 		}) {
 			return false
@@ -302,6 +302,6 @@
 		case <-d.stop:
 			return false
 		}
-		time.Sleep(lookAgain)
+		time.Sleep(linkPollInterval)
 	}
 }
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -17,10 +17,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // Options say where and for whom a world is served.
@@ -34,118 +34,118 @@
 	Binaries []string
 	// Args come before --config.
 	Args []string
-	// Progress, if set, is called every ten seconds.
-	Progress func(Progress)
+	// OnProgress, if set, is called every ten seconds.
+	OnProgress func(Progress)
 	// Workers, if set, runs the machines' workers in other processes.
 	Workers Workers
 	// Meter, if set, counts what controllers and workers send and get.
 	Meter *meter.Meter
-	// Events, if set, is called with each event; none is kept.
-	Events func(history.Event)
-	// Accepted, if set, is called when a worker has taken an answer with a higher
+	// OnEvent, if set, is called with each event; none is kept.
+	OnEvent func(history.Event)
+	// OnTokenAccepted, if set, is called when a worker has taken an answer with a higher
 	// token than any before.
-	Accepted func(token uint64, at int64)
+	OnTokenAccepted func(token uint64, at int64)
 }
 
 // Workers runs machines' workers outside the driver's process. Its methods but
 // Settled must not wait for anything.
 type Workers interface {
 	// Machine begins or ends a worker.
-	Machine(world.Machine)
+	Machine(environment.Machine)
 	// Fault befalls a worker.
-	Fault(world.WorkerFault)
+	Fault(environment.WorkerFault)
 	// Address is a worker's own.
 	Address(machine string) string
-	// Settled waits until the workers of machines that are gone have ended.
-	Settled(machines []string)
+	// WaitEnded waits until the workers of machines that are gone have ended.
+	WaitEnded(machines []string)
 }
 
 // Progress is how far a run is.
 type Progress struct {
-	Now, Length                 time.Duration
-	Events, Accepted, Done, Ran int
+	Now, Length                      time.Duration
+	Events, Accepted, Done, Finished int
 }
 
 // Driver serves a world. Its actor alone touches the world.
 type Driver struct {
 	Options
-	cfg     world.Config
-	w       *world.World
-	start   time.Time
-	inbox   chan func()
-	calls   map[uint64]func(int, any)
-	next    uint64
-	nodes   []*proc
-	history []history.Event
-	terms   history.Terms
-	count   Progress
-
-	// late is how late the world's own timers ran, in microseconds.
-	late *hdrhistogram.Histogram
+	config       environment.Config
+	env          *environment.Environment
+	start        time.Time
+	inbox        chan func()
+	calls        map[uint64]func(int, any)
+	nextID       uint64
+	controllers  []*controllerProcess
+	history      []history.Event
+	expectations history.Expectations
+	progress     Progress
+
+	// lateness is how late the world's own timers ran, in microseconds.
+	lateness *hdrhistogram.Histogram
 	// workersOnly: this process has some machines' workers and nothing else.
 	workersOnly bool
-	// reports has the clients by which workers report, where each has its own, and
+	// reportClients has the clients by which workers report, where each has its own, and
 	// tokens the highest that each has been answered with.
-	reports map[string]*http.Client
-	tokens  map[string]uint64
+	reportClients map[string]*http.Client
+	workerTokens  map[string]uint64
 
 	mu        sync.Mutex // guards what follows, which handlers read
 	endpoints map[string]endpoint
 
-	users, beats *http.Client
-	stop         chan struct{}
-	stopped      sync.WaitGroup
-	closers      []func()
+	userClient, peerReportClient *http.Client
+	stop                         chan struct{}
+	stopped                      sync.WaitGroup
+	closers                      []func()
 }
 
 // inboxSize bounds what waits for the actor.
 const inboxSize = 8192
 
 // New makes a driver of a world; nothing is served yet.
-func New(cfg world.Config, o Options) (*Driver, error) {
+func New(cfg environment.Config, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
-	w, err := world.New(cfg, d.happened)
+	w, err := environment.New(cfg, d.onEvent)
 	if err != nil {
 		return nil, err
 	}
-	d.w = w
+	d.env = w
 	return d, os.MkdirAll(o.Dir, 0o755)
 }
 
-func newDriver(cfg world.Config, o Options) *Driver {
-	return &Driver{Options: o, cfg: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
-		stop: make(chan struct{}), terms: cfg.Terms(), users: client(true), beats: client(false),
-		late: hdrhistogram.New(1, mostLate, 3)}
+func newDriver(cfg environment.Config, o Options) *Driver {
+	return &Driver{Options: o, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
+		stop: make(chan struct{}), expectations: cfg.Expectations(), userClient: client(true), peerReportClient: client(false),
+		lateness: hdrhistogram.New(1, maxTrackedLateness, 3)}
 }
 
-// mostLate bounds what is told apart of late timers, in microseconds.
-const mostLate = 600_000_000
+// maxTrackedLateness bounds what is told apart of late timers, in microseconds.
+const maxTrackedLateness = 600_000_000
 
-// happened takes an event of the world.
-func (d *Driver) happened(e history.Event) {
-	if d.Events != nil {
-		d.Events(e)
+// onEvent takes an event of the world.
+func (d *Driver) onEvent(e history.Event) {
+	if d.OnEvent != nil {
+		d.OnEvent(e)
 		return
 	}
-	if d.Workers != nil && e.Kind == history.Stored {
+	if d.Workers != nil && e.Kind == history.StateChanged {
 		return // a large run stores a great deal, and no rule asks for it
 	}
 	d.history = append(d.history, e)
 	switch {
-	case e.Kind == history.Entered:
-		d.count.Ran++
-	case e.Kind == history.Told && e.Op == history.Submit && e.Status == 201:
-		d.count.Accepted++
-	case e.Kind == history.Completed:
-		d.count.Done++
+	case e.Kind == history.TaskEntered:
+		d.progress.Finished++
+	case e.Kind == history.ResponseReceived && e.Op == history.Submit && e.Status == 201:
+		d.progress.Accepted++
+	case e.Kind == history.TaskCompleted:
+		d.progress.Done++
 	}
 }
 
-// Absorb takes events of workers in other processes.
-func (d *Driver) Absorb(events []history.Event) {
-	d.do(func() {
+// AddEvents takes events of workers in other processes.
+func (d *Driver) AddEvents(events []history.Event) {
+	d.onActor(func() {
 		for _, e := range events {
-			d.happened(e)
+			d.onEvent(e)
 		}
 	})
 }
@@ -156,8 +156,8 @@
 // Lateness asks the driver's actor how late its timers have run.
 func (d *Driver) Lateness() (l Lateness) {
 	ch := make(chan Lateness, 1)
-	if !d.do(func() {
-		ch <- Lateness{d.late.ValueAtQuantile(50), d.late.ValueAtQuantile(99), d.late.Max()}
+	if !d.onActor(func() {
+		ch <- Lateness{d.lateness.ValueAtQuantile(50), d.lateness.ValueAtQuantile(99), d.lateness.Max()}
 	}) {
 		return l
 	}
@@ -168,10 +168,10 @@
 	return l
 }
 
-// Stored asks for the value of a key of the state service, nil if it is not there.
-func (d *Driver) Stored(key string) []byte {
+// StoredValue asks for the value of a key of the state service, nil if it is not there.
+func (d *Driver) StoredValue(key string) []byte {
 	ch := make(chan []byte, 1)
-	if !d.do(func() { ch <- d.w.Stored(key) }) {
+	if !d.onActor(func() { ch <- d.env.StoredValue(key) }) {
 		return nil
 	}
 	select {
@@ -188,8 +188,8 @@
 // now is the time since the world began.
 func (d *Driver) now() int64 { return time.Since(d.start).Microseconds() }
 
-// do has the actor call f; false if the driver has stopped.
-func (d *Driver) do(f func()) bool {
+// onActor has the actor call f; false if the driver has stopped.
+func (d *Driver) onActor(f func()) bool {
 	select {
 	case d.inbox <- f:
 		return true
@@ -208,11 +208,11 @@
 	if d.start.IsZero() {
 		d.start = time.Now()
 	}
-	for _, n := range d.nodes {
+	for _, n := range d.controllers {
 		n.begin()
 	}
 	d.loop(end)
-	d.w.Close()
+	d.env.Close()
 	if d.Workers != nil {
 		// Events of other processes come a little later than the driver's own.
 		slices.SortStableFunc(d.history, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
@@ -220,19 +220,19 @@
 	return d.history, nil
 }
 
-// StartsAt sets when the world's time begins, for several processes that share it.
-func (d *Driver) StartsAt(t time.Time) { d.start = t }
+// SetStart sets when the world's time begins, for several processes that share it.
+func (d *Driver) SetStart(t time.Time) { d.start = t }
 
 // loop lets the world go on until its length is over or the channel is closed.
 func (d *Driver) loop(end <-chan struct{}) {
-	over := time.NewTimer(time.Duration(d.cfg.Length) * time.Microsecond)
+	over := time.NewTimer(time.Duration(d.config.Length) * time.Microsecond)
 	defer over.Stop()
 	report := time.NewTicker(10 * time.Second)
 	defer report.Stop()
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
-		if at, ok := d.w.Next(); ok {
+		if at, ok := d.env.Next(); ok {
 			due.Reset(max(time.Duration(at-d.now())*time.Microsecond, 0))
 		}
 		select {
@@ -247,14 +247,14 @@
 				}
 			}
 		case <-due.C:
-			if at, ok := d.w.Next(); ok && at <= d.now() {
-				_ = d.late.RecordValue(min(d.now()-at, mostLate)) // within its bounds
+			if at, ok := d.env.Next(); ok && at <= d.now() {
+				_ = d.lateness.RecordValue(min(d.now()-at, maxTrackedLateness)) // within its bounds
 			}
 			d.step(nil)
 		case <-report.C:
-			if d.Progress != nil {
-				d.count.Now, d.count.Length, d.count.Events = time.Since(d.start), time.Duration(d.cfg.Length)*time.Microsecond, len(d.history)
-				d.Progress(d.count)
+			if d.OnProgress != nil {
+				d.progress.Now, d.progress.Length, d.progress.Events = time.Since(d.start), time.Duration(d.config.Length)*time.Microsecond, len(d.history)
+				d.OnProgress(d.progress)
 			}
 		case <-over.C:
 			return
@@ -264,32 +264,32 @@
 	}
 }
 
-// Terms are what the rules of this world are judged by, with the jobs that came
+// Expectations are what the rules of this world are judged by, with the jobs that came
 // from outside.
-func (d *Driver) Terms() history.Terms { return d.terms }
+func (d *Driver) Expectations() history.Expectations { return d.expectations }
 
 // step gives the world a message and carries out what it returns.
 func (d *Driver) step(msg any) {
-	for _, e := range d.w.Step(d.now(), msg) {
+	for _, e := range d.env.Step(d.now(), msg) {
 		switch e := e.(type) {
-		case world.Answer:
+		case environment.Answer:
 			if f := d.calls[e.ID]; f != nil {
 				delete(d.calls, e.ID)
 				f(e.Status, e.Body)
 			}
-		case world.Ask:
-			if n := d.proc(e.To); n != nil {
-				d.ask(n, e)
+		case environment.Ask:
+			if n := d.controller(e.To); n != nil {
+				d.sendToController(n, e)
 			}
-		case world.Kill:
-			d.proc(e.Node).kill()
-		case world.Start:
-			d.proc(e.Node).begin()
-		case world.Freeze:
-			d.proc(e.Node).freeze(e.On)
-		case world.Machine:
+		case environment.Kill:
+			d.controller(e.Controller).kill()
+		case environment.Start:
+			d.controller(e.Controller).begin()
+		case environment.Freeze:
+			d.controller(e.Controller).freeze(e.On)
+		case environment.Machine:
 			d.machine(e)
-		case world.WorkerFault:
+		case environment.WorkerFault:
 			if d.Workers != nil {
 				d.Workers.Fault(e)
 			}
@@ -297,8 +297,8 @@
 	}
 }
 
-func (d *Driver) proc(name string) *proc {
-	for _, n := range d.nodes {
+func (d *Driver) controller(name string) *controllerProcess {
+	for _, n := range d.controllers {
 		if n.name == name {
 			return n
 		}
@@ -314,10 +314,10 @@
 		body   any
 	}
 	ch := make(chan answer, 1)
-	ok := d.do(func() {
-		d.next++
-		d.calls[d.next] = func(status int, body any) { ch <- answer{status, body} }
-		d.step(world.Call{ID: d.next, From: from, To: to, Request: request})
+	ok := d.onActor(func() {
+		d.nextID++
+		d.calls[d.nextID] = func(status int, body any) { ch <- answer{status, body} }
+		d.step(environment.Call{ID: d.nextID, From: from, To: to, Request: request})
 	})
 	if !ok {
 		return 0, nil, errStopped
@@ -326,22 +326,22 @@
 	case a := <-ch:
 		return a.status, a.body, nil
 	case <-gone:
-		return 0, nil, errGone
+		return 0, nil, errCallerGone
 	case <-d.stop:
 		return 0, nil, errStopped
 	}
 }
 
 var (
-	errStopped = errors.New("the emulator has stopped")
-	errGone    = errors.New("the caller has gone")
+	errStopped    = errors.New("the emulator has stopped")
+	errCallerGone = errors.New("the caller has gone")
 )
 
-// Befall lets a fault happen now.
-func (d *Driver) Befall(f world.Fault) error {
+// InjectFault lets a fault happen now.
+func (d *Driver) InjectFault(f environment.Fault) error {
 	ch := make(chan error, 1)
-	if !d.do(func() {
-		err := d.w.Befall(f)
+	if !d.onActor(func() {
+		err := d.env.InjectFault(f)
 		d.step(nil)
 		ch <- err
 	}) {
@@ -357,7 +357,7 @@
 
 func (d *Driver) close() {
 	close(d.stop)
-	for _, n := range d.nodes {
+	for _, n := range d.controllers {
 		n.kill()
 	}
 	for _, f := range d.closers {
@@ -371,19 +371,19 @@
 	d.stopped.Wait()
 }
 
-// upload gives workers descriptions that come from outside; the actor calls it.
-func (d *Driver) upload(jobs ...wire.Job) {
+// addJobs gives workers descriptions that come from outside; the actor calls it.
+func (d *Driver) addJobs(jobs ...wire.Job) {
 	for _, j := range jobs {
-		d.w.Upload(j)
-		if d.terms.Jobs[j.ID] == nil {
-			d.terms.Jobs[j.ID] = &j
+		d.env.AddExternalJob(j)
+		if d.expectations.Jobs[j.ID] == nil {
+			d.expectations.Jobs[j.ID] = &j
 		}
 	}
 }
 
-// Settings is where a controller's settings are.
-func (d *Driver) Settings(i int) string {
-	return filepath.Join(d.Dir, world.NodeName(i)+".json")
+// SettingsPath is where a controller's settings are.
+func (d *Driver) SettingsPath(i int) string {
+	return filepath.Join(d.Dir, environment.ControllerName(i)+".json")
 }
 
 func (d *Driver) log(msg string, err error) {
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -11,15 +11,15 @@
 	"strings"
 	"time"
 
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 	"github.com/zinclb/zinclb/internal/emulator/scenario"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
-// maxBody is the largest request.
-const maxBody = 64 << 10
+// maxBodyBytes is the largest request.
+const maxBodyBytes = 64 << 10
 
 // client never follows a redirect; a user makes a new connection each time.
 func client(fresh bool) *http.Client {
@@ -53,8 +53,8 @@
 
 // decode reads a body, strictly enough for a 400.
 func decode(r *http.Request, v any) bool {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-	return err == nil && len(b) <= maxBody && json.Unmarshal(b, v) == nil
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	return err == nil && len(b) <= maxBodyBytes && json.Unmarshal(b, v) == nil
 }
 
 // write answers a request and returns the length of the body.
@@ -78,9 +78,9 @@
 	}
 }
 
-// pass makes a handler that reads a request, brings it to a host and writes the
+// forward makes a handler that reads a request, brings it to a host and writes the
 // answer; alter may change its body first.
-func (d *Driver) pass(known, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
+func (d *Driver) forward(known, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		q, from := read(r), known
 		if q == nil {
@@ -90,7 +90,7 @@
 		// A server only sees that a client has gone once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		if from == "" {
-			from = d.source(r.RemoteAddr)
+			from = d.connectionOwner(r.RemoteAddr)
 		}
 		status, body, err := d.call(from, to, q, r.Context().Done())
 		if err != nil || status == 0 {
@@ -98,25 +98,25 @@
 			return
 		}
 		if r, ok := q.(wire.Release); ok && status == 200 && d.Workers != nil {
-			d.Workers.Settled(r.Machines)
+			d.Workers.WaitEnded(r.Machines)
 		}
 		if alter != nil {
 			body = alter(body)
 		}
 		length := write(w, status, body)
 		if from != "" && to != "" {
-			d.Meter.Add(meter.Key{Host: from, Kind: kindOf(q)}, passed(q, status, r.ContentLength, length))
+			d.Meter.Add(meter.Key{Host: from, Kind: kindOf(q)}, requestCount(q, status, r.ContentLength, length))
 		}
 	}
 }
 
-// passed is what one request to a service counts for.
-func passed(request any, status int, out int64, in int) meter.Count {
+// requestCount is what one request to a service counts for.
+func requestCount(request any, status int, out int64, in int) meter.Count {
 	c := meter.Count{Messages: 1, BytesOut: max(out, 0), BytesIn: int64(in)}
 	if status == http.StatusTooManyRequests {
 		c.Refused = 1
 	}
-	if m, ok := request.(wire.Multi); ok && status == 200 {
+	if m, ok := request.(wire.Transaction); ok && status == 200 {
 		c.Changes = int64(len(m.Writes))
 	}
 	return c
@@ -129,7 +129,7 @@
 		return "state get"
 	case wire.List:
 		return "state list"
-	case wire.Multi:
+	case wire.Transaction:
 		if len(q.Writes) == 0 {
 			return "state compare"
 		}
@@ -141,13 +141,13 @@
 		return "state watch"
 	case wire.NewLease:
 		return "state lease"
-	case wire.Touch:
+	case wire.RenewLease:
 		return "state renewal"
-	case wire.Drop:
+	case wire.RevokeLease:
 		return "state drop"
 	case wire.Types, wire.Machines, wire.Rent, wire.Release:
 		return "cloud"
-	case wire.Do, wire.Inspect:
+	case wire.WorkerOrders, wire.Inspect:
 		return "order"
 	}
 	return "other"
@@ -173,7 +173,7 @@
 		return wire.Get{Key: path[len("/kv/"):]}
 	case r.Method == "GET" && path == "/kv":
 		if n, ok := num("most", 1000); ok {
-			return wire.List{Prefix: v.Get("starts"), After: v.Get("after"), Most: int(n)}
+			return wire.List{Prefix: v.Get("starts"), After: v.Get("after"), Limit: int(n)}
 		}
 	case r.Method == "GET" && path == "/watch":
 		after, ok := num("after", 0)
@@ -182,7 +182,7 @@
 			return wire.Watch{Prefix: v.Get("starts"), After: after, WaitMS: int64(wait)}
 		}
 	case r.Method == "POST" && path == "/multi":
-		var m wire.Multi
+		var m wire.Transaction
 		if decode(r, &m) {
 			return m
 		}
@@ -193,11 +193,11 @@
 		}
 	case r.Method == "POST" && strings.HasSuffix(path, "/touch"):
 		if n, ok := lease(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch")); ok {
-			return wire.Touch{Lease: n}
+			return wire.RenewLease{Lease: n}
 		}
 	case r.Method == "DELETE" && strings.HasPrefix(path, "/leases/"):
 		if n, ok := lease(strings.TrimPrefix(path, "/leases/")); ok {
-			return wire.Drop{Lease: n}
+			return wire.RevokeLease{Lease: n}
 		}
 	}
 	return nil
@@ -213,16 +213,16 @@
 		if err != nil {
 			most = 500
 		}
-		return wire.Machines{After: r.URL.Query().Get("after"), Most: most}
+		return wire.Machines{After: r.URL.Query().Get("after"), Limit: most}
 	case "POST /rentals":
 		var m wire.Rent
 		if decode(r, &m) {
 			return m
 		}
 	case "POST /rentals/release":
-		var m wire.Names
+		var m wire.MachineNames
 		if decode(r, &m) {
-			return wire.Release{Names: m}
+			return wire.Release{MachineNames: m}
 		}
 	}
 	return nil
@@ -232,7 +232,7 @@
 func readWorker(r *http.Request) any {
 	switch r.Method + " " + r.URL.Path {
 	case "POST /do":
-		var m wire.Do
+		var m wire.WorkerOrders
 		if decode(r, &m) {
 			return m
 		}
@@ -252,7 +252,7 @@
 	if e, ok := d.endpoints[name]; ok {
 		return e.addr
 	}
-	e, err := d.serve("127.0.0.1:0", d.pass("", name, readWorker, d.addressed), meter.Key{})
+	e, err := d.serve("127.0.0.1:0", d.forward("", name, readWorker, d.withAddresses), meter.Key{})
 	if err != nil {
 		d.log("a worker has no address", err)
 		return "127.0.0.1:9"
@@ -262,7 +262,7 @@
 }
 
 // machine opens and closes a machine's address.
-func (d *Driver) machine(m world.Machine) {
+func (d *Driver) machine(m environment.Machine) {
 	if d.Workers != nil {
 		d.Workers.Machine(m)
 		return
@@ -271,9 +271,9 @@
 		d.endpoint(m.Name)
 		return
 	}
-	if c := d.reports[m.Name]; c != nil {
+	if c := d.reportClients[m.Name]; c != nil {
 		c.CloseIdleConnections()
-		delete(d.reports, m.Name)
+		delete(d.reportClients, m.Name)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -283,8 +283,8 @@
 	}
 }
 
-// addressed puts the addresses of machines into what tells of them.
-func (d *Driver) addressed(body any) any {
+// withAddresses puts the addresses of machines into what tells of them.
+func (d *Driver) withAddresses(body any) any {
 	switch b := body.(type) {
 	case wire.MachinesAnswer:
 		for i := range b.Machines {
@@ -296,8 +296,8 @@
 	return body
 }
 
-// ask brings a request of the world to a controller.
-func (d *Driver) ask(n *proc, a world.Ask) {
+// sendToController brings a request of the world to a controller.
+func (d *Driver) sendToController(n *controllerProcess, a environment.Ask) {
 	method, path, body := "GET", "", []byte(nil)
 	encode := func(v any) {
 		b, err := json.Marshal(v)
@@ -306,20 +306,20 @@
 		}
 		method, body = "POST", b
 	}
-	c, answer := d.users, any(&wire.JobAnswer{})
+	c, answer := d.userClient, any(&wire.JobAnswer{})
 	switch q := a.Request.(type) {
 	case *wire.Report:
-		d.addressed(q)
+		d.withAddresses(q)
 		encode(q)
-		path, c, answer = "/agent/beat", d.reporter(q.Machine), &wire.BeatAnswer{}
+		path, c, answer = "/agent/beat", d.reportClient(q.Machine), &wire.HeartbeatAnswer{}
 	case *wire.Job:
 		encode(q)
 		path = "/work"
-	case wire.Raw:
+	case wire.RawSubmission:
 		method, body, path = "POST", q.Body, "/work"
 	case wire.Poll:
 		path = "/work/" + q.ID
-	case wire.Withdraw:
+	case wire.Cancel:
 		encode(struct{}{})
 		path = "/work/" + q.ID + "/withdraw"
 	case wire.Sweep:
@@ -329,14 +329,14 @@
 	case wire.SweepCancel:
 		encode(struct{}{})
 		path = "/sweeps/" + q.ID + "/withdraw"
-	case wire.Ready:
+	case wire.ReadyProbe:
 		path = "/ready"
 	}
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
-		t := world.Told{ID: a.ID}
-		req, err := http.NewRequest(method, "http://"+n.front+path, bytes.NewReader(body))
+		t := environment.AskAnswer{ID: a.ID}
+		req, err := http.NewRequest(method, "http://"+n.publicAddr+path, bytes.NewReader(body))
 		if err == nil {
 			var resp *http.Response
 			if resp, err = c.Do(req); err == nil {
@@ -344,11 +344,11 @@
 				_ = resp.Body.Close()
 				if readErr == nil {
 					t.Status = resp.StatusCode
-					d.counted(n.name, a, resp.StatusCode)
-					t.Retry, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
+					d.countRequest(n.name, a, resp.StatusCode)
+					t.RetryAfter, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
 					_ = json.Unmarshal(b, answer) // an error's body may be anything
 					switch v := answer.(type) {
-					case *wire.BeatAnswer:
+					case *wire.HeartbeatAnswer:
 						t.Body = *v
 					case *wire.JobAnswer:
 						t.Body = *v
@@ -356,8 +356,8 @@
 				}
 			}
 		}
-		d.do(func() {
-			d.took(a.Request, t)
+		d.onActor(func() {
+			d.noteToken(a.Request, t)
 			d.step(t)
 		})
 	}()
@@ -367,15 +367,15 @@
 // healthy controller, keeps their history and has workers know their jobs. It
 // also takes faults.
 func (d *Driver) balance(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-	if err != nil || len(body) > maxBody {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
 		write(w, 413, wire.Error{Error: "body too large"})
 		return
 	}
 	if r.URL.Path == "/emulator/fault" {
 		f, err := scenario.ParseFault(body)
 		if err == nil {
-			err = d.Befall(f)
+			err = d.InjectFault(f)
 		}
 		if err != nil {
 			write(w, 400, wire.Error{Error: err.Error()})
@@ -393,22 +393,22 @@
 			op, job, jobs = history.Submit, j.ID, []wire.Job{j}
 		}
 	case r.URL.Path == "/sweeps" && r.Method == "POST":
-		if s, err := scenario.Expand(world.Sweep{Text: string(body)}); err == nil {
+		if s, err := scenario.Expand(environment.Sweep{Text: string(body)}); err == nil {
 			jobs = s.Jobs
 		}
 	case parts[0] == "work" && len(parts) == 2:
 		op, job = history.Poll, parts[1]
 	case parts[0] == "work" && len(parts) == 3:
-		op, job = history.Withdraw, parts[1]
+		op, job = history.Cancel, parts[1]
 	}
 	var nodes []string
 	var call uint64
 	ready := make(chan struct{})
-	if !d.do(func() {
-		d.upload(jobs...)
-		nodes = d.w.Healthy()
+	if !d.onActor(func() {
+		d.addJobs(jobs...)
+		nodes = d.env.HealthyControllers()
 		if op != "" {
-			call = d.w.Outside(op, job)
+			call = d.env.ExternalRequest(op, job)
 		}
 		close(ready)
 	}) {
@@ -423,11 +423,11 @@
 	}
 	status, answer := 0, []byte(nil)
 	for _, name := range nodes {
-		req, err := http.NewRequest(r.Method, "http://"+d.proc(name).front+r.URL.RequestURI(), bytes.NewReader(body))
+		req, err := http.NewRequest(r.Method, "http://"+d.controller(name).publicAddr+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			break
 		}
-		resp, err := d.users.Do(req)
+		resp, err := d.userClient.Do(req)
 		if err != nil {
 			continue
 		}
@@ -447,7 +447,7 @@
 	if op != "" {
 		var a wire.JobAnswer
 		_ = json.Unmarshal(answer, &a) // an error's body may be anything
-		d.do(func() { d.w.OutsideTold(call, op, job, status, a.State) })
+		d.onActor(func() { d.env.ExternalAnswer(call, op, job, status, a.State) })
 	}
 	if status == 0 {
 		write(w, 503, wire.Error{Error: "no controller is healthy"})
--- a/internal/emulator/sockets/workers.go
+++ b/internal/emulator/sockets/workers.go
@@ -6,24 +6,24 @@
 	"net/http"
 	"time"
 
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
-// NewWorkers makes a driver of a world of workers alone, which report to
+// NewWorkerDriver makes a driver of a world of workers alone, which report to
 // controllers at the addresses fronts. Each worker has connections of its own, as
 // one on a machine of its own has.
-func NewWorkers(cfg world.Config, fronts []string, o Options) (*Driver, error) {
+func NewWorkerDriver(cfg environment.Config, fronts []string, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
-	w, err := world.NewWorkers(cfg, d.happened)
+	w, err := environment.NewWorkerEnvironment(cfg, d.onEvent)
 	if err != nil {
 		return nil, err
 	}
-	d.w, d.workersOnly = w, true
-	d.reports, d.tokens = map[string]*http.Client{}, map[string]uint64{}
+	d.env, d.workersOnly = w, true
+	d.reportClients, d.workerTokens = map[string]*http.Client{}, map[string]uint64{}
 	for i, front := range fronts {
-		d.nodes = append(d.nodes, &proc{d: d, index: i, name: world.NodeName(i), front: front})
+		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: front})
 	}
 	return d, nil
 }
@@ -37,7 +37,7 @@
 // Tell gives the world a message about a worker, and calls then, if it is not nil,
 // when that has taken effect.
 func (d *Driver) Tell(msg any, then func()) {
-	d.do(func() {
+	d.onActor(func() {
 		d.step(msg)
 		if then != nil {
 			then()
@@ -48,23 +48,23 @@
 // Endpoint is the address of a worker's own.
 func (d *Driver) Endpoint(machine string) string { return d.endpoint(machine) }
 
-// reporter is the client by which a worker reports.
-func (d *Driver) reporter(machine string) *http.Client {
+// reportClient is the client by which a worker reports.
+func (d *Driver) reportClient(machine string) *http.Client {
 	if !d.workersOnly {
-		return d.beats
+		return d.peerReportClient
 	}
-	if d.reports[machine] == nil {
-		d.reports[machine] = d.ownClient(machine)
+	if d.reportClients[machine] == nil {
+		d.reportClients[machine] = d.ownClient(machine)
 	}
-	return d.reports[machine]
+	return d.reportClients[machine]
 }
 
 // ownClient makes a client whose connections are one worker's alone.
 func (d *Driver) ownClient(machine string) *http.Client {
 	c := client(false)
 	names := map[string]string{}
-	for _, n := range d.nodes {
-		names[n.front] = n.name
+	for _, n := range d.controllers {
+		names[n.publicAddr] = n.name
 	}
 	var dialer net.Dialer
 	c.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
@@ -78,35 +78,35 @@
 	return c
 }
 
-// took notes the token of an answer that a worker got; the actor calls it.
-func (d *Driver) took(request any, t world.Told) {
+// noteToken notes the token of an answer that a worker got; the actor calls it.
+func (d *Driver) noteToken(request any, t environment.AskAnswer) {
 	report, isReport := request.(*wire.Report)
-	answer, isAnswer := t.Body.(wire.BeatAnswer)
-	if d.Accepted == nil || !isReport || !isAnswer || t.Status != http.StatusOK || answer.Token <= d.tokens[report.Machine] {
+	answer, isAnswer := t.Body.(wire.HeartbeatAnswer)
+	if d.OnTokenAccepted == nil || !isReport || !isAnswer || t.Status != http.StatusOK || answer.Token <= d.workerTokens[report.Machine] {
 		return
 	}
-	d.tokens[report.Machine] = answer.Token
-	d.Accepted(answer.Token, d.now())
+	d.workerTokens[report.Machine] = answer.Token
+	d.OnTokenAccepted(answer.Token, d.now())
 }
 
 // ReportKind is the kind under which reports are counted, for the worker and for the
 // controller.
 const ReportKind = "report"
 
-// counted counts a request that a controller has answered.
-func (d *Driver) counted(node string, a world.Ask, status int) {
+// countRequest counts a request that a controller has answered.
+func (d *Driver) countRequest(node string, a environment.Ask, status int) {
 	kind := ""
 	switch q := a.Request.(type) {
 	case *wire.Report:
 		kind = ReportKind
 		d.Meter.Add(meter.Key{Host: q.Machine, Kind: kind}, meter.Count{Messages: 1})
-	case *wire.Job, wire.Raw:
+	case *wire.Job, wire.RawSubmission:
 		kind = "submission"
 	case wire.Poll:
 		kind = "poll"
-	case wire.Withdraw:
+	case wire.Cancel:
 		kind = "cancellation"
-	case wire.Ready:
+	case wire.ReadyProbe:
 		kind = "readiness"
 	default:
 		kind = "other"
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -7,27 +7,27 @@
 
 // Job is a submission.
 type Job struct {
-	ID        string   `json:"name_id"`
-	Class     string   `json:"herd"`
-	Team      string   `json:"steward"`
-	Kind      string   `json:"shape"`
-	Priority  string   `json:"urgency"`
-	Tasks     int      `json:"hands"`
-	CPUs      float64  `json:"vcpus"`
-	GPUs      float64  `json:"gpus"`
-	MemGB     float64  `json:"mem_gb"`
-	Image     string   `json:"seedstock"`
-	ImageGB   float64  `json:"pull_gb"`
-	Types     []string `json:"breeds,omitempty"`
-	Zone      *string  `json:"paddock"`
-	OneZone   bool     `json:"one_zone"`
-	Spread    bool     `json:"scatter"`
-	Spot      bool     `json:"borrowed"`
-	EstimateS float64  `json:"expect_s"`
-	CheckpntS float64  `json:"bank_s"`
-	SaveS     float64  `json:"bank_cost_s"`
-	DeadlineS *float64 `json:"due_s"`
-	Awaits    []string `json:"awaits,omitempty"`
+	ID              string   `json:"name_id"`
+	Class           string   `json:"herd"`
+	Team            string   `json:"steward"`
+	Kind            string   `json:"shape"`
+	Priority        string   `json:"urgency"`
+	Tasks           int      `json:"hands"`
+	CPUs            float64  `json:"vcpus"`
+	GPUs            float64  `json:"gpus"`
+	MemGB           float64  `json:"mem_gb"`
+	Image           string   `json:"seedstock"`
+	ImageGB         float64  `json:"pull_gb"`
+	Types           []string `json:"breeds,omitempty"`
+	Zone            *string  `json:"paddock"`
+	OneZone         bool     `json:"one_zone"`
+	Spread          bool     `json:"scatter"`
+	Spot            bool     `json:"borrowed"`
+	EstimateS       float64  `json:"expect_s"`
+	CheckpointS     float64  `json:"bank_s"`
+	CheckpointCostS float64  `json:"bank_cost_s"`
+	DeadlineS       *float64 `json:"due_s"`
+	DependsOn       []string `json:"awaits,omitempty"`
 }
 
 // The kinds of jobs, the final states and the states between.
@@ -39,20 +39,20 @@
 	Pending   = "pending"
 	Running   = "running"
 	Done      = "done"
-	Withdrawn = "withdrawn"
+	Cancelled = "withdrawn"
 )
 
 // Users' requests besides a Job, and their answer. Sweep is the text of a sweep,
 // Raw the body of a submission that need not be a Job.
 type (
-	Raw         struct{ Body []byte }
-	Poll        struct{ ID string }
-	Withdraw    struct{ ID string }
-	Ready       struct{}
-	Sweep       struct{ Text string }
-	SweepPoll   struct{ ID string }
-	SweepCancel struct{ ID string }
-	JobAnswer   struct {
+	RawSubmission struct{ Body []byte }
+	Poll          struct{ ID string }
+	Cancel        struct{ ID string }
+	ReadyProbe    struct{}
+	Sweep         struct{ Text string }
+	SweepPoll     struct{ ID string }
+	SweepCancel   struct{ ID string }
+	JobAnswer     struct {
 		ID      string `json:"name_id"`
 		State   string `json:"status"`
 		Done    int    `json:"done"`
@@ -79,7 +79,7 @@
 	Name    string `json:"hand"`
 	Attempt uint64 `json:"try"`
 	State   string `json:"status"`
-	Why     string `json:"cause,omitempty"`
+	Reason  string `json:"cause,omitempty"`
 	Saved   bool   `json:"stored,omitempty"`
 }
 
@@ -99,8 +99,8 @@
 	GraceS  float64 `json:"wind_down_s,omitempty"`
 }
 
-// BeatAnswer answers a report; Leader stands in a 421.
-type BeatAnswer struct {
+// HeartbeatAnswer answers a report; Leader stands in a 421.
+type HeartbeatAnswer struct {
 	Token  uint64  `json:"baton"`
 	Orders []Order `json:"orders"`
 	Leader string  `json:"foreman"`
@@ -108,7 +108,7 @@
 
 // Do are orders to a worker's own address, Inspect asks there for its report.
 type (
-	Do struct {
+	WorkerOrders struct {
 		Token   *uint64 `json:"baton"`
 		Session *uint64 `json:"shift"`
 		Orders  []Order `json:"orders"`
@@ -142,13 +142,13 @@
 		Spot    bool   `json:"borrowed"`
 		Count   int    `json:"number"`
 	}
-	Names struct {
+	MachineNames struct {
 		Machines []string `json:"stokers"`
 	}
-	Release  struct{ Names }
+	Release  struct{ MachineNames }
 	Machines struct {
 		After string
-		Most  int
+		Limit int
 	}
 	Listing struct {
 		Name   string  `json:"name_id"`
@@ -173,7 +173,7 @@
 	Get  struct{ Key string }
 	List struct {
 		Prefix, After string
-		Most          int
+		Limit         int
 	}
 	Row struct {
 		Key   string          `json:"path"`
@@ -182,9 +182,9 @@
 		Lease uint64          `json:"tenure,omitempty"`
 	}
 	Page struct {
-		Rows   []Row  `json:"rows"`
-		More   bool   `json:"truncated"`
-		Ledger uint64 `json:"ledger"`
+		Rows     []Row  `json:"rows"`
+		More     bool   `json:"truncated"`
+		Revision uint64 `json:"ledger"`
 	}
 	Cond struct {
 		Key   string `json:"path"`
@@ -196,23 +196,23 @@
 		Lease  uint64          `json:"tenure,omitempty"`
 		Remove string          `json:"remove,omitempty"`
 	}
-	Multi struct {
-		When   []Cond  `json:"when"`
-		Writes []Write `json:"writes"`
+	Transaction struct {
+		Conditions []Cond  `json:"when"`
+		Writes     []Write `json:"writes"`
 	}
-	MultiAnswer struct {
-		Ledger uint64   `json:"ledger"`
-		Failed []string `json:"failed,omitempty"`
+	TransactionAnswer struct {
+		Revision uint64   `json:"ledger"`
+		Failed   []string `json:"failed,omitempty"`
 	}
 	NewLease struct {
-		LifeMS int64 `json:"life_ms"`
+		DurationMS int64 `json:"life_ms"`
 	}
 	Lease struct {
 		Lease uint64 `json:"tenure"`
 	}
-	Touch struct{ Lease uint64 }
-	Drop  struct{ Lease uint64 }
-	Watch struct {
+	RenewLease  struct{ Lease uint64 }
+	RevokeLease struct{ Lease uint64 }
+	Watch       struct {
 		Prefix string
 		After  uint64
 		WaitMS int64
@@ -224,8 +224,8 @@
 		Stamp  uint64          `json:"stamp"`
 	}
 	WatchAnswer struct {
-		Ledger uint64   `json:"ledger"`
-		News   []Change `json:"news"`
+		Revision uint64   `json:"ledger"`
+		Changes  []Change `json:"news"`
 	}
 )
 
--- a/internal/emulator/workerproc/messages.go
+++ b/internal/emulator/workerproc/messages.go
@@ -5,27 +5,27 @@
 package workerproc
 
 import (
+	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
-	"github.com/zinclb/zinclb/internal/emulator/world"
 )
 
 // Hello is the first message to a process.
 type Hello struct {
-	Config world.Config
-	// Fronts are the controllers' addresses.
-	Fronts []string
+	Config environment.Config
+	// ControllerAddresses are the controllers' addresses.
+	ControllerAddresses []string
 	// Start is when the world's time begins, in microseconds of the time of day.
 	Start int64
 }
 
 // Command is a message to a process after that.
 type Command struct {
-	Begin     []world.WorkerBegin
-	End       []world.WorkerEnd
-	Faults    []world.WorkerFault
-	Completed []world.TaskCompleted
+	Begin     []environment.WorkerBegin
+	End       []environment.WorkerEnd
+	Faults    []environment.WorkerFault
+	Completed []environment.TaskCompleted
 	// Snapshot asks for one under this number; 0 does not.
 	Snapshot int
 }
@@ -44,7 +44,7 @@
 type Snapshot struct {
 	Number int
 	Counts []meter.Row
-	// Known says for each token when each worker first took an answer with it.
-	Known map[uint64][]int64
-	Late  sockets.Lateness
+	// TokenTimes says for each token when each worker first took an answer with it.
+	TokenTimes map[uint64][]int64
+	Lateness   sockets.Lateness
 }
--- a/internal/emulator/workerproc/serve.go
+++ b/internal/emulator/workerproc/serve.go
@@ -13,8 +13,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 )
 
-// flushAfter is how long an event waits for others before it goes to the emulator.
-const flushAfter = 50 * time.Millisecond
+// flushDelay is how long an event waits for others before it goes to the emulator.
+const flushDelay = 50 * time.Millisecond
 
 // Serve runs workers as it is told, until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
@@ -23,13 +23,13 @@
 	if err := dec.Decode(&hello); err != nil {
 		return fmt.Errorf("read what to run: %w", err)
 	}
-	p := &served{out: gob.NewEncoder(out), meter: meter.New(), known: map[uint64][]int64{}}
-	d, err := sockets.NewWorkers(hello.Config, hello.Fronts, sockets.Options{Meter: p.meter, Events: p.happened, Accepted: p.accepted})
+	p := &server{out: gob.NewEncoder(out), meter: meter.New(), tokenTimes: map[uint64][]int64{}}
+	d, err := sockets.NewWorkerDriver(hello.Config, hello.ControllerAddresses, sockets.Options{Meter: p.meter, OnEvent: p.onEvent, OnTokenAccepted: p.onTokenAccepted})
 	if err != nil {
 		return err
 	}
 	p.driver = d
-	d.StartsAt(time.UnixMicro(hello.Start))
+	d.SetStart(time.UnixMicro(hello.Start))
 	end := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() { d.RunWorkers(end) })
@@ -43,47 +43,47 @@
 			}
 			return fmt.Errorf("read a command: %w", err)
 		}
-		p.carryOut(c)
+		p.apply(c)
 	}
 }
 
-// served is a process's side.
-type served struct {
+// server is a process's side.
+type server struct {
 	driver *sockets.Driver
 	meter  *meter.Meter
 
 	sending sync.Mutex
 	out     *gob.Encoder
 
-	mu     sync.Mutex
-	events []history.Event
-	known  map[uint64][]int64
+	mu         sync.Mutex
+	events     []history.Event
+	tokenTimes map[uint64][]int64
 }
 
-// happened and accepted are called by the driver's actor.
-func (p *served) happened(e history.Event) {
+// onEvent and accepted are called by the driver's actor.
+func (p *server) onEvent(e history.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.events) == 0 {
-		time.AfterFunc(flushAfter, p.flush)
+		time.AfterFunc(flushDelay, p.flush)
 	}
 	p.events = append(p.events, e)
 }
 
-func (p *served) accepted(token uint64, at int64) {
+func (p *server) onTokenAccepted(token uint64, at int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.known[token] = append(p.known[token], at)
+	p.tokenTimes[token] = append(p.tokenTimes[token], at)
 }
 
-func (p *served) send(u Update) {
+func (p *server) send(u Update) {
 	p.sending.Lock()
 	defer p.sending.Unlock()
 	_ = p.out.Encode(u) // whoever would read it has gone; the input ends too
 }
 
 // flush sends the events that have come.
-func (p *served) flush() {
+func (p *server) flush() {
 	p.mu.Lock()
 	events := p.events
 	p.events = nil
@@ -93,7 +93,7 @@
 	}
 }
 
-func (p *served) carryOut(c Command) {
+func (p *server) apply(c Command) {
 	for _, b := range c.Begin {
 		p.driver.Tell(b, func() {
 			p.send(Update{Addresses: map[string]string{b.Name: p.driver.Endpoint(b.Name)}})
@@ -116,14 +116,14 @@
 	}
 }
 
-func (p *served) snapshot(number int) {
+func (p *server) snapshot(number int) {
 	late := p.driver.Lateness()
 	p.flush()
 	p.mu.Lock()
-	known := make(map[uint64][]int64, len(p.known))
-	for token, at := range p.known {
+	known := make(map[uint64][]int64, len(p.tokenTimes))
+	for token, at := range p.tokenTimes {
 		known[token] = append([]int64(nil), at...)
 	}
 	p.mu.Unlock()
-	p.send(Update{Snapshot: &Snapshot{Number: number, Counts: p.meter.Rows(), Known: known, Late: late}})
+	p.send(Update{Snapshot: &Snapshot{Number: number, Counts: p.meter.Rows(), TokenTimes: known, Lateness: late}})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,29 +27,29 @@
 
 // The manners of users, as the protocol has them.
 const (
-	submitMost = 5 * time.Second
-	giveUp     = 60 * time.Second
-	pollEvery  = 5 * time.Second
-	retryMost  = 30 * time.Second
-	longest    = 600_000_000 // microseconds, of a histogram
+	submitTimeout    = 5 * time.Second
+	submitDeadline   = 60 * time.Second
+	pollInterval     = 5 * time.Second
+	maxRetryDelay    = 30 * time.Second
+	maxTrackedMicros = 600_000_000 // microseconds, of a histogram
 )
 
 // Options bound a run.
 type Options struct {
 	Addr string
-	// Open is how many submissions may be under way; one that would be more
+	// MaxInFlight is how many submissions may be under way; one that would be more
 	// is not sent and counted as held up.
-	Open int
+	MaxInFlight int
 	// Follow: jobs are asked about until they are over, or until For.
-	Follow bool
-	For    time.Duration
+	Follow   bool
+	Duration time.Duration
 	// Progress, if set, is called every ten seconds.
 	Progress func(Totals)
 }
 
 // Totals are what came out.
 type Totals struct {
-	Sent, Accepted, Refused, GivenUp, HeldUp, Done, Withdrawn, Retries int
+	Sent, Accepted, Refused, GivenUp, Throttled, Done, Cancelled, Retries int
 	// Accept and Complete are in microseconds from the intended time.
 	Accept, Complete *hdrhistogram.Histogram
 }
@@ -57,19 +57,19 @@
 // runner is a run; mu guards the totals.
 type runner struct {
 	Options
-	c     *http.Client
-	start time.Time
-	mu    sync.Mutex
-	t     Totals
-	end   chan struct{}
+	client *http.Client
+	start  time.Time
+	mu     sync.Mutex
+	totals Totals
+	stop   chan struct{}
 }
 
 // Run submits a trace, in the order of its times.
 func Run(trace []Entry, o Options) Totals {
-	r := &runner{Options: o, start: time.Now(), end: make(chan struct{}),
-		c: &http.Client{Timeout: submitMost, Transport: &http.Transport{DisableKeepAlives: true}}}
-	r.t.Accept, r.t.Complete = hdrhistogram.New(1, longest, 3), hdrhistogram.New(1, longest, 3)
-	over := time.AfterFunc(o.For, func() { close(r.end) })
+	r := &runner{Options: o, start: time.Now(), stop: make(chan struct{}),
+		client: &http.Client{Timeout: submitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	r.totals.Accept, r.totals.Complete = hdrhistogram.New(1, maxTrackedMicros, 3), hdrhistogram.New(1, maxTrackedMicros, 3)
+	over := time.AfterFunc(o.Duration, func() { close(r.stop) })
 	defer over.Stop()
 	if o.Progress != nil {
 		tick := time.NewTicker(10 * time.Second)
@@ -78,14 +78,14 @@
 			for {
 				select {
 				case <-tick.C:
-					r.note(func(t *Totals) { o.Progress(*t) })
-				case <-r.end:
+					r.update(func(t *Totals) { o.Progress(*t) })
+				case <-r.stop:
 					return
 				}
 			}
 		}()
 	}
-	slots := make(chan struct{}, o.Open)
+	slots := make(chan struct{}, o.MaxInFlight)
 	var wg sync.WaitGroup
 	for _, e := range trace {
 		if !r.sleep(time.Until(r.start.Add(time.Duration(e.At) * time.Microsecond))) {
@@ -94,7 +94,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			r.note(func(t *Totals) { t.HeldUp++ })
+			r.update(func(t *Totals) { t.Throttled++ })
 			continue
 		}
 		wg.Go(func() {
@@ -108,13 +108,13 @@
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.t
+	return r.totals
 }
 
-func (r *runner) note(f func(*Totals)) {
+func (r *runner) update(f func(*Totals)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.t)
+	f(&r.totals)
 }
 
 // sleep waits; false if the run is over.
@@ -124,14 +124,14 @@
 	select {
 	case <-t.C:
 		return true
-	case <-r.end:
+	case <-r.stop:
 		return false
 	}
 }
 
-// since is how long after its intended time an entry is.
-func (r *runner) since(e Entry) int64 {
-	return min(max(time.Since(r.start).Microseconds()-e.At, 1), longest)
+// delayOf is how long after its intended time an entry is.
+func (r *runner) delayOf(e Entry) int64 {
+	return min(max(time.Since(r.start).Microseconds()-e.At, 1), maxTrackedMicros)
 }
 
 // submit tries for a minute; whether it was accepted.
@@ -140,60 +140,60 @@
 	if err != nil {
 		panic(err) // plain structs always encode
 	}
-	r.note(func(t *Totals) { t.Sent++ })
+	r.update(func(t *Totals) { t.Sent++ })
 	for first := time.Now(); ; {
 		status, wait := r.post(body)
 		switch status {
 		case 200, 201:
-			r.note(func(t *Totals) {
+			r.update(func(t *Totals) {
 				t.Accepted++
-				_ = t.Accept.RecordValue(r.since(e)) // it is within bounds
+				_ = t.Accept.RecordValue(r.delayOf(e)) // it is within bounds
 			})
 			return true
 		case 400, 422:
-			r.note(func(t *Totals) { t.Refused++ })
+			r.update(func(t *Totals) { t.Refused++ })
 			return false
 		}
-		if time.Since(first)+wait > giveUp || !r.sleep(wait) {
-			r.note(func(t *Totals) { t.GivenUp++ })
+		if time.Since(first)+wait > submitDeadline || !r.sleep(wait) {
+			r.update(func(t *Totals) { t.GivenUp++ })
 			return false
 		}
-		r.note(func(t *Totals) { t.Retries++ })
+		r.update(func(t *Totals) { t.Retries++ })
 	}
 }
 
 // post sends a submission; 0 is no answer. The time is when to try again.
 func (r *runner) post(body []byte) (int, time.Duration) {
-	resp, err := r.c.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
+	resp, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, time.Second
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	after, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return resp.StatusCode, min(max(time.Second, time.Duration(after)*time.Second), retryMost)
+	return resp.StatusCode, min(max(time.Second, time.Duration(after)*time.Second), maxRetryDelay)
 }
 
 // follow asks about a job until it is over.
 func (r *runner) follow(e Entry) {
-	for r.sleep(pollEvery) {
-		resp, err := r.c.Get("http://" + r.Addr + "/work/" + e.Job.ID)
+	for r.sleep(pollInterval) {
+		resp, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
 		if err != nil {
 			continue
 		}
 		var a wire.JobAnswer
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		_ = resp.Body.Close()
-		if err != nil || resp.StatusCode != 200 || a.State != wire.Done && a.State != wire.Withdrawn {
+		if err != nil || resp.StatusCode != 200 || a.State != wire.Done && a.State != wire.Cancelled {
 			continue
 		}
-		r.note(func(t *Totals) {
-			if a.State == wire.Withdrawn {
-				t.Withdrawn++
+		r.update(func(t *Totals) {
+			if a.State == wire.Cancelled {
+				t.Cancelled++
 				return
 			}
 			t.Done++
-			_ = t.Complete.RecordValue(r.since(e)) // it is within bounds
+			_ = t.Complete.RecordValue(r.delayOf(e)) // it is within bounds
 		})
 		return
 	}
@@ -201,7 +201,7 @@
 
 // String is one line.
 func (t Totals) String() string {
-	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.GivenUp, t.HeldUp, t.Retries, t.Done, t.Withdrawn)
+	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.GivenUp, t.Throttled, t.Retries, t.Done, t.Cancelled)
 }
 
 // Quantiles describes a histogram in milliseconds.
