--- a/cmd/zinclb/commands.go
+++ b/cmd/zinclb/commands.go
@@ -17,7 +17,7 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-func checkConfig(path, operators *string) *cobra.Command {
+func checkConfigCommand(path, operators *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-config",
 		Short: "Checks both settings files and prints every fault",
@@ -41,7 +41,7 @@
 	}
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Prints the version",
@@ -61,8 +61,8 @@
 	}
 }
 
-// call speaks to a controller and prints its answer.
-func call(cmd *cobra.Command, addr, method, path string, body []byte) error {
+// requestAndPrint speaks to a controller and prints its answer.
+func requestAndPrint(cmd *cobra.Command, addr, method, path string, body []byte) error {
 	m, err := httpwire.NewClient(addr, 1, 1<<20).Do(method, path, body, 5*time.Second)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return cmd.Flags().String("addr", "127.0.0.1:8080", "a controller's front address")
 }
 
-func submit() *cobra.Command {
+func submitCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "submit FILE",
 		Short: "Submits the job described by a JSON file, - for standard input",
@@ -103,19 +103,19 @@
 		var b []byte
 		var err error
 		if args[0] == "-" {
-			b, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), api.MaxBody+1))
+			b, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), api.MaxBodyBytes+1))
 		} else {
 			b, err = os.ReadFile(args[0])
 		}
 		if err != nil {
 			return err
 		}
-		return call(cmd, *addr, "POST", "/work", b)
+		return requestAndPrint(cmd, *addr, "POST", "/work", b)
 	}
 	return cmd
 }
 
-func status() *cobra.Command {
+func statusCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "status [ID]",
 		Short: "Shows a job's state, or without an ID that of the service",
@@ -124,17 +124,17 @@
 	addr := addrFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if len(args) == 0 {
-			return call(cmd, *addr, "GET", "/ops/status", nil)
+			return requestAndPrint(cmd, *addr, "GET", "/ops/status", nil)
 		}
 		if !api.ValidID(args[0]) {
 			return fmt.Errorf("%q is no job id", args[0])
 		}
-		return call(cmd, *addr, "GET", "/work/"+args[0], nil)
+		return requestAndPrint(cmd, *addr, "GET", "/work/"+args[0], nil)
 	}
 	return cmd
 }
 
-func gone() *cobra.Command {
+func goneCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "gone CONTROLLER",
 		Short: "Says that a controller which is configured will not come back",
@@ -155,12 +155,12 @@
 		if *back {
 			method = "DELETE"
 		}
-		return call(cmd, *addr, method, "/ops/gone/"+args[0], []byte("{}"))
+		return requestAndPrint(cmd, *addr, method, "/ops/gone/"+args[0], []byte("{}"))
 	}
 	return cmd
 }
 
-func cancel() *cobra.Command {
+func cancelCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "cancel ID",
 		Short: "Cancels a job",
@@ -171,7 +171,7 @@
 		if !api.ValidID(args[0]) {
 			return fmt.Errorf("%q is no job id", args[0])
 		}
-		return call(cmd, *addr, "POST", "/work/"+args[0]+"/withdraw", []byte("{}"))
+		return requestAndPrint(cmd, *addr, "POST", "/work/"+args[0]+"/withdraw", []byte("{}"))
 	}
 	return cmd
 }
--- a/cmd/zinclb/main.go
+++ b/cmd/zinclb/main.go
@@ -14,13 +14,13 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "zinclb:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var path, operators string
 	cmd := &cobra.Command{
 		Use:           "zinclb --config FILE",
@@ -29,21 +29,21 @@
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			p, ops, err := load(path, operators)
+			p, ops, err := loadSettings(path, operators)
 			if err != nil {
 				return err
 			}
-			logging(p.Name)
+			setupLogging(p.Name)
 			return node.New(p, ops).Run()
 		},
 	}
 	cmd.PersistentFlags().StringVar(&path, "config", "", "the platform's settings, a JSON file")
 	cmd.PersistentFlags().StringVar(&operators, "operators", "", "the operators' settings, protobuf text format")
-	cmd.AddCommand(checkConfig(&path, &operators), version(), submit(), status(), cancel(), gone(), sweepCommands())
+	cmd.AddCommand(checkConfigCommand(&path, &operators), versionCommand(), submitCommand(), statusCommand(), cancelCommand(), goneCommand(), sweepCommands())
 	return cmd
 }
 
-func load(path, operators string) (*config.Platform, config.Operators, error) {
+func loadSettings(path, operators string) (*config.Platform, config.Operators, error) {
 	if path == "" {
 		return nil, config.Operators{}, fmt.Errorf("--config is missing; it names the platform's settings file")
 	}
@@ -55,7 +55,7 @@
 	return p, ops, err
 }
 
-func logging(name string) {
+func setupLogging(name string) {
 	level := slog.LevelInfo
 	switch os.Getenv("LOG_LEVEL") {
 	case "error":
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -7,14 +7,14 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-// MaxBody is the largest request body.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body.
+const MaxBodyBytes = 64 << 10
 
 // MetricsPath is where a controller's metrics are read.
 const MetricsPath = "/ops/metrics"
 
-// Slow says that Route may take long for a request.
-func Slow(m *httpwire.Message) bool { return m.Method == "POST" && m.Target == "/sweeps" }
+// IsSlow says that Route may take long for a request.
+func IsSlow(m *httpwire.Message) bool { return m.Method == "POST" && m.Target == "/sweeps" }
 
 // Route turns a request into a message for the core, made once the number
 // that the reply will carry is known, or into an answer at once where the
@@ -63,7 +63,7 @@
 		return func(req uint64) any { return core.SetGone{Req: req, Name: name, Gone: m.Method == "POST"} }, nil
 	case path == "/agent/beat":
 		return posted(func(body []byte) (func(uint64) any, error) {
-			r, err := DecodeReport(body)
+			r, err := DecodeHeartbeat(body)
 			return func(req uint64) any { return core.Beat{Req: req, Report: r} }, err
 		})
 	case path == "/work":
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -9,16 +9,16 @@
 )
 
 type reportWire struct {
-	Machine string   `json:"stoker"`
-	Addr    string   `json:"endpoint"`
-	Type    string   `json:"breed"`
-	Zone    string   `json:"paddock"`
-	Spot    bool     `json:"borrowed"`
-	Session uint64   `json:"shift"`
-	Seq     uint64   `json:"tally"`
-	Token   uint64   `json:"baton"`
-	Notice  *float64 `json:"recall_s"`
-	Tasks   []struct {
+	Machine      string   `json:"stoker"`
+	Addr         string   `json:"endpoint"`
+	Type         string   `json:"breed"`
+	Zone         string   `json:"paddock"`
+	Spot         bool     `json:"borrowed"`
+	Epoch        uint64   `json:"shift"`
+	Seq          uint64   `json:"tally"`
+	FencingToken uint64   `json:"baton"`
+	ReclaimIn    *float64 `json:"recall_s"`
+	Tasks        []struct {
 		Name    string `json:"hand"`
 		Attempt uint64 `json:"try"`
 		State   string `json:"status"`
@@ -27,43 +27,43 @@
 	} `json:"hands"`
 }
 
-var whys = map[string]string{"done": "done", "stopped": "stopped", "mates_gone": "peers", "incomplete": "alone",
+var exitReasons = map[string]string{"done": "done", "stopped": "stopped", "mates_gone": "peers", "incomplete": "alone",
 	"error": "error", "no_room": "no_room", "in_use": "busy", "no_such": "unknown"}
 
-// DecodeReport reads a worker's report.
-func DecodeReport(body []byte) (core.Report, error) {
+// DecodeHeartbeat reads a worker's report.
+func DecodeHeartbeat(body []byte) (core.Report, error) {
 	var w reportWire
 	if err := json.Unmarshal(body, &w); err != nil {
 		return core.Report{}, fmt.Errorf("report: %w", err)
 	}
-	if w.Machine == "" || len(w.Machine) > MaxID || w.Session == 0 {
+	if w.Machine == "" || len(w.Machine) > MaxIDLength || w.Epoch == 0 {
 		return core.Report{}, errors.New("report: stoker or shift is missing")
 	}
 	r := core.Report{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Seq: w.Seq, Token: w.Token, Notice: -1}
-	if w.Notice != nil {
-		r.Notice = max(0, int64(*w.Notice*1e6))
+		Session: w.Epoch, Seq: w.Seq, Token: w.FencingToken, Notice: -1}
+	if w.ReclaimIn != nil {
+		r.Notice = max(0, int64(*w.ReclaimIn*1e6))
 	}
 	r.Tasks = make([]core.TaskReport, len(w.Tasks))
 	for i, t := range w.Tasks {
-		r.Tasks[i] = TaskReport(t.Name, t.Attempt, t.State, t.Why, t.Saved)
+		r.Tasks[i] = NewTaskStatus(t.Name, t.Attempt, t.State, t.Why, t.Saved)
 	}
 	return r, nil
 }
 
-// TaskReport is a task of a report in the core's words.
-func TaskReport(name string, attempt uint64, state, why string, saved bool) core.TaskReport {
+// NewTaskStatus is a task of a report in the core's words.
+func NewTaskStatus(name string, attempt uint64, state, why string, saved bool) core.TaskReport {
 	if state == "ended" {
 		state = "exited"
 	}
-	if w := whys[why]; w != "" {
+	if w := exitReasons[why]; w != "" {
 		why = w
 	}
 	return core.TaskReport{Name: name, Attempt: attempt, State: state, Why: why, Saved: saved}
 }
 
-// EncodeDirect makes the body of orders to a worker's own address.
-func EncodeDirect(d core.Direct) []byte {
+// EncodeDirectOrders makes the body of orders to a worker's own address.
+func EncodeDirectOrders(d core.Direct) []byte {
 	b, err := json.Marshal(struct {
 		Token   uint64      `json:"baton"`
 		Session uint64      `json:"shift"`
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -10,7 +10,7 @@
 
 	"github.com/zinclb/zinclb/internal/core"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
@@ -58,8 +58,8 @@
 	return 200, nil
 }
 
-// Type is a machine type on the wire.
-type Type struct {
+// MachineType is a machine type on the wire.
+type MachineType struct {
 	Name      string   `json:"label"`
 	CPUs      float64  `json:"vcpus"`
 	GPUs      float64  `json:"gpus"`
@@ -72,14 +72,14 @@
 	Zones     []string `json:"paddocks"`
 }
 
-// Core is the type as the core has it.
-func (t Type) Core() fleet.Type {
-	return fleet.Type{Name: t.Name, Cap: ledger.Vec{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000), Mem: int64(t.MemGB * 1000)},
+// ToCore is the type as the core has it.
+func (t MachineType) ToCore() fleet.Type {
+	return fleet.Type{Name: t.Name, Cap: jobstate.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000), Mem: int64(t.MemGB * 1000)},
 		FetchRate: int64(t.FetchRate * 1000), CacheMB: int64(t.CacheGB * 1000), Price: t.Price, SpotPrice: t.SpotPrice, Boot: int64(t.BootS * 1e6), Zones: t.Zones}
 }
 
-// Listing is a machine of the cloud's list on the wire.
-type Listing struct {
+// MachineListing is a machine of the cloud's list on the wire.
+type MachineListing struct {
 	Name   string  `json:"name_id"`
 	Addr   string  `json:"endpoint"`
 	Type   string  `json:"breed"`
@@ -89,40 +89,40 @@
 	AgeS   float64 `json:"held_s"`
 }
 
-// Core is the listing as the core has it.
-func (l Listing) Core() core.Listing {
+// ToCore is the listing as the core has it.
+func (l MachineListing) ToCore() core.Listing {
 	return core.Listing{Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Status: l.Status, Age: int64(l.AgeS * 1e6)}
 }
 
-// Types reads the machine types.
-func (c *Client) Types() core.Types {
+// ListTypes reads the machine types.
+func (c *Client) ListTypes() core.Types {
 	var r struct {
-		Types []Type `json:"breeds"`
+		Types []MachineType `json:"breeds"`
 	}
 	if _, err := c.do("GET", "/machine_types", nil, &r); err != nil {
 		return core.Types{Err: err}
 	}
 	var t core.Types
 	for _, w := range r.Types {
-		t.Types = append(t.Types, w.Core())
+		t.Types = append(t.Types, w.ToCore())
 	}
 	return t
 }
 
-// List reads all machines, page by page with a gap between them.
-func (c *Client) List(gap time.Duration) core.Machines {
+// ListMachines reads all machines, page by page with a gap between them.
+func (c *Client) ListMachines(gap time.Duration) core.Machines {
 	var out core.Machines
 	after := ""
 	for {
 		var r struct {
-			Machines []Listing `json:"stokers"`
-			More     bool      `json:"truncated"`
+			Machines []MachineListing `json:"stokers"`
+			More     bool             `json:"truncated"`
 		}
 		if _, err := c.do("GET", "/rentals?after="+url.QueryEscape(after)+"&most="+strconv.Itoa(core.ListPage), nil, &r); err != nil {
 			return core.Machines{Err: err}
 		}
 		for _, m := range r.Machines {
-			out.List = append(out.List, m.Core())
+			out.List = append(out.List, m.ToCore())
 			after = m.Name
 		}
 		if !r.More || len(r.Machines) == 0 {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Rent asks for machines.
-func (c *Client) Rent(q core.Rent) core.Rented {
+// ScaleOut asks for machines.
+func (c *Client) ScaleOut(q core.Rent) core.Rented {
 	var r struct {
 		Machines []string `json:"stokers"`
 	}
@@ -147,8 +147,8 @@
 	return core.Rented{Rent: q, Names: r.Machines, Status: status}
 }
 
-// Release returns machines.
-func (c *Client) Release(names []string) core.Released {
+// ScaleIn returns machines.
+func (c *Client) ScaleIn(names []string) core.Released {
 	status, _ := c.do("POST", "/rentals/release", struct {
 		Machines []string `json:"stokers"`
 	}{names}, nil)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,18 +23,18 @@
 // Second is a second in Micros.
 const Second Micros = 1_000_000
 
-// Secs converts the wire's decimal seconds.
-func Secs(s float64) Micros { return Micros(s * 1e6) }
+// MicrosOf converts the wire's decimal seconds.
+func MicrosOf(s float64) Micros { return Micros(s * 1e6) }
 
 // Platform is the settings file that the platform hands over.
 type Platform struct {
-	Name    string  `json:"label"`
-	Zone    string  `json:"site"`
-	Front   string  `json:"front"`
-	Back    string  `json:"back"`
-	Peers   []Peer  `json:"members"`
-	Outside Outside `json:"outside"`
-	Params  Params  `json:"settings"`
+	Name       string     `json:"label"`
+	Zone       string     `json:"site"`
+	UserAddr   string     `json:"front"`
+	PeerAddr   string     `json:"back"`
+	Peers      []Peer     `json:"members"`
+	Services   Services   `json:"outside"`
+	Deployment Deployment `json:"settings"`
 }
 
 // Peer is another controller.
@@ -44,14 +44,14 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Outside has the addresses of the services that zinclb uses.
-type Outside struct {
+// Services has the addresses of the services that zinclb uses.
+type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Params is what holds for the whole deployment.
-type Params struct {
+// Deployment is what holds for the whole deployment.
+type Deployment struct {
 	Size  int      `json:"size"`
 	Zones []string `json:"zones"`
 	Teams []Team   `json:"teams"`
@@ -68,7 +68,7 @@
 		StateLimits
 		// Next are the limits that the state service will have from some
 		// moment on, without notice; what is absent does not change.
-		Next *StateNext `json:"next"`
+		Next *UpcomingStateLimits `json:"next"`
 	} `json:"state"`
 	Cloud struct {
 		RPS      float64 `json:"rps"`
@@ -90,16 +90,16 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// StateNext are limits to come.
-type StateNext struct {
+// UpcomingStateLimits are limits to come.
+type UpcomingStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
 	ValueKB  *float64 `json:"value_kb"`
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Tight are the smaller ones of the limits of now and of those to come.
-func (p *Params) Tight() StateLimits {
+// StrictestStateLimits are the smaller ones of the limits of now and of those to come.
+func (p *Deployment) StrictestStateLimits() StateLimits {
 	l := p.State.StateLimits
 	n := p.State.Next
 	if n == nil {
@@ -130,7 +130,7 @@
 }
 
 // Team finds a team by its name, nil if there is none.
-func (p *Params) Team(name string) *Team {
+func (p *Deployment) Team(name string) *Team {
 	if i := slices.IndexFunc(p.Teams, func(t Team) bool { return t.Name == name }); i >= 0 {
 		return &p.Teams[i]
 	}
@@ -176,10 +176,10 @@
 	if p.Name == "" {
 		bad("label: missing")
 	}
-	addr("front", p.Front)
-	addr("back", p.Back)
-	addr("outside.cloud", p.Outside.Cloud)
-	addr("outside.state", p.Outside.State)
+	addr("front", p.UserAddr)
+	addr("back", p.PeerAddr)
+	addr("outside.cloud", p.Services.Cloud)
+	addr("outside.state", p.Services.State)
 	seen := map[string]bool{p.Name: true}
 	for i, m := range p.Peers {
 		addr(fmt.Sprintf("members[%d].peer_addr", i), m.Addr)
@@ -193,7 +193,7 @@
 			bad("%s: %v must be positive", field, v)
 		}
 	}
-	w := p.Params.Workers
+	w := p.Deployment.Workers
 	positive("settings.workers.report_s", w.ReportS)
 	positive("settings.workers.lease_s", w.LeaseS)
 	positive("settings.workers.gang_wait_s", w.GangWaitS)
@@ -202,13 +202,13 @@
 	if w.CancelS <= w.LeaseS*1.01+2 {
 		bad("settings.workers.cancel_s: %v leaves no time beyond lease_s %v", w.CancelS, w.LeaseS)
 	}
-	positive("settings.state.rps", p.Params.State.RPS)
-	positive("settings.state.write_rps", p.Params.State.WriteRPS)
-	positive("settings.state.value_kb", p.Params.State.ValueKB)
-	if p.Params.State.TxnOps < 4 {
-		bad("settings.state.txn_ops: %d is less than 4", p.Params.State.TxnOps)
+	positive("settings.state.rps", p.Deployment.State.RPS)
+	positive("settings.state.write_rps", p.Deployment.State.WriteRPS)
+	positive("settings.state.value_kb", p.Deployment.State.ValueKB)
+	if p.Deployment.State.TxnOps < 4 {
+		bad("settings.state.txn_ops: %d is less than 4", p.Deployment.State.TxnOps)
 	}
-	if n := p.Params.State.Next; n != nil {
+	if n := p.Deployment.State.Next; n != nil {
 		next := func(field string, v *float64) {
 			if v != nil {
 				positive("settings.state.next."+field, *v)
@@ -221,17 +221,17 @@
 			bad("settings.state.next.txn_ops: %d is less than 4", *n.TxnOps)
 		}
 	}
-	positive("settings.cloud.rps", p.Params.Cloud.RPS)
-	positive("settings.resources.mem_mb", p.Params.Limits.MemMB)
-	positive("settings.resources.core_share", p.Params.Limits.CoreShare)
-	if p.Params.Limits.Sockets < 32 {
-		bad("settings.resources.sockets: %d is less than 32", p.Params.Limits.Sockets)
+	positive("settings.cloud.rps", p.Deployment.Cloud.RPS)
+	positive("settings.resources.mem_mb", p.Deployment.Limits.MemMB)
+	positive("settings.resources.core_share", p.Deployment.Limits.CoreShare)
+	if p.Deployment.Limits.Sockets < 32 {
+		bad("settings.resources.sockets: %d is less than 32", p.Deployment.Limits.Sockets)
 	}
-	if len(p.Params.Zones) == 0 {
+	if len(p.Deployment.Zones) == 0 {
 		bad("settings.zones: empty")
 	}
 	teams := map[string]bool{}
-	for i, t := range p.Params.Teams {
+	for i, t := range p.Deployment.Teams {
 		if t.Name == "" || teams[t.Name] {
 			bad("settings.teams[%d].name: missing or used twice", i)
 		}
@@ -252,11 +252,11 @@
 
 // StartWithin is the shortest time within which tasks of a class should start,
 // 0 if nobody says so. A job within its team's guarantee has that one's too.
-func (p *Params) StartWithin(class string, guaranteed bool) Micros {
+func (p *Deployment) StartWithin(class string, guaranteed bool) Micros {
 	var least Micros
 	for _, o := range p.Objectives {
 		if o.Kind == "wait" && o.Class == class || o.Kind == "guarantee" && guaranteed {
-			if w := Secs(o.WithinS); w > 0 && (least == 0 || w < least) {
+			if w := MicrosOf(o.WithinS); w > 0 && (least == 0 || w < least) {
 				least = w
 			}
 		}
@@ -264,28 +264,28 @@
 	return least
 }
 
-// StartsCount says whether it matters to anybody when tasks of a class start,
+// StartTimeMatters says whether it matters to anybody when tasks of a class start,
 // rather than when they are done. Without objectives it does.
-func (p *Params) StartsCount(class string) bool {
+func (p *Deployment) StartTimeMatters(class string) bool {
 	return len(p.Objectives) == 0 || slices.ContainsFunc(p.Objectives, func(o Objective) bool { return o.Kind == "wait" && o.Class == class })
 }
 
-// Frugal says whether money is weighed. A guarantee is room that a team may count
+// WeighsCost says whether money is weighed. A guarantee is room that a team may count
 // on at once, which is what spare machines are for; where nobody has one, they
 // are kept for what varies from moment to moment.
-func (p *Params) Frugal(o *Operators) bool {
+func (p *Deployment) WeighsCost(o *Operators) bool {
 	if o.WeighMoney != nil {
 		return *o.WeighMoney
 	}
 	return !slices.ContainsFunc(p.Teams, func(t Team) bool { return t.CPUs > 0 || t.GPUs > 0 })
 }
 
-// Hold is how long a controller without proof of its token still answers
+// LeaderAuthorityTime is how long a controller without proof of its token still answers
 // reports. A task of a cancelled job can outlive its cancellation by hold and
 // a worker's lease, so both with their margins must fit into cancel_s; it
 // takes half of the room there is, so that a release can still be tried.
-func (p *Params) Hold() Micros {
-	return Secs((p.Workers.CancelS - p.Workers.LeaseS*1.002 - 2) * 0.55)
+func (p *Deployment) LeaderAuthorityTime() Micros {
+	return MicrosOf((p.Workers.CancelS - p.Workers.LeaseS*1.002 - 2) * 0.55)
 }
 
 // Defaults are the operators' settings where no file says otherwise.
@@ -306,9 +306,9 @@
 	return ParseOperators(b)
 }
 
-// isName says whether a text may name a feature. Which there are is not asked: a
+// isFeatureName says whether a text may name a feature. Which there are is not asked: a
 // file may hold back one that only a newer program has.
-func isName(s string) bool {
+func isFeatureName(s string) bool {
 	return s != "" && len(s) <= 40 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
 
@@ -328,7 +328,7 @@
 			errs = append(errs, fmt.Errorf("%s: %v is not within %v and %v", name, *v, lo, hi))
 			return
 		}
-		*to = Secs(*v)
+		*to = MicrosOf(*v)
 	}
 	secs("short_cutoff_s", pb.ShortCutoffS, &o.ShortCutoff, 1, 86400)
 	secs("long_cutoff_s", pb.LongCutoffS, &o.LongCutoff, 1, 864000)
@@ -343,7 +343,7 @@
 		o.SpareShare = *v
 	}
 	for i, n := range pb.HoldFeatures {
-		if !isName(n) {
+		if !isFeatureName(n) {
 			errs = append(errs, fmt.Errorf("hold_features[%d]: %q is no name of a feature", i, n))
 		}
 	}
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -3,31 +3,31 @@
 import (
 	"encoding/json"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // outcome is the stored end of a job, as far as it is known here.
-func (c *Core) outcome(id string) (ledger.End, bool) {
+func (c *Core) outcome(id string) (jobstate.End, bool) {
 	if e, ok := c.ends[id]; ok {
 		return e, true
 	}
-	if j := c.jobs[id]; j != nil && j.Over != "" {
-		return ledger.End{Outcome: j.Over, Tasks: j.Tasks}, true
+	if j := c.jobs[id]; j != nil && j.Outcome != "" {
+		return jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks}, true
 	}
-	return ledger.End{}, false
+	return jobstate.End{}, false
 }
 
 // enterGraph is called for each unfinished job that is new here.
-func (c *Core) enterGraph(j *ledger.Job) {
-	if len(j.Awaits) == 0 {
+func (c *Core) enterGraph(j *jobstate.Job) {
+	if len(j.Dependencies) == 0 {
 		return
 	}
 	last, cancelled := c.graph.Add(j, c.outcome)
 	switch {
 	case cancelled:
 		c.derive(j)
-	case j.Waits():
-		j.Released = last
+	case j.IsBlocked():
+		j.DependenciesEndedWall = last
 	default:
 		c.release(j, last)
 	}
@@ -35,8 +35,8 @@
 
 // release lets a job's tasks start: its times count from the end of the last
 // job that it needed, at a time of day; 0 where the first format has none.
-func (c *Core) release(j *ledger.Job, last int64) {
-	j.Known = max(j.Born, c.steady(last))
+func (c *Core) release(j *jobstate.Job, last int64) {
+	j.ReadyAt = max(j.SubmittedAt, c.steady(last))
 	if c.lead != nil {
 		c.lead.planWanted = true
 	}
@@ -44,10 +44,10 @@
 
 // endedFor tells the jobs that wait for one that has ended. Each that is
 // cancelled by it tells those behind it in turn.
-func (c *Core) endedFor(id string, e ledger.End) {
-	released, cancelled := c.graph.Ended(id, e)
+func (c *Core) endedFor(id string, e jobstate.End) {
+	released, cancelled := c.graph.RecordEnd(id, e)
 	for _, j := range released {
-		c.release(j, j.Released)
+		c.release(j, j.DependenciesEndedWall)
 	}
 	for _, j := range cancelled {
 		c.derive(j)
@@ -58,32 +58,32 @@
 // does so for itself, from ends and needs that are stored and never change: so
 // all users are told at once, however many jobs there are, and the leader
 // stores the ends as its budget allows.
-func (c *Core) derive(j *ledger.Job) {
-	if j.Over != "" {
+func (c *Core) derive(j *jobstate.Job) {
+	if j.Outcome != "" {
 		return
 	}
-	c.graph.Drop(j)
-	j.Derived = true
+	c.graph.Remove(j)
+	j.CancelledByDependency = true
 	if _, ok := c.ends[j.ID]; ok {
 		// Its end was known before the job.
-		j.Over = ledger.Cancelled
+		j.Outcome = jobstate.Cancelled
 		c.jobOver(j)
 		return
 	}
-	c.noteEnd(j.ID, ledger.End{Outcome: ledger.Cancelled, Tasks: j.Tasks}, 0)
+	c.noteEnd(j.ID, jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}, 0)
 }
 
 // endStored notes that a job's own end is in the state service.
 func (c *Core) endStored(id string) {
 	if j := c.jobs[id]; j != nil {
-		j.Derived = false
+		j.CancelledByDependency = false
 	}
 }
 
 // settled says whether a job is certainly not cancelled by an end that this
 // controller has not read.
-func (c *Core) settled(j *ledger.Job) bool {
-	return !j.Waits() || c.graph.Settled(j, func(id string) *ledger.Job { return c.jobs[id] })
+func (c *Core) settled(j *jobstate.Job) bool {
+	return !j.IsBlocked() || c.graph.IsResolved(j, func(id string) *jobstate.Job { return c.jobs[id] })
 }
 
 // asksAtOnce is how many ends are read at once, asksAgain how long after a
@@ -107,10 +107,10 @@
 			reading++
 		}
 	}
-	ids := c.graph.Unknown(func(id string) bool {
+	ids := c.graph.Unresolved(func(id string) bool {
 		j := c.jobs[id]
 		_, asked := c.asking[id]
-		return j != nil && j.Over == "" || asked
+		return j != nil && j.Outcome == "" || asked
 	}, max(0, asksAtOnce-reading))
 	for _, id := range ids {
 		if e, ok := c.outcome(id); ok {
@@ -119,7 +119,7 @@
 		}
 		c.asking[id] = 0
 		c.get(endPrefix+id, func(g Got) {
-			var e ledger.End
+			var e jobstate.End
 			c.asking[id] = c.now + asksAgain
 			switch {
 			case g.Err != nil || g.Stamp == 0:
@@ -140,10 +140,10 @@
 // have been accepted. Those that are not known here are read, the job before
 // its end, so that one which ends meanwhile is not missed.
 func (c *Core) checkAwaits(a *ask) {
-	for ; a.checked < len(a.spec.Awaits); a.checked++ {
-		id := a.spec.Awaits[a.checked]
+	for ; a.checked < len(a.spec.Dependencies); a.checked++ {
+		id := a.spec.Dependencies[a.checked]
 		if j := c.jobs[id]; j != nil {
-			if j.Kind == ledger.Service {
+			if j.Kind == jobstate.Service {
 				c.notAwaited(a, id, "is a service, which is never done")
 				return
 			}
@@ -168,12 +168,12 @@
 		c.checkAwaits(a)
 	}
 	c.get(jobPrefix+id, func(g Got) {
-		var r ledger.Record
+		var r jobstate.Record
 		switch {
 		case g.Err != nil:
 			c.refuse(a)
 			return
-		case g.Stamp != 0 && json.Unmarshal(g.Value, &r) == nil && r.Spec != nil && r.Spec.Kind == ledger.Service:
+		case g.Stamp != 0 && json.Unmarshal(g.Value, &r) == nil && r.Spec != nil && r.Spec.Kind == jobstate.Service:
 			c.notAwaited(a, id, "is a service, which is never done")
 			return
 		case g.Stamp != 0:
--- a/internal/core/beat.go
+++ b/internal/core/beat.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // A worker that comes back soon after it was sent elsewhere could not be
@@ -25,14 +25,14 @@
 func (c *Core) machine(name string) *fleet.Machine {
 	m := c.lead.fleet.Get(name)
 	if m == nil {
-		m = fleet.New(name, c.now)
+		m = fleet.NewMachine(name, c.now)
 		if c.now == c.lead.since {
 			// An earlier leader may go on answering it for the hold time.
-			m.Answered = c.now + c.set.Hold()
+			m.LastAnswer = c.now + c.set.LeaderAuthorityTime()
 		}
 		if r, ok := c.lead.gone.last[name]; ok {
 			// Copies of its reports may still come: they are not news.
-			m.Session, m.Seq = r.session, r.seq
+			m.Epoch, m.Seq = r.session, r.seq
 		}
 		c.knownImages(m)
 		c.lead.fleet.Add(m)
@@ -44,16 +44,16 @@
 // takes it from the worker and hands it to the leader.
 func (c *Core) onBeat(b Beat) {
 	name := b.Report.Machine
-	at := reach.Machine{Name: name, Addr: b.Report.Addr, Zone: b.Report.Zone}
+	at := connectivity.Machine{Name: name, Addr: b.Report.Addr, Zone: b.Report.Zone}
 	if b.From == "" {
-		c.links.Workers.Heard(at, b.Report.Session, b.Report.Seq, c.now)
+		c.links.Workers.RecordHeartbeat(at, b.Report.Session, b.Report.Seq, c.now)
 	} else {
-		c.links.Called(b.From, c.now)
-		c.links.Workers.Know(at, c.now)
+		c.links.RecordInbound(b.From, c.now)
+		c.links.Workers.Add(at, c.now)
 	}
 	if c.lead != nil {
 		holder := c.bounds.Holder(name)
-		if b.From == "" && holder != "" && holder != c.set.Name && c.links.PeerUp(holder, c.now) && !c.links.Blind(holder, b.Report.Zone) && c.mayRedirect(&b.Report, c.lead.token) {
+		if b.From == "" && holder != "" && holder != c.set.Name && c.links.PeerUp(holder, c.now) && !c.links.CannotReachZone(holder, b.Report.Zone) && c.mayRedirect(&b.Report, c.lead.token) {
 			c.emit(Reply{Req: b.Req, Status: 421, Leader: holder})
 			return
 		}
@@ -76,13 +76,13 @@
 		c.aside(b, leader)
 		return
 	}
-	if c.holds(name) || c.links.Blind(leader, b.Report.Zone) || !c.mayRedirect(&b.Report, c.newest.Token) {
+	if c.holds(name) || c.links.CannotReachZone(leader, b.Report.Zone) || !c.mayRedirect(&b.Report, c.newest.Token) {
 		c.served(name, "")
 		c.emit(Relay{Req: b.Req, To: leader, Report: b.Report})
 		return
 	}
 	to := c.bounds.Holder(name)
-	if to == "" || to == c.set.Name || !c.links.PeerUp(to, c.now) || c.links.Blind(to, b.Report.Zone) {
+	if to == "" || to == c.set.Name || !c.links.PeerUp(to, c.now) || c.links.CannotReachZone(to, b.Report.Zone) {
 		to = leader
 	}
 	c.emit(Reply{Req: b.Req, Status: 421, Leader: to})
@@ -94,9 +94,9 @@
 // by way of another controller.
 func (c *Core) aside(b Beat, leader string) {
 	if c.set.Ops.Reach && leader != "" && leader != c.set.Name {
-		way := c.links.Way(leader)
+		way := c.links.RelayTo(leader)
 		to := way
-		if to == "" && !c.stateLost() && c.links.Reaches(leader, b.Report.Zone) {
+		if to == "" && !c.stateLost() && c.links.ReachesZone(leader, b.Report.Zone) {
 			to = leader // by its stored word, which is as old as the mirror
 		}
 		switch {
@@ -114,7 +114,7 @@
 
 // holds says whether this controller holds the lease of a machine's partition.
 func (c *Core) holds(name string) bool {
-	return c.bounds.Holder(name) == c.set.Name && c.bounds.Token == c.leader.Token && c.now-c.boundsOn < c.bounds.Term
+	return c.bounds.Holder(name) == c.set.Name && c.bounds.FencingToken == c.leader.Token && c.now-c.boundsOn < c.bounds.LeaseDuration
 }
 
 // served notes that a worker's report is taken here.
@@ -174,7 +174,7 @@
 		return
 	}
 	m := c.machine(r.Machine)
-	if !m.Newer(r.Session, r.Seq) || !m.Plausible(r.Session, r.Seq, c.now) {
+	if !m.IsNewer(r.Session, r.Seq) || !m.Plausible(r.Session, r.Seq, c.now) {
 		c.ask(m, r.Addr)
 		refuse("an older report")
 		return
@@ -185,25 +185,25 @@
 		via = c.set.Name
 	}
 	l.via[via] = c.now
-	first := m.Heard == 0
-	newSession := r.Session != m.Session
+	first := m.LastHeartbeat == 0
+	newSession := r.Session != m.Epoch
 	c.unpark(r.Machine, false)
-	m.Session, m.Seq, m.Heard = r.Session, r.Seq, c.now
+	m.Epoch, m.Seq, m.LastHeartbeat = r.Session, r.Seq, c.now
 	m.Addr, m.Zone, m.Spot = r.Addr, r.Zone, r.Spot
-	m.Touch()
-	if m.Type != r.Type || m.Cap == (ledger.Vec{}) {
+	m.MarkChanged()
+	if m.Type != r.Type || m.Cap == (jobstate.Resources{}) {
 		m.Type = r.Type
 		m.SetType(c.types)
 	}
 	// A worker that knew the token when it sent the report takes no orders
 	// of an earlier leader any more: only then does it prove what is absent.
-	wasFresh := m.Fresh
-	m.Fresh = r.Token == l.token
-	if first || newSession || !wasFresh && m.Fresh {
+	wasFresh := m.HasCurrentToken
+	m.HasCurrentToken = r.Token == l.token
+	if first || newSession || !wasFresh && m.HasCurrentToken {
 		l.planWanted = true
 	}
-	if r.Notice >= 0 && m.NoticeAt == 0 {
-		m.NoticeAt = c.now + r.Notice
+	if r.Notice >= 0 && m.ReclaimAt == 0 {
+		m.ReclaimAt = c.now + r.Notice
 		c.log.Info("spot notice", "machine", m.Name, "seconds", r.Notice/second)
 		c.drain(m, r.Notice)
 	}
@@ -211,7 +211,7 @@
 		refuse("what is on the machine has to be asked")
 		return
 	}
-	m.Answered = c.now
+	m.LastAnswer = c.now
 	orders, ended := c.reported(m, r)
 	orders = c.missing(m, r, orders)
 	if wait := c.parkTime(m, orders, ended); wait > 0 && c.mayPark(b.From) {
@@ -224,10 +224,10 @@
 // answer gives orders in the answer to a report. What of them takes effect shows
 // whether the machine hears.
 func (c *Core) answer(m *fleet.Machine, req uint64, orders []Order) {
-	m.Delivery.Told = m.Delivery.Told[:0]
+	m.Delivery.SentCommands = m.Delivery.SentCommands[:0]
 	for _, o := range orders {
 		if o.Op != "stop" {
-			m.Delivery.Told = append(m.Delivery.Told, fleet.Told{Task: o.Task, Attempt: o.Attempt, Forget: o.Op == "forget"})
+			m.Delivery.SentCommands = append(m.Delivery.SentCommands, fleet.SentCommand{Task: o.Task, Attempt: o.Attempt, Forget: o.Op == "forget"})
 		}
 	}
 	c.emit(Reply{Req: req, Status: 200, Token: c.lead.token, Orders: orders})
@@ -247,12 +247,12 @@
 		}
 	}
 	switch {
-	case !m.Fresh || m.Drain || m.NoticeAt != 0:
+	case !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0:
 		return 0
 	case ended:
 		return parkExit
-	case len(m.Placed) == 0 && len(orders) == 0 && m.Orphans == (ledger.Vec{}):
-		return min(parkIdle, config.Secs(c.set.Workers.ReportS)*3/4)
+	case len(m.Placed) == 0 && len(orders) == 0 && m.OrphanUsage == (jobstate.Resources{}):
+		return min(parkIdle, config.MicrosOf(c.set.Workers.ReportS)*3/4)
 	}
 	return 0
 }
@@ -275,11 +275,11 @@
 // hasOrders says whether an answer to a machine's report would have orders.
 func hasOrders(m *fleet.Machine) bool {
 	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); t.Stored && !t.Sent || t.Stop != "" {
+		if t := ref.Job.Task(ref.Index); t.Stored && !t.StartSent || t.StopReason != "" {
 			return true
 		}
 	}
-	return m.Warm != nil && !m.Warm.Sent
+	return m.Prefetch != nil && !m.Prefetch.Sent
 }
 
 // unpark answers a parked report, with orders unless a newer one has come.
@@ -290,13 +290,13 @@
 	}
 	m := c.lead.fleet.Get(name)
 	if m != nil {
-		m.Touch() // orders for it wait for its next report now
+		m.MarkChanged() // orders for it wait for its next report now
 	}
 	if !answer || m == nil || !c.entitled() {
 		c.emit(Reply{Req: p.req, Status: 503, Error: "an older report"})
 		return
 	}
-	m.Answered = c.now
+	m.LastAnswer = c.now
 	orders, _ := c.reported(m, &p.report)
 	orders = c.missing(m, &p.report, orders)
 	c.answer(m, p.req, orders)
@@ -305,37 +305,37 @@
 // reported goes through the tasks that the worker lists; ended says that a
 // placed attempt has come to its end.
 func (c *Core) reported(m *fleet.Machine, r *Report) (orders []Order, ended bool) {
-	m.Orphans = ledger.Vec{}
+	m.OrphanUsage = jobstate.Resources{}
 	warmListed := false
 	for k := range r.Tasks {
 		tr := &r.Tasks[k]
-		if w := m.Warm; w != nil && w.Task == tr.Name && uint64(w.Attempt) == tr.Attempt {
+		if w := m.Prefetch; w != nil && w.Task == tr.Name && uint64(w.Attempt) == tr.Attempt {
 			warmListed = true
 			orders = append(orders, c.reportedWarm(m, tr)...)
 			continue
 		}
-		id, i, err := ledger.SplitTask(tr.Name)
+		id, i, err := jobstate.ParseTaskName(tr.Name)
 		if err != nil {
 			continue
 		}
 		j := c.jobs[id]
-		var t *ledger.Task
+		var t *jobstate.Task
 		if j != nil {
 			t = j.Task(i)
 		}
 		order := Order{Task: tr.Name, Attempt: uint32(tr.Attempt)}
 		mine := t != nil && t.Machine == m.Name && uint64(t.Attempt) == tr.Attempt
 		if tr.State == "exited" {
-			if t != nil && j.Over == "" && tr.Why == "done" {
+			if t != nil && j.Outcome == "" && tr.Why == "done" {
 				c.taskDone(j, i)
 			}
 			if mine {
-				t.Seen, ended = true, true
+				t.Confirmed, ended = true, true
 				c.exited(m, j, i, tr)
 			}
 			// The exit must be stored first: a run could follow from the
 			// stored placement, and would start the task again.
-			if t == nil || j.Over != "" || j.Clean(i) {
+			if t == nil || j.Outcome != "" || j.IsTaskStored(i) {
 				order.Op = "forget"
 				orders = append(orders, order)
 			}
@@ -345,19 +345,19 @@
 			order.Op = "stop"
 			orders = append(orders, order)
 			if j != nil {
-				m.Orphans = m.Orphans.Add(j.Need)
+				m.OrphanUsage = m.OrphanUsage.Add(j.Need)
 			}
 			continue
 		}
-		t.Seen, t.Sent = true, true
+		t.Confirmed, t.StartSent = true, true
 		c.progress(m, j, t, tr.State)
-		if j.Broken() && t.Stop == "" && (t.Phase != ledger.Fetching || c.now-t.Since > fetchesAtMost*j.FetchTime(m.FetchRate)) {
+		if j.IsPartiallyPlaced() && t.StopReason == "" && (t.Phase != jobstate.Fetching || c.now-t.PlacedAt > fetchesAtMost*j.FetchTime(m.FetchRate)) {
 			c.stop(j, i, stopGang, 0) // it was left to fetch its image
 		}
-		if j.Over != "" && t.Stop == "" {
-			t.Stop, t.StopAt = j.Over, c.now
+		if j.Outcome != "" && t.StopReason == "" {
+			t.StopReason, t.StopRequestedAt = j.Outcome, c.now
 		}
-		if t.Stop != "" {
+		if t.StopReason != "" {
 			order.Op, order.Grace = "stop", t.Grace
 			orders = append(orders, order)
 		}
@@ -365,25 +365,25 @@
 	return append(orders, c.warmOrder(m, warmListed)...), ended
 }
 
-func (c *Core) progress(m *fleet.Machine, j *ledger.Job, t *ledger.Task, state string) {
-	p := ledger.Fetching
+func (c *Core) progress(m *fleet.Machine, j *jobstate.Job, t *jobstate.Task, state string) {
+	p := jobstate.Fetching
 	switch state {
 	case "waiting":
-		p = ledger.Waiting
+		p = jobstate.Waiting
 	case "running":
-		p = ledger.Running
-		if t.Started == 0 {
-			t.Started = c.now
-			c.log.Debug("running", "class", j.Class, "job", j.ID, "machine", m.Name, "after_s", float64(c.now-t.Since)/1e6, "known_s", float64(c.now-j.Known)/1e6)
+		p = jobstate.Running
+		if t.StartedAt == 0 {
+			t.StartedAt = c.now
+			c.log.Debug("running", "class", j.Class, "job", j.ID, "machine", m.Name, "after_s", float64(c.now-t.PlacedAt)/1e6, "known_s", float64(c.now-j.ReadyAt)/1e6)
 		}
 	case "saving":
-		p = ledger.Saving
+		p = jobstate.Checkpointing
 	}
 	if p != t.Phase {
-		if p == ledger.Fetching {
-			m.Fetch(j.Image, j.ImageMB, c.now)
+		if p == jobstate.Fetching {
+			m.RecordImageFetch(j.Image, j.ImageMB, c.now)
 		} else {
-			m.Use(j.Image, j.ImageMB, c.now)
+			m.RecordImageUse(j.Image, j.ImageMB, c.now)
 		}
 		j.SetPhase(t, p)
 		c.lead.planWanted = true
@@ -400,24 +400,24 @@
 	for k := range r.Tasks {
 		listed[r.Tasks[k].Name] = r.Tasks[k].Attempt
 	}
-	var runs, lost, never []fleet.Ref
+	var runs, lost, never []fleet.TaskRef
 	for ref := range m.Placed {
 		j, t := ref.Job, ref.Job.Task(ref.Index)
-		name := ledger.TaskName(j.ID, ref.Index)
+		name := jobstate.TaskName(j.ID, ref.Index)
 		if a, ok := listed[name]; ok && a == uint64(t.Attempt) {
 			continue
 		}
 		switch {
-		case m.Anew() && (t.Seen || t.Stop != "" && t.Sent):
+		case m.SeqRestarted() && (t.Confirmed || t.StopReason != "" && t.StartSent):
 			// It is asked, see unsettled.
-		case t.Seen && m.Fresh:
+		case t.Confirmed && m.HasCurrentToken:
 			// It was here and is gone: a new session has killed it.
 			lost = append(lost, ref)
-		case t.Stop != "" && (m.Fresh || !t.Sent):
+		case t.StopReason != "" && (m.HasCurrentToken || !t.StartSent):
 			// The order was dropped, or never given: had the worker taken
 			// it, this later report would list the task.
 			never = append(never, ref)
-		case t.Stop == "" && j.Over == "" && t.Stored && c.sure():
+		case t.StopReason == "" && j.Outcome == "" && t.Stored && c.sure():
 			runs = append(runs, ref)
 		}
 	}
@@ -425,18 +425,18 @@
 	sortRefs(runs)
 	for _, ref := range runs {
 		t := ref.Job.Task(ref.Index)
-		if t.Machine != m.Name || t.Stop != "" {
+		if t.Machine != m.Name || t.StopReason != "" {
 			continue // the rest of its gang was lost just now
 		}
-		t.Sent = true
-		orders = append(orders, Order{Op: "start", Task: ledger.TaskName(ref.Job.ID, ref.Index), Attempt: t.Attempt})
+		t.StartSent = true
+		orders = append(orders, Order{Op: "start", Task: jobstate.TaskName(ref.Job.ID, ref.Index), Attempt: t.Attempt})
 	}
 	return orders
 }
 
 // taskDone notes a completed task; the tasks of a gang complete together.
-func (c *Core) taskDone(j *ledger.Job, i int) {
-	if j.Kind == ledger.Gang {
+func (c *Core) taskDone(j *jobstate.Job, i int) {
+	if j.Kind == jobstate.Gang {
 		for k := range j.Tasks {
 			j.SetDone(k, c.now)
 		}
@@ -447,42 +447,42 @@
 }
 
 // exited handles the end of a placed attempt.
-func (c *Core) exited(m *fleet.Machine, j *ledger.Job, i int, tr *TaskReport) {
+func (c *Core) exited(m *fleet.Machine, j *jobstate.Job, i int, tr *TaskReport) {
 	t := j.Task(i)
-	stopped := t.Stop
+	stopped := t.StopReason
 	c.log.Debug("exited", "class", j.Class, "task", tr.Name, "attempt", tr.Attempt, "machine", m.Name, "why", tr.Why, "stopped", stopped,
-		"ran_s", float64(c.now-t.Started)/1e6, "estimate_s", float64(j.Estimate)/1e6)
+		"ran_s", float64(c.now-t.StartedAt)/1e6, "estimate_s", float64(j.Estimate)/1e6)
 	if t.Trial && stopped == stopTrial {
-		j.SetTried(c.now)
+		j.SetTrialDone(c.now)
 	}
 	switch tr.Why {
 	case "done", "error", "alone":
-		m.Use(j.Image, j.ImageMB, c.now) // it had it
+		m.RecordImageUse(j.Image, j.ImageMB, c.now) // it had it
 	}
 	c.clear(j, i)
 	switch tr.Why {
 	case "done":
-		clear(m.BadJobs)
+		clear(m.FailedJobs)
 		return
 	case "error":
-		j.Errors++
+		j.Failures++
 		// A bad submission fails everywhere; it comes back more and more
 		// seldom, so that it harms nobody.
-		j.NotBefore = c.now + min(int64(j.Errors)*2*second, 30*second)
+		j.NotBefore = c.now + min(int64(j.Failures)*2*second, 30*second)
 		c.suspect(m, j)
 	case "no_room", "busy", "unknown":
 		j.NotBefore = c.now + second
 	}
-	if j.Kind == ledger.Gang && j.Over == "" {
+	if j.Kind == jobstate.Gang && j.Outcome == "" {
 		c.breakGang(j, tr.Why == "alone")
 	}
 }
 
 // lost handles a task that is proven to be gone without an exit.
-func (c *Core) lost(j *ledger.Job, i int) {
+func (c *Core) lost(j *jobstate.Job, i int) {
 	c.log.Debug("attempt lost", "job", j.ID, "task", i, "machine", j.Task(i).Machine)
 	c.clear(j, i)
-	if j.Kind == ledger.Gang && j.Over == "" {
+	if j.Kind == jobstate.Gang && j.Outcome == "" {
 		c.breakGang(j, false)
 	}
 }
@@ -496,16 +496,16 @@
 // still fetch the image go on until they have it: stopped, they would begin
 // the fetch anew with the next attempt, which would be incomplete as well, and
 // so on for ever where a machine fetches slowly and the others have the image.
-func (c *Core) breakGang(j *ledger.Job, incomplete bool) {
+func (c *Core) breakGang(j *jobstate.Job, incomplete bool) {
 	if j.NumDone == j.Tasks {
 		return
 	}
-	j.EachPlaced(func(i int, t *ledger.Task) {
-		if !t.Sent {
+	j.EachPlaced(func(i int, t *jobstate.Task) {
+		if !t.StartSent {
 			c.clear(j, i)
 			return
 		}
-		if t.Stop == "" && !(incomplete && t.Phase == ledger.Fetching) {
+		if t.StopReason == "" && !(incomplete && t.Phase == jobstate.Fetching) {
 			c.stop(j, i, stopGang, 0)
 		}
 	})
@@ -513,7 +513,7 @@
 
 // suspect counts failures of different jobs on a machine: a faulty machine
 // fails everything, a faulty job fails everywhere.
-func (c *Core) suspect(m *fleet.Machine, j *ledger.Job) {
+func (c *Core) suspect(m *fleet.Machine, j *jobstate.Job) {
 	if j.FailedOn == nil {
 		j.FailedOn = map[string]bool{}
 	}
@@ -521,15 +521,15 @@
 	if len(j.FailedOn) > badMachines {
 		// It is the job: two such must not have every machine drained.
 		for _, o := range c.lead.fleet.All() {
-			delete(o.BadJobs, j.ID)
+			delete(o.FailedJobs, j.ID)
 		}
 		return
 	}
-	m.BadJobs[j.ID] = true
-	if len(m.BadJobs) >= 2 && !m.Drain {
-		c.log.Info("machine looks faulty, draining it", "machine", m.Name, "jobs", len(m.BadJobs))
-		m.Drain = true
-		m.Touch()
+	m.FailedJobs[j.ID] = true
+	if len(m.FailedJobs) >= 2 && !m.Draining {
+		c.log.Info("machine looks faulty, draining it", "machine", m.Name, "jobs", len(m.FailedJobs))
+		m.Draining = true
+		m.MarkChanged()
 		c.drain(m, 0)
 	}
 }
@@ -549,14 +549,14 @@
 // drain stops what is on a machine that is to go, with time to save where
 // the notice leaves it.
 func (c *Core) drain(m *fleet.Machine, notice int64) {
-	refs := make([]fleet.Ref, 0, len(m.Placed))
+	refs := make([]fleet.TaskRef, 0, len(m.Placed))
 	for ref := range m.Placed {
 		refs = append(refs, ref)
 	}
 	sortRefs(refs)
 	for _, ref := range refs {
 		j := ref.Job
-		if j.Over != "" || j.Task(ref.Index) == nil || j.Task(ref.Index).Machine != m.Name {
+		if j.Outcome != "" || j.Task(ref.Index) == nil || j.Task(ref.Index).Machine != m.Name {
 			continue
 		}
 		if j.Checkpoint == 0 && notice > 0 && c.endsWithin(j, j.Task(ref.Index), notice) {
@@ -567,38 +567,38 @@
 	c.lead.planWanted = true
 }
 
-func (c *Core) endsWithin(j *ledger.Job, t *ledger.Task, d int64) bool {
-	return t.Started != 0 && t.Started+j.Estimate < c.now+d*3/4
+func (c *Core) endsWithin(j *jobstate.Job, t *jobstate.Task, d int64) bool {
+	return t.StartedAt != 0 && t.StartedAt+j.Estimate < c.now+d*3/4
 }
 
 // stopOrderly stops a task, or the whole gang, with time to save.
-func (c *Core) stopOrderly(j *ledger.Job, i int, why string) {
+func (c *Core) stopOrderly(j *jobstate.Job, i int, why string) {
 	c.stopWith(j, i, why, saveGrace(j))
 }
 
 // saveGrace is long enough for a task to save, if it can.
-func saveGrace(j *ledger.Job) int64 {
+func saveGrace(j *jobstate.Job) int64 {
 	if j.Checkpoint > 0 {
 		return j.Save*3/2 + second
 	}
 	return 0
 }
 
-func (c *Core) stopWith(j *ledger.Job, i int, why string, grace int64) {
-	if j.Kind != ledger.Gang {
+func (c *Core) stopWith(j *jobstate.Job, i int, why string, grace int64) {
+	if j.Kind != jobstate.Gang {
 		c.stopOne(j, i, why, grace)
 		return
 	}
-	j.EachPlaced(func(i int, _ *ledger.Task) { c.stopOne(j, i, why, grace) })
+	j.EachPlaced(func(i int, _ *jobstate.Task) { c.stopOne(j, i, why, grace) })
 }
 
-func (c *Core) stopOne(j *ledger.Job, i int, why string, grace int64) {
+func (c *Core) stopOne(j *jobstate.Job, i int, why string, grace int64) {
 	t := j.Task(i)
-	if !t.Sent {
+	if !t.StartSent {
 		c.clear(j, i)
 		return
 	}
-	if t.Stop == "" {
+	if t.StopReason == "" {
 		c.stop(j, i, why, grace)
 	}
 }
@@ -607,13 +607,13 @@
 // next report. That is safe however late it arrives: an attempt that was
 // once told to stop is never wanted again. One of a job that is over may be sent
 // even by a leader that was replaced and does not know.
-func (c *Core) direct(j *ledger.Job, i int) {
+func (c *Core) direct(j *jobstate.Job, i int) {
 	t := j.Task(i)
 	m := c.lead.fleet.Get(t.Machine)
-	if m == nil || m.Addr == "" || m.Session == 0 || !c.mayStop(j, t) {
+	if m == nil || m.Addr == "" || m.Epoch == 0 || !c.mayStop(j, t) {
 		return
 	}
-	c.lead.directs[m.Name] = append(c.lead.directs[m.Name], Order{Op: "stop", Task: ledger.TaskName(j.ID, i), Attempt: t.Attempt, Grace: t.Grace})
+	c.lead.directs[m.Name] = append(c.lead.directs[m.Name], Order{Op: "stop", Task: jobstate.TaskName(j.ID, i), Attempt: t.Attempt, Grace: t.Grace})
 }
 
 // directMost is how many orders go to a machine at once.
@@ -628,7 +628,7 @@
 			continue
 		}
 		for orders := range slices.Chunk(c.lead.directs[name], directMost) {
-			c.emit(Direct{Addr: m.Addr, Token: c.lead.token, Session: m.Session, Orders: orders})
+			c.emit(Direct{Addr: m.Addr, Token: c.lead.token, Session: m.Epoch, Orders: orders})
 		}
 	}
 	clear(c.lead.directs)
--- a/internal/core/cloudby.go
+++ b/internal/core/cloudby.go
@@ -106,7 +106,7 @@
 	if !c.set.Ops.Reach {
 		return ""
 	}
-	return c.links.CloudBy(c.now)
+	return c.links.CloudProxy(c.now)
 }
 
 // cloudEnded notes how a call has ended, if it was made here.
@@ -115,9 +115,9 @@
 		return
 	}
 	if err == nil {
-		c.links.Cloud.Proven(c.now, c.now)
+		c.links.Cloud.RecordSuccess(c.now, c.now)
 	} else {
-		c.links.Cloud.Failed(c.now, c.now, faultOf(err))
+		c.links.Cloud.RecordFailure(c.now, c.now, faultOf(err))
 	}
 }
 
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -8,12 +8,12 @@
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // leaderState is the leader's work in progress.
 type leaderState struct {
-	dirty     map[*ledger.Job]struct{}
+	dirty     map[*jobstate.Job]struct{}
 	flying    bool
 	resolving int
 	notBefore int64
@@ -29,12 +29,12 @@
 	boundsAt      int64 // when they were last looked at
 	boundsFlying  bool
 	// capacity is what all usable machines have together.
-	capacity ledger.Vec
+	capacity jobstate.Resources
 	hashes   []uint32 // of the machines that report, kept for its room
 	// known are the images that the last leader knew of, inherited its
 	// sources; hints is what this one has written.
 	known     map[string][]hintImage
-	inherited []*ledger.Spec
+	inherited []*jobstate.Spec
 	hints     map[string][]byte
 	hintsAt   int64
 	hintsNext int
@@ -58,7 +58,7 @@
 	activateAt int64
 	// backedOff are jobs whose writes were refused or too long, until when; alone
 	// says that each is written alone, to find the one that is refused.
-	backedOff map[*ledger.Job]int64
+	backedOff map[*jobstate.Job]int64
 	alone     bool
 	// tail is the page that is written to, seq the number of the next entry,
 	// unneeded how many pages at the front can go.
@@ -75,15 +75,15 @@
 }
 
 func newLeaderState(now int64) leaderState {
-	return leaderState{dirty: map[*ledger.Job]struct{}{}, planWanted: true, cloud: newCloudState(now), parkedAnswers: newParkedAnswers(), ordinary: map[string]int64{}, stuckLog: map[string]int64{}, known: map[string][]hintImage{}, hints: map[string][]byte{}, backedOff: map[*ledger.Job]int64{}, hintsAt: now, warm: newWarmState(), via: map[string]int64{}, shunned: map[string]int64{}, gone: departed{last: map[string]departure{}}, sizes: sizes{}}
+	return leaderState{dirty: map[*jobstate.Job]struct{}{}, planWanted: true, cloud: newCloudState(now), parkedAnswers: newParkedAnswers(), ordinary: map[string]int64{}, stuckLog: map[string]int64{}, known: map[string][]hintImage{}, hints: map[string][]byte{}, backedOff: map[*jobstate.Job]int64{}, hintsAt: now, warm: newWarmState(), via: map[string]int64{}, shunned: map[string]int64{}, gone: departed{last: map[string]departure{}}, sizes: sizes{}}
 }
 
 // leaderPuts writes a value as a whole, if nothing newer is stored: one of its own
 // that got no answer may be executed after later ones.
 func (c *Core) leaderPuts(key string, value []byte, done func(Committed)) {
-	c.multi([]Cond{kv.At(LeaderKey, c.lead.stamp), kv.At(key, c.stamps[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
+	c.multi([]Cond{kv.RevisionIs(LeaderKey, c.lead.stamp), kv.RevisionIs(key, c.stamps[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
 		if m.Status == 200 {
-			c.stamps[key] = max(c.stamps[key], m.Ledger)
+			c.stamps[key] = max(c.stamps[key], m.Revision)
 		}
 		done(m)
 	})
@@ -98,7 +98,7 @@
 // maxTxnBytes stays below the service's 64 KiB for a transaction.
 const maxTxnBytes = 44 << 10
 
-func (c *Core) mark(j *ledger.Job) {
+func (c *Core) mark(j *jobstate.Job) {
 	c.lead.dirty[j] = struct{}{}
 }
 
@@ -114,9 +114,9 @@
 }
 
 // commitRank is 0 where a start or a user waits for a job's writes, and else 1.
-func commitRank(j *ledger.Job) int {
+func commitRank(j *jobstate.Job) int {
 	// Of one that is over only keys are left to be removed.
-	if j.Over == "" && (j.NumDone == j.Tasks || j.AnyPlacing()) {
+	if j.Outcome == "" && (j.NumDone == j.Tasks || j.HasAnyPlacementToWrite()) {
 		return 0
 	}
 	return 1
@@ -131,13 +131,13 @@
 
 // item is one job's part of a transaction.
 type item struct {
-	job     *ledger.Job
+	job     *jobstate.Job
 	chunks  []chunkWrite
 	finish  bool // writes the end
 	derived bool // writes the end of one that is over by another's
-	end     ledger.End
+	end     jobstate.End
 	remove  bool // deletes the job's keys
-	removed []ledger.Value
+	removed []jobstate.ChunkRef
 }
 
 // commitNow writes as much of what changed as the budget allows: high
@@ -154,22 +154,22 @@
 	if ops < 1 {
 		return
 	}
-	jobs := make([]*ledger.Job, 0, len(l.dirty))
+	jobs := make([]*jobstate.Job, 0, len(l.dirty))
 	for j := range l.dirty {
 		jobs = append(jobs, j)
 	}
-	order := make(map[*ledger.Job]commitKey, len(jobs))
+	order := make(map[*jobstate.Job]commitKey, len(jobs))
 	for _, j := range jobs {
 		order[j] = commitKey{commitRank(j), c.oldest(j)}
 	}
-	slices.SortFunc(jobs, func(a, b *ledger.Job) int {
+	slices.SortFunc(jobs, func(a, b *jobstate.Job) int {
 		x, y := order[a], order[b]
-		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(b.Rank, a.Rank), cmp.Compare(x.at, y.at), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(b.EffectivePriority, a.EffectivePriority), cmp.Compare(x.at, y.at), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
 	})
 	// While the budget is short, what can wait does so for a while, so that
 	// one write takes many tasks' ends.
 	scarce := c.budget.Level() < c.allowance.Changes/2
-	when := []Cond{kv.At(LeaderKey, l.stamp)}
+	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp)}
 	var writes []Write
 	var items []item
 	size := 0
@@ -183,15 +183,15 @@
 	// A run must not be done once its sweep is cancelled, as users may have
 	// been told that it is.
 	open := map[string]bool{}
-	stillOpen := func(j *ledger.Job) {
+	stillOpen := func(j *jobstate.Job) {
 		if j.Sweep != "" && !open[j.Sweep] {
 			open[j.Sweep] = true
-			when = append(when, kv.At(sweepEndPrefix+j.Sweep, 0))
+			when = append(when, kv.RevisionIs(sweepEndPrefix+j.Sweep, 0))
 		}
 	}
-	addEnd := func(j *ledger.Job, outcome string) ledger.End {
+	addEnd := func(j *jobstate.Job, outcome string) jobstate.End {
 		e := c.end(outcome, j)
-		add(Write{Key: endPrefix + j.ID, Value: encode(e)}, kv.At(endPrefix+j.ID, 0))
+		add(Write{Key: endPrefix + j.ID, Value: encode(e)}, kv.RevisionIs(endPrefix+j.ID, 0))
 		return e
 	}
 	for _, j := range jobs {
@@ -207,24 +207,24 @@
 		}
 		it := item{job: j}
 		switch {
-		case j.Over == "" && j.NumDone == j.Tasks:
+		case j.Outcome == "" && j.NumDone == j.Tasks:
 			if room < 2 {
 				continue
 			}
 			stillOpen(j)
 			it.finish = true
-			it.end = addEnd(j, ledger.Done)
-			if values, _ := j.Stored(); j.NumPlaced == 0 && (c.joined() || len(values)+2 <= room) {
+			it.end = addEnd(j, jobstate.Done)
+			if values, _ := j.StoredChunks(); j.NumPlaced == 0 && (c.joined() || len(values)+2 <= room) {
 				c.addRemoval(&it, room-1, add)
 				break
 			}
-			add(Write{Key: jobPrefix + j.ID, Value: c.overRecord(j, ledger.Done)}, kv.At(jobPrefix+j.ID, j.Stamp))
-		case j.Over != "" && j.NumPlaced == 0:
-			if j.Derived {
+			add(Write{Key: jobPrefix + j.ID, Value: c.overRecord(j, jobstate.Done)}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
+		case j.Outcome != "" && j.NumPlaced == 0:
+			if j.CancelledByDependency {
 				if room < 2 {
 					continue
 				}
-				addEnd(j, j.Over)
+				addEnd(j, j.Outcome)
 				it.derived = true
 				room--
 			}
@@ -232,12 +232,12 @@
 				continue
 			}
 			c.addRemoval(&it, room, add)
-		case j.Over != "":
+		case j.Outcome != "":
 			// Nothing of it will be started again, so its exits need not
 			// be stored one by one.
 			continue
 		default:
-			for _, n := range j.Dirty() {
+			for _, n := range j.DirtyChunks() {
 				room := ops - len(writes) - pages.ops()
 				if version, ok := pages.append(j, n, room); ok {
 					it.chunks = append(it.chunks, chunkWrite{n, version, true})
@@ -246,16 +246,16 @@
 				if room < 1 || full() {
 					break
 				}
-				if scarce && !j.Placing(n) && c.now-j.Chunk(n).Queued < endsWait {
+				if scarce && !j.HasPlacementToWrite(n) && c.now-j.Chunk(n).DirtySince < endsWait {
 					continue
 				}
-				v, version := j.Take(n, l.seq)
+				v, version := j.BeginChunkWrite(n, l.seq)
 				if len(v) > c.valueLimit() {
 					c.tooLong(j, n)
 					continue
 				}
-				key := runKey(j.ID, ledger.Value{Span: j.Span(), N: n})
-				add(Write{Key: key, Value: v}, kv.At(key, j.Chunk(n).Stamp))
+				key := runKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n})
+				add(Write{Key: key, Value: v}, kv.RevisionIs(key, j.Chunk(n).Revision))
 				it.chunks = append(it.chunks, chunkWrite{n, version, false})
 			}
 		}
@@ -268,7 +268,7 @@
 	if len(writes) == 0 {
 		return
 	}
-	c.budget.Use(float64(len(writes)))
+	c.budget.Spend(float64(len(writes)))
 	l.flying = true
 	sent := c.now
 	c.multi(when, writes, func(m Committed) {
@@ -285,10 +285,10 @@
 				c.proven(sent)
 			}
 			l.alone = false
-			pages.written(m.Ledger)
+			pages.written(m.Revision)
 			removals.done()
 			for i := range items {
-				c.committed(&items[i], m.Ledger)
+				c.committed(&items[i], m.Revision)
 			}
 			l.planWanted, l.unparkWanted = true, true
 			return
@@ -299,7 +299,7 @@
 		// to anybody on its account.
 		for i := range items {
 			for _, w := range items[i].chunks {
-				items[i].job.Unwritten(w.n)
+				items[i].job.AbortChunkWrite(w.n)
 			}
 		}
 		l.notBefore = c.now + 150_000
@@ -339,10 +339,10 @@
 const writeBackoff = 10 * second
 
 // tooLong puts a value off that does not fit, and asks for smaller ones.
-func (c *Core) tooLong(j *ledger.Job, n int) {
-	j.Unwritten(n)
+func (c *Core) tooLong(j *jobstate.Job, n int) {
+	j.AbortChunkWrite(n)
 	c.lead.backedOff[j] = c.now + second
-	if j.Span() == c.span && c.span > 1 {
+	if j.ChunkSize() == c.span && c.span > 1 {
 		c.lead.spanWanted = c.span / 2
 	}
 }
@@ -356,23 +356,23 @@
 	j := it.job
 	if c.joined() {
 		it.remove = true
-		add(Write{Key: jobPrefix + j.ID}, kv.At(jobPrefix+j.ID, j.Stamp))
+		add(Write{Key: jobPrefix + j.ID}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 		return
 	}
-	values, stamps := j.Stored()
+	values, stamps := j.StoredChunks()
 	it.remove = len(values)+1 <= room
 	it.removed = values[:min(room, len(values))]
 	for i, v := range it.removed {
-		add(Write{Key: runKey(j.ID, v)}, kv.At(runKey(j.ID, v), stamps[i]))
+		add(Write{Key: runKey(j.ID, v)}, kv.RevisionIs(runKey(j.ID, v), stamps[i]))
 	}
 	if it.remove {
-		add(Write{Key: jobPrefix + j.ID}, kv.At(jobPrefix+j.ID, j.Stamp))
+		add(Write{Key: jobPrefix + j.ID}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 	}
 }
 
 // oldest is when the oldest unwritten change of a job was made.
-func (c *Core) oldest(j *ledger.Job) int64 {
-	if at := j.Queued(); at != 0 {
+func (c *Core) oldest(j *jobstate.Job) int64 {
+	if at := j.DirtySince(); at != 0 {
 		return at
 	}
 	return c.now
@@ -383,7 +383,7 @@
 	j := it.job
 	if it.finish {
 		if !it.remove {
-			j.Stamp = stamp
+			j.Revision = stamp
 		}
 		c.log.Info("job done", "job", j.ID, "tasks", j.Tasks)
 		c.noteEnd(j.ID, it.end, stamp)
@@ -391,20 +391,20 @@
 	if it.derived {
 		// Not by any write: one of its progress may have been under way when
 		// its sweep was cancelled, and the job be removed without an end.
-		j.Derived = false
+		j.CancelledByDependency = false
 	}
 	for _, w := range it.chunks {
 		if w.logged {
-			j.Logged(w.n, w.version)
+			j.CommitLogWrite(w.n, w.version)
 		} else {
-			j.Written(w.n, w.version, stamp)
+			j.CommitChunkWrite(w.n, w.version, stamp)
 		}
 	}
 	for _, v := range it.removed {
-		j.SetStamp(v, 0)
+		j.SetChunkRevision(v, 0)
 	}
 	if it.remove {
-		if j.Over == ledger.Done && !j.Brief {
+		if j.Outcome == jobstate.Done && !j.Truncated {
 			c.addSources(j.Spec) // none of its tasks is on a machine now
 		}
 		delete(c.jobs, j.ID)
@@ -416,8 +416,8 @@
 }
 
 // settle takes a job off the list of dirty ones if nothing is left to write.
-func (c *Core) settle(j *ledger.Job) {
-	if j.Over != "" && j.NumPlaced == 0 || j.Over == "" && j.NumDone == j.Tasks || len(j.Dirty()) > 0 {
+func (c *Core) settle(j *jobstate.Job) {
+	if j.Outcome != "" && j.NumPlaced == 0 || j.Outcome == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
 		c.mark(j)
 		return
 	}
@@ -447,27 +447,27 @@
 		case strings.HasPrefix(key, runPrefix):
 			id, v, err := runValue(key[len(runPrefix):])
 			if err == nil && c.jobs[id] != nil {
-				c.jobs[id].SetStamp(v, g.Stamp)
+				c.jobs[id].SetChunkRevision(v, g.Stamp)
 			} else if err == nil {
 				c.noteOrphan(id, v, g.Stamp)
 			}
 		case strings.HasPrefix(key, logPrefix):
 			for _, p := range c.pages {
 				if pageKey(p.n) == key {
-					p.Stamp = g.Stamp
+					p.Revision = g.Stamp
 				}
 			}
 		case strings.HasPrefix(key, sweepEndPrefix) && g.Stamp != 0:
 			c.sweepTold(key[len(sweepEndPrefix):])
 		case strings.HasPrefix(key, endPrefix):
-			var e ledger.End
+			var e jobstate.End
 			if g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil {
 				c.noteEnd(key[len(endPrefix):], e, g.Stamp)
 				c.endStored(key[len(endPrefix):])
 			}
 		case strings.HasPrefix(key, jobPrefix):
 			if g.Stamp != 0 {
-				c.apply(Change{Key: key, Value: g.Value, Stamp: g.Stamp})
+				c.apply(Change{Key: key, Value: g.Value, Revision: g.Stamp})
 			} else if j := c.jobs[key[len(jobPrefix):]]; j != nil {
 				delete(c.jobs, j.ID)
 				c.dropJob(j)
@@ -477,7 +477,7 @@
 }
 
 // jobArrived, jobOver and dropJob are called by the mirror.
-func (c *Core) jobArrived(j *ledger.Job) {
+func (c *Core) jobArrived(j *jobstate.Job) {
 	if c.lead != nil {
 		c.lead.planWanted = true
 		c.noteUse(j.Spec)
@@ -485,50 +485,50 @@
 	}
 }
 
-func (c *Core) jobOver(j *ledger.Job) {
-	c.graph.Drop(j)
+func (c *Core) jobOver(j *jobstate.Job) {
+	c.graph.Remove(j)
 	if c.lead == nil {
 		return
 	}
-	j.EachPlaced(func(i int, t *ledger.Task) {
-		if !t.Sent {
+	j.EachPlaced(func(i int, t *jobstate.Task) {
+		if !t.StartSent {
 			c.clear(j, i) // no worker was ever told of it
 			return
 		}
-		c.stop(j, i, j.Over, 0)
+		c.stop(j, i, j.Outcome, 0)
 	})
 	c.mark(j)
 	c.lead.planWanted = true
 }
 
-func (c *Core) dropJob(j *ledger.Job) {
-	c.graph.Drop(j)
+func (c *Core) dropJob(j *jobstate.Job) {
+	c.graph.Remove(j)
 	if c.lead == nil {
 		return
 	}
 	delete(c.lead.dirty, j)
 	delete(c.lead.backedOff, j)
-	j.EachPlaced(func(i int, t *ledger.Task) {
+	j.EachPlaced(func(i int, t *jobstate.Task) {
 		if m := c.lead.fleet.Get(t.Machine); m != nil {
-			m.Drop(fleet.Ref{Job: j, Index: i})
+			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
 		}
 	})
 	c.lead.planWanted = true
 }
 
 // clear removes a placement that is proven to be gone.
-func (c *Core) clear(j *ledger.Job, i int) {
+func (c *Core) clear(j *jobstate.Job, i int) {
 	t := j.Task(i)
 	if m := c.lead.fleet.Get(t.Machine); m != nil {
-		m.Drop(fleet.Ref{Job: j, Index: i})
-		if t.Phase == ledger.Fetching && !fetchesFor(m, j.Image) {
-			m.GiveUp(j.Image)
+		m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
+		if t.Phase == jobstate.Fetching && !fetchesFor(m, j.Image) {
+			m.AbandonFetch(j.Image)
 		}
 		if len(m.Placed) == 0 {
 			m.IdleSince = c.now
 		}
 	}
-	j.Clear(i, c.now)
+	j.UnplaceTask(i, c.now)
 	c.mark(j)
 	c.lead.planWanted = true
 }
@@ -536,7 +536,7 @@
 // fetchesFor says whether a task on a machine waits for an image.
 func fetchesFor(m *fleet.Machine, image string) bool {
 	for ref := range m.Placed {
-		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == ledger.Fetching {
+		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
 			return true
 		}
 	}
@@ -544,15 +544,15 @@
 }
 
 // stop asks for an attempt to be stopped; grace 0 ends it at once.
-func (c *Core) stop(j *ledger.Job, i int, why string, grace int64) {
+func (c *Core) stop(j *jobstate.Job, i int, why string, grace int64) {
 	t := j.Task(i)
-	if t.Stop != "" && grace >= t.Grace {
+	if t.StopReason != "" && grace >= t.Grace {
 		return
 	}
-	if t.Stop == "" {
-		t.StopAt = c.now
+	if t.StopReason == "" {
+		t.StopRequestedAt = c.now
 	}
-	t.Stop, t.Grace = why, grace
+	t.StopReason, t.Grace = why, grace
 	c.lead.unparkWanted = true
 	c.direct(j, i)
 }
--- a/internal/core/reach/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -1,4 +1,4 @@
-package reach
+package connectivity
 
 import (
 	"maps"
@@ -7,9 +7,9 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Value is what a controller says of its links, to its peers and on its lease
+// Advertisement is what a controller says of its links, to its peers and on its lease
 // in the state service. A field that is missing says nothing.
-type Value struct {
+type Advertisement struct {
 	Boot string `json:"b,omitempty"`
 	// Workers has for each zone how many eighths of its machines are reached.
 	Workers map[string]int `json:"w,omitempty"`
@@ -22,12 +22,12 @@
 
 // Differs says whether another value tells something else that matters: a
 // machine more or less in a zone does not.
-func (v *Value) Differs(o *Value) bool {
+func (v *Advertisement) Differs(o *Advertisement) bool {
 	if v.Boot != o.Boot || v.Cloud != o.Cloud || v.Flaps != o.Flaps || !slices.Equal(v.Peers, o.Peers) || len(v.Workers) != len(o.Workers) {
 		return true
 	}
 	for z, n := range v.Workers {
-		if m, ok := o.Workers[z]; !ok || max(n-m, m-n) >= full/2 || (n == full) != (m == full) && (n == 0) != (m == 0) {
+		if m, ok := o.Workers[z]; !ok || max(n-m, m-n) >= wholeZone/2 || (n == wholeZone) != (m == wholeZone) && (n == 0) != (m == 0) {
 			return true
 		}
 	}
@@ -35,14 +35,14 @@
 }
 
 // Matrix is who reaches what, by each controller's own word.
-type Matrix map[string]Value
+type Matrix map[string]Advertisement
 
-// most is how many controllers a report may pass on its way to the leader.
-const most = 2
+// maxRelays is how many controllers a report may pass on its way to the leader.
+const maxRelays = 2
 
-// Serves says how much of each zone a controller would serve if it led: what it
+// Coverage says how much of each zone a controller would serve if it led: what it
 // reaches itself, and what those reach that reach it, over most controllers.
-func (m Matrix) Serves(leader string) map[string]int {
+func (m Matrix) Coverage(leader string) map[string]int {
 	names := slices.Sorted(maps.Keys(m))
 	at, ok := slices.BinarySearch(names, leader)
 	if !ok {
@@ -61,7 +61,7 @@
 		}
 	}
 	seen := bitset.New(uint(len(names))).Set(uint(at))
-	for range most {
+	for range maxRelays {
 		next := seen.Clone()
 		for i := range seen.EachSet() {
 			next.InPlaceUnion(in[i])
@@ -77,22 +77,22 @@
 	return out
 }
 
-// worth is the least gain, in eighths of all zones, for which leadership moves:
+// minHandoverGain is the least gain, in eighths of all zones, for which leadership moves:
 // a quarter of the fleet. A take-over costs all of it a second or two.
-func worth(zones int) int { return max(full/2, zones*full/4) }
+func minHandoverGain(zones int) int { return max(wholeZone/2, zones*wholeZone/4) }
 
-// Better is who could serve so much more than a controller that it should lead
+// BetterLeader is who could serve so much more than a controller that it should lead
 // instead, "" if nobody could. The controller with the most is taken, of those
 // the first by name, so that all who judge alike choose alike.
-func (m Matrix) Better(self string) (name string) {
-	own, gain := m.Serves(self), 0
+func (m Matrix) BetterLeader(self string) (name string) {
+	own, gain := m.Coverage(self), 0
 	for _, o := range slices.Sorted(maps.Keys(m)) {
 		if o == self || m[o].Flaps {
 			continue
 		}
 		g := 0
 		zones := 0
-		for z, n := range m.Serves(o) {
+		for z, n := range m.Coverage(o) {
 			zones++
 			// A zone that nobody on the way has heard of is no loss: there may
 			// be no machines.
@@ -100,16 +100,16 @@
 				g += n - mine
 			}
 		}
-		if g > gain && g >= worth(max(zones, len(own))) {
+		if g > gain && g >= minHandoverGain(max(zones, len(own))) {
 			name, gain = o, g
 		}
 	}
 	return name
 }
 
-// Way is a controller that answers this one and reaches another, for messages
+// RelayTo is a controller that answers this one and reaches another, for messages
 // that can't go straight; "" if there is none.
-func (m Matrix) Way(peers []string, to string) string {
+func (m Matrix) RelayTo(peers []string, to string) string {
 	ways := slices.DeleteFunc(slices.Clone(peers), func(p string) bool { return p == to || !slices.Contains(m[p].Peers, to) })
 	if len(ways) == 0 {
 		return ""
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -8,15 +8,15 @@
 	"math/rand/v2"
 
 	"github.com/zinclb/zinclb/internal/config"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/kv"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/rates"
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/ratelimit"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 	"github.com/zinclb/zinclb/internal/core/replica"
 	"github.com/zinclb/zinclb/internal/core/txn"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
-	"github.com/zinclb/zinclb/internal/core/vouch"
 )
 
 // Keys of the state service.
@@ -54,7 +54,7 @@
 	Name  string
 	Boot  string // tells this start of the process from earlier ones
 	Peers []string
-	config.Params
+	config.Deployment
 	Ops config.Operators
 	// Program is what this controller is taken to run, nil for this program.
 	Program *upgrade.Program
@@ -62,7 +62,7 @@
 
 // What is stored, as package kv has it.
 type (
-	Cond      = kv.Cond
+	Cond      = kv.Condition
 	Write     = kv.Write
 	Change    = kv.Change
 	Committed = kv.Committed
@@ -139,7 +139,7 @@
 		Req uint64
 		// Handed: a peer has handed the request on.
 		Handed bool
-		Spec   *ledger.Spec
+		Spec   *jobstate.Spec
 		// Invalid is set when only the id could be read.
 		Invalid string
 	}
@@ -188,8 +188,8 @@
 		From string
 		Need bool
 		Boot string
-		Ask  *vouch.Question
-		Tell *vouch.Page
+		Ask  *readlease.GrantRequest
+		Tell *readlease.CancellationPage
 	}
 	// Probed is how a Probe that was sent at Sent ended; Report is what the
 	// machine said of itself, if it could be read.
@@ -252,18 +252,18 @@
 	Cancelled []string
 	// Vouch answers a question, Ack says whether this controller lives on the
 	// word of the one that it answers. Older ones say neither.
-	Vouch *vouch.Page
-	Ack   *vouch.Ack
+	Vouch *readlease.CancellationPage
+	Ack   *readlease.HolderAck
 	// Version is the format that the controller can write, 0 before there was
 	// any, Features what it has; older ones say nothing of these.
 	Version  int
-	Features []upgrade.Name
+	Features []upgrade.FeatureName
 	// Lowered: the state service has shown that its limits have fallen.
 	Lowered bool
 	// Reach is what the controller reaches, Machines some that it knows, for
 	// one that needs them. Older ones say neither.
-	Reach    *reach.Value
-	Machines []reach.Machine
+	Reach    *connectivity.Advertisement
+	Machines []connectivity.Machine
 }
 
 // Listing is a machine as the cloud lists it.
@@ -380,8 +380,8 @@
 		Peer string
 		Need bool
 		Boot string
-		Ask  *vouch.Question
-		Tell *vouch.Page
+		Ask  *readlease.GrantRequest
+		Tell *readlease.CancellationPage
 	}
 	// Probe asks a machine whether it can be reached.
 	Probe struct{ Machine, Addr string }
@@ -451,15 +451,15 @@
 	synced   bool
 	listing  bool
 	applied  uint64
-	jobs     map[string]*ledger.Job
-	orphaned map[string]map[ledger.Value]Change // chunks read before their job
-	ends     map[string]ledger.End
+	jobs     map[string]*jobstate.Job
+	orphaned map[string]map[jobstate.ChunkRef]Change // chunks read before their job
+	ends     map[string]jobstate.End
 	endOrder []string
 	types    []fleet.Type
 	typesAt  uint64
 	// typesWhole is when they were last stored as one value.
 	typesWhole uint64
-	bounds     fleet.Bounds
+	bounds     fleet.Partitions
 	boundsOn   int64 // when the bounds were read
 	// stamps are the versions of what a leader writes as a whole: see leaderPuts.
 	stamps   map[string]uint64
@@ -482,7 +482,7 @@
 	// span is what the jobs' chunks are split to, which lags behind the
 	// format while the leader has a write under way.
 	span  int
-	graph *ledger.Graph
+	graph *jobstate.DependencyGraph
 	// pages are the log of progress, in its order.
 	pages  []*page
 	recall recall
@@ -503,7 +503,7 @@
 	elect    election
 	lead     *leadership
 	peers    map[string]peerView
-	links    *reach.Links
+	links    *connectivity.Links
 	// reachAt are the versions of what controllers said of what they reach.
 	reachAt map[string]uint64
 	reached int64 // when the links were last looked at
@@ -514,7 +514,7 @@
 	newest leaderValue
 	// witness vouches for what this controller tells users, heldAnswers are answers
 	// that wait for a leader to know of a cancellation.
-	witness     *vouch.Witness
+	witness     *readlease.Grantor
 	heldAnswers heldAnswers
 	// stateOK and stateBad are when the state service last answered a
 	// request, and when it last failed one.
@@ -526,29 +526,29 @@
 	gets   map[uint64]func(Got)
 	// allowance is what this controller may use of the state service, budget what is
 	// left of it for changes, reading for reads that can wait.
-	allowance       rates.Share
-	budget, reading rates.Budget
+	allowance       ratelimit.Share
+	budget, reading ratelimit.TokenBucket
 	// follower decides whether the leader is asked for what is stored, recent has
 	// the latest changes for those who ask this one.
 	follower replica.Follower
-	recent   replica.Log
+	recent   replica.ChangeLog
 	// mirrorAt is up to when, at the least, all that was stored is known.
 	mirrorAt int64
 }
 
 // New makes a core. now is the steady clock.
 func New(set Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	c := &Core{set: set, now: now, rng: rng, log: log, jobs: map[string]*ledger.Job{},
-		orphaned: map[string]map[ledger.Value]Change{}, ends: map[string]ledger.End{}, hints: map[string][]byte{},
-		peers: map[string]peerView{}, seen: map[string]redirect{}, span: ledger.ChunkTasks, graph: ledger.NewGraph(), recall: newRecall(), asking: map[string]int64{}, sweeps: map[string]*sweep{}, activation: newActivation(&set), goneAt: map[string]uint64{},
+	c := &Core{set: set, now: now, rng: rng, log: log, jobs: map[string]*jobstate.Job{},
+		orphaned: map[string]map[jobstate.ChunkRef]Change{}, ends: map[string]jobstate.End{}, hints: map[string][]byte{},
+		peers: map[string]peerView{}, seen: map[string]redirect{}, span: jobstate.DefaultChunkSize, graph: jobstate.NewDependencyGraph(), recall: newRecall(), asking: map[string]int64{}, sweeps: map[string]*sweep{}, activation: newActivation(&set), goneAt: map[string]uint64{},
 		txns: txn.New(), gets: map[uint64]func(Got){}, reachAt: map[string]uint64{}, stamps: map[string]uint64{},
-		links: reach.New(set.Name, set.Boot, set.Peers, set.Zones, config.Secs(set.Workers.ReportS))}
-	c.frugal = set.Frugal(&c.set.Ops)
-	c.witness = vouch.NewWitness(set.Boot, set.Peers, set.Hold(), now)
+		links: connectivity.New(set.Name, set.Boot, set.Peers, set.Zones, config.MicrosOf(set.Workers.ReportS))}
+	c.frugal = set.WeighsCost(&c.set.Ops)
+	c.witness = readlease.NewGrantor(set.Boot, set.Peers, set.LeaderAuthorityTime(), now)
 	c.heldAnswers.sent = map[string]int64{}
 	c.requests.inFlight = map[string][]*ask{}
 	c.allowance = c.allowanceNow()
-	c.reading = rates.NewBudget(now, rates.First)
+	c.reading = ratelimit.NewTokenBucket(now, ratelimit.InitialTokens)
 	c.list()
 	return c
 }
@@ -573,11 +573,11 @@
 	case Shown:
 		c.onShown(m)
 	case Committed:
-		if !c.txns.Compares(m.ID) {
+		if !c.txns.IsConditionOnly(m.ID) {
 			c.noteLimits(m.Status)
 		}
 		c.noteWrite(m)
-		c.txns.End(m)
+		c.txns.Complete(m)
 	case Got:
 		c.stateAnswered(&c.links.Reads, m.Err)
 		if f := c.gets[m.ID]; f != nil {
@@ -613,7 +613,7 @@
 	case PeerSeen:
 		c.onPeerSeen(m)
 	case Probed:
-		c.links.Workers.Answered(m.Machine, m.Sent, c.now, m.OK)
+		c.links.Workers.RecordProbe(m.Machine, m.Sent, c.now, m.OK)
 		c.onProbed(m)
 	case Ops:
 		c.onOps(m)
@@ -628,7 +628,7 @@
 	case CloudDone:
 		c.onCloudDone(m)
 	case CloudTold:
-		c.links.CloudTold(m.By, m.Err == nil, c.now)
+		c.links.RecordCloudProxy(m.By, m.Err == nil, c.now)
 	case Types:
 		c.onTypes(m)
 	case Machines:
@@ -684,7 +684,7 @@
 		}
 	}
 	for _, answer := range c.txns.Overdue(c.now) {
-		c.txns.End(answer)
+		c.txns.Complete(answer)
 	}
 	c.requestsTick()
 	c.watch()
@@ -700,11 +700,11 @@
 
 // LeaseTime is after how long without an answer a worker has certainly ended its
 // session.
-func (s *Settings) LeaseTime() int64 { return drift(config.Secs(s.Workers.LeaseS)) + second }
+func (s *Settings) LeaseTime() int64 { return drift(config.MicrosOf(s.Workers.LeaseS)) + second }
 
 // Silence is the same for a new leader, as an earlier one may go on answering for the
 // hold time.
-func (s *Settings) Silence() int64 { return s.Hold() + s.LeaseTime() }
+func (s *Settings) Silence() int64 { return s.LeaderAuthorityTime() + s.LeaseTime() }
 
 // Overdue is for how long a machine may be silent and still be used.
-func (s *Settings) Overdue() int64 { return config.Secs(s.Workers.ReportS)*2 + second }
+func (s *Settings) Overdue() int64 { return config.MicrosOf(s.Workers.ReportS)*2 + second }
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/zinclb/zinclb/internal/config"
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // What a report proves, and of when, is a table in docs/design.md. In short: it
@@ -53,20 +53,20 @@
 func (c *Core) heard(m *fleet.Machine, r *Report) {
 	h := &m.Delivery
 	deaf := false
-	if m.Session != 0 && r.Session > m.Session && c.now-m.Answered < config.Secs(c.set.Workers.LeaseS)*3/4 {
+	if m.Epoch != 0 && r.Session > m.Epoch && c.now-m.LastAnswer < config.MicrosOf(c.set.Workers.LeaseS)*3/4 {
 		// It has ended its session for want of answers, and was given some.
-		deaf = h.Unanswered(c.now)
-	} else if r.Session == m.Session {
-		wasDeaf := h.Deaf
-		deaf = h.Reported(func(task string, attempt uint32) bool { return lists(r, task, attempt) }, c.now)
-		if wasDeaf && !h.Deaf {
+		deaf = h.RecordMissedAnswer(c.now)
+	} else if r.Session == m.Epoch {
+		wasDeaf := h.CannotReceive
+		deaf = h.RecordHeartbeat(func(task string, attempt uint32) bool { return lists(r, task, attempt) }, c.now)
+		if wasDeaf && !h.CannotReceive {
 			c.hearsAgain(m)
 		}
 	}
-	h.Told = h.Told[:0]
+	h.SentCommands = h.SentCommands[:0]
 	if deaf {
 		c.log.Info("a machine reports and does not hear", "machine", m.Name, "tasks", len(m.Placed))
-		m.Touch()
+		m.MarkChanged()
 		c.giveUp(m)
 	}
 }
@@ -75,16 +75,16 @@
 // cleared when a later report does not have it either, as any attempt that is to
 // stop; what the machine has shown stays on it until its lease has run out.
 func (c *Core) giveUp(m *fleet.Machine) {
-	var refs []fleet.Ref
+	var refs []fleet.TaskRef
 	for ref := range m.Placed {
-		if t := ref.Job.Task(ref.Index); !t.Seen && t.Stop == "" {
+		if t := ref.Job.Task(ref.Index); !t.Confirmed && t.StopReason == "" {
 			refs = append(refs, ref)
 		}
 	}
 	sortRefs(refs)
 	for _, ref := range refs {
 		c.stop(ref.Job, ref.Index, stopDeaf, 0)
-		if ref.Job.Kind == ledger.Gang && ref.Job.Over == "" {
+		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome == "" {
 			c.breakGang(ref.Job, false) // it would wait for this one in vain
 		}
 	}
@@ -92,7 +92,7 @@
 
 func (c *Core) hearsAgain(m *fleet.Machine) {
 	c.log.Info("a deaf machine hears again", "machine", m.Name)
-	m.Touch()
+	m.MarkChanged()
 	c.lead.planWanted = true
 }
 
@@ -104,12 +104,12 @@
 func (c *Core) deafTick() {
 	asked := 0
 	for _, m := range c.lead.fleet.All() {
-		if !m.Delivery.Deaf {
+		if !m.Delivery.CannotReceive {
 			continue
 		}
-		if m.Delivery.Retry(c.now) {
+		if m.Delivery.RetryDue(c.now) {
 			c.hearsAgain(m)
-		} else if asked < deafAsks && m.Ask(c.now) {
+		} else if asked < deafAsks && m.BeginProbe(c.now) {
 			asked++
 			c.emit(Probe{Machine: m.Name, Addr: m.Addr})
 		}
@@ -120,7 +120,7 @@
 // is a copy, or the machine has lost all and counts anew. Only an answer to a
 // question of one's own tells.
 func (c *Core) ask(m *fleet.Machine, addr string) {
-	if c.now-m.Heard > config.Secs(c.set.Workers.ReportS)/2 && m.Ask(c.now) {
+	if c.now-m.LastHeartbeat > config.MicrosOf(c.set.Workers.ReportS)/2 && m.BeginProbe(c.now) {
 		c.emit(Probe{Machine: m.Name, Addr: addr})
 	}
 }
@@ -134,18 +134,18 @@
 // is asked, and gets no answers until none that it was given can still be taken:
 // then its own answer proves what it does not have.
 func (c *Core) unsettled(m *fleet.Machine, r *Report) bool {
-	if !m.Anew() {
+	if !m.SeqRestarted() {
 		return false
 	}
 	doubt, wait := false, false
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
-		if !lists(r, ledger.TaskName(ref.Job.ID, ref.Index), t.Attempt) {
-			doubt = doubt || t.Seen || t.Stop != "" && t.Sent
-			wait = wait || !t.Seen && t.Stop != "" && t.Sent
+		if !lists(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt) {
+			doubt = doubt || t.Confirmed || t.StopReason != "" && t.StartSent
+			wait = wait || !t.Confirmed && t.StopReason != "" && t.StartSent
 		}
 	}
-	if doubt && (!wait || c.now-m.Answered > answersLast) && m.Ask(c.now) {
+	if doubt && (!wait || c.now-m.LastAnswer > answersLast) && m.BeginProbe(c.now) {
 		c.emit(Probe{Machine: m.Name, Addr: m.Addr})
 	}
 	return wait
@@ -170,8 +170,8 @@
 	if m == nil {
 		return
 	}
-	if m.Delivery.Deaf {
-		m.Delivery.Heard()
+	if m.Delivery.CannotReceive {
+		m.Delivery.RecordReceived()
 		c.hearsAgain(m)
 	}
 	r := p.Report
@@ -179,32 +179,32 @@
 		return
 	}
 	c.stopListed(m, r)
-	if m.Answer(p.Sent, r.Session, r.Seq) {
+	if m.ApplyProbe(p.Sent, r.Session, r.Seq) {
 		// Since when is not known: what was started after that is still there.
 		c.log.Info("a machine has begun anew", "machine", m.Name, "tasks", len(m.Placed))
-		m.Heard, m.Fresh = c.now, false
-		m.Touch()
+		m.LastHeartbeat, m.HasCurrentToken = c.now, false
+		m.MarkChanged()
 	}
-	if m.Anew() && r.Token == c.lead.token {
+	if m.SeqRestarted() && r.Token == c.lead.token {
 		c.absent(m, r, p.Sent)
 	}
 }
 
 // absent clears what a machine that counts anew says that it does not have.
 func (c *Core) absent(m *fleet.Machine, r *Report, sent int64) {
-	var lost, never []fleet.Ref
+	var lost, never []fleet.TaskRef
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
 		switch {
-		case lists(r, ledger.TaskName(ref.Job.ID, ref.Index), t.Attempt):
-		case t.Seen:
+		case lists(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt):
+		case t.Confirmed:
 			lost = append(lost, ref)
-		case t.Stop != "" && t.Sent && sent > m.Answered+answersLast:
+		case t.StopReason != "" && t.StartSent && sent > m.LastAnswer+answersLast:
 			never = append(never, ref)
 		}
 	}
 	c.clearAbsent(lost, never)
-	if w := m.Warm; w != nil && sent > m.Answered+answersLast && !lists(r, w.Task, w.Attempt) {
+	if w := m.Prefetch; w != nil && sent > m.LastAnswer+answersLast && !lists(r, w.Task, w.Attempt) {
 		c.endWarm(m)
 	}
 }
@@ -212,7 +212,7 @@
 // clearAbsent clears placements that are proven to be gone: lost ones were there,
 // the others never came to be. It goes by their order, as orders for the rest of
 // a gang go out for each, and changes are written in the order they were made.
-func (c *Core) clearAbsent(lost, never []fleet.Ref) {
+func (c *Core) clearAbsent(lost, never []fleet.TaskRef) {
 	sortRefs(lost)
 	for _, ref := range lost {
 		c.lost(ref.Job, ref.Index)
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -1,11 +1,11 @@
 package core
 
 import (
+	"github.com/zinclb/zinclb/internal/core/connectivity"
 	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/kv"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/reach"
-	"github.com/zinclb/zinclb/internal/core/vouch"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
 // election is this controller's side of choosing a leader: a lease in the
@@ -34,10 +34,10 @@
 	// the peers were last asked out of turn.
 	viewed, asked int64
 	// vouched is what the other controllers have vouched for.
-	vouched *vouch.Vouched
+	vouched *readlease.Holder
 	// directs are orders that go to machines' own addresses, by machine.
 	directs map[string][]Order
-	fleet   *fleet.Set
+	fleet   *fleet.MachineSet
 	roster  roster
 	leaderState
 }
@@ -94,7 +94,7 @@
 		}
 		e.notUntil = c.now + c.rng.Int64N(pause)
 		if c.set.Ops.Reach {
-			e.notUntil += c.links.StandBack()
+			e.notUntil += c.links.CandidateDelay()
 		}
 	}
 	if c.now < e.notUntil || e.writing {
@@ -119,7 +119,7 @@
 	e.writing = true
 	token := c.token.Token + 1
 	v := leaderValue{Name: c.set.Name, Boot: c.set.Boot, Token: token, Lease: e.lease}
-	c.multi([]Cond{kv.At(LeaderKey, 0), kv.At(tokenKey, c.tokenAt)}, []Write{
+	c.multi([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, c.tokenAt)}, []Write{
 		{Key: LeaderKey, Value: encode(v), Lease: e.lease},
 		{Key: tokenKey, Value: encode(tokenValue{token})},
 	}, func(m Committed) {
@@ -167,7 +167,7 @@
 	default:
 		ttl := c.set.Ops.LeaderLease
 		e.touched = c.now - ttl/8 // try again soon
-		if c.set.Ops.Reach && c.now-e.leaseAt > ttl && faultOf(m.Err) == reach.Silent {
+		if c.set.Ops.Reach && c.now-e.leaseAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
 			// What is sent may arrive though no answer does: such a leader would
 			// keep its lease alive, and everybody else from leading. So it lets
 			// it run out before it tries once more.
@@ -190,8 +190,8 @@
 
 func (c *Core) takeOver(known int64) {
 	c.lead = &leadership{token: c.leader.Token, stamp: c.leaderAt, since: c.now, stored: c.elect.leaseAt, mirrored: known,
-		vouched: vouch.NewVouched(c.set.Peers, c.set.Hold()), directs: map[string][]Order{},
-		fleet: fleet.NewSet(), roster: newRoster(), leaderState: newLeaderState(c.now)}
+		vouched: readlease.NewHolder(c.set.Peers, c.set.LeaderAuthorityTime()), directs: map[string][]Order{},
+		fleet: fleet.NewMachineSet(), roster: newRoster(), leaderState: newLeaderState(c.now)}
 	c.allowance = c.allowanceNow()
 	c.takeHints()
 	placed := 0
@@ -199,13 +199,13 @@
 		j := c.jobs[id]
 		c.noteUse(j.Spec)
 		c.lead.sizes.note(j.Spec)
-		j.EachPlaced(func(i int, t *ledger.Task) {
-			t.Phase, t.Stop = ledger.Unseen, ""
-			c.machine(t.Machine).Put(fleet.Ref{Job: j, Index: i})
+		j.EachPlaced(func(i int, t *jobstate.Task) {
+			t.Phase, t.StopReason = jobstate.Unconfirmed, ""
+			c.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
 			placed++
 		})
 		switch {
-		case j.Over != "":
+		case j.Outcome != "":
 			// It ended under an earlier leader, and its tasks may still
 			// be on their machines.
 			c.jobOver(j)
@@ -224,7 +224,7 @@
 	}
 	c.lead = nil
 	c.allowance = c.allowanceNow()
-	c.bounds = fleet.Bounds{}
+	c.bounds = fleet.Partitions{}
 	c.list()
 }
 
@@ -243,11 +243,13 @@
 // rightAt is up to when nobody else led, and everything that users were told is
 // known here. The other controllers can vouch for both: a token is raised by a
 // take-over alone, and one that leads says so.
-func (l *leadership) rightAt() int64 { return max(l.byState(), l.vouched.Since()) }
+func (l *leadership) rightAt() int64 { return max(l.byState(), l.vouched.OldestGrant()) }
 
 // entitled says whether reports may be answered, sure whether new attempts
 // may be started: the state service's own proof is younger than its lease.
-func (c *Core) entitled() bool { return c.lead != nil && c.now-c.lead.rightAt() < c.set.Hold() }
+func (c *Core) entitled() bool {
+	return c.lead != nil && c.now-c.lead.rightAt() < c.set.LeaderAuthorityTime()
+}
 
 func (c *Core) sure() bool {
 	return c.lead != nil && c.now-c.lead.stored < c.set.Ops.LeaderLease
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -7,35 +7,35 @@
 	"hash/fnv"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // Type is a machine type of the cloud. Prices are per hour.
 type Type struct {
-	Name      string     `json:"n"`
-	Cap       ledger.Vec `json:"v"`
-	FetchRate int64      `json:"f"` // MB a second
-	CacheMB   int64      `json:"l"`
-	Price     float64    `json:"p"`
-	SpotPrice float64    `json:"sp"`
-	Boot      int64      `json:"b"`
-	Zones     []string   `json:"z"`
+	Name      string             `json:"n"`
+	Cap       jobstate.Resources `json:"v"`
+	FetchRate int64              `json:"f"` // MB a second
+	CacheMB   int64              `json:"l"`
+	Price     float64            `json:"p"`
+	SpotPrice float64            `json:"sp"`
+	Boot      int64              `json:"b"`
+	Zones     []string           `json:"z"`
 }
 
-// Fits says whether some machine of the types a job allows can take a task.
-func Fits(types []Type, s *ledger.Spec) bool {
-	return fits(types, s, func(*Type) bool { return true })
+// FitsAnyType says whether some machine of the types a job allows can take a task.
+func FitsAnyType(types []Type, s *jobstate.Spec) bool {
+	return fitsTypeWhere(types, s, func(*Type) bool { return true })
 }
 
-// FitsApart says whether the tasks of a job, all at once, can be in as many zones
+// FitsSpread says whether the tasks of a job, all at once, can be in as many zones
 // as they have to be: spread over zones, at most half of them is in one.
-func FitsApart(types []Type, s *ledger.Spec) bool {
-	if !s.Spread || s.Kind == ledger.Array || s.Tasks == 1 {
+func FitsSpread(types []Type, s *jobstate.Spec) bool {
+	if !s.Spread || s.Kind == jobstate.Array || s.Tasks == 1 {
 		return true // an array's tasks may go one after the other
 	}
 	zones := map[string]bool{}
-	fits(types, s, func(t *Type) bool {
-		if fits([]Type{*t}, s, func(*Type) bool { return true }) {
+	fitsTypeWhere(types, s, func(t *Type) bool {
+		if fitsTypeWhere([]Type{*t}, s, func(*Type) bool { return true }) {
 			for _, z := range t.Zones {
 				zones[z] = true
 			}
@@ -46,11 +46,11 @@
 }
 
 // FitsWithoutGPUs says the same of the types without GPUs.
-func FitsWithoutGPUs(types []Type, s *ledger.Spec) bool {
-	return fits(types, s, func(t *Type) bool { return t.Cap.GPU == 0 })
+func FitsWithoutGPUs(types []Type, s *jobstate.Spec) bool {
+	return fitsTypeWhere(types, s, func(t *Type) bool { return t.Cap.GPU == 0 })
 }
 
-func fits(types []Type, s *ledger.Spec, may func(*Type) bool) bool {
+func fitsTypeWhere(types []Type, s *jobstate.Spec, may func(*Type) bool) bool {
 	for i := range types {
 		t := &types[i]
 		if may(t) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && s.Need.Fits(t.Cap) &&
@@ -61,9 +61,9 @@
 	return false
 }
 
-// Ref names a task of a job.
-type Ref struct {
-	Job   *ledger.Job
+// TaskRef names a task of a job.
+type TaskRef struct {
+	Job   *jobstate.Job
 	Index int
 }
 
@@ -71,80 +71,80 @@
 type Machine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
-	Cap                    ledger.Vec
+	Cap                    jobstate.Resources
 	FetchRate, CacheMB     int64
-	// Session and Seq are of the newest report, Fresh says that it was sent
+	// Epoch and Seq are of the newest report, Fresh says that it was sent
 	// by a worker that knew the current token.
-	Session, Seq uint64
-	Fresh        bool
-	// Heard is when the newest report came, Answered when the last answer
+	Epoch, Seq      uint64
+	HasCurrentToken bool
+	// LastHeartbeat is when the newest report came, Answered when the last answer
 	// that renews the worker's lease may have been given.
-	Heard, Answered int64
-	// NoticeAt is when the cloud takes the machine, 0 for never.
-	NoticeAt int64
-	// Listed: the cloud's newest list has it.
-	Listed bool
+	LastHeartbeat, LastAnswer int64
+	// ReclaimAt is when the cloud takes the machine, 0 for never.
+	ReclaimAt int64
+	// InCloudList: the cloud's newest list has it.
+	InCloudList bool
 	// Placed are the stored or planned placements on it, used what they take;
 	// Put and Drop change both.
-	Placed map[Ref]struct{}
-	used   ledger.Vec
+	Placed map[TaskRef]struct{}
+	used   jobstate.Resources
 	// Hash is the name's, which decides the partition.
 	Hash uint32
-	// Orphans is what reported tasks without a placement still occupy.
-	Orphans ledger.Vec
+	// OrphanUsage is what reported tasks without a placement still occupy.
+	OrphanUsage jobstate.Resources
 	// Images are the images that attempts here have fetched or are fetching,
 	// as far as they can still be in its cache. Use adds to them.
 	Images map[string]Image
-	// Warm is a finished task that carries its image here, nil for none.
-	Warm *Warm
+	// Prefetch is a finished task that carries its image here, nil for none.
+	Prefetch *Prefetch
 	// IdleSince is when the last placement went, 0 while there are any.
 	IdleSince int64
 	// Releasing: its release was asked for, and no answer came yet.
 	Releasing bool
-	Drain     bool
-	// BadJobs are jobs that failed here since the last success.
-	BadJobs map[string]bool
+	Draining  bool
+	// FailedJobs are jobs that failed here since the last success.
+	FailedJobs map[string]bool
 	// Hears is what is known of whether answers get to it.
 	Delivery Delivery
-	// anew: its reports' numbers have begun anew.
-	anew bool
+	// seqRestarted: its reports' numbers have begun anew.
+	seqRestarted bool
 
 	// set is the one that the machine is in, at place at of its list.
-	set     *Set
-	at      int
-	touched bool
+	set     *MachineSet
+	index   int
+	changed bool
 }
 
 // Image is an image in a machine's cache: its size, and when it was last used.
 type Image struct {
-	MB, Used int64
-	// Coming: it is being fetched, and was not seen to be there.
-	Coming bool
+	MB, LastUsed int64
+	// Fetching: it is being fetched, and was not seen to be there.
+	Fetching bool
 }
 
-// Use notes that the machine has an image for a task. Its cache keeps the most
+// RecordImageUse notes that the machine has an image for a task. Its cache keeps the most
 // recently used images.
-func (m *Machine) Use(image string, mb, now int64) { m.use(image, mb, now, false) }
+func (m *Machine) RecordImageUse(image string, mb, now int64) { m.recordImage(image, mb, now, false) }
 
-// Fetch notes that the machine fetches an image for a task.
-func (m *Machine) Fetch(image string, mb, now int64) { m.use(image, mb, now, true) }
+// RecordImageFetch notes that the machine fetches an image for a task.
+func (m *Machine) RecordImageFetch(image string, mb, now int64) { m.recordImage(image, mb, now, true) }
 
-// GiveUp notes that no task on the machine waits for an image any more: unless
+// AbandonFetch notes that no task on the machine waits for an image any more: unless
 // the machine had it all along the fetch is given up, and begins anew next time.
-func (m *Machine) GiveUp(image string) {
-	if m.Images[image].Coming {
-		m.Touch()
+func (m *Machine) AbandonFetch(image string) {
+	if m.Images[image].Fetching {
+		m.MarkChanged()
 		delete(m.Images, image)
 	}
 }
 
-func (m *Machine) use(image string, mb, now int64, fetching bool) {
+func (m *Machine) recordImage(image string, mb, now int64, fetching bool) {
 	if image == "" {
 		return
 	}
-	m.Touch()
+	m.MarkChanged()
 	old, had := m.Images[image]
-	m.Images[image] = Image{max(mb, old.MB), now, fetching && (old.Coming || !had)}
+	m.Images[image] = Image{max(mb, old.MB), now, fetching && (old.Fetching || !had)}
 	if had || m.CacheMB <= 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 		oldest := ""
 		for n, im := range m.Images {
 			sum += im.MB
-			if n != image && (oldest == "" || im.Used < m.Images[oldest].Used || im.Used == m.Images[oldest].Used && n < oldest) {
+			if n != image && (oldest == "" || im.LastUsed < m.Images[oldest].LastUsed || im.LastUsed == m.Images[oldest].LastUsed && n < oldest) {
 				oldest = n
 			}
 		}
@@ -164,13 +164,13 @@
 	}
 }
 
-// Warm is a finished task that is started again for its image.
-type Warm struct {
+// Prefetch is a finished task that is started again for its image.
+type Prefetch struct {
 	Task    string
 	Attempt uint32
 	Image   string
 	ImageMB int64
-	Need    ledger.Vec
+	Need    jobstate.Resources
 	Team    string
 	Sent    bool
 }
@@ -180,42 +180,42 @@
 	for i := range types {
 		if t := &types[i]; t.Name == m.Type {
 			m.Cap, m.FetchRate, m.CacheMB = t.Cap, t.FetchRate, t.CacheMB
-			m.Touch()
+			m.MarkChanged()
 		}
 	}
 }
 
-// New makes a machine that nothing is known of but its name.
-func New(name string, now int64) *Machine {
-	return &Machine{Name: name, Hash: Hash(name), Placed: make(map[Ref]struct{}), Images: make(map[string]Image),
-		BadJobs: make(map[string]bool), Answered: now, IdleSince: now}
+// NewMachine makes a machine that nothing is known of but its name.
+func NewMachine(name string, now int64) *Machine {
+	return &Machine{Name: name, Hash: Hash(name), Placed: make(map[TaskRef]struct{}), Images: make(map[string]Image),
+		FailedJobs: make(map[string]bool), LastAnswer: now, IdleSince: now}
 }
 
-// Newer says whether a report is newer than the newest so far.
-func (m *Machine) Newer(session, seq uint64) bool {
-	return session > m.Session || session == m.Session && seq > m.Seq
+// IsNewer says whether a report is newer than the newest so far.
+func (m *Machine) IsNewer(session, seq uint64) bool {
+	return session > m.Epoch || session == m.Epoch && seq > m.Seq
 }
 
-// Put adds a placement.
-func (m *Machine) Put(r Ref) {
+// AddPlacement adds a placement.
+func (m *Machine) AddPlacement(r TaskRef) {
 	if _, ok := m.Placed[r]; !ok {
-		m.Touch()
+		m.MarkChanged()
 		m.Placed[r] = struct{}{}
 		m.used = m.used.Add(r.Job.Need)
 	}
 }
 
-// Drop removes a placement.
-func (m *Machine) Drop(r Ref) {
+// RemovePlacement removes a placement.
+func (m *Machine) RemovePlacement(r TaskRef) {
 	if _, ok := m.Placed[r]; ok {
-		m.Touch()
+		m.MarkChanged()
 		delete(m.Placed, r)
 		m.used = m.used.Sub(r.Job.Need)
 	}
 }
 
 // Free is what its placements and orphans leave of it.
-func (m *Machine) Free() ledger.Vec { return m.Cap.Sub(m.Orphans).Sub(m.used) }
+func (m *Machine) Free() jobstate.Resources { return m.Cap.Sub(m.OrphanUsage).Sub(m.used) }
 
 // Hash spreads machines over the partitions, whatever their names stand for.
 func Hash(name string) uint32 {
@@ -230,41 +230,41 @@
 	return x ^ x>>16
 }
 
-// Bounds cut the hashes of machine names into partitions: partition i ends
+// Partitions cut the hashes of machine names into partitions: partition i ends
 // before Cuts[i], the last at the end. Holders are the controllers to which
 // the partitions are leased, for Term microseconds from when it is read.
-type Bounds struct {
-	Cuts    []uint32 `json:"c"`
-	Holders []string `json:"h"`
-	Term    int64    `json:"t"`
-	Token   uint64   `json:"k"`
-	Seq     uint64   `json:"s"`
+type Partitions struct {
+	Boundaries    []uint32 `json:"c"`
+	Holders       []string `json:"h"`
+	LeaseDuration int64    `json:"t"`
+	FencingToken  uint64   `json:"k"`
+	Seq           uint64   `json:"s"`
 }
 
-// Part is the partition of a machine.
-func (b *Bounds) Part(name string) int { return b.PartOf(Hash(name)) }
+// Partition is the partition of a machine.
+func (b *Partitions) Partition(name string) int { return b.PartitionOfHash(Hash(name)) }
 
-// PartOf is the partition of a machine whose name has a hash.
-func (b *Bounds) PartOf(h uint32) int {
-	for i, c := range b.Cuts {
+// PartitionOfHash is the partition of a machine whose name has a hash.
+func (b *Partitions) PartitionOfHash(h uint32) int {
+	for i, c := range b.Boundaries {
 		if h < c {
 			return i
 		}
 	}
-	return len(b.Cuts)
+	return len(b.Boundaries)
 }
 
 // Holder is the controller that takes a machine's reports, or "".
-func (b *Bounds) Holder(name string) string {
-	if p := b.Part(name); p < len(b.Holders) {
+func (b *Partitions) Holder(name string) string {
+	if p := b.Partition(name); p < len(b.Holders) {
 		return b.Holders[p]
 	}
 	return ""
 }
 
-// Cut makes n partitions that share the machines of every type equally, as
+// PartitionHashes makes n partitions that share the machines of every type equally, as
 // far as the order of their hashes allows. It sorts the hashes.
-func Cut(hashes []uint32, n int) []uint32 {
+func PartitionHashes(hashes []uint32, n int) []uint32 {
 	slices.SortFunc(hashes, cmp.Compare)
 	cuts := make([]uint32, n-1)
 	for i := range cuts {
--- a/internal/core/follow.go
+++ b/internal/core/follow.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"github.com/zinclb/zinclb/internal/core/rates"
+	"github.com/zinclb/zinclb/internal/core/ratelimit"
 	"github.com/zinclb/zinclb/internal/core/replica"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
@@ -24,7 +24,7 @@
 	if c.lead != nil || !c.synced || c.leaderAt == 0 || c.stateBad > c.stateOK || !c.activation.Enabled(upgrade.SharedReads) || !c.links.PeerUp(c.leader.Name, c.now) {
 		return ""
 	}
-	c.follower.Led(c.leader.Name, c.leader.Token)
+	c.follower.SetLeader(c.leader.Name, c.leader.Token)
 	return c.follower.Source(c.now)
 }
 
@@ -59,24 +59,24 @@
 		c.emit(r)
 		return
 	}
-	granted := c.budget.Give(a.need, usersLeast(c.allowance, c.lead != nil))
-	c.emit(Reply{Req: a.req, Status: 200, View: &replica.View{Ledger: c.applied, Changes: changes, Granted: granted}})
+	granted := c.budget.Withdraw(a.need, usersLeast(c.allowance, c.lead != nil))
+	c.emit(Reply{Req: a.req, Status: 200, View: &replica.View{Revision: c.applied, Changes: changes, Granted: granted}})
 }
 
 // onShown takes the leader's answer. If there is none the state service is asked
 // instead, for the same requests.
 func (c *Core) onShown(m Shown) {
 	v := m.Answer.View
-	ok := m.Err == nil && m.Answer.Status == 200 && v != nil && v.Ledger >= m.After
-	if !c.follower.Ended(m.Number, ok, c.now) {
+	ok := m.Err == nil && m.Answer.Status == 200 && v != nil && v.Revision >= m.After
+	if !c.follower.EndRequest(m.Number, ok, c.now) {
 		return // late, or a repeat: what it grants may have been used
 	}
 	if !ok || !c.synced || m.After > c.applied {
 		c.emit(View{After: c.applied, Asked: true})
 		return
 	}
-	c.budget.Get(v.Granted)
-	c.onWatched(Watched{After: m.After, Ledger: v.Ledger, Sent: m.Sent, Changes: v.Changes, View: true, Asked: true, Relayed: true})
+	c.budget.Deposit(v.Granted)
+	c.onWatched(Watched{After: m.After, Ledger: v.Revision, Sent: m.Sent, Changes: v.Changes, View: true, Asked: true, Relayed: true})
 	c.writeNow()
 }
 
@@ -85,12 +85,12 @@
 func (c *Core) watch() {
 	switch {
 	case !c.synced:
-	case c.viewSource() != "" && c.follower.Follows(c.now):
+	case c.viewSource() != "" && c.follower.IsFollowing(c.now):
 		if !c.watchingLeader {
 			c.watchingLeader = true
 			c.emit(WatchLeader{After: c.applied})
 		}
-	case !c.watching && (c.lead != nil || c.reading.Take()):
+	case !c.watching && (c.lead != nil || c.reading.TryTake()):
 		c.watching = true
 		c.emit(Watch{After: c.applied})
 	}
@@ -108,10 +108,10 @@
 }
 
 // allowanceNow is what this controller may use of the state service.
-func (c *Core) allowanceNow() rates.Share {
+func (c *Core) allowanceNow() ratelimit.Share {
 	l := c.limits()
-	present, older := c.activation.Present(upgrade.SharedReads, c.leader.Name)
-	proven := c.elect.lease != 0 && c.now-c.elect.leaseAt < c.set.Ops.LeaderLease && c.activation.MemberFor(c.now) > rates.Settled && c.now-c.mirrorAt < rates.Fresh
-	return rates.Of(rates.Limits{Requests: l.RPS, Changes: l.WriteRPS}, rates.Members{All: len(c.set.Peers) + 1, Present: present, Older: older,
-		Proven: proven, Led: c.leaderAt != 0 && !c.lead.begins(c.now), Leads: c.lead != nil, Shared: c.activation.Enabled(upgrade.SharedReads)})
+	present, older := c.activation.CountMembers(upgrade.SharedReads, c.leader.Name)
+	proven := c.elect.lease != 0 && c.now-c.elect.leaseAt < c.set.Ops.LeaderLease && c.activation.MemberFor(c.now) > ratelimit.SettleTime && c.now-c.mirrorAt < ratelimit.MaxViewAge
+	return ratelimit.ShareFor(ratelimit.Limits{Requests: l.RPS, Changes: l.WriteRPS}, ratelimit.Members{Configured: len(c.set.Peers) + 1, Present: present, Legacy: older,
+		Confirmed: proven, HasLeader: c.leaderAt != 0 && !c.lead.begins(c.now), IsLeader: c.lead != nil, SharingEnabled: c.activation.Enabled(upgrade.SharedReads)})
 }
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/config"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -22,7 +22,7 @@
 
 // featuresValue has the features that are on by their names.
 type featuresValue struct {
-	On []upgrade.Stored `json:"on"`
+	On []upgrade.StoredFeature `json:"on"`
 }
 
 // goneValue says since when operators take a controller for gone, as time of day.
@@ -32,28 +32,28 @@
 
 // newActivation makes the activation, of which nothing is known.
 func newActivation(set *Settings) *upgrade.Activation {
-	program := upgrade.This()
+	program := upgrade.CurrentProgram()
 	if set.Program != nil {
 		program = *set.Program
 	}
-	var chosen, held []upgrade.Name
+	var chosen, held []upgrade.FeatureName
 	if set.Ops.Sweeps {
 		chosen = append(chosen, upgrade.Sweeps)
 	}
 	for _, n := range set.Ops.HoldFeatures {
-		held = append(held, upgrade.Name(n))
+		held = append(held, upgrade.FeatureName(n))
 	}
 	return upgrade.New(program, set.Name, set.Boot, set.Peers, chosen, held)
 }
 
 // formatOf is the newest format that this controller is to write.
 func (c *Core) formatOf() int {
-	w, _, _ := c.activation.Own()
+	w, _, _ := c.activation.LocalAdvertisement()
 	return w.Format
 }
 
 // joined says that data may be written that version 1 can't read.
-func (c *Core) joined() bool { return c.activation.Enabled(upgrade.Log) }
+func (c *Core) joined() bool { return c.activation.Enabled(upgrade.ProgressLog) }
 
 // tight says that what is written has to fit the limits to come as well. In
 // the first format it need not until they are here: a value that has to be
@@ -64,7 +64,7 @@
 // present one until there are signs of the next.
 func (c *Core) limits() config.StateLimits {
 	l := c.set.State.StateLimits
-	next := c.set.Tight()
+	next := c.set.StrictestStateLimits()
 	if c.lowered {
 		l.RPS, l.WriteRPS = next.RPS, next.WriteRPS
 	}
@@ -98,14 +98,14 @@
 		bad(err)
 		return
 	}
-	if f.Version < 1 || !ledger.ValidSpan(f.Tasks) {
+	if f.Version < 1 || !jobstate.ValidChunkSize(f.Tasks) {
 		bad(errors.New("no format"))
 		return
 	}
 	if f != c.format {
 		c.log.Info("format of stored data", "version", f.Version, "tasks", f.Tasks)
 	}
-	c.format, c.formatAt = f, ch.Stamp
+	c.format, c.formatAt = f, ch.Revision
 	c.activation.SetFormat(f.Version)
 	if c.lead == nil {
 		c.resplit()
@@ -120,7 +120,7 @@
 	}
 	c.span = c.format.Tasks
 	for _, j := range c.jobs {
-		j.Split(c.span)
+		j.SplitChunks(c.span)
 	}
 	if c.lead != nil {
 		c.openLog()
@@ -140,23 +140,23 @@
 	word, isWord := strings.CutPrefix(key, "member/")
 	switch {
 	case isGone:
-		c.goneAt[name] = ch.Stamp
+		c.goneAt[name] = ch.Revision
 		if ch.Removed {
 			c.goneAt[name] = 0
 		}
-		c.activation.Gone(name, !ch.Removed)
+		c.activation.SetGone(name, !ch.Removed)
 	case isWord && ch.Removed:
-		c.activation.Unsaid(word)
+		c.activation.RemoveAdvertisement(word)
 	case isWord:
-		var w upgrade.Word
+		var w upgrade.Advertisement
 		if read(&w) {
-			c.activation.Said(word, w, ch.Stamp, c.now)
+			c.activation.SetAdvertisement(word, w, ch.Revision, c.now)
 		}
 	case !ch.Removed: // the features that are on
 		var v featuresValue
 		if read(&v) {
-			c.featuresAt = ch.Stamp
-			c.activation.SetOn(v.On)
+			c.featuresAt = ch.Revision
+			c.activation.SetEnabled(v.On)
 			c.log.Info("features that are on", "features", v.On)
 		}
 	}
@@ -166,7 +166,7 @@
 // program: from then on it would write, or answer, what is wrong. At its start
 // it ends with one sentence that says so.
 func (c *Core) checkFit(starting bool) bool {
-	why := c.activation.Unfit()
+	why := c.activation.Incompatibility()
 	if why == "" {
 		return true
 	}
@@ -194,9 +194,9 @@
 		done(false)
 		return
 	}
-	c.budget.Use(1)
+	c.budget.Spend(1)
 	lease := e.lease
-	c.multi([]Cond{kv.At(key, stamp)}, []Write{{Key: key, Value: encode(v), Lease: lease}}, func(r Committed) {
+	c.multi([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encode(v), Lease: lease}}, func(r Committed) {
 		if r.Status == 400 && e.lease == lease && c.lead == nil {
 			e.lease = 0 // it has run out
 		}
@@ -210,7 +210,7 @@
 	if !c.synced || c.now < e.joinAt || c.budget.Level() < 1 {
 		return
 	}
-	w, stamp, say := c.activation.Own()
+	w, stamp, say := c.activation.LocalAdvertisement()
 	if !say {
 		return
 	}
@@ -229,24 +229,24 @@
 	if l.activating || c.now < l.activateAt || !c.sure() || c.budget.Level() < 1 {
 		return
 	}
-	for _, n := range c.activation.Back() {
+	for _, n := range c.activation.Returned() {
 		// Operators took it for gone, and it is there.
 		l.activating, l.activateAt = true, c.now+second
-		c.budget.Use(1)
-		c.multi([]Cond{kv.At(LeaderKey, l.stamp), kv.At(gonePrefix+n, c.goneAt[n])}, []Write{{Key: gonePrefix + n}}, func(Committed) { l.activating = false })
+		c.budget.Spend(1)
+		c.multi([]Cond{kv.RevisionIs(LeaderKey, l.stamp), kv.RevisionIs(gonePrefix+n, c.goneAt[n])}, []Write{{Key: gonePrefix + n}}, func(Committed) { l.activating = false })
 		return
 	}
-	f, by := c.activation.Next()
+	f, by := c.activation.NextFeature()
 	tasks := l.spanWanted
 	if f == nil && (!c.joined() || tasks == 0 || tasks >= c.format.Tasks) {
 		return
 	}
-	when := []Cond{kv.At(LeaderKey, l.stamp)}
+	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp)}
 	write := Write{Key: formatKey}
 	switch {
 	case f != nil && f.Format == 0:
-		write = Write{Key: featuresKey, Value: encode(featuresValue{c.activation.On(f)})}
-		when = append(when, kv.At(featuresKey, c.featuresAt))
+		write = Write{Key: featuresKey, Value: encode(featuresValue{c.activation.EnabledWith(f)})}
+		when = append(when, kv.RevisionIs(featuresKey, c.featuresAt))
 	default:
 		version := c.format.Version
 		if f != nil {
@@ -258,18 +258,18 @@
 			tasks = c.format.Tasks
 		}
 		write.Value = encode(formatValue{version, tasks})
-		when = append(when, kv.At(formatKey, c.formatAt))
+		when = append(when, kv.RevisionIs(formatKey, c.formatAt))
 	}
 	if f != nil {
 		if len(by)+len(when) > 4*c.limits().TxnOps {
 			return // more controllers than conditions: it can't be proven
 		}
 		for _, m := range by {
-			when = append(when, kv.At(memberPrefix+m.Name, m.Stamp))
+			when = append(when, kv.RevisionIs(memberPrefix+m.Name, m.Revision))
 		}
 	}
 	l.activating, l.activateAt = true, c.now+second
-	c.budget.Use(1)
+	c.budget.Spend(1)
 	c.multi(when, []Write{write}, func(Committed) {
 		l.activating = false // it holds when the mirror shows it
 	})
@@ -284,7 +284,7 @@
 		}
 		c.emit(r)
 	}
-	_, there := c.activation.Words()[m.Name]
+	_, there := c.activation.Advertisements()[m.Name]
 	switch {
 	case !slices.Contains(c.set.Peers, m.Name):
 		reply(404, "no other controller is called "+strconv.Quote(m.Name))
@@ -299,7 +299,7 @@
 		if m.Gone {
 			w.Value = encode(goneValue{c.now + c.wallOffset})
 		}
-		c.multi([]Cond{kv.At(w.Key, c.goneAt[m.Name])}, []Write{w}, func(r Committed) {
+		c.multi([]Cond{kv.RevisionIs(w.Key, c.goneAt[m.Name])}, []Write{w}, func(r Committed) {
 			if r.Status == 200 {
 				c.emit(Reply{Req: m.Req, Status: 200, Gone: &GoneState{m.Name, m.Gone}})
 				return
@@ -316,8 +316,8 @@
 	for _, m := range c.lead.fleet.All() {
 		name = max(name, len(m.Name))
 	}
-	room := int(c.set.Tight().ValueKB*1000) - 160
-	span := ledger.ChunkTasks
+	room := int(c.set.StrictestStateLimits().ValueKB*1000) - 160
+	span := jobstate.DefaultChunkSize
 	for span > 1 && span*(name+15) > room {
 		span /= 2
 	}
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // gather is a waiting job whose tasks have to be in one zone, and the zone in
@@ -13,7 +13,7 @@
 // at random, and are returned as idle before there are enough in one: on a day
 // in the emulator a gang of three waited for 220 s on an empty fleet.
 type gather struct {
-	spec *ledger.Spec
+	spec *jobstate.Spec
 	zone string
 }
 
@@ -50,7 +50,7 @@
 // gatherIn is the zone in which machines are gathered for a job: the one with
 // the most that are there or coming, of those where more can be had. It is empty
 // if some zone has enough.
-func (c *Core) gatherIn(s *ledger.Spec, here, coming map[market]int64) string {
+func (c *Core) gatherIn(s *jobstate.Spec, here, coming map[market]int64) string {
 	type option struct {
 		zone  string
 		open  bool
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // hints is what a leader leaves to the next about images: which machine has
@@ -21,7 +21,7 @@
 	Images []hintImage `json:"i"`
 	// Machines has a bit for each of the images.
 	Machines map[string]uint64 `json:"m"`
-	Sources  []*ledger.Spec    `json:"s"`
+	Sources  []*jobstate.Spec  `json:"s"`
 }
 
 type hintImage struct {
@@ -56,7 +56,7 @@
 	if string(value) == string(l.hints[key]) {
 		return
 	}
-	c.budget.Use(1)
+	c.budget.Spend(1)
 	c.leaderPuts(key, value, func(m Committed) {
 		if c.lead == l && m.Status == 200 {
 			l.hints[key] = value
@@ -161,9 +161,9 @@
 	}
 	// A job may stand in two values, as they are written at different times.
 	// It must be one carrier all the same: two would start a task twice.
-	byID := func(a, b *ledger.Spec) int { return cmp.Compare(a.ID, b.ID) }
+	byID := func(a, b *jobstate.Spec) int { return cmp.Compare(a.ID, b.ID) }
 	slices.SortFunc(c.lead.inherited, byID)
-	c.lead.inherited = slices.CompactFunc(c.lead.inherited, func(a, b *ledger.Spec) bool { return byID(a, b) == 0 })
+	c.lead.inherited = slices.CompactFunc(c.lead.inherited, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
 }
 
 // inherit puts the last leader's sources to use.
@@ -181,6 +181,6 @@
 // knownImages gives a machine the images that the last leader knew it has.
 func (c *Core) knownImages(m *fleet.Machine) {
 	for _, im := range c.lead.known[m.Name] {
-		m.Use(im.Name, im.MB, c.now)
+		m.RecordImageUse(im.Name, im.MB, c.now)
 	}
 }
