--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/planner.go
@@ -8,52 +8,52 @@
 	"container/heap"
 	"slices"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// Run is something that occupies a machine until about End.
-type Run struct {
+// RunningTask is something that occupies a machine until about End.
+type RunningTask struct {
 	End int64
 	// Job, Index name the task; Lost is the work that stopping it costs,
 	// Stoppable whether it may be stopped now.
-	Job       *ledger.Job
-	Index     int
-	Lost      int64
-	Stoppable bool
+	Job         *jobstate.Job
+	Index       int
+	LostWork    int64
+	Preemptible bool
 	// Guaranteed: its job lies within its team's guarantee, which is not to
 	// be taken from it for another's; else two teams stop each other's work
 	// in turns.
 	Guaranteed bool
 }
 
-// hold is what is kept of a machine for a job from a time on: for a pivot, for
+// reservation is what is kept of a machine for a job from a time on: for a pivot, for
 // one of the urgent jobs behind it, or because work was stopped there for it.
-type hold struct {
-	at   int64
-	need ledger.Vec
-	by   *Job
-	kind holdKind
+type reservation struct {
+	from int64
+	need jobstate.Resources
+	job  *Job
+	kind reservationKind
 }
 
-type holdKind uint8
+type reservationKind uint8
 
 const (
-	pivotal holdKind = iota
-	behind
-	claimed
+	forPivot reservationKind = iota
+	behindPivot
+	forClaim
 )
 
-// binds says whether j must respect the hold. A pivot's binds everybody, a
+// blocks says whether j must respect the hold. A pivot's binds everybody, a
 // claim all that come later; what is held for a job behind the pivot binds
 // what that job might stop.
-func (h *hold) binds(j *Job) bool {
+func (h *reservation) blocks(j *Job) bool {
 	switch {
-	case h.by.Job == j.Job:
+	case h.job.Job == j.Job:
 		return false
-	case h.kind == claimed:
-		return Before(h.by, j)
-	case h.kind == behind:
-		return j.Rank < h.by.Rank || h.by.Guaranteed && !j.Guaranteed && h.by.Team != j.Team
+	case h.kind == forClaim:
+		return Before(h.job, j)
+	case h.kind == behindPivot:
+		return j.EffectivePriority < h.job.EffectivePriority || h.job.Guaranteed && !j.Guaranteed && h.job.Team != j.Team
 	}
 	return true
 }
@@ -63,52 +63,52 @@
 // stopped would else be back there in the next round, as a machine comes free
 // piece by piece, and be stopped again.
 type Claim struct {
-	Job     *ledger.Job
+	Job     *jobstate.Job
 	Machine string
 }
 
 // Job is a job with tasks that wait.
 type Job struct {
-	*ledger.Job
+	*jobstate.Job
 	Queue int
-	// Length is how long a task is expected to hold its machine.
-	Length int64
-	// Room is what its team's limit leaves, shared by the team's jobs.
-	Room *Room
+	// ExpectedDuration is how long a task is expected to hold its machine.
+	ExpectedDuration int64
+	// Headroom is what its team's limit leaves, shared by the team's jobs.
+	Headroom *Headroom
 	// Guaranteed: with its team's earlier jobs it fits the guarantee.
 	Guaranteed bool
-	// Late: its deadline is lost, so it lets its equals go first.
-	Late bool
-	// MustBegin: it is one of its class's largest and has waited so long that it
+	// DeadlineLost: its deadline is lost, so it lets its equals go first.
+	DeadlineLost bool
+	// StartOverdue: it is one of its class's largest and has waited so long that it
 	// goes before its equals.
-	MustBegin bool
-	// OnGPUs: it needs no GPU, and yet no machine without GPUs can take it.
-	OnGPUs bool
-	// Turn is when it came or, with a deadline, its latest start.
-	Turn int64
-	// ZoneOf are the zones of its placed tasks, with their number.
-	ZoneOf map[string]int
-	// RoomBy is when it needs its room to start in time, 0 for no such time.
-	RoomBy int64
+	StartOverdue bool
+	// NeedsGPUMachine: it needs no GPU, and yet no machine without GPUs can take it.
+	NeedsGPUMachine bool
+	// QueueOrder is when it came or, with a deadline, its latest start.
+	QueueOrder int64
+	// TasksByZone are the zones of its placed tasks, with their number.
+	TasksByZone map[string]int
+	// StartBy is when it needs its room to start in time, 0 for no such time.
+	StartBy int64
 	// deferred: better room is being made for it than there is.
 	deferred bool
-	// next and planned: the search for unplaced tasks, and how many found
+	// nextTask and planned: the search for unplaced tasks, and how many found
 	// a place in this round.
-	next, planned int
+	nextTask, planned int
 }
 
-// Room is what a team may still place; a resource without a limit has Free.
-type Room struct{ CPU, GPU int64 }
+// Headroom is what a team may still place; a resource without a limit has Free.
+type Headroom struct{ CPU, GPU int64 }
 
 // Free stands for no limit, forever for a time that never comes.
 const (
-	Free    = int64(1) << 50
-	forever = int64(1) << 50
+	Unlimited = int64(1) << 50
+	never     = int64(1) << 50
 )
 
-// tasks is how many tasks of a need the room is good for.
-func (r *Room) tasks(need ledger.Vec) int {
-	n := Free
+// tasksFitting is how many tasks of a need the room is good for.
+func (r *Headroom) tasksFitting(need jobstate.Resources) int {
+	n := Unlimited
 	if need.CPU > 0 {
 		n = min(n, r.CPU/need.CPU)
 	}
@@ -128,14 +128,14 @@
 // Pivot is the head of a queue that waits; At is its expected start, 0 if no
 // machine there is can ever take it.
 type Pivot struct {
-	Queue int
-	Job   *Job
-	At    int64
+	Queue   int
+	Job     *Job
+	StartAt int64
 }
 
-// Stop is a task to be stopped, and for which job.
-type Stop struct {
-	Run
+// Preemption is a task to be stopped, and for which job.
+type Preemption struct {
+	RunningTask
 	For *Job
 	// Kill: without saving.
 	Kill bool
@@ -145,8 +145,8 @@
 type Plan struct {
 	Starts []Start
 	Pivots []Pivot
-	// Stops are tasks to be stopped to make room.
-	Stops []Stop
+	// Preemptions are tasks to be stopped to make room.
+	Preemptions []Preemption
 	// Claims are on the machines of the stops.
 	Claims []Claim
 	// Waiting are jobs with tasks that found no place.
@@ -158,54 +158,54 @@
 	Now    int64
 	Queues int
 	Index  *Index
-	// Load sets a machine's Runs; a round calls it for those whose work it has
+	// LoadRunningTasks sets a machine's Runs; a round calls it for those whose work it has
 	// to know, once each. Without it they are as they stand.
-	Load func(*Machine)
-	// Worth is what images are worth to jobs to come, as a delay.
-	Worth map[string]int64
-	// Budget bounds the tasks placed in a round, so that a large array can
+	LoadRunningTasks func(*Machine)
+	// ImageWorth is what images are worth to jobs to come, as a delay.
+	ImageWorth map[string]int64
+	// MaxStarts bounds the tasks placed in a round, so that a large array can
 	// not keep reports waiting; the next round goes on.
-	Budget int
-	// Ahead is for how many urgent jobs after a queue's pivot room is made as
+	MaxStarts int
+	// ReserveAhead is for how many urgent jobs after a queue's pivot room is made as
 	// for the pivot, and held against lower work. Making room takes seconds, so that one at a time
 	// starves a large deployment's urgent jobs; a small one needs none.
-	Ahead int
-	// Largest is what the largest task with GPUs needs.
-	Largest ledger.Vec
-	// Patience is how far off a start may be before lower work is stopped.
-	Patience int64
-	// Roomy: so many machines are idle that services may take more than they fill.
-	Roomy bool
-	// SpotFirst are the types whose ordinary machines are wanted by jobs that
+	ReserveAhead int
+	// LargestGPUTask is what the largest task with GPUs needs.
+	LargestGPUTask jobstate.Resources
+	// PreemptDelay is how far off a start may be before lower work is stopped.
+	PreemptDelay int64
+	// HasSpareMachines: so many machines are idle that services may take more than they fill.
+	HasSpareMachines bool
+	// PreferSpot are the types whose ordinary machines are wanted by jobs that
 	// may use no others; of the rest ordinary ones go first, as they stay.
-	SpotFirst map[string]bool
-	// TeamOver says whether stopping work of a team only takes it from
+	PreferSpot map[string]bool
+	// BeyondGuarantee says whether stopping work of a team only takes it from
 	// beyond the team's guarantee.
-	TeamOver func(team string, need ledger.Vec) bool
+	BeyondGuarantee func(team string, need jobstate.Resources) bool
 	// Claims are those of earlier rounds.
 	Claims []Claim
 	plan   Plan
 	// fetching are the machines on which this round has placed a task that
 	// brings an image.
-	fetching map[string][]*Machine
-	found    []candidate // kept for its room, as at is
-	at       []int64
-	// candidates and slots are kept for their room too.
-	candidates []Run
-	slots      slots
+	fetching     map[string][]*Machine
+	searchBuffer []candidate // kept for its room, as at is
+	timesBuffer  []int64
+	// victimBuffer and slots are kept for their room too.
+	victimBuffer []RunningTask
+	slotBuffer   slotHeap
 }
 
-// order is figure 2's: high priority first, each by arrival; with the
+// compareJobs is figure 2's: high priority first, each by arrival; with the
 // exceptions that a job within its team's guarantee goes before its equals, as
 // it is not to wait for other teams, and that a job with a deadline waits its
 // turn by when it has to start at the latest, and after its equals once its
 // deadline is lost. Of equals those go first that are large and have to begin by now.
-func order(a, b *Job) int {
-	return cmp.Or(cmp.Compare(b.Rank, a.Rank), last(!a.Guaranteed, !b.Guaranteed), last(!a.MustBegin, !b.MustBegin), last(a.Late, b.Late), cmp.Compare(a.Turn, b.Turn), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
+func compareJobs(a, b *Job) int {
+	return cmp.Or(cmp.Compare(b.EffectivePriority, a.EffectivePriority), compareFalseFirst(!a.Guaranteed, !b.Guaranteed), compareFalseFirst(!a.StartOverdue, !b.StartOverdue), compareFalseFirst(a.DeadlineLost, b.DeadlineLost), cmp.Compare(a.QueueOrder, b.QueueOrder), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
 }
 
-// last puts the one that is so after the one that is not.
-func last(a, b bool) int {
+// compareFalseFirst puts the one that is so after the one that is not.
+func compareFalseFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -216,27 +216,27 @@
 }
 
 // Before says whether a goes before b where both wait.
-func Before(a, b *Job) bool { return order(a, b) < 0 }
+func Before(a, b *Job) bool { return compareJobs(a, b) < 0 }
 
 // Plan walks the queues.
 func (p *Planner) Plan(jobs []*Job) Plan {
-	p.Index.begin(p.Worth)
+	p.Index.beginRound(p.ImageWorth)
 	queues := make([][]*Job, p.Queues)
-	slices.SortStableFunc(jobs, order)
+	slices.SortStableFunc(jobs, compareJobs)
 	for _, j := range jobs {
 		queues[j.Queue] = append(queues[j.Queue], j)
 	}
-	p.claims(jobs)
-	p.pivots(queues)
+	p.reserveClaims(jobs)
+	p.placePivots(queues)
 	// Rules 7a and 7b: room of the own partition.
 	for _, q := range queues {
 		for _, j := range q {
-			p.fill(j, j.Queue)
+			p.placeTasks(j, j.Queue)
 		}
 	}
 	// Rule 7c: lending, to jobs of high priority first (jobs is sorted).
 	for _, j := range jobs {
-		p.fill(j, -1)
+		p.placeTasks(j, -1)
 	}
 	for _, j := range jobs {
 		if j.Unplaced() > j.planned {
@@ -247,39 +247,39 @@
 	return p.plan
 }
 
-// claims holds what earlier rounds have claimed for jobs that still wait.
-func (p *Planner) claims(jobs []*Job) {
+// reserveClaims holds what earlier rounds have claimed for jobs that still wait.
+func (p *Planner) reserveClaims(jobs []*Job) {
 	if len(p.Claims) == 0 {
 		return
 	}
-	byJob := make(map[*ledger.Job]*Job, len(jobs))
+	byJob := make(map[*jobstate.Job]*Job, len(jobs))
 	for _, j := range jobs {
 		byJob[j.Job] = j
 	}
 	for _, c := range p.Claims {
 		if j, m := byJob[c.Job], p.Index.Find(c.Machine); j != nil && m != nil {
-			p.fresh(m)
-			m.holds = append(m.holds, hold{at: p.Now, need: j.Need, by: j, kind: claimed})
+			p.resetForRound(m)
+			m.reservations = append(m.reservations, reservation{from: p.Now, need: j.Need, job: j, kind: forClaim})
 		}
 	}
 }
 
-// pivots starts heads of queues while they fit now, and holds room for the
+// placePivots starts heads of queues while they fit now, and holds room for the
 // first of each queue that does not. High pivots go first, so that a low one
 // is held only what no higher one claims.
-func (p *Planner) pivots(queues [][]*Job) {
+func (p *Planner) placePivots(queues [][]*Job) {
 	at := make([]int, len(queues))
 	held := make([]int, len(queues))
 	for {
 		best := -1
 		for q := range queues {
-			for at[q] < len(queues[q]) && p.through(queues[q][at[q]]) {
+			for at[q] < len(queues[q]) && p.isFinished(queues[q][at[q]]) {
 				at[q]++
 			}
-			if at[q] >= len(queues[q]) || held[q] > 0 && (held[q] > p.Ahead || queues[q][at[q]].Rank < ledger.Urgent) {
+			if at[q] >= len(queues[q]) || held[q] > 0 && (held[q] > p.ReserveAhead || queues[q][at[q]].EffectivePriority < jobstate.Urgent) {
 				continue
 			}
-			if best < 0 || order(queues[q][at[q]], queues[best][at[best]]) < 0 {
+			if best < 0 || compareJobs(queues[q][at[q]], queues[best][at[best]]) < 0 {
 				best = q
 			}
 		}
@@ -287,20 +287,20 @@
 			return
 		}
 		j := queues[best][at[best]]
-		if p.swap(j) {
+		if p.preemptForImage(j) {
 			at[best]++
 			continue
 		}
-		p.fill(j, -1)
-		if p.through(j) {
+		p.placeTasks(j, -1)
+		if p.isFinished(j) {
 			continue
 		}
-		kind := pivotal
+		kind := forPivot
 		if held[best] > 0 {
-			kind = behind
+			kind = behindPivot
 		}
 		when, ok := p.reserve(j, kind)
-		p.plan.Pivots = append(p.plan.Pivots, Pivot{Queue: best, Job: j, At: when})
+		p.plan.Pivots = append(p.plan.Pivots, Pivot{Queue: best, Job: j, StartAt: when})
 		if !ok {
 			// Nothing there is can take it, now or later: it waits for a
 			// machine to be rented, and must not block its queue.
@@ -312,56 +312,56 @@
 	}
 }
 
-// through says that a job has nothing more to place in this round.
-func (p *Planner) through(j *Job) bool {
+// isFinished says that a job has nothing more to place in this round.
+func (p *Planner) isFinished(j *Job) bool {
 	left := j.Unplaced() - j.planned
-	if left <= 0 || p.Budget <= 0 || j.deferred {
+	if left <= 0 || p.MaxStarts <= 0 || j.deferred {
 		return true
 	}
-	if j.Kind == ledger.Gang {
-		return j.Room.tasks(j.Need) < left
+	if j.Kind == jobstate.Gang {
+		return j.Headroom.tasksFitting(j.Need) < left
 	}
-	return j.Room.tasks(j.Need) < 1
+	return j.Headroom.tasksFitting(j.Need) < 1
 }
 
-// fill places what it can of a job on machines of one partition, or of all.
-func (p *Planner) fill(j *Job, part int) {
-	if p.through(j) {
+// placeTasks places what it can of a job on machines of one partition, or of all.
+func (p *Planner) placeTasks(j *Job, part int) {
+	if p.isFinished(j) {
 		return
 	}
-	if j.Kind == ledger.Gang {
-		p.fillGang(j, part)
+	if j.Kind == jobstate.Gang {
+		p.placeGang(j, part)
 		return
 	}
-	c := p.search(j, part, nil, j.zones())
-	for !p.through(j) {
+	c := p.search(j, part, nil, j.tasksByZone())
+	for !p.isFinished(j) {
 		m := c.next()
 		if m == nil {
 			return
 		}
-		p.place(j, m)
-		c.again(m)
+		p.placeTask(j, m)
+		c.reinsert(m)
 	}
 }
 
-func (j *Job) zones() map[string]int {
-	if j.ZoneOf == nil {
-		j.ZoneOf = make(map[string]int)
+func (j *Job) tasksByZone() map[string]int {
+	if j.TasksByZone == nil {
+		j.TasksByZone = make(map[string]int)
 	}
-	return j.ZoneOf
+	return j.TasksByZone
 }
 
-// fillGang places all tasks of a gang or none. With one_zone it tries the
+// placeGang places all tasks of a gang or none. With one_zone it tries the
 // zones one after the other, the one with the most room to choose from first.
-func (p *Planner) fillGang(j *Job, part int) {
+func (p *Planner) placeGang(j *Job, part int) {
 	n := j.Unplaced() - j.planned
-	if n > p.Budget && p.Budget < 1000 {
+	if n > p.MaxStarts && p.MaxStarts < 1000 {
 		return
 	}
 	for _, zone := range p.zoneChoices(j, n) {
 		var got []*Machine
 		zones := map[string]int{}
-		for z, k := range j.ZoneOf {
+		for z, k := range j.TasksByZone {
 			zones[z] = k
 		}
 		c := p.search(j, part, zone, zones)
@@ -370,18 +370,18 @@
 			if m == nil {
 				break
 			}
-			p.occupy(j, m, -1)
+			p.allocate(j, m, -1)
 			zones[m.Zone]++
 			got = append(got, m)
-			c.again(m)
+			c.reinsert(m)
 		}
 		// Take the trial occupation back; place does it for good.
 		for _, m := range got {
-			p.vacate(j, m)
+			p.deallocate(j, m)
 		}
 		if len(got) == n {
 			for _, m := range got {
-				p.place(j, m)
+				p.placeTask(j, m)
 			}
 			return
 		}
@@ -397,8 +397,8 @@
 	}
 	costs := map[string][]int64{}
 	for _, g := range p.Index.groups {
-		if j.allows(g.Class) {
-			p.withRoom(j, g, true, func(m *Machine) { costs[g.Zone] = append(costs[g.Zone], p.cost(j, m, -1)) })
+		if j.allows(g.MachineClass) {
+			p.eachFitting(j, g, true, func(m *Machine) { costs[g.Zone] = append(costs[g.Zone], p.cost(j, m, -1)) })
 		}
 	}
 	cost := map[string]int64{}
@@ -419,13 +419,13 @@
 }
 
 // allows says whether a job may ever be on machines of a class.
-func (j *Job) allows(c Class) bool {
+func (j *Job) allows(c MachineClass) bool {
 	return j.Allows(c.Type, c.Zone, c.Spot, c.Cap)
 }
 
 // zoneKey is what machines are told apart by where the tasks of a gang have to
 // be together: the zone, if it matters.
-func (j *Job) zoneKey(c Class) string {
+func (j *Job) zoneKey(c MachineClass) string {
 	if j.OneZone {
 		return c.Zone
 	}
@@ -433,13 +433,13 @@
 }
 
 // suits says whether a machine of a class could take a task of j, were it empty.
-func (j *Job) suits(c Class) bool {
-	return j.allows(c) && zoneFits(j, c.Zone, j.ZoneOf) && !j.shuns(c)
+func (j *Job) suits(c MachineClass) bool {
+	return j.allows(c) && zoneFits(j, c.Zone, j.TasksByZone) && !j.avoidsGPUs(c)
 }
 
-// shuns says that a job leaves machines with GPUs to others.
-func (j *Job) shuns(c Class) bool {
-	return j.Need.GPU == 0 && c.Cap.GPU > 0 && !j.OnGPUs
+// avoidsGPUs says that a job leaves machines with GPUs to others.
+func (j *Job) avoidsGPUs(c MachineClass) bool {
+	return j.Need.GPU == 0 && c.Cap.GPU > 0 && !j.NeedsGPUMachine
 }
 
 // zoneFits checks one_zone and scatter against the zones in use.
@@ -457,64 +457,64 @@
 	return true
 }
 
-func (j *Job) fetch(m *Machine) int64 {
-	if j.Image == "" || m.has(j.Image) {
+func (j *Job) fetchDelay(m *Machine) int64 {
+	if j.Image == "" || m.willHaveImage(j.Image) {
 		return 0
 	}
 	return j.FetchTime(m.FetchRate)
 }
 
-func (j *Job) lengthOn(m *Machine) int64 { return j.Length + j.fetch(m) }
+func (j *Job) durationOn(m *Machine) int64 { return j.ExpectedDuration + j.fetchDelay(m) }
 
 // cost orders machines for a task, in microseconds of expected harm: the
 // image fetch, images that others will want, breaking into an idle machine that a gang could have whole,
 // the wrong one of an ordinary and a spot machine, and lending.
 func (p *Planner) cost(j *Job, m *Machine, part int) int64 {
-	c := j.fetch(m) + p.reach(m) + p.fresh(m).worth
+	c := j.fetchDelay(m) + p.contactDelay(m) + p.resetForRound(m).imageWorth
 	whole := m.Free == m.Cap
-	small := j.Need.Times(2).Fits(m.Cap)
+	small := j.Need.Scale(2).Fits(m.Cap)
 	if whole && small {
 		c += 8_000_000
 	}
-	if j.OnGPUs && p.Largest.Fits(m.Free) && !p.Largest.Fits(m.Free.Sub(j.Need)) {
+	if j.NeedsGPUMachine && p.LargestGPUTask.Fits(m.Free) && !p.LargestGPUTask.Fits(m.Free.Sub(j.Need)) {
 		// Its GPUs would be idle for want of what this takes.
 		c += 30_000_000
 	}
 	switch {
-	case j.hurried():
+	case j.isDeadlineCritical():
 		if m.Spot {
 			c += 5_000_000
 		}
-	case j.Spot && m.Spot != p.SpotFirst[m.Type]:
+	case j.Spot && m.Spot != p.PreferSpot[m.Type]:
 		c += 3_000_000
 	}
-	if p.Roomy && j.Kind == ledger.Service && !m.there(j.Image) {
-		c += p.holeCost(j, m)
+	if p.HasSpareMachines && j.Kind == jobstate.Service && !m.hasImage(j.Image) {
+		c += p.serviceImageCost(j, m)
 		if whole && small {
 			c -= 8_000_000
 		}
 	}
-	if m.Part != j.Queue {
+	if m.Partition != j.Queue {
 		c += 500_000
 	}
 	if small {
 		// Best fit: the fuller machine first.
-		dominant := max(share(m.Free.CPU, m.Cap.CPU), share(m.Free.GPU, m.Cap.GPU))
+		dominant := max(permille(m.Free.CPU, m.Cap.CPU), permille(m.Free.GPU, m.Cap.GPU))
 		c += dominant * 1000
 	}
 	return c
 }
 
-// holeCost keeps room beside images: a replica that has to fetch its image anyway
+// serviceImageCost keeps room beside images: a replica that has to fetch its image anyway
 // leaves what is free on machines in use to those whose image is there, and one
 // service opens machines for no more than half of what they take. Replicas stay,
 // and nothing else can bring their images to a machine.
-func (p *Planner) holeCost(j *Job, m *Machine) int64 {
+func (p *Planner) serviceImageCost(j *Job, m *Machine) int64 {
 	if m.Free == m.Cap {
 		return 0
 	}
 	own := int64(0)
-	for _, r := range p.runs(m) {
+	for _, r := range p.runningTasks(m) {
 		if r.Job == j.Job {
 			own++
 		}
@@ -522,34 +522,34 @@
 	switch {
 	case own == 0:
 		return 10_000_000
-	case !j.Need.Times(2 * (own + 1)).Fits(m.Cap):
+	case !j.Need.Scale(2 * (own + 1)).Fits(m.Cap):
 		return 30_000_000
 	}
 	return 0
 }
 
-// hurried says that a task lost with a spot machine is likely to cost a
+// isDeadlineCritical says that a task lost with a spot machine is likely to cost a
 // deadline that urgent work has: that of a pipeline, by one stage's slowest task.
-func (j *Job) hurried() bool {
-	return j.LastEnd > 0 && j.Rank >= ledger.Urgent && j.Checkpoint == 0
+func (j *Job) isDeadlineCritical() bool {
+	return j.EffectiveDeadline > 0 && j.EffectivePriority >= jobstate.Urgent && j.Checkpoint == 0
 }
 
-func share(a, b int64) int64 {
+func permille(a, b int64) int64 {
 	if b == 0 {
 		return 0
 	}
 	return a * 1000 / b
 }
 
-// harmless says that a task of j on m until end delays no hold.
-func (p *Planner) harmless(m *Machine, j *Job, end int64) bool {
-	p.fresh(m)
-	for i := range m.holds {
-		h := &m.holds[i]
-		if end <= h.at || !h.binds(j) {
+// respectsReservations says that a task of j on m until end delays no hold.
+func (p *Planner) respectsReservations(m *Machine, j *Job, end int64) bool {
+	p.resetForRound(m)
+	for i := range m.reservations {
+		h := &m.reservations[i]
+		if end <= h.from || !h.blocks(j) {
 			continue
 		}
-		if !h.need.Add(j.Need).Fits(p.freeAt(m, h.at)) {
+		if !h.need.Add(j.Need).Fits(p.freeAt(m, h.from)) {
 			return false
 		}
 	}
@@ -557,9 +557,9 @@
 }
 
 // freeAt is what is free on m at a time, by the estimated ends.
-func (p *Planner) freeAt(m *Machine, at int64) ledger.Vec {
+func (p *Planner) freeAt(m *Machine, at int64) jobstate.Resources {
 	free := m.Free
-	for _, r := range p.runs(m) {
+	for _, r := range p.runningTasks(m) {
 		if r.End > at {
 			break
 		}
@@ -568,89 +568,89 @@
 	return free
 }
 
-// occupy plans a task on m; its work stays in the order of its ends.
-func (p *Planner) occupy(j *Job, m *Machine, index int) {
-	r := Run{End: p.Now + j.lengthOn(m), Job: j.Job, Index: index}
-	runs := p.runs(m)
-	i, _ := slices.BinarySearchFunc(runs, r.End+1, func(o Run, end int64) int { return cmp.Compare(o.End, end) })
-	m.Runs = slices.Insert(runs, i, r)
+// allocate plans a task on m; its work stays in the order of its ends.
+func (p *Planner) allocate(j *Job, m *Machine, index int) {
+	r := RunningTask{End: p.Now + j.durationOn(m), Job: j.Job, Index: index}
+	runs := p.runningTasks(m)
+	i, _ := slices.BinarySearchFunc(runs, r.End+1, func(o RunningTask, end int64) int { return cmp.Compare(o.End, end) })
+	m.RunningTasks = slices.Insert(runs, i, r)
 	p.Index.setFree(m, m.Free.Sub(j.Need))
 }
 
-// vacate takes back what occupy planned of a gang on trial.
-func (p *Planner) vacate(j *Job, m *Machine) {
-	i := slices.IndexFunc(m.Runs, func(r Run) bool { return r.Job == j.Job && r.Index < 0 })
-	m.Runs = slices.Delete(m.Runs, i, i+1)
+// deallocate takes back what occupy planned of a gang on trial.
+func (p *Planner) deallocate(j *Job, m *Machine) {
+	i := slices.IndexFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == j.Job && r.Index < 0 })
+	m.RunningTasks = slices.Delete(m.RunningTasks, i, i+1)
 	p.Index.setFree(m, m.Free.Add(j.Need))
 }
 
-func (p *Planner) place(j *Job, m *Machine) {
-	i := j.NextUnplaced(j.next)
+func (p *Planner) placeTask(j *Job, m *Machine) {
+	i := j.NextUnplaced(j.nextTask)
 	if i < 0 {
 		return
 	}
-	p.occupy(j, m, i)
-	j.next = i + 1
+	p.allocate(j, m, i)
+	j.nextTask = i + 1
 	j.planned++
-	j.Room.CPU -= j.Need.CPU
-	j.Room.GPU -= j.Need.GPU
-	j.zones()[m.Zone]++
-	if j.Image != "" && !m.has(j.Image) {
-		m.coming = append(m.coming, j.Image)
+	j.Headroom.CPU -= j.Need.CPU
+	j.Headroom.GPU -= j.Need.GPU
+	j.tasksByZone()[m.Zone]++
+	if j.Image != "" && !m.willHaveImage(j.Image) {
+		m.plannedImages = append(m.plannedImages, j.Image)
 		if p.fetching == nil {
 			p.fetching = map[string][]*Machine{}
 		}
 		p.fetching[j.Image] = append(p.fetching[j.Image], m)
 	}
-	p.Budget--
+	p.MaxStarts--
 	p.plan.Starts = append(p.plan.Starts, Start{Job: j, Index: i, Machine: m})
 }
 
 // reserve finds the earliest time at which a pivot can start (a gang whole,
 // of an array one task) and holds the room for it.
-func (p *Planner) reserve(j *Job, kind holdKind) (at int64, ok bool) {
+func (p *Planner) reserve(j *Job, kind reservationKind) (at int64, ok bool) {
 	n := 1
-	if j.Kind == ledger.Gang {
+	if j.Kind == jobstate.Gang {
 		n = j.Unplaced() - j.planned
 	}
-	opts := p.slots[:0]
+	opts := p.slotBuffer[:0]
 	for _, g := range p.Index.groups {
-		if !j.allows(g.Class) || j.shuns(g.Class) || j.OneZone && !zoneFits(j, g.Zone, j.ZoneOf) {
+		if !j.allows(g.MachineClass) || j.avoidsGPUs(g.MachineClass) || j.OneZone && !zoneFits(j, g.Zone, j.TasksByZone) {
 			continue
 		}
 		g.free.Scan(func(m *Machine) bool {
-			for _, t := range p.times(m, j, n) {
-				opts = append(opts, slot{m, t})
+			for _, t := range p.freeTimes(m, j, n) {
+				opts = append(opts, freeSlot{m, t})
 			}
 			return true
 		})
 	}
-	p.slots = opts
+	p.slotBuffer = opts
 	heap.Init(&opts)
-	perZone := map[string][]slot{}
+	perZone := map[string][]freeSlot{}
 	zones := map[string]int{}
-	for z, k := range j.ZoneOf {
+	for z, k := range j.TasksByZone {
 		zones[z] = k
 	}
 	for len(opts) > 0 {
-		o := heap.Pop(&opts).(slot)
+		o := heap.Pop(&opts).(freeSlot)
 		if j.Spread && !j.OneZone {
 			if !zoneFits(j, o.m.Zone, zones) {
 				continue
 			}
 			zones[o.m.Zone]++
 		}
-		key := j.zoneKey(o.m.group.Class)
+		key := j.zoneKey(o.m.group.MachineClass)
 		perZone[key] = append(perZone[key], o)
 		if len(perZone[key]) == n {
 			for _, o := range perZone[key] {
 				at = max(at, o.at)
-				if j.MustBegin {
+				if j.StartOverdue {
 					// Estimates have put it off long enough: what comes free there
 					// is kept, whatever would end in time by its estimate.
 					o.at = p.Now
 				}
-				o.m.holds = append(o.m.holds, hold{at: o.at, need: j.Need, by: j, kind: kind})
+				o.m.reservations = append(o.m.reservations, reservation{from: o.at, need: j.Need, job: j, kind: kind})
 			}
 			return at, true
 		}
@@ -658,23 +658,23 @@
 	return 0, false
 }
 
-// times lists when m has room for the first, second, ... of up to n tasks,
+// freeTimes lists when m has room for the first, second, ... of up to n tasks,
 // next to the holds it already has for others.
-func (p *Planner) times(m *Machine, j *Job, n int) []int64 {
-	p.fresh(m)
+func (p *Planner) freeTimes(m *Machine, j *Job, n int) []int64 {
+	p.resetForRound(m)
 	free, need := m.Free, j.Need
-	for i := range m.holds {
-		if m.holds[i].by.Job != j.Job {
-			free = free.Sub(m.holds[i].need)
+	for i := range m.reservations {
+		if m.reservations[i].job.Job != j.Job {
+			free = free.Sub(m.reservations[i].need)
 		}
 	}
-	out := p.at[:0]
+	out := p.timesBuffer[:0]
 	for len(out) < n && need.Fits(free) {
 		free = free.Sub(need)
 		out = append(out, p.Now)
 	}
 	if len(out) < n {
-		for _, r := range p.runs(m) {
+		for _, r := range p.runningTasks(m) {
 			free = free.Add(r.Job.Need)
 			for len(out) < n && need.Fits(free) {
 				free = free.Sub(need)
@@ -685,7 +685,7 @@
 			}
 		}
 	}
-	p.at = out
+	p.timesBuffer = out
 	return out
 }
 
@@ -696,11 +696,11 @@
 func (p *Planner) preempt() {
 	for _, pv := range p.plan.Pivots {
 		j := pv.Job
-		if pv.At != 0 && pv.At-p.Now <= p.patience(j) {
+		if pv.StartAt != 0 && pv.StartAt-p.Now <= p.preemptDelay(j) {
 			continue
 		}
 		n := 1
-		if j.Kind == ledger.Gang {
+		if j.Kind == jobstate.Gang {
 			n = j.Unplaced() - j.planned
 		}
 		type option struct {
@@ -710,8 +710,8 @@
 			lost  int64
 		}
 		byZone := map[string][]option{}
-		p.each(j, func(m *Machine) {
-			if m.claimedBefore(j) {
+		p.eachSuitable(j, func(m *Machine) {
+			if m.claimedAhead(j) {
 				return // what is stopped there is stopped for another
 			}
 			// What is in the way on a machine that is claimed has been told to
@@ -725,14 +725,14 @@
 				} else if !claimed {
 					return
 				}
-			} else if !p.harmless(m, j, p.Now+j.lengthOn(m)) {
+			} else if !p.respectsReservations(m, j, p.Now+j.durationOn(m)) {
 				return
 			}
 			if !claimed || o.stops {
 				// Room without the image is worth as much less.
-				o.lost += j.fetch(m) * j.Need.Weight()
+				o.lost += j.fetchDelay(m) * j.Need.Weight()
 			}
-			key := j.zoneKey(m.group.Class)
+			key := j.zoneKey(m.group.MachineClass)
 			byZone[key] = append(byZone[key], o)
 		})
 		var best []option
@@ -756,56 +756,56 @@
 			continue
 		}
 		for _, o := range best {
-			var stops []Run
+			var stops []RunningTask
 			if o.stops {
 				stops, _, _ = p.victims(j, o.m)
 			}
-			p.makeRoom(j, o.m, stops)
+			p.planPreemption(j, o.m, stops)
 		}
 	}
 }
 
-// patience is how far off a pivot's start may be before lower work is stopped
+// preemptDelay is how far off a pivot's start may be before lower work is stopped
 // for it: not so far that it would start too late. What it has waited already
 // counts: tasks past their estimates are
 // taken to end soon, again and again, so that of many such machines some always
 // seem about to come free.
-func (p *Planner) patience(j *Job) int64 {
-	if j.Rank < ledger.Urgent && !j.Guaranteed {
-		return p.Patience
+func (p *Planner) preemptDelay(j *Job) int64 {
+	if j.EffectivePriority < jobstate.Urgent && !j.Guaranteed {
+		return p.PreemptDelay
 	}
-	left := p.Patience - (p.Now - j.Known)
-	if j.RoomBy != 0 {
-		left = min(left, j.RoomBy-p.Now)
+	left := p.PreemptDelay - (p.Now - j.ReadyAt)
+	if j.StartBy != 0 {
+		left = min(left, j.StartBy-p.Now)
 	}
-	return max(imminent, left)
+	return max(minPreemptDelay, left)
 }
 
-// imminent is how far off a start may be for which stopping work is no use.
-const imminent = 2_000_000
+// minPreemptDelay is how far off a start may be for which stopping work is no use.
+const minPreemptDelay = 2_000_000
 
 // victims finds what to stop on m for one task of j. What it returns is valid until
 // it is called again: it is asked about every machine for every pivot, and few of its
 // answers are used.
-func (p *Planner) victims(j *Job, m *Machine) (stops []Run, lost int64, ok bool) {
-	candidates, most := p.candidates[:0], m.Free
-	for _, r := range p.runs(m) {
-		if r.Stoppable && (r.Job.Rank < j.Rank || p.overGuarantee(j, r)) {
+func (p *Planner) victims(j *Job, m *Machine) (stops []RunningTask, lost int64, ok bool) {
+	candidates, most := p.victimBuffer[:0], m.Free
+	for _, r := range p.runningTasks(m) {
+		if r.Preemptible && (r.Job.EffectivePriority < j.EffectivePriority || p.overGuarantee(j, r)) {
 			candidates = append(candidates, r)
 			most = most.Add(r.Job.Need)
 		}
 	}
-	p.candidates = candidates
+	p.victimBuffer = candidates
 	if len(candidates) == 0 || !j.Need.Fits(most) {
 		return nil, 0, false
 	}
-	slices.SortStableFunc(candidates, func(a, b Run) int {
-		return cmp.Or(cmp.Compare(a.Job.Rank, b.Job.Rank), cmp.Compare(a.Lost, b.Lost))
+	slices.SortStableFunc(candidates, func(a, b RunningTask) int {
+		return cmp.Or(cmp.Compare(a.Job.EffectivePriority, b.Job.EffectivePriority), cmp.Compare(a.LostWork, b.LostWork))
 	})
 	free, n := m.Free, 0
 	for n < len(candidates) && !j.Need.Fits(free) {
 		free = free.Add(candidates[n].Job.Need)
-		lost += candidates[n].Lost
+		lost += candidates[n].LostWork
 		n++
 	}
 	return candidates[:n], lost, n > 0
@@ -813,46 +813,46 @@
 
 // overGuarantee says that j is within its team's guarantee, and that r is what another
 // team runs beyond its own.
-func (p *Planner) overGuarantee(j *Job, r Run) bool {
-	return j.Guaranteed && !r.Guaranteed && r.Job.Team != j.Team && p.TeamOver != nil && p.TeamOver(r.Job.Team, r.Job.Need)
+func (p *Planner) overGuarantee(j *Job, r RunningTask) bool {
+	return j.Guaranteed && !r.Guaranteed && r.Job.Team != j.Team && p.BeyondGuarantee != nil && p.BeyondGuarantee(r.Job.Team, r.Job.Need)
 }
 
-// kills says whether work is stopped for j without saving: an urgent job waits
+// killsVictim says whether work is stopped for j without saving: an urgent job waits
 // for the save, which costs about as much as the half interval that is lost.
-func kills(j *Job, victim *ledger.Job) bool {
-	return j.Rank >= ledger.Urgent && victim.Checkpoint <= 4*victim.Save
+func killsVictim(j *Job, victim *jobstate.Job) bool {
+	return j.EffectivePriority >= jobstate.Urgent && victim.Checkpoint <= 4*victim.Save
 }
 
 // What a swap takes besides saving, and the least that it has to gain.
 const (
-	swapDelay = 1_500_000
-	swapGain  = 4_000_000
+	imagePreemptDelay   = 1_500_000
+	minImagePreemptGain = 4_000_000
 )
 
-// swap finds an urgent gang machines that have its image but run lower work,
+// preemptForImage finds an urgent gang machines that have its image but run lower work,
 // where those that are free lack it and a fetch would take much longer than
 // stopping that work. What is stopped can go to the free ones. It says that
 // the gang is to wait for them.
-func (p *Planner) swap(j *Job) bool {
+func (p *Planner) preemptForImage(j *Job) bool {
 	n := j.Unplaced() - j.planned
-	if j.Rank < ledger.Urgent || j.Kind != ledger.Gang || j.Image == "" || p.through(j) {
+	if j.EffectivePriority < jobstate.Urgent || j.Kind != jobstate.Gang || j.Image == "" || p.isFinished(j) {
 		return false
 	}
 	type option struct {
 		m     *Machine
 		delay int64
-		stops []Run
+		stops []RunningTask
 	}
 	free, all := map[string][]int64{}, map[string][]option{}
-	cold := forever
+	cold := never
 	for _, g := range p.Index.groups {
-		if !j.suits(g.Class) {
+		if !j.suits(g.MachineClass) {
 			continue
 		}
-		key := j.zoneKey(g.Class)
-		p.withRoom(j, g, false, func(m *Machine) {
-			if p.harmless(m, j, p.Now+j.lengthOn(m)) {
-				o := option{m: m, delay: j.fetch(m) + p.reach(m)}
+		key := j.zoneKey(g.MachineClass)
+		p.eachFitting(j, g, false, func(m *Machine) {
+			if p.respectsReservations(m, j, p.Now+j.durationOn(m)) {
+				o := option{m: m, delay: j.fetchDelay(m) + p.contactDelay(m)}
 				free[key] = append(free[key], o.delay)
 				all[key] = append(all[key], o)
 			}
@@ -864,23 +864,23 @@
 			cold = min(cold, l[n-1])
 		}
 	}
-	if cold == forever || cold < swapGain {
+	if cold == never || cold < minImagePreemptGain {
 		return false
 	}
 	busy := func(m *Machine) {
-		if !j.suits(m.group.Class) || j.Need.Fits(m.Free) {
+		if !j.suits(m.group.MachineClass) || j.Need.Fits(m.Free) {
 			return
 		}
-		if stops, delay, ok := p.swapOn(j, m); ok {
-			key := j.zoneKey(m.group.Class)
+		if stops, delay, ok := p.imageVictims(j, m); ok {
+			key := j.zoneKey(m.group.MachineClass)
 			all[key] = append(all[key], option{m, delay, stops})
 		}
 	}
-	p.Index.with(j.Image, busy)
+	p.Index.eachWithImage(j.Image, busy)
 	for _, m := range p.fetching[j.Image] {
 		busy(m)
 	}
-	warm := forever
+	warm := never
 	var best []option
 	for _, opts := range all {
 		if len(opts) < n {
@@ -893,51 +893,51 @@
 			best, warm = opts[:n], d
 		}
 	}
-	if cold-warm < swapGain {
+	if cold-warm < minImagePreemptGain {
 		return false
 	}
 	for _, o := range best {
-		p.makeRoom(j, o.m, o.stops)
+		p.planPreemption(j, o.m, o.stops)
 	}
 	j.deferred = true
 	return true
 }
 
-// swapOn finds what to stop on m, which has work, for one task of a swap, and
+// imageVictims finds what to stop on m, which has work, for one task of a swap, and
 // how long that takes: nothing more where room is being made for j already.
-func (p *Planner) swapOn(j *Job, m *Machine) (stops []Run, delay int64, ok bool) {
-	if m.FetchRate <= 0 || !m.has(j.Image) || m.claimedBefore(j) {
+func (p *Planner) imageVictims(j *Job, m *Machine) (stops []RunningTask, delay int64, ok bool) {
+	if m.FetchRate <= 0 || !m.willHaveImage(j.Image) || m.claimedAhead(j) {
 		return nil, 0, false
 	}
 	if m.claimedFor(j) {
-		return nil, swapDelay, true
+		return nil, imagePreemptDelay, true
 	}
 	stops, lost, ok := p.victims(j, m)
 	if !ok || lost > 2*j.FetchTime(m.FetchRate)*j.Need.Weight() {
 		return nil, 0, false
 	}
-	delay = swapDelay
+	delay = imagePreemptDelay
 	for _, r := range stops {
-		if r.Job.Kind == ledger.Gang && r.Job.NumPlaced > 1 {
+		if r.Job.Kind == jobstate.Gang && r.Job.NumPlaced > 1 {
 			return nil, 0, false // the rest of it would stop elsewhere
 		}
-		if !kills(j, r.Job) {
-			delay = max(delay, swapDelay+r.Job.Save)
+		if !killsVictim(j, r.Job) {
+			delay = max(delay, imagePreemptDelay+r.Job.Save)
 		}
 	}
 	return slices.Clone(stops), delay, true
 }
 
-// makeRoom plans to stop tasks on m for j, and claims what comes free.
-func (p *Planner) makeRoom(j *Job, m *Machine, stops []Run) {
+// planPreemption plans to stop tasks on m for j, and claims what comes free.
+func (p *Planner) planPreemption(j *Job, m *Machine, stops []RunningTask) {
 	if !m.claimedFor(j) {
 		p.plan.Claims = append(p.plan.Claims, Claim{j.Job, m.Name})
 	}
 	for _, s := range stops {
-		p.plan.Stops = append(p.plan.Stops, Stop{s, j, kills(j, s.Job)})
-		for i := range m.Runs {
-			if m.Runs[i].Job == s.Job && m.Runs[i].Index == s.Index {
-				m.Runs[i].Stoppable = false
+		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{s, j, killsVictim(j, s.Job)})
+		for i := range m.RunningTasks {
+			if m.RunningTasks[i].Job == s.Job && m.RunningTasks[i].Index == s.Index {
+				m.RunningTasks[i].Preemptible = false
 			}
 		}
 	}
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -13,7 +13,7 @@
 
 	"github.com/RoaringBitmap/roaring/v2"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
@@ -34,7 +34,7 @@
 type SweepPlan struct {
 	ID, Digest string
 	Pending    int
-	Specs      []*ledger.Spec
+	Specs      []*jobstate.Spec
 	// Values are the runs' values as JSON, in the order of Specs, and Sets which
 	// sets of values each stands for, where identical ones were merged. Longest
 	// is the longest stored job.
@@ -224,7 +224,7 @@
 		}
 	case kind == "sweep":
 		if read(&s.head) {
-			s.stamp = ch.Stamp
+			s.stamp = ch.Revision
 		}
 	case kind == "sweepat" && part:
 		var g sweepGone
@@ -240,14 +240,14 @@
 		s.goneStored = max(s.goneStored, b.GetCardinality())
 	case kind == "sweepat":
 		var at sweepAt
-		if ch.Stamp <= s.at || !read(&at) {
+		if ch.Revision <= s.at || !read(&at) {
 			return
 		}
-		c.mergeSweep(s, at, ch.Stamp, bad)
+		c.mergeSweep(s, at, ch.Revision, bad)
 	case kind == "sweepend":
 		var e sweepEnd
 		if read(&e) {
-			c.noteSweepEnd(id, e.Outcome, ch.Stamp)
+			c.noteSweepEnd(id, e.Outcome, ch.Revision)
 		}
 	}
 }
@@ -278,12 +278,12 @@
 // noteSweepEnd notes how a sweep has ended.
 func (c *Core) noteSweepEnd(id, outcome string, rev uint64) {
 	s := c.sweep(id)
-	if outcome == ledger.Cancelled {
-		c.witness.Note(toldSweep+id, rev)
+	if outcome == jobstate.Cancelled {
+		c.witness.RecordCancellation(toldSweep+id, rev)
 	}
 	if s.outcome == "" {
 		s.outcome = outcome
-		c.endRuns = c.endRuns || outcome == ledger.Cancelled
+		c.endRuns = c.endRuns || outcome == jobstate.Cancelled
 	}
 }
 
@@ -301,10 +301,10 @@
 	c.endRuns = false
 	for _, id := range inOrder(c.jobs) {
 		j := c.jobs[id]
-		if j.Sweep == "" || j.Over != "" {
+		if j.Sweep == "" || j.Outcome != "" {
 			continue
 		}
-		if s := c.sweeps[j.Sweep]; s != nil && s.outcome == ledger.Cancelled {
+		if s := c.sweeps[j.Sweep]; s != nil && s.outcome == jobstate.Cancelled {
 			c.derive(j)
 		}
 	}
@@ -323,11 +323,11 @@
 		return
 	}
 	for _, j := range c.jobs {
-		if j.Sweep != id || j.Over != "" {
+		if j.Sweep != id || j.Outcome != "" {
 			continue
 		}
-		j.EachPlaced(func(i int, t *ledger.Task) {
-			if !t.Sent {
+		j.EachPlaced(func(i int, t *jobstate.Task) {
+			if !t.StartSent {
 				c.clear(j, i)
 				return
 			}
@@ -340,7 +340,7 @@
 const stopSweep = "sweep"
 
 // untold says that nothing speaks against starting a job's tasks.
-func (c *Core) untold(j *ledger.Job) bool {
+func (c *Core) untold(j *jobstate.Job) bool {
 	if j.Sweep == "" {
 		return true
 	}
@@ -389,7 +389,7 @@
 			return
 		}
 		own[s.ID] = true
-		for _, id := range s.Awaits {
+		for _, id := range s.Dependencies {
 			if !own[id] && !slices.Contains(awaits, id) {
 				awaits = append(awaits, id)
 			}
@@ -407,7 +407,7 @@
 		refuse(400, fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", len(m.Stored), min(maxTxnBytes, (c.limits().TxnOps-1)*(c.valueLimit()-2))))
 		return
 	}
-	a.spec = &ledger.Spec{ID: a.id, Awaits: awaits}
+	a.spec = &jobstate.Spec{ID: a.id, Dependencies: awaits}
 	c.checkAwaits(a)
 }
 
@@ -449,7 +449,7 @@
 		c.sweepRuns(s, a)
 	case a.kind == askSweepCancel && s.outcome == "":
 		c.write(a)
-	case s.outcome == ledger.Cancelled:
+	case s.outcome == jobstate.Cancelled:
 		c.answerCancelled(Reply{Req: a.req, Status: 200, Sweep: s.state()}, toldSweep+s.id)
 	default:
 		c.emit(Reply{Req: a.req, Status: 200, Sweep: s.state()})
@@ -460,7 +460,7 @@
 	gone := int(s.gone.GetCardinality())
 	x := &SweepState{ID: s.id, State: s.outcome, Runs: s.head.Runs, Created: s.next, Done: int(s.ended.GetCardinality()) - gone, Withdrawn: gone}
 	switch {
-	case s.outcome == ledger.Cancelled:
+	case s.outcome == jobstate.Cancelled:
 		x.Withdrawn = s.head.Runs - x.Done // what is not done never will be
 	case s.outcome == "" && s.next > 0:
 		x.State = Running
@@ -479,8 +479,8 @@
 	for i, p := range parts {
 		writes = append(writes, Write{Key: key + "/" + strconv.Itoa(i), Value: encode(p)})
 	}
-	c.budget.Use(float64(len(writes)))
-	c.multi([]Cond{kv.At(key, 0)}, writes, func(m Committed) {
+	c.budget.Spend(float64(len(writes)))
+	c.multi([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
 		switch m.Status {
 		case 200:
 			c.emit(Reply{Req: a.req, Status: 201, Sweep: &SweepState{ID: a.id, State: Queued, Runs: head.Runs}})
@@ -497,12 +497,12 @@
 
 // cancelSweep creates the one key that ends a sweep.
 func (c *Core) cancelSweep(a *ask) {
-	c.budget.Use(1)
+	c.budget.Spend(1)
 	key := sweepEndPrefix + a.id
-	c.multi([]Cond{kv.At(key, 0)}, []Write{{Key: key, Value: encode(sweepEnd{ledger.Cancelled, c.now + c.wallOffset})}}, func(m Committed) {
+	c.multi([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encode(sweepEnd{jobstate.Cancelled, c.now + c.wallOffset})}}, func(m Committed) {
 		switch m.Status {
 		case 200:
-			c.witness.Note(toldSweep+a.id, m.Ledger)
+			c.witness.RecordCancellation(toldSweep+a.id, m.Revision)
 			c.sweepTold(a.id)
 			c.wait(a) // what was done before is told from a view
 		case 409:
@@ -607,11 +607,11 @@
 	}
 	var gone []string
 	for _, r := range page.Runs {
-		if r.State == ledger.Cancelled {
+		if r.State == jobstate.Cancelled {
 			gone = append(gone, r.ID)
 		}
 	}
-	if s.outcome == ledger.Cancelled && len(gone) > 0 {
+	if s.outcome == jobstate.Cancelled && len(gone) > 0 {
 		gone = []string{toldSweep + s.id}
 	}
 	if n := a.after + len(page.Runs); n < len(s.plan.Specs) {
@@ -632,13 +632,13 @@
 	case ok:
 		return e.Outcome
 	case s.gone.ContainsInt(i):
-		return ledger.Cancelled
+		return jobstate.Cancelled
 	case s.ended.ContainsInt(i):
-		return ledger.Done
+		return jobstate.Done
 	case j != nil:
 		return jobState(j).State
-	case i >= s.next && s.outcome == ledger.Cancelled:
-		return ledger.Cancelled
+	case i >= s.next && s.outcome == jobstate.Cancelled:
+		return jobstate.Cancelled
 	case i >= s.next:
 		return RunPlanned
 	}
@@ -678,9 +678,9 @@
 		j := c.jobs[id]
 		e, ok := c.outcome(id)
 		switch {
-		case ok && (j == nil || !j.Derived):
+		case ok && (j == nil || !j.CancelledByDependency):
 			s.ended.AddInt(i)
-			if e.Outcome != ledger.Done {
+			if e.Outcome != jobstate.Done {
 				s.gone.AddInt(i)
 			}
 			if s.counted == 0 {
@@ -692,7 +692,7 @@
 			reading++
 			c.asking[id] = c.now + asksAgain
 			c.get(endPrefix+id, func(g Got) {
-				var e ledger.End
+				var e jobstate.End
 				if g.Err == nil && g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil {
 					delete(c.asking, id)
 					c.noteEnd(id, e, g.Stamp)
@@ -713,7 +713,7 @@
 	if len(c.requests.writes) > 0 || spare < 2 {
 		return
 	}
-	when := []Cond{kv.At(LeaderKey, l.stamp), kv.At(sweepAtPrefix+s.id, s.at)}
+	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp), kv.RevisionIs(sweepAtPrefix+s.id, s.at)}
 	var writes []Write
 	at := sweepAt{Next: s.next}
 	all := len(s.plan.Specs)
@@ -722,19 +722,19 @@
 		at.Closed = true
 	case s.outcome != "" || s.told:
 	case s.next == all && open == 0:
-		when = append(when, kv.At(sweepEndPrefix+s.id, 0))
-		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encode(sweepEnd{ledger.Done, c.now + c.wallOffset})})
+		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
+		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encode(sweepEnd{jobstate.Done, c.now + c.wallOffset})})
 		at.Closed = true
 	default:
-		when = append(when, kv.At(sweepEndPrefix+s.id, 0))
+		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
 		size := 0
 		for at.Next < all && at.Next-s.next < min(s.head.Pending-open, spare-1, c.limits().TxnOps-2) {
 			spec := s.plan.Specs[at.Next]
-			v := ledger.Record{Spec: spec, Submitted: c.now + c.wallOffset}.Value(0)
+			v := jobstate.Record{Spec: spec, SubmittedWall: c.now + c.wallOffset}.Encode(0)
 			if size += len(v) + 200; size > maxTxnBytes {
 				break
 			}
-			when = append(when, kv.At(jobPrefix+spec.ID, 0), kv.At(endPrefix+spec.ID, 0))
+			when = append(when, kv.RevisionIs(jobPrefix+spec.ID, 0), kv.RevisionIs(endPrefix+spec.ID, 0))
 			writes = append(writes, Write{Key: jobPrefix + spec.ID, Value: v})
 			at.Next++
 		}
@@ -751,7 +751,7 @@
 	if gone != s.goneStored {
 		writes = append(writes, Write{Key: sweepAtPrefix + s.id + goneKey, Value: encode(sweepGone{packSet(s.gone)})})
 	}
-	c.budget.Use(float64(len(writes)))
+	c.budget.Spend(float64(len(writes)))
 	s.flying = true
 	counted := s.counted
 	c.multi(when, writes, func(m Committed) {
@@ -761,12 +761,12 @@
 		switch m.Status {
 		case 200:
 			s.flying = false
-			s.next, s.at, s.goneStored = at.Next, max(s.at, m.Ledger), gone
+			s.next, s.at, s.goneStored = at.Next, max(s.at, m.Revision), gone
 			if s.counted == counted {
 				s.counted = 0
 			}
 			if at.Closed {
-				c.noteSweepEnd(s.id, ledger.Done, 0) // unless it was cancelled
+				c.noteSweepEnd(s.id, jobstate.Done, 0) // unless it was cancelled
 				c.closeSweep(s)
 			}
 		case 409:
@@ -871,7 +871,7 @@
 			return
 		}
 		if g.Stamp != 0 {
-			c.apply(Change{Key: sweepAtPrefix + s.id, Value: g.Value, Stamp: g.Stamp})
+			c.apply(Change{Key: sweepAtPrefix + s.id, Value: g.Value, Revision: g.Stamp})
 		}
 		c.readSweepEnd(s.id, again, func() { s.flying = false })
 	})
@@ -885,7 +885,7 @@
 		case g.Err != nil:
 			failed()
 			return
-		case g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil && e.Outcome == ledger.Cancelled:
+		case g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil && e.Outcome == jobstate.Cancelled:
 			c.sweepTold(id)
 		}
 		then()
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -15,51 +15,51 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// AnswerWait is how long the answer to a transaction may take once its changes are
+// AnswerTimeout is how long the answer to a transaction may take once its changes are
 // seen, in microseconds: the two come by different ways.
-const AnswerWait = 80_000
+const AnswerTimeout = 80_000
 
 // Table has the transactions under way. Its zero value is not usable; see New.
 type Table struct {
-	under map[uint64]*transaction
+	pending map[uint64]*transaction
 }
 
 // transaction is one of them.
 type transaction struct {
-	writes []kv.Write
-	begun  int64
-	// after is the newest revision that it is conditional on: what was stored up to
+	writes    []kv.Write
+	startedAt int64
+	// minRevision is the newest revision that it is conditional on: what was stored up to
 	// then is something earlier, however alike.
-	after uint64
-	done  func(kv.Committed)
-	// stored is the revision at which its changes were seen, 0 for not yet, and seen
+	minRevision uint64
+	complete    func(kv.Committed)
+	// storedRevision is the revision at which its changes were seen, 0 for not yet, and seen
 	// is when.
-	stored uint64
-	seen   int64
+	storedRevision uint64
+	seenAt         int64
 }
 
 // New makes a table without transactions.
-func New() *Table { return &Table{under: map[uint64]*transaction{}} }
+func New() *Table { return &Table{pending: map[uint64]*transaction{}} }
 
 // Begin notes a transaction that is sent now; done gets its answer.
-func (t *Table) Begin(id uint64, when []kv.Cond, writes []kv.Write, now int64, done func(kv.Committed)) {
-	x := &transaction{writes: writes, begun: now, done: done}
+func (t *Table) Begin(id uint64, when []kv.Condition, writes []kv.Write, now int64, done func(kv.Committed)) {
+	x := &transaction{writes: writes, startedAt: now, complete: done}
 	for _, w := range when {
-		x.after = max(x.after, w.Stamp)
+		x.minRevision = max(x.minRevision, w.Revision)
 	}
-	t.under[id] = x
+	t.pending[id] = x
 }
 
-// Compares says whether a transaction that is under way changes nothing.
-func (t *Table) Compares(id uint64) bool {
-	x := t.under[id]
+// IsConditionOnly says whether a transaction that is under way changes nothing.
+func (t *Table) IsConditionOnly(id uint64) bool {
+	x := t.pending[id]
 	return x != nil && len(x.writes) == 0
 }
 
-// Unanswered says whether some change has been under way for longer than a time.
-func (t *Table) Unanswered(now, since int64) bool {
-	for _, x := range t.under {
-		if len(x.writes) > 0 && now-x.begun > since {
+// HasUnansweredWrite says whether some change has been under way for longer than a time.
+func (t *Table) HasUnansweredWrite(now, since int64) bool {
+	for _, x := range t.pending {
+		if len(x.writes) > 0 && now-x.startedAt > since {
 			return true
 		}
 	}
@@ -68,7 +68,7 @@
 
 // Observe looks for transactions whose changes have come.
 func (t *Table) Observe(changes []kv.Change, now int64) {
-	if len(t.under) == 0 || len(changes) == 0 {
+	if len(t.pending) == 0 || len(changes) == 0 {
 		return
 	}
 	at := map[string][]kv.Change{}
@@ -77,16 +77,16 @@
 	}
 	has := func(w kv.Write, stamp uint64) bool {
 		return slices.ContainsFunc(at[w.Key], func(ch kv.Change) bool {
-			return ch.Stamp == stamp && ch.Removed == (w.Value == nil) && bytes.Equal(ch.Value, w.Value)
+			return ch.Revision == stamp && ch.Removed == (w.Value == nil) && bytes.Equal(ch.Value, w.Value)
 		})
 	}
-	for _, x := range t.under {
-		if x.stored != 0 || len(x.writes) == 0 {
+	for _, x := range t.pending {
+		if x.storedRevision != 0 || len(x.writes) == 0 {
 			continue
 		}
 		for _, ch := range at[x.writes[0].Key] {
-			if ch.Stamp > x.after && !slices.ContainsFunc(x.writes, func(w kv.Write) bool { return !has(w, ch.Stamp) }) {
-				x.stored, x.seen = ch.Stamp, now
+			if ch.Revision > x.minRevision && !slices.ContainsFunc(x.writes, func(w kv.Write) bool { return !has(w, ch.Revision) }) {
+				x.storedRevision, x.seenAt = ch.Revision, now
 			}
 		}
 	}
@@ -96,27 +96,27 @@
 // nobody answers, in the order in which they were sent. They are still under way.
 func (t *Table) Overdue(now int64) (answers []kv.Committed) {
 	var ids []uint64
-	for id, x := range t.under {
-		if x.stored != 0 && now-x.seen >= AnswerWait {
+	for id, x := range t.pending {
+		if x.storedRevision != 0 && now-x.seenAt >= AnswerTimeout {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		answers = append(answers, kv.Committed{ID: id, Status: 200, Ledger: t.under[id].stored, Observed: true})
+		answers = append(answers, kv.Committed{ID: id, Status: 200, Revision: t.pending[id].storedRevision, Observed: true})
 	}
 	return answers
 }
 
-// End takes the answer to a transaction, or its absence, and tells who waits for it.
-func (t *Table) End(m kv.Committed) {
-	x := t.under[m.ID]
+// Complete takes the answer to a transaction, or its absence, and tells who waits for it.
+func (t *Table) Complete(m kv.Committed) {
+	x := t.pending[m.ID]
 	if x == nil {
 		return
 	}
-	if m.Status == 0 && x.stored != 0 {
-		m.Status, m.Ledger, m.Observed = 200, x.stored, true
+	if m.Status == 0 && x.storedRevision != 0 {
+		m.Status, m.Revision, m.Observed = 200, x.storedRevision, true
 	}
-	delete(t.under, m.ID)
-	x.done(m)
+	delete(t.pending, m.ID)
+	x.complete(m)
 }
--- a/internal/core/upgrade/feature.go
+++ b/internal/core/upgrade/feature.go
@@ -9,44 +9,44 @@
 	"strings"
 )
 
-// Name is a feature's.
-type Name string
+// FeatureName is a feature's.
+type FeatureName string
 
 // The features of this program, oldest first.
 const (
-	// Log is the log of progress, pipelines, and values of fewer tasks.
-	Log Name = "log"
+	// ProgressLog is the log of progress, pipelines, and values of fewer tasks.
+	ProgressLog FeatureName = "log"
 	// Sweeps are templates and sweeps.
-	Sweeps Name = "sweeps"
-	// Reach is what each controller says that it reaches.
-	Reach Name = "reach"
+	Sweeps FeatureName = "sweeps"
+	// Connectivity is what each controller says that it reaches.
+	Connectivity FeatureName = "reach"
 	// SharedReads: the leader reads the state service for the others, and all keep
 	// to shares of what it allows.
-	SharedReads Name = "shared-reads"
+	SharedReads FeatureName = "shared-reads"
 )
 
 // Feature is something that changes what is stored, or what controllers do with
 // each other, and that all of them have to know before one begins.
 type Feature struct {
-	Name Name
-	// Since is the program that had it first.
-	Since int
+	Name FeatureName
+	// SinceVersion is the program that had it first.
+	SinceVersion int
 	// Format is the stored format that stands for it; 0 for a feature that is
 	// switched on by its name.
 	Format int
-	// Needs have to be on before.
-	Needs []Name
-	// Keys are the beginnings of the keys, without the prefix of all, that only
+	// Requires have to be on before.
+	Requires []FeatureName
+	// KeyPrefixes are the beginnings of the keys, without the prefix of all, that only
 	// it writes.
-	Keys []string
-	// Messages: it stores nothing, and changes what controllers ask of each other.
-	Messages bool
-	// Ignored: a program without it ignores its keys and may serve beside it,
+	KeyPrefixes []string
+	// MessagesOnly: it stores nothing, and changes what controllers ask of each other.
+	MessagesOnly bool
+	// Ignorable: a program without it ignores its keys and may serve beside it,
 	// and come back when it is on. A feature that is not ignored is needed from
 	// then on: a program without it does not start.
-	Ignored bool
-	// Chosen: it is on only where the operators want it on every controller.
-	Chosen bool
+	Ignorable bool
+	// OptIn: it is on only where the operators want it on every controller.
+	OptIn bool
 }
 
 // Program is what a controller runs.
@@ -56,20 +56,20 @@
 	Features []Feature
 }
 
-// This is this program. To add a feature: give it a name above and a row here,
+// CurrentProgram is this program. To add a feature: give it a name above and a row here,
 // ask Enabled wherever its keys or fields are written or its messages are sent, list
 // its keys, and add its values to the recorded ones.
-func This() Program {
+func CurrentProgram() Program {
 	return Program{Version: 5, Features: []Feature{
-		{Name: Log, Since: 2, Format: 2, Keys: []string{"log/"}},
-		{Name: Sweeps, Since: 3, Format: 3, Needs: []Name{Log}, Keys: []string{"sweep"}, Chosen: true},
-		{Name: Reach, Since: 4, Needs: []Name{Log}, Keys: []string{"reach/"}, Ignored: true},
-		{Name: SharedReads, Since: 5, Needs: []Name{Reach}, Messages: true, Ignored: true},
+		{Name: ProgressLog, SinceVersion: 2, Format: 2, KeyPrefixes: []string{"log/"}},
+		{Name: Sweeps, SinceVersion: 3, Format: 3, Requires: []FeatureName{ProgressLog}, KeyPrefixes: []string{"sweep"}, OptIn: true},
+		{Name: Connectivity, SinceVersion: 4, Requires: []FeatureName{ProgressLog}, KeyPrefixes: []string{"reach/"}, Ignorable: true},
+		{Name: SharedReads, SinceVersion: 5, Requires: []FeatureName{Connectivity}, MessagesOnly: true, Ignorable: true},
 	}}
 }
 
-// find is a feature of the program, nil if it has none of that name.
-func (p *Program) find(n Name) *Feature {
+// feature is a feature of the program, nil if it has none of that name.
+func (p *Program) feature(n FeatureName) *Feature {
 	if i := slices.IndexFunc(p.Features, func(f Feature) bool { return f.Name == n }); i >= 0 {
 		return &p.Features[i]
 	}
@@ -85,11 +85,11 @@
 	return most
 }
 
-// Writes is the feature that alone writes a key, without the prefix of all; ""
+// FeatureOfKey is the feature that alone writes a key, without the prefix of all; ""
 // if any may.
-func (p *Program) Writes(key string) Name {
+func (p *Program) FeatureOfKey(key string) FeatureName {
 	for _, f := range p.Features {
-		for _, k := range f.Keys {
+		for _, k := range f.KeyPrefixes {
 			if strings.HasPrefix(key, k) {
 				return f.Name
 			}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/rates"
-	"github.com/zinclb/zinclb/internal/core/reads"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/ratelimit"
+	"github.com/zinclb/zinclb/internal/core/sharedread"
 )
 
 // Deadlines of users' requests, below what users wait for an answer.
@@ -24,7 +24,7 @@
 	req   uint64
 	id    string
 	kind  askKind
-	spec  *ledger.Spec
+	spec  *jobstate.Spec
 	since int64
 	// refusal is what a submission gets if it is not known already: only an
 	// id that is surely new may be refused for good.
@@ -59,9 +59,9 @@
 // requests serves the users: it shares one read of the moment among all requests
 // that wait for one, and holds writes back while the budget is used up.
 type requests struct {
-	views  reads.Batch[*ask]
+	views  sharedread.Batch[*ask]
 	writes []*ask
-	ends   reads.Lookup[*ask] // by the job's id
+	ends   sharedread.KeyBatch[*ask] // by the job's id
 	// inFlight has, for each job that a write is under way about, the requests that
 	// wait for what it makes true: a user who repeats one is to cost no more.
 	inFlight map[string][]*ask
@@ -90,13 +90,13 @@
 	// A controller that has read the state once can take requests; an
 	// outage of the state service is answered request by request, so that
 	// not all controllers are taken out at once.
-	c.links.Users.Proven(c.now, c.now)
+	c.links.Users.RecordSuccess(c.now, c.now)
 	switch {
 	case c.unfit != "":
 		c.emit(Reply{Req: m.Req, Status: 503, Error: c.unfit})
 	case c.applied == 0 && !c.synced:
 		c.emit(Reply{Req: m.Req, Status: 503, Error: "starting"})
-	case c.set.Ops.Reach && c.links.Alone(c.now):
+	case c.set.Ops.Reach && c.links.Isolated(c.now):
 		c.emit(Reply{Req: m.Req, Status: 503, Error: "neither the state service nor another controller answers"})
 	default:
 		c.emit(Reply{Req: m.Req, Status: 200})
@@ -153,13 +153,13 @@
 		c.wait(a)
 		return
 	}
-	if len(m.Spec.Awaits) > 0 && !c.joined() {
+	if len(m.Spec.Dependencies) > 0 && !c.joined() {
 		// A controller of version 1 would store the job without what it
 		// awaits, or start it at once.
 		c.emit(Reply{Req: m.Req, Status: 503, Retry: 2, Error: "awaits: not before all controllers have the new version"})
 		return
 	}
-	if slices.Contains(m.Spec.Awaits, id) {
+	if slices.Contains(m.Spec.Dependencies, id) {
 		c.notAwaited(a, id, "is the job itself")
 		return
 	}
@@ -167,19 +167,19 @@
 }
 
 // infeasible says why a job can never run, or "".
-func (c *Core) infeasible(s *ledger.Spec) string {
+func (c *Core) infeasible(s *jobstate.Spec) string {
 	t := c.set.Team(s.Team)
 	if t == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
-	if !fleet.Fits(c.types, s) {
+	if !fleet.FitsAnyType(c.types, s) {
 		return "no allowed machine type has room for a task"
 	}
-	if !fleet.FitsApart(c.types, s) {
+	if !fleet.FitsSpread(c.types, s) {
 		return "scatter: its tasks have to be in two zones at least, and may be in one only"
 	}
 	n := 1.0
-	if s.Kind != ledger.Array {
+	if s.Kind != jobstate.Array {
 		n = float64(s.Tasks)
 	}
 	if t.CPUsMax > 0 && float64(s.Need.CPU)*n > t.CPUsMax*1000 || t.GPUsMax > 0 && float64(s.Need.GPU)*n > t.GPUsMax*1000 {
@@ -204,11 +204,11 @@
 func (c *Core) viewNow() {
 	v := &c.requests.views
 	source := c.viewSource()
-	gap := rates.Gap(c.allowance.Views)
+	gap := ratelimit.Interval(c.allowance.Views)
 	if source != "" {
 		gap = askViewGap
 	}
-	if !c.synced || !v.Due(c.now, gap) || source == "" && !c.reading.Take() {
+	if !c.synced || !v.Due(c.now, gap) || source == "" && !c.reading.TryTake() {
 		return
 	}
 	c.beginView(source)
@@ -221,12 +221,12 @@
 		c.emit(View{After: c.applied, Asked: true})
 		return
 	}
-	c.emit(AskView{To: source, After: c.applied, Number: c.follower.Ask(), Need: c.requests.lackingChanges(c.budget.Level())})
+	c.emit(AskView{To: source, After: c.applied, Number: c.follower.BeginRequest(), Need: c.requests.lackingChanges(c.budget.Level())})
 }
 
 func (c *Core) onView(ok bool) {
 	v := &c.requests.views
-	if !v.Busy() {
+	if !v.InFlight() {
 		return
 	}
 	for _, a := range v.End() {
@@ -276,8 +276,8 @@
 		c.write(a)
 	case j == nil:
 		c.readEnd(a)
-	case j.Over != "":
-		c.answerEnd(a.req, a.id, ledger.End{Outcome: j.Over, Tasks: j.Tasks})
+	case j.Outcome != "":
+		c.answerEnd(a.req, a.id, jobstate.End{Outcome: j.Outcome, Tasks: j.Tasks})
 	case a.kind == askCancel:
 		c.write(a)
 	case !c.settled(j):
@@ -319,14 +319,14 @@
 		d.writes = d.writes[1:]
 		switch a.kind {
 		case askSubmit:
-			c.budget.Use(1)
+			c.budget.Spend(1)
 			c.create(a)
 		case askSweepSubmit:
 			c.createSweep(a)
 		case askSweepCancel:
 			c.cancelSweep(a)
 		default:
-			c.budget.Use(2)
+			c.budget.Spend(2)
 			c.cancel(a)
 		}
 	}
@@ -335,7 +335,7 @@
 // usersLeast is the least budget with which a user's request is written. Users come
 // before placements, so they may use what the leader's own writes keep back, and some
 // of what it will have.
-func usersLeast(s rates.Share, leads bool) float64 {
+func usersLeast(s ratelimit.Share, leads bool) float64 {
 	if !leads {
 		return 1
 	}
@@ -344,14 +344,14 @@
 
 func (c *Core) create(a *ask) {
 	job := jobPrefix + a.id
-	value := ledger.Record{Spec: a.spec, Submitted: a.since + c.wallOffset}.Value(0)
+	value := jobstate.Record{Spec: a.spec, SubmittedWall: a.since + c.wallOffset}.Encode(0)
 	if len(value) > c.valueLimit() {
 		a.refusal = Reply{Status: 400, Error: fmt.Sprintf("the description takes %d bytes, and %d can be stored", len(value), c.valueLimit())}
 		c.wait(a)
 		return
 	}
 	c.requests.inFlight[a.id] = nil
-	c.multi([]Cond{kv.At(job, 0), kv.At(endPrefix+a.id, 0)}, []Write{{Key: job, Value: value}}, func(m Committed) {
+	c.multi([]Cond{kv.RevisionIs(job, 0), kv.RevisionIs(endPrefix+a.id, 0)}, []Write{{Key: job, Value: value}}, func(m Committed) {
 		defer c.resumeCoalesced(a.id)
 		switch m.Status {
 		case 200:
@@ -386,24 +386,24 @@
 
 func (c *Core) cancel(a *ask) {
 	j := c.jobs[a.id]
-	if j == nil || j.Over != "" {
+	if j == nil || j.Outcome != "" {
 		c.wait(a)
 		return
 	}
-	e := c.end(ledger.Cancelled, j)
-	stamp := j.Stamp
+	e := c.end(jobstate.Cancelled, j)
+	stamp := j.Revision
 	c.requests.inFlight[a.id] = nil
-	c.multi([]Cond{kv.At(jobPrefix+a.id, stamp), kv.At(endPrefix+a.id, 0)}, []Write{
+	c.multi([]Cond{kv.RevisionIs(jobPrefix+a.id, stamp), kv.RevisionIs(endPrefix+a.id, 0)}, []Write{
 		{Key: endPrefix + a.id, Value: encode(e)},
-		{Key: jobPrefix + a.id, Value: c.overRecord(j, ledger.Cancelled)},
+		{Key: jobPrefix + a.id, Value: c.overRecord(j, jobstate.Cancelled)},
 	}, func(m Committed) {
 		defer c.resumeCoalesced(a.id)
 		switch m.Status {
 		case 200:
-			if j.Stamp == stamp {
-				j.Stamp = m.Ledger
+			if j.Revision == stamp {
+				j.Revision = m.Revision
 			}
-			c.noteEnd(a.id, e, m.Ledger)
+			c.noteEnd(a.id, e, m.Revision)
 			c.answerEnd(a.req, a.id, e)
 		case 409:
 			c.overtaken(a)
@@ -424,8 +424,8 @@
 }
 
 // end makes the stored end of a job.
-func (c *Core) end(outcome string, j *ledger.Job) ledger.End {
-	e := ledger.End{Outcome: outcome, Tasks: j.Tasks}
+func (c *Core) end(outcome string, j *jobstate.Job) jobstate.End {
+	e := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
 	if c.joined() {
 		e.At = c.now + c.wallOffset
 	}
@@ -433,24 +433,24 @@
 }
 
 // overRecord is the stored job from its end until its keys are removed.
-func (c *Core) overRecord(j *ledger.Job, outcome string) []byte {
-	return ledger.Record{Spec: j.Spec, Arrival: j.Arrival, Over: outcome, Submitted: j.Submitted, Brief: j.Brief}.Value(c.valueLimit())
+func (c *Core) overRecord(j *jobstate.Job, outcome string) []byte {
+	return jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: outcome, SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}.Encode(c.valueLimit())
 }
 
-func (c *Core) answerEnd(req uint64, id string, e ledger.End) {
+func (c *Core) answerEnd(req uint64, id string, e jobstate.End) {
 	s := &JobState{ID: id, State: e.Outcome}
-	if e.Outcome == ledger.Done {
+	if e.Outcome == jobstate.Done {
 		s.Done = e.Tasks
 	}
 	r := Reply{Req: req, Status: 200, Job: s}
-	if e.Outcome == ledger.Cancelled {
+	if e.Outcome == jobstate.Cancelled {
 		c.answerCancelled(r, id)
 		return
 	}
 	c.emit(r)
 }
 
-func jobState(j *ledger.Job) *JobState {
+func jobState(j *jobstate.Job) *JobState {
 	s := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
 	if j.NumRunning == 0 && j.NumPlaced > 0 {
 		s.Running = j.NumPlaced // another controller knows the details
@@ -464,26 +464,26 @@
 func (c *Core) requestsTick() {
 	d := &c.requests
 	if !c.synced {
-		for _, a := range d.views.Drop() {
+		for _, a := range d.views.DropWaiting() {
 			c.refuse(a)
 		}
 	}
 	c.writeNow()
 	c.viewNow()
 	c.lookNow()
-	if !c.synced || d.views.Busy() {
+	if !c.synced || d.views.InFlight() {
 		return
 	}
 	source, age := c.viewSource(), d.views.Age(c.now)
 	// The mirror lacks a revision that an answer has told of, or the changes of a
 	// transaction whose answer may be lost.
-	lacks := c.behind > c.applied || c.txns.Unanswered(c.now, newsGap)
+	lacks := c.behind > c.applied || c.txns.HasUnansweredWrite(c.now, newsGap)
 	switch {
-	case c.stateLost() && age > second/2, c.lead == nil && !c.stateLost() && c.stateBad > c.stateOK && age > newsGap && c.reading.Take():
+	case c.stateLost() && age > second/2, c.lead == nil && !c.stateLost() && c.stateBad > c.stateOK && age > newsGap && c.reading.TryTake():
 		// Requests are refused meanwhile, or soon, so something has to find out
 		// when the state service answers again.
 		c.beginView("")
-	case source != "" && (c.follower.Due(c.now, age) || lacks && age > newsGap || d.lackingChanges(c.budget.Level()) > 0):
+	case source != "" && (c.follower.RefreshDue(c.now, age) || lacks && age > newsGap || d.lackingChanges(c.budget.Level()) > 0):
 		c.beginView(source)
 	}
 }
--- a/internal/core/vouching.go
+++ b/internal/core/vouching.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"github.com/zinclb/zinclb/internal/core/ledger"
-	"github.com/zinclb/zinclb/internal/core/vouch"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
 // What the right to answer workers rests on is told in package vouch. Here it
@@ -39,13 +39,13 @@
 // ping asks a peer how it is. A leader that the state service does not answer asks
 // it to vouch; and it is told of cancellations that it has to know of first.
 func (c *Core) ping(p string) {
-	e := Ping{Peer: p, Need: c.set.Ops.Reach && c.links.Workers.Lacks(c.set.Zones), Boot: c.set.Boot}
+	e := Ping{Peer: p, Need: c.set.Ops.Reach && c.links.Workers.NeedsMachines(c.set.Zones), Boot: c.set.Boot}
 	if c.lead != nil && (c.stateBad > c.stateOK || c.now-c.lead.byState() > askAfter) {
-		q := c.lead.vouched.Question(p, c.applied, c.now)
+		q := c.lead.vouched.NextRequest(p, c.applied, c.now)
 		e.Ask = &q
 	}
 	if at, ok := c.heldAnswers.sent[p]; ok && at == c.now {
-		t := c.witness.Tell(p)
+		t := c.witness.PageFor(p)
 		e.Tell = &t
 	}
 	c.emit(e)
@@ -67,19 +67,19 @@
 // whether it lives on the word of who asks.
 func (c *Core) vouchFor(m Pinged, n *PeerNews) {
 	if m.Boot == "" {
-		n.Cancelled = c.witness.Recent()
+		n.Cancelled = c.witness.RecentCancellations()
 		return
 	}
 	if m.Ask != nil {
-		p := c.witness.Asked(m.From, *m.Ask, c.applied > 0, c.now)
+		p := c.witness.Grant(m.From, *m.Ask, c.applied > 0, c.now)
 		n.Vouch = &p
 	}
-	n.Ack = &vouch.Ack{}
+	n.Ack = &readlease.HolderAck{}
 	if c.lead == nil {
 		return
 	}
-	c.lead.vouched.Runs(m.From, m.Boot)
-	if m.Tell != nil && c.lead.vouched.Told(m.From, *m.Tell) {
+	c.lead.vouched.SetIncarnation(m.From, m.Boot)
+	if m.Tell != nil && c.lead.vouched.ApplyPage(m.From, *m.Tell) {
 		c.noteTold(m.Tell.Cancelled)
 	}
 	a := c.lead.vouched.Ack(m.From, c.applied, c.now)
@@ -96,7 +96,7 @@
 	if c.lead == nil {
 		return
 	}
-	c.lead.vouched.Answered(m.Peer, m.Sent, c.now, *m.News.Vouch)
+	c.lead.vouched.HandleGrant(m.Peer, m.Sent, c.now, *m.News.Vouch)
 	if m.News.Vouch.More {
 		c.ping(m.Peer)
 	}
@@ -109,7 +109,7 @@
 			c.sweepTold(sweep)
 			continue
 		}
-		e := ledger.End{Outcome: ledger.Cancelled}
+		e := jobstate.End{Outcome: jobstate.Cancelled}
 		if j := c.jobs[id]; j != nil {
 			e.Tasks = j.Tasks
 		}
@@ -125,7 +125,7 @@
 		return false
 	}
 	s := c.sweeps[j.Sweep]
-	return s != nil && s.outcome == ledger.Cancelled
+	return s != nil && s.outcome == jobstate.Cancelled
 }
 
 // answerCancelled answers a user with one or more cancellations, once every leader that lives
@@ -137,10 +137,10 @@
 			id = toldSweep + c.jobs[id].Sweep
 			ids[i] = id
 		}
-		c.witness.Note(id, 0)
+		c.witness.RecordCancellation(id, 0)
 	}
 	switch {
-	case len(c.witness.Lacking(ids, c.now)) == 0:
+	case len(c.witness.Uninformed(ids, c.now)) == 0:
 		c.emit(r)
 	case len(c.heldAnswers.held) >= maxWaiting:
 		c.emit(notTold(r.Req))
@@ -159,7 +159,7 @@
 	keep := c.heldAnswers.held[:0]
 	for _, t := range c.heldAnswers.held {
 		switch {
-		case len(c.witness.Lacking(t.ids, c.now)) == 0:
+		case len(c.witness.Uninformed(t.ids, c.now)) == 0:
 			c.emit(t.reply)
 		case c.now-t.since > tellPatience:
 			c.emit(notTold(t.reply.Req))
@@ -177,7 +177,7 @@
 	for _, t := range c.heldAnswers.held {
 		ids = append(ids, t.ids...)
 	}
-	for _, p := range c.witness.Lacking(ids, c.now) {
+	for _, p := range c.witness.Uninformed(ids, c.now) {
 		if c.now-c.heldAnswers.sent[p] >= tellEvery {
 			c.heldAnswers.sent[p] = c.now
 			c.ping(p)
--- a/internal/core/warm.go
+++ b/internal/core/warm.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/zinclb/zinclb/internal/core/fleet"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
 // Warming brings images to idle machines before they are needed. A worker
@@ -21,7 +21,7 @@
 // source is a finished task that can carry its image.
 type source struct {
 	job   *carrier
-	spec  *ledger.Spec
+	spec  *jobstate.Spec
 	index int
 	on    string // the machine that it is on
 }
@@ -78,7 +78,7 @@
 }
 
 // taken adds a warming task, or several or fewer, to what teams use.
-func (warmState) taken(used map[string]usage, w *fleet.Warm, n int64) {
+func (warmState) taken(used map[string]usage, w *fleet.Prefetch, n int64) {
 	u := used[w.Team]
 	u.cpu += n * w.Need.CPU
 	u.gpu += n * w.Need.GPU
@@ -86,7 +86,7 @@
 }
 
 // noteUse counts a job's wish for its image; urgent jobs count for more.
-func (c *Core) noteUse(s *ledger.Spec) {
+func (c *Core) noteUse(s *jobstate.Spec) {
 	w := &c.lead.warm
 	if s.Image == "" {
 		return
@@ -112,7 +112,7 @@
 
 // machinesFor is about how many machines a job takes, up to a few: an image
 // whose jobs are wide is wanted on more machines.
-func (c *Core) machinesFor(s *ledger.Spec) float64 {
+func (c *Core) machinesFor(s *jobstate.Spec) float64 {
 	const most = 16
 	n := float64(most)
 	for i := range c.types {
@@ -146,8 +146,8 @@
 
 // addSources takes the tasks of a job that is done, and of which no task is on
 // a machine any more. As many are kept as can be out at once in a large fleet.
-func (c *Core) addSources(s *ledger.Spec) {
-	if s.Image == "" || s.Spread || s.Kind == ledger.Service {
+func (c *Core) addSources(s *jobstate.Spec) {
+	if s.Image == "" || s.Spread || s.Kind == jobstate.Service {
 		return
 	}
 	w := &c.lead.warm
@@ -179,11 +179,11 @@
 	// whose images matter most.
 	warming, free := map[string]int{}, map[string]int{}
 	for _, m := range l.fleet.All() {
-		if !c.usable(m) || m.Anew() || len(m.Placed) > 0 || m.Orphans != (ledger.Vec{}) {
+		if !c.usable(m) || m.SeqRestarted() || len(m.Placed) > 0 || m.OrphanUsage != (jobstate.Resources{}) {
 			continue
 		}
 		free[m.Type]++
-		if m.Warm != nil {
+		if m.Prefetch != nil {
 			warming[m.Type]++
 			continue
 		}
@@ -200,10 +200,10 @@
 			l.warm.serial++
 			s.send(m)
 			wants.have(s.spec.Image)
-			m.Warm = &fleet.Warm{Task: ledger.TaskName(s.spec.ID, s.index), Attempt: warmAttempt + l.warm.serial, Image: s.spec.Image, ImageMB: s.spec.ImageMB, Need: s.spec.Need, Team: s.spec.Team}
+			m.Prefetch = &fleet.Prefetch{Task: jobstate.TaskName(s.spec.ID, s.index), Attempt: warmAttempt + l.warm.serial, Image: s.spec.Image, ImageMB: s.spec.ImageMB, Need: s.spec.Need, Team: s.spec.Team}
 			l.parkedAnswers.expect(m.Name)
-			l.warm.taken(used, m.Warm, 1)
-			l.warm.taken(l.warm.used, m.Warm, 1)
+			l.warm.taken(used, m.Prefetch, 1)
+			l.warm.taken(l.warm.used, m.Prefetch, 1)
 			warming[m.Type]++
 		}
 	}
@@ -285,7 +285,7 @@
 
 // withinLimit says whether a team that uses so much may use more, of a share of
 // its limit.
-func (c *Core) withinLimit(team string, u usage, share float64, need ledger.Vec) bool {
+func (c *Core) withinLimit(team string, u usage, share float64, need jobstate.Resources) bool {
 	t := c.set.Team(team)
 	return t != nil && (t.CPUsMax == 0 || u.cpu+need.CPU <= int64(t.CPUsMax*1000*share)) && (t.GPUsMax == 0 || u.gpu+need.GPU <= int64(t.GPUsMax*1000*share))
 }
@@ -309,16 +309,16 @@
 
 // endWarm forgets a machine's warming; its source can be used again.
 func (c *Core) endWarm(m *fleet.Machine) {
-	if m.Warm == nil {
+	if m.Prefetch == nil {
 		return
 	}
-	for _, s := range c.lead.warm.sources[m.Warm.Image] {
+	for _, s := range c.lead.warm.sources[m.Prefetch.Image] {
 		if s.on == m.Name {
 			s.back()
 		}
 	}
-	c.lead.warm.taken(c.lead.warm.used, m.Warm, -1)
-	m.Warm = nil
+	c.lead.warm.taken(c.lead.warm.used, m.Prefetch, -1)
+	m.Prefetch = nil
 }
 
 // reportedWarm handles the report of a warming task. It makes way for any
@@ -327,14 +327,14 @@
 	o := Order{Op: "forget", Task: tr.Name, Attempt: uint32(tr.Attempt)}
 	switch {
 	case tr.State == "exited":
-		c.log.Debug("warmed", "machine", m.Name, "image", m.Warm.Image, "why", tr.Why)
+		c.log.Debug("warmed", "machine", m.Name, "image", m.Prefetch.Image, "why", tr.Why)
 		if tr.Why == "done" {
-			m.Use(m.Warm.Image, m.Warm.ImageMB, c.now)
+			m.RecordImageUse(m.Prefetch.Image, m.Prefetch.ImageMB, c.now)
 			c.lead.planWanted = true
 		}
 		c.endWarm(m)
 		return []Order{o}
-	case len(m.Placed) > 0 || m.Drain || m.NoticeAt != 0:
+	case len(m.Placed) > 0 || m.Draining || m.ReclaimAt != 0:
 		o.Op = "stop"
 		return []Order{o}
 	}
@@ -344,15 +344,15 @@
 // warmOrder starts a machine's warming in the answer to a report, if that is
 // still wanted.
 func (c *Core) warmOrder(m *fleet.Machine, listed bool) []Order {
-	w := m.Warm
+	w := m.Prefetch
 	switch {
-	case w == nil || listed || m.Anew() && w.Sent:
+	case w == nil || listed || m.SeqRestarted() && w.Sent:
 		return nil // of one that counts anew a report proves nothing
-	case w.Sent && m.Fresh, len(m.Placed) > 0 && !w.Sent:
+	case w.Sent && m.HasCurrentToken, len(m.Placed) > 0 && !w.Sent:
 		// The order was dropped, or something better came.
 		c.endWarm(m)
 		return nil
-	case w.Sent || !m.Fresh || m.Drain || m.NoticeAt != 0 || !c.sure():
+	case w.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !c.sure():
 		return nil
 	}
 	w.Sent = true
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Seed     uint64
 	Length   int64
-	Params   config.Params
+	Params   config.Deployment
 	Types    []wire.MachineType
 	Capacity []Capacity
 	Machines []Machines // up at the start
@@ -260,7 +260,7 @@
 
 // Expectations are what the rules of a world are judged by.
 func (c *Config) Expectations() history.Expectations {
-	t := history.Expectations{Jobs: map[string]*wire.Job{}, Sweeps: map[string][]string{}, Teams: map[string]history.Limits{}, CancelWithin: config.Secs(c.Params.Workers.CancelS)}
+	t := history.Expectations{Jobs: map[string]*wire.Job{}, Sweeps: map[string][]string{}, Teams: map[string]history.Limits{}, CancelWithin: config.MicrosOf(c.Params.Workers.CancelS)}
 	for i := range c.Jobs {
 		t.Jobs[c.Jobs[i].Spec.ID] = &c.Jobs[i].Spec
 	}
--- a/internal/emulator/environment/external.go
+++ b/internal/emulator/environment/external.go
@@ -23,7 +23,7 @@
 // Its tasks run as long as its owner estimates.
 func (w *Environment) AddExternalJob(j wire.Job) {
 	if w.jobs[j.ID] == nil {
-		w.jobs[j.ID] = &jobUser{env: w, spec: j, run: config.Secs(j.EstimateS), submitted: true, finalState: "outside", done: map[int]bool{}, progress: map[int]int64{}}
+		w.jobs[j.ID] = &jobUser{env: w, spec: j, run: config.MicrosOf(j.EstimateS), submitted: true, finalState: "outside", done: map[int]bool{}, progress: map[int]int64{}}
 	}
 }
 
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -173,7 +173,7 @@
 		}
 		return func() func() { *v = f.Factor; return func() { *v = 1 } }, nil
 	case "state_limits":
-		return func() func() { w.state.limits = w.Params.Tight(); return nil }, nil
+		return func() func() { w.state.limits = w.Params.StrictestStateLimits(); return nil }, nil
 	case "state_lose":
 		if f.TransactionLoss == nil || !slices.Contains([]string{"before", "after", "late"}, f.TransactionLoss.Outcome) {
 			return nil, fmt.Errorf("lose.how: must be before, after or late")
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -327,7 +327,7 @@
 	}
 	var failed []string
 	for _, c := range q.Conditions {
-		if v, _ := s.keys.Get(c.Key); v.stamp != c.Stamp {
+		if v, _ := s.keys.Get(c.Key); v.stamp != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -242,7 +242,7 @@
 	n.up, n.frozen, n.deferred = true, false, nil
 	n.epoch++
 	n.replies, n.calls = map[uint64]func(core.Reply){}, map[uint64]func(int, any){}
-	set := core.Settings{Name: n.name, Params: c.Config.Params, Ops: c.Operators, Boot: fmt.Sprintf("%s-%d", n.name, n.epoch)}
+	set := core.Settings{Name: n.name, Deployment: c.Config.Params, Ops: c.Operators, Boot: fmt.Sprintf("%s-%d", n.name, n.epoch)}
 	for i := range c.Config.Params.Size {
 		if i != n.index {
 			set.Peers = append(set.Peers, environment.ControllerName(i))
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -144,9 +144,9 @@
 	case *wire.Job, wire.RawSubmission, wire.Poll, wire.Cancel, wire.Sweep, wire.SweepPoll, wire.SweepCancel:
 		switch {
 		case r.Job != nil:
-			return wire.JobAnswer{ID: r.Job.ID, State: api.State(r.Job.State), Done: r.Job.Done, Running: r.Job.Running}
+			return wire.JobAnswer{ID: r.Job.ID, State: api.JobStateName(r.Job.State), Done: r.Job.Done, Running: r.Job.Running}
 		case r.Sweep != nil:
-			return wire.JobAnswer{State: api.State(r.Sweep.State)}
+			return wire.JobAnswer{State: api.JobStateName(r.Sweep.State)}
 		}
 		return wire.JobAnswer{}
 	}
@@ -154,7 +154,7 @@
 }
 
 func wireOrder(o core.Order) wire.Order {
-	return wire.Order{Op: api.Verb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
+	return wire.Order{Op: api.OrderVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
 }
 
 func coreReport(q *wire.Report) core.Report {
@@ -164,7 +164,7 @@
 		r.Notice = int64(*q.NoticeS * 1e6)
 	}
 	for i, t := range q.Tasks {
-		r.Tasks[i] = api.TaskReport(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
+		r.Tasks[i] = api.NewTaskStatus(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
 	}
 	return r
 }
@@ -192,7 +192,7 @@
 		if c.OnQuery != nil {
 			c.OnQuery(n.name, e)
 		}
-		n.call(e.To, core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerMost, func(status int, body any) {
+		n.call(e.To, core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerTimeout, func(status int, body any) {
 			r, err := controllerReply(body)
 			s := core.Shown{Number: e.Number, After: e.After, Sent: sent, Answer: r, Err: err}
 			if c.OnQueryEnd != nil {
@@ -208,7 +208,7 @@
 		}
 		n.call(environment.StateHost, wireTransaction(e), commitTimeout, func(status int, body any) {
 			a, _ := body.(wire.TransactionAnswer)
-			n.step(core.Committed{ID: e.ID, Status: status, Ledger: a.Revision, Failed: a.Failed})
+			n.step(core.Committed{ID: e.ID, Status: status, Revision: a.Revision, Failed: a.Failed})
 		})
 	case core.Get:
 		n.call(environment.StateHost, wire.Get{Key: e.Key}, getTimeout, func(status int, body any) {
@@ -344,7 +344,7 @@
 			out.Ledger = p.Revision
 		}
 		for _, r := range p.Rows {
-			out.Rows = append(out.Rows, core.Change{Key: r.Key, Value: r.Value, Stamp: r.Stamp})
+			out.Rows = append(out.Rows, core.Change{Key: r.Key, Value: r.Value, Revision: r.Stamp})
 			after = r.Key
 		}
 		if p.More {
@@ -362,7 +362,7 @@
 		if a, ok := body.(wire.WatchAnswer); ok {
 			w.Ledger = a.Revision
 			for _, x := range a.Changes {
-				w.Changes = append(w.Changes, core.Change{Key: x.Key(), Value: x.Value, Stamp: x.Stamp, Removed: x.Put == ""})
+				w.Changes = append(w.Changes, core.Change{Key: x.Key(), Value: x.Value, Revision: x.Stamp, Removed: x.Put == ""})
 			}
 		} else if !w.Gone {
 			w.Err = statusError(status)
@@ -394,7 +394,7 @@
 		t := core.Types{Err: statusError(status)}
 		if a, ok := body.(wire.TypesAnswer); ok && t.Err == nil {
 			for _, w := range a.Types {
-				t.Types = append(t.Types, cloud.Type(w).Core())
+				t.Types = append(t.Types, cloud.MachineType(w).ToCore())
 			}
 		}
 		f(t)
@@ -451,7 +451,7 @@
 			return
 		}
 		for _, m := range a.Machines {
-			out.List = append(out.List, cloud.Listing(m).Core())
+			out.List = append(out.List, cloud.MachineListing(m).ToCore())
 			after = m.Name
 		}
 		if !a.More || len(a.Machines) == 0 {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -60,7 +60,7 @@
 }
 
 func (r *reader) seconds(field string, v *float64, or float64) int64 {
-	return config.Secs(r.number(field, v, or, 0, 1e6))
+	return config.MicrosOf(r.number(field, v, or, 0, 1e6))
 }
 
 func (r *reader) count(field string, v *int32, or, lo, hi int32) int {
@@ -148,7 +148,7 @@
 	s.StateDelay = int64(1000 * r.number("state.latency_ms", t.LatencyMs, 3, 0, 1e4))
 	s.AnswerLoss = r.number("state.lost_answers", t.LostAnswers, 0, 0, 0.5)
 	if x := t.GetNext(); x != nil {
-		p.State.Next = &config.StateNext{RPS: x.Rps, WriteRPS: x.WriteRps, ValueKB: x.ValueKb}
+		p.State.Next = &config.UpcomingStateLimits{RPS: x.Rps, WriteRPS: x.WriteRps, ValueKB: x.ValueKb}
 		if x.TxnOps != nil {
 			ops := r.count("state.next.txn_ops", x.TxnOps, 4, 4, 10_000)
 			p.State.Next.TxnOps = &ops
--- a/internal/emulator/scenario/sweep.go
+++ b/internal/emulator/scenario/sweep.go
@@ -4,14 +4,14 @@
 	"errors"
 
 	"github.com/zinclb/zinclb/internal/api"
-	"github.com/zinclb/zinclb/internal/core/ledger"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
 var (
-	wireKinds  = map[ledger.Kind]string{ledger.Array: wire.Array, ledger.Gang: wire.Gang, ledger.Service: wire.Service}
-	priorities = []string{ledger.Idle: "idle", ledger.Normal: "normal", ledger.Urgent: "urgent", ledger.Production: "production"}
+	wireKinds  = map[jobstate.Kind]string{jobstate.Array: wire.Array, jobstate.Gang: wire.Gang, jobstate.Service: wire.Service}
+	priorities = []string{jobstate.Idle: "idle", jobstate.Normal: "normal", jobstate.Urgent: "urgent", jobstate.Production: "production"}
 )
 
 // Expand fills in the id and the runs of a sweep from its text, as whoever
@@ -29,7 +29,7 @@
 		j := wire.Job{ID: x.ID, Class: x.Class, Team: x.Team, Kind: wireKinds[x.Kind], Priority: priorities[x.Priority], Tasks: x.Tasks,
 			CPUs: float64(x.Need.CPU) / 1000, GPUs: float64(x.Need.GPU) / 1000, MemGB: float64(x.Need.Mem) / 1000, Image: x.Image, ImageGB: float64(x.ImageMB) / 1000,
 			Types: x.Types, OneZone: x.OneZone, Spread: x.Spread, Spot: x.Spot, EstimateS: float64(x.Estimate) / 1e6,
-			CheckpointS: float64(x.Checkpoint) / 1e6, CheckpointCostS: float64(x.Save) / 1e6, DependsOn: x.Awaits}
+			CheckpointS: float64(x.Checkpoint) / 1e6, CheckpointCostS: float64(x.Save) / 1e6, DependsOn: x.Dependencies}
 		if x.Zone != "" {
 			j.Zone = &x.Zone
 		}
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		p := config.Platform{Name: n.name, Zone: d.config.ControllerZone(i), Front: n.publicAddr, Back: n.peerAddr, Outside: config.Outside{State: state, Cloud: cloud}, Params: d.config.Params}
+		p := config.Platform{Name: n.name, Zone: d.config.ControllerZone(i), UserAddr: n.publicAddr, PeerAddr: n.peerAddr, Services: config.Services{State: state, Cloud: cloud}, Deployment: d.config.Params}
 		for k, o := range d.controllers {
 			if k != i {
 				addr, err := d.listenBetween(n, o)
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -187,8 +187,8 @@
 		Revision uint64 `json:"ledger"`
 	}
 	Cond struct {
-		Key   string `json:"path"`
-		Stamp uint64 `json:"stamp"`
+		Key      string `json:"path"`
+		Revision uint64 `json:"stamp"`
 	}
 	Write struct {
 		Put    string          `json:"put,omitempty"`
--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrBusy says that every connection of the pool is in use.
-var ErrBusy = errors.New("no free connection")
+// ErrPoolExhausted says that every connection of the pool is in use.
+var ErrPoolExhausted = errors.New("no free connection")
 
 // Client talks to one address over a bounded pool of connections.
 type Client struct {
@@ -29,7 +29,7 @@
 	select {
 	case c.slots <- struct{}{}:
 	default:
-		return nil, ErrBusy
+		return nil, ErrPoolExhausted
 	}
 	defer func() { <-c.slots }()
 	deadline := time.Now().Add(timeout)
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -13,8 +13,8 @@
 
 // Limits of what the parser takes before it gives up on a peer.
 const (
-	MaxHead    = 16 << 10
-	MaxHeaders = 100
+	MaxHeadBytes = 16 << 10
+	MaxHeaders   = 100
 )
 
 // Faults that the server answers with a status of their own.
@@ -62,18 +62,18 @@
 func parse(buf []byte, maxBody int, response bool) (*Message, int, error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(buf) > MaxHead {
+		if len(buf) > MaxHeadBytes {
 			return nil, 0, fmt.Errorf("%w: head too long", ErrMalformed)
 		}
 		return nil, 0, nil
 	}
-	if end > MaxHead {
+	if end > MaxHeadBytes {
 		return nil, 0, fmt.Errorf("%w: head too long", ErrMalformed)
 	}
 	head := string(buf[:end])
 	line, rest, _ := strings.Cut(head, "\r\n")
 	m := &Message{}
-	version, err := startLine(m, line, response)
+	version, err := parseStartLine(m, line, response)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -111,7 +111,7 @@
 		// Two lengths for one body are how requests get smuggled.
 		return nil, 0, fmt.Errorf("%w: both length and chunks", ErrMalformed)
 	case chunked:
-		body, n, err := chunks(buf[at:], maxBody)
+		body, n, err := parseChunks(buf[at:], maxBody)
 		if err != nil || n == 0 {
 			return nil, 0, err
 		}
@@ -129,7 +129,7 @@
 	return m, at, nil
 }
 
-func startLine(m *Message, line string, response bool) (version string, err error) {
+func parseStartLine(m *Message, line string, response bool) (version string, err error) {
 	f := strings.SplitN(line, " ", 3)
 	if response {
 		if len(f) < 2 || !strings.HasPrefix(f[0], "HTTP/1.") {
@@ -148,8 +148,8 @@
 	return f[2], nil
 }
 
-// chunks decodes a chunked body; n is 0 while it is incomplete.
-func chunks(buf []byte, maxBody int) (body []byte, n int, err error) {
+// parseChunks decodes a chunked body; n is 0 while it is incomplete.
+func parseChunks(buf []byte, maxBody int) (body []byte, n int, err error) {
 	for {
 		eol := bytes.Index(buf[n:], []byte("\r\n"))
 		if eol < 0 {
@@ -165,7 +165,7 @@
 		}
 		n += eol + 2
 		if size == 0 {
-			return trailer(buf, body, n)
+			return parseTrailer(buf, body, n)
 		}
 		if len(body)+int(size) > maxBody {
 			return nil, 0, ErrTooLarge
@@ -182,13 +182,13 @@
 	}
 }
 
-func trailer(buf, body []byte, n int) ([]byte, int, error) {
+func parseTrailer(buf, body []byte, n int) ([]byte, int, error) {
 	for {
 		eol := bytes.Index(buf[n:], []byte("\r\n"))
 		switch {
 		case eol == 0:
 			return body, n + 2, nil
-		case eol < 0 && len(buf)-n > MaxHead:
+		case eol < 0 && len(buf)-n > MaxHeadBytes:
 			return nil, 0, fmt.Errorf("%w: trailer", ErrMalformed)
 		case eol < 0:
 			return nil, 0, nil
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -29,7 +29,7 @@
 
 	conns atomic.Int64
 	mu    sync.Mutex
-	all   map[evio.Conn]*conn
+	open  map[evio.Conn]*conn
 }
 
 const (
@@ -48,14 +48,14 @@
 // conn is the state of one connection. The loop owns all but what mu guards:
 // replies come from other goroutines.
 type conn struct {
-	buf     []byte
-	busy    bool
-	closing bool
-	since   time.Time
+	buf          []byte
+	busy         bool
+	closing      bool
+	requestStart time.Time
 
-	mu   sync.Mutex
-	out  []byte
-	last bool // the connection ends after out
+	mu               sync.Mutex
+	output           []byte
+	closeAfterOutput bool // the connection ends after out
 }
 
 // Serve runs the server and returns only if listening fails. evio ends its
@@ -65,7 +65,7 @@
 func (s *Server) Serve() error {
 	for restart := 0; ; restart++ {
 		s.mu.Lock()
-		s.all = make(map[evio.Conn]*conn)
+		s.open = make(map[evio.Conn]*conn)
 		s.mu.Unlock()
 		s.conns.Store(0)
 		err := evio.Serve(evio.Events{
@@ -76,7 +76,7 @@
 				}
 				return evio.None
 			},
-			Opened: s.opened, Closed: s.closed, Data: s.data, Tick: s.tick,
+			Opened: s.onOpened, Closed: s.onClosed, Data: s.onData, Tick: s.onTick,
 		}, "tcp://"+s.Addr)
 		if err == nil {
 			continue
@@ -89,32 +89,32 @@
 	}
 }
 
-func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	if s.conns.Add(1) > int64(s.MaxConns) {
 		return nil, evio.Options{}, evio.Close
 	}
-	st := &conn{since: time.Now()}
+	st := &conn{requestStart: time.Now()}
 	c.SetContext(st)
 	s.mu.Lock()
-	s.all[c] = st
+	s.open[c] = st
 	s.mu.Unlock()
 	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
 }
 
-func (s *Server) closed(c evio.Conn, _ error) evio.Action {
+func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
 	s.conns.Add(-1)
 	s.mu.Lock()
-	delete(s.all, c)
+	delete(s.open, c)
 	s.mu.Unlock()
 	return evio.None
 }
 
-// tick wakes connections that are past their time, so that data closes them.
-func (s *Server) tick() (time.Duration, evio.Action) {
+// onTick wakes connections that are past their time, so that data closes them.
+func (s *Server) onTick() (time.Duration, evio.Action) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, st := range s.all {
+	for c, st := range s.open {
 		if s.expired(st, now) {
 			c.Wake()
 		}
@@ -133,20 +133,20 @@
 	case s.scarce():
 		limit = min(limit, scarceIdleTimeout)
 	}
-	return now.Sub(st.since) > limit
+	return now.Sub(st.requestStart) > limit
 }
 
-// data is called with input, or with nil after Wake.
-func (s *Server) data(c evio.Conn, in []byte) ([]byte, evio.Action) {
+// onData is called with input, or with nil after Wake.
+func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
 	st, ok := c.Context().(*conn)
 	if !ok || st.closing {
 		return nil, evio.Close
 	}
 	if in == nil {
 		st.mu.Lock()
-		out := st.out
-		st.out = nil
-		st.closing = st.closing || st.last
+		out := st.output
+		st.output = nil
+		st.closing = st.closing || st.closeAfterOutput
 		st.mu.Unlock()
 		if out == nil {
 			if s.expired(st, time.Now()) {
@@ -155,7 +155,7 @@
 			return nil, evio.None
 		}
 		st.busy = false
-		st.since = time.Now()
+		st.requestStart = time.Now()
 		if st.closing {
 			return out, evio.Close
 		}
@@ -168,7 +168,7 @@
 		return nil, evio.Close
 	}
 	if len(st.buf) == 0 {
-		st.since = time.Now()
+		st.requestStart = time.Now()
 	}
 	st.buf = append(st.buf, in...)
 	m, n, err := ParseRequest(st.buf, s.MaxBody)
@@ -192,7 +192,7 @@
 			r.Close = r.Close || closeAfter || s.scarce()
 			b := AppendResponse(nil, r)
 			st.mu.Lock()
-			st.out, st.last = b, r.Close
+			st.output, st.closeAfterOutput = b, r.Close
 			st.mu.Unlock()
 			c.Wake()
 		})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,15 +17,15 @@
 // ContentType is that of Text.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// view is one moment of a controller.
-type view struct{ *core.OpsView }
+// collector is one moment of a controller.
+type collector struct{ *core.OpsView }
 
 // Describe sends nothing: which metrics there are depends on the moment (only a
 // leader has queues), so the registry checks none in advance.
-func (view) Describe(chan<- *prometheus.Desc) {}
+func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the metrics of the moment.
-func (v view) Collect(out chan<- prometheus.Metric) {
+func (v collector) Collect(out chan<- prometheus.Metric) {
 	gauge := func(name, help string, value float64, labels ...string) {
 		var names, values []string
 		for i := 0; i < len(labels); i += 2 {
@@ -87,10 +87,10 @@
 	}
 }
 
-// Text is the view in the text format.
-func Text(v *core.OpsView) ([]byte, error) {
+// Encode is the view in the text format.
+func Encode(v *core.OpsView) ([]byte, error) {
 	r := prometheus.NewPedanticRegistry()
-	if err := r.Register(view{v}); err != nil {
+	if err := r.Register(collector{v}); err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	families, err := r.Gather()
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -6,16 +6,16 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// mostLatency is beyond what any request waits for its answer, in microseconds.
-const mostLatency = 60_000_000
+// maxLatency is beyond what any request waits for its answer, in microseconds.
+const maxLatency = 60_000_000
 
-// latencies are how long users' requests took in this process, from the
+// latencyRecorder are how long users' requests took in this process, from the
 // request read to the answer handed over. The core's actor owns them.
 // Workers' reports are left out: their answers are held back on purpose.
-type latencies map[string]*hdrhistogram.Histogram
+type latencyRecorder map[string]*hdrhistogram.Histogram
 
-// note counts an answer to a request.
-func (l latencies) note(request any, took int64) {
+// record counts an answer to a request.
+func (l latencyRecorder) record(request any, took int64) {
 	var call string
 	switch request.(type) {
 	case core.Submit:
@@ -29,23 +29,23 @@
 	}
 	h := l[call]
 	if h == nil {
-		h = hdrhistogram.New(1, mostLatency, 2)
+		h = hdrhistogram.New(1, maxLatency, 2)
 		l[call] = h
 	}
 	// It fails for values out of range only.
-	_ = h.RecordValue(min(max(took, 1), mostLatency))
+	_ = h.RecordValue(min(max(took, 1), maxLatency))
 }
 
-// view is what operators are shown.
-func (l latencies) view() []core.OpsLatency {
+// summary is what operators are shown.
+func (l latencyRecorder) summary() []core.OpsLatency {
 	var v []core.OpsLatency
 	for _, call := range []string{"submit", "status", "cancel"} {
 		if h := l[call]; h != nil {
-			v = append(v, core.OpsLatency{Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: ms(h.ValueAtQuantile(50)),
-				P95: ms(h.ValueAtQuantile(95)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())})
+			v = append(v, core.OpsLatency{Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
+				P95: milliseconds(h.ValueAtQuantile(95)), P99: milliseconds(h.ValueAtQuantile(99)), Max: milliseconds(h.Max())})
 		}
 	}
 	return v
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,9 +25,9 @@
 	"github.com/zinclb/zinclb/internal/store"
 )
 
-// relayPatience is how long a relayed report may wait at the leader. Its worker
+// relayTimeout is how long a relayed report may wait at the leader. Its worker
 // gives up after 4 s, and the leader parks an answer for up to 3 s.
-const relayPatience = 3700 * time.Millisecond
+const relayTimeout = 3700 * time.Millisecond
 
 // Bounds of the messages that wait for the core: so many for each socket, which
 // leaves room for a report of every machine beside the users' requests, the results
@@ -73,29 +73,29 @@
 	core     *core.Core
 	inbox    chan envelope
 	start    time.Time
-	replies  map[uint64]pending
+	replies  map[uint64]pendingRequest
 	nextReq  uint64
 
-	state   *store.Client
-	watches *store.Client
-	cloud   *cloud.Client
-	peers   map[string]*peer.Client
-	workers *workerPool
-	took    latencies
-	quit    chan error
-	// slow are submissions of sweeps under way; one sweep is expanded at a time.
-	slow      chan struct{}
-	expanding sync.Mutex
+	state     *store.Client
+	watches   *store.Client
+	cloud     *cloud.Client
+	peers     map[string]*peer.Client
+	workers   *workerPool
+	latencies latencyRecorder
+	fatal     chan error
+	// sweepSlots are submissions of sweeps under way; one sweep is expanded at a time.
+	sweepSlots chan struct{}
+	expanding  sync.Mutex
 }
 
-// slowMost is how many submissions of sweeps may wait to be expanded.
-const slowMost = 4
+// maxWaitingSweeps is how many submissions of sweeps may wait to be expanded.
+const maxWaitingSweeps = 4
 
-// pending is a request that waits for its reply.
-type pending struct {
-	msg   any
-	since int64
-	reply func(core.Reply)
+// pendingRequest is a request that waits for its reply.
+type pendingRequest struct {
+	msg        any
+	receivedAt int64
+	reply      func(core.Reply)
 }
 
 // envelope is a message to the core. One with reply is a request: the actor
@@ -108,13 +108,13 @@
 
 // New wires a controller up.
 func New(p *config.Platform, ops config.Operators) *Node {
-	n := &Node{platform: p, inbox: make(chan envelope, inboxSize(p.Params.Limits.Sockets)), start: time.Now(), replies: map[uint64]pending{}, took: latencies{}, slow: make(chan struct{}, slowMost), quit: make(chan error, 1),
-		state: store.New(p.Outside.State, stateConns), watches: store.New(p.Outside.State, watchConns), cloud: cloud.New(p.Outside.Cloud),
-		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Params.Limits.Sockets))}
-	set := core.Settings{Name: p.Name, Params: p.Params, Ops: ops, Boot: strconv.FormatUint(rand.Uint64(), 36)}
+	n := &Node{platform: p, inbox: make(chan envelope, inboxSize(p.Deployment.Limits.Sockets)), start: time.Now(), replies: map[uint64]pendingRequest{}, latencies: latencyRecorder{}, sweepSlots: make(chan struct{}, maxWaitingSweeps), fatal: make(chan error, 1),
+		state: store.New(p.Services.State, stateConns), watches: store.New(p.Services.State, watchConns), cloud: cloud.New(p.Services.Cloud),
+		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Deployment.Limits.Sockets))}
+	set := core.Settings{Name: p.Name, Deployment: p.Deployment, Ops: ops, Boot: strconv.FormatUint(rand.Uint64(), 36)}
 	for _, m := range p.Peers {
 		set.Peers = append(set.Peers, m.Name)
-		n.peers[m.Name] = peer.NewClient(m.Addr, p.Params.Limits.Sockets)
+		n.peers[m.Name] = peer.NewClient(m.Addr, p.Deployment.Limits.Sockets)
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	n.core = core.New(set, n.now(), rng, slog.Default())
@@ -129,31 +129,31 @@
 func (n *Node) Run() error {
 	// The runtime is told the limit, and keeps well below it: the count has
 	// more in it than the heap.
-	limit := int64(n.platform.Params.Limits.MemMB * 1e6)
+	limit := int64(n.platform.Deployment.Limits.MemMB * 1e6)
 	debug.SetMemoryLimit(limit * 7 / 10)
 	errs := make(chan error, 2)
-	sockets := n.platform.Params.Limits.Sockets
+	sockets := n.platform.Deployment.Limits.Sockets
 	go func() {
-		s := &httpwire.Server{Addr: n.platform.Front, Handle: n.handle, MaxBody: api.MaxBody, MaxConns: frontConns(sockets),
+		s := &httpwire.Server{Addr: n.platform.UserAddr, Handle: n.handle, MaxBody: api.MaxBodyBytes, MaxConns: frontConns(sockets),
 			ReadTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 		errs <- s.Serve()
 	}()
 	ctx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
 	go func() {
-		errs <- peer.Serve(ctx, n.platform.Back, n.platform.Name, n, peerConns(len(n.platform.Peers)))
+		errs <- peer.Serve(ctx, n.platform.PeerAddr, n.platform.Name, n, peerConns(len(n.platform.Peers)))
 	}()
-	go n.ticks()
-	go n.loop()
+	go n.tickLoop()
+	go n.coreLoop()
 	select {
 	case err := <-errs:
 		return err
-	case err := <-n.quit:
+	case err := <-n.fatal:
 		return err
 	}
 }
 
-func (n *Node) ticks() {
+func (n *Node) tickLoop() {
 	t := time.NewTicker(50 * time.Millisecond)
 	for range t.C {
 		select {
@@ -163,26 +163,26 @@
 	}
 }
 
-// loop is the core's actor.
-func (n *Node) loop() {
-	n.carryOut(n.core.Step(n.now(), core.Tick{Wall: time.Now().UnixMicro()}))
+// coreLoop is the core's actor.
+func (n *Node) coreLoop() {
+	n.execute(n.core.Step(n.now(), core.Tick{Wall: time.Now().UnixMicro()}))
 	for e := range n.inbox {
 		msg := e.msg
 		if e.build != nil {
 			n.nextReq++
 			msg = e.build(n.nextReq)
-			n.replies[n.nextReq] = pending{msg, n.now(), e.reply}
+			n.replies[n.nextReq] = pendingRequest{msg, n.now(), e.reply}
 		}
-		n.carryOut(n.core.Step(n.now(), msg))
+		n.execute(n.core.Step(n.now(), msg))
 	}
 }
 
-// tell sends the result of an effect back. Results must not be lost, so this
+// deliver sends the result of an effect back. Results must not be lost, so this
 // waits for room; the number of effects under way is bounded by the core.
-func (n *Node) tell(msg any) { n.inbox <- envelope{msg: msg} }
+func (n *Node) deliver(msg any) { n.inbox <- envelope{msg: msg} }
 
-// ask sends a request; without room it is refused at once.
-func (n *Node) ask(build func(uint64) any, reply func(core.Reply)) {
+// request sends a request; without room it is refused at once.
+func (n *Node) request(build func(uint64) any, reply func(core.Reply)) {
 	select {
 	case n.inbox <- envelope{build: build, reply: reply}:
 	default:
@@ -191,15 +191,15 @@
 }
 
 func (n *Node) handle(m *httpwire.Message, reply func(httpwire.Response)) {
-	if !api.Slow(m) {
+	if !api.IsSlow(m) {
 		n.route(m, reply)
 		return
 	}
 	// It would keep all other requests waiting.
 	select {
-	case n.slow <- struct{}{}:
+	case n.sweepSlots <- struct{}{}:
 		go func() {
-			defer func() { <-n.slow }()
+			defer func() { <-n.sweepSlots }()
 			n.expanding.Lock()
 			defer n.expanding.Unlock()
 			n.route(m, reply)
@@ -215,7 +215,7 @@
 		reply(*answer)
 		return
 	}
-	n.ask(build, func(r core.Reply) {
+	n.request(build, func(r core.Reply) {
 		if r.Ops != nil {
 			if path, _, _ := strings.Cut(m.Target, "?"); path == api.MetricsPath {
 				reply(metricsResponse(r.Ops))
@@ -227,7 +227,7 @@
 }
 
 func metricsResponse(v *core.OpsView) httpwire.Response {
-	b, err := metrics.Text(v)
+	b, err := metrics.Encode(v)
 	if err != nil {
 		slog.Error("metrics can't be written", "err", err)
 		return httpwire.Response{Status: 500, Body: api.EncodeReply(core.Reply{Status: 500, Error: err.Error()})}
@@ -235,24 +235,24 @@
 	return httpwire.Response{Status: 200, Body: b, ContentType: metrics.ContentType}
 }
 
-// RelayedBeat hands a peer's relayed report to the core.
-func (n *Node) RelayedBeat(beat core.Beat) (core.Reply, error) {
-	return n.askWait(func(req uint64) any {
+// HandleRelayedHeartbeat hands a peer's relayed report to the core.
+func (n *Node) HandleRelayedHeartbeat(beat core.Beat) (core.Reply, error) {
+	return n.requestAndWait(func(req uint64) any {
 		beat.Req = req
 		return beat
-	}, relayPatience)
+	}, relayTimeout)
 }
 
-// Pinged asks the core what to tell a peer.
-func (n *Node) Pinged(ping core.Pinged) (core.Reply, error) {
-	return n.askWait(func(req uint64) any {
+// HandlePing asks the core what to tell a peer.
+func (n *Node) HandlePing(ping core.Pinged) (core.Reply, error) {
+	return n.requestAndWait(func(req uint64) any {
 		ping.Req = req
 		return ping
 	}, time.Second)
 }
 
-// Ask hands a user's request from a peer to the core.
-func (n *Node) Ask(request any) (core.Reply, error) {
+// HandleRequest hands a user's request from a peer to the core.
+func (n *Node) HandleRequest(request any) (core.Reply, error) {
 	build := func(req uint64) any { return peer.Numbered(request, req) }
 	if s, ok := request.(core.HandedSweep); ok {
 		m := core.SubmitSweep{Plan: &core.SweepPlan{ID: s.ID}, Stored: s.Stored, Invalid: s.Invalid, Handed: true}
@@ -267,25 +267,25 @@
 		}
 		build = func(req uint64) any { m.Req = req; return m }
 	}
-	return n.askWait(build, askPatience(request))
+	return n.requestAndWait(build, requestTimeout(request))
 }
 
-// cloudPatience is how long a peer's calls of the cloud may take: a list has
+// cloudTimeout is how long a peer's calls of the cloud may take: a list has
 // pages with gaps between them.
-const cloudPatience = 15 * time.Second
+const cloudTimeout = 15 * time.Second
 
-// askPatience is how long a request of a peer may take here.
-func askPatience(request any) time.Duration {
+// requestTimeout is how long a request of a peer may take here.
+func requestTimeout(request any) time.Duration {
 	if _, ok := request.(core.CloudFor); ok {
-		return cloudPatience
+		return cloudTimeout
 	}
 	return 4 * time.Second
 }
 
-// askWait sends a request to the core and waits for its reply.
-func (n *Node) askWait(build func(uint64) any, timeout time.Duration) (core.Reply, error) {
+// requestAndWait sends a request to the core and waits for its reply.
+func (n *Node) requestAndWait(build func(uint64) any, timeout time.Duration) (core.Reply, error) {
 	ch := make(chan core.Reply, 1)
-	n.ask(build, func(r core.Reply) { ch <- r })
+	n.request(build, func(r core.Reply) { ch <- r })
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
@@ -296,23 +296,23 @@
 	}
 }
 
-// carryOut starts the input and output that the core asks for.
-func (n *Node) carryOut(effects []any) {
+// execute starts the input and output that the core asks for.
+func (n *Node) execute(effects []any) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case core.Reply:
 			if p, ok := n.replies[e.Req]; ok {
 				delete(n.replies, e.Req)
-				n.took.note(p.msg, n.now()-p.since)
+				n.latencies.record(p.msg, n.now()-p.receivedAt)
 				if e.Ops != nil {
-					e.Ops.Latencies = n.took.view()
+					e.Ops.Latencies = n.latencies.summary()
 				}
 				p.reply(e)
 			}
 		case core.Quit:
-			n.quit <- errors.New(e.Why) // once in a process
+			n.fatal <- errors.New(e.Why) // once in a process
 		case core.List:
-			go n.list(e)
+			go n.listState(e)
 		case core.Watch:
 			go n.watch(e, n.now())
 		case core.WatchLeader:
@@ -324,30 +324,30 @@
 			go func() {
 				w := n.state.Watch(core.Prefix, e.After, 0)
 				w.Sent, w.View, w.Asked = sent, true, e.Asked
-				n.tell(w)
+				n.deliver(w)
 			}()
 		case core.Multi:
-			go func() { n.tell(n.state.Multi(e, 2*time.Second)) }()
+			go func() { n.deliver(n.state.Transact(e, 2*time.Second)) }()
 		case core.Get:
 			go func() {
 				v, stamp, err := n.state.Get(e.Key)
-				n.tell(core.Got{ID: e.ID, Key: e.Key, Value: v, Stamp: stamp, Err: err})
+				n.deliver(core.Got{ID: e.ID, Key: e.Key, Value: v, Stamp: stamp, Err: err})
 			}()
 		case core.NewLease:
 			sent := n.now()
 			go func() {
-				l, err := n.state.Lease(time.Duration(e.TTL) * time.Microsecond)
-				n.tell(core.Leased{Lease: l, Sent: sent, Err: err})
+				l, err := n.state.GrantLease(time.Duration(e.TTL) * time.Microsecond)
+				n.deliver(core.Leased{Lease: l, Sent: sent, Err: err})
 			}()
 		case core.Touch:
 			sent := n.now()
 			go func() {
-				gone, err := n.state.Touch(e.Lease)
-				n.tell(core.Touched{Lease: e.Lease, Sent: sent, Gone: gone, Err: err})
+				gone, err := n.state.RenewLease(e.Lease)
+				n.deliver(core.Touched{Lease: e.Lease, Sent: sent, Gone: gone, Err: err})
 			}()
 		case core.DropLease:
 			go func() {
-				if err := n.state.Drop(e.Lease); err != nil {
+				if err := n.state.RevokeLease(e.Lease); err != nil {
 					slog.Debug("dropping a lease failed", "err", err)
 				}
 			}()
@@ -360,56 +360,56 @@
 			go func() {
 				ping := core.Pinged{From: n.platform.Name, Need: e.Need, Boot: e.Boot, Ask: e.Ask, Tell: e.Tell}
 				r, err := n.peers[e.Peer].Ping(ping, time.Second)
-				n.tell(core.PeerSeen{Peer: e.Peer, Sent: sent, OK: err == nil && r.Name == e.Peer, News: r.News})
+				n.deliver(core.PeerSeen{Peer: e.Peer, Sent: sent, OK: err == nil && r.Name == e.Peer, News: r.News})
 			}()
 		case core.Probe:
 			sent := n.now()
 			go func() {
 				r, ok := n.workers.probe(e.Addr)
-				n.tell(core.Probed{Machine: e.Machine, Sent: sent, OK: ok, Report: r})
+				n.deliver(core.Probed{Machine: e.Machine, Sent: sent, OK: ok, Report: r})
 			}()
 		case core.Direct:
 			n.workers.send(e)
 		case core.GetTypes:
 			go func() {
-				t := n.cloud.Types()
+				t := n.cloud.ListTypes()
 				t.Token = e.Token
-				n.tell(t)
+				n.deliver(t)
 			}()
 		case core.ListMachines:
 			go func() {
-				l := n.cloud.List(time.Duration(e.Gap) * time.Microsecond)
+				l := n.cloud.ListMachines(time.Duration(e.Gap) * time.Microsecond)
 				l.Token = e.Token
-				n.tell(l)
+				n.deliver(l)
 			}()
 		case core.Expand:
 			go func() {
 				n.expanding.Lock()
 				defer n.expanding.Unlock()
 				plan, err := api.UnpackSweep(e.Stored)
-				n.tell(core.Expanded{ID: e.ID, Plan: plan, Err: err})
+				n.deliver(core.Expanded{ID: e.ID, Plan: plan, Err: err})
 			}()
 		case core.CloudDo:
-			go func() { n.tell(core.CloudDone{Req: e.Req, Answer: n.callCloud(e.Call)}) }()
+			go func() { n.deliver(core.CloudDone{Req: e.Req, Answer: n.callCloud(e.Call)}) }()
 		case core.CloudBy:
-			go n.cloudBy(e)
+			go n.callCloudByPeer(e)
 		case core.Rent:
 			go func() {
-				if n.late(e.Until) {
-					n.tell(core.Rented{Rent: e}) // asked again under the same name, if at all
+				if n.isExpired(e.Until) {
+					n.deliver(core.Rented{Rent: e}) // asked again under the same name, if at all
 					return
 				}
-				n.tell(n.cloud.Rent(e))
+				n.deliver(n.cloud.ScaleOut(e))
 			}()
 		case core.Release:
 			go func() {
-				if n.late(e.Until) {
-					n.tell(core.Released{Names: e.Names, Token: e.Token})
+				if n.isExpired(e.Until) {
+					n.deliver(core.Released{Names: e.Names, Token: e.Token})
 					return
 				}
-				r := n.cloud.Release(e.Names)
+				r := n.cloud.ScaleIn(e.Names)
 				r.Token = e.Token
-				n.tell(r)
+				n.deliver(r)
 			}()
 		}
 	}
@@ -419,9 +419,9 @@
 	var r core.Reply
 	err := errors.New("the leader is no peer")
 	if p := n.peers[e.To]; p != nil {
-		r, err = p.RelayBeat(core.Beat{From: n.platform.Name, Report: e.Report, Onward: e.Onward}, relayPatience)
+		r, err = p.RelayBeat(core.Beat{From: n.platform.Name, Report: e.Report, Onward: e.Onward}, relayTimeout)
 	}
-	n.tell(core.Relayed{Req: e.Req, Answer: r, Err: err})
+	n.deliver(core.Relayed{Req: e.Req, Answer: r, Err: err})
 }
 
 // callCloud makes a call for a peer.
@@ -430,15 +430,15 @@
 	var err error
 	switch {
 	case call.Types:
-		t := n.cloud.Types()
+		t := n.cloud.ListTypes()
 		a.Types, err = t.Types, t.Err
 	case call.List:
-		m := n.cloud.List(time.Duration(call.Gap) * time.Microsecond)
+		m := n.cloud.ListMachines(time.Duration(call.Gap) * time.Microsecond)
 		a.List, err = m.List, m.Err
 	case call.Rent != nil:
-		r := n.cloud.Rent(*call.Rent)
+		r := n.cloud.ScaleOut(*call.Rent)
 		return core.CloudAnswer{Status: r.Status, Names: r.Names}
-	case !n.cloud.Release(call.Release).OK:
+	case !n.cloud.ScaleIn(call.Release).OK:
 		return a
 	}
 	if err == nil {
@@ -447,9 +447,9 @@
 	return a
 }
 
-// late says that a call which changes something must not go out any more: this
+// isExpired says that a call which changes something must not go out any more: this
 // process has stood still since it was decided, and another may lead.
-func (n *Node) late(until int64) bool {
+func (n *Node) isExpired(until int64) bool {
 	late := n.now() >= until
 	if late {
 		slog.Info("a call of the cloud is dropped, as another controller may lead by now")
@@ -457,17 +457,17 @@
 	return late
 }
 
-// cloudBy has a peer make a call of the cloud.
-func (n *Node) cloudBy(e core.CloudBy) {
-	if n.late(e.Until) {
+// callCloudByPeer has a peer make a call of the cloud.
+func (n *Node) callCloudByPeer(e core.CloudBy) {
+	if n.isExpired(e.Until) {
 		_, answer := core.CloudByEnded(e, core.Reply{}, nil) // no fault of the peer's
-		n.tell(answer)
+		n.deliver(answer)
 		return
 	}
-	r, err := n.peers[e.To].Ask(core.CloudFor{Token: e.Token, Call: e.Call}, cloudPatience)
+	r, err := n.peers[e.To].Ask(core.CloudFor{Token: e.Token, Call: e.Call}, cloudTimeout)
 	told, answer := core.CloudByEnded(e, r, err)
-	n.tell(told)
-	n.tell(answer)
+	n.deliver(told)
+	n.deliver(answer)
 }
 
 // forward hands a user's request on to a peer.
@@ -478,12 +478,12 @@
 		timeout = 1500 * time.Millisecond
 	}
 	r, err := n.peers[e.To].Ask(e.Request, timeout)
-	n.tell(core.Forwarded{Req: e.Req, Answer: r, Err: err})
+	n.deliver(core.Forwarded{Req: e.Req, Answer: r, Err: err})
 }
 
-// list reads the start prefixes at the pace that is asked for, and paces repeats
+// listState reads the start prefixes at the pace that is asked for, and paces repeats
 // after a failure.
-func (n *Node) list(e core.List) {
+func (n *Node) listState(e core.List) {
 	var out core.Listed
 	pages := 0
 	pace := func() {
@@ -495,7 +495,7 @@
 		rows, ledger, err := n.state.List(p, pace)
 		if err != nil {
 			time.Sleep(300 * time.Millisecond)
-			n.tell(core.Listed{Err: err})
+			n.deliver(core.Listed{Err: err})
 			return
 		}
 		if i == 0 {
@@ -503,7 +503,7 @@
 		}
 		out.Rows = append(out.Rows, rows...)
 	}
-	n.tell(out)
+	n.deliver(out)
 }
 
 func (n *Node) watch(e core.Watch, sent int64) {
@@ -512,7 +512,7 @@
 	if w.Err != nil {
 		time.Sleep(300 * time.Millisecond)
 	}
-	n.tell(w)
+	n.deliver(w)
 }
 
 func (n *Node) watchLeader(e core.WatchLeader) {
@@ -520,16 +520,16 @@
 	if w.Err != nil {
 		time.Sleep(300 * time.Millisecond)
 	}
-	n.tell(core.LeaderWatched{Changed: w.Gone || len(w.Changes) > 0, Err: w.Err})
+	n.deliver(core.LeaderWatched{Changed: w.Gone || len(w.Changes) > 0, Err: w.Err})
 }
 
 // askView asks the leader for what has changed.
 func (n *Node) askView(e core.AskView, sent int64) {
 	shown := core.Shown{Number: e.Number, After: e.After, Sent: sent, Err: errors.New("the leader is no peer")}
 	if p := n.peers[e.To]; p != nil {
-		shown.Answer, shown.Err = p.Ask(core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerMost*time.Microsecond)
+		shown.Answer, shown.Err = p.Ask(core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerTimeout*time.Microsecond)
 	}
-	n.tell(shown)
+	n.deliver(shown)
 }
 
 // workerPool sends orders to workers' own addresses, a bounded number at a
@@ -550,14 +550,14 @@
 		defer func() { <-w.slots }()
 		c := httpwire.NewClient(d.Addr, 1, 1<<20)
 		defer c.Close()
-		if _, err := c.Do("POST", "/do", api.EncodeDirect(d), 2*time.Second); err != nil {
+		if _, err := c.Do("POST", "/do", api.EncodeDirectOrders(d), 2*time.Second); err != nil {
 			slog.Debug("direct order failed", "addr", d.Addr, "err", err)
 		}
 	}()
 }
 
-// probeMost is how long a machine may take to answer whether it can be reached.
-const probeMost = time.Second
+// probeTimeout is how long a machine may take to answer whether it can be reached.
+const probeTimeout = time.Second
 
 // probe asks a machine for its report. That there is an answer matters even if
 // the report can't be read. The core asks for a bounded number at a time and has
@@ -565,11 +565,11 @@
 func (w *workerPool) probe(addr string) (*core.Report, bool) {
 	c := httpwire.NewClient(addr, 1, 1<<20)
 	defer c.Close()
-	m, err := c.Do("GET", "/inspect", nil, probeMost)
+	m, err := c.Do("GET", "/inspect", nil, probeTimeout)
 	if err != nil || m.Status != 200 {
 		return nil, false
 	}
-	r, err := api.DecodeReport(m.Body)
+	r, err := api.DecodeHeartbeat(m.Body)
 	if err != nil {
 		slog.Debug("a machine's report can't be read", "addr", addr, "err", err)
 		return nil, true
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,20 +17,20 @@
 // answered on it meanwhile. One late answer must not take the others along,
 // as hundreds of relayed reports wait on one connection.
 type Client struct {
-	addr string
-	mu   sync.Mutex
-	c    *rpc.Client
-	conn net.Conn
+	addr      string
+	mu        sync.Mutex
+	rpcClient *rpc.Client
+	conn      net.Conn
 	// answered is when the connection last brought an answer.
 	answered time.Time
-	slot     chan struct{}
+	slots    chan struct{}
 }
 
 // NewClient makes a client for a peer's address that has at most calls under
 // way. A relayed report is one for as long as its answer is parked, so the
 // bound has to be as large as the machines that one controller serves.
 func NewClient(addr string, calls int) *Client {
-	return &Client{addr: addr, slot: make(chan struct{}, calls)}
+	return &Client{addr: addr, slots: make(chan struct{}, calls)}
 }
 
 // dialMost is how long a connection may take to come about.
@@ -43,35 +43,35 @@
 func (p *Client) dial(timeout time.Duration) (*rpc.Client, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.c != nil {
-		return p.c, nil
+	if p.rpcClient != nil {
+		return p.rpcClient, nil
 	}
 	conn, err := net.DialTimeout("tcp", p.addr, min(timeout, dialMost))
 	if err != nil {
 		return nil, err
 	}
-	p.conn, p.c, p.answered = conn, rpc.NewClient(conn), time.Now()
-	return p.c, nil
+	p.conn, p.rpcClient, p.answered = conn, rpc.NewClient(conn), time.Now()
+	return p.rpcClient, nil
 }
 
-// alive notes an answer; quiet says that none has come since a time.
-func (p *Client) alive() {
+// recordAnswer notes an answer; quiet says that none has come since a time.
+func (p *Client) recordAnswer() {
 	p.mu.Lock()
 	p.answered = time.Now()
 	p.mu.Unlock()
 }
 
-func (p *Client) quiet(since time.Time) bool {
+func (p *Client) silentSince(since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.answered.Before(since)
 }
 
-func (p *Client) drop(c *rpc.Client) {
+func (p *Client) closeConnection(c *rpc.Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.c == c {
-		p.c = nil
+	if p.rpcClient == c {
+		p.rpcClient = nil
 	}
 	c.Close()
 }
@@ -124,11 +124,11 @@
 
 func (p *Client) callOnce(method string, in, out any, timeout time.Duration) error {
 	select {
-	case p.slot <- struct{}{}:
+	case p.slots <- struct{}{}:
 	default:
 		return ErrTooManyCalls
 	}
-	defer func() { <-p.slot }()
+	defer func() { <-p.slots }()
 	c, err := p.dial(timeout)
 	if err != nil {
 		return err
@@ -141,8 +141,8 @@
 	case <-call.Done:
 		return p.ended(c, call.Error)
 	case <-t.C:
-		if timeout >= silenceMost && p.quiet(begun) {
-			p.drop(c)
+		if timeout >= silenceMost && p.silentSince(begun) {
+			p.closeConnection(c)
 		}
 		return ErrTimeout
 	}
@@ -153,13 +153,13 @@
 	var answered rpc.ServerError
 	switch {
 	case err == nil:
-		p.alive()
+		p.recordAnswer()
 		return nil
 	case errors.As(err, &answered):
-		p.alive()
+		p.recordAnswer()
 		return fromText(answered)
 	default:
-		p.drop(c)
+		p.closeConnection(c)
 		return err
 	}
 }
--- a/internal/peer/internal/wire/ping.go
+++ b/internal/peer/internal/wire/ping.go
@@ -2,9 +2,9 @@
 
 import (
 	"github.com/zinclb/zinclb/internal/core"
-	"github.com/zinclb/zinclb/internal/core/reach"
+	"github.com/zinclb/zinclb/internal/core/connectivity"
+	"github.com/zinclb/zinclb/internal/core/readlease"
 	"github.com/zinclb/zinclb/internal/core/upgrade"
-	"github.com/zinclb/zinclb/internal/core/vouch"
 )
 
 // NewPing is a ping as it is sent. It has no number: each core numbers its own.
@@ -39,7 +39,7 @@
 	return in.News.core()
 }
 
-func newQuestion(in vouch.Question) Question {
+func newQuestion(in readlease.GrantRequest) Question {
 	return Question{
 		Boot:    in.Boot,
 		Upto:    in.Upto,
@@ -47,15 +47,15 @@
 	}
 }
 
-func (in Question) core() vouch.Question {
-	return vouch.Question{
+func (in Question) core() readlease.GrantRequest {
+	return readlease.GrantRequest{
 		Boot:    in.Boot,
 		Upto:    in.Upto,
 		Applied: in.Applied,
 	}
 }
 
-func newPage(in vouch.Page) Page {
+func newPage(in readlease.CancellationPage) Page {
 	return Page{
 		Boot:      in.Boot,
 		After:     in.After,
@@ -66,8 +66,8 @@
 	}
 }
 
-func (in Page) core() vouch.Page {
-	return vouch.Page{
+func (in Page) core() readlease.CancellationPage {
+	return readlease.CancellationPage{
 		Boot:      in.Boot,
 		After:     in.After,
 		Upto:      in.Upto,
@@ -77,7 +77,7 @@
 	}
 }
 
-func newAck(in vouch.Ack) Ack {
+func newAck(in readlease.HolderAck) Ack {
 	return Ack{
 		Holds:   in.Holds,
 		Boot:    in.Boot,
@@ -86,8 +86,8 @@
 	}
 }
 
-func (in Ack) core() vouch.Ack {
-	return vouch.Ack{
+func (in Ack) core() readlease.HolderAck {
+	return readlease.HolderAck{
 		Holds:   in.Holds,
 		Boot:    in.Boot,
 		Upto:    in.Upto,
@@ -127,7 +127,7 @@
 	}
 }
 
-func newReach(in reach.Value) Reach {
+func newReach(in connectivity.Advertisement) Reach {
 	return Reach{
 		Boot:    in.Boot,
 		Workers: in.Workers,
@@ -137,8 +137,8 @@
 	}
 }
 
-func (in Reach) core() reach.Value {
-	return reach.Value{
+func (in Reach) core() connectivity.Advertisement {
+	return connectivity.Advertisement{
 		Boot:    in.Boot,
 		Workers: in.Workers,
 		Peers:   in.Peers,
@@ -147,7 +147,7 @@
 	}
 }
 
-func newMachine(in reach.Machine) Machine {
+func newMachine(in connectivity.Machine) Machine {
 	return Machine{
 		Name: in.Name,
 		Addr: in.Addr,
@@ -155,18 +155,18 @@
 	}
 }
 
-func (in Machine) core() reach.Machine {
-	return reach.Machine{
+func (in Machine) core() connectivity.Machine {
+	return connectivity.Machine{
 		Name: in.Name,
 		Addr: in.Addr,
 		Zone: in.Zone,
 	}
 }
 
-func newFeature(in upgrade.Name) string {
+func newFeature(in upgrade.FeatureName) string {
 	return string(in)
 }
 
-func coreFeature(in string) upgrade.Name {
-	return upgrade.Name(in)
+func coreFeature(in string) upgrade.FeatureName {
+	return upgrade.FeatureName(in)
 }
--- a/internal/peer/internal/wire/reply.go
+++ b/internal/peer/internal/wire/reply.go
@@ -204,7 +204,7 @@
 
 func newView(in replica.View) View {
 	return View{
-		Ledger:  in.Ledger,
+		Ledger:  in.Revision,
 		Changes: each(in.Changes, newChange),
 		Granted: in.Granted,
 	}
@@ -212,9 +212,9 @@
 
 func (in View) core() replica.View {
 	return replica.View{
-		Ledger:  in.Ledger,
-		Changes: each(in.Changes, Change.core),
-		Granted: in.Granted,
+		Revision: in.Ledger,
+		Changes:  each(in.Changes, Change.core),
+		Granted:  in.Granted,
 	}
 }
 
@@ -222,16 +222,16 @@
 	return Change{
 		Key:     in.Key,
 		Value:   in.Value,
-		Stamp:   in.Stamp,
+		Stamp:   in.Revision,
 		Removed: in.Removed,
 	}
 }
 
 func (in Change) core() core.Change {
 	return core.Change{
-		Key:     in.Key,
-		Value:   in.Value,
-		Stamp:   in.Stamp,
-		Removed: in.Removed,
+		Key:      in.Key,
+		Value:    in.Value,
+		Revision: in.Stamp,
+		Removed:  in.Removed,
 	}
 }
