--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -113,7 +113,7 @@
 			}
 			runs := make([]api.RunResponse, len(plan.Specs))
 			for i, s := range plan.Specs {
-				runs[i] = api.NewRunResponse(core.SweepRun{Number: i, ID: s.ID, State: core.RunPlanned, Values: plan.Values[i], Sets: plan.Sets[i]})
+				runs[i] = api.NewRunResponse(core.SweepRun{Number: i, ID: s.ID, State: core.RunStatePlanned, Values: plan.Values[i], Sets: plan.Sets[i]})
 			}
 			return printRuns(cmd.OutOrStdout(), *output, runs, true)
 		},
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -46,12 +46,12 @@
 		if r := need("GET"); r != nil {
 			return nil, r
 		}
-		return func(req uint64) any { return core.Ready{Req: req} }, nil
+		return func(req uint64) any { return core.CheckReady{RequestID: req} }, nil
 	case path == "/ops/status" || path == MetricsPath:
 		if r := need("GET"); r != nil {
 			return nil, r
 		}
-		return func(req uint64) any { return core.Ops{Req: req} }, nil
+		return func(req uint64) any { return core.QueryOperatorView{RequestID: req} }, nil
 	case strings.HasPrefix(path, "/ops/gone/"):
 		name := path[len("/ops/gone/"):]
 		if m.Method != "POST" && m.Method != "DELETE" {
@@ -60,16 +60,18 @@
 		if !ValidID(name) {
 			return fail(404, "no such controller")
 		}
-		return func(req uint64) any { return core.SetGone{Req: req, Name: name, Gone: m.Method == "POST"} }, nil
+		return func(req uint64) any {
+			return core.SetDecommissioned{RequestID: req, Name: name, Decommissioned: m.Method == "POST"}
+		}, nil
 	case path == "/agent/beat":
 		return posted(func(body []byte) (func(uint64) any, error) {
 			r, err := DecodeHeartbeat(body)
-			return func(req uint64) any { return core.Beat{Req: req, Report: r} }, err
+			return func(req uint64) any { return core.HeartbeatReceived{RequestID: req, Heartbeat: r} }, err
 		})
 	case path == "/work":
 		return posted(func(body []byte) (func(uint64) any, error) {
 			s, err := DecodeSubmission(body)
-			return func(req uint64) any { s.Req = req; return s }, err
+			return func(req uint64) any { s.RequestID = req; return s }, err
 		})
 	case strings.HasPrefix(path, "/sweeps/"):
 		build, allow, status, err := routeSweeps(path, query)
@@ -83,7 +85,7 @@
 	case path == "/sweeps":
 		return posted(func(body []byte) (func(uint64) any, error) {
 			s, err := DecodeSweep(body)
-			return func(req uint64) any { s.Req = req; return s }, err
+			return func(req uint64) any { s.RequestID = req; return s }, err
 		})
 	case strings.HasPrefix(path, "/work/"):
 		id, verb, _ := strings.Cut(path[len("/work/"):], "/")
@@ -103,9 +105,9 @@
 			return fail(404, "no such job")
 		}
 		if verb == "withdraw" {
-			return func(req uint64) any { return core.Cancel{Req: req, ID: id} }, nil
+			return func(req uint64) any { return core.CancelJob{RequestID: req, ID: id} }, nil
 		}
-		return func(req uint64) any { return core.Status{Req: req, ID: id} }, nil
+		return func(req uint64) any { return core.QueryJob{RequestID: req, ID: id} }, nil
 	}
 	return fail(404, "no such path")
 }
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -180,10 +180,10 @@
 	allow = "GET"
 	switch verb {
 	case "":
-		build = func(req uint64) any { return core.SweepStatus{Req: req, ID: id} }
+		build = func(req uint64) any { return core.QuerySweep{RequestID: req, ID: id} }
 	case "withdraw":
 		allow = "POST"
-		build = func(req uint64) any { return core.CancelSweep{Req: req, ID: id} }
+		build = func(req uint64) any { return core.CancelSweep{RequestID: req, ID: id} }
 	case "runs":
 		after, most := 0, 100
 		for _, kv := range strings.Split(query, "&") {
@@ -200,7 +200,7 @@
 				most = n
 			}
 		}
-		build = func(req uint64) any { return core.SweepRuns{Req: req, ID: id, After: after, Most: most} }
+		build = func(req uint64) any { return core.ListSweepRuns{RequestID: req, ID: id, After: after, Limit: most} }
 	default:
 		return nil, "", 404, errors.New("no such path")
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -90,19 +90,19 @@
 }
 
 // ToCore is the listing as the core has it.
-func (l MachineListing) ToCore() core.Listing {
-	return core.Listing{Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Status: l.Status, Age: int64(l.AgeS * 1e6)}
+func (l MachineListing) ToCore() core.CloudMachine {
+	return core.CloudMachine{Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Status: l.Status, Age: int64(l.AgeS * 1e6)}
 }
 
 // ListTypes reads the machine types.
-func (c *Client) ListTypes() core.Types {
+func (c *Client) ListTypes() core.MachineTypesListed {
 	var r struct {
 		Types []MachineType `json:"breeds"`
 	}
 	if _, err := c.do("GET", "/machine_types", nil, &r); err != nil {
-		return core.Types{Err: err}
+		return core.MachineTypesListed{Err: err}
 	}
-	var t core.Types
+	var t core.MachineTypesListed
 	for _, w := range r.Types {
 		t.Types = append(t.Types, w.ToCore())
 	}
@@ -110,8 +110,8 @@
 }
 
 // ListMachines reads all machines, page by page with a gap between them.
-func (c *Client) ListMachines(gap time.Duration) core.Machines {
-	var out core.Machines
+func (c *Client) ListMachines(gap time.Duration) core.MachinesListed {
+	var out core.MachinesListed
 	after := ""
 	for {
 		var r struct {
@@ -119,7 +119,7 @@
 			More     bool             `json:"truncated"`
 		}
 		if _, err := c.do("GET", "/rentals?after="+url.QueryEscape(after)+"&most="+strconv.Itoa(core.ListPage), nil, &r); err != nil {
-			return core.Machines{Err: err}
+			return core.MachinesListed{Err: err}
 		}
 		for _, m := range r.Machines {
 			out.List = append(out.List, m.ToCore())
@@ -133,7 +133,7 @@
 }
 
 // ScaleOut asks for machines.
-func (c *Client) ScaleOut(q core.Rent) core.Rented {
+func (c *Client) ScaleOut(q core.ScaleOut) core.ScaledOut {
 	var r struct {
 		Machines []string `json:"stokers"`
 	}
@@ -144,13 +144,13 @@
 		Spot    bool   `json:"borrowed"`
 		Count   int    `json:"number"`
 	}{q.Name, q.Type, q.Zone, q.Spot, q.Count}, &r)
-	return core.Rented{Rent: q, Names: r.Machines, Status: status}
+	return core.ScaledOut{Request: q, Names: r.Machines, Status: status}
 }
 
 // ScaleIn returns machines.
-func (c *Client) ScaleIn(names []string) core.Released {
+func (c *Client) ScaleIn(names []string) core.ScaledIn {
 	status, _ := c.do("POST", "/rentals/release", struct {
 		Machines []string `json:"stokers"`
 	}{names}, nil)
-	return core.Released{Names: names, OK: status == 200}
+	return core.ScaledIn{Names: names, OK: status == 200}
 }
--- a/internal/core/listing.go
+++ b/internal/core/cloudlisting.go
@@ -12,26 +12,26 @@
 // earlier than twice the lag before the question. A machine's age in two lists says
 // exactly how far these are apart, so the bounds get narrower with each list.
 
-// entry says between which times a list described a machine, and how long that had
+// listedAge says between which times a list described a machine, and how long that had
 // been there.
-type entry struct{ from, to, age int64 }
+type listedAge struct{ from, to, age int64 }
 
-// listings remembers the newest entry of each machine.
-type listings struct{ entries map[string]entry }
+// cloudListings remembers the newest entry of each machine.
+type cloudListings struct{ entries map[string]listedAge }
 
-// laterThan is how much later than the last list with a machine one without it has
+// listingMargin is how much later than the last list with a machine one without it has
 // to be: ages are told in fractions of a second.
-const laterThan = second
+const listingMargin = second
 
 // read takes a list in the order of names, which describes moments from some time
 // to another, and returns the machines that it proves to be gone.
-func (l *listings) read(from, to int64, list []Listing) (gone []string) {
+func (l *cloudListings) read(from, to int64, list []CloudMachine) (gone []string) {
 	if l.entries == nil {
-		l.entries = map[string]entry{}
+		l.entries = map[string]listedAge{}
 	}
-	now := make([]entry, len(list))
+	now := make([]listedAge, len(list))
 	for i, x := range list {
-		now[i] = entry{from, to, x.Age}
+		now[i] = listedAge{from, to, x.Age}
 		if old, ok := l.entries[x.Name]; ok {
 			// The cloud's clock and this one may drift apart.
 			apart := x.Age - old.age
@@ -40,12 +40,12 @@
 		}
 	}
 	for name, old := range l.entries {
-		i, found := slices.BinarySearchFunc(list, name, func(x Listing, n string) int { return strings.Compare(x.Name, n) })
+		i, found := slices.BinarySearchFunc(list, name, func(x CloudMachine, n string) int { return strings.Compare(x.Name, n) })
 		if found || len(list) == 0 {
 			continue
 		}
 		// Its page is that of the entry before it or of the one after it.
-		if min(now[max(i-1, 0)].from, now[min(i, len(list)-1)].from) > old.to+laterThan {
+		if min(now[max(i-1, 0)].from, now[min(i, len(list)-1)].from) > old.to+listingMargin {
 			gone = append(gone, name)
 			delete(l.entries, name)
 		}
@@ -59,20 +59,20 @@
 	return gone
 }
 
-// unlisted clears what was on machines that are gone by the cloud's own word: spot
+// forgetUnlisted clears what was on machines that are gone by the cloud's own word: spot
 // machines taken without a notice, of which nobody else tells before their lease.
-func (c *Core) unlisted(names []string) {
-	s := &c.lead.cloud
+func (c *Core) forgetUnlisted(names []string) {
+	s := &c.leadership.scaling
 	for _, name := range names {
 		delete(s.booting, name)
-		m := c.lead.fleet.Get(name)
+		m := c.leadership.fleet.Get(name)
 		if m == nil || m.Releasing {
 			continue // a release that is under way will be answered
 		}
 		c.log.Info("the cloud lists a machine no more", "machine", name, "tasks", len(m.Placed))
-		c.gone(m, "the cloud lists it no more")
+		c.machineGone(m, "the cloud lists it no more")
 		c.forgetMachine(m)
-		c.lead.gone.note(name, Report{}, true, c.now)
-		c.lead.planWanted = true
+		c.leadership.departed.note(name, Heartbeat{}, true, c.now)
+		c.leadership.planWanted = true
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -13,77 +13,77 @@
 
 // leaderState is the leader's work in progress.
 type leaderState struct {
-	dirty     map[*jobstate.Job]struct{}
-	flying    bool
-	resolving int
-	notBefore int64
+	dirty              map[*jobstate.Job]struct{}
+	committing         bool
+	conflictsResolving int
+	commitNotBefore    int64
 
-	planWanted bool
-	plannedAt  int64
-	pivots     []pivotView
-	waiting    []waitingJob
-	claims     []claim
+	planWanted  bool
+	plannedAt   int64
+	pivots      []plannedPivot
+	waitingJobs []waitingJob
+	claims      []claim
 
-	boundsSeq     uint64
-	boundsWritten int64
-	boundsAt      int64 // when they were last looked at
-	boundsFlying  bool
+	partitionsTerm      uint64
+	partitionsWrittenAt int64
+	partitionsCheckedAt int64 // when they were last looked at
+	partitionsWriting   bool
 	// capacity is what all usable machines have together.
-	capacity jobstate.Resources
-	hashes   []uint32 // of the machines that report, kept for its room
-	// known are the images that the last leader knew of, inherited its
+	capacity      jobstate.Resources
+	machineHashes []uint32 // of the machines that report, kept for its room
+	// hintedImages are the images that the last leader knew of, inherited its
 	// sources; hints is what this one has written.
-	known     map[string][]hintImage
-	inherited []*jobstate.Spec
-	hints     map[string][]byte
-	hintsAt   int64
-	hintsNext int
-	// stuck tells operators of queues that do not move.
-	stuck    []string
-	stuckAt  int64
-	stuckLog map[string]int64
-	// via is when a report last came straight to a controller, shunned until
+	hintedImages     map[string][]hintImage
+	inheritedSources []*jobstate.Spec
+	writtenHints     map[string][]byte
+	hintsWrittenAt   int64
+	nextHintPart     int
+	// stuckQueues tells operators of queues that do not move.
+	stuckQueues    []string
+	stuckCheckedAt int64
+	stuckLoggedAt  map[string]int64
+	// lastHeartbeatVia is when a report last came straight to a controller, shunned until
 	// when one gets no partition because none came to it.
-	via, shunned map[string]int64
+	lastHeartbeatVia, shunnedUntil map[string]int64
 
-	// ordinary is when a type's ordinary machines were last wanted.
-	ordinary      map[string]int64
-	cloud         cloudState
-	parkedAnswers parkedAnswers
-	// unparkWanted: orders may have come for parked reports.
-	unparkWanted bool
-	// spanWanted is a smaller number of tasks for values that did not fit.
-	spanWanted int
-	activating bool
-	activateAt int64
-	// backedOff are jobs whose writes were refused or too long, until when; alone
+	// onDemandWantedAt is when a type's ordinary machines were last wanted.
+	onDemandWantedAt map[string]int64
+	scaling          scalingState
+	heldHeartbeats   heldHeartbeats
+	// releaseWanted: orders may have come for parked reports.
+	releaseWanted bool
+	// chunkTasksWanted is a smaller number of tasks for values that did not fit.
+	chunkTasksWanted  int
+	activating        bool
+	activateNotBefore int64
+	// writeBackoffUntil are jobs whose writes were refused or too long, until when; alone
 	// says that each is written alone, to find the one that is refused.
-	backedOff map[*jobstate.Job]int64
-	alone     bool
-	// tail is the page that is written to, seq the number of the next entry,
+	writeBackoffUntil map[*jobstate.Job]int64
+	commitAlone       bool
+	// logTail is the page that is written to, seq the number of the next entry,
 	// unneeded how many pages at the front can go.
-	tail     *page
-	seq      uint64
-	unneeded int
-	// keepUntil puts removals of what is not needed off.
-	keepUntil int64
-	sweptAt   int64
-	gone      departed
-	sizes     sizes
-	sweepsAt  int64 // when sweeps were last gone on with
-	warm      warmState
+	logTail       *logPage
+	nextLogEntry  uint64
+	unneededPages int
+	// keepGarbageUntil puts removals of what is not needed off.
+	keepGarbageUntil int64
+	machinesSweptAt  int64
+	departed         departedMachines
+	classSizes       classSizes
+	sweepsAdvancedAt int64 // when sweeps were last gone on with
+	prefetch         prefetchState
 }
 
 func newLeaderState(now int64) leaderState {
-	return leaderState{dirty: map[*jobstate.Job]struct{}{}, planWanted: true, cloud: newCloudState(now), parkedAnswers: newParkedAnswers(), ordinary: map[string]int64{}, stuckLog: map[string]int64{}, known: map[string][]hintImage{}, hints: map[string][]byte{}, backedOff: map[*jobstate.Job]int64{}, hintsAt: now, warm: newWarmState(), via: map[string]int64{}, shunned: map[string]int64{}, gone: departed{last: map[string]departure{}}, sizes: sizes{}}
+	return leaderState{dirty: map[*jobstate.Job]struct{}{}, planWanted: true, scaling: newScalingState(now), heldHeartbeats: newHeldHeartbeats(), onDemandWantedAt: map[string]int64{}, stuckLoggedAt: map[string]int64{}, hintedImages: map[string][]hintImage{}, writtenHints: map[string][]byte{}, writeBackoffUntil: map[*jobstate.Job]int64{}, hintsWrittenAt: now, prefetch: newPrefetchState(), lastHeartbeatVia: map[string]int64{}, shunnedUntil: map[string]int64{}, departed: departedMachines{byName: map[string]departure{}}, classSizes: classSizes{}}
 }
 
-// leaderPuts writes a value as a whole, if nothing newer is stored: one of its own
+// putAsLeader writes a value as a whole, if nothing newer is stored: one of its own
 // that got no answer may be executed after later ones.
-func (c *Core) leaderPuts(key string, value []byte, done func(Committed)) {
-	c.multi([]Cond{kv.RevisionIs(LeaderKey, c.lead.stamp), kv.RevisionIs(key, c.stamps[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
+func (c *Core) putAsLeader(key string, value []byte, done func(Committed)) {
+	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, c.leadership.keyRevision), kv.RevisionIs(key, c.keyRevisions[key])}, []Write{{Key: key, Value: value}}, func(m Committed) {
 		if m.Status == 200 {
-			c.stamps[key] = max(c.stamps[key], m.Revision)
+			c.keyRevisions[key] = max(c.keyRevisions[key], m.Revision)
 		}
 		done(m)
 	})
@@ -91,30 +91,30 @@
 
 // commitGap is the least time between transactions, to gather changes.
 const (
-	commitGap = 60_000
-	scarceGap = 200_000
+	commitGap       = 60_000
+	scarceCommitGap = 200_000
 )
 
 // maxTxnBytes stays below the service's 64 KiB for a transaction.
 const maxTxnBytes = 44 << 10
 
-func (c *Core) mark(j *jobstate.Job) {
-	c.lead.dirty[j] = struct{}{}
+func (c *Core) markDirty(j *jobstate.Job) {
+	c.leadership.dirty[j] = struct{}{}
 }
 
-// endsWait is how long the ends of tasks may wait to be written while the
+// maxEndDelay is how long the ends of tasks may wait to be written while the
 // budget is short. Nothing waits for them: the worker keeps an exited task
 // until it is told to forget it, and a new leader learns of it from there.
-const endsWait = 4 * second
+const maxEndDelay = 4 * second
 
-// commitKey is what jobs are written in the order of.
-type commitKey struct {
-	rank int
-	at   int64
+// commitOrder is what jobs are written in the order of.
+type commitOrder struct {
+	class          int
+	oldestChangeAt int64
 }
 
-// commitRank is 0 where a start or a user waits for a job's writes, and else 1.
-func commitRank(j *jobstate.Job) int {
+// commitClass is 0 where a start or a user waits for a job's writes, and else 1.
+func commitClass(j *jobstate.Job) int {
 	// Of one that is over only keys are left to be removed.
 	if j.Outcome == "" && (j.NumDone == j.Tasks || j.HasAnyPlacementToWrite()) {
 		return 0
@@ -124,33 +124,33 @@
 
 // chunkWrite is a version of a chunk that is written, as a value or to the log.
 type chunkWrite struct {
-	n       int
+	chunk   int
 	version uint64
 	logged  bool
 }
 
-// item is one job's part of a transaction.
-type item struct {
-	job     *jobstate.Job
-	chunks  []chunkWrite
-	finish  bool // writes the end
-	derived bool // writes the end of one that is over by another's
-	end     jobstate.End
-	remove  bool // deletes the job's keys
-	removed []jobstate.ChunkRef
+// jobWrite is one job's part of a transaction.
+type jobWrite struct {
+	job              *jobstate.Job
+	chunks           []chunkWrite
+	writesEnd        bool // writes the end
+	writesDerivedEnd bool // writes the end of one that is over by another's
+	end              jobstate.End
+	removesJob       bool // deletes the job's keys
+	removedValues    []jobstate.ChunkRef
 }
 
 // commitNow writes as much of what changed as the budget allows: high
 // priority first, then what has waited longest. All of it holds only while
 // this controller's leadership key stands as it was.
 func (c *Core) commitNow() {
-	l := c.lead
-	if l == nil || l.flying || l.resolving > 0 || c.now < l.notBefore || len(l.dirty) == 0 && l.unneeded == 0 && len(c.orphaned) == 0 {
+	l := c.leadership
+	if l == nil || l.committing || l.conflictsResolving > 0 || c.now < l.commitNotBefore || len(l.dirty) == 0 && l.unneededPages == 0 && len(c.orphanedChunks) == 0 {
 		return
 	}
-	c.budget.Refill(c.now, c.allowance.Changes)
-	c.resplit()
-	ops := min(c.limits().TxnOps, int(c.budget.Level())-1)
+	c.writeBudget.Refill(c.now, c.allowance.Changes)
+	c.changeChunkSize()
+	ops := min(c.limits().TxnOps, int(c.writeBudget.Level())-1)
 	if ops < 1 {
 		return
 	}
@@ -158,20 +158,20 @@
 	for j := range l.dirty {
 		jobs = append(jobs, j)
 	}
-	order := make(map[*jobstate.Job]commitKey, len(jobs))
+	order := make(map[*jobstate.Job]commitOrder, len(jobs))
 	for _, j := range jobs {
-		order[j] = commitKey{commitRank(j), c.oldest(j)}
+		order[j] = commitOrder{commitClass(j), c.oldestChange(j)}
 	}
 	slices.SortFunc(jobs, func(a, b *jobstate.Job) int {
 		x, y := order[a], order[b]
-		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(b.EffectivePriority, a.EffectivePriority), cmp.Compare(x.at, y.at), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(x.class, y.class), cmp.Compare(b.EffectivePriority, a.EffectivePriority), cmp.Compare(x.oldestChangeAt, y.oldestChangeAt), cmp.Compare(a.Arrival, b.Arrival), cmp.Compare(a.ID, b.ID))
 	})
 	// While the budget is short, what can wait does so for a while, so that
 	// one write takes many tasks' ends.
-	scarce := c.budget.Level() < c.allowance.Changes/2
-	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp)}
+	scarce := c.writeBudget.Level() < c.allowance.Changes/2
+	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision)}
 	var writes []Write
-	var items []item
+	var items []jobWrite
 	size := 0
 	pages := &pageWrites{c: c}
 	full := func() bool { return size+pages.ops()*c.valueLimit() > maxTxnBytes }
@@ -190,42 +190,42 @@
 		}
 	}
 	addEnd := func(j *jobstate.Job, outcome string) jobstate.End {
-		e := c.end(outcome, j)
-		add(Write{Key: endPrefix + j.ID, Value: encode(e)}, kv.RevisionIs(endPrefix+j.ID, 0))
+		e := c.newEnd(outcome, j)
+		add(Write{Key: endPrefix + j.ID, Value: encodeJSON(e)}, kv.RevisionIs(endPrefix+j.ID, 0))
 		return e
 	}
 	for _, j := range jobs {
 		room := ops - len(writes) - pages.ops()
-		if room < 1 && pages.ops() == 0 || full() || l.alone && len(items) > 0 {
+		if room < 1 && pages.ops() == 0 || full() || l.commitAlone && len(items) > 0 {
 			break
 		}
-		if until, ok := l.backedOff[j]; ok {
+		if until, ok := l.writeBackoffUntil[j]; ok {
 			if c.now < until {
 				continue
 			}
-			delete(l.backedOff, j)
+			delete(l.writeBackoffUntil, j)
 		}
-		it := item{job: j}
+		it := jobWrite{job: j}
 		switch {
 		case j.Outcome == "" && j.NumDone == j.Tasks:
 			if room < 2 {
 				continue
 			}
 			stillOpen(j)
-			it.finish = true
+			it.writesEnd = true
 			it.end = addEnd(j, jobstate.Done)
-			if values, _ := j.StoredChunks(); j.NumPlaced == 0 && (c.joined() || len(values)+2 <= room) {
+			if values, _ := j.StoredChunks(); j.NumPlaced == 0 && (c.logEnabled() || len(values)+2 <= room) {
 				c.addRemoval(&it, room-1, add)
 				break
 			}
-			add(Write{Key: jobPrefix + j.ID, Value: c.overRecord(j, jobstate.Done)}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
+			add(Write{Key: jobPrefix + j.ID, Value: c.endedRecord(j, jobstate.Done)}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 		case j.Outcome != "" && j.NumPlaced == 0:
 			if j.CancelledByDependency {
 				if room < 2 {
 					continue
 				}
 				addEnd(j, j.Outcome)
-				it.derived = true
+				it.writesDerivedEnd = true
 				room--
 			}
 			if room < 1 {
@@ -246,20 +246,20 @@
 				if room < 1 || full() {
 					break
 				}
-				if scarce && !j.HasPlacementToWrite(n) && c.now-j.Chunk(n).DirtySince < endsWait {
+				if scarce && !j.HasPlacementToWrite(n) && c.now-j.Chunk(n).DirtySince < maxEndDelay {
 					continue
 				}
-				v, version := j.BeginChunkWrite(n, l.seq)
+				v, version := j.BeginChunkWrite(n, l.nextLogEntry)
 				if len(v) > c.valueLimit() {
-					c.tooLong(j, n)
+					c.valueTooLong(j, n)
 					continue
 				}
-				key := runKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n})
+				key := chunkKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n})
 				add(Write{Key: key, Value: v}, kv.RevisionIs(key, j.Chunk(n).Revision))
 				it.chunks = append(it.chunks, chunkWrite{n, version, false})
 			}
 		}
-		if len(it.chunks) > 0 || len(it.removed) > 0 || it.finish || it.remove {
+		if len(it.chunks) > 0 || len(it.removedValues) > 0 || it.writesEnd || it.removesJob {
 			items = append(items, it)
 		}
 	}
@@ -268,29 +268,29 @@
 	if len(writes) == 0 {
 		return
 	}
-	c.budget.Spend(float64(len(writes)))
-	l.flying = true
+	c.writeBudget.Spend(float64(len(writes)))
+	l.committing = true
 	sent := c.now
-	c.multi(when, writes, func(m Committed) {
-		if c.lead != l {
+	c.commitTransaction(when, writes, func(m Committed) {
+		if c.leadership != l {
 			return
 		}
-		l.flying = false
-		l.notBefore = sent + commitGap
+		l.committing = false
+		l.commitNotBefore = sent + commitGap
 		if scarce {
-			l.notBefore = sent + scarceGap
+			l.commitNotBefore = sent + scarceCommitGap
 		}
 		if m.Status == 200 {
 			if !m.Observed {
-				c.proven(sent)
+				c.tokenProven(sent)
 			}
-			l.alone = false
+			l.commitAlone = false
 			pages.written(m.Revision)
 			removals.done()
 			for i := range items {
-				c.committed(&items[i], m.Revision)
+				c.itemCommitted(&items[i], m.Revision)
 			}
-			l.planWanted, l.unparkWanted = true, true
+			l.planWanted, l.releaseWanted = true, true
 			return
 		}
 		// Refused, or nobody knows. Either way the same keys are written
@@ -299,51 +299,51 @@
 		// to anybody on its account.
 		for i := range items {
 			for _, w := range items[i].chunks {
-				items[i].job.AbortChunkWrite(w.n)
+				items[i].job.AbortChunkWrite(w.chunk)
 			}
 		}
-		l.notBefore = c.now + 150_000
+		l.commitNotBefore = c.now + 150_000
 		if m.Status == 409 {
 			for _, k := range m.Failed {
-				c.resolve(l, k)
+				c.resolveConflict(l, k)
 			}
 		} else if m.Status == 400 {
-			c.malformed(items, len(writes))
+			c.transactionMalformed(items, len(writes))
 		}
 	})
 }
 
-// malformed handles a transaction that the state service calls malformed: its
+// transactionMalformed handles a transaction that the state service calls malformed: its
 // limits may have fallen. What is refused again alone must not hold up the rest.
-func (c *Core) malformed(items []item, writes int) {
-	l := c.lead
+func (c *Core) transactionMalformed(items []jobWrite, writes int) {
+	l := c.leadership
 	if len(items) == 0 {
 		c.log.Error("the state service calls a transaction malformed", "writes", writes)
-		l.keepUntil = c.now + writeBackoff // it had only removals
+		l.keepGarbageUntil = c.now + writeBackoff // it had only removals
 		return
 	}
 	c.log.Error("the state service calls a transaction malformed", "writes", writes, "job", items[0].job.ID)
-	if !c.tight() {
-		if c.lower("a transaction was refused"); c.tight() {
+	if !c.useLowerLimits() {
+		if c.lowerLimits("a transaction was refused"); c.useLowerLimits() {
 			return // it is made again, within them
 		}
 	}
-	l.tail = nil // what the page was to have goes into another
+	l.logTail = nil // what the page was to have goes into another
 	if len(items) == 1 {
-		l.backedOff[items[0].job] = c.now + writeBackoff
+		l.writeBackoffUntil[items[0].job] = c.now + writeBackoff
 	}
-	l.alone = true
+	l.commitAlone = true
 }
 
 // writeBackoff is for how long a job is left alone whose write was refused.
 const writeBackoff = 10 * second
 
-// tooLong puts a value off that does not fit, and asks for smaller ones.
-func (c *Core) tooLong(j *jobstate.Job, n int) {
+// valueTooLong puts a value off that does not fit, and asks for smaller ones.
+func (c *Core) valueTooLong(j *jobstate.Job, n int) {
 	j.AbortChunkWrite(n)
-	c.lead.backedOff[j] = c.now + second
-	if j.ChunkSize() == c.span && c.span > 1 {
-		c.lead.spanWanted = c.span / 2
+	c.leadership.writeBackoffUntil[j] = c.now + second
+	if j.ChunkSize() == c.chunkTasks && c.chunkTasks > 1 {
+		c.leadership.chunkTasksWanted = c.chunkTasks / 2
 	}
 }
 
@@ -352,176 +352,176 @@
 //
 // In the second format the job's own key goes at once, and the others when there
 // is room: values without their job mean nothing.
-func (c *Core) addRemoval(it *item, room int, add func(Write, Cond)) {
+func (c *Core) addRemoval(it *jobWrite, room int, add func(Write, Cond)) {
 	j := it.job
-	if c.joined() {
-		it.remove = true
+	if c.logEnabled() {
+		it.removesJob = true
 		add(Write{Key: jobPrefix + j.ID}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 		return
 	}
 	values, stamps := j.StoredChunks()
-	it.remove = len(values)+1 <= room
-	it.removed = values[:min(room, len(values))]
-	for i, v := range it.removed {
-		add(Write{Key: runKey(j.ID, v)}, kv.RevisionIs(runKey(j.ID, v), stamps[i]))
+	it.removesJob = len(values)+1 <= room
+	it.removedValues = values[:min(room, len(values))]
+	for i, v := range it.removedValues {
+		add(Write{Key: chunkKey(j.ID, v)}, kv.RevisionIs(chunkKey(j.ID, v), stamps[i]))
 	}
-	if it.remove {
+	if it.removesJob {
 		add(Write{Key: jobPrefix + j.ID}, kv.RevisionIs(jobPrefix+j.ID, j.Revision))
 	}
 }
 
-// oldest is when the oldest unwritten change of a job was made.
-func (c *Core) oldest(j *jobstate.Job) int64 {
+// oldestChange is when the oldest unwritten change of a job was made.
+func (c *Core) oldestChange(j *jobstate.Job) int64 {
 	if at := j.DirtySince(); at != 0 {
 		return at
 	}
 	return c.now
 }
 
-// committed applies what a transaction made true.
-func (c *Core) committed(it *item, stamp uint64) {
+// itemCommitted applies what a transaction made true.
+func (c *Core) itemCommitted(it *jobWrite, stamp uint64) {
 	j := it.job
-	if it.finish {
-		if !it.remove {
+	if it.writesEnd {
+		if !it.removesJob {
 			j.Revision = stamp
 		}
 		c.log.Info("job done", "job", j.ID, "tasks", j.Tasks)
 		c.noteEnd(j.ID, it.end, stamp)
 	}
-	if it.derived {
+	if it.writesDerivedEnd {
 		// Not by any write: one of its progress may have been under way when
 		// its sweep was cancelled, and the job be removed without an end.
 		j.CancelledByDependency = false
 	}
 	for _, w := range it.chunks {
 		if w.logged {
-			j.CommitLogWrite(w.n, w.version)
+			j.CommitLogWrite(w.chunk, w.version)
 		} else {
-			j.CommitChunkWrite(w.n, w.version, stamp)
+			j.CommitChunkWrite(w.chunk, w.version, stamp)
 		}
 	}
-	for _, v := range it.removed {
+	for _, v := range it.removedValues {
 		j.SetChunkRevision(v, 0)
 	}
-	if it.remove {
+	if it.removesJob {
 		if j.Outcome == jobstate.Done && !j.Truncated {
-			c.addSources(j.Spec) // none of its tasks is on a machine now
+			c.addPrefetchSources(j.Spec) // none of its tasks is on a machine now
 		}
 		delete(c.jobs, j.ID)
-		c.dropJob(j)
-		c.orphan(j)
+		c.jobRemoved(j)
+		c.orphanChunks(j)
 		return
 	}
-	c.settle(j)
+	c.clearIfWritten(j)
 }
 
-// settle takes a job off the list of dirty ones if nothing is left to write.
-func (c *Core) settle(j *jobstate.Job) {
+// clearIfWritten takes a job off the list of dirty ones if nothing is left to write.
+func (c *Core) clearIfWritten(j *jobstate.Job) {
 	if j.Outcome != "" && j.NumPlaced == 0 || j.Outcome == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
-		c.mark(j)
+		c.markDirty(j)
 		return
 	}
-	delete(c.lead.dirty, j)
+	delete(c.leadership.dirty, j)
 }
 
-// resolve reads a key whose version was not the expected one.
-func (c *Core) resolve(l *leadership, key string) {
+// resolveConflict reads a key whose version was not the expected one.
+func (c *Core) resolveConflict(l *leadership, key string) {
 	if key == LeaderKey {
-		c.emit(View{After: c.applied})
-		l.resolving++ // nothing more is written under this leadership
-		if c.lead == l {
+		c.emit(ReadState{AfterRevision: c.appliedRevision})
+		l.conflictsResolving++ // nothing more is written under this leadership
+		if c.leadership == l {
 			c.stepDown("the leadership key changed")
 		}
 		return
 	}
-	l.resolving++
-	c.get(key, func(g Got) {
-		if c.lead != l {
+	l.conflictsResolving++
+	c.readKey(key, func(g KeyRead) {
+		if c.leadership != l {
 			return
 		}
-		l.resolving--
+		l.conflictsResolving--
 		if g.Err != nil {
 			return // the write is tried again and fails again
 		}
 		switch {
 		case strings.HasPrefix(key, runPrefix):
-			id, v, err := runValue(key[len(runPrefix):])
+			id, v, err := parseChunkKey(key[len(runPrefix):])
 			if err == nil && c.jobs[id] != nil {
-				c.jobs[id].SetChunkRevision(v, g.Stamp)
+				c.jobs[id].SetChunkRevision(v, g.Revision)
 			} else if err == nil {
-				c.noteOrphan(id, v, g.Stamp)
+				c.setOrphanedRevision(id, v, g.Revision)
 			}
 		case strings.HasPrefix(key, logPrefix):
-			for _, p := range c.pages {
-				if pageKey(p.n) == key {
-					p.Revision = g.Stamp
+			for _, p := range c.progressLog {
+				if pageKey(p.number) == key {
+					p.Revision = g.Revision
 				}
 			}
-		case strings.HasPrefix(key, sweepEndPrefix) && g.Stamp != 0:
-			c.sweepTold(key[len(sweepEndPrefix):])
+		case strings.HasPrefix(key, sweepEndPrefix) && g.Revision != 0:
+			c.noteSweepCancelled(key[len(sweepEndPrefix):])
 		case strings.HasPrefix(key, endPrefix):
 			var e jobstate.End
-			if g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil {
-				c.noteEnd(key[len(endPrefix):], e, g.Stamp)
-				c.endStored(key[len(endPrefix):])
+			if g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil {
+				c.noteEnd(key[len(endPrefix):], e, g.Revision)
+				c.endWasStored(key[len(endPrefix):])
 			}
 		case strings.HasPrefix(key, jobPrefix):
-			if g.Stamp != 0 {
-				c.apply(Change{Key: key, Value: g.Value, Revision: g.Stamp})
+			if g.Revision != 0 {
+				c.apply(Change{Key: key, Value: g.Value, Revision: g.Revision})
 			} else if j := c.jobs[key[len(jobPrefix):]]; j != nil {
 				delete(c.jobs, j.ID)
-				c.dropJob(j)
+				c.jobRemoved(j)
 			}
 		}
 	})
 }
 
-// jobArrived, jobOver and dropJob are called by the mirror.
+// jobArrived, jobEnded and jobRemoved are called by the mirror.
 func (c *Core) jobArrived(j *jobstate.Job) {
-	if c.lead != nil {
-		c.lead.planWanted = true
-		c.noteUse(j.Spec)
-		c.lead.sizes.note(j.Spec)
+	if c.leadership != nil {
+		c.leadership.planWanted = true
+		c.noteImageDemand(j.Spec)
+		c.leadership.classSizes.note(j.Spec)
 	}
 }
 
-func (c *Core) jobOver(j *jobstate.Job) {
-	c.graph.Remove(j)
-	if c.lead == nil {
+func (c *Core) jobEnded(j *jobstate.Job) {
+	c.dependencyGraph.Remove(j)
+	if c.leadership == nil {
 		return
 	}
 	j.EachPlaced(func(i int, t *jobstate.Task) {
 		if !t.StartSent {
-			c.clear(j, i) // no worker was ever told of it
+			c.clearPlacement(j, i) // no worker was ever told of it
 			return
 		}
-		c.stop(j, i, j.Outcome, 0)
+		c.requestStop(j, i, j.Outcome, 0)
 	})
-	c.mark(j)
-	c.lead.planWanted = true
+	c.markDirty(j)
+	c.leadership.planWanted = true
 }
 
-func (c *Core) dropJob(j *jobstate.Job) {
-	c.graph.Remove(j)
-	if c.lead == nil {
+func (c *Core) jobRemoved(j *jobstate.Job) {
+	c.dependencyGraph.Remove(j)
+	if c.leadership == nil {
 		return
 	}
-	delete(c.lead.dirty, j)
-	delete(c.lead.backedOff, j)
+	delete(c.leadership.dirty, j)
+	delete(c.leadership.writeBackoffUntil, j)
 	j.EachPlaced(func(i int, t *jobstate.Task) {
-		if m := c.lead.fleet.Get(t.Machine); m != nil {
+		if m := c.leadership.fleet.Get(t.Machine); m != nil {
 			m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
 		}
 	})
-	c.lead.planWanted = true
+	c.leadership.planWanted = true
 }
 
-// clear removes a placement that is proven to be gone.
-func (c *Core) clear(j *jobstate.Job, i int) {
+// clearPlacement removes a placement that is proven to be gone.
+func (c *Core) clearPlacement(j *jobstate.Job, i int) {
 	t := j.Task(i)
-	if m := c.lead.fleet.Get(t.Machine); m != nil {
+	if m := c.leadership.fleet.Get(t.Machine); m != nil {
 		m.RemovePlacement(fleet.TaskRef{Job: j, Index: i})
-		if t.Phase == jobstate.Fetching && !fetchesFor(m, j.Image) {
+		if t.Phase == jobstate.Fetching && !fetchesImage(m, j.Image) {
 			m.AbandonFetch(j.Image)
 		}
 		if len(m.Placed) == 0 {
@@ -529,12 +529,12 @@
 		}
 	}
 	j.UnplaceTask(i, c.now)
-	c.mark(j)
-	c.lead.planWanted = true
+	c.markDirty(j)
+	c.leadership.planWanted = true
 }
 
-// fetchesFor says whether a task on a machine waits for an image.
-func fetchesFor(m *fleet.Machine, image string) bool {
+// fetchesImage says whether a task on a machine waits for an image.
+func fetchesImage(m *fleet.Machine, image string) bool {
 	for ref := range m.Placed {
 		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
 			return true
@@ -543,8 +543,8 @@
 	return false
 }
 
-// stop asks for an attempt to be stopped; grace 0 ends it at once.
-func (c *Core) stop(j *jobstate.Job, i int, why string, grace int64) {
+// requestStop asks for an attempt to be stopped; grace 0 ends it at once.
+func (c *Core) requestStop(j *jobstate.Job, i int, why string, grace int64) {
 	t := j.Task(i)
 	if t.StopReason != "" && grace >= t.Grace {
 		return
@@ -553,6 +553,6 @@
 		t.StopRequestedAt = c.now
 	}
 	t.StopReason, t.Grace = why, grace
-	c.lead.unparkWanted = true
-	c.direct(j, i)
+	c.leadership.releaseWanted = true
+	c.queueDirectCommand(j, i)
 }
--- a/internal/core/largest.go
+++ b/internal/core/deadlinestart.go
@@ -9,11 +9,11 @@
 // A class's largest jobs have to begin within four minutes, however many small
 // ones come. Those that have waited for a quarter of that go next among their
 // equals, and what comes free on the machines that are to be theirs is kept.
-const beginWithin = 240 * second
+const startDeadline = 240 * second
 
-// sizes are how large the jobs of a class and kind have been that a leader has
+// classSizes are how large the jobs of a class and kind have been that a leader has
 // known, by their numbers of tasks.
-type sizes map[sizeKey]*hdrhistogram.Histogram
+type classSizes map[sizeKey]*hdrhistogram.Histogram
 
 type sizeKey struct {
 	class string
@@ -22,30 +22,30 @@
 
 // Bounds of what is remembered: how many classes, and the most tasks of a job.
 const (
-	sizedClasses = 200
-	mostTasks    = 100_000
+	maxSizedClasses = 200
+	maxTasksCounted = 100_000
 )
 
-func (z sizes) note(s *jobstate.Spec) {
+func (z classSizes) note(s *jobstate.Spec) {
 	if s.Kind == jobstate.Service {
 		return
 	}
 	key := sizeKey{s.Class, s.Kind}
 	h := z[key]
 	if h == nil {
-		if len(z) >= sizedClasses {
+		if len(z) >= maxSizedClasses {
 			return
 		}
-		h = hdrhistogram.New(1, mostTasks, 2)
+		h = hdrhistogram.New(1, maxTasksCounted, 2)
 		z[key] = h
 	}
 	// It fails for values out of range only.
-	_ = h.RecordValue(min(int64(s.Tasks), mostTasks))
+	_ = h.RecordValue(min(int64(s.Tasks), maxTasksCounted))
 }
 
-// largest says whether a job is one of the largest of its class: a gang of its
+// isAmongLargest says whether a job is one of the largest of its class: a gang of its
 // top size, an array of its top tenth. Where all are of one size none is.
-func (z sizes) largest(s *jobstate.Spec) bool {
+func (z classSizes) isAmongLargest(s *jobstate.Spec) bool {
 	h := z[sizeKey{s.Class, s.Kind}]
 	if h == nil || h.Max() == h.Min() {
 		return false
@@ -57,8 +57,8 @@
 	return n > h.Min() && (n >= h.ValueAtQuantile(90) || h.ValuesAreEquivalent(n, h.ValueAtQuantile(90)))
 }
 
-// mustBegin says that a job is one of its class's largest and should have begun. An
+// startIsOverdue says that a job is one of its class's largest and should have begun. An
 // array begins with its first task, a gang whole.
-func (c *Core) mustBegin(j *jobstate.Job) bool {
-	return j.NumPlaced == 0 && j.NumDone == 0 && c.now-j.ReadyAt >= beginWithin/4 && c.lead.sizes.largest(j.Spec)
+func (c *Core) startIsOverdue(j *jobstate.Job) bool {
+	return j.NumPlaced == 0 && j.NumDone == 0 && c.now-j.ReadyAt >= startDeadline/4 && c.leadership.classSizes.isAmongLargest(j.Spec)
 }
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -10,71 +10,71 @@
 // was sent at some time, by a machine that may not hear. A copy of one comes
 // late, so its number has to be the newest, and the machine not be gone.
 
-// departed are the machines that a leader has forgotten. Copies of their reports
+// departedMachines are the machines that a leader has forgotten. Copies of their reports
 // may still come, and would bring back a machine that is not there.
-type departed struct {
-	last  map[string]departure
-	swept int64
+type departedMachines struct {
+	byName    map[string]departure
+	expiredAt int64
 }
 
 // departure is the newest report of a machine that is forgotten; returned says
 // that the cloud has answered its release, so that it is gone for certain.
 type departure struct {
-	session, seq uint64
-	returned     bool
-	at           int64
+	epoch, seq uint64
+	returned   bool
+	at         int64
 }
 
-// departedFor is how long a machine's departure is remembered: copies of reports
+// departedRetention is how long a machine's departure is remembered: copies of reports
 // come well over a lease late.
-const departedFor = 900 * second
-
-func (d *departed) note(name string, r Report, returned bool, now int64) {
-	old := d.last[name]
-	d.last[name] = departure{max(old.session, r.Session), max(old.seq, r.Seq), old.returned || returned, now}
-	if now-d.swept > departedFor/8 {
-		d.swept = now
-		for n, x := range d.last {
-			if now-x.at > departedFor {
-				delete(d.last, n)
+const departedRetention = 900 * second
+
+func (d *departedMachines) note(name string, r Heartbeat, returned bool, now int64) {
+	old := d.byName[name]
+	d.byName[name] = departure{max(old.epoch, r.Epoch), max(old.seq, r.Seq), old.returned || returned, now}
+	if now-d.expiredAt > departedRetention/8 {
+		d.expiredAt = now
+		for n, x := range d.byName {
+			if now-x.at > departedRetention {
+				delete(d.byName, n)
 			}
 		}
 	}
 }
 
-// released says whether a machine is gone for certain.
-func (d *departed) released(name string) bool { return d.last[name].returned }
+// wasReturned says whether a machine is gone for certain.
+func (d *departedMachines) wasReturned(name string) bool { return d.byName[name].returned }
 
-// stopDeaf is why an attempt is given up whose machine was told to start it and
+// stopNotReceiving is why an attempt is given up whose machine was told to start it and
 // does not hear.
-const stopDeaf = "deaf"
+const stopNotReceiving = "deaf"
 
-// heard judges by a new report whether its machine hears what it is told.
-func (c *Core) heard(m *fleet.Machine, r *Report) {
+// judgeDelivery judges by a new report whether its machine hears what it is told.
+func (c *Core) judgeDelivery(m *fleet.Machine, r *Heartbeat) {
 	h := &m.Delivery
 	deaf := false
-	if m.Epoch != 0 && r.Session > m.Epoch && c.now-m.LastAnswer < config.MicrosOf(c.set.Workers.LeaseS)*3/4 {
+	if m.Epoch != 0 && r.Epoch > m.Epoch && c.now-m.LastAnswer < config.MicrosOf(c.settings.Workers.LeaseS)*3/4 {
 		// It has ended its session for want of answers, and was given some.
 		deaf = h.RecordMissedAnswer(c.now)
-	} else if r.Session == m.Epoch {
+	} else if r.Epoch == m.Epoch {
 		wasDeaf := h.CannotReceive
-		deaf = h.RecordHeartbeat(func(task string, attempt uint32) bool { return lists(r, task, attempt) }, c.now)
+		deaf = h.RecordHeartbeat(func(task string, attempt uint32) bool { return listsAttempt(r, task, attempt) }, c.now)
 		if wasDeaf && !h.CannotReceive {
-			c.hearsAgain(m)
+			c.deliveryRestored(m)
 		}
 	}
 	h.SentCommands = h.SentCommands[:0]
 	if deaf {
 		c.log.Info("a machine reports and does not hear", "machine", m.Name, "tasks", len(m.Placed))
 		m.MarkChanged()
-		c.giveUp(m)
+		c.abandonUnacknowledged(m)
 	}
 }
 
-// giveUp takes back what a deaf machine was told to start and has not shown. It is
+// abandonUnacknowledged takes back what a deaf machine was told to start and has not shown. It is
 // cleared when a later report does not have it either, as any attempt that is to
 // stop; what the machine has shown stays on it until its lease has run out.
-func (c *Core) giveUp(m *fleet.Machine) {
+func (c *Core) abandonUnacknowledged(m *fleet.Machine) {
 	var refs []fleet.TaskRef
 	for ref := range m.Placed {
 		if t := ref.Job.Task(ref.Index); !t.Confirmed && t.StopReason == "" {
@@ -83,76 +83,76 @@
 	}
 	sortRefs(refs)
 	for _, ref := range refs {
-		c.stop(ref.Job, ref.Index, stopDeaf, 0)
+		c.requestStop(ref.Job, ref.Index, stopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome == "" {
 			c.breakGang(ref.Job, false) // it would wait for this one in vain
 		}
 	}
 }
 
-func (c *Core) hearsAgain(m *fleet.Machine) {
+func (c *Core) deliveryRestored(m *fleet.Machine) {
 	c.log.Info("a deaf machine hears again", "machine", m.Name)
 	m.MarkChanged()
-	c.lead.planWanted = true
+	c.leadership.planWanted = true
 }
 
-// deafAsks bounds the machines that are asked in a tick.
-const deafAsks = 8
+// maxDeliveryProbes bounds the machines that are asked in a tick.
+const maxDeliveryProbes = 8
 
-// deafTick asks deaf machines whether they hear by now, and has those tried that
+// probeNotReceiving asks deaf machines whether they hear by now, and has those tried that
 // can't be asked.
-func (c *Core) deafTick() {
+func (c *Core) probeNotReceiving() {
 	asked := 0
-	for _, m := range c.lead.fleet.All() {
+	for _, m := range c.leadership.fleet.All() {
 		if !m.Delivery.CannotReceive {
 			continue
 		}
 		if m.Delivery.RetryDue(c.now) {
-			c.hearsAgain(m)
-		} else if asked < deafAsks && m.BeginProbe(c.now) {
+			c.deliveryRestored(m)
+		} else if asked < maxDeliveryProbes && m.BeginProbe(c.now) {
 			asked++
-			c.emit(Probe{Machine: m.Name, Addr: m.Addr})
+			c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 		}
 	}
 }
 
-// ask asks a machine for a report, as an older one has come than the newest: that
+// probeOutdated asks a machine for a report, as an older one has come than the newest: that
 // is a copy, or the machine has lost all and counts anew. Only an answer to a
 // question of one's own tells.
-func (c *Core) ask(m *fleet.Machine, addr string) {
-	if c.now-m.LastHeartbeat > config.MicrosOf(c.set.Workers.ReportS)/2 && m.BeginProbe(c.now) {
-		c.emit(Probe{Machine: m.Name, Addr: addr})
+func (c *Core) probeOutdated(m *fleet.Machine, addr string) {
+	if c.now-m.LastHeartbeat > config.MicrosOf(c.settings.Workers.ReportS)/2 && m.BeginProbe(c.now) {
+		c.emit(ProbeMachine{Machine: m.Name, Addr: addr})
 	}
 }
 
-// answersLast is for how long an answer to a report can still be taken: the
+// answerLifetime is for how long an answer to a report can still be taken: the
 // worker gives up on it after 4 s.
-const answersLast = 4_200_000
+const answerLifetime = 4_200_000
 
-// unsettled says that a report of a machine that counts anew lacks what was to be
+// needsProbe says that a report of a machine that counts anew lacks what was to be
 // there. The report may be a copy from before, and proves nothing. So the machine
 // is asked, and gets no answers until none that it was given can still be taken:
 // then its own answer proves what it does not have.
-func (c *Core) unsettled(m *fleet.Machine, r *Report) bool {
+func (c *Core) needsProbe(m *fleet.Machine, r *Heartbeat) bool {
 	if !m.SeqRestarted() {
 		return false
 	}
 	doubt, wait := false, false
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
-		if !lists(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt) {
+		if !listsAttempt(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt) {
 			doubt = doubt || t.Confirmed || t.StopReason != "" && t.StartSent
 			wait = wait || !t.Confirmed && t.StopReason != "" && t.StartSent
 		}
 	}
-	if doubt && (!wait || c.now-m.LastAnswer > answersLast) && m.BeginProbe(c.now) {
-		c.emit(Probe{Machine: m.Name, Addr: m.Addr})
+	if doubt && (!wait || c.now-m.LastAnswer > answerLifetime) && m.BeginProbe(c.now) {
+		c.emit(ProbeMachine{Machine: m.Name, Addr: m.Addr})
 	}
 	return wait
 }
 
-// lists says whether a report has an attempt.
-func lists(r *Report, task string, attempt uint32) bool {
+// listsAttempt says whether a report has an attempt.
+func listsAttempt(r *Heartbeat, task string, attempt uint32) bool {
 	for k := range r.Tasks {
 		if t := &r.Tasks[k]; t.Name == task && t.Attempt == uint64(attempt) {
 			return true
@@ -161,66 +161,66 @@
 	return false
 }
 
-// onProbed takes a machine's answer to a question.
-func (c *Core) onProbed(p Probed) {
-	if c.lead == nil || !p.OK {
+// onMachineProbed takes a machine's answer to a question.
+func (c *Core) onMachineProbed(p MachineProbed) {
+	if c.leadership == nil || !p.OK {
 		return
 	}
-	m := c.lead.fleet.Get(p.Machine)
+	m := c.leadership.fleet.Get(p.Machine)
 	if m == nil {
 		return
 	}
 	if m.Delivery.CannotReceive {
 		m.Delivery.RecordReceived()
-		c.hearsAgain(m)
+		c.deliveryRestored(m)
 	}
-	r := p.Report
+	r := p.Heartbeat
 	if r == nil || r.Machine != m.Name {
 		return
 	}
-	c.stopListed(m, r)
-	if m.ApplyProbe(p.Sent, r.Session, r.Seq) {
+	c.stopListedTasks(m, r)
+	if m.ApplyProbe(p.SentAt, r.Epoch, r.Seq) {
 		// Since when is not known: what was started after that is still there.
 		c.log.Info("a machine has begun anew", "machine", m.Name, "tasks", len(m.Placed))
 		m.LastHeartbeat, m.HasCurrentToken = c.now, false
 		m.MarkChanged()
 	}
-	if m.SeqRestarted() && r.Token == c.lead.token {
-		c.absent(m, r, p.Sent)
+	if m.SeqRestarted() && r.FencingToken == c.leadership.token {
+		c.clearUnlisted(m, r, p.SentAt)
 	}
 }
 
-// absent clears what a machine that counts anew says that it does not have.
-func (c *Core) absent(m *fleet.Machine, r *Report, sent int64) {
+// clearUnlisted clears what a machine that counts anew says that it does not have.
+func (c *Core) clearUnlisted(m *fleet.Machine, r *Heartbeat, sent int64) {
 	var lost, never []fleet.TaskRef
 	for ref := range m.Placed {
 		t := ref.Job.Task(ref.Index)
 		switch {
-		case lists(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt):
+		case listsAttempt(r, jobstate.TaskName(ref.Job.ID, ref.Index), t.Attempt):
 		case t.Confirmed:
 			lost = append(lost, ref)
-		case t.StopReason != "" && t.StartSent && sent > m.LastAnswer+answersLast:
+		case t.StopReason != "" && t.StartSent && sent > m.LastAnswer+answerLifetime:
 			never = append(never, ref)
 		}
 	}
-	c.clearAbsent(lost, never)
-	if w := m.Prefetch; w != nil && sent > m.LastAnswer+answersLast && !lists(r, w.Task, w.Attempt) {
-		c.endWarm(m)
+	c.clearGone(lost, never)
+	if w := m.Prefetch; w != nil && sent > m.LastAnswer+answerLifetime && !listsAttempt(r, w.Task, w.Attempt) {
+		c.endPrefetch(m)
 	}
 }
 
-// clearAbsent clears placements that are proven to be gone: lost ones were there,
+// clearGone clears placements that are proven to be gone: lost ones were there,
 // the others never came to be. It goes by their order, as orders for the rest of
 // a gang go out for each, and changes are written in the order they were made.
-func (c *Core) clearAbsent(lost, never []fleet.TaskRef) {
+func (c *Core) clearGone(lost, never []fleet.TaskRef) {
 	sortRefs(lost)
 	for _, ref := range lost {
-		c.lost(ref.Job, ref.Index)
+		c.taskLost(ref.Job, ref.Index)
 	}
 	sortRefs(never)
 	for _, ref := range never {
 		if t := ref.Job.Task(ref.Index); t.Machine != "" {
-			c.clear(ref.Job, ref.Index)
+			c.clearPlacement(ref.Job, ref.Index)
 		}
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -8,122 +8,122 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// election is this controller's side of choosing a leader: a lease in the
+// candidacy is this controller's side of choosing a leader: a lease in the
 // state service, and a key on it that one controller at a time can create.
-type election struct {
-	lease    uint64
-	leaseAt  int64 // when the lease or its last renewal was sent
-	asking   bool  // for a lease
-	touching bool
-	touched  int64
-	writing  bool  // the key
-	notUntil int64 // no attempt before this
-	standoff bool  // a pause was chosen since the leader went
-	joinAt   int64 // when this controller's version may next be written
+type candidacy struct {
+	lease           uint64
+	leaseProvenAt   int64 // when the lease or its last renewal was sent
+	requestingLease bool  // for a lease
+	renewing        bool
+	renewedAt       int64
+	campaigning     bool  // the key
+	notUntil        int64 // no attempt before this
+	backoffChosen   bool  // a pause was chosen since the leader went
+	publishAt       int64 // when this controller's version may next be written
 }
 
 // leadership is what only the leader has.
 type leadership struct {
-	token uint64
-	stamp uint64 // of the leadership key
-	since int64
-	// stored is when a question was sent by whose answer the state service proved
+	token       uint64
+	keyRevision uint64 // of the leadership key
+	since       int64
+	// tokenProvenAt is when a question was sent by whose answer the state service proved
 	// the token, mirrored up to when all that was stored is known here.
-	stored, mirrored int64
-	// viewed is when what is stored was last asked for only to know it, asked when
+	tokenProvenAt, mirrorFreshAt int64
+	// mirrorReadAt is when what is stored was last asked for only to know it, asked when
 	// the peers were last asked out of turn.
-	viewed, asked int64
-	// vouched is what the other controllers have vouched for.
-	vouched *readlease.Holder
-	// directs are orders that go to machines' own addresses, by machine.
-	directs map[string][]Order
-	fleet   *fleet.MachineSet
-	roster  roster
+	mirrorReadAt, peersAskedAt int64
+	// readLeases is what the other controllers have vouched for.
+	readLeases *readlease.Holder
+	// directCommands are orders that go to machines' own addresses, by machine.
+	directCommands map[string][]Command
+	fleet          *fleet.MachineSet
+	planner        plannerIndex
 	leaderState
 }
 
-// ours says whether a call of the cloud was made under this leadership; there may be
+// madeCall says whether a call of the cloud was made under this leadership; there may be
 // none. The answer to one of an earlier term of this controller says nothing of the
 // calls of this one: another has led in between.
-func (l *leadership) ours(token uint64) bool { return l != nil && l.token == token }
+func (l *leadership) madeCall(token uint64) bool { return l != nil && l.token == token }
 
-// begins says whether this leadership, if there is one, has just begun: the others may
+// isNew says whether this leadership, if there is one, has just begun: the others may
 // still use what nobody leading leaves them.
-func (l *leadership) begins(now int64) bool { return l != nil && now-l.since < seenBy }
+func (l *leadership) isNew(now int64) bool { return l != nil && now-l.since < leadershipSeenWithin }
 
-// seenBy is how long the others may take to see that a controller leads.
-const seenBy = 300_000
+// leadershipSeenWithin is how long the others may take to see that a controller leads.
+const leadershipSeenWithin = 300_000
 
-// drift widens a duration by what two steady clocks may differ.
-func drift(d int64) int64 { return d + d/1000 }
+// withClockDrift widens a duration by what two steady clocks may differ.
+func withClockDrift(d int64) int64 { return d + d/1000 }
 
-func (c *Core) electTick() {
-	e := &c.elect
-	ttl := c.set.Ops.LeaderLease
+func (c *Core) electionTick() {
+	e := &c.candidacy
+	ttl := c.settings.Ops.LeaderLease
 	renew := ttl / 4
-	if c.lead == nil && c.joined() {
+	if c.leadership == nil && c.logEnabled() {
 		renew = ttl / 3 // what rides on it is this controller's word alone
 	}
-	if e.lease != 0 && !e.touching && c.now-e.touched >= renew {
-		e.touching, e.touched = true, c.now
-		c.emit(Touch{Lease: e.lease})
+	if e.lease != 0 && !e.renewing && c.now-e.renewedAt >= renew {
+		e.renewing, e.renewedAt = true, c.now
+		c.emit(RenewLease{Lease: e.lease})
 	}
-	if !c.synced || c.leaderAt != 0 {
-		e.standoff = false
-		if c.synced && c.leader.Name == c.set.Name && c.leader.Boot != c.set.Boot && c.lead == nil {
+	if !c.synced || c.leaderRevision != 0 {
+		e.backoffChosen = false
+		if c.synced && c.leader.Name == c.settings.Name && c.leader.Incarnation != c.settings.Incarnation && c.leadership == nil {
 			// An earlier start of this very controller: it is dead, so
 			// its lease need not run out.
 			if e.notUntil <= c.now {
 				e.notUntil = c.now + second
-				c.emit(DropLease{Lease: c.leader.Lease})
+				c.emit(RevokeLease{Lease: c.leader.Lease})
 			}
 		}
 		return
 	}
-	if c.lead != nil {
+	if c.leadership != nil {
 		return
 	}
-	if !e.standoff {
+	if !e.backoffChosen {
 		// A short pause of random length keeps candidates apart. In the middle
 		// of an upgrade the new ones go first: an old one that led would soon
 		// be restarted in its turn.
-		e.standoff = true
+		e.backoffChosen = true
 		pause := int64(300_000)
-		if !c.joined() {
+		if !c.logEnabled() {
 			pause /= 5
 		}
 		e.notUntil = c.now + c.rng.Int64N(pause)
-		if c.set.Ops.Reach {
-			e.notUntil += c.links.CandidateDelay()
+		if c.settings.Ops.Reach {
+			e.notUntil += c.connectivity.CandidateDelay()
 		}
 	}
-	if c.now < e.notUntil || e.writing {
+	if c.now < e.notUntil || e.campaigning {
 		return
 	}
 	if e.lease == 0 {
-		c.newLease()
+		c.requestLease()
 		return
 	}
-	c.acquire()
+	c.campaign()
 }
 
-func (c *Core) newLease() {
-	if e := &c.elect; !e.asking && c.now >= e.notUntil {
-		e.asking = true
-		c.emit(NewLease{TTL: c.set.Ops.LeaderLease})
+func (c *Core) requestLease() {
+	if e := &c.candidacy; !e.requestingLease && c.now >= e.notUntil {
+		e.requestingLease = true
+		c.emit(GrantLease{TTL: c.settings.Ops.LeaderLease})
 	}
 }
 
-func (c *Core) acquire() {
-	e := &c.elect
-	e.writing = true
+func (c *Core) campaign() {
+	e := &c.candidacy
+	e.campaigning = true
 	token := c.token.Token + 1
-	v := leaderValue{Name: c.set.Name, Boot: c.set.Boot, Token: token, Lease: e.lease}
-	c.multi([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, c.tokenAt)}, []Write{
-		{Key: LeaderKey, Value: encode(v), Lease: e.lease},
-		{Key: tokenKey, Value: encode(tokenValue{token})},
+	v := leaderRecord{Name: c.settings.Name, Incarnation: c.settings.Incarnation, Token: token, Lease: e.lease}
+	c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, 0), kv.RevisionIs(tokenKey, c.tokenRevision)}, []Write{
+		{Key: LeaderKey, Value: encodeJSON(v), Lease: e.lease},
+		{Key: tokenKey, Value: encodeJSON(tokenRecord{token})},
 	}, func(m Committed) {
-		e.writing = false
+		e.campaigning = false
 		e.notUntil = c.now + 300_000 + c.rng.Int64N(300_000)
 		switch m.Status {
 		case 400:
@@ -131,47 +131,47 @@
 		case 200, 409, 0:
 			// Leadership begins when the mirror shows the key, and with it
 			// everything written before.
-			c.emit(View{After: c.applied})
+			c.emit(ReadState{AfterRevision: c.appliedRevision})
 		}
 	})
 }
 
-func (c *Core) onLeased(m Leased) {
-	e := &c.elect
-	e.asking = false
+func (c *Core) onLeaseGranted(m LeaseGranted) {
+	e := &c.candidacy
+	e.requestingLease = false
 	if m.Err != nil {
 		e.notUntil = c.now + 300_000
 		return
 	}
-	e.lease, e.leaseAt, e.touched, e.touching = m.Lease, m.Sent, c.now, false
+	e.lease, e.leaseProvenAt, e.renewedAt, e.renewing = m.Lease, m.SentAt, c.now, false
 }
 
-func (c *Core) onTouched(m Touched) {
-	e := &c.elect
+func (c *Core) onLeaseRenewed(m LeaseRenewed) {
+	e := &c.candidacy
 	if m.Lease != e.lease {
 		return
 	}
-	e.touching = false
-	c.stateAnswered(&c.links.Lease, m.Err)
+	e.renewing = false
+	c.noteStateResult(&c.connectivity.Lease, m.Err)
 	switch {
-	case m.Gone:
+	case m.Expired:
 		e.lease = 0
-		if c.lead != nil {
+		if c.leadership != nil {
 			c.stepDown("the leader's lease ran out")
 		}
 	case m.Err == nil:
-		e.leaseAt = m.Sent
-		if c.lead != nil {
-			c.proven(m.Sent)
+		e.leaseProvenAt = m.SentAt
+		if c.leadership != nil {
+			c.tokenProven(m.SentAt)
 		}
 	default:
-		ttl := c.set.Ops.LeaderLease
-		e.touched = c.now - ttl/8 // try again soon
-		if c.set.Ops.Reach && c.now-e.leaseAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
+		ttl := c.settings.Ops.LeaderLease
+		e.renewedAt = c.now - ttl/8 // try again soon
+		if c.settings.Ops.Reach && c.now-e.leaseProvenAt > ttl && faultOf(m.Err) == connectivity.NoResponse {
 			// What is sent may arrive though no answer does: such a leader would
 			// keep its lease alive, and everybody else from leading. So it lets
 			// it run out before it tries once more.
-			e.touched = c.now + ttl + second/2
+			e.renewedAt = c.now + ttl + second/2
 		}
 	}
 }
@@ -179,26 +179,26 @@
 // checkLeadership compares the mirror's leader with what this controller
 // takes itself for; asked is when the mirror was, at the earliest, as it is now.
 func (c *Core) checkLeadership(asked int64) {
-	mine := c.synced && c.leaderAt != 0 && c.leader.Name == c.set.Name && c.leader.Boot == c.set.Boot
+	mine := c.synced && c.leaderRevision != 0 && c.leader.Name == c.settings.Name && c.leader.Incarnation == c.settings.Incarnation
 	switch {
-	case c.lead != nil && (!mine || c.leaderAt != c.lead.stamp):
+	case c.leadership != nil && (!mine || c.leaderRevision != c.leadership.keyRevision):
 		c.stepDown("another controller leads")
-	case c.lead == nil && mine && c.leader.Lease == c.elect.lease:
-		c.takeOver(asked)
+	case c.leadership == nil && mine && c.leader.Lease == c.candidacy.lease:
+		c.becomeLeader(asked)
 	}
 }
 
-func (c *Core) takeOver(known int64) {
-	c.lead = &leadership{token: c.leader.Token, stamp: c.leaderAt, since: c.now, stored: c.elect.leaseAt, mirrored: known,
-		vouched: readlease.NewHolder(c.set.Peers, c.set.LeaderAuthorityTime()), directs: map[string][]Order{},
-		fleet: fleet.NewMachineSet(), roster: newRoster(), leaderState: newLeaderState(c.now)}
-	c.allowance = c.allowanceNow()
-	c.takeHints()
+func (c *Core) becomeLeader(known int64) {
+	c.leadership = &leadership{token: c.leader.Token, keyRevision: c.leaderRevision, since: c.now, tokenProvenAt: c.candidacy.leaseProvenAt, mirrorFreshAt: known,
+		readLeases: readlease.NewHolder(c.settings.Peers, c.settings.LeaderAuthorityTime()), directCommands: map[string][]Command{},
+		fleet: fleet.NewMachineSet(), planner: newPlannerIndex(), leaderState: newLeaderState(c.now)}
+	c.allowance = c.currentAllowance()
+	c.loadImageHints()
 	placed := 0
-	for _, id := range inOrder(c.jobs) {
+	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		c.noteUse(j.Spec)
-		c.lead.sizes.note(j.Spec)
+		c.noteImageDemand(j.Spec)
+		c.leadership.classSizes.note(j.Spec)
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			t.Phase, t.StopReason = jobstate.Unconfirmed, ""
 			c.machine(t.Machine).AddPlacement(fleet.TaskRef{Job: j, Index: i})
@@ -208,54 +208,56 @@
 		case j.Outcome != "":
 			// It ended under an earlier leader, and its tasks may still
 			// be on their machines.
-			c.jobOver(j)
+			c.jobEnded(j)
 		case j.NumDone == j.Tasks:
-			c.mark(j)
+			c.markDirty(j)
 		}
 	}
-	c.openLog()
-	c.log.Info("leading", "token", c.lead.token, "jobs", len(c.jobs), "placements", placed)
+	c.openProgressLog()
+	c.log.Info("leading", "token", c.leadership.token, "jobs", len(c.jobs), "placements", placed)
 }
 
 func (c *Core) stepDown(why string) {
-	c.log.Info("no longer leading", "token", c.lead.token, "why", why)
-	for _, name := range inOrder(c.lead.parkedAnswers.byName) {
-		c.emit(Reply{Req: c.lead.parkedAnswers.byName[name].req, Status: 503, Error: "no longer leading"})
+	c.log.Info("no longer leading", "token", c.leadership.token, "why", why)
+	for _, name := range sortedKeys(c.leadership.heldHeartbeats.byName) {
+		c.emit(Reply{RequestID: c.leadership.heldHeartbeats.byName[name].requestID, Status: 503, Error: "no longer leading"})
 	}
-	c.lead = nil
-	c.allowance = c.allowanceNow()
-	c.bounds = fleet.Partitions{}
-	c.list()
+	c.leadership = nil
+	c.allowance = c.currentAllowance()
+	c.partitions = fleet.Partitions{}
+	c.listState()
 }
 
-// leave ends a leadership whose lease would go on. Its key goes at once, so that
+// resign ends a leadership whose lease would go on. Its key goes at once, so that
 // nobody waits for the lease.
-func (c *Core) leave(why string) {
-	c.emit(DropLease{Lease: c.elect.lease})
-	c.elect.lease = 0
+func (c *Core) resign(why string) {
+	c.emit(RevokeLease{Lease: c.candidacy.lease})
+	c.candidacy.lease = 0
 	c.stepDown(why)
 }
 
-// byState is up to when the state service has proved the token and shown all that
+// provenByState is up to when the state service has proved the token and shown all that
 // is stored. A renewal proves the token alone: the mirror may lag behind it.
-func (l *leadership) byState() int64 { return min(l.stored, l.mirrored) }
+func (l *leadership) provenByState() int64 { return min(l.tokenProvenAt, l.mirrorFreshAt) }
 
-// rightAt is up to when nobody else led, and everything that users were told is
+// mayAnswerSince is up to when nobody else led, and everything that users were told is
 // known here. The other controllers can vouch for both: a token is raised by a
 // take-over alone, and one that leads says so.
-func (l *leadership) rightAt() int64 { return max(l.byState(), l.vouched.OldestGrant()) }
+func (l *leadership) mayAnswerSince() int64 {
+	return max(l.provenByState(), l.readLeases.OldestGrant())
+}
 
-// entitled says whether reports may be answered, sure whether new attempts
+// mayAnswerWorkers says whether reports may be answered, sure whether new attempts
 // may be started: the state service's own proof is younger than its lease.
-func (c *Core) entitled() bool {
-	return c.lead != nil && c.now-c.lead.rightAt() < c.set.LeaderAuthorityTime()
+func (c *Core) mayAnswerWorkers() bool {
+	return c.leadership != nil && c.now-c.leadership.mayAnswerSince() < c.settings.LeaderAuthorityTime()
 }
 
-func (c *Core) sure() bool {
-	return c.lead != nil && c.now-c.lead.stored < c.set.Ops.LeaderLease
+func (c *Core) mayStartTasks() bool {
+	return c.leadership != nil && c.now-c.leadership.tokenProvenAt < c.settings.Ops.LeaderLease
 }
 
-// proven notes that the state service proved the token to a request of then.
-func (c *Core) proven(sent int64) {
-	c.lead.stored = max(c.lead.stored, sent)
+// tokenProven notes that the state service proved the token to a request of then.
+func (c *Core) tokenProven(sent int64) {
+	c.leadership.tokenProvenAt = max(c.leadership.tokenProvenAt, sent)
 }
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -13,20 +13,20 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// formatValue is the stored format: what all controllers can read. Tasks is how
+// formatRecord is the stored format: what all controllers can read. Tasks is how
 // many tasks a value of progress has at most, which only ever falls.
-type formatValue struct {
+type formatRecord struct {
 	Version int `json:"v"`
 	Tasks   int `json:"n"`
 }
 
-// featuresValue has the features that are on by their names.
-type featuresValue struct {
+// featuresRecord has the features that are on by their names.
+type featuresRecord struct {
 	On []upgrade.StoredFeature `json:"on"`
 }
 
-// goneValue says since when operators take a controller for gone, as time of day.
-type goneValue struct {
+// decommissionedRecord says since when operators take a controller for gone, as time of day.
+type decommissionedRecord struct {
 	At int64 `json:"t"`
 }
 
@@ -43,32 +43,32 @@
 	for _, n := range set.Ops.HoldFeatures {
 		held = append(held, upgrade.FeatureName(n))
 	}
-	return upgrade.New(program, set.Name, set.Boot, set.Peers, chosen, held)
+	return upgrade.New(program, set.Name, set.Incarnation, set.Peers, chosen, held)
 }
 
-// formatOf is the newest format that this controller is to write.
-func (c *Core) formatOf() int {
+// writableFormat is the newest format that this controller is to write.
+func (c *Core) writableFormat() int {
 	w, _, _ := c.activation.LocalAdvertisement()
 	return w.Format
 }
 
-// joined says that data may be written that version 1 can't read.
-func (c *Core) joined() bool { return c.activation.Enabled(upgrade.ProgressLog) }
+// logEnabled says that data may be written that version 1 can't read.
+func (c *Core) logEnabled() bool { return c.activation.Enabled(upgrade.ProgressLog) }
 
-// tight says that what is written has to fit the limits to come as well. In
+// useLowerLimits says that what is written has to fit the limits to come as well. In
 // the first format it need not until they are here: a value that has to be
 // split could not be read by a controller of version 1.
-func (c *Core) tight() bool { return c.joined() || c.lowered }
+func (c *Core) useLowerLimits() bool { return c.logEnabled() || c.limitsLowered }
 
 // limits are the state service's, as far as they are known. The rate is the
 // present one until there are signs of the next.
 func (c *Core) limits() config.StateLimits {
-	l := c.set.State.StateLimits
-	next := c.set.StrictestStateLimits()
-	if c.lowered {
+	l := c.settings.State.StateLimits
+	next := c.settings.StrictestStateLimits()
+	if c.limitsLowered {
 		l.RPS, l.WriteRPS = next.RPS, next.WriteRPS
 	}
-	if c.tight() {
+	if c.useLowerLimits() {
 		l.ValueKB, l.TxnOps = next.ValueKB, next.TxnOps
 	}
 	return l
@@ -77,23 +77,23 @@
 // valueLimit is how many bytes a value may have, counting a KiB as 1000.
 func (c *Core) valueLimit() int { return int(c.limits().ValueKB * 1000) }
 
-// noteLimits takes a refusal for its rate as the sign that the limits to come
+// noteRateLimited takes a refusal for its rate as the sign that the limits to come
 // are here. Before the format holds it can't be.
-func (c *Core) noteLimits(status int) {
-	if status == 429 && c.joined() {
-		c.lower("a request was refused for its rate")
+func (c *Core) noteRateLimited(status int) {
+	if status == 429 && c.logEnabled() {
+		c.lowerLimits("a request was refused for its rate")
 	}
 }
 
-func (c *Core) lower(why string) {
-	if !c.lowered && c.set.State.Next != nil {
-		c.lowered = true
+func (c *Core) lowerLimits(why string) {
+	if !c.limitsLowered && c.settings.State.Next != nil {
+		c.limitsLowered = true
 		c.log.Info("the state service's limits have fallen", "why", why)
 	}
 }
 
 func (c *Core) applyFormat(ch Change, bad func(error)) {
-	var f formatValue
+	var f formatRecord
 	if err := json.Unmarshal(ch.Value, &f); err != nil {
 		bad(err)
 		return
@@ -105,25 +105,25 @@
 	if f != c.format {
 		c.log.Info("format of stored data", "version", f.Version, "tasks", f.Tasks)
 	}
-	c.format, c.formatAt = f, ch.Revision
+	c.format, c.formatRevision = f, ch.Revision
 	c.activation.SetFormat(f.Version)
-	if c.lead == nil {
-		c.resplit()
+	if c.leadership == nil {
+		c.changeChunkSize()
 	}
 }
 
-// resplit brings the jobs' chunks to the format. The leader does it when no
+// changeChunkSize brings the jobs' chunks to the format. The leader does it when no
 // write is under way.
-func (c *Core) resplit() {
-	if !c.joined() || c.format.Tasks >= c.span {
+func (c *Core) changeChunkSize() {
+	if !c.logEnabled() || c.format.Tasks >= c.chunkTasks {
 		return
 	}
-	c.span = c.format.Tasks
+	c.chunkTasks = c.format.Tasks
 	for _, j := range c.jobs {
-		j.SplitChunks(c.span)
+		j.SplitChunks(c.chunkTasks)
 	}
-	if c.lead != nil {
-		c.openLog()
+	if c.leadership != nil {
+		c.openProgressLog()
 	}
 }
 
@@ -140,9 +140,9 @@
 	word, isWord := strings.CutPrefix(key, "member/")
 	switch {
 	case isGone:
-		c.goneAt[name] = ch.Revision
+		c.decommissionedRevisions[name] = ch.Revision
 		if ch.Removed {
-			c.goneAt[name] = 0
+			c.decommissionedRevisions[name] = 0
 		}
 		c.activation.SetGone(name, !ch.Removed)
 	case isWord && ch.Removed:
@@ -153,112 +153,112 @@
 			c.activation.SetAdvertisement(word, w, ch.Revision, c.now)
 		}
 	case !ch.Removed: // the features that are on
-		var v featuresValue
+		var v featuresRecord
 		if read(&v) {
-			c.featuresAt = ch.Revision
+			c.featuresRevision = ch.Revision
 			c.activation.SetEnabled(v.On)
 			c.log.Info("features that are on", "features", v.On)
 		}
 	}
 }
 
-// checkFit ends what this controller does if what is stored needs a newer
+// checkCompatible ends what this controller does if what is stored needs a newer
 // program: from then on it would write, or answer, what is wrong. At its start
 // it ends with one sentence that says so.
-func (c *Core) checkFit(starting bool) bool {
+func (c *Core) checkCompatible(starting bool) bool {
 	why := c.activation.Incompatibility()
 	if why == "" {
 		return true
 	}
-	if c.unfit == "" {
-		c.unfit = why
+	if c.incompatible == "" {
+		c.incompatible = why
 		c.log.Error("this program must not go on", "why", why)
-		if c.lead != nil {
-			c.leave(why)
+		if c.leadership != nil {
+			c.resign(why)
 		}
 		c.synced = false
 		if starting {
-			c.emit(Quit{Why: why})
+			c.emit(Quit{Reason: why})
 		}
 	}
 	return false
 }
 
-// onLease stores what this controller says of itself, on its lease: it is there
+// putOnLease stores what this controller says of itself, on its lease: it is there
 // only while the controller lives and reaches the state service. done is told
 // whether it was stored.
-func (c *Core) onLease(key string, stamp uint64, v any, done func(ok bool)) {
-	e := &c.elect
+func (c *Core) putOnLease(key string, stamp uint64, v any, done func(ok bool)) {
+	e := &c.candidacy
 	if e.lease == 0 {
-		c.newLease()
+		c.requestLease()
 		done(false)
 		return
 	}
-	c.budget.Spend(1)
+	c.writeBudget.Spend(1)
 	lease := e.lease
-	c.multi([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encode(v), Lease: lease}}, func(r Committed) {
-		if r.Status == 400 && e.lease == lease && c.lead == nil {
+	c.commitTransaction([]Cond{kv.RevisionIs(key, stamp)}, []Write{{Key: key, Value: encodeJSON(v), Lease: lease}}, func(r Committed) {
+		if r.Status == 400 && e.lease == lease && c.leadership == nil {
 			e.lease = 0 // it has run out
 		}
 		done(r.Status == 200)
 	})
 }
 
-// joinTick says what this controller is, for as long as it runs.
-func (c *Core) joinTick() {
-	e := &c.elect
-	if !c.synced || c.now < e.joinAt || c.budget.Level() < 1 {
+// membershipTick says what this controller is, for as long as it runs.
+func (c *Core) membershipTick() {
+	e := &c.candidacy
+	if !c.synced || c.now < e.publishAt || c.writeBudget.Level() < 1 {
 		return
 	}
 	w, stamp, say := c.activation.LocalAdvertisement()
 	if !say {
 		return
 	}
-	c.onLease(memberPrefix+c.set.Name, stamp, w, func(bool) {})
+	c.putOnLease(memberPrefix+c.settings.Name, stamp, w, func(bool) {})
 	if e.lease != 0 {
-		e.joinAt = c.now + second // a lease is worth no wait
+		e.publishAt = c.now + second // a lease is worth no wait
 	}
 }
 
-// activateTick switches on the next feature that every controller has, as its word
+// activationTick switches on the next feature that every controller has, as its word
 // in the state service says at that moment. The write is conditional on the
 // leadership and on all of these words, so that one which is replaced by an
 // older program meanwhile is not overlooked. It lowers the tasks of a value too.
-func (c *Core) activateTick() {
-	l := c.lead
-	if l.activating || c.now < l.activateAt || !c.sure() || c.budget.Level() < 1 {
+func (c *Core) activationTick() {
+	l := c.leadership
+	if l.activating || c.now < l.activateNotBefore || !c.mayStartTasks() || c.writeBudget.Level() < 1 {
 		return
 	}
 	for _, n := range c.activation.Returned() {
 		// Operators took it for gone, and it is there.
-		l.activating, l.activateAt = true, c.now+second
-		c.budget.Spend(1)
-		c.multi([]Cond{kv.RevisionIs(LeaderKey, l.stamp), kv.RevisionIs(gonePrefix+n, c.goneAt[n])}, []Write{{Key: gonePrefix + n}}, func(Committed) { l.activating = false })
+		l.activating, l.activateNotBefore = true, c.now+second
+		c.writeBudget.Spend(1)
+		c.commitTransaction([]Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(decommissionedPrefix+n, c.decommissionedRevisions[n])}, []Write{{Key: decommissionedPrefix + n}}, func(Committed) { l.activating = false })
 		return
 	}
 	f, by := c.activation.NextFeature()
-	tasks := l.spanWanted
-	if f == nil && (!c.joined() || tasks == 0 || tasks >= c.format.Tasks) {
+	tasks := l.chunkTasksWanted
+	if f == nil && (!c.logEnabled() || tasks == 0 || tasks >= c.format.Tasks) {
 		return
 	}
-	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp)}
+	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision)}
 	write := Write{Key: formatKey}
 	switch {
 	case f != nil && f.Format == 0:
-		write = Write{Key: featuresKey, Value: encode(featuresValue{c.activation.EnabledWith(f)})}
-		when = append(when, kv.RevisionIs(featuresKey, c.featuresAt))
+		write = Write{Key: featuresKey, Value: encodeJSON(featuresRecord{c.activation.EnabledWith(f)})}
+		when = append(when, kv.RevisionIs(featuresKey, c.featuresRevision))
 	default:
 		version := c.format.Version
 		if f != nil {
 			version = max(version, f.Format)
 		}
-		if !c.joined() {
-			tasks = c.spanFor()
+		if !c.logEnabled() {
+			tasks = c.chunkTasksForLimits()
 		} else if tasks == 0 || tasks > c.format.Tasks {
 			tasks = c.format.Tasks
 		}
-		write.Value = encode(formatValue{version, tasks})
-		when = append(when, kv.RevisionIs(formatKey, c.formatAt))
+		write.Value = encodeJSON(formatRecord{version, tasks})
+		when = append(when, kv.RevisionIs(formatKey, c.formatRevision))
 	}
 	if f != nil {
 		if len(by)+len(when) > 4*c.limits().TxnOps {
@@ -268,40 +268,40 @@
 			when = append(when, kv.RevisionIs(memberPrefix+m.Name, m.Revision))
 		}
 	}
-	l.activating, l.activateAt = true, c.now+second
-	c.budget.Spend(1)
-	c.multi(when, []Write{write}, func(Committed) {
+	l.activating, l.activateNotBefore = true, c.now+second
+	c.writeBudget.Spend(1)
+	c.commitTransaction(when, []Write{write}, func(Committed) {
 		l.activating = false // it holds when the mirror shows it
 	})
 }
 
-// onSetGone notes that operators take a controller for gone for good, or not.
-func (c *Core) onSetGone(m SetGone) {
+// onSetDecommissioned notes that operators take a controller for gone for good, or not.
+func (c *Core) onSetDecommissioned(m SetDecommissioned) {
 	reply := func(status int, why string) {
-		r := Reply{Req: m.Req, Status: status, Error: why}
+		r := Reply{RequestID: m.RequestID, Status: status, Error: why}
 		if status == 503 {
-			r.Retry = 1
+			r.RetryAfter = 1
 		}
 		c.emit(r)
 	}
 	_, there := c.activation.Advertisements()[m.Name]
 	switch {
-	case !slices.Contains(c.set.Peers, m.Name):
+	case !slices.Contains(c.settings.Peers, m.Name):
 		reply(404, "no other controller is called "+strconv.Quote(m.Name))
-	case !c.synced || c.stateLost():
+	case !c.synced || c.stateUnavailable():
 		reply(503, "the state service does not answer")
-	case m.Gone && there:
+	case m.Decommissioned && there:
 		reply(409, m.Name+" is there, and says what it can")
-	case m.Gone == (c.goneAt[m.Name] != 0):
-		c.emit(Reply{Req: m.Req, Status: 200, Gone: &GoneState{m.Name, m.Gone}})
+	case m.Decommissioned == (c.decommissionedRevisions[m.Name] != 0):
+		c.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
 	default:
-		w := Write{Key: gonePrefix + m.Name}
-		if m.Gone {
-			w.Value = encode(goneValue{c.now + c.wallOffset})
+		w := Write{Key: decommissionedPrefix + m.Name}
+		if m.Decommissioned {
+			w.Value = encodeJSON(decommissionedRecord{c.now + c.wallOffset})
 		}
-		c.multi([]Cond{kv.RevisionIs(w.Key, c.goneAt[m.Name])}, []Write{w}, func(r Committed) {
+		c.commitTransaction([]Cond{kv.RevisionIs(w.Key, c.decommissionedRevisions[m.Name])}, []Write{w}, func(r Committed) {
 			if r.Status == 200 {
-				c.emit(Reply{Req: m.Req, Status: 200, Gone: &GoneState{m.Name, m.Gone}})
+				c.emit(Reply{RequestID: m.RequestID, Status: 200, Decommission: &DecommissionState{m.Name, m.Decommissioned}})
 				return
 			}
 			reply(503, "it was not stored")
@@ -309,14 +309,14 @@
 	}
 }
 
-// spanFor is how many tasks a value may have, each on a machine of its own
+// chunkTasksForLimits is how many tasks a value may have, each on a machine of its own
 // with a name as long as the longest there is.
-func (c *Core) spanFor() int {
+func (c *Core) chunkTasksForLimits() int {
 	name := 11
-	for _, m := range c.lead.fleet.All() {
+	for _, m := range c.leadership.fleet.All() {
 		name = max(name, len(m.Name))
 	}
-	room := int(c.set.StrictestStateLimits().ValueKB*1000) - 160
+	room := int(c.settings.StrictestStateLimits().ValueKB*1000) - 160
 	span := jobstate.DefaultChunkSize
 	for span > 1 && span*(name+15) > room {
 		span /= 2
--- /dev/null
+++ b/internal/core/imagehints.go
@@ -0,0 +1,186 @@
+package core
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// hintsRecord is what a leader leaves to the next about images: which machine has
+// which, and finished jobs whose tasks can carry them. It is spread over as
+// many values as the fleet needs, each written in its turn and with what the
+// budget leaves; nothing depends on its being right or there.
+type hintsRecord struct {
+	// Of is how many values there are in all.
+	Of     int         `json:"of"`
+	Images []hintImage `json:"i"`
+	// Machines has a bit for each of the images.
+	Machines map[string]uint64 `json:"m"`
+	Sources  []*jobstate.Spec  `json:"s"`
+}
+
+type hintImage struct {
+	Name string `json:"n"`
+	MB   int64  `json:"b"`
+}
+
+// A value of hints is written every hintsInterval; at most hintedImages images are
+// told of, and a machine and a source are taken to need so many bytes.
+const (
+	hintsInterval   = 15 * second
+	hintsWriteShare = 0.05 // of the leader's writes
+	hintImages      = 63
+	machineBytes    = 45
+	sourceBytes     = 400
+	imageBytes      = 40
+)
+
+func (c *Core) imageHintsTick() {
+	l := c.leadership
+	room := c.valueLimit() * 4 / 5
+	images := c.hintedImages()
+	// Every value names all images.
+	of := 1 + (l.fleet.Len()*machineBytes+len(images)*2*sourceBytes)/(room-len(images)*imageBytes)
+	if c.now-l.hintsWrittenAt < max(hintsInterval/int64(of), int64(1e6/(c.allowance.Changes*hintsWriteShare))) || !c.mayStartTasks() || c.writeBudget.Level() < 4 {
+		return
+	}
+	l.hintsWrittenAt = c.now
+	l.nextHintPart = (l.nextHintPart + 1) % of
+	key := hintsKey + "/" + strconv.Itoa(l.nextHintPart)
+	value := c.encodeImageHints(images, l.nextHintPart, of)
+	if string(value) == string(l.writtenHints[key]) {
+		return
+	}
+	c.writeBudget.Spend(1)
+	c.putAsLeader(key, value, func(m Committed) {
+		if c.leadership == l && m.Status == 200 {
+			l.writtenHints[key] = value
+		}
+	})
+}
+
+// hintedImages are the images most asked for.
+func (c *Core) hintedImages() []string {
+	w := &c.leadership.prefetch
+	images := make([]string, 0, len(w.demand))
+	for im := range w.demand {
+		images = append(images, im)
+	}
+	slices.SortFunc(images, func(a, b string) int {
+		return cmp.Or(cmp.Compare(w.demand[b].score, w.demand[a].score), cmp.Compare(a, b))
+	})
+	return images[:min(len(images), hintImages, c.valueLimit()/3/imageBytes)]
+}
+
+// encodeImageHints makes value number part of so many, and leaves out what does
+// not fit all the same.
+func (c *Core) encodeImageHints(images []string, part, of int) []byte {
+	l := c.leadership
+	h := hintsRecord{Of: of, Machines: map[string]uint64{}}
+	bit := map[string]int{}
+	for i, im := range images {
+		bit[im] = i
+		h.Images = append(h.Images, hintImage{Name: im})
+		if i%of != part {
+			continue
+		}
+		// Two jobs for an image: several machines can be warmed at once.
+		seen := map[string]bool{}
+		for _, s := range l.prefetch.sources[im] {
+			if !seen[s.spec.ID] && len(seen) < 2 {
+				seen[s.spec.ID] = true
+				h.Sources = append(h.Sources, s.spec)
+			}
+		}
+	}
+	for _, m := range l.fleet.All() {
+		if int(m.Hash%uint32(of)) != part {
+			continue
+		}
+		for im, has := range m.Images {
+			if i, ok := bit[im]; ok {
+				h.Machines[m.Name] |= 1 << i
+				h.Images[i].MB = max(h.Images[i].MB, has.MB)
+			}
+		}
+	}
+	limit := c.valueLimit()
+	for {
+		b := encodeJSON(h)
+		switch {
+		case len(b) <= limit:
+			return b
+		case len(h.Sources) > 0:
+			h.Sources = h.Sources[:len(h.Sources)/2]
+		case len(h.Machines) > 0:
+			h.Machines = nil
+		default:
+			return encodeJSON(hintsRecord{Of: of})
+		}
+	}
+}
+
+// loadImageHints is called when this controller begins to lead. The sources are
+// used only when any machine that the last leader was warming has come to
+// the end of its lease, as each task is to be on one machine at a time.
+func (c *Core) loadImageHints() {
+	for _, key := range sortedKeys(c.imageHints) {
+		value := c.imageHints[key]
+		var h hintsRecord
+		part, err := strconv.Atoi(strings.TrimPrefix(key, hintsKey+"/"))
+		if err != nil || json.Unmarshal(value, &h) != nil || part >= h.Of {
+			continue
+		}
+		for n, bits := range h.Machines {
+			for i, im := range h.Images {
+				if bits&(1<<i) != 0 {
+					c.leadership.hintedImages[n] = append(c.leadership.hintedImages[n], im)
+				}
+			}
+		}
+		for _, s := range h.Sources {
+			if s != nil && s.Tasks > 0 {
+				c.noteImageDemand(s)
+				c.leadership.inheritedSources = append(c.leadership.inheritedSources, s)
+			}
+		}
+	}
+	for n, images := range c.imageHistory.machines {
+		c.leadership.hintedImages[n] = append(c.leadership.hintedImages[n], images...)
+	}
+	for _, image := range sortedKeys(c.imageHistory.done) {
+		for _, s := range c.imageHistory.done[image] {
+			c.noteImageDemand(s)
+			c.leadership.inheritedSources = append(c.leadership.inheritedSources, s)
+		}
+	}
+	// A job may stand in two values, as they are written at different times.
+	// It must be one carrier all the same: two would start a task twice.
+	byID := func(a, b *jobstate.Spec) int { return cmp.Compare(a.ID, b.ID) }
+	slices.SortFunc(c.leadership.inheritedSources, byID)
+	c.leadership.inheritedSources = slices.CompactFunc(c.leadership.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
+}
+
+// inheritPrefetchSources puts the last leader's sources to use.
+func (c *Core) inheritPrefetchSources() {
+	l := c.leadership
+	if len(l.inheritedSources) == 0 || c.now-l.since < c.settings.FailoverEpochTimeout() {
+		return
+	}
+	for _, s := range l.inheritedSources {
+		c.addPrefetchSources(s)
+	}
+	l.inheritedSources = nil
+}
+
+// restoreKnownImages gives a machine the images that the last leader knew it has.
+func (c *Core) restoreKnownImages(m *fleet.Machine) {
+	for _, im := range c.leadership.hintedImages[m.Name] {
+		m.RecordImageUse(im.Name, im.MB, c.now)
+	}
+}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -15,122 +15,122 @@
 // maxEnds bounds the ends kept in memory; older ones are read when asked for.
 const maxEnds = 20_000
 
-type leaderValue struct {
-	Name  string `json:"n"`
-	Boot  string `json:"b"`
-	Token uint64 `json:"t"`
-	Lease uint64 `json:"l"`
+type leaderRecord struct {
+	Name        string `json:"n"`
+	Incarnation string `json:"b"`
+	Token       uint64 `json:"t"`
+	Lease       uint64 `json:"l"`
 }
 
-type tokenValue struct {
+type tokenRecord struct {
 	Token uint64 `json:"t"`
 }
 
-// list starts over from the stored state, as at the start, after a watch
+// listState starts over from the stored state, as at the start, after a watch
 // that was too old, and after losing the leadership, since plans that were
 // never stored must not be taken for placements.
-func (c *Core) list() {
+func (c *Core) listState() {
 	c.synced = false
-	if !c.listing && c.unfit == "" {
-		c.listing = true
-		c.emit(listAll(c.limits(), len(c.set.Peers)+1))
+	if !c.listingState && c.incompatible == "" {
+		c.listingState = true
+		c.emit(listAll(c.limits(), len(c.settings.Peers)+1))
 	}
 }
 
-// besidesList is how many requests a start takes beside the list.
-const besidesList = 5
+// startupRequests is how many requests a start takes beside the list.
+const startupRequests = 5
 
 // listAll reads everything, at the pace that all controllers can keep at once.
-func listAll(l config.StateLimits, controllers int) List {
+func listAll(l config.StateLimits, controllers int) ListState {
 	each := l.RPS / float64(controllers)
-	return List{AtOnce: max(1, int(each)-besidesList), Gap: ratelimit.Interval(each / 2)}
+	return ListState{AtOnce: max(1, int(each)-startupRequests), Gap: ratelimit.Interval(each / 2)}
 }
 
-func (c *Core) onListed(m Listed) {
-	c.listing = false
-	c.stateAnswered(&c.links.Reads, m.Err)
+func (c *Core) onStateListed(m StateListed) {
+	c.listingState = false
+	c.noteStateResult(&c.connectivity.Reads, m.Err)
 	if m.Err != nil {
 		c.log.Debug("listing the state failed", "err", m.Err)
-		c.listing = true
-		c.emit(listAll(c.limits(), len(c.set.Peers)+1)) // the store paces repeats
+		c.listingState = true
+		c.emit(listAll(c.limits(), len(c.settings.Peers)+1)) // the store paces repeats
 		return
 	}
 	c.jobs = map[string]*jobstate.Job{}
-	c.orphaned = map[string]map[jobstate.ChunkRef]Change{}
-	c.leader, c.leaderAt = leaderValue{}, 0
-	c.token, c.tokenAt = tokenValue{}, 0
-	c.graph = jobstate.NewDependencyGraph()
+	c.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
+	c.leader, c.leaderRevision = leaderRecord{}, 0
+	c.token, c.tokenRevision = tokenRecord{}, 0
+	c.dependencyGraph = jobstate.NewDependencyGraph()
 	c.activation.Restart()
-	c.featuresAt, c.goneAt = 0, map[string]uint64{}
-	c.reachAt = map[string]uint64{}
-	c.stamps = map[string]uint64{}
-	c.links.Restart()
-	c.pages = nil
-	c.dropSweeps()
-	starting := c.applied == 0
-	c.applied = m.Ledger
-	c.recent.Restart(m.Ledger)
-	for _, r := range m.Rows {
+	c.featuresRevision, c.decommissionedRevisions = 0, map[string]uint64{}
+	c.connectivityRevisions = map[string]uint64{}
+	c.keyRevisions = map[string]uint64{}
+	c.connectivity.Restart()
+	c.progressLog = nil
+	c.resetSweeps()
+	starting := c.appliedRevision == 0
+	c.appliedRevision = m.Revision
+	c.recentChanges.Restart(m.Revision)
+	for _, r := range m.Changes {
 		c.apply(r)
 	}
-	if !c.checkFit(starting) {
+	if !c.checkCompatible(starting) {
 		return
 	}
 	c.synced = true
-	c.log.Info("state read", "jobs", len(c.jobs), "revision", m.Ledger)
-	c.watch()
-	c.resplit()
+	c.log.Info("state read", "jobs", len(c.jobs), "revision", m.Revision)
+	c.watchState()
+	c.changeChunkSize()
 	// The pages of the list were read one after the other. What changed
 	// meanwhile comes with a view, and only after it may this controller lead.
-	c.emit(View{After: c.applied})
+	c.emit(ReadState{AfterRevision: c.appliedRevision})
 }
 
-func (c *Core) onWatched(m Watched) {
-	if !m.View {
+func (c *Core) onStateRead(m StateRead) {
+	if !m.Immediate {
 		c.watching = false
 	}
-	side := &c.links.Watch
-	if m.View {
-		side = &c.links.Reads
+	side := &c.connectivity.Watch
+	if m.Immediate {
+		side = &c.connectivity.Reads
 	}
-	if !m.Relayed {
-		c.stateAnswered(side, m.Err)
+	if !m.ViaLeader {
+		c.noteStateResult(side, m.Err)
 	}
 	switch {
-	case m.Gone && c.lead != nil:
+	case m.Compacted && c.leadership != nil:
 		// A leader takes its own progress from no list, so it begins anew.
-		c.leave("the watch is too old")
-	case m.Gone:
-		c.list()
+		c.resign("the watch is too old")
+	case m.Compacted:
+		c.listState()
 	}
-	if m.Err == nil && !m.Gone && c.synced && m.After <= c.applied {
-		from := c.applied
+	if m.Err == nil && !m.Compacted && c.synced && m.AfterRevision <= c.appliedRevision {
+		from := c.appliedRevision
 		for _, ch := range m.Changes {
 			// Two watches may bring the same change.
 			if ch.Revision > from {
-				c.recent.Append(ch)
+				c.recentChanges.Append(ch)
 				c.apply(ch)
 			}
 		}
-		c.applied = max(c.applied, m.Ledger)
-		c.mirrorAt = max(c.mirrorAt, m.Sent)
-		c.txns.Observe(m.Changes, c.now)
-		if !c.checkFit(false) {
+		c.appliedRevision = max(c.appliedRevision, m.Revision)
+		c.mirrorFreshAt = max(c.mirrorFreshAt, m.SentAt)
+		c.transactions.Observe(m.Changes, c.now)
+		if !c.checkCompatible(false) {
 			return
 		}
 		c.endCancelledRuns()
-		if c.lead != nil {
-			c.lead.mirrored = max(c.lead.mirrored, m.Sent)
+		if c.leadership != nil {
+			c.leadership.mirrorFreshAt = max(c.leadership.mirrorFreshAt, m.SentAt)
 		}
-		c.checkLeadership(m.Sent)
+		c.checkLeadership(m.SentAt)
 	}
-	if !m.View {
-		c.watch()
+	if !m.Immediate {
+		c.watchState()
 	}
-	if m.Asked {
+	if m.ForRequests {
 		// Another view, as that of a candidate, may have been read before the
 		// requests came that wait for this one.
-		c.onView(m.Err == nil && !m.Gone && c.synced && m.Ledger <= c.applied)
+		c.requestsReadDone(m.Err == nil && !m.Compacted && c.synced && m.Revision <= c.appliedRevision)
 	}
 }
 
@@ -140,9 +140,9 @@
 		return
 	}
 	if key == "bounds" || key == "types" || strings.HasPrefix(key, "types/") || strings.HasPrefix(key, "hints/") {
-		c.stamps[ch.Key] = ch.Revision
+		c.keyRevisions[ch.Key] = ch.Revision
 		if ch.Removed {
-			delete(c.stamps, ch.Key)
+			delete(c.keyRevisions, ch.Key)
 		}
 	}
 	bad := func(err error) {
@@ -163,24 +163,24 @@
 			return
 		}
 		c.noteEnd(key[4:], e, ch.Revision)
-		c.endStored(key[4:])
+		c.endWasStored(key[4:])
 	case key == "leader":
-		c.leader, c.leaderAt = leaderValue{}, 0
+		c.leader, c.leaderRevision = leaderRecord{}, 0
 		if !ch.Removed {
 			if err := json.Unmarshal(ch.Value, &c.leader); err != nil {
 				bad(err)
 			}
-			c.leaderAt = ch.Revision
-			if c.leader.Token > c.newest.Token {
-				c.links.RecordHandover(c.now)
+			c.leaderRevision = ch.Revision
+			if c.leader.Token > c.newestLeader.Token {
+				c.connectivity.RecordHandover(c.now)
 			}
-			c.noteNewest(c.leader)
+			c.noteNewestLeader(c.leader)
 		}
 	case key == "token" && !ch.Removed:
 		if err := json.Unmarshal(ch.Value, &c.token); err != nil {
 			bad(err)
 		}
-		c.tokenAt = ch.Revision
+		c.tokenRevision = ch.Revision
 	case (key == "types" || strings.HasPrefix(key, "types/")) && !ch.Removed:
 		c.applyTypes(ch, bad)
 	case key == "format" && !ch.Removed:
@@ -192,16 +192,16 @@
 	case key == "features" || strings.HasPrefix(key, "gone/") || strings.HasPrefix(key, "member/"):
 		c.applyActivation(key, ch, bad)
 	case strings.HasPrefix(key, "reach/"):
-		c.applyReach(key[len("reach/"):], ch, bad)
+		c.applyConnectivity(key[len("reach/"):], ch, bad)
 	case strings.HasPrefix(key, "hints/") && !ch.Removed:
-		c.hints[ch.Key] = ch.Value
-	case key == "bounds" && !ch.Removed && c.lead == nil:
+		c.imageHints[ch.Key] = ch.Value
+	case key == "bounds" && !ch.Removed && c.leadership == nil:
 		var b fleet.Partitions
 		if err := json.Unmarshal(ch.Value, &b); err != nil {
 			bad(err)
 			return
 		}
-		c.bounds, c.boundsOn = b, c.now
+		c.partitions, c.partitionsReadAt = b, c.now
 	}
 }
 
@@ -210,8 +210,8 @@
 	if ch.Removed {
 		if j != nil && ch.Revision > j.Revision {
 			delete(c.jobs, id)
-			c.dropJob(j)
-			c.orphan(j)
+			c.jobRemoved(j)
+			c.orphanChunks(j)
 		}
 		return
 	}
@@ -225,15 +225,15 @@
 	}
 	if j == nil {
 		j = jobstate.NewJob(r.Spec)
-		j.SplitChunks(c.span)
+		j.SplitChunks(c.chunkTasks)
 		j.Arrival, j.SubmittedWall, j.Truncated = r.Arrival, r.SubmittedWall, r.Truncated
-		j.SubmittedAt = c.steady(r.SubmittedWall)
+		j.SubmittedAt = c.steadyTime(r.SubmittedWall)
 		j.ReadyAt = j.SubmittedAt
 		if j.Arrival == 0 {
 			j.Arrival = ch.Revision
 		}
 		c.jobs[id] = j
-		for v, run := range c.orphaned[id] {
+		for v, run := range c.orphanedChunks[id] {
 			if run.Value == nil {
 				continue
 			}
@@ -241,15 +241,15 @@
 				bad(err)
 			}
 		}
-		delete(c.orphaned, id)
+		delete(c.orphanedChunks, id)
 		c.reapply(j)
 		if e, ended := c.ends[id]; ended && r.Outcome == "" {
 			// Derived before the list was read anew, perhaps.
 			j.Outcome, j.CancelledByDependency = e.Outcome, true
-			c.jobOver(j)
+			c.jobEnded(j)
 		} else if r.Outcome == "" {
-			c.enterGraph(j)
-			c.endRuns = c.endRuns || j.Sweep != ""
+			c.addDependencies(j)
+			c.mayHaveOpenRuns = c.mayHaveOpenRuns || j.Sweep != ""
 		}
 		c.jobArrived(j)
 	}
@@ -257,7 +257,7 @@
 	if r.Outcome != "" && j.Outcome == "" {
 		j.Outcome = r.Outcome
 		c.noteEnd(id, jobstate.End{Outcome: r.Outcome, Tasks: j.Tasks}, ch.Revision)
-		c.jobOver(j)
+		c.jobEnded(j)
 	}
 	if r.Outcome != "" {
 		j.CancelledByDependency = false
@@ -265,17 +265,17 @@
 }
 
 func (c *Core) applyRun(rest string, ch Change, bad func(error)) {
-	id, v, err := runValue(rest)
+	id, v, err := parseChunkKey(rest)
 	if err != nil {
 		bad(err)
 		return
 	}
-	if c.lead != nil {
+	if c.leadership != nil {
 		return // the leader is the one that writes these
 	}
 	j := c.jobs[id]
 	if ch.Removed {
-		c.noteOrphan(id, v, 0)
+		c.setOrphanedRevision(id, v, 0)
 		if j != nil {
 			j.SetChunkRevision(v, 0)
 		}
@@ -283,7 +283,7 @@
 	}
 	if j == nil {
 		// A job's chunks may be read before the job itself.
-		c.putOrphan(id, v, ch)
+		c.putOrphanedChunk(id, v, ch)
 		return
 	}
 	if j.ChunkRevision(v) >= ch.Revision {
@@ -294,32 +294,32 @@
 	}
 	c.reapply(j)
 	for i := v.Index * v.ChunkSize; i < min((v.Index+1)*v.ChunkSize, j.Tasks); i++ {
-		c.recall.placed(j.Task(i).Machine, j)
+		c.imageHistory.placed(j.Task(i).Machine, j)
 	}
 }
 
-// orphan remembers the values that a removed job leaves, for the leader to
+// orphanChunks remembers the values that a removed job leaves, for the leader to
 // remove when it can spare a write.
-func (c *Core) orphan(j *jobstate.Job) {
+func (c *Core) orphanChunks(j *jobstate.Job) {
 	values, stamps := j.StoredChunks()
 	for i, v := range values {
-		c.putOrphan(j.ID, v, Change{Revision: stamps[i]})
+		c.putOrphanedChunk(j.ID, v, Change{Revision: stamps[i]})
 	}
 }
 
-func (c *Core) putOrphan(id string, v jobstate.ChunkRef, ch Change) {
-	if c.orphaned[id] == nil {
-		c.orphaned[id] = map[jobstate.ChunkRef]Change{}
+func (c *Core) putOrphanedChunk(id string, v jobstate.ChunkRef, ch Change) {
+	if c.orphanedChunks[id] == nil {
+		c.orphanedChunks[id] = map[jobstate.ChunkRef]Change{}
 	}
-	c.orphaned[id][v] = ch
+	c.orphanedChunks[id][v] = ch
 }
 
 // noteEnd notes how a job has ended, stored with a revision, or 0 if that is not
 // known. Whatever users are told of an end has passed here, so it is here that
 // this controller begins to vouch for a cancellation.
 func (c *Core) noteEnd(id string, e jobstate.End, rev uint64) {
-	if e.Outcome == jobstate.Cancelled && !c.sweepTells(id) {
-		c.witness.RecordCancellation(id, rev)
+	if e.Outcome == jobstate.Cancelled && !c.cancelledWithSweep(id) {
+		c.readLeaseGrantor.RecordCancellation(id, rev)
 	}
 	if _, ok := c.ends[id]; ok {
 		return
@@ -333,11 +333,11 @@
 	if j := c.jobs[id]; j != nil && j.Outcome == "" {
 		j.Outcome = e.Outcome
 		if e.Outcome == jobstate.Done {
-			c.recall.finished(j)
+			c.imageHistory.finished(j)
 		}
-		c.jobOver(j)
+		c.jobEnded(j)
 	}
-	c.endedFor(id, e)
+	c.resolveDependents(id, e)
 }
 
 // applyTypes reads machine types, all or some: those that do not fit one value
@@ -349,35 +349,35 @@
 		return
 	}
 	if ch.Key == typesKey {
-		c.types, c.typesAt, c.typesWhole = list, ch.Revision, ch.Revision
+		c.machineTypes, c.typesRevision, c.typesWholeRevision = list, ch.Revision, ch.Revision
 		return
 	}
 	// Parts of before the value fitted again, as when a list is read.
-	if ch.Revision < c.typesWhole {
+	if ch.Revision < c.typesWholeRevision {
 		return
 	}
-	c.typesAt = ch.Revision
+	c.typesRevision = ch.Revision
 	for _, t := range list {
-		if i := slices.IndexFunc(c.types, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
-			c.types[i] = t
+		if i := slices.IndexFunc(c.machineTypes, func(o fleet.Type) bool { return o.Name == t.Name }); i >= 0 {
+			c.machineTypes[i] = t
 		} else {
-			c.types = append(c.types, t)
+			c.machineTypes = append(c.machineTypes, t)
 		}
 	}
 }
 
-// steady converts a time of day to the steady clock; one that is not known, or
+// steadyTime converts a time of day to the steady clock; one that is not known, or
 // that lies ahead, is now.
-func (c *Core) steady(wall int64) int64 {
+func (c *Core) steadyTime(wall int64) int64 {
 	if wall == 0 || c.wallOffset == 0 {
 		return c.now
 	}
 	return min(c.now, wall-c.wallOffset)
 }
 
-// runKey is the key of a value of a job's progress. Values of the first format
+// chunkKey is the key of a value of a job's progress. Values of the first format
 // have a number only.
-func runKey(id string, v jobstate.ChunkRef) string {
+func chunkKey(id string, v jobstate.ChunkRef) string {
 	n := strconv.Itoa(v.Index)
 	if v.ChunkSize != jobstate.DefaultChunkSize {
 		n = strconv.Itoa(v.ChunkSize) + "-" + n
@@ -385,8 +385,8 @@
 	return runPrefix + id + "/" + n
 }
 
-// runValue reads what follows the prefix of such a key.
-func runValue(rest string) (id string, v jobstate.ChunkRef, err error) {
+// parseChunkKey reads what follows the prefix of such a key.
+func parseChunkKey(rest string) (id string, v jobstate.ChunkRef, err error) {
 	id, num, _ := strings.Cut(rest, "/")
 	v.ChunkSize = jobstate.DefaultChunkSize
 	if span, n, ok := strings.Cut(num, "-"); ok {
@@ -399,4 +399,4 @@
 	return id, v, err
 }
 
-func encode(v any) []byte { return jobstate.Encode(v) }
+func encodeJSON(v any) []byte { return jobstate.Encode(v) }
--- /dev/null
+++ b/internal/core/operatorview.go
@@ -0,0 +1,378 @@
+package core
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+	"github.com/zinclb/zinclb/internal/core/upgrade"
+)
+
+// QueryOperatorView asks for what operators are shown. It reads and changes nothing.
+type QueryOperatorView struct{ RequestID uint64 }
+
+// OperatorView is one controller's view of the service, for operators.
+type OperatorView struct {
+	Controller   string  `json:"controller"`
+	Leader       string  `json:"leader"`
+	FencingToken uint64  `json:"token"`
+	Leading      bool    `json:"leading"`
+	Synced       bool    `json:"synced"`
+	Revision     uint64  `json:"revision"`
+	StateAgeS    float64 `json:"state_silent_s"`
+	WritesLeft   float64 `json:"writes_left"`
+	// ReadsLeft is what is left of its share of reads, ReadsBy the controller that it
+	// asks for what is stored, "" for the state service.
+	ReadsLeft  float64         `json:"reads_left"`
+	ReadsBy    string          `json:"reads_by"`
+	CallsLeft  float64         `json:"cloud_calls_left"`
+	Peers      []PeerView      `json:"peers"`
+	Partitions []PartitionView `json:"partitions"`
+	Queues     []QueueView     `json:"queues,omitempty"`
+	Machines   MachinesView    `json:"machines"`
+	Jobs       int             `json:"unfinished_jobs"`
+	// AnswersForS is how long a leader may still answer workers without a newer
+	// proof, below 0 when that is over.
+	AnswersForS float64 `json:"answers_for_s,omitempty"`
+	// Awaiting counts those of them that wait for others to be done.
+	Awaiting int `json:"awaiting_jobs"`
+	// Format is the version of stored data, Lowered says that the limits to
+	// come of the state service are here.
+	Format        int      `json:"format"`
+	LimitsLowered bool     `json:"state_limits_fallen"`
+	Conditions    []string `json:"troubles"`
+	// Features are this program's, and those that are on; Members is what each
+	// controller says it is.
+	Features []FeatureView         `json:"features"`
+	Members  map[string]MemberView `json:"members"`
+	Reach    ConnectivityView      `json:"reach"`
+	// Latencies are those of users' requests in this process since its start.
+	Latencies []LatencyView `json:"latencies,omitempty"`
+}
+
+// FeatureView is a feature, and what holds it back if it is not on.
+type FeatureView struct {
+	Name string   `json:"name"`
+	On   bool     `json:"on"`
+	Held []string `json:"held_back,omitempty"`
+}
+
+// MemberView is a controller by its own word: its program, 0 for one that tells
+// nothing of it, the newest format that it reads, its features and those that
+// its operators hold back.
+type MemberView struct {
+	Program  int                   `json:"program"`
+	Format   int                   `json:"format"`
+	Features []upgrade.FeatureName `json:"features,omitempty"`
+	Held     []upgrade.FeatureName `json:"holds_back,omitempty"`
+}
+
+// ConnectivityView is what this controller knows of its links and of the others'.
+type ConnectivityView struct {
+	Links []LinkView `json:"links"`
+	// Matrix has what each controller that could lead says it reaches: eighths
+	// of each zone's machines, the controllers that answer it, the cloud.
+	Matrix map[string]ConnectivityRowView `json:"matrix"`
+	// SteppedAside is when this controller last left the leadership to another.
+	SteppedAside *LeadershipTransferView `json:"gave_way,omitempty"`
+}
+
+// LinkView is one link: up, slow, flapping, refusing, lost or unknown, and how
+// long ago it was last proven, -1 for never.
+type LinkView struct {
+	Link  string  `json:"link"`
+	State string  `json:"state"`
+	AgeS  float64 `json:"proven_s_ago"`
+}
+
+// ConnectivityRowView is what a controller says it reaches, and how much it would serve as
+// the leader, through others too.
+type ConnectivityRowView struct {
+	Workers map[string]int `json:"workers_eighths"`
+	Leading map[string]int `json:"as_leader_eighths"`
+	Peers   []string       `json:"peers"`
+	Cloud   bool           `json:"cloud"`
+}
+
+// LeadershipTransferView is a time at which a leader gave way.
+type LeadershipTransferView struct {
+	To     string  `json:"to"`
+	Reason string  `json:"why"`
+	AgeS   float64 `json:"s_ago"`
+}
+
+// LatencyView is how long a call of users took to be answered, in ms.
+type LatencyView struct {
+	Call    string  `json:"call"`
+	Answers int64   `json:"answers"`
+	Mean    float64 `json:"mean_ms"`
+	P50     float64 `json:"p50_ms"`
+	P95     float64 `json:"p95_ms"`
+	P99     float64 `json:"p99_ms"`
+	Max     float64 `json:"max_ms"`
+}
+
+// PeerView is another controller.
+type PeerView struct {
+	Name string `json:"name"`
+	Up   bool   `json:"up"`
+}
+
+// PartitionView is a partition: the hashes before Ends, and who holds it.
+type PartitionView struct {
+	Holder   string `json:"holder"`
+	Ends     uint32 `json:"ends"`
+	Machines int    `json:"machines"`
+}
+
+// QueueView is a queue and its pivot.
+type QueueView struct {
+	Waiting int     `json:"waiting_jobs"`
+	Tasks   int     `json:"waiting_tasks"`
+	Pivot   string  `json:"pivot,omitempty"`
+	StartsS float64 `json:"pivot_starts_in_s,omitempty"`
+	WaitsS  float64 `json:"pivot_waits_s,omitempty"`
+	Reason  string  `json:"why,omitempty"`
+}
+
+// MachinesView counts machines by what they are doing.
+type MachinesView struct {
+	Busy        int `json:"busy"`
+	Idle        int `json:"idle"`
+	Prefetching int `json:"warming"`
+	Silent      int `json:"silent"`
+	// NotReceiving ones report and do not hear.
+	NotReceiving int `json:"deaf"`
+	Draining     int `json:"draining"`
+	Booting      int `json:"booting"`
+}
+
+func (c *Core) onQueryOperatorView(m QueryOperatorView) {
+	c.noteNewestLeader(c.leader)
+	v := &OperatorView{Controller: c.settings.Name, Leader: c.newestLeader.Name, FencingToken: c.newestLeader.Token, Leading: c.leadership != nil, Synced: c.synced,
+		Revision: c.appliedRevision, StateAgeS: float64(c.stateAge()) / 1e6, WritesLeft: c.writeBudget.Level(), ReadsLeft: c.readBudget.Level(), ReadsBy: c.readSource(), Jobs: len(c.jobs), Format: max(c.format.Version, 1), LimitsLowered: c.limitsLowered, Conditions: []string{}}
+	for _, j := range c.jobs {
+		if j.Outcome == "" && j.IsBlocked() {
+			v.Awaiting++
+		}
+	}
+	if !c.logEnabled() {
+		v.Conditions = append(v.Conditions, "not all controllers are known to have this version: awaits is refused")
+	}
+	for _, p := range c.settings.Peers {
+		v.Peers = append(v.Peers, PeerView{p, c.connectivity.PeerUp(p, c.now)})
+		if !c.connectivity.PeerUp(p, c.now) {
+			v.Conditions = append(v.Conditions, "controller "+p+" does not answer")
+		}
+	}
+	if c.stateUnavailable() {
+		v.Conditions = append(v.Conditions, "the state service does not answer")
+	}
+	if c.newestLeader.Name == "" || c.leaderRevision == 0 && c.synced {
+		v.Conditions = append(v.Conditions, "no controller leads")
+	}
+	for i, h := range c.partitions.Holders {
+		p := PartitionView{Holder: h, Ends: ^uint32(0)}
+		if i < len(c.partitions.Boundaries) {
+			p.Ends = c.partitions.Boundaries[i]
+		}
+		v.Partitions = append(v.Partitions, p)
+	}
+	for _, f := range c.activation.FeatureStates() {
+		v.Features = append(v.Features, FeatureView{string(f.Name), f.Enabled, f.Blockers})
+	}
+	v.Members = map[string]MemberView{}
+	for name, w := range c.activation.Advertisements() {
+		v.Members[name] = MemberView{w.Program, w.Format, w.Features, w.Withheld}
+	}
+	if c.incompatible != "" {
+		v.Conditions = append(v.Conditions, c.incompatible)
+	}
+	c.viewConnectivity(v)
+	if c.leadership != nil {
+		c.viewLeadership(v)
+	}
+	c.emit(Reply{RequestID: m.RequestID, Status: 200, Ops: v})
+}
+
+func (c *Core) viewConnectivity(v *OperatorView) {
+	for _, l := range c.connectivity.LinkViews(c.now) {
+		o := LinkView{l.Link, l.State, -1}
+		if l.Age >= 0 {
+			o.AgeS = float64(l.Age) / 1e6
+		}
+		v.Reach.Links = append(v.Reach.Links, o)
+	}
+	m := c.connectivity.Matrix()
+	v.Reach.Matrix = map[string]ConnectivityRowView{}
+	for name, row := range m {
+		v.Reach.Matrix[name] = ConnectivityRowView{row.Workers, m.Coverage(name), row.Peers, row.Cloud}
+		if c.connectivity.CannotReachMostZones(name) {
+			v.Conditions = append(v.Conditions, "controller "+name+" is cut off from workers that others reach")
+		}
+	}
+	if last := c.connectivity.LastHandover(); last.At != 0 {
+		v.Reach.SteppedAside = &LeadershipTransferView{last.To, last.Reason, float64(c.now-last.At) / 1e6}
+	}
+	slices.Sort(v.Conditions)
+}
+
+func (c *Core) viewLeadership(v *OperatorView) {
+	l := c.leadership
+	v.AnswersForS = float64(l.mayAnswerSince()+c.settings.LeaderAuthorityTime()-c.now) / 1e6
+	if c.now-l.provenByState() > readLeaseAfter {
+		silent := l.readLeases.StaleGrantors(c.now, readLeaseAfter)
+		for _, p := range sortedKeys(silent) {
+			since := "yet"
+			if silent[p] >= 0 {
+				since = fmt.Sprintf("for %d s", silent[p]/second)
+			}
+			v.Conditions = append(v.Conditions, "controller "+p+" has not vouched "+since+" for what it tells users: workers are answered for hold only")
+		}
+	}
+	v.CallsLeft = l.scaling.callBudget
+	if l.scaling.listFailedAt > l.scaling.listedAt {
+		v.Conditions = append(v.Conditions, "the cloud does not answer")
+	}
+	for _, m := range l.fleet.All() {
+		if i := c.partitions.Partition(m.Name); i < len(v.Partitions) {
+			v.Partitions[i].Machines++
+		}
+		switch {
+		case m.Draining || m.Releasing || m.ReclaimAt != 0:
+			v.Machines.Draining++
+		case m.Delivery.CannotReceive:
+			v.Machines.NotReceiving++
+		case !c.usable(m):
+			v.Machines.Silent++
+		case len(m.Placed) > 0:
+			v.Machines.Busy++
+		case m.Prefetch != nil:
+			v.Machines.Prefetching++
+		default:
+			v.Machines.Idle++
+		}
+	}
+	if n := v.Machines.NotReceiving; n > 0 {
+		v.Conditions = append(v.Conditions, fmt.Sprintf("%d machines report and do not hear what they are told", n))
+	}
+	v.Machines.Booting = len(l.scaling.booting)
+	v.Queues = make([]QueueView, queueCount)
+	for _, w := range l.waitingJobs {
+		q := &v.Queues[c.queueOf(w.spec)]
+		q.Waiting++
+		q.Tasks += w.tasks
+	}
+	for _, p := range l.pivots {
+		q := &v.Queues[p.queue]
+		if j := c.jobs[p.job]; j != nil && q.Pivot == "" {
+			q.Pivot, q.WaitsS = p.job, float64(c.now-j.ReadyAt)/1e6
+			q.Reason = c.whyWaiting(p)
+			if p.at > 0 {
+				q.StartsS = float64(max(0, p.at-c.now)) / 1e6
+			}
+		}
+	}
+	v.Conditions = append(v.Conditions, l.stuckQueues...)
+	slices.Sort(v.Conditions)
+}
+
+// whyWaiting says in words what a pivot waits for.
+func (c *Core) whyWaiting(p plannedPivot) string {
+	j := c.jobs[p.job]
+	if p.at != 0 {
+		return "for running tasks to end"
+	}
+	able := 0
+	for _, m := range c.leadership.fleet.All() {
+		if c.usable(m) && j.Allows(m.Type, m.Zone, m.Spot, m.Cap) {
+			able++
+		}
+	}
+	if able == 0 {
+		return "no machine that it may use is up"
+	}
+	return "too few machines that it may use are up"
+}
+
+// stuckAfter is when a pivot is reported as stuck, and how often again.
+const stuckAfter = 60 * second
+
+// stuckQueuesTick tells operators of queues that do not move, before users do.
+func (c *Core) stuckQueuesTick() {
+	l := c.leadership
+	if c.now-l.stuckCheckedAt < 10*second {
+		return
+	}
+	l.stuckCheckedAt = c.now
+	l.stuckQueues = l.stuckQueues[:0]
+	pivots := slices.Clone(l.pivots)
+	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
+	for _, p := range pivots {
+		j := c.jobs[p.job]
+		if j == nil || j.NumPlaced > 0 || c.now-j.ReadyAt < stuckAfter {
+			continue
+		}
+		why := c.whyWaiting(p)
+		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("queue %d: %s has waited %d s %s", p.queue, p.job, (c.now-j.ReadyAt)/second, why))
+		if c.now-l.stuckLoggedAt[p.job] >= stuckAfter {
+			l.stuckLoggedAt[p.job] = c.now
+			c.log.Info("queue does not move", "queue", p.queue, "job", p.job, "waits_s", (c.now-j.ReadyAt)/second, "why", why)
+		}
+	}
+	c.logLateDependencies()
+	for id := range l.stuckLoggedAt {
+		if c.jobs[id] == nil {
+			delete(l.stuckLoggedAt, id)
+		}
+	}
+}
+
+// maxLateDependencies bounds the pipelines that operators are told of at once.
+const maxLateDependencies = 5
+
+// logLateDependencies tells operators of pipelines that will miss their deadline by the
+// owners' estimates, before they do, and of the stage that holds each up.
+func (c *Core) logLateDependencies() {
+	l := c.leadership
+	var list []*jobstate.Job
+	for _, j := range c.jobs {
+		if j.Outcome == "" && !j.IsBlocked() && j.EffectiveDeadline != 0 && (len(j.Dependencies) > 0 || c.dependencyGraph.HasDependents(j)) && c.now+c.remainingTime(j) > j.EffectiveDeadline {
+			list = append(list, j)
+		}
+	}
+	slices.SortFunc(list, func(a, b *jobstate.Job) int {
+		return cmp.Or(cmp.Compare(a.EffectiveDeadline, b.EffectiveDeadline), cmp.Compare(a.ID, b.ID))
+	})
+	for _, j := range list[:min(len(list), maxLateDependencies)] {
+		last := c.dependencyGraph.DeadlineOwner(j)
+		how := "running"
+		if j.NumPlaced == 0 {
+			how = "queued"
+		}
+		late := (c.now + c.remainingTime(j) - j.EffectiveDeadline) / second
+		l.stuckQueues = append(l.stuckQueues, fmt.Sprintf("the pipeline to %s will be about %d s late: %s is %s, %d of %d tasks done", last.ID, late, j.ID, how, j.NumDone, j.Tasks))
+		if c.now-l.stuckLoggedAt[j.ID] >= stuckAfter {
+			l.stuckLoggedAt[j.ID] = c.now
+			c.log.Info("pipeline will be late", "job", last.ID, "held_by", j.ID, "late_s", late, "state", how, "done", j.NumDone, "tasks", j.Tasks)
+		}
+	}
+}
+
+// remainingTime is how long a job still takes by its owner's estimate, if all of
+// its tasks that wait start now.
+func (c *Core) remainingTime(j *jobstate.Job) int64 {
+	if j.Unplaced() > 0 {
+		return j.Estimate
+	}
+	var left int64
+	j.EachPlaced(func(_ int, t *jobstate.Task) {
+		begun := t.StartedAt
+		if begun == 0 {
+			begun = c.now
+		}
+		left = max(left, begun+j.Estimate-c.now)
+	})
+	return max(left, 0)
+}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -6,65 +6,65 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
-// peerView is what is known of a peer.
-type peerView struct {
-	at      int64 // when the ping was sent that it last answered
-	stateOK int64 // when, at the latest, the state service answered it
+// peerState is what is known of a peer.
+type peerState struct {
+	answeredAt      int64 // when the ping was sent that it last answered
+	stateAnsweredAt int64 // when, at the latest, the state service answered it
 }
 
-func (c *Core) onPinged(m Pinged) {
-	c.links.RecordInbound(m.From, c.now)
-	c.noteNewest(c.leader)
-	n := &PeerNews{Token: c.newest.Token, Leader: c.newest.Name, StateAge: c.stateAge(), Version: c.formatOf(), Features: c.activation.Features(), Lowered: c.lowered}
-	c.vouchFor(m, n)
-	if c.set.Ops.Reach {
-		v := c.links.LocalAdvertisement(c.now)
-		n.Reach = &v
-		if m.Need {
-			n.Machines = c.links.Workers.Machines()
+func (c *Core) onPingReceived(m PingReceived) {
+	c.connectivity.RecordInbound(m.From, c.now)
+	c.noteNewestLeader(c.leader)
+	n := &PeerStatus{FencingToken: c.newestLeader.Token, Leader: c.newestLeader.Name, StateAge: c.stateAge(), Version: c.writableFormat(), Features: c.activation.Features(), LimitsLowered: c.limitsLowered}
+	c.grantReadLease(m, n)
+	if c.settings.Ops.Reach {
+		v := c.connectivity.LocalAdvertisement(c.now)
+		n.Connectivity = &v
+		if m.NeedMachines {
+			n.Machines = c.connectivity.Workers.Machines()
 		}
 	}
-	c.emit(Reply{Req: m.Req, Status: 200, News: n})
+	c.emit(Reply{RequestID: m.RequestID, Status: 200, PeerStatus: n})
 }
 
-func (c *Core) noteNewest(v leaderValue) {
-	if v.Token > c.newest.Token {
-		c.newest = v
+func (c *Core) noteNewestLeader(v leaderRecord) {
+	if v.Token > c.newestLeader.Token {
+		c.newestLeader = v
 	}
 }
 
-func (c *Core) onPeerSeen(m PeerSeen) {
-	c.links.RecordPing(m.Peer, m.Sent, c.now, m.OK, m.News.Reach)
-	for _, x := range m.News.Machines {
-		c.links.Workers.Add(x, c.now)
+func (c *Core) onPeerPinged(m PeerPinged) {
+	c.connectivity.RecordPing(m.Peer, m.SentAt, c.now, m.OK, m.Status.Connectivity)
+	for _, x := range m.Status.Machines {
+		c.connectivity.Workers.Add(x, c.now)
 	}
 	if !m.OK {
 		return
 	}
-	v := c.peers[m.Peer]
-	if m.Sent < v.at {
+	v := c.peerStates[m.Peer]
+	if m.SentAt < v.answeredAt {
 		return
 	}
-	v.at = m.Sent
-	c.activation.RecordPing(m.Peer, m.Sent, m.News.Version, m.News.Features)
-	if m.News.Lowered {
-		c.lower("a peer says so")
-	}
-	v.stateOK = m.Sent - m.News.StateAge
-	c.peers[m.Peer] = v
-	c.witness.HandleAck(m.Peer, m.Sent, m.News.Ack)
-	c.releaseAnswers()
-	c.noteNewest(leaderValue{Name: m.News.Leader, Token: m.News.Token})
-	if c.lead == nil {
+	v.answeredAt = m.SentAt
+	c.activation.RecordPing(m.Peer, m.SentAt, m.Status.Version, m.Status.Features)
+	if m.Status.LimitsLowered {
+		c.lowerLimits("a peer says so")
+	}
+	v.stateAnsweredAt = m.SentAt - m.Status.StateAge
+	c.peerStates[m.Peer] = v
+	c.readLeaseGrantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
+	c.releaseHeldReplies()
+	c.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
+	if c.leadership == nil {
 		return
 	}
-	if m.News.Token > c.lead.token {
+	if m.Status.FencingToken > c.leadership.token {
 		// The state service may refuse this controller alone. A token is
 		// raised by nothing but a take-over, so this is proof.
 		c.stepDown("a peer knows of a newer leader")
 		return
 	}
-	c.heardOut(m)
+	c.readLeaseAnswered(m)
 }
 
 // Refusal is an error by which the other side has answered.
@@ -79,89 +79,89 @@
 	return connectivity.NoResponse
 }
 
-// stateAnswered notes how a request to the state service has ended.
-func (c *Core) stateAnswered(side *connectivity.Link, err error) {
+// noteStateResult notes how a request to the state service has ended.
+func (c *Core) noteStateResult(side *connectivity.Link, err error) {
 	if err == nil {
-		c.stateOK = c.now
+		c.stateAnsweredAt = c.now
 		side.RecordSuccess(c.now, c.now)
 	} else {
-		c.stateBad = c.now
+		c.stateFailedAt = c.now
 		side.RecordFailure(c.now, c.now, faultOf(err))
-		c.askAll()
+		c.pingAll()
 	}
 }
 
-// noteWrite notes how a transaction has ended. One that was refused for its rate
+// noteTransactionResult notes how a transaction has ended. One that was refused for its rate
 // or its size says nothing of the link.
-func (c *Core) noteWrite(m Committed) {
-	w := &c.links.Writes
+func (c *Core) noteTransactionResult(m Committed) {
+	w := &c.connectivity.Writes
 	switch m.Status {
 	case 200, 409:
-		c.stateOK = c.now
+		c.stateAnsweredAt = c.now
 		w.RecordSuccess(c.now, c.now)
-		c.noteRevision(m.Revision)
+		c.noteAnnouncedRevision(m.Revision)
 	case 0:
-		c.stateBad = c.now
+		c.stateFailedAt = c.now
 		w.RecordFailure(c.now, c.now, connectivity.NoResponse)
-		c.askAll()
+		c.pingAll()
 	default:
-		c.stateBad = c.now
+		c.stateFailedAt = c.now
 		if m.Status == 503 {
 			w.RecordFailure(c.now, c.now, connectivity.Refused)
 		}
-		c.askAll()
+		c.pingAll()
 	}
 }
 
-// noteRevision notes a revision that the state service has told of. A watch that
+// noteAnnouncedRevision notes a revision that the state service has told of. A watch that
 // does not bring it is silent, however well requests are answered.
-func (c *Core) noteRevision(rev uint64) {
-	if rev <= max(c.applied, c.behind) {
+func (c *Core) noteAnnouncedRevision(rev uint64) {
+	if rev <= max(c.appliedRevision, c.announcedRevision) {
 		return
 	}
-	if c.behind <= c.applied {
-		c.behindAt = c.now
+	if c.announcedRevision <= c.appliedRevision {
+		c.announcedAt = c.now
 	}
-	c.behind = rev
+	c.announcedRevision = rev
 }
 
-// watchLate is how long a watch may take to bring a change that is known of.
-const watchLate = 600_000
+// maxWatchDelay is how long a watch may take to bring a change that is known of.
+const maxWatchDelay = 600_000
 
-// watchTick reads what a silent watch keeps back: a leader that learned of jobs
+// watchdogTick reads what a silent watch keeps back: a leader that learned of jobs
 // by it alone would leave them waiting for as long as the connection is held.
-func (c *Core) watchTick() {
-	if !c.synced || c.behind <= c.applied || c.now-c.behindAt < watchLate || !c.watching {
+func (c *Core) watchdogTick() {
+	if !c.synced || c.announcedRevision <= c.appliedRevision || c.now-c.announcedAt < maxWatchDelay || !c.watching {
 		return
 	}
-	c.behindAt = c.now
-	c.links.Watch.RecordFailure(c.now, c.now, connectivity.NoResponse)
-	c.emit(View{After: c.applied})
+	c.announcedAt = c.now
+	c.connectivity.Watch.RecordFailure(c.now, c.now, connectivity.NoResponse)
+	c.emit(ReadState{AfterRevision: c.appliedRevision})
 }
 
-// stateLost says that the state service has not answered for a while.
-func (c *Core) stateLost() bool {
-	return c.stateBad > c.stateOK && c.now-c.stateOK > 1500_000
+// stateUnavailable says that the state service has not answered for a while.
+func (c *Core) stateUnavailable() bool {
+	return c.stateFailedAt > c.stateAnsweredAt && c.now-c.stateAnsweredAt > 1500_000
 }
 
 // stateAge is how long the state service is known not to answer.
 func (c *Core) stateAge() int64 {
-	if c.stateBad <= c.stateOK {
+	if c.stateFailedAt <= c.stateAnsweredAt {
 		return 0
 	}
-	return c.now - c.stateOK
+	return c.now - c.stateAnsweredAt
 }
 
-// forward hands a request on to a peer that the state service answers. A
+// forwardToPeer hands a request on to a peer that the state service answers. A
 // request that was handed on is not handed on again.
-func (c *Core) forward(a *ask) bool {
-	if a.handed {
+func (c *Core) forwardToPeer(a *request) bool {
+	if a.forwarded {
 		return false
 	}
 	best := ""
-	for _, p := range c.set.Peers {
-		v := c.peers[p]
-		if c.links.PeerUp(p, c.now) && c.now-v.stateOK < 3*second && (best == "" || v.stateOK > c.peers[best].stateOK) {
+	for _, p := range c.settings.Peers {
+		v := c.peerStates[p]
+		if c.connectivity.PeerUp(p, c.now) && c.now-v.stateAnsweredAt < 3*second && (best == "" || v.stateAnsweredAt > c.peerStates[best].stateAnsweredAt) {
 			best = p
 		}
 	}
@@ -170,30 +170,30 @@
 	}
 	var r any
 	switch a.kind {
-	case askSubmit:
-		r = Submit{Spec: a.spec, Handed: true}
-	case askCancel:
-		r = Cancel{ID: a.id, Handed: true}
-	case askSweepSubmit:
-		r = HandedSweep{ID: a.id, Stored: a.sweep.Stored, Invalid: a.sweep.Invalid}
-	case askSweepStatus:
-		r = SweepStatus{ID: a.id, Handed: true}
-	case askSweepRuns:
-		r = SweepRuns{ID: a.id, After: a.after, Most: a.most, Handed: true}
-	case askSweepCancel:
-		r = CancelSweep{ID: a.id, Handed: true}
+	case requestSubmit:
+		r = SubmitJob{Spec: a.spec, Forwarded: true}
+	case requestCancel:
+		r = CancelJob{ID: a.jobID, Forwarded: true}
+	case requestSweepSubmit:
+		r = ForwardedSweep{ID: a.jobID, Stored: a.sweep.Stored, Invalid: a.sweep.Invalid}
+	case requestSweepStatus:
+		r = QuerySweep{ID: a.jobID, Forwarded: true}
+	case requestSweepRuns:
+		r = ListSweepRuns{ID: a.jobID, After: a.after, Limit: a.limit, Forwarded: true}
+	case requestSweepCancel:
+		r = CancelSweep{ID: a.jobID, Forwarded: true}
 	default:
-		r = Status{ID: a.id, Handed: true}
+		r = QueryJob{ID: a.jobID, Forwarded: true}
 	}
-	c.emit(Forward{Req: a.req, To: best, Request: r})
+	c.emit(ForwardRequest{RequestID: a.id, To: best, Request: r})
 	return true
 }
 
-func (c *Core) onForwarded(m Forwarded) {
+func (c *Core) onRequestForwarded(m RequestForwarded) {
 	r := m.Answer
 	if m.Err != nil {
-		r = unavailable
+		r = stateUnavailableReply
 	}
-	r.Req = m.Req
+	r.RequestID = m.RequestID
 	c.emit(r)
 }
