--- a/internal/core/pages.go
+++ b/internal/core/progresslog.go
@@ -11,13 +11,13 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// page is a value of the log of progress and what the leader keeps of it.
-type page struct {
+// logPage is a value of the log of progress and what the leader keeps of it.
+type logPage struct {
 	jobstate.LogPage
-	n int
-	// refs are the chunks whose stored values lack entries that stand here; the
+	number int
+	// unfoldedChunks are the chunks whose stored values lack entries that stand here; the
 	// page is needed for as long as there are any.
-	refs map[chunkRef]struct{}
+	unfoldedChunks map[chunkRef]struct{}
 	// newest has the newest entry of each task here, size about how long the
 	// value is, names whose names it has.
 	newest map[taskRef]int
@@ -35,9 +35,9 @@
 	task int
 }
 
-// logBytes is how much of the log is kept before its oldest page is folded
+// maxLogBytes is how much of the log is kept before its oldest page is folded
 // into the values of the chunks that it tells of.
-const logBytes = 128 << 10
+const maxLogBytes = 128 << 10
 
 // pageKey sorts by number.
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
@@ -49,17 +49,17 @@
 		bad(err)
 		return
 	}
-	if c.lead != nil {
+	if c.leadership != nil {
 		return // the leader is the one that writes these
 	}
-	i, had := slices.BinarySearchFunc(c.pages, n, func(p *page, n int) int { return cmp.Compare(p.n, n) })
+	i, had := slices.BinarySearchFunc(c.progressLog, n, func(p *logPage, n int) int { return cmp.Compare(p.number, n) })
 	if ch.Removed {
 		if had {
-			c.pages = slices.Delete(c.pages, i, i+1)
+			c.progressLog = slices.Delete(c.progressLog, i, i+1)
 		}
 		return
 	}
-	if had && c.pages[i].Revision >= ch.Revision {
+	if had && c.progressLog[i].Revision >= ch.Revision {
 		return
 	}
 	p, err := jobstate.DecodeLogPage(ch.Value)
@@ -70,15 +70,15 @@
 	p.Revision = ch.Revision
 	from := 0
 	if had {
-		from = len(c.pages[i].Entries)
-		c.pages[i].LogPage = p
+		from = len(c.progressLog[i].Entries)
+		c.progressLog[i].LogPage = p
 	} else {
-		c.pages = slices.Insert(c.pages, i, &page{LogPage: p, n: n})
+		c.progressLog = slices.Insert(c.progressLog, i, &logPage{LogPage: p, number: n})
 	}
 	for k := from; k < len(p.Entries); k++ {
 		if j := c.jobs[p.Entries[k].Job]; j != nil {
 			j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
-			c.recall.placed(p.Entries[k].Machine, j)
+			c.imageHistory.placed(p.Entries[k].Machine, j)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // reapply goes through the log again for a job of which something older was
 // read after it.
 func (c *Core) reapply(j *jobstate.Job) {
-	for _, p := range c.pages {
+	for _, p := range c.progressLog {
 		for k := range p.Entries {
 			if p.Entries[k].Job == j.ID {
 				j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), c.now)
@@ -95,42 +95,42 @@
 	}
 }
 
-// openLog is called when this controller begins to lead, and when chunks are
+// openProgressLog is called when this controller begins to lead, and when chunks are
 // split: it finds out what each page is needed for.
-func (c *Core) openLog() {
-	l := c.lead
-	for _, p := range c.pages {
-		p.refs = map[chunkRef]struct{}{}
+func (c *Core) openProgressLog() {
+	l := c.leadership
+	for _, p := range c.progressLog {
+		p.unfoldedChunks = map[chunkRef]struct{}{}
 		for k := range p.Entries {
 			if j := c.jobs[p.Entries[k].Job]; j != nil && j.Task(p.Entries[k].Task) != nil {
-				p.refs[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
+				p.unfoldedChunks[chunkRef{j, p.Entries[k].Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
-		l.seq = max(l.seq, p.NextSeq())
+		l.nextLogEntry = max(l.nextLogEntry, p.NextSeq())
 	}
 	for _, j := range c.jobs {
 		for n := range j.NumChunks() {
-			l.seq = max(l.seq, j.FirstUnstoredSeq(n))
+			l.nextLogEntry = max(l.nextLogEntry, j.FirstUnstoredSeq(n))
 		}
 	}
 }
 
 // newPage begins the page that is written to next. One of an earlier leader is
 // never gone on with.
-func (c *Core) newPage() *page {
+func (c *Core) newPage() *logPage {
 	n := 1
-	if len(c.pages) > 0 {
-		n = c.pages[len(c.pages)-1].n + 1
+	if len(c.progressLog) > 0 {
+		n = c.progressLog[len(c.progressLog)-1].number + 1
 	}
-	p := &page{LogPage: jobstate.LogPage{FirstSeq: c.lead.seq}, n: n, refs: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
-	c.pages = append(c.pages, p)
-	c.lead.tail = p
+	p := &logPage{LogPage: jobstate.LogPage{FirstSeq: c.leadership.nextLogEntry}, number: n, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+	c.progressLog = append(c.progressLog, p)
+	c.leadership.logTail = p
 	return p
 }
 
 // append enters changes of a chunk, or nothing if they don't fit. An entry that
 // was once sent stays, as the write may have been, or may yet be, executed.
-func (p *page) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
+func (p *logPage) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
 	had := len(p.Entries)
 	for _, e := range entries {
 		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
@@ -159,14 +159,14 @@
 		p.newest[taskRef{e.Job, e.Task}] = k
 		p.names[e.Machine], p.names[e.Job] = struct{}{}, struct{}{}
 	}
-	p.refs[ref] = struct{}{}
+	p.unfoldedChunks[ref] = struct{}{}
 	return true
 }
 
 // pageWrites are the pages of a transaction that is being put together.
 type pageWrites struct {
 	c     *Core
-	pages []*page
+	pages []*logPage
 }
 
 // ops is how many writes they take.
@@ -176,7 +176,7 @@
 // much room for writes.
 func (w *pageWrites) append(j *jobstate.Job, n, room int) (version uint64, ok bool) {
 	c := w.c
-	if !c.joined() {
+	if !c.logEnabled() {
 		return 0, false
 	}
 	entries, whole := j.ChangedEntries(n)
@@ -184,7 +184,7 @@
 		return 0, false
 	}
 	ref, limit := chunkRef{j, n}, c.valueLimit()
-	p := c.lead.tail
+	p := c.leadership.logTail
 	if p == nil {
 		p = c.newPage()
 	}
@@ -203,13 +203,13 @@
 	if !begun {
 		w.pages = append(w.pages, p)
 	}
-	c.lead.seq = p.NextSeq()
+	c.leadership.nextLogEntry = p.NextSeq()
 	return j.BeginLogWrite(n), true
 }
 
 func (w *pageWrites) add(add func(Write, Cond)) {
 	for _, p := range w.pages {
-		add(Write{Key: pageKey(p.n), Value: p.Encode()}, kv.RevisionIs(pageKey(p.n), p.Revision))
+		add(Write{Key: pageKey(p.number), Value: p.Encode()}, kv.RevisionIs(pageKey(p.number), p.Revision))
 	}
 }
 
@@ -219,39 +219,39 @@
 	}
 }
 
-// garbage are the keys that a transaction removes because nothing needs them.
-type garbage struct {
+// logGarbage are the keys that a transaction removes because nothing needs them.
+type logGarbage struct {
 	c     *Core
 	pages int
 	runs  map[string][]jobstate.ChunkRef
 }
 
 // addGarbage fills up a transaction with removals, if writes can be spared.
-func (c *Core) addGarbage(room int, scarce bool, add func(Write, Cond)) *garbage {
-	g := &garbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
-	if !c.joined() || c.now < c.lead.keepUntil {
+func (c *Core) addGarbage(room int, scarce bool, add func(Write, Cond)) *logGarbage {
+	g := &logGarbage{c: c, runs: map[string][]jobstate.ChunkRef{}}
+	if !c.logEnabled() || c.now < c.leadership.keepGarbageUntil {
 		return g
 	}
 	if scarce {
 		room = min(room, 1)
 	}
-	for ; g.pages < c.lead.unneeded && room > 0; room-- {
-		p := c.pages[g.pages]
-		add(Write{Key: pageKey(p.n)}, kv.RevisionIs(pageKey(p.n), p.Revision))
+	for ; g.pages < c.leadership.unneededPages && room > 0; room-- {
+		p := c.progressLog[g.pages]
+		add(Write{Key: pageKey(p.number)}, kv.RevisionIs(pageKey(p.number), p.Revision))
 		g.pages++
 	}
 	if scarce {
 		return g
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.orphaned)) {
+	for _, id := range slices.Sorted(maps.Keys(c.orphanedChunks)) {
 		if c.jobs[id] != nil {
 			continue
 		}
-		for v, ch := range c.orphaned[id] {
+		for v, ch := range c.orphanedChunks[id] {
 			if room <= 0 {
 				return g
 			}
-			add(Write{Key: runKey(id, v)}, kv.RevisionIs(runKey(id, v), ch.Revision))
+			add(Write{Key: chunkKey(id, v)}, kv.RevisionIs(chunkKey(id, v), ch.Revision))
 			g.runs[id] = append(g.runs[id], v)
 			room--
 		}
@@ -259,58 +259,58 @@
 	return g
 }
 
-func (g *garbage) done() {
+func (g *logGarbage) done() {
 	c := g.c
-	c.pages = slices.Delete(c.pages, 0, g.pages)
-	c.lead.unneeded -= g.pages
+	c.progressLog = slices.Delete(c.progressLog, 0, g.pages)
+	c.leadership.unneededPages -= g.pages
 	for id, values := range g.runs {
 		for _, v := range values {
-			c.noteOrphan(id, v, 0)
+			c.setOrphanedRevision(id, v, 0)
 		}
 	}
 }
 
-// noteOrphan sets the version of a value without its job, 0 for none.
-func (c *Core) noteOrphan(id string, v jobstate.ChunkRef, stamp uint64) {
-	m := c.orphaned[id]
+// setOrphanedRevision sets the version of a value without its job, 0 for none.
+func (c *Core) setOrphanedRevision(id string, v jobstate.ChunkRef, stamp uint64) {
+	m := c.orphanedChunks[id]
 	if m == nil {
 		return
 	}
 	if stamp != 0 {
 		m[v] = Change{Revision: stamp}
 	} else if delete(m, v); len(m) == 0 {
-		delete(c.orphaned, id)
+		delete(c.orphanedChunks, id)
 	}
 }
 
-// lacks says that the stored value of a chunk does not have all of a page's
+// lacksEntries says that the stored value of a chunk does not have all of a page's
 // entries, and that its job is still there to need them.
-func (c *Core) lacks(r chunkRef, p *page) bool {
+func (c *Core) lacksEntries(r chunkRef, p *logPage) bool {
 	return c.jobs[r.job.ID] == r.job && r.job.FirstUnstoredSeq(r.chunk) < p.NextSeq()
 }
 
-// logTick finds the pages that nothing needs any more, and folds the oldest
+// progressLogTick finds the pages that nothing needs any more, and folds the oldest
 // when there are too many.
-func (c *Core) logTick() {
-	l := c.lead
-	l.unneeded = 0
-	for i, p := range c.pages {
-		for r := range p.refs {
-			if !c.lacks(r, p) {
-				delete(p.refs, r)
+func (c *Core) progressLogTick() {
+	l := c.leadership
+	l.unneededPages = 0
+	for i, p := range c.progressLog {
+		for r := range p.unfoldedChunks {
+			if !c.lacksEntries(r, p) {
+				delete(p.unfoldedChunks, r)
 			}
 		}
-		if p == l.tail || len(p.refs) > 0 {
+		if p == l.logTail || len(p.unfoldedChunks) > 0 {
 			break // they go in their order
 		}
-		l.unneeded = i + 1
+		l.unneededPages = i + 1
 	}
-	most := max(8, logBytes/max(c.valueLimit(), 1))
-	for i := range c.pages[:max(0, len(c.pages)-most)] {
-		for r := range c.pages[i].refs {
-			if c.lacks(r, c.pages[i]) {
+	most := max(8, maxLogBytes/max(c.valueLimit(), 1))
+	for i := range c.progressLog[:max(0, len(c.progressLog)-most)] {
+		for r := range c.progressLog[i].unfoldedChunks {
+			if c.lacksEntries(r, c.progressLog[i]) {
 				r.job.CompactChunk(r.chunk, c.now)
-				c.mark(r.job)
+				c.markDirty(r.job)
 			}
 		}
 	}
--- a/internal/core/inorder.go
+++ b/internal/core/sortedkeys.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// inOrder are the keys of a map for loops that decide or send something: two
+// sortedKeys are the keys of a map for loops that decide or send something: two
 // controllers, and two runs of one day, have to do the same in the same order.
 // (Days in fake time differed by the order of a few answers, and by the last
 // bit of a sum.)
-func inOrder[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -22,10 +22,10 @@
 // order, a few at a time; how far that has come is stored with each step. One
 // key, created once, says how it ended. docs/sweeps.md has the reasons.
 const (
-	sweepRoot      = Prefix + "sweep"
-	sweepPrefix    = sweepRoot + "/"    // ID: the head; ID/N: a part of the description
-	sweepAtPrefix  = sweepRoot + "at/"  // ID: how far the runs have come
-	sweepEndPrefix = sweepRoot + "end/" // ID: how it ended
+	sweepRoot           = Prefix + "sweep"
+	sweepPrefix         = sweepRoot + "/"    // ID: the head; ID/N: a part of the description
+	sweepPositionPrefix = sweepRoot + "at/"  // ID: how far the runs have come
+	sweepEndPrefix      = sweepRoot + "end/" // ID: how it ended
 	// RunPrefix begins the ids of all runs, and of no other job.
 	RunPrefix = "sweep."
 )
@@ -48,41 +48,41 @@
 	// SubmitSweep is a sweep that was expanded; Stored is its description as it
 	// is to be stored, without characters that JSON escapes.
 	SubmitSweep struct {
-		Req    uint64
-		Plan   *SweepPlan
-		Stored string
+		RequestID uint64
+		Plan      *SweepPlan
+		Stored    string
 		// Invalid is set if there is only an id.
 		Invalid string
-		// Handed: a peer has handed the request on, as with the others.
-		Handed bool
+		// Forwarded: a peer has handed the request on, as with the others.
+		Forwarded bool
 	}
-	// HandedSweep is a submitted sweep on its way to a peer: what was expanded
+	// ForwardedSweep is a submitted sweep on its way to a peer: what was expanded
 	// here is expanded again there, as the runs are much longer than what
 	// describes them.
-	HandedSweep struct{ ID, Stored, Invalid string }
-	// SweepStatus asks for a sweep's state, SweepRuns for some of its runs.
-	SweepStatus struct {
-		Req    uint64
-		ID     string
-		Handed bool
-	}
-	// SweepRuns asks for at most Most runs from number After on.
-	SweepRuns struct {
-		Req         uint64
-		ID          string
-		After, Most int
-		Handed      bool
+	ForwardedSweep struct{ ID, Stored, Invalid string }
+	// QuerySweep asks for a sweep's state, ListSweepRuns for some of its runs.
+	QuerySweep struct {
+		RequestID uint64
+		ID        string
+		Forwarded bool
+	}
+	// ListSweepRuns asks for at most Most runs from number After on.
+	ListSweepRuns struct {
+		RequestID    uint64
+		ID           string
+		After, Limit int
+		Forwarded    bool
 	}
 	// CancelSweep asks to withdraw a sweep.
 	CancelSweep struct {
-		Req    uint64
-		ID     string
-		Handed bool
-	}
-	// Expand asks for the plan of a stored description.
-	Expand struct{ ID, Stored string }
-	// Expanded answers it.
-	Expanded struct {
+		RequestID uint64
+		ID        string
+		Forwarded bool
+	}
+	// ExpandSweep asks for the plan of a stored description.
+	ExpandSweep struct{ ID, Stored string }
+	// SweepExpanded answers it.
+	SweepExpanded struct {
 		ID   string
 		Plan *SweepPlan
 		Err  error
@@ -108,8 +108,8 @@
 
 // The states of runs that are not jobs' states.
 const (
-	RunPlanned = "planned" // it is not created yet
-	RunEnded   = "ended"   // it has ended, and this controller is about to learn how
+	RunStatePlanned = "planned" // it is not created yet
+	RunStateEnded   = "ended"   // it has ended, and this controller is about to learn how
 )
 
 type sweepHead struct {
@@ -120,69 +120,69 @@
 	Submitted int64  `json:"t"`
 }
 
-// sweepAt is how far a sweep has come: runs before Next are created, and of
+// sweepPosition is how far a sweep has come: runs before Next are created, and of
 // these all have ended and are counted but the open ones.
-type sweepAt struct {
+type sweepPosition struct {
 	Next   int    `json:"n"`
 	Open   string `json:"o,omitempty"`
 	Closed bool   `json:"c,omitempty"`
 }
 
-// sweepGone are the counted runs that are not done, in a value of its own, as
-// both would not fit the smallest one. It is written with sweepAt where it changed.
-type sweepGone struct {
+// sweepWithdrawn are the counted runs that are not done, in a value of its own, as
+// both would not fit the smallest one. It is written with sweepPosition where it changed.
+type sweepWithdrawn struct {
 	Runs string `json:"r"`
 }
 
-const goneKey = "/gone"
+const decommissionedRunsSuffix = "/gone"
 
-type sweepEnd struct {
+type sweepEndRecord struct {
 	Outcome string `json:"o"`
 	At      int64  `json:"t"`
 }
 
 // sweep is what a controller knows of one.
 type sweep struct {
-	id    string
-	head  sweepHead
-	stamp uint64 // of the head, 0 until it is known
-	parts map[int]string
-	// next, ended and gone are sweepAt's; the leader's may be ahead of what is
+	id           string
+	head         sweepHead
+	headRevision uint64 // of the head, 0 until it is known
+	parts        map[int]string
+	// next, ended and gone are sweepPosition's; the leader's may be ahead of what is
 	// stored under the version at.
-	next        int
-	ended, gone *roaring.Bitmap
-	goneStored  uint64 // how many of gone are stored
-	at          uint64
-	closed      bool
-	counted     int64 // since when a count waits to be stored, 0 for none
-	outcome     string
-	// told: it is known to be cancelled, but perhaps not yet what was stored
+	next              int
+	ended, withdrawn  *roaring.Bitmap
+	withdrawnStored   uint64 // how many of gone are stored
+	positionRevision  uint64
+	closed            bool
+	countPendingSince int64 // since when a count waits to be stored, 0 for none
+	outcome           string
+	// cancelConfirmed: it is known to be cancelled, but perhaps not yet what was stored
 	// before; nothing of it is started any more.
-	told      bool
-	plan      *SweepPlan
-	expanding bool
-	broken    string // why nothing more is created
-	flying    bool
-	notBefore int64
-	asks      []*ask // for the plan
+	cancelConfirmed bool
+	plan            *SweepPlan
+	expanding       bool
+	stoppedReason   string // why nothing more is created
+	writing         bool
+	notBefore       int64
+	planRequests    []*request // for the plan
 }
 
 // Bounds of the work on sweeps.
 const (
-	sweepGap     = 200_000
-	sweepCounts  = 5 * second // how long a count may wait for a write of its own
-	sweepReserve = 0.4        // of the leader's writes in a second, left to all else
-	maxPage      = 200
-	maxAskPlan   = 100
+	sweepGap        = 200_000
+	sweepCountDelay = 5 * second // how long a count may wait for a write of its own
+	sweepReserve    = 0.4        // of the leader's writes in a second, left to all else
+	maxSweepPage    = 200
+	maxPlanRequests = 100
 )
 
-func (c *Core) sweeping() bool { return c.activation.Enabled(upgrade.Sweeps) }
+func (c *Core) sweepsEnabled() bool { return c.activation.Enabled(upgrade.Sweeps) }
 
 // sweep finds a sweep, or makes what is to be filled by the keys that are read.
 func (c *Core) sweep(id string) *sweep {
 	s := c.sweeps[id]
 	if s == nil {
-		s = &sweep{id: id, parts: map[int]string{}, ended: roaring.New(), gone: roaring.New()}
+		s = &sweep{id: id, parts: map[int]string{}, ended: roaring.New(), withdrawn: roaring.New()}
 		c.sweeps[id] = s
 	}
 	return s
@@ -190,7 +190,7 @@
 
 // knownSweep finds an accepted sweep, or nil.
 func (c *Core) knownSweep(id string) *sweep {
-	if s := c.sweeps[id]; s != nil && s.stamp != 0 {
+	if s := c.sweeps[id]; s != nil && s.headRevision != 0 {
 		return s
 	}
 	return nil
@@ -224,37 +224,37 @@
 		}
 	case kind == "sweep":
 		if read(&s.head) {
-			s.stamp = ch.Revision
+			s.headRevision = ch.Revision
 		}
 	case kind == "sweepat" && part:
-		var g sweepGone
+		var g sweepWithdrawn
 		if !read(&g) {
 			return
 		}
-		b, err := unpackSet(g.Runs)
+		b, err := decodeBitmap(g.Runs)
 		if err != nil {
 			bad(err)
 			return
 		}
-		s.gone.Or(b)
-		s.goneStored = max(s.goneStored, b.GetCardinality())
+		s.withdrawn.Or(b)
+		s.withdrawnStored = max(s.withdrawnStored, b.GetCardinality())
 	case kind == "sweepat":
-		var at sweepAt
-		if ch.Revision <= s.at || !read(&at) {
+		var at sweepPosition
+		if ch.Revision <= s.positionRevision || !read(&at) {
 			return
 		}
 		c.mergeSweep(s, at, ch.Revision, bad)
 	case kind == "sweepend":
-		var e sweepEnd
+		var e sweepEndRecord
 		if read(&e) {
-			c.noteSweepEnd(id, e.Outcome, ch.Revision)
+			c.sweepEnded(id, e.Outcome, ch.Revision)
 		}
 	}
 }
 
 // mergeSweep takes stored progress over; all of it only ever grows.
-func (c *Core) mergeSweep(s *sweep, at sweepAt, stamp uint64, bad func(error)) {
-	open, err := unpackSet(at.Open)
+func (c *Core) mergeSweep(s *sweep, at sweepPosition, stamp uint64, bad func(error)) {
+	open, err := decodeBitmap(at.Open)
 	if err != nil {
 		bad(err)
 		return
@@ -263,7 +263,7 @@
 	b.AddRange(0, uint64(at.Next))
 	b.AndNot(open)
 	s.ended.Or(b)
-	s.next, s.at = max(s.next, at.Next), stamp
+	s.next, s.positionRevision = max(s.next, at.Next), stamp
 	if at.Closed {
 		c.closeSweep(s)
 	}
@@ -275,15 +275,15 @@
 	s.parts, s.plan = map[int]string{}, nil
 }
 
-// noteSweepEnd notes how a sweep has ended.
-func (c *Core) noteSweepEnd(id, outcome string, rev uint64) {
+// sweepEnded notes how a sweep has ended.
+func (c *Core) sweepEnded(id, outcome string, rev uint64) {
 	s := c.sweep(id)
 	if outcome == jobstate.Cancelled {
-		c.witness.RecordCancellation(toldSweep+id, rev)
+		c.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+id, rev)
 	}
 	if s.outcome == "" {
 		s.outcome = outcome
-		c.endRuns = c.endRuns || outcome == jobstate.Cancelled
+		c.mayHaveOpenRuns = c.mayHaveOpenRuns || outcome == jobstate.Cancelled
 	}
 }
 
@@ -295,31 +295,31 @@
 // a run whose end was stored before its sweep was cancelled is done, and a list,
 // a key that was read or another's word would miss that.
 func (c *Core) endCancelledRuns() {
-	if !c.endRuns {
+	if !c.mayHaveOpenRuns {
 		return
 	}
-	c.endRuns = false
-	for _, id := range inOrder(c.jobs) {
+	c.mayHaveOpenRuns = false
+	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
 		if j.Sweep == "" || j.Outcome != "" {
 			continue
 		}
 		if s := c.sweeps[j.Sweep]; s != nil && s.outcome == jobstate.Cancelled {
-			c.derive(j)
+			c.deriveEnd(j)
 		}
 	}
 }
 
-// sweepTold is called when a sweep is known to be cancelled but the mirror may
+// noteSweepCancelled is called when a sweep is known to be cancelled but the mirror may
 // lag: its tasks are stopped, and none is started.
-func (c *Core) sweepTold(id string) {
+func (c *Core) noteSweepCancelled(id string) {
 	s := c.sweep(id)
-	if s.told || s.outcome != "" {
+	if s.cancelConfirmed || s.outcome != "" {
 		return
 	}
-	s.told = true
-	c.emit(View{After: c.applied})
-	if c.lead == nil {
+	s.cancelConfirmed = true
+	c.emit(ReadState{AfterRevision: c.appliedRevision})
+	if c.leadership == nil {
 		return
 	}
 	for _, j := range c.jobs {
@@ -328,10 +328,10 @@
 		}
 		j.EachPlaced(func(i int, t *jobstate.Task) {
 			if !t.StartSent {
-				c.clear(j, i)
+				c.clearPlacement(j, i)
 				return
 			}
-			c.stop(j, i, stopSweep, 0)
+			c.requestStop(j, i, stopSweep, 0)
 		})
 	}
 }
@@ -339,19 +339,19 @@
 // stopSweep is why tasks of a sweep that is known to be cancelled are stopped.
 const stopSweep = "sweep"
 
-// untold says that nothing speaks against starting a job's tasks.
-func (c *Core) untold(j *jobstate.Job) bool {
+// endIsUnconfirmed says that nothing speaks against starting a job's tasks.
+func (c *Core) endIsUnconfirmed(j *jobstate.Job) bool {
 	if j.Sweep == "" {
 		return true
 	}
 	s := c.sweeps[j.Sweep]
-	return s == nil || !s.told
+	return s == nil || !s.cancelConfirmed
 }
 
-// dropSweeps is called before the stored state is read anew.
-func (c *Core) dropSweeps() {
-	for _, id := range inOrder(c.sweeps) {
-		for _, a := range c.sweeps[id].asks {
+// resetSweeps is called before the stored state is read anew.
+func (c *Core) resetSweeps() {
+	for _, id := range sortedKeys(c.sweeps) {
+		for _, a := range c.sweeps[id].planRequests {
 			c.refuse(a)
 		}
 	}
@@ -359,14 +359,14 @@
 }
 
 func (c *Core) onSubmitSweep(m SubmitSweep) {
-	a := &ask{req: m.Req, id: m.Plan.ID, kind: askSweepSubmit, since: c.now, sweep: &m, handed: m.Handed}
+	a := &request{id: m.RequestID, jobID: m.Plan.ID, kind: requestSweepSubmit, receivedAt: c.now, sweep: &m, forwarded: m.Forwarded}
 	refuse := func(status int, why string) {
 		a.refusal = Reply{Status: status, Error: why}
-		c.wait(a)
+		c.waitForRead(a)
 	}
 	switch {
-	case !c.set.Ops.Sweeps:
-		c.emit(Reply{Req: m.Req, Status: 404, Error: "sweeps are switched off"})
+	case !c.settings.Ops.Sweeps:
+		c.emit(Reply{RequestID: m.RequestID, Status: 404, Error: "sweeps are switched off"})
 		return
 	case !c.synced:
 		c.refuse(a)
@@ -374,17 +374,17 @@
 	case m.Invalid != "":
 		refuse(400, m.Invalid)
 		return
-	case len(c.types) == 0:
-		c.emit(Reply{Req: m.Req, Status: 503, Retry: 2, Error: "machine types are not known yet"})
+	case len(c.machineTypes) == 0:
+		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "machine types are not known yet"})
 		return
-	case !c.sweeping():
-		c.emit(Reply{Req: m.Req, Status: 503, Retry: 2, Error: "not before all controllers have sweeps switched on"})
+	case !c.sweepsEnabled():
+		c.emit(Reply{RequestID: m.RequestID, Status: 503, RetryAfter: 2, Error: "not before all controllers have sweeps switched on"})
 		return
 	}
 	own := make(map[string]bool, len(m.Plan.Specs))
 	var awaits []string
 	for i, s := range m.Plan.Specs {
-		if why := c.infeasible(s); why != "" {
+		if why := c.infeasibleReason(s); why != "" {
 			refuse(422, fmt.Sprintf("run %s: %s", m.Plan.Values[i], why))
 			return
 		}
@@ -407,8 +407,8 @@
 		refuse(400, fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", len(m.Stored), min(maxTxnBytes, (c.limits().TxnOps-1)*(c.valueLimit()-2))))
 		return
 	}
-	a.spec = &jobstate.Spec{ID: a.id, Dependencies: awaits}
-	c.checkAwaits(a)
+	a.spec = &jobstate.Spec{ID: a.jobID, Dependencies: awaits}
+	c.checkDependencies(a)
 }
 
 // sweepParts cuts a description into values.
@@ -421,43 +421,43 @@
 	return parts
 }
 
-func (c *Core) askSweep(a *ask) {
-	a.since = c.now
-	if !c.set.Ops.Sweeps && c.knownSweep(a.id) == nil {
-		c.emit(Reply{Req: a.req, Status: 404, Error: "no such sweep"})
+func (c *Core) requestSweep(a *request) {
+	a.receivedAt = c.now
+	if !c.settings.Ops.Sweeps && c.knownSweep(a.jobID) == nil {
+		c.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
 		return
 	}
-	c.wait(a)
+	c.waitForRead(a)
 }
 
 // resumeSweep goes on with a request about a sweep after a view that is younger
 // than it.
-func (c *Core) resumeSweep(a *ask) {
-	s := c.knownSweep(a.id)
+func (c *Core) resumeSweep(a *request) {
+	s := c.knownSweep(a.jobID)
 	switch {
-	case s == nil && a.kind == askSweepSubmit && a.refusal.Status != 0:
+	case s == nil && a.kind == requestSweepSubmit && a.refusal.Status != 0:
 		r := a.refusal
-		r.Req = a.req
+		r.RequestID = a.id
 		c.emit(r)
-	case s == nil && a.kind == askSweepSubmit:
-		c.write(a)
+	case s == nil && a.kind == requestSweepSubmit:
+		c.queueWrite(a)
 	case s == nil:
-		c.emit(Reply{Req: a.req, Status: 404, Error: "no such sweep"})
-	case a.kind == askSweepSubmit && a.sweep.Invalid == "" && a.sweep.Plan.Digest != s.head.Digest:
-		c.emit(Reply{Req: a.req, Status: 409, Error: "id: in use by another sweep"})
-	case a.kind == askSweepRuns:
+		c.emit(Reply{RequestID: a.id, Status: 404, Error: "no such sweep"})
+	case a.kind == requestSweepSubmit && a.sweep.Invalid == "" && a.sweep.Plan.Digest != s.head.Digest:
+		c.emit(Reply{RequestID: a.id, Status: 409, Error: "id: in use by another sweep"})
+	case a.kind == requestSweepRuns:
 		c.sweepRuns(s, a)
-	case a.kind == askSweepCancel && s.outcome == "":
-		c.write(a)
+	case a.kind == requestSweepCancel && s.outcome == "":
+		c.queueWrite(a)
 	case s.outcome == jobstate.Cancelled:
-		c.answerCancelled(Reply{Req: a.req, Status: 200, Sweep: s.state()}, toldSweep+s.id)
+		c.replyCancelled(Reply{RequestID: a.id, Status: 200, Sweep: s.state()}, cancelledSweepPrefix+s.id)
 	default:
-		c.emit(Reply{Req: a.req, Status: 200, Sweep: s.state()})
+		c.emit(Reply{RequestID: a.id, Status: 200, Sweep: s.state()})
 	}
 }
 
 func (s *sweep) state() *SweepState {
-	gone := int(s.gone.GetCardinality())
+	gone := int(s.withdrawn.GetCardinality())
 	x := &SweepState{ID: s.id, State: s.outcome, Runs: s.head.Runs, Created: s.next, Done: int(s.ended.GetCardinality()) - gone, Withdrawn: gone}
 	switch {
 	case s.outcome == jobstate.Cancelled:
@@ -471,55 +471,55 @@
 }
 
 // createSweep stores a sweep: all of it, or nothing.
-func (c *Core) createSweep(a *ask) {
+func (c *Core) createSweep(a *request) {
 	parts := c.sweepParts(a.sweep.Stored)
-	key := sweepPrefix + a.id
-	head := sweepHead{Runs: len(a.sweep.Plan.Specs), Parts: len(parts), Pending: a.sweep.Plan.Pending, Digest: a.sweep.Plan.Digest, Submitted: a.since + c.wallOffset}
-	writes := []Write{{Key: key, Value: encode(head)}}
+	key := sweepPrefix + a.jobID
+	head := sweepHead{Runs: len(a.sweep.Plan.Specs), Parts: len(parts), Pending: a.sweep.Plan.Pending, Digest: a.sweep.Plan.Digest, Submitted: a.receivedAt + c.wallOffset}
+	writes := []Write{{Key: key, Value: encodeJSON(head)}}
 	for i, p := range parts {
-		writes = append(writes, Write{Key: key + "/" + strconv.Itoa(i), Value: encode(p)})
+		writes = append(writes, Write{Key: key + "/" + strconv.Itoa(i), Value: encodeJSON(p)})
 	}
-	c.budget.Spend(float64(len(writes)))
-	c.multi([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
+	c.writeBudget.Spend(float64(len(writes)))
+	c.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, writes, func(m Committed) {
 		switch m.Status {
 		case 200:
-			c.emit(Reply{Req: a.req, Status: 201, Sweep: &SweepState{ID: a.id, State: Queued, Runs: head.Runs}})
+			c.emit(Reply{RequestID: a.id, Status: 201, Sweep: &SweepState{ID: a.jobID, State: Queued, Runs: head.Runs}})
 		case 409:
-			c.wait(a)
+			c.waitForRead(a)
 		case 400:
-			c.lower("a sweep's description was refused")
+			c.lowerLimits("a sweep's description was refused")
 			c.refuse(a)
 		default:
-			c.again(a)
+			c.retryWrite(a)
 		}
 	})
 }
 
 // cancelSweep creates the one key that ends a sweep.
-func (c *Core) cancelSweep(a *ask) {
-	c.budget.Spend(1)
-	key := sweepEndPrefix + a.id
-	c.multi([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encode(sweepEnd{jobstate.Cancelled, c.now + c.wallOffset})}}, func(m Committed) {
+func (c *Core) cancelSweep(a *request) {
+	c.writeBudget.Spend(1)
+	key := sweepEndPrefix + a.jobID
+	c.commitTransaction([]Cond{kv.RevisionIs(key, 0)}, []Write{{Key: key, Value: encodeJSON(sweepEndRecord{jobstate.Cancelled, c.now + c.wallOffset})}}, func(m Committed) {
 		switch m.Status {
 		case 200:
-			c.witness.RecordCancellation(toldSweep+a.id, m.Revision)
-			c.sweepTold(a.id)
-			c.wait(a) // what was done before is told from a view
+			c.readLeaseGrantor.RecordCancellation(cancelledSweepPrefix+a.jobID, m.Revision)
+			c.noteSweepCancelled(a.jobID)
+			c.waitForRead(a) // what was done before is told from a view
 		case 409:
-			c.overtaken(a)
+			c.retryCancellation(a)
 		default:
-			c.again(a)
+			c.retryWrite(a)
 		}
 	})
 }
 
-// toldSweep marks a sweep among the cancellations that peers tell each other; no
+// cancelledSweepPrefix marks a sweep among the cancellations that peers tell each other; no
 // job's id has a slash.
-const toldSweep = "sweep/"
+const cancelledSweepPrefix = "sweep/"
 
-// needPlan makes sure that a sweep's plan is there or comes.
-func (c *Core) needPlan(s *sweep) {
-	if s.plan != nil || s.expanding || s.broken != "" || c.now < s.notBefore {
+// loadSweepPlan makes sure that a sweep's plan is there or comes.
+func (c *Core) loadSweepPlan(s *sweep) {
+	if s.plan != nil || s.expanding || s.stoppedReason != "" || c.now < s.notBefore {
 		return
 	}
 	for i := range s.head.Parts {
@@ -528,15 +528,15 @@
 		}
 		// It was closed, and its parts are not kept in memory.
 		s.expanding = true
-		c.get(sweepPrefix+s.id+"/"+strconv.Itoa(i), func(g Got) {
+		c.readKey(sweepPrefix+s.id+"/"+strconv.Itoa(i), func(g KeyRead) {
 			s.expanding = false
 			var text string
-			if g.Err != nil || g.Stamp == 0 || json.Unmarshal(g.Value, &text) != nil {
-				c.planFails(s, "its description can't be read now")
+			if g.Err != nil || g.Revision == 0 || json.Unmarshal(g.Value, &text) != nil {
+				c.sweepPlanFailed(s, "its description can't be read now")
 				return
 			}
 			s.parts[i] = text
-			c.needPlan(s)
+			c.loadSweepPlan(s)
 		})
 		return
 	}
@@ -545,19 +545,19 @@
 		b.WriteString(s.parts[i])
 	}
 	s.expanding = true
-	c.emit(Expand{ID: s.id, Stored: b.String()})
+	c.emit(ExpandSweep{ID: s.id, Stored: b.String()})
 }
 
-// planFails refuses what waits for a plan.
-func (c *Core) planFails(s *sweep, why string) {
+// sweepPlanFailed refuses what waits for a plan.
+func (c *Core) sweepPlanFailed(s *sweep, why string) {
 	s.notBefore = c.now + second
-	for _, a := range s.asks {
-		c.emit(Reply{Req: a.req, Status: 503, Retry: 1, Error: why})
+	for _, a := range s.planRequests {
+		c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 1, Error: why})
 	}
-	s.asks = nil
+	s.planRequests = nil
 }
 
-func (c *Core) onExpanded(m Expanded) {
+func (c *Core) onExpanded(m SweepExpanded) {
 	s := c.knownSweep(m.ID)
 	if s == nil {
 		return
@@ -567,14 +567,14 @@
 		m.Err = errors.New("another version of the program expanded it to other runs")
 	}
 	if m.Err != nil {
-		s.broken = m.Err.Error()
+		s.stoppedReason = m.Err.Error()
 		c.log.Error("stored sweep can't be expanded", "sweep", s.id, "err", m.Err)
-		c.planFails(s, s.broken)
+		c.sweepPlanFailed(s, s.stoppedReason)
 		return
 	}
 	s.plan = m.Plan
-	asks := s.asks
-	s.asks = nil
+	asks := s.planRequests
+	s.planRequests = nil
 	for _, a := range asks {
 		c.sweepRuns(s, a)
 	}
@@ -588,21 +588,21 @@
 }
 
 // sweepRuns answers with a page of runs.
-func (c *Core) sweepRuns(s *sweep, a *ask) {
+func (c *Core) sweepRuns(s *sweep, a *request) {
 	if s.plan == nil {
 		switch {
-		case s.broken != "":
-			c.emit(Reply{Req: a.req, Status: 503, Retry: 30, Error: s.broken})
-		case len(s.asks) >= maxAskPlan:
-			c.emit(Reply{Req: a.req, Status: 503, Retry: 2, Error: "too many ask for runs"})
+		case s.stoppedReason != "":
+			c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 30, Error: s.stoppedReason})
+		case len(s.planRequests) >= maxPlanRequests:
+			c.emit(Reply{RequestID: a.id, Status: 503, RetryAfter: 2, Error: "too many ask for runs"})
 		default:
-			s.asks = append(s.asks, a)
-			c.needPlan(s)
+			s.planRequests = append(s.planRequests, a)
+			c.loadSweepPlan(s)
 		}
 		return
 	}
 	page := &SweepPage{}
-	for i := a.after; i < len(s.plan.Specs) && len(page.Runs) < min(max(a.most, 1), maxPage); i++ {
+	for i := a.after; i < len(s.plan.Specs) && len(page.Runs) < min(max(a.limit, 1), maxSweepPage); i++ {
 		page.Runs = append(page.Runs, SweepRun{Number: i, ID: s.plan.Specs[i].ID, State: c.runState(s, i), Values: s.plan.Values[i], Sets: s.plan.Sets[i]})
 	}
 	var gone []string
@@ -612,14 +612,14 @@
 		}
 	}
 	if s.outcome == jobstate.Cancelled && len(gone) > 0 {
-		gone = []string{toldSweep + s.id}
+		gone = []string{cancelledSweepPrefix + s.id}
 	}
 	if n := a.after + len(page.Runs); n < len(s.plan.Specs) {
 		page.Next = n
 	}
-	r := Reply{Req: a.req, Status: 200, Runs: page}
+	r := Reply{RequestID: a.id, Status: 200, Runs: page}
 	if len(gone) > 0 {
-		c.answerCancelled(r, gone...)
+		c.replyCancelled(r, gone...)
 		return
 	}
 	c.emit(r)
@@ -628,44 +628,46 @@
 func (c *Core) runState(s *sweep, i int) string {
 	id := s.plan.Specs[i].ID
 	j := c.jobs[id]
-	switch e, ok := c.outcome(id); {
+	switch e, ok := c.knownEnd(id); {
 	case ok:
 		return e.Outcome
-	case s.gone.ContainsInt(i):
+	case s.withdrawn.ContainsInt(i):
 		return jobstate.Cancelled
 	case s.ended.ContainsInt(i):
 		return jobstate.Done
 	case j != nil:
-		return jobState(j).State
+		return stateOf(j).State
 	case i >= s.next && s.outcome == jobstate.Cancelled:
 		return jobstate.Cancelled
 	case i >= s.next:
-		return RunPlanned
+		return RunStatePlanned
 	}
-	return RunEnded
+	return RunStateEnded
 }
 
 // sweepTick goes on with the sweeps under way, when this controller leads.
 func (c *Core) sweepTick() {
-	l := c.lead
-	if !c.sweeping() || len(c.sweeps) == 0 || c.now-l.sweepsAt < sweepGap || !c.sure() {
+	l := c.leadership
+	if !c.sweepsEnabled() || len(c.sweeps) == 0 || c.now-l.sweepsAdvancedAt < sweepGap || !c.mayStartTasks() {
 		return
 	}
-	l.sweepsAt = c.now
+	l.sweepsAdvancedAt = c.now
 	var ready []*sweep
 	for _, s := range c.sweeps {
-		if s.stamp != 0 && !s.closed && !s.flying && s.broken == "" && c.now >= s.notBefore {
+		if s.headRevision != 0 && !s.closed && !s.writing && s.stoppedReason == "" && c.now >= s.notBefore {
 			ready = append(ready, s)
 		}
 	}
 	// The first to be accepted goes first.
-	slices.SortFunc(ready, func(a, b *sweep) int { return cmp.Or(cmp.Compare(a.stamp, b.stamp), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(ready, func(a, b *sweep) int {
+		return cmp.Or(cmp.Compare(a.headRevision, b.headRevision), cmp.Compare(a.id, b.id))
+	})
 	for _, s := range ready {
 		if s.plan == nil {
-			c.needPlan(s)
+			c.loadSweepPlan(s)
 			continue
 		}
-		c.stepSweep(s, c.countRuns(s))
+		c.advanceSweep(s, c.countRuns(s))
 	}
 }
 
@@ -676,26 +678,26 @@
 		i := int(it.Next())
 		id := s.plan.Specs[i].ID
 		j := c.jobs[id]
-		e, ok := c.outcome(id)
+		e, ok := c.knownEnd(id)
 		switch {
 		case ok && (j == nil || !j.CancelledByDependency):
 			s.ended.AddInt(i)
 			if e.Outcome != jobstate.Done {
-				s.gone.AddInt(i)
+				s.withdrawn.AddInt(i)
 			}
-			if s.counted == 0 {
-				s.counted = c.now
+			if s.countPendingSince == 0 {
+				s.countPendingSince = c.now
 			}
 			continue
-		case j == nil && !ok && reading < asksAtOnce && c.asking[id] <= c.now:
+		case j == nil && !ok && reading < maxEndReads && c.endReads[id] <= c.now:
 			// It ended before this controller began to lead.
 			reading++
-			c.asking[id] = c.now + asksAgain
-			c.get(endPrefix+id, func(g Got) {
+			c.endReads[id] = c.now + endReadRetry
+			c.readKey(endPrefix+id, func(g KeyRead) {
 				var e jobstate.End
-				if g.Err == nil && g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil {
-					delete(c.asking, id)
-					c.noteEnd(id, e, g.Stamp)
+				if g.Err == nil && g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil {
+					delete(c.endReads, id)
+					c.noteEnd(id, e, g.Revision)
 				}
 			})
 		}
@@ -704,26 +706,26 @@
 	return open
 }
 
-// stepSweep makes the next transaction of a sweep, if there is one to make and
+// advanceSweep makes the next transaction of a sweep, if there is one to make and
 // writes can be spared: users' requests and starts go first.
-func (c *Core) stepSweep(s *sweep, open int) {
-	l := c.lead
-	c.budget.Refill(c.now, c.allowance.Changes)
-	spare := int(c.budget.Level() - c.allowance.Changes*sweepReserve)
-	if len(c.requests.writes) > 0 || spare < 2 {
+func (c *Core) advanceSweep(s *sweep, open int) {
+	l := c.leadership
+	c.writeBudget.Refill(c.now, c.allowance.Changes)
+	spare := int(c.writeBudget.Level() - c.allowance.Changes*sweepReserve)
+	if len(c.queues.queuedWrites) > 0 || spare < 2 {
 		return
 	}
-	when := []Cond{kv.RevisionIs(LeaderKey, l.stamp), kv.RevisionIs(sweepAtPrefix+s.id, s.at)}
+	when := []Cond{kv.RevisionIs(LeaderKey, l.keyRevision), kv.RevisionIs(sweepPositionPrefix+s.id, s.positionRevision)}
 	var writes []Write
-	at := sweepAt{Next: s.next}
+	at := sweepPosition{Next: s.next}
 	all := len(s.plan.Specs)
 	switch {
 	case s.outcome != "" && open == 0:
 		at.Closed = true
-	case s.outcome != "" || s.told:
+	case s.outcome != "" || s.cancelConfirmed:
 	case s.next == all && open == 0:
 		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
-		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encode(sweepEnd{jobstate.Done, c.now + c.wallOffset})})
+		writes = append(writes, Write{Key: sweepEndPrefix + s.id, Value: encodeJSON(sweepEndRecord{jobstate.Done, c.now + c.wallOffset})})
 		at.Closed = true
 	default:
 		when = append(when, kv.RevisionIs(sweepEndPrefix+s.id, 0))
@@ -739,34 +741,34 @@
 			at.Next++
 		}
 	}
-	if len(writes) == 0 && !at.Closed && (s.counted == 0 || c.now-s.counted < sweepCounts) {
+	if len(writes) == 0 && !at.Closed && (s.countPendingSince == 0 || c.now-s.countPendingSince < sweepCountDelay) {
 		return
 	}
 	left := roaring.New()
 	left.AddRange(uint64(s.next), uint64(at.Next))
 	left.Or(s.open())
-	at.Open = packSet(left)
-	writes = append(writes, Write{Key: sweepAtPrefix + s.id, Value: encode(at)})
-	gone := s.gone.GetCardinality()
-	if gone != s.goneStored {
-		writes = append(writes, Write{Key: sweepAtPrefix + s.id + goneKey, Value: encode(sweepGone{packSet(s.gone)})})
-	}
-	c.budget.Spend(float64(len(writes)))
-	s.flying = true
-	counted := s.counted
-	c.multi(when, writes, func(m Committed) {
+	at.Open = encodeBitmap(left)
+	writes = append(writes, Write{Key: sweepPositionPrefix + s.id, Value: encodeJSON(at)})
+	gone := s.withdrawn.GetCardinality()
+	if gone != s.withdrawnStored {
+		writes = append(writes, Write{Key: sweepPositionPrefix + s.id + decommissionedRunsSuffix, Value: encodeJSON(sweepWithdrawn{encodeBitmap(s.withdrawn)})})
+	}
+	c.writeBudget.Spend(float64(len(writes)))
+	s.writing = true
+	counted := s.countPendingSince
+	c.commitTransaction(when, writes, func(m Committed) {
 		if c.sweeps[s.id] != s {
 			return // the state was read anew meanwhile
 		}
 		switch m.Status {
 		case 200:
-			s.flying = false
-			s.next, s.at, s.goneStored = at.Next, max(s.at, m.Revision), gone
-			if s.counted == counted {
-				s.counted = 0
+			s.writing = false
+			s.next, s.positionRevision, s.withdrawnStored = at.Next, max(s.positionRevision, m.Revision), gone
+			if s.countPendingSince == counted {
+				s.countPendingSince = 0
 			}
 			if at.Closed {
-				c.noteSweepEnd(s.id, jobstate.Done, 0) // unless it was cancelled
+				c.sweepEnded(s.id, jobstate.Done, 0) // unless it was cancelled
 				c.closeSweep(s)
 			}
 		case 409:
@@ -785,9 +787,9 @@
 	return b
 }
 
-// packSet writes a set of runs: as the bitmap library does, or as plain bits,
+// encodeBitmap writes a set of runs: as the bitmap library does, or as plain bits,
 // whatever is shorter, so that any set of 10,000 fits 2 KB.
-func packSet(b *roaring.Bitmap) string {
+func encodeBitmap(b *roaring.Bitmap) string {
 	if b.IsEmpty() {
 		return ""
 	}
@@ -807,7 +809,7 @@
 	return "r" + base64.RawStdEncoding.EncodeToString(packed)
 }
 
-func unpackSet(text string) (*roaring.Bitmap, error) {
+func decodeBitmap(text string) (*roaring.Bitmap, error) {
 	b := roaring.New()
 	if text == "" {
 		return b, nil
@@ -840,14 +842,14 @@
 	for _, key := range failed {
 		switch {
 		case key == LeaderKey:
-			if c.lead == l {
-				c.resolve(l, key)
+			if c.leadership == l {
+				c.resolveConflict(l, key)
 			}
 		case strings.HasPrefix(key, jobPrefix), strings.HasPrefix(key, endPrefix):
 			// This step may have been executed before, without an answer; then
 			// the progress says so. If not, somebody else has the id.
-			if !slices.Contains(failed, sweepAtPrefix+s.id) {
-				s.broken = "a job has the id of a run: " + key
+			if !slices.Contains(failed, sweepPositionPrefix+s.id) {
+				s.stoppedReason = "a job has the id of a run: " + key
 				c.log.Error("a job has the id of a run", "sweep", s.id, "key", key)
 			}
 		}
@@ -860,9 +862,9 @@
 func (c *Core) rereadSweep(s *sweep) {
 	again := func() {
 		s.notBefore = c.now + second
-		s.flying = false
+		s.writing = false
 	}
-	c.get(sweepAtPrefix+s.id, func(g Got) {
+	c.readKey(sweepPositionPrefix+s.id, func(g KeyRead) {
 		if c.sweeps[s.id] != s {
 			return
 		}
@@ -870,23 +872,23 @@
 			again()
 			return
 		}
-		if g.Stamp != 0 {
-			c.apply(Change{Key: sweepAtPrefix + s.id, Value: g.Value, Revision: g.Stamp})
+		if g.Revision != 0 {
+			c.apply(Change{Key: sweepPositionPrefix + s.id, Value: g.Value, Revision: g.Revision})
 		}
-		c.readSweepEnd(s.id, again, func() { s.flying = false })
+		c.readSweepEnd(s.id, again, func() { s.writing = false })
 	})
 }
 
 // readSweepEnd reads whether a sweep was cancelled.
 func (c *Core) readSweepEnd(id string, failed, then func()) {
-	c.get(sweepEndPrefix+id, func(g Got) {
-		var e sweepEnd
+	c.readKey(sweepEndPrefix+id, func(g KeyRead) {
+		var e sweepEndRecord
 		switch {
 		case g.Err != nil:
 			failed()
 			return
-		case g.Stamp != 0 && json.Unmarshal(g.Value, &e) == nil && e.Outcome == jobstate.Cancelled:
-			c.sweepTold(id)
+		case g.Revision != 0 && json.Unmarshal(g.Value, &e) == nil && e.Outcome == jobstate.Cancelled:
+			c.noteSweepCancelled(id)
 		}
 		then()
 	})
--- /dev/null
+++ b/internal/core/zonegather_test.go
@@ -0,0 +1,47 @@
+package core
+
+import (
+	"testing"
+
+	"github.com/zinclb/zinclb/internal/core/fleet"
+	"github.com/zinclb/zinclb/internal/core/jobstate"
+)
+
+// TestGather: machines are gathered in one zone only while no zone has enough.
+func TestGather(t *testing.T) {
+	const now = 100 * second
+	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
+	gang := func(n int) *jobstate.Spec {
+		return &jobstate.Spec{ID: "g", Kind: jobstate.Gang, Tasks: n, OneZone: true, Need: jobstate.Resources{CPU: 10_000, GPU: 2000}}
+	}
+	cases := []struct {
+		name         string
+		spec         *jobstate.Spec
+		here, coming map[machineOffer]int64
+		refused      []machineOffer
+		spot         bool
+		want         string
+	}{
+		{"a zone has enough", gang(2), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, ""},
+		{"the one with the most", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, "b"},
+		{"what is coming counts", gang(3), map[machineOffer]int64{a: 1, b: 1}, map[machineOffer]int64{a: 1}, nil, false, "a"},
+		{"what is coming is not enough", gang(3), map[machineOffer]int64{a: 1}, map[machineOffer]int64{a: 2}, nil, false, "a"},
+		{"none to be had where the most are", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{b}, false, "a"},
+		{"none to be had anywhere", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{a, b}, false, "b"},
+		{"spot machines are of no use to it", gang(2), map[machineOffer]int64{spotA: 2, b: 1}, nil, nil, false, "b"},
+		{"spot machines are", gang(3), map[machineOffer]int64{spotA: 2, b: 1}, nil, []machineOffer{a}, true, "a"},
+		{"bound to a zone", &jobstate.Spec{Tasks: 3, OneZone: true, Zone: "a", Need: gang(1).Need}, map[machineOffer]int64{b: 9}, nil, []machineOffer{spotB}, false, "a"},
+		{"two tasks on each machine", &jobstate.Spec{Tasks: 4, OneZone: true, Need: jobstate.Resources{CPU: 6000}}, map[machineOffer]int64{a: 2}, nil, nil, false, ""},
+	}
+	for _, tc := range cases {
+		c := &Core{now: now, machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}, leadership: &leadership{leaderState: newLeaderState(0)}}
+		c.settings.Zones = []string{"a", "b"}
+		for _, m := range tc.refused {
+			c.leadership.scaling.refusedUntil[m] = now + second
+		}
+		tc.spec.Spot = tc.spot
+		if got := c.gatherZone(tc.spec, tc.here, tc.coming); got != tc.want {
+			t.Errorf("%s: in %q, want %q", tc.name, got, tc.want)
+		}
+	}
+}
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -41,11 +41,11 @@
 	// OnEvent, if set, is called with each event as it happens.
 	OnEvent func(history.Event)
 	// OnTransaction, if set, is called with each transaction that a controller sends.
-	OnTransaction func(core.Multi)
+	OnTransaction func(core.CommitTransaction)
 	// OnQuery, if set, is called with each question of a follower to a leader, and Shows
 	// with its end, which it may change.
-	OnQuery    func(node string, q core.AskView)
-	OnQueryEnd func(node string, s *core.Shown)
+	OnQuery    func(node string, q core.ReadFromLeader)
+	OnQueryEnd func(node string, s *core.LeaderReadDone)
 	// OnProgress, if set, is called every simulated minute.
 	OnProgress func(now int64)
 	Log        *slog.Logger
@@ -159,9 +159,9 @@
 func (c *Cluster) Leaders() (l []string) {
 	tokens := map[string]uint64{}
 	for _, n := range c.Controllers {
-		n.Request(func(req uint64) any { return core.Ops{Req: req} }, func(r core.Reply) {
+		n.Request(func(req uint64) any { return core.QueryOperatorView{RequestID: req} }, func(r core.Reply) {
 			if r.Ops != nil && r.Ops.Leading {
-				l, tokens[n.name] = append(l, n.name), r.Ops.Token
+				l, tokens[n.name] = append(l, n.name), r.Ops.FencingToken
 			}
 		})
 	}
@@ -242,7 +242,7 @@
 	n.up, n.frozen, n.deferred = true, false, nil
 	n.epoch++
 	n.replies, n.calls = map[uint64]func(core.Reply){}, map[uint64]func(int, any){}
-	set := core.Settings{Name: n.name, Deployment: c.Config.Params, Ops: c.Operators, Boot: fmt.Sprintf("%s-%d", n.name, n.epoch)}
+	set := core.Settings{Name: n.name, Deployment: c.Config.Params, Ops: c.Operators, Incarnation: fmt.Sprintf("%s-%d", n.name, n.epoch)}
 	for i := range c.Config.Params.Size {
 		if i != n.index {
 			set.Peers = append(set.Peers, environment.ControllerName(i))
@@ -272,7 +272,7 @@
 		return
 	}
 	if !n.frozen {
-		n.step(core.Tick{Wall: n.cluster.now + startOfDay + n.clockOffset})
+		n.step(core.Tick{TimeOfDay: n.cluster.now + startOfDay + n.clockOffset})
 	}
 	n.cluster.After(tickInterval, func() { n.tick(epoch) })
 }
@@ -348,16 +348,16 @@
 	}
 	n.runUnlessEnded(n.epoch, func() {
 		if q, ok := a.Request.(pingRequest); ok && n.legacy() {
-			q.Boot, q.Ask, q.Tell = "", nil, nil
+			q.Incarnation, q.Question, q.Cancellations = "", nil, nil
 			a.Request = q
 		}
 		build, bad := toCoreMessage(a.Request)
 		if bad != nil {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: bad.Status, RetryAfter: bad.Retry})
+			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: bad.Status, RetryAfter: bad.RetryAfter})
 			return
 		}
 		n.Request(build, func(r core.Reply) {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: r.Status, RetryAfter: r.Retry, Body: responseBody(a.Request, r)})
+			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: r.Status, RetryAfter: r.RetryAfter, Body: responseBody(a.Request, r)})
 		})
 	})
 }
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -54,7 +54,7 @@
 // pingRequest is a ping between controllers.
 type pingRequest struct {
 	from string
-	core.Ping
+	core.PingPeer
 }
 
 // toCoreMessage turns what reaches a controller into a message to its core, or into
@@ -63,7 +63,7 @@
 	switch q := request.(type) {
 	case *wire.Report:
 		r := coreReport(q)
-		return func(req uint64) any { return core.Beat{Req: req, Report: r} }, nil
+		return func(req uint64) any { return core.HeartbeatReceived{RequestID: req, Heartbeat: r} }, nil
 	case *wire.Job:
 		b, err := json.Marshal(q)
 		if err != nil {
@@ -73,47 +73,47 @@
 		if err != nil {
 			return nil, &core.Reply{Status: 400}
 		}
-		return func(req uint64) any { s.Req = req; return s }, nil
+		return func(req uint64) any { s.RequestID = req; return s }, nil
 	case wire.RawSubmission:
 		s, err := api.DecodeSubmission(q.Body)
 		if err != nil {
 			return nil, &core.Reply{Status: 400}
 		}
-		return func(req uint64) any { s.Req = req; return s }, nil
+		return func(req uint64) any { s.RequestID = req; return s }, nil
 	case wire.Sweep:
 		s, err := api.DecodeSweep([]byte(q.Text))
 		if err != nil {
 			return nil, &core.Reply{Status: 400}
 		}
-		return func(req uint64) any { s.Req = req; return s }, nil
+		return func(req uint64) any { s.RequestID = req; return s }, nil
 	case wire.Poll:
-		return func(req uint64) any { return core.Status{Req: req, ID: q.ID} }, nil
+		return func(req uint64) any { return core.QueryJob{RequestID: req, ID: q.ID} }, nil
 	case wire.Cancel:
-		return func(req uint64) any { return core.Cancel{Req: req, ID: q.ID} }, nil
+		return func(req uint64) any { return core.CancelJob{RequestID: req, ID: q.ID} }, nil
 	case wire.SweepPoll:
-		return func(req uint64) any { return core.SweepStatus{Req: req, ID: q.ID} }, nil
+		return func(req uint64) any { return core.QuerySweep{RequestID: req, ID: q.ID} }, nil
 	case wire.SweepCancel:
-		return func(req uint64) any { return core.CancelSweep{Req: req, ID: q.ID} }, nil
+		return func(req uint64) any { return core.CancelSweep{RequestID: req, ID: q.ID} }, nil
 	case wire.ReadyProbe:
-		return func(req uint64) any { return core.Ready{Req: req} }, nil
+		return func(req uint64) any { return core.CheckReady{RequestID: req} }, nil
 	case pingRequest:
 		return func(req uint64) any {
-			return core.Pinged{Req: req, From: q.from, Need: q.Need, Boot: q.Boot, Ask: q.Ask, Tell: q.Tell}
+			return core.PingReceived{RequestID: req, From: q.from, NeedMachines: q.NeedMachines, Incarnation: q.Incarnation, Question: q.Question, Cancellations: q.Cancellations}
 		}, nil
-	case core.Beat: // relayed
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.Submit: // the others are handed on
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.Cancel:
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.Status:
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.CloudFor:
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.ViewFor:
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.HandedSweep:
-		m := core.SubmitSweep{Plan: &core.SweepPlan{ID: q.ID}, Stored: q.Stored, Invalid: q.Invalid, Handed: true}
+	case core.HeartbeatReceived: // relayed
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.SubmitJob: // the others are handed on
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.CancelJob:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.QueryJob:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.CloudCallRequested:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.FollowerRead:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.ForwardedSweep:
+		m := core.SubmitSweep{Plan: &core.SweepPlan{ID: q.ID}, Stored: q.Stored, Invalid: q.Invalid, Forwarded: true}
 		if q.Invalid == "" {
 			plan, err := api.UnpackSweep(q.Stored)
 			if err != nil {
@@ -121,13 +121,13 @@
 			}
 			m.Plan = plan
 		}
-		return func(req uint64) any { m.Req = req; return m }, nil
-	case core.SweepStatus:
-		return func(req uint64) any { q.Req = req; return q }, nil
-	case core.SweepRuns:
-		return func(req uint64) any { q.Req = req; return q }, nil
+		return func(req uint64) any { m.RequestID = req; return m }, nil
+	case core.QuerySweep:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
+	case core.ListSweepRuns:
+		return func(req uint64) any { q.RequestID = req; return q }, nil
 	case core.CancelSweep:
-		return func(req uint64) any { q.Req = req; return q }, nil
+		return func(req uint64) any { q.RequestID = req; return q }, nil
 	}
 	return nil, &core.Reply{Status: 404}
 }
@@ -136,8 +136,8 @@
 func responseBody(request any, r core.Reply) any {
 	switch request.(type) {
 	case *wire.Report:
-		a := wire.HeartbeatAnswer{Token: r.Token, Leader: r.Leader}
-		for _, o := range r.Orders {
+		a := wire.HeartbeatAnswer{Token: r.FencingToken, Leader: r.Leader}
+		for _, o := range r.Commands {
 			a.Orders = append(a.Orders, wireOrder(o))
 		}
 		return a
@@ -153,15 +153,15 @@
 	return r // another controller asked
 }
 
-func wireOrder(o core.Order) wire.Order {
+func wireOrder(o core.Command) wire.Order {
 	return wire.Order{Op: api.OrderVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
 }
 
-func coreReport(q *wire.Report) core.Report {
-	r := core.Report{Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Session: q.Session, Seq: q.Seq, Token: q.Token, Notice: -1,
-		Tasks: make([]core.TaskReport, len(q.Tasks))}
+func coreReport(q *wire.Report) core.Heartbeat {
+	r := core.Heartbeat{Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
+		Tasks: make([]core.TaskStatus, len(q.Tasks))}
 	if q.NoticeS != nil {
-		r.Notice = int64(*q.NoticeS * 1e6)
+		r.PreemptionNotice = int64(*q.NoticeS * 1e6)
 	}
 	for i, t := range q.Tasks {
 		r.Tasks[i] = api.NewTaskStatus(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
@@ -176,33 +176,33 @@
 	later := func(d int64, msg any) { c.After(d, func() { n.runUnlessEnded(epoch, func() { n.step(msg) }) }) }
 	switch e := e.(type) {
 	case core.Reply:
-		if f := n.replies[e.Req]; f != nil {
-			delete(n.replies, e.Req)
+		if f := n.replies[e.RequestID]; f != nil {
+			delete(n.replies, e.RequestID)
 			f(e)
 		}
 	case core.Quit:
 		c.Kill(n)
-	case core.List:
-		n.list(&core.Listed{}, 0, "", e, 0)
-	case core.Watch:
-		n.watch(e.After, watchWait, watchTimeout, core.Watched{Sent: sent})
+	case core.ListState:
+		n.list(&core.StateListed{}, 0, "", e, 0)
+	case core.WatchState:
+		n.watch(e.AfterRevision, watchWait, watchTimeout, core.StateRead{SentAt: sent})
 	case core.WatchLeader:
 		n.watchLeader(e)
-	case core.AskView:
+	case core.ReadFromLeader:
 		if c.OnQuery != nil {
 			c.OnQuery(n.name, e)
 		}
-		n.call(e.To, core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerTimeout, func(status int, body any) {
+		n.call(e.To, core.FollowerRead{AfterRevision: e.AfterRevision, WritesNeeded: e.WritesNeeded}, replica.AnswerTimeout, func(status int, body any) {
 			r, err := controllerReply(body)
-			s := core.Shown{Number: e.Number, After: e.After, Sent: sent, Answer: r, Err: err}
+			s := core.LeaderReadDone{Number: e.Number, AfterRevision: e.AfterRevision, SentAt: sent, Answer: r, Err: err}
 			if c.OnQueryEnd != nil {
 				c.OnQueryEnd(n.name, &s)
 			}
 			n.step(s)
 		})
-	case core.View:
-		n.watch(e.After, 0, watchTimeout-watchWait, core.Watched{Sent: sent, View: true, Asked: e.Asked})
-	case core.Multi:
+	case core.ReadState:
+		n.watch(e.AfterRevision, 0, watchTimeout-watchWait, core.StateRead{SentAt: sent, Immediate: true, ForRequests: e.ForRequests})
+	case core.CommitTransaction:
 		if c.OnTransaction != nil {
 			c.OnTransaction(e)
 		}
@@ -210,90 +210,90 @@
 			a, _ := body.(wire.TransactionAnswer)
 			n.step(core.Committed{ID: e.ID, Status: status, Revision: a.Revision, Failed: a.Failed})
 		})
-	case core.Get:
+	case core.ReadKey:
 		n.call(environment.StateHost, wire.Get{Key: e.Key}, getTimeout, func(status int, body any) {
-			g := core.Got{ID: e.ID, Key: e.Key}
+			g := core.KeyRead{ID: e.ID, Key: e.Key}
 			if row, ok := body.(wire.Row); ok {
-				g.Value, g.Stamp = row.Value, row.Stamp
+				g.Value, g.Revision = row.Value, row.Stamp
 			} else if status != 404 {
 				g.Err = statusError(status)
 			}
 			n.step(g)
 		})
-	case core.NewLease:
+	case core.GrantLease:
 		n.call(environment.StateHost, wire.NewLease{DurationMS: e.TTL / 1000}, leaseTimeout, func(status int, body any) {
 			l, _ := body.(wire.Lease)
-			n.step(core.Leased{Lease: l.Lease, Sent: sent, Err: statusError(status)})
+			n.step(core.LeaseGranted{Lease: l.Lease, SentAt: sent, Err: statusError(status)})
 		})
-	case core.Touch:
+	case core.RenewLease:
 		n.call(environment.StateHost, wire.RenewLease{Lease: e.Lease}, leaseTimeout, func(status int, _ any) {
-			t := core.Touched{Lease: e.Lease, Sent: sent, Gone: status == 404}
-			if !t.Gone {
+			t := core.LeaseRenewed{Lease: e.Lease, SentAt: sent, Expired: status == 404}
+			if !t.Expired {
 				t.Err = statusError(status)
 			}
 			n.step(t)
 		})
-	case core.DropLease:
+	case core.RevokeLease:
 		n.call(environment.StateHost, wire.RevokeLease{Lease: e.Lease}, leaseTimeout, func(int, any) {})
-	case core.Relay:
-		n.call(e.To, core.Beat{Report: e.Report, From: n.name, Onward: e.Onward}, relayTimeout, func(status int, body any) {
+	case core.RelayHeartbeat:
+		n.call(e.To, core.HeartbeatReceived{Heartbeat: e.Heartbeat, From: n.name, ViaPeer: e.ViaPeer}, relayTimeout, func(status int, body any) {
 			r, err := controllerReply(body)
-			n.step(core.Relayed{Req: e.Req, Answer: r, Err: err})
+			n.step(core.HeartbeatRelayed{RequestID: e.RequestID, Answer: r, Err: err})
 		})
-	case core.Forward:
+	case core.ForwardRequest:
 		n.call(e.To, e.Request, forwardTimeout, func(status int, body any) {
 			r, err := controllerReply(body)
-			n.step(core.Forwarded{Req: e.Req, Answer: r, Err: err})
+			n.step(core.RequestForwarded{RequestID: e.RequestID, Answer: r, Err: err})
 		})
-	case core.Ping:
+	case core.PingPeer:
 		if n.legacy() {
-			e.Boot, e.Ask, e.Tell = "", nil, nil
+			e.Incarnation, e.Question, e.Cancellations = "", nil, nil
 		}
 		n.call(e.Peer, pingRequest{n.name, e}, pingTimeout, func(status int, body any) {
-			s := core.PeerSeen{Peer: e.Peer, Sent: sent}
-			if r, err := controllerReply(body); err == nil && r.News != nil {
-				s.OK, s.News = true, *r.News
+			s := core.PeerPinged{Peer: e.Peer, SentAt: sent}
+			if r, err := controllerReply(body); err == nil && r.PeerStatus != nil {
+				s.OK, s.Status = true, *r.PeerStatus
 				if n.legacy() {
-					s.News.Vouch, s.News.Ack = nil, nil
+					s.Status.ReadLease, s.Status.Ack = nil, nil
 				}
 			}
 			n.step(s)
 		})
-	case core.Probe:
+	case core.ProbeMachine:
 		n.call(e.Addr, wire.Inspect{}, probeTimeout, func(status int, body any) {
-			p := core.Probed{Machine: e.Machine, Sent: sent, OK: status == 200}
+			p := core.MachineProbed{Machine: e.Machine, SentAt: sent, OK: status == 200}
 			if q, ok := body.(*wire.Report); ok {
 				r := coreReport(q)
-				p.Report = &r
+				p.Heartbeat = &r
 			}
 			n.step(p)
 		})
-	case core.Direct:
-		q := wire.WorkerOrders{Token: &e.Token, Session: &e.Session}
-		for _, o := range e.Orders {
+	case core.SendCommands:
+		q := wire.WorkerOrders{Token: &e.FencingToken, Session: &e.Epoch}
+		for _, o := range e.Commands {
 			q.Orders = append(q.Orders, wireOrder(o))
 		}
 		n.call(e.Addr, q, directTimeout, func(int, any) {})
-	case core.GetTypes:
-		n.listTypes(func(t core.Types) { t.Token = e.Token; n.step(t) })
+	case core.ListMachineTypes:
+		n.listTypes(func(t core.MachineTypesListed) { t.FencingToken = e.FencingToken; n.step(t) })
 	case core.ListMachines:
-		n.listMachines(core.Machines{}, "", e.Gap, func(m core.Machines) { m.Token = e.Token; n.step(m) })
-	case core.CloudBy:
-		n.call(e.To, core.CloudFor{Token: e.Token, Call: e.Call}, delegatedCloudTimeout, func(status int, body any) {
+		n.listMachines(core.MachinesListed{}, "", e.Gap, func(m core.MachinesListed) { m.FencingToken = e.FencingToken; n.step(m) })
+	case core.CallCloudViaPeer:
+		n.call(e.To, core.CloudCallRequested{FencingToken: e.FencingToken, Call: e.Call}, delegatedCloudTimeout, func(status int, body any) {
 			r, err := controllerReply(body)
-			told, answer := core.CloudByEnded(e, r, err)
+			told, answer := core.CloudViaPeerResult(e, r, err)
 			n.step(told)
 			n.step(answer)
 		})
-	case core.CloudDo:
+	case core.CallCloudForPeer:
 		n.serveCloudCall(e)
-	case core.Rent:
-		n.rent(e, func(r core.Rented) { n.step(r) })
-	case core.Release:
-		n.release(e.Names, func(r core.Released) { r.Token = e.Token; n.step(r) })
-	case core.Expand:
+	case core.ScaleOut:
+		n.rent(e, func(r core.ScaledOut) { n.step(r) })
+	case core.ScaleIn:
+		n.release(e.Names, func(r core.ScaledIn) { r.FencingToken = e.FencingToken; n.step(r) })
+	case core.ExpandSweep:
 		plan, err := api.UnpackSweep(e.Stored)
-		later(20_000, core.Expanded{ID: e.ID, Plan: plan, Err: err})
+		later(20_000, core.SweepExpanded{ID: e.ID, Plan: plan, Err: err})
 	}
 }
 
@@ -305,9 +305,9 @@
 	return core.Reply{}, errNoAnswer
 }
 
-func wireTransaction(e core.Multi) wire.Transaction {
+func wireTransaction(e core.CommitTransaction) wire.Transaction {
 	var q wire.Transaction
-	for _, k := range e.When {
+	for _, k := range e.Conditions {
 		q.Conditions = append(q.Conditions, wire.Cond(k))
 	}
 	for _, x := range e.Writes {
@@ -321,11 +321,11 @@
 }
 
 // list reads the start prefixes, page by page, at the pace that is asked for.
-func (n *Controller) list(out *core.Listed, prefix int, after string, e core.List, pages int) {
+func (n *Controller) list(out *core.StateListed, prefix int, after string, e core.ListState, pages int) {
 	if pages == e.AtOnce && prefix < len(core.StartPrefixes) {
 		epoch := n.epoch
 		n.cluster.After(e.Gap, func() {
-			n.runUnlessEnded(epoch, func() { n.list(out, prefix, after, core.List{AtOnce: 1, Gap: e.Gap}, 0) })
+			n.runUnlessEnded(epoch, func() { n.list(out, prefix, after, core.ListState{AtOnce: 1, Gap: e.Gap}, 0) })
 		})
 		return
 	}
@@ -337,14 +337,14 @@
 	n.call(environment.StateHost, wire.List{Prefix: core.StartPrefixes[prefix], After: after, Limit: core.ListPage}, listTimeout, func(status int, body any) {
 		p, ok := body.(wire.Page)
 		if status != 200 || !ok {
-			n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(core.Listed{Err: statusError(status)}) }) })
+			n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(core.StateListed{Err: statusError(status)}) }) })
 			return
 		}
 		if prefix == 0 && after == "" {
-			out.Ledger = p.Revision
+			out.Revision = p.Revision
 		}
 		for _, r := range p.Rows {
-			out.Rows = append(out.Rows, core.Change{Key: r.Key, Value: r.Value, Revision: r.Stamp})
+			out.Changes = append(out.Changes, core.Change{Key: r.Key, Value: r.Value, Revision: r.Stamp})
 			after = r.Key
 		}
 		if p.More {
@@ -355,19 +355,19 @@
 	})
 }
 
-func (n *Controller) watch(after uint64, wait, most int64, w core.Watched) {
+func (n *Controller) watch(after uint64, wait, most int64, w core.StateRead) {
 	epoch := n.epoch
 	n.call(environment.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, most, func(status int, body any) {
-		w.After, w.Gone = after, status == 410
+		w.AfterRevision, w.Compacted = after, status == 410
 		if a, ok := body.(wire.WatchAnswer); ok {
-			w.Ledger = a.Revision
+			w.Revision = a.Revision
 			for _, x := range a.Changes {
 				w.Changes = append(w.Changes, core.Change{Key: x.Key(), Value: x.Value, Revision: x.Stamp, Removed: x.Put == ""})
 			}
-		} else if !w.Gone {
+		} else if !w.Compacted {
 			w.Err = statusError(status)
 		}
-		if w.Err != nil && !w.View {
+		if w.Err != nil && !w.Immediate {
 			n.cluster.After(errorRetryDelay, func() { n.runUnlessEnded(epoch, func() { n.step(w) }) })
 			return
 		}
@@ -377,7 +377,7 @@
 
 func (n *Controller) watchLeader(e core.WatchLeader) {
 	epoch := n.epoch
-	n.call(environment.StateHost, wire.Watch{Prefix: core.LeaderKey, After: e.After, WaitMS: watchWait / 1000}, watchTimeout, func(status int, body any) {
+	n.call(environment.StateHost, wire.Watch{Prefix: core.LeaderKey, After: e.AfterRevision, WaitMS: watchWait / 1000}, watchTimeout, func(status int, body any) {
 		a, _ := body.(wire.WatchAnswer)
 		m := core.LeaderWatched{Changed: status == 410 || len(a.Changes) > 0}
 		if status == 200 || status == 410 {
@@ -389,9 +389,9 @@
 	})
 }
 
-func (n *Controller) listTypes(f func(core.Types)) {
+func (n *Controller) listTypes(f func(core.MachineTypesListed)) {
 	n.call(environment.CloudHost, wire.Types{}, cloudTimeout, func(status int, body any) {
-		t := core.Types{Err: statusError(status)}
+		t := core.MachineTypesListed{Err: statusError(status)}
 		if a, ok := body.(wire.TypesAnswer); ok && t.Err == nil {
 			for _, w := range a.Types {
 				t.Types = append(t.Types, cloud.MachineType(w).ToCore())
@@ -401,53 +401,53 @@
 	})
 }
 
-func (n *Controller) rent(e core.Rent, f func(core.Rented)) {
+func (n *Controller) rent(e core.ScaleOut, f func(core.ScaledOut)) {
 	q := wire.Rent{Request: e.Name, Type: e.Type, Zone: e.Zone, Spot: e.Spot, Count: e.Count}
 	n.call(environment.CloudHost, q, cloudTimeout, func(status int, body any) {
 		names, _ := body.(wire.MachineNames)
-		f(core.Rented{Rent: e, Names: names.Machines, Status: status})
+		f(core.ScaledOut{Request: e, Names: names.Machines, Status: status})
 	})
 }
 
-func (n *Controller) release(names []string, f func(core.Released)) {
+func (n *Controller) release(names []string, f func(core.ScaledIn)) {
 	n.call(environment.CloudHost, wire.Release{MachineNames: wire.MachineNames{Machines: names}}, cloudTimeout, func(status int, _ any) {
-		f(core.Released{Names: names, OK: status == 200})
+		f(core.ScaledIn{Names: names, OK: status == 200})
 	})
 }
 
 // serveCloudCall makes a call of the cloud for another controller.
-func (n *Controller) serveCloudCall(e core.CloudDo) {
-	done := func(a core.CloudAnswer, err error) {
+func (n *Controller) serveCloudCall(e core.CallCloudForPeer) {
+	done := func(a core.CloudResult, err error) {
 		if err == nil && a.Status == 0 {
 			a.Status = 200
 		}
-		n.step(core.CloudDone{Req: e.Req, Answer: a})
+		n.step(core.CloudCalledForPeer{RequestID: e.RequestID, Answer: a})
 	}
 	switch {
-	case e.Call.Types:
-		n.listTypes(func(t core.Types) { done(core.CloudAnswer{Types: t.Types}, t.Err) })
-	case e.Call.List:
-		n.listMachines(core.Machines{}, "", e.Call.Gap, func(m core.Machines) { done(core.CloudAnswer{List: m.List}, m.Err) })
-	case e.Call.Rent != nil:
-		n.rent(*e.Call.Rent, func(r core.Rented) { done(core.CloudAnswer{Status: r.Status, Names: r.Names}, errNoAnswer) })
+	case e.Call.ListTypes:
+		n.listTypes(func(t core.MachineTypesListed) { done(core.CloudResult{Types: t.Types}, t.Err) })
+	case e.Call.ListMachines:
+		n.listMachines(core.MachinesListed{}, "", e.Call.Gap, func(m core.MachinesListed) { done(core.CloudResult{List: m.List}, m.Err) })
+	case e.Call.ScaleOut != nil:
+		n.rent(*e.Call.ScaleOut, func(r core.ScaledOut) { done(core.CloudResult{Status: r.Status, Names: r.Names}, errNoAnswer) })
 	default:
-		n.release(e.Call.Release, func(r core.Released) {
+		n.release(e.Call.ScaleIn, func(r core.ScaledIn) {
 			if r.OK {
-				done(core.CloudAnswer{}, nil)
+				done(core.CloudResult{}, nil)
 			} else {
-				done(core.CloudAnswer{}, errNoAnswer)
+				done(core.CloudResult{}, errNoAnswer)
 			}
 		})
 	}
 }
 
 // listMachines reads the cloud's list, page by page with a gap between them.
-func (n *Controller) listMachines(out core.Machines, after string, gap int64, f func(core.Machines)) {
+func (n *Controller) listMachines(out core.MachinesListed, after string, gap int64, f func(core.MachinesListed)) {
 	epoch := n.epoch
 	n.call(environment.CloudHost, wire.Machines{After: after, Limit: core.ListPage}, cloudTimeout, func(status int, body any) {
 		a, ok := body.(wire.MachinesAnswer)
 		if !ok || status != 200 {
-			f(core.Machines{Err: statusError(status)})
+			f(core.MachinesListed{Err: statusError(status)})
 			return
 		}
 		for _, m := range a.Machines {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,7 +18,7 @@
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 // collector is one moment of a controller.
-type collector struct{ *core.OpsView }
+type collector struct{ *core.OperatorView }
 
 // Describe sends nothing: which metrics there are depends on the moment (only a
 // leader has queues), so the registry checks none in advance.
@@ -41,16 +41,16 @@
 	}
 	gauge("leading", "1 if this controller leads.", yes(v.Leading))
 	gauge("synced", "1 if it has read the state service.", yes(v.Synced))
-	gauge("token", "Token of the newest leadership it knows.", float64(v.Token))
+	gauge("token", "Token of the newest leadership it knows.", float64(v.FencingToken))
 	gauge("state_revision", "Revision of the state service it has seen.", float64(v.Revision))
 	gauge("state_silent_seconds", "Time since the state service last answered it.", v.StateAgeS)
-	gauge("state_limits_fallen", "1 if the state service's limits to come are here.", yes(v.Lowered))
+	gauge("state_limits_fallen", "1 if the state service's limits to come are here.", yes(v.LimitsLowered))
 	gauge("writes_left", "Changes that its budget has left at this moment.", v.WritesLeft)
 	gauge("reads_left", "Reads of the state service that its budget has left at this moment.", v.ReadsLeft)
 	gauge("format", "Version of stored data.", float64(v.Format))
 	gauge("unfinished_jobs", "Accepted jobs that are not over.", float64(v.Jobs))
 	gauge("awaiting_jobs", "Unfinished jobs that wait for others to be done.", float64(v.Awaiting))
-	gauge("troubles", "Troubles that operators are told of.", float64(len(v.Troubles)))
+	gauge("troubles", "Troubles that operators are told of.", float64(len(v.Conditions)))
 	for _, p := range v.Peers {
 		gauge("peer_up", "1 if another controller answers.", yes(p.Up), "peer", p.Name)
 	}
@@ -62,7 +62,7 @@
 			gauge("reach_eighths", "Eighths of a zone's machines that a controller says it reaches.", float64(n), "controller", name, "zone", zone)
 		}
 	}
-	if g := v.Reach.GaveWay; g != nil {
+	if g := v.Reach.SteppedAside; g != nil {
 		gauge("gave_way_seconds", "Time since this controller left the leadership to one that serves more.", g.AgeS, "to", g.To)
 	}
 	if v.Leading {
@@ -71,7 +71,7 @@
 		for _, s := range []struct {
 			state string
 			n     int
-		}{{"busy", m.Busy}, {"idle", m.Idle}, {"warming", m.Warming}, {"silent", m.Silent}, {"deaf", m.Deaf}, {"draining", m.Draining}, {"booting", m.Booting}} {
+		}{{"busy", m.Busy}, {"idle", m.Idle}, {"warming", m.Prefetching}, {"silent", m.Silent}, {"deaf", m.NotReceiving}, {"draining", m.Draining}, {"booting", m.Booting}} {
 			gauge("machines", "Machines by what they are doing, as the leader knows them.", float64(s.n), "state", s.state)
 		}
 		for i, q := range v.Queues {
@@ -88,7 +88,7 @@
 }
 
 // Encode is the view in the text format.
-func Encode(v *core.OpsView) ([]byte, error) {
+func Encode(v *core.OperatorView) ([]byte, error) {
 	r := prometheus.NewPedanticRegistry()
 	if err := r.Register(collector{v}); err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -18,11 +18,11 @@
 func (l latencyRecorder) record(request any, took int64) {
 	var call string
 	switch request.(type) {
-	case core.Submit:
+	case core.SubmitJob:
 		call = "submit"
-	case core.Status:
+	case core.QueryJob:
 		call = "status"
-	case core.Cancel:
+	case core.CancelJob:
 		call = "cancel"
 	default:
 		return
@@ -37,11 +37,11 @@
 }
 
 // summary is what operators are shown.
-func (l latencyRecorder) summary() []core.OpsLatency {
-	var v []core.OpsLatency
+func (l latencyRecorder) summary() []core.LatencyView {
+	var v []core.LatencyView
 	for _, call := range []string{"submit", "status", "cancel"} {
 		if h := l[call]; h != nil {
-			v = append(v, core.OpsLatency{Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
+			v = append(v, core.LatencyView{Call: call, Answers: h.TotalCount(), Mean: h.Mean() / 1000, P50: milliseconds(h.ValueAtQuantile(50)),
 				P95: milliseconds(h.ValueAtQuantile(95)), P99: milliseconds(h.ValueAtQuantile(99)), Max: milliseconds(h.Max())})
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,7 +111,7 @@
 	n := &Node{platform: p, inbox: make(chan envelope, inboxSize(p.Deployment.Limits.Sockets)), start: time.Now(), replies: map[uint64]pendingRequest{}, latencies: latencyRecorder{}, sweepSlots: make(chan struct{}, maxWaitingSweeps), fatal: make(chan error, 1),
 		state: store.New(p.Services.State, stateConns), watches: store.New(p.Services.State, watchConns), cloud: cloud.New(p.Services.Cloud),
 		peers: map[string]*peer.Client{}, workers: newWorkerPool(ordersAtOnce(p.Deployment.Limits.Sockets))}
-	set := core.Settings{Name: p.Name, Deployment: p.Deployment, Ops: ops, Boot: strconv.FormatUint(rand.Uint64(), 36)}
+	set := core.Settings{Name: p.Name, Deployment: p.Deployment, Ops: ops, Incarnation: strconv.FormatUint(rand.Uint64(), 36)}
 	for _, m := range p.Peers {
 		set.Peers = append(set.Peers, m.Name)
 		n.peers[m.Name] = peer.NewClient(m.Addr, p.Deployment.Limits.Sockets)
@@ -157,7 +157,7 @@
 	t := time.NewTicker(50 * time.Millisecond)
 	for range t.C {
 		select {
-		case n.inbox <- envelope{msg: core.Tick{Wall: time.Now().UnixMicro()}}:
+		case n.inbox <- envelope{msg: core.Tick{TimeOfDay: time.Now().UnixMicro()}}:
 		default:
 		}
 	}
@@ -165,7 +165,7 @@
 
 // coreLoop is the core's actor.
 func (n *Node) coreLoop() {
-	n.execute(n.core.Step(n.now(), core.Tick{Wall: time.Now().UnixMicro()}))
+	n.execute(n.core.Step(n.now(), core.Tick{TimeOfDay: time.Now().UnixMicro()}))
 	for e := range n.inbox {
 		msg := e.msg
 		if e.build != nil {
@@ -186,7 +186,7 @@
 	select {
 	case n.inbox <- envelope{build: build, reply: reply}:
 	default:
-		reply(core.Reply{Status: 503, Retry: 1, Error: "overloaded"})
+		reply(core.Reply{Status: 503, RetryAfter: 1, Error: "overloaded"})
 	}
 }
 
@@ -222,11 +222,11 @@
 				return
 			}
 		}
-		reply(httpwire.Response{Status: r.Status, Body: api.EncodeReply(r), RetryAfter: r.Retry})
+		reply(httpwire.Response{Status: r.Status, Body: api.EncodeReply(r), RetryAfter: r.RetryAfter})
 	})
 }
 
-func metricsResponse(v *core.OpsView) httpwire.Response {
+func metricsResponse(v *core.OperatorView) httpwire.Response {
 	b, err := metrics.Encode(v)
 	if err != nil {
 		slog.Error("metrics can't be written", "err", err)
@@ -236,17 +236,17 @@
 }
 
 // HandleRelayedHeartbeat hands a peer's relayed report to the core.
-func (n *Node) HandleRelayedHeartbeat(beat core.Beat) (core.Reply, error) {
+func (n *Node) HandleRelayedHeartbeat(beat core.HeartbeatReceived) (core.Reply, error) {
 	return n.requestAndWait(func(req uint64) any {
-		beat.Req = req
+		beat.RequestID = req
 		return beat
 	}, relayTimeout)
 }
 
 // HandlePing asks the core what to tell a peer.
-func (n *Node) HandlePing(ping core.Pinged) (core.Reply, error) {
+func (n *Node) HandlePing(ping core.PingReceived) (core.Reply, error) {
 	return n.requestAndWait(func(req uint64) any {
-		ping.Req = req
+		ping.RequestID = req
 		return ping
 	}, time.Second)
 }
@@ -254,8 +254,8 @@
 // HandleRequest hands a user's request from a peer to the core.
 func (n *Node) HandleRequest(request any) (core.Reply, error) {
 	build := func(req uint64) any { return peer.Numbered(request, req) }
-	if s, ok := request.(core.HandedSweep); ok {
-		m := core.SubmitSweep{Plan: &core.SweepPlan{ID: s.ID}, Stored: s.Stored, Invalid: s.Invalid, Handed: true}
+	if s, ok := request.(core.ForwardedSweep); ok {
+		m := core.SubmitSweep{Plan: &core.SweepPlan{ID: s.ID}, Stored: s.Stored, Invalid: s.Invalid, Forwarded: true}
 		if s.Invalid == "" {
 			n.expanding.Lock()
 			plan, err := api.UnpackSweep(s.Stored)
@@ -265,7 +265,7 @@
 			}
 			m.Plan = plan
 		}
-		build = func(req uint64) any { m.Req = req; return m }
+		build = func(req uint64) any { m.RequestID = req; return m }
 	}
 	return n.requestAndWait(build, requestTimeout(request))
 }
@@ -276,7 +276,7 @@
 
 // requestTimeout is how long a request of a peer may take here.
 func requestTimeout(request any) time.Duration {
-	if _, ok := request.(core.CloudFor); ok {
+	if _, ok := request.(core.CloudCallRequested); ok {
 		return cloudTimeout
 	}
 	return 4 * time.Second
@@ -301,8 +301,8 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case core.Reply:
-			if p, ok := n.replies[e.Req]; ok {
-				delete(n.replies, e.Req)
+			if p, ok := n.replies[e.RequestID]; ok {
+				delete(n.replies, e.RequestID)
 				n.latencies.record(p.msg, n.now()-p.receivedAt)
 				if e.Ops != nil {
 					e.Ops.Latencies = n.latencies.summary()
@@ -310,135 +310,135 @@
 				p.reply(e)
 			}
 		case core.Quit:
-			n.fatal <- errors.New(e.Why) // once in a process
-		case core.List:
+			n.fatal <- errors.New(e.Reason) // once in a process
+		case core.ListState:
 			go n.listState(e)
-		case core.Watch:
+		case core.WatchState:
 			go n.watch(e, n.now())
 		case core.WatchLeader:
 			go n.watchLeader(e)
-		case core.AskView:
+		case core.ReadFromLeader:
 			go n.askView(e, n.now())
-		case core.View:
+		case core.ReadState:
 			sent := n.now()
 			go func() {
-				w := n.state.Watch(core.Prefix, e.After, 0)
-				w.Sent, w.View, w.Asked = sent, true, e.Asked
+				w := n.state.Watch(core.Prefix, e.AfterRevision, 0)
+				w.SentAt, w.Immediate, w.ForRequests = sent, true, e.ForRequests
 				n.deliver(w)
 			}()
-		case core.Multi:
+		case core.CommitTransaction:
 			go func() { n.deliver(n.state.Transact(e, 2*time.Second)) }()
-		case core.Get:
+		case core.ReadKey:
 			go func() {
 				v, stamp, err := n.state.Get(e.Key)
-				n.deliver(core.Got{ID: e.ID, Key: e.Key, Value: v, Stamp: stamp, Err: err})
+				n.deliver(core.KeyRead{ID: e.ID, Key: e.Key, Value: v, Revision: stamp, Err: err})
 			}()
-		case core.NewLease:
+		case core.GrantLease:
 			sent := n.now()
 			go func() {
 				l, err := n.state.GrantLease(time.Duration(e.TTL) * time.Microsecond)
-				n.deliver(core.Leased{Lease: l, Sent: sent, Err: err})
+				n.deliver(core.LeaseGranted{Lease: l, SentAt: sent, Err: err})
 			}()
-		case core.Touch:
+		case core.RenewLease:
 			sent := n.now()
 			go func() {
 				gone, err := n.state.RenewLease(e.Lease)
-				n.deliver(core.Touched{Lease: e.Lease, Sent: sent, Gone: gone, Err: err})
+				n.deliver(core.LeaseRenewed{Lease: e.Lease, SentAt: sent, Expired: gone, Err: err})
 			}()
-		case core.DropLease:
+		case core.RevokeLease:
 			go func() {
 				if err := n.state.RevokeLease(e.Lease); err != nil {
 					slog.Debug("dropping a lease failed", "err", err)
 				}
 			}()
-		case core.Relay:
+		case core.RelayHeartbeat:
 			go n.relay(e)
-		case core.Forward:
+		case core.ForwardRequest:
 			go n.forward(e)
-		case core.Ping:
+		case core.PingPeer:
 			sent := n.now()
 			go func() {
-				ping := core.Pinged{From: n.platform.Name, Need: e.Need, Boot: e.Boot, Ask: e.Ask, Tell: e.Tell}
+				ping := core.PingReceived{From: n.platform.Name, NeedMachines: e.NeedMachines, Incarnation: e.Incarnation, Question: e.Question, Cancellations: e.Cancellations}
 				r, err := n.peers[e.Peer].Ping(ping, time.Second)
-				n.deliver(core.PeerSeen{Peer: e.Peer, Sent: sent, OK: err == nil && r.Name == e.Peer, News: r.News})
+				n.deliver(core.PeerPinged{Peer: e.Peer, SentAt: sent, OK: err == nil && r.Name == e.Peer, Status: r.News})
 			}()
-		case core.Probe:
+		case core.ProbeMachine:
 			sent := n.now()
 			go func() {
 				r, ok := n.workers.probe(e.Addr)
-				n.deliver(core.Probed{Machine: e.Machine, Sent: sent, OK: ok, Report: r})
+				n.deliver(core.MachineProbed{Machine: e.Machine, SentAt: sent, OK: ok, Heartbeat: r})
 			}()
-		case core.Direct:
+		case core.SendCommands:
 			n.workers.send(e)
-		case core.GetTypes:
+		case core.ListMachineTypes:
 			go func() {
 				t := n.cloud.ListTypes()
-				t.Token = e.Token
+				t.FencingToken = e.FencingToken
 				n.deliver(t)
 			}()
 		case core.ListMachines:
 			go func() {
 				l := n.cloud.ListMachines(time.Duration(e.Gap) * time.Microsecond)
-				l.Token = e.Token
+				l.FencingToken = e.FencingToken
 				n.deliver(l)
 			}()
-		case core.Expand:
+		case core.ExpandSweep:
 			go func() {
 				n.expanding.Lock()
 				defer n.expanding.Unlock()
 				plan, err := api.UnpackSweep(e.Stored)
-				n.deliver(core.Expanded{ID: e.ID, Plan: plan, Err: err})
+				n.deliver(core.SweepExpanded{ID: e.ID, Plan: plan, Err: err})
 			}()
-		case core.CloudDo:
-			go func() { n.deliver(core.CloudDone{Req: e.Req, Answer: n.callCloud(e.Call)}) }()
-		case core.CloudBy:
+		case core.CallCloudForPeer:
+			go func() { n.deliver(core.CloudCalledForPeer{RequestID: e.RequestID, Answer: n.callCloud(e.Call)}) }()
+		case core.CallCloudViaPeer:
 			go n.callCloudByPeer(e)
-		case core.Rent:
+		case core.ScaleOut:
 			go func() {
-				if n.isExpired(e.Until) {
-					n.deliver(core.Rented{Rent: e}) // asked again under the same name, if at all
+				if n.isExpired(e.NotAfter) {
+					n.deliver(core.ScaledOut{Request: e}) // asked again under the same name, if at all
 					return
 				}
 				n.deliver(n.cloud.ScaleOut(e))
 			}()
-		case core.Release:
+		case core.ScaleIn:
 			go func() {
-				if n.isExpired(e.Until) {
-					n.deliver(core.Released{Names: e.Names, Token: e.Token})
+				if n.isExpired(e.NotAfter) {
+					n.deliver(core.ScaledIn{Names: e.Names, FencingToken: e.FencingToken})
 					return
 				}
 				r := n.cloud.ScaleIn(e.Names)
-				r.Token = e.Token
+				r.FencingToken = e.FencingToken
 				n.deliver(r)
 			}()
 		}
 	}
 }
 
-func (n *Node) relay(e core.Relay) {
+func (n *Node) relay(e core.RelayHeartbeat) {
 	var r core.Reply
 	err := errors.New("the leader is no peer")
 	if p := n.peers[e.To]; p != nil {
-		r, err = p.RelayBeat(core.Beat{From: n.platform.Name, Report: e.Report, Onward: e.Onward}, relayTimeout)
+		r, err = p.RelayBeat(core.HeartbeatReceived{From: n.platform.Name, Heartbeat: e.Heartbeat, ViaPeer: e.ViaPeer}, relayTimeout)
 	}
-	n.deliver(core.Relayed{Req: e.Req, Answer: r, Err: err})
+	n.deliver(core.HeartbeatRelayed{RequestID: e.RequestID, Answer: r, Err: err})
 }
 
 // callCloud makes a call for a peer.
-func (n *Node) callCloud(call core.CloudCall) core.CloudAnswer {
-	var a core.CloudAnswer
+func (n *Node) callCloud(call core.CloudCall) core.CloudResult {
+	var a core.CloudResult
 	var err error
 	switch {
-	case call.Types:
+	case call.ListTypes:
 		t := n.cloud.ListTypes()
 		a.Types, err = t.Types, t.Err
-	case call.List:
+	case call.ListMachines:
 		m := n.cloud.ListMachines(time.Duration(call.Gap) * time.Microsecond)
 		a.List, err = m.List, m.Err
-	case call.Rent != nil:
-		r := n.cloud.ScaleOut(*call.Rent)
-		return core.CloudAnswer{Status: r.Status, Names: r.Names}
-	case !n.cloud.ScaleIn(call.Release).OK:
+	case call.ScaleOut != nil:
+		r := n.cloud.ScaleOut(*call.ScaleOut)
+		return core.CloudResult{Status: r.Status, Names: r.Names}
+	case !n.cloud.ScaleIn(call.ScaleIn).OK:
 		return a
 	}
 	if err == nil {
@@ -458,33 +458,33 @@
 }
 
 // callCloudByPeer has a peer make a call of the cloud.
-func (n *Node) callCloudByPeer(e core.CloudBy) {
-	if n.isExpired(e.Until) {
-		_, answer := core.CloudByEnded(e, core.Reply{}, nil) // no fault of the peer's
+func (n *Node) callCloudByPeer(e core.CallCloudViaPeer) {
+	if n.isExpired(e.NotAfter) {
+		_, answer := core.CloudViaPeerResult(e, core.Reply{}, nil) // no fault of the peer's
 		n.deliver(answer)
 		return
 	}
-	r, err := n.peers[e.To].Ask(core.CloudFor{Token: e.Token, Call: e.Call}, cloudTimeout)
-	told, answer := core.CloudByEnded(e, r, err)
+	r, err := n.peers[e.To].Ask(core.CloudCallRequested{FencingToken: e.FencingToken, Call: e.Call}, cloudTimeout)
+	told, answer := core.CloudViaPeerResult(e, r, err)
 	n.deliver(told)
 	n.deliver(answer)
 }
 
 // forward hands a user's request on to a peer.
-func (n *Node) forward(e core.Forward) {
+func (n *Node) forward(e core.ForwardRequest) {
 	timeout := 3500 * time.Millisecond
 	switch e.Request.(type) {
-	case core.Status, core.SweepStatus, core.SweepRuns:
+	case core.QueryJob, core.QuerySweep, core.ListSweepRuns:
 		timeout = 1500 * time.Millisecond
 	}
 	r, err := n.peers[e.To].Ask(e.Request, timeout)
-	n.deliver(core.Forwarded{Req: e.Req, Answer: r, Err: err})
+	n.deliver(core.RequestForwarded{RequestID: e.RequestID, Answer: r, Err: err})
 }
 
 // listState reads the start prefixes at the pace that is asked for, and paces repeats
 // after a failure.
-func (n *Node) listState(e core.List) {
-	var out core.Listed
+func (n *Node) listState(e core.ListState) {
+	var out core.StateListed
 	pages := 0
 	pace := func() {
 		if pages++; pages > e.AtOnce {
@@ -495,20 +495,20 @@
 		rows, ledger, err := n.state.List(p, pace)
 		if err != nil {
 			time.Sleep(300 * time.Millisecond)
-			n.deliver(core.Listed{Err: err})
+			n.deliver(core.StateListed{Err: err})
 			return
 		}
 		if i == 0 {
-			out.Ledger = ledger
+			out.Revision = ledger
 		}
-		out.Rows = append(out.Rows, rows...)
+		out.Changes = append(out.Changes, rows...)
 	}
 	n.deliver(out)
 }
 
-func (n *Node) watch(e core.Watch, sent int64) {
-	w := n.watches.Watch(core.Prefix, e.After, 10*time.Second)
-	w.Sent = sent
+func (n *Node) watch(e core.WatchState, sent int64) {
+	w := n.watches.Watch(core.Prefix, e.AfterRevision, 10*time.Second)
+	w.SentAt = sent
 	if w.Err != nil {
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -516,18 +516,18 @@
 }
 
 func (n *Node) watchLeader(e core.WatchLeader) {
-	w := n.watches.Watch(core.LeaderKey, e.After, 10*time.Second)
+	w := n.watches.Watch(core.LeaderKey, e.AfterRevision, 10*time.Second)
 	if w.Err != nil {
 		time.Sleep(300 * time.Millisecond)
 	}
-	n.deliver(core.LeaderWatched{Changed: w.Gone || len(w.Changes) > 0, Err: w.Err})
+	n.deliver(core.LeaderWatched{Changed: w.Compacted || len(w.Changes) > 0, Err: w.Err})
 }
 
 // askView asks the leader for what has changed.
-func (n *Node) askView(e core.AskView, sent int64) {
-	shown := core.Shown{Number: e.Number, After: e.After, Sent: sent, Err: errors.New("the leader is no peer")}
+func (n *Node) askView(e core.ReadFromLeader, sent int64) {
+	shown := core.LeaderReadDone{Number: e.Number, AfterRevision: e.AfterRevision, SentAt: sent, Err: errors.New("the leader is no peer")}
 	if p := n.peers[e.To]; p != nil {
-		shown.Answer, shown.Err = p.Ask(core.ViewFor{After: e.After, Need: e.Need}, replica.AnswerTimeout*time.Microsecond)
+		shown.Answer, shown.Err = p.Ask(core.FollowerRead{AfterRevision: e.AfterRevision, WritesNeeded: e.WritesNeeded}, replica.AnswerTimeout*time.Microsecond)
 	}
 	n.deliver(shown)
 }
@@ -540,7 +540,7 @@
 
 func newWorkerPool(orders int) *workerPool { return &workerPool{make(chan struct{}, orders)} }
 
-func (w *workerPool) send(d core.Direct) {
+func (w *workerPool) send(d core.SendCommands) {
 	select {
 	case w.slots <- struct{}{}:
 	default:
@@ -562,7 +562,7 @@
 // probe asks a machine for its report. That there is an answer matters even if
 // the report can't be read. The core asks for a bounded number at a time and has
 // to learn of each how it ended, so these take no slot.
-func (w *workerPool) probe(addr string) (*core.Report, bool) {
+func (w *workerPool) probe(addr string) (*core.Heartbeat, bool) {
 	c := httpwire.NewClient(addr, 1, 1<<20)
 	defer c.Close()
 	m, err := c.Do("GET", "/inspect", nil, probeTimeout)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -79,11 +79,11 @@
 // PingAnswer is the name of the controller that answered a ping, and what it knows.
 type PingAnswer struct {
 	Name string
-	News core.PeerNews
+	News core.PeerStatus
 }
 
 // Ping asks whether the peer is there. The ping's number is not sent.
-func (p *Client) Ping(ping core.Pinged, timeout time.Duration) (PingAnswer, error) {
+func (p *Client) Ping(ping core.PingReceived, timeout time.Duration) (PingAnswer, error) {
 	var reply wire.PingReply
 	if err := p.call("Ping", wire.NewPing(ping), &reply, timeout); err != nil {
 		return PingAnswer{}, err
@@ -92,11 +92,11 @@
 }
 
 // RelayBeat relays a worker's heartbeat. Its number is not sent.
-func (p *Client) RelayBeat(beat core.Beat, timeout time.Duration) (core.Reply, error) {
+func (p *Client) RelayBeat(beat core.HeartbeatReceived, timeout time.Duration) (core.Reply, error) {
 	return p.callForReply("Beat", wire.NewHeartbeat(beat), timeout)
 }
 
-// Ask hands on a request of the core: a core.HandedSweep, or one that Numbered knows.
+// Ask hands on a request of the core: a core.ForwardedSweep, or one that Numbered knows.
 func (p *Client) Ask(request any, timeout time.Duration) (core.Reply, error) {
 	args, ok := wire.NewRequest(request)
 	if !ok {
