--- a/internal/api/replies.go
+++ b/internal/api/replies.go
@@ -32,17 +32,25 @@
 	Error string `json:"error"`
 }
 
+// The states of a job or a sweep on the wire.
+const (
+	StatusQueued    = "pending"
+	StatusRunning   = "running"
+	StatusDone      = "done"
+	StatusCancelled = "withdrawn"
+)
+
 // JobStateName is a job's state on the wire, "" for one that has no name there.
 func JobStateName(state string) string {
 	switch state {
 	case core.Queued:
-		return "pending"
+		return StatusQueued
 	case core.Running:
-		return "running"
+		return StatusRunning
 	case jobstate.Done:
-		return "done"
+		return StatusDone
 	case jobstate.Cancelled:
-		return "withdrawn"
+		return StatusCancelled
 	default:
 		return ""
 	}
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -8,22 +8,25 @@
 	"os"
 )
 
+// fileMode is that of a file that is written anew.
+const fileMode = 0o600
+
 // Write writes a list.
 func Write[T any](w io.Writer, list []T) error {
-	enc := json.NewEncoder(w)
-	for _, v := range list {
-		if err := enc.Encode(v); err != nil {
+	encoder := json.NewEncoder(w)
+	for _, value := range list {
+		if err := encoder.Encode(value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// WriteFile writes a list to a file, all of it or nothing.
+// WriteFile writes a list to a file. If a value can't be encoded the file stays as it is.
 func WriteFile[T any](path string, list []T) error {
-	var b bytes.Buffer
-	if err := Write(&b, list); err != nil {
+	var lines bytes.Buffer
+	if err := Write(&lines, list); err != nil {
 		return err
 	}
-	return os.WriteFile(path, b.Bytes(), 0o600)
+	return os.WriteFile(path, lines.Bytes(), fileMode)
 }
