--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -156,32 +156,17 @@
 type Lateness struct{ Median, P99, Worst int64 }
 
 // Lateness asks the driver's actor how late its timers have run.
-func (d *Driver) Lateness() (l Lateness) {
-	ch := make(chan Lateness, 1)
-	if !d.onActor(func() {
-		ch <- Lateness{d.lateness.ValueAtQuantile(50), d.lateness.ValueAtQuantile(99), d.lateness.Max()}
-	}) {
-		return l
-	}
-	select {
-	case l = <-ch:
-	case <-d.stop:
-	}
-	return l
+func (d *Driver) Lateness() Lateness {
+	lateness, _ := askActor(d, func() Lateness {
+		return Lateness{d.lateness.ValueAtQuantile(50), d.lateness.ValueAtQuantile(99), d.lateness.Max()}
+	})
+	return lateness
 }
 
 // StoredValue asks for the value of a key of the state service, nil if it is not there.
 func (d *Driver) StoredValue(key string) []byte {
-	ch := make(chan []byte, 1)
-	if !d.onActor(func() { ch <- d.env.StoredValue(key) }) {
-		return nil
-	}
-	select {
-	case v := <-ch:
-		return v
-	case <-d.stop:
-		return nil
-	}
+	value, _ := askActor(d, func() []byte { return d.env.StoredValue(key) })
+	return value
 }
 
 // Start is when the world's time began.
@@ -200,7 +185,22 @@
 	}
 }
 
-// Run serves the world until its length is over or the channel is closed, and
+// askActor has the driver's actor call f and waits for the result; false if the driver has
+// stopped.
+func askActor[T any](d *Driver, f func() T) (result T, ok bool) {
+	results := make(chan T, 1)
+	if !d.onActor(func() { results <- f() }) {
+		return result, false
+	}
+	select {
+	case result = <-results:
+		return result, true
+	case <-d.stop:
+		return result, false
+	}
+}
+
+// Run serves the environment until its length is over or the channel is closed, and
 // returns its history.
 func (d *Driver) Run(end <-chan struct{}) ([]history.Event, error) {
 	defer d.close()
@@ -339,22 +339,17 @@
 	errCallerGone = errors.New("the caller has gone")
 )
 
-// InjectFault lets a fault happen now.
+// InjectFault begins a fault now.
 func (d *Driver) InjectFault(f environment.Fault) error {
-	ch := make(chan error, 1)
-	if !d.onActor(func() {
+	err, ok := askActor(d, func() error {
 		err := d.env.InjectFault(f)
 		d.step(nil)
-		ch <- err
-	}) {
-		return errStopped
-	}
-	select {
-	case err := <-ch:
 		return err
-	case <-d.stop:
+	})
+	if !ok {
 		return errStopped
 	}
+	return err
 }
 
 func (d *Driver) close() {
--- /dev/null
+++ b/internal/emulator/sockets/requests.go
@@ -0,0 +1,121 @@
+package sockets
+
+import (
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"github.com/zinclb/zinclb/internal/emulator/wire"
+)
+
+// The limits of pages where a request names none.
+const (
+	defaultListLimit     = 1000
+	defaultMachinesLimit = 500
+)
+
+// readState reads a request to the state service, nil if it is malformed.
+func readState(r *http.Request) any {
+	path := r.URL.Path
+	switch {
+	case r.Method == http.MethodGet && strings.HasPrefix(path, "/kv/"):
+		return wire.Get{Key: path[len("/kv/"):]}
+	case r.Method == http.MethodGet && path == "/kv":
+		return readList(r.URL.Query())
+	case r.Method == http.MethodGet && path == "/watch":
+		return readWatch(r.URL.Query())
+	case r.Method == http.MethodPost && path == "/multi":
+		return readBody[wire.Transaction](r)
+	case path == "/leases" || strings.HasPrefix(path, "/leases/"):
+		return readLease(r)
+	}
+	return nil
+}
+
+// readBody reads a body of a type, nil if it is malformed.
+func readBody[T any](r *http.Request) any {
+	var body T
+	if !decode(r, &body) {
+		return nil
+	}
+	return body
+}
+
+// readNumber reads a number of a query that may be missing.
+func readNumber(query url.Values, name string, missing uint64) (uint64, bool) {
+	if query.Get(name) == "" {
+		return missing, true
+	}
+	n, err := strconv.ParseUint(query.Get(name), 10, 63)
+	return n, err == nil
+}
+
+func readList(query url.Values) any {
+	limit, ok := readNumber(query, "most", defaultListLimit)
+	if !ok {
+		return nil
+	}
+	return wire.List{Prefix: query.Get("starts"), After: query.Get("after"), Limit: int(limit)}
+}
+
+func readWatch(query url.Values) any {
+	after, ok := readNumber(query, "after", 0)
+	wait, ok2 := readNumber(query, "wait_ms", 0)
+	if !ok || !ok2 {
+		return nil
+	}
+	return wire.Watch{Prefix: query.Get("starts"), After: after, WaitMS: int64(wait)}
+}
+
+// readLease reads a request that grants, renews or revokes a lease.
+func readLease(r *http.Request) any {
+	path := r.URL.Path
+	if r.Method == http.MethodPost && path == "/leases" {
+		return readBody[wire.NewLease](r)
+	}
+	id, isRenewal := strings.CutSuffix(strings.TrimPrefix(path, "/leases/"), "/touch")
+	lease, err := strconv.ParseUint(id, 10, 64)
+	switch {
+	case err != nil:
+		return nil
+	case r.Method == http.MethodPost && isRenewal:
+		return wire.RenewLease{Lease: lease}
+	case r.Method == http.MethodDelete && !isRenewal:
+		return wire.RevokeLease{Lease: lease}
+	}
+	return nil
+}
+
+// readCloud reads a request to the cloud.
+func readCloud(r *http.Request) any {
+	switch r.Method + " " + r.URL.Path {
+	case "GET /machine_types":
+		return wire.Types{}
+	case "GET /rentals":
+		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
+		if err != nil {
+			limit = defaultMachinesLimit
+		}
+		return wire.Machines{After: r.URL.Query().Get("after"), Limit: limit}
+	case "POST /rentals":
+		return readBody[wire.Rent](r)
+	case "POST /rentals/release":
+		var names wire.MachineNames
+		if decode(r, &names) {
+			return wire.Release{MachineNames: names}
+		}
+	}
+	return nil
+}
+
+// readWorker reads a request to a worker.
+func readWorker(r *http.Request) any {
+	switch r.Method + " " + r.URL.Path {
+	case "POST /do":
+		return readBody[wire.WorkerOrders](r)
+	case "GET /inspect":
+		return wire.Inspect{}
+	}
+	return nil
+}
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -1,20 +1,15 @@
 package sockets
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/zinclb/zinclb/internal/emulator/environment"
-	"github.com/zinclb/zinclb/internal/emulator/history"
 	"github.com/zinclb/zinclb/internal/emulator/meter"
-	"github.com/zinclb/zinclb/internal/emulator/scenario"
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
@@ -86,7 +81,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		q, from := read(r), known
 		if q == nil {
-			write(w, 400, wire.Error{Error: "malformed"})
+			write(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
 		// A server only sees that a client has gone once the body is read.
@@ -155,95 +150,6 @@
 	return "other"
 }
 
-// readState reads a request to the state service, nil if it is malformed.
-func readState(r *http.Request) any {
-	v := r.URL.Query()
-	path := r.URL.Path
-	num := func(name string, or uint64) (uint64, bool) {
-		if v.Get(name) == "" {
-			return or, true
-		}
-		n, err := strconv.ParseUint(v.Get(name), 10, 63)
-		return n, err == nil
-	}
-	lease := func(s string) (uint64, bool) {
-		n, err := strconv.ParseUint(s, 10, 64)
-		return n, err == nil
-	}
-	switch {
-	case r.Method == http.MethodGet && strings.HasPrefix(path, "/kv/"):
-		return wire.Get{Key: path[len("/kv/"):]}
-	case r.Method == http.MethodGet && path == "/kv":
-		if n, ok := num("most", 1000); ok {
-			return wire.List{Prefix: v.Get("starts"), After: v.Get("after"), Limit: int(n)}
-		}
-	case r.Method == http.MethodGet && path == "/watch":
-		after, ok := num("after", 0)
-		wait, ok2 := num("wait_ms", 0)
-		if ok && ok2 {
-			return wire.Watch{Prefix: v.Get("starts"), After: after, WaitMS: int64(wait)}
-		}
-	case r.Method == http.MethodPost && path == "/multi":
-		var m wire.Transaction
-		if decode(r, &m) {
-			return m
-		}
-	case r.Method == http.MethodPost && path == "/leases":
-		var m wire.NewLease
-		if decode(r, &m) {
-			return m
-		}
-	case r.Method == http.MethodPost && strings.HasSuffix(path, "/touch"):
-		if n, ok := lease(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch")); ok {
-			return wire.RenewLease{Lease: n}
-		}
-	case r.Method == http.MethodDelete && strings.HasPrefix(path, "/leases/"):
-		if n, ok := lease(strings.TrimPrefix(path, "/leases/")); ok {
-			return wire.RevokeLease{Lease: n}
-		}
-	}
-	return nil
-}
-
-// readCloud reads a request to the cloud.
-func readCloud(r *http.Request) any {
-	switch r.Method + " " + r.URL.Path {
-	case "GET /machine_types":
-		return wire.Types{}
-	case "GET /rentals":
-		most, err := strconv.Atoi(r.URL.Query().Get("most"))
-		if err != nil {
-			most = 500
-		}
-		return wire.Machines{After: r.URL.Query().Get("after"), Limit: most}
-	case "POST /rentals":
-		var m wire.Rent
-		if decode(r, &m) {
-			return m
-		}
-	case "POST /rentals/release":
-		var m wire.MachineNames
-		if decode(r, &m) {
-			return wire.Release{MachineNames: m}
-		}
-	}
-	return nil
-}
-
-// readWorker reads a request to a worker.
-func readWorker(r *http.Request) any {
-	switch r.Method + " " + r.URL.Path {
-	case "POST /do":
-		var m wire.WorkerOrders
-		if decode(r, &m) {
-			return m
-		}
-	case "GET /inspect":
-		return wire.Inspect{}
-	}
-	return nil
-}
-
 // endpoint gives a machine its address, when it is first spoken of.
 func (d *Driver) endpoint(name string) string {
 	if d.Workers != nil {
@@ -297,164 +203,3 @@
 	}
 	return body
 }
-
-// sendToController brings a request of the world to a controller.
-func (d *Driver) sendToController(n *controllerProcess, a environment.Ask) {
-	method, path, body := "GET", "", []byte(nil)
-	encode := func(v any) {
-		b, err := json.Marshal(v)
-		if err != nil {
-			panic(err) // plain structs always encode
-		}
-		method, body = "POST", b
-	}
-	c, answer := d.userClient, any(&wire.JobAnswer{})
-	switch q := a.Request.(type) {
-	case *wire.Report:
-		d.withAddresses(q)
-		encode(q)
-		path, c, answer = "/agent/beat", d.reportClient(q.Machine), &wire.HeartbeatAnswer{}
-	case *wire.Job:
-		encode(q)
-		path = "/work"
-	case wire.RawSubmission:
-		method, body, path = "POST", q.Body, "/work"
-	case wire.Poll:
-		path = "/work/" + q.ID
-	case wire.Cancel:
-		encode(struct{}{})
-		path = "/work/" + q.ID + "/withdraw"
-	case wire.Sweep:
-		method, body, path = "POST", []byte(q.Text), "/sweeps"
-	case wire.SweepPoll:
-		path = "/sweeps/" + q.ID
-	case wire.SweepCancel:
-		encode(struct{}{})
-		path = "/sweeps/" + q.ID + "/withdraw"
-	case wire.ReadyProbe:
-		path = "/ready"
-	}
-	d.stopped.Add(1)
-	go func() {
-		defer d.stopped.Done()
-		t := environment.AskAnswer{ID: a.ID}
-		req, err := http.NewRequest(method, "http://"+n.publicAddr+path, bytes.NewReader(body))
-		if err == nil {
-			var resp *http.Response
-			if resp, err = c.Do(req); err == nil {
-				b, readErr := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-				_ = resp.Body.Close()
-				if readErr == nil {
-					t.Status = resp.StatusCode
-					d.countRequest(n.name, a, resp.StatusCode)
-					t.RetryAfter, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
-					_ = json.Unmarshal(b, answer) // an error's body may be anything
-					switch v := answer.(type) {
-					case *wire.HeartbeatAnswer:
-						t.Body = *v
-					case *wire.JobAnswer:
-						t.Body = *v
-					}
-				}
-			}
-		}
-		d.onActor(func() {
-			d.noteToken(a.Request, t)
-			d.step(t)
-		})
-	}()
-}
-
-// balance is the address for users from outside: it brings their requests to a
-// healthy controller, keeps their history and has workers know their jobs. It
-// also takes faults.
-func (d *Driver) balance(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
-	if err != nil || len(body) > maxBodyBytes {
-		write(w, 413, wire.Error{Error: "body too large"})
-		return
-	}
-	if r.URL.Path == "/emulator/fault" {
-		f, err := scenario.ParseFault(body)
-		if err == nil {
-			err = d.InjectFault(f)
-		}
-		if err != nil {
-			write(w, 400, wire.Error{Error: err.Error()})
-			return
-		}
-		write(w, 200, struct{}{})
-		return
-	}
-	op, job := "", ""
-	var jobs []wire.Job
-	switch parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/"); {
-	case r.URL.Path == "/work" && r.Method == http.MethodPost:
-		var j wire.Job
-		if json.Unmarshal(body, &j) == nil && j.ID != "" && j.Tasks > 0 {
-			op, job, jobs = history.Submit, j.ID, []wire.Job{j}
-		}
-	case r.URL.Path == "/sweeps" && r.Method == http.MethodPost:
-		if s, err := scenario.Expand(environment.Sweep{Text: string(body)}); err == nil {
-			jobs = s.Jobs
-		}
-	case parts[0] == "work" && len(parts) == 2:
-		op, job = history.Poll, parts[1]
-	case parts[0] == "work" && len(parts) == 3:
-		op, job = history.Cancel, parts[1]
-	}
-	var nodes []string
-	var call uint64
-	ready := make(chan struct{})
-	if !d.onActor(func() {
-		d.addJobs(jobs...)
-		nodes = d.env.HealthyControllers()
-		if op != "" {
-			call = d.env.ExternalRequest(op, job)
-		}
-		close(ready)
-	}) {
-		drop(w)
-		return
-	}
-	select {
-	case <-ready:
-	case <-d.stop:
-		drop(w)
-		return
-	}
-	status, answer := 0, []byte(nil)
-	for _, name := range nodes {
-		req, err := http.NewRequest(r.Method, "http://"+d.controller(name).publicAddr+r.URL.RequestURI(), bytes.NewReader(body))
-		if err != nil {
-			break
-		}
-		resp, err := d.userClient.Do(req)
-		if err != nil {
-			continue
-		}
-		answer, err = io.ReadAll(io.LimitReader(resp.Body, 4<<20))
-		_ = resp.Body.Close()
-		if err != nil {
-			break // it may have been carried out
-		}
-		status = resp.StatusCode
-		for _, h := range []string{"Retry-After", "Content-Type"} {
-			if v := resp.Header.Get(h); v != "" {
-				w.Header().Set(h, v)
-			}
-		}
-		break
-	}
-	if op != "" {
-		var a wire.JobAnswer
-		_ = json.Unmarshal(answer, &a) // an error's body may be anything
-		d.onActor(func() { d.env.ExternalAnswer(call, op, job, status, a.State) })
-	}
-	if status == 0 {
-		write(w, 503, wire.Error{Error: "no controller is healthy"})
-		return
-	}
-	w.WriteHeader(status)
-	_, _ = w.Write(answer) // the caller may be gone
-}
