--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// activationInterval is the least time between two writes of features or format.
+	// activationInterval is the minimum time between two writes of features or format.
 	activationInterval = second
-	// conditionsPerOp is how many conditions a transaction may have for each write that
-	// the state service allows in it.
+	// conditionsPerOp is the number of conditions that a transaction may have for each
+	// write that the state service allows in a transaction.
 	conditionsPerOp = 4
 )
 
-// The size of a stored chunk: that of its frame and of each of its tasks beside the name of
-// its machine.
+// Sizes in bytes that determine how many tasks fit in a stored chunk: the chunk without its
+// tasks, a task without the name of its machine, and the shortest machine name to assume.
 const (
 	chunkFrameBytes    = 160
 	chunkBytesPerTask  = 15
@@ -28,25 +28,26 @@
 
 var errInvalidFormat = errors.New("version or chunk size out of range")
 
-// formatRecord is the stored format, which all controllers can read. Tasks is how many tasks
-// a chunk of progress has at most; it only ever falls.
+// formatRecord is the stored format, which all controllers can read. Tasks is the maximum
+// number of tasks in a chunk of progress; it never increases.
 type formatRecord struct {
 	Version int `json:"v"`
 	Tasks   int `json:"n"`
 }
 
-// featuresRecord has the features that are active by their names.
+// featuresRecord holds the active features.
 type featuresRecord struct {
 	On []upgrade.StoredFeature `json:"on"`
 }
 
-// activationState is what membership keeps while this controller leads.
+// activationState is the state that membership keeps while this controller leads.
 type activationState struct {
-	writing   bool  // a write of features or format is not answered yet
-	notBefore int64 // no such write before this time
+	writing   bool  // a write of features or format is in flight
+	notBefore int64 // earliest time of the next such write
 }
 
-// newActivation makes the activation of this controller, to which no other is known yet.
+// newActivation returns the feature activation of this controller, with no other controller
+// known yet.
 func newActivation(settings *Settings) *upgrade.Activation {
 	program := upgrade.CurrentProgram()
 	if settings.Program != nil {
@@ -65,24 +66,25 @@
 // featureEnabled reports whether a feature is active.
 func (m *membership) featureEnabled(name upgrade.FeatureName) bool { return m.activation.Enabled(name) }
 
-// logEnabled reports whether data may be written that version 1 can't read.
+// logEnabled reports whether the progress log is active, so that data may be written that
+// version 1 can't read.
 func (m *membership) logEnabled() bool { return m.featureEnabled(upgrade.ProgressLog) }
 
-// writableFormat is the newest stored format that this controller can write.
+// writableFormat returns the newest stored format that this controller can write.
 func (m *membership) writableFormat() int {
 	local, _, _ := m.activation.LocalAdvertisement()
 	return local.Format
 }
 
-// applyFormat takes over the stored format.
-func (m *membership) applyFormat(ch Change, bad func(error)) {
+// applyFormat applies a change of the stored format.
+func (m *membership) applyFormat(ch Change, reportInvalid func(error)) {
 	var format formatRecord
 	if err := json.Unmarshal(ch.Value, &format); err != nil {
-		bad(err)
+		reportInvalid(err)
 		return
 	}
 	if format.Version < 1 || !jobstate.ValidChunkSize(format.Tasks) {
-		bad(errInvalidFormat)
+		reportInvalid(errInvalidFormat)
 		return
 	}
 	if format != m.format {
@@ -95,8 +97,8 @@
 	}
 }
 
-// changeChunkSize splits the jobs' chunks to the stored size. A leader may do it only while
-// no write is in flight.
+// changeChunkSize splits the jobs' chunks to the stored chunk size if that is smaller. On a
+// leader it may only be called while no write is in flight.
 func (m *membership) changeChunkSize() {
 	if !m.logEnabled() || m.format.Tasks >= m.chunkTasks {
 		return
@@ -110,18 +112,18 @@
 	}
 }
 
-// applyActivation takes over what is stored of members and features.
-func (m *membership) applyActivation(ch Change, bad func(error)) {
+// applyActivation applies a stored change of members, decommissioned controllers or features.
+func (m *membership) applyActivation(ch Change, reportInvalid func(error)) {
 	if name, ok := strings.CutPrefix(ch.Key, decommissionedPrefix); ok {
 		m.applyDecommissioned(name, ch)
 		return
 	}
 	if name, ok := strings.CutPrefix(ch.Key, memberPrefix); ok {
-		m.applyAdvertisement(name, ch, bad)
+		m.applyAdvertisement(name, ch, reportInvalid)
 		return
 	}
 	if !ch.Removed {
-		m.applyFeatures(ch, bad)
+		m.applyFeatures(ch, reportInvalid)
 	}
 }
 
@@ -133,23 +135,23 @@
 	m.activation.SetDecommissioned(name, !ch.Removed)
 }
 
-func (m *membership) applyAdvertisement(name string, ch Change, bad func(error)) {
+func (m *membership) applyAdvertisement(name string, ch Change, reportInvalid func(error)) {
 	if ch.Removed {
 		m.activation.RemoveAdvertisement(name)
 		return
 	}
 	var advertisement upgrade.Advertisement
 	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
-		bad(err)
+		reportInvalid(err)
 		return
 	}
 	m.activation.SetAdvertisement(name, advertisement, ch.Revision, m.now)
 }
 
-func (m *membership) applyFeatures(ch Change, bad func(error)) {
+func (m *membership) applyFeatures(ch Change, reportInvalid func(error)) {
 	var features featuresRecord
 	if err := json.Unmarshal(ch.Value, &features); err != nil {
-		bad(err)
+		reportInvalid(err)
 		return
 	}
 	m.featuresRevision = ch.Revision
@@ -157,9 +159,9 @@
 	m.log.Info("active features changed", "features", features.On)
 }
 
-// checkCompatible reports whether this program may go on with what is stored. If that needs
-// a newer one, the controller stops to act: from then on it would write, or answer, what is
-// wrong. If this is found at its start, the process ends.
+// checkCompatible reports whether this program is compatible with the stored state. If the
+// stored state needs a newer program, the controller stops acting, because it could write or
+// answer wrongly from then on. If this is found at the start, the process ends.
 func (m *membership) checkCompatible(starting bool) bool {
 	reason := m.activation.Incompatibility()
 	if reason == "" {
@@ -180,9 +182,9 @@
 	return false
 }
 
-// activationTick writes the next change of what is active, of which there are three: the
-// record of a decommissioned controller that is back goes, the next feature that all
-// controllers support is activated, and the chunk size is lowered where values did not fit.
+// activationTick writes the next pending change, of which there are three kinds: it removes
+// the record of a decommissioned controller that is back, activates the next feature that all
+// controllers support, or lowers the chunk size after a chunk did not fit in a value.
 func (m *membership) activationTick() {
 	state := &m.elector.leadership.activation
 	if state.writing || m.now < state.notBefore || !m.elector.mayStartTasks() || m.health.writesLeft() < 1 {
@@ -201,10 +203,10 @@
 	}
 	write, condition := m.activationWrite(feature)
 	conditions := []Cond{m.leaderCondition(), condition}
-	// Each supporter's advertisement must still be as it was judged, so that a controller
-	// which is replaced by an older program meanwhile is not overlooked.
+	// The write is conditional on each supporter's advertisement being unchanged, so that a
+	// controller which is meanwhile replaced by an older program is not overlooked.
 	if len(conditions)+len(supporters) > conditionsPerOp*m.limits().TxnOps {
-		return // more controllers than conditions: their support can't be proven
+		return // too many controllers to prove their support in one transaction
 	}
 	for _, member := range supporters {
 		conditions = append(conditions, kv.RevisionIs(memberPrefix+member.Name, member.Revision))
@@ -212,8 +214,8 @@
 	m.commitActivation(conditions, write)
 }
 
-// activationWrite is the write that activates a feature, nil for none, or lowers the chunk
-// size alone, and the condition that what it replaces is known.
+// activationWrite returns the write that activates a feature, or that only lowers the chunk
+// size if feature is nil, and the condition that the replaced value has not changed.
 func (m *membership) activationWrite(feature *upgrade.Feature) (Write, Cond) {
 	if feature != nil && feature.Format == 0 {
 		record := featuresRecord{m.activation.EnabledWith(feature)}
@@ -226,8 +228,8 @@
 	return Write{Key: formatKey, Value: encodeJSON(format)}, kv.RevisionIs(formatKey, m.formatRevision)
 }
 
-// commitActivation writes a change of what is active. It takes effect when the mirror shows
-// it, here as at all other controllers.
+// commitActivation writes a change of features, format or members. It takes effect when the
+// mirror contains it, on this controller as on all others.
 func (m *membership) commitActivation(conditions []Cond, write Write) {
 	state := &m.elector.leadership.activation
 	state.writing, state.notBefore = true, m.now+activationInterval
@@ -235,18 +237,19 @@
 	m.commitTransaction(conditions, []Write{write}, func(TransactionResult) { state.writing = false })
 }
 
-// leaderCondition is the condition that this controller still leads, in the same term.
+// leaderCondition returns the condition that this controller still leads in the same term.
 func (m *membership) leaderCondition() Cond {
 	return kv.RevisionIs(LeaderKey, m.elector.leadership.keyRevision)
 }
 
-// smallerChunksWanted reports whether the committer met a chunk that did not fit.
+// smallerChunksWanted reports whether the committer needs a smaller chunk size than the
+// stored one because a chunk did not fit.
 func (m *membership) smallerChunksWanted() bool {
 	wanted := m.elector.leadership.commits.chunkTasksWanted
 	return m.logEnabled() && wanted != 0 && wanted < m.format.Tasks
 }
 
-// nextChunkTasks is the chunk size of the next format that is written.
+// nextChunkTasks returns the chunk size of the next format record to be written.
 func (m *membership) nextChunkTasks() int {
 	switch {
 	case !m.logEnabled():
@@ -258,8 +261,8 @@
 	}
 }
 
-// chunkTasksForLimits is how many tasks fit in a value, each on a machine of its own whose
-// name is as long as the longest that there is.
+// chunkTasksForLimits returns how many tasks fit in a value, assuming that each is on a
+// different machine and that every machine name is as long as the longest known one.
 func (m *membership) chunkTasksForLimits() int {
 	nameSize := minMachineNameSize
 	for _, machine := range m.elector.leadership.fleet.All() {
--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -6,21 +6,22 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestAdvertisementIsStoredAgain: a controller that was cut off from the state service finds, when
-// it reads the state anew, that its lease has expired and what it advertised is gone. It stores
-// it again, or the others would not know what it reaches and nobody would hand over to it.
+// TestAdvertisementIsStoredAgain checks that a controller which was cut off from the state
+// service stores its connectivity advertisement again when a list of the state shows that its
+// lease has expired and the advertisement is gone. Otherwise the other controllers do not know
+// what it reaches, and no leader hands over to it.
 //
-// What happened: it never did while what it reached stayed the same.
-// Why: it compared what it reaches with what it had last stored, and that this is gone it learned
-// only from the removal of the key; a list of what is stored has no removals.
-// What showed it: the matrices of TestReachAfterCut (experiment), seeds 3, 6 and 17 with the leader
-// cut off from the state service and the other controllers. For 100 s node-0 says that all reach
-// all, and in the matrix of the others there is no row of node-0.
+// The controller compared what it reaches with what it had last stored, and learned of the
+// loss only from the removal of the key, but a list contains no removals. So it never stored
+// the advertisement again while what it reached stayed the same. TestReachAfterCut (package
+// experiment) showed this with seeds 3, 6 and 17 and the leader cut off from the state service
+// and the other controllers: for 100 s node-0 reported that all reach all, while the matrix of
+// the other controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
 	b := newPeerHarness(t, "n1")
 	b.advance(5 * second)
 	if b.c.peers.connectivityRevisions["n0"] == 0 {
-		t.Fatal("nothing is advertised")
+		t.Fatal("before the loss: got no stored advertisement of n0, want one")
 	}
 	b.revision++
 	b.step(StateListed{Revision: b.revision, Changes: []Change{
@@ -31,6 +32,6 @@
 	}})
 	b.advance(20 * second)
 	if b.c.peers.connectivityRevisions["n0"] == 0 {
-		t.Error("what it advertises is not stored again")
+		t.Error("20 s after the loss: got no stored advertisement of n0, want it stored again")
 	}
 }
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// connectivityInterval is how often the links are evaluated.
+	// connectivityInterval is the interval at which the links are evaluated.
 	connectivityInterval = 200_000
-	// maxPause is how late an evaluation has to come for this controller to have been
-	// suspended, so that its evidence on links is outdated.
+	// maxPause is the longest time between two evaluations after which the evidence on
+	// links still counts. After a longer one this controller was suspended, and the
+	// evidence is outdated.
 	maxPause = 2 * second
 )
 
 // connectivityTick evaluates the links: it probes machines that have sent no heartbeat here,
-// advertises in the state service what this controller reaches, and has a leader step down
-// in favour of a controller that could serve more.
+// advertises in the state service what this controller reaches, and makes a leader step down
+// in favour of a controller that could serve more workers.
 func (p *peerMonitor) connectivityTick() {
 	p.reader.watchdogTick()
 	if !p.settings.Ops.Reach || p.now-p.connectivityCheckedAt < connectivityInterval {
@@ -38,19 +39,19 @@
 	p.handOver()
 }
 
-// handOver ends a term if another controller should lead instead.
+// handOver ends the term if another controller should lead instead.
 func (p *peerMonitor) handOver() {
 	if !p.elector.mayStartTasks() {
 		return
 	}
 	if to, reason := p.connectivity.HandoverTarget(p.now); to != "" {
-		p.log.Info("stepping down in favour of a better connected controller", "controller", to, "reason", reason)
+		p.log.Info("handing leadership over to a better connected controller", "controller", to, "reason", reason)
 		p.elector.resign("handed over to " + to)
 	}
 }
 
-// publishConnectivity advertises in the state service what this controller reaches, for
-// those controllers that its pings do not reach.
+// publishConnectivity advertises in the state service what this controller reaches, so that
+// controllers which its pings do not reach learn of it too.
 func (p *peerMonitor) publishConnectivity() {
 	advertisement, pending := p.connectivity.PendingAdvertisement(p.now)
 	if !pending || !p.membership.featureEnabled(upgrade.Connectivity) || p.health.unavailable() || p.health.writesLeft() < 1 {
@@ -67,8 +68,8 @@
 	})
 }
 
-// applyConnectivity takes over what a controller advertises in the state service.
-func (p *peerMonitor) applyConnectivity(name string, ch Change, bad func(error)) {
+// applyConnectivity applies a change of a controller's stored connectivity advertisement.
+func (p *peerMonitor) applyConnectivity(name string, ch Change, reportInvalid func(error)) {
 	if ch.Removed {
 		delete(p.connectivityRevisions, name)
 		p.connectivity.SetStored(name, nil)
@@ -79,7 +80,7 @@
 	}
 	var advertisement connectivity.Advertisement
 	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
-		bad(err)
+		reportInvalid(err)
 		return
 	}
 	p.connectivityRevisions[name] = ch.Revision
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -13,22 +13,23 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// peerHarness is one of three controllers; tests give it its messages, and its effects are kept.
+// peerHarness is one of three controllers. Tests send it messages; the harness answers its
+// requests to the state service and keeps its other effects.
 type peerHarness struct {
 	c        *Core
 	now      int64
 	revision uint64
 	effects  []any
-	// stateSilent: the state service answers nothing.
+	// stateSilent is set while the state service answers no request.
 	stateSilent bool
 	renewals    int
-	// onRenewal takes the renewals of leases in place of an answer, if it is set.
+	// onRenewal, if set, is called with each lease renewal, which then gets no answer.
 	onRenewal func(RenewLease)
 	watchHung bool // the watch delivers nothing
 }
 
-// newPeerHarness makes the controller n0 that has read the state, in which leader leads; it
-// leads itself if that is its own name.
+// newPeerHarness returns the controller n0 after it has read a state in which the given
+// controller leads. If that is n0, it has been elected.
 func newPeerHarness(t *testing.T, leader string) *peerHarness {
 	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
@@ -50,7 +51,7 @@
 	b.step(StateListed{Revision: 20, Changes: rows})
 	b.advance(2 * second)
 	if (b.c.elector.leadership != nil) != (leader == "n0") {
-		t.Fatal("not the leader that was meant")
+		t.Fatalf("got n0 leading %v, want leader %s", b.c.elector.leadership != nil, leader)
 	}
 	b.effects = nil
 	return b
@@ -63,7 +64,7 @@
 	}
 }
 
-// step answers the requests to the state service, and keeps the other effects.
+// step sends a message, answers the requests to the state service and keeps the other effects.
 func (b *peerHarness) step(msg any) {
 	for _, e := range b.c.Step(b.now, msg) {
 		err := errors.New("no answer")
@@ -101,18 +102,19 @@
 	}
 }
 
-// peerAnswers has a peer answer a ping, with what it advertises, and send one.
+// peerAnswers makes a peer answer a ping with its advertisement, and send a ping.
 func (b *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
 	b.step(PeerPinged{Peer: name, SentAt: b.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
 	b.step(PingReceived{From: name})
 }
 
-// storeAdvertisement has a peer store what it advertises.
+// storeAdvertisement makes a peer store its advertisement.
 func (b *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
 	b.revision++
 	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.revision}}})
 }
 
+// takeEffects returns the kept effects of one type, and discards all kept effects.
 func takeEffects[T any](b *peerHarness) (out []T) {
 	for _, e := range b.effects {
 		if x, ok := e.(T); ok {
@@ -123,77 +125,81 @@
 	return out
 }
 
+// reaches returns the advertisement of a controller that reaches the given eighths of the
+// machines of zones a and b, and the given peers.
 func reaches(a, b int, peers ...string) connectivity.Advertisement {
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
-// TestReadForRequests: an unfinished answer needs a view that was asked for after the
-// request came. One of another purpose, sent before it, once answered it too: a
-// job accepted in between by another controller was then called unknown.
+// TestReadForRequests checks that a waiting request is answered only after a read of the state
+// that was sent for requests after the request arrived. A read that was sent earlier for
+// another purpose may miss a job that another controller accepted in between, and that job was
+// then reported as unknown.
 func TestReadForRequests(t *testing.T) {
 	b := newPeerHarness(t, "n1")
 	b.step(QueryJob{RequestID: 7, ID: "j"})
 	asked := takeEffects[ReadState](b)
 	if len(asked) != 1 || !asked[0].ForRequests {
-		t.Fatalf("views %+v", asked)
+		t.Fatalf("got reads of the state %+v, want one for requests", asked)
 	}
 	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true})
 	if got := takeEffects[ReadKey](b); len(got) != 0 {
-		t.Error("a view that may be older than the request was taken for its answer")
+		t.Errorf("after a read that may be older than the request: got %d reads of keys, want 0", len(got))
 	}
 	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true, ForRequests: true})
 	if got := takeEffects[ReadKey](b); len(got) != 1 {
-		t.Error("the view of the request did not answer it")
+		t.Errorf("after the read for the request: got %d reads of keys, want 1", len(got))
 	}
 }
 
-// TestStuckWatch: a revision that an answer names and the watch does not deliver is read, or
-// a leader would learn of new jobs only when the connection of the watch breaks.
+// TestStuckWatch checks that a controller reads the state if the watch does not deliver a
+// revision that an answer contained. Otherwise a leader would learn of new jobs only when the
+// watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
 	b := newPeerHarness(t, "n0")
-	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // what TestKnows has a leader read is not looked at here
-	b.revision += 3                                            // others write, and nothing of it comes
+	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // prevents the leader's reads that TestMirrorProof covers
+	b.revision += 3                                            // writes of others that the watch does not deliver
 	id := b.c.newID()
 	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
 	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.revision})
 	b.advance(maxWatchDelay - 100_000)
 	if v := takeEffects[ReadState](b); len(v) != 0 {
-		t.Error("the watch was given no time")
+		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", v)
 	}
 	b.advance(300_000)
 	v := takeEffects[ReadState](b)
 	if len(v) != 1 || v[0].ForRequests {
-		t.Fatalf("views %+v", v)
+		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", v)
 	}
 	b.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: b.revision, Immediate: true})
 	b.advance(5 * second)
 	if v = takeEffects[ReadState](b); len(v) != 0 {
-		t.Errorf("%d views with nothing to read", len(v))
+		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(v))
 	}
 }
 
-// TestHeartbeatWithoutLeader: what becomes of a heartbeat at a controller that may not be able
-// to relay it to the leader n1.
+// TestHeartbeatWithoutLeader checks how a follower handles a heartbeat, and the next one of the
+// same worker, depending on whether it or a peer reaches the leader n1.
 func TestHeartbeatWithoutLeader(t *testing.T) {
 	report := func(n uint64) HeartbeatReceived {
 		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
 	}
 	cases := []struct {
-		name   string
-		meet   func(b *peerHarness)
-		first  ReplyCode // the answer's status, 0 for none yet
-		to     string    // of the answer, or of the relay
-		second string    // whom the report goes by when the worker is back at once
+		name    string
+		prepare func(b *peerHarness)
+		first   ReplyCode // status of the first answer
+		to      string    // controller named in the first answer
+		relayTo string    // receiver of the relayed second heartbeat, "" if it is not relayed
 	}{
-		{"nobody reaches anything", func(*peerHarness) {}, 503, "", ""},
-		{"the leader answers", func(b *peerHarness) { b.peerAnswers("n1", reaches(8, 8)) }, 421, "n1", "n1"},
-		{"another reaches the leader", func(b *peerHarness) {
+		{"no controller reaches the leader", func(*peerHarness) {}, 503, "", ""},
+		{"the leader answers pings", func(b *peerHarness) { b.peerAnswers("n1", reaches(8, 8)) }, 421, "n1", "n1"},
+		{"another peer reaches the leader", func(b *peerHarness) {
 			v := reaches(8, 8, "n0", "n1")
 			b.peerAnswers("n2", v)
 			b.storeAdvertisement("n2", v)
 		}, 421, "n2", "n2"},
-		{"the leader says that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(8, 0)) }, 421, "n1", ""},
-		{"the leader says that it does not", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(0, 8)) }, 503, "", ""},
+		{"the leader advertises that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(8, 0)) }, 421, "n1", ""},
+		{"the leader advertises that it does not reach the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(0, 8)) }, 503, "", ""},
 		{"the leader's advertisement may be outdated", func(b *peerHarness) {
 			b.storeAdvertisement("n1", reaches(8, 8))
 			b.stateSilent = true
@@ -203,58 +209,58 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newPeerHarness(t, "n1")
-			tc.meet(b)
+			tc.prepare(b)
 			b.advance(250_000)
 			b.effects = nil
 			b.step(report(1))
 			if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
-				t.Errorf("answers %+v", r)
+				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", r, tc.first, tc.to)
 			}
 			b.advance(second)
 			b.effects = nil
 			b.step(report(2))
 			out := b.effects
-			if r := takeEffects[RelayHeartbeat](b); tc.second != "" && (len(r) != 1 || r[0].To != tc.second || r[0].ViaPeer != (tc.second != "n1")) || tc.second == "" && len(r) != 0 {
-				t.Errorf("relays %+v", r)
+			if r := takeEffects[RelayHeartbeat](b); tc.relayTo != "" && (len(r) != 1 || r[0].To != tc.relayTo || r[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(r) != 0 {
+				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", r, tc.relayTo)
 			}
 			b.effects = out
-			if r := takeEffects[Reply](b); tc.second == "" && (len(r) != 1 || r[0].Status != 503) {
-				t.Errorf("answers %+v", r)
+			if r := takeEffects[Reply](b); tc.relayTo == "" && (len(r) != 1 || r[0].Status != 503) {
+				t.Errorf("second heartbeat: got replies %+v, want one with status 503", r)
 			}
 		})
 	}
 }
 
-// TestRelayedHeartbeat: a heartbeat that a peer relays goes to the leader and no further, and
-// never back.
+// TestRelayedHeartbeat checks that a heartbeat which a peer has relayed is relayed to the
+// leader only, at most once more and never back to the peer.
 func TestRelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		leader bool // the leader answers
-		onward bool
-		relays int
-	}{{"to the leader", true, true, 1}, {"the leader does not answer here either", false, true, 0}, {"an older controller's", true, false, 0}} {
+		name    string
+		leader  bool // the leader answers pings
+		viaPeer bool // the sender asks to relay it to the leader
+		relays  int
+	}{{"the leader answers", true, true, 1}, {"the leader does not answer", false, true, 0}, {"from an older controller", true, false, 0}} {
 		b := newPeerHarness(t, "n1")
 		if tc.leader {
 			b.peerAnswers("n1", reaches(8, 8))
 		}
 		b.effects = nil
-		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.onward, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
+		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
 		out := b.effects
 		r := takeEffects[RelayHeartbeat](b)
 		b.effects = out
 		if len(r) != tc.relays || tc.relays == 1 && (r[0].To != "n1" || r[0].ViaPeer) {
-			t.Errorf("%s: %+v", tc.name, r)
+			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, r, tc.relays)
 		}
 		if a := takeEffects[Reply](b); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
-			t.Errorf("%s: %+v", tc.name, a)
+			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, a)
 		}
 	}
 }
 
-// TestHandover: a leader that reaches no worker hands over to one that does. It revokes its
-// lease at once, and does not campaign before the other has had its chance. With the setting
-// off it goes on.
+// TestHandover checks that a leader which reaches no worker hands over to a controller that
+// does: it revokes its lease at once, and campaigns only after the other controller had time
+// to. With the reach setting off it continues to lead.
 func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		b := newPeerHarness(t, "n0")
@@ -267,15 +273,16 @@
 		}
 		b.advance(3 * second)
 		if (b.c.elector.leadership == nil) != on {
-			t.Fatalf("on %v, leads %v", on, b.c.elector.leadership != nil)
+			t.Fatalf("reach setting %v: got leader %v, want %v", on, b.c.elector.leadership != nil, !on)
 		}
 		if !on {
 			continue
 		}
 		if d := takeEffects[RevokeLease](b); len(d) != 1 {
-			t.Errorf("leases revoked: %+v", d)
+			t.Errorf("got revocations of leases %+v, want one", d)
 		}
-		// The key is gone, and the state is read anew; the other has its turn.
+		// The key is gone, and the state is listed again; the other controller may campaign
+		// first.
 		b.revision++
 		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reaches(8, 8)), Revision: 7}}
 		b.step(StateListed{Revision: b.revision, Changes: rows})
@@ -284,12 +291,13 @@
 			b.advance(50_000)
 		}
 		if d := b.now - begun; d < second || d > 3*second {
-			t.Errorf("leads again %d us later", d)
+			t.Errorf("got leader again after %d us, want after 1 to 3 s", d)
 		}
 	}
 }
 
-// TestReady: a controller that can neither answer users nor forward their requests is not ready.
+// TestReady checks that a controller which can neither answer users nor forward their requests
+// is not ready.
 func TestReady(t *testing.T) {
 	ask := func(b *peerHarness) ReplyCode {
 		b.effects = nil
@@ -298,22 +306,22 @@
 	}
 	b := newPeerHarness(t, "n1")
 	if s := ask(b); s != 200 {
-		t.Errorf("all well: %d", s)
+		t.Errorf("state service answers: got status %d, want 200", s)
 	}
 	b.stateSilent = true
 	b.advance(4 * second)
 	if s := ask(b); s != 503 {
-		t.Errorf("nobody answers: %d", s)
+		t.Errorf("neither state service nor peers answer: got status %d, want 503", s)
 	}
 	b.peerAnswers("n2", reaches(8, 8))
 	if s := ask(b); s != 200 {
-		t.Errorf("a peer answers: %d", s)
+		t.Errorf("only a peer answers: got status %d, want 200", s)
 	}
 }
 
-// TestSilentRenewals: a renewal may be executed though its answer never arrives. A leader
-// without answers must not keep its lease alive by such, or nobody else could lead for as long
-// as the one-way partition lasts.
+// TestSilentRenewals checks that a leader without answers does not keep its lease alive: the
+// state service may execute renewals although no answer arrives, and then no other controller
+// could lead for as long as the one-way partition lasts.
 func TestSilentRenewals(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
@@ -325,12 +333,13 @@
 	b.renewals = 0
 	b.advance(ttl)
 	if first+b.renewals > 2 || first > 1 && b.renewals > 0 {
-		t.Errorf("%d and %d renewals in two leases of silence", first, b.renewals)
+		t.Errorf("got %d and %d renewals in two successive lease times without answers, want at most 2 in total and none in the second if the first had more than 1", first, b.renewals)
 	}
 }
 
-// TestForwardToPeer: requests of every kind are forwarded to a peer that the state service
-// answers while it does not answer here, and no further.
+// TestForwardToPeer checks that requests of every kind are forwarded to a peer which the state
+// service answers while it does not answer this controller, and that forwarded requests are
+// not forwarded again.
 func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
 		request func(forwarded bool) any
@@ -355,16 +364,16 @@
 		b.effects = nil
 		b.step(tc.request(false))
 		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
-			t.Errorf("%T: forwarded as %+v", tc.want, f)
+			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, f, tc.want)
 		}
 		b.step(tc.request(true))
 		out := b.effects
 		if f := takeEffects[ForwardRequest](b); len(f) != 0 {
-			t.Errorf("%T: forwarded twice", tc.want)
+			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, f)
 		}
 		b.effects = out
 		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
-			t.Errorf("%T: answered %+v", tc.want, r)
+			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, r)
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,35 +1,36 @@
-// Package core decides what a controller does. It has no input and output of its own:
-// Core.Step takes one message and the time of the steady clock, and returns the effects
-// that follow, as values, for package node (or an emulator) to carry out. What an effect
-// brings about comes back as a later message. The same messages at the same times have
-// the same effects, so that a whole cluster can be played in simulated time.
+// Package core decides what a controller does. It performs no input or output itself:
+// Core.Step takes one message and the time of the steady (monotonic) clock, and returns the
+// resulting effects as values for package node (or an emulator) to carry out. The results of
+// an effect come back as a later message. The same messages at the same times have the same
+// effects, so that a whole cluster can be run in simulated time.
 //
 // Every controller runs a Core. One of them is the leader: it holds the leadership key of
-// the state service on a lease, and it alone plans tasks, commands workers and scales the
-// cluster. The others serve users' requests, which all of them can, relay heartbeats, and
-// take over when the lease expires. What must survive is in the state service; it is
-// changed by transactions on conditions (compare-and-swap) alone, and those of a leader
-// are conditional on the leadership key.
+// the state service on a lease, and only it plans tasks, commands workers and scales the
+// cluster. All controllers serve users' requests; the followers also relay heartbeats and
+// take over when the lease expires. Durable state is kept in the state service. It is changed
+// only by conditional transactions (compare-and-swap), and those of a leader are conditional
+// on the leadership key.
 //
 // A Core consists of parts, each a type with a file of its name, which share an engine
 // (clock, settings, log, effects):
 //
 //   - the stored state: stateCache mirrors it, stateReader keeps the mirror fresh by
-//     watches and reads, committer writes what the leader decides, stateHealth knows
+//     watches and reads, committer writes what the leader decides, stateHealth tracks
 //     whether the state service answers and how many requests may be sent;
-//   - the controllers: elector campaigns and leads, membership says which programs and
-//     features are there, peerMonitor pings the others and forwards requests to them,
-//     readLeaseManager lets a leader that the state service fails go on answering workers;
+//   - the controllers: elector campaigns and leads, membership tracks which programs and
+//     features are present, peerMonitor pings the others and forwards requests to them,
+//     readLeaseManager lets a leader continue to answer workers while the state service
+//     does not answer it;
 //   - users and operators: requestHandler, sweepManager, dependencyResolver and
 //     operatorViewer;
-//   - machines: heartbeatRouter brings heartbeats to the leader, workerManager keeps
-//     what they say and answers with commands, taskManager follows each task,
-//     partitionManager shares the machines out among the controllers;
-//   - planning: planner decides which task starts where by package sched, prefetcher
-//     has images fetched ahead, scaler rents and returns machines, cloudCaller calls
-//     the cloud by way of a peer where this controller does not reach it.
+//   - machines: heartbeatRouter passes heartbeats to the leader, workerManager keeps
+//     the reported state and answers with commands, taskManager tracks each task,
+//     partitionManager divides the machines among the controllers;
+//   - planning: planner uses package sched to decide which task starts where, prefetcher
+//     has images fetched in advance, scaler rents and returns machines, cloudCaller calls
+//     the cloud through a peer if this controller does not reach it.
 //
-// What a part keeps only while this controller leads is in its state in leadership.
+// State that a part keeps only while this controller leads is in leadership.
 package core
 
 import (
@@ -37,8 +38,8 @@
 	"math/rand/v2"
 )
 
-// Core is one controller: it hands each message to the part that it concerns, and
-// collects the effects that follow. It is not safe for concurrent use.
+// Core is the logic of one controller: it dispatches each message to the part that handles
+// it, and collects the resulting effects. It is not safe for concurrent use.
 type Core struct {
 	*engine
 
@@ -65,8 +66,8 @@
 	operators        *operatorViewer
 }
 
-// connect gives each part those that it uses. They use each other, so this comes after
-// all are made.
+// connect gives each part the parts that it uses. They use each other, so it is called after
+// all of them have been created.
 func (c *Core) connect() {
 	c.connectState()
 	c.connectControllers()
@@ -119,7 +120,7 @@
 	c.readLeases.sweepManager = c.sweepManager
 }
 
-// connectControllers does so for those that deal with the other controllers.
+// connectControllers does the same for the parts that deal with the other controllers.
 func (c *Core) connectControllers() {
 	c.elector.cache = c.cache
 	c.elector.committer = c.committer
@@ -160,7 +161,7 @@
 	c.operators.reader = c.reader
 }
 
-// connectRequests does so for those that handle the requests of users.
+// connectRequests does the same for the parts that handle users' requests.
 func (c *Core) connectRequests() {
 	c.requests.cache = c.cache
 	c.requests.dependencies = c.dependencies
@@ -193,7 +194,8 @@
 	c.sweepManager.tasks = c.tasks
 }
 
-// connectMachines does so for those that deal with machines and their tasks.
+// connectMachines does the same for the parts that deal with machines, their tasks and the
+// cloud.
 func (c *Core) connectMachines() {
 	c.router.cache = c.cache
 	c.router.elector = c.elector
@@ -241,7 +243,8 @@
 	c.cloud.peers = c.peers
 }
 
-// New makes a core. now is the steady clock in microseconds.
+// New returns a Core that is about to list the stored state. now is the time of the steady
+// clock in microseconds.
 func New(set Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
 	run := newEngine(set, now, rng, log)
 	c := &Core{
@@ -274,8 +277,9 @@
 	return c
 }
 
-// Step handles one message at a time of the steady clock and returns the effects that
-// follow, to be carried out in their order. A message of no known type has none of its own.
+// Step handles one message at the given time of the steady clock and returns the resulting
+// effects, which must be carried out in order. A message of an unknown type has no effects of
+// its own, but time advances.
 func (c *Core) Step(now int64, msg any) []any {
 	c.now = max(now, c.now)
 	c.handle(msg)
@@ -290,7 +294,7 @@
 	return effects
 }
 
-// handle hands a message to the part that it concerns.
+// handle dispatches a message to the part that handles it.
 func (c *Core) handle(msg any) {
 	if tick, ok := msg.(Tick); ok {
 		c.onTick(tick)
@@ -302,7 +306,8 @@
 	}
 }
 
-// handleMachineMessage handles what comes from machines, also by way of a peer.
+// handleMachineMessage handles messages from machines, including relayed ones, and the
+// results of probes.
 func (c *Core) handleMachineMessage(msg any) (handled bool) {
 	switch m := msg.(type) {
 	case HeartbeatReceived:
@@ -318,7 +323,7 @@
 	return true
 }
 
-// handleStateMessage handles what the state service answers, or the leader in its place.
+// handleStateMessage handles answers of the state service, or of the leader in its place.
 func (c *Core) handleStateMessage(msg any) (handled bool) {
 	switch m := msg.(type) {
 	case StateListed:
@@ -343,7 +348,7 @@
 	return true
 }
 
-// handleRequest handles the requests of users and operators.
+// handleRequest handles the requests of users and operators, and expanded sweeps.
 func (c *Core) handleRequest(msg any) (handled bool) {
 	switch m := msg.(type) {
 	case SubmitJob:
@@ -374,7 +379,7 @@
 	return true
 }
 
-// handlePeerMessage handles what the other controllers ask and answer.
+// handlePeerMessage handles requests and answers of the other controllers.
 func (c *Core) handlePeerMessage(msg any) (handled bool) {
 	switch m := msg.(type) {
 	case PingReceived:
@@ -411,8 +416,8 @@
 	}
 }
 
-// onTransactionResult notes what an answer says of the state service, and has it handled
-// where the transaction was sent.
+// onTransactionResult records what the result shows about the state service, and passes it to
+// the callback of the transaction.
 func (c *Core) onTransactionResult(m TransactionResult) {
 	if !c.transactions.IsConditionOnly(m.ID) {
 		c.membership.noteRateLimited(m.Outcome)
@@ -422,14 +427,14 @@
 	c.transactions.Complete(m)
 }
 
-// onKeyRead notes what an answer says of the state service, and has it handled where the
-// key was read.
+// onKeyRead records what the answer shows about the state service, and passes it to the
+// callback of the read.
 func (c *Core) onKeyRead(m KeyRead) {
 	c.health.recordResult(&c.peers.connectivity.Reads, m.Err)
 	c.completeRead(m)
 }
 
-// onTick does what is due, whether or not anything has come.
+// onTick performs the periodic work that is due.
 func (c *Core) onTick(m Tick) {
 	if m.TimeOfDay != 0 {
 		c.wallOffset = m.TimeOfDay - c.now
@@ -454,19 +459,19 @@
 	}
 }
 
-// leadTick does what the leader does in its own time.
+// leadTick performs the periodic work of the leader.
 func (c *Core) leadTick() {
 	c.committer.abandonOverdue()
 	term := c.elector.leadership
 	if c.now-term.planning.plannedAt >= replanInterval {
 		term.planning.requestRound()
 	}
-	term.heartbeats.requestRelease() // some may have been held for long enough
+	term.heartbeats.requestRelease() // held replies may have reached their maximum delay
 	c.reader.refreshMirrorTick()
 	c.partitionManager.partitionsTick()
-	if c.now-term.machinesSweptAt >= machineSweepInterval {
-		// What goes through all machines, and can wait.
-		term.machinesSweptAt = c.now
+	if c.now-term.machinesScannedAt >= machineScanInterval {
+		// Work that iterates over all machines and can wait.
+		term.machinesScannedAt = c.now
 		c.planner.expireMachineLeases()
 		c.workers.probeNotReceiving()
 		c.workers.probeUnreachable()
@@ -481,10 +486,11 @@
 	c.operators.alertTick()
 }
 
-// machineSweepInterval is how often a leader does what goes through all machines.
-const machineSweepInterval = second / 4
+// machineScanInterval is the interval at which a leader does the work that iterates over all
+// machines.
+const machineScanInterval = second / 4
 
-// leadStep plans, writes and answers what the last message made possible.
+// leadStep plans tasks, writes state and answers heartbeats as the last message allows.
 func (c *Core) leadStep() {
 	if term := c.elector.leadership; term.planning.wanted && c.now-term.planning.plannedAt >= planInterval {
 		c.planner.plan()
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -7,56 +7,59 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// The times of an election.
+// Election timing, in microseconds.
 const (
-	// backoffRange is the longest random pause of a candidate once the leader is gone;
-	// it keeps candidates from colliding. Controllers that write the newer format take
-	// legacyBackoffRange before it is active, so that in the middle of an upgrade they
-	// win over the older ones, which are about to be restarted.
+	// backoffRange is the upper bound of a candidate's random backoff after the leader
+	// is lost; it keeps candidates from colliding. Before the newer format is active,
+	// controllers that can write it use legacyBackoffRange, so that during an upgrade
+	// they win over the older ones, which are about to be restarted.
 	backoffRange       = 300_000
 	legacyBackoffRange = backoffRange / 5
-	// campaignRetryDelay is the least pause after a campaign has failed, and again the
-	// range of the random pause that is added to it.
+	// campaignRetryDelay is the minimum delay after a failed campaign, and also the
+	// range of the random delay that is added to it.
 	campaignRetryDelay = 300_000
-	// leaseRetryDelay is the pause after the state service granted no lease.
+	// leaseRetryDelay is the delay after the state service failed to grant a lease.
 	leaseRetryDelay = 300_000
-	// revokeInterval is how often the revocation of an earlier incarnation's lease is
-	// repeated.
+	// revokeInterval is the interval at which the revocation of an earlier incarnation's
+	// lease is repeated.
 	revokeInterval = second
-	// silentLeaseMargin is how long after its lease a leader without answers waits
-	// until it tries to renew it again.
+	// silentLeaseMargin is how long after the expiry of its lease a leader that gets no
+	// answers waits before it tries to renew the lease again.
 	silentLeaseMargin = second / 2
-	// leadershipSeenWithin is how long the others may take to see that a controller leads.
+	// leadershipSeenWithin is how long the other controllers may take to learn that a
+	// controller leads.
 	leadershipSeenWithin = 300_000
 )
 
-// candidacy is this controller's side of the election: a lease in the state service, and
-// the attempts to create the leadership key on that lease, which exists once.
+// candidacy is this controller's part in the election: a lease in the state service, and
+// the attempts to create the single leadership key on that lease.
 type candidacy struct {
 	lease           uint64 // 0 for none
-	leaseProvenAt   int64  // when the request was sent that last proved the lease
-	requestingLease bool   // a GrantLease is not answered yet
-	pendingRenewals int    // how many RenewLease are not answered yet
+	leaseProvenAt   int64  // send time of the newest request that proved the lease
+	requestingLease bool   // a GrantLease is in flight
+	pendingRenewals int    // number of RenewLease requests in flight
 	renewedAt       int64  // when the lease was granted or its renewal last sent
-	campaigning     bool   // the transaction that creates the key is not answered yet
-	notBefore       int64  // no attempt before this time
-	backoffChosen   bool   // the random pause was chosen since the leader went
+	campaigning     bool   // the transaction that creates the key is in flight
+	notBefore       int64  // earliest time of the next attempt
+	backoffChosen   bool   // the backoff was chosen since the leader was lost
 }
 
-// elector campaigns for the leadership of the controllers and holds the term while this
-// controller leads. It alone decides on candidacy and leadership; other parts ask it
-// whether this controller leads and may act, and report what bears on that.
+// elector campaigns for the leadership of the controllers and holds the state of the term
+// while this controller leads. Only it changes candidacy and leadership; other parts ask it
+// whether this controller leads and may act, and report to it the events that affect that.
 //
 // The leader is the controller whose name is in the leadership key. The key is bound to
 // the controller's lease, so it disappears when the lease expires. A candidate creates it
 // in a transaction that raises the stored fencing token by one on the condition that
 // there is no leadership key and that the token is the one that the candidate knows. Its
-// term begins when its mirror shows the key, and with it all that was written before.
+// term begins when its mirror contains the key, and therefore everything that was written
+// before the key.
 //
-// A leader steps down when the key is not its own any more, when its lease expires, and
-// when a peer knows of a higher fencing token. It resigns, that is, it revokes its lease
-// as well so that a successor need not wait, when it hands the leadership over to a
-// controller with better links or must not go on.
+// A leader steps down when the key is no longer its own, when its lease expires, and
+// when a peer knows of a higher fencing token. It resigns, which means that it also revokes
+// its lease so that a successor need not wait, when it hands the leadership over to a
+// controller with better links, or when it must not continue: its program is incompatible
+// with the stored state, or its watch can no longer deliver all changes.
 type elector struct {
 	*engine
 
@@ -78,50 +81,52 @@
 // isLeader reports whether this controller leads.
 func (e *elector) isLeader() bool { return e.leadership != nil }
 
-// isNewLeader reports whether this controller leads and its term has just begun: the
-// others may still use what is left to them while nobody leads.
+// isNewLeader reports whether this controller leads and its term has just begun, so that the
+// other controllers may still use the shares of the limits that apply while nobody leads.
 func (e *elector) isNewLeader() bool {
 	return e.isLeader() && e.now-e.leadership.since < leadershipSeenWithin
 }
 
-// fencingToken is that of the present term; it must not be asked of a follower.
+// fencingToken returns the fencing token of the current term. It must only be called while
+// this controller leads.
 func (e *elector) fencingToken() uint64 { return e.leadership.fencingToken }
 
-// leadsWithToken reports whether this controller leads, and in the term of a fencing token.
+// leadsWithToken reports whether this controller leads in the term of the given fencing token.
 // A result that belongs to an earlier term of this controller says nothing about the calls
-// of this one: another controller has led in between.
+// of the current one, because another controller has led in between.
 func (e *elector) leadsWithToken(fencingToken uint64) bool {
 	return e.isLeader() && e.fencingToken() == fencingToken
 }
 
-// mayAnswerWorkers reports whether heartbeats may be answered. An answer keeps what is on
-// the machine alive, so it needs recent proof that every cancellation is known here.
+// mayAnswerWorkers reports whether heartbeats may be answered. An answer keeps the tasks on
+// the machine running, so it needs recent proof that every cancellation is known here.
 func (e *elector) mayAnswerWorkers() bool {
 	return e.isLeader() && e.now-e.leadership.authorityProvenAt() < e.settings.LeaderAuthorityTime()
 }
 
-// mayStartTasks reports whether new attempts may be started: the state service itself has
-// proved the fencing token within the time of its lease.
+// mayStartTasks reports whether new attempts may be started, which requires that the state
+// service itself proved the fencing token within the last lease duration.
 func (e *elector) mayStartTasks() bool { return e.isLeader() && e.now < e.tokenProvenUntil() }
 
-// tokenProvenUntil is until when no other controller can have become the leader, as the lease
-// can't have expired; it must not be asked of a follower.
+// tokenProvenUntil returns the time before which no other controller can have become the
+// leader, because the lease can't have expired. It must only be called while this controller
+// leads.
 func (e *elector) tokenProvenUntil() int64 {
 	return e.leadership.tokenProvenAt + e.settings.Ops.LeaderLease
 }
 
-// hasLease reports whether this controller has a lease, as far as it knows.
+// hasLease reports whether this controller has a lease that is not known to have expired.
 func (e *elector) hasLease() bool { return e.candidacy.lease != 0 }
 
-// lease is the lease that this controller has, 0 for none.
+// lease returns the ID of this controller's lease, 0 if it has none.
 func (e *elector) lease() uint64 { return e.candidacy.lease }
 
-// leaseValid reports whether the lease can't have expired yet.
+// leaseValid reports whether there is a lease that can't have expired yet.
 func (e *elector) leaseValid() bool {
 	return e.hasLease() && e.now-e.candidacy.leaseProvenAt < e.settings.Ops.LeaderLease
 }
 
-// noteNewestLeader notes a leadership that was learned of, if its fencing token is the highest.
+// noteNewestLeader records a leader if its fencing token is higher than any seen before.
 func (e *elector) noteNewestLeader(leader leaderRecord) {
 	if leader.Token > e.newestLeader.Token {
 		e.newestLeader = leader
@@ -142,7 +147,7 @@
 	}
 }
 
-// renewLease renews the lease well before it expires.
+// renewLease sends a renewal of the lease if one is due, well before the lease expires.
 func (e *elector) renewLease() {
 	c := &e.candidacy
 	if !e.hasLease() || e.now-c.renewedAt < e.renewalInterval() {
@@ -156,33 +161,33 @@
 	e.emit(RenewLease{Lease: c.lease})
 }
 
-// renewalInterval is the time from one renewal of the lease to the next.
+// renewalInterval returns the time from one renewal of the lease to the next.
 func (e *elector) renewalInterval() int64 {
 	ttl := e.settings.Ops.LeaderLease
 	switch {
 	case e.candidacy.pendingRenewals > 0:
 		return e.renewalRetryDelay()
 	case !e.isLeader() && e.membership.logEnabled():
-		// Only what this controller advertises is bound to a follower's lease.
+		// Only this controller's advertisements are bound to a follower's lease.
 		return ttl / 3
 	default:
 		return ttl / 4
 	}
 }
 
-// renewalRetryDelay is after how long a renewal without success is repeated.
+// renewalRetryDelay returns the delay after which an unsuccessful renewal is repeated.
 func (e *elector) renewalRetryDelay() int64 { return e.settings.Ops.LeaderLease / 8 }
 
-// mayRepeatRenewal reports whether a renewal is repeated before the one under way has ended.
-// A lost answer is known as such only at the request's deadline, a third of a lease later, so
-// that a leader which waits for it has two tries before another is elected. It does not go on
-// for the whole of a lease without any answer: see retryRenewal.
+// mayRepeatRenewal reports whether a renewal may be sent while an earlier one is in flight.
+// A lost answer is detected only at the request's deadline, a third of a lease later, so a
+// leader that waited for it would have only two tries before another is elected. Repetition
+// stops before a whole lease has passed without any answer; see retryRenewal.
 func (e *elector) mayRepeatRenewal() bool {
 	return e.isLeader() && e.now-e.stateAnsweredAt() <= e.settings.Ops.LeaderLease*3/4
 }
 
-// revokeEarlierLease revokes the lease of a leader that was an earlier incarnation of this
-// very controller: that process is dead, so nobody needs to wait until the lease expires.
+// revokeEarlierLease revokes the leader's lease if the leader is an earlier incarnation of
+// this controller: that process is dead, so nobody needs to wait until its lease expires.
 func (e *elector) revokeEarlierLease() {
 	leader := &e.cache.leader
 	if leader.Name != e.settings.Name || leader.Incarnation == e.settings.Incarnation || e.isLeader() || e.now < e.candidacy.notBefore {
@@ -192,7 +197,7 @@
 	e.emit(RevokeLease{Lease: leader.Lease})
 }
 
-// campaignTick takes the next step towards leadership: a random pause, a lease, the key.
+// campaignTick takes the next step towards leadership: random backoff, lease, leadership key.
 func (e *elector) campaignTick() {
 	c := &e.candidacy
 	if !c.backoffChosen {
@@ -208,8 +213,8 @@
 	}
 }
 
-// electionBackoff is how long to wait before this controller campaigns. A candidate that
-// knows of another with better links leaves it the first try.
+// electionBackoff returns how long this controller waits before it campaigns. It waits longer
+// if it knows of a candidate with better links, which thus campaigns first.
 func (e *elector) electionBackoff() int64 {
 	longest := int64(backoffRange)
 	if !e.membership.logEnabled() {
@@ -222,7 +227,8 @@
 	return backoff
 }
 
-// requestLease asks the state service for a lease, unless it was just asked.
+// requestLease asks the state service for a lease, unless a request is in flight or the
+// retry delay has not passed.
 func (e *elector) requestLease() {
 	c := &e.candidacy
 	if !c.requestingLease && e.now >= c.notBefore {
@@ -231,7 +237,8 @@
 	}
 }
 
-// campaign tries to create the leadership key, and raises the fencing token with it.
+// campaign tries to create the leadership key and to raise the fencing token in one
+// transaction.
 func (e *elector) campaign() {
 	c := &e.candidacy
 	c.campaigning = true
@@ -250,8 +257,8 @@
 	}, e.onCampaignEnded)
 }
 
-// onCampaignEnded has the state read after a campaign, also after a lost one: leadership
-// begins when the mirror shows the key.
+// onCampaignEnded requests a read of the state after a campaign, even after a lost one:
+// leadership begins when the mirror contains the key.
 func (e *elector) onCampaignEnded(m TransactionResult) {
 	c := &e.candidacy
 	c.campaigning = false
@@ -281,7 +288,7 @@
 	}
 	c.pendingRenewals = max(c.pendingRenewals-1, 0)
 	if m.Err != nil && m.SentAt < c.leaseProvenAt {
-		return // a later renewal was answered
+		return // a later request has already proved the lease
 	}
 	e.health.recordResult(&e.peers.connectivity.Lease, m.Err)
 	switch {
@@ -305,48 +312,49 @@
 func (e *elector) retryRenewal(err error) {
 	c := &e.candidacy
 	ttl := e.settings.Ops.LeaderLease
-	c.renewedAt = e.now - e.renewalRetryDelay() // try again soon
+	c.renewedAt = e.now - e.renewalRetryDelay() // the retry is due soon
 	if e.settings.Ops.Reach && e.now-e.stateAnsweredAt() > ttl && failureOf(err) == connectivity.NoResponse {
-		// The renewals may be executed though no answer arrives: such a leader
-		// would keep its lease alive, and everybody else from leading. So it lets
-		// the lease expire before it tries once more. How old the newest renewal
-		// is says nothing of that: after an outage it is old, and answers arrive.
+		// The state service may execute the renewals although no answer arrives.
+		// The leader would then keep its lease alive and prevent every other
+		// controller from leading, so it lets the lease expire before it tries
+		// again. The age of the newest successful renewal is no criterion: after
+		// an outage it is old although answers arrive.
 		c.renewedAt = e.now + ttl + silentLeaseMargin
-		e.log.Info("letting the lease expire, as no answers arrive", "lease", c.lease,
+		e.log.Info("letting the lease expire because the state service does not answer", "lease", c.lease,
 			"answer_age_s", inSeconds(e.now-e.stateAnsweredAt()), "renewal_age_s", inSeconds(e.now-c.leaseProvenAt))
 	}
 }
 
-// stateAnsweredAt is when the state service last answered a request about a lease or a
-// transaction, if only to refuse it.
+// stateAnsweredAt returns when the state service last answered a request about a lease or a
+// transaction, including a refusal.
 func (e *elector) stateAnsweredAt() int64 {
 	links := e.peers.connectivity
 	return max(e.candidacy.leaseProvenAt, links.Lease.AnsweredAt(), links.Writes.AnsweredAt())
 }
 
-// leaseRefused notes that the state service has refused a write on a lease, as an expired
-// lease. A leader waits for the answer to its renewal, which proves the same.
+// leaseRefused forgets a lease after the state service refused a write on it as expired. A
+// leader instead waits for the answer to its renewal, which proves the same.
 func (e *elector) leaseRefused(lease uint64) {
 	if e.candidacy.lease == lease && !e.isLeader() {
 		e.candidacy.lease = 0
 	}
 }
 
-// tokenProven notes that the state service has proved the fencing token in the answer to a
-// request that was sent at a time.
+// tokenProven records that the state service has proved the fencing token in the answer to a
+// request that was sent at sentAt.
 func (e *elector) tokenProven(sentAt int64) {
 	e.leadership.tokenProvenAt = max(e.leadership.tokenProvenAt, sentAt)
 }
 
-// mirrorRefreshed notes that all that was stored at a time is known here.
+// mirrorRefreshed records that everything that was stored at the given time is known here.
 func (e *elector) mirrorRefreshed(at int64) {
 	if e.isLeader() {
 		e.leadership.mirrorFreshAt = max(e.leadership.mirrorFreshAt, at)
 	}
 }
 
-// checkLeadership compares the leadership key in the mirror with what this controller takes
-// itself for. The mirror was as it is now at mirrorFreshAt, at the earliest.
+// checkLeadership begins or ends a term if the leadership key in the mirror and this
+// controller's role disagree. The mirror contains everything stored up to mirrorFreshAt.
 func (e *elector) checkLeadership(mirrorFreshAt int64) {
 	leader := &e.cache.leader
 	mine := e.cache.synced && e.cache.leaderRevision != 0 && leader.Name == e.settings.Name && leader.Incarnation == e.settings.Incarnation
@@ -358,8 +366,8 @@
 	}
 }
 
-// becomeLeader begins a term. It finds the tasks where earlier leaders have placed them;
-// whether they run is not known before their machines' heartbeats say so.
+// becomeLeader begins a term. It restores the placements that earlier leaders have stored;
+// whether these tasks run is unknown until their machines' heartbeats arrive.
 func (e *elector) becomeLeader(mirrorFreshAt int64) {
 	e.leadership = e.newLeadership(mirrorFreshAt)
 	e.health.updateShare()
@@ -372,8 +380,8 @@
 		placements += e.restorePlacements(job)
 		switch {
 		case job.Outcome() != "":
-			// It ended under an earlier leader, and its tasks may still be on
-			// their machines.
+			// The job ended under an earlier leader, and its tasks may still be
+			// on their machines.
 			e.tasks.jobEnded(job)
 		case job.NumDone == job.Tasks:
 			e.committer.markDirty(job)
@@ -384,7 +392,7 @@
 		"revision", e.cache.appliedRevision, "mirror_age_s", inSeconds(e.now-mirrorFreshAt), "unknown_ends", e.dependencies.countUnknownEnds())
 }
 
-// restorePlacements enters a job's placed tasks at their machines, and counts them.
+// restorePlacements adds a job's placed tasks to their machines and returns their number.
 func (e *elector) restorePlacements(job *jobstate.Job) (placements int) {
 	job.EachPlaced(func(i int, t *jobstate.Task) {
 		t.Phase, t.StopReason = jobstate.Unconfirmed, ""
@@ -394,8 +402,8 @@
 	return placements
 }
 
-// stepDown ends the term, and has the state read anew: plans of the term that were never
-// stored must not be taken for placements.
+// stepDown ends the term and lists the stored state again, so that placements which were
+// planned in this term but never stored are not mistaken for stored ones.
 func (e *elector) stepDown(reason string) {
 	e.log.Info("stepped down", "fencing_token", e.fencingToken(), "reason", reason, "revision", e.cache.appliedRevision,
 		"proof_age_s", inSeconds(e.now-e.leadership.stateProofAt()))
@@ -406,8 +414,8 @@
 	e.cache.listState()
 }
 
-// resign ends a term whose lease has not expired. The lease is revoked, so that the
-// successor need not wait for its expiry.
+// resign ends a term whose lease has not expired. It revokes the lease, so that the
+// successor need not wait for the expiry.
 func (e *elector) resign(reason string) {
 	e.emit(RevokeLease{Lease: e.candidacy.lease})
 	e.candidacy.lease = 0
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// errLost is the failure of a request whose answer was lost.
+// errLost is the error of a request whose answer was lost.
 var errLost = errors.New("no answer")
 
-// TestRenewalAfterOutage: the state service refuses a leader's renewals for longer than its
-// lease, serves again, and then the answer to one renewal is lost. The leader has had answers
-// all along, so it has to renew the lease again while it lasts.
+// TestRenewalAfterOutage checks that a leader renews its lease again in time when the state
+// service refuses its renewals for longer than the lease, recovers, and then the answer to one
+// renewal is lost.
 //
-// What happened: it let the lease expire after that one lost answer, and another was elected.
-// Why: that the answers of the state service do not arrive was judged by the age of the newest
-// renewal, and after an outage that is older than a lease though every request was answered.
-// What showed it: the state service's log of TestTroubles' case (renewals and dropped leases
-// executed late, the leader refused, then all). It refuses until 82.0 s, commits a transaction
-// of node-0 at 82.07, leaves the renewal of 82.30 unanswered, gets no other from node-0, and
-// the lease ends at 85.02. In 97 seeds of that case 122 leaders were elected after the faults
-// began, and 83 with this mended.
+// A leader that judged the silence of the state service by the age of the newest successful
+// renewal let the lease expire after that one lost answer, and another controller was elected:
+// after an outage that renewal is older than a lease although every request was answered. In
+// the case of TestTroubles with renewals and revocations executed late, first the leader
+// refused and then all controllers, the state service refused until 82.0 s, committed a
+// transaction of node-0 at 82.07 s and left the renewal of 82.30 s unanswered; node-0 sent no
+// other, and its lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected
+// after the faults began, and 83 with the fix.
 func TestRenewalAfterOutage(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
@@ -35,22 +35,21 @@
 	b.renewals = 0
 	b.advance(ttl / 2)
 	if b.renewals == 0 {
-		t.Error("the lease is left to expire after one lost answer")
+		t.Errorf("got no renewal in half a lease (%d us) after one lost answer, want at least one", ttl/2)
 	}
 }
 
-// TestUnansweredRenewal: a leader repeats a renewal that is not answered soon. Each answer that
-// is lost would else cost the length of the request's deadline, a third of the lease: of four
-// renewals in a lease one has to come through where three answers of ten are lost.
+// TestUnansweredRenewal checks that a leader repeats an unanswered renewal before the request's
+// deadline, so that it sends four renewals per lease. With three of ten answers lost, one of
+// the four has to succeed.
 //
-// What happened: two renewals in a lease, and a new leader each time that both were lost.
-// Why: the next renewal waited for the one under way to end, and one whose answer is lost ends
-// at its deadline.
-// What showed it: the state service's log of TestTroubles' case (renewals and dropped leases
-// executed late, the leader refused, then all). node-0 renews at 82.30 s and 83.70, both without
-// an answer, and its lease ends at 85.02; node-1 does at 85.25 and 86.65, and its lease ends at
-// 87.36. In 97 seeds of that case 83 leaders were elected after the faults began, and none with
-// this mended.
+// When a renewal waited for the one in flight to end, each lost answer cost the request's
+// deadline, a third of the lease: a leader sent two renewals per lease, and another controller
+// was elected each time that both answers were lost. In the case of TestTroubles with renewals
+// and revocations executed late, first the leader refused and then all controllers, node-0
+// renewed at 82.30 s and 83.70 s without an answer and its lease expired at 85.02 s; node-1
+// renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97 seeds of that case,
+// 83 leaders were elected after the faults began, and none with the fix.
 func TestUnansweredRenewal(t *testing.T) {
 	const deadline, wanted = second, 4
 	b := newPeerHarness(t, "n0")
@@ -70,12 +69,12 @@
 		}
 	}
 	if len(lost) < wanted {
-		t.Errorf("%d renewals in a lease without answers, want %d", len(lost), wanted)
+		t.Errorf("got %d renewals during one lease without answers, want at least %d", len(lost), wanted)
 	}
 }
 
-// TestLateRenewalFailure: that an earlier renewal gets no answer says nothing once a later one
-// was answered.
+// TestLateRenewalFailure checks that the failure of an earlier renewal is ignored once a later
+// one was answered.
 func TestLateRenewalFailure(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	for b.renewals = 0; b.renewals == 0; {
@@ -85,9 +84,9 @@
 	b.step(LeaseRenewed{Lease: b.c.elector.lease(), SentAt: proven - second, Err: errLost})
 	b.step(LeaseRenewed{Lease: b.c.elector.lease(), SentAt: proven - second})
 	if got := b.c.elector.candidacy.leaseProvenAt; got != proven {
-		t.Errorf("the lease was proven at %d, and is taken for proven at %d", proven, got)
+		t.Errorf("got lease proven at %d us after late results of earlier renewals, want %d us", got, proven)
 	}
 	if b.c.peers.connectivity.Lease.DownFor(b.now) != 0 {
-		t.Error("the link counts as down by a request from before its last answer")
+		t.Error("got lease link down after the failure of a request sent before its last answer, want up")
 	}
 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -8,21 +8,22 @@
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
-// engine is what all parts of a core share: the settings, the clock, the effects of
-// the message that is being handled, and the calls whose results are waited for.
+// engine holds what all parts of a core share: the settings, the clock, the effects of
+// the message that is being handled, and the calls whose results are pending.
 type engine struct {
 	settings Settings
 	log      *slog.Logger
 	rng      *rand.Rand
 
-	// now is the steady clock in microseconds, wallOffset the time of day less it.
+	// now is the time of the steady clock in microseconds; wallOffset is the time of day
+	// minus now, 0 if the time of day is not known.
 	now        int64
 	wallOffset int64
 
-	// effects are those of the message that is being handled.
+	// effects are the effects of the message that is being handled.
 	effects []any
 
-	// transactions and keyReads are under way; lastID is the number of the newest.
+	// transactions and keyReads are the calls in flight; lastID is the ID of the newest.
 	lastID       uint64
 	transactions *txn.Table
 	keyReads     map[uint64]func(KeyRead)
@@ -39,16 +40,16 @@
 	}
 }
 
-// emit adds an effect of the message that is being handled.
+// emit adds an effect to those of the message that is being handled.
 func (e *engine) emit(effect any) { e.effects = append(e.effects, effect) }
 
-// newID is the number of a transaction or a read of a key, by which its answer is known.
+// newID returns a new ID for a transaction or a read of a key, which identifies its answer.
 func (e *engine) newID() uint64 {
 	e.lastID++
 	return e.lastID
 }
 
-// commitTransaction sends a transaction and returns its number; done gets its result.
+// commitTransaction sends a transaction and returns its ID; done is called with the result.
 func (e *engine) commitTransaction(conditions []Cond, writes []Write, done func(TransactionResult)) (id uint64) {
 	id = e.newID()
 	e.transactions.Begin(id, conditions, writes, e.now, done)
@@ -56,14 +57,14 @@
 	return id
 }
 
-// readKey reads a key; done gets what is stored.
+// readKey reads a key; done is called with the answer.
 func (e *engine) readKey(key string, done func(KeyRead)) {
 	id := e.newID()
 	e.keyReads[id] = done
 	e.emit(ReadKey{ID: id, Key: key})
 }
 
-// completeRead has the answer to a read handled.
+// completeRead calls the callback of a read with its answer.
 func (e *engine) completeRead(m KeyRead) {
 	done := e.keyReads[m.ID]
 	if done == nil {
@@ -73,8 +74,8 @@
 	done(m)
 }
 
-// steadyTime converts a time of day to the steady clock; one that is not known, or
-// that lies ahead, is now.
+// steadyTime converts a time of day to the steady clock. It returns the current time if
+// the conversion is not possible or if the time of day lies in the future.
 func (e *engine) steadyTime(wall int64) int64 {
 	if wall == 0 || e.wallOffset == 0 {
 		return e.now
@@ -82,7 +83,7 @@
 	return min(e.now, wall-e.wallOffset)
 }
 
-// heartbeatInterval is how often each worker sends a heartbeat.
+// heartbeatInterval returns the interval at which each worker sends heartbeats.
 func (e *engine) heartbeatInterval() int64 {
 	return config.MicrosOf(e.settings.Workers.ReportS)
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -20,51 +20,51 @@
 const (
 	// tickInterval is the time between two ticks of a harness.
 	tickInterval = second / 20
-	// wallOffsetInTests is the time of day less the steady clock.
+	// wallOffsetInTests is the time of day minus the time of the steady clock.
 	wallOffsetInTests = 1_000_000 * second
-	// maxRequestTicks is after how many ticks a request counts as unanswered.
+	// maxRequestTicks is the number of ticks after which a request counts as unanswered.
 	maxRequestTicks = 40
 )
 
-// harness is a core with a small state service that answers at once.
+// harness is a core with a small in-memory state service that answers at once.
 type harness struct {
 	t    *testing.T
 	core *Core
 	now  int64
 
-	// keys is what is stored, revision the newest revision of it.
+	// keys is the stored state, revision its newest revision.
 	keys     map[string]Change
 	revision uint64
 
-	// replies are the core's replies by the numbers of the requests.
+	// replies are the core's replies by request ID.
 	replies     map[uint64]Reply
 	lastRequest uint64
 
-	// maxValue and maxOps are the limits of the state service, in bytes and in writes of
-	// a transaction; rejected counts the transactions beyond them.
+	// maxValue and maxOps are the limits of the state service, in bytes per value and in
+	// writes per transaction; rejected counts the transactions that exceed them.
 	maxValue, maxOps int
 	rejected         int
 
-	// unavailable: transactions and reads of keys fail; leases and reads of the state
-	// succeed.
+	// unavailable makes transactions and reads of keys fail; requests about leases and
+	// reads of the state still succeed.
 	unavailable bool
-	// unreachable has the keys that can't be read.
+	// unreachable are the keys that can't be read.
 	unreachable map[string]bool
-	// watchLags: the core does not receive changes, as with a watch that lags.
+	// watchLags keeps changes from the core, as with a watch that lags.
 	watchLags bool
-	// losesAnswers: transactions are executed, and not answered.
+	// losesAnswers makes the state service execute transactions without answering them.
 	losesAnswers bool
-	// reads counts the reads of single keys and the transactions that only compare;
-	// the next readsToRefuse of them are refused for their rate.
+	// reads counts the reads of single keys and the transactions without writes; the next
+	// readsToRefuse of them are rate limited.
 	reads, readsToRefuse int
 	// commits counts the transactions that write.
 	commits int
-	// delaysCommits: transactions are kept in delayedCommits until the test commits them.
+	// delaysCommits keeps transactions in delayedCommits until the test commits them.
 	delaysCommits  bool
 	delayedCommits []CommitTransaction
 }
 
-// newHarness starts a core alone in its cluster, from what is stored.
+// newHarness starts the only core of a cluster from the given stored state.
 func newHarness(t *testing.T, stored map[string]any) *harness {
 	t.Helper()
 	h := &harness{
@@ -89,7 +89,7 @@
 	return h
 }
 
-// start starts a new core from what is stored.
+// start starts a new core from the stored state.
 func (h *harness) start(settings Settings) {
 	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	h.listState()
@@ -104,7 +104,7 @@
 	h.keys[key] = Change{Key: key, Value: encodeJSON(value), Revision: h.revision}
 }
 
-// remove removes a key without a transaction, and has the core learn of it.
+// remove removes a key without a transaction, and sends the core the change.
 func (h *harness) remove(key string) {
 	h.revision++
 	delete(h.keys, key)
@@ -112,8 +112,8 @@
 	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now, Changes: []Change{change}})
 }
 
-// requireKnown fails the test if neither a job's key nor its end is stored: whoever starts
-// then takes the job for one that was never accepted.
+// requireKnown fails the test if neither a job's key nor its end is stored: a controller that
+// starts then would treat the job as never accepted.
 func (h *harness) requireKnown(id string) {
 	h.t.Helper()
 	_, unfinished := h.keys[jobPrefix+id]
@@ -123,9 +123,8 @@
 	}
 }
 
-// listState sends the core all that is stored, in the order of keys as the state
-// service does: parts of a value that was too long come after the whole one
-// which they replace.
+// listState sends the core the whole stored state, ordered by key as the state service does:
+// the parts of a value that was too long come after the whole value that they replace.
 func (h *harness) listState() {
 	list := StateListed{Revision: h.revision}
 	for _, prefix := range StartPrefixes {
@@ -138,7 +137,7 @@
 	h.step(list)
 }
 
-// advance lets time pass, with its ticks.
+// advance advances the time, with a tick every tickInterval.
 func (h *harness) advance(duration int64) {
 	for end := h.now + duration; h.now < end; {
 		h.now += tickInterval
@@ -146,7 +145,7 @@
 	}
 }
 
-// step sends the core a message and carries out the effects.
+// step sends the core a message and carries out the resulting effects.
 func (h *harness) step(message any) {
 	for _, effect := range h.core.Step(h.now, message) {
 		switch e := effect.(type) {
@@ -166,7 +165,7 @@
 	}
 }
 
-// refusesRead says whether a read is refused for its rate.
+// refusesRead counts a read and reports whether it is rate limited.
 func (h *harness) refusesRead() bool {
 	h.reads++
 	h.readsToRefuse--
@@ -182,7 +181,7 @@
 	h.step(KeyRead{ID: e.ID, Key: e.Key, Value: stored.Value, Revision: stored.Revision})
 }
 
-// readState answers a watch or a read with all that is newer.
+// readState answers a watch or a read with all changes after its revision.
 func (h *harness) readState(read StateRead) {
 	read.Revision = h.revision
 	for _, change := range h.keys {
@@ -196,7 +195,7 @@
 	h.step(read)
 }
 
-// refresh has the core read all that is newer than what it has.
+// refresh sends the core all changes that it has not applied yet.
 func (h *harness) refresh() {
 	h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision, Immediate: true})
 }
@@ -224,7 +223,7 @@
 	}
 }
 
-// check says what comes of a transaction.
+// check returns the result of a transaction without applying its writes.
 func (h *harness) check(e CommitTransaction) TransactionResult {
 	result := TransactionResult{ID: e.ID, Outcome: kv.Committed}
 	for _, condition := range e.Conditions {
@@ -249,7 +248,7 @@
 	return result
 }
 
-// write stores the writes of a transaction under one revision.
+// write applies the writes of a transaction at one new revision.
 func (h *harness) write(writes []Write) []Change {
 	h.revision++
 	var changes []Change
@@ -286,11 +285,11 @@
 		}
 		h.advance(tickInterval)
 	}
-	h.t.Fatal("no answer")
+	h.t.Fatalf("got no answer to %T within %d ticks", message, maxRequestTicks)
 	return Reply{}
 }
 
-// jobState is a job's state as users see it, or the status of the refusal.
+// jobState returns a job's state as users see it, or the status of the refusal.
 func (h *harness) jobState(id string) string {
 	h.t.Helper()
 	reply := h.request(QueryJob{ID: id})
@@ -300,7 +299,7 @@
 	return reply.Job.State
 }
 
-// job is the stored record of a job of one task.
+// job returns the stored record of a job with one task.
 func job(id string, dependencies ...string) jobstate.Record {
 	return jobstate.Record{
 		Spec: &jobstate.Spec{
@@ -317,7 +316,7 @@
 	}
 }
 
-// Stored values: a format with the progress log, and ends of jobs of one task.
+// Stored values: a format with the progress log, and the ends of jobs with one task.
 var (
 	joined    = formatRecord{Version: 2, Tasks: 64}
 	endDone   = jobstate.End{Outcome: jobstate.Done, Tasks: 1}
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -7,13 +7,13 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// stateUnavailableAfter is for how long the state service has to leave this controller
-// without an answer before it counts as unavailable.
+// stateUnavailableAfter is the time without an answer after which the state service counts as
+// unavailable.
 const stateUnavailableAfter = 1_500_000
 
-// stateHealth tracks whether the state service answers this controller, and accounts
-// for the requests that the controller may still send to it: a budget of reads and a
-// budget of writes, each refilled at the controller's share of the service's limits.
+// stateHealth tracks whether the state service answers this controller, and how many requests
+// the controller may still send to it: a budget of reads and a budget of writes, each refilled
+// at the controller's share of the service's limits.
 type stateHealth struct {
 	*engine
 
@@ -26,7 +26,7 @@
 	failedAt   int64 // when the newest request failed
 
 	// announcedRevision is the newest revision that an answer of the state service
-	// named; announcedAt is since when the watch owes it.
+	// contained; announcedAt is since when the watch has failed to deliver it.
 	announcedRevision uint64
 	announcedAt       int64
 
@@ -35,13 +35,13 @@
 	readBudget  ratelimit.TokenBucket
 }
 
-// start sets the share of a controller that has just started, and its first reads.
+// start sets the share and the initial read budget of a controller that has just started.
 func (h *stateHealth) start() {
 	h.updateShare()
 	h.readBudget = ratelimit.NewTokenBucket(h.now, ratelimit.InitialTokens)
 }
 
-// recordResult notes how a request over a link to the state service has ended.
+// recordResult records the result of a request over a link to the state service.
 func (h *stateHealth) recordResult(link *connectivity.Link, err error) {
 	if err == nil {
 		h.answeredAt = h.now
@@ -53,8 +53,8 @@
 	h.peers.pingUrgently()
 }
 
-// recordTransaction notes how a transaction has ended. One that was refused for its rate
-// or its size says nothing about the link.
+// recordTransaction records the result of a transaction. A refusal because of its rate or its
+// size says nothing about the link.
 func (h *stateHealth) recordTransaction(m TransactionResult) {
 	link := &h.peers.connectivity.Writes
 	switch m.Outcome {
@@ -72,8 +72,8 @@
 	h.peers.pingUrgently()
 }
 
-// recordAnnouncedRevision notes a revision that the state service named in an answer. A
-// watch that does not deliver it is stuck, however well requests are answered.
+// recordAnnouncedRevision records a revision that an answer of the state service contained.
+// A watch that does not deliver it is stuck, even if all requests are answered.
 func (h *stateHealth) recordAnnouncedRevision(revision uint64) {
 	if revision <= max(h.cache.appliedRevision, h.announcedRevision) {
 		return
@@ -84,24 +84,26 @@
 	h.announcedRevision = revision
 }
 
-// watchLags reports whether the state service has named a revision that is not applied yet.
+// watchLags reports whether the newest announced revision has not been applied yet.
 func (h *stateHealth) watchLags() bool { return h.announcedRevision > h.cache.appliedRevision }
 
-// watchLag is for how long the watch has owed the revision that was announced, counted
-// anew from each restartWatchLag.
+// watchLag returns how long the watch has failed to deliver the announced revision, counted
+// from the last call of restartWatchLag if there was one since.
 func (h *stateHealth) watchLag() int64 { return h.now - h.announcedAt }
 
 func (h *stateHealth) restartWatchLag() { h.announcedAt = h.now }
 
-// lastRequestFailed reports whether no request has succeeded since one failed.
+// lastRequestFailed reports whether no request has succeeded since the newest failure.
 func (h *stateHealth) lastRequestFailed() bool { return h.failedAt > h.answeredAt }
 
-// unavailable reports whether the state service has not answered for a while.
+// unavailable reports whether requests have failed without any success for longer than
+// stateUnavailableAfter.
 func (h *stateHealth) unavailable() bool {
 	return h.lastRequestFailed() && h.now-h.answeredAt > stateUnavailableAfter
 }
 
-// outageAge is for how long the state service is known not to answer.
+// outageAge returns the time since the last successful request if a later one has failed, 0
+// otherwise.
 func (h *stateHealth) outageAge() int64 {
 	if !h.lastRequestFailed() {
 		return 0
@@ -109,7 +111,7 @@
 	return h.now - h.answeredAt
 }
 
-// updateShare recomputes this controller's share of what the state service allows.
+// updateShare recomputes this controller's share of the state service's limits.
 func (h *stateHealth) updateShare() {
 	limits := h.membership.limits()
 	present, legacy := h.membership.activation.CountMembers(upgrade.SharedReads, h.cache.leader.Name)
@@ -127,15 +129,15 @@
 	})
 }
 
-// membershipConfirmed reports whether the others surely count this controller as a
-// member, and its own count of the members is recent.
+// membershipConfirmed reports whether all other controllers certainly count this controller as
+// a member, and its own count of the members is recent.
 func (h *stateHealth) membershipConfirmed() bool {
 	return h.elector.leaseValid() &&
 		h.membership.activation.MemberFor(h.now) > ratelimit.SettleTime &&
 		h.now-h.cache.mirrorFreshAt < ratelimit.MaxViewAge
 }
 
-// refillBudgets refills both budgets up to now, at the present share.
+// refillBudgets refills both budgets up to the current time at the current share.
 func (h *stateHealth) refillBudgets() {
 	h.updateShare()
 	h.readBudget.Refill(h.now, h.share.Reads)
@@ -144,36 +146,37 @@
 
 func (h *stateHealth) refillWrites() { h.writeBudget.Refill(h.now, h.share.Changes) }
 
-// writeRate is how many keys a second this controller may write.
+// writeRate returns how many keys per second this controller may write.
 func (h *stateHealth) writeRate() float64 { return h.share.Changes }
 
-// viewInterval is the least time between two reads for requests that wait.
+// viewInterval returns the minimum time between two reads for waiting requests.
 func (h *stateHealth) viewInterval() int64 { return ratelimit.Interval(h.share.Views) }
 
 func (h *stateHealth) readsLeft() float64  { return h.readBudget.Level() }
 func (h *stateHealth) writesLeft() float64 { return h.writeBudget.Level() }
 
-// tryTakeRead takes one read from the budget, and reports whether there was one.
+// tryTakeRead takes one read from the budget, and reports whether one was left.
 func (h *stateHealth) tryTakeRead() bool { return h.readBudget.TryTake() }
 
-// spendWrites accounts for keys that are being written.
+// spendWrites takes the given number of written keys from the budget.
 func (h *stateHealth) spendWrites(keys float64) { h.writeBudget.Spend(keys) }
 
-// grantWrites takes up to so many writes out of the budget for a follower, and returns
-// how many it got; receiveWrites adds those that the leader granted this controller.
+// grantWrites takes up to the wanted number of writes from the budget for a follower, and
+// returns how many it took. receiveWrites adds the writes that the leader has granted this
+// controller.
 func (h *stateHealth) grantWrites(wanted int) int {
 	return h.writeBudget.Withdraw(wanted, h.minUserBudget())
 }
 
 func (h *stateHealth) receiveWrites(granted int) { h.writeBudget.Deposit(granted) }
 
-// leaderOverdraft is the part of a second's writes that a leader may be in debt with
-// and still write a user's request.
+// leaderOverdraft is the fraction of one second's writes by which a leader may overdraw its
+// budget to write a user's request.
 const leaderOverdraft = 0.25
 
-// minUserBudget is the least write budget with which a user's request is written. Users
-// come before placements, so they may use what the leader's own writes keep back, and
-// some of what it will have.
+// minUserBudget returns the minimum write budget at which a user's request is written. Users
+// take precedence over placements, so on a leader they may use what its own writes leave in
+// the budget, and part of the coming refill.
 func (h *stateHealth) minUserBudget() float64 {
 	if !h.elector.isLeader() {
 		return 1
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// TestNoIO keeps the core free of input, output and clocks.
+// TestNoIO checks that package core and its subpackages import nothing that does input or
+// output, reads clocks or runs concurrently.
 func TestNoIO(t *testing.T) {
 	banned := []string{"net", "os", "io", "time", "syscall", "net/http", "net/rpc", "sync", "context"}
 	files := 0
@@ -25,12 +26,12 @@
 		}
 		for _, i := range f.Imports {
 			if name := strings.Trim(i.Path.Value, `"`); slices.Contains(banned, name) {
-				t.Errorf("%s imports %s", path, name)
+				t.Errorf("%s imports %s, want no import of it", path, name)
 			}
 		}
 		return nil
 	})
 	if err != nil || files < 8 {
-		t.Fatalf("%d files, %v", files, err)
+		t.Fatalf("checked %d files with error %v, want at least 8 files and no error", files, err)
 	}
 }
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -8,9 +8,10 @@
 	"github.com/zinclb/zinclb/internal/config"
 )
 
-// TestIncarnation: a controller that restarts before its lease has expired finds the leadership
-// key of its earlier incarnation. It does not lead by that, not even if its new lease had the
-// same number; it revokes the old lease, and leads with a fencing token of its own.
+// TestIncarnation checks that a controller which restarts before its lease has expired, and
+// thus finds the leadership key of its earlier incarnation, does not lead because of that key,
+// even if its new lease has the same ID. It revokes the old lease, and leads with a new
+// fencing token once the old key is gone.
 func TestIncarnation(t *testing.T) {
 	set := Settings{Name: "n0", Incarnation: "new", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -26,7 +27,7 @@
 	}})
 	r.step(StateRead{AfterRevision: 10, Revision: 10})
 	if r.c.elector.leadership != nil {
-		t.Fatal("leads by the key of its earlier incarnation")
+		t.Fatal("got leader because of the earlier incarnation's key, want follower")
 	}
 	revoked := false
 	for range 30 {
@@ -37,11 +38,11 @@
 			}
 		}
 		if r.c.elector.leadership != nil {
-			t.Fatal("leads while the old key is there")
+			t.Fatal("got leader while the earlier incarnation's key exists, want follower")
 		}
 	}
 	if !revoked {
-		t.Error("the old lease is left to expire")
+		t.Error("got no revocation of the earlier incarnation's lease, want one")
 	}
 	r.revision++
 	r.step(StateRead{AfterRevision: 10, Revision: r.revision, Changes: []Change{{Key: LeaderKey, Revision: r.revision, Removed: true}}})
@@ -49,6 +50,6 @@
 		r.tick(100_000)
 	}
 	if r.c.elector.leadership == nil || r.c.elector.leadership.fencingToken != 6 {
-		t.Error("does not lead under a new token once the old key is gone")
+		t.Error("after the earlier incarnation's key was removed: got no leadership with fencing token 6, want one")
 	}
 }
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestEarlierTerm: a controller that leads again goes by nothing of its earlier term but what is
-// certain for good. The failed scale-in of a machine, answered after another leader had placed
-// tasks on it, once had it scaled in all the same; and answers to earlier calls were counted for
-// calls that were still in flight.
+// TestEarlierTerm checks that a controller which leads again ignores results of calls from its
+// earlier term, except for those that remain true. Otherwise the answer to a failed scale-in,
+// received after another leader had placed tasks on the machine, had the machine scaled in all
+// the same, and answers to calls of the earlier term were counted for calls still in flight.
 func TestEarlierTerm(t *testing.T) {
 	r := newLeaderHarness(t)
 	s := &r.c.elector.leadership.scaling
@@ -19,13 +19,13 @@
 	r.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: before})
 	r.step(MachineTypesListed{FencingToken: before})
 	if slices.Contains(s.toScaleIn, "m") || slices.Contains(s.toScaleIn, "y") || len(s.unanswered) > 0 {
-		t.Errorf("scales in %v, retries %v", s.toScaleIn, s.unanswered)
+		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m, y nor any", s.toScaleIn, s.unanswered)
 	}
 	if s.callsRunning != 3 || !s.listing {
-		t.Errorf("%d calls in flight, listing %v", s.callsRunning, s.listing)
+		t.Errorf("after results of an earlier term: got %d calls in flight and listing %v, want 3 and true", s.callsRunning, s.listing)
 	}
 	r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token})
 	if s.callsRunning != 2 || !slices.Contains(s.toScaleIn, "m") {
-		t.Errorf("of this term: %d calls in flight, scales in %v", s.callsRunning, s.toScaleIn)
+		t.Errorf("after a failed scale-in of this term: got %d calls in flight and machines to scale in %v, want 2 and m among them", s.callsRunning, s.toScaleIn)
 	}
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -10,18 +10,18 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// publishInterval is the least time between two writes of this controller's advertisement.
+// publishInterval is the minimum time between two writes of this controller's advertisement.
 const publishInterval = second
 
-// decommissionedRecord is stored for a controller that operators have declared gone for
-// good, with the time of day at which they did.
+// decommissionedRecord is stored for a controller that operators have declared permanently
+// gone.
 type decommissionedRecord struct {
-	At int64 `json:"t"`
+	At int64 `json:"t"` // time of day of the declaration, microseconds since 1970
 }
 
-// membership knows which controllers there are, what their programs support, which features
-// are active, and by that the form in which data is written and the limits that it has to
-// fit. It advertises what this controller supports in the state service.
+// membership tracks which controllers exist, what their programs support and which features
+// are active. These determine the format in which data is written and the limits that it has
+// to fit. membership also advertises in the state service what this controller supports.
 type membership struct {
 	*engine
 
@@ -34,17 +34,19 @@
 	featuresRevision uint64 // of the stored features
 	format           formatRecord
 	formatRevision   uint64
-	// chunkTasks is how many tasks a stored chunk of a job's progress has at most.
+	// chunkTasks is the maximum number of tasks in a stored chunk of a job's progress.
 	chunkTasks int
-	// incompatible is why this program must not go on, "" while it may.
+	// incompatible is the reason why this program must not continue, "" while it may.
 	incompatible string
 
 	// decommissionedRevisions are the revisions of the records of decommissioned
-	// controllers, by name; 0 or none for a controller that is not.
+	// controllers, by name; 0 or absent for a controller that is not decommissioned.
 	decommissionedRevisions map[string]uint64
-	// limitsLowered: the state service's announced lower limits are in force.
+	// limitsLowered is set once the announced lower limits of the state service are in
+	// force.
 	limitsLowered bool
-	// publishNotBefore is when this controller's advertisement may next be written.
+	// publishNotBefore is the earliest time at which this controller's advertisement may
+	// be written again.
 	publishNotBefore int64
 }
 
@@ -57,19 +59,19 @@
 	}
 }
 
-// restart forgets what is stored of members and features, before it is read anew.
+// restart discards what was read about members and features, before the state is listed again.
 func (m *membership) restart() {
 	m.activation.Restart()
 	m.featuresRevision, m.decommissionedRevisions = 0, map[string]uint64{}
 }
 
-// useLowerLimits reports whether what is written has to fit the announced limits as well.
-// While version 1 of the format is in use it need not until they are in force: a value that
-// has to be split could not be read by a controller of version 1.
+// useLowerLimits reports whether written data has to fit the announced limits too. While
+// version 1 of the format is in use, it does not have to until they are in force, because a
+// controller of version 1 could not read a value that has to be split.
 func (m *membership) useLowerLimits() bool { return m.logEnabled() || m.limitsLowered }
 
-// limits are the state service's, as far as they are known. The rate is the present one
-// until there are signs of the next.
+// limits returns the limits of the state service that apply now. The current rates apply
+// until there is a sign that the announced ones are in force.
 func (m *membership) limits() config.StateLimits {
 	limits := m.settings.State.StateLimits
 	strictest := m.settings.StrictestStateLimits()
@@ -82,14 +84,14 @@
 	return limits
 }
 
-// valueLimit is how many bytes a value may have.
+// valueLimit returns the maximum size of a value in bytes.
 func (m *membership) valueLimit() int { return bytesOfKB(m.limits().ValueKB) }
 
-// bytesOfKB converts a limit in KB to bytes, at 1000 each to stay on the safe side.
+// bytesOfKB converts a limit in KB to bytes, conservatively with 1000 bytes per KB.
 func bytesOfKB(kb float64) int { return int(kb * 1000) }
 
-// noteRateLimited takes a transaction that was refused for its rate as the sign that the
-// announced limits are in force. While version 1 of the format is in use they can't be.
+// noteRateLimited treats a rate-limited transaction as the sign that the announced limits are
+// in force. While version 1 of the format is in use they can't be, so it is ignored then.
 func (m *membership) noteRateLimited(outcome kv.Outcome) {
 	if outcome == kv.RateLimited && m.logEnabled() {
 		m.lowerLimits("request rate limited")
@@ -103,9 +105,9 @@
 	}
 }
 
-// putOnLease stores what this controller advertises under a key on its lease, so that it is
-// there only while the controller lives and reaches the state service. done is told whether
-// it was stored.
+// putOnLease stores an advertisement of this controller under a key on its lease, so that it
+// exists only while the controller is alive and reaches the state service. It calls done with
+// whether the advertisement was stored.
 func (m *membership) putOnLease(key string, revision uint64, value any, done func(ok bool)) {
 	if !m.elector.hasLease() {
 		m.elector.requestLease()
@@ -125,8 +127,7 @@
 		})
 }
 
-// membershipTick stores this controller's advertisement whenever another one, or none, is
-// stored.
+// membershipTick stores this controller's advertisement if none or a different one is stored.
 func (m *membership) membershipTick() {
 	if !m.cache.synced || m.now < m.publishNotBefore || m.health.writesLeft() < 1 {
 		return
@@ -136,17 +137,17 @@
 		return
 	}
 	m.putOnLease(memberPrefix+m.settings.Name, revision, advertisement, func(bool) {})
-	if m.elector.hasLease() { // otherwise it was not written, and is once there is a lease
+	if m.elector.hasLease() { // without a lease nothing was written; retry once there is one
 		m.publishNotBefore = m.now + publishInterval
 	}
 }
 
-// isDecommissioned reports whether operators have declared a controller gone for good.
+// isDecommissioned reports whether operators have declared a controller permanently gone.
 func (m *membership) isDecommissioned(name string) bool { return m.decommissionedRevisions[name] != 0 }
 
-// onSetDecommissioned stores that operators declare a controller gone for good, or that it
-// may come back. Features need not wait for a decommissioned controller, so one that is
-// there can't be declared gone.
+// onSetDecommissioned stores an operator's declaration that a controller is permanently gone,
+// or that it may come back. The activation of features does not wait for a decommissioned
+// controller, so a controller that is present can't be declared gone.
 func (m *membership) onSetDecommissioned(msg SetDecommissioned) {
 	_, present := m.activation.Advertisements()[msg.Name]
 	switch {
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -10,8 +10,9 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestFormatActivation: what does and what does not prove that all controllers support the
-// newer format. It is raised for good, so one that does not must never be overlooked.
+// TestFormatActivation checks which evidence proves that all controllers support the newer
+// format. The format is never lowered again, so a controller that does not support it must not
+// be overlooked.
 func TestFormatActivation(t *testing.T) {
 	says := func(s *harness, peer string, version int) {
 		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
@@ -25,30 +26,30 @@
 		do   func(s *harness)
 		want bool
 	}{
-		{"nothing is known of the others", func(*harness) {}, false},
-		{"one of two advertises it", func(s *harness) { join(s, "n1") }, false},
-		{"both advertise it", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
-		{"both advertise it, and one does not answer", func(s *harness) {
+		{"no peer known", func(*harness) {}, false},
+		{"one of two peers advertises it", func(s *harness) { join(s, "n1") }, false},
+		{"both peers advertise it", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
+		{"both peers advertise it, one does not answer pings", func(s *harness) {
 			join(s, "n1")
 			join(s, "n2")
 			s.step(PeerPinged{Peer: "n2", SentAt: s.now})
 		}, true},
-		{"one answers that it is old, though its advertisement is still there", func(s *harness) {
+		{"one peer reports an old version after its advertisement", func(s *harness) {
 			join(s, "n1")
 			s.now += 1000
 			says(s, "n1", 0)
 			join(s, "n2")
 		}, false},
-		{"one was old before it came back", func(s *harness) {
+		{"one peer reported an old version before its advertisement", func(s *harness) {
 			says(s, "n1", 0)
 			s.now += 1000
 			join(s, "n1")
 			join(s, "n2")
 		}, true},
-		{"answers alone are no advertisement", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
-		{"one's lease expires as the format is written", func(s *harness) {
+		{"peers report it without an advertisement", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
+		{"one peer's lease expires before the format is written", func(s *harness) {
 			join(s, "n1")
-			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // not in the mirror yet
+			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the mirror has not seen this
 			join(s, "n2")
 		}, false},
 	}
@@ -66,23 +67,25 @@
 			begin()
 			s.advance(2 * second)
 			if s.core.elector.leadership == nil || s.core.membership.activation.Advertisements()["n0"].Format != 2 {
-				t.Fatal("does not lead, or does not advertise its version")
+				t.Fatalf("got leader %v and own advertisement %+v, want leader with format 2",
+					s.core.elector.leadership != nil, s.core.membership.activation.Advertisements()["n0"])
 			}
 			tc.do(s)
 			s.advance(3 * second)
 			if _, stored := s.keys[formatKey]; stored != tc.want || s.core.membership.logEnabled() != tc.want {
-				t.Fatalf("stored %v, known %v", stored, s.core.membership.logEnabled())
+				t.Fatalf("got format stored %v and active %v, want both %v", stored, s.core.membership.logEnabled(), tc.want)
 			}
-			begin() // a start finds it again
+			begin() // a restarted controller reads the stored format
 			s.advance(100_000)
 			if s.core.membership.logEnabled() != tc.want || tc.want && (s.core.membership.chunkTasks != 64 || s.core.membership.format.Tasks != 64) {
-				t.Errorf("after a restart: %+v, %d tasks a chunk", s.core.membership.format, s.core.membership.chunkTasks)
+				t.Errorf("after a restart: got format %+v and %d tasks per chunk, want newer format %v, then with 64 tasks per chunk",
+					s.core.membership.format, s.core.membership.chunkTasks, tc.want)
 			}
 		})
 	}
 }
 
-// TestChunkKeys: keys of both formats are read as they are written.
+// TestChunkKeys checks that chunk keys of both formats are written as expected and parsed back.
 func TestChunkKeys(t *testing.T) {
 	for key, v := range map[string]jobstate.ChunkRef{"run/req-1/7": {ChunkSize: jobstate.DefaultChunkSize, Index: 7}, "run/req-1/64-7": {ChunkSize: 64, Index: 7}, "run/a-1/1-390": {ChunkSize: 1, Index: 390}} {
 		id := key[len("run/"):]
@@ -93,10 +96,10 @@
 			}
 		}
 		if got := chunkKey(id, v); got != Prefix+key {
-			t.Errorf("%s, want %s", got, key)
+			t.Errorf("chunkKey(%q, %+v): got %s, want %s", id, v, got, Prefix+key)
 		}
 		if gotID, got, err := parseChunkKey((Prefix + key)[len(runPrefix):]); err != nil || got != v || gotID != id {
-			t.Errorf("%s is read as %s %+v, %v", key, gotID, got, err)
+			t.Errorf("parseChunkKey of %s: got %s, %+v, error %v, want %s, %+v", key, gotID, got, err, id, v)
 		}
 	}
 }
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -6,7 +6,7 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// PingPeer pings a peer; PingReceived is what comes there, and PeerPinged answers it.
+// PingPeer pings a peer. The peer receives PingReceived, and PeerPinged is its answer.
 type PingPeer struct {
 	Peer             string
 	NeedMachines     bool
@@ -15,16 +15,18 @@
 	Cancellations    *readlease.CancellationPage
 }
 
-// PingReceived is a peer's ping. The reply to it has this controller's PeerStatus.
+// PingReceived is a peer's ping. The reply to it contains this controller's PeerStatus.
 type PingReceived struct {
 	RequestID uint64
-	// From is the peer, "" for one of an older program, and Incarnation its start.
+	// From is the name of the peer, "" if the peer runs an older program.
 	From string
-	// NeedMachines: the peer knows too few machines to probe.
+	// NeedMachines is set if the peer knows too few machines to probe.
 	NeedMachines bool
-	Incarnation  string
-	// ReadLeaseRequest asks for a read lease, and Cancellations are those that the
-	// holder of one is to know of.
+	// Incarnation identifies the start of the peer's process, "" if the peer runs a
+	// program without read leases.
+	Incarnation string
+	// ReadLeaseRequest is a request for a read lease, nil for none. Cancellations are
+	// those that this controller, as the holder of a read lease, has to know of.
 	ReadLeaseRequest *readlease.GrantRequest
 	Cancellations    *readlease.CancellationPage
 }
@@ -37,34 +39,37 @@
 	Status PeerStatus
 }
 
-// PeerStatus is what controllers tell each other once a second.
+// PeerStatus is the status that controllers exchange once a second.
 type PeerStatus struct {
-	// FencingToken and Leader are of the newest leader that is known.
+	// FencingToken and Leader are those of the newest known leader.
 	FencingToken uint64
 	Leader       string
-	// StateAge is how long ago the state service last answered.
+	// StateAge is the time since the state service last answered, 0 if the newest request
+	// did not fail.
 	StateAge int64
-	// Cancelled are jobs that users were told are cancelled of late, for a
-	// leader of an older program: newer ones learn of them from read leases.
+	// Cancelled are jobs that users were recently told are cancelled, for a leader
+	// that runs an older program; newer ones learn of them from read leases.
 	Cancelled []string
-	// ReadLease answers the request for a read lease, Ack says whether this controller
-	// holds one that the other has granted. Older programs have neither.
+	// ReadLease answers the request for a read lease. Ack says whether this controller
+	// holds one that the other has granted. Older programs send neither.
 	ReadLease *readlease.CancellationPage
 	Ack       *readlease.HolderAck
-	// Version is the format that the controller can write, 0 before there was
-	// any, Features what it has; older programs have neither.
+	// Version is the newest stored format that the controller can write, 0 if its program
+	// is older than that field. Features are the features that it supports. Older programs
+	// send neither.
 	Version  int
 	Features []upgrade.FeatureName
-	// LimitsLowered: the state service has shown that its limits have been lowered.
+	// LimitsLowered is set once the state service has shown that its limits have been
+	// lowered.
 	LimitsLowered bool
-	// Connectivity is what the controller reaches, Machines some that it knows, for
-	// one that needs them. Older programs have neither.
+	// Connectivity is what the controller reaches. Machines are some machines that it
+	// knows, for a peer that needs them. Older programs send neither.
 	Connectivity *connectivity.Advertisement
 	Machines     []connectivity.Machine
 }
 
-// ForwardRequest forwards a user's request to a peer that the state service answers;
-// RequestForwarded answers it.
+// ForwardRequest forwards a user's request to a peer that the state service answers.
+// RequestForwarded is the answer.
 type ForwardRequest struct {
 	RequestID uint64
 	To        string
@@ -80,18 +85,18 @@
 	Err       error
 }
 
-// ReadFromLeader asks the leader for what has changed after a revision; FollowerRead is
-// what comes there, and LeaderReadDone answers it.
+// ReadFromLeader asks the leader for the changes after a revision. The leader receives
+// FollowerRead, and LeaderReadDone is its answer.
 type ReadFromLeader struct {
 	To            string
 	AfterRevision uint64
-	// Number tells the answer from others.
+	// Number identifies the answer.
 	Number       uint64
 	WritesNeeded int
 }
 
-// FollowerRead asks a leader for what has changed after a revision, by a read that
-// begins after this came.
+// FollowerRead asks a leader for the changes after a revision. The read that answers it must
+// begin after the request arrived.
 type FollowerRead struct {
 	RequestID     uint64
 	AfterRevision uint64
@@ -99,7 +104,7 @@
 	WritesNeeded int
 }
 
-// LeaderReadDone is the leader's answer, or why there is none.
+// LeaderReadDone is the leader's answer, or the error if there is none.
 type LeaderReadDone struct {
 	Number        uint64
 	AfterRevision uint64
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -10,20 +10,21 @@
 const (
 	// pingInterval is how often the peers are pinged.
 	pingInterval = second
-	// urgentPingInterval is the least time between two rounds of pings out of turn.
+	// urgentPingInterval is the minimum time between two rounds of pings that are sent
+	// outside the regular interval.
 	urgentPingInterval = second / 2
-	// maxForwardStateAge is how long ago the state service may have answered a peer for
-	// requests to be forwarded to it.
+	// maxForwardStateAge is the maximum time since the state service last answered a peer
+	// for requests to be forwarded to that peer.
 	maxForwardStateAge = 3 * second
 )
 
-// peerState is what is known of a peer.
+// peerState is what is known about a peer.
 type peerState struct {
-	answeredAt      int64 // when the ping was sent that it last answered
-	stateAnsweredAt int64 // when, at the latest, the state service answered it
+	answeredAt      int64 // send time of the newest ping that the peer answered
+	stateAnsweredAt int64 // latest known time at which the state service answered the peer
 }
 
-// peerMonitor pings the other controllers and knows which of them, and which links, work.
+// peerMonitor pings the other controllers and tracks which of them answer and which links work.
 type peerMonitor struct {
 	*engine
 
@@ -52,13 +53,14 @@
 	}
 }
 
-// restart forgets what is stored of links, before it is read anew.
+// restart discards what was read about links, before the state is listed again.
 func (p *peerMonitor) restart() {
 	p.connectivityRevisions = map[string]uint64{}
 	p.connectivity.Restart()
 }
 
-// pingDue reports, once in each interval, that the peers are to be pinged.
+// pingDue reports whether the next regular round of pings is due, and if so records that it
+// is sent now.
 func (p *peerMonitor) pingDue() bool {
 	if p.now-p.pingedAt < pingInterval {
 		return false
@@ -74,20 +76,21 @@
 	}
 }
 
-// pingUrgently asks all peers for read leases as soon as the state service fails a leader:
-// what a peer has told users before it crashes is known only if the peer was asked by then.
+// pingUrgently pings all peers for read leases as soon as a request of the leader to the state
+// service fails. What a peer told users before it crashed is known only if the leader asked
+// the peer before the crash.
 func (p *peerMonitor) pingUrgently() {
 	term := p.elector.leadership
-	if term == nil || p.now-term.peersAskedAt < urgentPingInterval {
+	if term == nil || p.now-term.urgentPingAt < urgentPingInterval {
 		return
 	}
-	term.peersAskedAt = p.now
+	term.urgentPingAt = p.now
 	p.pingAll()
 }
 
-// ping asks a peer for its status. A leader that the state service does not answer asks it
-// for a read lease as well, and a holder of a read lease learns of the cancellations that it
-// has to know of before users are answered.
+// ping asks a peer for its status. A leader without answers from the state service also
+// requests a read lease. A peer that holds a read lease is also informed of the cancellations
+// that it must know before users are answered.
 func (p *peerMonitor) ping(peer string) {
 	ping := PingPeer{
 		Peer:         peer,
@@ -122,7 +125,7 @@
 	p.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, PeerStatus: status})
 }
 
-// onPeerPinged takes a peer's answer to a ping, or notes that there is none.
+// onPeerPinged handles a peer's answer to a ping, or its absence.
 func (p *peerMonitor) onPeerPinged(m PeerPinged) {
 	p.connectivity.RecordPing(m.Peer, m.SentAt, p.now, m.OK, m.Status.Connectivity)
 	p.learnMachines(m.Peer, &m.Status)
@@ -140,29 +143,32 @@
 		return
 	}
 	if m.Status.FencingToken > p.elector.fencingToken() {
-		// The state service may be out of reach for this controller alone. Only a
-		// failover raises the fencing token, so this is proof that another leads.
+		// The state service may be unreachable from this controller only. Only a
+		// failover raises the fencing token, so a higher one proves that another
+		// controller leads.
 		p.elector.stepDown("a peer knows of a newer leader")
 		return
 	}
 	p.readLeases.onGrant(m)
 }
 
-// learnMachines takes over the machines that a peer has named.
+// learnMachines adds the machines in a peer's status to the sample of workers, and logs those
+// that the status shows to be gone.
 func (p *peerMonitor) learnMachines(peer string, status *PeerStatus) {
 	var eighths map[string]int
 	if status.Connectivity != nil {
 		eighths = status.Connectivity.ReachableEighths
 	}
 	for _, name := range p.connectivity.Workers.Learn(status.Machines, eighths, p.now) {
-		p.log.Info("a machine that does not answer is gone", "machine", name, "peer", peer)
+		p.log.Info("unreachable machine is gone according to a peer", "machine", name, "peer", peer)
 	}
 }
 
-// Refusal is an error that is the answer of the other side, which therefore is there.
+// Refusal is an error with which the other side may have answered. If Refused reports true,
+// the other side did answer, so it is up.
 type Refusal interface{ Refused() bool }
 
-// failureOf tells a refusal from an answer that never came.
+// failureOf distinguishes a refusal from a missing response.
 func failureOf(err error) connectivity.Failure {
 	var refusal Refusal
 	if errors.As(err, &refusal) && refusal.Refused() {
@@ -172,7 +178,7 @@
 }
 
 // forwardToPeer forwards a request to a peer that the state service answers, and reports
-// whether there is one. A forwarded request is not forwarded again.
+// whether it did. A forwarded request is not forwarded again.
 func (p *peerMonitor) forwardToPeer(a *request) bool {
 	if a.forwarded {
 		return false
@@ -185,8 +191,8 @@
 	return true
 }
 
-// forwardTarget is the reachable peer that the state service has answered last, "" if it has
-// answered none of late.
+// forwardTarget returns the reachable peer with the most recent answer from the state service,
+// "" if none had an answer within maxForwardStateAge.
 func (p *peerMonitor) forwardTarget() string {
 	target := ""
 	for _, peer := range p.settings.Peers {
@@ -201,7 +207,7 @@
 	return target
 }
 
-// forwardedRequest is a request in the form in which it goes to a peer.
+// forwardedRequest returns the message with which a request is forwarded to a peer.
 func forwardedRequest(a *request) any {
 	switch a.kind {
 	case requestSubmit:
@@ -221,7 +227,8 @@
 	}
 }
 
-// onRequestForwarded answers the user with what the peer has answered.
+// onRequestForwarded passes the peer's answer on to the user, or replies that the state
+// service is unavailable if the peer did not answer.
 func (p *peerMonitor) onRequestForwarded(m RequestForwarded) {
 	if m.Err != nil {
 		p.emit(stateUnavailableReply(m.RequestID))
--- a/internal/core/race_test.go
+++ b/internal/core/race_test.go
@@ -2,5 +2,5 @@
 
 package core
 
-// raceEnabled: the tests run many times as slow.
+// raceEnabled reports whether the race detector is on, with which tests run many times slower.
 const raceEnabled = true
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// readLeaseAfter is how old the state service's own proof has to be for a leader to
-	// ask for read leases. Users of the others never wait for a leader that asks for none.
+	// readLeaseAfter is the age of the newest proof from the state service above which a
+	// leader requests read leases. While a leader requests none, users of the other
+	// controllers never wait for it.
 	readLeaseAfter = 2 * second
-	// mirrorMaxAge is how old the mirror may be before a leader reads what is stored.
+	// mirrorMaxAge is the age of the mirror above which a leader reads the stored state.
 	mirrorMaxAge = second
-	// maxHeldReply is how long a user's answer is held back for a leader to learn of a
-	// cancellation, below the time that users wait for the answer to a poll.
+	// maxHeldReply is the longest time for which a user's answer is held back until a
+	// leader knows of a cancellation. It is shorter than users wait for an answer to a
+	// poll.
 	maxHeldReply = 1_200_000
-	// informInterval is the least time between two pings that inform a leader, while
-	// answers are held back.
+	// informInterval is the minimum time between two pings that inform a leader of
+	// cancellations while answers are held back.
 	informInterval = 100_000
 )
 
-// heldReply is an answer with cancellations that some holder of a read lease of this
+// heldReply is an answer with cancellations that some holder of a read lease from this
 // controller does not know of yet.
 type heldReply struct {
 	reply Reply
-	ids   []string // what is cancelled
+	ids   []string // cancelled jobs and sweeps
 	since int64
 }
 
-// readLeaseManager has both sides of read leases, whose protocol is described in package
-// readlease: it grants them to leaders that the state service does not answer, and collects
-// those of the peers for this controller's own term. It holds back answers with cancellations
-// until every holder of a read lease knows of these.
+// readLeaseManager implements both sides of the read lease protocol, which is described in
+// package readlease: it grants read leases to leaders that the state service does not answer,
+// and collects those of the peers for this controller's own term. It holds back answers with
+// cancellations until every holder of a read lease knows of the cancellations.
 type readLeaseManager struct {
 	*engine
 
@@ -57,9 +59,8 @@
 	}
 }
 
-// addToPing adds to a ping the request for a read lease, if this controller leads and the
-// state service does not answer it, and the cancellations of which the peer is to be informed
-// right now.
+// addToPing adds to a ping a request for a read lease, if this controller leads and the state
+// service does not answer it, and the cancellations of which the peer has to be informed now.
 func (r *readLeaseManager) addToPing(ping *PingPeer) {
 	term := r.elector.leadership
 	if term != nil && (r.health.lastRequestFailed() || r.now-term.stateProofAt() > readLeaseAfter) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// addToStatus adds to the answer to a ping the read lease that it asks for, and whether this
-// controller holds one of the peer that asks.
+// addToStatus adds to the answer to a ping the read lease that the ping requests, and whether
+// this controller holds a read lease from the peer that sent the ping.
 func (r *readLeaseManager) addToStatus(m PingReceived, status *PeerStatus) {
 	if m.Incarnation == "" { // a program without read leases
 		status.Cancelled = r.grantor.RecentCancellations()
@@ -96,14 +97,15 @@
 	status.Ack = &ack
 }
 
-// onAck takes what a peer's answer says of the read lease that it may hold, which may release
-// answers that were held back for it.
+// onAck handles a peer's acknowledgement of the read lease that it may hold, and sends the
+// held replies that no longer have to wait for it.
 func (r *readLeaseManager) onAck(m PeerPinged) {
 	r.grantor.HandleAck(m.Peer, m.SentAt, m.Status.Ack)
 	r.releaseHeldReplies()
 }
 
-// onGrant takes the read lease in a peer's answer, and asks for the next page at once.
+// onGrant handles the read lease in a peer's answer, and requests the next page at once if
+// there is one.
 func (r *readLeaseManager) onGrant(m PeerPinged) {
 	r.noteCancelled(m.Peer, m.Status.Cancelled)
 	page := m.Status.ReadLease
@@ -120,13 +122,13 @@
 	}
 }
 
-// recordCancellation notes that a job or sweep is known to be cancelled, stored with a
-// revision, or 0 if that is not known.
+// recordCancellation records that a job or sweep is known to be cancelled. revision is that of
+// the stored cancellation, 0 if it is not known.
 func (r *readLeaseManager) recordCancellation(id string, revision uint64) {
 	r.grantor.RecordCancellation(id, revision)
 }
 
-// noteCancelled takes note of what a peer knows to be cancelled.
+// noteCancelled records the jobs and sweeps that a peer knows to be cancelled.
 func (r *readLeaseManager) noteCancelled(peer string, ids []string) {
 	for _, id := range ids {
 		if sweepID, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
@@ -140,30 +142,32 @@
 		if _, known := r.cache.ends.Get(id); !known {
 			r.endMonitor.told(id, peer)
 		}
-		// The peer may have derived the end: it need not be stored.
+		// The peer may have derived the end from that of a dependency, so the end may
+		// not be stored.
 		r.cache.noteEnd(id, jobstate.ToldEnd(end))
 	}
 }
 
-// noteCancellation records how a job was cancelled, unless no holder of a read lease has to know.
+// noteCancellation records the cancellation of a job, unless holders of read leases need not
+// know of it.
 func (r *readLeaseManager) noteCancellation(id string, end jobstate.KnownEnd) {
 	if !r.cancelledWithSweep(id) && end.Source() != jobstate.EndDerived {
 		r.recordCancellation(id, end.Revision())
 	}
 }
 
-// cancelledWithSweep reports whether a job is a run that is cancelled with its sweep. Then the
-// cancellation of the sweep stands for all of its runs.
+// cancelledWithSweep reports whether a job is a run of a cancelled sweep. The cancellation of
+// the sweep then covers all of its runs.
 func (r *readLeaseManager) cancelledWithSweep(id string) bool {
 	job := r.cache.jobs[id]
 	return job != nil && job.Sweep != "" && r.sweepManager.isCancelled(job.Sweep)
 }
 
-// replyCancelled sends a user an answer with cancellations, once every holder of a read lease
-// of this controller knows of them. If that takes too long the user is asked to retry: such a
-// holder is cut off, and its lease expires.
+// replyCancelled sends a user an answer with cancellations once every holder of a read lease
+// from this controller knows of them. If that takes too long the user is asked to retry: such
+// a holder is cut off, and its read lease will expire.
 func (r *readLeaseManager) replyCancelled(reply Reply, ids ...string) {
-	ids = r.idsToTell(ids)
+	ids = r.cancellationsToReport(ids)
 	for _, id := range ids {
 		r.recordCancellation(id, 0)
 	}
@@ -178,10 +182,11 @@
 	}
 }
 
-// idsToTell are what holders of read leases have to know of: sweeps in place of their runs, and
-// no job whose end is derived. A leader starts nothing of a job behind a cancelled one, and one of
-// an earlier version would take such an end for stored.
-func (r *readLeaseManager) idsToTell(ids []string) []string {
+// cancellationsToReport returns the cancellations that holders of read leases have to know of: a sweep in
+// place of its runs, and no job whose end is derived. A leader starts no task of a job that
+// depends on a cancelled one, and a leader of an earlier version would take a derived end for
+// a stored one.
+func (r *readLeaseManager) cancellationsToReport(ids []string) []string {
 	var told []string
 	for _, id := range ids {
 		if r.cancelledWithSweep(id) {
@@ -200,7 +205,8 @@
 	return Reply{RequestID: requestID, Status: ReplyUnavailable, RetryAfter: 1, Error: "a controller that may lead has yet to learn of the cancellation"}
 }
 
-// releaseHeldReplies sends the answers that need not be held back any more.
+// releaseHeldReplies sends the answers whose cancellations every holder knows, and refuses
+// those that were held back for longer than maxHeldReply.
 func (r *readLeaseManager) releaseHeldReplies() {
 	kept := r.heldReplies[:0]
 	for _, held := range r.heldReplies {
@@ -217,7 +223,7 @@
 	r.heldReplies = kept
 }
 
-// informHolders pings the holders of read leases for which answers are held back.
+// informHolders pings the holders of read leases on whose account answers are held back.
 func (r *readLeaseManager) informHolders() {
 	var ids []string
 	for _, held := range r.heldReplies {
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,40 +10,40 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestMirrorProof: the renewal of its lease does not prove that a leader knows what users were
-// told. It reads what is stored where its watch does not deliver it, and answers no worker once
-// the authority time has passed without.
+// TestMirrorProof checks that renewing its lease does not count as proof that a leader knows
+// what users were told. If its watch delivers nothing the leader reads the stored state, and
+// without an answer it stops answering workers after its authority time.
 func TestMirrorProof(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.watchHung = true
 	before := b.c.elector.leadership.authorityProvenAt()
 	b.advance(3 * second)
 	if v := takeEffects[ReadState](b); len(v) < 2 || v[0].ForRequests {
-		t.Errorf("a leader without changes reads what is stored: %+v", v)
+		t.Errorf("hung watch: got reads of the state %+v, want at least 2, the first not for requests", v)
 	}
 	if at := b.c.elector.leadership.tokenProvenAt; at <= before {
-		t.Fatal("the lease was not renewed")
+		t.Fatalf("got fencing token proven at %d us, want later than %d us by a renewal of the lease", at, before)
 	}
 	if at := b.c.elector.leadership.authorityProvenAt(); at != before {
-		t.Errorf("renewals moved the proof from %d to %d", before, at)
+		t.Errorf("after renewals only: got authority proven at %d us, want %d us as before", at, before)
 	}
 	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.c.cache.appliedRevision, SentAt: b.now - second/2, Immediate: true})
 	if at := b.c.elector.leadership.authorityProvenAt(); at != b.now-second/2 {
-		t.Errorf("proof of %d, the mirror is of %d", at, b.now-second/2)
+		t.Errorf("after a read: got authority proven at %d us, want %d us as sent", at, b.now-second/2)
 	}
 	b.advance(b.c.settings.LeaderAuthorityTime() + second)
 	if b.c.elector.mayAnswerWorkers() {
-		t.Error("answers without knowing what users were told")
+		t.Error("got workers answered after the authority time without a read of the state, want no answers")
 	}
 }
 
-// TestInformHolder: while a leader holds a controller's read lease, it is informed of a
-// cancellation before any user is told, by whichever request.
+// TestInformHolder checks that a leader which holds a controller's read lease is informed of a
+// cancellation before any user is told, whichever request the user sent.
 func TestInformHolder(t *testing.T) {
 	s := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	s.core.settings.Peers = []string{"n1"}
 	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
-	// ask sends a request and gives what there is of an answer after a while.
+	// ask sends a request and returns its number and the answer after half a second, if any.
 	ask := func(build func(req uint64) any) (uint64, Reply) {
 		s.lastRequest++
 		s.step(build(s.lastRequest))
@@ -61,40 +61,40 @@
 	ack(&readlease.HolderAck{})
 	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 	if p := s.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
-		t.Fatalf("read lease %+v", p)
+		t.Fatalf("got read lease %+v, want a complete one without cancellations", p)
 	}
-	// Its own write, another user's poll, and a repeated submission.
+	// The cancellation itself, another user's poll and a repeated submission.
 	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
 		n, r := ask(build)
 		if s.keys[endPrefix+"a"].Revision == 0 {
-			t.Fatal("the cancellation was not stored")
+			t.Fatal("got no stored end of job a, want its cancellation stored")
 		}
 		if r.Status != 0 {
-			t.Errorf("%T answered %d before the leader knew", build(0), r.Status)
+			t.Errorf("%T: got status %d before the leader knew of the cancellation, want no answer", build(0), r.Status)
 		}
 		s.advance(maxHeldReply)
 		if r := s.replies[n]; r.Status != 503 || r.RetryAfter != 1 {
-			t.Errorf("%T answered %+v in the end", build(0), r)
+			t.Errorf("%T: got reply %+v after maxHeldReply, want status 503 and retry after 1 s", build(0), r)
 		}
 	}
 	n, _ := ask(poll)
 	ack(&readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: 1})
 	if r := s.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
-		t.Errorf("once the leader knows: %+v", r)
+		t.Errorf("once the leader knows: got reply %+v, want status 200 and the job cancelled", r)
 	}
-	// Of the next one it never learns: the answer is held back until its read lease has
-	// expired, and no longer.
+	// The leader never learns of the next cancellation: the answer is held back until its
+	// read lease has expired, and no longer.
 	if _, r := ask(cancel("c")); r.Status != 0 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("leader not informed: got status %d, want no answer", r.Status)
 	}
 	s.advance(s.core.settings.LeaderAuthorityTime() + 2*second)
 	if _, r := ask(cancel("c")); r.Status != 200 {
-		t.Errorf("the read lease has expired: %+v", r)
+		t.Errorf("after the read lease expired: got reply %+v, want status 200", r)
 	}
 }
 
-// TestReadLeaseConditions: operators see for how long a leader may go on in an outage, and who
-// has granted no read lease.
+// TestReadLeaseConditions checks that operators see for how long a leader may continue to answer
+// workers in an outage of the state service, and which peers have granted no read lease.
 func TestReadLeaseConditions(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
@@ -112,29 +112,29 @@
 		return n
 	}
 	if v := view(); of(v) != 0 || v.AnswersForS < 1 {
-		t.Errorf("in calm: %v, for %.1f s", v.Conditions, v.AnswersForS)
+		t.Errorf("no outage: got conditions %v and answers for %.1f s, want no missing read lease and at least 1 s", v.Conditions, v.AnswersForS)
 	}
 	r.stateSilent = true
 	for range 30 {
 		r.tick(second / 10)
 	}
 	if v := view(); of(v) != 2 {
-		t.Errorf("no read lease granted: %v", v.Conditions)
+		t.Errorf("no read lease granted: got conditions %v, want 2 missing read leases", v.Conditions)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
 	if v := view(); of(v) != 1 {
-		t.Errorf("one granted: %v", v.Conditions)
+		t.Errorf("one read lease granted: got conditions %v, want 1 missing read lease", v.Conditions)
 	}
 	for range 200 {
 		r.tick(second / 10)
 	}
 	if v := view(); v.AnswersForS >= 0 || of(v) != 2 {
-		t.Errorf("expired: %v, for %.1f s", v.Conditions, v.AnswersForS)
+		t.Errorf("read lease expired: got conditions %v and answers for %.1f s, want 2 missing read leases and less than 0 s", v.Conditions, v.AnswersForS)
 	}
 }
 
-// TestInformHolderOfSweep: a leader that holds a controller's read lease is informed of a
-// cancelled sweep before any user who asks about it or one of its runs.
+// TestInformHolderOfSweep checks that a leader which holds a controller's read lease is informed
+// of a cancelled sweep before any user who asks about the sweep or one of its runs.
 func TestInformHolderOfSweep(t *testing.T) {
 	s := newSweepHarness(t, true)
 	s.submitSweep(sweepOf(2, 1000))
@@ -144,7 +144,7 @@
 	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
 	s.core.sweepManager.sweep("s").plan = sweepOf(2, 1000).Plan
 	if s.core.cache.jobs["sweep.s.1"] == nil {
-		t.Fatal("no runs")
+		t.Fatal("got no run sweep.s.1 in the mirror, want it there")
 	}
 	s.core.settings.Peers = []string{"n1"}
 	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
@@ -162,21 +162,21 @@
 	}
 	for _, build := range builds {
 		if r := s.requestSweep(build); r.Status == 200 {
-			t.Errorf("%T answered before the leader knew: %+v", build(0), r)
+			t.Errorf("%T: got reply %+v before the leader knew of the cancellation, want a status other than 200", build(0), r)
 		}
 	}
 	if s.keys[sweepEndPrefix+"s"].Revision == 0 {
-		t.Fatal("the cancellation was not stored")
+		t.Fatal("got no stored end of sweep s, want its cancellation stored")
 	}
 	p := ask()
 	if !slices.Contains(p.Cancelled, cancelledSweepPrefix+"s") {
-		t.Errorf("the leader is informed of %v", p.Cancelled)
+		t.Errorf("got read lease with cancellations %v, want sweep s among them", p.Cancelled)
 	}
 	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
-	builds = slices.Delete(builds, 2, 3) // the plan of one that is over is not there at once
+	builds = slices.Delete(builds, 2, 3) // the plan of an ended sweep is not available at once
 	for _, build := range builds {
 		if r := s.requestSweep(build); r.Status != 200 {
-			t.Errorf("%T answered %+v when the leader knew", build(0), r)
+			t.Errorf("%T: got reply %+v once the leader knew of the cancellation, want status 200", build(0), r)
 		}
 	}
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -7,29 +7,30 @@
 
 const second = config.Second
 
-// Settings are what the core needs of both files.
+// Settings are the core's settings from the deployment file and the operators file.
 type Settings struct {
 	Name        string
-	Incarnation string // tells this start of the process from earlier ones
-	Peers       []string
+	Incarnation string   // unique ID of this start of the process
+	Peers       []string // names of the other controllers
 	config.Deployment
 	Ops config.Operators
-	// Program is what this controller is taken to run, nil for this program.
+	// Program describes the program that this controller runs, nil for the current one.
 	Program *upgrade.Program
 }
 
-// withClockDrift widens a duration by what two steady clocks may differ.
+// withClockDrift extends a duration by the most by which two steady clocks may drift apart
+// during it, 1 part in 1000.
 func withClockDrift(d int64) int64 { return d + d/1000 }
 
-// EpochTimeout is after how long without an answer a worker has certainly ended its
+// EpochTimeout is the time without an answer after which a worker has certainly ended its
 // epoch.
 func (s *Settings) EpochTimeout() int64 {
 	return withClockDrift(config.MicrosOf(s.Workers.LeaseS)) + second
 }
 
-// FailoverEpochTimeout is the same for a new leader, as an earlier one may go on answering
-// for its authority time.
+// FailoverEpochTimeout is EpochTimeout for a new leader, which also has to wait because an
+// earlier leader may continue to answer for its authority time.
 func (s *Settings) FailoverEpochTimeout() int64 { return s.LeaderAuthorityTime() + s.EpochTimeout() }
 
-// Overdue is for how long a machine may be silent and still be used.
+// Overdue is the longest time without a heartbeat for which a machine is still used.
 func (s *Settings) Overdue() int64 { return config.MicrosOf(s.Workers.ReportS)*2 + second }
--- a/internal/core/sortedkeys.go
+++ b/internal/core/sortedkeys.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// sortedKeys are the keys of a map for loops that decide or send something: two
-// controllers, and two runs of one day, have to do the same in the same order.
-// (Days in fake time differed by the order of a few answers, and by the last
-// bit of a sum.)
+// sortedKeys returns the keys of a map in order, for loops that decide or send something. Two
+// controllers, and two simulations with the same seed, must do the same in the same order.
+// (With Go's random map order, runs in simulated time differed in the order of a few answers
+// and in the last bit of a sum.)
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -7,8 +7,9 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// TestIncompatible: a program that is too old for what is stored ends at its start, or, if it
-// learns of it later, resigns as the leader; it writes nothing from then on, and is not ready.
+// TestIncompatible checks that a controller whose program is too old for the stored state does
+// not lead, or resigns if it learns of it while it leads, and that from then on it writes
+// nothing and is not ready. TestQuit checks that the process ends.
 func TestIncompatible(t *testing.T) {
 	needed := featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}, {Name: "tomorrow", Required: true}}}
 	for _, tc := range []struct {
@@ -16,15 +17,15 @@
 		keys map[string]any
 		then map[string]any
 	}{
-		{"at its start, by a feature", map[string]any{featuresKey: needed}, nil},
-		{"at its start, by the format", map[string]any{formatKey: formatRecord{9, 32}}, nil},
-		{"while it leads", nil, map[string]any{featuresKey: needed}},
+		{"unknown required feature at the start", map[string]any{featuresKey: needed}, nil},
+		{"newer format at the start", map[string]any{formatKey: formatRecord{9, 32}}, nil},
+		{"unknown required feature while leading", nil, map[string]any{featuresKey: needed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newHarness(t, tc.keys)
 			s.advance(2 * second)
 			if led := s.core.elector.leadership != nil; led != (tc.then != nil) {
-				t.Fatalf("leads %v", led)
+				t.Fatalf("before the later change: got leader %v, want %v", led, tc.then != nil)
 			}
 			for k, v := range tc.then {
 				s.store(k, v)
@@ -33,18 +34,18 @@
 			before := s.revision
 			s.advance(10 * second)
 			if s.revision != before || s.core.elector.leadership != nil {
-				t.Errorf("leads %v, and has written %d times", s.core.elector.leadership != nil, s.revision-before)
+				t.Errorf("incompatible program: got leader %v and %d writes, want no leader and no write", s.core.elector.leadership != nil, s.revision-before)
 			}
 			s.step(CheckReady{RequestID: 1})
 			s.step(QueryJob{RequestID: 2, ID: "x"})
 			if s.replies[1].Status != 503 || s.replies[2].Status != 503 || !strings.Contains(s.replies[1].Error, "start a newer one") {
-				t.Errorf("answers %+v and %+v", s.replies[1], s.replies[2])
+				t.Errorf("got replies %+v to CheckReady and %+v to QueryJob, want status 503 for both and \"start a newer one\" in the first", s.replies[1], s.replies[2])
 			}
 		})
 	}
 }
 
-// TestQuit: the process ends once, and only at its start.
+// TestQuit checks that an incompatible program quits once, and only at its start.
 func TestQuit(t *testing.T) {
 	quits := func(starting bool) (n int) {
 		b := newPeerHarness(t, "n1")
@@ -58,11 +59,12 @@
 		return len(takeEffects[Quit](b))
 	}
 	if quits(true) != 1 || quits(false) != 0 {
-		t.Errorf("at the start %d, later %d", quits(true), quits(false))
+		t.Errorf("got %d Quit effects at the start and %d later, want 1 and 0", quits(true), quits(false))
 	}
 }
 
-// TestSetDecommissioned: which controllers may be declared gone.
+// TestSetDecommissioned checks which controllers operators may declare gone, and that the
+// record is removed when the controller comes back.
 func TestSetDecommissioned(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.revision++
@@ -75,25 +77,25 @@
 		b.effects = nil
 		b.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
 		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
-			t.Errorf("%s gone %v: %+v", tc.name, tc.gone, r)
+			t.Errorf("setting %s decommissioned to %v: got replies %+v, want one with status %d", tc.name, tc.gone, r, tc.status)
 		}
 		if stored := b.c.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
-			t.Errorf("%s gone %v: stored %v", tc.name, tc.gone, stored)
+			t.Errorf("setting %s decommissioned to %v: got %v stored", tc.name, tc.gone, stored)
 		}
 	}
-	// It comes back: the record is removed.
+	// The controller comes back, and its record is removed.
 	b.step(SetDecommissioned{RequestID: 2, Name: "n2", Decommissioned: true})
 	b.revision++
 	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
 	b.advance(3 * second)
 	if b.c.membership.isDecommissioned("n2") {
-		t.Error("it is there, and still decommissioned")
+		t.Error("n2 came back: got it still decommissioned, want its record removed")
 	}
 	b.stateSilent = true
 	b.advance(4 * second)
 	b.effects = nil
 	b.step(SetDecommissioned{RequestID: 3, Name: "n2", Decommissioned: true})
 	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
-		t.Errorf("without the state service: %+v", r)
+		t.Errorf("without the state service: got replies %+v, want one with status 503 and a retry time", r)
 	}
 }
