--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -125,9 +125,9 @@
 	return out
 }
 
-// reaches returns the advertisement of a controller that reaches the given eighths of the
+// reachAdvertisement returns the advertisement of a controller that reachAdvertisement the given eighths of the
 // machines of zones a and b, and the given peers.
-func reaches(a, b int, peers ...string) connectivity.Advertisement {
+func reachAdvertisement(a, b int, peers ...string) connectivity.Advertisement {
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
@@ -192,16 +192,16 @@
 		relayTo string    // receiver of the relayed second heartbeat, "" if it is not relayed
 	}{
 		{"no controller reaches the leader", func(*peerHarness) {}, 503, "", ""},
-		{"the leader answers pings", func(b *peerHarness) { b.peerAnswers("n1", reaches(8, 8)) }, 421, "n1", "n1"},
+		{"the leader answers pings", func(b *peerHarness) { b.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
 		{"another peer reaches the leader", func(b *peerHarness) {
-			v := reaches(8, 8, "n0", "n1")
+			v := reachAdvertisement(8, 8, "n0", "n1")
 			b.peerAnswers("n2", v)
 			b.storeAdvertisement("n2", v)
 		}, 421, "n2", "n2"},
-		{"the leader advertises that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(8, 0)) }, 421, "n1", ""},
-		{"the leader advertises that it does not reach the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reaches(0, 8)) }, 503, "", ""},
+		{"the leader advertises that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
+		{"the leader advertises that it does not reach the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
 		{"the leader's advertisement may be outdated", func(b *peerHarness) {
-			b.storeAdvertisement("n1", reaches(8, 8))
+			b.storeAdvertisement("n1", reachAdvertisement(8, 8))
 			b.stateSilent = true
 			b.advance(3 * second)
 		}, 503, "", ""},
@@ -242,7 +242,7 @@
 	}{{"the leader answers", true, true, 1}, {"the leader does not answer", false, true, 0}, {"from an older controller", true, false, 0}} {
 		b := newPeerHarness(t, "n1")
 		if tc.leader {
-			b.peerAnswers("n1", reaches(8, 8))
+			b.peerAnswers("n1", reachAdvertisement(8, 8))
 		}
 		b.effects = nil
 		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
@@ -265,7 +265,7 @@
 	for _, on := range []bool{true, false} {
 		b := newPeerHarness(t, "n0")
 		b.c.settings.Ops.Reach = on
-		b.storeAdvertisement("n1", reaches(8, 8))
+		b.storeAdvertisement("n1", reachAdvertisement(8, 8))
 		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
 		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
 		for _, m := range []string{"m", "m2"} {
@@ -284,7 +284,7 @@
 		// The key is gone, and the state is listed again; the other controller may campaign
 		// first.
 		b.revision++
-		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reaches(8, 8)), Revision: 7}}
+		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
 		b.step(StateListed{Revision: b.revision, Changes: rows})
 		begun := b.now
 		for b.c.elector.leadership == nil && b.now < begun+10*second {
@@ -313,7 +313,7 @@
 	if s := ask(b); s != 503 {
 		t.Errorf("neither state service nor peers answer: got status %d, want 503", s)
 	}
-	b.peerAnswers("n2", reaches(8, 8))
+	b.peerAnswers("n2", reachAdvertisement(8, 8))
 	if s := ask(b); s != 200 {
 		t.Errorf("only a peer answers: got status %d, want 200", s)
 	}
@@ -360,7 +360,7 @@
 		b.c.settings.Ops.Sweeps = true
 		b.stateSilent = true
 		b.advance(3 * second)
-		b.peerAnswers("n2", reaches(8, 8))
+		b.peerAnswers("n2", reachAdvertisement(8, 8))
 		b.effects = nil
 		b.step(tc.request(false))
 		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -14,10 +14,10 @@
 // format. The format is never lowered again, so a controller that does not support it must not
 // be overlooked.
 func TestFormatActivation(t *testing.T) {
-	says := func(s *harness, peer string, version int) {
+	reportVersion := func(s *harness, peer string, version int) {
 		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
 	}
-	join := func(s *harness, peer string) {
+	advertise := func(s *harness, peer string) {
 		s.store(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
 		s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
 	}
@@ -27,30 +27,30 @@
 		want bool
 	}{
 		{"no peer known", func(*harness) {}, false},
-		{"one of two peers advertises it", func(s *harness) { join(s, "n1") }, false},
-		{"both peers advertise it", func(s *harness) { join(s, "n1"); join(s, "n2") }, true},
+		{"one of two peers advertises it", func(s *harness) { advertise(s, "n1") }, false},
+		{"both peers advertise it", func(s *harness) { advertise(s, "n1"); advertise(s, "n2") }, true},
 		{"both peers advertise it, one does not answer pings", func(s *harness) {
-			join(s, "n1")
-			join(s, "n2")
+			advertise(s, "n1")
+			advertise(s, "n2")
 			s.step(PeerPinged{Peer: "n2", SentAt: s.now})
 		}, true},
 		{"one peer reports an old version after its advertisement", func(s *harness) {
-			join(s, "n1")
+			advertise(s, "n1")
 			s.now += 1000
-			says(s, "n1", 0)
-			join(s, "n2")
+			reportVersion(s, "n1", 0)
+			advertise(s, "n2")
 		}, false},
 		{"one peer reported an old version before its advertisement", func(s *harness) {
-			says(s, "n1", 0)
+			reportVersion(s, "n1", 0)
 			s.now += 1000
-			join(s, "n1")
-			join(s, "n2")
+			advertise(s, "n1")
+			advertise(s, "n2")
 		}, true},
-		{"peers report it without an advertisement", func(s *harness) { says(s, "n1", 2); says(s, "n2", 2) }, false},
+		{"peers report it without an advertisement", func(s *harness) { reportVersion(s, "n1", 2); reportVersion(s, "n2", 2) }, false},
 		{"one peer's lease expires before the format is written", func(s *harness) {
-			join(s, "n1")
+			advertise(s, "n1")
 			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the mirror has not seen this
-			join(s, "n2")
+			advertise(s, "n2")
 		}, false},
 	}
 	for _, tc := range cases {
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -13,7 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// leaderHarness is a core that leads alone, with its state service played by hand.
+// leaderHarness is the only core of a cluster, as its leader, with a simulated state service.
 type leaderHarness struct {
 	t           *testing.T
 	c           *Core
@@ -26,14 +26,15 @@
 	seq         uint64
 }
 
-// newLeaderHarness starts a leader that finds job j with task 0 placed on machine m.
+// newLeaderHarness starts a leader that reads job j with task 0 placed on machine m.
 func newLeaderHarness(t *testing.T) *leaderHarness {
 	t.Helper()
 	return newLeaderHarnessOf(t, "")
 }
 
-// newLeaderHarnessOf is newLeaderHarness with a job that has ended, if over is not empty.
-func newLeaderHarnessOf(t *testing.T, over string) *leaderHarness {
+// newLeaderHarnessOf is newLeaderHarness with the given stored outcome of the job, "" for a job
+// that has not ended.
+func newLeaderHarnessOf(t *testing.T, outcome string) *leaderHarness {
 	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -47,14 +48,14 @@
 	v, _ := j.BeginChunkWrite(0, 0)
 	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
 	r.step(StateListed{Revision: 10, Changes: []Change{
-		{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: over}), Revision: 1},
+		{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: outcome}), Revision: 1},
 		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{r.token}), Revision: 3},
 		{Key: typesKey, Value: encodeJSON(types), Revision: 4},
 	}})
 	for i := 0; r.c.elector.leadership == nil; i++ {
 		if i > 100 {
-			t.Fatal("never leads")
+			t.Fatalf("got no leadership within %d ticks, want one", i)
 		}
 		r.tick(100_000)
 	}
@@ -67,7 +68,7 @@
 	r.step(Tick{})
 }
 
-// step hands a message over and answers the effects at once.
+// step sends the core a message and answers the effects at once.
 func (r *leaderHarness) step(msg any) {
 	for _, e := range r.c.Step(r.now, msg) {
 		switch e := e.(type) {
@@ -110,10 +111,10 @@
 	r.replies = nil
 	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.replies) == 0 && i < 100; i++ {
-		r.tick(50_000) // an answer may be held
+		r.tick(50_000) // the answer may be held back
 	}
 	if len(r.replies) == 0 {
-		r.t.Fatal("no answer")
+		r.t.Fatal("got no answer to a heartbeat within 5 s, want one")
 	}
 	s := ""
 	for _, o := range r.replies[0].Commands {
@@ -122,7 +123,7 @@
 	return r.replies[0].Status, s
 }
 
-// placed is where task 0 is placed, and as which attempt.
+// placed returns where task 0 is placed and as which attempt, or "over" if the job has ended.
 func (r *leaderHarness) placed() string {
 	j := r.c.cache.jobs["j"]
 	if j == nil {
@@ -136,74 +137,74 @@
 	return TaskStatus{Name: "j/0", Attempt: attempt, State: TaskRunning}
 }
 
-// TestProofOfAbsence: what does and what does not prove that a placed task is gone, after a
-// failover with the task placed on m as attempt 3.
+// TestProofOfAbsence checks which evidence proves that a placed task is gone, after a failover
+// with the task placed on machine m as attempt 3.
 func TestProofOfAbsence(t *testing.T) {
-	hold := config.Micros(0)
+	authorityTime := config.Micros(0)
 	cases := []struct {
 		name string
 		do   func(r *leaderHarness)
 		want string
 	}{
-		// A report from before its worker knew the token: an earlier leader's order
-		// may still be taken from an answer that is on its way.
-		{"to be stopped, and absent in a report that does not know the token", func(r *leaderHarness) {
+		// The worker did not know the token when it sent the heartbeat, so it may still
+		// accept an earlier leader's command from an answer in flight.
+		{"stop requested, then absent in a heartbeat with an older token", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.heartbeat(5, 1)
 		}, "m.3"},
-		{"to be stopped, and absent in one that does", func(r *leaderHarness) {
+		{"stop requested, then absent in a heartbeat with the current token", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.heartbeat(5, 1)
 			r.heartbeat(r.token, 1)
 			r.tick(second)
 		}, "m.4"},
-		{"shown, then absent in a report that does not know the token", func(r *leaderHarness) {
+		{"reported, then absent in a heartbeat with an older token", func(r *leaderHarness) {
 			r.heartbeat(5, 1, running(3))
 			r.heartbeat(5, 1)
 		}, "m.3"},
-		{"no heartbeat, less than authority time and worker lease", func(r *leaderHarness) { r.tick(hold + 15*second) }, "m.3"},
-		{"no heartbeat, authority time and worker lease over", func(r *leaderHarness) { r.tick(hold + 18*second) }, ".3"},
-		{"absent in a report that does not know the token: run is repeated", func(r *leaderHarness) {
+		{"no heartbeat for less than authority time plus worker lease", func(r *leaderHarness) { r.tick(authorityTime + 15*second) }, "m.3"},
+		{"no heartbeat for more than authority time plus worker lease", func(r *leaderHarness) { r.tick(authorityTime + 18*second) }, ".3"},
+		{"absent in a heartbeat with an older token: start command is repeated", func(r *leaderHarness) {
 			if _, o := r.heartbeat(5, 1); o != "start j/0.3;" {
-				r.t.Errorf("commands %q", o)
+				r.t.Errorf("absent with an older token: got commands %q, want %q", o, "start j/0.3;")
 			}
 		}, "m.3"},
-		{"absent in a later report after it was dropped: run is repeated", func(r *leaderHarness) {
+		{"absent again after a lost start command: start command is repeated", func(r *leaderHarness) {
 			r.heartbeat(5, 1)
 			if _, o := r.heartbeat(r.token, 1); o != "start j/0.3;" {
-				r.t.Errorf("commands %q", o)
+				r.t.Errorf("absent with the current token: got commands %q, want %q", o, "start j/0.3;")
 			}
 		}, "m.3"},
-		{"shown, then absent from a new session: it is gone, and placed anew", func(r *leaderHarness) {
+		{"reported, then absent in a new worker epoch: placed again", func(r *leaderHarness) {
 			r.heartbeat(5, 1, running(3))
 			r.seq = 0
 			r.heartbeat(r.token, 2)
 			r.tick(second)
 		}, "m.4"},
-		{"an older report proves nothing", func(r *leaderHarness) {
+		{"an older heartbeat is refused and proves nothing", func(r *leaderHarness) {
 			r.heartbeat(5, 1, running(3))
 			r.seq--
 			if s, _ := r.heartbeat(r.token, 1); s != 503 {
-				r.t.Errorf("status %d", s)
+				r.t.Errorf("older heartbeat: got status %d, want 503", s)
 			}
 		}, "m.3"},
-		{"an exit is proof, and forgotten only once it is stored", func(r *leaderHarness) {
+		{"an exit is proof, and forgotten by the worker only once it is stored", func(r *leaderHarness) {
 			r.heartbeat(5, 1, running(3))
 			r.stateSilent = true
 			if _, o := r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
-				r.t.Errorf("commands %q before the exit is stored", o)
+				r.t.Errorf("got commands %q before the exit is stored, want none", o)
 			}
-		}, "m.4"}, // planned anew, which is not stored either
+		}, "m.4"}, // planned again, which is not stored either
 		{"another attempt is stopped and proves nothing", func(r *leaderHarness) {
 			if _, o := r.heartbeat(5, 1, running(2)); o != "stop j/0.2;start j/0.3;" {
-				r.t.Errorf("commands %q", o)
+				r.t.Errorf("another attempt running: got commands %q, want %q", o, "stop j/0.2;start j/0.3;")
 			}
 		}, "m.3"},
-		{"a release that was answered", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token}) }, ".3"},
-		{"a release without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token}) }, "m.3"},
-		{"a release of an earlier term that was answered", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token - 2}) }, ".3"},
-		{"a release of an earlier term without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token - 2}) }, "m.3"},
-		{"done is done, and the job with it", func(r *leaderHarness) {
+		{"successful scale-in", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token}) }, ".3"},
+		{"scale-in without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token}) }, "m.3"},
+		{"successful scale-in of an earlier term", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: r.token - 2}) }, ".3"},
+		{"scale-in of an earlier term without an answer", func(r *leaderHarness) { r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token - 2}) }, "m.3"},
+		{"done task ends its job", func(r *leaderHarness) {
 			r.heartbeat(5, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitDone})
 			r.tick(second)
 		}, "over"},
@@ -211,32 +212,32 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newLeaderHarness(t)
-			hold = r.c.settings.LeaderAuthorityTime()
+			authorityTime = r.c.settings.LeaderAuthorityTime()
 			tc.do(r)
 			if got := r.placed(); got != tc.want {
-				t.Errorf("placed %s, want %s", got, tc.want)
+				t.Errorf("got task placed as %s, want %s", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestCancelledEarlier: a job was cancelled under an earlier leader, and its task is still
-// running. The new leader stops it, and removes the keys.
+// TestCancelledEarlier checks that a new leader stops the running task of a job that was
+// cancelled under an earlier leader, and then removes the job's keys.
 func TestCancelledEarlier(t *testing.T) {
 	r := newLeaderHarnessOf(t, jobstate.Cancelled)
 	if _, o := r.heartbeat(5, 1, running(3)); o != "stop j/0.3;" {
-		t.Errorf("commands %q", o)
+		t.Errorf("got commands %q for the cancelled job's task, want %q", o, "stop j/0.3;")
 	}
 	r.heartbeat(r.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
 	r.tick(second)
 	if got := r.placed(); got != "over" {
-		t.Errorf("placed %s", got)
+		t.Errorf("after the task stopped: got task placed as %s, want over", got)
 	}
 }
 
-// TestLeaderAuthorityTime: a leader that the state service no longer answers starts nothing new
-// after its lease, and answers no worker after its authority time, so that a successor waits long
-// enough by waiting for that and a worker lease.
+// TestLeaderAuthorityTime checks that a leader without answers from the state service starts no
+// new attempt after its lease and answers no worker after its authority time. A successor may
+// therefore assume that tasks have stopped after the authority time plus a worker lease.
 func TestLeaderAuthorityTime(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.heartbeat(5, 1, running(3))
@@ -244,24 +245,26 @@
 	start := r.c.elector.leadership.authorityProvenAt()
 	for r.now-start < r.c.settings.LeaderAuthorityTime()-second {
 		if s, _ := r.heartbeat(r.token, 1, running(3)); s != 200 {
-			t.Fatalf("status %d after %d ms of authority time", s, (r.now-start)/1000)
+			t.Fatalf("got status %d for a heartbeat after %d ms of authority time, want 200", s, (r.now-start)/1000)
 		}
 		r.tick(second / 2)
 	}
 	if r.c.elector.mayStartTasks() {
-		t.Error("still may start attempts")
+		t.Error("got attempts allowed after the lease expired, want none")
 	}
 	r.tick(2 * second)
 	if s, _ := r.heartbeat(r.token, 1, running(3)); s != 503 {
-		t.Errorf("status %d after the authority time", s)
+		t.Errorf("got status %d for a heartbeat after the authority time, want 503", s)
 	}
 	if cancel := config.MicrosOf(r.c.settings.Workers.CancelS); r.c.settings.LeaderAuthorityTime()+r.c.settings.EpochTimeout() >= cancel {
-		t.Errorf("authority time %d and worker lease leave nothing of cancel_s", r.c.settings.LeaderAuthorityTime())
+		t.Errorf("got authority time %d us plus epoch timeout %d us, want less than cancel_s, %d us",
+			r.c.settings.LeaderAuthorityTime(), r.c.settings.EpochTimeout(), cancel)
 	}
 }
 
-// TestNewerFencingToken: a peer that knows a newer fencing token ends a term at once; one that
-// knows none, and grants a complete read lease, proves the leader's authority.
+// TestNewerFencingToken checks that a peer which knows a newer fencing token ends the term at
+// once, and that a peer which knows none and grants a complete read lease proves the leader's
+// authority.
 func TestNewerFencingToken(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.settings.Peers = []string{"n1"}
@@ -271,17 +274,18 @@
 	before := r.c.elector.leadership.authorityProvenAt()
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0"}})
 	if r.c.elector.leadership == nil || r.c.elector.leadership.authorityProvenAt() != before {
-		t.Error("a peer without read leases proved the authority")
+		t.Errorf("after the status of a peer without read leases: got leader %v, want leader with authority still proven at %d us",
+			r.c.elector.leadership != nil, before)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 1, OK: true, Status: PeerStatus{FencingToken: r.token, Leader: "n0", ReadLease: &readlease.CancellationPage{Incarnation: "x", UpTo: 1, Complete: true, Cancelled: []string{"j"}}}})
 	if r.c.cache.jobs["j"].Outcome() != jobstate.Cancelled {
-		t.Error("a peer's cancellation was not noted")
+		t.Errorf("after a peer's cancellation: got outcome %q of job j, want %q", r.c.cache.jobs["j"].Outcome(), jobstate.Cancelled)
 	}
 	if r.c.elector.leadership.authorityProvenAt() != r.now+1 {
-		t.Errorf("proof of %d, requested at %d", r.c.elector.leadership.authorityProvenAt(), r.now+1)
+		t.Errorf("after a read lease: got authority proven at %d us, want %d us as requested", r.c.elector.leadership.authorityProvenAt(), r.now+1)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now + 2, OK: true, Status: PeerStatus{FencingToken: r.token + 1, Leader: "n1"}})
 	if r.c.elector.leadership != nil {
-		t.Error("still leads")
+		t.Error("after the status of a peer with a newer fencing token: got leader, want follower")
 	}
 }
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -103,7 +103,7 @@
 		r.step(QueryOperatorView{RequestID: 5})
 		return r.replies[0].Ops
 	}
-	of := func(v *OperatorView) (n int) {
+	missingReadLeases := func(v *OperatorView) (n int) {
 		for _, s := range v.Conditions {
 			if strings.Contains(s, "has not vouched") {
 				n++
@@ -111,24 +111,24 @@
 		}
 		return n
 	}
-	if v := view(); of(v) != 0 || v.AnswersForS < 1 {
+	if v := view(); missingReadLeases(v) != 0 || v.AnswersForS < 1 {
 		t.Errorf("no outage: got conditions %v and answers for %.1f s, want no missing read lease and at least 1 s", v.Conditions, v.AnswersForS)
 	}
 	r.stateSilent = true
 	for range 30 {
 		r.tick(second / 10)
 	}
-	if v := view(); of(v) != 2 {
+	if v := view(); missingReadLeases(v) != 2 {
 		t.Errorf("no read lease granted: got conditions %v, want 2 missing read leases", v.Conditions)
 	}
 	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
-	if v := view(); of(v) != 1 {
+	if v := view(); missingReadLeases(v) != 1 {
 		t.Errorf("one read lease granted: got conditions %v, want 1 missing read lease", v.Conditions)
 	}
 	for range 200 {
 		r.tick(second / 10)
 	}
-	if v := view(); v.AnswersForS >= 0 || of(v) != 2 {
+	if v := view(); v.AnswersForS >= 0 || missingReadLeases(v) != 2 {
 		t.Errorf("read lease expired: got conditions %v and answers for %.1f s, want 2 missing read leases and less than 0 s", v.Conditions, v.AnswersForS)
 	}
 }
