--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -245,8 +245,8 @@
 
 // New returns a Core that is about to list the stored state. now is the time of the steady
 // clock in microseconds.
-func New(set Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	run := newEngine(set, now, rng, log)
+func New(settings Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
+	run := newEngine(settings, now, rng, log)
 	c := &Core{
 		engine:           run,
 		elector:          &elector{engine: run},
@@ -265,7 +265,7 @@
 		endMonitor:       newEndMonitor(run),
 		planner:          &planner{engine: run},
 		partitionManager: &partitionManager{engine: run},
-		scaler:           &scaler{engine: run, costAware: set.WeighsCost(&run.settings.Ops)},
+		scaler:           &scaler{engine: run, costAware: settings.WeighsCost(&run.settings.Ops)},
 		cloud:            &cloudCaller{engine: run},
 		prefetcher:       &prefetcher{engine: run},
 		sweepManager:     &sweepManager{engine: run, sweeps: map[string]*sweep{}},
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -175,8 +175,8 @@
 const leaderOverdraft = 0.25
 
 // minUserBudget returns the minimum write budget at which a user's request is written. Users
-// take precedence over placements, so on a leader they may use what its own writes leave in
-// the budget, and part of the coming refill.
+// take precedence over placements, so on a leader they may use the reserve that its own
+// transactions leave in the budget, and part of the coming refill.
 func (h *stateHealth) minUserBudget() float64 {
 	if !h.elector.isLeader() {
 		return 1
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -179,15 +179,15 @@
 
 // forwardToPeer forwards a request to a peer that the state service answers, and reports
 // whether it did. A forwarded request is not forwarded again.
-func (p *peerMonitor) forwardToPeer(a *request) bool {
-	if a.forwarded {
+func (p *peerMonitor) forwardToPeer(req *request) bool {
+	if req.forwarded {
 		return false
 	}
 	peer := p.forwardTarget()
 	if peer == "" {
 		return false
 	}
-	p.emit(ForwardRequest{RequestID: a.id, To: peer, Request: forwardedRequest(a)})
+	p.emit(ForwardRequest{RequestID: req.id, To: peer, Request: forwardedRequest(req)})
 	return true
 }
 
@@ -208,22 +208,22 @@
 }
 
 // forwardedRequest returns the message with which a request is forwarded to a peer.
-func forwardedRequest(a *request) any {
-	switch a.kind {
+func forwardedRequest(req *request) any {
+	switch req.kind {
 	case requestSubmit:
-		return SubmitJob{Spec: a.spec, Forwarded: true}
+		return SubmitJob{Spec: req.spec, Forwarded: true}
 	case requestCancel:
-		return CancelJob{ID: a.targetID, Forwarded: true}
+		return CancelJob{ID: req.targetID, Forwarded: true}
 	case requestSweepSubmit:
-		return ForwardedSweep{ID: a.targetID, Stored: a.sweep.submission.Stored, Invalid: a.sweep.submission.Invalid}
+		return ForwardedSweep{ID: req.targetID, Stored: req.sweep.submission.Stored, Invalid: req.sweep.submission.Invalid}
 	case requestSweepStatus:
-		return QuerySweep{ID: a.targetID, Forwarded: true}
+		return QuerySweep{ID: req.targetID, Forwarded: true}
 	case requestSweepRuns:
-		return ListSweepRuns{ID: a.targetID, After: a.sweep.after, Limit: a.sweep.limit, Forwarded: true}
+		return ListSweepRuns{ID: req.targetID, After: req.sweep.after, Limit: req.sweep.limit, Forwarded: true}
 	case requestSweepCancel:
-		return CancelSweep{ID: a.targetID, Forwarded: true}
+		return CancelSweep{ID: req.targetID, Forwarded: true}
 	default:
-		return QueryJob{ID: a.targetID, Forwarded: true}
+		return QueryJob{ID: req.targetID, Forwarded: true}
 	}
 }
 
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -106,10 +106,10 @@
 }
 
 // heartbeat sends a heartbeat, and returns the commands in its answer as text.
-func (r *leaderHarness) heartbeat(token uint64, session uint64, tasks ...TaskStatus) (ReplyCode, string) {
+func (r *leaderHarness) heartbeat(token uint64, epoch uint64, tasks ...TaskStatus) (ReplyCode, string) {
 	r.seq++
 	r.replies = nil
-	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: session, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
+	r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: epoch, Seq: r.seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
 	for i := 0; len(r.replies) == 0 && i < 100; i++ {
 		r.tick(50_000) // the answer may be held back
 	}
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -91,7 +91,7 @@
 	holder := r.elector.leadership.readLeases
 	holder.SetIncarnation(m.From, m.Incarnation)
 	if m.Cancellations != nil && holder.ApplyPage(m.From, *m.Cancellations) {
-		r.noteCancelled(m.From, m.Cancellations.Cancelled)
+		r.recordPeerCancellations(m.From, m.Cancellations.Cancelled)
 	}
 	ack := holder.Ack(m.From, r.cache.appliedRevision, r.now)
 	status.Ack = &ack
@@ -107,12 +107,12 @@
 // onGrant handles the read lease in a peer's answer, and requests the next page at once if
 // there is one.
 func (r *readLeaseManager) onGrant(m PeerPinged) {
-	r.noteCancelled(m.Peer, m.Status.Cancelled)
+	r.recordPeerCancellations(m.Peer, m.Status.Cancelled)
 	page := m.Status.ReadLease
 	if page == nil {
 		return
 	}
-	r.noteCancelled(m.Peer, page.Cancelled)
+	r.recordPeerCancellations(m.Peer, page.Cancelled)
 	if !r.elector.isLeader() {
 		return
 	}
@@ -128,8 +128,8 @@
 	r.grantor.RecordCancellation(id, revision)
 }
 
-// noteCancelled records the jobs and sweeps that a peer knows to be cancelled.
-func (r *readLeaseManager) noteCancelled(peer string, ids []string) {
+// recordPeerCancellations records the jobs and sweeps that a peer knows to be cancelled.
+func (r *readLeaseManager) recordPeerCancellations(peer string, ids []string) {
 	for _, id := range ids {
 		if sweepID, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
 			r.sweepManager.noteCancelled(sweepID)
@@ -182,10 +182,10 @@
 	}
 }
 
-// cancellationsToReport returns the cancellations that holders of read leases have to know of: a sweep in
-// place of its runs, and no job whose end is derived. A leader starts no task of a job that
-// depends on a cancelled one, and a leader of an earlier version would take a derived end for
-// a stored one.
+// cancellationsToReport returns the cancellations that holders of read leases have to know of:
+// a sweep in place of its runs, and no job whose end is derived. A leader starts no task of a
+// job that depends on a cancelled one, and a leader of an earlier version would take a derived
+// end for a stored one.
 func (r *readLeaseManager) cancellationsToReport(ids []string) []string {
 	var told []string
 	for _, id := range ids {
