--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -12,8 +12,8 @@
 const (
 	// commitGap is the least time between transactions, to gather changes;
 	// scarceCommitGap is that while writes are scarce.
-	commitGap       = 60_000
-	scarceCommitGap = 200_000
+	commitGap          = 60_000
+	lowBudgetCommitGap = 200_000
 	// commitRetryGap is the time from a transaction that failed to the next.
 	commitRetryGap = 150_000
 	// writeBackoff is for how long a job is left alone whose write was refused.
@@ -36,13 +36,13 @@
 	chunkTasksWanted int
 	// backoffUntil has the jobs whose writes were refused or too long; oneByOne says
 	// that each is written alone, to find the one that is refused.
-	backoffUntil map[*jobstate.Job]int64
-	oneByOne     bool
+	backoffUntil    map[*jobstate.Job]int64
+	singleJobWrites bool
 	// logTail is the page that is written to, nextLogEntry the number of the next
 	// entry, unneededPages how many pages at the front can go.
-	logTail       *logPage
-	nextLogEntry  uint64
-	unneededPages int
+	logTail        *logPage
+	nextLogEntry   uint64
+	removablePages int
 	// keepGarbageUntil puts off the removal of keys that nothing needs.
 	keepGarbageUntil int64
 }
@@ -153,7 +153,7 @@
 	if commits.inFlight || commits.conflicts > 0 || c.now < commits.notBefore {
 		return false
 	}
-	return len(commits.dirty) > 0 || commits.unneededPages > 0 || len(c.cache.orphanedChunks) > 0
+	return len(commits.dirty) > 0 || commits.removablePages > 0 || len(c.cache.orphanedChunks) > 0
 }
 
 // commitOrder is what jobs are written in the order of.
@@ -255,7 +255,7 @@
 	if !result.Observed {
 		c.elector.tokenProven(t.sentAt)
 	}
-	t.term.commits.oneByOne = false
+	t.term.commits.singleJobWrites = false
 	t.pages.committed(result.Revision)
 	c.garbageRemoved(&t.garbage)
 	for i := range t.jobs {
@@ -336,5 +336,5 @@
 	if len(t.jobs) == 1 {
 		commits.backoffUntil[t.jobs[0].job] = c.now + writeBackoff
 	}
-	commits.oneByOne = true
+	commits.singleJobWrites = true
 }
--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -30,8 +30,8 @@
 	return imageHistory{done: map[string][]*jobstate.Spec{}, machines: map[string][]hintImage{}}
 }
 
-// finished remembers a job that is done.
-func (r *imageHistory) finished(j *jobstate.Job) {
+// recordDoneJob remembers a job that is done.
+func (r *imageHistory) recordDoneJob(j *jobstate.Job) {
 	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
 		return
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// placed remembers that a machine fetches a job's image, if it lacks it.
-func (r *imageHistory) placed(machine string, j *jobstate.Job) {
+// recordPlacement remembers that a machine fetches a job's image, if it lacks it.
+func (r *imageHistory) recordPlacement(machine string, j *jobstate.Job) {
 	images, known := r.machines[machine]
 	if machine == "" || j.Image == "" || !known && len(r.machines) >= historyMachines {
 		return
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -27,8 +27,8 @@
 	committer *committer
 	term      *leadership
 	// limit is how many writes it may have; scarce says that the budget of writes is short.
-	limit  int
-	scarce bool
+	limit     int
+	lowBudget bool
 
 	conditions []Cond
 	writes     []Write
@@ -74,7 +74,7 @@
 		limit:     limit,
 		// While the budget is short, what can wait does so for a while, so that
 		// one write takes many tasks' ends.
-		scarce:     c.health.writesLeft() < c.health.writeRate()/2,
+		lowBudget:  c.health.writesLeft() < c.health.writeRate()/2,
 		conditions: []Cond{kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision)},
 		pages:      pageWrites{committer: c},
 		openSweeps: map[string]bool{},
@@ -83,24 +83,24 @@
 
 // gap is the least time from this transaction to the next.
 func (t *leaderTransaction) gap() int64 {
-	if t.scarce {
-		return scarceCommitGap
+	if t.lowBudget {
+		return lowBudgetCommitGap
 	}
 	return commitGap
 }
 
-// room is how many writes can be added.
-func (t *leaderTransaction) room() int { return t.limit - len(t.writes) - t.pages.count() }
+// remainingWrites is how many writes can be added.
+func (t *leaderTransaction) remainingWrites() int { return t.limit - len(t.writes) - t.pages.count() }
 
-// isTooLong says that no value can be added.
-func (t *leaderTransaction) isTooLong() bool {
+// isTooLarge says that no value can be added.
+func (t *leaderTransaction) isTooLarge() bool {
 	return t.size+t.pages.count()*t.committer.membership.valueLimit() > maxTxnBytes
 }
 
 // isFull says that no job can be added. Without room for writes some may be, as long as
 // there is a page that they may be entered in.
 func (t *leaderTransaction) isFull() bool {
-	return t.room() < 1 && t.pages.count() == 0 || t.isTooLong() || t.term.commits.oneByOne && len(t.jobs) > 0
+	return t.remainingWrites() < 1 && t.pages.count() == 0 || t.isTooLarge() || t.term.commits.singleJobWrites && len(t.jobs) > 0
 }
 
 // add adds a write of a key that has a revision, 0 for none.
@@ -132,14 +132,14 @@
 // addDoneJob adds the end of a job all of whose tasks are done, and removes its keys or
 // else stores that it is over.
 func (t *leaderTransaction) addDoneJob(written *jobWrite) {
-	if t.room() < 2 {
+	if t.remainingWrites() < 2 {
 		return
 	}
 	j := written.job
 	t.requireOpenSweep(j)
 	proof := t.addEnd(written, jobstate.Done)
 	chunks, _ := j.StoredChunks()
-	if j.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.room()) {
+	if j.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.remainingWrites()) {
 		t.addRemoval(written, proof)
 		return
 	}
@@ -154,14 +154,14 @@
 	j := written.job
 	proof, isStored := storedEndOf(j)
 	if !isStored {
-		if t.room() < 2 {
+		if t.remainingWrites() < 2 {
 			return
 		}
 		// A leader that took what a peer told it for what is stored removed jobs without an
 		// end: every controller that started later took them for never accepted.
 		proof = t.addEnd(written, j.Outcome())
 	}
-	if t.room() < 1 {
+	if t.remainingWrites() < 1 {
 		return
 	}
 	t.addRemoval(written, proof)
@@ -219,7 +219,7 @@
 		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
 		return
 	}
-	room := t.room()
+	room := t.remainingWrites()
 	chunks, revisions := j.StoredChunks()
 	written.removesJob = len(chunks)+1 <= room
 	written.removedChunks = chunks[:min(room, len(chunks))]
@@ -236,14 +236,14 @@
 func (t *leaderTransaction) addChunks(written *jobWrite) {
 	j := written.job
 	for _, index := range j.DirtyChunks() {
-		if version, ok := t.pages.append(j, index, t.room()); ok {
+		if version, ok := t.pages.append(j, index, t.remainingWrites()); ok {
 			written.chunks = append(written.chunks, chunkWrite{index: index, version: version, logged: true})
 			continue
 		}
-		if t.room() < 1 || t.isTooLong() {
+		if t.remainingWrites() < 1 || t.isTooLarge() {
 			return
 		}
-		if t.scarce && !j.HasPlacementToWrite(index) && t.committer.now-j.Chunk(index).DirtySince < maxEndDelay {
+		if t.lowBudget && !j.HasPlacementToWrite(index) && t.committer.now-j.Chunk(index).DirtySince < maxEndDelay {
 			continue
 		}
 		t.addChunkValue(written, index)
@@ -255,7 +255,7 @@
 	j := written.job
 	value, version := j.BeginChunkWrite(index, t.term.commits.nextLogEntry)
 	if len(value) > t.committer.membership.valueLimit() {
-		t.committer.valueTooLong(j, index)
+		t.committer.deferOversizedChunk(j, index)
 		return
 	}
 	key := chunkKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: index})
@@ -263,8 +263,8 @@
 	written.chunks = append(written.chunks, chunkWrite{index: index, version: version})
 }
 
-// valueTooLong puts a value off that does not fit, and asks for smaller ones.
-func (c *committer) valueTooLong(j *jobstate.Job, index int) {
+// deferOversizedChunk puts a value off that does not fit, and asks for smaller ones.
+func (c *committer) deferOversizedChunk(j *jobstate.Job, index int) {
 	j.AbortChunkWrite(index)
 	commits := &c.elector.leadership.commits
 	commits.backoffUntil[j] = c.now + splitBackoff
@@ -307,15 +307,15 @@
 		return
 	}
 	room := t.limit - len(t.writes)
-	if t.scarce {
+	if t.lowBudget {
 		room = min(room, 1)
 	}
-	for ; t.garbage.pages < t.term.commits.unneededPages && room > 0; room-- {
+	for ; t.garbage.pages < t.term.commits.removablePages && room > 0; room-- {
 		page := c.cache.progressLog[t.garbage.pages]
 		t.add(Write{Key: pageKey(page.number)}, page.Revision)
 		t.garbage.pages++
 	}
-	if !t.scarce {
+	if !t.lowBudget {
 		t.addOrphanedChunks(room)
 	}
 }
@@ -342,7 +342,7 @@
 // garbageRemoved forgets the keys that a transaction has removed.
 func (c *committer) garbageRemoved(removed *garbageRemoval) {
 	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, removed.pages)
-	c.elector.leadership.commits.unneededPages -= removed.pages
+	c.elector.leadership.commits.removablePages -= removed.pages
 	for id, refs := range removed.chunks {
 		for _, ref := range refs {
 			c.setOrphanedRevision(id, ref, 0)
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -13,9 +13,9 @@
 type logPage struct {
 	jobstate.LogPage
 	number int
-	// unfoldedChunks are the chunks whose stored values lack entries that stand here; the
+	// uncompactedChunks are the chunks whose stored values lack entries that stand here; the
 	// page is needed for as long as there are any.
-	unfoldedChunks map[chunkRef]struct{}
+	uncompactedChunks map[chunkRef]struct{}
 	// newest has the newest entry of each task here, size about how long the
 	// value is, names whose names it has.
 	newest map[taskRef]int
@@ -89,14 +89,14 @@
 		entry := &page.Entries[k]
 		if j := s.jobs[entry.Job]; j != nil {
 			j.ApplyLogEntry(entry, page.FirstSeq+uint64(k), s.now)
-			s.imageHistory.placed(entry.Machine, j)
+			s.imageHistory.recordPlacement(entry.Machine, j)
 		}
 	}
 }
 
-// reapply goes through the log again for a job of which something older was
+// replayLog goes through the log again for a job of which something older was
 // read after it.
-func (s *stateCache) reapply(j *jobstate.Job) {
+func (s *stateCache) replayLog(j *jobstate.Job) {
 	for _, p := range s.progressLog {
 		for k := range p.Entries {
 			if p.Entries[k].Job == j.ID {
@@ -111,11 +111,11 @@
 func (c *committer) openProgressLog() {
 	commits := &c.elector.leadership.commits
 	for _, page := range c.cache.progressLog {
-		page.unfoldedChunks = map[chunkRef]struct{}{}
+		page.uncompactedChunks = map[chunkRef]struct{}{}
 		for k := range page.Entries {
 			entry := &page.Entries[k]
 			if j := c.cache.jobs[entry.Job]; j != nil && j.Task(entry.Task) != nil {
-				page.unfoldedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
+				page.uncompactedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
 		commits.nextLogEntry = max(commits.nextLogEntry, page.NextSeq())
@@ -136,12 +136,12 @@
 	}
 	commits := &c.elector.leadership.commits
 	page := &logPage{
-		LogPage:        jobstate.LogPage{FirstSeq: commits.nextLogEntry},
-		number:         number,
-		unfoldedChunks: map[chunkRef]struct{}{},
-		newest:         map[taskRef]int{},
-		names:          map[string]struct{}{},
-		size:           emptyPageBytes,
+		LogPage:           jobstate.LogPage{FirstSeq: commits.nextLogEntry},
+		number:            number,
+		uncompactedChunks: map[chunkRef]struct{}{},
+		newest:            map[taskRef]int{},
+		names:             map[string]struct{}{},
+		size:              emptyPageBytes,
 	}
 	c.cache.progressLog = append(c.cache.progressLog, page)
 	commits.logTail = page
@@ -179,7 +179,7 @@
 		p.newest[taskRef{e.Job, e.Task}] = k
 		p.names[e.Machine], p.names[e.Job] = struct{}{}, struct{}{}
 	}
-	p.unfoldedChunks[ref] = struct{}{}
+	p.uncompactedChunks[ref] = struct{}{}
 	return true
 }
 
@@ -269,37 +269,37 @@
 // progressLogTick finds the pages that nothing needs any more, and folds the oldest
 // when there are too many.
 func (c *committer) progressLogTick() {
-	c.findUnneededPages()
+	c.countRemovablePages()
 	most := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
 	pages := c.cache.progressLog
 	for _, page := range pages[:max(0, len(pages)-most)] {
-		c.foldPage(page)
+		c.compactPage(page)
 	}
 }
 
 // minLogPages is how many pages are kept at least, however small they are.
 const minLogPages = 8
 
-// findUnneededPages counts the pages at the front that nothing needs any more.
-func (c *committer) findUnneededPages() {
+// countRemovablePages counts the pages at the front that nothing needs any more.
+func (c *committer) countRemovablePages() {
 	commits := &c.elector.leadership.commits
-	commits.unneededPages = 0
+	commits.removablePages = 0
 	for i, page := range c.cache.progressLog {
-		for ref := range page.unfoldedChunks {
+		for ref := range page.uncompactedChunks {
 			if !c.lacksEntries(ref, page) {
-				delete(page.unfoldedChunks, ref)
+				delete(page.uncompactedChunks, ref)
 			}
 		}
-		if page == commits.logTail || len(page.unfoldedChunks) > 0 {
+		if page == commits.logTail || len(page.uncompactedChunks) > 0 {
 			return // they go in their order
 		}
-		commits.unneededPages = i + 1
+		commits.removablePages = i + 1
 	}
 }
 
-// foldPage has the chunks that a page is needed for written as values.
-func (c *committer) foldPage(page *logPage) {
-	for ref := range page.unfoldedChunks {
+// compactPage has the chunks that a page is needed for written as values.
+func (c *committer) compactPage(page *logPage) {
+	for ref := range page.uncompactedChunks {
 		if c.lacksEntries(ref, page) {
 			ref.job.CompactChunk(ref.chunk, c.now)
 			c.markDirty(ref.job)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -20,16 +20,16 @@
 // workerFleet is a leader with a fleet of workers and a stream of jobs, all in one
 // loop of fake time: what it costs is what the core costs at that size.
 type workerFleet struct {
-	c       *Core
-	now     int64
-	rev     uint64
-	rng     *rand.Rand
-	set     Settings
-	workers []*worker
-	wait    map[uint64]*worker
-	req     uint64
-	jobs    int
-	late    []any // messages of the next tick
+	c               *Core
+	now             int64
+	revision        uint64
+	rng             *rand.Rand
+	settings        Settings
+	workers         []*worker
+	awaitingReply   map[uint64]*worker
+	lastRequestID   uint64
+	jobs            int
+	pendingMessages []any // messages of the next tick
 	// stored are the keys of the state service, for the next leader.
 	stored map[string]Change
 	// started counts tasks that came to run, writes the changes stored.
@@ -40,42 +40,42 @@
 
 // worker is one machine's worker.
 type worker struct {
-	name, zone string
-	dead       bool
-	noticed    bool
-	seq        uint64
-	token      uint64
-	due        int64
-	busy       bool
-	changed    bool
-	tasks      map[string]*workerTask
-	order      []*workerTask
+	name, zone          string
+	dead                bool
+	hasPreemptionNotice bool
+	seq                 uint64
+	token               uint64
+	heartbeatDueAt      int64
+	awaitsReply         bool
+	changed             bool
+	tasks               map[string]*workerTask
+	taskOrder           []*workerTask
 }
 
 type workerTask struct {
-	name        string
-	attempt     uint32
-	state       TaskState
-	why         ExitReason
-	runs, ready int64
+	name             string
+	attempt          uint32
+	state            TaskState
+	reason           ExitReason
+	runTime, readyAt int64
 }
 
 func newWorkerFleet(machines int) *workerFleet {
-	w := &workerFleet{now: second, rev: 10, rng: rand.New(rand.NewPCG(3, 4)), wait: map[uint64]*worker{}, stored: map[string]Change{}}
-	w.set = Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
-	w.set.Size, w.set.Zones = 1, []string{"a", "b", "c"}
-	w.set.Teams = []config.Team{{Name: "red", GPUs: 4000, GPUsMax: 15000}, {Name: "blue", GPUs: 2500, GPUsMax: 6000}}
-	w.set.Workers.ReportS, w.set.Workers.LeaseS, w.set.Workers.CancelS = 8, 44, 69
-	w.set.State.RPS, w.set.State.WriteRPS, w.set.State.ValueKB, w.set.State.TxnOps = 250, 100, 8, 48
-	w.set.Cloud.RPS = 1.5
-	w.set.Limits.CoreShare = 1
-	w.c = New(w.set, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 48000, GPU: 8000, Mem: 288000}, FetchRate: 600, CacheMB: 150_000, Zones: w.set.Zones}}
+	w := &workerFleet{now: second, revision: 10, rng: rand.New(rand.NewPCG(3, 4)), awaitingReply: map[uint64]*worker{}, stored: map[string]Change{}}
+	w.settings = Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
+	w.settings.Size, w.settings.Zones = 1, []string{"a", "b", "c"}
+	w.settings.Teams = []config.Team{{Name: "red", GPUs: 4000, GPUsMax: 15000}, {Name: "blue", GPUs: 2500, GPUsMax: 6000}}
+	w.settings.Workers.ReportS, w.settings.Workers.LeaseS, w.settings.Workers.CancelS = 8, 44, 69
+	w.settings.State.RPS, w.settings.State.WriteRPS, w.settings.State.ValueKB, w.settings.State.TxnOps = 250, 100, 8, 48
+	w.settings.Cloud.RPS = 1.5
+	w.settings.Limits.CoreShare = 1
+	w.c = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 48000, GPU: 8000, Mem: 288000}, FetchRate: 600, CacheMB: 150_000, Zones: w.settings.Zones}}
 	w.store(tokenKey, encodeJSON(tokenRecord{5}))
 	w.store(typesKey, encodeJSON(types))
 	w.step(StateListed{Revision: 10, Changes: []Change{w.stored[tokenKey], w.stored[typesKey]}})
 	for i := range machines {
-		w.workers = append(w.workers, &worker{name: fmt.Sprintf("host-%06d", i), zone: w.set.Zones[i%3], due: w.now + w.rng.Int64N(8*second), tasks: map[string]*workerTask{}})
+		w.workers = append(w.workers, &worker{name: fmt.Sprintf("host-%06d", i), zone: w.settings.Zones[i%3], heartbeatDueAt: w.now + w.rng.Int64N(8*second), tasks: map[string]*workerTask{}})
 	}
 	for w.c.elector.leadership == nil {
 		w.tick()
@@ -87,34 +87,34 @@
 	for _, e := range w.c.Step(w.now, msg) {
 		switch e := e.(type) {
 		case Reply:
-			if h := w.wait[e.RequestID]; h != nil {
-				delete(w.wait, e.RequestID)
-				h.busy = false
+			if h := w.awaitingReply[e.RequestID]; h != nil {
+				delete(w.awaitingReply, e.RequestID)
+				h.awaitsReply = false
 				if e.Status == 200 {
 					w.execute(h, e)
 				}
 			}
 		case GrantLease:
-			w.late = append(w.late, LeaseGranted{Lease: 9, SentAt: w.now})
+			w.pendingMessages = append(w.pendingMessages, LeaseGranted{Lease: 9, SentAt: w.now})
 		case RenewLease:
-			w.late = append(w.late, LeaseRenewed{Lease: e.Lease, SentAt: w.now})
+			w.pendingMessages = append(w.pendingMessages, LeaseRenewed{Lease: e.Lease, SentAt: w.now})
 		case ReadState:
-			w.late = append(w.late, StateRead{AfterRevision: e.AfterRevision, Revision: e.AfterRevision, SentAt: w.now, Immediate: true, ForRequests: e.ForRequests})
+			w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: e.AfterRevision, Revision: e.AfterRevision, SentAt: w.now, Immediate: true, ForRequests: e.ForRequests})
 		case CommitTransaction:
-			w.rev++
+			w.revision++
 			var news []Change
 			for _, x := range e.Writes {
 				w.writes++
 				w.store(x.Key, x.Value)
 				if !strings.HasPrefix(x.Key, runPrefix) && !strings.HasPrefix(x.Key, logPrefix) {
-					news = append(news, Change{Key: x.Key, Value: x.Value, Revision: w.rev})
+					news = append(news, Change{Key: x.Key, Value: x.Value, Revision: w.revision})
 				}
 			}
-			w.late = append(w.late, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.rev}, StateRead{AfterRevision: w.rev - 1, Revision: w.rev, SentAt: w.now, Changes: news})
+			w.pendingMessages = append(w.pendingMessages, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.revision}, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, SentAt: w.now, Changes: news})
 		case ScaleOut:
-			w.late = append(w.late, ScaledOut{Request: e, Status: 503})
+			w.pendingMessages = append(w.pendingMessages, ScaledOut{Request: e, Status: 503})
 		case ListMachines:
-			w.late = append(w.late, MachinesListed{Err: fmt.Errorf("none"), FencingToken: e.FencingToken})
+			w.pendingMessages = append(w.pendingMessages, MachinesListed{Err: fmt.Errorf("none"), FencingToken: e.FencingToken})
 		}
 	}
 }
@@ -125,21 +125,21 @@
 		delete(w.stored, key)
 		return
 	}
-	w.stored[key] = Change{Key: key, Value: value, Revision: w.rev}
+	w.stored[key] = Change{Key: key, Value: value, Revision: w.revision}
 }
 
-// crash ends the leader and starts another controller in its place.
-func (w *workerFleet) crash() {
+// failOver ends the leader and starts another controller in its place.
+func (w *workerFleet) failOver() {
 	delete(w.stored, LeaderKey)
-	w.rev++
+	w.revision++
 	rows := slices.SortedFunc(maps.Values(w.stored), func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
-	w.late, w.wait = nil, map[uint64]*worker{}
-	w.set.Incarnation += "b"
-	w.c = New(w.set, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	w.pendingMessages, w.awaitingReply = nil, map[uint64]*worker{}
+	w.settings.Incarnation += "b"
+	w.c = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	for _, h := range w.workers {
-		h.busy, h.due = false, w.now+w.rng.Int64N(8*second)
+		h.awaitsReply, h.heartbeatDueAt = false, w.now+w.rng.Int64N(8*second)
 	}
-	w.step(StateListed{Revision: w.rev, Changes: rows})
+	w.step(StateListed{Revision: w.revision, Changes: rows})
 	for w.c.elector.leadership == nil {
 		w.tick()
 	}
@@ -157,16 +157,16 @@
 			if t != nil {
 				continue
 			}
-			h.tasks[o.Task] = &workerTask{name: o.Task, attempt: o.Attempt, state: TaskFetching, ready: w.now + 3*second, runs: 10*second + w.rng.Int64N(60*second)}
-			h.order = append(h.order, h.tasks[o.Task])
+			h.tasks[o.Task] = &workerTask{name: o.Task, attempt: o.Attempt, state: TaskFetching, readyAt: w.now + 3*second, runTime: 10*second + w.rng.Int64N(60*second)}
+			h.taskOrder = append(h.taskOrder, h.tasks[o.Task])
 			h.changed = true
 		case CommandStop:
 			if t != nil && t.state != TaskExited {
-				t.state, t.why, h.changed = TaskExited, ExitStopped, true
+				t.state, t.reason, h.changed = TaskExited, ExitStopped, true
 			}
 		case CommandForget:
 			delete(h.tasks, o.Task)
-			h.order = slices.DeleteFunc(h.order, func(t *workerTask) bool { return t.name == o.Task })
+			h.taskOrder = slices.DeleteFunc(h.taskOrder, func(t *workerTask) bool { return t.name == o.Task })
 		}
 	}
 }
@@ -174,8 +174,8 @@
 // tick plays 50 ms.
 func (w *workerFleet) tick() {
 	w.now += 50_000
-	late := w.late
-	w.late = nil
+	late := w.pendingMessages
+	w.pendingMessages = nil
 	for _, m := range late {
 		w.step(m)
 	}
@@ -184,34 +184,34 @@
 		if h.dead {
 			continue
 		}
-		for _, t := range h.order {
-			if t.state == TaskFetching && w.now >= t.ready {
+		for _, t := range h.taskOrder {
+			if t.state == TaskFetching && w.now >= t.readyAt {
 				t.state, h.changed = TaskRunning, true
 				w.started++
 			}
-			if t.state == TaskRunning && w.now >= t.ready+t.runs && !w.endless {
-				t.state, t.why, h.changed = TaskExited, ExitDone, true
+			if t.state == TaskRunning && w.now >= t.readyAt+t.runTime && !w.endless {
+				t.state, t.reason, h.changed = TaskExited, ExitDone, true
 				w.done++
 			}
 		}
 		if h.changed {
-			h.due = min(h.due, w.now)
+			h.heartbeatDueAt = min(h.heartbeatDueAt, w.now)
 		}
-		if h.busy || w.now < h.due {
+		if h.awaitsReply || w.now < h.heartbeatDueAt {
 			continue
 		}
-		h.due, h.busy, h.changed = w.now+6*second+w.rng.Int64N(4*second), true, false
+		h.heartbeatDueAt, h.awaitsReply, h.changed = w.now+6*second+w.rng.Int64N(4*second), true, false
 		h.seq++
-		w.req++
+		w.lastRequestID++
 		r := Heartbeat{Machine: h.name, Addr: "a", Type: "c", Zone: h.zone, Epoch: 1, Seq: h.seq, FencingToken: h.token, PreemptionNotice: NoPreemptionNotice}
-		if h.noticed {
+		if h.hasPreemptionNotice {
 			r.PreemptionNotice = 20 * second
 		}
-		for _, t := range h.order {
-			r.Tasks = append(r.Tasks, TaskStatus{Name: t.name, Attempt: uint64(t.attempt), State: t.state, Reason: t.why})
+		for _, t := range h.taskOrder {
+			r.Tasks = append(r.Tasks, TaskStatus{Name: t.name, Attempt: uint64(t.attempt), State: t.state, Reason: t.reason})
 		}
-		w.wait[w.req] = h
-		w.step(HeartbeatReceived{RequestID: w.req, Heartbeat: r})
+		w.awaitingReply[w.lastRequestID] = h
+		w.step(HeartbeatReceived{RequestID: w.lastRequestID, Heartbeat: r})
 	}
 }
 
@@ -232,13 +232,13 @@
 
 // add has a job accepted.
 func (w *workerFleet) add(s *jobstate.Spec) {
-	w.rev++
+	w.revision++
 	w.store(jobPrefix+s.ID, encodeJSON(jobstate.Record{Spec: s}))
-	w.late = append(w.late, StateRead{AfterRevision: w.rev - 1, Revision: w.rev, Changes: []Change{w.stored[jobPrefix+s.ID]}})
+	w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, Changes: []Change{w.stored[jobPrefix+s.ID]}})
 }
 
-// play plays some seconds with a rate of jobs.
-func (w *workerFleet) play(seconds int, rate float64) {
+// run plays some seconds with a rate of jobs.
+func (w *workerFleet) run(seconds int, rate float64) {
 	owed := 0.0
 	for range seconds * 20 {
 		for owed += rate / 20; owed >= 1; owed-- {
@@ -277,16 +277,16 @@
 	}
 	w := newWorkerFleet(machines)
 	w.endless = true
-	w.play(10, 0)
+	w.run(10, 0)
 	for k := range jobs {
 		w.add(&jobstate.Spec{ID: fmt.Sprintf("big-%02d", k), Class: "c", Team: "red", Kind: jobstate.Array, Tasks: each, Spot: true, Need: jobstate.Resources{CPU: 4000, Mem: 20000}, Estimate: 600 * second, Priority: k % 2})
 	}
-	w.play(60, 0)
+	w.run(60, 0)
 	if n := w.running(t); n != jobs*each {
 		t.Fatalf("%d tasks run, want %d", n, jobs*each)
 	}
-	w.crash()
-	w.play(20, 0)
+	w.failOver()
+	w.run(20, 0)
 	known := 0
 	for _, m := range w.c.elector.leadership.fleet.All() {
 		if m.HasCurrentToken {
@@ -299,7 +299,7 @@
 	for i, h := range w.workers {
 		h.dead = i%3 == 0
 	}
-	w.play(120, 0)
+	w.run(120, 0)
 	if n, most := w.running(t), machines*2/3*12; n < min(jobs*each, most)*99/100 {
 		t.Fatalf("after a third was lost %d tasks run, want %d", n, min(jobs*each, most))
 	}
@@ -336,7 +336,7 @@
 	}
 	w.add(&jobstate.Spec{ID: "wide", Class: "c", Team: "red", Kind: jobstate.Array, Tasks: machines, Need: jobstate.Resources{CPU: 40000}, Estimate: 600 * second})
 	w.endless = true
-	w.play(40, 0)
+	w.run(40, 0)
 	if n := w.running(t); n != machines {
 		t.Errorf("%d tasks run on %d machines", n, machines)
 	}
@@ -360,7 +360,7 @@
 				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.elector.leadership.fencingToken})
 			case 3:
 				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
-					h.noticed = true
+					h.hasPreemptionNotice = true
 				}
 			case 4:
 				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
@@ -410,11 +410,11 @@
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			w := newWorkerFleet(n)
-			w.play(90, float64(n)/350)
+			w.run(90, float64(n)/350)
 			w.started, w.writes = 0, 0
 			b.ResetTimer()
 			for b.Loop() {
-				w.play(1, float64(n)/350)
+				w.run(1, float64(n)/350)
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(w.writes)/float64(b.N), "writes/op")
@@ -430,12 +430,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			const rate = 400.0 / 350
 			w := newWorkerFleet(n)
-			w.play(90, rate)
+			w.run(90, rate)
 			w.started, w.writes = 0, 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for b.Loop() {
-				w.play(1, rate)
+				w.run(1, rate)
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(w.started), "us/start")
@@ -467,16 +467,16 @@
 				add(chunkKey(s.ID, jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), v)
 			}
 			for b.Loop() {
-				next := &workerFleet{now: second, rev: uint64(len(rows) + 1), rng: w.rng, wait: map[uint64]*worker{}, workers: w.workers, stored: map[string]Change{}}
+				next := &workerFleet{now: second, revision: uint64(len(rows) + 1), rng: w.rng, awaitingReply: map[uint64]*worker{}, workers: w.workers, stored: map[string]Change{}}
 				for _, h := range next.workers {
-					h.busy, h.due, h.token = false, second, 0
+					h.awaitsReply, h.heartbeatDueAt, h.token = false, second, 0
 				}
-				next.c = New(w.set, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-				next.step(StateListed{Revision: next.rev, Changes: rows})
+				next.c = New(w.settings, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+				next.step(StateListed{Revision: next.revision, Changes: rows})
 				for next.c.elector.leadership == nil {
 					next.tick()
 				}
-				next.play(2, 0)
+				next.run(2, 0)
 			}
 		})
 	}
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -65,9 +65,9 @@
 
 	// machineTypes are stored at typesRevision, or later in parts;
 	// typesWholeRevision is that at which all were in one value.
-	machineTypes       []fleet.Type
-	typesRevision      uint64
-	typesWholeRevision uint64
+	machineTypes     []fleet.Type
+	typesRevision    uint64
+	typesKeyRevision uint64
 
 	partitions       fleet.Partitions
 	partitionsReadAt int64
@@ -103,7 +103,7 @@
 	s.synced = false
 	if !s.listingState && s.membership.incompatible == "" {
 		s.listingState = true
-		s.emit(listAll(s.membership.limits(), len(s.settings.Peers)+1))
+		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1))
 	}
 }
 
@@ -127,13 +127,13 @@
 // dropPartitions forgets the partitions that this controller has assigned as the leader.
 func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
 
-// startupRequests is how many requests a start takes beside the list.
-const startupRequests = 5
+// startupRequestReserve is how many requests a start takes beside the list.
+const startupRequestReserve = 5
 
-// listAll reads everything, at the pace that all controllers can keep at once.
-func listAll(l config.StateLimits, controllers int) ListState {
+// newListState reads everything, at the pace that all controllers can keep at once.
+func newListState(l config.StateLimits, controllers int) ListState {
 	each := l.RPS / float64(controllers)
-	return ListState{AtOnce: max(1, int(each)-startupRequests), Gap: ratelimit.Interval(each / 2)}
+	return ListState{AtOnce: max(1, int(each)-startupRequestReserve), Gap: ratelimit.Interval(each / 2)}
 }
 
 // onStateListed begins anew with what is stored.
@@ -143,7 +143,7 @@
 	if m.Err != nil {
 		s.log.Debug("listing the state failed", "error", m.Err)
 		s.listingState = true
-		s.emit(listAll(s.membership.limits(), len(s.settings.Peers)+1)) // the store paces repeats
+		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1)) // the store paces repeats
 		return
 	}
 	s.reset()
@@ -240,7 +240,7 @@
 // that it concerns; one of no known kind is from a newer program.
 func (s *stateCache) apply(change Change) {
 	key := change.Key
-	s.noteKeyRevision(change)
+	s.updateKeyRevision(change)
 	reject := func(err error) {
 		s.log.Error("stored value can't be read", "key", key, "error", err)
 	}
@@ -291,8 +291,8 @@
 	}
 }
 
-// noteKeyRevision keeps the revisions of the keys that the leader writes as a whole.
-func (s *stateCache) noteKeyRevision(change Change) {
+// updateKeyRevision keeps the revisions of the keys that the leader writes as a whole.
+func (s *stateCache) updateKeyRevision(change Change) {
 	if !isWrittenWhole(change.Key) {
 		return
 	}
@@ -415,7 +415,7 @@
 	}
 	s.jobs[id] = j
 	s.loadOrphanedChunks(j, reject)
-	s.reapply(j)
+	s.replayLog(j)
 	if end, ended := s.ends.Get(id); ended && record.Outcome == "" {
 		// Derived before the list was read anew, perhaps, or told by a peer.
 		j.RecordEnd(end)
@@ -470,9 +470,9 @@
 	if err := j.LoadChunk(ref, change.Value, change.Revision, s.now); err != nil {
 		reject(err)
 	}
-	s.reapply(j)
+	s.replayLog(j)
 	for i := ref.Index * ref.ChunkSize; i < min((ref.Index+1)*ref.ChunkSize, j.Tasks); i++ {
-		s.imageHistory.placed(j.Task(i).Machine, j)
+		s.imageHistory.recordPlacement(j.Task(i).Machine, j)
 	}
 }
 
@@ -512,7 +512,7 @@
 	}
 	if j := s.jobs[id]; j != nil && j.RecordEnd(known) {
 		if known.Outcome == jobstate.Done {
-			s.imageHistory.finished(j)
+			s.imageHistory.recordDoneJob(j)
 		}
 		s.tasks.jobEnded(j)
 	}
@@ -533,11 +533,11 @@
 		return
 	}
 	if change.Key == typesKey {
-		s.machineTypes, s.typesRevision, s.typesWholeRevision = types, change.Revision, change.Revision
+		s.machineTypes, s.typesRevision, s.typesKeyRevision = types, change.Revision, change.Revision
 		return
 	}
 	// Parts of before the value fitted again, as when a list is read.
-	if change.Revision < s.typesWholeRevision {
+	if change.Revision < s.typesKeyRevision {
 		return
 	}
 	s.typesRevision = change.Revision
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func storedSets() (few, many *roaring.Bitmap) {
+func storedRunSets() (few, many *roaring.Bitmap) {
 	few, many = roaring.BitmapOf(1, 3, 17), roaring.New()
 	many.AddRange(20, 9000)
 	return few, many
@@ -46,7 +46,7 @@
 // storedValues are values of plain structures under their keys: all kinds, each field
 // of each in at least one of them.
 func storedValues() map[string]any {
-	few, many := storedSets()
+	few, many := storedRunSets()
 	long := fullSpec("j-brief", jobstate.Service, jobstate.Production)
 	long.Image = strings.Repeat("x", 900)
 	var brief jobstate.Record
@@ -93,16 +93,16 @@
 	return values
 }
 
-// storedRun is a value of a job's progress.
-type storedRun struct {
+// storedChunk is a value of a job's progress.
+type storedChunk struct {
 	job   string
-	value jobstate.ChunkRef
+	ref   jobstate.ChunkRef
 	seq   uint64
-	do    func(j *jobstate.Job)
+	apply func(j *jobstate.Job)
 }
 
-func storedRuns() []storedRun {
-	return []storedRun{
+func storedChunks() []storedChunk {
+	return []storedChunk{
 		// The first format, without the number of an entry of the log; the job's last
 		// tasks, which are fewer; then with the log; and the smaller values after it.
 		{"j-least", jobstate.ChunkRef{ChunkSize: 256, Index: 0}, 0, func(j *jobstate.Job) {
@@ -121,12 +121,12 @@
 	}
 }
 
-func (s storedRun) key() string { return chunkKey(s.job, s.value) }
+func (s storedChunk) key() string { return chunkKey(s.job, s.ref) }
 
 // chunk makes the job with the value's tasks alone.
-func (s storedRun) chunk() *jobstate.Job {
+func (s storedChunk) chunk() *jobstate.Job {
 	j := jobstate.NewJob(&jobstate.Spec{ID: s.job, Tasks: 300})
-	j.SplitChunks(s.value.ChunkSize)
+	j.SplitChunks(s.ref.ChunkSize)
 	return j
 }
 
@@ -143,16 +143,16 @@
 	}
 }
 
-// storedText is the recorded file as this program writes it.
-func storedText() string {
+// encodeStoredFile is the recorded file as this program writes it.
+func encodeStoredFile() string {
 	all := map[string][]byte{}
 	for key, v := range storedValues() {
 		all[key] = encodeJSON(v)
 	}
-	for _, s := range storedRuns() {
+	for _, s := range storedChunks() {
 		j := s.chunk()
-		s.do(j)
-		all[s.key()], _ = j.BeginChunkWrite(s.value.Index, s.seq)
+		s.apply(j)
+		all[s.key()], _ = j.BeginChunkWrite(s.ref.Index, s.seq)
 	}
 	for key, p := range storedPages() {
 		all[key] = p.Encode()
@@ -164,7 +164,7 @@
 	return "[\n" + strings.Join(lines, ",\n") + "\n]\n"
 }
 
-func readStored(t *testing.T) (rows []storedRow, values map[string][]byte) {
+func readStoredFile(t *testing.T) (rows []storedRow, values map[string][]byte) {
 	t.Helper()
 	b, err := os.ReadFile(storedFile)
 	if err != nil {
@@ -183,8 +183,8 @@
 // TestStored reads every kind of stored value as commit 63ef244 wrote it, and writes
 // the same bytes under the same key.
 func TestStored(t *testing.T) {
-	golden.Compare(t, storedFile, storedText())
-	_, raws := readStored(t)
+	golden.Compare(t, storedFile, encodeStoredFile())
+	_, raws := readStoredFile(t)
 	take := func(key string) []byte {
 		t.Helper()
 		if raws[key] == nil {
@@ -210,11 +210,11 @@
 		same(key, raw, encodeJSON(got.Elem().Interface()))
 		same(key, raw, encodeJSON(want))
 	}
-	for _, s := range storedRuns() {
+	for _, s := range storedChunks() {
 		raw := take(s.key())
 		got, want := s.chunk(), s.chunk()
-		s.do(want)
-		if err := got.LoadChunk(s.value, raw, 5, 1); err != nil {
+		s.apply(want)
+		if err := got.LoadChunk(s.ref, raw, 5, 1); err != nil {
 			t.Errorf("%s: %v", s.key(), err)
 		}
 		for i := range want.Tasks {
@@ -224,14 +224,14 @@
 				t.Errorf("%s: task %d read as %+v", s.key(), i, g)
 			}
 		}
-		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(s.value.Index) != s.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(s.value) != 5 {
-			t.Errorf("%s: read as %v %d %d", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.value.Index), got.NextAttempt())
+		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(s.ref.Index) != s.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(s.ref) != 5 {
+			t.Errorf("%s: read as %v %d %d", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.ref.Index), got.NextAttempt())
 		}
 		for _, j := range []*jobstate.Job{got, want} {
-			value, _ := j.BeginChunkWrite(s.value.Index, s.seq)
+			value, _ := j.BeginChunkWrite(s.ref.Index, s.seq)
 			same(s.key(), raw, value)
 		}
-		if id, v, err := parseChunkKey(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.value || err != nil {
+		if id, v, err := parseChunkKey(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.ref || err != nil {
 			t.Errorf("%s: the key is read as %s %+v, %v", s.key(), id, v, err)
 		}
 	}
@@ -250,7 +250,7 @@
 
 // TestStoredSets reads the sets of runs as bits and as runs of numbers.
 func TestStoredSets(t *testing.T) {
-	few, many := storedSets()
+	few, many := storedRunSets()
 	for text, want := range map[string]*roaring.Bitmap{"bCgAC": few, storedValues()[sweepPositionPrefix+"s"+cancelledRunsSuffix].(cancelledRuns).Runs: many} {
 		if got, err := decodeRunSet(text); err != nil || !got.Equals(want) || encodeRunSet(got) != text {
 			t.Errorf("%s: %v, %v, packed as %s", text, got, err, encodeRunSet(want))
@@ -265,7 +265,7 @@
 	set.Peers = []string{"n1", "n2", "n3"}
 	set.Ops.Sweeps = true
 	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
-	rows, raws := readStored(t)
+	rows, raws := readStoredFile(t)
 	l := StateListed{Revision: 100}
 	for i, r := range rows {
 		if !slices.ContainsFunc(StartPrefixes, func(p string) bool { return strings.HasPrefix(r.Key, p) }) && !strings.HasPrefix(r.Key, endPrefix) {
--- a/internal/core/toldend_test.go
+++ b/internal/core/toldend_test.go
@@ -29,8 +29,8 @@
 //	208.89 stoker-3 poll: 404, over at 209.04
 //	212.57 stoker-4 poll: 200 cancelled, over at 212.57
 
-// toldBy are the messages by which a controller learns from a peer that jobs are cancelled.
-var toldBy = []struct {
+// cancellationSources are the messages by which a controller learns from a peer that jobs are cancelled.
+var cancellationSources = []struct {
 	name    string
 	message func(h *harness, ids ...string) any
 }{
@@ -47,20 +47,20 @@
 	}},
 }
 
-// toldEndCase is a way in which a controller comes to hear of the end of a job, "second", which
+// reportedEndCase is a way in which a controller comes to hear of the end of a job, "second", which
 // depends on "first" and which the state service has as unfinished.
-type toldEndCase struct {
+type reportedEndCase struct {
 	name string
-	// follows: another controller leads when the core starts.
-	follows bool
-	// hides: the end of the first job can't be read at first.
-	hides bool
+	// startsAsFollower: another controller leads when the core starts.
+	startsAsFollower bool
+	// firstEndUnreadable: the end of the first job can't be read at first.
+	firstEndUnreadable bool
 	// events are what happens, in their order.
 	events []func(h *harness, tell func(ids ...string))
 }
 
-// toldEndCases go over when a controller is told, and what it knows and is by then.
-func toldEndCases() []toldEndCase {
+// reportedEndCases go over when a controller is told, and what it knows and is by then.
+func reportedEndCases() []reportedEndCase {
 	type events = []func(h *harness, tell func(ids ...string))
 	tellOf := func(ids ...string) func(*harness, func(...string)) {
 		return func(_ *harness, tell func(...string)) { tell(ids...) }
@@ -73,7 +73,7 @@
 		h.store(jobPrefix+"third", job("third", "second"))
 		h.refresh()
 	}
-	return []toldEndCase{
+	return []reportedEndCase{
 		{"a leader before it knows the first job's end", false, true, events{wait, tellOf("second"), wait, reveal, wait}},
 		{"a leader that never reads the first job's end", false, true, events{wait, tellOf("second"), wait}},
 		{"a leader told of both, the dependent one first", false, true, events{wait, tellOf("second", "first"), wait, reveal, wait}},
@@ -87,34 +87,34 @@
 	}
 }
 
-// TestToldEndIsStored: whoever tells a controller that a job is cancelled, the job's key goes
+// TestReportedEndIsStored: whoever tells a controller that a job is cancelled, the job's key goes
 // only with its end, so that every controller that starts later knows the job too.
-func TestToldEndIsStored(t *testing.T) {
+func TestReportedEndIsStored(t *testing.T) {
 	for _, format := range []formatRecord{{Version: 2, Tasks: 64}, {Version: 3, Tasks: 64}} {
-		for _, source := range toldBy {
-			for _, tc := range toldEndCases() {
+		for _, source := range cancellationSources {
+			for _, tc := range reportedEndCases() {
 				t.Run(fmt.Sprintf("format %d/%s/%s", format.Version, source.name, tc.name), func(t *testing.T) {
-					playToldEnd(t, tc, format, source.message)
+					runReportedEndCase(t, tc, format, source.message)
 				})
 			}
 		}
 	}
 }
 
-func playToldEnd(t *testing.T, tc toldEndCase, format formatRecord, message func(h *harness, ids ...string) any) {
+func runReportedEndCase(t *testing.T, tc reportedEndCase, format formatRecord, message func(h *harness, ids ...string) any) {
 	t.Helper()
 	stored := map[string]any{
 		formatKey:            format,
 		endPrefix + "first":  cancelled,
 		jobPrefix + "second": job("second", "first"),
 	}
-	if tc.follows {
+	if tc.startsAsFollower {
 		stored[LeaderKey] = leaderRecord{Name: "n1", Incarnation: "x", Token: 1, Lease: 1}
 	}
 	h := newHarness(t, stored)
 	h.core.settings.Peers = []string{"n1"}
 	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
-	if tc.hides {
+	if tc.firstEndUnreadable {
 		h.unreachable[endPrefix+"first"] = true
 	}
 	told := false
@@ -143,11 +143,11 @@
 	h.requireKnown("second")
 }
 
-// TestToldEndThatIsStored: a leader that is told of a cancellation before it sees the write of
+// TestReportedEndAlreadyStored: a leader that is told of a cancellation before it sees the write of
 // it finds that the end is stored, stores none of its own and goes on, in every format.
-func TestToldEndThatIsStored(t *testing.T) {
+func TestReportedEndAlreadyStored(t *testing.T) {
 	for _, format := range []formatRecord{{Version: 1}, {Version: 2, Tasks: 64}, {Version: 3, Tasks: 64}} {
-		for _, source := range toldBy {
+		for _, source := range cancellationSources {
 			t.Run(fmt.Sprintf("format %d/%s", format.Version, source.name), func(t *testing.T) {
 				h := newHarness(t, map[string]any{formatKey: format, jobPrefix + "a": job("a")})
 				h.core.settings.Peers = []string{"n1"}
@@ -172,11 +172,11 @@
 	}
 }
 
-// TestDerivedEndIsNotTold: a controller tells no peer of an end that it has derived, as a leader
+// TestDerivedEndNotReported: a controller tells no peer of an end that it has derived, as a leader
 // starts nothing of a job behind a cancelled one, and one of a version before ends were told
 // apart would take it for stored: with two versions side by side such a leader lost an end that
 // a newer controller had told it. So users need not wait for the leader to learn of it either.
-func TestDerivedEndIsNotTold(t *testing.T) {
+func TestDerivedEndNotReported(t *testing.T) {
 	h := newHarness(t, map[string]any{
 		formatKey:            joined,
 		LeaderKey:            leaderRecord{Name: "n1", Incarnation: "x", Token: 1, Lease: 1},
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -8,11 +8,11 @@
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
-// TestObserved: what was read of a transaction counts for its answer, where that is lost:
+// TestObservedTransaction: what was read of a transaction counts for its answer, where that is lost:
 // others tell users of it meanwhile, and its writer once wrote it again in vain for
 // two seconds at a time. Only all of its changes, as they were sent, of one revision
 // later than any that it is conditional on, show that it was carried out.
-func TestObserved(t *testing.T) {
+func TestObservedTransaction(t *testing.T) {
 	const stamp = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
 	seen := func(key, value string, stamp uint64) Change {
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestObservedOrAnswered: an answer that comes is taken as it is; one that does not come at all
+// TestAnswerPrecedesObservation: an answer that comes is taken as it is; one that does not come at all
 // is what was read.
-func TestObservedOrAnswered(t *testing.T) {
+func TestAnswerPrecedesObservation(t *testing.T) {
 	for _, tc := range []struct {
 		answer, want kv.Outcome
 		observed     bool
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestRepeats: users who repeat a submission or a cancellation while it is written
+// TestRepeatedRequestsWriteOnce: users who repeat a submission or a cancellation while it is written
 // cost no writes: there are few a second, and placements need them.
-func TestRepeats(t *testing.T) {
+func TestRepeatedRequestsWriteOnce(t *testing.T) {
 	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
 	s.advance(200_000)
 	for _, tc := range []struct {
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestLongValues: what was or would be longer than the limits to come is stored
+// TestOversizedValues: what was or would be longer than the limits to come is stored
 // in parts, or as what is left to be known of it.
-func TestLongValues(t *testing.T) {
+func TestOversizedValues(t *testing.T) {
 	long := job("long")
 	for i := range 40 {
 		long.Spec.Types = append(long.Spec.Types, fmt.Sprintf("%s-%02d", strings.Repeat("x", 100), i))
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -13,7 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-type recording struct {
+type version1Fixture struct {
 	Keys []struct {
 		Key   string          `json:"key"`
 		Value json.RawMessage `json:"value"`
@@ -21,7 +21,7 @@
 	Gob map[string]string `json:"gob"`
 }
 
-func version1(t *testing.T) (r recording) {
+func readVersion1Fixture(t *testing.T) (r version1Fixture) {
 	t.Helper()
 	b, err := os.ReadFile("testdata/version1.json")
 	if err != nil {
@@ -41,7 +41,7 @@
 	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
 	var l StateListed
 	want := map[string]json.RawMessage{}
-	for i, k := range version1(t).Keys {
+	for i, k := range readVersion1Fixture(t).Keys {
 		l.Changes = append(l.Changes, Change{Key: k.Key, Value: k.Value, Revision: uint64(i + 1)})
 		want[k.Key] = k.Value
 	}
@@ -89,10 +89,10 @@
 	}
 }
 
-// TestSplits stores progress in the first format, splits it, and stops after
+// TestInterruptedChunkSplit stores progress in the first format, splits it, and stops after
 // each single write: what is read back is what was known, with the write or
 // without it.
-func TestSplits(t *testing.T) {
+func TestInterruptedChunkSplit(t *testing.T) {
 	spec := &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 300}
 	state := func(j *jobstate.Job) string {
 		var b strings.Builder
@@ -247,9 +247,9 @@
 	}
 }
 
-// TestPageFits fills pages with entries of all lengths up to a limit. One that
+// TestLogPageSizeLimit fills pages with entries of all lengths up to a limit. One that
 // was over it would be refused again and again, and hold up all writes.
-func TestPageFits(t *testing.T) {
+func TestLogPageSizeLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	name := func(n int) string {
 		b := make([]byte, 1+rng.IntN(n))
@@ -260,7 +260,7 @@
 	}
 	for range 200 {
 		limit := 500 + rng.IntN(8000)
-		p := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, unfoldedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+		p := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, uncompactedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
 		long := 1 + rng.IntN(60)
 		full := 0
 		for full < 5 {
