--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -8,42 +8,43 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// Pauses of the committer.
+// Delays of the committer, in microseconds.
 const (
-	// commitGap is the least time between transactions, to gather changes;
-	// scarceCommitGap is that while writes are scarce.
+	// commitGap is the minimum time between transactions, in which changes are batched;
+	// lowBudgetCommitGap is that while the write budget is low.
 	commitGap          = 60_000
 	lowBudgetCommitGap = 200_000
-	// commitRetryGap is the time from a transaction that failed to the next.
+	// commitRetryGap is the minimum time from the failure of a transaction to the next one.
 	commitRetryGap = 150_000
-	// writeBackoff is for how long a job is left alone whose write was refused.
+	// writeBackoff is the time for which a job is not written after its write was rejected.
 	writeBackoff = 10 * second
-	// splitBackoff is for how long one is left alone that has a value that is too long.
+	// splitBackoff is the time for which a job is not written after a value was too large.
 	splitBackoff = second
 )
 
-// commitState is what the committer keeps while this controller leads.
+// commitState is the committer's state for one term of leadership.
 type commitState struct {
-	// dirty are the jobs of which something is to be written.
+	// dirty are the jobs with changes to write.
 	dirty map[*jobstate.Job]struct{}
-	// inFlight: a transaction is under way, inFlightID. conflicts counts the keys that are
-	// read again because their revision was not the expected one.
+	// inFlight reports whether a transaction is in progress, and inFlightID is its ID.
+	// conflicts is the number of keys that are being read again because their revision was
+	// not the expected one. No transaction is sent before notBefore.
 	inFlight   bool
 	inFlightID uint64
 	conflicts  int
 	notBefore  int64
-	// chunkTasksWanted is a smaller number of tasks for values that did not fit.
+	// chunkTasksWanted is a smaller number of tasks per chunk, requested after a value did not fit.
 	chunkTasksWanted int
-	// backoffUntil has the jobs whose writes were refused or too long; oneByOne says
-	// that each is written alone, to find the one that is refused.
+	// backoffUntil has the jobs whose writes were rejected or too large. singleJobWrites
+	// makes each transaction write one job only, to find the one that is rejected.
 	backoffUntil    map[*jobstate.Job]int64
 	singleJobWrites bool
-	// logTail is the page that is written to, nextLogEntry the number of the next
-	// entry, unneededPages how many pages at the front can go.
+	// logTail is the page that is appended to, nextLogEntry the sequence number of the next
+	// entry, removablePages the number of pages at the front that can be removed.
 	logTail        *logPage
 	nextLogEntry   uint64
 	removablePages int
-	// keepGarbageUntil puts off the removal of keys that nothing needs.
+	// keepGarbageUntil is the time before which keys that are not needed any more are kept.
 	keepGarbageUntil int64
 }
 
@@ -54,7 +55,8 @@
 	}
 }
 
-// isBackedOff says whether a job's writes are put off, and forgets a pause that is over.
+// isBackedOff reports whether writes of a job are delayed after a failure. It drops a delay that
+// has passed.
 func (s *commitState) isBackedOff(j *jobstate.Job, now int64) bool {
 	until, ok := s.backoffUntil[j]
 	if !ok {
@@ -67,12 +69,12 @@
 	return false
 }
 
-// committer writes what the leader has decided, in transactions that hold only while it
-// leads: all of them are conditional on the leadership key. There is one at a time; what
-// changes meanwhile is gathered for the next.
+// committer writes the leader's decisions, in transactions that succeed only while it leads:
+// all of them are conditional on the revision of the leadership key. One transaction is in
+// progress at a time; changes made meanwhile are batched for the next.
 //
-// A transaction that fails is not repeated as it is. The next one is put together from
-// what is to be written by then.
+// A transaction that fails is not retried unchanged. The next one is built from what has to be
+// written by then.
 type committer struct {
 	*engine
 
@@ -88,8 +90,9 @@
 	tasks        *taskManager
 }
 
-// putAsLeader writes a value as a whole, if nothing newer is stored: one of its own
-// that got no answer may be executed after later ones.
+// putAsLeader writes a complete value if the key still has the revision known here. The condition
+// is needed because an earlier write of this controller that got no answer may be executed after
+// later ones.
 func (c *committer) putAsLeader(key string, value []byte, done func(TransactionResult)) {
 	conditions := []Cond{
 		kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision),
@@ -103,20 +106,20 @@
 	})
 }
 
-// markDirty notes that something of a job is to be written.
+// markDirty marks a job as having changes to write.
 func (c *committer) markDirty(j *jobstate.Job) {
 	c.elector.leadership.commits.dirty[j] = struct{}{}
 }
 
-// forget drops what is to be written of a job whose keys are gone.
+// forget drops the pending writes of a job whose keys are gone.
 func (c *committer) forget(j *jobstate.Job) {
 	delete(c.elector.leadership.commits.dirty, j)
 	delete(c.elector.leadership.commits.backoffUntil, j)
 }
 
-// commitNow writes as much of what changed as the budget allows: high
-// priority first, then what has waited longest. All of it holds only while
-// this controller's leadership key stands as it was.
+// commitNow sends a transaction with as many of the pending changes as the write budget allows:
+// those with a high priority first, then those that have waited longest. The transaction succeeds
+// only if this controller's leadership key is unchanged.
 func (c *committer) commitNow() {
 	if !c.canCommit() {
 		return
@@ -143,7 +146,7 @@
 	}
 }
 
-// canCommit says whether a transaction may be sent now, and there may be something to write.
+// canCommit reports whether a transaction may be sent now and there may be something to write.
 func (c *committer) canCommit() bool {
 	term := c.elector.leadership
 	if term == nil {
@@ -156,14 +159,13 @@
 	return len(commits.dirty) > 0 || commits.removablePages > 0 || len(c.cache.orphanedChunks) > 0
 }
 
-// commitOrder is what jobs are written in the order of.
+// commitOrder holds the computed sort keys for the order in which jobs are written.
 type commitOrder struct {
 	class          int
 	oldestChangeAt int64
 }
 
-// jobsToWrite are the jobs of which something is to be written, in the order in which
-// they are written.
+// jobsToWrite returns the dirty jobs in the order in which they are to be written.
 func (c *committer) jobsToWrite() []*jobstate.Job {
 	dirty := c.elector.leadership.commits.dirty
 	jobs := make([]*jobstate.Job, 0, len(dirty))
@@ -187,16 +189,16 @@
 	return jobs
 }
 
-// commitClass is 0 where a start or a user waits for a job's writes, and else 1.
+// commitClass returns 0 if a task start or a user waits for a job's writes, and 1 otherwise.
 func commitClass(j *jobstate.Job) int {
-	// Of one that is over only keys are left to be removed.
+	// For a job that has ended, only the removal of its keys is left.
 	if j.Outcome() == "" && (j.NumDone == j.Tasks || j.HasAnyPlacementToWrite()) {
 		return 0
 	}
 	return 1
 }
 
-// oldestChange is when the oldest unwritten change of a job was made.
+// oldestChange returns the time of a job's oldest unwritten change.
 func (c *committer) oldestChange(j *jobstate.Job) int64 {
 	if at := j.DirtySince(); at != 0 {
 		return at
@@ -204,8 +206,8 @@
 	return c.now
 }
 
-// send sends a transaction and has its outcome handled, if this controller leads without
-// a break until then.
+// send sends a transaction. Its outcome is handled only if this controller is still in the same
+// term by then.
 func (c *committer) send(t *leaderTransaction) {
 	c.health.spendWrites(float64(len(t.writes)))
 	t.term.commits.inFlight = true
@@ -217,19 +219,20 @@
 	})
 }
 
-// abandonOverdue gives up on the answer to a transaction that is clearly late. There is one
-// transaction at a time, so that all starts would wait for a lost answer until its deadline.
-// What it was to write is written again under the same revisions: one of the two fails.
+// abandonOverdue stops waiting for the answer to a transaction that is clearly overdue. As there
+// is one transaction at a time, all task starts would otherwise wait for a lost answer until its
+// deadline. The changes are written again under the same revisions, so that only one of the two
+// transactions can succeed.
 func (c *committer) abandonOverdue() {
 	commits := &c.elector.leadership.commits
 	if !commits.inFlight || !c.transactions.IsOverdue(commits.inFlightID, c.now) {
 		return
 	}
-	c.log.Debug("no answer to a transaction, writing again", "transaction", commits.inFlightID)
+	c.log.Debug("transaction not answered in time, writing again", "transaction", commits.inFlightID)
 	c.transactions.Abandon(commits.inFlightID)
 }
 
-// onTransactionEnded handles the outcome of the transaction that was under way.
+// onTransactionEnded handles the outcome of the transaction that was in progress.
 func (c *committer) onTransactionEnded(t *leaderTransaction, result TransactionResult) {
 	commits := &t.term.commits
 	commits.inFlight = false
@@ -250,7 +253,7 @@
 	}
 }
 
-// onCommitted applies what a transaction made true.
+// onCommitted applies the effects of a committed transaction.
 func (c *committer) onCommitted(t *leaderTransaction, result TransactionResult) {
 	if !result.Observed {
 		c.elector.tokenProven(t.sentAt)
@@ -300,14 +303,14 @@
 // jobKeyRemoved forgets a job whose key was removed.
 func (c *committer) jobKeyRemoved(j *jobstate.Job) {
 	if j.Outcome() == jobstate.Done && !j.Truncated {
-		c.prefetcher.addPrefetchSources(j.Spec) // none of its tasks is on a machine now
+		c.prefetcher.addPrefetchSources(j.Spec) // none of its tasks is on a machine any more
 	}
 	delete(c.cache.jobs, j.ID)
 	c.tasks.jobRemoved(j)
 	c.cache.orphanChunks(j)
 }
 
-// clearIfWritten takes a job off the list of dirty ones if nothing is left to write.
+// clearIfWritten marks a job as clean if it has nothing left to write, and as dirty otherwise.
 func (c *committer) clearIfWritten(j *jobstate.Job) {
 	if j.Outcome() != "" && j.NumPlaced == 0 || j.Outcome() == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
 		c.markDirty(j)
@@ -316,23 +319,23 @@
 	delete(c.elector.leadership.commits.dirty, j)
 }
 
-// onMalformed handles a transaction that the state service calls malformed: its limits
-// may have been lowered. A write that is refused again alone must not hold up the rest.
+// onMalformed handles a transaction that the state service rejects as malformed, possibly because
+// its limits were lowered. A write that is rejected again on its own must not block the others.
 func (c *committer) onMalformed(t *leaderTransaction) {
 	commits := &t.term.commits
 	if len(t.jobs) == 0 {
-		c.log.Error("the state service calls a transaction malformed", "writes", len(t.writes))
-		commits.keepGarbageUntil = c.now + writeBackoff // it had only removals
+		c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes))
+		commits.keepGarbageUntil = c.now + writeBackoff // it contained removals only
 		return
 	}
-	c.log.Error("the state service calls a transaction malformed", "writes", len(t.writes), "job", t.jobs[0].job.ID)
+	c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes), "job", t.jobs[0].job.ID)
 	if !c.membership.useLowerLimits() {
 		c.membership.lowerLimits("a transaction was refused")
 		if c.membership.useLowerLimits() {
-			return // it is made again, within them
+			return // it is built again, within the lower limits
 		}
 	}
-	commits.logTail = nil // what the page was to have goes into another
+	commits.logTail = nil // the entries of that page go into a new one
 	if len(t.jobs) == 1 {
 		commits.backoffUntil[t.jobs[0].job] = c.now + writeBackoff
 	}
--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -8,9 +8,9 @@
 	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
-// TestCommitOrder: where the budget of changes is short, starts and finished
-// jobs are written before the ends of tasks, which wait for a while and go
-// together; with room to spare everything is written at once.
+// TestCommitOrder checks that with a low write budget, task starts and finished jobs are written
+// before the ends of tasks, which are delayed for a while and written together, and that with a
+// sufficient budget everything is written at once.
 func TestCommitOrder(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -18,9 +18,9 @@
 		age   int64
 		want  string
 	}{
-		{"plenty", 70, second, "place done end "},
-		{"scarce", 20, second, "place done "},
-		{"scarce, and the ends have waited", 20, 5 * second, "place done end "},
+		{"sufficient budget", 70, second, "place done end "},
+		{"low budget", 20, second, "place done "},
+		{"low budget, ends delayed for the maximum time", 20, 5 * second, "place done end "},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 				return j
 			}
 			then := c.now - tc.age
-			end := add("end", jobstate.Urgent) // even if more urgent
+			end := add("end", jobstate.Urgent) // last although it has the highest priority
 			end.PlaceTask(0, "x0", 1, then)
 			end.PlaceTask(1, "x1", 1, then)
 			_, version := end.BeginChunkWrite(0, 0)
@@ -62,7 +62,7 @@
 				}
 			}
 			if got != tc.want {
-				t.Errorf("wrote %q, want %q", got, tc.want)
+				t.Errorf("got writes for jobs %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/conflicts.go
+++ b/internal/core/conflicts.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// resolveConflict reads a key whose revision was not the expected one. While some are
-// read, nothing is written.
+// resolveConflict reads a key whose revision was not the expected one. No transaction is sent
+// while such reads are pending.
 func (c *committer) resolveConflict(term *leadership, key string) {
 	if key == LeaderKey {
 		c.emit(ReadState{AfterRevision: c.cache.appliedRevision})
@@ -24,14 +24,13 @@
 			return
 		}
 		term.commits.conflicts--
-		if read.Err == nil { // or else the write is tried again and fails again
+		if read.Err == nil { // on an error the write is retried, and conflicts again
 			c.applyConflict(key, &read)
 		}
 	})
 }
 
-// applyConflict takes over what is stored under a key whose revision was not the expected
-// one.
+// applyConflict applies the stored value of a key whose revision was not the expected one.
 func (c *committer) applyConflict(key string, read *KeyRead) {
 	switch {
 	case strings.HasPrefix(key, runPrefix):
@@ -47,8 +46,7 @@
 	}
 }
 
-// applyChunkRevision takes over the revision of a chunk, whose name is its key without
-// the prefix.
+// applyChunkRevision sets the revision of a chunk; name is its key without the prefix.
 func (c *committer) applyChunkRevision(name string, revision uint64) {
 	id, ref, err := parseChunkKey(name)
 	if err != nil {
@@ -61,7 +59,7 @@
 	c.setOrphanedRevision(id, ref, revision)
 }
 
-// applyStoredEnd takes over a job's end that was stored by another.
+// applyStoredEnd applies a job's end that another controller stored.
 func (c *committer) applyStoredEnd(id string, read *KeyRead) {
 	var end jobstate.End
 	if read.Revision == 0 || json.Unmarshal(read.Value, &end) != nil {
@@ -70,7 +68,7 @@
 	c.cache.noteEnd(id, jobstate.EndStoredAt(end, read.Revision))
 }
 
-// applyStoredJob takes over a job's record, or its removal.
+// applyStoredJob applies a job's record, or its removal.
 func (c *committer) applyStoredJob(key string, read *KeyRead) {
 	if read.Revision != 0 {
 		c.cache.apply(Change{Key: key, Value: read.Value, Revision: read.Revision})
--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -6,20 +6,20 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// imageHistory is what a controller remembers of images from what it has seen stored,
-// so that it knows as much as the last leader when it leads itself: jobs that
-// are done can carry their image, and machines have those of the tasks that
-// were placed there. Image hints have the same for one that has just been started.
+// imageHistory is what a controller knows of images from the stored state that it has seen, so
+// that it knows as much as the previous leader when it becomes the leader: the specs of done
+// jobs, which name their images, and the images of the tasks that were placed on each machine.
+// A controller that has just started gets the same from the image hints.
 type imageHistory struct {
-	// done are the newest jobs of each image, images the newest last.
+	// done are the most recently done jobs of each image; images are the names of these
+	// images, the most recent last.
 	done   map[string][]*jobstate.Spec
 	images []string
-	// machines have their images, the newest last.
+	// machines are the images of each machine, the most recent last.
 	machines map[string][]hintImage
 }
 
-// Bounds of what is remembered: jobs of an image, images of a machine, and
-// machines.
+// Maximum numbers of jobs kept for each image, of images kept for each machine, and of machines.
 const (
 	historyJobsPerImage = 4
 	historyImages       = 16
@@ -30,7 +30,7 @@
 	return imageHistory{done: map[string][]*jobstate.Spec{}, machines: map[string][]hintImage{}}
 }
 
-// recordDoneJob remembers a job that is done.
+// recordDoneJob adds a job that is done.
 func (r *imageHistory) recordDoneJob(j *jobstate.Job) {
 	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
 		return
@@ -43,7 +43,8 @@
 	}
 }
 
-// recordPlacement remembers that a machine fetches a job's image, if it lacks it.
+// recordPlacement records a job's image as present on a machine, which fetches it if it lacks
+// it.
 func (r *imageHistory) recordPlacement(machine string, j *jobstate.Job) {
 	images, known := r.machines[machine]
 	if machine == "" || j.Image == "" || !known && len(r.machines) >= historyMachines {
@@ -53,7 +54,7 @@
 	r.machines[machine] = images[max(0, len(images)-historyImages):]
 }
 
-// appendUnique puts x at the end of a list that may have it already.
+// appendUnique moves x to the end of a list, or appends it if the list does not contain it.
 func appendUnique[T any](list []T, x T, same func(a, b T) bool) []T {
 	if n := len(list); n > 0 && same(list[n-1], x) {
 		return list
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -3,12 +3,13 @@
 // Keys of the state service.
 const (
 	Prefix = "zinclb/"
-	// A job has its record under jobPrefix while it is unfinished, its progress in chunks
-	// under runPrefix and in the log under logPrefix, and how it ended under endPrefix.
+	// A job's record is under jobPrefix until it is removed after the end of the job, its
+	// progress in chunks under runPrefix and in the log under logPrefix, and its end under
+	// endPrefix.
 	jobPrefix = Prefix + "job/"
 	runPrefix = Prefix + "run/"
 	endPrefix = Prefix + "end/"
-	// LeaderKey is on the leader's lease.
+	// LeaderKey names the leader and is attached to its lease.
 	LeaderKey     = Prefix + "leader"
 	tokenKey      = Prefix + "token"
 	typesKey      = Prefix + "types"
@@ -16,21 +17,21 @@
 	hintsKey      = Prefix + "hints"
 	formatKey     = Prefix + "format"
 	logPrefix     = Prefix + "log/"
-	// typesPartPrefix and hintsPartPrefix are for the parts of values that do not fit one key.
+	// typesPartPrefix and hintsPartPrefix are for the parts of values that do not fit in one key.
 	typesPartPrefix = typesKey + "/"
 	hintsPartPrefix = hintsKey + "/"
-	// memberPrefix is for what each controller says of itself.
+	// memberPrefix is for the advertisements of the controllers: version, format and features.
 	memberPrefix = Prefix + "member/"
-	// featuresKey has the features that are on, decommissionedPrefix is for controllers
-	// that operators say will not come back.
+	// featuresKey holds the enabled features. decommissionedPrefix is for controllers that
+	// operators have declared as not coming back.
 	featuresKey          = Prefix + "features"
 	decommissionedPrefix = Prefix + "gone/"
-	// connectivityPrefix is for what each controller reaches, on its lease.
+	// connectivityPrefix is for what each controller can reach, attached to its lease.
 	connectivityPrefix = Prefix + "reach/"
 )
 
-// StartPrefixes are listed at the start; ends are read one by one, as they
-// are kept for ever.
+// StartPrefixes are the prefixes listed at startup. Ends are not among them: they are kept
+// forever, and read one by one.
 var StartPrefixes = []string{
 	jobPrefix,
 	runPrefix,
--- a/internal/core/kv/kv.go
+++ b/internal/core/kv/kv.go
@@ -1,14 +1,15 @@
-// Package kv has the state service's keys, changes and transactions as controllers
-// speak of them.
+// Package kv defines the conditions, writes, changes and transaction results of the state
+// service as controllers use them.
 package kv
 
-// Condition is a condition on the version of a key, 0 for absent.
+// Condition requires a key to have a revision, where 0 means that the key is absent.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Write is a change of a key that is to be made; a nil Value deletes it.
+// Write sets a key to a value, or deletes the key if Value is nil. Lease is the lease to which
+// the key is attached, 0 for none.
 type Write struct {
 	Key   string
 	Value []byte
@@ -23,30 +24,30 @@
 	Removed  bool
 }
 
-// RevisionIs is the condition that a key has a revision.
+// RevisionIs returns the condition that a key has a revision, 0 for absent.
 func RevisionIs(key string, revision uint64) Condition {
 	return Condition{Key: key, Revision: revision}
 }
 
-// Outcome is how a transaction ended.
+// Outcome is the outcome of a transaction.
 type Outcome uint8
 
-// The outcomes of a transaction. Of one whose outcome is Unknown there is no readable
-// answer: it may have been executed, or be executed yet.
+// The outcomes of a transaction. Unknown means that there was no readable answer: the
+// transaction may have been executed, or may still be.
 const (
 	Unknown Outcome = iota
-	// Committed: all conditions held, and all writes were made.
+	// Committed means that all conditions held, and all writes were executed.
 	Committed
-	// Conflict: some condition did not hold, and nothing was written.
+	// Conflict means that some condition did not hold, and nothing was written.
 	Conflict
-	// Malformed: the state service does not accept such a transaction, for instance
-	// because it is too large or because a lease that it names has expired.
+	// Malformed means that the state service does not accept such a transaction, for example
+	// because it is too large or names a lease that has expired.
 	Malformed
-	// RateLimited: too many requests were sent.
+	// RateLimited means that too many requests were sent.
 	RateLimited
-	// Unavailable: the state service answers, and can't serve now.
+	// Unavailable means that the state service answered that it cannot serve requests now.
 	Unavailable
-	// Rejected: any other refusal.
+	// Rejected means any other refusal.
 	Rejected
 )
 
@@ -54,12 +55,12 @@
 type TransactionResult struct {
 	ID      uint64
 	Outcome Outcome
-	// Revision is that of the writes if they were made, and else the newest one of
-	// the state service, if it named one.
+	// Revision is the revision of the writes if they were executed, and otherwise the newest
+	// revision of the state service, if the answer contains one.
 	Revision uint64
 	// Failed are the keys whose conditions did not hold.
 	Failed []string
-	// Observed: nobody answered, and the changes were read; so it is not known
-	// when it was carried out.
+	// Observed reports that there was no answer and the outcome was derived from reading the
+	// changes, so it is not known when the transaction was executed.
 	Observed bool
 }
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// maxTxnBytes stays below the service's 64 KiB for a transaction.
+	// maxTxnBytes is the maximum estimated size of a transaction, below the service's 64 KiB.
 	maxTxnBytes = 44 << 10
-	// writeOverheadBytes is about what a write and its condition take beside the value
-	// and the key, which both name.
+	// writeOverheadBytes is the approximate size of a write and its condition without the
+	// value and the key, which appears in both.
 	writeOverheadBytes = 80
-	// maxEndDelay is how long the ends of tasks may wait to be written while the
-	// budget is short. Nothing waits for them: the worker keeps an exited task
-	// until it is told to forget it, and a new leader learns of it from there.
+	// maxEndDelay is the maximum time, in microseconds, for which writes of task ends are
+	// delayed while the write budget is low. Nothing depends on them: the worker keeps an
+	// exited task until it is told to forget it, and a new leader learns of it from there.
 	maxEndDelay = 4 * second
 )
 
-// leaderTransaction is a transaction of the leader that is being put together, and then
-// under way: what has changed of jobs, pages of the log of progress, and removals of what
-// nothing needs.
+// leaderTransaction is a transaction of the leader, first while it is built and then while it is
+// in progress. It contains changes of jobs, pages of the progress log, and removals of keys that
+// are not needed any more.
 type leaderTransaction struct {
 	committer *committer
 	term      *leadership
-	// limit is how many writes it may have; scarce says that the budget of writes is short.
+	// limit is the maximum number of writes. lowBudget reports whether the write budget is
+	// low.
 	limit     int
 	lowBudget bool
 
 	conditions []Cond
 	writes     []Write
-	size       int // about how many bytes the writes take
+	size       int // approximate size of the writes, in bytes
 
 	jobs    []jobWrite
 	pages   pageWrites
 	garbage garbageRemoval
-	// openSweeps are the sweeps on whose not being cancelled it is conditional.
+	// openSweeps are the sweeps that must not have ended for the transaction to succeed.
 	openSweeps map[string]bool
 
 	sentAt int64
@@ -47,11 +48,11 @@
 type jobWrite struct {
 	job           *jobstate.Job
 	chunks        []chunkWrite
-	writesEnd     bool // writes the end
+	writesEnd     bool // writes the job's end
 	end           jobstate.End
 	writesRecord  bool     // writes the job's key
 	removesJob    bool     // deletes the job's key
-	proof         endProof // why the keys may go
+	proof         endProof // why the keys may be removed
 	removedChunks []jobstate.ChunkRef
 }
 
@@ -59,21 +60,21 @@
 	return len(w.chunks) == 0 && len(w.removedChunks) == 0 && !w.writesEnd && !w.removesJob
 }
 
-// chunkWrite is a version of a chunk that is written, as a value or to the log.
+// chunkWrite is the version of a chunk that is written, as a value or to the log.
 type chunkWrite struct {
 	index   int
 	version uint64
 	logged  bool
 }
 
-// newTransaction begins a transaction of at most so many writes.
+// newTransaction starts building a transaction of at most limit writes.
 func (c *committer) newTransaction(limit int) *leaderTransaction {
 	return &leaderTransaction{
 		committer: c,
 		term:      c.elector.leadership,
 		limit:     limit,
-		// While the budget is short, what can wait does so for a while, so that
-		// one write takes many tasks' ends.
+		// While the budget is low, writes that can wait are delayed, so that one write
+		// contains the ends of many tasks.
 		lowBudget:  c.health.writesLeft() < c.health.writeRate()/2,
 		conditions: []Cond{kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision)},
 		pages:      pageWrites{committer: c},
@@ -81,7 +82,7 @@
 	}
 }
 
-// gap is the least time from this transaction to the next.
+// gap returns the minimum time from this transaction to the next.
 func (t *leaderTransaction) gap() int64 {
 	if t.lowBudget {
 		return lowBudgetCommitGap
@@ -89,28 +90,28 @@
 	return commitGap
 }
 
-// remainingWrites is how many writes can be added.
+// remainingWrites returns the number of writes that can still be added.
 func (t *leaderTransaction) remainingWrites() int { return t.limit - len(t.writes) - t.pages.count() }
 
-// isTooLarge says that no value can be added.
+// isTooLarge reports that no value can be added, as the transaction would be too large.
 func (t *leaderTransaction) isTooLarge() bool {
 	return t.size+t.pages.count()*t.committer.membership.valueLimit() > maxTxnBytes
 }
 
-// isFull says that no job can be added. Without room for writes some may be, as long as
-// there is a page that they may be entered in.
+// isFull reports that no job can be added. If no writes remain, jobs can still be added as long
+// as the transaction has a log page to which their changes can be appended.
 func (t *leaderTransaction) isFull() bool {
 	return t.remainingWrites() < 1 && t.pages.count() == 0 || t.isTooLarge() || t.term.commits.singleJobWrites && len(t.jobs) > 0
 }
 
-// add adds a write of a key that has a revision, 0 for none.
+// add adds a write of a key, on the condition that its revision is the given one, 0 for absent.
 func (t *leaderTransaction) add(w Write, revision uint64) {
 	t.writes = append(t.writes, w)
 	t.conditions = append(t.conditions, kv.RevisionIs(w.Key, revision))
 	t.size += len(w.Value) + len(w.Key)*2 + writeOverheadBytes
 }
 
-// addJob adds what is to be written of a job, as far as there is room.
+// addJob adds the pending changes of a job, as far as the limits allow.
 func (t *leaderTransaction) addJob(j *jobstate.Job) {
 	written := jobWrite{job: j}
 	switch {
@@ -119,8 +120,8 @@
 	case j.Outcome() != "" && j.NumPlaced == 0:
 		t.addEndedJob(&written)
 	case j.Outcome() != "":
-		// Nothing of it will be started again, so its exits need not
-		// be stored one by one.
+		// None of its tasks will be started again, so their exits need not be stored
+		// individually.
 	default:
 		t.addChunks(&written)
 	}
@@ -129,8 +130,8 @@
 	}
 }
 
-// addDoneJob adds the end of a job all of whose tasks are done, and removes its keys or
-// else stores that it is over.
+// addDoneJob adds the end of a job all of whose tasks are done. It removes the job's keys, or if
+// that is not possible yet stores the outcome in the job's record.
 func (t *leaderTransaction) addDoneJob(written *jobWrite) {
 	if t.remainingWrites() < 2 {
 		return
@@ -148,8 +149,8 @@
 	t.add(Write{Key: jobPrefix + j.ID, Value: record}, j.Revision)
 }
 
-// addEndedJob removes the keys of a job that is over, and adds its end where that is not known
-// to be stored.
+// addEndedJob removes the keys of a job that has ended, and adds its end if that is not known to
+// be stored.
 func (t *leaderTransaction) addEndedJob(written *jobWrite) {
 	j := written.job
 	proof, isStored := storedEndOf(j)
@@ -157,8 +158,9 @@
 		if t.remainingWrites() < 2 {
 			return
 		}
-		// A leader that took what a peer told it for what is stored removed jobs without an
-		// end: every controller that started later took them for never accepted.
+		// An end that a peer reported is not necessarily stored. A leader that assumed so
+		// removed jobs without storing an end, and every controller that started later
+		// treated them as never accepted.
 		proof = t.addEnd(written, j.Outcome())
 	}
 	if t.remainingWrites() < 1 {
@@ -167,14 +169,15 @@
 	t.addRemoval(written, proof)
 }
 
-// endProof is why a job's keys may go: its end is stored at a revision, or it is written by the
-// same transaction. storedEndOf and addEnd give it.
+// endProof shows that a job's keys may be removed: its end is stored at a revision, or written by
+// the same transaction. It comes from storedEndOf or addEnd.
 type endProof struct {
 	revision  uint64
 	writtenBy *leaderTransaction
 }
 
-// endRevision is at which revision the end is stored, of a transaction made at another.
+// endRevision returns the revision at which the end is stored; revision is that of the
+// transaction that removes the keys.
 func (p endProof) endRevision(revision uint64) uint64 {
 	if p.writtenBy != nil {
 		return revision
@@ -182,13 +185,13 @@
 	return p.revision
 }
 
-// storedEndOf proves that a job's end is stored, if that is known.
+// storedEndOf returns the proof that a job's end is stored, if that is known.
 func storedEndOf(j *jobstate.Job) (proof endProof, isStored bool) {
 	end := j.End()
 	return endProof{revision: end.Revision()}, end.IsStored()
 }
 
-// addEnd adds a job's end, as the first that is stored.
+// addEnd adds a job's end, on the condition that none is stored.
 func (t *leaderTransaction) addEnd(written *jobWrite, outcome string) endProof {
 	j := written.job
 	written.writesEnd = true
@@ -197,8 +200,8 @@
 	return endProof{writtenBy: t}
 }
 
-// requireOpenSweep makes the transaction conditional on a run's sweep not being
-// cancelled: users may have been told that it is, and then no run must be done.
+// requireOpenSweep makes the transaction conditional on the sweep of a run not having an end:
+// once users may have been told that the sweep is cancelled, no run of it may become done.
 func (t *leaderTransaction) requireOpenSweep(j *jobstate.Job) {
 	if j.Sweep != "" && !t.openSweeps[j.Sweep] {
 		t.openSweeps[j.Sweep] = true
@@ -206,11 +209,11 @@
 	}
 }
 
-// addRemoval deletes a job's keys, its own one last; where there are more than
-// there is room for, the others first.
+// addRemoval deletes a job's keys, the job's own key last. If there are more keys than remaining
+// writes, the others are deleted first.
 //
-// In the second format the job's own key goes at once, and the others when there
-// is room: values without their job mean nothing.
+// From the second stored format on, the job's own key is deleted at once, and the others when
+// writes remain, as chunks without their job have no meaning.
 func (t *leaderTransaction) addRemoval(written *jobWrite, proof endProof) {
 	j := written.job
 	written.proof = proof
@@ -231,8 +234,8 @@
 	}
 }
 
-// addChunks adds the chunks of an unfinished job that have changed, to the log where
-// that can be done and else as values.
+// addChunks adds the changed chunks of an unfinished job, to the log if possible and otherwise as
+// values.
 func (t *leaderTransaction) addChunks(written *jobWrite) {
 	j := written.job
 	for _, index := range j.DirtyChunks() {
@@ -250,7 +253,7 @@
 	}
 }
 
-// addChunkValue adds a chunk as a whole, or puts it off if its value is too long.
+// addChunkValue adds a chunk as a complete value, or delays it if the value is too large.
 func (t *leaderTransaction) addChunkValue(written *jobWrite, index int) {
 	j := written.job
 	value, version := j.BeginChunkWrite(index, t.term.commits.nextLogEntry)
@@ -263,7 +266,7 @@
 	written.chunks = append(written.chunks, chunkWrite{index: index, version: version})
 }
 
-// deferOversizedChunk puts a value off that does not fit, and asks for smaller ones.
+// deferOversizedChunk delays a chunk whose value is too large, and requests smaller chunks.
 func (c *committer) deferOversizedChunk(j *jobstate.Job, index int) {
 	j.AbortChunkWrite(index)
 	commits := &c.elector.leadership.commits
@@ -273,18 +276,17 @@
 	}
 }
 
-// addPages adds the pages of the log that changes were entered in.
+// addPages adds the log pages to which changes were appended.
 func (t *leaderTransaction) addPages() {
 	for _, page := range t.pages.pages {
 		t.add(Write{Key: pageKey(page.number), Value: page.Encode()}, page.Revision)
 	}
 }
 
-// abort undoes what was noted of writes that are not known to have been made: the
-// transaction was refused, or nobody knows. Either way the same keys are written
-// again under the same versions: if the first write was or will be
-// executed after all, one of the two fails, and no reply was made
-// on its account.
+// abort reverts the bookkeeping of writes that are not known to have been executed: the
+// transaction was refused, or its outcome is unknown. In both cases the same keys are written
+// again under the same revisions. If the first write was or will be executed after all, one of
+// the two fails, and no reply has been sent based on it.
 func (t *leaderTransaction) abort() {
 	for i := range t.jobs {
 		for _, chunk := range t.jobs[i].chunks {
@@ -293,14 +295,15 @@
 	}
 }
 
-// garbageRemoval are the keys that a transaction removes because nothing needs them: the
-// first so many pages of the log, and chunks without their jobs.
+// garbageRemoval are the keys that a transaction removes because they are not needed any more:
+// a number of pages at the front of the log, and chunks without their jobs, by job ID.
 type garbageRemoval struct {
 	pages  int
 	chunks map[string][]jobstate.ChunkRef
 }
 
-// addGarbage fills up the transaction with removals, if writes can be spared.
+// addGarbage adds removals of keys that are not needed, up to the limit of writes, or a single
+// one while the write budget is low.
 func (t *leaderTransaction) addGarbage() {
 	c := t.committer
 	if !c.membership.logEnabled() || c.now < t.term.commits.keepGarbageUntil {
@@ -339,7 +342,7 @@
 	}
 }
 
-// garbageRemoved forgets the keys that a transaction has removed.
+// garbageRemoved drops the keys that a transaction removed.
 func (c *committer) garbageRemoved(removed *garbageRemoval) {
 	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, removed.pages)
 	c.elector.leadership.commits.removablePages -= removed.pages
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -9,43 +9,43 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// logPage is a value of the log of progress and what the leader keeps of it.
+// logPage is a page of the progress log, with the leader's bookkeeping of it.
 type logPage struct {
 	jobstate.LogPage
 	number int
-	// uncompactedChunks are the chunks whose stored values lack entries that stand here; the
-	// page is needed for as long as there are any.
+	// uncompactedChunks are the chunks whose stored values lack entries of this page; the
+	// page is needed as long as there are any.
 	uncompactedChunks map[chunkRef]struct{}
-	// newest has the newest entry of each task here, size about how long the
-	// value is, names whose names it has.
+	// newest has the index of each task's newest entry in this page. size is the approximate
+	// size of the encoded page in bytes, names the names of machines and jobs in it.
 	newest map[taskRef]int
 	names  map[string]struct{}
 	size   int
 }
 
-// chunkRef is a chunk of a job.
+// chunkRef identifies a chunk of a job.
 type chunkRef struct {
 	job   *jobstate.Job
 	chunk int
 }
 
-// taskRef is a task of a job by its ID.
+// taskRef identifies a task of a job by the job's ID.
 type taskRef struct {
 	job  string
 	task int
 }
 
-// maxLogBytes is how much of the log is kept before its oldest page is folded
-// into the values of the chunks that it tells of.
+// maxLogBytes is the size up to which log pages are kept. Beyond it the oldest pages are
+// compacted: the chunks that their entries are about are written as values.
 const maxLogBytes = 128 << 10
 
-// emptyPageBytes is no less than the value of a page without entries takes.
+// emptyPageBytes is an upper bound on the size of an encoded page without entries.
 const emptyPageBytes = 80
 
-// pageKey sorts by number.
+// pageKey returns the key of a page; keys sort by page number.
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
 
-// applyPage takes over what is new in a page; name is its key without the prefix.
+// applyPage applies the new entries of a page; name is its key without the prefix.
 func (s *stateCache) applyPage(name string, change Change, reject func(error)) {
 	number, err := strconv.Atoi(name)
 	if err != nil {
@@ -53,7 +53,7 @@
 		return
 	}
 	if s.elector.isLeader() {
-		return // the leader is the one that writes these
+		return // only the leader writes pages
 	}
 	i, known := slices.BinarySearchFunc(s.progressLog, number, func(page *logPage, number int) int {
 		return cmp.Compare(page.number, number)
@@ -83,7 +83,7 @@
 	s.applyEntries(&page, from)
 }
 
-// applyEntries takes over the entries of a page from an index on.
+// applyEntries applies the entries of a page from an index on.
 func (s *stateCache) applyEntries(page *jobstate.LogPage, from int) {
 	for k := from; k < len(page.Entries); k++ {
 		entry := &page.Entries[k]
@@ -94,8 +94,8 @@
 	}
 }
 
-// replayLog goes through the log again for a job of which something older was
-// read after it.
+// replayLog applies the log's entries for a job again, after older state of the job was read
+// later than the log.
 func (s *stateCache) replayLog(j *jobstate.Job) {
 	for _, p := range s.progressLog {
 		for k := range p.Entries {
@@ -106,8 +106,8 @@
 	}
 }
 
-// openProgressLog is called when this controller begins to lead, and when chunks are
-// split: it finds out what each page is needed for.
+// openProgressLog determines for which chunks each page is needed, and the next sequence number.
+// It is called when this controller becomes the leader, and when chunks are split.
 func (c *committer) openProgressLog() {
 	commits := &c.elector.leadership.commits
 	for _, page := range c.cache.progressLog {
@@ -127,8 +127,8 @@
 	}
 }
 
-// newPage begins the page that is written to next. A leader never goes on with a page of
-// an earlier one.
+// newPage adds a page and makes it the one that is appended to. A leader never appends to a page
+// of an earlier leader.
 func (c *committer) newPage() *logPage {
 	number := 1
 	if pages := c.cache.progressLog; len(pages) > 0 {
@@ -148,16 +148,17 @@
 	return page
 }
 
-// append enters changes of a chunk, or nothing if they don't fit. An entry that
-// was once sent stays, as the write may have been, or may yet be, executed.
+// append appends the changed entries of a chunk and reports whether they fit; if they do not, it
+// appends none. An entry that was sent once stays in the page, as the write may have been
+// executed, or may still be.
 func (p *logPage) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
 	had := len(p.Entries)
 	for _, e := range entries {
 		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
-			continue // a write that failed had it
+			continue // already appended for a write that failed
 		}
-		// No less than it takes: names may be new, and numbers as long as they
-		// ever get but the attempt's.
+		// This is an upper bound: names that are not in the page yet count in full, and
+		// numbers other than the attempt with the most digits that they can have.
 		p.size += len("9999,99999,,9999,") + len(strconv.FormatUint(uint64(e.Attempt)*2+1, 10))
 		for _, n := range []string{e.Machine, e.Job} {
 			if _, ok := p.names[n]; !ok {
@@ -167,7 +168,7 @@
 		p.Entries = append(p.Entries, e)
 	}
 	if p.size > limit {
-		// It is less in fact, as names share what they begin with.
+		// The encoded size is smaller than the estimate, as names share prefixes.
 		if p.size = len(p.Encode()); p.size > limit {
 			p.Entries = p.Entries[:had]
 			p.size = len(p.Encode())
@@ -183,17 +184,17 @@
 	return true
 }
 
-// pageWrites are the pages of a transaction that is being put together.
+// pageWrites are the log pages of a transaction that is being built.
 type pageWrites struct {
 	committer *committer
 	pages     []*logPage
 }
 
-// count is how many writes they take.
+// count returns the number of writes that the pages take.
 func (w *pageWrites) count() int { return len(w.pages) }
 
-// append enters the changes of a chunk in the log, if that can be done with so
-// much room for writes.
+// append appends the changes of a chunk to the log, if that is possible with the given number of
+// remaining writes.
 func (w *pageWrites) append(j *jobstate.Job, index, room int) (version uint64, ok bool) {
 	c := w.committer
 	if !c.membership.logEnabled() {
@@ -228,14 +229,14 @@
 	return j.BeginLogWrite(index), true
 }
 
-// committed notes the revision at which the pages were written.
+// committed records the revision at which the pages were written.
 func (w *pageWrites) committed(revision uint64) {
 	for _, page := range w.pages {
 		page.Revision = revision
 	}
 }
 
-// setPageRevision sets the revision of the page that a key is of.
+// setPageRevision sets the revision of the page with the given key.
 func (s *stateCache) setPageRevision(key string, revision uint64) {
 	for _, page := range s.progressLog {
 		if pageKey(page.number) == key {
@@ -244,7 +245,8 @@
 	}
 }
 
-// setOrphanedRevision sets the revision of a chunk without its job, 0 for none.
+// setOrphanedRevision sets the revision of a chunk whose job is not known, if the job has any; 0
+// removes the chunk.
 func (c *committer) setOrphanedRevision(id string, ref jobstate.ChunkRef, revision uint64) {
 	chunks := c.cache.orphanedChunks[id]
 	if chunks == nil {
@@ -260,14 +262,14 @@
 	}
 }
 
-// lacksEntries says that the stored value of a chunk does not have all of a page's
-// entries, and that its job is still there to need them.
+// lacksEntries reports whether the stored value of a chunk lacks entries of a page while its job
+// still exists.
 func (c *committer) lacksEntries(ref chunkRef, page *logPage) bool {
 	return c.cache.jobs[ref.job.ID] == ref.job && ref.job.FirstUnstoredSeq(ref.chunk) < page.NextSeq()
 }
 
-// progressLogTick finds the pages that nothing needs any more, and folds the oldest
-// when there are too many.
+// progressLogTick determines which pages are not needed any more, and compacts the oldest pages
+// if there are too many.
 func (c *committer) progressLogTick() {
 	c.countRemovablePages()
 	most := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
@@ -277,10 +279,10 @@
 	}
 }
 
-// minLogPages is how many pages are kept at least, however small they are.
+// minLogPages is the minimum number of pages that are kept, however small they are.
 const minLogPages = 8
 
-// countRemovablePages counts the pages at the front that nothing needs any more.
+// countRemovablePages counts the pages at the front that are not needed any more.
 func (c *committer) countRemovablePages() {
 	commits := &c.elector.leadership.commits
 	commits.removablePages = 0
@@ -291,13 +293,13 @@
 			}
 		}
 		if page == commits.logTail || len(page.uncompactedChunks) > 0 {
-			return // they go in their order
+			return // pages are removed in order
 		}
 		commits.removablePages = i + 1
 	}
 }
 
-// compactPage has the chunks that a page is needed for written as values.
+// compactPage requests that the chunks for which a page is needed are written as values.
 func (c *committer) compactPage(page *logPage) {
 	for ref := range page.uncompactedChunks {
 		if c.lacksEntries(ref, page) {
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -13,7 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
-// maxEnds bounds the ends kept in memory; older ones are read when asked for.
+// maxEnds is the maximum number of job ends kept in memory; older ones are read on demand.
 const maxEnds = 20_000
 
 // leaderRecord is the value of LeaderKey.
@@ -29,8 +29,8 @@
 	Token uint64 `json:"t"`
 }
 
-// stateCache mirrors the keys of the state service. It takes over lists, watches and reads
-// in the order of their revisions, and has the other parts handle what follows from them.
+// stateCache mirrors the keys of the state service. It applies the results of lists, watches
+// and reads in the order of their revisions, and notifies the other components of what changed.
 type stateCache struct {
 	*engine
 
@@ -46,25 +46,26 @@
 	sweepManager *sweepManager
 	tasks        *taskManager
 
-	// synced: the cache shows what is stored, up to appliedRevision. It did so at
-	// mirrorFreshAt, at the earliest. listingState: a list is under way.
+	// synced reports whether the cache reflects the stored state up to appliedRevision.
+	// mirrorFreshAt is the earliest time at which it did. listingState reports whether a
+	// list is in progress.
 	synced          bool
 	listingState    bool
 	appliedRevision uint64
 	mirrorFreshAt   int64
 
-	// jobs are the unfinished jobs and those whose keys are yet to be removed, and
-	// progressLog the pages of the log of their progress. orphanedChunks are chunks
-	// without a job, by its ID.
+	// jobs are the unfinished jobs and those whose keys have yet to be removed, by ID.
+	// progressLog are the pages of the log of their progress, by number. orphanedChunks
+	// are the chunks whose job is not known, by job ID.
 	jobs           map[string]*jobstate.Job
 	progressLog    []*logPage
 	orphanedChunks map[string]map[jobstate.ChunkRef]Change
 
-	// ends are how jobs ended that are not long over.
+	// ends are the outcomes of jobs that ended recently, at most maxEnds.
 	ends *jobstate.KnownEnds
 
-	// machineTypes are stored at typesRevision, or later in parts;
-	// typesWholeRevision is that at which all were in one value.
+	// machineTypes are the stored machine types. typesRevision is the revision of the newest
+	// value that holds any of them, typesKeyRevision that of the last value that held all.
 	machineTypes     []fleet.Type
 	typesRevision    uint64
 	typesKeyRevision uint64
@@ -72,13 +73,13 @@
 	partitions       fleet.Partitions
 	partitionsReadAt int64
 
-	// leader is the zero value at leaderRevision 0: nobody leads.
+	// leader is the zero value, and leaderRevision 0, if there is no leader.
 	leader         leaderRecord
 	leaderRevision uint64
 	token          tokenRecord
 	tokenRevision  uint64
 
-	// keyRevisions are the revisions of the keys that the leader writes as a whole.
+	// keyRevisions are the revisions of the keys that putAsLeader writes.
 	keyRevisions map[string]uint64
 	imageHints   map[string][]byte
 	imageHistory imageHistory
@@ -96,9 +97,9 @@
 	}
 }
 
-// listState starts over from the stored state, as at the start, after a watch
-// that was too old, and after losing the leadership, since plans that were
-// never stored must not be taken for placements.
+// listState reads the whole stored state again: at startup, after a watch whose revision was
+// compacted, and after a lost leadership, since plans that were never stored must not be
+// mistaken for placements.
 func (s *stateCache) listState() {
 	s.synced = false
 	if !s.listingState && s.membership.incompatible == "" {
@@ -107,43 +108,44 @@
 	}
 }
 
-// suspend takes what is known for outdated, so that nothing is decided by it any more.
+// suspend marks the cache as out of date, so that no more decisions are based on it.
 func (s *stateCache) suspend() { s.synced = false }
 
-// assignPartitions takes over the partitions that this controller assigns as the leader.
+// assignPartitions sets the partitions that this controller assigned as the leader.
 func (s *stateCache) assignPartitions(partitions fleet.Partitions) { s.partitions = partitions }
 
-// setMachineTypes takes over the machine types that the cloud offers, and says whether
-// any are stored.
+// setMachineTypes sets the machine types that the cloud offers, and reports whether any are
+// stored.
 func (s *stateCache) setMachineTypes(types []fleet.Type) (isStored bool) {
 	s.machineTypes = types
 	return s.typesRevision != 0
 }
 
-// typesWritten notes the revision of the machine types that this controller has stored; 0
-// stands for a write that failed.
+// typesWritten records the revision at which this controller stored the machine types, or 0
+// if the write failed.
 func (s *stateCache) typesWritten(revision uint64) { s.typesRevision = revision }
 
-// dropPartitions forgets the partitions that this controller has assigned as the leader.
+// dropPartitions clears the partitions that this controller assigned as the leader.
 func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
 
-// startupRequestReserve is how many requests a start takes beside the list.
+// startupRequestReserve is the number of requests that a startup needs besides the list.
 const startupRequestReserve = 5
 
-// newListState reads everything, at the pace that all controllers can keep at once.
+// newListState returns a request to read all keys, paced so that all controllers can list at
+// once within the rate limit of the state service.
 func newListState(l config.StateLimits, controllers int) ListState {
 	each := l.RPS / float64(controllers)
 	return ListState{AtOnce: max(1, int(each)-startupRequestReserve), Gap: ratelimit.Interval(each / 2)}
 }
 
-// onStateListed begins anew with what is stored.
+// onStateListed replaces the contents of the cache with the listed state.
 func (s *stateCache) onStateListed(m StateListed) {
 	s.listingState = false
 	s.health.recordResult(&s.peers.connectivity.Reads, m.Err)
 	if m.Err != nil {
 		s.log.Debug("listing the state failed", "error", m.Err)
 		s.listingState = true
-		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1)) // the store paces repeats
+		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1)) // the store spaces out retries
 		return
 	}
 	s.reset()
@@ -161,12 +163,12 @@
 	s.log.Info("state read", "jobs", len(s.jobs), "revision", m.Revision)
 	s.reader.watchState()
 	s.membership.changeChunkSize()
-	// The pages of the list were read one after the other. What changed
-	// meanwhile comes with a view, and only after it may this controller lead.
+	// The pages of the list were read one after the other, so changes made meanwhile may be
+	// missing. This read brings them, and the controller may lead only after it.
 	s.emit(ReadState{AfterRevision: s.appliedRevision})
 }
 
-// reset forgets what was stored.
+// reset drops everything that was read from the state service.
 func (s *stateCache) reset() {
 	s.jobs = map[string]*jobstate.Job{}
 	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
@@ -180,13 +182,14 @@
 	s.sweepManager.reset()
 }
 
-// onStateRead takes over what a watch or a read has brought.
+// onStateRead applies the result of a watch or a read.
 func (s *stateCache) onStateRead(m StateRead) {
 	s.recordRead(&m)
 	switch {
 	case m.Compacted && s.elector.isLeader():
-		// A leader takes its own progress from no list, so it begins anew.
-		s.elector.resign("the watch is too old")
+		// A leader does not load its own progress from a list, so it ends its term and
+		// starts over.
+		s.elector.resign("the watch revision was compacted")
 	case m.Compacted:
 		s.listState()
 	}
@@ -203,13 +206,13 @@
 		s.reader.watchState()
 	}
 	if m.ForRequests {
-		// Another read, as that of a candidate, may have been made before the
-		// requests came that wait for this one.
+		// Other reads, such as a candidate's, do not count: they may have been made before
+		// the waiting requests arrived.
 		s.requests.onReadDone(m.Err == nil && !m.Compacted && s.synced && m.Revision <= s.appliedRevision)
 	}
 }
 
-// recordRead notes whether the state service answered a watch or a read.
+// recordRead records whether the state service answered a watch or a read.
 func (s *stateCache) recordRead(m *StateRead) {
 	link := &s.peers.connectivity.Reads
 	if !m.Immediate {
@@ -221,11 +224,11 @@
 	}
 }
 
-// applyChanges takes over the changes that are new.
+// applyChanges applies the changes that are newer than appliedRevision.
 func (s *stateCache) applyChanges(m *StateRead) {
 	from := s.appliedRevision
 	for _, change := range m.Changes {
-		// Two watches may bring the same change.
+		// Two watches may deliver the same change.
 		if change.Revision > from {
 			s.reader.recentChanges.Append(change)
 			s.apply(change)
@@ -236,8 +239,8 @@
 	s.transactions.Observe(m.Changes, s.now)
 }
 
-// apply takes over a change of a key. Each kind of key has a method here, or in the part
-// that it concerns; one of no known kind is from a newer program.
+// apply applies the change of a key. Each kind of key has a method here or in the component
+// it belongs to. A key of an unknown kind was written by a newer version and is ignored.
 func (s *stateCache) apply(change Change) {
 	key := change.Key
 	s.updateKeyRevision(change)
@@ -264,7 +267,7 @@
 	}
 }
 
-// applyByPrefix takes over a change of a key of which there are many.
+// applyByPrefix applies the change of a key whose kind is given by its prefix.
 func (s *stateCache) applyByPrefix(change Change, reject func(error)) {
 	key := change.Key
 	switch {
@@ -291,7 +294,7 @@
 	}
 }
 
-// updateKeyRevision keeps the revisions of the keys that the leader writes as a whole.
+// updateKeyRevision records the revision of a key if it is one that putAsLeader writes.
 func (s *stateCache) updateKeyRevision(change Change) {
 	if !isWrittenWhole(change.Key) {
 		return
@@ -303,13 +306,13 @@
 	s.keyRevisions[change.Key] = change.Revision
 }
 
-// isWrittenWhole says whether a key is one that putAsLeader writes.
+// isWrittenWhole reports whether a key is one that putAsLeader writes.
 func isWrittenWhole(key string) bool {
 	return key == partitionsKey || key == typesKey ||
 		strings.HasPrefix(key, typesPartPrefix) || strings.HasPrefix(key, hintsPartPrefix)
 }
 
-// applyLeader takes over who leads, if anybody.
+// applyLeader applies a change of the leadership key, which is absent if there is no leader.
 func (s *stateCache) applyLeader(change Change, reject func(error)) {
 	s.leader, s.leaderRevision = leaderRecord{}, 0
 	if change.Removed {
@@ -325,7 +328,7 @@
 	s.elector.noteNewestLeader(s.leader)
 }
 
-// applyToken takes over the newest fencing token.
+// applyToken applies the newest fencing token.
 func (s *stateCache) applyToken(change Change, reject func(error)) {
 	if change.Removed {
 		return
@@ -336,8 +339,8 @@
 	s.tokenRevision = change.Revision
 }
 
-// applyPartitions takes over which controller has which partition. The leader is the one
-// that says so.
+// applyPartitions applies the assignment of partitions to controllers. The leader ignores it,
+// as it makes the assignment itself.
 func (s *stateCache) applyPartitions(change Change, reject func(error)) {
 	if change.Removed || s.elector.isLeader() {
 		return
@@ -350,7 +353,7 @@
 	s.partitions, s.partitionsReadAt = partitions, s.now
 }
 
-// applyEnd takes over how a job has ended.
+// applyEnd applies the stored end of a job.
 func (s *stateCache) applyEnd(id string, change Change, reject func(error)) {
 	if change.Removed {
 		return
@@ -363,7 +366,7 @@
 	s.noteEnd(id, jobstate.EndStoredAt(end, change.Revision))
 }
 
-// applyJob takes over a job's record, or its removal.
+// applyJob applies a job's record, or its removal.
 func (s *stateCache) applyJob(id string, change Change, reject func(error)) {
 	j := s.jobs[id]
 	if change.Removed {
@@ -389,7 +392,7 @@
 	if record.Outcome == "" {
 		return
 	}
-	// A record has an outcome from the transaction on that stores the end.
+	// The transaction that stores a job's end also sets the outcome in its record.
 	end := jobstate.EndStoredAt(jobstate.End{Outcome: record.Outcome, Tasks: j.Tasks}, change.Revision)
 	hasJustEnded := j.RecordEnd(end)
 	s.noteEnd(id, end)
@@ -398,12 +401,12 @@
 	}
 }
 
-// isValidRecord says whether a job can be made of a record.
+// isValidRecord reports whether a job can be created from a record.
 func isValidRecord(record *jobstate.Record) bool {
 	return record.Spec != nil && record.Spec.Tasks >= 1 && record.Spec.Tasks <= jobstate.MaxTasks
 }
 
-// addJob adds a job that was not known, with what was read of its progress before.
+// addJob adds a job that was not known, with the progress that was read before its record.
 func (s *stateCache) addJob(id string, record *jobstate.Record, revision uint64, reject func(error)) *jobstate.Job {
 	j := jobstate.NewJob(record.Spec)
 	j.SplitChunks(s.membership.chunkTasks)
@@ -417,7 +420,8 @@
 	s.loadOrphanedChunks(j, reject)
 	s.replayLog(j)
 	if end, ended := s.ends.Get(id); ended && record.Outcome == "" {
-		// Derived before the list was read anew, perhaps, or told by a peer.
+		// The end was reported by a peer, or derived, perhaps before the state was listed
+		// again.
 		j.RecordEnd(end)
 		s.tasks.jobEnded(j)
 	} else if record.Outcome == "" {
@@ -428,7 +432,7 @@
 	return j
 }
 
-// loadOrphanedChunks gives a job the chunks that were read before it.
+// loadOrphanedChunks loads the chunks of a job that were read before its record.
 func (s *stateCache) loadOrphanedChunks(j *jobstate.Job, reject func(error)) {
 	for ref, stored := range s.orphanedChunks[j.ID] {
 		if stored.Value == nil {
@@ -441,7 +445,7 @@
 	delete(s.orphanedChunks, j.ID)
 }
 
-// applyChunk takes over a value of a job's progress; name is its key without the prefix.
+// applyChunk applies a chunk of a job's progress; name is its key without the prefix.
 func (s *stateCache) applyChunk(name string, change Change, reject func(error)) {
 	id, ref, err := parseChunkKey(name)
 	if err != nil {
@@ -449,7 +453,7 @@
 		return
 	}
 	if s.elector.isLeader() {
-		return // the leader is the one that writes these
+		return // only the leader writes chunks
 	}
 	j := s.jobs[id]
 	if change.Removed {
@@ -460,7 +464,7 @@
 		return
 	}
 	if j == nil {
-		// A job's chunks may be read before the job itself.
+		// A job's chunks may be read before its record.
 		s.putOrphanedChunk(id, ref, change)
 		return
 	}
@@ -476,8 +480,8 @@
 	}
 }
 
-// orphanChunks remembers the chunks that a removed job leaves, for the leader to
-// remove when it can spare a write.
+// orphanChunks records the chunks that a removed job leaves behind, which the leader removes
+// when it has writes to spare.
 func (s *stateCache) orphanChunks(j *jobstate.Job) {
 	refs, revisions := j.StoredChunks()
 	for i, ref := range refs {
@@ -492,7 +496,7 @@
 	s.orphanedChunks[id][ref] = stored
 }
 
-// knownEnd is the end of a job, as far as it is known here.
+// knownEnd returns the end of a job, if this controller knows it.
 func (s *stateCache) knownEnd(id string) (jobstate.KnownEnd, bool) {
 	if end, ok := s.ends.Get(id); ok {
 		return end, true
@@ -503,8 +507,8 @@
 	return jobstate.KnownEnd{}, false
 }
 
-// noteEnd notes how a job has ended. Whatever users are told of an end has passed here, so it
-// is here that this controller records a cancellation for its read leases.
+// noteEnd records how a job has ended. Every end that users are told of passes through here, so
+// this is where the controller records a cancellation for its read leases.
 func (s *stateCache) noteEnd(id string, end jobstate.KnownEnd) {
 	known, isNew := s.ends.Record(id, end)
 	if known.Outcome == jobstate.Cancelled {
@@ -521,8 +525,8 @@
 	}
 }
 
-// applyTypes reads machine types, all or some: those that do not fit one value
-// are stored in several.
+// applyTypes applies a value with all machine types or some of them: types that do not fit in
+// one value are stored in several.
 func (s *stateCache) applyTypes(change Change, reject func(error)) {
 	if change.Removed {
 		return
@@ -536,7 +540,8 @@
 		s.machineTypes, s.typesRevision, s.typesKeyRevision = types, change.Revision, change.Revision
 		return
 	}
-	// Parts of before the value fitted again, as when a list is read.
+	// The part was written before all types fitted in one value again; a list may bring it
+	// after that value.
 	if change.Revision < s.typesKeyRevision {
 		return
 	}
@@ -546,7 +551,7 @@
 	}
 }
 
-// setMachineType replaces the machine type of the same name, or adds one.
+// setMachineType replaces the machine type with the same name, or adds it.
 func (s *stateCache) setMachineType(t fleet.Type) {
 	i := slices.IndexFunc(s.machineTypes, func(known fleet.Type) bool { return known.Name == t.Name })
 	if i < 0 {
@@ -556,8 +561,8 @@
 	s.machineTypes[i] = t
 }
 
-// chunkKey is the key of a value of a job's progress. Values of the first format
-// have a number only.
+// chunkKey returns the key of a chunk of a job's progress. Chunks of the default size, which the
+// first stored format has, are named by their index alone.
 func chunkKey(id string, ref jobstate.ChunkRef) string {
 	name := strconv.Itoa(ref.Index)
 	if ref.ChunkSize != jobstate.DefaultChunkSize {
@@ -566,18 +571,18 @@
 	return runPrefix + id + "/" + name
 }
 
-// parseChunkKey reads what follows the prefix of such a key.
+// parseChunkKey parses a key made by chunkKey, without its prefix.
 func parseChunkKey(name string) (id string, ref jobstate.ChunkRef, err error) {
 	id, number, _ := strings.Cut(name, "/")
 	ref.ChunkSize = jobstate.DefaultChunkSize
 	if size, index, ok := strings.Cut(number, "-"); ok {
 		number = index
 		if ref.ChunkSize, err = strconv.Atoi(size); err != nil {
-			return id, ref, fmt.Errorf("size of a chunk: %w", err)
+			return id, ref, fmt.Errorf("chunk size: %w", err)
 		}
 	}
 	if ref.Index, err = strconv.Atoi(number); err != nil {
-		return id, ref, fmt.Errorf("index of a chunk: %w", err)
+		return id, ref, fmt.Errorf("chunk index: %w", err)
 	}
 	return id, ref, nil
 }
--- a/internal/core/statemessages.go
+++ b/internal/core/statemessages.go
@@ -2,28 +2,29 @@
 
 import "github.com/zinclb/zinclb/internal/core/kv"
 
-// What is stored, as package kv has it.
+// Aliases of the types of package kv.
 type (
 	// Cond is a condition of a transaction.
 	Cond = kv.Condition
-	// Write is a change that a transaction makes.
+	// Write is one write of a transaction.
 	Write = kv.Write
-	// Change is a change that was read.
+	// Change is a change of a key that was read.
 	Change = kv.Change
 )
 
-// ListState reads all of StartPrefixes; StateListed answers it.
+// ListState reads all keys under StartPrefixes; StateListed answers it.
 type ListState struct {
-	// AtOnce is how many pages are read at once; each further one is Gap later.
+	// AtOnce is the number of pages that are read without a pause; each further page is read
+	// Gap microseconds after the one before.
 	AtOnce int
 	Gap    int64
 }
 
-// StateListed is what is stored under StartPrefixes, or why that could not be read. The
-// cache begins anew with it.
+// StateListed holds the keys stored under StartPrefixes, or the error of reading them. It
+// replaces the contents of the cache.
 type StateListed struct {
 	Changes []Change
-	// Revision is the one that watching goes on from.
+	// Revision is the revision from which to watch.
 	Revision uint64
 	Err      error
 }
@@ -32,47 +33,48 @@
 type WatchState struct{ AfterRevision uint64 }
 
 // ReadState reads the changes after a revision without waiting for any; StateRead answers
-// it, with Immediate set and ForRequests as here.
+// it, with Immediate set and the same ForRequests.
 type ReadState struct {
 	AfterRevision uint64
 	ForRequests   bool
 }
 
-// StateRead has the changes after a revision, in their order, by a watch or a read of the
-// state service, or by a read from the leader.
+// StateRead holds the changes after a revision, in order, from a watch or a read of the state
+// service, or from a read from the leader.
 type StateRead struct {
 	AfterRevision uint64
 	Revision      uint64
 	SentAt        int64
 	Changes       []Change
-	// Immediate: it answers a read and not a watch.
+	// Immediate reports whether this answers a read rather than a watch.
 	Immediate bool
-	// ForRequests: requests of users wait for it.
+	// ForRequests reports whether requests of users wait for this read.
 	ForRequests bool
-	// Compacted: the state service does not have the changes after AfterRevision any more.
+	// Compacted reports that the state service no longer has the changes after
+	// AfterRevision.
 	Compacted bool
-	// ViaLeader: the leader has read it, and not this controller.
+	// ViaLeader reports that the changes were read by the leader, not by this controller.
 	ViaLeader bool
 	Err       error
 }
 
-// WatchLeader waits for a change of the leadership key alone; LeaderWatched answers it.
+// WatchLeader waits for a change of the leadership key only; LeaderWatched answers it.
 type WatchLeader struct{ AfterRevision uint64 }
 
-// LeaderWatched says that the leadership key may have changed, or that the watch is over.
+// LeaderWatched reports that the leadership key may have changed, or that the watch has ended.
 type LeaderWatched struct {
 	Changed bool
 	Err     error
 }
 
-// CommitTransaction makes writes if all conditions hold; TransactionResult answers it.
+// CommitTransaction executes writes if all conditions hold; TransactionResult answers it.
 type CommitTransaction struct {
 	ID         uint64
 	Conditions []Cond
 	Writes     []Write
 }
 
-// TransactionResult is how a transaction ended, also when there is no answer.
+// TransactionResult is the outcome of a transaction, which may be that no answer came.
 type TransactionResult = kv.TransactionResult
 
 // ReadKey reads a key; KeyRead answers it.
@@ -81,21 +83,22 @@
 	Key string
 }
 
-// KeyRead is what is stored under a key; Revision 0 means that the key is absent.
+// KeyRead is the value stored under a key; Revision is 0 if the key is absent.
 type KeyRead struct {
 	ID       uint64
 	Key      string
 	Value    []byte
 	Revision uint64
-	// AbsentAt is the newest revision of all when a key was absent, 0 if that is not said.
+	// AbsentAt is the newest revision of the state service at which the key was absent, or 0
+	// if the service did not report it.
 	AbsentAt uint64
 	Err      error
 }
 
-// GrantLease asks for a lease, which keys can be put on; LeaseGranted answers it.
+// GrantLease requests a lease to which keys can be attached; LeaseGranted answers it.
 type GrantLease struct{ TTL int64 }
 
-// LeaseGranted is a new lease, or why there is none.
+// LeaseGranted is a new lease, or the error of granting it.
 type LeaseGranted struct {
 	Lease  uint64
 	SentAt int64
@@ -105,7 +108,7 @@
 // RenewLease renews a lease; LeaseRenewed answers it.
 type RenewLease struct{ Lease uint64 }
 
-// LeaseRenewed says whether a lease was renewed. One that has expired is gone with its keys.
+// LeaseRenewed reports whether a lease was renewed. An expired lease is gone, with its keys.
 type LeaseRenewed struct {
 	Lease   uint64
 	SentAt  int64
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -6,19 +6,20 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// How a controller that does not lead learns what is stored; see package replica.
+// This file decides how a controller learns the stored state; package replica has the part of a
+// controller that reads it from the leader.
 
 const (
-	// leaderReadGap is the least time between two questions to the leader: those who
-	// come meanwhile share the next.
+	// leaderReadGap is the minimum time between two reads from the leader, in microseconds.
+	// Requests that arrive in between share the next read.
 	leaderReadGap = 10_000
-	// expectedChangeGap is how often the leader is asked while something is known to be
-	// stored, or expected, that the mirror does not show.
+	// expectedChangeGap is the interval between reads, in microseconds, while a change is
+	// known to be stored, or is expected, that the mirror does not show yet.
 	expectedChangeGap = 150_000
 )
 
-// stateReader decides from whom this controller learns what is stored: by a watch of the
-// state service, or from the leader.
+// stateReader decides from where this controller reads the stored state: from the state
+// service, by watches and reads, or from the leader.
 type stateReader struct {
 	*engine
 
@@ -35,9 +36,10 @@
 	recentChanges  replica.ChangeLog
 }
 
-// readSource is the controller that is asked for what is stored, "" for the state
-// service itself: for a leader, where nobody leads, and where the state service has
-// just failed this controller, which then has to find out whether it still does.
+// readSource returns the name of the controller from which to read the stored state, or "" for
+// the state service itself. The latter is the case for a leader, while there is no leader, and
+// after a failed request to the state service, as this controller must then find out whether
+// the service still fails.
 func (r *stateReader) readSource() string {
 	if r.elector.isLeader() || !r.cache.synced || r.cache.leaderRevision == 0 || r.health.lastRequestFailed() ||
 		!r.membership.featureEnabled(upgrade.SharedReads) || !r.peers.connectivity.PeerUp(r.cache.leader.Name, r.now) {
@@ -47,8 +49,8 @@
 	return r.follower.Source(r.now)
 }
 
-// answerFollower answers a controller that asks what is stored. It was read after the
-// question came.
+// answerFollower answers another controller's read of the stored state, which was refreshed after
+// the request arrived.
 func (r *stateReader) answerFollower(asked *request) {
 	changes, ok := r.recentChanges.Since(asked.followerRead.revision)
 	if !r.elector.isLeader() || !ok {
@@ -59,13 +61,13 @@
 	r.emit(Reply{RequestID: asked.id, Status: ReplyOK, View: &replica.View{Revision: r.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
-// onLeaderReadDone takes the leader's answer. If there is none the state service is asked
-// instead, for the same requests.
+// onLeaderReadDone handles the leader's answer. If there is no usable one, it reads from the
+// state service instead, for the same requests.
 func (r *stateReader) onLeaderReadDone(m LeaderReadDone) {
 	v := m.Answer.View
 	ok := m.Err == nil && m.Answer.Status == ReplyOK && v != nil && v.Revision >= m.AfterRevision
 	if !r.follower.EndRequest(m.Number, ok, r.now) {
-		return // late, or a repeat: what it grants may have been used
+		return // late or duplicate: the writes it grants may have been used
 	}
 	if !ok || !r.cache.synced || m.AfterRevision > r.cache.appliedRevision {
 		r.emit(ReadState{AfterRevision: r.cache.appliedRevision, ForRequests: true})
@@ -76,8 +78,9 @@
 	r.requests.writeQueued()
 }
 
-// watchState watches what this controller needs to know of at once: a follower the
-// leadership, as it learns of all else by its views, and everybody else everything.
+// watchState starts the watch that this controller needs. One that follows the leader watches the
+// leadership key alone, as it reads all other changes from the leader; any other controller
+// watches all keys.
 func (r *stateReader) watchState() {
 	switch {
 	case !r.cache.synced:
@@ -92,8 +95,8 @@
 	}
 }
 
-// onLeaderWatched reads what is stored where the leadership may have changed. It
-// asks nobody else, as the leader may be gone.
+// onLeaderWatched reads the stored state if the leadership may have changed. It reads from the
+// state service only, as the leader may be gone.
 func (r *stateReader) onLeaderWatched(m LeaderWatched) {
 	r.watchingLeader = false
 	r.health.recordResult(&r.peers.connectivity.Watch, m.Err)
@@ -103,11 +106,12 @@
 	r.watchState()
 }
 
-// maxWatchDelay is how long a watch may take to bring a change that is known of.
+// maxWatchDelay is the maximum time, in microseconds, that a watch may take to deliver a change
+// that is known to be stored.
 const maxWatchDelay = 600_000
 
-// watchdogTick reads what a stuck watch does not bring: a leader that learned of jobs
-// by it alone would leave them waiting for as long as the connection is held.
+// watchdogTick reads the stored state if the watch appears to be stuck. A leader that relied on
+// the watch alone would leave new jobs waiting for as long as the connection stays open.
 func (r *stateReader) watchdogTick() {
 	if !r.cache.synced || !r.health.watchLags() || r.health.watchLag() < maxWatchDelay || !r.watching {
 		return
@@ -117,8 +121,9 @@
 	r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 }
 
-// refreshMirrorTick has a leader know what is stored. Its watch brings that, but may hang,
-// and where nothing changes it shows only that nothing had when it began.
+// refreshMirrorTick reads the stored state if a leader's mirror has become too old. The watch
+// delivers changes, but it may hang, and without changes it proves only that there were none
+// when it started.
 func (r *stateReader) refreshMirrorTick() {
 	term := r.elector.leadership
 	if r.now-term.mirrorFreshAt > mirrorMaxAge && r.now-term.mirrorReadAt > mirrorMaxAge/2 {
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -8,10 +8,10 @@
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
-// TestObservedTransaction: what was read of a transaction counts for its answer, where that is lost:
-// others tell users of it meanwhile, and its writer once wrote it again in vain for
-// two seconds at a time. Only all of its changes, as they were sent, of one revision
-// later than any that it is conditional on, show that it was carried out.
+// TestObservedTransaction checks that a transaction without an answer completes once its changes
+// were read. Without this, other controllers tell users of the changes while the writer sends them
+// again in vain, for two seconds at a time. The transaction counts as executed only if all of its
+// changes are read as they were sent, at one revision that is later than any in its conditions.
 func TestObservedTransaction(t *testing.T) {
 	const stamp = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
@@ -25,14 +25,14 @@
 		seen []Change
 		want bool
 	}{
-		{"all of it", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), gone}, true},
-		{"all of it, beside others", []Change{seen("zinclb/x/a", "0", stamp-1), seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/y", "2", stamp+1), gone}, true},
-		{"a part", []Change{seen("zinclb/x/a", "1", stamp), gone}, false},
-		{"another value", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "3", stamp), gone}, false},
-		{"a value where it removes", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/x/c", "", stamp)}, false},
-		{"two revisions", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp+1), gone}, false},
-		{"the same changes of before, which it is conditional on", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Revision: stamp - 10, Removed: true}}, false},
-		{"nothing", nil, false},
+		{"all changes", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), gone}, true},
+		{"all changes among others", []Change{seen("zinclb/x/a", "0", stamp-1), seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/y", "2", stamp+1), gone}, true},
+		{"some of the changes", []Change{seen("zinclb/x/a", "1", stamp), gone}, false},
+		{"different value", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "3", stamp), gone}, false},
+		{"value instead of a removal", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/x/c", "", stamp)}, false},
+		{"changes at two revisions", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp+1), gone}, false},
+		{"same changes at the revision in the conditions", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Revision: stamp - 10, Removed: true}}, false},
+		{"no changes", nil, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -43,18 +43,18 @@
 			r.c.transactions.Observe(tc.seen, r.c.now)
 			r.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
-				t.Fatal("the answer was given no time")
+				t.Fatalf("got results %+v before the answer timeout, want none", got)
 			}
 			r.tick(100_000)
 			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
-				t.Errorf("%+v, want an answer: %v", got, tc.want)
+				t.Errorf("got results %+v, want one observed commit at revision %d: %v", got, stamp, tc.want)
 			}
 		})
 	}
 }
 
-// TestAnswerPrecedesObservation: an answer that comes is taken as it is; one that does not come at all
-// is what was read.
+// TestAnswerPrecedesObservation checks that an answer is used as it is, even if the changes were
+// read before, and that without an answer the outcome follows from the changes read.
 func TestAnswerPrecedesObservation(t *testing.T) {
 	for _, tc := range []struct {
 		answer, want kv.Outcome
@@ -68,13 +68,14 @@
 		r.c.transactions.Complete(TransactionResult{ID: r.c.lastID, Outcome: tc.answer, Revision: 9})
 		r.tick(second)
 		if len(got) != 1 || got[0].Outcome != tc.want || got[0].Observed != tc.observed {
-			t.Errorf("answered %d: %+v", tc.answer, got)
+			t.Errorf("answer %d: got results %+v, want one with outcome %d, observed %v", tc.answer, got, tc.want, tc.observed)
 		}
 	}
 }
 
-// TestAnswerLost: a user whose submission or cancellation was carried out, and whose
-// answer alone was lost, is answered at once and not when the writer gives up.
+// TestAnswerLost checks that if a submission or cancellation is executed and only the answer of
+// the state service is lost, the user is answered within half a second, and not only when the
+// writer stops waiting for the answer.
 func TestAnswerLost(t *testing.T) {
 	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
 	s.advance(200_000)
@@ -86,21 +87,22 @@
 		at := s.now
 		r := s.request(tc.msg)
 		if r.Job == nil || r.Job.State != tc.want {
-			t.Fatalf("%T: %+v, want %s", tc.msg, r, tc.want)
+			t.Fatalf("%T: got reply %+v, want job state %s", tc.msg, r, tc.want)
 		}
 		if s.now-at > second/2 {
-			t.Errorf("%T took %d µs", tc.msg, s.now-at)
+			t.Errorf("%T: got reply after %d us, want at most %d us", tc.msg, s.now-at, second/2)
 		}
 	}
 	for _, id := range []string{"new", "open"} {
 		if s.keys[endPrefix+id].Value == nil {
-			t.Errorf("the end of %s is not stored", id)
+			t.Errorf("job %s: got no stored end, want one", id)
 		}
 	}
 }
 
-// TestRepeatedRequestsWriteOnce: users who repeat a submission or a cancellation while it is written
-// cost no writes: there are few a second, and placements need them.
+// TestRepeatedRequestsWriteOnce checks that repeating a submission or a cancellation while it is
+// being written causes no further writes: the writes per second are limited, and placements need
+// them.
 func TestRepeatedRequestsWriteOnce(t *testing.T) {
 	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
 	s.advance(200_000)
@@ -138,11 +140,11 @@
 		s.advance(second)
 		for _, r := range reqs {
 			if a := s.replies[r]; a.Job == nil || a.Job.State != tc.want {
-				t.Errorf("%s: %+v, want %s", tc.id, a, tc.want)
+				t.Errorf("job %s: got reply %+v, want job state %s", tc.id, a, tc.want)
 			}
 		}
 		if n != 1 {
-			t.Errorf("%d transactions about %s for %d requests", n, tc.id, len(reqs))
+			t.Errorf("job %s: got %d transactions for %d requests, want 1", tc.id, n, len(reqs))
 		}
 	}
 }
--- a/internal/core/txn/responsetime.go
+++ b/internal/core/txn/responsetime.go
@@ -1,29 +1,27 @@
 package txn
 
-// The bounds of the time in which an answer is expected, in microseconds.
+// Bounds of the time after which an answer is overdue, in microseconds.
 const (
 	minTimeout = 400_000
 	maxTimeout = 2_000_000
 )
 
-// The parts of a new sample in the averages, one in so many, how many deviations an answer may
-// be late, and how often the time is doubled at most, as in TCP's retransmission timer
-// (RFC 6298).
+// Parameters of the estimate, as in TCP's retransmission timer (RFC 6298).
 const (
-	smoothing          = 8
-	deviationSmoothing = 4
-	deviationsAllowed  = 4
-	maxBackOffs        = 3
+	smoothing          = 8 // divisor of a new sample's weight in the average
+	deviationSmoothing = 4 // divisor of a new sample's weight in the deviation
+	deviationsAllowed  = 4 // deviations from the average after which an answer is overdue
+	maxBackOffs        = 3 // maximum number of times that the timeout is doubled
 )
 
-// responseTime estimates how long answers take.
+// responseTime estimates the time that answers take, in microseconds.
 type responseTime struct {
 	smoothed, deviation int64
 	measured            bool
-	backOffs            int // how often the timeout was doubled since the last answer
+	backOffs            int // number of times the timeout was doubled since the last answer
 }
 
-// record notes how long an answer took.
+// record adds the time that an answer took.
 func (r *responseTime) record(sample int64) {
 	r.backOffs = 0
 	if !r.measured {
@@ -35,7 +33,7 @@
 	r.deviation += (max(difference, -difference) - r.deviation) / deviationSmoothing
 }
 
-// timeout is after how long an answer is overdue.
+// timeout returns the time after which an answer is overdue.
 func (r *responseTime) timeout() int64 {
 	if !r.measured {
 		return maxTimeout
@@ -44,5 +42,5 @@
 	return min(timeout<<r.backOffs, maxTimeout)
 }
 
-// backOff doubles the timeout until the next answer.
+// backOff doubles the timeout until the next answer, at most maxBackOffs times.
 func (r *responseTime) backOff() { r.backOffs = min(r.backOffs+1, maxBackOffs) }
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -1,11 +1,11 @@
-// Package txn keeps the transactions that a controller has under way.
+// Package txn tracks the transactions that a controller has in progress.
 //
-// The answer to a transaction may be lost although it was carried out. Others then
-// read what it wrote, and answer users by it, while its writer waits for the answer, gives up
-// and writes it again, in vain. So a writer goes by what it reads as well: if its
-// mirror shows every change of a transaction, all of one revision, it was carried
-// out, by this sending or by an earlier one of the same changes. That proves what is
-// stored, and nothing of when: see kv.TransactionResult.Observed.
+// The answer to a transaction may be lost although the transaction was executed. Other
+// controllers then read its changes and answer users accordingly, while its writer waits for the
+// answer, gives up and writes the changes again, in vain. So a writer also uses what it reads: if
+// its mirror shows all changes of a transaction at one revision, the transaction was executed,
+// either this one or an earlier one with the same changes. That proves what is stored, but not
+// when it was written: see kv.TransactionResult.Observed.
 package txn
 
 import (
@@ -15,39 +15,39 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// AnswerTimeout is how long the answer to a transaction may take once its changes are
-// seen, in microseconds: the two come by different ways.
+// AnswerTimeout is the time, in microseconds, to wait for the answer to a transaction after its
+// changes were observed. Answers and changes arrive on different connections.
 const AnswerTimeout = 80_000
 
-// Table has the transactions under way. Its zero value is not usable; see New.
+// Table holds the transactions in progress. Its zero value is not usable; see New.
 type Table struct {
 	pending map[uint64]*transaction
-	// abandoned are those that were given up before their answers came, by their numbers:
-	// when they were sent.
+	// abandoned are the times at which transactions were sent that were abandoned before
+	// their answers arrived, by transaction ID.
 	abandoned map[uint64]int64
 	response  responseTime
 }
 
-// transaction is one of them.
+// transaction is a transaction in progress.
 type transaction struct {
 	writes    []kv.Write
 	startedAt int64
-	// minRevision is the newest revision that it is conditional on: what was stored up to
-	// then is something earlier, however alike.
+	// minRevision is the newest revision in the conditions. Changes up to this revision were
+	// made by something earlier, even if they are equal.
 	minRevision uint64
 	complete    func(kv.TransactionResult)
-	// storedRevision is the revision at which its changes were seen, 0 for not yet, and seen
-	// is when.
+	// storedRevision is the revision at which the changes were observed, or 0 if they have
+	// not been, and seenAt the time of the observation.
 	storedRevision uint64
 	seenAt         int64
 }
 
-// New makes a table without transactions.
+// New returns an empty table.
 func New() *Table {
 	return &Table{pending: map[uint64]*transaction{}, abandoned: map[uint64]int64{}}
 }
 
-// Begin notes a transaction that is sent now; done gets its answer.
+// Begin adds a transaction that is sent now; done is called with its result.
 func (t *Table) Begin(id uint64, conditions []kv.Condition, writes []kv.Write, now int64, done func(kv.TransactionResult)) {
 	x := &transaction{writes: writes, startedAt: now, complete: done}
 	for _, condition := range conditions {
@@ -56,13 +56,14 @@
 	t.pending[id] = x
 }
 
-// IsConditionOnly says whether a transaction that is under way changes nothing.
+// IsConditionOnly reports whether a transaction is in progress and has no writes.
 func (t *Table) IsConditionOnly(id uint64) bool {
 	x := t.pending[id]
 	return x != nil && len(x.writes) == 0
 }
 
-// HasUnansweredWrite says whether some change has been under way for longer than a time.
+// HasUnansweredWrite reports whether a transaction with writes has been in progress for longer
+// than since microseconds.
 func (t *Table) HasUnansweredWrite(now, since int64) bool {
 	for _, x := range t.pending {
 		if len(x.writes) > 0 && now-x.startedAt > since {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// Observe looks for transactions whose changes have come.
+// Observe looks for transactions whose writes are among the changes.
 func (t *Table) Observe(changes []kv.Change, now int64) {
 	if len(t.pending) == 0 || len(changes) == 0 {
 		return
@@ -93,7 +94,7 @@
 	}
 }
 
-// isStoredAt says whether each write of a transaction is among the changes, at a revision.
+// isStoredAt reports whether all writes of a transaction are among the changes of a revision.
 func (x *transaction) isStoredAt(revision uint64, changesOf map[string][]kv.Change) bool {
 	for _, write := range x.writes {
 		stored := slices.ContainsFunc(changesOf[write.Key], func(change kv.Change) bool {
@@ -108,8 +109,9 @@
 	return true
 }
 
-// Overdue are the results of transactions that are known to be stored and that
-// nobody answers, in the order in which they were sent. They are still under way.
+// Overdue returns the results of the transactions whose changes were observed at least
+// AnswerTimeout ago and that were not answered, in the order in which they were sent. They remain
+// in progress.
 func (t *Table) Overdue(now int64) (results []kv.TransactionResult) {
 	var ids []uint64
 	for id, x := range t.pending {
@@ -129,7 +131,8 @@
 	return results
 }
 
-// Complete takes the answer to a transaction, or its absence, and passes it on to who waits for it.
+// Complete ends a transaction with its result, which may be that there is no answer, and passes
+// the result to the callback given to Begin.
 func (t *Table) Complete(m kv.TransactionResult) {
 	x := t.pending[m.ID]
 	if x == nil {
@@ -142,7 +145,7 @@
 	x.complete(m)
 }
 
-// RecordAnswer notes how a transaction was answered at a time, for [Table.IsOverdue]. It comes
+// RecordAnswer records the response time of a transaction for [Table.IsOverdue]. It is called
 // before [Table.Complete], and also for a transaction that was abandoned.
 func (t *Table) RecordAnswer(id uint64, outcome kv.Outcome, now int64) {
 	startedAt, abandoned := t.abandoned[id]
@@ -157,14 +160,15 @@
 	}
 }
 
-// IsOverdue says whether a transaction is under way for clearly longer than answers take.
+// IsOverdue reports whether a transaction has been in progress for clearly longer than answers
+// take.
 func (t *Table) IsOverdue(id uint64, now int64) bool {
 	x := t.pending[id]
 	return x != nil && now-x.startedAt >= t.response.timeout()
 }
 
-// Abandon gives up on the answer to a transaction: its outcome is kv.Unknown. It may be executed
-// yet, so that whoever repeats it does so under the same conditions.
+// Abandon stops waiting for the answer to a transaction and ends it with the outcome kv.Unknown.
+// The transaction may still be executed, so it must be repeated under the same conditions only.
 func (t *Table) Abandon(id uint64) {
 	x := t.pending[id]
 	if x == nil {
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// startWrites are the delayed transactions that write placements.
+// startWrites returns the delayed transactions that write placements.
 func (h *harness) startWrites() (writes []CommitTransaction) {
 	for _, e := range h.delayedCommits {
 		for _, w := range e.Writes {
@@ -18,8 +18,8 @@
 	return writes
 }
 
-// newPlacementHarness is a leader to which the state service has answered at once so far, and
-// that has just placed a task. Transactions are delayed from here on.
+// newPlacementHarness returns a leader that the state service has answered immediately so far,
+// and that has just placed a task. From here on, transactions are delayed.
 func newPlacementHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
@@ -36,45 +36,47 @@
 	h.core.committer.markDirty(placed)
 }
 
-// TestUnansweredStart: a start's write gets no answer, where answers come within milliseconds. It
-// is written again within a second, so that one lost answer leaves the start in time.
+// TestUnansweredStart checks that a write of a task start that gets no answer, where answers
+// normally take milliseconds, is sent again within a second, so that one lost answer does not make
+// the start late.
 //
-// What happened: nothing was written for the two seconds that a transaction may take, and no task
-// started.
-// Why: the leader has one transaction under way, and waited for each until its deadline.
-// What showed it: the state service's log of TestTroubles' case (renewals and dropped leases
-// executed late, the leader refused, then all). The write of 82.203 s, with a gang of four, gets no
-// answer; the next one is stored at 84.354, and the gang is done at 94.33 instead of by 93.0. With
-// this and the rest mended it is stored at 82.753, begins at 82.755 and is done at 90.95.
+// The leader has one transaction in progress at a time. It used to wait for each until its
+// deadline of two seconds, in which nothing was written and no task started. The state service's
+// log of a case of TestTroubles showed it (lease renewals and dropped leases executed late, first
+// the leader's requests refused, then everyone's): the write of a gang of four at 82.203 s got no
+// answer, the next one was stored at 84.354 s, and the gang was done at 94.33 s instead of by
+// 93.0 s. With this and related fixes, the write was stored at 82.753 s, the gang started at
+// 82.755 s and was done at 90.95 s.
 func TestUnansweredStart(t *testing.T) {
 	h := newPlacementHarness(t)
 	h.advance(second)
 	if n := len(h.startWrites()); n < 2 {
-		t.Errorf("%d writes of a start that nobody answers in a second", n)
+		t.Errorf("got %d writes of an unanswered start within a second, want at least 2", n)
 	}
 }
 
-// TestUnansweredStartExecuted: whichever of the two writes is executed first, and the other one
-// late, one of them counts and the start is known to be stored.
+// TestUnansweredStartExecuted checks that of two writes of the same start one takes effect and the
+// start is known to be stored, whichever is executed first.
 func TestUnansweredStartExecuted(t *testing.T) {
 	for _, order := range [][2]int{{0, 1}, {1, 0}} {
 		h := newPlacementHarness(t)
 		h.advance(second)
 		writes := h.startWrites()
 		if len(writes) < 2 {
-			t.Fatal("not written again")
+			t.Fatalf("got %d writes of the start, want at least 2", len(writes))
 		}
 		h.delaysCommits = false
 		h.commit(writes[order[0]])
 		h.commit(writes[order[1]])
 		h.advance(3 * second)
 		if !h.core.cache.jobs["open"].Task(0).Stored {
-			t.Errorf("order %v: the start is not known to be stored", order)
+			t.Errorf("order %v: got a start not known to be stored, want it stored", order)
 		}
 	}
 }
 
-// TestSlowAnswers: where answers take long each time they are waited for, once that is known.
+// TestSlowAnswers checks that the leader waits for answers that always take long, once it has
+// learned that they do, instead of repeating its writes.
 func TestSlowAnswers(t *testing.T) {
 	const answerTime, rounds, learning = 700_000, 12, 2
 	h := newPlacementHarness(t)
@@ -96,6 +98,6 @@
 		h.place("open")
 	}
 	if repeated > learning {
-		t.Errorf("%d of %d writes were repeated though all were answered", repeated, rounds)
+		t.Errorf("got %d of %d answered writes repeated, want at most %d", repeated, rounds, learning)
 	}
 }
