--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -17,8 +17,8 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// workerFleet is a leader with a fleet of workers and a stream of jobs, all in one
-// loop of fake time: what it costs is what the core costs at that size.
+// workerFleet simulates a leader with a fleet of workers and a stream of jobs, in one loop with
+// fake time, so that the cost of running it is that of the core at this size.
 type workerFleet struct {
 	c               *Core
 	now             int64
@@ -29,16 +29,17 @@
 	awaitingReply   map[uint64]*worker
 	lastRequestID   uint64
 	jobs            int
-	pendingMessages []any // messages of the next tick
-	// stored are the keys of the state service, for the next leader.
+	pendingMessages []any // delivered in the next tick
+	// stored are the keys of the state service, which the next leader lists.
 	stored map[string]Change
-	// started counts tasks that came to run, writes the changes stored.
+	// started and done count tasks that began to run and that completed, writes the stored
+	// changes.
 	started, done, writes int
-	// endless: tasks run on and on.
+	// endless makes tasks run without end.
 	endless bool
 }
 
-// worker is one machine's worker.
+// worker is the simulated worker of one machine.
 type worker struct {
 	name, zone          string
 	dead                bool
@@ -114,12 +115,12 @@
 		case ScaleOut:
 			w.pendingMessages = append(w.pendingMessages, ScaledOut{Request: e, Status: 503})
 		case ListMachines:
-			w.pendingMessages = append(w.pendingMessages, MachinesListed{Err: fmt.Errorf("none"), FencingToken: e.FencingToken})
+			w.pendingMessages = append(w.pendingMessages, MachinesListed{Err: fmt.Errorf("cloud did not list the machines"), FencingToken: e.FencingToken})
 		}
 	}
 }
 
-// store keeps a key as the state service does.
+// store sets or deletes a key, as the state service does.
 func (w *workerFleet) store(key string, value []byte) {
 	if value == nil {
 		delete(w.stored, key)
@@ -128,7 +129,7 @@
 	w.stored[key] = Change{Key: key, Value: value, Revision: w.revision}
 }
 
-// failOver ends the leader and starts another controller in its place.
+// failOver stops the leader and starts another controller in its place.
 func (w *workerFleet) failOver() {
 	delete(w.stored, LeaderKey)
 	w.revision++
@@ -145,7 +146,7 @@
 	}
 }
 
-// execute carries out the commands of a response.
+// execute executes the commands in a reply.
 func (w *workerFleet) execute(h *worker, r Reply) {
 	if r.FencingToken > h.token {
 		h.token, h.changed = r.FencingToken, true
@@ -171,7 +172,7 @@
 	}
 }
 
-// tick plays 50 ms.
+// tick simulates 50 ms.
 func (w *workerFleet) tick() {
 	w.now += 50_000
 	late := w.pendingMessages
@@ -215,7 +216,7 @@
 	}
 }
 
-// submit adds a job of one of three sorts.
+// submit adds a job of one of three random kinds: two of gangs, one of arrays.
 func (w *workerFleet) submit() {
 	w.jobs++
 	s := &jobstate.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
@@ -230,14 +231,14 @@
 	w.add(s)
 }
 
-// add has a job accepted.
+// add stores a job as accepted and has the leader read it in the next tick.
 func (w *workerFleet) add(s *jobstate.Spec) {
 	w.revision++
 	w.store(jobPrefix+s.ID, encodeJSON(jobstate.Record{Spec: s}))
 	w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, Changes: []Change{w.stored[jobPrefix+s.ID]}})
 }
 
-// run plays some seconds with a rate of jobs.
+// run simulates a number of seconds, with rate jobs submitted per second.
 func (w *workerFleet) run(seconds int, rate float64) {
 	owed := 0.0
 	for range seconds * 20 {
@@ -248,8 +249,8 @@
 	}
 }
 
-// running counts the tasks that run on machines that are there, and fails for
-// one that is on two.
+// running returns the number of tasks on machines that are alive, and fails the test if a task is
+// on two of them.
 func (w *workerFleet) running(tb testing.TB) int {
 	tb.Helper()
 	on := map[string]string{}
@@ -259,7 +260,7 @@
 				continue
 			}
 			if o := on[name]; o != "" {
-				tb.Fatalf("%s is on %s and %s", name, o, h.name)
+				tb.Fatalf("task %s: got machines %s and %s, want one", name, o, h.name)
 			}
 			on[name] = h.name
 		}
@@ -267,13 +268,13 @@
 	return len(on)
 }
 
-// TestLargeFleet: 10,000 machines with 100,000 tasks; the leader ends, and then
-// a third of the machines at once. What was there goes on, and what is lost
-// starts elsewhere when the machines' leases are over, and on one machine only.
+// TestLargeFleet runs 100,000 tasks on 10,000 machines, stops the leader, and then a third of the
+// machines at once. It checks that running tasks continue, and that lost ones start elsewhere once
+// the leases of their machines have expired, each on one machine only.
 func TestLargeFleet(t *testing.T) {
 	machines, jobs, each := 10_000, 50, 2000
 	if raceEnabled || testing.Short() {
-		machines, jobs = 1000, 5 // it is the same code, ten times as slow
+		machines, jobs = 1000, 5 // the same code is ten times as slow with the race detector
 	}
 	w := newWorkerFleet(machines)
 	w.endless = true
@@ -283,7 +284,7 @@
 	}
 	w.run(60, 0)
 	if n := w.running(t); n != jobs*each {
-		t.Fatalf("%d tasks run, want %d", n, jobs*each)
+		t.Fatalf("got %d running tasks, want %d", n, jobs*each)
 	}
 	w.failOver()
 	w.run(20, 0)
@@ -294,27 +295,27 @@
 		}
 	}
 	if n := w.running(t); n != jobs*each || known != machines {
-		t.Fatalf("after the failover %d tasks run, want %d, and %d machines are known", n, jobs*each, known)
+		t.Fatalf("after the failover: got %d running tasks, %d known machines, want %d and %d", n, known, jobs*each, machines)
 	}
 	for i, h := range w.workers {
 		h.dead = i%3 == 0
 	}
 	w.run(120, 0)
 	if n, most := w.running(t), machines*2/3*12; n < min(jobs*each, most)*99/100 {
-		t.Fatalf("after a third was lost %d tasks run, want %d", n, min(jobs*each, most))
+		t.Fatalf("after the loss of a third of the machines: got %d running tasks, want at least 99 %% of %d", n, min(jobs*each, most))
 	}
 	var mem runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&mem)
-	t.Logf("heap with the workers %d MB, held replies %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
+	t.Logf("heap including the simulated workers: %d MiB, held replies: %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
 	if mem.HeapAlloc > 200<<20 {
-		t.Errorf("the heap has %d MB", mem.HeapAlloc>>20)
+		t.Errorf("got a heap of %d MiB, want at most 200", mem.HeapAlloc>>20)
 	}
 	runtime.KeepAlive(w)
 }
 
-// TestHeldReplyShare: a leader with fewer sockets than idle machines answers them all,
-// and holds replies on no more than half of the sockets, however many heartbeats come.
+// TestHeldReplyShare checks that a leader with fewer sockets than idle machines answers all of
+// them, and holds replies on at most half of the sockets, however many heartbeats arrive.
 func TestHeldReplyShare(t *testing.T) {
 	machines, sockets := 4000, 1500
 	if raceEnabled || testing.Short() {
@@ -328,22 +329,22 @@
 		w.tick()
 		most = max(most, len(held.byName))
 		if len(held.byName) != held.countVia[""] {
-			t.Fatalf("%d replies are held, %d by the count", len(held.byName), held.countVia[""])
+			t.Fatalf("got a count of %d held replies, want %d", held.countVia[""], len(held.byName))
 		}
 	}
 	if most != sockets/2 {
-		t.Errorf("%d replies were held at once, want %d", most, sockets/2)
+		t.Errorf("got a maximum of %d replies held at once, want %d", most, sockets/2)
 	}
 	w.add(&jobstate.Spec{ID: "wide", Class: "c", Team: "red", Kind: jobstate.Array, Tasks: machines, Need: jobstate.Resources{CPU: 40000}, Estimate: 600 * second})
 	w.endless = true
 	w.run(40, 0)
 	if n := w.running(t); n != machines {
-		t.Errorf("%d tasks run on %d machines", n, machines)
+		t.Errorf("got %d running tasks, want %d, one on each machine", n, machines)
 	}
 }
 
-// TestPlannerIndex: whatever happens to machines, the planner's index has what going
-// through all of them would give it.
+// TestPlannerIndex checks that after random events of machines the planner's index contains the
+// same as an index built from all machines would.
 func TestPlannerIndex(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newWorkerFleet(40)
@@ -364,7 +365,7 @@
 				}
 			case 4:
 				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
-					w.c.planner.machineGone(m, "a test says so")
+					w.c.planner.machineGone(m, "removed by the test")
 				}
 			case 5:
 				w.c.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
@@ -381,31 +382,30 @@
 				v := l.plannerIndex.indexed[m]
 				if !w.c.planner.usable(m) {
 					if v != nil {
-						t.Fatalf("%s is not usable, and yet in the index", m.Name)
+						t.Fatalf("machine %s: got an index entry for an unusable machine, want none", m.Name)
 					}
 					continue
 				}
 				n++
 				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
 				if want := []any{m.Type, m.Zone, m.Spot, w.c.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.plannerIndex.index.Find(m.Name) != &v.Machine {
-					t.Fatalf("%s: planned with %v, and known is %v", m.Name, got, want)
+					t.Fatalf("machine %s: got index entry %v, want %v", m.Name, got, want)
 				}
 			}
 			if n != l.plannerIndex.index.Len() || n != l.plannerIndex.byLastHeartbeat.Len() || n != len(l.plannerIndex.indexed) {
-				t.Fatalf("%d machines are usable, %d in the index, %d by their heartbeats", n, l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len())
+				t.Fatalf("got %d machines in the index, %d by last heartbeat, %d indexed, want %d usable ones in each", l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len(), len(l.plannerIndex.indexed), n)
 			}
 			for name, p := range l.heartbeats.held.byName {
 				_, likely := l.heartbeats.held.maybeReady[name]
 				if m := l.fleet.Get(name); m != nil && hasCommands(m) && !likely && p.until > w.now {
-					t.Fatalf("there are commands for %s, and its reply is held", name)
+					t.Fatalf("machine %s: got a held reply while commands are pending, want it marked as maybe ready", name)
 				}
 			}
 		}
 	}
 }
 
-// BenchmarkLeader is the cost of leading for a second, with more work than
-// the machines can take.
+// BenchmarkLeader measures one second of a leader with more jobs than the machines can run.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -423,8 +423,8 @@
 	}
 }
 
-// BenchmarkFleet is the cost of leading for a second at one rate of jobs,
-// whatever the fleet: what machines cost that have nothing to do with it.
+// BenchmarkFleet measures one second of a leader at a constant rate of jobs for fleets of different
+// sizes, which shows the cost of machines that do not take part in the work.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{400, 1600, 4000, 6400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -444,8 +444,8 @@
 	}
 }
 
-// BenchmarkTakeOver is the cost of beginning to lead: reading the stored
-// state, taking the placements over, and the first heartbeat of every machine.
+// BenchmarkTakeOver measures the start of a term of leadership: reading the stored state, taking
+// over the placements, and handling the first heartbeat of every machine.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -20,7 +20,7 @@
 	"github.com/zinclb/zinclb/internal/golden"
 )
 
-// storedFile has the values that commit 63ef244 stores.
+// storedFile contains the values as commit 63ef244 stores them.
 const storedFile = "testdata/stored_63ef244.json"
 
 type storedRow struct {
@@ -28,7 +28,7 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// fullSpec is a job with every field.
+// fullSpec returns a job spec with every field set.
 func fullSpec(id string, kind jobstate.Kind, priority int) *jobstate.Spec {
 	return &jobstate.Spec{
 		ID: id, Class: "train", Team: "t", Kind: kind, Priority: priority, Tasks: 300, Need: jobstate.Resources{CPU: 1500, GPU: 2000, Mem: 4250},
@@ -43,8 +43,8 @@
 	return few, many
 }
 
-// storedValues are values of plain structures under their keys: all kinds, each field
-// of each in at least one of them.
+// storedValues returns the stored values that are encoded structures, by key. They are of all
+// kinds, and each field of a kind is set in at least one of its values.
 func storedValues() map[string]any {
 	few, many := storedRunSets()
 	long := fullSpec("j-brief", jobstate.Service, jobstate.Production)
@@ -93,7 +93,7 @@
 	return values
 }
 
-// storedChunk is a value of a job's progress.
+// storedChunk is a chunk of a job's progress, with the changes that produce it.
 type storedChunk struct {
 	job   string
 	ref   jobstate.ChunkRef
@@ -103,8 +103,9 @@
 
 func storedChunks() []storedChunk {
 	return []storedChunk{
-		// The first format, without the number of an entry of the log; the job's last
-		// tasks, which are fewer; then with the log; and the smaller values after it.
+		// In this order: the first format, without the sequence number of a log entry; the
+		// last chunk of a job, which has fewer tasks; a chunk with a sequence number; and
+		// smaller chunks with one.
 		{"j-least", jobstate.ChunkRef{ChunkSize: 256, Index: 0}, 0, func(j *jobstate.Job) {
 			j.SetTrialDone(1)
 			j.PlaceTask(0, "host-000001", 3, 1)
@@ -123,7 +124,7 @@
 
 func (s storedChunk) key() string { return chunkKey(s.job, s.ref) }
 
-// chunk makes the job with the value's tasks alone.
+// chunk returns the job without progress, split into chunks of the stored size.
 func (s storedChunk) chunk() *jobstate.Job {
 	j := jobstate.NewJob(&jobstate.Spec{ID: s.job, Tasks: 300})
 	j.SplitChunks(s.ref.ChunkSize)
@@ -143,7 +144,7 @@
 	}
 }
 
-// encodeStoredFile is the recorded file as this program writes it.
+// encodeStoredFile returns the contents of storedFile as the current code encodes them.
 func encodeStoredFile() string {
 	all := map[string][]byte{}
 	for key, v := range storedValues() {
@@ -180,15 +181,15 @@
 	return rows, values
 }
 
-// TestStored reads every kind of stored value as commit 63ef244 wrote it, and writes
-// the same bytes under the same key.
+// TestStored checks that every kind of stored value is read as commit 63ef244 wrote it, and
+// written with the same bytes under the same key.
 func TestStored(t *testing.T) {
 	golden.Compare(t, storedFile, encodeStoredFile())
 	_, raws := readStoredFile(t)
 	take := func(key string) []byte {
 		t.Helper()
 		if raws[key] == nil {
-			t.Fatalf("%s: not recorded", key)
+			t.Fatalf("%s: got no recorded value, want one", key)
 		}
 		defer delete(raws, key)
 		return raws[key]
@@ -196,7 +197,7 @@
 	same := func(key string, raw, got []byte) {
 		t.Helper()
 		if !bytes.Equal(raw, got) {
-			t.Errorf("%s: written as %s, was %s", key, got, raw)
+			t.Errorf("%s: got encoded value %s, want %s", key, got, raw)
 		}
 	}
 	for key, want := range storedValues() {
@@ -205,7 +206,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(raw))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s: read as %+v, %v", key, got.Elem().Interface(), err)
+			t.Errorf("%s: got decoded value %+v, error %v, want %+v", key, got.Elem().Interface(), err, want)
 		}
 		same(key, raw, encodeJSON(got.Elem().Interface()))
 		same(key, raw, encodeJSON(want))
@@ -215,50 +216,52 @@
 		got, want := s.chunk(), s.chunk()
 		s.apply(want)
 		if err := got.LoadChunk(s.ref, raw, 5, 1); err != nil {
-			t.Errorf("%s: %v", s.key(), err)
+			t.Errorf("%s: got error %v from loading the chunk, want none", s.key(), err)
 		}
 		for i := range want.Tasks {
-			// Of a task that is placed nowhere the number of its attempt is not stored.
+			// The attempt of a task that has no machine is not stored.
 			g, w := got.Task(i), want.Task(i)
 			if g.Machine != w.Machine || g.Done != w.Done || g.Machine != "" && g.Attempt != w.Attempt {
-				t.Errorf("%s: task %d read as %+v", s.key(), i, g)
+				t.Errorf("%s: got task %d %+v, want %+v", s.key(), i, g, w)
 			}
 		}
 		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(s.ref.Index) != s.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(s.ref) != 5 {
-			t.Errorf("%s: read as %v %d %d", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.ref.Index), got.NextAttempt())
+			t.Errorf("%s: got trial done %v, first unstored sequence number %d, next attempt %d, want %v, %d, %d, and revision 5", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.ref.Index), got.NextAttempt(), want.TrialDone, s.seq, want.NextAttempt())
 		}
 		for _, j := range []*jobstate.Job{got, want} {
 			value, _ := j.BeginChunkWrite(s.ref.Index, s.seq)
 			same(s.key(), raw, value)
 		}
 		if id, v, err := parseChunkKey(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.ref || err != nil {
-			t.Errorf("%s: the key is read as %s %+v, %v", s.key(), id, v, err)
+			t.Errorf("%s: got parsed key %s %+v, error %v, want %s %+v", s.key(), id, v, err, s.job, s.ref)
 		}
 	}
 	for key, want := range storedPages() {
 		raw := take(key)
 		got, err := jobstate.DecodeLogPage(raw)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, %v", key, got, err)
+			t.Errorf("%s: got decoded page %+v, error %v, want %+v", key, got, err, want)
 		}
 		same(key, raw, got.Encode())
 	}
 	for key := range raws {
-		t.Errorf("%s: recorded, and nothing reads it", key)
+		t.Errorf("%s: got a recorded value that this test does not read", key)
 	}
 }
 
-// TestStoredSets reads the sets of runs as bits and as runs of numbers.
+// TestStoredSets checks that sets of runs are decoded and encoded in both forms: as bits, and as
+// ranges of numbers.
 func TestStoredSets(t *testing.T) {
 	few, many := storedRunSets()
 	for text, want := range map[string]*roaring.Bitmap{"bCgAC": few, storedValues()[sweepPositionPrefix+"s"+cancelledRunsSuffix].(cancelledRuns).Runs: many} {
 		if got, err := decodeRunSet(text); err != nil || !got.Equals(want) || encodeRunSet(got) != text {
-			t.Errorf("%s: %v, %v, packed as %s", text, got, err, encodeRunSet(want))
+			t.Errorf("%s: got set %v, error %v, want %v, which is encoded as %s", text, got, err, want, encodeRunSet(want))
 		}
 	}
 }
 
-// TestStoredAreRead lists them all to a controller, which finds nothing wrong and has them.
+// TestStoredAreRead checks that a controller that lists all stored values logs no error and has
+// their contents in its state.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
 	set := newLeaderHarness(t).c.settings
@@ -269,13 +272,13 @@
 	l := StateListed{Revision: 100}
 	for i, r := range rows {
 		if !slices.ContainsFunc(StartPrefixes, func(p string) bool { return strings.HasPrefix(r.Key, p) }) && !strings.HasPrefix(r.Key, endPrefix) {
-			t.Errorf("%s: not listed at the start", r.Key)
+			t.Errorf("%s: got a key that is not listed at startup, want it under one of StartPrefixes", r.Key)
 		}
 		l.Changes = append(l.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
 	}
 	c.Step(second, l)
 	if logged.Len() > 0 || !c.cache.synced {
-		t.Fatalf("read: %v, errors: %s", c.cache.synced, logged.String())
+		t.Fatalf("got synced %v, logged errors %q, want true and no errors", c.cache.synced, logged.String())
 	}
 	done, _ := c.cache.ends.Get("e-done")
 	ended, _ := c.cache.ends.Get("e-ended")
@@ -285,24 +288,24 @@
 		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"]),
 	} {
 		if !bytes.Equal(raws[key], encodeJSON(got)) {
-			t.Errorf("%s: known as %s", key, encodeJSON(got))
+			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), raws[key])
 		}
 	}
 	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.enabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
-		t.Errorf("types %+v, %d pages, %d tasks a value, features %+v", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
+		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
 	}
 	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
 		j := c.cache.jobs[id]
 		if j == nil || j.Outcome() != over || j.Truncated != (id == "j-brief") {
-			t.Errorf("%s: known as %+v", id, j)
+			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, over, id == "j-brief")
 			continue
 		}
 		again := jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: j.Outcome(), SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}
 		if id == "j-least" {
-			again.Arrival = 0 // it is the value's revision where it isn't stored
+			again.Arrival = 0 // not stored; defaults to the revision of the value
 		}
 		if key := jobPrefix + id; !bytes.Equal(raws[key], encodeJSON(again)) {
-			t.Errorf("%s: known as %s", key, encodeJSON(again))
+			t.Errorf("%s: got record %s, want %s", key, encodeJSON(again), raws[key])
 		}
 	}
 	for _, x := range []struct {
@@ -321,13 +324,13 @@
 		{"j-full", 298, "", 8, true},
 	} {
 		if k := c.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
-			t.Errorf("%s/%d: known as %+v", x.job, x.task, k)
+			t.Errorf("task %s/%d: got %+v, want %+v", x.job, x.task, k, x)
 		}
 	}
 }
 
-// TestStoredFields holds that each field of what is stored has a JSON name of its own,
-// so that it can be renamed, and is recorded with more than its zero value.
+// TestStoredFields checks that each field of a stored type has an explicit JSON name, so that the
+// Go field can be renamed, and that it is recorded with a non-zero value.
 func TestStoredFields(t *testing.T) {
 	seen := map[string]bool{}
 	var walk func(v reflect.Value)
@@ -346,7 +349,7 @@
 				f := v.Type().Field(i)
 				name := v.Type().String() + "." + f.Name
 				if tag, _, _ := strings.Cut(f.Tag.Get("json"), ","); tag == "" || f.Anonymous {
-					t.Errorf("%s has no JSON name", name)
+					t.Errorf("field %s: got no JSON name, want one", name)
 				}
 				seen[name] = seen[name] || !v.Field(i).IsZero()
 				walk(v.Field(i))
@@ -358,10 +361,10 @@
 	}
 	for name, recorded := range seen {
 		if !recorded {
-			t.Errorf("%s is recorded nowhere", name)
+			t.Errorf("field %s: got only zero values recorded, want another", name)
 		}
 	}
 	if len(seen) < 60 {
-		t.Errorf("only %d fields", len(seen))
+		t.Errorf("got %d stored fields, want at least 60", len(seen))
 	}
 }
--- a/internal/core/toldend_test.go
+++ b/internal/core/toldend_test.go
@@ -9,16 +9,17 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// A job that was accepted, and that users were told is cancelled, was no longer known: the
-// controller that had started last answered 404 about it, while the others went on saying that
-// it is cancelled, and so did they all until they were restarted. It depended on a job that had
-// been cancelled before the leader's term began. The other controllers knew that end, ended the
-// dependent job by it for themselves, and told the leader of the cancellation with a page of
-// their read leases. The leader had not read the first job's end yet, as the state service had
-// just limited its rate; it took what it was told for what is stored, and removed the job's key
-// without ever storing an end.
+// These tests guard against the loss of a job whose cancellation users were told of. The controller
+// that had started last answered 404 for the job, while the others continued to report it as
+// cancelled until they were restarted. It came about as follows:
 //
-// From the records, with the seconds of the day:
+// The job depended on another one that had been cancelled before the leader's term began. The
+// other controllers knew that end, derived the end of the dependent job from it, and reported the
+// cancellation to the leader with a page of their read leases. The leader had not read the end of
+// the first job yet, as the state service had just limited its rate. It treated the reported
+// cancellation as stored, and removed the job's key without ever storing an end.
+//
+// The recorded log lines and requests, with the seconds of the day:
 //
 //	193.41 msg="elected leader" controller=stoker-2 fencing_token=4 jobs=75 placements=207
 //	196.46 msg="state service limits lowered" controller=stoker-2 reason="request rate limited"
@@ -29,37 +30,39 @@
 //	208.89 stoker-3 poll: 404, over at 209.04
 //	212.57 stoker-4 poll: 200 cancelled, over at 212.57
 
-// cancellationSources are the messages by which a controller learns from a peer that jobs are cancelled.
+// cancellationSources are the messages by which a controller learns from a peer that jobs are
+// cancelled.
 var cancellationSources = []struct {
 	name    string
 	message func(h *harness, ids ...string) any
 }{
-	{"a granted read lease", func(h *harness, ids ...string) any {
+	{"granted read lease", func(h *harness, ids ...string) any {
 		page := readlease.CancellationPage{Incarnation: "x", UpTo: uint64(len(ids)), Complete: true, Cancelled: ids}
 		return PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{ReadLease: &page}}
 	}},
-	{"a ping for which an answer is held back", func(_ *harness, ids ...string) any {
+	{"ping for which an answer is held back", func(_ *harness, ids ...string) any {
 		page := readlease.CancellationPage{Incarnation: "x", UpTo: uint64(len(ids)), Cancelled: ids}
 		return PingReceived{RequestID: 900, From: "n1", Incarnation: "x", Cancellations: &page}
 	}},
-	{"the status of an older program", func(h *harness, ids ...string) any {
+	{"status of an older version", func(h *harness, ids ...string) any {
 		return PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: ids}}
 	}},
 }
 
-// reportedEndCase is a way in which a controller comes to hear of the end of a job, "second", which
-// depends on "first" and which the state service has as unfinished.
+// reportedEndCase is a sequence of events in which a peer reports the end of the job "second" to a
+// controller. The job depends on "first" and is stored as unfinished.
 type reportedEndCase struct {
 	name string
-	// startsAsFollower: another controller leads when the core starts.
+	// startsAsFollower reports whether another controller leads when the core starts.
 	startsAsFollower bool
-	// firstEndUnreadable: the end of the first job can't be read at first.
+	// firstEndUnreadable reports whether the end of the first job can't be read initially.
 	firstEndUnreadable bool
-	// events are what happens, in their order.
+	// events are executed in order.
 	events []func(h *harness, tell func(ids ...string))
 }
 
-// reportedEndCases go over when a controller is told, and what it knows and is by then.
+// reportedEndCases returns cases that differ in when the controller receives the report, in what it
+// knows by then, and in whether it leads.
 func reportedEndCases() []reportedEndCase {
 	type events = []func(h *harness, tell func(ids ...string))
 	tellOf := func(ids ...string) func(*harness, func(...string)) {
@@ -74,21 +77,21 @@
 		h.refresh()
 	}
 	return []reportedEndCase{
-		{"a leader before it knows the first job's end", false, true, events{wait, tellOf("second"), wait, reveal, wait}},
-		{"a leader that never reads the first job's end", false, true, events{wait, tellOf("second"), wait}},
-		{"a leader told of both, the dependent one first", false, true, events{wait, tellOf("second", "first"), wait, reveal, wait}},
-		{"a leader told of both, the first one first", false, true, events{wait, tellOf("first", "second"), wait, reveal, wait}},
-		{"a leader that has derived the end itself", false, false, events{wait, tellOf("second"), wait}},
-		{"a controller that has just started", false, true, events{tellOf("second"), wait, reveal, wait}},
-		{"a follower that leads later", true, true, events{wait, tellOf("second"), wait, lead, wait, reveal, wait}},
-		{"a follower that leads at once", true, true, events{wait, tellOf("second"), lead, tellOf("second"), wait, reveal, wait}},
-		{"a leader whose term ends before it has written", false, true, events{wait, tellOf("second"), deposed, wait, reveal, wait}},
-		{"a leader with a job that depends on the dependent one", false, true, events{wait, submit, wait, tellOf("second"), wait, reveal, wait}},
+		{"leader before it reads the first job's end", false, true, events{wait, tellOf("second"), wait, reveal, wait}},
+		{"leader that never reads the first job's end", false, true, events{wait, tellOf("second"), wait}},
+		{"leader, both jobs reported, the dependent one first", false, true, events{wait, tellOf("second", "first"), wait, reveal, wait}},
+		{"leader, both jobs reported, the dependent one last", false, true, events{wait, tellOf("first", "second"), wait, reveal, wait}},
+		{"leader that has derived the end itself", false, false, events{wait, tellOf("second"), wait}},
+		{"controller that has just started", false, true, events{tellOf("second"), wait, reveal, wait}},
+		{"follower that becomes leader later", true, true, events{wait, tellOf("second"), wait, lead, wait, reveal, wait}},
+		{"follower that becomes leader immediately", true, true, events{wait, tellOf("second"), lead, tellOf("second"), wait, reveal, wait}},
+		{"leader whose term ends before it writes", false, true, events{wait, tellOf("second"), deposed, wait, reveal, wait}},
+		{"leader with a job that depends on the dependent one", false, true, events{wait, submit, wait, tellOf("second"), wait, reveal, wait}},
 	}
 }
 
-// TestReportedEndIsStored: whoever tells a controller that a job is cancelled, the job's key goes
-// only with its end, so that every controller that starts later knows the job too.
+// TestReportedEndIsStored checks that a job's key is removed only if its end is stored, whichever
+// message reports the cancellation, so that controllers that start later know the job too.
 func TestReportedEndIsStored(t *testing.T) {
 	for _, format := range []formatRecord{{Version: 2, Tasks: 64}, {Version: 3, Tasks: 64}} {
 		for _, source := range cancellationSources {
@@ -127,14 +130,14 @@
 		h.requireKnown("second")
 	}
 	if !told {
-		t.Fatal("the controller was told of nothing")
+		t.Fatal("got no report of a cancellation in the events, want at least one")
 	}
 	h.unreachable = map[string]bool{}
-	for _, asked := range []string{"of a controller that runs", "of one that starts"} {
-		// The peer holds no read lease, so that no answer is held back for it.
+	for _, asked := range []string{"running controller", "restarted controller"} {
+		// The peer holds no read lease, so no answer is held back because of it.
 		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 		if got := h.jobState("second"); got != jobstate.Cancelled {
-			t.Errorf("%s: the job is %s", asked, got)
+			t.Errorf("%s: got job state %s, want %s", asked, got, jobstate.Cancelled)
 		}
 		delete(h.keys, LeaderKey)
 		h.restart()
@@ -143,8 +146,8 @@
 	h.requireKnown("second")
 }
 
-// TestReportedEndAlreadyStored: a leader that is told of a cancellation before it sees the write of
-// it finds that the end is stored, stores none of its own and goes on, in every format.
+// TestReportedEndAlreadyStored checks that a leader to which a cancellation is reported before it
+// reads the stored end finds that end, stores none of its own and continues, in every format.
 func TestReportedEndAlreadyStored(t *testing.T) {
 	for _, format := range []formatRecord{{Version: 1}, {Version: 2, Tasks: 64}, {Version: 3, Tasks: 64}} {
 		for _, source := range cancellationSources {
@@ -161,10 +164,10 @@
 				h.step(source.message(h, "a"))
 				h.advance(3 * second)
 				if _, left := h.keys[jobPrefix+"a"]; left {
-					t.Error("the job's key is left")
+					t.Error("got the key of job a still stored, want it removed")
 				}
 				if got := h.keys[endPrefix+"a"].Revision; got != want {
-					t.Errorf("the end was written at revision %d and is of %d", want, got)
+					t.Errorf("got the end of job a at revision %d, want %d, unchanged", got, want)
 				}
 				h.requireKnown("a")
 			})
@@ -172,10 +175,11 @@
 	}
 }
 
-// TestDerivedEndNotReported: a controller tells no peer of an end that it has derived, as a leader
-// starts nothing of a job behind a cancelled one, and one of a version before ends were told
-// apart would take it for stored: with two versions side by side such a leader lost an end that
-// a newer controller had told it. So users need not wait for the leader to learn of it either.
+// TestDerivedEndNotReported checks that a controller does not report an end that it has derived to
+// its peers. That is not needed, as a leader starts no task of a job that depends on a cancelled
+// one, and so users need not wait for the leader to learn of the end either. A leader of a version
+// that does not distinguish derived from stored ends would treat the end as stored: with two
+// versions side by side, such a leader lost an end that a newer controller had reported to it.
 func TestDerivedEndNotReported(t *testing.T) {
 	h := newHarness(t, map[string]any{
 		formatKey:            joined,
@@ -189,15 +193,15 @@
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	h.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 	if state := h.jobState("second"); state != jobstate.Cancelled {
-		t.Errorf("the answer about the job is %s while a peer holds a read lease", state)
+		t.Errorf("got job state %s while a peer holds a read lease, want %s", state, jobstate.Cancelled)
 	}
 	h.step(PingReceived{RequestID: 901, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 	page := h.replies[901].PeerStatus.ReadLease
 	if slices.Contains(page.Cancelled, "second") || !slices.Contains(page.Cancelled, "first") {
-		t.Errorf("the holder of a read lease is told of %v", page.Cancelled)
+		t.Errorf("got cancellations %v reported to the holder of a read lease, want first and not second", page.Cancelled)
 	}
 	h.step(PingReceived{RequestID: 902, From: "n1"})
 	if told := h.replies[902].PeerStatus.Cancelled; slices.Contains(told, "second") || !slices.Contains(told, "first") {
-		t.Errorf("a leader of an older program is told of %v", told)
+		t.Errorf("got cancellations %v reported to a leader of an older version, want first and not second", told)
 	}
 }
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -10,17 +10,17 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestRefusedWrites: limits that fall before the format allows for smaller
-// values, or further than the settings say, must not stop the rest, and nothing
-// is sent again for ever.
+// TestRefusedWrites checks that limits that fall before the stored format allows smaller values,
+// or further than the settings announce, do not block the writes that fit, and that rejected
+// writes are not repeated forever.
 func TestRefusedWrites(t *testing.T) {
 	cases := []struct {
 		name        string
 		format      formatRecord
-		announced   bool // by the settings
+		announced   bool // whether the settings announce the limits
 		maxRejected int
 	}{
-		{"before the format", formatRecord{}, true, 2},
+		{"announced, before the format allows smaller values", formatRecord{}, true, 2},
 		{"announced", joined, true, 0},
 		{"not announced", joined, false, 20},
 	}
@@ -33,7 +33,7 @@
 	}
 	for _, tc := range cases {
 		h := newHarness(t, keys)
-		h.core.settings.Peers = []string{"old"} // it never says that it is of this version
+		h.core.settings.Peers = []string{"old"} // never advertises this version
 		if kb, ops := 2.0, 4; tc.announced {
 			h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb, TxnOps: &ops}
 		}
@@ -55,20 +55,20 @@
 		h.advance(20 * second)
 		for i := range 5 {
 			if _, ok := h.keys[fmt.Sprintf("%ssmall-%d", endPrefix, i)]; !ok {
-				t.Errorf("%s: small-%d does not end", tc.name, i)
+				t.Errorf("%s: got no stored end of small-%d, want one", tc.name, i)
 			}
 		}
 		if h.rejected > tc.maxRejected {
-			t.Errorf("%s: %d writes refused", tc.name, h.rejected)
+			t.Errorf("%s: got %d rejected writes, want at most %d", tc.name, h.rejected, tc.maxRejected)
 		}
 		if j := h.core.cache.jobs["large"]; tc.name == "announced" && (!j.Task(0).Stored || !j.Task(199).Stored) {
-			t.Error("a job of many tasks is stored in parts")
+			t.Errorf("job large: got first task stored %v, last task stored %v, want both", j.Task(0).Stored, j.Task(199).Stored)
 		}
 	}
 }
 
-// TestTypesInParts: machine types that are read after a change of the limits
-// are those of the later writes, not of parts that were left behind.
+// TestTypesInParts checks that machine types read after a change of the limits are those of the
+// latest writes, and not of obsolete parts that are still stored.
 func TestTypesInParts(t *testing.T) {
 	whole := func(cpu int64, names ...string) []fleet.Type {
 		var l []fleet.Type
@@ -86,11 +86,11 @@
 		writes []write
 		want   string
 	}{
-		{"whole", []write{{"", whole(1, "a", "b")}}, "a1 b1"},
-		{"whole, then parts", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}, {"/1", whole(2, "b")}}, "a2 b2"},
-		{"half of the parts written", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}}, "a2 b1"},
-		{"a new type", []write{{"", whole(1, "a")}, {"/0", whole(1, "a")}, {"/1", whole(1, "b")}}, "a1 b1"},
-		{"parts, then whole", []write{{"/0", whole(1, "a")}, {"/1", whole(1, "b")}, {"", whole(2, "a", "c")}}, "a2 c2"},
+		{"one value", []write{{"", whole(1, "a", "b")}}, "a1 b1"},
+		{"one value, then parts", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}, {"/1", whole(2, "b")}}, "a2 b2"},
+		{"only the first of two parts written", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}}, "a2 b1"},
+		{"new type in a part", []write{{"", whole(1, "a")}, {"/0", whole(1, "a")}, {"/1", whole(1, "b")}}, "a1 b1"},
+		{"parts, then one value", []write{{"/0", whole(1, "a")}, {"/1", whole(1, "b")}, {"", whole(2, "a", "c")}}, "a2 c2"},
 	}
 	for _, tc := range cases {
 		h := newHarness(t, nil)
@@ -103,13 +103,13 @@
 			got = append(got, fmt.Sprint(x.Name, x.Cap.CPU))
 		}
 		if g := strings.Join(got, " "); g != tc.want {
-			t.Errorf("%s: %s, want %s", tc.name, g, tc.want)
+			t.Errorf("%s: got machine types %s, want %s", tc.name, g, tc.want)
 		}
 	}
 }
 
-// TestOversizedValues: what was or would be longer than the limits to come is stored
-// in parts, or as what is left to be known of it.
+// TestOversizedValues checks that values above the announced limits, stored earlier or to be
+// stored now, are split into parts or reduced to the information that is still needed.
 func TestOversizedValues(t *testing.T) {
 	long := job("long")
 	for i := range 40 {
@@ -121,7 +121,7 @@
 	h.maxValue = 2048
 	h.advance(3 * second)
 	if r := h.request(CancelJob{ID: "long"}); r.Status != 200 || h.rejected > 0 {
-		t.Errorf("a job from before the limits: %d, %d refused", r.Status, h.rejected)
+		t.Errorf("cancelling a job stored before the limits: got status %d, %d rejected writes, want 200 and none", r.Status, h.rejected)
 	}
 	var types []fleet.Type
 	for i := range 30 {
@@ -131,6 +131,6 @@
 	h.advance(second)
 	h.restart()
 	if n := len(h.core.cache.machineTypes); n < 30 || h.rejected > 0 {
-		t.Errorf("%d of 30 types are read back, %d writes refused", n, h.rejected)
+		t.Errorf("got %d machine types, %d rejected writes, want 30 and none", n, h.rejected)
 	}
 }
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -33,8 +33,8 @@
 	return r
 }
 
-// TestVersion1 reads what the version without pipelines stored, and writes it
-// as it was: a field that was renamed shows here.
+// TestVersion1 checks that values stored by the version without pipelines are read and written
+// back unchanged. It guards against a renamed stored field.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
 	set := newLeaderHarness(t).c.settings
@@ -48,16 +48,16 @@
 	l.Revision = 100
 	c.Step(second, l)
 	if logged.Len() > 0 {
-		t.Fatalf("errors: %s", logged.String())
+		t.Fatalf("got logged errors %q, want none", logged.String())
 	}
 	if c.membership.logEnabled() || c.membership.chunkTasks != jobstate.DefaultChunkSize {
-		t.Error("the format is the first")
+		t.Errorf("got log enabled %v, %d tasks per chunk, want false and %d, as in the first format", c.membership.logEnabled(), c.membership.chunkTasks, jobstate.DefaultChunkSize)
 	}
 	same := func(key string, got []byte) {
 		t.Helper()
 		var b bytes.Buffer
 		if err := json.Compact(&b, want[key]); err != nil || b.String() != string(got) {
-			t.Errorf("%s: %s, was %s", key, got, b.String())
+			t.Errorf("%s: got encoded value %s, want %s", key, got, b.String())
 		}
 		delete(want, key)
 	}
@@ -85,13 +85,12 @@
 		same(key, encodeJSON(h))
 	}
 	if len(want) > 0 {
-		t.Errorf("not read: %v", want)
+		t.Errorf("got values that were not read: %v, want none", want)
 	}
 }
 
-// TestInterruptedChunkSplit stores progress in the first format, splits it, and stops after
-// each single write: what is read back is what was known, with the write or
-// without it.
+// TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops after
+// each single write. What is then read must be the progress with that write or without it.
 func TestInterruptedChunkSplit(t *testing.T) {
 	spec := &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 300}
 	state := func(j *jobstate.Job) string {
@@ -137,7 +136,7 @@
 	for _, span := range []int{64, 16} {
 		j.SplitChunks(span)
 		if dirty := j.DirtyChunks(); span == 64 && len(dirty) != 4 {
-			t.Fatalf("parts to be written: %v", dirty)
+			t.Fatalf("got chunks %v to be written after the split, want 4", dirty)
 		}
 		for _, n := range j.DirtyChunks() {
 			write(n, 0)
@@ -149,7 +148,7 @@
 		write(n, 0)
 	}
 	whole := state(j)
-	// Any order of reading gives the same: by key, and as they were written.
+	// Reading the values in the order of the writes and in reverse must give the same state.
 	for cut := 2; cut <= len(values); cut++ {
 		read := func(order func(i int) int) *jobstate.Job {
 			k := jobstate.NewJob(spec)
@@ -163,19 +162,19 @@
 		}
 		a, b := read(func(i int) int { return i }), read(func(i int) int { return cut - 1 - i })
 		if state(a) != state(b) || a.NumPlaced != b.NumPlaced || a.NumDone != b.NumDone || a.NextAttempt() != b.NextAttempt() {
-			t.Errorf("after %d writes the order of reading matters", cut)
+			t.Errorf("after %d writes: got state %s read in order, %s read in reverse, want the same", cut, state(a), state(b))
 		}
 		if strings.Contains(state(a)[:50], ".") {
-			t.Errorf("after %d writes a task is lost", cut)
+			t.Errorf("after %d writes: got state %s, want none of the first 50 tasks lost", cut, state(a))
 		}
 		if cut == len(values) && state(a) != whole {
-			t.Errorf("at the end: %s, want %s", state(a), whole)
+			t.Errorf("after all writes: got state %s, want %s", state(a), whole)
 		}
 	}
 }
 
-// TestLogReplay mixes values of chunks with the log's entries: whatever was
-// read first, the newest entry of a task holds unless its chunk is newer.
+// TestLogReplay combines chunk values with log entries and checks that, in any order of reading,
+// the newest log entry of a task takes effect unless its chunk is newer.
 func TestLogReplay(t *testing.T) {
 	entry := func(i int, done bool, machine string) jobstate.LogEntry {
 		return jobstate.LogEntry{Job: "j", Task: i, Done: done, Machine: machine, Attempt: 1}
@@ -202,12 +201,12 @@
 		news []Change
 		want string
 	}{
-		{"only the log", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(0, true, "")), Revision: 2}}, "d..."},
-		{"a page grows", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 3}}, "ab.."},
-		{"the chunk is newer", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: run, Value: chunk(1, nil, 0), Revision: 3}}, "d..."},
-		{"the chunk is older", []Change{{Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 2}, {Key: p1, Value: page(1, entry(0, true, "")), Revision: 3}}, "d..."},
-		{"the chunk was read after a newer page", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 4}, {Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3}}, "ab.."},
-		{"two pages, the first is gone", []Change{
+		{"log only", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(0, true, "")), Revision: 2}}, "d..."},
+		{"page with a later entry", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 3}}, "ab.."},
+		{"chunk newer than the log", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: run, Value: chunk(1, nil, 0), Revision: 3}}, "d..."},
+		{"chunk older than the log", []Change{{Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 2}, {Key: p1, Value: page(1, entry(0, true, "")), Revision: 3}}, "d..."},
+		{"chunk read after a newer page", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 4}, {Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3}}, "ab.."},
+		{"two pages, the first one removed", []Change{
 			{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2},
 			{Key: run, Value: chunk(1, map[int]string{0: "a"}), Revision: 3},
 			{Key: p2, Value: page(1, entry(3, false, "c")), Revision: 4},
@@ -241,14 +240,14 @@
 				}
 			}
 			if got != tc.want {
-				t.Errorf("%s, %s: %s, want %s", tc.name, order, got, tc.want)
+				t.Errorf("%s, %s: got state %s, want %s", tc.name, order, got, tc.want)
 			}
 		}
 	}
 }
 
-// TestLogPageSizeLimit fills pages with entries of all lengths up to a limit. One that
-// was over it would be refused again and again, and hold up all writes.
+// TestLogPageSizeLimit checks that pages filled with entries of all lengths stay within the limit.
+// A page above it would be rejected again and again, and block all writes.
 func TestLogPageSizeLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	name := func(n int) string {
@@ -276,12 +275,12 @@
 				full++
 			}
 			if n := len(p.Encode()); n > limit {
-				t.Fatalf("%d bytes where %d are allowed, %d entries", n, limit, len(p.Entries))
+				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", n, len(p.Entries), limit)
 			}
 		}
 		q, err := jobstate.DecodeLogPage(p.Encode())
 		if err != nil || q.FirstSeq != p.FirstSeq || !slices.Equal(q.Entries, p.Entries) {
-			t.Fatalf("read back otherwise: %v", err)
+			t.Fatalf("got a decoded page different from the encoded one, or error %v, want the same page", err)
 		}
 	}
 }
