--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -222,10 +222,10 @@
 		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
 		return
 	}
-	room := t.remainingWrites()
+	remaining := t.remainingWrites()
 	chunks, revisions := j.StoredChunks()
-	written.removesJob = len(chunks)+1 <= room
-	written.removedChunks = chunks[:min(room, len(chunks))]
+	written.removesJob = len(chunks)+1 <= remaining
+	written.removedChunks = chunks[:min(remaining, len(chunks))]
 	for i, ref := range written.removedChunks {
 		t.add(Write{Key: chunkKey(j.ID, ref)}, revisions[i])
 	}
@@ -309,22 +309,22 @@
 	if !c.membership.logEnabled() || c.now < t.term.commits.keepGarbageUntil {
 		return
 	}
-	room := t.limit - len(t.writes)
+	remaining := t.limit - len(t.writes)
 	if t.lowBudget {
-		room = min(room, 1)
+		remaining = min(remaining, 1)
 	}
-	for ; t.garbage.pages < t.term.commits.removablePages && room > 0; room-- {
+	for ; t.garbage.pages < t.term.commits.removablePages && remaining > 0; remaining-- {
 		page := c.cache.progressLog[t.garbage.pages]
 		t.add(Write{Key: pageKey(page.number)}, page.Revision)
 		t.garbage.pages++
 	}
 	if !t.lowBudget {
-		t.addOrphanedChunks(room)
+		t.addOrphanedChunks(remaining)
 	}
 }
 
 // addOrphanedChunks removes chunks whose jobs are gone.
-func (t *leaderTransaction) addOrphanedChunks(room int) {
+func (t *leaderTransaction) addOrphanedChunks(remaining int) {
 	cache := t.committer.cache
 	t.garbage.chunks = map[string][]jobstate.ChunkRef{}
 	for _, id := range slices.Sorted(maps.Keys(cache.orphanedChunks)) {
@@ -332,12 +332,12 @@
 			continue
 		}
 		for ref, stored := range cache.orphanedChunks[id] {
-			if room <= 0 {
+			if remaining <= 0 {
 				return
 			}
 			t.add(Write{Key: chunkKey(id, ref)}, stored.Revision)
 			t.garbage.chunks[id] = append(t.garbage.chunks[id], ref)
-			room--
+			remaining--
 		}
 	}
 }
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -152,7 +152,7 @@
 // appends none. An entry that was sent once stays in the page, as the write may have been
 // executed, or may still be.
 func (p *logPage) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
-	had := len(p.Entries)
+	previousLen := len(p.Entries)
 	for _, e := range entries {
 		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
 			continue // already appended for a write that failed
@@ -170,12 +170,12 @@
 	if p.size > limit {
 		// The encoded size is smaller than the estimate, as names share prefixes.
 		if p.size = len(p.Encode()); p.size > limit {
-			p.Entries = p.Entries[:had]
+			p.Entries = p.Entries[:previousLen]
 			p.size = len(p.Encode())
 			return false
 		}
 	}
-	for k := had; k < len(p.Entries); k++ {
+	for k := previousLen; k < len(p.Entries); k++ {
 		e := &p.Entries[k]
 		p.newest[taskRef{e.Job, e.Task}] = k
 		p.names[e.Machine], p.names[e.Job] = struct{}{}, struct{}{}
@@ -195,7 +195,7 @@
 
 // append appends the changes of a chunk to the log, if that is possible with the given number of
 // remaining writes.
-func (w *pageWrites) append(j *jobstate.Job, index, room int) (version uint64, ok bool) {
+func (w *pageWrites) append(j *jobstate.Job, index, remainingWrites int) (version uint64, ok bool) {
 	c := w.committer
 	if !c.membership.logEnabled() {
 		return 0, false
@@ -210,11 +210,11 @@
 		page = c.newPage()
 	}
 	begun := len(w.pages) > 0 && w.pages[len(w.pages)-1] == page
-	if !begun && room < 1 {
+	if !begun && remainingWrites < 1 {
 		return 0, false
 	}
 	if !page.append(ref, entries, limit) {
-		if room < 1 || len(page.Entries) == 0 {
+		if remainingWrites < 1 || len(page.Entries) == 0 {
 			return 0, false
 		}
 		page, begun = c.newPage(), false
@@ -272,9 +272,9 @@
 // if there are too many.
 func (c *committer) progressLogTick() {
 	c.countRemovablePages()
-	most := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
+	maxPages := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
 	pages := c.cache.progressLog
-	for _, page := range pages[:max(0, len(pages)-most)] {
+	for _, page := range pages[:max(0, len(pages)-maxPages)] {
 		c.compactPage(page)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -103,15 +103,15 @@
 			w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: e.AfterRevision, Revision: e.AfterRevision, SentAt: w.now, Immediate: true, ForRequests: e.ForRequests})
 		case CommitTransaction:
 			w.revision++
-			var news []Change
+			var changes []Change
 			for _, x := range e.Writes {
 				w.writes++
 				w.store(x.Key, x.Value)
 				if !strings.HasPrefix(x.Key, runPrefix) && !strings.HasPrefix(x.Key, logPrefix) {
-					news = append(news, Change{Key: x.Key, Value: x.Value, Revision: w.revision})
+					changes = append(changes, Change{Key: x.Key, Value: x.Value, Revision: w.revision})
 				}
 			}
-			w.pendingMessages = append(w.pendingMessages, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.revision}, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, SentAt: w.now, Changes: news})
+			w.pendingMessages = append(w.pendingMessages, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.revision}, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, SentAt: w.now, Changes: changes})
 		case ScaleOut:
 			w.pendingMessages = append(w.pendingMessages, ScaledOut{Request: e, Status: 503})
 		case ListMachines:
@@ -240,9 +240,9 @@
 
 // run simulates a number of seconds, with rate jobs submitted per second.
 func (w *workerFleet) run(seconds int, rate float64) {
-	owed := 0.0
+	jobsDue := 0.0
 	for range seconds * 20 {
-		for owed += rate / 20; owed >= 1; owed-- {
+		for jobsDue += rate / 20; jobsDue >= 1; jobsDue-- {
 			w.submit()
 		}
 		w.tick()
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -13,41 +13,41 @@
 // again in vain, for two seconds at a time. The transaction counts as executed only if all of its
 // changes are read as they were sent, at one revision that is later than any in its conditions.
 func TestObservedTransaction(t *testing.T) {
-	const stamp = 20
+	const observedRevision = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
-	seen := func(key, value string, stamp uint64) Change {
-		return Change{Key: key, Value: []byte(value), Revision: stamp}
+	changeOf := func(key, value string, revision uint64) Change {
+		return Change{Key: key, Value: []byte(value), Revision: revision}
 	}
 	writes := []Write{put("zinclb/x/a", "1"), put("zinclb/x/b", "2"), {Key: "zinclb/x/c"}}
-	gone := Change{Key: "zinclb/x/c", Revision: stamp, Removed: true}
+	removal := Change{Key: "zinclb/x/c", Revision: observedRevision, Removed: true}
 	cases := []struct {
-		name string
-		seen []Change
-		want bool
+		name    string
+		changes []Change
+		want    bool
 	}{
-		{"all changes", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), gone}, true},
-		{"all changes among others", []Change{seen("zinclb/x/a", "0", stamp-1), seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/y", "2", stamp+1), gone}, true},
-		{"some of the changes", []Change{seen("zinclb/x/a", "1", stamp), gone}, false},
-		{"different value", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "3", stamp), gone}, false},
-		{"value instead of a removal", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/x/c", "", stamp)}, false},
-		{"changes at two revisions", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp+1), gone}, false},
-		{"same changes at the revision in the conditions", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Revision: stamp - 10, Removed: true}}, false},
+		{"all changes", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), removal}, true},
+		{"all changes among others", []Change{changeOf("zinclb/x/a", "0", observedRevision-1), changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), changeOf("zinclb/y", "2", observedRevision+1), removal}, true},
+		{"some of the changes", []Change{changeOf("zinclb/x/a", "1", observedRevision), removal}, false},
+		{"different value", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "3", observedRevision), removal}, false},
+		{"value instead of a removal", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), changeOf("zinclb/x/c", "", observedRevision)}, false},
+		{"changes at two revisions", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision+1), removal}, false},
+		{"same changes at the revision in the conditions", []Change{changeOf("zinclb/x/a", "1", observedRevision-10), changeOf("zinclb/x/b", "2", observedRevision-10), {Key: "zinclb/x/c", Revision: observedRevision - 10, Removed: true}}, false},
 		{"no changes", nil, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newLeaderHarness(t)
 			var got []TransactionResult
-			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
+			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
 			r.c.effects = nil // nobody answers
-			r.c.transactions.Observe(tc.seen, r.c.now)
+			r.c.transactions.Observe(tc.changes, r.c.now)
 			r.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
 				t.Fatalf("got results %+v before the answer timeout, want none", got)
 			}
 			r.tick(100_000)
-			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
-				t.Errorf("got results %+v, want one observed commit at revision %d: %v", got, stamp, tc.want)
+			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == observedRevision && got[0].Observed; ok != tc.want || len(got) > 1 {
+				t.Errorf("got results %+v, want one observed commit at revision %d: %v", got, observedRevision, tc.want)
 			}
 		})
 	}
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -78,7 +78,7 @@
 // TestSlowAnswers checks that the leader waits for answers that always take long, once it has
 // learned that they do, instead of repeating its writes.
 func TestSlowAnswers(t *testing.T) {
-	const answerTime, rounds, learning = 700_000, 12, 2
+	const answerTime, rounds, maxRepeated = 700_000, 12, 2
 	h := newPlacementHarness(t)
 	repeated := 0
 	for range rounds {
@@ -97,7 +97,7 @@
 		h.core.cache.jobs["open"].UnplaceTask(0, h.now)
 		h.place("open")
 	}
-	if repeated > learning {
-		t.Errorf("got %d of %d answered writes repeated, want at most %d", repeated, rounds, learning)
+	if repeated > maxRepeated {
+		t.Errorf("got %d of %d answered writes repeated, want at most %d", repeated, rounds, maxRepeated)
 	}
 }
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -109,18 +109,18 @@
 		return b.String()
 	}
 	type value struct {
-		key   jobstate.ChunkRef
-		bytes []byte
-		stamp uint64
+		key      jobstate.ChunkRef
+		bytes    []byte
+		revision uint64
 	}
 	j := jobstate.NewJob(spec)
 	var values []value
-	stamp := uint64(1)
+	revision := uint64(1)
 	write := func(n int, seq uint64) {
 		v, version := j.BeginChunkWrite(n, seq)
-		stamp++
-		j.CommitChunkWrite(n, version, stamp)
-		values = append(values, value{jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}, v, stamp})
+		revision++
+		j.CommitChunkWrite(n, version, revision)
+		values = append(values, value{jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}, v, revision})
 	}
 	for i := range 200 {
 		j.PlaceTask(i, "a", 1, 1)
@@ -133,9 +133,9 @@
 		j.SetDone(i, 2)
 	}
 	j.PlaceTask(250, "b", 2, 2)
-	for _, span := range []int{64, 16} {
-		j.SplitChunks(span)
-		if dirty := j.DirtyChunks(); span == 64 && len(dirty) != 4 {
+	for _, chunkSize := range []int{64, 16} {
+		j.SplitChunks(chunkSize)
+		if dirty := j.DirtyChunks(); chunkSize == 64 && len(dirty) != 4 {
 			t.Fatalf("got chunks %v to be written after the split, want 4", dirty)
 		}
 		for _, n := range j.DirtyChunks() {
@@ -154,7 +154,7 @@
 			k := jobstate.NewJob(spec)
 			for i := range cut {
 				v := values[order(i)]
-				if err := k.LoadChunk(v.key, v.bytes, v.stamp, 1); err != nil {
+				if err := k.LoadChunk(v.key, v.bytes, v.revision, 1); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -197,9 +197,9 @@
 	}
 	run, p1, p2 := runPrefix+"j/0", pageKey(1), pageKey(2)
 	cases := []struct {
-		name string
-		news []Change
-		want string
+		name    string
+		changes []Change
+		want    string
 	}{
 		{"log only", []Change{{Key: p1, Value: page(0, entry(0, false, "a"), entry(0, true, "")), Revision: 2}}, "d..."},
 		{"page with a later entry", []Change{{Key: p1, Value: page(0, entry(0, false, "a")), Revision: 2}, {Key: p1, Value: page(0, entry(0, false, "a"), entry(1, false, "b")), Revision: 3}}, "ab.."},
@@ -222,7 +222,7 @@
 				rows = []Change{job}
 			}
 			c.Step(second, StateListed{Changes: rows, Revision: 1})
-			for _, ch := range tc.news {
+			for _, ch := range tc.changes {
 				c.cache.apply(ch)
 			}
 			if order == "job last" {
