--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"sufficient budget", 70, second, "place done end "},
 		{"low budget", 20, second, "place done "},
-		{"low budget, ends delayed for the maximum time", 20, 5 * second, "place done end "},
+		{"low budget, ends older than the maximum delay", 20, 5 * second, "place done end "},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -175,9 +175,9 @@
 // tick simulates 50 ms.
 func (w *workerFleet) tick() {
 	w.now += 50_000
-	late := w.pendingMessages
+	messages := w.pendingMessages
 	w.pendingMessages = nil
-	for _, m := range late {
+	for _, m := range messages {
 		w.step(m)
 	}
 	w.step(Tick{TimeOfDay: w.now + 1_000_000*second})
