--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -9,43 +9,43 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// logPage is a value of the log of progress and what the leader keeps of it.
+// logPage is a page of the progress log, with the leader's bookkeeping of it.
 type logPage struct {
 	jobstate.LogPage
 	number int
-	// unfoldedChunks are the chunks whose stored values lack entries that stand here; the
-	// page is needed for as long as there are any.
-	unfoldedChunks map[chunkRef]struct{}
-	// newest has the newest entry of each task here, size about how long the
-	// value is, names whose names it has.
+	// uncompactedChunks are the chunks whose stored values lack entries of this page; the
+	// page is needed as long as there are any.
+	uncompactedChunks map[chunkRef]struct{}
+	// newest has the index of each task's newest entry in this page. size is the approximate
+	// size of the encoded page in bytes, names the names of machines and jobs in it.
 	newest map[taskRef]int
 	names  map[string]struct{}
 	size   int
 }
 
-// chunkRef is a chunk of a job.
+// chunkRef identifies a chunk of a job.
 type chunkRef struct {
 	job   *jobstate.Job
 	chunk int
 }
 
-// taskRef is a task of a job by its ID.
+// taskRef identifies a task of a job by the job's ID.
 type taskRef struct {
 	job  string
 	task int
 }
 
-// maxLogBytes is how much of the log is kept before its oldest page is folded
-// into the values of the chunks that it tells of.
+// maxLogBytes is the size up to which log pages are kept. Beyond it the oldest pages are
+// compacted: the chunks that their entries are about are written as values.
 const maxLogBytes = 128 << 10
 
-// emptyPageBytes is no less than the value of a page without entries takes.
+// emptyPageBytes is an upper bound on the size of an encoded page without entries.
 const emptyPageBytes = 80
 
-// pageKey sorts by number.
+// pageKey returns the key of a page; keys sort by page number.
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
 
-// applyPage takes over what is new in a page; name is its key without the prefix.
+// applyPage applies the new entries of a page; name is its key without the prefix.
 func (s *stateCache) applyPage(name string, change Change, reject func(error)) {
 	number, err := strconv.Atoi(name)
 	if err != nil {
@@ -53,7 +53,7 @@
 		return
 	}
 	if s.elector.isLeader() {
-		return // the leader is the one that writes these
+		return // only the leader writes pages
 	}
 	i, known := slices.BinarySearchFunc(s.progressLog, number, func(page *logPage, number int) int {
 		return cmp.Compare(page.number, number)
@@ -83,20 +83,20 @@
 	s.applyEntries(&page, from)
 }
 
-// applyEntries takes over the entries of a page from an index on.
+// applyEntries applies the entries of a page from an index on.
 func (s *stateCache) applyEntries(page *jobstate.LogPage, from int) {
 	for k := from; k < len(page.Entries); k++ {
 		entry := &page.Entries[k]
 		if j := s.jobs[entry.Job]; j != nil {
 			j.ApplyLogEntry(entry, page.FirstSeq+uint64(k), s.now)
-			s.imageHistory.placed(entry.Machine, j)
+			s.imageHistory.recordPlacement(entry.Machine, j)
 		}
 	}
 }
 
-// reapply goes through the log again for a job of which something older was
-// read after it.
-func (s *stateCache) reapply(j *jobstate.Job) {
+// replayLog applies the log's entries for a job again, after older state of the job was read
+// later than the log.
+func (s *stateCache) replayLog(j *jobstate.Job) {
 	for _, p := range s.progressLog {
 		for k := range p.Entries {
 			if p.Entries[k].Job == j.ID {
@@ -106,16 +106,16 @@
 	}
 }
 
-// openProgressLog is called when this controller begins to lead, and when chunks are
-// split: it finds out what each page is needed for.
+// openProgressLog determines for which chunks each page is needed, and the next sequence number.
+// It is called when this controller becomes the leader, and when chunks are split.
 func (c *committer) openProgressLog() {
 	commits := &c.elector.leadership.commits
 	for _, page := range c.cache.progressLog {
-		page.unfoldedChunks = map[chunkRef]struct{}{}
+		page.uncompactedChunks = map[chunkRef]struct{}{}
 		for k := range page.Entries {
 			entry := &page.Entries[k]
 			if j := c.cache.jobs[entry.Job]; j != nil && j.Task(entry.Task) != nil {
-				page.unfoldedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
+				page.uncompactedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
 			}
 		}
 		commits.nextLogEntry = max(commits.nextLogEntry, page.NextSeq())
@@ -127,8 +127,8 @@
 	}
 }
 
-// newPage begins the page that is written to next. A leader never goes on with a page of
-// an earlier one.
+// newPage adds a page and makes it the one that is appended to. A leader never appends to a page
+// of an earlier leader.
 func (c *committer) newPage() *logPage {
 	number := 1
 	if pages := c.cache.progressLog; len(pages) > 0 {
@@ -136,28 +136,29 @@
 	}
 	commits := &c.elector.leadership.commits
 	page := &logPage{
-		LogPage:        jobstate.LogPage{FirstSeq: commits.nextLogEntry},
-		number:         number,
-		unfoldedChunks: map[chunkRef]struct{}{},
-		newest:         map[taskRef]int{},
-		names:          map[string]struct{}{},
-		size:           emptyPageBytes,
+		LogPage:           jobstate.LogPage{FirstSeq: commits.nextLogEntry},
+		number:            number,
+		uncompactedChunks: map[chunkRef]struct{}{},
+		newest:            map[taskRef]int{},
+		names:             map[string]struct{}{},
+		size:              emptyPageBytes,
 	}
 	c.cache.progressLog = append(c.cache.progressLog, page)
 	commits.logTail = page
 	return page
 }
 
-// append enters changes of a chunk, or nothing if they don't fit. An entry that
-// was once sent stays, as the write may have been, or may yet be, executed.
+// append appends the changed entries of a chunk and reports whether they fit; if they do not, it
+// appends none. An entry that was sent once stays in the page, as the write may have been
+// executed, or may still be.
 func (p *logPage) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
-	had := len(p.Entries)
+	previousLen := len(p.Entries)
 	for _, e := range entries {
 		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
-			continue // a write that failed had it
+			continue // already appended for a write that failed
 		}
-		// No less than it takes: names may be new, and numbers as long as they
-		// ever get but the attempt's.
+		// This is an upper bound: names that are not in the page yet count in full, and
+		// numbers other than the attempt with the most digits that they can have.
 		p.size += len("9999,99999,,9999,") + len(strconv.FormatUint(uint64(e.Attempt)*2+1, 10))
 		for _, n := range []string{e.Machine, e.Job} {
 			if _, ok := p.names[n]; !ok {
@@ -167,34 +168,34 @@
 		p.Entries = append(p.Entries, e)
 	}
 	if p.size > limit {
-		// It is less in fact, as names share what they begin with.
+		// The encoded size is smaller than the estimate, as names share prefixes.
 		if p.size = len(p.Encode()); p.size > limit {
-			p.Entries = p.Entries[:had]
+			p.Entries = p.Entries[:previousLen]
 			p.size = len(p.Encode())
 			return false
 		}
 	}
-	for k := had; k < len(p.Entries); k++ {
+	for k := previousLen; k < len(p.Entries); k++ {
 		e := &p.Entries[k]
 		p.newest[taskRef{e.Job, e.Task}] = k
 		p.names[e.Machine], p.names[e.Job] = struct{}{}, struct{}{}
 	}
-	p.unfoldedChunks[ref] = struct{}{}
+	p.uncompactedChunks[ref] = struct{}{}
 	return true
 }
 
-// pageWrites are the pages of a transaction that is being put together.
+// pageWrites are the log pages of a transaction that is being built.
 type pageWrites struct {
 	committer *committer
 	pages     []*logPage
 }
 
-// count is how many writes they take.
+// count returns the number of writes that the pages take.
 func (w *pageWrites) count() int { return len(w.pages) }
 
-// append enters the changes of a chunk in the log, if that can be done with so
-// much room for writes.
-func (w *pageWrites) append(j *jobstate.Job, index, room int) (version uint64, ok bool) {
+// append appends the changes of a chunk to the log, if that is possible with the given number of
+// remaining writes.
+func (w *pageWrites) append(j *jobstate.Job, index, remainingWrites int) (version uint64, ok bool) {
 	c := w.committer
 	if !c.membership.logEnabled() {
 		return 0, false
@@ -209,11 +210,11 @@
 		page = c.newPage()
 	}
 	begun := len(w.pages) > 0 && w.pages[len(w.pages)-1] == page
-	if !begun && room < 1 {
+	if !begun && remainingWrites < 1 {
 		return 0, false
 	}
 	if !page.append(ref, entries, limit) {
-		if room < 1 || len(page.Entries) == 0 {
+		if remainingWrites < 1 || len(page.Entries) == 0 {
 			return 0, false
 		}
 		page, begun = c.newPage(), false
@@ -228,14 +229,14 @@
 	return j.BeginLogWrite(index), true
 }
 
-// committed notes the revision at which the pages were written.
+// committed records the revision at which the pages were written.
 func (w *pageWrites) committed(revision uint64) {
 	for _, page := range w.pages {
 		page.Revision = revision
 	}
 }
 
-// setPageRevision sets the revision of the page that a key is of.
+// setPageRevision sets the revision of the page with the given key.
 func (s *stateCache) setPageRevision(key string, revision uint64) {
 	for _, page := range s.progressLog {
 		if pageKey(page.number) == key {
@@ -244,7 +245,8 @@
 	}
 }
 
-// setOrphanedRevision sets the revision of a chunk without its job, 0 for none.
+// setOrphanedRevision sets the revision of a chunk whose job is not known, if the job has any; 0
+// removes the chunk.
 func (c *committer) setOrphanedRevision(id string, ref jobstate.ChunkRef, revision uint64) {
 	chunks := c.cache.orphanedChunks[id]
 	if chunks == nil {
@@ -260,46 +262,46 @@
 	}
 }
 
-// lacksEntries says that the stored value of a chunk does not have all of a page's
-// entries, and that its job is still there to need them.
+// lacksEntries reports whether the stored value of a chunk lacks entries of a page while its job
+// still exists.
 func (c *committer) lacksEntries(ref chunkRef, page *logPage) bool {
 	return c.cache.jobs[ref.job.ID] == ref.job && ref.job.FirstUnstoredSeq(ref.chunk) < page.NextSeq()
 }
 
-// progressLogTick finds the pages that nothing needs any more, and folds the oldest
-// when there are too many.
+// progressLogTick determines which pages are not needed any more, and compacts the oldest pages
+// if there are too many.
 func (c *committer) progressLogTick() {
-	c.findUnneededPages()
-	most := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
+	c.countRemovablePages()
+	maxPages := max(minLogPages, maxLogBytes/max(c.membership.valueLimit(), 1))
 	pages := c.cache.progressLog
-	for _, page := range pages[:max(0, len(pages)-most)] {
-		c.foldPage(page)
+	for _, page := range pages[:max(0, len(pages)-maxPages)] {
+		c.compactPage(page)
 	}
 }
 
-// minLogPages is how many pages are kept at least, however small they are.
+// minLogPages is the minimum number of pages that are kept, however small they are.
 const minLogPages = 8
 
-// findUnneededPages counts the pages at the front that nothing needs any more.
-func (c *committer) findUnneededPages() {
+// countRemovablePages counts the pages at the front that are not needed any more.
+func (c *committer) countRemovablePages() {
 	commits := &c.elector.leadership.commits
-	commits.unneededPages = 0
+	commits.removablePages = 0
 	for i, page := range c.cache.progressLog {
-		for ref := range page.unfoldedChunks {
+		for ref := range page.uncompactedChunks {
 			if !c.lacksEntries(ref, page) {
-				delete(page.unfoldedChunks, ref)
+				delete(page.uncompactedChunks, ref)
 			}
 		}
-		if page == commits.logTail || len(page.unfoldedChunks) > 0 {
-			return // they go in their order
+		if page == commits.logTail || len(page.uncompactedChunks) > 0 {
+			return // pages are removed in order
 		}
-		commits.unneededPages = i + 1
+		commits.removablePages = i + 1
 	}
 }
 
-// foldPage has the chunks that a page is needed for written as values.
-func (c *committer) foldPage(page *logPage) {
-	for ref := range page.unfoldedChunks {
+// compactPage requests that the chunks for which a page is needed are written as values.
+func (c *committer) compactPage(page *logPage) {
+	for ref := range page.uncompactedChunks {
 		if c.lacksEntries(ref, page) {
 			ref.job.CompactChunk(ref.chunk, c.now)
 			c.markDirty(ref.job)
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -8,54 +8,54 @@
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
-// TestObserved: what was read of a transaction counts for its answer, where that is lost:
-// others tell users of it meanwhile, and its writer once wrote it again in vain for
-// two seconds at a time. Only all of its changes, as they were sent, of one revision
-// later than any that it is conditional on, show that it was carried out.
-func TestObserved(t *testing.T) {
-	const stamp = 20
+// TestObservedTransaction checks that a transaction without an answer completes once its changes
+// were read. Without this, other controllers tell users of the changes while the writer sends them
+// again in vain, for two seconds at a time. The transaction counts as executed only if all of its
+// changes are read as they were sent, at one revision that is later than any in its conditions.
+func TestObservedTransaction(t *testing.T) {
+	const observedRevision = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
-	seen := func(key, value string, stamp uint64) Change {
-		return Change{Key: key, Value: []byte(value), Revision: stamp}
+	changeOf := func(key, value string, revision uint64) Change {
+		return Change{Key: key, Value: []byte(value), Revision: revision}
 	}
 	writes := []Write{put("zinclb/x/a", "1"), put("zinclb/x/b", "2"), {Key: "zinclb/x/c"}}
-	gone := Change{Key: "zinclb/x/c", Revision: stamp, Removed: true}
+	removal := Change{Key: "zinclb/x/c", Revision: observedRevision, Removed: true}
 	cases := []struct {
-		name string
-		seen []Change
-		want bool
+		name    string
+		changes []Change
+		want    bool
 	}{
-		{"all of it", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), gone}, true},
-		{"all of it, beside others", []Change{seen("zinclb/x/a", "0", stamp-1), seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/y", "2", stamp+1), gone}, true},
-		{"a part", []Change{seen("zinclb/x/a", "1", stamp), gone}, false},
-		{"another value", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "3", stamp), gone}, false},
-		{"a value where it removes", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp), seen("zinclb/x/c", "", stamp)}, false},
-		{"two revisions", []Change{seen("zinclb/x/a", "1", stamp), seen("zinclb/x/b", "2", stamp+1), gone}, false},
-		{"the same changes of before, which it is conditional on", []Change{seen("zinclb/x/a", "1", stamp-10), seen("zinclb/x/b", "2", stamp-10), {Key: "zinclb/x/c", Revision: stamp - 10, Removed: true}}, false},
-		{"nothing", nil, false},
+		{"all changes", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), removal}, true},
+		{"all changes among others", []Change{changeOf("zinclb/x/a", "0", observedRevision-1), changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), changeOf("zinclb/y", "2", observedRevision+1), removal}, true},
+		{"some of the changes", []Change{changeOf("zinclb/x/a", "1", observedRevision), removal}, false},
+		{"different value", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "3", observedRevision), removal}, false},
+		{"value instead of a removal", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision), changeOf("zinclb/x/c", "", observedRevision)}, false},
+		{"changes at two revisions", []Change{changeOf("zinclb/x/a", "1", observedRevision), changeOf("zinclb/x/b", "2", observedRevision+1), removal}, false},
+		{"same changes at the revision in the conditions", []Change{changeOf("zinclb/x/a", "1", observedRevision-10), changeOf("zinclb/x/b", "2", observedRevision-10), {Key: "zinclb/x/c", Revision: observedRevision - 10, Removed: true}}, false},
+		{"no changes", nil, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newLeaderHarness(t)
 			var got []TransactionResult
-			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", stamp-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
+			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
 			r.c.effects = nil // nobody answers
-			r.c.transactions.Observe(tc.seen, r.c.now)
+			r.c.transactions.Observe(tc.changes, r.c.now)
 			r.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
-				t.Fatal("the answer was given no time")
+				t.Fatalf("got results %+v before the answer timeout, want none", got)
 			}
 			r.tick(100_000)
-			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == stamp && got[0].Observed; ok != tc.want || len(got) > 1 {
-				t.Errorf("%+v, want an answer: %v", got, tc.want)
+			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == observedRevision && got[0].Observed; ok != tc.want || len(got) > 1 {
+				t.Errorf("got results %+v, want one observed commit at revision %d: %v", got, observedRevision, tc.want)
 			}
 		})
 	}
 }
 
-// TestObservedOrAnswered: an answer that comes is taken as it is; one that does not come at all
-// is what was read.
-func TestObservedOrAnswered(t *testing.T) {
+// TestAnswerPrecedesObservation checks that an answer is used as it is, even if the changes were
+// read before, and that without an answer the outcome follows from the changes read.
+func TestAnswerPrecedesObservation(t *testing.T) {
 	for _, tc := range []struct {
 		answer, want kv.Outcome
 		observed     bool
@@ -68,13 +68,14 @@
 		r.c.transactions.Complete(TransactionResult{ID: r.c.lastID, Outcome: tc.answer, Revision: 9})
 		r.tick(second)
 		if len(got) != 1 || got[0].Outcome != tc.want || got[0].Observed != tc.observed {
-			t.Errorf("answered %d: %+v", tc.answer, got)
+			t.Errorf("answer %d: got results %+v, want one with outcome %d, observed %v", tc.answer, got, tc.want, tc.observed)
 		}
 	}
 }
 
-// TestAnswerLost: a user whose submission or cancellation was carried out, and whose
-// answer alone was lost, is answered at once and not when the writer gives up.
+// TestAnswerLost checks that if a submission or cancellation is executed and only the answer of
+// the state service is lost, the user is answered within half a second, and not only when the
+// writer stops waiting for the answer.
 func TestAnswerLost(t *testing.T) {
 	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
 	s.advance(200_000)
@@ -86,22 +87,23 @@
 		at := s.now
 		r := s.request(tc.msg)
 		if r.Job == nil || r.Job.State != tc.want {
-			t.Fatalf("%T: %+v, want %s", tc.msg, r, tc.want)
+			t.Fatalf("%T: got reply %+v, want job state %s", tc.msg, r, tc.want)
 		}
 		if s.now-at > second/2 {
-			t.Errorf("%T took %d µs", tc.msg, s.now-at)
+			t.Errorf("%T: got reply after %d us, want at most %d us", tc.msg, s.now-at, second/2)
 		}
 	}
 	for _, id := range []string{"new", "open"} {
 		if s.keys[endPrefix+id].Value == nil {
-			t.Errorf("the end of %s is not stored", id)
+			t.Errorf("job %s: got no stored end, want one", id)
 		}
 	}
 }
 
-// TestRepeats: users who repeat a submission or a cancellation while it is written
-// cost no writes: there are few a second, and placements need them.
-func TestRepeats(t *testing.T) {
+// TestRepeatedRequestsWriteOnce checks that repeating a submission or a cancellation while it is
+// being written causes no further writes: the writes per second are limited, and placements need
+// them.
+func TestRepeatedRequestsWriteOnce(t *testing.T) {
 	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
 	s.advance(200_000)
 	for _, tc := range []struct {
@@ -138,11 +140,11 @@
 		s.advance(second)
 		for _, r := range reqs {
 			if a := s.replies[r]; a.Job == nil || a.Job.State != tc.want {
-				t.Errorf("%s: %+v, want %s", tc.id, a, tc.want)
+				t.Errorf("job %s: got reply %+v, want job state %s", tc.id, a, tc.want)
 			}
 		}
 		if n != 1 {
-			t.Errorf("%d transactions about %s for %d requests", n, tc.id, len(reqs))
+			t.Errorf("job %s: got %d transactions for %d requests, want 1", tc.id, n, len(reqs))
 		}
 	}
 }
