--- a/internal/core/cloudmessages.go
+++ b/internal/core/cloudmessages.go
@@ -75,7 +75,7 @@
 	FencingToken uint64
 }
 
-// ScaledIn says whether machines were returned.
+// ScaledIn reports whether machines were returned.
 type ScaledIn struct {
 	Names        []string
 	OK           bool
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -6,20 +6,20 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// What a heartbeat proves, and of when, is a table in docs/design.md. In short: it was sent
-// at some time, by a machine that may not receive answers, as in a one-way partition. A
-// copy of one comes late, so its number has to be the newest, and the machine not have
-// departed.
+// A table in docs/design.md lists what a heartbeat proves, and as of which time. In short: a
+// heartbeat was sent at some time in the past, by a machine that may not receive answers, as
+// in a one-way partition. It may be a late copy, so it counts only if its sequence number is
+// the newest and its machine has not departed.
 
-// maxDeliveryProbes bounds the machines that are probed in a tick as they do not receive
-// answers.
+// maxDeliveryProbes is the maximum number of machines that are probed per tick because they
+// do not receive answers.
 const maxDeliveryProbes = 8
 
-// answerLifetime is for how long an answer to a heartbeat can still be accepted: the
-// worker gives up on it after 4 s.
+// answerLifetime is how long, in microseconds, an answer to a heartbeat can still be accepted:
+// the worker stops waiting for it after 4 s.
 const answerLifetime = 4_200_000
 
-// judgeDelivery judges by a new heartbeat whether its machine receives answers.
+// judgeDelivery determines from a new heartbeat whether its machine receives answers.
 func (w *workerManager) judgeDelivery(machine *fleet.Machine, heartbeat *Heartbeat) {
 	delivery := &machine.Delivery
 	lost := false
@@ -42,16 +42,16 @@
 	}
 }
 
-// endedEpochThoughAnswered says that a worker has ended its epoch for want of answers
-// though it was sent some.
+// endedEpochThoughAnswered reports whether a worker has ended its epoch because it received no
+// answers, although it was recently sent one.
 func (w *workerManager) endedEpochThoughAnswered(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	lease := config.MicrosOf(w.settings.Workers.LeaseS)
 	return machine.Epoch != 0 && heartbeat.Epoch > machine.Epoch && w.now-machine.LastAnswer < lease*3/4
 }
 
-// abandonUnacknowledged gives up the attempts on a machine that does not receive answers,
-// as far as no heartbeat has listed them. They are cleared when a later heartbeat does not
-// list them either, as any attempt that is to stop; those that were listed stay on the
+// abandonUnacknowledged requests the stop of those attempts on a machine that no heartbeat has
+// listed, as the machine does not receive answers. Like any stopping attempt they are cleared
+// when a later heartbeat does not list them either. Attempts that were listed stay on the
 // machine until its lease has expired.
 func (w *workerManager) abandonUnacknowledged(machine *fleet.Machine) {
 	var refs []fleet.TaskRef
@@ -64,20 +64,21 @@
 	for _, ref := range refs {
 		w.tasks.requestStop(ref.Job, ref.Index, jobstate.StopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome() == "" {
-			w.tasks.breakGang(ref.Job, false) // it would wait for this one in vain
+			w.tasks.breakGang(ref.Job, false) // the gang would wait for this task in vain
 		}
 	}
 }
 
-// deliveryRestored lets a machine be used again that receives answers, or is tried again.
+// deliveryRestored makes a machine usable again that receives answers, or that is due for
+// another try.
 func (w *workerManager) deliveryRestored(machine *fleet.Machine) {
 	w.log.Info("machine receives answers again", "machine", machine.Name)
 	machine.MarkChanged()
 	w.elector.leadership.planning.requestRound()
 }
 
-// probeNotReceiving probes machines that do not receive answers, and has those tried again
-// that can't be probed.
+// probeNotReceiving probes machines that do not receive answers, and makes those usable again
+// that are due for another try, as not every machine can be probed.
 func (w *workerManager) probeNotReceiving() {
 	probed := 0
 	for _, machine := range w.elector.leadership.fleet.All() {
@@ -94,16 +95,17 @@
 	}
 }
 
-// probeOutdated probes a machine of which an outdated heartbeat has come: that is a copy,
-// or the machine has lost its state and numbers its heartbeats anew. Only the answer to a
-// probe tells them apart.
+// probeOutdated probes a machine after an outdated heartbeat. Either the heartbeat is a late
+// copy, or the machine has lost its state and restarted its sequence numbers; only the answer
+// to a probe distinguishes the two.
 func (w *workerManager) probeOutdated(machine *fleet.Machine, addr string) {
 	if w.now-machine.LastHeartbeat > config.MicrosOf(w.settings.Workers.ReportS)/2 {
 		w.probe(machine, addr)
 	}
 }
 
-// probe asks a machine for a heartbeat, unless it was asked just now.
+// probe asks a machine for a heartbeat, unless it was probed recently. It reports whether it
+// sent a probe.
 func (w *workerManager) probe(machine *fleet.Machine, addr string) bool {
 	if !machine.BeginProbe(w.now) {
 		return false
@@ -112,10 +114,11 @@
 	return true
 }
 
-// needsProbe says that a heartbeat of a machine that numbers them anew lacks what was to be
-// there. It may be a copy from before, and proves nothing. So the machine is probed, and
-// gets no answers until none that it was sent can still be accepted: then its own answer
-// proves what it does not have.
+// needsProbe reports whether a heartbeat must be refused until the machine has answered a
+// probe: the machine has restarted its sequence numbers, and the heartbeat lacks a stopping
+// task whose start was sent. Such a heartbeat may be a copy from before the restart and proves
+// nothing. So the machine is probed, and is given no answers until none of those sent to it
+// can still be accepted; its answer to the probe then proves what it does not have.
 func (w *workerManager) needsProbe(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	if !machine.SeqRestarted() {
 		return false
@@ -136,7 +139,7 @@
 	return needed
 }
 
-// listsAttempt says whether a heartbeat lists an attempt.
+// listsAttempt reports whether the heartbeat lists the given attempt of a task.
 func (h *Heartbeat) listsAttempt(task string, attempt uint32) bool {
 	for k := range h.Tasks {
 		if t := &h.Tasks[k]; t.Name == task && t.Attempt == uint64(attempt) {
@@ -165,8 +168,9 @@
 	}
 	w.stopListedTasks(machine, heartbeat)
 	if machine.ApplyProbe(m.SentAt, heartbeat.Epoch, heartbeat.Seq) {
-		// Since when is not known: what was started after that is still there.
-		w.log.Info("machine numbers its heartbeats anew", "machine", machine.Name, "tasks", len(machine.Placed))
+		// It is not known when the numbering restarted; tasks that were started after
+		// that are still there.
+		w.log.Info("machine restarted its heartbeat sequence numbers", "machine", machine.Name, "tasks", len(machine.Placed))
 		machine.LastHeartbeat, machine.HasCurrentToken = w.now, false
 		machine.MarkChanged()
 	}
@@ -175,8 +179,8 @@
 	}
 }
 
-// clearUnlisted clears what a machine that numbers its heartbeats anew does not list in its
-// answer to a probe that was sent at sentAt.
+// clearUnlisted clears the placements and the prefetch that a machine with restarted sequence
+// numbers does not list in its answer to a probe that was sent at sentAt.
 func (w *workerManager) clearUnlisted(machine *fleet.Machine, heartbeat *Heartbeat, sentAt int64) {
 	answersExpired := sentAt > machine.LastAnswer+answerLifetime
 	var lost, neverStarted []fleet.TaskRef
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -23,7 +23,7 @@
 	r.step(MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: epoch, Seq: seq, FencingToken: token, Tasks: tasks}})
 }
 
-// usable says whether m may be given work.
+// usable reports whether m may be given work.
 func (r *leaderHarness) usable() bool {
 	m := r.c.elector.leadership.fleet.Get("m")
 	return m != nil && r.c.planner.usable(m)
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -2,22 +2,22 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// departedRetention is how long a machine's departure is remembered: copies of heartbeats
-// come well over a lease late.
+// departedRetention is how long a departed machine is remembered. Copies of heartbeats can
+// arrive late by much more than a lease.
 const departedRetention = 900 * second
 
-// departedMachines are the machines that a leader has forgotten. Copies of their heartbeats
-// may still come, and would bring back a machine that is not there.
+// departedMachines records the machines that a leader has removed from the fleet. Late copies
+// of their heartbeats would otherwise add a machine again that no longer exists.
 type departedMachines struct {
 	byName    map[string]departure
 	expiredAt int64
 }
 
-// departure is the newest heartbeat of a machine that is forgotten.
+// departure holds the epoch and sequence number of the last heartbeat of a removed machine.
 type departure struct {
 	epoch, seq uint64
-	// returned: the cloud has confirmed the machine's release, so that it is gone for
-	// certain.
+	// returned is set if the machine is certainly gone, because the cloud has confirmed its
+	// release or its list proves it.
 	returned bool
 	at       int64
 }
@@ -26,18 +26,19 @@
 	return departedMachines{byName: map[string]departure{}}
 }
 
-// noteReturned remembers a machine whose release the cloud has confirmed.
+// noteReturned records a machine that is certainly gone, because the cloud has confirmed its
+// release or its list proves it.
 func (d *departedMachines) noteReturned(name string, now int64) {
 	d.note(name, departure{returned: true, at: now})
 }
 
-// noteRemoved remembers a machine that the leader knows no longer.
+// noteRemoved records a machine that the leader has removed from the fleet.
 func (d *departedMachines) noteRemoved(machine *fleet.Machine, now int64) {
 	d.note(machine.Name, departure{epoch: machine.Epoch, seq: machine.Seq, at: now})
 }
 
-// note remembers a departure beside what is known of earlier ones of the machine, and
-// forgets those of long ago.
+// note merges a departure with earlier ones of the same machine. It deletes expired
+// departures from time to time.
 func (d *departedMachines) note(name string, newest departure) {
 	known := d.byName[name]
 	newest.epoch = max(known.epoch, newest.epoch)
@@ -58,5 +59,5 @@
 	}
 }
 
-// wasReturned says whether a machine is gone for certain.
+// wasReturned reports whether a machine is certainly gone.
 func (d *departedMachines) wasReturned(name string) bool { return d.byName[name].returned }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -54,7 +54,7 @@
 	t.elector.leadership.planning.requestRound()
 }
 
-// endsWithin says whether a task should end well within a duration, by its estimate.
+// endsWithin reports whether a task should end well within a duration, by its estimate.
 func (t *taskManager) endsWithin(job *jobstate.Job, task *jobstate.Task, duration int64) bool {
 	return task.StartedAt != 0 && task.StartedAt+job.Estimate < t.now+duration*3/4
 }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -5,10 +5,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// heartbeatState is what the worker manager keeps while this controller leads.
+// heartbeatState is the state that the worker manager keeps while this controller leads.
 type heartbeatState struct {
 	held heldHeartbeats
-	// releaseWanted: there may be commands for held heartbeats by now.
+	// releaseWanted is set if there may now be commands for held heartbeats.
 	releaseWanted bool
 	departed      departedMachines
 }
@@ -20,11 +20,12 @@
 	}
 }
 
-// requestRelease has the held heartbeats looked at once the present message is handled.
+// requestRelease schedules a check of the held heartbeats for after the current message has
+// been handled.
 func (s *heartbeatState) requestRelease() { s.releaseWanted = true }
 
 // workerManager handles the heartbeats of all workers at the leader, and reconciles the
-// tasks that they list with those that are placed.
+// tasks that they list with the placed tasks.
 type workerManager struct {
 	*engine
 
@@ -34,7 +35,7 @@
 	tasks      *taskManager
 }
 
-// heartbeatRefusal is why a heartbeat is refused, as its worker is told.
+// heartbeatRefusal is the reason for refusing a heartbeat that is sent to its worker.
 type heartbeatRefusal string
 
 const (
@@ -46,7 +47,8 @@
 	refusedNotLeading  heartbeatRefusal = "no longer leading"
 )
 
-// getOrAddMachine returns a machine, which the leader knows from then on.
+// getOrAddMachine returns the machine with the given name, and adds it to the fleet if it
+// is not known.
 func (w *workerManager) getOrAddMachine(name string) *fleet.Machine {
 	term := w.elector.leadership
 	if machine := term.fleet.Get(name); machine != nil {
@@ -54,11 +56,12 @@
 	}
 	machine := fleet.NewMachine(name, w.now)
 	if w.now == term.since {
-		// An earlier leader may go on answering it for the hold time.
+		// A previous leader may continue to answer it until its authority expires.
 		machine.LastAnswer = w.now + w.settings.LeaderAuthorityTime()
 	}
 	if departure, ok := term.heartbeats.departed.byName[name]; ok {
-		// Copies of its heartbeats may still come: they are outdated.
+		// Late copies of its heartbeats may still arrive; with the last epoch and
+		// sequence number they are recognized as outdated.
 		machine.Epoch, machine.Seq = departure.epoch, departure.seq
 	}
 	w.prefetcher.restoreKnownImages(machine)
@@ -66,8 +69,8 @@
 	return machine
 }
 
-// handleHeartbeat brings what is known of a machine up to date, and answers its worker with
-// commands, at once or as soon as there are any.
+// handleHeartbeat updates the machine from a heartbeat and answers its worker with commands,
+// either immediately or, if the reply is held, as soon as there are commands.
 func (w *workerManager) handleHeartbeat(m HeartbeatReceived) {
 	heartbeat := &m.Heartbeat
 	if refusal := w.authorize(heartbeat); refusal != "" {
@@ -103,33 +106,34 @@
 	w.answerHeartbeat(machine, m.RequestID, commands)
 }
 
-// authorize says why a heartbeat may not be handled: this controller may not act as the
-// leader, or the machine has departed.
+// authorize returns the reason why a heartbeat must not be handled, or "" if it may be: this
+// controller may not act as the leader, or the machine was returned to the cloud.
 func (w *workerManager) authorize(heartbeat *Heartbeat) heartbeatRefusal {
 	term := w.elector.leadership
 	if !w.elector.mayAnswerWorkers() {
 		return refusedNoProof
 	}
 	if heartbeat.FencingToken > term.fencingToken {
-		// There is a newer leader, which the state service will show.
+		// There is a newer leader; read the state service to learn about it.
 		w.emit(ReadState{AfterRevision: w.cache.appliedRevision})
 		return refusedNewerToken
 	}
 	if term.heartbeats.departed.wasReturned(heartbeat.Machine) {
-		// The machine is gone for certain, so this was sent long ago.
+		// The machine is certainly gone, so this is a late copy.
 		return refusedReturned
 	}
 	return ""
 }
 
-// isOutdated says whether a heartbeat is of an earlier epoch of its machine, or no newer
-// than the newest of this epoch: it is a copy that comes late.
+// isOutdated reports whether a heartbeat is a late copy: it is from an earlier epoch of its
+// machine, or it is not newer than the newest heartbeat of the current epoch.
 func (w *workerManager) isOutdated(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	return !machine.IsNewer(heartbeat.Epoch, heartbeat.Seq) ||
 		!machine.IsPlausible(heartbeat.Epoch, heartbeat.Seq, w.now)
 }
 
-// noteHeartbeatVia notes by way of which controller a heartbeat came, "" for this one.
+// noteHeartbeatVia records which controller received a heartbeat from the worker; "" is this
+// controller.
 func (w *workerManager) noteHeartbeatVia(controller string) {
 	if controller == "" {
 		controller = w.settings.Name
@@ -137,7 +141,7 @@
 	w.elector.leadership.partitions.recordHeartbeatVia(controller, w.now)
 }
 
-// updateMachine takes over what a heartbeat says of its machine, tasks aside.
+// updateMachine updates the machine from a heartbeat, except for its tasks.
 func (w *workerManager) updateMachine(machine *fleet.Machine, heartbeat *Heartbeat) {
 	term := w.elector.leadership
 	isFirst := machine.LastHeartbeat == 0
@@ -150,8 +154,9 @@
 		machine.Type = heartbeat.Type
 		machine.SetType(w.cache.machineTypes)
 	}
-	// A worker that knew the token when it sent the heartbeat accepts no commands of an
-	// earlier leader any more: only then does it prove what is absent.
+	// A worker that knew the current token when it sent the heartbeat no longer accepts
+	// commands from an earlier leader. Only such a heartbeat proves that an unlisted task
+	// is absent.
 	hadToken := machine.HasCurrentToken
 	machine.HasCurrentToken = heartbeat.FencingToken == term.fencingToken
 	if isFirst || newEpoch || !hadToken && machine.HasCurrentToken {
@@ -159,7 +164,8 @@
 	}
 }
 
-// notePreemption drains a machine that the cloud is about to take.
+// notePreemption drains a machine that the cloud is about to reclaim. A negative notice means
+// that there is no preemption notice.
 func (w *workerManager) notePreemption(machine *fleet.Machine, notice int64) {
 	if notice < 0 || machine.ReclaimAt != 0 {
 		return
@@ -169,14 +175,14 @@
 	w.tasks.drainMachine(machine, notice)
 }
 
-// answerHeartbeat sends commands in the answer to a heartbeat. Which of them take effect
-// shows whether the machine receives answers.
+// answerHeartbeat sends commands in the answer to a heartbeat, and records those whose effect
+// in the next heartbeat shows whether the machine receives answers.
 func (w *workerManager) answerHeartbeat(machine *fleet.Machine, requestID uint64, commands []Command) {
 	delivery := &machine.Delivery
 	delivery.SentCommands = delivery.SentCommands[:0]
 	for _, command := range commands {
 		if command.Kind == CommandStop {
-			continue // it may take the task's grace to show
+			continue // its effect may become visible only after the task's grace period
 		}
 		delivery.SentCommands = append(delivery.SentCommands, fleet.SentCommand{
 			Task:    command.Task,
@@ -192,8 +198,8 @@
 	})
 }
 
-// refuse answers a heartbeat without commands; the answer does not renew the worker's
-// lease.
+// refuse answers a heartbeat with a refusal, which contains no commands and does not renew
+// the worker's lease.
 func (w *workerManager) refuse(requestID uint64, refusal heartbeatRefusal) {
 	w.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: string(refusal)})
 }
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -2,8 +2,8 @@
 
 import "github.com/zinclb/zinclb/internal/core/connectivity"
 
-// heartbeatRouter takes a worker's heartbeat to the leader, by way of the controller that
-// holds the lease of the machine's partition.
+// heartbeatRouter routes worker heartbeats to the leader through the controller that holds
+// the lease of the machine's partition.
 type heartbeatRouter struct {
 	*engine
 
@@ -20,21 +20,21 @@
 	return &heartbeatRouter{engine: run, redirects: map[string]redirect{}}
 }
 
-// redirect is when a worker was last redirected to another controller, until when it is
-// not redirected again, and when its heartbeat was last accepted here.
+// redirect records when a worker was last redirected to another controller, the time until
+// which it is not redirected again, and when its heartbeat was last accepted here.
 type redirect struct{ sentAt, keepUntil, servedAt int64 }
 
-// A worker that comes back soon after a redirect could not be served there, as when it
-// can't reach that controller: it is kept for a while, so that it does not lose seconds
-// again and again, and so that two controllers do not redirect it to each other without
-// end.
+// A worker that returns within redirectReturnTime of a redirect was not served by the other
+// controller, for example because it cannot reach it. It is then served here for
+// keepWorkerTime, so that it does not lose seconds on repeated redirects and two controllers
+// do not redirect it to each other endlessly.
 const (
 	redirectReturnTime = 15 * second
 	keepWorkerTime     = 60 * second
 )
 
-// onHeartbeat handles a heartbeat at the leader, relays it to the leader, or redirects its
-// worker to a controller that can do so.
+// onHeartbeat handles a heartbeat if this controller leads; otherwise it relays the heartbeat
+// to the leader, or redirects its worker to a controller that can handle or relay it.
 func (r *heartbeatRouter) onHeartbeat(m HeartbeatReceived) {
 	r.recordContact(m)
 	if r.elector.isLeader() {
@@ -56,8 +56,8 @@
 	}
 }
 
-// recordContact notes what the arrival of a heartbeat shows of the links. A late copy from a
-// machine that is gone shows nothing of the way to the workers.
+// recordContact updates link health from the arrival of a heartbeat. A late copy from a
+// machine that is gone is no evidence about the link to the workers.
 func (r *heartbeatRouter) recordContact(m HeartbeatReceived) {
 	isGone := r.elector.isLeader() && r.elector.leadership.heartbeats.departed.wasReturned(m.Heartbeat.Machine)
 	machine := connectivity.Machine{
@@ -78,8 +78,8 @@
 	}
 }
 
-// routeAsLeader handles a heartbeat here, unless its worker is to go by way of the holder
-// of its partition.
+// routeAsLeader handles a heartbeat here, unless its worker should use the holder of its
+// partition, to which it is then redirected.
 func (r *heartbeatRouter) routeAsLeader(m HeartbeatReceived) {
 	holder := r.cache.partitions.Holder(m.Heartbeat.Machine)
 	if m.From == "" && r.canServe(holder, m.Heartbeat.Zone) && r.mayRedirect(&m.Heartbeat, r.elector.fencingToken()) {
@@ -90,8 +90,10 @@
 	r.workers.handleHeartbeat(m)
 }
 
-// routeToLeader relays a worker's own heartbeat to a leader that is up, where this
-// controller holds the machine's partition or nobody else would serve the worker better.
+// routeToLeader relays a heartbeat that came directly from its worker to a leader that is up,
+// if this controller holds the machine's partition, the leader cannot reach the worker's zone
+// or the worker should not be redirected. Otherwise it redirects the worker to the holder of
+// its partition, or to the leader if the holder cannot serve it.
 func (r *heartbeatRouter) routeToLeader(m HeartbeatReceived, leader string) {
 	name, zone := m.Heartbeat.Machine, m.Heartbeat.Zone
 	if r.holdsPartition(name) ||
@@ -108,10 +110,10 @@
 	r.redirectTo(m.RequestID, to)
 }
 
-// routeWithoutLeader handles a worker's own heartbeat that this controller can't relay to
-// the leader. The worker is redirected to a controller that can, or to the leader itself
-// where that reaches the worker's zone; one that comes back can reach neither, and its
-// heartbeat is relayed by way of another controller.
+// routeWithoutLeader handles a heartbeat that came directly from its worker and that this
+// controller can't relay to the leader. The worker is redirected to a controller that can, or
+// to the leader itself if it reaches the worker's zone. A worker that returns can reach
+// neither, so its heartbeat is relayed through another controller.
 func (r *heartbeatRouter) routeWithoutLeader(m HeartbeatReceived, leader string) {
 	if !r.settings.Ops.Reach || leader == "" || leader == r.settings.Name {
 		r.refuse(m.RequestID, "no leader known")
@@ -120,7 +122,7 @@
 	relay := r.peers.connectivity.RelayTo(leader)
 	to := relay
 	if to == "" && !r.health.unavailable() && r.peers.connectivity.ReachesZone(leader, m.Heartbeat.Zone) {
-		to = leader // by its stored advertisement, which is as old as the cached state
+		to = leader // based on its stored advertisement, which is as old as the cached state
 	}
 	switch {
 	case to != "" && r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token):
@@ -133,14 +135,15 @@
 	}
 }
 
-// canServe says whether another controller can take the heartbeats of a zone's workers.
+// canServe reports whether the controller is a peer that can handle the heartbeats of a zone's
+// workers.
 func (r *heartbeatRouter) canServe(controller, zone string) bool {
 	return controller != "" && controller != r.settings.Name &&
 		r.peers.connectivity.PeerUp(controller, r.now) &&
 		!r.peers.connectivity.CannotReachZone(controller, zone)
 }
 
-// holdsPartition says whether this controller holds the lease of a machine's partition.
+// holdsPartition reports whether this controller holds the lease of a machine's partition.
 func (r *heartbeatRouter) holdsPartition(machine string) bool {
 	partitions := &r.cache.partitions
 	return partitions.Holder(machine) == r.settings.Name &&
@@ -148,8 +151,8 @@
 		r.now-r.cache.partitionsReadAt < partitions.LeaseDuration
 }
 
-// noteServedHere notes that a heartbeat is accepted here, from the worker itself if from
-// is empty.
+// noteServedHere records that a heartbeat is accepted here, if it came directly from the
+// worker (from is empty).
 func (r *heartbeatRouter) noteServedHere(machine, from string) {
 	if from == "" {
 		v := r.redirects[machine]
@@ -158,14 +161,15 @@
 	}
 }
 
-// mayRedirect says whether a worker is to be redirected, and notes that it is.
+// mayRedirect reports whether a worker is to be redirected, and records the redirect or, if the
+// worker has returned, until when it is kept here.
 func (r *heartbeatRouter) mayRedirect(heartbeat *Heartbeat, token uint64) bool {
 	v := r.redirects[heartbeat.Machine]
 	if r.now < v.keepUntil {
 		return false
 	}
-	// One that has accepted commands of this leader, and not from here, has left the
-	// holder of its partition for a reason.
+	// A worker that has accepted commands of this leader through another controller has
+	// left the holder of its partition for a reason.
 	leftHolder := heartbeat.FencingToken == token && (v.servedAt == 0 || r.now-v.servedAt > redirectReturnTime)
 	cameBack := v.sentAt != 0 && r.now-v.sentAt < redirectReturnTime
 	if leftHolder || cameBack {
@@ -178,7 +182,7 @@
 	return true
 }
 
-// expireRedirects forgets the redirects that decide nothing any more.
+// expireRedirects deletes redirects that no longer affect routing.
 func (r *heartbeatRouter) expireRedirects() {
 	for machine, v := range r.redirects {
 		if r.now-max(v.sentAt, v.keepUntil, v.servedAt) > 2*redirectReturnTime {
@@ -187,7 +191,7 @@
 	}
 }
 
-// onHeartbeatRelayed hands the answer to a relayed heartbeat on to whoever sent it.
+// onHeartbeatRelayed forwards the answer to a relayed heartbeat to its sender.
 func (r *heartbeatRouter) onHeartbeatRelayed(m HeartbeatRelayed) {
 	if m.Err != nil {
 		r.refuse(m.RequestID, "the leader does not answer")
@@ -198,12 +202,12 @@
 	r.emit(answer)
 }
 
-// redirectTo answers a heartbeat with the controller that its worker is to turn to.
+// redirectTo answers a heartbeat with the controller that its worker should use.
 func (r *heartbeatRouter) redirectTo(requestID uint64, controller string) {
 	r.emit(Reply{RequestID: requestID, Status: ReplyMisdirected, Leader: controller})
 }
 
-// refuse answers a heartbeat that can't be handled here; the worker tries another
+// refuse answers a heartbeat that can't be handled here; the worker then tries another
 // controller.
 func (r *heartbeatRouter) refuse(requestID uint64, why string) {
 	r.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: why})
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -11,18 +11,18 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// For how long the answer to a heartbeat may be held. The worker gives up on it after 4 s
-// and sends nothing new meanwhile, so only a machine without tasks waits for long.
+// The maximum times, in microseconds, for which the answer to a heartbeat is held. The worker
+// stops waiting for it after 4 s and sends nothing new in the meantime, so only the answer to a
+// machine without tasks is held for long.
 const (
 	holdIdle      = 3 * second
 	holdAfterExit = 400_000
 	holdForStart  = 400_000
 )
 
-// heldHeartbeat is a heartbeat whose answer is held for a moment, as by a long poll: a
-// start can go only into the answer to a heartbeat, and the next one is an interval away.
-// Nothing has been answered to it, so reconciling it again is as good as having reconciled
-// it later.
+// heldHeartbeat is a heartbeat whose answer is held for a short time, as in a long poll: a start
+// can be sent only in the answer to a heartbeat, and the next heartbeat is an interval away. As
+// it has not been answered yet, it can be reconciled again when it is released.
 type heldHeartbeat struct {
 	requestID uint64
 	heartbeat Heartbeat
@@ -31,25 +31,25 @@
 	via string
 }
 
-// heldHeartbeats are the heartbeats whose answers are held. At any moment a good part of an
-// idle fleet has one, so that neither the ticks nor a write may go through all of them.
+// heldHeartbeats are the heartbeats whose answers are held. At any time a large part of an idle
+// fleet has one, so neither ticks nor writes may iterate over all of them.
 type heldHeartbeats struct {
 	byName     map[string]heldHeartbeat
 	byDeadline *btree.BTreeG[heldDeadline]
-	// maybeReady are the machines that have something that may become a command.
+	// maybeReady are the machines for which there may be commands, now or soon.
 	maybeReady map[string]struct{}
-	// countVia counts them by the controller that relayed them: each holds a connection
-	// there.
+	// countVia is the number of held heartbeats by the controller that relayed them; each
+	// occupies a connection there.
 	countVia map[string]int
 }
 
-// heldDeadline is when a machine's held heartbeat is to be answered.
+// heldDeadline is the time at which a machine's held heartbeat must be answered.
 type heldDeadline struct {
 	at   int64
 	name string
 }
 
-// hasEarlierDeadline orders held heartbeats by when they are to be answered.
+// hasEarlierDeadline orders held heartbeats by deadline, then by machine name.
 func hasEarlierDeadline(a, b heldDeadline) bool {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) < 0
 }
@@ -63,13 +63,13 @@
 	}
 }
 
-// has says whether a machine's heartbeat is held.
+// has reports whether a machine's heartbeat is held.
 func (h *heldHeartbeats) has(name string) bool {
 	_, ok := h.byName[name]
 	return ok
 }
 
-// hold keeps a heartbeat; the machine's last one was taken out.
+// hold adds a heartbeat; the caller has removed an earlier one of the machine.
 func (h *heldHeartbeats) hold(machine *fleet.Machine, held heldHeartbeat) {
 	machine.MarkChanged()
 	h.byName[machine.Name] = held
@@ -80,7 +80,7 @@
 	}
 }
 
-// expectCommands notes that there may soon be commands for a machine.
+// expectCommands records that there may soon be commands for a machine.
 func (h *heldHeartbeats) expectCommands(name string) {
 	if h.has(name) {
 		h.maybeReady[name] = struct{}{}
@@ -103,8 +103,8 @@
 	return held, true
 }
 
-// ready lists the machines whose heartbeat has reached its deadline, and then those that
-// have commands.
+// ready returns the names of the machines whose held heartbeat has reached its deadline,
+// followed by those of the machines that have commands.
 func (h *heldHeartbeats) ready(now int64, hasCommands func(name string) bool) []string {
 	var names []string
 	h.byDeadline.Scan(func(deadline heldDeadline) bool {
@@ -123,8 +123,8 @@
 	return names
 }
 
-// holdTime is for how long the answer to a heartbeat may be held, given the commands that
-// it would have now and whether the heartbeat lists a placed attempt that has exited.
+// holdTime returns how long the answer to a heartbeat may be held, given the commands that it
+// would contain now and whether the heartbeat lists a placed attempt that has exited.
 func (w *workerManager) holdTime(machine *fleet.Machine, commands []Command, exited bool) int64 {
 	for _, command := range commands {
 		if command.Kind != CommandForget {
@@ -137,8 +137,8 @@
 	case exited:
 		return holdAfterExit
 	case hasUnstoredPlacement(machine):
-		// The start may go out when it is stored, mostly within milliseconds; without
-		// this it would wait for the next heartbeat.
+		// The start may be sent once the placement is stored, usually within
+		// milliseconds; without the hold it would wait for the next heartbeat.
 		return holdForStart
 	case len(machine.Placed) == 0 && len(commands) == 0 && machine.OrphanUsage == (jobstate.Resources{}):
 		return min(holdIdle, config.MicrosOf(w.settings.Workers.ReportS)*3/4)
@@ -146,7 +146,7 @@
 	return 0
 }
 
-// hasUnstoredPlacement says whether a start for a machine is yet to be stored.
+// hasUnstoredPlacement reports whether a placement on a machine is not stored yet.
 func hasUnstoredPlacement(machine *fleet.Machine) bool {
 	for ref := range machine.Placed {
 		if !ref.Job.Task(ref.Index).Stored {
@@ -156,18 +156,18 @@
 	return false
 }
 
-// mayHold says whether one more answer to a heartbeat by way of a controller may be held:
-// half of its connections are left to other workers, users and peers. Without a setting of
-// the sockets there is no bound.
+// mayHold reports whether one more heartbeat that came through a controller may be held. Half of
+// the controller's connections are left for other workers, users and peers; without a
+// configured socket limit there is no bound.
 func (w *workerManager) mayHold(via string) bool {
 	sockets := w.settings.Limits.Sockets
 	return sockets == 0 || w.elector.leadership.heartbeats.held.countVia[via] < sockets/2
 }
 
-// releaseReadyReplies answers the held heartbeats for which there are commands now, or
-// whose deadline has come.
+// releaseReadyReplies answers the held heartbeats for which there are commands now, or whose
+// deadline has passed.
 //
-// It is called after what may have made commands and with the ticks, and not after every
+// It is called on ticks and after messages that may have created commands, not after every
 // message.
 func (w *workerManager) releaseReadyReplies() {
 	heartbeats := &w.elector.leadership.heartbeats
@@ -177,13 +177,13 @@
 	}
 }
 
-// hasCommandsFor says the same as hasCommands of a machine by its name.
+// hasCommandsFor is hasCommands for a machine name; it returns false for an unknown machine.
 func (w *workerManager) hasCommandsFor(name string) bool {
 	machine := w.elector.leadership.fleet.Get(name)
 	return machine != nil && hasCommands(machine)
 }
 
-// hasCommands says whether the answer to a machine's heartbeat would have commands.
+// hasCommands reports whether the answer to a machine's heartbeat would contain commands.
 func hasCommands(machine *fleet.Machine) bool {
 	for ref := range machine.Placed {
 		task := ref.Job.Task(ref.Index)
@@ -194,8 +194,9 @@
 	return machine.Prefetch != nil && !machine.Prefetch.Sent
 }
 
-// releaseReply answers a machine's held heartbeat, if there is one: with commands, or with
-// a refusal where a newer heartbeat has come.
+// releaseReply answers a machine's held heartbeat, if there is one: with commands, or with a
+// refusal if withCommands is false because a newer heartbeat has arrived, or if the machine is
+// unknown or this controller may no longer answer workers.
 func (w *workerManager) releaseReply(name string, withCommands bool) {
 	term := w.elector.leadership
 	held, ok := term.heartbeats.held.take(name)
@@ -204,7 +205,7 @@
 	}
 	machine := term.fleet.Get(name)
 	if machine != nil {
-		machine.MarkChanged() // commands for it wait for its next heartbeat now
+		machine.MarkChanged() // further commands for it must wait for its next heartbeat
 	}
 	if !withCommands || machine == nil || !w.elector.mayAnswerWorkers() {
 		w.refuse(held.requestID, refusedOutdated)
@@ -215,7 +216,7 @@
 	w.answerHeartbeat(machine, held.requestID, commands)
 }
 
-// refuseHeld refuses all held heartbeats: this controller leads no longer.
+// refuseHeld refuses all held heartbeats because this controller no longer leads.
 func (w *workerManager) refuseHeld() {
 	held := &w.elector.leadership.heartbeats.held
 	for _, name := range sortedKeys(held.byName) {
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -28,7 +28,7 @@
 	return 1
 }
 
-// splitsPools says whether a type's spot machines are a pool of their own. What is lost
+// splitsPools reports whether a type's spot machines are a pool of their own. What is lost
 // with one is half a checkpoint interval or a run, now and then, and the price
 // differs all the time; where it does not, on-demand ones are rented first.
 func (s *scaler) splitsPools(t *fleet.Type) bool { return s.costAware && t.SpotPrice < t.Price }
@@ -116,7 +116,7 @@
 	return int(machines + 0.999)
 }
 
-// isForPool says whether machines of a pool are rented for a job: none with GPUs for a
+// isForPool reports whether machines of a pool are rented for a job: none with GPUs for a
 // job that needs none.
 func (s *scaler) isForPool(spec *jobstate.Spec, t *fleet.Type, pool machinePool) bool {
 	if len(spec.Types) > 0 && !slices.Contains(spec.Types, t.Name) || !spec.Need.Fits(t.Cap) {
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -108,7 +108,7 @@
 	return hashes
 }
 
-// isStored says whether this leadership has written the same boundaries and holders.
+// isStored reports whether this leadership has written the same boundaries and holders.
 func (p *partitionManager) isStored(partitions fleet.Partitions) bool {
 	stored := &p.cache.partitions
 	return stored.FencingToken == partitions.FencingToken &&
@@ -133,7 +133,7 @@
 	})
 }
 
-// isExcluded says whether a controller gets no partition: it has held one for a while
+// isExcluded reports whether a controller gets no partition: it has held one for a while
 // and no heartbeat came straight to it, though they come by others, so workers can't
 // reach it.
 func (p *partitionManager) isExcluded(controller string) bool {
@@ -149,7 +149,7 @@
 	return true
 }
 
-// receivesNone says whether a holder has received no heartbeat for long while others did.
+// receivesNone reports whether a holder has received no heartbeat for long while others did.
 func (p *partitionManager) receivesNone(controller string) bool {
 	term := p.elector.leadership
 	patience := 3*p.heartbeatInterval() + second
@@ -176,7 +176,7 @@
 	return held >= holderEvidence && live >= holderEvidence
 }
 
-// partitionsUnequal says whether the partitions have drifted apart in size.
+// partitionsUnequal reports whether the partitions have drifted apart in size.
 func (p *partitionManager) partitionsUnequal(hashes []uint32) bool {
 	var sizes [queueCount]int
 	for _, h := range hashes {
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -63,7 +63,7 @@
 	total, fetching map[string]int
 }
 
-// mayFetch says whether one more machine of a type may fetch. Half of the idle machines
+// mayFetch reports whether one more machine of a type may fetch. Half of the idle machines
 // of a type stay quite idle, for jobs that come. Counted over all types, the many small
 // machines took the turns of the few whose images matter most.
 func (i *idleMachines) mayFetch(machineType string) bool {
@@ -131,7 +131,7 @@
 	usedByTeam[spec.Team] = usedByTeam[spec.Team].plus(spec.Need, 1)
 }
 
-// hasWaitingJob says whether a job that waits could use a machine.
+// hasWaitingJob reports whether a job that waits could use a machine.
 func (p *prefetcher) hasWaitingJob(m *fleet.Machine) bool {
 	for _, waiting := range p.elector.leadership.planning.waitingJobs {
 		spec := waiting.spec
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -32,7 +32,7 @@
 	zone    string
 }
 
-// mayRunIn says whether a source may go to a zone now.
+// mayRunIn reports whether a source may go to a zone now.
 func (s *prefetchSource) mayRunIn(zone string) bool {
 	return s.machine == "" && (!s.spec.OneZone || s.job.running == 0 || s.job.zone == zone)
 }
@@ -94,7 +94,7 @@
 	return best
 }
 
-// mayCarry says whether a source may bring its image to a machine.
+// mayCarry reports whether a source may bring its image to a machine.
 func (p *prefetcher) mayCarry(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
 	spec := source.spec
 	if !source.mayRunIn(m.Zone) || !spec.Allows(m.Type, m.Zone, m.Spot, m.Cap) || spec.Need.GPU == 0 && m.Cap.GPU > 0 {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -5,34 +5,34 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// abandonedFetchFactor is how many times as long as it should take the fetch of an
-// image may go on after its gang was given up.
+// abandonedFetchFactor limits how long an image fetch may continue after its gang attempt was
+// abandoned, as a multiple of the expected fetch time.
 const abandonedFetchFactor = 4
 
-// reconcile compares a heartbeat with what is placed on its machine. It returns the
-// commands that bring the machine in line, and whether a placed attempt has exited.
+// reconcile compares a heartbeat with the placements on its machine. It returns the commands
+// that bring the machine in line with them, and whether a placed attempt has exited.
 func (w *workerManager) reconcile(machine *fleet.Machine, heartbeat *Heartbeat) (commands []Command, exited bool) {
 	commands, exited = w.reconcileListed(machine, heartbeat)
 	return w.reconcileMissing(machine, heartbeat, commands), exited
 }
 
-// listedTask is a task of a heartbeat with what is known of it.
+// listedTask is a task listed in a heartbeat, with the job and task that it belongs to.
 type listedTask struct {
 	status *TaskStatus
-	// job and task are nil where they are not known.
+	// job and task are nil if they are not known.
 	job   *jobstate.Job
 	task  *jobstate.Task
 	index int
-	// isPlaced: this attempt is placed on the machine that lists it.
+	// isPlaced is set if this attempt is placed on the machine that lists it.
 	isPlaced bool
 }
 
-// command makes a command for the attempt that is listed.
+// command returns a command for the listed attempt.
 func (l *listedTask) command(kind CommandKind, grace int64) Command {
 	return Command{Kind: kind, Task: l.status.Name, Attempt: uint32(l.status.Attempt), Grace: grace}
 }
 
-// findListed looks up a task of a heartbeat.
+// findListed looks up the job and task of a task status in a heartbeat.
 func (w *workerManager) findListed(machine *fleet.Machine, status *TaskStatus) (listedTask, error) {
 	id, index, err := jobstate.ParseTaskName(status.Name)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return listed, nil
 }
 
-// reconcileListed goes through the tasks that a heartbeat lists.
+// reconcileListed reconciles the tasks that a heartbeat lists. It returns the commands for
+// them, and whether a placed attempt has exited.
 func (w *workerManager) reconcileListed(machine *fleet.Machine, heartbeat *Heartbeat) (commands []Command, exited bool) {
 	machine.OrphanUsage = jobstate.Resources{}
 	prefetchListed := false
@@ -70,7 +71,7 @@
 				commands = append(commands, listed.command(CommandForget, 0))
 			}
 		case !listed.isPlaced:
-			// An attempt that was given up, or of an earlier leader.
+			// An abandoned attempt, or one of an earlier leader.
 			commands = append(commands, listed.command(CommandStop, 0))
 			if listed.job != nil {
 				machine.OrphanUsage = machine.OrphanUsage.Add(listed.job.Need)
@@ -85,9 +86,9 @@
 	return append(commands, w.prefetcher.prefetchCommand(machine, prefetchListed)...), exited
 }
 
-// reconcileExited takes over the end of an attempt, and says whether the worker may forget
-// it. The end must be stored first: a start could follow from the stored placement, and
-// run the task again.
+// reconcileExited records the exit of an attempt, and reports whether the worker may forget
+// the attempt. The exit must be stored first: otherwise the stored placement could lead to
+// another start, which would run the task again.
 func (w *workerManager) reconcileExited(machine *fleet.Machine, listed *listedTask) (forget bool) {
 	job, task := listed.job, listed.task
 	if task == nil {
@@ -103,8 +104,8 @@
 	return job.Outcome() != "" || job.IsTaskStored(listed.index)
 }
 
-// reconcilePlaced takes over the state of a placed attempt, and requests its stop where its
-// gang or its job is over.
+// reconcilePlaced records the state of a placed attempt, and requests its stop if its gang
+// attempt was abandoned or its job has an outcome.
 func (w *workerManager) reconcilePlaced(machine *fleet.Machine, listed *listedTask) {
 	job, task := listed.job, listed.task
 	task.Confirmed, task.StartSent = true, true
@@ -117,14 +118,14 @@
 	}
 }
 
-// mayFinishFetch says whether a task whose gang was given up may go on until it has its
-// image, see breakGang.
+// mayFinishFetch reports whether a task whose gang attempt was abandoned may continue until it
+// has fetched its image; see breakGang.
 func (w *workerManager) mayFinishFetch(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task) bool {
 	return task.Phase == jobstate.Fetching &&
 		w.now-task.PlacedAt <= abandonedFetchFactor*job.FetchTime(machine.FetchRate)
 }
 
-// phaseOf is the phase of an attempt whose worker gives its state.
+// phaseOf returns the phase for the state that a worker reports of an attempt.
 func phaseOf(state TaskState) jobstate.Phase {
 	switch state {
 	case TaskWaiting:
@@ -137,7 +138,7 @@
 	return jobstate.Fetching
 }
 
-// noteTaskPhase takes over the state of a placed attempt.
+// noteTaskPhase records the state of a placed attempt.
 func (w *workerManager) noteTaskPhase(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task, state TaskState) {
 	phase := phaseOf(state)
 	if phase == jobstate.Running && task.StartedAt == 0 {
@@ -159,14 +160,14 @@
 
 // missingTasks are placements that a heartbeat does not list.
 type missingTasks struct {
-	// toStart are stored and were not started yet, or their start was lost.
+	// toStart are stored placements that were not started yet, or whose start was lost.
 	toStart []fleet.TaskRef
-	// lost were on the machine, neverStarted were not; none of them is there.
+	// lost tasks were on the machine, neverStarted ones never were; neither is there now.
 	lost, neverStarted []fleet.TaskRef
 }
 
-// reconcileMissing goes through the placements that a heartbeat does not list. It adds a
-// start for those that are stored, and clears those that can't be there any more.
+// reconcileMissing handles the placements that a heartbeat does not list. It appends a start
+// for those that are stored, and clears those that can no longer be on the machine.
 func (w *workerManager) reconcileMissing(machine *fleet.Machine, heartbeat *Heartbeat, commands []Command) []Command {
 	if len(machine.Placed) == 0 {
 		return commands
@@ -177,7 +178,7 @@
 	for _, ref := range missing.toStart {
 		task := ref.Job.Task(ref.Index)
 		if task.Machine != machine.Name || task.IsStopping() {
-			continue // the rest of its gang was lost just now
+			continue // another task of its gang was just lost
 		}
 		task.StartSent = true
 		commands = append(commands, Command{
@@ -189,7 +190,7 @@
 	return commands
 }
 
-// findMissing sorts the placements that a heartbeat does not list by what follows.
+// findMissing groups the placements that a heartbeat does not list by how they are handled.
 func (w *workerManager) findMissing(machine *fleet.Machine, heartbeat *Heartbeat) (missing missingTasks) {
 	listed := make(map[string]uint64, len(heartbeat.Tasks))
 	for k := range heartbeat.Tasks {
@@ -203,12 +204,12 @@
 		}
 		switch {
 		case machine.SeqRestarted() && (task.Confirmed || task.IsStopping() && task.StartSent):
-			// The heartbeat may be a copy: the machine is probed, see needsProbe.
+			// The heartbeat may be a late copy, so the machine is probed; see needsProbe.
 		case task.Confirmed && machine.HasCurrentToken:
-			// It was here and is gone: the worker ended it with its last epoch.
+			// It was on the machine and is gone: the worker ended it with its last epoch.
 			missing.lost = append(missing.lost, ref)
 		case task.IsStopping() && (machine.HasCurrentToken || !task.StartSent):
-			// The start was lost, or never sent: had the worker received it, this
+			// The start was lost or never sent: if the worker had received it, this
 			// later heartbeat would list the task.
 			missing.neverStarted = append(missing.neverStarted, ref)
 		case !task.IsStopping() && job.Outcome() == "" && task.Stored && w.elector.mayStartTasks():
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -85,14 +85,14 @@
 	return survey
 }
 
-// isIdleForLong says whether a machine has been idle for as long as one may be that is no
+// isIdleForLong reports whether a machine has been idle for as long as one may be that is no
 // spare one. A new leader waits, as it does not know for how long they have been.
 func (s *scaler) isIdleForLong(m *fleet.Machine) bool {
 	return m.IdleSince != 0 && len(m.Placed) == 0 && s.now-m.IdleSince > s.idleReturnTime() &&
 		s.now-s.elector.leadership.since > s.settings.Ops.IdleReturn
 }
 
-// isPresumedDead says whether a machine has been silent for too long; one that the cloud
+// isPresumedDead reports whether a machine has been silent for too long; one that the cloud
 // was to reclaim by now, for half of that.
 func (s *scaler) isPresumedDead(m *fleet.Machine, silence int64) bool {
 	interval := s.heartbeatInterval()
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -145,7 +145,7 @@
 	return max(tasks, 1)
 }
 
-// isOpen says whether machines may be asked for by an offer now.
+// isOpen reports whether machines may be asked for by an offer now.
 func (s *scalingState) isOpen(offer machineOffer, now int64) bool {
 	return !s.scalingOut[offer] && s.refusedUntil[offer] <= now
 }
@@ -199,7 +199,7 @@
 	}
 }
 
-// mayBeExecuted says whether a request without a result may have been executed, or may
+// mayBeExecuted reports whether a request without a result may have been executed, or may
 // be when it is made again.
 func mayBeExecuted(status int) bool {
 	return status == cloudNoStatus || status == cloudRateLimited ||
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -75,7 +75,7 @@
 	s.refilledAt = now
 }
 
-// takeCall says whether a call may be made now, and counts it.
+// takeCall reports whether a call may be made now, and counts it.
 func (s *scalingState) takeCall() bool {
 	if s.callBudget < 1 || s.callsRunning >= maxCloudCalls {
 		return false
@@ -118,7 +118,7 @@
 	s.scaleOutTick(state.takeCall, gathers)
 }
 
-// typesDue says whether the machine types are to be asked for: often while none are known.
+// typesDue reports whether the machine types are to be asked for: often while none are known.
 func (s *scaler) typesDue() bool {
 	listedAt := s.elector.leadership.scaling.typesListedAt
 	if (len(s.cache.machineTypes) == 0 || listedAt == 0) && s.now-listedAt >= typesRetryGap {
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -6,23 +6,24 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// A machine may reach no controller while direct commands reach it: then no answer to a
-// heartbeat brings it stops, and a leader that was elected since does not know its epoch,
-// nor its address but from the cloud's list. What is to stop there would go on until the
-// machine's lease has expired. So a silent machine with something to stop is probed, and
-// what its answer lists is stopped under the epoch that the answer names. An answer proves
-// nothing else here: what it does not list may still start.
+// A machine may be unable to reach any controller while direct commands still reach it. It then
+// receives no stops in answers to heartbeats, and a leader that was elected in the meantime does
+// not know its epoch, and knows its address only from the cloud's list. Tasks that should stop
+// would continue until the machine's lease has expired. So a silent machine with tasks to stop is
+// probed, and the tasks that its answer lists are stopped under the epoch given in the answer.
+// The answer proves nothing else here: a task that it does not list may still start.
 
-// maxUnreachableProbes bounds the silent machines that are probed in a tick.
+// maxUnreachableProbes is the maximum number of silent machines that are probed per tick.
 const maxUnreachableProbes = 8
 
-// missedHeartbeat says that a machine's heartbeats have not come for more than one interval.
+// missedHeartbeat reports whether a machine has sent no heartbeat yet, or none for more than one
+// and a half heartbeat intervals.
 func (w *workerManager) missedHeartbeat(machine *fleet.Machine) bool {
 	return machine.LastHeartbeat == 0 ||
 		w.now-machine.LastHeartbeat > config.MicrosOf(w.settings.Workers.ReportS)*3/2
 }
 
-// probeUnreachable probes silent machines on which something is to stop for good.
+// probeUnreachable probes silent machines that have tasks to stop permanently.
 func (w *workerManager) probeUnreachable() {
 	probed := 0
 	for _, machine := range w.elector.leadership.fleet.All() {
@@ -38,7 +39,7 @@
 	}
 }
 
-// hasFinalStops says whether something on a machine is to stop for good.
+// hasFinalStops reports whether a task on a machine is to stop permanently.
 func (w *workerManager) hasFinalStops(machine *fleet.Machine) bool {
 	for ref := range machine.Placed {
 		if task := ref.Job.Task(ref.Index); w.mayDeliverStop(ref.Job, task) && isUnwanted(ref.Job, task) {
@@ -48,21 +49,22 @@
 	return false
 }
 
-// isUnwanted says whether a task is to run nowhere any more, as its job or sweep is over,
-// whoever leads by now. One that only makes room, or is to go elsewhere, goes on on a
-// silent machine: no heartbeat would show that the room is there.
+// isUnwanted reports whether a task must not run anywhere any more because its job or sweep is
+// over; this holds whichever controller leads now. A task that is only preempted or moved
+// continues on a silent machine, as no heartbeat would show that the room was freed.
 func isUnwanted(job *jobstate.Job, task *jobstate.Task) bool {
 	return job.Outcome() != "" || task.StopReason == jobstate.StopSweep
 }
 
-// mayDeliverStop says whether a task is to be stopped, and this controller may command it.
-// A job that is over stays so, whoever leads by now.
+// mayDeliverStop reports whether a task is to be stopped and this controller may send the stop.
+// A task that is no longer wanted may be stopped without proof of leadership, as its job or sweep
+// stays over whichever controller leads now.
 func (w *workerManager) mayDeliverStop(job *jobstate.Job, task *jobstate.Task) bool {
 	return task.IsStopping() && task.StartSent && (w.elector.mayStartTasks() || isUnwanted(job, task))
 }
 
-// stopListedTasks stops what a silent machine lists in its answer to a probe, as far as it
-// is to stop for good.
+// stopListedTasks sends stops for those tasks in a silent machine's answer to a probe that are
+// to stop permanently.
 func (w *workerManager) stopListedTasks(machine *fleet.Machine, heartbeat *Heartbeat) {
 	if !w.missedHeartbeat(machine) {
 		return
--- a/internal/core/zonegather.go
+++ b/internal/core/zonegather.go
@@ -110,7 +110,7 @@
 	return option
 }
 
-// isGathered says whether an idle machine is kept for one of the jobs that machines are
+// isGathered reports whether an idle machine is kept for one of the jobs that machines are
 // gathered for.
 func isGathered(gathers []zoneGather, m *fleet.Machine) bool {
 	return slices.ContainsFunc(gathers, func(g zoneGather) bool {
