--- a/internal/core/directcommands.go
+++ b/internal/core/directcommands.go
@@ -6,13 +6,13 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// maxDirectCommands is how many commands go to a machine in one message.
+// maxDirectCommands is the maximum number of commands in one message to a machine.
 const maxDirectCommands = 200
 
-// queueDirectStop queues a stop for the worker's own address, which is faster than the
-// answer to its next heartbeat. That is safe however late it arrives: an attempt whose stop
-// was commanded once is never wanted again. One of a job that is over may be sent even by a
-// leader that was replaced and does not know.
+// queueDirectStop queues a stop that is sent directly to the worker's address, which is faster
+// than the answer to its next heartbeat. This is safe however late the stop arrives: an attempt
+// that was once commanded to stop is never wanted again. The stop of a task that is no longer
+// wanted may be sent even by a leader that was replaced and does not know it yet.
 func (t *taskManager) queueDirectStop(job *jobstate.Job, index int) {
 	term := t.elector.leadership
 	task := job.Task(index)
@@ -28,8 +28,8 @@
 	})
 }
 
-// sendDirectCommands sends each machine its queued commands together: hundreds of tasks may
-// be stopped in one moment, and each message takes a connection.
+// sendDirectCommands sends each machine its queued commands in as few messages as possible:
+// hundreds of tasks may be stopped at once, and each message takes a connection.
 func (t *taskManager) sendDirectCommands() {
 	term := t.elector.leadership
 	for _, name := range sortedKeys(term.directCommands) {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,25 +5,25 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// A faulty machine fails the tasks of different jobs, a faulty job fails on different
-// machines.
+// Limits that distinguish a faulty machine, on which tasks of different jobs fail, from a faulty
+// job, which fails on different machines.
 const (
-	// faultyMachineJobs is how many jobs fail on a machine before it is drained.
+	// faultyMachineJobs is the number of jobs that fail on a machine before it is drained.
 	faultyMachineJobs = 2
-	// maxFailedMachines is on how many machines a job may fail before the job itself is
-	// taken to be the cause.
+	// maxFailedMachines is the maximum number of machines on which a job may fail before
+	// the job itself is considered faulty.
 	maxFailedMachines = 2
 )
 
-// suspectMachine counts failures of different jobs on a machine, and drains it if it looks
-// faulty.
+// suspectMachine records that a job has failed on a machine, and drains the machine if enough
+// different jobs have failed on it.
 func (t *taskManager) suspectMachine(machine *fleet.Machine, job *jobstate.Job) {
 	if job.FailedOn == nil {
 		job.FailedOn = map[string]bool{}
 	}
 	job.FailedOn[machine.Name] = true
 	if len(job.FailedOn) > maxFailedMachines {
-		// It is the job: two such must not have every machine drained.
+		// The job is faulty: two such jobs must not cause every machine to be drained.
 		for _, other := range t.elector.leadership.fleet.All() {
 			delete(other.FailedJobs, job.ID)
 		}
@@ -38,13 +38,14 @@
 	}
 }
 
-// drainMachine evicts the tasks of a machine that is to go, with time for a checkpoint. A
-// task that makes none is left to end where the notice is long enough; notice 0 is none.
+// drainMachine evicts the tasks of a machine, with time for a checkpoint. A task without
+// checkpoints may finish if it should end within the preemption notice; notice 0 means that
+// there is none.
 func (t *taskManager) drainMachine(machine *fleet.Machine, notice int64) {
 	for _, ref := range machine.PlacedInOrder() {
 		job, task := ref.Job, ref.Job.Task(ref.Index)
 		if job.Outcome() != "" || task == nil || task.Machine != machine.Name {
-			continue // it went with its gang, or goes anyway
+			continue // already stopped with its gang, or because its job is over
 		}
 		if job.Checkpoint == 0 && notice > 0 && t.endsWithin(job, task, notice) {
 			continue
@@ -54,7 +55,8 @@
 	t.elector.leadership.planning.requestRound()
 }
 
-// endsWithin reports whether a task should end well within a duration, by its estimate.
+// endsWithin reports whether a task, by its estimate, should end within three quarters of a
+// duration.
 func (t *taskManager) endsWithin(job *jobstate.Job, task *jobstate.Task, duration int64) bool {
 	return task.StartedAt != 0 && task.StartedAt+job.Estimate < t.now+duration*3/4
 }
--- a/internal/core/machineloss.go
+++ b/internal/core/machineloss.go
@@ -2,9 +2,9 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// expireMachineLeases clears the placements of machines whose lease must have run
-// out: the leader's authority and the lease after the last response that any controller
-// can have given.
+// expireMachineLeases clears the placements of machines whose lease must have expired: the
+// leader's authority time plus the lease time has passed since the last answer that any
+// controller can have given.
 func (p *planner) expireMachineLeases() {
 	lease := p.settings.EpochTimeout()
 	for _, m := range p.elector.leadership.fleet.All() {
@@ -15,7 +15,7 @@
 	}
 }
 
-// machineGone clears everything on a machine: all of it has ended for certain.
+// machineGone clears all placements on a machine, as all tasks on it have certainly ended.
 func (p *planner) machineGone(m *fleet.Machine, reason string) {
 	if len(m.Placed) > 0 {
 		p.log.Info("machine's tasks are lost", "machine", m.Name, "tasks", len(m.Placed), "reason", reason)
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// partitionWriteGap is the least time between two writes of the partitions,
-	// partitionCheckGap between two looks whether they are to be written.
+	// partitionWriteGap is the minimum time between two writes of the partitions, and
+	// partitionCheckGap between two checks whether they must be written.
 	partitionWriteGap = second
 	partitionCheckGap = second / 4
-	// maxHeartbeatGap is how long a machine counts after its last heartbeat, beyond two
-	// heartbeat intervals.
+	// maxHeartbeatGap plus two heartbeat intervals is how long after its last heartbeat a
+	// machine is included in the division into partitions.
 	maxHeartbeatGap = 10 * second
-	// holderEvidence is how many machines of a partition, and how many machines that
-	// send heartbeats elsewhere, it takes to find that workers can't reach a holder.
+	// holderEvidence is the minimum number of machines in a holder's partition, and the
+	// minimum number of machines that still send heartbeats, for the leader to conclude
+	// that workers can't reach the holder.
 	holderEvidence = 2
-	// knownMachineTimeout is how long a machine that sends no heartbeats counts as one
-	// of its partition when the holder is judged.
+	// knownMachineTimeout is how long after its last heartbeat a machine is counted in its
+	// partition when the leader checks whether workers reach the holder.
 	knownMachineTimeout = 60 * second
 )
 
-// partitionState is what the partition manager keeps while this controller leads.
+// partitionState is the state that the partition manager keeps while this controller leads.
 type partitionState struct {
 	seq       uint64
 	writtenAt int64
 	checkedAt int64
 	writing   bool
-	// machineHashes are of the machines that send heartbeats; kept to be filled anew.
+	// machineHashes are the hashes of the machines that send heartbeats; the slice is kept
+	// for reuse.
 	machineHashes []uint32
-	// lastHeartbeatVia is when a heartbeat last came straight to a controller.
+	// lastHeartbeatVia is the time of the last heartbeat that came directly from a worker
+	// to a controller.
 	lastHeartbeatVia map[string]int64
-	// excludedUntil is until when a controller gets no partition because no
-	// heartbeats came to it.
+	// excludedUntil is the time until which a controller gets no partition because it
+	// received no heartbeats.
 	excludedUntil map[string]int64
 }
 
@@ -42,13 +45,13 @@
 	return partitionState{lastHeartbeatVia: map[string]int64{}, excludedUntil: map[string]int64{}}
 }
 
-// recordHeartbeatVia notes that a heartbeat came straight to a controller.
+// recordHeartbeatVia records that a heartbeat came directly from a worker to a controller.
 func (s *partitionState) recordHeartbeatVia(controller string, now int64) {
 	s.lastHeartbeatVia[controller] = now
 }
 
-// partitionManager leases the partitions of the machines to the controllers, to which
-// their workers then send heartbeats.
+// partitionManager divides the machines into partitions and leases these to controllers, to
+// which the workers then send their heartbeats.
 type partitionManager struct {
 	*engine
 
@@ -59,8 +62,8 @@
 	peers     *peerMonitor
 }
 
-// partitionsTick writes the partitions' boundaries and holders: when a holder is
-// lost, when machines have come or gone, and before the leases of the holders are over.
+// partitionsTick writes the boundaries and holders of the partitions when a holder is lost, when
+// machines were added or removed, and before the leases of the holders expire.
 func (p *partitionManager) partitionsTick() {
 	state := &p.elector.leadership.partitions
 	if state.writing || p.now-state.writtenAt < partitionWriteGap || p.now-state.checkedAt < partitionCheckGap {
@@ -78,7 +81,7 @@
 	p.writePartitions(partitions)
 }
 
-// newPartitions is how the machines should be divided now, and who should hold what.
+// newPartitions returns the partitions and holders that there should be now.
 func (p *partitionManager) newPartitions() fleet.Partitions {
 	term := p.elector.leadership
 	hashes := p.liveMachineHashes()
@@ -95,7 +98,7 @@
 	return partitions
 }
 
-// liveMachineHashes are the hashes of the machines that send heartbeats.
+// liveMachineHashes returns the hashes of the machines that send heartbeats.
 func (p *partitionManager) liveMachineHashes() []uint32 {
 	term := p.elector.leadership
 	hashes := term.partitions.machineHashes[:0]
@@ -133,8 +136,8 @@
 	})
 }
 
-// isExcluded reports whether a controller gets no partition: it has held one for a while
-// and no heartbeat came straight to it, though they come by others, so workers can't
+// isExcluded reports whether a controller gets no partition: it has held one for a while without
+// receiving a heartbeat directly, although other controllers received some, so workers can't
 // reach it.
 func (p *partitionManager) isExcluded(controller string) bool {
 	term := p.elector.leadership
@@ -149,7 +152,8 @@
 	return true
 }
 
-// receivesNone reports whether a holder has received no heartbeat for long while others did.
+// receivesNone reports whether a holder has received no heartbeat for a long time although enough
+// machines are known in its partition and enough machines still send heartbeats.
 func (p *partitionManager) receivesNone(controller string) bool {
 	term := p.elector.leadership
 	patience := 3*p.heartbeatInterval() + second
@@ -176,7 +180,7 @@
 	return held >= holderEvidence && live >= holderEvidence
 }
 
-// partitionsUnequal reports whether the partitions have drifted apart in size.
+// partitionsUnequal reports whether the sizes of the partitions differ too much.
 func (p *partitionManager) partitionsUnequal(hashes []uint32) bool {
 	var sizes [queueCount]int
 	for _, h := range hashes {
@@ -185,8 +189,7 @@
 	return slices.Max(sizes[:])-slices.Min(sizes[:]) > 2+len(hashes)/6
 }
 
-// holders leases the partitions to the controllers that answer, and that
-// their workers can reach.
+// holders assigns the partitions to the controllers that answer and that workers can reach.
 func (p *partitionManager) holders() []string {
 	candidates := []string{}
 	for _, name := range append([]string{p.settings.Name}, p.settings.Peers...) {
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// maxScaleOut is how many machines the cloud rents out at one request.
+	// maxScaleOut is the maximum number of machines that can be rented in one request.
 	maxScaleOut = 50
-	// maxUnanswered bounds the requests without an answer that are repeated.
+	// maxUnanswered is the maximum number of unanswered requests that are repeated.
 	maxUnanswered = 32
-	// scaleOutGrace is how long a new leader waits for the heartbeats of the machines
-	// that there are.
+	// scaleOutGrace is how long a new leader waits for the heartbeats of existing machines
+	// before it scales out.
 	scaleOutGrace = 5 * second
-	// liveWithin is how old the last heartbeat of a machine may be that counts as there.
+	// liveWithin is the maximum age of the last heartbeat of a machine that counts as live.
 	liveWithin = 15 * second
-	// minOfferBackoff and maxOfferBackoff bound how long an offer is left alone after a
-	// refusal.
+	// minOfferBackoff and maxOfferBackoff bound how long an offer is not requested again
+	// after a refusal.
 	minOfferBackoff = 8 * second
 	maxOfferBackoff = 40 * second
-	// unboundedTasks is how many tasks that need nothing fit on a machine.
+	// unboundedTasks is the assumed number of tasks without resource needs that fit on a
+	// machine.
 	unboundedTasks = 1 << 20
 )
 
-// poolCount is how many machines of a pool there are.
+// poolCount is the number of machines of a pool by state.
 type poolCount struct{ busy, idle, booting int }
 
 // poolCounts are the counts of each pool.
 type poolCounts map[machinePool]*poolCount
 
-// of is the count of a pool, which can be added to.
+// of returns the counters of a pool, which it creates if there are none; the caller may modify
+// them.
 func (c poolCounts) of(pool machinePool) *poolCount {
 	if c[pool] == nil {
 		c[pool] = &poolCount{}
@@ -40,7 +42,7 @@
 	return c[pool]
 }
 
-// idleOnDemand is how many idle on-demand machines there are in all.
+// idleOnDemand returns the total number of idle on-demand machines.
 func (c poolCounts) idleOnDemand() int {
 	idle := 0
 	for pool, count := range c {
@@ -51,8 +53,8 @@
 	return idle
 }
 
-// scaleOutTick rents machines, of one pool after the other, where work waits or spare
-// machines are short. Requests without an answer go first.
+// scaleOutTick rents machines, pool by pool, if work is waiting or there are too few spare
+// machines. Unanswered requests are repeated first.
 func (s *scaler) scaleOutTick(takeCall func() bool, gathers []zoneGather) {
 	state := &s.elector.leadership.scaling
 	if len(s.cache.machineTypes) == 0 || !s.elector.mayStartTasks() || s.now-s.elector.leadership.since < scaleOutGrace {
@@ -83,7 +85,7 @@
 	}
 }
 
-// countMachines counts the machines of each pool that may be used, and those that boot.
+// countMachines counts the usable and the booting machines of each pool.
 func (s *scaler) countMachines() poolCounts {
 	counts := poolCounts{}
 	for _, m := range s.elector.leadership.fleet.All() {
@@ -103,8 +105,8 @@
 	return counts
 }
 
-// chooseScaleOut is how many more machines a pool should have, and by which offer; 0 if
-// it has enough or there is no offer.
+// chooseScaleOut returns how many more machines a pool should have, and the offer by which to rent
+// them. The number is 0 if the pool has enough machines or there is no offer.
 func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, gathers []zoneGather) (machineOffer, int) {
 	needed := s.shortage(t, pool)
 	s.elector.leadership.scaling.recordBusy(pool, count.busy, s.now, s.idleReturnTime())
@@ -119,8 +121,8 @@
 	return offer, min(wanted, maxScaleOut)
 }
 
-// requestScaleOut rents machines, under a name by which the cloud knows a repetition of
-// the request.
+// requestScaleOut rents machines, under a request name by which the cloud recognizes a repetition
+// of the request.
 func (s *scaler) requestScaleOut(offer machineOffer, count int) {
 	state := &s.elector.leadership.scaling
 	state.requestSerial++
@@ -134,7 +136,7 @@
 	}})
 }
 
-// tasksPerMachine is how many tasks of a need fit on a machine, at least one.
+// tasksPerMachine returns how many tasks with the given need fit on a machine, but at least 1.
 func tasksPerMachine(need, capacity jobstate.Resources) int64 {
 	tasks := int64(unboundedTasks)
 	for _, x := range [][2]int64{{need.CPU, capacity.CPU}, {need.GPU, capacity.GPU}, {need.Mem, capacity.Mem}} {
@@ -145,13 +147,14 @@
 	return max(tasks, 1)
 }
 
-// isOpen reports whether machines may be asked for by an offer now.
+// isOpen reports whether an offer may be requested now.
 func (s *scalingState) isOpen(offer machineOffer, now int64) bool {
 	return !s.scalingOut[offer] && s.refusedUntil[offer] <= now
 }
 
-// chooseOffer picks a zone and kind that has not just been refused, of the kinds
-// (spot or not) in their order. Jobs that machines are gathered for have theirs before.
+// chooseOffer picks an open offer of the type, with the kinds (spot or not) in order of
+// preference. Zones in which machines are gathered for a job come first; otherwise the zone is
+// random.
 func (s *scaler) chooseOffer(t *fleet.Type, kinds []bool, gathers []zoneGather) (machineOffer, bool) {
 	state := &s.elector.leadership.scaling
 	for _, gather := range gathers {
@@ -180,7 +183,7 @@
 // onScaledOut handles the result of a scale-out.
 func (s *scaler) onScaledOut(m ScaledOut) {
 	if !s.elector.leadsWithToken(m.Request.FencingToken) {
-		return // what was rented shows in the list
+		return // the list will show the machines that were rented
 	}
 	state := &s.elector.leadership.scaling
 	state.callsRunning--
@@ -189,7 +192,7 @@
 	case m.Status == cloudOK:
 		s.machinesRented(offer, &m)
 	case mayBeExecuted(m.Status):
-		// The same request again is executed once at most.
+		// The cloud executes a repeated request at most once.
 		if len(state.unanswered) < maxUnanswered {
 			state.unanswered = append(state.unanswered, m.Request)
 		}
@@ -199,15 +202,15 @@
 	}
 }
 
-// mayBeExecuted reports whether a request without a result may have been executed, or may
-// be when it is made again.
+// mayBeExecuted reports whether a request without a result may have been executed, or may be
+// executed when it is repeated.
 func mayBeExecuted(status int) bool {
 	return status == cloudNoStatus || status == cloudRateLimited ||
 		status >= cloudServerError && status != cloudNoCapacity
 }
 
-// machinesRented notes the machines that boot now. Where there were fewer than asked for
-// the offer has none left.
+// machinesRented records the machines that are booting now. If there are fewer than requested,
+// the offer has none left and is backed off.
 func (s *scaler) machinesRented(offer machineOffer, m *ScaledOut) {
 	state := &s.elector.leadership.scaling
 	delete(state.scalingOut, offer)
@@ -223,7 +226,8 @@
 		"requested", m.Request.Count, "count", len(m.Names))
 }
 
-// backOff leaves an offer alone after a refusal, longer each time.
+// backOff closes an offer for a time after a refusal; the time doubles with each refusal, up to
+// maxOfferBackoff.
 func (s *scalingState) backOff(offer machineOffer, now int64) {
 	pause := min(max(s.backoff[offer]*2, minOfferBackoff), maxOfferBackoff)
 	s.backoff[offer] = pause
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -1,25 +1,26 @@
 package core
 
-// Shares and bounds of the calls to the cloud.
+// Limits for calls to the cloud.
 const (
-	// callRateShare is the share of the cloud's call rate that the leader uses.
+	// callRateShare is the share of the cloud's rate limit that the leader uses.
 	callRateShare = 0.85
-	// maxCloudCalls is how many calls may be under way at once.
+	// maxCloudCalls is the maximum number of concurrent calls.
 	maxCloudCalls = 4
-	// listCallShare is the share of the calls that lists may take to come more often
-	// than listPageInterval a page: they show machines that were reclaimed without notice.
+	// listCallShare is the share of the calls that may be used to list machines more often
+	// than once every listPageInterval per page: a list shows which machines were reclaimed
+	// without notice.
 	listCallShare    = 0.1
 	listPageInterval = 5 * second
 
-	// typesInterval is how often the machine types are asked for, typesRetryGap how soon
-	// again where that failed.
+	// typesInterval is the interval at which the machine types are listed, and typesRetryGap
+	// the time before a retry after a failure.
 	typesInterval = 120 * second
 	typesRetryGap = 2 * second
 )
 
-// scalingState is what the scaler keeps while this controller leads.
+// scalingState is the state that the scaler keeps while this controller leads.
 type scalingState struct {
-	callBudget   float64 // calls that may be made now
+	callBudget   float64 // number of calls that may be made now
 	refilledAt   int64
 	callsRunning int
 
@@ -27,31 +28,31 @@
 	listing       bool
 	listStartedAt int64
 	listFailedAt  int64 // when the last list failed
-	listedAt      int64 // when the last list came
+	listedAt      int64 // when the last list was received
 	listings      cloudListings
 
 	scalingOut    map[machineOffer]bool
 	refusedUntil  map[machineOffer]int64
-	backoff       map[machineOffer]int64 // how long an offer was last left alone
-	unanswered    []ScaleOut             // requests without an answer, under their names
+	backoff       map[machineOffer]int64 // last backoff time of an offer
+	unanswered    []ScaleOut             // requests without an answer, to be repeated under their names
 	requestSerial int
 	booting       map[string]bootingMachine
 
 	toScaleIn  []string
-	scaledInAt map[string]int64 // machines whose scale-in was answered
+	scaledInAt map[string]int64 // when the scale-in of a machine was confirmed
 
 	peaks        map[machinePool]usagePeak
-	idleOnDemand int // idle on-demand machines when last counted
+	idleOnDemand int // number of idle on-demand machines at the last count
 }
 
-// bootingMachine is a machine of the cloud that has sent no heartbeat yet.
+// bootingMachine is a rented machine that has sent no heartbeat yet.
 type bootingMachine struct {
 	machineOffer
 	since int64
-	up    bool // listed as running
+	up    bool // whether the cloud lists it as running
 }
 
-// machineOffer is what kind of machines are rented, and where.
+// machineOffer is a combination of machine type, zone and kind in which machines can be rented.
 type machineOffer struct {
 	machineType, zone string
 	spot              bool
@@ -69,13 +70,13 @@
 	}
 }
 
-// refillCalls adds the calls that have become free since the last time.
+// refillCalls adds the calls that the rate has allowed since the last refill to the budget.
 func (s *scalingState) refillCalls(now int64, rate float64) {
 	s.callBudget = min(s.callBudget+float64(now-s.refilledAt)/1e6*rate, 2*rate)
 	s.refilledAt = now
 }
 
-// takeCall reports whether a call may be made now, and counts it.
+// takeCall reports whether a call may be made now, and if so takes it from the budget.
 func (s *scalingState) takeCall() bool {
 	if s.callBudget < 1 || s.callsRunning >= maxCloudCalls {
 		return false
@@ -85,8 +86,8 @@
 	return true
 }
 
-// scaler rents machines from the cloud where work waits, and returns idle, silent and
-// faulty ones.
+// scaler rents machines from the cloud when work is waiting, and returns idle, silent and faulty
+// machines.
 type scaler struct {
 	*engine
 
@@ -99,11 +100,11 @@
 	planner    *planner
 	prefetcher *prefetcher
 
-	// costAware: the cost of machines is one of the operators' objectives.
+	// costAware is set if the cost of machines is one of the operators' objectives.
 	costAware bool
 }
 
-// cloudTick makes the calls of the cloud that are due.
+// cloudTick makes the calls to the cloud that are due.
 func (s *scaler) cloudTick() {
 	state := &s.elector.leadership.scaling
 	rate := s.settings.Cloud.RPS * callRateShare
@@ -118,7 +119,8 @@
 	s.scaleOutTick(state.takeCall, gathers)
 }
 
-// typesDue reports whether the machine types are to be asked for: often while none are known.
+// typesDue reports whether the machine types must be listed, which is more often while none are
+// known.
 func (s *scaler) typesDue() bool {
 	listedAt := s.elector.leadership.scaling.typesListedAt
 	if (len(s.cache.machineTypes) == 0 || listedAt == 0) && s.now-listedAt >= typesRetryGap {
@@ -127,9 +129,9 @@
 	return s.now-listedAt >= typesInterval
 }
 
-// listTick asks the cloud for the list of its machines when that is due.
-// A list takes a call for each page, which have to be paced as well:
-// large fleets are listed less often, so that most calls stay for scaling out.
+// listTick lists the cloud's machines when that is due. A list takes one call per page, and these
+// calls must be rate limited as well: large fleets are listed less often, so that most calls
+// remain for scaling out.
 func (s *scaler) listTick(rate float64) {
 	state := &s.elector.leadership.scaling
 	pages := int64(1 + s.elector.leadership.fleet.Len()/ListPage)
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -5,8 +5,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// taskManager stops tasks and clears their placements, keeps account of how attempts end,
-// and sends commands straight to workers where they are urgent.
+// taskManager stops tasks, clears their placements, records how attempts end, and sends urgent
+// commands directly to workers.
 type taskManager struct {
 	*engine
 
@@ -17,15 +17,17 @@
 	workers      *workerManager
 }
 
-// For how long a job is not started again after an attempt of it has failed. A bad
-// submission fails everywhere; it comes back more and more seldom, so that it harms nobody.
+// The times for which a job is not started again after one of its attempts has failed. A faulty
+// job fails on every machine; it is retried less and less often, so that it does not affect
+// others.
 const (
-	failureBackoff    = 2 * second // for each failure
+	failureBackoff    = 2 * second // per failure
 	maxFailureBackoff = 30 * second
-	notStartedBackoff = second // the worker could not start it
+	notStartedBackoff = second // after the worker could not start the attempt
 )
 
-// checkpointGrace is long enough for a task to save a checkpoint, if it can.
+// checkpointGrace returns a grace period that is long enough for a task of the job to save a
+// checkpoint, or 0 if the job saves none.
 func checkpointGrace(job *jobstate.Job) int64 {
 	if job.Checkpoint > 0 {
 		return job.Save*3/2 + second
@@ -33,39 +35,38 @@
 	return 0
 }
 
-// preempt makes room for other work: it stops a task, or the whole gang, within a grace
-// period.
+// preempt stops a task, or its whole gang, within a grace period to make room for other work.
 func (t *taskManager) preempt(job *jobstate.Job, index int, grace int64) {
 	t.stopWithGang(job, index, jobstate.StopPreempt, grace)
 }
 
-// endTrial stops a task whose trial run is over, or the whole gang, with time for a
-// checkpoint.
+// endTrial stops a task whose trial run is over, or its whole gang, with time for a checkpoint.
 func (t *taskManager) endTrial(job *jobstate.Job, index int) {
 	t.stopWithGang(job, index, jobstate.StopTrial, checkpointGrace(job))
 }
 
-// drain stops a task whose machine is to go, or the whole gang, with time for a checkpoint.
+// drain stops a task whose machine is being drained, or its whole gang, with time for a
+// checkpoint.
 func (t *taskManager) drain(job *jobstate.Job, index int) {
 	t.stopWithGang(job, index, jobstate.StopDrain, checkpointGrace(job))
 }
 
-// cancel stops all placed tasks of a job at once: nobody wants them any more.
+// cancel stops all placed tasks of a job without a grace period, as they are no longer wanted.
 func (t *taskManager) cancel(job *jobstate.Job, reason jobstate.StopReason) {
 	job.EachPlaced(func(i int, task *jobstate.Task) {
 		if !task.StartSent {
-			t.clearPlacement(job, i) // no worker knows of it
+			t.clearPlacement(job, i) // no worker knows the attempt
 			return
 		}
 		t.requestStop(job, i, reason, 0)
 	})
 }
 
-// breakGang ends what is left of a gang's attempt; the next one begins when all of its
-// tasks are gone. If it was only incomplete for too long, those that still fetch the image
-// go on until they have it: stopped, they would begin the fetch anew with the next attempt,
-// which would be incomplete as well, and so on for ever where a machine fetches slowly and
-// the others have the image.
+// breakGang stops the remaining tasks of a gang's attempt; the next attempt begins when all of
+// them are gone. If the attempt was only incomplete for too long, tasks that are still fetching
+// the image continue until they have it. If they were stopped, they would restart the fetch with
+// the next attempt, which would be incomplete as well, and so on endlessly if one machine fetches
+// slowly and the others have the image.
 func (t *taskManager) breakGang(job *jobstate.Job, incomplete bool) {
 	if job.NumDone == job.Tasks {
 		return
@@ -78,7 +79,7 @@
 	})
 }
 
-// stopWithGang stops a task, and where it is one of a gang all of the gang.
+// stopWithGang stops a task, or all tasks of its job if that is a gang.
 func (t *taskManager) stopWithGang(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
 	if job.Kind != jobstate.Gang {
 		t.stopTask(job, index, reason, grace)
@@ -87,8 +88,8 @@
 	job.EachPlaced(func(i int, _ *jobstate.Task) { t.stopTask(job, i, reason, grace) })
 }
 
-// stopTask clears a placement that no worker knows of, and requests the stop of one that
-// may be started. One that is stopping already keeps its reason and grace period.
+// stopTask clears the placement of a task whose start was not sent, and otherwise requests its
+// stop. A task that is already stopping keeps its reason and grace period.
 func (t *taskManager) stopTask(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
 	task := job.Task(index)
 	if !task.StartSent {
@@ -100,8 +101,8 @@
 	}
 }
 
-// requestStop asks for an attempt to be stopped within a grace period; 0 ends it at once.
-// One that is stopping already can only be given less time.
+// requestStop requests that an attempt is stopped within a grace period; 0 stops it immediately.
+// The grace period of an attempt that is already stopping can only be shortened.
 func (t *taskManager) requestStop(job *jobstate.Job, index int, reason jobstate.StopReason, grace int64) {
 	task := job.Task(index)
 	if task.IsStopping() && grace >= task.Grace {
@@ -115,7 +116,7 @@
 	t.queueDirectStop(job, index)
 }
 
-// clearPlacement removes a placement that is proven to be gone.
+// clearPlacement removes the placement of an attempt that is proven to be gone.
 func (t *taskManager) clearPlacement(job *jobstate.Job, index int) {
 	task := job.Task(index)
 	if machine := t.elector.leadership.fleet.Get(task.Machine); machine != nil {
@@ -132,9 +133,9 @@
 	t.elector.leadership.planning.requestRound()
 }
 
-// clearGone clears placements that are proven to be gone: lost ones were on their machine,
-// the others were never started. It goes by their order, as the rest of a gang is stopped
-// for each, and changes are written in the order in which they were made.
+// clearGone clears the placements of attempts that are proven to be gone: lost ones were on their
+// machine, the others were never started. It handles them in sorted order, because the rest of a
+// gang is stopped for each of them and changes are written in the order in which they were made.
 func (t *taskManager) clearGone(lost, neverStarted []fleet.TaskRef) {
 	fleet.SortTaskRefs(lost)
 	for _, ref := range lost {
@@ -148,7 +149,7 @@
 	}
 }
 
-// taskLost handles a task that is proven to be gone without an exit.
+// taskLost handles an attempt that is proven to be gone without having reported its exit.
 func (t *taskManager) taskLost(job *jobstate.Job, index int) {
 	t.log.Debug("task lost", "job", job.ID, "task", index, "machine", job.Task(index).Machine)
 	t.clearPlacement(job, index)
@@ -157,7 +158,7 @@
 	}
 }
 
-// taskDone notes a completed task; the tasks of a gang complete together.
+// taskDone records a completed task; the tasks of a gang complete together.
 func (t *taskManager) taskDone(job *jobstate.Job, index int) {
 	if job.Kind == jobstate.Gang {
 		for i := range job.Tasks {
@@ -169,7 +170,7 @@
 	t.committer.markDirty(job)
 }
 
-// taskExited handles the end of a placed attempt.
+// taskExited handles the exit of a placed attempt.
 func (t *taskManager) taskExited(machine *fleet.Machine, job *jobstate.Job, index int, status *TaskStatus) {
 	task := job.Task(index)
 	t.log.Debug("task exited", "class", job.Class, "task", status.Name, "attempt", status.Attempt, "machine", machine.Name,
@@ -180,7 +181,7 @@
 	}
 	switch status.Reason {
 	case ExitDone, ExitError, ExitGangIncomplete:
-		machine.RecordImageUse(job.Image, job.ImageMB, t.now) // it was there
+		machine.RecordImageUse(job.Image, job.ImageMB, t.now) // the image was on the machine
 	}
 	t.clearPlacement(job, index)
 	switch status.Reason {
@@ -199,7 +200,7 @@
 	}
 }
 
-// jobArrived notes a job that the state cache has not had.
+// jobArrived handles a job that is new to the state cache.
 func (t *taskManager) jobArrived(job *jobstate.Job) {
 	if !t.elector.isLeader() {
 		return
@@ -209,7 +210,7 @@
 	t.elector.leadership.planning.classSizes.note(job.Spec)
 }
 
-// jobEnded stops what is left of a job that has an outcome by now.
+// jobEnded stops the remaining tasks of a job that now has an outcome.
 func (t *taskManager) jobEnded(job *jobstate.Job) {
 	t.dependencies.removeJob(job)
 	if !t.elector.isLeader() {
@@ -220,7 +221,7 @@
 	t.elector.leadership.planning.requestRound()
 }
 
-// jobRemoved forgets a job whose keys are gone.
+// jobRemoved drops a job whose keys were removed.
 func (t *taskManager) jobRemoved(job *jobstate.Job) {
 	t.dependencies.removeJob(job)
 	if !t.elector.isLeader() {
--- a/internal/core/workermessages.go
+++ b/internal/core/workermessages.go
@@ -1,17 +1,18 @@
 package core
 
-// HeartbeatReceived is a worker's heartbeat; the reply to it has commands.
+// HeartbeatReceived is a worker's heartbeat; the reply to it contains commands.
 type HeartbeatReceived struct {
 	RequestID uint64
 	Heartbeat Heartbeat
-	// From is the controller that relays it, "" for the worker itself.
+	// From is the controller that relayed the heartbeat, "" if it came from the worker itself.
 	From string
-	// ViaPeer: that controller does not reach the leader, and this one does.
+	// ViaPeer is set if that controller does not reach the leader and this one should
+	// relay the heartbeat to it.
 	ViaPeer bool
 }
 
-// RelayHeartbeat relays a heartbeat to the leader, or, with ViaPeer, to a peer that
-// reaches it; HeartbeatRelayed answers it.
+// RelayHeartbeat relays a heartbeat to the leader or, if ViaPeer is set, to a peer that reaches
+// the leader; HeartbeatRelayed is the answer.
 type RelayHeartbeat struct {
 	RequestID uint64
 	To        string
@@ -26,15 +27,15 @@
 	Err       error
 }
 
-// ProbeMachine asks a machine for a heartbeat, to see whether this controller reaches it;
-// MachineProbed answers it.
+// ProbeMachine asks a machine for a heartbeat, to find out whether this controller reaches it;
+// MachineProbed is the answer.
 type ProbeMachine struct {
 	Machine string
 	Addr    string
 }
 
-// MachineProbed is how a probe ended; Heartbeat is the machine's answer, if it could be
-// read.
+// MachineProbed is the result of a probe. Heartbeat is the machine's answer, or nil if it could
+// not be read.
 type MachineProbed struct {
 	Machine   string
 	SentAt    int64
@@ -42,8 +43,8 @@
 	Heartbeat *Heartbeat
 }
 
-// SendCommands sends commands to a worker's own address, without waiting for its next
-// heartbeat; nothing answers it, but the heartbeats show what was done.
+// SendCommands sends commands directly to a worker's address, without waiting for its next
+// heartbeat. There is no answer to it; later heartbeats show the effect.
 type SendCommands struct {
 	Addr         string
 	FencingToken uint64
@@ -51,23 +52,24 @@
 	Commands     []Command
 }
 
-// Heartbeat is what a worker says of its machine.
+// Heartbeat is a worker's report of the state of its machine and tasks.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
-	// Epoch counts the worker's incarnations and Seq its heartbeats in one;
-	// FencingToken is the highest that it has accepted.
+	// Epoch counts the worker's incarnations, and Seq its heartbeats within one.
+	// FencingToken is the highest token that it has accepted.
 	Epoch, Seq, FencingToken uint64
-	// PreemptionNotice is in how many microseconds the cloud takes the machine, or
+	// PreemptionNotice is the time in microseconds until the cloud reclaims the machine, or
 	// NoPreemptionNotice.
 	PreemptionNotice int64
 	Tasks            []TaskStatus
 }
 
-// NoPreemptionNotice is the PreemptionNotice of a machine that may stay.
+// NoPreemptionNotice is the PreemptionNotice of a machine that the cloud has not announced to
+// reclaim.
 const NoPreemptionNotice = -1
 
-// TaskStatus is one task of a heartbeat.
+// TaskStatus is the status of one task attempt in a heartbeat.
 type TaskStatus struct {
 	Name         string
 	Attempt      uint64
@@ -76,8 +78,8 @@
 	Checkpointed bool
 }
 
-// TaskState is how far an attempt is on its machine. One that is not known here, of a
-// newer worker, counts as TaskFetching.
+// TaskState is the state of an attempt on its machine. An unknown state, from a newer worker, is
+// treated as TaskFetching.
 type TaskState string
 
 // The states of an attempt.
@@ -89,7 +91,7 @@
 	TaskExited        TaskState = "exited"
 )
 
-// ExitReason is why an attempt has exited; it is empty for one that has not.
+// ExitReason is the reason why an attempt has exited, or empty if it has not.
 type ExitReason string
 
 // The reasons for an exit.
@@ -97,12 +99,12 @@
 	ExitDone    ExitReason = "done"
 	ExitError   ExitReason = "error"
 	ExitStopped ExitReason = "stopped"
-	// ExitPeersLost: a task of the same gang has exited.
+	// ExitPeersLost means that another task of the same gang has exited.
 	ExitPeersLost ExitReason = "peers"
-	// ExitGangIncomplete: the rest of the gang has not come in time.
+	// ExitGangIncomplete means that the rest of the gang was not ready in time.
 	ExitGangIncomplete ExitReason = "alone"
-	// The worker could not start it: the machine has no room, another attempt of the
-	// task is still there, or it does not know the task.
+	// The worker could not start the attempt: the machine has no room, another attempt of
+	// the task is still there, or the worker does not know the task.
 	ExitNoRoom      ExitReason = "no_room"
 	ExitBusy        ExitReason = "busy"
 	ExitUnknownTask ExitReason = "unknown"
@@ -116,7 +118,7 @@
 	Grace   int64 // microseconds
 }
 
-// CommandKind is what a worker is to do with an attempt.
+// CommandKind is the action that a worker should take on an attempt.
 type CommandKind string
 
 // The kinds of commands. CommandForget drops an attempt that has exited.
