--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -8,40 +8,41 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
-// Once listed, a machine remains listed until it is gone. A list that lacks it
-// proves that, if it describes a later moment than one that had it: lists lag, one
-// may be older than the one before, and each page is a list of its own. What moment
-// is described is known within bounds: it is no later than the answer, and no
-// earlier than twice the lag before the question. A machine's age in two lists says
-// exactly how far these are apart, so the bounds get narrower with each list.
+// Once listed, a machine remains listed until it is gone. A list without it proves that it is gone
+// only if this list describes a later time than a list that contained it: lists lag, one may be
+// older than the one before, and each page is a list of its own. The time that a list describes is
+// known within bounds: it is no later than the answer, and no earlier than twice the lag before the
+// request. A machine's ages in two lists give the exact time between them, so the bounds get
+// narrower with each list.
 
-// The states of a listed machine that matter here.
+// The statuses of a listed machine that are handled specially.
 const (
 	cloudMachineFailed  = "failed"
 	cloudMachineRunning = "running"
 )
 
 const (
-	// listingMargin is how much later than the last list with a machine one without it has
-	// to be: ages are given in fractions of a second.
+	// listingMargin is how much later a list without a machine must be than the last list
+	// with it, as ages are given in fractions of a second.
 	listingMargin = second
-	// clockDriftDivisor is the part of a time by which the cloud's clock and this one may
-	// drift apart.
+	// clockDriftDivisor divides a duration to give the maximum drift between the cloud's
+	// clock and the local clock over that duration.
 	clockDriftDivisor = 1000
-	// scaledInMemory is for how long a machine that was returned may still be listed.
+	// scaledInMemory is how long a returned machine may still be listed.
 	scaledInMemory = 120 * second
-	// unlistedBootTimeout is how long a booting machine may be missing in the list,
-	// beyond four times the lag; unlistedTimeout how long a machine without work has to be
-	// silent and unlisted to be forgotten.
+	// unlistedBootTimeout, plus four times the list lag, is how long after it was rented a
+	// booting machine may be missing from the list. unlistedTimeout is how long an unlisted
+	// machine without work must be silent before it is removed.
 	unlistedBootTimeout = 60 * second
 	unlistedTimeout     = 90 * second
 )
 
-// listedAge says between which times a list described a machine, and how old that was.
+// listedAge is the interval that contains the time at which a list described a machine, and the
+// age of the machine in that list.
 type listedAge struct{ from, to, age int64 }
 
-// after is the entry with a later age, as exactly as the earlier entry and the bounds
-// of the later list allow.
+// after returns the entry for another age of the same machine, with the narrowest bounds that
+// follow from this entry and from the bounds of the other list.
 func (a listedAge) after(age, from, to int64) listedAge {
 	apart := age - a.age
 	drift := max(apart, -apart) / clockDriftDivisor
@@ -52,11 +53,11 @@
 	}
 }
 
-// cloudListings remembers the newest entry of each machine.
+// cloudListings keeps the newest entry of each machine.
 type cloudListings struct{ entries map[string]listedAge }
 
-// read takes a list in the order of names, which describes moments from some time
-// to another, and returns the machines that it proves to be gone.
+// read processes a list that is sorted by name and describes times between from and to. It returns
+// the names of the machines that the list proves to be gone.
 func (c *cloudListings) read(from, to int64, list []CloudMachine) (gone []string) {
 	if c.entries == nil {
 		c.entries = map[string]listedAge{}
@@ -73,7 +74,7 @@
 		if found || len(list) == 0 {
 			continue
 		}
-		// Its page is that of the entry before it or of the one after it.
+		// The machine would be on the page of the entry before it or of the one after it.
 		if min(ages[max(i-1, 0)].from, ages[min(i, len(list)-1)].from) > old.to+listingMargin {
 			gone = append(gone, name)
 			delete(c.entries, name)
@@ -88,7 +89,7 @@
 	return gone
 }
 
-// onMachinesListed compares the cloud's list with the machines that are known here.
+// onMachinesListed compares the cloud's list with the known machines.
 func (s *scaler) onMachinesListed(m MachinesListed) {
 	s.cloud.cloudCallEnded(m.ViaPeer, m.Err)
 	if !s.elector.leadsWithToken(m.FencingToken) {
@@ -124,19 +125,19 @@
 	}
 }
 
-// recordListed takes over what the list says of one machine.
+// recordListed applies the list entry of one machine.
 func (s *scaler) recordListed(listed *CloudMachine) {
 	state := &s.elector.leadership.scaling
 	machine := s.elector.leadership.fleet.Get(listed.Name)
 	if machine != nil && machine.Addr == "" {
-		machine.Addr = listed.Addr // no heartbeat has come, and commands may have to be sent there
+		machine.Addr = listed.Addr // no heartbeat was received, but commands may have to be sent to it
 	}
 	switch {
 	case listed.Status == cloudMachineFailed:
 		delete(state.booting, listed.Name)
 		s.queueScaleIn(listed.Name)
 	case state.scaledInAt[listed.Name] != 0:
-		// The list lags; the scale-in was answered.
+		// The list lags: the scale-in was already confirmed.
 	case machine != nil && machine.LastHeartbeat != 0:
 		delete(state.booting, listed.Name)
 	default:
@@ -150,8 +151,8 @@
 	}
 }
 
-// forgetUnlisted drops machines that the cloud does not list and that send no heartbeats:
-// only their names are left.
+// forgetUnlisted removes machines without work that the cloud does not list and that send no
+// heartbeats, and booting machines that are not listed in time.
 func (s *scaler) forgetUnlisted(listed map[string]bool) {
 	term := s.elector.leadership
 	bootTimeout := unlistedBootTimeout + 4*config.MicrosOf(s.settings.Cloud.ListLagS)
@@ -170,16 +171,16 @@
 	}
 }
 
-// forgetReclaimed clears what was on machines that the list proves to be gone: spot
-// machines that were reclaimed without notice, of which nothing else is known before
-// their leases expire.
+// forgetReclaimed removes machines that the list proves to be gone, and clears their tasks. These
+// are spot machines that were reclaimed without notice, whose loss would otherwise be known only
+// when their leases expire.
 func (s *scaler) forgetReclaimed(names []string) {
 	term := s.elector.leadership
 	for _, name := range names {
 		delete(term.scaling.booting, name)
 		m := term.fleet.Get(name)
 		if m == nil || m.Releasing {
-			continue // a scale-in that is under way will be answered
+			continue // the result of the pending scale-in will handle it
 		}
 		s.log.Info("the cloud no longer lists a machine", "machine", name, "tasks", len(m.Placed))
 		s.planner.machineGone(m, "the cloud no longer lists it")
--- a/internal/core/cloudmessages.go
+++ b/internal/core/cloudmessages.go
@@ -2,26 +2,26 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// Calls to the cloud are the leader's. FencingToken is that of the leadership in which a call
-// was made; a later one takes no result of it.
+// Only the leader calls the cloud. FencingToken is the token of the leadership in which a call was
+// made; a later leadership ignores its result.
 
-// ListPage is how many machines a page of the cloud's list holds.
+// ListPage is the number of machines on a page of the cloud's list.
 const ListPage = 500
 
-// ListMachineTypes asks the cloud for the machine types; MachineTypesListed answers it.
+// ListMachineTypes asks the cloud for the machine types; MachineTypesListed is the answer.
 type ListMachineTypes struct{ FencingToken uint64 }
 
 // MachineTypesListed is the cloud's list of machine types.
 type MachineTypesListed struct {
 	Types        []fleet.Type
 	Err          error
-	ViaPeer      string // the peer that has made the call, "" for this controller
+	ViaPeer      string // the peer that made the call, "" for this controller
 	FencingToken uint64
 }
 
-// ListMachines asks the cloud for all machines; MachinesListed answers it.
+// ListMachines asks the cloud for all machines; MachinesListed is the answer.
 type ListMachines struct {
-	// Gap is the time between two pages.
+	// Gap is the time between the requests for two pages, in microseconds.
 	Gap          int64
 	FencingToken uint64
 }
@@ -45,30 +45,30 @@
 	Age    int64
 }
 
-// ScaleOut rents machines; ScaledOut answers it.
+// ScaleOut rents machines; ScaledOut is the answer.
 type ScaleOut struct {
-	// Name is the request's: the cloud executes it once, however often it is repeated.
+	// Name identifies the request: the cloud executes it once, however often it is repeated.
 	Name  string
 	Type  string
 	Zone  string
 	Spot  bool
 	Count int
-	// NotAfter is the time of the steady clock after which it must not go out:
-	// another controller may lead from then on.
+	// NotAfter is the time of the monotonic clock after which the request must not be sent,
+	// as another controller may lead from then on.
 	NotAfter     int64
 	FencingToken uint64
 }
 
-// ScaledOut is how a ScaleOut ended.
+// ScaledOut is the result of a ScaleOut.
 type ScaledOut struct {
 	Request ScaleOut
-	// Names are the machines that were rented, perhaps fewer than were asked for.
+	// Names are the names of the rented machines, possibly fewer than were requested.
 	Names []string
-	// Status is that of the cloud's answer, 0 for none.
+	// Status is the status of the cloud's answer, 0 if there was none.
 	Status int
 }
 
-// ScaleIn returns machines, and must not go out after NotAfter; ScaledIn answers it.
+// ScaleIn returns machines, and must not be sent after NotAfter; ScaledIn is the answer.
 type ScaleIn struct {
 	Names        []string
 	NotAfter     int64
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -6,60 +6,61 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
-// CloudCall is one call of the cloud's interface: exactly one of the four is set.
+// CloudCall is one call to the cloud's API: exactly one of ListTypes, ListMachines, ScaleOut and
+// ScaleIn is set.
 type CloudCall struct {
 	ListTypes, ListMachines bool
-	// Gap is the time between two pages of a list.
+	// Gap is the time between the requests for two pages of a list, in microseconds.
 	Gap      int64
 	ScaleOut *ScaleOut
 	// ScaleIn are the names of the machines to return.
 	ScaleIn []string
 }
 
-// Statuses of the cloud's answers that matter here; its numbers are those of HTTP.
+// Status codes of the cloud's answers that are handled specially; they are HTTP status codes.
 const (
-	cloudNoStatus    = 0 // no answer: whether the call was executed is not known
+	cloudNoStatus    = 0 // no answer: it is unknown whether the call was executed
 	cloudOK          = 200
 	cloudRateLimited = 429
 	cloudServerError = 500
 	cloudNoCapacity  = 503
 )
 
-// CloudResult is how a call of the cloud ended; Status is 0 where that is not known.
+// CloudResult is the result of a call to the cloud; Status is 0 if the result is unknown.
 type CloudResult struct {
 	Status int
 	Types  []fleet.Type
 	List   []CloudMachine
-	// Names are the machines that were rented.
+	// Names are the names of the machines that were rented.
 	Names []string
 }
 
 type (
-	// CloudCallRequested is a leader's call that a peer is to make for it.
+	// CloudCallRequested is a leader's request to this controller to make a call for it.
 	CloudCallRequested struct {
 		RequestID    uint64
 		FencingToken uint64
 		Call         CloudCall
 	}
-	// CloudCalledForPeer is how a call that was made for a leader ended.
+	// CloudCalledForPeer is the result of a call that this controller made for a leader.
 	CloudCalledForPeer struct {
 		RequestID uint64
 		Answer    CloudResult
 	}
-	// CallCloudViaPeer has a peer make a call; it is answered like a call made here,
-	// after PeerCloudCallEnded.
+	// CallCloudViaPeer asks a peer to make a call. It is answered by PeerCloudCallEnded and
+	// then by the same message as a call that this controller makes itself.
 	CallCloudViaPeer struct {
 		To           string
 		FencingToken uint64
 		Call         CloudCall
 		NotAfter     int64
 	}
-	// PeerCloudCallEnded says how the way by a peer ended.
+	// PeerCloudCallEnded is the outcome of making a call through a peer.
 	PeerCloudCallEnded struct {
 		Peer string
 		Err  error
 	}
-	// CallCloudForPeer makes a call for a leader, and is answered by CloudCalledForPeer.
+	// CallCloudForPeer makes a call for a leader; it is answered by CloudCalledForPeer.
 	CallCloudForPeer struct {
 		RequestID uint64
 		Call      CloudCall
@@ -71,8 +72,8 @@
 	errCloudNotReached = errors.New("the cloud was not reached")
 )
 
-// Message is the result of a call that a peer made, as the message that the call
-// has when it is made by the leader itself.
+// Message converts the result of a call that a peer made to the message that would answer the call
+// if the leader had made it itself.
 func (r CloudResult) Message(call CloudCall, peer string, fencingToken uint64) any {
 	var err error
 	if r.Status != cloudOK {
@@ -91,8 +92,7 @@
 	return ScaledIn{Names: call.ScaleIn, OK: r.Status == cloudOK, FencingToken: fencingToken}
 }
 
-// cloudCaller makes calls of the cloud, by way of a peer where this controller does not
-// reach it.
+// cloudCaller makes calls to the cloud, through a peer if this controller does not reach it.
 type cloudCaller struct {
 	*engine
 
@@ -101,10 +101,9 @@
 	peers   *peerMonitor
 }
 
-// callCloud makes a call, itself or by a peer where only others reach the cloud.
-// What changes something there may go out for as long as nobody else can lead;
-// that is checked again next to the socket, as this process may stand still in
-// between.
+// callCloud makes a call, either directly or through a peer if only peers reach the cloud. A call
+// that modifies cloud state may be sent only while no other controller can lead. This is checked
+// again directly before sending, as the process may be paused in between.
 func (c *cloudCaller) callCloud(call CloudCall) {
 	notAfter := c.elector.tokenProvenUntil()
 	fencingToken := c.elector.fencingToken()
@@ -126,7 +125,8 @@
 	}
 }
 
-// cloudPeer is the peer by whose way calls are made, empty if they are made from here.
+// cloudPeer returns the peer through which calls are made, or "" if this controller makes them
+// itself.
 func (c *cloudCaller) cloudPeer() string {
 	if !c.settings.Ops.Reach {
 		return ""
@@ -134,7 +134,8 @@
 	return c.peers.connectivity.CloudProxy(c.now)
 }
 
-// cloudCallEnded notes how a call has ended, if it was made here and not by a peer.
+// cloudCallEnded records the outcome of a call for the link to the cloud, unless a peer made the
+// call.
 func (c *cloudCaller) cloudCallEnded(peer string, err error) {
 	if peer != "" {
 		return
@@ -146,8 +147,8 @@
 	}
 }
 
-// onCloudCallRequested makes a call for a leader, unless a newer one is known of: what a
-// replaced leader asks for must not reach the cloud by way of its successors.
+// onCloudCallRequested makes a call for a leader, unless a newer leader is known: the calls of a
+// replaced leader must not reach the cloud through its successors.
 func (c *cloudCaller) onCloudCallRequested(m CloudCallRequested) {
 	c.elector.noteNewestLeader(c.cache.leader)
 	if m.FencingToken < c.elector.newestLeader.Token {
@@ -157,8 +158,8 @@
 	c.emit(CallCloudForPeer{RequestID: m.RequestID, Call: m.Call})
 }
 
-// onCloudCalledForPeer hands the result of a call on to the leader that it was made for.
-// Without a status the cloud has not answered this controller either.
+// onCloudCalledForPeer sends the result of a call to the leader for which it was made. A result
+// without a status means that the cloud did not answer this controller either.
 func (c *cloudCaller) onCloudCalledForPeer(m CloudCalledForPeer) {
 	var err error
 	if m.Answer.Status == cloudNoStatus {
@@ -168,8 +169,8 @@
 	c.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, Cloud: &m.Answer})
 }
 
-// CloudViaPeerResult makes the two messages by which a call by way of a peer ends, from
-// the peer's reply: how the way by the peer ended, and the result of the call.
+// CloudViaPeerResult converts a peer's reply to the two messages that answer a call through a peer:
+// the outcome of using the peer, and the result of the call.
 func CloudViaPeerResult(e CallCloudViaPeer, r Reply, err error) (ended PeerCloudCallEnded, answer any) {
 	var result CloudResult
 	if r.Cloud != nil {
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -9,15 +9,15 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// machinePool is the machines that are rented and kept ready together: those of a type,
-// or, where cost is an objective, its on-demand and its spot ones apart. Then jobs that
-// may use spot machines get these, and on-demand ones are rented for the others.
+// machinePool identifies the machines that are rented and kept as spares together: all machines of
+// a type or, if cost is an objective, separately its on-demand and its spot machines. In the latter
+// case spot machines are rented for jobs that may use them, and on-demand machines for the others.
 type machinePool struct {
 	machineType string
-	spot        bool // only spot machines; the pool of the on-demand ones is without it
+	spot        bool // only spot machines; false for on-demand machines and for pools that are not split
 }
 
-// compare orders pools by type, on-demand ones first.
+// compare orders pools by type, on-demand before spot.
 func (p machinePool) compare(o machinePool) int {
 	if c := cmp.Compare(p.machineType, o.machineType); c != 0 || p.spot == o.spot {
 		return c
@@ -28,12 +28,12 @@
 	return 1
 }
 
-// splitsPools reports whether a type's spot machines are a pool of their own. What is lost
-// with one is half a checkpoint interval or a run, now and then, and the price
-// differs all the time; where it does not, on-demand ones are rented first.
+// splitsPools reports whether a type's spot machines are a separate pool. The occasional loss of a
+// spot machine costs half a checkpoint interval or a run, while a lower price saves money all the
+// time. If spot machines are not cheaper, on-demand machines are rented first.
 func (s *scaler) splitsPools(t *fleet.Type) bool { return s.costAware && t.SpotPrice < t.Price }
 
-// pools are those of a type.
+// pools returns the pools of a machine type.
 func (s *scaler) pools(t *fleet.Type) []machinePool {
 	if s.splitsPools(t) {
 		return []machinePool{{t.Name, false}, {t.Name, true}}
@@ -41,7 +41,7 @@
 	return []machinePool{{t.Name, false}}
 }
 
-// poolOf is the pool of a machine.
+// poolOf returns the pool of a machine with the given type and kind.
 func (s *scaler) poolOf(machineType string, spot bool) machinePool {
 	for i := range s.cache.machineTypes {
 		if t := &s.cache.machineTypes[i]; t.Name == machineType {
@@ -51,13 +51,13 @@
 	return machinePool{machineType, false}
 }
 
-// scaleOutKinds are the kinds of machines to rent for a pool, spot or not, in order. Where
-// pools are apart the other kind comes only in need: jobs that may use spot
-// machines take on-demand ones before they wait.
+// scaleOutKinds returns the kinds of machines to rent for a pool (spot or not), in order of
+// preference. If the pools are split, on-demand machines are rented for the spot pool only if jobs
+// need them: jobs that may use spot machines take on-demand machines rather than wait.
 func (s *scaler) scaleOutKinds(t *fleet.Type, pool machinePool, needed bool) []bool {
 	switch {
 	case !s.splitsPools(t):
-		return []bool{false, true} // on-demand ones: any job may use them and they stay
+		return []bool{false, true} // on-demand first: any job may use them, and they are not reclaimed
 	case pool.spot && needed:
 		return []bool{true, false}
 	case pool.spot:
@@ -66,26 +66,27 @@
 	return []bool{false}
 }
 
-// usagePeak is the most machines of a pool in use of late.
+// usagePeak is the recent maximum number of busy machines of a pool.
 type usagePeak struct {
 	busy int
 	at   int64
 }
 
-// recordBusy keeps the peak for the time that idle machines are kept.
+// recordBusy updates the peak of a pool, which is kept for the given time.
 func (s *scalingState) recordBusy(pool machinePool, busy int, now, keep int64) {
 	if peak := s.peaks[pool]; busy >= peak.busy || now-peak.at > keep {
 		s.peaks[pool] = usagePeak{busy, now}
 	}
 }
 
-// spareFactor is how many roots of the number of machines in use are kept spare
-// where cost is an objective: arrivals that are independent vary by one.
+// spareFactor is the number of spare machines, as a multiple of the square root of the number of
+// machines in use, if cost is an objective. The standard deviation of independent arrivals is one
+// square root.
 const spareFactor = 1
 
-// spareMachines is how many idle machines of a pool are kept ready: a share of those in
-// use of late, and none once nothing has run for a while. Where cost is an objective
-// they are no more than what a load of that size varies by.
+// spareMachines returns how many idle machines of a pool are kept as spares: a share of the recent
+// peak of machines in use, and none once nothing has run for a while. If cost is an objective,
+// there are no more spares than a load of that size typically varies by.
 func (s *scaler) spareMachines(pool machinePool) int {
 	busy := float64(s.elector.leadership.scaling.peaks[pool].busy)
 	spare := busy * s.settings.Ops.SpareShare
@@ -95,8 +96,8 @@
 	return int(math.Ceil(spare))
 }
 
-// idleReturnTime is how long a machine that is no spare one may be idle before it is
-// returned: half as long where cost is an objective.
+// idleReturnTime returns how long a machine that is not spare may be idle before it is returned:
+// half of the configured time if cost is an objective.
 func (s *scaler) idleReturnTime() int64 {
 	if s.costAware {
 		return s.settings.Ops.IdleReturn / 2
@@ -104,7 +105,7 @@
 	return s.settings.Ops.IdleReturn
 }
 
-// shortage is how many machines of a pool the waiting tasks would fill.
+// shortage returns how many machines of a pool the waiting tasks would fill.
 func (s *scaler) shortage(t *fleet.Type, pool machinePool) int {
 	var machines float64
 	for _, waiting := range s.elector.leadership.planning.waitingJobs {
@@ -116,8 +117,8 @@
 	return int(machines + 0.999)
 }
 
-// isForPool reports whether machines of a pool are rented for a job: none with GPUs for a
-// job that needs none.
+// isForPool reports whether machines of a pool are rented for a job. Machines with GPUs are not
+// rented for jobs that need no GPUs.
 func (s *scaler) isForPool(spec *jobstate.Spec, t *fleet.Type, pool machinePool) bool {
 	if len(spec.Types) > 0 && !slices.Contains(spec.Types, t.Name) || !spec.Need.Fits(t.Cap) {
 		return false
--- a/internal/core/machinetypes.go
+++ b/internal/core/machinetypes.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// onMachineTypesListed takes over the machine types that the cloud offers, and stores
-// them for the leaders that come when the cloud does not answer.
+// onMachineTypesListed applies the machine types that the cloud offers, and stores them for later
+// leaders that are elected while the cloud does not answer.
 func (s *scaler) onMachineTypesListed(m MachineTypesListed) {
 	s.cloud.cloudCallEnded(m.ViaPeer, m.Err)
 	if !s.elector.leadsWithToken(m.FencingToken) {
@@ -31,8 +31,7 @@
 	s.elector.leadership.planning.requestRound()
 }
 
-// writeTypes stores the machine types, those that do not fit one value one by
-// one.
+// writeTypes stores the machine types in one value, or in one value per type if they do not fit.
 func (s *scaler) writeTypes(all []byte) {
 	writes := []Write{{Key: typesKey, Value: all}}
 	if len(all) > s.membership.valueLimit() {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// maxScaleIn is how many machines the cloud takes back at one request.
+	// maxScaleIn is the maximum number of machines that can be returned in one request.
 	maxScaleIn = 100
-	// minBootTimeout is how long a machine that is listed as running has until its first
-	// heartbeat, unknownBootTimeout how long one of a type that is not known has.
+	// minBootTimeout is the minimum time that a machine listed as running has until its
+	// first heartbeat, and unknownBootTimeout the time for a machine of an unknown type.
 	minBootTimeout     = 120 * second
 	unknownBootTimeout = 300 * second
-	// recentlySilent is how long a machine without work counts as silent.
+	// recentlySilent is how long after its last heartbeat a machine without work counts as
+	// silent.
 	recentlySilent = 60 * second
 )
 
-// machineSurvey is what scaling in goes by.
+// machineSurvey is the state of the fleet on which scaling in is based.
 type machineSurvey struct {
-	// live and silent count the machines that send heartbeats and those that have
-	// stopped.
+	// live and silent are the numbers of machines that send heartbeats and of those that
+	// no longer do.
 	live, silent int
-	// presumedDead are machines with work that have been silent for long.
+	// presumedDead are machines with work that have been silent for a long time.
 	presumedDead []*fleet.Machine
-	// idle are machines that have been idle for long, by their pools.
+	// idle are the machines that have been idle for a long time, by pool.
 	idle map[machinePool][]*fleet.Machine
 }
 
-// addIdle notes a machine of a pool that has long been idle; most of the time there is none.
+// addIdle adds a machine that has been idle for a long time. The map is created on demand, as
+// there is usually no such machine.
 func (s *machineSurvey) addIdle(pool machinePool, m *fleet.Machine) {
 	if s.idle == nil {
 		s.idle = map[machinePool][]*fleet.Machine{}
@@ -39,13 +41,13 @@
 	s.idle[pool] = append(s.idle[pool], m)
 }
 
-// scaleInTick returns machines: silent ones, whose tasks that ends for
-// certain, faulty and never-booting ones, and those idle for long.
+// scaleInTick returns machines: silent ones, whose tasks certainly end by this, faulty ones, ones
+// that never boot, and ones that have been idle for a long time.
 func (s *scaler) scaleInTick(takeCall func() bool, gathers []zoneGather) {
 	if !s.elector.mayStartTasks() {
-		// It may have been replaced, and its successor may use the machines: a
-		// leader that was partitioned once returned machines that had come up for the
-		// next one. What was decided before waits here as well.
+		// This leader may have been replaced, and its successor may use the machines:
+		// otherwise a partitioned leader would return machines that have come up for
+		// the next one. Returns that were queued before wait as well.
 		return
 	}
 	survey := s.surveyMachines(gathers)
@@ -55,16 +57,16 @@
 	s.sendScaleIn(takeCall)
 }
 
-// surveyMachines goes through all machines, and queues those that are drained.
+// surveyMachines classifies all machines, and queues the return of those that are drained.
 func (s *scaler) surveyMachines(gathers []zoneGather) machineSurvey {
 	var survey machineSurvey
 	interval := s.heartbeatInterval()
 	since := s.elector.leadership.since
 	for _, m := range s.elector.leadership.fleet.All() {
 		silence := s.now - max(m.LastHeartbeat, since)
-		// One that has sent no heartbeat under this leader counts too, if it is
-		// known to have work: else a leader that begins while a zone is partitioned
-		// returns all of the zone's machines for a few dead ones.
+		// A machine that has sent no heartbeat to this leader counts as silent too if
+		// it is known to have work. Otherwise a leader that is elected while a zone is
+		// partitioned takes the zone's machines for a few dead ones and returns them all.
 		if silence > 2*interval && (len(m.Placed) > 0 || m.LastHeartbeat != 0 && silence < recentlySilent) {
 			survey.silent++
 		}
@@ -85,22 +87,22 @@
 	return survey
 }
 
-// isIdleForLong reports whether a machine has been idle for as long as one may be that is no
-// spare one. A new leader waits, as it does not know for how long they have been.
+// isIdleForLong reports whether a machine has been idle for longer than a machine that is not
+// spare may be. A new leader waits, as it does not know how long machines have been idle.
 func (s *scaler) isIdleForLong(m *fleet.Machine) bool {
 	return m.IdleSince != 0 && len(m.Placed) == 0 && s.now-m.IdleSince > s.idleReturnTime() &&
 		s.now-s.elector.leadership.since > s.settings.Ops.IdleReturn
 }
 
-// isPresumedDead reports whether a machine has been silent for too long; one that the cloud
-// was to reclaim by now, for half of that.
+// isPresumedDead reports whether a machine has been silent for too long. About half of that time
+// is enough for a machine that the cloud should have reclaimed by now.
 func (s *scaler) isPresumedDead(m *fleet.Machine, silence int64) bool {
 	interval := s.heartbeatInterval()
 	return silence > 4*interval+2*second || m.ReclaimAt != 0 && s.now > m.ReclaimAt && silence > 2*interval
 }
 
-// scaleInIdle returns machines that have long been idle, except those that are kept as
-// spare ones: those that have been idle for longest go.
+// scaleInIdle returns machines that have been idle for a long time, except those that are kept as
+// spare machines. Those that have been idle longest are returned first.
 func (s *scaler) scaleInIdle(idle map[machinePool][]*fleet.Machine) {
 	pools := slices.SortedFunc(maps.Keys(idle), machinePool.compare)
 	for _, pool := range pools {
@@ -115,12 +117,11 @@
 	}
 }
 
-// scaleInSilent returns machines that are presumed dead.
-// When many machines are silent the fault is more likely on the way to
-// them, and returning them would end good work. So only a few are taken
-// for dead at once, unless the cloud does not list them any more. An
-// eighth of a large fleet is not few: machines die one by one, and what
-// goes silent together is behind a network partition.
+// scaleInSilent returns machines that are presumed dead. If many machines are silent, the fault is
+// more likely in the network, and returning them would end healthy tasks. So machines are returned
+// only while few are silent, unless the cloud no longer lists them. An eighth of a large fleet is
+// not few: machines die one by one, and those that become silent together are behind a network
+// partition.
 func (s *scaler) scaleInSilent(survey *machineSurvey) {
 	slices.SortFunc(survey.presumedDead, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	areFew := survey.silent <= max(1, min(survey.live/8, 6+survey.live/64))
@@ -134,19 +135,20 @@
 	}
 }
 
-// scaleInNeverUp returns machines that were rented and never sent a heartbeat.
+// scaleInNeverUp returns machines that were rented and have not sent a heartbeat in time.
 func (s *scaler) scaleInNeverUp() {
 	state := &s.elector.leadership.scaling
 	for _, name := range sortedKeys(state.booting) {
 		machine := state.booting[name]
 		if m := s.elector.leadership.fleet.Get(name); m != nil && m.LastHeartbeat != 0 {
-			// It has come up since the last list, as a whole zone does when
-			// a partition that a leader began in is over.
+			// It has sent a heartbeat since the last list. This happens for a
+			// whole zone when a partition during which the leader was elected
+			// has healed.
 			delete(state.booting, name)
 			continue
 		}
-		// After a failover machines that are up have yet to send heartbeats here,
-		// and the list may lag: neither is a sign that one never came up.
+		// After a failover, running machines have yet to send heartbeats to this
+		// leader, and the list may lag: neither means that a machine never came up.
 		timeout := s.bootTimeout(machine.machineType)
 		leaderTimeout := timeout / 2
 		if machine.up {
@@ -160,7 +162,8 @@
 	}
 }
 
-// bootTimeout is how long after it was rented a booting machine is given up.
+// bootTimeout returns how long after it was rented a machine of the type may take to send its
+// first heartbeat.
 func (s *scaler) bootTimeout(machineType string) int64 {
 	for i := range s.cache.machineTypes {
 		if s.cache.machineTypes[i].Name == machineType {
@@ -170,8 +173,8 @@
 	return unknownBootTimeout
 }
 
-// queueScaleIn has a machine returned by one of the next calls; nothing is placed there
-// any more.
+// queueScaleIn queues a machine to be returned by one of the next calls; no more tasks are placed
+// on it.
 func (s *scaler) queueScaleIn(name string) {
 	if m := s.elector.leadership.fleet.Get(name); m != nil {
 		if m.Releasing {
@@ -189,10 +192,10 @@
 	}
 }
 
-// sendScaleIn returns queued machines, as many as one request takes.
+// sendScaleIn returns queued machines, as many as fit in one request.
 func (s *scaler) sendScaleIn(takeCall func() bool) {
 	state := &s.elector.leadership.scaling
-	// One that came up after it was given up, while this waited, has work by now.
+	// A machine that came up while its return was queued may have work by now.
 	state.toScaleIn = slices.DeleteFunc(state.toScaleIn, func(name string) bool {
 		m := s.elector.leadership.fleet.Get(name)
 		return m != nil && !m.Releasing
@@ -206,7 +209,7 @@
 	s.cloud.callCloud(CloudCall{ScaleIn: names})
 }
 
-// onScaledIn handles the result of a scale-in: what ran on a returned machine has ended.
+// onScaledIn handles the result of a scale-in. All tasks on a returned machine have ended.
 func (s *scaler) onScaledIn(m ScaledIn) {
 	if !s.elector.isLeader() {
 		return
@@ -221,16 +224,18 @@
 		case m.OK:
 			s.machineReturned(name)
 		case isOurs:
-			// Not known: it may be executed late. Ask again until it is
-			// certain; nothing is placed there any more. Of a call of an earlier
-			// leadership, another leader may have put work on the machine since.
+			// The result is unknown, and the call may be executed late. Repeat it
+			// until it is confirmed; no more tasks are placed on the machine. A
+			// call of an earlier leadership is not repeated, as another leader may
+			// have placed work on the machine since.
 			term.scaling.queueScaleIn(name)
 		}
 	}
 	term.planning.requestRound()
 }
 
-// machineReturned forgets a machine that the cloud has taken back.
+// machineReturned clears the tasks of a machine that was returned to the cloud, and removes it
+// from the fleet.
 func (s *scaler) machineReturned(name string) {
 	term := s.elector.leadership
 	if m := term.fleet.Get(name); m != nil {
@@ -243,7 +248,7 @@
 	term.scaling.scaledInAt[name] = s.now
 }
 
-// forgetMachine drops a machine that is gone, and the prefetch that ran on it.
+// forgetMachine removes a machine that is gone from the fleet, and ends its prefetch.
 func (s *scaler) forgetMachine(m *fleet.Machine) {
 	s.prefetcher.endPrefetch(m)
 	s.elector.leadership.heartbeats.departed.noteRemoved(m, s.now)
--- a/internal/core/zonegather.go
+++ b/internal/core/zonegather.go
@@ -7,20 +7,19 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// zoneGather is a waiting job whose tasks have to be in one zone, and the zone in
-// which machines are gathered for it: no zone has enough of them, busy or idle,
-// so that waiting alone does not help. Without it machines are rented in zones
-// at random, and are returned as idle before there are enough in one: on a day
-// in the emulator a gang of three waited for 220 s on an empty fleet.
+// zoneGather is a waiting job whose tasks must be in one zone, and the zone in which machines are
+// gathered for it. No zone has enough machines for it, busy or idle, so waiting alone does not
+// help. Without this, machines are rented in random zones and returned as idle before one zone has
+// enough: in the emulator a gang of three waited for 220 s on an empty fleet.
 type zoneGather struct {
 	spec *jobstate.Spec
 	zone string
 }
 
-// maxZoneGathers bounds the jobs that machines are gathered for at once.
+// maxZoneGathers is the maximum number of jobs for which machines are gathered at once.
 const maxZoneGathers = 4
 
-// zoneGathers are the jobs that machines are gathered for, in the order in which they wait.
+// zoneGathers returns the jobs for which machines are gathered, in queue order.
 func (s *scaler) zoneGathers() (gathers []zoneGather) {
 	waiting := s.elector.leadership.planning.waitingJobs
 	if !slices.ContainsFunc(waiting, func(w waitingJob) bool { return w.spec.OneZone }) {
@@ -60,13 +59,14 @@
 // zoneOption is a zone in which machines could be gathered for a job.
 type zoneOption struct {
 	zone string
-	// usableTasks is how many of the job's tasks the usable machines could take together,
-	// tasks how many with those that boot.
+	// usableTasks is how many of the job's tasks fit on the usable machines together, and
+	// tasks how many fit on the usable and booting machines.
 	usableTasks, tasks int64
-	open               bool // more machines can be had there
+	open               bool // more machines can be rented there
 }
 
-// isBetterThan prefers zones where more machines can be had, then those with more of them.
+// isBetterThan reports whether o is preferred: zones where more machines can be rented come first,
+// then zones whose machines have room for more tasks.
 func (o zoneOption) isBetterThan(other zoneOption) bool {
 	if o.open != other.open {
 		return o.open
@@ -74,9 +74,9 @@
 	return o.tasks > other.tasks
 }
 
-// gatherZone is the zone in which machines are gathered for a job: the one with
-// the most that are there or booting, of those where more can be had. It is empty
-// if some zone has enough.
+// gatherZone returns the zone in which machines are gathered for a job. Zones where more machines
+// can be rented come first, then the zone whose usable and booting machines have room for the most
+// tasks. It returns "" if a zone already has enough usable machines.
 func (s *scaler) gatherZone(spec *jobstate.Spec, usable, booting map[machineOffer]int64) string {
 	var best zoneOption
 	for _, zone := range s.settings.Zones {
@@ -91,7 +91,7 @@
 	return best.zone
 }
 
-// zoneOption finds out what a zone has for a job.
+// zoneOption evaluates a zone for a job.
 func (s *scaler) zoneOption(spec *jobstate.Spec, zone string, usable, booting map[machineOffer]int64) zoneOption {
 	option := zoneOption{zone: zone}
 	for i := range s.cache.machineTypes {
@@ -110,8 +110,8 @@
 	return option
 }
 
-// isGathered reports whether an idle machine is kept for one of the jobs that machines are
-// gathered for.
+// isGathered reports whether an idle machine is kept for one of the jobs for which machines are
+// gathered.
 func isGathered(gathers []zoneGather, m *fleet.Machine) bool {
 	return slices.ContainsFunc(gathers, func(g zoneGather) bool {
 		return g.zone == m.Zone && g.spec.Allows(m.Type, m.Zone, m.Spot, m.Cap)
