--- a/internal/core/cloudmessages.go
+++ b/internal/core/cloudmessages.go
@@ -75,7 +75,7 @@
 	FencingToken uint64
 }
 
-// ScaledIn reports whether machines were returned.
+// ScaledIn is the result of a ScaleIn; OK is set if the machines were returned.
 type ScaledIn struct {
 	Names        []string
 	OK           bool
--- a/internal/core/imagedemand.go
+++ b/internal/core/imagedemand.go
@@ -3,24 +3,25 @@
 import "github.com/zinclb/zinclb/internal/core/jobstate"
 
 const (
-	// maxImagesTracked bounds the images whose demand is remembered, demandHalfLife is
-	// after what time half of a demand is forgotten.
+	// maxImagesTracked is the maximum number of images whose demand is tracked, and
+	// demandHalfLife the time after which a demand score is halved.
 	maxImagesTracked = 200
 	demandHalfLife   = 300 * second
-	// maxMachinesCounted bounds for how many machines one job's demand counts.
+	// maxMachinesCounted is the maximum number of machines that one job adds to the demand.
 	maxMachinesCounted = 16
-	// allImagesWorth is what having every image that is asked for is worth, as a delay:
-	// less than a fetch, so that it only decides between machines that are as good.
+	// allImagesWorth is the value of having all demanded images cached, expressed as a
+	// delay. It is less than a fetch takes, so it only decides between otherwise equal
+	// machines.
 	allImagesWorth = 3 * second
 )
 
-// imageDemand is how much an image is asked for.
+// imageDemand is the demand score of an image, and the time as of which it holds.
 type imageDemand struct {
 	score float64
 	at    int64
 }
 
-// decayed is what is left of a demand at a time.
+// decayed returns the demand after decay up to the given time.
 func (d imageDemand) decayed(now int64) imageDemand {
 	const negligible = 0.01
 	for ; now-d.at > demandHalfLife && d.score > negligible; d.at += demandHalfLife {
@@ -29,7 +30,7 @@
 	return d
 }
 
-// forgetLeastRecent drops the image whose demand is oldest.
+// forgetLeastRecent removes the image with the oldest demand.
 func (s *prefetchState) forgetLeastRecent() {
 	var oldest string
 	for image, demand := range s.demand {
@@ -42,7 +43,7 @@
 	delete(s.sources, oldest)
 }
 
-// noteImageDemand counts a job's demand for its image; urgent jobs count for more.
+// noteImageDemand adds a job to the demand for its image; jobs of higher priority count more.
 func (p *prefetcher) noteImageDemand(spec *jobstate.Spec) {
 	state := &p.elector.leadership.prefetch
 	if spec.Image == "" {
@@ -57,8 +58,8 @@
 	}
 }
 
-// machinesNeeded is about how many machines a job takes, up to a few: an image
-// whose jobs are wide is wanted on more machines.
+// machinesNeeded estimates how many machines a job needs, from 1 to maxMachinesCounted: an image whose
+// jobs have many tasks is wanted on more machines.
 func (p *prefetcher) machinesNeeded(spec *jobstate.Spec) float64 {
 	machines := float64(maxMachinesCounted)
 	for i := range p.cache.machineTypes {
@@ -69,9 +70,9 @@
 	return max(machines, 1)
 }
 
-// imageWorth shares allImagesWorth out by demand. With few machines idle, those with the
-// images of urgent jobs would else be used up by jobs that have to fetch theirs
-// wherever they go.
+// imageWorth divides allImagesWorth among the images in proportion to their demand. Otherwise, if few
+// machines are idle, those with the images of urgent jobs would be used up by jobs that must fetch
+// their image on any machine.
 func (p *prefetcher) imageWorth() map[string]int64 {
 	demand := p.elector.leadership.prefetch.demand
 	var total float64
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -12,15 +12,15 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// hintsRecord is what a leader leaves to the next about images: which machine has
-// which, and finished jobs whose tasks can carry them. It is spread over as
-// many values as the fleet needs, each written in its turn and with what the
-// budget leaves; nothing depends on its being right or there.
+// hintsRecord is one stored value of what a leader tells the next one about images: which machine has
+// which images, and completed jobs whose tasks can be used to prefetch them. The hints are spread over
+// as many values as the size of the fleet requires. The values are written in turn, with what is left
+// of the write budget. Nothing depends on the hints being correct or present.
 type hintsRecord struct {
-	// Of is how many values there are in all.
+	// Of is the total number of values.
 	Of     int         `json:"of"`
 	Images []hintImage `json:"i"`
-	// Machines has a bit for each of the images.
+	// Machines is a bit set for each machine, with a bit for each of the images.
 	Machines map[string]uint64 `json:"m"`
 	Sources  []*jobstate.Spec  `json:"s"`
 }
@@ -31,29 +31,29 @@
 }
 
 const (
-	// hintsInterval is how often all values of hints are written, hintsWriteShare what
-	// share of the leader's writes they may take, minHintWrites how many writes have to
-	// be left.
+	// hintsInterval is the interval at which all values of hints are written,
+	// hintsWriteShare the share of the leader's write rate that they may use, and
+	// minHintWrites the number of writes that must be left in the budget.
 	hintsInterval   = 15 * second
 	hintsWriteShare = 0.05
 	minHintWrites   = 4
-	// maxHintImages is how many images hints are given of: a bit each.
+	// maxHintImages is the maximum number of images in the hints, with one bit each.
 	maxHintImages = 63
-	// sourcesPerImage is how many jobs are named that can carry an image: several
-	// machines can then fetch it at once.
+	// sourcesPerImage is the number of jobs that are listed as sources of an image, so that
+	// several machines can fetch it at the same time.
 	sourcesPerImage = 2
-	// What a machine, a source and an image are taken to need in a value, in bytes.
+	// The estimated sizes of a machine, a source and an image in a value, in bytes.
 	machineBytes = 45
 	sourceBytes  = 400
 	imageBytes   = 40
 )
 
-// hintState is what is known of cached images from an earlier leader, and what this
-// one has written of them for the next.
+// hintState is what an earlier leader has stored about cached images, and what this leader has written
+// for the next one.
 type hintState struct {
-	// known are the images of each machine that the last leader knew of.
+	// known are the images of each machine according to the previous leader.
 	known map[string][]hintImage
-	// inheritedSources are the finished jobs that can carry images.
+	// inheritedSources are completed jobs that can be used as prefetch sources.
 	inheritedSources []*jobstate.Spec
 	written          map[string][]byte
 	writtenAt        int64
@@ -88,18 +88,18 @@
 	})
 }
 
-// hintParts is how many values the hints take. Each names all images.
+// hintParts returns the number of values that the hints need. Each value lists all images.
 func (p *prefetcher) hintParts(images int) int {
 	capacity := p.membership.valueLimit()*4/5 - images*imageBytes
 	return 1 + (p.elector.leadership.fleet.Len()*machineBytes+images*sourcesPerImage*sourceBytes)/capacity
 }
 
-// hintGap is the time between the writes of two of so many values.
+// hintGap returns the time between the writes of two values, given the number of values.
 func (p *prefetcher) hintGap(parts int) int64 {
 	return max(hintsInterval/int64(parts), int64(1e6/(p.health.writeRate()*hintsWriteShare)))
 }
 
-// mostWantedImages are the images most asked for.
+// mostWantedImages returns the images with the highest demand, as many as the hints can hold.
 func (p *prefetcher) mostWantedImages() []string {
 	demand := p.elector.leadership.prefetch.demand
 	images := make([]string, 0, len(demand))
@@ -112,7 +112,7 @@
 	return images[:min(len(images), maxHintImages, p.membership.valueLimit()/3/imageBytes)]
 }
 
-// encodeImageHints makes one of so many values of hints.
+// encodeImageHints encodes one of the values of the hints: number part, counted from 0, of parts.
 func (p *prefetcher) encodeImageHints(images []string, part, parts int) []byte {
 	term := p.elector.leadership
 	hints := hintsRecord{Of: parts, Machines: map[string]uint64{}}
@@ -132,7 +132,7 @@
 	return hints.encode(p.membership.valueLimit())
 }
 
-// jobsCarrying are a few finished jobs that can carry an image.
+// jobsCarrying returns up to sourcesPerImage completed jobs that are prefetch sources of an image.
 func (p *prefetcher) jobsCarrying(image string) []*jobstate.Spec {
 	var jobs []*jobstate.Spec
 	seen := map[string]bool{}
@@ -145,7 +145,7 @@
 	return jobs
 }
 
-// addMachine notes which of the images a machine has; bits are their numbers.
+// addMachine records which of the images a machine has; bits maps each image to its bit number.
 func (h *hintsRecord) addMachine(m *fleet.Machine, bits map[string]int) {
 	for name, image := range m.Images {
 		if i, ok := bits[name]; ok {
@@ -155,7 +155,7 @@
 	}
 }
 
-// encode makes a value, and leaves out what does not fit.
+// encode encodes the value, and omits sources and then machines if it exceeds the limit in bytes.
 func (h hintsRecord) encode(limit int) []byte {
 	for {
 		value := encodeJSON(h)
@@ -172,9 +172,9 @@
 	}
 }
 
-// loadImageHints is called when this controller begins to lead. The sources are
-// used only when the lease of any machine that fetched for the last leader
-// has expired, as each task is to be on one machine at a time.
+// loadImageHints loads the previous leader's hints; it is called when this controller begins to lead.
+// The sources are used only when the lease of any machine that prefetched for the previous leader has
+// expired, as each task must be on one machine at a time.
 func (p *prefetcher) loadImageHints() {
 	state := &p.elector.leadership.hints
 	for _, key := range sortedKeys(p.cache.imageHints) {
@@ -193,14 +193,14 @@
 			p.inheritSource(spec)
 		}
 	}
-	// A job may stand in two values, as they are written at different times.
-	// It must be one source all the same: two would start a task twice.
+	// A job may appear in two values, as they are written at different times. It must
+	// still be added as a source only once; otherwise a task could be started twice.
 	byID := func(a, b *jobstate.Spec) int { return cmp.Compare(a.ID, b.ID) }
 	slices.SortFunc(state.inheritedSources, byID)
 	state.inheritedSources = slices.CompactFunc(state.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
 }
 
-// takeOverHints remembers what one value of hints says.
+// takeOverHints adds the content of one value of hints to the state.
 func (p *prefetcher) takeOverHints(hints *hintsRecord) {
 	state := &p.elector.leadership.hints
 	for machine, bits := range hints.Machines {
@@ -217,7 +217,7 @@
 	}
 }
 
-// restoreKnownImages gives a machine the images that the last leader knew it has.
+// restoreKnownImages records the images that a machine has according to the previous leader.
 func (p *prefetcher) restoreKnownImages(m *fleet.Machine) {
 	for _, image := range p.elector.leadership.hints.known[m.Name] {
 		m.RecordImageUse(image.Name, image.MB, p.now)
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -8,28 +8,28 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// Prefetching brings images to idle machines before they are needed. A worker
-// keeps the result of a task that is done: started again, such a task fetches
-// its image and exits as done. So a finished task carries its image to a
-// machine at no risk: it does no work, and it can be stopped at any moment.
+// Prefetching loads images into the caches of idle machines before they are needed. Workers keep
+// the result of a completed task: if such a task is started again, it only fetches its image and
+// exits as done. So a completed task can be used to load its image on a machine without risk: it
+// does no work and can be stopped at any time.
 //
-// Only tasks that this leader itself has seen done are used, each on one
-// machine at a time, and only where their job allows it, within its team's
-// limit. They are not stored: to a later leader they are tasks without a
-// placement, which it stops.
+// Only tasks that this leader itself has seen completed are used, each on one machine at a time,
+// only where their job allows it, and within their team's limit. Prefetches are not stored: to a
+// later leader they are tasks without a placement, which it stops.
 
 const (
 	// prefetchInterval is the time between two rounds of prefetching.
 	prefetchInterval = second
-	// prefetchAttempt is above any attempt of a job's own.
+	// prefetchAttempt is the base of the attempt numbers of prefetches; it is higher than any
+	// regular attempt number of a job.
 	prefetchAttempt = 1 << 24
 )
 
-// prefetchState is what the prefetcher keeps while this controller leads.
+// prefetchState is the state that the prefetcher keeps while this controller leads.
 type prefetchState struct {
 	sources map[string][]*prefetchSource // by image
 	demand  map[string]imageDemand       // by image
-	// usedByTeam is what prefetches take in their teams' names.
+	// usedByTeam is the usage of prefetches that counts against each team's limit.
 	usedByTeam map[string]teamUsage
 	serial     uint32
 	at         int64
@@ -43,7 +43,7 @@
 	}
 }
 
-// prefetcher brings images to idle machines before they are needed.
+// prefetcher loads images into the caches of idle machines before they are needed.
 type prefetcher struct {
 	*engine
 
@@ -55,22 +55,23 @@
 	planner    *planner
 }
 
-// idleMachines are the machines that prefetches may go to.
+// idleMachines are the machines on which prefetches may run.
 type idleMachines struct {
-	// machines are those without a prefetch, by name.
+	// machines are the idle machines without a prefetch, sorted by name.
 	machines []*fleet.Machine
-	// total and fetching count by type all that are idle, and those with a prefetch.
+	// total and fetching are, by machine type, the number of all idle machines and of
+	// those with a prefetch.
 	total, fetching map[string]int
 }
 
-// mayFetch reports whether one more machine of a type may fetch. Half of the idle machines
-// of a type stay quite idle, for jobs that come. Counted over all types, the many small
-// machines took the turns of the few whose images matter most.
+// mayFetch reports whether one more machine of a type may prefetch. Half of the idle machines of each
+// type stay free for new jobs. If they were counted over all types, the many small machines would use
+// up the prefetches of the few machines whose images matter most.
 func (i *idleMachines) mayFetch(machineType string) bool {
 	return i.fetching[machineType] < (i.total[machineType]+1)/2
 }
 
-// prefetchTick gives idle machines images that they lack.
+// prefetchTick starts prefetches of missing images on idle machines.
 func (p *prefetcher) prefetchTick() {
 	term := p.elector.leadership
 	if p.now-term.prefetch.at < prefetchInterval || !p.elector.mayStartTasks() {
@@ -94,7 +95,7 @@
 	}
 }
 
-// idleMachines finds the machines on which nothing runs.
+// idleMachines returns the usable machines on which no job runs.
 func (p *prefetcher) idleMachines() idleMachines {
 	idle := idleMachines{total: map[string]int{}, fetching: map[string]int{}}
 	for _, m := range p.elector.leadership.fleet.All() {
@@ -112,7 +113,8 @@
 	return idle
 }
 
-// startPrefetch has a source started on a machine by the response to its next heartbeat.
+// startPrefetch records that a source is to be started on a machine by the answer to its next
+// heartbeat.
 func (p *prefetcher) startPrefetch(m *fleet.Machine, source *prefetchSource) {
 	term := p.elector.leadership
 	spec := source.spec
@@ -131,7 +133,7 @@
 	usedByTeam[spec.Team] = usedByTeam[spec.Team].plus(spec.Need, 1)
 }
 
-// hasWaitingJob reports whether a job that waits could use a machine.
+// hasWaitingJob reports whether a waiting job could use a machine.
 func (p *prefetcher) hasWaitingJob(m *fleet.Machine) bool {
 	for _, waiting := range p.elector.leadership.planning.waitingJobs {
 		spec := waiting.spec
@@ -142,20 +144,20 @@
 	return false
 }
 
-// wantedImage is how much an image is wanted on one more idle machine.
+// wantedImage is the demand for an image and the number of idle machines that already have it.
 type wantedImage struct {
 	image    string
 	score    float64
-	machines int // idle ones that have it
+	machines int // number of idle machines that have the image
 }
 
-// scoreForNext is how much it is wanted on the next machine: each image is to be on as
-// many as its share of the demand.
+// scoreForNext returns the score of loading the image on one more machine. It makes the number of
+// machines with an image proportional to its share of the demand.
 func (w *wantedImage) scoreForNext() float64 { return w.score / float64(1+w.machines) }
 
 type wantedImages []wantedImage
 
-// addMachine notes that one more machine will have an image.
+// addMachine records that one more machine will have an image.
 func (w wantedImages) addMachine(image string) {
 	for i := range w {
 		if w[i].image == image {
@@ -164,7 +166,8 @@
 	}
 }
 
-// wantedImages counts which images that there are sources of the idle machines have.
+// wantedImages returns the images that have a prefetch source, and on how many of the idle machines
+// each is cached.
 func (p *prefetcher) wantedImages(idle []*fleet.Machine) wantedImages {
 	state := &p.elector.leadership.prefetch
 	var wanted wantedImages
@@ -184,7 +187,7 @@
 	return wanted
 }
 
-// endPrefetch forgets a machine's prefetch; its source can be used again.
+// endPrefetch removes a machine's prefetch, so that its source can be used again.
 func (p *prefetcher) endPrefetch(m *fleet.Machine) {
 	if m.Prefetch == nil {
 		return
@@ -201,7 +204,8 @@
 }
 
 // reconcilePrefetch handles the status of a prefetch in a heartbeat. A prefetch is stopped
-// for any placement, at once: commands are executed in their order.
+// immediately if a task is placed on the machine: as commands are executed in order, the stop comes
+// before the start of the task.
 func (p *prefetcher) reconcilePrefetch(m *fleet.Machine, status *TaskStatus) []Command {
 	command := Command{Task: status.Name, Attempt: uint32(status.Attempt)}
 	switch {
@@ -216,7 +220,8 @@
 	return nil
 }
 
-// prefetchExited takes an image to be in a machine's cache if the task is done.
+// prefetchExited handles the end of a prefetch. The image is in the machine's cache if the task is
+// done.
 func (p *prefetcher) prefetchExited(m *fleet.Machine, reason ExitReason) {
 	p.log.Debug("prefetch ended", "machine", m.Name, "image", m.Prefetch.Image, "reason", reason)
 	if reason == ExitDone {
@@ -226,15 +231,15 @@
 	p.endPrefetch(m)
 }
 
-// prefetchCommand starts a machine's prefetch in the response to a heartbeat, if that is
-// still wanted; listed says whether the heartbeat has the prefetch already.
+// prefetchCommand returns the command that starts a machine's prefetch, if it is still wanted, for
+// the answer to a heartbeat. listed tells whether the heartbeat already lists the prefetch.
 func (p *prefetcher) prefetchCommand(m *fleet.Machine, listed bool) []Command {
 	prefetch := m.Prefetch
 	switch {
 	case prefetch == nil || listed || m.SeqRestarted() && prefetch.Sent:
-		return nil // of one that counts anew a heartbeat proves nothing
+		return nil // after a restart of the sequence numbers a heartbeat proves nothing
 	case prefetch.Sent && m.HasCurrentToken, len(m.Placed) > 0 && !prefetch.Sent:
-		// The command was dropped, or a task was placed.
+		// The command was lost, or a task was placed on the machine.
 		p.endPrefetch(m)
 		return nil
 	case prefetch.Sent || !m.HasCurrentToken || m.Draining || m.ReclaimAt != 0 || !p.elector.mayStartTasks():
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// minPrefetchSources is how many sources of an image are kept at least,
-	// machinesPerSource for how many machines there is one more.
+	// minPrefetchSources is how many sources of an image may be kept in any fleet; one more
+	// may be kept for every machinesPerSource machines.
 	minPrefetchSources = 12
 	machinesPerSource  = 16
-	// cachePercent is how much of a machine's image cache prefetches may fill.
+	// cachePercent is the percentage of a machine's image cache up to which prefetches may
+	// fill it.
 	cachePercent = 80
 )
 
-// prefetchSource is a finished task that can carry its image.
+// prefetchSource is a completed task that can be started again to load its image on a machine.
 type prefetchSource struct {
 	job     *prefetchJob
 	spec    *jobstate.Spec
 	index   int
-	machine string // where it runs, empty if nowhere
+	machine string // the machine on which it runs, empty if none
 }
 
-// prefetchJob is a finished job whose tasks carry images: how many run, and
-// in which zone. Those of a job that sets one_zone stay in one, as its rule
-// holds for tasks that are started again as well.
+// prefetchJob is a completed job whose tasks are prefetch sources: how many of them run, and in which
+// zone. The sources of a job that sets one_zone stay in one zone, as the rule also applies to tasks
+// that are started again.
 type prefetchJob struct {
 	running int
 	zone    string
 }
 
-// mayRunIn reports whether a source may go to a zone now.
+// mayRunIn reports whether a source may be started in a zone now.
 func (s *prefetchSource) mayRunIn(zone string) bool {
 	return s.machine == "" && (!s.spec.OneZone || s.job.running == 0 || s.job.zone == zone)
 }
 
-// start and end keep account of where a source is.
+// start records that a source runs on a machine; end records that it has stopped running.
 func (s *prefetchSource) start(m *fleet.Machine) {
 	s.machine, s.job.zone = m.Name, m.Zone
 	s.job.running++
@@ -48,8 +49,8 @@
 	s.job.running--
 }
 
-// addPrefetchSources takes the tasks of a job that is done, and of which no task is on
-// a machine any more. As many are kept as can run at once in a large fleet.
+// addPrefetchSources adds the tasks of a job as prefetch sources. The job must be done, and no task of
+// it may be on a machine any more. The number of sources per image grows with the size of the fleet.
 func (p *prefetcher) addPrefetchSources(spec *jobstate.Spec) {
 	if spec.Image == "" || spec.Spread || spec.Kind == jobstate.Service {
 		return
@@ -70,8 +71,8 @@
 	state.sources[spec.Image] = sources
 }
 
-// pickSource finds the image most wanted that a machine lacks, has room for
-// in its cache, and may get.
+// pickSource returns a source of the most wanted image that the machine lacks, has cache space for and
+// is allowed to get, or nil if there is none.
 func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wanted wantedImages) *prefetchSource {
 	var cachedMB int64
 	for _, image := range m.Images {
@@ -94,7 +95,7 @@
 	return best
 }
 
-// mayCarry reports whether a source may bring its image to a machine.
+// mayCarry reports whether a source may be used to load its image on a machine.
 func (p *prefetcher) mayCarry(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
 	spec := source.spec
 	if !source.mayRunIn(m.Zone) || !spec.Allows(m.Type, m.Zone, m.Spot, m.Cap) || spec.Need.GPU == 0 && m.Cap.GPU > 0 {
@@ -108,7 +109,7 @@
 		p.withinLimit(spec.Team, usedByPrefetches, p.quotaShareForPrefetch(), spec.Need)
 }
 
-// inheritPrefetchSources puts the last leader's sources to use.
+// inheritPrefetchSources adds the previous leader's sources once its prefetches must have ended.
 func (p *prefetcher) inheritPrefetchSources() {
 	term := p.elector.leadership
 	if len(term.hints.inheritedSources) == 0 || p.now-term.since < p.settings.FailoverEpochTimeout() {
@@ -120,7 +121,7 @@
 	term.hints.inheritedSources = nil
 }
 
-// inheritSource remembers a finished job of an earlier leadership.
+// inheritSource records a completed job of an earlier leadership, to be used as a prefetch source later.
 func (p *prefetcher) inheritSource(spec *jobstate.Spec) {
 	p.noteImageDemand(spec)
 	state := &p.elector.leadership.hints
