--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// TestListings: a list that lacks a machine proves that it is gone only if it
-// describes a later moment than one that had it.
+// TestListings checks that a list without a machine proves that the machine is gone only if it describes
+// a later time than a list that contained it.
 func TestListings(t *testing.T) {
-	const lag = 8 * second // twice the nominal one
+	const lag = 8 * second // twice the nominal lag
 	type read struct {
-		at, describes int64 // seconds: when it came, and the moment that it describes
+		at, describes int64 // when the list was received and the time that it describes, in seconds
 		names         string
 	}
 	cases := []struct {
@@ -22,12 +22,12 @@
 		want  string
 	}{
 		{"still there", []read{{20, 16, "abc"}, {30, 26, "abc"}, {40, 36, "abc"}}, ""},
-		{"gone from a list that is later for certain", []read{{20, 16, "abc"}, {40, 36, "ac"}}, "b"},
-		{"the list may be as old as the one that had it", []read{{20, 18, "abc"}, {28, 24, "ac"}}, ""},
-		{"it is older", []read{{20, 12, "ac"}, {24, 23, "abc"}, {30, 22, "ac"}}, ""},
-		{"ages show how late lists are", []read{{20, 12, "abc"}, {24, 23, "abc"}, {28, 26, "ac"}}, "b"},
-		{"at the end of the list", []read{{20, 16, "abc"}, {40, 36, "ab"}}, "c"},
-		{"the age of a new machine beside it proves nothing", []read{{20, 19, "ab"}, {24, 23, "ac"}}, ""},
+		{"missing from a list that is certainly later", []read{{20, 16, "abc"}, {40, 36, "ac"}}, "b"},
+		{"list possibly as old as the one with the machine", []read{{20, 18, "abc"}, {28, 24, "ac"}}, ""},
+		{"list older than the one with the machine", []read{{20, 12, "ac"}, {24, 23, "abc"}, {30, 22, "ac"}}, ""},
+		{"ages show how much lists lag", []read{{20, 12, "abc"}, {24, 23, "abc"}, {28, 26, "ac"}}, "b"},
+		{"missing at the end of the list", []read{{20, 16, "abc"}, {40, 36, "ab"}}, "c"},
+		{"the age of a new machine next to it proves nothing", []read{{20, 19, "ab"}, {24, 23, "ac"}}, ""},
 		{"an empty list proves nothing", []read{{20, 16, "a"}, {40, 36, ""}}, ""},
 	}
 	for _, tc := range cases {
@@ -38,13 +38,14 @@
 				got += strings.Join(listings.read(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
 			}
 			if got != tc.want {
-				t.Errorf("gone %q, want %q", got, tc.want)
+				t.Errorf("machines proven gone: got %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// listedAt is the list of a moment; machines were rented one after the other.
+// listedAt returns a list that describes the given time; the machines were rented one second apart, in
+// the order of names.
 func listedAt(names string, at int64) (list []CloudMachine) {
 	for i, n := range strings.Split(names, "") {
 		list = append(list, CloudMachine{Name: n, Age: at - int64(i)*second})
@@ -52,8 +53,8 @@
 	return list
 }
 
-// TestListingsNeverWrong plays random fleets, lists and pages that lag as they
-// may: no machine that is there is ever taken for gone, and those that are gone are found.
+// TestListingsNeverWrong checks with random fleets, lists and pages with permitted lags that no existing
+// machine is ever considered gone, and that most machines that are gone are found.
 func TestListingsNeverWrong(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	found, missed := 0, 0
@@ -75,7 +76,7 @@
 			slices.Sort(names)
 			moment := int64(0)
 			for i, n := range names {
-				if i%7 == 0 { // a page
+				if i%7 == 0 { // a new page
 					moment = now - rng.Int64N(8*second)
 				}
 				if x := lifetimes[n]; x.listed <= moment && moment < x.gone {
@@ -85,7 +86,7 @@
 			for _, n := range listings.read(now-8*second, now, list) {
 				proven[n] = true
 				if lifetimes[n].gone > now {
-					t.Fatalf("%s is taken for gone %d ms before it is", n, (lifetimes[n].gone-now)/1000)
+					t.Fatalf("%s is reported as gone %d ms before it is gone", n, (lifetimes[n].gone-now)/1000)
 				}
 			}
 		}
@@ -100,6 +101,6 @@
 		}
 	}
 	if found < 10*missed || found == 0 {
-		t.Errorf("%d found, %d missed", found, missed)
+		t.Errorf("machines that are gone: got %d found and %d missed, want at least 1 found and 10 times as many found as missed", found, missed)
 	}
 }
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -7,22 +7,23 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
-// TestScaleInFenced: machines are returned and rented only while nobody else can
-// lead, and the call carries until when. One that was decided and waited, as for
-// the budget, used to go out whatever had become of the leadership since.
+// TestScaleInFenced checks that machines are returned only while no other controller can lead, and that
+// the call contains the time until which this holds. It guards against a return that was queued, for
+// example until the call budget allowed it, and then sent although the leadership may have been lost
+// since.
 func TestScaleInFenced(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
 	b.stateSilent = true
 	b.advance(ttl + second)
 	if b.c.elector.mayStartTasks() {
-		t.Fatal("it may act although nothing proves that it still leads")
+		t.Fatal("mayStartTasks: got true without proof of leadership, want false")
 	}
 	b.c.scaler.queueScaleIn("m")
 	b.effects = nil
 	b.advance(3 * second)
 	if r := takeEffects[ScaleIn](b); len(r) != 0 {
-		t.Errorf("returned by a leader that may have been replaced: %+v", r)
+		t.Errorf("scale-ins by a leader that may have been replaced: got %+v, want none", r)
 	}
 	b.c.workers.getOrAddMachine("came up").LastHeartbeat = b.now
 	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
@@ -30,26 +31,26 @@
 	b.advance(2 * second)
 	r := takeEffects[ScaleIn](b)
 	if len(r) == 0 || len(r[0].Names) != 1 || r[0].Names[0] != "m" || r[0].NotAfter <= b.now-2*second || r[0].NotAfter > b.now+ttl {
-		t.Errorf("proven again: %+v at %d", r, b.now)
+		t.Errorf("scale-ins after leadership was proven again, at %d us: got %+v, want m with NotAfter within the leader lease", b.now, r)
 	}
 }
 
-// TestCloudViaPeer: who makes a leader's calls of the cloud, and which of them a peer
-// makes for it.
+// TestCloudViaPeer checks through which peer, if any, a leader makes its calls to the cloud, and that a
+// peer makes no calls for a leader that was replaced.
 func TestCloudViaPeer(t *testing.T) {
 	noAnswer, refused := errors.New("no answer"), refusal{}
 	cases := []struct {
 		name string
-		err  error                        // of the leader's own calls
-		ads  []connectivity.Advertisement // of n1 and n2
-		fail string                       // a peer that could not either
+		err  error                        // result of the leader's own calls
+		ads  []connectivity.Advertisement // advertisements of n1 and n2
+		fail string                       // a peer through which a call failed
 		want string
 	}{
-		{"the cloud answers", nil, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
-		{"it does not answer, but answers n2", noAnswer, []connectivity.Advertisement{{}, {Cloud: true}}, "", "n2"},
-		{"no peer has an answer", noAnswer, []connectivity.Advertisement{{}, {}}, "", "n1"},
-		{"n1 could not either", noAnswer, []connectivity.Advertisement{{}, {}}, "n1", "n2"},
-		{"it refuses, as it would refuse every controller", refused, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
+		{"the cloud answers the leader", nil, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
+		{"the cloud answers only n2", noAnswer, []connectivity.Advertisement{{}, {Cloud: true}}, "", "n2"},
+		{"the cloud answers no peer", noAnswer, []connectivity.Advertisement{{}, {}}, "", "n1"},
+		{"the call through n1 failed", noAnswer, []connectivity.Advertisement{{}, {}}, "n1", "n2"},
+		{"the cloud refuses, as it would for every controller", refused, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
 		{"no peer answers", noAnswer, nil, "", ""},
 	}
 	for _, tc := range cases {
@@ -68,7 +69,7 @@
 			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
 		}
 		if got := b.c.cloud.cloudPeer(); got != tc.want {
-			t.Errorf("%s: by %q, not %q", tc.name, got, tc.want)
+			t.Errorf("%s: cloud peer: got %q, want %q", tc.name, got, tc.want)
 		}
 		b.effects = nil
 		b.c.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
@@ -78,21 +79,21 @@
 		b.effects = out
 		direct := takeEffects[ScaleIn](b)
 		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
-			t.Errorf("%s: %+v, %+v", tc.name, by, direct)
+			t.Errorf("%s: scale-in through peer %q: got %+v through peers and %+v directly", tc.name, tc.want, by, direct)
 		}
 	}
-	// The peer's side: no calls for a leader that was replaced.
+	// A peer makes no calls for a leader that was replaced.
 	b := newPeerHarness(t, "n1")
 	for token, want := range map[uint64]int{4: 0, 5: 1, 6: 1} {
 		b.effects = nil
 		b.step(CloudCallRequested{RequestID: 1, FencingToken: token, Call: CloudCall{ScaleIn: []string{"m"}}})
 		if got := takeEffects[CallCloudForPeer](b); len(got) != want {
-			t.Errorf("for token %d of 5: %+v", token, got)
+			t.Errorf("calls for a leader with token %d, newest token 5: got %+v, want %d", token, got, want)
 		}
 	}
 	b.step(CloudCalledForPeer{RequestID: 1, Answer: CloudResult{Status: 200}})
 	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
-		t.Errorf("answered %+v", r)
+		t.Errorf("reply to the leader: got %+v, want one with cloud status 200", r)
 	}
 }
 
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -7,7 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestFaultyMachines tells faulty machines from faulty jobs.
+// TestFaultyMachines checks that faulty machines are drained, and that machines on which a faulty job
+// fails are not.
 func TestFaultyMachines(t *testing.T) {
 	type failure struct{ machine, job int }
 	cases := []struct {
@@ -16,11 +17,11 @@
 		drained int
 	}{
 		{"one failure", []failure{{0, 0}}, 0},
-		{"one job, again and again", []failure{{0, 0}, {0, 0}, {0, 0}}, 0},
+		{"repeated failures of one job", []failure{{0, 0}, {0, 0}, {0, 0}}, 0},
 		{"two jobs on one machine", []failure{{0, 0}, {0, 1}}, 1},
-		{"a bad job on every machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}}, 0},
-		{"two bad jobs on every machine, one after the other", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}, {0, 1}, {1, 1}, {2, 1}, {3, 1}}, 0},
-		{"a bad job everywhere and a bad machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 1}, {3, 2}}, 1},
+		{"faulty job on every machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}}, 0},
+		{"two faulty jobs on every machine in turn", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 0}, {0, 1}, {1, 1}, {2, 1}, {3, 1}}, 0},
+		{"faulty job on several machines and a faulty machine", []failure{{0, 0}, {1, 0}, {2, 0}, {3, 1}, {3, 2}}, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,7 +40,7 @@
 				}
 			}
 			if drained != tc.drained {
-				t.Errorf("%d drained, want %d", drained, tc.drained)
+				t.Errorf("drained machines: got %d, want %d", drained, tc.drained)
 			}
 		})
 	}
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -7,27 +7,27 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestHeartbeatWhileStartIsWritten: a machine's heartbeat arrives while a start for it is being
-// written. The answer waits for the write, as starts travel in answers and the next heartbeat is
-// an interval away; if the write takes long, the answer goes out without the start.
+// TestHeartbeatWhileStartIsWritten checks that the answer to a heartbeat is held while a start for its
+// machine is being written, as starts are sent in answers and the next heartbeat is an interval away.
+// If the write takes long, the answer is sent without the start.
 //
-// What happened: it was answered at once with nothing, and the start came with the next one.
-// Why: only the answer to a machine without placements was held, and a placement counts from its
-// planning on.
-// What showed it: a log line of each heartbeat in TestTroubles' case (renewals and dropped leases
-// executed late, the leader refused, then all). That of host-000002 arrives at 82.535 s with three
-// placements that are stored at 82.754; it is answered without commands, and the next one, at
-// 85.474, takes the last start of a gang of four, whose other members have had theirs since 82.755.
+// It guards against holding answers only for machines without placements: a placement counts from its
+// planning on, so the heartbeat was answered immediately without commands, and the start was sent only
+// in the answer to the next one. This was seen in the case of TestTroubles with renewals and dropped
+// leases executed late, the leader refused, then all: the heartbeat of host-000002 at 82.535 s was
+// answered without commands, although its three placements were stored at 82.754 s. The next one, at
+// 85.474 s, was answered with the last start of a gang of four, whose other tasks had been started
+// since 82.755 s.
 func TestHeartbeatWhileStartIsWritten(t *testing.T) {
 	const reportInterval = 2 * second
 	cases := []struct {
 		name       string
-		storedIn   int64 // how long the write takes
+		storedIn   int64 // duration of the write, in microseconds
 		wantStart  bool
 		answeredBy int64
 	}{
-		{"the write is answered soon", 100_000, true, 200_000},
-		{"the write takes long", reportInterval, false, reportInterval / 2},
+		{"short write", 100_000, true, 200_000},
+		{"long write", reportInterval, false, reportInterval / 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -50,17 +50,18 @@
 				r.tick(tickInterval)
 			}
 			if len(r.replies) != 1 || r.now-sentAt > tc.answeredBy {
-				t.Fatalf("%d answers after %d us, want one within %d", len(r.replies), r.now-sentAt, tc.answeredBy)
+				t.Fatalf("answers: got %d after %d us, want 1 within %d us", len(r.replies), r.now-sentAt, tc.answeredBy)
 			}
 			commands := r.replies[0].Commands
 			if started := len(commands) == 1 && commands[0].Task == "k/0"; started != tc.wantStart {
-				t.Errorf("commands %+v, want the start: %v", commands, tc.wantStart)
+				t.Errorf("start of k/0 sent: got %v, want %v; commands %+v", started, tc.wantStart, commands)
 			}
 		})
 	}
 }
 
-// placeUnstored places the task of a new job on a machine, as a planning round does.
+// placeUnstored places the task of a new job on a machine, as a planning round does; the placement is
+// not stored yet.
 func (r *leaderHarness) placeUnstored(id, machine string) {
 	spec := &jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second}
 	placed := jobstate.NewJob(spec)
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -10,9 +10,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestMachinePools: where cost is an objective spot machines are rented for jobs that may
-// use them and on-demand ones for the others, and spare ones by what the load varies
-// by; elsewhere on-demand ones come first, and as many as are in use are kept.
+// TestMachinePools checks the number and kind of rented machines. If cost is an objective, spot machines
+// are rented for jobs that may use them and on-demand machines for the others, and the number of spares
+// follows the variation of the load. Otherwise on-demand machines are rented first, and there are as
+// many spares as machines in use.
 func TestMachinePools(t *testing.T) {
 	yes, no := true, false
 	spot, onDemand := waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 1000}}, tasks: 3}
@@ -20,23 +21,23 @@
 		name      string
 		guarantee float64
 		costs     *bool
-		price     float64 // of spot machines; on-demand ones cost 1
+		price     float64 // price of spot machines; on-demand machines cost 1
 		waiting   []waitingJob
-		busy      [2]int // on-demand and spot
-		refused   bool   // no spot machine can be had
-		soldOut   bool   // no on-demand one
+		busy      [2]int // numbers of busy on-demand and spot machines
+		refused   bool   // no spot machines are available
+		soldOut   bool   // no on-demand machines are available
 		want      string
 	}{
-		{name: "both wait, no guarantee", price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
-		{name: "with a guarantee", guarantee: 1, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
-		{name: "with a guarantee, and cost an objective", guarantee: 1, costs: &yes, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
-		{name: "cost is none", costs: &no, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
-		{name: "spot is no cheaper", price: 1, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
-		{name: "spot is no cheaper, and there is nothing else", price: 1, waiting: []waitingJob{spot}, soldOut: true, want: "4 spot"},
-		{name: "no spot machine can be had", price: 0.4, waiting: []waitingJob{spot}, refused: true, want: "4 on-demand"},
-		{name: "spare ones by the root", price: 0.4, busy: [2]int{36, 9}, want: "6 on-demand, 3 spot"},
-		{name: "no spare on-demand ones for want of spot ones", price: 0.4, busy: [2]int{0, 9}, refused: true, want: ""},
-		{name: "spare ones by the share", guarantee: 1, price: 0.4, busy: [2]int{20, 9}, want: "29 on-demand"},
+		{name: "both kinds of jobs, no guarantee", price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
+		{name: "guarantee", guarantee: 1, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
+		{name: "guarantee, cost is an objective", guarantee: 1, costs: &yes, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
+		{name: "cost is not an objective", costs: &no, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
+		{name: "spot is not cheaper", price: 1, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
+		{name: "spot is not cheaper, no on-demand machines available", price: 1, waiting: []waitingJob{spot}, soldOut: true, want: "4 spot"},
+		{name: "no spot machines available", price: 0.4, waiting: []waitingJob{spot}, refused: true, want: "4 on-demand"},
+		{name: "spares by the square root", price: 0.4, busy: [2]int{36, 9}, want: "6 on-demand, 3 spot"},
+		{name: "no on-demand spares in place of unavailable spot machines", price: 0.4, busy: [2]int{0, 9}, refused: true, want: ""},
+		{name: "spares by the configured share", guarantee: 1, price: 0.4, busy: [2]int{20, 9}, want: "29 on-demand"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,7 +73,7 @@
 				}
 			}
 			if s := strings.Join(got, ", "); s != tc.want {
-				t.Errorf("scales out %q, want %q", s, tc.want)
+				t.Errorf("scale-out requests: got %q, want %q", s, tc.want)
 			}
 		})
 	}
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -8,10 +8,10 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// TestPrefetchQuota: the prefetches of the last leader are stored nowhere. For
-// a team at its limit they came on top of what the new one started, for
-// the moment in which such a task has its image and is done (TestPipelines, seed
-// 261, at the third leader).
+// TestPrefetchQuota checks that a new leader leaves headroom in a team's limit for the prefetches of the
+// previous leader, which are not stored. Without it, a team at its limit exceeds the limit while such a
+// task has its image and is about to exit, as its usage adds to what the new leader starts. This was
+// seen in TestPipelines, seed 261, under the third leader.
 func TestPrefetchQuota(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
@@ -21,18 +21,18 @@
 		return r.c.prefetcher.withinLimit("t", teamUsage{gpu: 1000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000})
 	}
 	if got := headroom(); got != 2000 || mayPrefetch() {
-		t.Errorf("a new leader has headroom for %d, and prefetches: %v", got, mayPrefetch())
+		t.Errorf("new leader: got headroom %d and prefetch allowed %v, want 2000 and false", got, mayPrefetch())
 	}
 	r.c.elector.leadership.fencingToken = 1
 	if got := headroom(); got != 4000 || !mayPrefetch() {
-		t.Errorf("the first leader of all has headroom for %d, and prefetches: %v", got, mayPrefetch())
+		t.Errorf("first leader of the cluster: got headroom %d and prefetch allowed %v, want 4000 and true", got, mayPrefetch())
 	}
 	r.c.elector.leadership.fencingToken = 6
 	r.tick(r.c.settings.FailoverEpochTimeout())
 	if got := headroom(); got != 4000 || !mayPrefetch() {
-		t.Errorf("once they have expired there is headroom for %d, and prefetches: %v", got, mayPrefetch())
+		t.Errorf("after the inherited prefetches have expired: got headroom %d and prefetch allowed %v, want 4000 and true", got, mayPrefetch())
 	}
 	if r.c.prefetcher.withinLimit("t", teamUsage{gpu: 2000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000}) {
-		t.Error("more than its share of the limit may be used")
+		t.Error("withinLimit beyond the share for prefetches: got true, want false")
 	}
 }
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -8,20 +8,20 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestPrefetchSources: the tasks of a finished gang that sets one_zone carry their
-// image in one zone at a time, as its rule holds for them as for any start.
+// TestPrefetchSources checks that the tasks of a completed gang that sets one_zone are prefetch sources
+// in one zone at a time, as the rule applies to them as to any start.
 func TestPrefetchSources(t *testing.T) {
 	cases := []struct {
 		name    string
 		kind    jobstate.Kind
 		oneZone bool
 		spread  bool
-		want    string // for each of the zones in turn, with none ending
+		want    string // mayRunIn of each source, alternately in zones a and b, with no prefetch ending
 	}{
-		{"a gang of one zone", jobstate.Gang, true, false, "a:true b:false a:true b:false "},
-		{"an array", jobstate.Array, false, false, "a:true b:true a:true b:true "},
-		{"a job that is to be spread carries nothing", jobstate.Array, false, true, ""},
-		{"nor does a service", jobstate.Service, false, false, ""},
+		{"gang in one zone", jobstate.Gang, true, false, "a:true b:false a:true b:false "},
+		{"array", jobstate.Array, false, false, "a:true b:true a:true b:true "},
+		{"spread job has no sources", jobstate.Array, false, true, ""},
+		{"service has no sources", jobstate.Service, false, false, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,12 +35,12 @@
 				if may {
 					s.start(m)
 					if s.mayRunIn(m.Zone) {
-						t.Error("one task on two machines")
+						t.Error("mayRunIn of a running source: got true, want false")
 					}
 				}
 			}
 			if got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
+				t.Errorf("mayRunIn by zone: got %q, want %q", got, tc.want)
 			}
 			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				if s.machine != "" {
@@ -49,16 +49,16 @@
 			}
 			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
 				if !s.mayRunIn("b") {
-					t.Error("all have ended, and may go anywhere")
+					t.Error("mayRunIn in zone b after all prefetches have ended: got false, want true")
 				}
 			}
 		})
 	}
 }
 
-// TestImageHints: what one leader leaves to the next fits the state service's
-// values at any size, and a finished job is one source even if two values
-// name it, as two would start a task on two machines.
+// TestImageHints checks that the image hints for the next leader fit the state service's value size for
+// any size of fleet, and that a completed job is inherited once even if two values list it, as otherwise
+// a task could be started on two machines.
 func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -84,11 +84,11 @@
 			for part := range parts {
 				v := r.c.prefetcher.encodeImageHints(images, part, parts)
 				if len(v) > 8000 {
-					t.Fatalf("value of %d bytes", len(v))
+					t.Fatalf("hints value: got %d bytes, want at most 8000", len(v))
 				}
 				next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
 			}
-			// A value that an earlier leader left beyond the last.
+			// A value that an earlier leader wrote beyond the last part.
 			next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", parts)] = next.c.cache.imageHints[hintsKey+"/0"]
 			next.c.prefetcher.loadImageHints()
 			next.c.prefetcher.loadImageHints()
@@ -97,23 +97,24 @@
 				next.c.prefetcher.restoreKnownImages(m)
 				for k := range 20 {
 					if _, has := m.Images[fmt.Sprint("im-", k)]; has != ((i+k)%3 == 0) {
-						t.Fatalf("%s has im-%d: %v", m.Name, k, has)
+						t.Fatalf("%s has im-%d: got %v, want %v", m.Name, k, has, (i+k)%3 == 0)
 					}
 				}
 			}
 			if n := len(next.c.elector.leadership.hints.inheritedSources); n > 20 || machines < 1000 && n < 10 {
-				t.Errorf("%d jobs inherited", n)
+				t.Errorf("inherited jobs: got %d, want at most 20, and at least 10 in fleets of fewer than 1000 machines", n)
 			}
 		})
 	}
 }
 
-// TestPrefetchByType: each type of machine has its own half that stays idle. The
-// many small machines took the turns of the few with GPUs before.
+// TestPrefetchByType checks that half of the idle machines of each type stay free. It guards against
+// counting over all types, with which the many small machines used up the prefetches of the few
+// machines with GPUs.
 func TestPrefetchByType(t *testing.T) {
 	cases := []struct {
 		small, large int
-		want         string // prefetches of each type
+		want         string // number of prefetches of each type
 	}{
 		{20, 4, "10 2"},
 		{2, 4, "1 2"},
@@ -152,7 +153,7 @@
 			}
 		}
 		if got := fmt.Sprint(n["c"], n["g"]); got != tc.want {
-			t.Errorf("%d and %d idle: %s fetch, want %s", tc.small, tc.large, got, tc.want)
+			t.Errorf("prefetches by type with %d small and %d large idle machines: got %s, want %s", tc.small, tc.large, got, tc.want)
 		}
 	}
 }
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -7,29 +7,29 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestSilent: a few silent machines are released at once, as their tasks are then certainly
-// gone; many are not, as the link to them is more likely lost. That must hold under a new
-// leader too, which has had no heartbeat of any: in the failover of a zone that was cut off
-// it once released every machine of the zone.
+// TestSilent checks that a few silent machines are returned, as their tasks are then certainly gone, and
+// that many silent machines are not, as the network is more likely at fault. This must also hold for a
+// new leader that has received no heartbeat of any of them: otherwise a leader that is elected while a
+// zone is partitioned returns every machine of the zone.
 func TestSilent(t *testing.T) {
 	cases := []struct {
 		name         string
 		silent, live int
-		ever         bool // this leader has had heartbeats of the silent ones
+		ever         bool // this leader has received heartbeats of the silent machines
 		releases     int
-		after        int64 // since the silence began, in seconds
-		unproved     bool  // the state service has not proved the token of late
+		after        int64 // time since the last heartbeat, in seconds
+		unproved     bool  // the state service has not confirmed the token recently
 	}{
-		{"one of twenty", 1, 19, true, 1, 12, false},
-		{"a zone of three", 10, 20, true, 0, 12, false},
-		{"one of twenty, no heartbeat yet", 1, 19, false, 1, 12, false},
-		{"a zone of three, no heartbeat yet", 10, 20, false, 0, 12, false},
+		{"one machine of 20", 1, 19, true, 1, 12, false},
+		{"one zone of three", 10, 20, true, 0, 12, false},
+		{"one machine of 20, no heartbeat yet", 1, 19, false, 1, 12, false},
+		{"one zone of three, no heartbeat yet", 10, 20, false, 0, 12, false},
 		{"a tenth of a large fleet", 30, 300, true, 0, 12, false},
-		{"some of a large fleet", 10, 300, true, 10, 12, false},
-		{"one of twenty, to a leader that may be cut off itself", 1, 19, true, 0, 12, true},
-		// The leases of machines without a heartbeat under a new leader expire last.
-		{"a zone of three, for long", 10, 40, true, 0, 24, false},
-		{"a zone of three, no heartbeat yet, for long", 10, 40, false, 0, 24, false},
+		{"a few machines of a large fleet", 10, 300, true, 10, 12, false},
+		{"one machine of 20, leader possibly partitioned", 1, 19, true, 0, 12, true},
+		// The leases of machines that have sent no heartbeat to a new leader expire last.
+		{"a fifth of the fleet, long silence", 10, 40, true, 0, 24, false},
+		{"a fifth of the fleet, no heartbeat yet, long silence", 10, 40, false, 0, 24, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -55,27 +55,27 @@
 			}
 			r.c.scaler.scaleInTick(func() bool { return false }, nil)
 			if got := len(r.c.elector.leadership.scaling.toScaleIn); got != tc.releases {
-				t.Errorf("%d released, want %d", got, tc.releases)
+				t.Errorf("machines to return: got %d, want %d", got, tc.releases)
 			}
 		})
 	}
 }
 
-// TestNeverUp: a machine that never comes up is given up. One that a leader has found
-// listed as running, and that has sent a heartbeat since, is not, however old it is: after
-// a partition in which the leader was elected that would be a whole zone.
+// TestNeverUp checks that a machine that does not send a first heartbeat in time is returned. A machine
+// that a leader found listed as running, and that has sent a heartbeat since, is not returned however
+// old it is: after a partition during which the leader was elected this would be a whole zone.
 func TestNeverUp(t *testing.T) {
 	cases := []struct {
 		name       string
 		up, live   bool
-		led, since int64 // seconds
+		led, since int64 // time as the leader and time since the rental, in seconds
 		released   bool
 	}{
-		{"booting for long", false, false, 500, 400, true},
+		{"booting for a long time", false, false, 500, 400, true},
 		{"booting", false, false, 500, 30, false},
 		{"listed as running, no heartbeat to a new leader yet", true, false, 100, 4000, false},
-		{"nor for long", true, false, 200, 4000, true},
-		{"a heartbeat since the list", true, true, 200, 4000, false},
+		{"listed as running, no heartbeat for a long time", true, false, 200, 4000, true},
+		{"heartbeat since the list", true, true, 200, 4000, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
 			r.c.scaler.scaleInTick(func() bool { return false }, nil)
 			if got := len(r.c.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
-				t.Errorf("released: %v", got)
+				t.Errorf("machine returned: got %v, want %v", got, tc.released)
 			}
 		})
 	}
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,10 +7,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestUnreachable: what is to stop on a machine whose heartbeats do not come is stopped
-// there by direct commands, also by a leader that never had one of it: the address comes
-// from the cloud's list and the epoch from the machine. It once went on until its lease had
-// expired. Nothing is taken for absent by such an answer.
+// TestUnreachable checks that unwanted tasks on a machine whose heartbeats do not arrive are stopped by
+// direct commands, also by a leader that has received no heartbeat of the machine: the address comes
+// from the cloud's list and the epoch from the machine's answer to a probe. Otherwise such tasks
+// continue until the machine's lease has expired. The answer does not prove that a task is absent.
 func TestUnreachable(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -20,13 +20,13 @@
 		want  string
 	}{
 		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskStatus{running(3)}, "stop j/0.3 in 4;"},
-		{"it does not list it", jobstate.Cancelled, nil, nil, ""},
-		{"another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
-		{"it has ended", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
-		{"nothing is to stop", "", nil, []TaskStatus{running(3)}, ""},
-		{"its heartbeats come", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted: no heartbeat would show that there is room", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
-		{"preempted, and nothing proves it", "", func(r *leaderHarness) {
+		{"the answer does not list the task", jobstate.Cancelled, nil, nil, ""},
+		{"the answer lists another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
+		{"the task has exited", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
+		{"no task to stop", "", nil, []TaskStatus{running(3)}, ""},
+		{"heartbeats arrive", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
+		{"preempted, which only a heartbeat would confirm", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted, without proof of leadership", "", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.stateSilent = true
 			r.tick(4 * second)
@@ -56,10 +56,10 @@
 				}
 			}
 			if got != tc.want {
-				t.Errorf("%q, want %q (probed: %v)", got, tc.want, probed)
+				t.Errorf("direct commands: got %q, want %q (machine probed: %v)", got, tc.want, probed)
 			}
 			if p := r.placed(); p != "m.3" {
-				t.Errorf("placed %s", p)
+				t.Errorf("placement (machine.attempt): got %s, want m.3", p)
 			}
 		})
 	}
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -8,7 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestGatherZone: machines are gathered in one zone only while no zone has enough.
+// TestGatherZone checks that machines are gathered in one zone only while no zone has enough, and in
+// which zone.
 func TestGatherZone(t *testing.T) {
 	const now = 100 * second
 	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
@@ -24,14 +25,14 @@
 		want            string
 	}{
 		{"a zone has enough", gang(2), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, ""},
-		{"the one with the most", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, "b"},
-		{"what boots counts", gang(3), map[machineOffer]int64{a: 1, b: 1}, map[machineOffer]int64{a: 1}, nil, false, "a"},
-		{"what boots is not enough", gang(3), map[machineOffer]int64{a: 1}, map[machineOffer]int64{a: 2}, nil, false, "a"},
-		{"none to be had where the most are", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{b}, false, "a"},
-		{"none to be had anywhere", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{a, b}, false, "b"},
-		{"spot machines are of no use to it", gang(2), map[machineOffer]int64{spotA: 2, b: 1}, nil, nil, false, "b"},
-		{"spot machines are", gang(3), map[machineOffer]int64{spotA: 2, b: 1}, nil, []machineOffer{a}, true, "a"},
-		{"bound to a zone", &jobstate.Spec{Tasks: 3, OneZone: true, Zone: "a", Need: gang(1).Need}, map[machineOffer]int64{b: 9}, nil, []machineOffer{spotB}, false, "a"},
+		{"zone with the most machines", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, nil, false, "b"},
+		{"booting machines count", gang(3), map[machineOffer]int64{a: 1, b: 1}, map[machineOffer]int64{a: 1}, nil, false, "a"},
+		{"booting machines are not enough by themselves", gang(3), map[machineOffer]int64{a: 1}, map[machineOffer]int64{a: 2}, nil, false, "a"},
+		{"none available in the zone with the most machines", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{b}, false, "a"},
+		{"none available in any zone", gang(3), map[machineOffer]int64{a: 1, b: 2}, nil, []machineOffer{a, b}, false, "b"},
+		{"job may not use spot machines", gang(2), map[machineOffer]int64{spotA: 2, b: 1}, nil, nil, false, "b"},
+		{"job may use spot machines", gang(3), map[machineOffer]int64{spotA: 2, b: 1}, nil, []machineOffer{a}, true, "a"},
+		{"job bound to a zone", &jobstate.Spec{Tasks: 3, OneZone: true, Zone: "a", Need: gang(1).Need}, map[machineOffer]int64{b: 9}, nil, []machineOffer{spotB}, false, "a"},
 		{"two tasks on each machine", &jobstate.Spec{Tasks: 4, OneZone: true, Need: jobstate.Resources{CPU: 6000}}, map[machineOffer]int64{a: 2}, nil, nil, false, ""},
 	}
 	for _, tc := range cases {
@@ -46,7 +47,7 @@
 		}
 		tc.spec.Spot = tc.spot
 		if got := s.gatherZone(tc.spec, tc.usable, tc.booting); got != tc.want {
-			t.Errorf("%s: in %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: zone: got %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
