--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -28,8 +28,8 @@
 	// clockDriftDivisor divides a duration to give the maximum drift between the cloud's
 	// clock and the local clock over that duration.
 	clockDriftDivisor = 1000
-	// scaledInMemory is how long a returned machine may still be listed.
-	scaledInMemory = 120 * second
+	// scaledInRetention is how long a returned machine may still be listed.
+	scaledInRetention = 120 * second
 	// unlistedBootTimeout, plus four times the list lag, is how long after it was rented a
 	// booting machine may be missing from the list. unlistedTimeout is how long an unlisted
 	// machine without work must be silent before it is removed.
@@ -44,11 +44,11 @@
 // after returns the entry for another age of the same machine, with the narrowest bounds that
 // follow from this entry and from the bounds of the other list.
 func (a listedAge) after(age, from, to int64) listedAge {
-	apart := age - a.age
-	drift := max(apart, -apart) / clockDriftDivisor
+	ageDifference := age - a.age
+	drift := max(ageDifference, -ageDifference) / clockDriftDivisor
 	return listedAge{
-		from: max(from, a.from+apart-drift),
-		to:   min(to, a.to+apart+drift),
+		from: max(from, a.from+ageDifference-drift),
+		to:   min(to, a.to+ageDifference+drift),
 		age:  age,
 	}
 }
@@ -111,7 +111,7 @@
 	earliest := state.listStartedAt - 2*config.MicrosOf(s.settings.Cloud.ListLagS) - second
 	s.forgetReclaimed(state.listings.read(earliest, s.now, m.List))
 	for name, at := range state.scaledInAt {
-		if s.now-at > scaledInMemory {
+		if s.now-at > scaledInRetention {
 			delete(state.scaledInAt, name)
 		}
 	}
@@ -185,7 +185,7 @@
 		s.log.Info("the cloud no longer lists a machine", "machine", name, "tasks", len(m.Placed))
 		s.planner.machineGone(m, "the cloud no longer lists it")
 		s.forgetMachine(m)
-		term.heartbeats.departed.noteReturned(name, s.now)
+		term.heartbeats.departed.recordReturned(name, s.now)
 		term.planning.requestRound()
 	}
 }
--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestListings checks that a list without a machine proves that the machine is gone only if it describes
+// TestCloudListings checks that a list without a machine proves that the machine is gone only if it describes
 // a later time than a list that contained it.
-func TestListings(t *testing.T) {
+func TestCloudListings(t *testing.T) {
 	const lag = 8 * second // twice the nominal lag
 	type read struct {
 		at, describes int64 // when the list was received and the time that it describes, in seconds
@@ -53,9 +53,9 @@
 	return list
 }
 
-// TestListingsNeverWrong checks with random fleets, lists and pages with permitted lags that no existing
+// TestCloudListingsRandom checks with random fleets, lists and pages with permitted lags that no existing
 // machine is ever considered gone, and that most machines that are gone are found.
-func TestListingsNeverWrong(t *testing.T) {
+func TestCloudListingsRandom(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	found, missed := 0, 0
 	for range 40 {
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -19,12 +19,12 @@
 // the worker stops waiting for it after 4 s.
 const answerLifetime = 4_200_000
 
-// judgeDelivery determines from a new heartbeat whether its machine receives answers.
-func (w *workerManager) judgeDelivery(machine *fleet.Machine, heartbeat *Heartbeat) {
+// updateDelivery determines from a new heartbeat whether its machine receives answers.
+func (w *workerManager) updateDelivery(machine *fleet.Machine, heartbeat *Heartbeat) {
 	delivery := &machine.Delivery
 	lost := false
 	switch {
-	case w.endedEpochThoughAnswered(machine, heartbeat):
+	case w.endedEpochDespiteAnswers(machine, heartbeat):
 		lost = delivery.RecordMissedAnswer(w.now)
 	case heartbeat.Epoch == machine.Epoch:
 		couldNotReceive := delivery.CannotReceive
@@ -42,9 +42,9 @@
 	}
 }
 
-// endedEpochThoughAnswered reports whether a worker has ended its epoch because it received no
+// endedEpochDespiteAnswers reports whether a worker has ended its epoch because it received no
 // answers, although it was recently sent one.
-func (w *workerManager) endedEpochThoughAnswered(machine *fleet.Machine, heartbeat *Heartbeat) bool {
+func (w *workerManager) endedEpochDespiteAnswers(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	lease := config.MicrosOf(w.settings.Workers.LeaseS)
 	return machine.Epoch != 0 && heartbeat.Epoch > machine.Epoch && w.now-machine.LastAnswer < lease*3/4
 }
@@ -64,7 +64,7 @@
 	for _, ref := range refs {
 		w.tasks.requestStop(ref.Job, ref.Index, jobstate.StopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome() == "" {
-			w.tasks.breakGang(ref.Job, false) // the gang would wait for this task in vain
+			w.tasks.abandonGangAttempt(ref.Job, false) // the gang would wait for this task in vain
 		}
 	}
 }
@@ -115,10 +115,12 @@
 }
 
 // needsProbe reports whether a heartbeat must be refused until the machine has answered a
-// probe: the machine has restarted its sequence numbers, and the heartbeat lacks a stopping
-// task whose start was sent. Such a heartbeat may be a copy from before the restart and proves
-// nothing. So the machine is probed, and is given no answers until none of those sent to it
-// can still be accepted; its answer to the probe then proves what it does not have.
+// probe: the machine has restarted its sequence numbers, and the heartbeat lacks an unconfirmed
+// stopping task whose start was sent. Such a heartbeat may be a copy from before the restart and
+// proves nothing. The machine is then given no answers until none of those sent to it can still
+// be accepted, and is probed after that, so that its answer proves what it does not have. If
+// only confirmed tasks are missing, the machine is probed immediately and the heartbeat is
+// handled.
 func (w *workerManager) needsProbe(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	if !machine.SeqRestarted() {
 		return false
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -29,11 +29,11 @@
 	return m != nil && r.c.planner.usable(m)
 }
 
-// TestCannotReceive checks that a machine that sends heartbeats but does not receive the answers gets
+// TestMachineNotReceivingAnswers checks that a machine that sends heartbeats but does not receive the answers gets
 // no work. If commands have no effect twice in succession, nothing more is placed on the machine. The
 // tasks that it should have started are placed elsewhere once a later heartbeat does not list them
 // either. The machine is used again when it receives an answer or a probe.
-func TestCannotReceive(t *testing.T) {
+func TestMachineNotReceivingAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
 		do     func(r *leaderHarness)
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestLateCopies checks that a late copy of a heartbeat has no effect: it does not add a machine again
+// TestLateHeartbeatCopies checks that a late copy of a heartbeat has no effect: it does not add a machine again
 // that is gone, and does not prove that a task is absent. A machine that has restarted its sequence
 // numbers is accepted after its answer to a probe, and copies from before the restart are refused.
-func TestLateCopies(t *testing.T) {
+func TestLateHeartbeatCopies(t *testing.T) {
 	restarted := func(r *leaderHarness) {
 		r.sendHeartbeat(1, 90, r.token, running(3))
 		r.tick(2 * second)
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestGangLeavesUnreceivedStart checks that a gang attempt is stopped if the machine of one of its tasks
+// TestGangStopsAfterUnreceivedStart checks that a gang attempt is stopped if the machine of one of its tasks
 // does not receive the start, so that the other tasks do not wait for it.
-func TestGangLeavesUnreceivedStart(t *testing.T) {
+func TestGangStopsAfterUnreceivedStart(t *testing.T) {
 	r := newLeaderHarness(t)
 	j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: 2, Need: jobstate.Resources{CPU: 1}, Estimate: second})
 	r.c.cache.jobs["g"] = j
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -26,20 +26,20 @@
 	return departedMachines{byName: map[string]departure{}}
 }
 
-// noteReturned records a machine that is certainly gone, because the cloud has confirmed its
+// recordReturned records a machine that is certainly gone, because the cloud has confirmed its
 // release or its list proves it.
-func (d *departedMachines) noteReturned(name string, now int64) {
-	d.note(name, departure{returned: true, at: now})
+func (d *departedMachines) recordReturned(name string, now int64) {
+	d.record(name, departure{returned: true, at: now})
 }
 
-// noteRemoved records a machine that the leader has removed from the fleet.
-func (d *departedMachines) noteRemoved(machine *fleet.Machine, now int64) {
-	d.note(machine.Name, departure{epoch: machine.Epoch, seq: machine.Seq, at: now})
+// recordRemoved records a machine that the leader has removed from the fleet.
+func (d *departedMachines) recordRemoved(machine *fleet.Machine, now int64) {
+	d.record(machine.Name, departure{epoch: machine.Epoch, seq: machine.Seq, at: now})
 }
 
-// note merges a departure with earlier ones of the same machine. It deletes expired
+// record merges a departure with earlier ones of the same machine. It deletes expired
 // departures from time to time.
-func (d *departedMachines) note(name string, newest departure) {
+func (d *departedMachines) record(name string, newest departure) {
 	known := d.byName[name]
 	newest.epoch = max(known.epoch, newest.epoch)
 	newest.seq = max(known.seq, newest.seq)
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -83,11 +83,11 @@
 		w.refuse(m.RequestID, refusedOutdated)
 		return
 	}
-	w.judgeDelivery(machine, heartbeat)
-	w.noteHeartbeatVia(m.From)
+	w.updateDelivery(machine, heartbeat)
+	w.recordHeartbeatVia(m.From)
 	w.releaseReply(machine.Name, false)
 	w.updateMachine(machine, heartbeat)
-	w.notePreemption(machine, heartbeat.PreemptionNotice)
+	w.handlePreemptionNotice(machine, heartbeat.PreemptionNotice)
 	if w.needsProbe(machine, heartbeat) {
 		w.refuse(m.RequestID, refusedProbeNeeded)
 		return
@@ -132,9 +132,9 @@
 		!machine.IsPlausible(heartbeat.Epoch, heartbeat.Seq, w.now)
 }
 
-// noteHeartbeatVia records which controller received a heartbeat from the worker; "" is this
+// recordHeartbeatVia records which controller received a heartbeat from the worker; "" is this
 // controller.
-func (w *workerManager) noteHeartbeatVia(controller string) {
+func (w *workerManager) recordHeartbeatVia(controller string) {
 	if controller == "" {
 		controller = w.settings.Name
 	}
@@ -164,9 +164,9 @@
 	}
 }
 
-// notePreemption drains a machine that the cloud is about to reclaim. A negative notice means
+// handlePreemptionNotice drains a machine that the cloud is about to reclaim. A negative notice means
 // that there is no preemption notice.
-func (w *workerManager) notePreemption(machine *fleet.Machine, notice int64) {
+func (w *workerManager) handlePreemptionNotice(machine *fleet.Machine, notice int64) {
 	if notice < 0 || machine.ReclaimAt != 0 {
 		return
 	}
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -86,7 +86,7 @@
 		r.redirectTo(m.RequestID, holder)
 		return
 	}
-	r.noteServedHere(m.Heartbeat.Machine, m.From)
+	r.recordServedHere(m.Heartbeat.Machine, m.From)
 	r.workers.handleHeartbeat(m)
 }
 
@@ -99,7 +99,7 @@
 	if r.holdsPartition(name) ||
 		r.peers.connectivity.CannotReachZone(leader, zone) ||
 		!r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token) {
-		r.noteServedHere(name, "")
+		r.recordServedHere(name, "")
 		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: leader, Heartbeat: m.Heartbeat})
 		return
 	}
@@ -128,7 +128,7 @@
 	case to != "" && r.mayRedirect(&m.Heartbeat, r.elector.newestLeader.Token):
 		r.redirectTo(m.RequestID, to)
 	case relay != "":
-		r.noteServedHere(m.Heartbeat.Machine, "")
+		r.recordServedHere(m.Heartbeat.Machine, "")
 		r.emit(RelayHeartbeat{RequestID: m.RequestID, To: relay, Heartbeat: m.Heartbeat, ViaPeer: true})
 	default:
 		r.refuse(m.RequestID, "no leader known")
@@ -151,9 +151,9 @@
 		r.now-r.cache.partitionsReadAt < partitions.LeaseDuration
 }
 
-// noteServedHere records that a heartbeat is accepted here, if it came directly from the
+// recordServedHere records that a heartbeat is accepted here, if it came directly from the
 // worker (from is empty).
-func (r *heartbeatRouter) noteServedHere(machine, from string) {
+func (r *heartbeatRouter) recordServedHere(machine, from string) {
 	if from == "" {
 		v := r.redirects[machine]
 		v.servedAt = r.now
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -121,7 +121,7 @@
 		bits[image] = i
 		hints.Images = append(hints.Images, hintImage{Name: image})
 		if i%parts == part {
-			hints.Sources = append(hints.Sources, p.jobsCarrying(image)...)
+			hints.Sources = append(hints.Sources, p.sourceJobs(image)...)
 		}
 	}
 	for _, m := range term.fleet.All() {
@@ -132,8 +132,8 @@
 	return hints.encode(p.membership.valueLimit())
 }
 
-// jobsCarrying returns up to sourcesPerImage completed jobs that are prefetch sources of an image.
-func (p *prefetcher) jobsCarrying(image string) []*jobstate.Spec {
+// sourceJobs returns up to sourcesPerImage completed jobs that are prefetch sources of an image.
+func (p *prefetcher) sourceJobs(image string) []*jobstate.Spec {
 	var jobs []*jobstate.Spec
 	seen := map[string]bool{}
 	for _, source := range p.elector.leadership.prefetch.sources[image] {
@@ -183,7 +183,7 @@
 		if err != nil || json.Unmarshal(p.cache.imageHints[key], &hints) != nil || part >= hints.Of {
 			continue
 		}
-		p.takeOverHints(&hints)
+		p.applyHints(&hints)
 	}
 	for machine, images := range p.cache.imageHistory.machines {
 		state.known[machine] = append(state.known[machine], images...)
@@ -200,8 +200,8 @@
 	state.inheritedSources = slices.CompactFunc(state.inheritedSources, func(a, b *jobstate.Spec) bool { return byID(a, b) == 0 })
 }
 
-// takeOverHints adds the content of one value of hints to the state.
-func (p *prefetcher) takeOverHints(hints *hintsRecord) {
+// applyHints adds the content of one value of hints to the state.
+func (p *prefetcher) applyHints(hints *hintsRecord) {
 	state := &p.elector.leadership.hints
 	for machine, bits := range hints.Machines {
 		for i, image := range hints.Images {
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -16,8 +16,8 @@
 // in the answer to the next one. This was seen in the case of TestTroubles with renewals and dropped
 // leases executed late, the leader refused, then all: the heartbeat of host-000002 at 82.535 s was
 // answered without commands, although its three placements were stored at 82.754 s. The next one, at
-// 85.474 s, was answered with the last start of a gang of four, whose other tasks had been started
-// since 82.755 s.
+// 85.474 s, was answered with the last start of a gang of four, whose other tasks had received
+// theirs at 82.755 s.
 func TestHeartbeatWhileStartIsWritten(t *testing.T) {
 	const reportInterval = 2 * second
 	cases := []struct {
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -92,7 +92,7 @@
 		FencingToken:  term.fencingToken,
 		Seq:           term.partitions.seq + 1,
 	}
-	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnequal(hashes) {
+	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnbalanced(hashes) {
 		partitions.Boundaries = fleet.PartitionHashes(hashes, queueCount)
 	}
 	return partitions
@@ -144,7 +144,7 @@
 	if term.partitions.excludedUntil[controller] > p.now {
 		return true
 	}
-	if !p.receivesNone(controller) {
+	if !p.receivesNoHeartbeats(controller) {
 		return false
 	}
 	p.log.Info("no heartbeats reach a controller, leasing its partition to another", "controller", controller)
@@ -152,17 +152,17 @@
 	return true
 }
 
-// receivesNone reports whether a holder has received no heartbeat for a long time although enough
+// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although enough
 // machines are known in its partition and enough machines still send heartbeats.
-func (p *partitionManager) receivesNone(controller string) bool {
+func (p *partitionManager) receivesNoHeartbeats(controller string) bool {
 	term := p.elector.leadership
-	patience := 3*p.heartbeatInterval() + second
+	silenceTimeout := 3*p.heartbeatInterval() + second
 	partitions := &p.cache.partitions
 	if !slices.Contains(partitions.Holders, controller) || partitions.FencingToken != term.fencingToken {
 		return false
 	}
 	last := max(term.partitions.lastHeartbeatVia[controller], term.partitions.excludedUntil[controller])
-	if p.now-term.since < 2*patience || p.now-last < patience {
+	if p.now-term.since < 2*silenceTimeout || p.now-last < silenceTimeout {
 		return false
 	}
 	held, live := 0, 0
@@ -173,15 +173,15 @@
 		if partitions.Holder(m.Name) == controller {
 			held++
 		}
-		if p.now-m.LastHeartbeat < patience {
+		if p.now-m.LastHeartbeat < silenceTimeout {
 			live++
 		}
 	}
 	return held >= holderEvidence && live >= holderEvidence
 }
 
-// partitionsUnequal reports whether the sizes of the partitions differ too much.
-func (p *partitionManager) partitionsUnequal(hashes []uint32) bool {
+// partitionsUnbalanced reports whether the sizes of the partitions differ too much.
+func (p *partitionManager) partitionsUnbalanced(hashes []uint32) bool {
 	var sizes [queueCount]int
 	for _, h := range hashes {
 		sizes[min(p.cache.partitions.PartitionOfHash(h), queueCount-1)]++
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		for _, source := range p.elector.leadership.prefetch.sources[image] {
-			if p.mayCarry(source, m, cachedMB, used) {
+			if p.canPrefetch(source, m, cachedMB, used) {
 				best, bestScore = source, score
 				break
 			}
@@ -95,8 +95,8 @@
 	return best
 }
 
-// mayCarry reports whether a source may be used to load its image on a machine.
-func (p *prefetcher) mayCarry(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
+// canPrefetch reports whether a source may be used to load its image on a machine.
+func (p *prefetcher) canPrefetch(source *prefetchSource, m *fleet.Machine, cachedMB int64, used map[string]teamUsage) bool {
 	spec := source.spec
 	if !source.mayRunIn(m.Zone) || !spec.Allows(m.Type, m.Zone, m.Spot, m.Cap) || spec.Need.GPU == 0 && m.Cap.GPU > 0 {
 		return false
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -119,7 +119,7 @@
 }
 
 // mayFinishFetch reports whether a task whose gang attempt was abandoned may continue until it
-// has fetched its image; see breakGang.
+// has fetched its image; see abandonGangAttempt.
 func (w *workerManager) mayFinishFetch(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task) bool {
 	return task.Phase == jobstate.Fetching &&
 		w.now-task.PlacedAt <= abandonedFetchFactor*job.FetchTime(machine.FetchRate)
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -43,22 +43,22 @@
 
 // scaleInTick returns machines: silent ones, whose tasks certainly end by this, faulty ones, ones
 // that never boot, and ones that have been idle for a long time.
-func (s *scaler) scaleInTick(takeCall func() bool, gathers []zoneGather) {
+func (s *scaler) scaleInTick(takeCall func() bool, targets []zoneTarget) {
 	if !s.elector.mayStartTasks() {
 		// This leader may have been replaced, and its successor may use the machines:
 		// otherwise a partitioned leader would return machines that have come up for
 		// the next one. Returns that were queued before wait as well.
 		return
 	}
-	survey := s.surveyMachines(gathers)
+	survey := s.surveyMachines(targets)
 	s.scaleInIdle(survey.idle)
 	s.scaleInSilent(&survey)
-	s.scaleInNeverUp()
+	s.scaleInNeverBooted()
 	s.sendScaleIn(takeCall)
 }
 
 // surveyMachines classifies all machines, and queues the return of those that are drained.
-func (s *scaler) surveyMachines(gathers []zoneGather) machineSurvey {
+func (s *scaler) surveyMachines(targets []zoneTarget) machineSurvey {
 	var survey machineSurvey
 	interval := s.heartbeatInterval()
 	since := s.elector.leadership.since
@@ -77,7 +77,7 @@
 			if m.Draining && len(m.Placed) == 0 {
 				s.queueScaleIn(m.Name)
 			}
-			if s.isIdleForLong(m) && !isGathered(gathers, m) {
+			if s.isIdleForLong(m) && !isKeptForTarget(targets, m) {
 				survey.addIdle(s.poolOf(m.Type, m.Spot), m)
 			}
 		case len(m.Placed) > 0 && s.isPresumedDead(m, silence):
@@ -135,8 +135,8 @@
 	}
 }
 
-// scaleInNeverUp returns machines that were rented and have not sent a heartbeat in time.
-func (s *scaler) scaleInNeverUp() {
+// scaleInNeverBooted returns machines that were rented and have not sent a heartbeat in time.
+func (s *scaler) scaleInNeverBooted() {
 	state := &s.elector.leadership.scaling
 	for _, name := range sortedKeys(state.booting) {
 		machine := state.booting[name]
@@ -242,7 +242,7 @@
 		s.planner.machineGone(m, "it was returned")
 		s.forgetMachine(m)
 	}
-	term.heartbeats.departed.noteReturned(name, s.now)
+	term.heartbeats.departed.recordReturned(name, s.now)
 	s.peers.connectivity.Workers.Forget(name, s.now)
 	delete(term.scaling.booting, name)
 	term.scaling.scaledInAt[name] = s.now
@@ -251,7 +251,7 @@
 // forgetMachine removes a machine that is gone from the fleet, and ends its prefetch.
 func (s *scaler) forgetMachine(m *fleet.Machine) {
 	s.prefetcher.endPrefetch(m)
-	s.elector.leadership.heartbeats.departed.noteRemoved(m, s.now)
+	s.elector.leadership.heartbeats.departed.recordRemoved(m, s.now)
 	s.elector.leadership.fleet.Remove(m)
 	s.peers.connectivity.Workers.Forget(m.Name, s.now)
 }
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -7,11 +7,11 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestSilent checks that a few silent machines are returned, as their tasks are then certainly gone, and
+// TestScaleInSilentMachines checks that a few silent machines are returned, as their tasks are then certainly gone, and
 // that many silent machines are not, as the network is more likely at fault. This must also hold for a
 // new leader that has received no heartbeat of any of them: otherwise a leader that is elected while a
 // zone is partitioned returns every machine of the zone.
-func TestSilent(t *testing.T) {
+func TestScaleInSilentMachines(t *testing.T) {
 	cases := []struct {
 		name         string
 		silent, live int
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestNeverUp checks that a machine that does not send a first heartbeat in time is returned. A machine
+// TestScaleInNeverBooted checks that a machine that does not send a first heartbeat in time is returned. A machine
 // that a leader found listed as running, and that has sent a heartbeat since, is not returned however
 // old it is: after a partition during which the leader was elected this would be a whole zone.
-func TestNeverUp(t *testing.T) {
+func TestScaleInNeverBooted(t *testing.T) {
 	cases := []struct {
 		name       string
 		up, live   bool
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -33,9 +33,9 @@
 // poolCounts are the counts of each pool.
 type poolCounts map[machinePool]*poolCount
 
-// of returns the counters of a pool, which it creates if there are none; the caller may modify
+// forPool returns the counters forPool a pool, which it creates if there are none; the caller may modify
 // them.
-func (c poolCounts) of(pool machinePool) *poolCount {
+func (c poolCounts) forPool(pool machinePool) *poolCount {
 	if c[pool] == nil {
 		c[pool] = &poolCount{}
 	}
@@ -55,7 +55,7 @@
 
 // scaleOutTick rents machines, pool by pool, if work is waiting or there are too few spare
 // machines. Unanswered requests are repeated first.
-func (s *scaler) scaleOutTick(takeCall func() bool, gathers []zoneGather) {
+func (s *scaler) scaleOutTick(takeCall func() bool, targets []zoneTarget) {
 	state := &s.elector.leadership.scaling
 	if len(s.cache.machineTypes) == 0 || !s.elector.mayStartTasks() || s.now-s.elector.leadership.since < scaleOutGrace {
 		return
@@ -73,7 +73,7 @@
 	for i := range s.cache.machineTypes {
 		t := &s.cache.machineTypes[i]
 		for _, pool := range s.pools(t) {
-			offer, count := s.chooseScaleOut(t, pool, counts.of(s.poolOf(t.Name, pool.spot)), gathers)
+			offer, count := s.chooseScaleOut(t, pool, counts.forPool(s.poolOf(t.Name, pool.spot)), targets)
 			if count <= 0 {
 				continue
 			}
@@ -92,14 +92,14 @@
 		switch {
 		case m.LastHeartbeat == 0 || s.now-m.LastHeartbeat > liveWithin || m.Draining || m.Releasing || m.ReclaimAt != 0:
 		case len(m.Placed) > 0:
-			counts.of(s.poolOf(m.Type, m.Spot)).busy++
+			counts.forPool(s.poolOf(m.Type, m.Spot)).busy++
 		default:
-			counts.of(s.poolOf(m.Type, m.Spot)).idle++
+			counts.forPool(s.poolOf(m.Type, m.Spot)).idle++
 		}
 	}
 	for name, b := range s.elector.leadership.scaling.booting {
 		if m := s.elector.leadership.fleet.Get(name); m == nil || m.LastHeartbeat == 0 {
-			counts.of(s.poolOf(b.machineType, b.spot)).booting++
+			counts.forPool(s.poolOf(b.machineType, b.spot)).booting++
 		}
 	}
 	return counts
@@ -107,14 +107,14 @@
 
 // chooseScaleOut returns how many more machines a pool should have, and the offer by which to rent
 // them. The number is 0 if the pool has enough machines or there is no offer.
-func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, gathers []zoneGather) (machineOffer, int) {
+func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, targets []zoneTarget) (machineOffer, int) {
 	needed := s.shortage(t, pool)
 	s.elector.leadership.scaling.recordBusy(pool, count.busy, s.now, s.idleReturnTime())
 	wanted := max(needed, s.spareMachines(pool)-count.idle) - count.booting
 	if wanted <= 0 {
 		return machineOffer{}, 0
 	}
-	offer, ok := s.chooseOffer(t, s.scaleOutKinds(t, pool, needed > count.booting), gathers)
+	offer, ok := s.chooseOffer(t, s.scaleOutKinds(t, pool, needed > count.booting), targets)
 	if !ok {
 		return machineOffer{}, 0
 	}
@@ -155,12 +155,12 @@
 // chooseOffer picks an open offer of the type, with the kinds (spot or not) in order of
 // preference. Zones in which machines are gathered for a job come first; otherwise the zone is
 // random.
-func (s *scaler) chooseOffer(t *fleet.Type, kinds []bool, gathers []zoneGather) (machineOffer, bool) {
+func (s *scaler) chooseOffer(t *fleet.Type, kinds []bool, targets []zoneTarget) (machineOffer, bool) {
 	state := &s.elector.leadership.scaling
-	for _, gather := range gathers {
+	for _, target := range targets {
 		for _, spot := range kinds {
-			offer := machineOffer{t.Name, gather.zone, spot}
-			isUsable := gather.spec.Allows(t.Name, gather.zone, spot, t.Cap) && slices.Contains(t.Zones, gather.zone)
+			offer := machineOffer{t.Name, target.zone, spot}
+			isUsable := target.spec.Allows(t.Name, target.zone, spot, t.Cap) && slices.Contains(t.Zones, target.zone)
 			if isUsable && state.isOpen(offer, s.now) {
 				return offer, true
 			}
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -113,10 +113,10 @@
 		state.typesListedAt = s.now
 		s.cloud.callCloud(CloudCall{ListTypes: true})
 	}
-	gathers := s.zoneGathers()
-	s.scaleInTick(state.takeCall, gathers)
+	targets := s.zoneTargets()
+	s.scaleInTick(state.takeCall, targets)
 	s.listTick(rate)
-	s.scaleOutTick(state.takeCall, gathers)
+	s.scaleOutTick(state.takeCall, targets)
 }
 
 // typesDue reports whether the machine types must be listed, which is more often while none are
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -62,12 +62,12 @@
 	})
 }
 
-// breakGang stops the remaining tasks of a gang's attempt; the next attempt begins when all of
+// abandonGangAttempt stops the remaining tasks of a gang's attempt; the next attempt begins when all of
 // them are gone. If the attempt was only incomplete for too long, tasks that are still fetching
 // the image continue until they have it. If they were stopped, they would restart the fetch with
 // the next attempt, which would be incomplete as well, and so on endlessly if one machine fetches
 // slowly and the others have the image.
-func (t *taskManager) breakGang(job *jobstate.Job, incomplete bool) {
+func (t *taskManager) abandonGangAttempt(job *jobstate.Job, incomplete bool) {
 	if job.NumDone == job.Tasks {
 		return
 	}
@@ -154,7 +154,7 @@
 	t.log.Debug("task lost", "job", job.ID, "task", index, "machine", job.Task(index).Machine)
 	t.clearPlacement(job, index)
 	if job.Kind == jobstate.Gang && job.Outcome() == "" {
-		t.breakGang(job, false)
+		t.abandonGangAttempt(job, false)
 	}
 }
 
@@ -196,7 +196,7 @@
 		job.NotBefore = t.now + notStartedBackoff
 	}
 	if job.Kind == jobstate.Gang && job.Outcome() == "" {
-		t.breakGang(job, status.Reason == ExitGangIncomplete)
+		t.abandonGangAttempt(job, status.Reason == ExitGangIncomplete)
 	}
 }
 
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,11 +7,11 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestUnreachable checks that unwanted tasks on a machine whose heartbeats do not arrive are stopped by
+// TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not arrive are stopped by
 // direct commands, also by a leader that has received no heartbeat of the machine: the address comes
 // from the cloud's list and the epoch from the machine's answer to a probe. Otherwise such tasks
 // continue until the machine's lease has expired. The answer does not prove that a task is absent.
-func TestUnreachable(t *testing.T) {
+func TestStopOnUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name  string
 		over  string
--- a/internal/core/zonegather.go
+++ b/internal/core/zonegather.go
@@ -7,20 +7,20 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// zoneGather is a waiting job whose tasks must be in one zone, and the zone in which machines are
+// zoneTarget is a waiting job whose tasks must be in one zone, and the zone in which machines are
 // gathered for it. No zone has enough machines for it, busy or idle, so waiting alone does not
 // help. Without this, machines are rented in random zones and returned as idle before one zone has
 // enough: in the emulator a gang of three waited for 220 s on an empty fleet.
-type zoneGather struct {
+type zoneTarget struct {
 	spec *jobstate.Spec
 	zone string
 }
 
-// maxZoneGathers is the maximum number of jobs for which machines are gathered at once.
-const maxZoneGathers = 4
+// maxZoneTargets is the maximum number of jobs for which machines are gathered at once.
+const maxZoneTargets = 4
 
-// zoneGathers returns the jobs for which machines are gathered, in queue order.
-func (s *scaler) zoneGathers() (gathers []zoneGather) {
+// zoneTargets returns the jobs for which machines are gathered, in queue order.
+func (s *scaler) zoneTargets() (targets []zoneTarget) {
 	waiting := s.elector.leadership.planning.waitingJobs
 	if !slices.ContainsFunc(waiting, func(w waitingJob) bool { return w.spec.OneZone }) {
 		return nil
@@ -30,16 +30,16 @@
 		if !w.spec.OneZone {
 			continue
 		}
-		zone := s.gatherZone(w.spec, usable, booting)
+		zone := s.targetZone(w.spec, usable, booting)
 		if zone == "" {
 			continue
 		}
-		gathers = append(gathers, zoneGather{w.spec, zone})
-		if len(gathers) == maxZoneGathers {
+		targets = append(targets, zoneTarget{w.spec, zone})
+		if len(targets) == maxZoneTargets {
 			break
 		}
 	}
-	return gathers
+	return targets
 }
 
 // countOffers counts the usable and the booting machines of each type, zone and kind.
@@ -74,10 +74,10 @@
 	return o.tasks > other.tasks
 }
 
-// gatherZone returns the zone in which machines are gathered for a job. Zones where more machines
+// targetZone returns the zone in which machines are gathered for a job. Zones where more machines
 // can be rented come first, then the zone whose usable and booting machines have room for the most
 // tasks. It returns "" if a zone already has enough usable machines.
-func (s *scaler) gatherZone(spec *jobstate.Spec, usable, booting map[machineOffer]int64) string {
+func (s *scaler) targetZone(spec *jobstate.Spec, usable, booting map[machineOffer]int64) string {
 	var best zoneOption
 	for _, zone := range s.settings.Zones {
 		option := s.zoneOption(spec, zone, usable, booting)
@@ -110,10 +110,10 @@
 	return option
 }
 
-// isGathered reports whether an idle machine is kept for one of the jobs for which machines are
+// isKeptForTarget reports whether an idle machine is kept for one of the jobs for which machines are
 // gathered.
-func isGathered(gathers []zoneGather, m *fleet.Machine) bool {
-	return slices.ContainsFunc(gathers, func(g zoneGather) bool {
+func isKeptForTarget(targets []zoneTarget, m *fleet.Machine) bool {
+	return slices.ContainsFunc(targets, func(g zoneTarget) bool {
 		return g.zone == m.Zone && g.spec.Allows(m.Type, m.Zone, m.Spot, m.Cap)
 	})
 }
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -46,7 +46,7 @@
 			term.scaling.refusedUntil[m] = now + second
 		}
 		tc.spec.Spot = tc.spot
-		if got := s.gatherZone(tc.spec, tc.usable, tc.booting); got != tc.want {
+		if got := s.targetZone(tc.spec, tc.usable, tc.booting); got != tc.want {
 			t.Errorf("%s: zone: got %q, want %q", tc.name, got, tc.want)
 		}
 	}
