--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -155,37 +155,37 @@
 // worker (from is empty).
 func (r *heartbeatRouter) recordServedHere(machine, from string) {
 	if from == "" {
-		v := r.redirects[machine]
-		v.servedAt = r.now
-		r.redirects[machine] = v
+		entry := r.redirects[machine]
+		entry.servedAt = r.now
+		r.redirects[machine] = entry
 	}
 }
 
 // mayRedirect reports whether a worker is to be redirected, and records the redirect or, if the
 // worker has returned, until when it is kept here.
 func (r *heartbeatRouter) mayRedirect(heartbeat *Heartbeat, token uint64) bool {
-	v := r.redirects[heartbeat.Machine]
-	if r.now < v.keepUntil {
+	entry := r.redirects[heartbeat.Machine]
+	if r.now < entry.keepUntil {
 		return false
 	}
 	// A worker that has accepted commands of this leader through another controller has
 	// left the holder of its partition for a reason.
-	leftHolder := heartbeat.FencingToken == token && (v.servedAt == 0 || r.now-v.servedAt > redirectReturnTime)
-	cameBack := v.sentAt != 0 && r.now-v.sentAt < redirectReturnTime
+	leftHolder := heartbeat.FencingToken == token && (entry.servedAt == 0 || r.now-entry.servedAt > redirectReturnTime)
+	cameBack := entry.sentAt != 0 && r.now-entry.sentAt < redirectReturnTime
 	if leftHolder || cameBack {
-		v.keepUntil = r.now + keepWorkerTime
-		r.redirects[heartbeat.Machine] = v
+		entry.keepUntil = r.now + keepWorkerTime
+		r.redirects[heartbeat.Machine] = entry
 		return false
 	}
-	v.sentAt = r.now
-	r.redirects[heartbeat.Machine] = v
+	entry.sentAt = r.now
+	r.redirects[heartbeat.Machine] = entry
 	return true
 }
 
 // expireRedirects deletes redirects that no longer affect routing.
 func (r *heartbeatRouter) expireRedirects() {
-	for machine, v := range r.redirects {
-		if r.now-max(v.sentAt, v.keepUntil, v.servedAt) > 2*redirectReturnTime {
+	for machine, entry := range r.redirects {
+		if r.now-max(entry.sentAt, entry.keepUntil, entry.servedAt) > 2*redirectReturnTime {
 			delete(r.redirects, machine)
 		}
 	}
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -33,7 +33,7 @@
 // poolCounts are the counts of each pool.
 type poolCounts map[machinePool]*poolCount
 
-// forPool returns the counters forPool a pool, which it creates if there are none; the caller may modify
+// forPool returns the counters of a pool, which it creates if there are none; the caller may modify
 // them.
 func (c poolCounts) forPool(pool machinePool) *poolCount {
 	if c[pool] == nil {
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -25,7 +25,7 @@
 		{"the task has exited", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"no task to stop", "", nil, []TaskStatus{running(3)}, ""},
 		{"heartbeats arrive", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted, which only a heartbeat would confirm", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted, no heartbeat would show the freed room", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
 		{"preempted, without proof of leadership", "", func(r *leaderHarness) {
 			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
 			r.stateSilent = true
--- a/internal/core/zonegather_test.go
+++ b/internal/core/zonegather_test.go
@@ -8,9 +8,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestGatherZone checks that machines are gathered in one zone only while no zone has enough, and in
+// TestTargetZone checks that machines are gathered in one zone only while no zone has enough, and in
 // which zone.
-func TestGatherZone(t *testing.T) {
+func TestTargetZone(t *testing.T) {
 	const now = 100 * second
 	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
 	gang := func(n int) *jobstate.Spec {
