--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -70,7 +70,7 @@
 }
 
 // handleHeartbeat updates the machine from a heartbeat and answers its worker with commands,
-// either immediately or, if the reply is held, as soon as there are commands.
+// either immediately or, if the answer is held, when there are commands or the hold time is over.
 func (w *workerManager) handleHeartbeat(m HeartbeatReceived) {
 	heartbeat := &m.Heartbeat
 	if refusal := w.authorize(heartbeat); refusal != "" {
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -118,8 +118,9 @@
 		slices.Equal(partitions.Holders, stored.Holders) && slices.Equal(partitions.Boundaries, stored.Boundaries)
 }
 
-// writePartitions stores the partitions. The leader plans by the new boundaries at once:
-// a loan or a moved boundary is bookkeeping and moves no worker's task.
+// writePartitions stores the partitions. The leader plans with the new boundaries immediately:
+// lending a machine to another queue or moving a boundary only changes the accounting and does not
+// move any worker's task.
 func (p *partitionManager) writePartitions(partitions fleet.Partitions) {
 	term := p.elector.leadership
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -41,8 +41,8 @@
 	s.idle[pool] = append(s.idle[pool], m)
 }
 
-// scaleInTick returns machines: silent ones, whose tasks certainly end by this, faulty ones, ones
-// that never boot, and ones that have been idle for a long time.
+// scaleInTick returns silent, faulty, never-booting and long-idle machines to the cloud. The tasks on a
+// silent machine certainly end with its return.
 func (s *scaler) scaleInTick(takeCall func() bool, targets []zoneTarget) {
 	if !s.elector.mayStartTasks() {
 		// This leader may have been replaced, and its successor may use the machines:
