--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// partitionWriteGap is the least time between two writes of the partitions,
-	// partitionCheckGap between two looks whether they are to be written.
+	// partitionWriteGap is the minimum time between two writes of the partitions, and
+	// partitionCheckGap between two checks whether they must be written.
 	partitionWriteGap = second
 	partitionCheckGap = second / 4
-	// maxHeartbeatGap is how long a machine counts after its last heartbeat, beyond two
-	// heartbeat intervals.
+	// maxHeartbeatGap plus two heartbeat intervals is how long after its last heartbeat a
+	// machine is included in the division into partitions.
 	maxHeartbeatGap = 10 * second
-	// holderEvidence is how many machines of a partition, and how many machines that
-	// send heartbeats elsewhere, it takes to find that workers can't reach a holder.
+	// holderEvidence is the minimum number of machines in a holder's partition, and the
+	// minimum number of machines that still send heartbeats, for the leader to conclude
+	// that workers can't reach the holder.
 	holderEvidence = 2
-	// knownMachineTimeout is how long a machine that sends no heartbeats counts as one
-	// of its partition when the holder is judged.
+	// knownMachineTimeout is how long after its last heartbeat a machine is counted in its
+	// partition when the leader checks whether workers reach the holder.
 	knownMachineTimeout = 60 * second
 )
 
-// partitionState is what the partition manager keeps while this controller leads.
+// partitionState is the state that the partition manager keeps while this controller leads.
 type partitionState struct {
 	seq       uint64
 	writtenAt int64
 	checkedAt int64
 	writing   bool
-	// machineHashes are of the machines that send heartbeats; kept to be filled anew.
+	// machineHashes are the hashes of the machines that send heartbeats; the slice is kept
+	// for reuse.
 	machineHashes []uint32
-	// lastHeartbeatVia is when a heartbeat last came straight to a controller.
+	// lastHeartbeatVia is the time of the last heartbeat that came directly from a worker
+	// to a controller.
 	lastHeartbeatVia map[string]int64
-	// excludedUntil is until when a controller gets no partition because no
-	// heartbeats came to it.
+	// excludedUntil is the time until which a controller gets no partition because it
+	// received no heartbeats.
 	excludedUntil map[string]int64
 }
 
@@ -42,13 +45,13 @@
 	return partitionState{lastHeartbeatVia: map[string]int64{}, excludedUntil: map[string]int64{}}
 }
 
-// recordHeartbeatVia notes that a heartbeat came straight to a controller.
+// recordHeartbeatVia records that a heartbeat came directly from a worker to a controller.
 func (s *partitionState) recordHeartbeatVia(controller string, now int64) {
 	s.lastHeartbeatVia[controller] = now
 }
 
-// partitionManager leases the partitions of the machines to the controllers, to which
-// their workers then send heartbeats.
+// partitionManager divides the machines into partitions and leases these to controllers, to
+// which the workers then send their heartbeats.
 type partitionManager struct {
 	*engine
 
@@ -59,8 +62,8 @@
 	peers     *peerMonitor
 }
 
-// partitionsTick writes the partitions' boundaries and holders: when a holder is
-// lost, when machines have come or gone, and before the leases of the holders are over.
+// partitionsTick writes the boundaries and holders of the partitions when a holder is lost, when
+// machines were added or removed, and before the leases of the holders expire.
 func (p *partitionManager) partitionsTick() {
 	state := &p.elector.leadership.partitions
 	if state.writing || p.now-state.writtenAt < partitionWriteGap || p.now-state.checkedAt < partitionCheckGap {
@@ -78,7 +81,7 @@
 	p.writePartitions(partitions)
 }
 
-// newPartitions is how the machines should be divided now, and who should hold what.
+// newPartitions returns the partitions and holders that there should be now.
 func (p *partitionManager) newPartitions() fleet.Partitions {
 	term := p.elector.leadership
 	hashes := p.liveMachineHashes()
@@ -89,13 +92,13 @@
 		FencingToken:  term.fencingToken,
 		Seq:           term.partitions.seq + 1,
 	}
-	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnequal(hashes) {
+	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnbalanced(hashes) {
 		partitions.Boundaries = fleet.PartitionHashes(hashes, queueCount)
 	}
 	return partitions
 }
 
-// liveMachineHashes are the hashes of the machines that send heartbeats.
+// liveMachineHashes returns the hashes of the machines that send heartbeats.
 func (p *partitionManager) liveMachineHashes() []uint32 {
 	term := p.elector.leadership
 	hashes := term.partitions.machineHashes[:0]
@@ -108,15 +111,16 @@
 	return hashes
 }
 
-// isStored says whether this leadership has written the same boundaries and holders.
+// isStored reports whether this leadership has written the same boundaries and holders.
 func (p *partitionManager) isStored(partitions fleet.Partitions) bool {
 	stored := &p.cache.partitions
 	return stored.FencingToken == partitions.FencingToken &&
 		slices.Equal(partitions.Holders, stored.Holders) && slices.Equal(partitions.Boundaries, stored.Boundaries)
 }
 
-// writePartitions stores the partitions. The leader plans by the new boundaries at once:
-// a loan or a moved boundary is bookkeeping and moves no worker's task.
+// writePartitions stores the partitions. The leader plans with the new boundaries immediately:
+// lending a machine to another queue or moving a boundary only changes the accounting and does not
+// move any worker's task.
 func (p *partitionManager) writePartitions(partitions fleet.Partitions) {
 	term := p.elector.leadership
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
@@ -133,15 +137,15 @@
 	})
 }
 
-// isExcluded says whether a controller gets no partition: it has held one for a while
-// and no heartbeat came straight to it, though they come by others, so workers can't
+// isExcluded reports whether a controller gets no partition: it has held one for a while without
+// receiving a heartbeat directly, although other controllers received some, so workers can't
 // reach it.
 func (p *partitionManager) isExcluded(controller string) bool {
 	term := p.elector.leadership
 	if term.partitions.excludedUntil[controller] > p.now {
 		return true
 	}
-	if !p.receivesNone(controller) {
+	if !p.receivesNoHeartbeats(controller) {
 		return false
 	}
 	p.log.Info("no heartbeats reach a controller, leasing its partition to another", "controller", controller)
@@ -149,16 +153,17 @@
 	return true
 }
 
-// receivesNone says whether a holder has received no heartbeat for long while others did.
-func (p *partitionManager) receivesNone(controller string) bool {
+// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although enough
+// machines are known in its partition and enough machines still send heartbeats.
+func (p *partitionManager) receivesNoHeartbeats(controller string) bool {
 	term := p.elector.leadership
-	patience := 3*p.heartbeatInterval() + second
+	silenceTimeout := 3*p.heartbeatInterval() + second
 	partitions := &p.cache.partitions
 	if !slices.Contains(partitions.Holders, controller) || partitions.FencingToken != term.fencingToken {
 		return false
 	}
 	last := max(term.partitions.lastHeartbeatVia[controller], term.partitions.excludedUntil[controller])
-	if p.now-term.since < 2*patience || p.now-last < patience {
+	if p.now-term.since < 2*silenceTimeout || p.now-last < silenceTimeout {
 		return false
 	}
 	held, live := 0, 0
@@ -169,15 +174,15 @@
 		if partitions.Holder(m.Name) == controller {
 			held++
 		}
-		if p.now-m.LastHeartbeat < patience {
+		if p.now-m.LastHeartbeat < silenceTimeout {
 			live++
 		}
 	}
 	return held >= holderEvidence && live >= holderEvidence
 }
 
-// partitionsUnequal says whether the partitions have drifted apart in size.
-func (p *partitionManager) partitionsUnequal(hashes []uint32) bool {
+// partitionsUnbalanced reports whether the sizes of the partitions differ too much.
+func (p *partitionManager) partitionsUnbalanced(hashes []uint32) bool {
 	var sizes [queueCount]int
 	for _, h := range hashes {
 		sizes[min(p.cache.partitions.PartitionOfHash(h), queueCount-1)]++
@@ -185,8 +190,7 @@
 	return slices.Max(sizes[:])-slices.Min(sizes[:]) > 2+len(hashes)/6
 }
 
-// holders leases the partitions to the controllers that answer, and that
-// their workers can reach.
+// holders assigns the partitions to the controllers that answer and that workers can reach.
 func (p *partitionManager) holders() []string {
 	candidates := []string{}
 	for _, name := range append([]string{p.settings.Name}, p.settings.Peers...) {
