--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// alertInterval is how often a leader looks for what to report.
+	// alertInterval is the time between two checks by the leader.
 	alertInterval = 10 * second
-	// stuckAfter is when a pivot is reported as stuck, and how often again.
+	// stuckAfter is the waiting time after which a pivot is reported as stuck, and the
+	// minimum time between two log lines about the same job.
 	stuckAfter = 60 * second
-	// maxLatePipelines bounds the pipelines that are reported at once.
+	// maxLatePipelines is the maximum number of pipelines reported at once.
 	maxLatePipelines = 5
 )
 
-// alertState is what the leader reports to operators of its queues and pipelines.
+// alertState has the leader's alerts to operators about queues and pipelines.
 type alertState struct {
 	checkedAt int64
 	current   []string
-	loggedAt  map[string]int64 // by the job's id
+	loggedAt  map[string]int64 // by job id
 }
 
 func newAlertState() alertState { return alertState{loggedAt: map[string]int64{}} }
 
-// shouldLog says whether a job's alert was not logged of late, and notes that it is now.
+// shouldLog reports whether a job's alert was not logged within stuckAfter. If so, it records
+// that the alert is logged now.
 func (a *alertState) shouldLog(id string, now int64) bool {
 	if now-a.loggedAt[id] < stuckAfter {
 		return false
@@ -35,8 +37,8 @@
 	return true
 }
 
-// alertTick reports queues that do not move and pipelines that will be late to
-// operators, before users do.
+// alertTick reports stuck queues and pipelines that will be late to operators, before users
+// notice them.
 func (o *operatorViewer) alertTick() {
 	alerts := &o.elector.leadership.alerts
 	if o.now-alerts.checkedAt < alertInterval {
@@ -53,7 +55,8 @@
 	}
 }
 
-// reportStuckQueues reports the pivots that have waited for long.
+// reportStuckQueues reports the pivots that have waited for at least stuckAfter and have no
+// placed tasks.
 func (o *operatorViewer) reportStuckQueues(alerts *alertState) {
 	pivots := slices.Clone(o.elector.leadership.planning.pivots)
 	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
@@ -66,13 +69,13 @@
 		waited := (o.now - j.ReadyAt) / second
 		alerts.current = append(alerts.current, fmt.Sprintf("queue %d: %s has waited %d s %s", pivot.queue, pivot.job, waited, reason))
 		if alerts.shouldLog(pivot.job, o.now) {
-			o.log.Info("queue does not move", "queue", pivot.queue, "job", pivot.job, "waited_s", waited, "reason", reason)
+			o.log.Info("queue is stuck", "queue", pivot.queue, "job", pivot.job, "waited_s", waited, "reason", reason)
 		}
 	}
 }
 
-// reportLatePipelines reports the pipelines that will miss their deadline by the owners'
-// estimates, before they do, and the stage that delays each.
+// reportLatePipelines reports the pipelines that will miss their deadline according to their
+// owners' estimates, and the stage that delays each of them.
 func (o *operatorViewer) reportLatePipelines(alerts *alertState) {
 	stages := o.lateStages()
 	for _, stage := range stages[:min(len(stages), maxLatePipelines)] {
@@ -89,8 +92,7 @@
 	}
 }
 
-// lateStages are the jobs that delay a pipeline beyond its deadline, the earliest
-// deadline first.
+// lateStages returns the jobs that delay a pipeline beyond its deadline, ordered by deadline.
 func (o *operatorViewer) lateStages() []*jobstate.Job {
 	var late []*jobstate.Job
 	for _, j := range o.cache.jobs {
@@ -107,8 +109,8 @@
 	return late
 }
 
-// remainingTime is how long a job still takes by its owner's estimate, if all of
-// its tasks that wait start now.
+// remainingTime returns how long a job will still take according to its owner's estimate if
+// all of its waiting tasks start now.
 func (o *operatorViewer) remainingTime(j *jobstate.Job) int64 {
 	if j.Unplaced() > 0 {
 		return j.Estimate
--- a/internal/core/alerts_test.go
+++ b/internal/core/alerts_test.go
@@ -9,18 +9,18 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestLatePipelines: operators see a pipeline that will be late before it is, and the
-// stage that delays it.
+// TestLatePipelines checks that a pipeline that will miss its deadline is reported to operators
+// before the deadline, with the stage that delays it.
 func TestLatePipelines(t *testing.T) {
 	cases := []struct {
 		name     string
 		deadline int64
-		done     bool // the first stage
+		done     bool // first stage done
 		want     string
 	}{
-		{"time enough", 300 * second, false, ""},
-		{"too little for what is left", 25 * second, false, "the pipeline to c will be about"},
-		{"the second stage delays it", 25 * second, true, "b is queued"},
+		{"enough time left", 300 * second, false, ""},
+		{"too little time left", 25 * second, false, "the pipeline to c will be about"},
+		{"second stage delays the pipeline", 25 * second, true, "b is queued"},
 	}
 	for _, tc := range cases {
 		last := job("c", "b")
@@ -38,7 +38,7 @@
 			}
 		}
 		h := newHarness(t, nil)
-		h.advance(second) // the time of day has to be known
+		h.advance(second) // the controller has to learn the wall-clock time first
 		for _, key := range slices.Sorted(maps.Keys(keys)) {
 			h.store(key, keys[key])
 		}
@@ -48,7 +48,7 @@
 		h.step(QueryOperatorView{RequestID: h.lastRequest})
 		got := strings.Join(h.replies[h.lastRequest].Ops.Conditions, "; ")
 		if tc.want == "" && strings.Contains(got, "pipeline") || !strings.Contains(got, tc.want) {
-			t.Errorf("%s: %q", tc.name, got)
+			t.Errorf("%s: got conditions %q, want one with %q, or none about pipelines if empty", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// retryCancellation goes on with a cancellation whose conditions did not hold, from what
-// is stored by now.
+// retryCancellation continues a cancellation whose transaction conditions failed, after a
+// new read of the state.
 func (h *requestHandler) retryCancellation(r *request) {
 	r.tries++
 	if r.tries > maxWriteTries {
@@ -55,7 +55,7 @@
 	h.waitForRead(r)
 }
 
-// newEnd makes the stored end of a job.
+// newEnd returns the end of a job as it is stored.
 func (h *requestHandler) newEnd(outcome string, j *jobstate.Job) jobstate.End {
 	end := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
 	if h.membership.logEnabled() {
@@ -64,7 +64,8 @@
 	return end
 }
 
-// endedRecord is the stored job from its end until its keys are removed.
+// endedRecord encodes the job record that is stored from the job's end until its keys are
+// removed.
 func (h *requestHandler) endedRecord(j *jobstate.Job, outcome string) []byte {
 	record := jobstate.Record{
 		Spec:          j.Spec,
--- a/internal/core/deadlinestart.go
+++ b/internal/core/deadlinestart.go
@@ -6,22 +6,22 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// startDeadline is within what time a class's largest jobs have to begin, however many
-// small ones come. Those that have waited for a quarter of that go next among their
-// equals, and what comes free on the machines that are reserved for them is kept.
+// startDeadline is the time within which the largest jobs of a class have to start, however
+// many small ones arrive. Those that have waited for a quarter of it go before otherwise
+// equal jobs, and capacity that becomes free on machines reserved for them is kept for them.
 const startDeadline = 240 * second
 
-// Bounds of what is remembered: how many classes, and the most tasks of a job.
+// Bounds of the job size statistics.
 const (
-	maxSizedClasses = 200
-	maxTasksCounted = 100_000
-	// topQuantile is above what share of its class's sizes, in percent, an array is one of
-	// the largest.
+	maxSizedClasses = 200     // pairs of class and kind
+	maxTasksCounted = 100_000 // tasks of a job; larger jobs count as this size
+	// topQuantile is the percentile of the sizes of its class from which on an array is one
+	// of the largest.
 	topQuantile = 90
 )
 
-// classSizes are how large the jobs of a class and kind have been that a leader has
-// known, by their numbers of tasks.
+// classSizes has histograms of the number of tasks of the jobs that a leader has seen, by
+// class and kind.
 type classSizes map[sizeKey]*hdrhistogram.Histogram
 
 type sizeKey struct {
@@ -29,7 +29,7 @@
 	kind  jobstate.Kind
 }
 
-// note counts a job; services have no size, as they never end.
+// note adds a job to the statistics. Services are not counted, as they never end.
 func (c classSizes) note(spec *jobstate.Spec) {
 	if spec.Kind == jobstate.Service {
 		return
@@ -43,12 +43,12 @@
 		sizes = hdrhistogram.New(1, maxTasksCounted, 2)
 		c[key] = sizes
 	}
-	// It fails for values out of range only.
+	// RecordValue fails only for values out of range.
 	_ = sizes.RecordValue(min(int64(spec.Tasks), maxTasksCounted))
 }
 
-// isAmongLargest says whether a job is one of the largest of its class: a gang of its
-// top size, an array of its top tenth. Where all are of one size none is.
+// isAmongLargest reports whether a job is one of the largest of its class: a gang of the
+// largest size, or an array in the top tenth. If all jobs have the same size, none is.
 func (c classSizes) isAmongLargest(spec *jobstate.Spec) bool {
 	sizes := c[sizeKey{spec.Class, spec.Kind}]
 	if sizes == nil || sizes.Max() == sizes.Min() {
@@ -62,8 +62,8 @@
 	return tasks > sizes.Min() && (tasks >= top || sizes.ValuesAreEquivalent(tasks, top))
 }
 
-// startIsOverdue says that a job is one of its class's largest and should have begun. An
-// array begins with its first task, a gang whole.
+// startIsOverdue reports whether a job is one of the largest of its class and should have
+// started. An array starts with its first task, a gang with all of its tasks.
 func (p *planner) startIsOverdue(job *jobstate.Job) bool {
 	return job.NumPlaced == 0 && job.NumDone == 0 && p.now-job.ReadyAt >= startDeadline/4 &&
 		p.elector.leadership.planning.classSizes.isAmongLargest(job.Spec)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -7,14 +7,13 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// Bounds of the reads of dependencies' ends: how many are under way at once, and how long
-// after a failure one is read again.
+// Limits of the reads of dependencies' ends.
 const (
-	maxEndReads  = 8
-	endReadRetry = second
+	maxEndReads  = 8      // reads in flight
+	endReadRetry = second // delay before an end is read again
 )
 
-// endReadInFlight stands in endReads for a read that is under way.
+// endReadInFlight is the value in endReads for a read in flight.
 const endReadInFlight = 0
 
 // dependencyResolver starts jobs when the jobs that they depend on are done, and ends
@@ -29,7 +28,8 @@
 	tasks      *taskManager
 
 	graph *jobstate.DependencyGraph
-	// endReads has when the end of a job may be read again, or endReadInFlight.
+	// endReads has, by job id, the time from which the job's end may be read again, or
+	// endReadInFlight.
 	endReads map[string]int64
 }
 
@@ -41,18 +41,18 @@
 	}
 }
 
-// reset is called before the stored state is read anew.
+// reset is called before the stored state is read again from the start.
 func (d *dependencyResolver) reset() { d.graph = jobstate.NewDependencyGraph() }
 
-// removeJob is called for each job that has ended or is gone.
+// removeJob is called for each job that has ended or was removed.
 func (d *dependencyResolver) removeJob(j *jobstate.Job) { d.graph.Remove(j) }
 
-// isInPipeline says whether a job depends on others, or others on it.
+// isInPipeline reports whether a job depends on others, or others on it.
 func (d *dependencyResolver) isInPipeline(j *jobstate.Job) bool {
 	return len(j.Dependencies) > 0 || d.graph.HasDependents(j)
 }
 
-// addJob is called for each unfinished job that is new here.
+// addJob is called for each unfinished job that is new to this controller.
 func (d *dependencyResolver) addJob(j *jobstate.Job) {
 	if len(j.Dependencies) == 0 {
 		return
@@ -68,8 +68,9 @@
 	}
 }
 
-// startDependent lets a job's tasks start. Its times count from the end of the last of
-// its dependencies, a time of day that is 0 where the first format has none.
+// startDependent makes a job ready to start. Its waiting time counts from the end of its
+// last dependency. lastEndWall is a wall-clock time, or 0 if the end is stored in the first
+// format, which has no time.
 func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
 	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(lastEndWall))
 	if d.elector.isLeader() {
@@ -77,8 +78,8 @@
 	}
 }
 
-// resolveDependents passes the end of a job on to the jobs that depend on it. Each that is
-// cancelled by it passes that on in turn.
+// resolveDependents applies the end of a job to the jobs that depend on it. Each job that is
+// cancelled as a result does the same for its own dependents.
 func (d *dependencyResolver) resolveDependents(id string, end jobstate.KnownEnd) {
 	released, cancelled := d.graph.RecordEnd(id, end.End)
 	for _, j := range released {
@@ -89,7 +90,7 @@
 	}
 }
 
-// deriveFromDependencies ends a job one of whose dependencies is known to be cancelled.
+// deriveFromDependencies ends a job that has a dependency known to be cancelled.
 func (d *dependencyResolver) deriveFromDependencies(j *jobstate.Job) {
 	for _, id := range j.Dependencies {
 		if end, ok := d.cache.knownEnd(id); ok && end.Outcome == jobstate.Cancelled {
@@ -99,21 +100,21 @@
 	}
 }
 
-// deriveEnd ends a job because one that it depends on is cancelled. Every controller
-// does so for itself, from ends and dependencies that are stored and never change: so
-// all users see it at once, however many jobs there are, and the leader stores the ends
-// as its budget allows. from is the dependency, or the sweep, that is cancelled.
+// deriveEnd ends a job because a dependency or its sweep is cancelled; from is the id of
+// that dependency or sweep. Every controller derives such ends by itself, from stored ends
+// and dependencies that never change. So all users see the cancellation at once, however
+// many jobs are affected, and the leader stores the ends as its write budget allows.
 func (d *dependencyResolver) deriveEnd(j *jobstate.Job, from string, fromEnd jobstate.KnownEnd) {
 	if j.Outcome() != "" {
 		return
 	}
 	d.graph.Remove(j)
-	d.endMonitor.derived(j.ID, from, fromEnd)
+	d.endMonitor.recordDerived(j.ID, from, fromEnd)
 	d.cache.noteEnd(j.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}))
 }
 
-// dependenciesKnown says whether a job is certainly not cancelled by an end that this
-// controller has not read.
+// dependenciesKnown reports whether a job is certainly not cancelled by an end that this
+// controller has not read yet.
 func (d *dependencyResolver) dependenciesKnown(j *jobstate.Job) bool {
 	if !j.IsBlocked() {
 		return true
@@ -121,8 +122,8 @@
 	return d.graph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
 }
 
-// tick reads the ends of dependencies that are not known here, as after a
-// start, when only unfinished jobs are listed.
+// tick reads the ends of dependencies that this controller does not know. This happens
+// after a start, when only unfinished jobs are listed.
 func (d *dependencyResolver) tick() {
 	if !d.cache.synced || d.graph.Empty() {
 		return
@@ -146,12 +147,14 @@
 	return j != nil && j.Outcome() == ""
 }
 
-// countUnknownEnds counts the dependencies that have ended and of which no end is known here.
+// countUnknownEnds counts the dependencies that are not unfinished and whose end this
+// controller does not know.
 func (d *dependencyResolver) countUnknownEnds() int {
 	return len(d.graph.Unresolved(d.isUnfinished, math.MaxInt))
 }
 
-// countEndReads counts the reads under way, and forgets those that may be repeated.
+// countEndReads counts the reads in flight and removes the entries of those that may be
+// repeated.
 func (d *dependencyResolver) countEndReads() int {
 	inFlight := 0
 	for id, retryAt := range d.endReads {
@@ -173,22 +176,24 @@
 		d.endReads[id] = d.now + endReadRetry
 		switch {
 		case read.Err != nil || read.Revision == 0:
-			// A job that another depends on was accepted before it, so its end comes if
-			// the job itself is gone.
-			d.endMonitor.readFailed(id, read.Err)
+			// A dependency was accepted before the job that depends on it. So if the
+			// dependency itself no longer exists, its end is stored and a later read
+			// finds it.
+			d.endMonitor.recordFailedRead(id, read.Err)
 		case json.Unmarshal(read.Value, &end) != nil:
-			d.log.Error("stored end can't be read", "job", id)
+			d.log.Error("cannot decode stored end", "job", id)
 		default:
 			delete(d.endReads, id)
 			stored := jobstate.EndStoredAt(end, read.Revision)
 			d.cache.noteEnd(id, stored)
-			d.resolveDependents(id, stored) // if the end was known, but not to the graph
+			d.resolveDependents(id, stored) // in case the cache knew the end and the graph did not
 		}
 	})
 }
 
-// readRunEnd reads the end of a run whose job is not here: it ended before this
-// controller led. The result is only noted, and the read is not counted as under way.
+// readRunEnd reads the end of a sweep's run whose job is not in the cache because it ended
+// before this controller became leader. The end is only added to the cache, and the read is
+// not counted as in flight.
 func (d *dependencyResolver) readRunEnd(id string) {
 	d.endReads[id] = d.now + endReadRetry
 	d.readKey(endPrefix+id, func(read KeyRead) {
@@ -200,12 +205,12 @@
 	})
 }
 
-// mayReadRunEnd says whether the end of a run was not read of late.
+// mayReadRunEnd reports whether the end of a run was not read within endReadRetry.
 func (d *dependencyResolver) mayReadRunEnd(id string) bool { return d.endReads[id] <= d.now }
 
-// checkDependencies goes on with a submission once all its dependencies are known to
-// have been accepted. Those that are not known here are read, the job before its end, so
-// that one which ends meanwhile is not missed.
+// checkDependencies queues the write of a submission once all its dependencies are known to
+// have been accepted. Unknown dependencies are read, the job before its end, so that a job
+// that ends between the two reads is not missed.
 func (d *dependencyResolver) checkDependencies(r *request) {
 	for ; r.dependenciesChecked < len(r.spec.Dependencies); r.dependenciesChecked++ {
 		id := r.spec.Dependencies[r.dependenciesChecked]
@@ -224,8 +229,8 @@
 	d.requests.queueWrite(r)
 }
 
-// refuseDependency refuses a submission for a job that it depends on, unless it is known
-// itself.
+// refuseDependency refuses a submission because of a job that it depends on, unless the
+// submitted job itself is already known.
 func (d *dependencyResolver) refuseDependency(r *request, id, reason string) {
 	d.requests.refuseUnlessKnown(r, ReplyUnacceptable, "awaits: "+id+" "+reason)
 }
@@ -263,13 +268,14 @@
 	})
 }
 
-// dependencyAccepted goes on with a submission whose next dependency was accepted.
+// dependencyAccepted continues a submission after its next dependency was found to be
+// accepted.
 func (d *dependencyResolver) dependencyAccepted(r *request) {
 	r.dependenciesChecked++
 	d.checkDependencies(r)
 }
 
-// isStoredService says whether a stored job is a service.
+// isStoredService reports whether a stored job is a service.
 func isStoredService(value []byte) bool {
 	var record jobstate.Record
 	err := json.Unmarshal(value, &record)
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -8,17 +8,17 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// A request about a job that is not unfinished costs a read of its end, and most such
-// requests are about jobs that ended long ago or were never accepted. So their ends are
-// looked up together: one transaction that only compares says which of many ends are
-// absent, and the others are read. What the state service refuses for its rate is tried
-// again, within the time that users wait.
+// A request about a job that is not among the unfinished ones costs a read of its end, and
+// most such requests are about jobs that ended long ago or were never accepted. So ends are
+// looked up in batches: one transaction that only compares finds out which of many ends are
+// absent, and the others are read. Lookups that the state service refuses because of its
+// rate limit are retried within the time that users wait.
 
-// maxLookup is how many ends are looked up at once.
-const maxLookup = 64
+// maxEndsPerLookup is the maximum number of ends that are looked up at once.
+const maxEndsPerLookup = 64
 
-// lookUpEnd looks for the end of a job that is not unfinished: it was either
-// finished earlier or never accepted.
+// lookUpEnd looks up the end of a job that is not among the unfinished ones: it either
+// ended earlier or was never accepted.
 func (h *requestHandler) lookUpEnd(r *request) {
 	if h.queues.endLookups.Waiting() >= maxQueuedRequests {
 		h.refuse(r)
@@ -28,7 +28,8 @@
 	h.lookUpEnds()
 }
 
-// lookUpEnds looks up the ends that requests wait for, if no lookup is under way.
+// lookUpEnds looks up the ends that requests wait for, if no lookup is in flight and the
+// read budget allows one.
 func (h *requestHandler) lookUpEnds() {
 	lookups := &h.queues.endLookups
 	if !lookups.Due(h.now, h.health.viewInterval()) {
@@ -37,7 +38,7 @@
 	if !h.elector.isLeader() && !h.health.tryTakeRead() {
 		return
 	}
-	ids, byID := lookups.Begin(h.now, min(4*h.membership.limits().TxnOps, maxLookup))
+	ids, byID := lookups.Begin(h.now, min(4*h.membership.limits().TxnOps, maxEndsPerLookup))
 	if len(ids) == 1 {
 		h.readEnd(byID[ids[0]], lookups.End)
 		return
@@ -54,11 +55,12 @@
 	})
 }
 
-// onEndCompared goes on with the requests about a job whose end was compared with none.
+// onEndCompared continues the requests about a job after a transaction whose conditions
+// were that the ends of this job and others are absent.
 func (h *requestHandler) onEndCompared(id string, requests []*request, result TransactionResult) {
 	switch {
 	case result.Outcome == kv.Committed:
-		h.answerNoEnd(requests, lookup{compared: true, revision: result.Revision})
+		h.answerNoEnd(requests, endLookup{compared: true, revision: result.Revision})
 	case result.Outcome == kv.Conflict && slices.Contains(result.Failed, endPrefix+id):
 		h.readEnd(requests, func() {})
 	default:
@@ -66,7 +68,8 @@
 	}
 }
 
-// retryLookup looks up once more for the requests that may still wait.
+// retryLookup repeats a failed lookup for the requests that have enough time left, and
+// refuses the others.
 func (h *requestHandler) retryLookup(requests []*request) {
 	lookups := &h.queues.endLookups
 	for _, r := range requests {
@@ -81,19 +84,19 @@
 }
 
 // answerNoEnd answers requests about a job that is neither unfinished nor ended.
-func (h *requestHandler) answerNoEnd(requests []*request, by lookup) {
+func (h *requestHandler) answerNoEnd(requests []*request, by endLookup) {
 	for _, r := range requests {
 		reply := r.refusal
 		if reply.Status == 0 {
 			reply = Reply{Status: ReplyNotFound, Error: "no such job"}
-			h.endMonitor.notFound(r.targetID, by)
+			h.endMonitor.recordNotFound(r.targetID, by)
 		}
 		reply.RequestID = r.id
 		h.emit(reply)
 	}
 }
 
-// readEnd reads an end for requests about one job; done is called when it is read.
+// readEnd reads an end for requests about one job and calls done when the read has ended.
 func (h *requestHandler) readEnd(requests []*request, done func()) {
 	id := requests[0].targetID
 	h.readKey(endPrefix+id, func(read KeyRead) {
@@ -103,9 +106,9 @@
 		case read.Err != nil:
 			h.retryLookup(requests)
 		case read.Revision == 0:
-			h.answerNoEnd(requests, lookup{revision: read.AbsentAt})
+			h.answerNoEnd(requests, endLookup{revision: read.AbsentAt})
 		case json.Unmarshal(read.Value, &end) != nil:
-			h.log.Error("stored end can't be read", "job", id)
+			h.log.Error("cannot decode stored end", "job", id)
 			for _, r := range requests {
 				h.refuse(r)
 			}
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -5,19 +5,18 @@
 	"testing"
 )
 
-// TestEndLookup: many requests about jobs that ended long ago, or that nobody submitted,
-// cost a few reads and not one each, and what the state service refuses for its rate is
-// tried again before users give up. Under the tightest limits users once were refused so
-// often that a run about which they asked every 200 s counted as forgotten
-// (TestSweepLargest in full).
+// TestEndLookup checks that many requests about jobs that ended long ago or were never submitted
+// cost a few reads instead of one each, and that reads refused by the state service's rate limit
+// are retried before users time out. Without this, under the tightest limits users were refused
+// so often that a run queried every 200 s counted as lost (TestSweepLargest in full).
 func TestEndLookup(t *testing.T) {
 	cases := []struct {
 		name     string
 		refuse   int
 		maxReads int
 	}{
-		{"many at once", 0, 30},
-		{"the first are refused", 3, 34},
+		{"no read refused", 0, 30},
+		{"first reads refused", 3, 34},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -37,7 +36,7 @@
 			h.advance(200_000)
 			h.reads, h.readsToRefuse = 0, tc.refuse
 			asked := map[uint64]string{}
-			for i := range 200 { // each twice
+			for i := range 200 { // two requests for each job
 				h.lastRequest++
 				id := fmt.Sprintf("job-%03d", i%100)
 				asked[h.lastRequest] = id
@@ -51,20 +50,20 @@
 					got = reply.Job.State
 				}
 				if !ok || got != want[id] {
-					t.Errorf("%s: %s (%v), want %s", id, got, ok, want[id])
+					t.Errorf("%s: got %s (replied: %v), want %s", id, got, ok, want[id])
 				}
 			}
 			if h.reads > tc.maxReads {
-				t.Errorf("%d reads for 200 requests about 100 jobs", h.reads)
+				t.Errorf("got %d reads for 200 requests about 100 jobs, want at most %d", h.reads, tc.maxReads)
 			}
 		})
 	}
-	t.Run("refused for good", func(t *testing.T) {
+	t.Run("all reads refused", func(t *testing.T) {
 		h := newHarness(t, nil)
 		h.advance(200_000)
 		h.readsToRefuse = 1000
 		if reply := h.request(QueryJob{ID: "other"}); reply.Status != 503 || reply.RetryAfter == 0 {
-			t.Errorf("%+v", reply)
+			t.Errorf("got %+v, want status 503 with a retry time", reply)
 		}
 	})
 }
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -5,32 +5,33 @@
 	"github.com/zinclb/zinclb/internal/core/ratelimit"
 )
 
-// endLinesPerSecond bounds how many lines of each kind are logged about ends of jobs.
-const endLinesPerSecond = 5
+// endLogsPerSecond is the maximum rate of log lines of each kind about ends of jobs.
+const endLogsPerSecond = 5
 
-// EndCounts count, since this controller's start, how it learned of ends and how it answered
-// without one.
+// EndCounts counts, since this controller's start, how it learned of ends and how it found
+// that a job is not known.
 type EndCounts struct {
-	// Derived are ends that follow from others, Told those that peers have told first.
+	// Derived counts ends that were derived from the ends of other jobs, Told ends that
+	// this controller learned first from a peer.
 	Derived uint64 `json:"derived"`
 	Told    uint64 `json:"told_by_peers"`
-	// FailedReads are reads of the ends of dependencies that had no answer or found none.
+	// FailedReads counts reads of dependencies' ends that failed or found no end.
 	FailedReads uint64 `json:"failed_reads"`
-	// NotFoundCompared and NotFoundRead are answers that a job is not known, because its end
-	// was compared with others or read alone.
+	// NotFoundCompared and NotFoundRead count replies that a job is not known, after its end
+	// was found to be absent in a batch comparison or in a read of its own.
 	NotFoundCompared uint64 `json:"not_found_compared"`
 	NotFoundRead     uint64 `json:"not_found_read"`
 }
 
-// lineLimit bounds how often a kind of line is logged.
-type lineLimit struct {
+// logLimiter limits the rate of one kind of log line.
+type logLimiter struct {
 	budget  ratelimit.TokenBucket
 	omitted int
 }
 
-// allow says whether a line may be logged now, and how many were left out before it.
-func (l *lineLimit) allow(now int64) (omitted int, ok bool) {
-	l.budget.Refill(now, endLinesPerSecond)
+// allow reports whether a line may be logged now, and how many lines were omitted before it.
+func (l *logLimiter) allow(now int64) (omitted int, ok bool) {
+	l.budget.Refill(now, endLogsPerSecond)
 	if !l.budget.TryTake() {
 		l.omitted++
 		return 0, false
@@ -39,9 +40,9 @@
 	return omitted, true
 }
 
-// endMonitor logs and counts from where ends are known, on account of which end a job's key
-// goes, and by what a job is called unknown: from these alone it can be told afterwards how a
-// job was lost.
+// endMonitor logs and counts how this controller learned of each end, which stored end
+// allowed the removal of a job's key, and which lookup found that a job is not known. If a
+// job is lost, only these records show how it happened.
 type endMonitor struct {
 	*engine
 
@@ -50,12 +51,12 @@
 
 	counts EndCounts
 
-	derivedLines, toldLines, readLines, removalLines, notFoundLines lineLimit
+	derivedLogs, toldLogs, failedReadLogs, removalLogs, notFoundLogs logLimiter
 }
 
 func newEndMonitor(run *engine) *endMonitor { return &endMonitor{engine: run} }
 
-// unstored counts the jobs whose ends are known here, and not that they are stored.
+// unstored counts the jobs whose ends this controller knows but does not know to be stored.
 func (m *endMonitor) unstored() int {
 	n := 0
 	for _, j := range m.cache.jobs {
@@ -66,64 +67,66 @@
 	return n
 }
 
-// derived notes that a job's end follows from the end of another, or of its sweep.
-func (m *endMonitor) derived(job, from string, end jobstate.KnownEnd) {
+// recordDerived records that a job's end was recordDerived from the end of another job or of its
+// sweep.
+func (m *endMonitor) recordDerived(job, from string, end jobstate.KnownEnd) {
 	m.counts.Derived++
-	if omitted, ok := m.derivedLines.allow(m.now); ok {
-		m.log.Info("job cancelled by another's end", "job", job, "dependency", from, "dependency_end", end.Source().String(),
+	if omitted, ok := m.derivedLogs.allow(m.now); ok {
+		m.log.Info("job cancelled by end of dependency", "job", job, "dependency", from, "dependency_end", end.Source().String(),
 			"end_revision", end.Revision(), "revision", m.cache.appliedRevision, "omitted", omitted)
 	}
 }
 
-// told notes that a peer tells of a job's cancellation.
+// told records that a peer reported a job's cancellation.
 func (m *endMonitor) told(job, peer string) {
 	m.counts.Told++
-	if omitted, ok := m.toldLines.allow(m.now); ok {
+	if omitted, ok := m.toldLogs.allow(m.now); ok {
 		_, unfinished := m.cache.jobs[job]
-		m.log.Info("peer tells of a cancellation", "job", job, "peer", peer, "unfinished_here", unfinished,
+		m.log.Info("cancellation reported by peer", "job", job, "peer", peer, "unfinished_here", unfinished,
 			"revision", m.cache.appliedRevision, "omitted", omitted)
 	}
 }
 
-// readFailed notes that the end of a dependency was read without success; err is nil if there
-// is none.
-func (m *endMonitor) readFailed(job string, err error) {
+// recordFailedRead records that a read of a dependency's end failed; err is nil if the read
+// found no end.
+func (m *endMonitor) recordFailedRead(job string, err error) {
 	m.counts.FailedReads++
-	if omitted, ok := m.readLines.allow(m.now); ok {
-		m.log.Info("end of a dependency is not known", "job", job, "error", err,
+	if omitted, ok := m.failedReadLogs.allow(m.now); ok {
+		m.log.Info("end of dependency not known", "job", job, "error", err,
 			"revision", m.cache.appliedRevision, "omitted", omitted)
 	}
 }
 
-// removed notes that a cancelled job's key was removed at a revision, and by which proof.
+// removed records that a cancelled job's key was removed at a revision, and the proof that
+// its end was stored.
 func (m *endMonitor) removed(job string, proof endProof, revision uint64) {
-	if omitted, ok := m.removalLines.allow(m.now); ok {
+	if omitted, ok := m.removalLogs.allow(m.now); ok {
 		m.log.Info("cancelled job removed", "job", job, "end_revision", proof.endRevision(revision),
 			"revision", revision, "omitted", omitted)
 	}
 }
 
-// lookup is how the end of a job was looked for.
-type lookup struct {
-	compared bool // with the ends of others, and else it was read alone
-	revision uint64
+// endLookup is how the end of a job was looked up.
+type endLookup struct {
+	compared bool   // in one transaction with other ends; otherwise the end was read alone
+	revision uint64 // at which the end was absent
 }
 
-func (l lookup) String() string {
+func (l endLookup) String() string {
 	if l.compared {
 		return "compared"
 	}
 	return "read"
 }
 
-// notFound notes that a job is answered to be unknown, after its end was looked for.
-func (m *endMonitor) notFound(job string, by lookup) {
+// recordNotFound records a reply that a job is not known, after its end was looked up.
+func (m *endMonitor) recordNotFound(job string, by endLookup) {
 	if by.compared {
 		m.counts.NotFoundCompared++
 	} else {
 		m.counts.NotFoundRead++
 	}
-	if omitted, ok := m.notFoundLines.allow(m.now); ok {
+	if omitted, ok := m.notFoundLogs.allow(m.now); ok {
 		m.log.Info("job is not known", "job", job, "lookup", by.String(), "lookup_revision", by.revision,
 			"revision", m.cache.appliedRevision, "reads_from", m.reader.readSource(), "omitted", omitted)
 	}
--- a/internal/core/jobstatus.go
+++ b/internal/core/jobstatus.go
@@ -6,8 +6,8 @@
 	h.requestJob(m.RequestID, m.ID, requestStatus, m.Forwarded)
 }
 
-// requestJob receives a query or a cancellation. An end never changes, so one that is
-// known is answered without a read.
+// requestJob handles a query or a cancellation. An end never changes, so a request about a
+// job whose end is known is answered without a read.
 func (h *requestHandler) requestJob(requestID uint64, jobID string, kind requestKind, forwarded bool) {
 	if end, ok := h.cache.ends.Get(jobID); ok {
 		h.answerEnd(requestID, jobID, end.End)
@@ -30,11 +30,11 @@
 	h.emit(reply)
 }
 
-// stateOf is the state of an unfinished job as users see it.
+// stateOf returns the state of an unfinished job as users see it.
 func stateOf(j *jobstate.Job) *JobState {
 	state := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
 	if j.NumRunning == 0 && j.NumPlaced > 0 {
-		state.Running = j.NumPlaced // only the leader knows which of them run
+		state.Running = j.NumPlaced // only the leader knows which of these are running
 	}
 	if state.Running > 0 {
 		state.State = Running
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -2,7 +2,7 @@
 
 import "github.com/zinclb/zinclb/internal/core/upgrade"
 
-// QueryOperatorView requests the operators' view. It changes nothing.
+// QueryOperatorView requests the operators' view. It does not change any state.
 type QueryOperatorView struct{ RequestID uint64 }
 
 // OperatorView is one controller's view of the service, for operators.
@@ -15,8 +15,8 @@
 	Revision     uint64  `json:"revision"`
 	StateAgeS    float64 `json:"state_silent_s"`
 	WritesLeft   float64 `json:"writes_left"`
-	// ReadsLeft is what is left of its share of reads, ReadsBy the controller from which
-	// it reads the state, "" for the state service.
+	// ReadsLeft is the remaining budget of this controller's share of reads, ReadsBy the
+	// controller from which it reads the state, or "" for the state service.
 	ReadsLeft  float64         `json:"reads_left"`
 	ReadsBy    string          `json:"reads_by"`
 	CallsLeft  float64         `json:"cloud_calls_left"`
@@ -26,37 +26,40 @@
 	Machines   MachinesView    `json:"machines"`
 	Jobs       int             `json:"unfinished_jobs"`
 	// AnswersForS is how long a leader may still answer workers without newer proof of
-	// its authority, below 0 when that is over.
+	// its authority, in seconds, negative if that time has passed.
 	AnswersForS float64 `json:"answers_for_s,omitempty"`
 	// Awaiting counts the unfinished jobs that wait for their dependencies.
 	Awaiting int `json:"awaiting_jobs"`
-	// UnstoredEnds counts the jobs whose ends are known and not known to be stored: it goes
-	// to 0 within seconds on every controller. Ends has what led to them.
+	// UnstoredEnds counts the jobs whose ends are known and not known to be stored. It
+	// returns to 0 within seconds on every controller. Ends has counts of how ends were
+	// learned.
 	UnstoredEnds int       `json:"unstored_ends"`
 	Ends         EndCounts `json:"ends"`
-	// Format is the version of stored data, LimitsLowered says that the announced lower
-	// limits of the state service hold already.
+	// Format is the version of stored data. LimitsLowered is set if the announced lower
+	// limits of the state service are already in force.
 	Format        int  `json:"format"`
 	LimitsLowered bool `json:"state_limits_fallen"`
-	// Conditions say in words what needs an operator's attention.
+	// Conditions describe what needs an operator's attention.
 	Conditions []string `json:"troubles"`
-	// Features are this program's; Members has what each controller advertises.
+	// Features are the features of this program; Members has what each controller
+	// advertises.
 	Features []FeatureView         `json:"features"`
 	Members  map[string]MemberView `json:"members"`
 	Reach    ConnectivityView      `json:"reach"`
-	// Latencies are those of users' requests in this process since its start.
+	// Latencies are the response times of users' requests since this process started.
 	Latencies []LatencyView `json:"latencies,omitempty"`
 }
 
-// FeatureView is a feature, and what holds it back if it is not on.
+// FeatureView is a feature, and the reasons why it is not enabled if it is off.
 type FeatureView struct {
 	Name string   `json:"name"`
 	On   bool     `json:"on"`
 	Held []string `json:"held_back,omitempty"`
 }
 
-// MemberView is what a controller advertises: its program, 0 for one that does not say,
-// the newest format that it reads, its features and those that its operators hold back.
+// MemberView is what a controller advertises: its program version, 0 if it advertises none,
+// the newest format that it can read, its features, and the features that its operators
+// withhold.
 type MemberView struct {
 	Program  int                   `json:"program"`
 	Format   int                   `json:"format"`
@@ -64,27 +67,28 @@
 	Held     []upgrade.FeatureName `json:"holds_back,omitempty"`
 }
 
-// ConnectivityView is what this controller knows of its own links and the others'.
+// ConnectivityView is what this controller knows of its own links and those of the other
+// controllers.
 type ConnectivityView struct {
 	Links []LinkView `json:"links"`
-	// Matrix has what each controller that could lead advertises.
+	// Matrix has the connectivity that each controller that could lead advertises.
 	Matrix map[string]ConnectivityRowView `json:"matrix"`
 	// SteppedAside is when this controller last stepped down in favour of another.
 	SteppedAside *LeadershipTransferView `json:"gave_way,omitempty"`
 }
 
-// LinkView is one link.
+// LinkView is the state of one link.
 type LinkView struct {
 	Link string `json:"link"`
 	// State is up, slow, flapping, refusing, lost or unknown.
 	State string `json:"state"`
-	// AgeS is how long ago the link last worked, -1 for never.
+	// AgeS is the time since the link last worked, in seconds, or -1 for never.
 	AgeS float64 `json:"proven_s_ago"`
 }
 
-// ConnectivityRowView is what a controller reaches: eighths of each zone's machines, and
-// how many of them it would serve as the leader, through others too; the controllers that
-// answer it; the cloud.
+// ConnectivityRowView is what a controller reaches: eighths of the machines of each zone, the
+// eighths that it would serve as the leader, including machines reached through other
+// controllers, the controllers that respond to it, and whether it reaches the cloud.
 type ConnectivityRowView struct {
 	Workers map[string]int `json:"workers_eighths"`
 	Leading map[string]int `json:"as_leader_eighths"`
@@ -92,14 +96,14 @@
 	Cloud   bool           `json:"cloud"`
 }
 
-// LeadershipTransferView is how a leader last stepped down in favour of another.
+// LeadershipTransferView describes how a leader last stepped down in favour of another.
 type LeadershipTransferView struct {
 	To     string  `json:"to"`
 	Reason string  `json:"why"`
 	AgeS   float64 `json:"s_ago"`
 }
 
-// LatencyView is how long a users' call took to be answered, in ms.
+// LatencyView has the response times of one kind of user request, in ms.
 type LatencyView struct {
 	Call    string  `json:"call"`
 	Answers int64   `json:"answers"`
@@ -110,7 +114,7 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// PeerView is another controller.
+// PeerView is another controller, and whether it responds.
 type PeerView struct {
 	Name string `json:"name"`
 	Up   bool   `json:"up"`
@@ -119,12 +123,12 @@
 // PartitionView is a partition of the machines and its holder.
 type PartitionView struct {
 	Holder string `json:"holder"`
-	// Ends is the hash before which the partition ends.
+	// Ends is the hash of machine names before which the partition ends.
 	Ends     uint32 `json:"ends"`
 	Machines int    `json:"machines"`
 }
 
-// QueueView is a queue and its pivot.
+// QueueView is a queue and its pivot, the job at its head.
 type QueueView struct {
 	Waiting int     `json:"waiting_jobs"`
 	Tasks   int     `json:"waiting_tasks"`
@@ -140,7 +144,7 @@
 	Idle        int `json:"idle"`
 	Prefetching int `json:"warming"`
 	Silent      int `json:"silent"`
-	// NotReceiving counts those that send heartbeats but can't receive answers.
+	// NotReceiving counts machines that send heartbeats but can't receive responses.
 	NotReceiving int `json:"deaf"`
 	Draining     int `json:"draining"`
 	Booting      int `json:"booting"`
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -23,19 +23,19 @@
 	reader       *stateReader
 }
 
-// addCondition adds what needs an operator's attention.
+// addCondition adds a condition that needs an operator's attention.
 func (v *OperatorView) addCondition(condition string) {
 	v.Conditions = append(v.Conditions, condition)
 }
 
-// inSeconds converts microseconds.
+// inSeconds converts microseconds to seconds.
 func inSeconds(microseconds int64) float64 { return float64(microseconds) / float64(second) }
 
 func (o *operatorViewer) onQueryOperatorView(m QueryOperatorView) {
 	o.emit(Reply{RequestID: m.RequestID, Status: ReplyOK, Ops: o.view()})
 }
 
-// view makes the view of this moment, a section at a time.
+// view returns the current view.
 func (o *operatorViewer) view() *OperatorView {
 	o.elector.noteNewestLeader(o.cache.leader)
 	newest := o.elector.newestLeader
@@ -167,8 +167,8 @@
 	}
 }
 
-// viewAuthority shows for how long the leader may answer workers, and which controllers
-// do not extend that while the state service doesn't answer.
+// viewAuthority adds how long the leader may still answer workers and, while the state
+// service does not respond, the controllers whose read leases are stale.
 func (o *operatorViewer) viewAuthority(v *OperatorView, term *leadership) {
 	v.AnswersForS = inSeconds(term.authorityProvenAt() + o.settings.LeaderAuthorityTime() - o.now)
 	if o.now-term.stateProofAt() <= readLeaseAfter {
@@ -244,7 +244,7 @@
 	}
 }
 
-// waitReason says in words what a pivot waits for.
+// waitReason describes what a pivot waits for.
 func (o *operatorViewer) waitReason(pivot plannedPivot) string {
 	if pivot.at != 0 {
 		return "for running tasks to end"
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -8,51 +8,53 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// queueCount is how many queues and partitions there are, as in the paper.
+// queueCount is the number of queues and of partitions, as in the paper.
 const queueCount = 3
 
 const (
-	// planInterval is the least time between two planning rounds, replanInterval the
-	// most: estimated ends move with time.
+	// planInterval is the minimum and replanInterval the maximum time between two
+	// planning rounds. There is a maximum because estimated ends shift as time passes.
 	planInterval   = 150_000
 	replanInterval = 2 * second
-	// maxPlannedTasks bounds what one round places.
+	// maxPlannedTasks is the maximum number of tasks that one round places.
 	maxPlannedTasks = 400
-	// machinesPerUrgentJob is how many machines there are for each further waiting
+	// machinesPerUrgentJob is the number of machines in the fleet per additional waiting
 	// urgent job that gets a reservation.
 	machinesPerUrgentJob = 64
-	// minSpareMachines is how many on-demand machines have to be idle for services to
-	// take more machines than they fill: not while every machine is wanted.
+	// minSpareMachines is the minimum number of idle on-demand machines at which services
+	// may spread over more machines than they fill. With fewer, machines are in demand.
 	minSpareMachines = 16
-	// distantFuture is when a service is expected to end.
+	// distantFuture is the expected duration of services, which never end.
 	distantFuture = int64(1) << 50
 )
 
-// plannedPivot is a job at the head of its queue, and when it is expected to start.
+// plannedPivot is the job at the head of a queue with its expected start time.
 type plannedPivot struct {
 	queue int
 	job   string
 	at    int64
 }
 
-// waitingJob is a job with tasks that found no machine; scaling out goes by them.
+// waitingJob is a job with tasks for which no machine was found. Scaling out is based on
+// these jobs.
 type waitingJob struct {
 	spec  *jobstate.Spec
 	tasks int
 	since int64
 }
 
-// planState is what the planner keeps while this controller leads.
+// planState is the planner's state during one leadership term.
 type planState struct {
 	wanted      bool
 	plannedAt   int64
 	pivots      []plannedPivot
 	waitingJobs []waitingJob
 	claims      []claim
-	// capacity is what all usable machines have together.
+	// capacity is the total of the resources of all usable machines.
 	capacity   jobstate.Resources
 	classSizes classSizes
-	// onDemandWantedAt is when a type's on-demand machines were last wanted.
+	// onDemandWantedAt is the time at which a job that needs on-demand machines could last
+	// have used a machine type, by the type's name.
 	onDemandWantedAt map[string]int64
 }
 
@@ -64,13 +66,13 @@
 	}
 }
 
-// requestRound has the next step run a planning round, as something has changed that
-// placements depend on.
+// requestRound schedules a planning round for the next step, because something that
+// placements depend on has changed.
 func (s *planState) requestRound() { s.wanted = true }
 
-// planner runs the rounds of scheduling: quotas, queues, pivots and preemption. What goes
-// where is decided by package sched; the planner prepares its input from the state cache
-// and the machines, and carries out its plan.
+// planner runs the scheduling rounds: quotas, queues, pivots and preemption. Package sched
+// decides the placements; the planner prepares its input from the state cache and the
+// machines, and executes its plan.
 type planner struct {
 	*engine
 
@@ -83,7 +85,7 @@
 	tasks        *taskManager
 }
 
-// plan runs one planning round and carries it out.
+// plan runs one planning round and executes the resulting plan.
 func (p *planner) plan() {
 	planning := &p.elector.leadership.planning
 	planning.wanted, planning.plannedAt = false, p.now
@@ -93,7 +95,7 @@
 	p.inheritPriorities()
 	used := p.usage()
 	unfinished := p.unfinished()
-	guaranteed := p.jobsWithinQuota(unfinished)
+	guaranteed := p.jobsWithinGuarantee(unfinished)
 	machines := p.refreshIndex()
 	planning.capacity = machines.Capacity()
 	jobs := p.schedJobs(unfinished, used, guaranteed)
@@ -114,7 +116,7 @@
 	}
 }
 
-// newRound prepares a round of package sched.
+// newRound prepares the input of package sched for one round.
 func (p *planner) newRound(machines *sched.Index, used map[string]teamUsage, guaranteed map[*jobstate.Job]bool) *sched.Planner {
 	return &sched.Planner{
 		Now:              p.now,
@@ -135,8 +137,8 @@
 	}
 }
 
-// placeTasks records where tasks are to start; the start commands follow once that is
-// stored. All tasks of a job that are placed in one round are of the same attempt.
+// placeTasks records the planned placements; the start commands are sent once these are
+// stored. All tasks of a job that are placed in one round belong to the same attempt.
 func (p *planner) placeTasks(starts []sched.Start) {
 	term := p.elector.leadership
 	attempts := map[*jobstate.Job]uint32{}
@@ -163,7 +165,7 @@
 	}
 }
 
-// preemptTasks stops what the round wants stopped for other jobs.
+// preemptTasks stops the tasks that the round preempts in favour of other jobs.
 func (p *planner) preemptTasks(preemptions []sched.Preemption) {
 	for _, victim := range preemptions {
 		p.log.Debug("preempting a task", "job", victim.Job.ID, "task", victim.Index,
@@ -176,7 +178,8 @@
 	}
 }
 
-// recordWaiting keeps what waits for scaling out, for prefetches and for operators.
+// recordWaiting stores the pivots and waiting jobs of a round, which scaling out, image
+// prefetching and the operators' view use.
 func (p *planner) recordWaiting(plan *sched.Plan) {
 	planning := &p.elector.leadership.planning
 	planning.pivots = planning.pivots[:0]
@@ -189,18 +192,19 @@
 	}
 }
 
-// claim is kept until it is used, until its job is over, or until the machine should long
-// have come free.
+// claim is a job's claim on a machine that is being freed for it. It is kept until it is
+// used, its job has ended or has no tasks left to place, or the time until has passed: by
+// then the machine should long have become free.
 type claim struct {
 	sched.Claim
 	until int64
 }
 
-// claimTimeout is how long it may take to stop work with a checkpoint, beyond two
-// heartbeats.
+// claimTimeout is the time allowed for stopping tasks with a checkpoint, in addition to
+// two heartbeat intervals.
 const claimTimeout = 10 * second
 
-// activeClaims drops the claims that are over and returns the others.
+// activeClaims removes the expired claims and returns the remaining ones.
 func (p *planner) activeClaims() []sched.Claim {
 	planning := &p.elector.leadership.planning
 	planning.claims = slices.DeleteFunc(planning.claims, func(c claim) bool {
@@ -213,7 +217,7 @@
 	return active
 }
 
-// addClaims keeps the claims of this round for the next ones.
+// addClaims stores the claims of this round for the following rounds.
 func (p *planner) addClaims(claims []sched.Claim) {
 	planning := &p.elector.leadership.planning
 	until := p.now + claimTimeout + 2*p.heartbeatInterval()
@@ -222,7 +226,7 @@
 	}
 }
 
-// dropClaim ends a claim that has been used.
+// dropClaim removes a claim that has been used.
 func (p *planner) dropClaim(job *jobstate.Job, machine string) {
 	planning := &p.elector.leadership.planning
 	used := func(c claim) bool { return c.Job == job && c.Machine == machine }
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -9,9 +9,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestClassification: the queue of a job by equation (1) with our cutoffs, and which jobs
-// have a trial.
-func TestClassification(t *testing.T) {
+// TestQueueAssignment checks the queue of a job by equation (1) of the paper with the cutoffs
+// of the settings, and which jobs have a trial.
+func TestQueueAssignment(t *testing.T) {
 	cases := []struct {
 		kind     jobstate.Kind
 		estimate int64
@@ -35,16 +35,17 @@
 		}
 		j := jobstate.NewJob(s)
 		if q := r.c.planner.queueOf(s); q != tc.queue || r.c.planner.wantsTrial(j) != tc.trial {
-			t.Errorf("%s of %d s: queue %d, trial %v", tc.kind, tc.estimate/second, q, r.c.planner.wantsTrial(j))
+			t.Errorf("%s with estimate %d s: got queue %d, trial %v, want queue %d, trial %v",
+				tc.kind, tc.estimate/second, q, r.c.planner.wantsTrial(j), tc.queue, tc.trial)
 		}
 		j.TrialDone = true
 		if r.c.planner.wantsTrial(j) {
-			t.Error("a second trial")
+			t.Errorf("%s with estimate %d s: got a second trial, want none", tc.kind, tc.estimate/second)
 		}
 	}
 }
 
-// place puts a job's tasks on machines of their own, stored and running.
+// place places each task of a job on a machine of its own, as stored and running.
 func (r *leaderHarness) place(j *jobstate.Job, trial bool) {
 	r.c.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
@@ -58,21 +59,21 @@
 	}
 }
 
-// TestTrials: a trial is stopped, with time for a checkpoint, when it is over and
-// a job waits for its machine, and not otherwise.
+// TestTrials checks that a trial is stopped, with time for a checkpoint, only if its time is
+// used up and a job that precedes the requeued one waits for its machine.
 func TestTrials(t *testing.T) {
 	cases := []struct {
 		name    string
 		after   int64
 		waiting bool
-		early   bool // the job that waits came first
+		early   bool // the waiting job arrived first
 		stop    jobstate.StopReason
 	}{
-		{"not over", 100 * second, true, true, ""},
-		{"over, no job waits", 200 * second, false, false, ""},
-		{"over, a job waits", 200 * second, true, true, jobstate.StopTrial},
-		// Requeued it would go before the other, and start again at once.
-		{"over, a job waits that came later", 200 * second, true, false, ""},
+		{"trial time not used up", 100 * second, true, true, ""},
+		{"trial over, no job waiting", 200 * second, false, false, ""},
+		{"trial over, earlier job waiting", 200 * second, true, true, jobstate.StopTrial},
+		// The requeued job would precede the waiting one and start again at once.
+		{"trial over, later job waiting", 200 * second, true, false, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,15 +98,15 @@
 			r.c.elector.leadership.mirrorFreshAt, r.c.elector.leadership.tokenProvenAt = r.now, r.now
 			r.c.planner.plan()
 			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
-				t.Errorf("stop %q with %d s", got.StopReason, got.Grace/second)
+				t.Errorf("got stop reason %q with grace %d s, want %q with at least 4 s if stopped", got.StopReason, got.Grace/second, tc.stop)
 			}
 		})
 	}
 }
 
-// TestLostWorkOfYoungStarts: a start for which there is an objective is not preempted early
-// if anything else can be; others may be.
-func TestLostWorkOfYoungStarts(t *testing.T) {
+// TestLostWorkOfRecentStarts checks that preempting a recently started task costs extra if a
+// start objective applies to it, so that other tasks are preempted first.
+func TestLostWorkOfRecentStarts(t *testing.T) {
 	objectives := []config.Objective{{Kind: "wait", Class: "starts"}, {Kind: "deadline", Class: "ends"}, {Kind: "guarantee"}}
 	cases := []struct {
 		name       string
@@ -115,11 +116,11 @@
 		ran        int64
 		spared     bool
 	}{
-		{"an objective for its class's starts", "starts", objectives, false, 10 * second, true},
-		{"but not for long", "starts", objectives, false, 31 * second, false},
-		{"an objective for its ends only", "ends", objectives, false, 10 * second, false},
-		{"within its team's guarantee", "ends", objectives, true, 10 * second, true},
-		{"no objectives at all", "ends", nil, false, 10 * second, true},
+		{"start objective for the class", "starts", objectives, false, 10 * second, true},
+		{"start objective, no longer recent", "starts", objectives, false, 31 * second, false},
+		{"deadline objective only", "ends", objectives, false, 10 * second, false},
+		{"within the team's guarantee", "ends", objectives, true, 10 * second, true},
+		{"no objectives", "ends", nil, false, 10 * second, true},
 	}
 	for _, tc := range cases {
 		r := newLeaderHarness(t)
@@ -128,15 +129,16 @@
 		r.place(j, true)
 		j.Task(0).StartedAt = r.now
 		r.c.now = r.now + tc.ran
-		got := r.c.planner.plannedRun(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
+		got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
 		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
-			t.Errorf("%s: preempting it after %d s costs %d s", tc.name, tc.ran/second, got.LostWork/second)
+			t.Errorf("%s: preemption after %d s costs %d s, guaranteed %v; want extra cost %v, guaranteed %v",
+				tc.name, tc.ran/second, got.LostWork/second, got.Guaranteed, tc.spared, tc.guaranteed)
 		}
 	}
 }
 
-// TestLostWorkOfGangs: preempting a task costs the work of its whole gang, as all of
-// it stops.
+// TestLostWorkOfGangs checks that preempting one task of a gang costs the work of the whole
+// gang, because all of its tasks stop.
 func TestLostWorkOfGangs(t *testing.T) {
 	for _, tc := range []struct {
 		kind jobstate.Kind
@@ -147,13 +149,14 @@
 		r.place(j, true)
 		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
 		r.c.now = r.now + 60*second
-		if got := r.c.planner.plannedRun(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
-			t.Errorf("kind %v: %d s, want %d", tc.kind, got/second, tc.n*60)
+		if got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
+			t.Errorf("kind %v: got lost work %d s, want %d s", tc.kind, got/second, tc.n*60)
 		}
 	}
 }
 
-// TestStartBy: machines are freed early enough for the image to be fetched.
+// TestStartBy checks that machines are needed early enough for the image to be fetched before
+// the start objective.
 func TestStartBy(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
@@ -166,13 +169,14 @@
 		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Class: tc.class, Need: jobstate.Resources{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
 		j.ReadyAt = 100 * second
 		if got := r.c.planner.startBy(j, false); got != tc.want*second {
-			t.Errorf("%s of %d: %d s, want %d", tc.class, tc.cpu, got/second, tc.want)
+			t.Errorf("class %s with %d milli-CPUs: got start by %d s, want %d s", tc.class, tc.cpu, got/second, tc.want)
 		}
 	}
 }
 
-// TestQueueOrder: a job with a deadline is ordered by its latest start and by how
-// long it would hold up the others; one without by when it came.
+// TestQueueOrder checks that a job with a deadline is ordered by its latest start plus a
+// penalty for the delay it causes other jobs, and a job without one by the time it became
+// ready.
 func TestQueueOrder(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.c.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
@@ -184,13 +188,13 @@
 		dependencies   []string
 	}{
 		{"no deadline", 100, 0, jobstate.Resources{CPU: 1000}, 0, 10, nil},
-		{"a small one", 1, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50/100, nil},
-		{"a hundred tasks on a hundred CPUs", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50, nil},
-		{"half of it done", 100, 50, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*25, nil},
-		{"by GPUs where it needs any", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 200, 10 + 200 - 50 + 10*5, nil},
-		{"a deadline that is lost", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 20, 10 + 10*5, nil},
-		// A stage that lets others go first misses the deadline of its whole pipeline.
-		{"a stage of a pipeline", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50, []string{"a"}},
+		{"one task", 1, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50/100, nil},
+		{"100 tasks on 100 CPUs", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*50, nil},
+		{"half of the tasks done", 100, 50, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50 + 10*25, nil},
+		{"GPU task", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 200, 10 + 200 - 50 + 10*5, nil},
+		{"deadline cannot be met", 1, 0, jobstate.Resources{CPU: 1000, GPU: 1000}, 20, 10 + 10*5, nil},
+		// If a stage yields to other jobs, the whole pipeline misses its deadline.
+		{"pipeline stage", 100, 0, jobstate.Resources{CPU: 1000}, 200, 10 + 200 - 50, []string{"a"}},
 	}
 	for _, tc := range cases {
 		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Kind: jobstate.Array, Tasks: tc.tasks, Need: tc.need, Estimate: 50 * second, Dependencies: tc.dependencies})
@@ -202,13 +206,14 @@
 			j.SetDone(i, 1)
 		}
 		if got := r.c.planner.queueOrder(j); got != tc.want*second {
-			t.Errorf("%s: %d s, want %d", tc.name, got/second, tc.want)
+			t.Errorf("%s: got queue order %d s, want %d s", tc.name, got/second, tc.want)
 		}
 	}
 }
 
-// TestGangRestart: what happens to one task of a gang happens to the attempt,
-// and the next one begins only when all of it is gone.
+// TestGangRestart checks that a failure or preemption of one task of a gang stops the whole
+// attempt, and that the next attempt is planned only after all tasks of the last one have
+// stopped.
 func TestGangRestart(t *testing.T) {
 	const n = 3
 	stops := func(j *jobstate.Job) string {
@@ -221,29 +226,29 @@
 		do   func(r *leaderHarness, j *jobstate.Job)
 		want string
 	}{
-		{"one is lost", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
-		{"one loses its peers", func(r *leaderHarness, j *jobstate.Job) {
+		{"one task lost", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
+		{"one task lost its peers", func(r *leaderHarness, j *jobstate.Job) {
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
 		}, "0:gang 2:gang "},
-		// x1 fetches slowly, and x0 and x2 had the image: were x1 stopped it would
-		// fetch anew in the next attempt, and that be incomplete as well.
-		{"one is incomplete, and what fetches goes on", func(r *leaderHarness, j *jobstate.Job) {
+		// x1 fetches slowly, while x0 and x2 have the image. If x1 were stopped, it would
+		// fetch the image again in the next attempt, which would be incomplete as well.
+		{"gang incomplete, fetching task continues", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
-		{"until it has its image", func(r *leaderHarness, j *jobstate.Job) {
+		{"gang incomplete, fetching task stops after the fetch", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
-				r.t.Error("the image is not there")
+				r.t.Error("image is not recorded as present after the fetch")
 			}
 		}, "1:gang 2:gang "},
-		{"or for too long", func(r *leaderHarness, j *jobstate.Job) {
+		{"gang incomplete, fetching task stops after a timeout", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
@@ -252,20 +257,20 @@
 			r.c.now += 41 * second
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
 		}, "1:gang 2:gang "},
-		{"one is lost while it fetches, and its machine lacks the image", func(r *leaderHarness, j *jobstate.Job) {
+		{"one task lost during its image fetch", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
-				r.t.Error("the image does not come")
+				r.t.Error("image is not recorded as being fetched")
 			}
 			r.c.tasks.taskLost(j, 1)
 			if len(x1.Images) > 0 {
-				r.t.Error("a fetch that was given up counts as an image")
+				r.t.Error("image of an aborted fetch is recorded as present")
 			}
 		}, "0:gang 2:gang "},
-		{"one is preempted, and so are all", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
-		{"one is done, and so are all", func(r *leaderHarness, j *jobstate.Job) {
+		{"one task preempted", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
+		{"one task done", func(r *leaderHarness, j *jobstate.Job) {
 			r.c.tasks.taskDone(j, 0)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
 		}, "1: 2: "},
@@ -278,13 +283,13 @@
 			r.c.now = r.now
 			tc.do(r, j)
 			if got := stops(j); got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
+				t.Errorf("got stop reasons %q, want %q", got, tc.want)
 			}
 			all := r.c.planner.unfinished()
-			used, in := r.c.planner.usage(), r.c.planner.jobsWithinQuota(all)
+			used, in := r.c.planner.usage(), r.c.planner.jobsWithinGuarantee(all)
 			for _, s := range r.c.planner.schedJobs(all, used, in) {
 				if s.ID == "g" {
-					t.Error("planned again before its last attempt is gone")
+					t.Error("gang is planned again before all tasks of its last attempt have stopped")
 				}
 			}
 		})
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -11,25 +11,25 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// plannerIndex keeps the planner's index of machines in step with what is known of them. A
-// machine is looked at when it has changed, when the partitions have, and when it has been
-// silent for too long; a round costs nothing for the rest.
+// plannerIndex keeps the planner's index of machines up to date with the fleet. A machine
+// is examined only when it or the partitions have changed, or when its heartbeats are
+// overdue, so the other machines add no cost to a round.
 type plannerIndex struct {
 	index   *sched.Index
 	indexed map[*fleet.Machine]*indexedMachine
-	// byLastHeartbeat are the machines in the index by their last heartbeat.
+	// byLastHeartbeat has the machines in the index ordered by their last heartbeat.
 	byLastHeartbeat *btree.BTreeG[*indexedMachine]
-	// boundaries are the partitions' for which the index holds.
+	// boundaries are the partition boundaries that the index is based on.
 	boundaries []uint32
 }
 
-// indexedMachine is what the planner has of a machine.
+// indexedMachine is the planner's entry for a machine.
 type indexedMachine struct {
 	sched.Machine
 	lastHeartbeat int64
 }
 
-// hasEarlierHeartbeat orders machines by their last heartbeat.
+// hasEarlierHeartbeat orders machines by their last heartbeat, then by name.
 func hasEarlierHeartbeat(a, b *indexedMachine) bool {
 	return cmp.Or(cmp.Compare(a.lastHeartbeat, b.lastHeartbeat), cmp.Compare(a.Name, b.Name)) < 0
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// put enters a machine, or moves it to its new last heartbeat, and returns its entry.
+// put adds a machine or updates its position after a new heartbeat, and returns its entry.
 func (x *plannerIndex) put(machine *fleet.Machine) *indexedMachine {
 	entry := x.indexed[machine]
 	switch {
@@ -59,7 +59,7 @@
 	return entry
 }
 
-// remove drops a machine that the planner may not use.
+// remove removes a machine that the planner may not use.
 func (x *plannerIndex) remove(machine *fleet.Machine) {
 	entry := x.indexed[machine]
 	if entry == nil {
@@ -70,8 +70,9 @@
 	delete(x.indexed, machine)
 }
 
-// usable says whether tasks may be placed on a machine now: its worker has accepted this
-// leader, receives answers and sends heartbeats in time, and the machine is to stay.
+// usable reports whether tasks may be placed on a machine now: its worker has accepted this
+// leader, receives responses and sends heartbeats in time, and the machine is not being
+// drained, released or reclaimed.
 func (p *planner) usable(machine *fleet.Machine) bool {
 	return machine.HasCurrentToken &&
 		!machine.Delivery.CannotReceive &&
@@ -90,7 +91,8 @@
 		index.boundaries = slices.Clone(p.cache.partitions.Boundaries)
 		term.fleet.MarkAllChanged()
 	}
-	// Those that were removed go first, so that all that follow are in the fleet.
+	// Process changed machines first: this removes the ones that have left the fleet, so
+	// that every machine in the loop below is in it.
 	term.fleet.ForEachChanged(p.updateIndexed)
 	for {
 		oldest, ok := index.byLastHeartbeat.Min()
@@ -101,7 +103,8 @@
 	}
 }
 
-// updateIndexed makes the index say of one machine what is known of it now.
+// updateIndexed updates the index entry of one machine, or removes it if the machine is no
+// longer usable.
 func (p *planner) updateIndexed(machine *fleet.Machine) {
 	term := p.elector.leadership
 	if term.fleet.Get(machine.Name) != machine || !p.usable(machine) {
@@ -117,12 +120,12 @@
 	term.plannerIndex.index.Put(&entry.Machine)
 }
 
-// loadRunningTasks gives the planner the tasks that occupy a machine.
+// loadRunningTasks sets the tasks that occupy a machine, ordered by their estimated end.
 func (p *planner) loadRunningTasks(entry *sched.Machine, guaranteed map[*jobstate.Job]bool) {
 	machine := p.elector.leadership.fleet.Get(entry.Name)
 	entry.RunningTasks = entry.RunningTasks[:0]
 	for ref := range machine.Placed {
-		entry.RunningTasks = append(entry.RunningTasks, p.plannedRun(machine, ref, guaranteed[ref.Job]))
+		entry.RunningTasks = append(entry.RunningTasks, p.runningTask(machine, ref, guaranteed[ref.Job]))
 	}
 	slices.SortFunc(entry.RunningTasks, func(a, b sched.RunningTask) int {
 		return cmp.Or(cmp.Compare(a.End, b.End), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// startOverhead is how long a start takes besides the image: stopping what is in
-	// the way, the write, the command and the heartbeat.
+	// startOverhead is the duration of a start apart from fetching the image: preempting
+	// tasks, the state write, the command and the heartbeat.
 	startOverhead = 3 * second
-	// shortFirstFactor is how many times the time that the whole fleet needs for a job
-	// its queue order is later by: of jobs that can't all be in time those with little
-	// work go first, as they keep the others waiting for the least.
+	// shortFirstFactor is the multiple of a job's fleetTime that is added to its queue
+	// order. If not all jobs can meet their deadlines, those with little work go first,
+	// because they delay the others least.
 	shortFirstFactor = 10
-	// onDemandWantedFor is how long a job that may use on-demand machines only keeps
-	// them free for its like.
-	onDemandWantedFor = 600 * second
-	// lateJobPatience is for how many times its deadline a job that can't meet it lets
-	// others go first.
-	lateJobPatience = 8
+	// onDemandReserveTime is how long a job that may use only on-demand machines keeps
+	// them reserved for such jobs.
+	onDemandReserveTime = 600 * second
+	// lateJobYieldFactor is the multiple of its deadline for which a job that can't meet
+	// the deadline yields to others.
+	lateJobYieldFactor = 8
 )
 
-// queueOf is the queue of a job by its estimate: equation (1) of the paper with cutoffs
-// from the settings. Services never end and go to the long queue.
+// queueOf returns the queue of a job by its estimate: equation (1) of the paper with the
+// cutoffs from the settings. Services never end and go to the long queue.
 func (p *planner) queueOf(spec *jobstate.Spec) int {
 	switch {
 	case spec.Kind == jobstate.Service:
@@ -46,14 +46,15 @@
 	return longQueue
 }
 
-// inheritPriorities gives jobs the priorities of those that depend on them: a job in
-// front of an urgent one holds it up.
+// inheritPriorities gives jobs the priorities of the jobs that depend on them, because an
+// urgent job can't start before its dependencies are done.
 func (p *planner) inheritPriorities() {
 	delay := p.heartbeatInterval()/2 + second
 	p.dependencies.graph.InheritPriorities(maps.Values(p.cache.jobs), delay)
 }
 
-// unfinished lists the jobs that are not over and wait for no other, by arrival.
+// unfinished lists the jobs that have not ended, are not blocked by dependencies and whose
+// sweep allows starts, ordered by arrival.
 func (p *planner) unfinished() []*jobstate.Job {
 	var jobs []*jobstate.Job
 	for _, job := range p.cache.jobs {
@@ -67,7 +68,7 @@
 	return jobs
 }
 
-// schedJobs lists the jobs that have tasks to place, as package sched takes them.
+// schedJobs lists the jobs that have tasks to place, as input for package sched.
 func (p *planner) schedJobs(unfinished []*jobstate.Job, used map[string]teamUsage, guaranteed map[*jobstate.Job]bool) []*sched.Job {
 	headrooms := map[string]*sched.Headroom{}
 	var jobs []*sched.Job
@@ -76,7 +77,7 @@
 			continue
 		}
 		if job.Kind == jobstate.Gang && job.NumPlaced > 0 {
-			continue // what is left of the last attempt has to go first
+			continue // the remaining tasks of the last attempt have to stop first
 		}
 		var tasksByZone map[string]int
 		headroom := p.quotaHeadroom(headrooms, used, job.Team)
@@ -102,7 +103,7 @@
 	return jobs
 }
 
-// expectedDuration is how long a task of a job is expected to hold its machine.
+// expectedDuration returns how long a task of a job is expected to occupy its machine.
 func (p *planner) expectedDuration(job *jobstate.Job) int64 {
 	switch {
 	case job.Kind == jobstate.Service:
@@ -113,8 +114,8 @@
 	return job.Estimate
 }
 
-// startBy is when a job needs free machines to start as its class should, if its
-// image has to be fetched; 0 if there is no objective for its start.
+// startBy returns the time by which a job needs free machines to meet the start objective
+// of its class even if its image has to be fetched, or 0 if no start objective applies.
 func (p *planner) startBy(job *jobstate.Job, guaranteed bool) int64 {
 	within := p.settings.StartWithin(job.Class, guaranteed)
 	if within == 0 {
@@ -129,12 +130,14 @@
 	return job.ReadyAt + within - fetch - startOverhead
 }
 
-// mayUseType says whether a task of a job fits a machine type and allows it.
+// mayUseType reports whether a task of a job fits a machine type and the job allows that
+// type.
 func mayUseType(spec *jobstate.Spec, t *fleet.Type) bool {
 	return spec.Need.Fits(t.Cap) && (len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name))
 }
 
-// largestGPUTask is what the largest task with GPUs of any job needs.
+// largestGPUTask returns the resources that the largest GPU task of any job needs, by GPUs
+// and then by CPUs.
 func (p *planner) largestGPUTask() jobstate.Resources {
 	var largest jobstate.Resources
 	for _, job := range p.cache.jobs {
@@ -146,20 +149,21 @@
 	return largest
 }
 
-// queueOrder is when a job came or, with a deadline, its latest start, later by how
-// much the job would hold up others.
+// queueOrder returns the sort key of a job within its queue: the time it became ready or,
+// with a deadline, its latest start plus a penalty for the delay it causes other jobs.
 func (p *planner) queueOrder(job *jobstate.Job) int64 {
 	if job.EffectiveDeadline == 0 {
 		return job.ReadyAt
 	}
 	latestStart := max(job.SubmittedAt, job.EffectiveDeadline-job.Estimate)
 	if p.dependencies.isInPipeline(job) {
-		return latestStart // a stage of a pipeline: its deadline is all of its stages'
+		return latestStart // a pipeline stage: missing the deadline delays all later stages
 	}
 	return latestStart + shortFirstFactor*p.fleetTime(job)
 }
 
-// fleetTime is how long all machines together would work on what is left of a job.
+// fleetTime returns how long all machines together would need for the remaining tasks of a
+// job.
 func (p *planner) fleetTime(job *jobstate.Job) int64 {
 	capacity, left := p.elector.leadership.planning.capacity, int64(job.Tasks-job.NumDone)
 	need, available := left*job.Need.CPU, capacity.CPU
@@ -172,20 +176,20 @@
 	return int64(float64(need) / float64(available) * float64(job.Estimate))
 }
 
-// hasLostDeadline says that a job can hardly meet its deadline any more. It then lets
-// those that still can go first, until it has waited for many times its
-// deadline: with more work than machines, strict arrival order would make
-// every job late by the same backlog.
+// hasLostDeadline reports whether a job is unlikely to meet its deadline any more. Such a
+// job yields to those that still can, until its age is lateJobYieldFactor times its
+// deadline. With more work than machines, strict arrival order would make every job late
+// by the same backlog.
 func (p *planner) hasLostDeadline(job *jobstate.Job) bool {
 	if job.Deadline == 0 || job.Unplaced() == 0 {
 		return false
 	}
 	age := p.now - job.SubmittedAt
-	return age+job.Estimate > job.Deadline && age < lateJobPatience*job.Deadline
+	return age+job.Estimate > job.Deadline && age < lateJobYieldFactor*job.Deadline
 }
 
-// spotPreferred finds the machine types on which jobs that may use spot machines
-// leave the on-demand ones to others.
+// spotPreferred returns the machine types whose on-demand machines are left to jobs that
+// may not use spot machines.
 func (p *planner) spotPreferred() map[string]bool {
 	wantedAt := p.elector.leadership.planning.onDemandWantedAt
 	for _, job := range p.cache.jobs {
@@ -200,13 +204,13 @@
 	}
 	preferred := map[string]bool{}
 	for name, at := range wantedAt {
-		preferred[name] = p.now-at < onDemandWantedFor
+		preferred[name] = p.now-at < onDemandReserveTime
 	}
 	return preferred
 }
 
-// tasksByZone counts a job's placements by zone; nil if a machine's zone is not
-// known, as after a failover before its first heartbeat.
+// tasksByZone counts a job's placements by zone. It returns nil if a machine's zone is
+// unknown, as after a failover before the machine's first heartbeat.
 func (p *planner) tasksByZone(job *jobstate.Job) map[string]int {
 	tasks := map[string]int{}
 	known := true
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -8,29 +8,30 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// A team has a guarantee, within which its jobs go before their equals and are not
-// preempted for other teams, and a limit, which it never exceeds. Both are in whole CPUs
-// and GPUs in the settings; usage counts thousandths.
+// A team has a guarantee and a limit. Within the guarantee its jobs take precedence over
+// otherwise equal jobs and are not preempted for other teams; the limit is never exceeded.
+// The settings give both in whole CPUs and GPUs; usage is counted in thousandths.
 
-// milliPerUnit is how many of the units that resources are counted in make a CPU or GPU.
+// milliPerUnit is the number of thousandths in a CPU or GPU.
 const milliPerUnit = 1000
 
-// prefetchQuotaShare is what prefetches may use of a team's limit at most. What the last
-// leader had running is stored nowhere, so for as long as any of it may be on its
-// machine a new one leaves that share of the limit alone, and sends no prefetches of
-// teams with a limit itself: else the next would have two leaders' to reckon with.
+// prefetchQuotaShare is the maximum share of a team's limit that prefetches may use.
+// Running prefetches are not stored. So while prefetches of the previous leader may still
+// be on machines, a new leader leaves this share of the limit unused and sends no
+// prefetches for teams with a limit. Otherwise the leader after it would have to account
+// for the prefetches of two leaders.
 const prefetchQuotaShare = 0.125
 
-// teamUsage is what a team uses of what quotas count.
+// teamUsage is a team's usage of the resources that quotas limit, in thousandths.
 type teamUsage struct{ cpu, gpu int64 }
 
-// plus is the usage with so many tasks more, or fewer.
+// plus returns the usage with the given number of tasks added, or removed if negative.
 func (u teamUsage) plus(need jobstate.Resources, tasks int64) teamUsage {
 	return teamUsage{cpu: u.cpu + need.CPU*tasks, gpu: u.gpu + need.GPU*tasks}
 }
 
-// usage is what the teams' placements take, stored or planned, and what image prefetches
-// take in their names.
+// usage returns the usage of each team: its placements, stored or planned, and the image
+// prefetches for its jobs.
 func (p *planner) usage() map[string]teamUsage {
 	used := maps.Clone(p.elector.leadership.prefetch.usedByTeam)
 	for _, job := range p.cache.jobs {
@@ -39,9 +40,9 @@
 	return used
 }
 
-// jobsWithinQuota finds the jobs that fit into their team's guarantee together
-// with the team's earlier unfinished jobs.
-func (p *planner) jobsWithinQuota(unfinished []*jobstate.Job) map[*jobstate.Job]bool {
+// jobsWithinGuarantee returns the jobs that fit into their team's guarantee together with
+// the team's earlier unfinished jobs.
+func (p *planner) jobsWithinGuarantee(unfinished []*jobstate.Job) map[*jobstate.Job]bool {
 	requested := map[string]teamUsage{}
 	within := map[*jobstate.Job]bool{}
 	for _, job := range unfinished {
@@ -54,8 +55,9 @@
 	return within
 }
 
-// fitsGuarantee says whether so much lies within a team's guarantee. A team without any
-// has none to be within; of one for CPUs only, GPUs do not count, and the reverse.
+// fitsGuarantee reports whether a usage is within a team's guarantee. It is false for a
+// team without a guarantee; with a guarantee for CPUs only, GPUs are ignored, and vice
+// versa.
 func fitsGuarantee(team *config.Team, total teamUsage) bool {
 	if team.GPUs == 0 && team.CPUs == 0 {
 		return false
@@ -64,16 +66,16 @@
 		(team.CPUs == 0 || total.cpu <= int64(team.CPUs*milliPerUnit))
 }
 
-// isBeyondGuarantee says whether a team that uses so much still has its guarantee when
-// a task with this need is stopped.
+// isBeyondGuarantee reports whether a team with this usage still uses all of its guarantee
+// after a task with this need is stopped.
 func (p *planner) isBeyondGuarantee(name string, used teamUsage, need jobstate.Resources) bool {
 	team := p.settings.Team(name)
 	return team == nil || used.gpu-need.GPU >= int64(team.GPUs*milliPerUnit) &&
 		(team.CPUs == 0 || used.cpu-need.CPU >= int64(team.CPUs*milliPerUnit))
 }
 
-// quotaHeadroom is what a team's limit leaves. All its jobs share it, so that one
-// round can't place for each of them what is there once.
+// quotaHeadroom returns the unused part of a team's limit. All jobs of the team share one
+// Headroom, so that a round can't use the same headroom for several jobs.
 func (p *planner) quotaHeadroom(headrooms map[string]*sched.Headroom, used map[string]teamUsage, name string) *sched.Headroom {
 	if known := headrooms[name]; known != nil {
 		return known
@@ -94,26 +96,26 @@
 	return headroom
 }
 
-// fitsLimit says whether so much lies within a share of a team's limit.
+// fitsLimit reports whether a usage is within a share of a team's limit.
 func fitsLimit(team *config.Team, total teamUsage, share float64) bool {
 	return (team.CPUsMax == 0 || total.cpu <= int64(team.CPUsMax*milliPerUnit*share)) &&
 		(team.GPUsMax == 0 || total.gpu <= int64(team.GPUsMax*milliPerUnit*share))
 }
 
-// withinLimit says whether a team that uses so much may use more, of a share of
-// its limit.
+// withinLimit reports whether a team with this usage may add a task with this need within
+// a share of its limit.
 func (p *prefetcher) withinLimit(name string, used teamUsage, share float64, need jobstate.Resources) bool {
 	team := p.settings.Team(name)
 	return team != nil && fitsLimit(team, used.plus(need, 1), share)
 }
 
-// earlierPrefetchesRunning says whether an earlier leader's prefetches may still be on
-// machines.
+// earlierPrefetchesRunning reports whether prefetches of an earlier leader may still be
+// running on machines.
 func (p *prefetcher) earlierPrefetchesRunning() bool {
 	return p.elector.fencingToken() > 1 && p.now-p.elector.leadership.since < p.settings.FailoverEpochTimeout()
 }
 
-// quotaShareForPrefetch is the share of a limit that prefetches may use now.
+// quotaShareForPrefetch returns the share of a team's limit that prefetches may use now.
 func (p *prefetcher) quotaShareForPrefetch() float64 {
 	if p.earlierPrefetchesRunning() {
 		return 0
--- a/internal/core/requestmessages.go
+++ b/internal/core/requestmessages.go
@@ -2,13 +2,15 @@
 
 import "github.com/zinclb/zinclb/internal/core/jobstate"
 
-// SubmitJob is a user's submission of a job. The reply to a repeated one is the job's state.
+// SubmitJob is a user's submission of a job. The reply to a repeated submission is the job's
+// state.
 type SubmitJob struct {
 	RequestID uint64
-	// Forwarded: a peer has forwarded the request, as with the others.
+	// Forwarded is set if a peer has forwarded the request, here and in the other messages.
 	Forwarded bool
 	Spec      *jobstate.Spec
-	// Invalid says what is wrong with it; then Spec has only an id.
+	// Invalid is the reason why the submission is malformed, or "". If it is set, Spec has
+	// only an id.
 	Invalid string
 }
 
@@ -26,7 +28,7 @@
 	ID        string
 }
 
-// JobState is a job's state as users get it.
+// JobState is a job's state as users see it.
 type JobState struct {
 	ID string
 	// State is Queued, Running or an outcome of package jobstate.
@@ -41,18 +43,18 @@
 	Running = "running"
 )
 
-// CheckReady asks whether this controller can take requests; load balancers send it.
+// CheckReady asks whether this controller can serve requests; load balancers send it.
 type CheckReady struct{ RequestID uint64 }
 
-// SetDecommissioned says that a controller will not come back, or that it may; operators
-// send it.
+// SetDecommissioned tells that a controller will not return, or that it may return again;
+// operators send it.
 type SetDecommissioned struct {
 	RequestID      uint64
 	Name           string
 	Decommissioned bool
 }
 
-// DecommissionState says whether operators have decommissioned a controller.
+// DecommissionState tells whether operators have decommissioned a controller.
 type DecommissionState struct {
 	Name           string
 	Decommissioned bool
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -5,55 +5,55 @@
 	"github.com/zinclb/zinclb/internal/core/sharedread"
 )
 
-// Deadlines of users' requests, below what users wait for an answer.
+// Limits of users' requests. The deadlines are shorter than the time that users wait.
 const (
-	maxReadWait       = 1_500_000 // of the 2 s for a poll
-	maxWriteWait      = 3_500_000 // of the 5 s for a submission
+	maxReadWait       = 1_500_000 // µs, of the 2 s that users wait for a query
+	maxWriteWait      = 3_500_000 // µs, of the 5 s that users wait for a submission
 	maxQueuedRequests = 2000
 
-	// maxWriteTries bounds how often a failed write is repeated.
+	// maxWriteTries is the maximum number of retries of a failed write.
 	maxWriteTries = 4
 )
 
-// request is a request of a user, or of a follower, under way. It is received, waits
-// for a read of the state that began after it came, may then queue a write, and ends
-// with one Reply. A write that fails, or that another request makes for it, sends it
-// back to wait for a read.
+// request is an unfinished request of a user or a follower. It is received, waits for a
+// read of the state that began after it arrived, may then queue a write, and ends with one
+// Reply. After a failed write, or a write by another request about the same job, it waits
+// for a read again.
 type request struct {
 	id   uint64
 	kind requestKind
 	// targetID is the id of the job or sweep that the request is about.
 	targetID   string
 	receivedAt int64
-	// forwarded: a peer has forwarded the request, so it is not forwarded again.
+	// forwarded is set if a peer has forwarded the request; it is not forwarded again.
 	forwarded bool
 	tries     int
 
-	// spec is a submitted job. A submitted sweep has one too, with the dependencies of
-	// all its runs.
+	// spec is the submitted job. For a submitted sweep it has the sweep's id and the
+	// dependencies of all its runs.
 	spec *jobstate.Spec
-	// dependenciesChecked is how many of the dependencies are known to be accepted.
+	// dependenciesChecked is the number of dependencies that are known to be accepted.
 	dependenciesChecked int
-	// refusal is the reply to a submission whose id is not known already: only an id
-	// that is surely new may be refused for good.
+	// refusal is the reply to an unacceptable submission if its id turns out to be new.
+	// Only an id that is certainly new may be refused permanently.
 	refusal Reply
 
 	sweep        sweepRequest
 	followerRead followerRead
 }
 
-// sweepRequest is what only requests about sweeps carry.
+// sweepRequest has the fields that only requests about sweeps use.
 type sweepRequest struct {
 	submission *SubmitSweep
-	// after and limit say which runs are listed.
+	// after is the number of the first run to list, limit the maximum number of runs.
 	after, limit int
 }
 
-// followerRead is what a follower says that reads the state from its leader.
+// followerRead has the parameters of a follower's read of the state from its leader.
 type followerRead struct {
-	// revision is the one up to which the follower has the state.
+	// revision is the revision up to which the follower has the state.
 	revision uint64
-	// writesNeeded is how many writes its budget lacks.
+	// writesNeeded is the number of writes that the follower's budget lacks.
 	writesNeeded int
 }
 
@@ -64,17 +64,17 @@
 	requestSubmit
 	requestCancel
 	requestFollowerRead // another controller reads the state from this one
-	// All from here on are about sweeps.
+	// The kinds from here on are about sweeps.
 	requestSweepSubmit
 	requestSweepStatus
 	requestSweepRuns
 	requestSweepCancel
 )
 
-// isAboutSweep says whether a request is about a sweep and not about a job.
+// isAboutSweep reports whether a request is about a sweep and not about a job.
 func (k requestKind) isAboutSweep() bool { return k >= requestSweepSubmit }
 
-// maxWait is how long the end of a job may be looked up for a request.
+// maxWait returns how long a request may wait for the lookup of a job's end.
 func (r *request) maxWait() int64 {
 	if r.kind == requestStatus {
 		return maxReadWait
@@ -82,29 +82,29 @@
 	return maxWriteWait
 }
 
-// retryLaterReply asks a user to repeat the request in so many seconds.
+// retryLaterReply asks a user to repeat the request after the given number of seconds.
 func retryLaterReply(requestID uint64, seconds int, reason string) Reply {
 	return Reply{RequestID: requestID, Status: ReplyUnavailable, RetryAfter: seconds, Error: reason}
 }
 
-// stateUnavailableReply is the answer while the state service does not answer.
+// stateUnavailableReply is the reply while the state service does not respond.
 func stateUnavailableReply(requestID uint64) Reply {
 	return retryLaterReply(requestID, 1, "the state service does not answer")
 }
 
-// requestQueues has the requests under way: they share one read of the state, and
-// their writes wait for budget.
+// requestQueues has the unfinished requests. They share reads of the state, and their
+// writes wait for the write budget.
 type requestQueues struct {
 	stateReads   sharedread.Batch[*request]
 	queuedWrites []*request
-	endLookups   sharedread.KeyBatch[*request] // by the job's id
-	// inFlight has, for each job with a write under way, the requests that wait for its
-	// outcome: a user's repeated request costs no write of its own.
+	endLookups   sharedread.KeyBatch[*request] // by job id
+	// inFlight has, for each job with a write in flight, the requests that wait for its
+	// outcome, so that a user's repeated request costs no additional write.
 	inFlight map[string][]*request
 }
 
-// coalesce says whether a write about the same job is under way; then the request goes
-// on from what is stored after it.
+// coalesce reports whether a write about the same job is in flight. If so, the request
+// waits for it and then continues from the stored state.
 func (q *requestQueues) coalesce(r *request) bool {
 	waiting, ok := q.inFlight[r.targetID]
 	if ok {
@@ -113,7 +113,8 @@
 	return ok
 }
 
-// requestHandler serves users' requests about jobs from reads that are younger than they are.
+// requestHandler serves users' requests about jobs. It answers each from a read of the
+// state that began after the request arrived.
 type requestHandler struct {
 	*engine
 
@@ -135,10 +136,10 @@
 	return &requestHandler{engine: run, queues: requestQueues{inFlight: map[string][]*request{}}}
 }
 
-// hasQueuedWrites says whether users' writes wait for budget.
+// hasQueuedWrites reports whether users' writes wait for the write budget.
 func (h *requestHandler) hasQueuedWrites() bool { return len(h.queues.queuedWrites) > 0 }
 
-// resumeCoalesced lets those go on that waited for a write.
+// resumeCoalesced continues the requests that waited for a write about this job.
 func (h *requestHandler) resumeCoalesced(id string) {
 	waiting := h.queues.inFlight[id]
 	delete(h.queues.inFlight, id)
@@ -157,10 +158,11 @@
 	h.emit(Reply{RequestID: m.RequestID, Status: ReplyOK})
 }
 
-// unreadyReason says why this controller can't take requests, or "".
+// unreadyReason returns why this controller can't serve requests, or "" if it can.
 //
-// One that has read the state once can: an outage of the state service is answered
-// request by request, so that not all controllers are taken out at once.
+// A controller that has read the state once is ready even during an outage of the state
+// service: requests then fail one by one, so that load balancers don't remove all
+// controllers at once.
 func (h *requestHandler) unreadyReason() string {
 	switch {
 	case h.membership.incompatible != "":
@@ -178,7 +180,7 @@
 		id:           m.RequestID,
 		kind:         requestFollowerRead,
 		receivedAt:   h.now,
-		forwarded:    true, // no other controller can answer it
+		forwarded:    true, // only this controller can answer it
 		followerRead: followerRead{revision: m.AfterRevision, writesNeeded: m.WritesNeeded},
 	})
 }
@@ -193,9 +195,10 @@
 	h.readForRequests()
 }
 
-// readForRequests reads the state for the requests that wait, from the leader or else
-// from the state service, which allows only so many reads. A read from the leader costs
-// none of them, and the leader paces its own.
+// readForRequests reads the state for the waiting requests, from the leader if possible and
+// otherwise from the state service, whose reads are rate limited. A read from the leader
+// uses none of this controller's read budget, and the leader limits the rate of its own
+// reads.
 func (h *requestHandler) readForRequests() {
 	reads := &h.queues.stateReads
 	source := h.reader.readSource()
@@ -209,7 +212,7 @@
 	h.beginRead(source)
 }
 
-// beginRead reads now, for all requests that wait, of which there may be none.
+// beginRead starts a read for all waiting requests, of which there may be none.
 func (h *requestHandler) beginRead(source string) {
 	h.queues.stateReads.Begin(h.now)
 	if source == "" {
@@ -220,7 +223,7 @@
 		To:            source,
 		AfterRevision: h.cache.appliedRevision,
 		Number:        h.reader.follower.BeginRequest(),
-		WritesNeeded:  h.queues.writesLacking(h.health.writesLeft()),
+		WritesNeeded:  h.queues.writesNeeded(h.health.writesLeft()),
 	})
 }
 
@@ -242,8 +245,8 @@
 	h.readForRequests()
 }
 
-// refuse forwards a request to a peer that can answer it, or says at once that it can't
-// be answered now.
+// refuse forwards a request to a peer that can answer it, or replies that it can't be
+// answered now.
 func (h *requestHandler) refuse(r *request) {
 	if h.health.unavailable() && h.peers.forwardToPeer(r) {
 		return
@@ -251,13 +254,13 @@
 	h.emit(stateUnavailableReply(r.id))
 }
 
-// refuseUnlessKnown refuses a submission for good, unless its id turns out to be known.
+// refuseUnlessKnown refuses a submission permanently, unless its id turns out to be known.
 func (h *requestHandler) refuseUnlessKnown(r *request, status ReplyCode, reason string) {
 	r.refusal = Reply{Status: status, Error: reason}
 	h.waitForRead(r)
 }
 
-// resumeRequest goes on with a request after a read that is younger than it.
+// resumeRequest continues a request after a read of the state that began after it arrived.
 func (h *requestHandler) resumeRequest(r *request) {
 	switch {
 	case r.kind.isAboutSweep():
@@ -291,7 +294,7 @@
 	}
 }
 
-// tick goes on with the requests for which there is time or budget by now.
+// tick continues the requests whose next read or write is now due and within budget.
 func (h *requestHandler) tick() {
 	reads := &h.queues.stateReads
 	if !h.cache.synced {
@@ -314,9 +317,9 @@
 	}
 }
 
-// shouldProbeState says whether to read from the state service although no request
-// waits: requests are refused meanwhile, or soon, so something has to find out when it
-// answers again. age is how long ago the last read began.
+// shouldProbeState reports whether to read from the state service although no request
+// waits. While it does not respond, requests are refused or soon will be, so only such a
+// read can find out when it responds again. age is the time since the last read began.
 func (h *requestHandler) shouldProbeState(age int64) bool {
 	if h.health.unavailable() {
 		return age > second/2
@@ -324,8 +327,8 @@
 	return !h.elector.isLeader() && h.health.lastRequestFailed() && age > expectedChangeGap && h.health.tryTakeRead()
 }
 
-// shouldRefresh says whether to read from the leader although no request waits: the
-// cache may lack a change, or queued writes need the leader's budget.
+// shouldRefresh reports whether to read from the leader although no request waits: the
+// cache may lack a change, or queued writes need budget from the leader.
 func (h *requestHandler) shouldRefresh(age int64) bool {
 	if h.reader.follower.RefreshDue(h.now, age) {
 		return true
@@ -333,11 +336,11 @@
 	if age > expectedChangeGap && h.mayLackChanges() {
 		return true
 	}
-	return h.queues.writesLacking(h.health.writesLeft()) > 0
+	return h.queues.writesNeeded(h.health.writesLeft()) > 0
 }
 
-// mayLackChanges says whether the cache is known to be behind, or lacks the changes of
-// a transaction whose answer may be lost.
+// mayLackChanges reports whether the cache is known to lag behind, or may lack the changes
+// of a transaction whose response may be lost.
 func (h *requestHandler) mayLackChanges() bool {
 	return h.health.watchLags() || h.transactions.HasUnansweredWrite(h.now, expectedChangeGap)
 }
--- a/internal/core/runestimate.go
+++ b/internal/core/runestimate.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// checkpointLoss is what is taken to be lost, besides the time to save, when work
-	// with checkpoints is preempted.
+	// checkpointLoss is the work assumed to be lost, in addition to the time to save, when
+	// a task with checkpoints is preempted.
 	checkpointLoss = 10 * second
-	// earlyStop is how soon after its start a task is spared where it can be.
-	earlyStop = 30 * second
+	// earlyPreemptionWindow is the time after its start in which preempting a task costs
+	// extra, so that other tasks are preferred.
+	earlyPreemptionWindow = 30 * second
 )
 
-// nextHeartbeatAt is when commands can probably get to a machine next: they
-// travel in the response to a heartbeat, so a held one takes them at once, and
-// else they wait for the next. Where heartbeats are seconds apart that decides
-// when an urgent job starts.
+// nextHeartbeatAt returns when a machine can probably receive commands next. Commands are
+// sent in the response to a heartbeat: a held heartbeat takes them at once, otherwise they
+// wait for the next one. If heartbeats are seconds apart, this decides when an urgent job
+// starts.
 func (p *planner) nextHeartbeatAt(m *fleet.Machine) int64 {
 	if p.elector.leadership.heartbeats.held.has(m.Name) {
 		return 0
@@ -25,9 +26,9 @@
 	return m.LastHeartbeat + p.heartbeatInterval()
 }
 
-// plannedRun estimates until when a placed task occupies its machine, and what
-// preempting it would cost.
-func (p *planner) plannedRun(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
+// runningTask estimates how long a placed task occupies its machine and what preempting it
+// would cost.
+func (p *planner) runningTask(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
 	job, task := ref.Job, ref.Job.Task(ref.Index)
 	run := sched.RunningTask{Job: job, Index: ref.Index, Guaranteed: guaranteed}
 	if job.Outcome() != "" || task.IsStopping() {
@@ -40,8 +41,8 @@
 	return run
 }
 
-// estimatedEnd is when a task should end. One past its estimate is taken to end one
-// heartbeat interval later.
+// estimatedEnd returns when a task is expected to end. A task that exceeds its estimate is
+// assumed to end after one heartbeat interval.
 func (p *planner) estimatedEnd(m *fleet.Machine, job *jobstate.Job, task *jobstate.Task) int64 {
 	var end int64
 	switch {
@@ -58,8 +59,8 @@
 	return end
 }
 
-// lostWork is what preempting a task costs: the time that is lost, by how much of a
-// machine it takes.
+// lostWork returns the cost of preempting a task: the lost time, weighted by the resources
+// that the task needs.
 func (p *planner) lostWork(job *jobstate.Job, task *jobstate.Task, guaranteed bool) int64 {
 	var lost int64
 	switch {
@@ -70,14 +71,14 @@
 	default:
 		lost = p.now - task.StartedAt
 	}
-	isEarly := task.StartedAt == 0 || p.now-task.StartedAt < earlyStop
+	isEarly := task.StartedAt == 0 || p.now-task.StartedAt < earlyPreemptionWindow
 	if isEarly && (guaranteed || p.settings.StartTimeMatters(job.Class)) {
-		// A start that is stopped this early was no start for its user.
-		lost += earlyStop
+		// For its user, a task that is stopped this early has not really started.
+		lost += earlyPreemptionWindow
 	}
 	lost *= job.Need.Weight()
 	if job.Kind == jobstate.Gang {
-		// All of it stops with one task.
+		// Stopping one task stops the whole gang.
 		lost *= int64(max(job.NumPlaced, 1))
 	}
 	return lost
--- a/internal/core/runset.go
+++ b/internal/core/runset.go
@@ -8,16 +8,16 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// The first byte of a stored set of runs says how the rest is encoded.
+// The first byte of a stored set of runs is the encoding of the rest.
 const (
-	runSetBits    = 'b' // a bit for each run
-	runSetRoaring = 'r' // as the bitmap library does it
+	runSetBits    = 'b' // one bit per run
+	runSetRoaring = 'r' // serialized roaring bitmap
 )
 
-var errUnknownRunSet = errors.New("set of runs: unknown encoding")
+var errUnknownRunSet = errors.New("decode set of runs: unknown encoding")
 
-// encodeRunSet encodes a set of runs in whichever way is shorter, so that any set of
-// 10,000 fits 2 KB.
+// encodeRunSet encodes a set of runs in the shorter of the two encodings, so that any set of
+// runs of a sweep with 10,000 runs fits into 2 KB.
 func encodeRunSet(runs *roaring.Bitmap) string {
 	if runs.IsEmpty() {
 		return ""
@@ -25,7 +25,7 @@
 	runs.RunOptimize()
 	packed, err := runs.ToBytes()
 	if err != nil {
-		panic(err) // it is written to memory
+		panic(err) // can't fail: the bitmap is written to memory
 	}
 	bits := make([]byte, runs.Maximum()/8+1)
 	for it := runs.Iterator(); it.HasNext(); {
@@ -38,7 +38,7 @@
 	return string(runSetRoaring) + base64.RawStdEncoding.EncodeToString(packed)
 }
 
-// decodeRunSet reads what encodeRunSet has written.
+// decodeRunSet decodes a set that was encoded by encodeRunSet.
 func decodeRunSet(text string) (*roaring.Bitmap, error) {
 	runs := roaring.New()
 	if text == "" {
@@ -46,12 +46,12 @@
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text[1:])
 	if err != nil {
-		return nil, fmt.Errorf("set of runs: %w", err)
+		return nil, fmt.Errorf("decode set of runs: %w", err)
 	}
 	switch text[0] {
 	case runSetRoaring:
 		if err := runs.UnmarshalBinary(raw); err != nil {
-			return nil, fmt.Errorf("set of runs: %w", err)
+			return nil, fmt.Errorf("decode set of runs: %w", err)
 		}
 	case runSetBits:
 		addBits(runs, raw)
@@ -61,7 +61,7 @@
 	return runs, nil
 }
 
-// addBits adds the numbers whose bits are set.
+// addBits adds the positions of the set bits to a set of runs.
 func addBits(runs *roaring.Bitmap, bits []byte) {
 	for i, b := range bits {
 		for k := range 8 {
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -11,7 +11,7 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// Why a job can never run.
+// Reasons why a job can never run.
 var (
 	errFitsNoMachineType = errors.New("no allowed machine type has room for a task")
 	errCannotSpread      = errors.New("scatter: its tasks have to be in two zones at least, and may be in one only")
@@ -42,8 +42,8 @@
 	}
 }
 
-// validateSubmission refuses a submission that can't be accepted, and goes on with the
-// dependencies of any other. invalid says why it is malformed, or is "".
+// validateSubmission refuses a submission that can't be accepted, and otherwise continues
+// with its dependencies. invalid is the reason why it is malformed, or "".
 func (h *requestHandler) validateSubmission(r *request, invalid string) {
 	switch {
 	case h.sweepManager.enabled() && strings.HasPrefix(r.targetID, RunPrefix):
@@ -61,7 +61,7 @@
 	}
 	switch {
 	case len(r.spec.Dependencies) > 0 && !h.membership.logEnabled():
-		// A controller of version 1 would store the job without its dependencies, or
+		// A controller of version 1 would store the job without its dependencies or
 		// start it at once.
 		h.emit(retryLaterReply(r.id, 2, "awaits: not before all controllers have the new version"))
 	case slices.Contains(r.spec.Dependencies, r.targetID):
@@ -71,8 +71,8 @@
 	}
 }
 
-// machineTypesKnown says whether submissions can be checked against the machine types;
-// if not it answers the request.
+// machineTypesKnown reports whether submissions can be checked against the machine types.
+// If not, it replies to the request.
 func (h *requestHandler) machineTypesKnown(r *request) bool {
 	if len(h.cache.machineTypes) > 0 {
 		return true
@@ -81,7 +81,7 @@
 	return false
 }
 
-// checkFeasible says why a job can never run, or nil.
+// checkFeasible returns the reason why a job can never run, or nil.
 func (h *requestHandler) checkFeasible(spec *jobstate.Spec) error {
 	team := h.settings.Team(spec.Team)
 	if team == nil {
@@ -95,7 +95,7 @@
 	}
 	concurrent := 1.0
 	if spec.Kind != jobstate.Array {
-		concurrent = float64(spec.Tasks) // they run at the same time or not at all
+		concurrent = float64(spec.Tasks) // all run at the same time or not at all
 	}
 	aboveCPUs := team.CPUsMax > 0 && float64(spec.Need.CPU)*concurrent > team.CPUsMax*1000
 	aboveGPUs := team.GPUsMax > 0 && float64(spec.Need.GPU)*concurrent > team.GPUsMax*1000
@@ -126,15 +126,16 @@
 	case kv.Committed:
 		h.emit(Reply{RequestID: r.id, Status: ReplyCreated, Job: &JobState{ID: r.targetID, State: Queued}})
 	case kv.Conflict:
-		// It is known: a repeat, perhaps of this very request. A read of the state brings no
-		// ends, and the write would fail on that of a job that was over before.
+		// The job is known: the submission is a repeat, perhaps of this very request. If
+		// the job has ended, its end has to be looked up: a read of the state does not
+		// include ends, and the write would fail again on the stored end.
 		if slices.Contains(result.Failed, endPrefix+r.targetID) {
 			h.lookUpEnd(r)
 			return
 		}
 		h.waitForRead(r)
 	case kv.Malformed:
-		// It is no longer than the limits that were known.
+		// The value is within the known limits, so the lower limits must be in force.
 		h.membership.lowerLimits("a job's description was refused")
 		h.retryWrite(r)
 	default:
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -12,21 +12,21 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// Bounds of the work on sweeps.
+// Limits of the work on sweeps.
 const (
-	sweepGap        = 200_000
-	sweepCountDelay = 5 * second // how long a count may wait for a write of its own
-	sweepRetry      = second     // how long after a failed read a sweep is advanced again
-	sweepReserve    = 0.4        // of the leader's writes in a second, left to all else
+	sweepInterval     = 200_000    // µs between two rounds
+	sweepCountDelay   = 5 * second // maximum wait of counted runs before a write of their own
+	sweepRetry        = second     // delay before a sweep is advanced again after a failed read
+	sweepWriteReserve = 0.4        // share of the leader's writes per second kept for other uses
 
-	positionWrites   = 1   // of a step, beside the runs that it creates
-	runOverheadBytes = 200 // of a run in a transaction, beside its value
+	positionWrites   = 1   // writes of a step in addition to the runs that it creates
+	runOverheadBytes = 200 // bytes of a run in a transaction in addition to its value
 )
 
-// tick goes on with the sweeps under way, when this controller leads.
+// tick advances the unfinished sweeps. It is called while this controller leads.
 func (m *sweepManager) tick() {
 	term := m.elector.leadership
-	if !m.enabled() || len(m.sweeps) == 0 || m.now-term.sweepsAdvancedAt < sweepGap || !m.elector.mayStartTasks() {
+	if !m.enabled() || len(m.sweeps) == 0 || m.now-term.sweepsAdvancedAt < sweepInterval || !m.elector.mayStartTasks() {
 		return
 	}
 	term.sweepsAdvancedAt = m.now
@@ -39,7 +39,7 @@
 	}
 }
 
-// readySweeps are the sweeps that can be advanced now, the first accepted first.
+// readySweeps returns the sweeps that can be advanced now, in the order of their acceptance.
 func (m *sweepManager) readySweeps() []*sweep {
 	var ready []*sweep
 	for _, s := range m.sweeps {
@@ -53,7 +53,8 @@
 	return ready
 }
 
-// countRuns counts the runs that have ended, and returns how many have not.
+// countRuns counts the runs whose ends are stored, and returns how many created runs remain
+// open. It reads ends of runs that are no longer in the cache.
 func (m *sweepManager) countRuns(s *sweep) (open int) {
 	reads := 0
 	for it := s.open().Iterator(); it.HasNext(); {
@@ -85,23 +86,23 @@
 	}
 }
 
-// sweepStep is one transaction of a sweep.
+// sweepStep is one transaction that advances a sweep.
 type sweepStep struct {
 	conditions []Cond
 	writes     []Write
-	// position, cancelled and countPendingSince are those of the sweep that the step
-	// stores.
+	// position is the progress that the step stores, cancelled the number of cancelled
+	// runs that it stores, and countPendingSince the sweep's value when the step was made.
 	position          sweepPosition
 	cancelled         uint64
 	countPendingSince int64
 }
 
-// advanceSweep makes the next transaction of a sweep, if there is one to make and
-// writes can be spared: users' requests and starts go first. open is how many of its
-// runs are unfinished.
+// advanceSweep commits the next transaction of a sweep, if there is something to store and
+// the write budget allows it: users' requests and task starts have priority. open is the
+// number of its unfinished runs.
 func (m *sweepManager) advanceSweep(s *sweep, open int) {
 	m.health.refillWrites()
-	spare := int(m.health.writesLeft() - m.health.writeRate()*sweepReserve)
+	spare := int(m.health.writesLeft() - m.health.writeRate()*sweepWriteReserve)
 	if m.requests.hasQueuedWrites() || spare < positionWrites+1 {
 		return
 	}
@@ -115,7 +116,8 @@
 	m.commitStep(s, step)
 }
 
-// nextStep says what a sweep's next transaction creates or ends.
+// nextStep returns the next transaction of a sweep, which creates runs or ends the sweep.
+// spare is the number of writes that it may use.
 func (m *sweepManager) nextStep(s *sweep, open, spare int) *sweepStep {
 	step := &sweepStep{
 		conditions: []Cond{
@@ -129,7 +131,7 @@
 	case s.outcome != "":
 		step.position.Closed = open == 0
 	case s.cancelConfirmed:
-		// Nothing more is created.
+		// No more runs are created.
 	case s.next == len(s.plan.Specs) && open == 0:
 		end := sweepEndRecord{Outcome: jobstate.Done, At: m.now + m.wallOffset}
 		step.conditions = append(step.conditions, kv.RevisionIs(endKey, 0))
@@ -142,11 +144,11 @@
 	return step
 }
 
-// addRuns adds at most so many runs to a step, as far as they fit the transaction.
-func (m *sweepManager) addRuns(s *sweep, step *sweepStep, most int) {
+// addRuns adds at most maxRuns runs to a step, as far as they fit into the transaction.
+func (m *sweepManager) addRuns(s *sweep, step *sweepStep, maxRuns int) {
 	size := 0
 	position := &step.position
-	for position.Next < len(s.plan.Specs) && position.Next-s.next < most {
+	for position.Next < len(s.plan.Specs) && position.Next-s.next < maxRuns {
 		spec := s.plan.Specs[position.Next]
 		value := jobstate.Record{Spec: spec, SubmittedWall: m.now + m.wallOffset}.Encode(0)
 		size += len(value) + runOverheadBytes
@@ -159,7 +161,7 @@
 	}
 }
 
-// addProgress adds to a step how far the sweep has come with it.
+// addProgress adds the writes of the sweep's position and cancelled runs to a step.
 func (s *sweep) addProgress(step *sweepStep) {
 	key := sweepPositionPrefix + s.id
 	open := roaring.New()
@@ -181,7 +183,7 @@
 	s.writing = true
 	m.commitTransaction(step.conditions, step.writes, func(result TransactionResult) {
 		if m.sweeps[s.id] != s {
-			return // the state was read anew meanwhile
+			return // the state was read again from the start in the meantime
 		}
 		switch result.Outcome {
 		case kv.Committed:
@@ -208,7 +210,7 @@
 	}
 }
 
-// sweepConflict finds out why a step's conditions failed.
+// sweepConflict handles a step whose conditions failed.
 func (m *sweepManager) sweepConflict(term *leadership, s *sweep, failed []string) {
 	for _, key := range failed {
 		switch {
@@ -217,19 +219,20 @@
 				m.committer.resolveConflict(term, key)
 			}
 		case strings.HasPrefix(key, jobPrefix), strings.HasPrefix(key, endPrefix):
-			// This step may have been executed before, without an answer; then the
-			// position says so. If not, another job has the id.
+			// This step may have been executed before without a response; then the
+			// condition on the position failed too. If not, another job has the id.
 			if !slices.Contains(failed, sweepPositionPrefix+s.id) {
 				s.stoppedReason = "a job has the id of a run: " + key
-				m.log.Error("a job has the id of a run", "sweep", s.id, "key", key)
+				m.log.Error("id of sweep run in use by another job", "sweep", s.id, "key", key)
 			}
 		}
 	}
 	m.rereadSweep(s)
 }
 
-// rereadSweep reads what is stored of a sweep after a write whose outcome is not
-// known. A late one fails: its condition is on the position as it was.
+// rereadSweep reads the stored position and end of a sweep after a write that failed or
+// whose outcome is unknown. If that write is still executed later, it fails because of its
+// condition on the old position.
 func (m *sweepManager) rereadSweep(s *sweep) {
 	retryLater := func() {
 		s.notBefore = m.now + sweepRetry
@@ -250,8 +253,8 @@
 	})
 }
 
-// readSweepEnd reads whether a sweep was cancelled, and calls done, or failed if it could
-// not be read.
+// readSweepEnd reads whether a sweep was cancelled, and calls done, or failed if the read
+// failed.
 func (m *sweepManager) readSweepEnd(id string, failed, done func()) {
 	m.readKey(sweepEndPrefix+id, func(read KeyRead) {
 		if read.Err != nil {
--- a/internal/core/sweepmessages.go
+++ b/internal/core/sweepmessages.go
@@ -6,33 +6,35 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// SweepPlan is what a description expands to.
+// SweepPlan is the expansion of a sweep's description.
 type SweepPlan struct {
 	ID, Digest string
-	// MaxUnfinished is how many runs may be unfinished at once.
+	// MaxUnfinished is the maximum number of runs that are unfinished at the same time.
 	MaxUnfinished int
 	Specs         []*jobstate.Spec
-	// Values are the runs' values as JSON, in the order of Specs.
+	// Values are the parameter values of the runs as JSON, in the order of Specs.
 	Values []json.RawMessage
-	// Sets has, in the same order, which sets of values each run stands for: several
-	// where identical ones were merged.
+	// Sets has, in the same order, the numbers of the sets of values that each run stands
+	// for: several if identical sets were merged.
 	Sets [][]int
-	// Longest is how many bytes the longest stored job takes.
+	// Longest is the size of the longest stored job in bytes.
 	Longest int
 }
 
 // Messages about sweeps.
 type (
-	// SubmitSweep is a submitted sweep, expanded.
+	// SubmitSweep is a submitted sweep with its expansion.
 	SubmitSweep struct {
 		RequestID uint64
 		Plan      *SweepPlan
-		// Stored is its description as it is to be stored, without characters that
-		// JSON escapes.
+		// Stored is the description as it is stored, without characters that JSON
+		// escapes.
 		Stored string
-		// Invalid says what is wrong with it; then the plan has only an id.
+		// Invalid is the reason why the sweep is malformed, or "". If it is set, the plan
+		// has only an id.
 		Invalid string
-		// Forwarded: a peer has forwarded the request, as with the others.
+		// Forwarded is set if a peer has forwarded the request, here and in the other
+		// messages.
 		Forwarded bool
 	}
 	// QuerySweep asks for a sweep's state.
@@ -41,7 +43,7 @@
 		ID        string
 		Forwarded bool
 	}
-	// ListSweepRuns asks for at most Limit runs from number After on.
+	// ListSweepRuns asks for at most Limit runs, beginning with number After.
 	ListSweepRuns struct {
 		RequestID    uint64
 		ID           string
@@ -66,8 +68,8 @@
 type (
 	// ExpandSweep asks for the plan of a stored description.
 	ExpandSweep struct{ ID, Stored string }
-	// ForwardedSweep is a submitted sweep that is forwarded to a peer, which expands
-	// it again, as the runs are much longer than the description.
+	// ForwardedSweep is a submitted sweep that is forwarded to a peer. The peer expands
+	// the description again, because the runs are much longer than the description.
 	ForwardedSweep struct{ ID, Stored, Invalid string }
 )
 
@@ -78,22 +80,23 @@
 		ID, State                      string
 		Runs, Created, Done, Cancelled int
 	}
-	// SweepRun is one run.
+	// SweepRun is one run of a sweep.
 	SweepRun struct {
 		Number    int
 		ID, State string
 		Values    json.RawMessage
 		Sets      []int
 	}
-	// SweepPage is some runs; Next is where to go on, 0 at the end.
+	// SweepPage is a page of runs; Next is the number of the next run to list, 0 at the
+	// end.
 	SweepPage struct {
 		Runs []SweepRun
 		Next int
 	}
 )
 
-// The states of runs that are not jobs' states.
+// The states of runs in addition to the states of jobs.
 const (
-	RunStatePlanned = "planned" // it is not created yet
-	RunStateEnded   = "ended"   // it has ended, and this controller is about to learn how
+	RunStatePlanned = "planned" // the run is not created yet
+	RunStateEnded   = "ended"   // the run has ended, and this controller does not know yet how
 )
--- a/internal/core/sweepplan.go
+++ b/internal/core/sweepplan.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// planRetry is how long after a failure a plan is loaded again.
+// planRetry is the delay before a plan is loaded again after a failure.
 const planRetry = second
 
 var errOtherExpansion = errors.New("another version of the program expanded it to other runs")
 
-// loadSweepPlan loads a sweep's plan, unless it is there or being loaded.
+// loadSweepPlan starts loading a sweep's plan, unless it is loaded or being loaded, can't be
+// expanded at all, or failed to load less than planRetry ago.
 func (m *sweepManager) loadSweepPlan(s *sweep) {
 	if s.plan != nil || s.expanding || s.stoppedReason != "" || m.now < s.notBefore {
 		return
@@ -28,8 +29,8 @@
 	m.emit(ExpandSweep{ID: s.id, Stored: description.String()})
 }
 
-// missingPart finds a part of the description that is not in memory, as those of a
-// closed sweep.
+// missingPart returns the first part of the description that is not in memory, such as the
+// parts of a closed sweep.
 func (s *sweep) missingPart() (part int, ok bool) {
 	for i := range s.head.Parts {
 		if _, ok := s.parts[i]; !ok {
@@ -39,7 +40,7 @@
 	return 0, false
 }
 
-// readSweepPart reads a part of the description and goes on with loading the plan.
+// readSweepPart reads a part of the description and continues loading the plan.
 func (m *sweepManager) readSweepPart(s *sweep, part int) {
 	m.readKey(sweepPartKey(s.id, part), func(read KeyRead) {
 		s.expanding = false
@@ -53,7 +54,7 @@
 	})
 }
 
-// sweepPlanFailed answers the requests that wait for a plan which can't be had now.
+// sweepPlanFailed replies to the requests that wait for a plan which can't be loaded now.
 func (m *sweepManager) sweepPlanFailed(s *sweep, reason string) {
 	s.notBefore = m.now + planRetry
 	for _, r := range s.planRequests {
@@ -62,7 +63,7 @@
 	s.planRequests = nil
 }
 
-// onExpanded takes over the plan of a sweep.
+// onExpanded stores the plan of a sweep and answers the requests that wait for it.
 func (m *sweepManager) onExpanded(expanded SweepExpanded) {
 	s := m.knownSweep(expanded.ID)
 	if s == nil {
@@ -75,7 +76,7 @@
 	}
 	if err != nil {
 		s.stoppedReason = err.Error()
-		m.log.Error("stored sweep can't be expanded", "sweep", s.id, "error", err)
+		m.log.Error("cannot expand stored sweep", "sweep", s.id, "error", err)
 		m.sweepPlanFailed(s, s.stoppedReason)
 		return
 	}
@@ -90,7 +91,8 @@
 	}
 }
 
-// keepPlanOf keeps the plan of one closed sweep, the last that was loaded.
+// keepPlanOf keeps the plan of a closed sweep, and releases that of the closed sweep whose
+// plan was loaded before it.
 func (m *sweepManager) keepPlanOf(s *sweep) {
 	if last := m.sweeps[m.lastPlanned]; last != nil && last != s && last.closed {
 		last.forgetPlan()
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -9,15 +9,15 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// Bounds of requests about sweeps.
+// Limits of requests about sweeps.
 const (
-	maxSweepPage         = 200
-	maxPlanRequests      = 100
-	maxSweepDependencies = 1000 // on jobs that are not its own
-	stringQuoteBytes     = 2    // of a part of a description, stored as a JSON string
+	maxSweepPage         = 200  // runs
+	maxPlanRequests      = 100  // requests that wait for the plan of a sweep
+	maxSweepDependencies = 1000 // jobs outside the sweep
+	stringQuoteBytes     = 2    // bytes of the quotes of a description part, a JSON string
 )
 
-// onSubmitSweep receives a sweep.
+// onSubmitSweep handles the submission of a sweep.
 func (m *sweepManager) onSubmitSweep(submission SubmitSweep) {
 	r := &request{
 		id:         submission.RequestID,
@@ -42,8 +42,8 @@
 	}
 }
 
-// validateSweep refuses a sweep that can't be accepted, and goes on with the dependencies
-// of any other.
+// validateSweep refuses a sweep that can't be accepted, and otherwise continues with its
+// dependencies.
 func (m *sweepManager) validateSweep(r *request) {
 	dependencies, refusal := m.checkRuns(r.sweep.submission.Plan)
 	if refusal.Status == 0 {
@@ -57,8 +57,8 @@
 	m.dependencies.checkDependencies(r)
 }
 
-// checkRuns returns the jobs of others that a sweep's runs depend on, or the refusal of
-// a sweep whose runs can't be accepted.
+// checkRuns returns the jobs outside the sweep that its runs depend on, or a refusal if the
+// runs can't be accepted.
 func (m *sweepManager) checkRuns(plan *SweepPlan) (dependencies []string, refusal Reply) {
 	own := make(map[string]bool, len(plan.Specs))
 	for i, spec := range plan.Specs {
@@ -78,7 +78,7 @@
 	return dependencies, Reply{}
 }
 
-// checkSweepSize refuses a sweep that the state service can't store.
+// checkSweepSize returns a refusal if the state service can't store the sweep.
 func (m *sweepManager) checkSweepSize(submission *SubmitSweep) (refusal Reply) {
 	valueLimit := m.membership.valueLimit()
 	if longest := submission.Plan.Longest; longest > valueLimit {
@@ -87,13 +87,13 @@
 	size := len(submission.Stored)
 	maxOps := m.membership.limits().TxnOps
 	if len(m.splitDescription(submission.Stored)) >= maxOps || size > maxTxnBytes {
-		most := min(maxTxnBytes, (maxOps-1)*(valueLimit-stringQuoteBytes))
-		return Reply{Status: ReplyInvalid, Error: fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", size, most)}
+		maxSize := min(maxTxnBytes, (maxOps-1)*(valueLimit-stringQuoteBytes))
+		return Reply{Status: ReplyInvalid, Error: fmt.Sprintf("the sweep's description takes %d bytes when packed, and %d can be stored", size, maxSize)}
 	}
 	return Reply{}
 }
 
-// splitDescription cuts a description into parts that fit a value.
+// splitDescription splits a description into parts that each fit into a stored value.
 func (m *sweepManager) splitDescription(description string) []string {
 	var parts []string
 	partSize := m.membership.valueLimit() - stringQuoteBytes
@@ -123,22 +123,22 @@
 	m.requestSweep(&request{id: cancel.RequestID, kind: requestSweepCancel, targetID: cancel.ID, forwarded: cancel.Forwarded})
 }
 
-// requestSweep receives a request about a sweep that was submitted before.
+// requestSweep handles a request about a sweep that should already be accepted.
 func (m *sweepManager) requestSweep(r *request) {
 	r.receivedAt = m.now
 	if !m.settings.Ops.Sweeps && m.knownSweep(r.targetID) == nil {
-		m.emit(noSuchSweep(r.id))
+		m.emit(sweepNotFoundReply(r.id))
 		return
 	}
 	m.requests.waitForRead(r)
 }
 
-func noSuchSweep(requestID uint64) Reply {
+func sweepNotFoundReply(requestID uint64) Reply {
 	return Reply{RequestID: requestID, Status: ReplyNotFound, Error: "no such sweep"}
 }
 
-// resumeSweepRequest goes on with a request about a sweep after a read that is younger
-// than it.
+// resumeSweepRequest continues a request about a sweep after a read of the state that began
+// after the request arrived.
 func (m *sweepManager) resumeSweepRequest(r *request) {
 	s := m.knownSweep(r.targetID)
 	switch {
@@ -149,7 +149,7 @@
 	case s == nil && r.kind == requestSweepSubmit:
 		m.requests.queueWrite(r)
 	case s == nil:
-		m.emit(noSuchSweep(r.id))
+		m.emit(sweepNotFoundReply(r.id))
 	case r.kind == requestSweepSubmit && r.sweep.differsFrom(s):
 		m.emit(Reply{RequestID: r.id, Status: ReplyConflict, Error: "id: in use by another sweep"})
 	case r.kind == requestSweepRuns:
@@ -164,13 +164,13 @@
 	}
 }
 
-// differsFrom says whether a submitted sweep has other runs than the accepted one with
-// its id. A malformed submission has none to compare.
+// differsFrom reports whether a submitted sweep has other runs than the accepted sweep with
+// the same id. It is false for a malformed submission, which has no runs to compare.
 func (r *sweepRequest) differsFrom(s *sweep) bool {
 	return r.submission.Invalid == "" && r.submission.Plan.Digest != s.head.Digest
 }
 
-// createSweep stores a sweep: all of it, or nothing.
+// createSweep stores a sweep in one transaction.
 func (m *sweepManager) createSweep(r *request) {
 	plan := r.sweep.submission.Plan
 	parts := m.splitDescription(r.sweep.submission.Stored)
@@ -203,12 +203,12 @@
 	})
 }
 
-// sweepPartKey is the key of a part of a sweep's description.
+// sweepPartKey returns the key of a part of a sweep's description.
 func sweepPartKey(id string, part int) string {
 	return sweepPrefix + id + "/" + strconv.Itoa(part)
 }
 
-// cancelSweep creates the one key that ends a sweep.
+// cancelSweep creates the key that ends a sweep, with the outcome cancelled.
 func (m *sweepManager) cancelSweep(r *request) {
 	m.health.spendWrites(cancelSweepWrites)
 	key := sweepEndPrefix + r.targetID
@@ -219,7 +219,7 @@
 		case kv.Committed:
 			m.readLeases.recordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
 			m.noteCancelled(r.targetID)
-			m.requests.waitForRead(r) // the reply says what was done before
+			m.requests.waitForRead(r) // the reply includes the runs done before the cancellation
 		case kv.Conflict:
 			m.requests.retryCancellation(r)
 		default:
@@ -228,7 +228,7 @@
 	})
 }
 
-// answerSweepRuns answers with a page of runs, once the plan is known.
+// answerSweepRuns replies with a page of runs, once the plan is loaded.
 func (m *sweepManager) answerSweepRuns(s *sweep, r *request) {
 	if s.plan == nil {
 		m.waitForPlan(s, r)
@@ -243,7 +243,7 @@
 	m.emit(reply)
 }
 
-// waitForPlan has a request wait until the sweep's plan is there.
+// waitForPlan makes a request wait until the sweep's plan is loaded.
 func (m *sweepManager) waitForPlan(s *sweep, r *request) {
 	switch {
 	case s.stoppedReason != "":
@@ -256,7 +256,7 @@
 	}
 }
 
-// pageOfRuns lists the runs from number after on.
+// pageOfRuns lists at most limit runs, beginning with number after.
 func (m *sweepManager) pageOfRuns(s *sweep, after, limit int) *SweepPage {
 	page := &SweepPage{}
 	size := min(max(limit, 1), maxSweepPage)
@@ -275,8 +275,8 @@
 	return page
 }
 
-// cancellationsIn are the cancellations that a page reports: the sweep's own, or else
-// those of the runs.
+// cancellationsIn returns the cancellations that a page reports: that of the sweep if it is
+// cancelled, otherwise those of its runs.
 func (s *sweep) cancellationsIn(page *SweepPage) []string {
 	var cancelled []string
 	for _, run := range page.Runs {
@@ -290,7 +290,7 @@
 	return cancelled
 }
 
-// runState is the state of a run as users see it.
+// runState returns the state of a run as users see it.
 func (m *sweepManager) runState(s *sweep, i int) string {
 	id := s.plan.Specs[i].ID
 	j := m.cache.jobs[id]
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -7,44 +7,44 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// cancelledSweepPrefix marks a sweep among the cancellations that controllers pass on to
-// each other; no job's id has a slash.
+// cancelledSweepPrefix marks the id of a sweep among the cancellations that controllers send
+// to each other; job ids contain no slash.
 const cancelledSweepPrefix = "sweep/"
 
-// sweep is what a controller knows of one.
+// sweep is a controller's state of one sweep.
 type sweep struct {
 	id           string
 	head         sweepHead
 	headRevision uint64         // 0 until the head is known
-	parts        map[int]string // of the description
+	parts        map[int]string // parts of the description by number
 
-	// next is the first run that is not created, ended the runs that are counted, and
-	// cancelled those of them that are not done. The leader's may be ahead of what is
-	// stored at positionRevision.
+	// next is the number of the first run that is not created, ended has the runs that
+	// are counted as ended, and cancelled those of them that are not done. On the leader
+	// these may be ahead of the position stored at positionRevision.
 	next             int
 	ended, cancelled *roaring.Bitmap
-	cancelledStored  uint64 // how many of the cancelled runs are stored
+	cancelledStored  uint64 // number of cancelled runs that are stored as such
 	positionRevision uint64
-	// closed: all runs have ended and are counted, and that is stored.
+	// closed is set if all runs have ended and are counted, and that is stored.
 	closed bool
-	// countPendingSince is since when a count waits to be stored, 0 for none.
+	// countPendingSince is the time since which counted runs wait to be stored, 0 for none.
 	countPendingSince int64
 
 	outcome string
-	// cancelConfirmed: it is known to be cancelled, but perhaps not yet what was stored
-	// before; nothing of it is started any more.
+	// cancelConfirmed is set if the sweep is known to be cancelled but the cache may lack
+	// changes that were stored before the cancellation. No task of it is started any more.
 	cancelConfirmed bool
 
 	plan         *SweepPlan
 	expanding    bool
-	planRequests []*request // that wait for the plan
+	planRequests []*request // requests that wait for the plan
 
-	stoppedReason string // why nothing more is created
+	stoppedReason string // why no more runs are created
 	writing       bool
 	notBefore     int64
 }
 
-// sweepManager expands sweeps into jobs and follows how these end.
+// sweepManager expands sweeps into jobs and tracks how these end.
 type sweepManager struct {
 	*engine
 
@@ -59,15 +59,17 @@
 	tasks        *taskManager
 
 	sweeps map[string]*sweep
-	// lastPlanned is the closed sweep whose plan was last loaded: only that is kept.
+	// lastPlanned is the id of the closed sweep whose plan was loaded last; the plans of
+	// other closed sweeps are not kept.
 	lastPlanned string
-	// mayHaveOpenRuns: a cancelled sweep may have runs that are not ended here.
+	// mayHaveOpenRuns is set if a cancelled sweep may have runs that have not ended in the
+	// cache.
 	mayHaveOpenRuns bool
 }
 
 func (m *sweepManager) enabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
 
-// sweep finds a sweep, or makes what is to be filled by the keys that are read.
+// sweep returns a sweep, or adds an empty one that is filled from the keys as they are read.
 func (m *sweepManager) sweep(id string) *sweep {
 	s := m.sweeps[id]
 	if s == nil {
@@ -77,7 +79,7 @@
 	return s
 }
 
-// knownSweep finds an accepted sweep, or nil.
+// knownSweep returns an accepted sweep, or nil.
 func (m *sweepManager) knownSweep(id string) *sweep {
 	if s := m.sweeps[id]; s != nil && s.headRevision != 0 {
 		return s
@@ -85,14 +87,14 @@
 	return nil
 }
 
-// isCancelled says whether a sweep is cancelled, as far as it is known here with all
-// that was stored before.
+// isCancelled reports whether a sweep is cancelled and the cache has everything that was
+// stored before the cancellation.
 func (m *sweepManager) isCancelled(id string) bool {
 	s := m.sweeps[id]
 	return s != nil && s.outcome == jobstate.Cancelled
 }
 
-// mayStart says whether a job's tasks may be started, as far as its sweep goes.
+// mayStart reports whether a job's sweep, if any, allows its tasks to start.
 func (m *sweepManager) mayStart(j *jobstate.Job) bool {
 	if j.Sweep == "" {
 		return true
@@ -101,7 +103,7 @@
 	return s == nil || !s.cancelConfirmed
 }
 
-// state is the state of a sweep as users see it.
+// state returns the state of a sweep as users see it.
 func (s *sweep) state() *SweepState {
 	cancelled := int(s.cancelled.GetCardinality())
 	state := &SweepState{
@@ -114,7 +116,7 @@
 	}
 	switch {
 	case s.outcome == jobstate.Cancelled:
-		state.Cancelled = s.head.Runs - state.Done // what is not done never will be
+		state.Cancelled = s.head.Runs - state.Done // the other runs will never be done
 	case s.outcome == "" && s.next > 0:
 		state.State = Running
 	case s.outcome == "":
@@ -123,7 +125,7 @@
 	return state
 }
 
-// open are the runs that are created and not counted.
+// open returns the runs that are created and not counted as ended.
 func (s *sweep) open() *roaring.Bitmap {
 	runs := roaring.New()
 	runs.AddRange(0, uint64(s.next))
@@ -131,25 +133,25 @@
 	return runs
 }
 
-// close forgets what only a sweep under way needs.
+// close releases what only an unfinished sweep needs.
 func (s *sweep) close() {
 	s.closed = true
 	s.forgetPlan()
 }
 
-// forgetPlan frees the plan and the description, which can be read again.
+// forgetPlan releases the plan and the description, which can be read again.
 func (s *sweep) forgetPlan() {
 	s.parts, s.plan = map[int]string{}, nil
 }
 
-// noteRun is called for each unfinished job that is new here.
+// noteRun is called for each unfinished job that is new to this controller.
 func (m *sweepManager) noteRun(j *jobstate.Job) {
 	if j.Sweep != "" {
 		m.mayHaveOpenRuns = true
 	}
 }
 
-// sweepEnded notes how a sweep has ended.
+// sweepEnded records how a sweep has ended.
 func (m *sweepManager) sweepEnded(id, outcome string, revision uint64) {
 	s := m.sweep(id)
 	if outcome == jobstate.Cancelled {
@@ -164,13 +166,13 @@
 	}
 }
 
-// endCancelledRuns ends the unfinished runs of cancelled sweeps, as every controller
-// derives for itself: users see it at once, and the leader stores the ends as its budget
-// allows.
+// endCancelledRuns ends the unfinished runs of cancelled sweeps. Every controller derives
+// these ends by itself, so users see them at once, and the leader stores the ends as its
+// write budget allows.
 //
-// It is called only when the cache has all that was stored before some moment: a run
-// whose end was stored before its sweep was cancelled is done, and a list, a key that was
-// read or another controller's message would miss that.
+// It may be called only when the cache has everything that was stored up to some revision.
+// A run whose end was stored before its sweep was cancelled is done, and the cache could
+// miss that after a list, the read of a single key or a message of another controller.
 func (m *sweepManager) endCancelledRuns() {
 	if !m.mayHaveOpenRuns {
 		return
@@ -185,8 +187,8 @@
 	}
 }
 
-// noteCancelled is called when a sweep is known to be cancelled but the cache may
-// lag: its tasks are stopped, and none is started.
+// noteCancelled is called when a sweep is known to be cancelled but the cache may lag
+// behind. The leader stops its tasks, and none is started any more.
 func (m *sweepManager) noteCancelled(id string) {
 	s := m.sweep(id)
 	if s.cancelConfirmed || s.outcome != "" {
@@ -204,7 +206,7 @@
 	}
 }
 
-// reset is called before the stored state is read anew.
+// reset is called before the stored state is read again from the start.
 func (m *sweepManager) reset() {
 	for _, id := range sortedKeys(m.sweeps) {
 		for _, r := range m.sweeps[id].planRequests {
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -13,17 +13,17 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// sweepID is the id of all sweeps in these tests.
+// sweepID is the id of the sweep in these tests.
 const sweepID = "s"
 
-// runID is the id of a run of a sweep in these tests.
+// runID returns the id of a run of that sweep.
 func runID(i int) string { return fmt.Sprintf("%s%s.%d", RunPrefix, sweepID, i) }
 
 // sweepFormat is the first stored format with sweeps.
 var sweepFormat = formatRecord{Version: 3, Tasks: 64}
 
-// sweepOf is a submitted sweep of so many runs that take so many thousandths of a CPU
-// each.
+// sweepOf returns the submission of a sweep with the given number of runs, each of which needs
+// milliCPUs thousandths of a CPU.
 func sweepOf(runs int, milliCPUs int64) SubmitSweep {
 	plan := &SweepPlan{ID: sweepID, Digest: fmt.Sprint("d", runs, milliCPUs), MaxUnfinished: 3, Longest: 300}
 	for i := range runs {
@@ -37,7 +37,7 @@
 	return SubmitSweep{Plan: plan, Stored: strings.Repeat("x", 50)}
 }
 
-// newSweepHarness starts a leader that has sweeps switched on or not.
+// newSweepHarness starts a leader with sweeps enabled or disabled.
 func newSweepHarness(t *testing.T, enabled bool) *harness {
 	t.Helper()
 	h := newHarness(t, map[string]any{formatKey: sweepFormat})
@@ -46,12 +46,12 @@
 	h.start(settings)
 	h.advance(2 * second)
 	if !h.core.elector.isLeader() {
-		t.Fatal("does not lead")
+		t.Fatal("controller does not lead")
 	}
 	return h
 }
 
-// requestSweep sends a request with the next number and returns its answer.
+// requestSweep sends a request with the next id and returns the reply to it.
 func (h *harness) requestSweep(build func(requestID uint64) any) Reply {
 	h.lastRequest++
 	id := h.lastRequest
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestSubmitSweep: what a submission is answered, and that one which is refused
-// leaves nothing in the state service.
+// TestSubmitSweep checks the replies to submissions of sweeps, and that a refused submission
+// stores nothing.
 func TestSubmitSweep(t *testing.T) {
 	big := sweepOf(2, 1000)
 	big.Stored = strings.Repeat("x", 45<<10)
@@ -88,52 +88,52 @@
 		reason     string
 	}{
 		{"accepted", false, sweepOf(5, 1000), 201, ""},
-		{"one run depends on another", false, own, 201, ""},
-		{"switched off", true, sweepOf(5, 1000), 404, "switched off"},
-		{"a malformed run", false, bad, 400, "run {a: 1}: herd"},
-		{"a run that fits no machine", false, sweepOf(5, 5000), 422, `run {"a":0}: no allowed machine type`},
-		{"a run that depends on an unknown job", false, orphan, 422, "awaits: nobody was never accepted"},
-		{"a description that is too long", false, big, 400, "46080 bytes when packed"},
-		{"a run that is too long", false, long, 400, "a run's description takes 9000 bytes"},
+		{"run depends on another run", false, own, 201, ""},
+		{"sweeps disabled", true, sweepOf(5, 1000), 404, "switched off"},
+		{"malformed run", false, bad, 400, "run {a: 1}: herd"},
+		{"run fits no machine type", false, sweepOf(5, 5000), 422, `run {"a":0}: no allowed machine type`},
+		{"run depends on an unknown job", false, orphan, 422, "awaits: nobody was never accepted"},
+		{"sweep description too long", false, big, 400, "46080 bytes when packed"},
+		{"run description too long", false, long, 400, "a run's description takes 9000 bytes"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newSweepHarness(t, !tc.off)
 			reply := h.submitSweep(tc.submission)
 			if reply.Status != tc.status || !strings.Contains(reply.Error, tc.reason) {
-				t.Errorf("%d %s", reply.Status, reply.Error)
+				t.Errorf("got status %d, error %q, want status %d, error with %q", reply.Status, reply.Error, tc.status, tc.reason)
 			}
 			if _, stored := h.keys[sweepPrefix+sweepID]; stored != (tc.status == 201) {
-				t.Errorf("stored: %v", stored)
+				t.Errorf("sweep stored: got %v, want %v", stored, tc.status == 201)
 			}
 			if tc.status != 201 {
 				return
 			}
 			if r := h.submitSweep(tc.submission); r.Status != 200 || r.Sweep == nil || r.Sweep.Runs != len(tc.submission.Plan.Specs) {
-				t.Errorf("submitted again: %+v", r)
+				t.Errorf("repeated submission: got %+v, want status 200 with the state of the sweep", r)
 			}
 			if r := h.submitSweep(sweepOf(9, 1000)); r.Status != 409 {
-				t.Errorf("another with its id: %d", r.Status)
+				t.Errorf("other sweep with the same id: got status %d, want 409", r.Status)
 			}
 			if r := h.submitSweep(bad); r.Status != 200 {
-				t.Errorf("a malformed one with its id: %d, and it was accepted", r.Status)
+				t.Errorf("malformed sweep with the id of the accepted one: got status %d, want 200", r.Status)
 			}
 		})
 	}
 }
 
-// TestSweepActivation: sweeps raise the format only when every controller advertises
-// them, and one that has them switched off raises nothing.
+// TestSweepActivation checks that a controller raises the stored format for sweeps only if every
+// controller advertises them, and never if it has them disabled itself.
 func TestSweepActivation(t *testing.T) {
 	cases := []struct {
 		name     string
 		on       bool
-		versions []int // of the others
+		versions []int // of the other controllers
 		want     int
 	}{
-		{"all have sweeps", true, []int{3, 3}, 3},
-		{"one has not", true, []int{3, 2}, 2},
-		{"this one has not", false, []int{3, 3}, 2},
+		{"all controllers have sweeps", true, []int{3, 3}, 3},
+		{"another controller lacks sweeps", true, []int{3, 2}, 2},
+		{"disabled on this controller", false, []int{3, 3}, 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -148,24 +148,24 @@
 			h.refresh()
 			h.advance(3 * second)
 			if f := h.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
-				t.Errorf("the format is %+v", f)
+				t.Errorf("got format %+v, want version %d, tasks 32", f, tc.want)
 			}
 			if r := h.submitSweep(sweepOf(1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
-				t.Errorf("a sweep is answered %d %s", r.Status, r.Error)
+				t.Errorf("sweep submission: got status %d, error %q, want accepted: %v", r.Status, r.Error, tc.want == 3)
 			}
 		})
 	}
 }
 
-// TestSweepCancelledAtPeer: a controller that learns of a cancelled sweep from a peer stops its
-// tasks at once, but calls its runs cancelled only when it has all that was stored
-// before: one of them may be done. In an outage right after a cancellation runs were
-// called cancelled whose end was stored as done.
+// TestSweepCancelledAtPeer checks that a controller that learns of a cancelled sweep from a peer
+// stops its tasks at once, but reports its runs as cancelled only when it has everything that was
+// stored before the cancellation, because some of them may be done. It guards against a fault in an
+// outage right after a cancellation: runs whose end was stored as done were reported as cancelled.
 func TestSweepCancelledAtPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
 	if reply := h.submitSweep(submission); reply.Status != 201 {
-		t.Fatalf("%d %s", reply.Status, reply.Error)
+		t.Fatalf("sweep submission: got status %d, error %q, want status 201", reply.Status, reply.Error)
 	}
 	for i, spec := range submission.Plan.Specs {
 		h.store(jobPrefix+runID(i), jobstate.Record{Spec: spec, SubmittedWall: 1})
@@ -175,24 +175,24 @@
 	run := cache.jobs[runID(1)]
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + sweepID}}})
 	if _, isOver := cache.ends.Get(runID(1)); run == nil || run.Outcome() != "" || isOver {
-		t.Fatal("a run is called cancelled although its end may be stored as done")
+		t.Fatal("run is missing or reported as ended, although its end may be stored as done")
 	}
 	if h.core.sweepManager.mayStart(run) {
-		t.Error("its tasks may still be started")
+		t.Error("tasks of the cancelled sweep may still be started")
 	}
-	// What was stored before: run 0 is done. Then the cancellation.
+	// Run 0 is stored as done before the cancellation is stored.
 	h.store(endPrefix+runID(0), jobstate.End{Outcome: jobstate.Done, Tasks: 1})
 	h.store(sweepEndPrefix+sweepID, sweepEndRecord{Outcome: jobstate.Cancelled})
 	h.refresh()
 	first, _ := cache.ends.Get(runID(0))
 	last, _ := cache.ends.Get(runID(1))
 	if first.Outcome != jobstate.Done || last.Outcome != jobstate.Cancelled {
-		t.Errorf("the runs are %q and %q", first.Outcome, last.Outcome)
+		t.Errorf("outcomes of the runs: got %q and %q, want %q and %q", first.Outcome, last.Outcome, jobstate.Done, jobstate.Cancelled)
 	}
 }
 
-// TestSweepPositionSize: the position of the largest sweep fits the smallest value, however
-// its runs have ended.
+// TestSweepPositionSize checks that the position and the cancelled runs of the largest sweep fit
+// into the smallest value limit, whichever of its runs have ended, and that they are decoded again.
 func TestSweepPositionSize(t *testing.T) {
 	const runs, maxBytes = 10_000, 2000
 	random := rand.New(rand.NewPCG(1, 2))
@@ -207,25 +207,26 @@
 	position := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
 	cancelled := encodeJSON(cancelledRuns{Runs: encodeRunSet(gone)})
 	if len(position) > maxBytes || len(cancelled) > maxBytes {
-		t.Errorf("%d and %d bytes", len(position), len(cancelled))
+		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(position), len(cancelled), maxBytes)
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
 	bad := func(err error) { t.Error(err) }
 	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, bad)
 	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, bad)
 	if s := manager.sweep(sweepID); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
-		t.Error("it is read as something else")
+		t.Error("decoded position or cancelled runs differ from the encoded ones")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
 		if _, err := decodeRunSet(text); err == nil {
-			t.Errorf("%q is read as a set", text)
+			t.Errorf("decodeRunSet(%q): got no error for an invalid set", text)
 		}
 	}
 }
 
-// TestRunToldByPeer: a run that a peer tells is cancelled counts as ended only once its end is
-// stored, as the sweep's position lets the run be forgotten.
-func TestRunToldByPeer(t *testing.T) {
+// TestRunCancellationFromPeer checks that a run that a peer reports as cancelled is counted as
+// ended only once its end is stored, because a counted run in the sweep's position is not looked
+// up any more.
+func TestRunCancellationFromPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
 	h.submitSweep(submission)
@@ -234,16 +235,16 @@
 	h.advance(2 * second)
 	id := runID(0)
 	if h.core.cache.jobs[id] == nil {
-		t.Fatal("the run is not created")
+		t.Fatal("run is not created")
 	}
 	h.delaysCommits = true
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{id}}})
 	h.advance(3 * second)
 	if end, ok := h.core.cache.ends.Get(id); !ok || end.IsStored() {
-		t.Fatalf("the end is known as %+v", end)
+		t.Fatalf("got end %+v (known: %v), want a known end that is not stored", end, ok)
 	}
 	if sweep.ended.Contains(0) {
-		t.Error("the run is counted before its end is stored")
+		t.Error("run is counted before its end is stored")
 	}
 	h.delaysCommits = false
 	for _, delayed := range h.delayedCommits {
@@ -251,9 +252,9 @@
 	}
 	h.advance(3 * second)
 	if h.keys[endPrefix+id].Revision == 0 {
-		t.Error("the end of the run is not stored")
+		t.Error("end of the run is not stored")
 	}
 	if !sweep.ended.Contains(0) || !sweep.cancelled.Contains(0) {
-		t.Error("the run is not counted though its end is stored")
+		t.Error("run is not counted as ended and cancelled although its end is stored")
 	}
 }
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -9,19 +9,19 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// A sweep is stored as its description, in one transaction, and so accepted whole or
-// not at all. Its runs are derived from that by the leader, in their order, a few at a
-// time; how many are created is stored with each step. One key, created once, says how
+// The description of a sweep is stored in one transaction, so a sweep is accepted as a whole
+// or not at all. The leader creates its runs from the description in order, a few at a time,
+// and stores the number of created runs with each step. One key, created once, records how
 // the sweep ended. docs/sweeps.md has the reasons.
 const (
 	sweepRoot           = Prefix + "sweep"
 	sweepPrefix         = sweepRoot + "/"    // ID: the head; ID/N: a part of the description
-	sweepPositionPrefix = sweepRoot + "at/"  // ID: how far the runs have come; ID/gone: those cancelled
-	sweepEndPrefix      = sweepRoot + "end/" // ID: how it ended
+	sweepPositionPrefix = sweepRoot + "at/"  // ID: the position; ID/gone: the cancelled runs
+	sweepEndPrefix      = sweepRoot + "end/" // ID: how the sweep ended
 
 	cancelledRunsSuffix = "/gone"
 
-	// RunPrefix begins the ids of all runs, and of no other job.
+	// RunPrefix is the prefix of the ids of all runs, and of no other job.
 	RunPrefix = "sweep."
 )
 
@@ -34,39 +34,39 @@
 	Submitted     int64  `json:"t"`
 }
 
-// sweepPosition is how far a sweep has come: the runs before Next are created, and all
-// of these have ended and are counted but the open ones.
+// sweepPosition is the stored progress of a sweep: the runs before Next are created, and
+// all of these except the open ones have ended and are counted.
 type sweepPosition struct {
 	Next   int    `json:"n"`
 	Open   string `json:"o,omitempty"`
 	Closed bool   `json:"c,omitempty"`
 }
 
-// cancelledRuns are the counted runs that are not done. They have a value of their own,
-// as both would not fit the smallest one; it is written with sweepPosition where it
-// changed.
+// cancelledRuns has the counted runs that are not done. It is stored in a value of its own,
+// because together with sweepPosition it would exceed the smallest value limit. It is
+// written together with sweepPosition if it has changed.
 type cancelledRuns struct {
 	Runs string `json:"r"`
 }
 
-// sweepEndRecord is how a sweep ended.
+// sweepEndRecord is the stored end of a sweep.
 type sweepEndRecord struct {
 	Outcome string `json:"o"`
 	At      int64  `json:"t"`
 }
 
-// sweepKey is what a key of a sweep says of it, without its prefix.
+// sweepKey is a parsed key of a sweep, without Prefix.
 type sweepKey struct {
 	kind   sweepKeyKind
 	id     string
-	suffix string // after the id, where hasSuffix
-	// hasSuffix tells ID/ from ID.
+	suffix string // the text after ID/, if hasSuffix
+	// hasSuffix distinguishes ID/ from ID.
 	hasSuffix bool
 }
 
 type sweepKeyKind string
 
-// The kinds of keys, as they are stored below Prefix.
+// The kinds of keys, as stored after Prefix.
 const (
 	sweepKeyDescription sweepKeyKind = "sweep"
 	sweepKeyPosition    sweepKeyKind = "sweepat"
@@ -79,11 +79,11 @@
 	return sweepKey{kind: sweepKeyKind(kind), id: id, suffix: suffix, hasSuffix: hasSuffix}
 }
 
-// apply applies a change of a sweep's key to the cache; key is without Prefix, and
-// bad is called with the error of a value that can't be read.
-func (m *sweepManager) apply(key string, change Change, bad func(error)) {
+// apply applies a change of a sweep's key to the cache. key is without Prefix; onInvalid is
+// called with the error if the value can't be decoded.
+func (m *sweepManager) apply(key string, change Change, onInvalid func(error)) {
 	if change.Removed {
-		return // none ever is
+		return // keys of sweeps are never removed
 	}
 	k := parseSweepKey(key)
 	s := m.sweep(k.id)
@@ -101,19 +101,20 @@
 		err = m.applySweepEnd(k.id, change)
 	}
 	if err != nil {
-		bad(err)
+		onInvalid(err)
 	}
 }
 
-// applyPart takes over a part of the description, which only a sweep under way needs.
+// applyPart adds a part of the description, unless the sweep is closed and no longer needs
+// it.
 func (s *sweep) applyPart(number string, value []byte) error {
 	n, err := strconv.Atoi(number)
 	if err != nil {
-		return fmt.Errorf("number of a part of a description: %w", err)
+		return fmt.Errorf("parse part number of sweep description: %w", err)
 	}
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
-		return fmt.Errorf("part of a description: %w", err)
+		return fmt.Errorf("decode part of sweep description: %w", err)
 	}
 	if !s.closed {
 		s.parts[n] = text
@@ -123,7 +124,7 @@
 
 func (s *sweep) applyHead(change Change) error {
 	if err := json.Unmarshal(change.Value, &s.head); err != nil {
-		return fmt.Errorf("head of a sweep: %w", err)
+		return fmt.Errorf("decode sweep head: %w", err)
 	}
 	s.headRevision = change.Revision
 	return nil
@@ -132,7 +133,7 @@
 func (s *sweep) applyCancelledRuns(value []byte) error {
 	var stored cancelledRuns
 	if err := json.Unmarshal(value, &stored); err != nil {
-		return fmt.Errorf("cancelled runs: %w", err)
+		return fmt.Errorf("decode cancelled runs of sweep: %w", err)
 	}
 	runs, err := decodeRunSet(stored.Runs)
 	if err != nil {
@@ -143,14 +144,14 @@
 	return nil
 }
 
-// applyPosition takes over a newer position; all of it only ever grows.
+// applyPosition merges a newer position into the sweep's progress, which only ever grows.
 func (s *sweep) applyPosition(change Change) error {
 	if change.Revision <= s.positionRevision {
 		return nil
 	}
 	var position sweepPosition
 	if err := json.Unmarshal(change.Value, &position); err != nil {
-		return fmt.Errorf("position of a sweep: %w", err)
+		return fmt.Errorf("decode sweep position: %w", err)
 	}
 	open, err := decodeRunSet(position.Open)
 	if err != nil {
@@ -171,7 +172,7 @@
 func (m *sweepManager) applySweepEnd(id string, change Change) error {
 	var end sweepEndRecord
 	if err := json.Unmarshal(change.Value, &end); err != nil {
-		return fmt.Errorf("end of a sweep: %w", err)
+		return fmt.Errorf("decode sweep end: %w", err)
 	}
 	m.sweepEnded(id, end.Outcome, change.Revision)
 	return nil
--- a/internal/core/trials.go
+++ b/internal/core/trials.go
@@ -8,17 +8,18 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// wantsTrial says whether a job's next attempt is its trial, the paper's speculative
-// execution (section 2.1): a job that can restart is first run for a short time where its
-// estimate puts it in one of the longer queues, as the estimate may be far too long.
+// wantsTrial reports whether a job's next attempt is its trial, the paper's speculative
+// execution (section 2.1). A job that can restart from a checkpoint and that its estimate
+// puts in one of the longer queues is first run for a short time, because the estimate may
+// be far too long.
 func (p *planner) wantsTrial(job *jobstate.Job) bool {
 	return job.Checkpoint > 0 && !job.TrialDone && job.Kind != jobstate.Service && p.queueOf(job.Spec) > shortQueue
 }
 
-// endTrials stops trials that are over while some job waits for a machine
-// they are on that would come before the job when it is requeued. Otherwise
-// the job itself would be started again there at once, after a checkpoint and an
-// image fetch for nothing, so it goes on as if it had been.
+// endTrials stops trials that have used up their time, but only if a waiting job could use
+// one of their machines and would precede the requeued job. Otherwise the same job would be
+// started there again at once, after a useless checkpoint and image fetch, so it continues
+// to run.
 func (p *planner) endTrials(plan sched.Plan, guaranteed map[*jobstate.Job]bool) {
 	if len(plan.Waiting) == 0 {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// jobsOnTrial lists the jobs that may have tasks on trial, by ID.
+// jobsOnTrial lists the jobs that may have tasks on trial, ordered by ID.
 func (p *planner) jobsOnTrial() []*jobstate.Job {
 	var jobs []*jobstate.Job
 	for _, job := range p.cache.jobs {
@@ -49,8 +50,8 @@
 	return jobs
 }
 
-// trialIsOver says whether a task has been on trial for long enough on a machine that
-// a job before the requeued one waits for.
+// trialIsOver reports whether a task of the job has used up its trial time on a machine
+// that a waiting job preceding the requeued one could use.
 func (p *planner) trialIsOver(requeued *sched.Job, waiting []*sched.Job) bool {
 	over := false
 	requeued.EachPlaced(func(_ int, t *jobstate.Task) {
@@ -60,8 +61,8 @@
 	return over
 }
 
-// hasWaitingUse says whether a job that waits could use a machine, and
-// would go before the requeued one.
+// hasWaitingUse reports whether a waiting job could use a machine and would precede the
+// requeued one.
 func (p *planner) hasWaitingUse(machine string, requeued *sched.Job, waiting []*sched.Job) bool {
 	m := p.elector.leadership.fleet.Get(machine)
 	if m == nil {
--- a/internal/core/writequeue.go
+++ b/internal/core/writequeue.go
@@ -1,14 +1,15 @@
 package core
 
-// Writes that one request spends of the budget; those of a sweep's submission depend on
-// its size.
+// Number of writes that a request takes from the budget. For the submission of a sweep it
+// depends on the sweep's size.
 const (
 	submitWrites      = 1
 	cancelWrites      = 2
 	cancelSweepWrites = 1
 )
 
-// queueWrite queues the write of a submission or cancellation until the budget allows it.
+// queueWrite queues the write of a submission or cancellation until the write budget
+// allows it.
 func (h *requestHandler) queueWrite(r *request) {
 	if len(h.queues.queuedWrites) >= maxQueuedRequests || h.health.unavailable() && r.tries == 0 {
 		h.refuse(r)
@@ -18,7 +19,7 @@
 	h.writeQueued()
 }
 
-// writeQueued begins the queued writes that the budget allows.
+// writeQueued starts the queued writes that the write budget allows.
 func (h *requestHandler) writeQueued() {
 	q := &h.queues
 	h.health.refillWrites()
@@ -39,7 +40,7 @@
 	}
 }
 
-// beginWrite spends the budget for a request's write and begins it.
+// beginWrite takes the cost of a request's write from the budget and starts the write.
 func (h *requestHandler) beginWrite(r *request) {
 	switch r.kind {
 	case requestSubmit:
@@ -55,8 +56,8 @@
 	}
 }
 
-// retryWrite repeats a write that failed or whose outcome is unknown: its
-// conditions make that safe.
+// retryWrite repeats a write that failed or whose outcome is unknown. This is safe because
+// the write's conditions hold only if it was not executed before.
 func (h *requestHandler) retryWrite(r *request) {
 	r.tries++
 	if r.tries > maxWriteTries || h.now-r.receivedAt > maxWriteWait {
@@ -70,8 +71,9 @@
 	h.queues.queuedWrites = append(h.queues.queuedWrites, r)
 }
 
-// writesLacking is how many changes requests wait for, with so many left.
-func (q *requestQueues) writesLacking(left float64) int {
+// writesNeeded returns the number of writes that queued requests need, or 0 if the budget
+// has at least one write left.
+func (q *requestQueues) writesNeeded(left float64) int {
 	if len(q.queuedWrites) == 0 || left >= 1 {
 		return 0
 	}
@@ -82,8 +84,9 @@
 	return n
 }
 
-// writeCost is how many changes a request takes; a sweep's are told from its size when
-// it is written.
+// writeCost returns the number of writes that a request needs. For the submission of a
+// sweep this is a minimum: the number depends on its size, which is known when it is
+// written.
 func (r *request) writeCost() int {
 	if r.kind == requestCancel {
 		return cancelWrites
