--- a/internal/core/deadlinestart.go
+++ b/internal/core/deadlinestart.go
@@ -15,9 +15,9 @@
 const (
 	maxSizedClasses = 200     // pairs of class and kind
 	maxTasksCounted = 100_000 // tasks of a job; larger jobs count as this size
-	// topQuantile is the percentile of the sizes of its class from which on an array is one
+	// largestArrayPercentile is the percentile of the sizes of its class from which on an array is one
 	// of the largest.
-	topQuantile = 90
+	largestArrayPercentile = 90
 )
 
 // classSizes has histograms of the number of tasks of the jobs that a leader has seen, by
@@ -58,7 +58,7 @@
 	if spec.Kind == jobstate.Gang {
 		return sizes.ValuesAreEquivalent(tasks, sizes.Max())
 	}
-	top := sizes.ValueAtQuantile(topQuantile)
+	top := sizes.ValueAtQuantile(largestArrayPercentile)
 	return tasks > sizes.Min() && (tasks >= top || sizes.ValuesAreEquivalent(tasks, top))
 }
 
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -56,8 +56,8 @@
 
 func newEndMonitor(run *engine) *endMonitor { return &endMonitor{engine: run} }
 
-// unstored counts the jobs whose ends this controller knows but does not know to be stored.
-func (m *endMonitor) unstored() int {
+// countUnstoredEnds counts the jobs whose ends this controller knows but does not know to be stored.
+func (m *endMonitor) countUnstoredEnds() int {
 	n := 0
 	for _, j := range m.cache.jobs {
 		if j.Outcome() != "" && !j.End().IsStored() {
--- a/internal/core/endmonitor_test.go
+++ b/internal/core/endmonitor_test.go
@@ -31,7 +31,7 @@
 	h.delaysCommits = true
 	page := readlease.CancellationPage{Incarnation: "x", UpTo: 1, Complete: true, Cancelled: []string{"second"}}
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{ReadLease: &page}})
-	if n := h.core.endMonitor.unstored(); n != 2 {
+	if n := h.core.endMonitor.countUnstoredEnds(); n != 2 {
 		t.Errorf("got %d unstored ends, want 2: of the cancelled job and of its dependent", n)
 	}
 	h.unreachable = map[string]bool{}
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -78,7 +78,7 @@
 			v.Awaiting++
 		}
 	}
-	v.UnstoredEnds = o.endMonitor.unstored()
+	v.UnstoredEnds = o.endMonitor.countUnstoredEnds()
 	v.Ends = o.endMonitor.counts
 }
 
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -24,8 +24,8 @@
 	// minSpareMachines is the minimum number of idle on-demand machines at which services
 	// may spread over more machines than they fill. With fewer, machines are in demand.
 	minSpareMachines = 16
-	// distantFuture is the expected duration of services, which never end.
-	distantFuture = int64(1) << 50
+	// serviceDuration is the expected duration of services, which never end.
+	serviceDuration = int64(1) << 50
 )
 
 // plannedPivot is the job at the head of a queue with its expected start time.
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -107,7 +107,7 @@
 func (p *planner) expectedDuration(job *jobstate.Job) int64 {
 	switch {
 	case job.Kind == jobstate.Service:
-		return distantFuture
+		return serviceDuration
 	case p.wantsTrial(job):
 		return min(job.Estimate, p.settings.Ops.Trial)
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -202,11 +202,11 @@
 func (h *requestHandler) readForRequests() {
 	reads := &h.queues.stateReads
 	source := h.reader.readSource()
-	gap := h.health.viewInterval()
+	interval := h.health.viewInterval()
 	if source != "" {
-		gap = leaderReadGap
+		interval = leaderReadGap
 	}
-	if !h.cache.synced || !reads.Due(h.now, gap) || source == "" && !h.health.tryTakeRead() {
+	if !h.cache.synced || !reads.Due(h.now, interval) || source == "" && !h.health.tryTakeRead() {
 		return
 	}
 	h.beginRead(source)
--- a/internal/core/runestimate.go
+++ b/internal/core/runestimate.go
@@ -47,7 +47,7 @@
 	var end int64
 	switch {
 	case job.Kind == jobstate.Service:
-		end = p.now + distantFuture
+		end = p.now + serviceDuration
 	case task.StartedAt != 0:
 		end = task.StartedAt + job.Estimate
 	default:
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -57,7 +57,7 @@
 // open. It reads ends of runs that are no longer in the cache.
 func (m *sweepManager) countRuns(s *sweep) (open int) {
 	reads := 0
-	for it := s.open().Iterator(); it.HasNext(); {
+	for it := s.openRuns().Iterator(); it.HasNext(); {
 		i := int(it.Next())
 		id := s.plan.Specs[i].ID
 		j := m.cache.jobs[id]
@@ -166,7 +166,7 @@
 	key := sweepPositionPrefix + s.id
 	open := roaring.New()
 	open.AddRange(uint64(s.next), uint64(step.position.Next))
-	open.Or(s.open())
+	open.Or(s.openRuns())
 	step.position.Open = encodeRunSet(open)
 	step.writes = append(step.writes, Write{Key: key, Value: encodeJSON(step.position)})
 
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -125,8 +125,8 @@
 	return state
 }
 
-// open returns the runs that are created and not counted as ended.
-func (s *sweep) open() *roaring.Bitmap {
+// openRuns returns the runs that are created and not counted as ended.
+func (s *sweep) openRuns() *roaring.Bitmap {
 	runs := roaring.New()
 	runs.AddRange(0, uint64(s.next))
 	runs.AndNot(s.ended)
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -210,10 +210,10 @@
 		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(position), len(cancelled), maxBytes)
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
-	bad := func(err error) { t.Error(err) }
-	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, bad)
-	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, bad)
-	if s := manager.sweep(sweepID); !s.open().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
+	onInvalid := func(err error) { t.Error(err) }
+	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, onInvalid)
+	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, onInvalid)
+	if s := manager.sweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
 		t.Error("decoded position or cancelled runs differ from the encoded ones")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
--- a/internal/core/trials.go
+++ b/internal/core/trials.go
@@ -56,14 +56,14 @@
 	over := false
 	requeued.EachPlaced(func(_ int, t *jobstate.Task) {
 		over = over || t.Trial && !t.IsStopping() && t.Phase == jobstate.Running &&
-			p.now-t.PlacedAt >= p.settings.Ops.Trial && p.hasWaitingUse(t.Machine, requeued, waiting)
+			p.now-t.PlacedAt >= p.settings.Ops.Trial && p.waitingJobCanUse(t.Machine, requeued, waiting)
 	})
 	return over
 }
 
-// hasWaitingUse reports whether a waiting job could use a machine and would precede the
+// waitingJobCanUse reports whether a waiting job could use a machine and would precede the
 // requeued one.
-func (p *planner) hasWaitingUse(machine string, requeued *sched.Job, waiting []*sched.Job) bool {
+func (p *planner) waitingJobCanUse(machine string, requeued *sched.Job, waiting []*sched.Job) bool {
 	m := p.elector.leadership.fleet.Get(machine)
 	if m == nil {
 		return false
