--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -56,7 +56,8 @@
 
 func newEndMonitor(run *engine) *endMonitor { return &endMonitor{engine: run} }
 
-// countUnstoredEnds counts the jobs whose ends this controller knows but does not know to be stored.
+// countUnstoredEnds counts the jobs whose ends this controller knows but does not know to be
+// stored.
 func (m *endMonitor) countUnstoredEnds() int {
 	n := 0
 	for _, j := range m.cache.jobs {
@@ -67,7 +68,7 @@
 	return n
 }
 
-// recordDerived records that a job's end was recordDerived from the end of another job or of its
+// recordDerived records that a job's end was derived from the end of another job or of its
 // sweep.
 func (m *endMonitor) recordDerived(job, from string, end jobstate.KnownEnd) {
 	m.counts.Derived++
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -14,7 +14,7 @@
 const (
 	// planInterval is the minimum and replanInterval the maximum time between two
 	// planning rounds. There is a maximum because estimated ends shift as time passes.
-	planInterval   = 150_000
+	planInterval   = 150_000 // µs
 	replanInterval = 2 * second
 	// maxPlannedTasks is the maximum number of tasks that one round places.
 	maxPlannedTasks = 400
@@ -28,7 +28,7 @@
 	serviceDuration = int64(1) << 50
 )
 
-// plannedPivot is the job at the head of a queue with its expected start time.
+// plannedPivot is a job at the head of its queue, with its expected start time.
 type plannedPivot struct {
 	queue int
 	job   string
