--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,7 +10,7 @@
 // Limits of the reads of dependencies' ends.
 const (
 	maxEndReads  = 8      // reads in flight
-	endReadRetry = second // delay before an end is read again
+	endReadRetry = second // delay after a failed read before an end is read again
 )
 
 // endReadInFlight is the value in endReads for a read in flight.
@@ -68,8 +68,8 @@
 	}
 }
 
-// startDependent makes a job ready to start. Its waiting time counts from the end of its
-// last dependency. lastEndWall is a wall-clock time, or 0 if the end is stored in the first
+// startDependent makes a job ready to start. Its waiting time and start objective count from
+// the end of its last dependency. lastEndWall is a wall-clock time, or 0 if the end is stored in the first
 // format, which has no time.
 func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
 	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(lastEndWall))
