--- a/internal/core/fleet/delivery.go
+++ b/internal/core/fleet/delivery.go
@@ -1,41 +1,45 @@
 package fleet
 
-// Delivery is what is known of whether answers get to a machine: its heartbeats show only
-// that it can send. What shows more are commands that have taken effect by its next
-// heartbeat, which it sends when it has received the answer or given it up.
+// Delivery tracks whether a machine receives the answers to its heartbeats. Heartbeats
+// show only that the machine can send; that it also receives is shown by commands that
+// have taken effect by its next heartbeat. The machine sends that heartbeat after it has
+// received the answer or given up waiting for it.
 type Delivery struct {
-	// SentCommands are the commands of the last answer whose effect would show.
+	// SentCommands are the commands of the last answer whose effect is visible in the
+	// next heartbeat.
 	SentCommands []SentCommand
-	// missedAnswers counts answers in turn of whose commands none took effect.
+	// missedAnswers is the number of consecutive answers of which no command took effect.
 	missedAnswers int
-	// CannotReceive: the machine gets no tasks as it does not receive answers, as in a
-	// one-way partition; since when, and for how long at least.
+	// CannotReceive reports whether the machine gets no tasks because it does not receive
+	// answers, as in a one-way partition. It has held since cannotReceiveSince and lasts
+	// for at least retryDelay, both in microseconds.
 	CannotReceive      bool
 	cannotReceiveSince int64
 	retryDelay         int64
 	probe              probe
 }
 
-// SentCommand is a command to start an attempt, or to forget one.
+// SentCommand is a command to start an attempt or, with Forget, to forget one.
 type SentCommand struct {
 	Task    string
 	Attempt uint32
 	Forget  bool
 }
 
-// maxMissedAnswers is how many answers in turn a machine that receives them does not miss:
-// one is lost now and then.
+// maxMissedAnswers is the number of consecutive missed answers after which a machine is
+// taken not to receive any. It is above 1, as a single answer is occasionally lost.
 const maxMissedAnswers = 2
 
-// The retry delay doubles each time that a machine is found not to receive answers again.
+// Bounds of the retry delay, in microseconds. The delay doubles each time the machine is
+// again found not to receive answers.
 const (
 	minRetryDelay = 10 * second
 	maxRetryDelay = 60 * second
 )
 
-// RecordHeartbeat judges the last answer's commands by the next heartbeat; listed says
-// whether that lists an attempt. It returns whether the machine is found not to receive
-// answers by now.
+// RecordHeartbeat checks whether the commands of the last answer have taken effect in the
+// heartbeat that follows it. listed reports whether that heartbeat lists an attempt. The
+// result is true if this shows for the first time that the machine does not receive answers.
 func (d *Delivery) RecordHeartbeat(listed func(task string, attempt uint32) bool, now int64) (lost bool) {
 	if len(d.SentCommands) == 0 {
 		return false
@@ -50,8 +54,8 @@
 	return d.RecordMissedAnswer(now)
 }
 
-// RecordMissedAnswer notes that a machine has not received an answer. It returns whether
-// the machine is found not to receive answers by now.
+// RecordMissedAnswer records that the machine has not received an answer. The result is
+// true if this shows for the first time that the machine does not receive answers.
 func (d *Delivery) RecordMissedAnswer(now int64) (lost bool) {
 	d.missedAnswers++
 	if d.CannotReceive || d.missedAnswers < maxMissedAnswers {
@@ -62,12 +66,13 @@
 	return true
 }
 
-// RecordReceived notes that the machine has received something.
+// RecordReceived records that the machine has received an answer.
 func (d *Delivery) RecordReceived() { d.missedAnswers, d.CannotReceive = 0, false }
 
-// RetryDue says whether a machine that did not receive answers is to be tried once more, as
-// its retry delay is over, and lets it be used: a controller that can't probe it would else
-// never learn that it receives another's answers.
+// RetryDue reports whether the retry delay of a machine that did not receive answers is
+// over, and if so makes the machine usable again until the next missed answer. Otherwise a
+// controller that cannot probe the machine would never learn that it receives the answers
+// of another controller.
 func (d *Delivery) RetryDue(now int64) bool {
 	if !d.CannotReceive || now-d.cannotReceiveSince < d.retryDelay {
 		return false
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet keeps what the leader knows of the machines: their types, what is placed on
-// them, which images they have, whether they receive answers, and how they are shared out
-// among partitions.
+// Package fleet holds the leader's view of the machines: their types, the tasks placed on
+// them, the images they have cached, whether they receive answers, and how they are divided
+// into partitions.
 package fleet
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// second is in the core's unit of time, microseconds.
+// second is one second in microseconds, the time unit of the core.
 const second = 1_000_000
 
 // TaskRef names a task of a job.
@@ -21,7 +21,7 @@
 	Index int
 }
 
-// SortTaskRefs puts tasks in the order of their jobs' arrival.
+// SortTaskRefs sorts tasks by the arrival of their jobs, then by job ID and task index.
 func SortTaskRefs(refs []TaskRef) { slices.SortFunc(refs, compareTaskRefs) }
 
 func compareTaskRefs(a, b TaskRef) int {
@@ -32,7 +32,7 @@
 	)
 }
 
-// Machine is what the leader knows of one machine.
+// Machine is the leader's view of one machine.
 type Machine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
@@ -40,49 +40,52 @@
 	FetchRate, CacheMB     int64
 	// Epoch and Seq are those of the newest heartbeat.
 	Epoch, Seq uint64
-	// HasCurrentToken: the worker knew the current fencing token when it sent the newest
-	// heartbeat.
+	// HasCurrentToken reports whether the worker knew the current fencing token when it
+	// sent the newest heartbeat.
 	HasCurrentToken bool
-	// LastHeartbeat is when the newest heartbeat came, LastAnswer when the last answer
-	// that renews the worker's lease may have been given.
+	// LastHeartbeat is when the newest heartbeat arrived. LastAnswer is the latest time at
+	// which an answer that renews the worker's lease may have been given.
 	LastHeartbeat, LastAnswer int64
-	// ReclaimAt is when the cloud takes the machine, 0 for never.
+	// ReclaimAt is when the cloud reclaims the machine, 0 for never.
 	ReclaimAt int64
-	// InCloudList: the cloud's newest list has it.
+	// InCloudList reports whether the cloud's newest list contains the machine.
 	InCloudList bool
-	// Placed are the stored or planned placements on it, used what they take;
-	// AddPlacement and RemovePlacement change both.
+	// Placed are the stored or planned placements on the machine, and used is the sum of
+	// their resources. AddPlacement and RemovePlacement update both.
 	Placed map[TaskRef]struct{}
 	used   jobstate.Resources
-	// Hash is the name's, which decides the partition.
+	// Hash is the hash of the name, which determines the partition.
 	Hash uint32
-	// OrphanUsage is what listed tasks without a placement still occupy.
+	// OrphanUsage is the amount still occupied by tasks that the machine lists but that
+	// have no placement.
 	OrphanUsage jobstate.Resources
-	// Images are the images that attempts here have fetched or are fetching, as far as
-	// they can still be in its cache. RecordImageUse and RecordImageFetch add to them.
+	// Images are the images that attempts on the machine have fetched or are fetching, as
+	// far as they can still be in its cache. RecordImageUse and RecordImageFetch add to it.
 	Images map[string]Image
-	// Prefetch is a finished task that carries its image here, nil for none.
+	// Prefetch is a finished task that is started again here to fetch its image, nil for
+	// none.
 	Prefetch *Prefetch
-	// IdleSince is when the last placement went, 0 while there are any.
+	// IdleSince is when the last placement was removed, 0 while there are any.
 	IdleSince int64
-	// Releasing: its release was asked for, and no answer has come yet.
+	// Releasing reports whether the machine's release was requested from the cloud and
+	// the answer is pending.
 	Releasing bool
-	// Draining: it looks faulty, and gets no more tasks.
+	// Draining reports whether the machine gets no more tasks because it looks faulty.
 	Draining bool
-	// FailedJobs are jobs that failed here since the last success.
+	// FailedJobs are the jobs that failed on the machine since the last success.
 	FailedJobs map[string]bool
-	// Delivery is what is known of whether answers get to it.
+	// Delivery tracks whether the machine receives answers.
 	Delivery Delivery
-	// seqRestarted: it numbers its heartbeats anew.
+	// seqRestarted reports whether the machine has restarted its heartbeat numbering.
 	seqRestarted bool
 
-	// set is the one that the machine is in, index its place in the set's list.
+	// set is the set that contains the machine, index its position in the set's list.
 	set     *MachineSet
 	index   int
 	changed bool
 }
 
-// NewMachine makes a machine of which nothing is known but its name.
+// NewMachine returns a machine of which only the name is known.
 func NewMachine(name string, now int64) *Machine {
 	return &Machine{
 		Name:       name,
@@ -95,7 +98,8 @@
 	}
 }
 
-// SetType takes over what a machine's type says of it.
+// SetType copies the capacity, fetch rate and cache size from the machine's type, if types
+// contains it.
 func (m *Machine) SetType(types []Type) {
 	for i := range types {
 		if t := &types[i]; t.Name == m.Type {
@@ -105,12 +109,12 @@
 	}
 }
 
-// IsNewer says whether a heartbeat is newer than the newest so far.
+// IsNewer reports whether a heartbeat is newer than the newest so far.
 func (m *Machine) IsNewer(epoch, seq uint64) bool {
 	return epoch > m.Epoch || epoch == m.Epoch && seq > m.Seq
 }
 
-// AddPlacement adds a placement.
+// AddPlacement adds a placement if the machine does not have it.
 func (m *Machine) AddPlacement(ref TaskRef) {
 	if _, ok := m.Placed[ref]; ok {
 		return
@@ -120,7 +124,7 @@
 	m.used = m.used.Add(ref.Job.Need)
 }
 
-// RemovePlacement removes a placement.
+// RemovePlacement removes a placement if the machine has it.
 func (m *Machine) RemovePlacement(ref TaskRef) {
 	if _, ok := m.Placed[ref]; !ok {
 		return
@@ -130,16 +134,17 @@
 	m.used = m.used.Sub(ref.Job.Need)
 }
 
-// PlacedInOrder lists the placements in the order of their jobs' arrival.
+// PlacedInOrder returns the placements in the order of SortTaskRefs.
 func (m *Machine) PlacedInOrder() []TaskRef {
 	return slices.SortedFunc(maps.Keys(m.Placed), compareTaskRefs)
 }
 
-// Free is what its placements and orphans leave of it.
+// Free returns the resources that neither placements nor orphaned tasks occupy.
 func (m *Machine) Free() jobstate.Resources { return m.Cap.Sub(m.OrphanUsage).Sub(m.used) }
 
-// MarkChanged notes that what is known of the machine has changed. AddPlacement,
-// RemovePlacement and the Record methods of images do so themselves.
+// MarkChanged records that the view of the machine has changed, for
+// MachineSet.ForEachChanged. AddPlacement, RemovePlacement and the Record methods for images
+// call it themselves.
 func (m *Machine) MarkChanged() {
 	if m.set != nil && !m.changed {
 		m.changed = true
@@ -147,11 +152,12 @@
 	}
 }
 
-// Hash spreads machines over the partitions, whatever their names stand for.
+// Hash returns the hash of a machine name that assigns it to a partition. It spreads
+// machines evenly whatever naming scheme they follow.
 func Hash(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	// FNV leaves names that differ in the last digits close together.
+	// FNV gives names that differ only in the last digits hashes close to each other.
 	x := h.Sum32()
 	x ^= x >> 16
 	x *= 0x7feb352d
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestImageEviction: a cache keeps the most recently used images, so that an image is
-// not counted on where it must have been dropped.
+// TestImageEviction checks that the most recently used images are kept, so that the planner
+// does not rely on an image that the worker must have evicted.
 func TestImageEviction(t *testing.T) {
 	type use struct {
 		image  string
@@ -18,12 +18,12 @@
 		uses  []use
 		want  []string
 	}{
-		{"all fit", 10, []use{{"a", 4, 1}, {"b", 6, 2}}, []string{"a", "b"}},
-		{"the oldest goes", 10, []use{{"a", 4, 1}, {"b", 4, 2}, {"c", 4, 3}}, []string{"b", "c"}},
-		{"unless it was used again", 10, []use{{"a", 4, 1}, {"b", 4, 2}, {"a", 4, 3}, {"c", 4, 4}}, []string{"a", "c"}},
-		{"one that is larger than the cache stays alone", 10, []use{{"a", 4, 1}, {"b", 40, 2}}, []string{"b"}},
-		{"no image is none", 10, []use{{"", 4, 1}}, nil},
-		{"an unknown size of the cache drops nothing", 0, []use{{"a", 4, 1}, {"b", 40, 2}}, []string{"a", "b"}},
+		{"all images fit", 10, []use{{"a", 4, 1}, {"b", 6, 2}}, []string{"a", "b"}},
+		{"least recently used image is evicted", 10, []use{{"a", 4, 1}, {"b", 4, 2}, {"c", 4, 3}}, []string{"b", "c"}},
+		{"image used again is kept", 10, []use{{"a", 4, 1}, {"b", 4, 2}, {"a", 4, 3}, {"c", 4, 4}}, []string{"a", "c"}},
+		{"image larger than the cache evicts all others", 10, []use{{"a", 4, 1}, {"b", 40, 2}}, []string{"b"}},
+		{"empty image name is ignored", 10, []use{{"", 4, 1}}, nil},
+		{"nothing is evicted while the cache size is unknown", 0, []use{{"a", 4, 1}, {"b", 40, 2}}, []string{"a", "b"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 			}
 			slices.Sort(got)
 			if !slices.Equal(got, tc.want) {
-				t.Errorf("got %v, want %v", got, tc.want)
+				t.Errorf("images in the cache: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -2,14 +2,15 @@
 
 import "github.com/zinclb/zinclb/internal/core/jobstate"
 
-// Image is an image in a machine's cache: its size, and when it was last used.
+// Image is an image in a machine's cache, with its size and the time of its last use.
 type Image struct {
 	MB, LastUsed int64
-	// Fetching: it is being fetched, and was not seen to be there.
+	// Fetching reports whether the image is being fetched and was not yet seen to be
+	// present.
 	Fetching bool
 }
 
-// Prefetch is a finished task that is started again for its image.
+// Prefetch is a finished task that is started again on a machine to fetch its image.
 type Prefetch struct {
 	Task    string
 	Attempt uint32
@@ -17,17 +18,17 @@
 	ImageMB int64
 	Need    jobstate.Resources
 	Team    string
-	// Sent: its start was sent to the worker.
+	// Sent reports whether the start was sent to the worker.
 	Sent bool
 }
 
-// RecordImageUse notes that the machine has an image for a task.
+// RecordImageUse records that the machine has the image of a task.
 func (m *Machine) RecordImageUse(image string, mb, now int64) { m.recordImage(image, mb, now, false) }
 
-// RecordImageFetch notes that the machine fetches an image for a task.
+// RecordImageFetch records that the machine fetches the image of a task.
 func (m *Machine) RecordImageFetch(image string, mb, now int64) { m.recordImage(image, mb, now, true) }
 
-// HasTaskFetching says whether a task on the machine waits for an image.
+// HasTaskFetching reports whether a task on the machine waits for an image to be fetched.
 func (m *Machine) HasTaskFetching(image string) bool {
 	for ref := range m.Placed {
 		if ref.Job.Image == image && ref.Job.Task(ref.Index).Phase == jobstate.Fetching {
@@ -37,8 +38,9 @@
 	return false
 }
 
-// AbandonFetch notes that no task on the machine waits for an image any more: unless the
-// machine had it all along the fetch is given up, and begins anew next time.
+// AbandonFetch records that no task on the machine waits for an image any more. If the image
+// was still being fetched, the worker abandons the fetch and a later one starts from the
+// beginning.
 func (m *Machine) AbandonFetch(image string) {
 	if m.Images[image].Fetching {
 		m.MarkChanged()
@@ -62,8 +64,8 @@
 	}
 }
 
-// evictImages drops the least recently used images until the rest fits the machine's
-// cache, as the worker does. The newest stays, however large it is.
+// evictImages removes the least recently used images until the rest fits into the machine's
+// cache, as the worker does. The newest image stays, however large it is.
 func (m *Machine) evictImages(newest string) {
 	for len(m.Images) > 1 {
 		total, oldest := m.cacheUsage(newest)
@@ -74,7 +76,8 @@
 	}
 }
 
-// cacheUsage returns the size of all images, and the least recently used one but keep.
+// cacheUsage returns the total size of all images, and the least recently used image
+// other than keep.
 func (m *Machine) cacheUsage(keep string) (totalMB int64, oldest string) {
 	for name, image := range m.Images {
 		totalMB += image.MB
--- a/internal/core/fleet/machineset.go
+++ b/internal/core/fleet/machineset.go
@@ -1,26 +1,26 @@
 package fleet
 
-// MachineSet is the machines that a leader knows, and which of them have changed since it
-// last looked. All of them are gone through by a plain list, in an order that repeats.
+// MachineSet is the set of machines that a leader knows. It tracks which of them have changed
+// since the last ForEachChanged. A list holds all of them, so that iteration is deterministic.
 type MachineSet struct {
 	byName  map[string]*Machine
 	list    []*Machine
 	changed []*Machine
 }
 
-// NewMachineSet makes an empty set.
+// NewMachineSet returns an empty set.
 func NewMachineSet() *MachineSet { return &MachineSet{byName: map[string]*Machine{}} }
 
-// Len is how many machines there are.
+// Len returns the number of machines.
 func (s *MachineSet) Len() int { return len(s.list) }
 
-// Get returns a machine, or nil.
+// Get returns the machine with a name, or nil.
 func (s *MachineSet) Get(name string) *Machine { return s.byName[name] }
 
-// All lists the machines; the list is the set's own, and Remove changes it.
+// All returns the machines. The slice is the set's own, and Remove changes it.
 func (s *MachineSet) All() []*Machine { return s.list }
 
-// Add enters a machine that is not in the set.
+// Add adds a machine that is not in the set.
 func (s *MachineSet) Add(m *Machine) {
 	m.set, m.index = s, len(s.list)
 	s.list = append(s.list, m)
@@ -28,7 +28,7 @@
 	m.MarkChanged()
 }
 
-// Remove drops a machine.
+// Remove removes a machine if it is in the set.
 func (s *MachineSet) Remove(m *Machine) {
 	if s.byName[m.Name] != m {
 		return
@@ -42,15 +42,15 @@
 	delete(s.byName, m.Name)
 }
 
-// MarkAllChanged has ForEachChanged go through all machines.
+// MarkAllChanged marks all machines as changed for the next ForEachChanged.
 func (s *MachineSet) MarkAllChanged() {
 	for _, m := range s.list {
 		m.MarkChanged()
 	}
 }
 
-// ForEachChanged calls f for the machines that have changed since the last call, removed
-// ones among them: Get does not return those any more.
+// ForEachChanged calls f for each machine that has changed since the last call. These include
+// removed machines, which Get no longer returns.
 func (s *MachineSet) ForEachChanged(f func(*Machine)) {
 	for _, m := range s.changed {
 		m.changed = false
--- a/internal/core/fleet/partitions.go
+++ b/internal/core/fleet/partitions.go
@@ -6,9 +6,9 @@
 )
 
 // Partitions divides the hashes of machine names into partitions: partition i ends before
-// Boundaries[i], and the last one at the end. Holders are the controllers to which the
-// partitions are leased, for LeaseDuration microseconds from when it is read, under the
-// leader with FencingToken.
+// Boundaries[i], and the last one at the end of the hash range. Holders are the controllers
+// to which the leader with FencingToken leases the partitions. A lease lasts LeaseDuration
+// microseconds from the time at which the value is read.
 type Partitions struct {
 	Boundaries    []uint32 `json:"c"`
 	Holders       []string `json:"h"`
@@ -17,10 +17,10 @@
 	Seq           uint64   `json:"s"`
 }
 
-// Partition is the partition of a machine.
+// Partition returns the partition of a machine.
 func (p *Partitions) Partition(name string) int { return p.PartitionOfHash(Hash(name)) }
 
-// PartitionOfHash is the partition of a machine whose name has a hash.
+// PartitionOfHash returns the partition of a machine from the hash of its name.
 func (p *Partitions) PartitionOfHash(hash uint32) int {
 	for i, boundary := range p.Boundaries {
 		if hash < boundary {
@@ -30,7 +30,7 @@
 	return len(p.Boundaries)
 }
 
-// Holder is the controller that takes a machine's heartbeats, or "".
+// Holder returns the controller that receives a machine's heartbeats, or "".
 func (p *Partitions) Holder(name string) string {
 	if i := p.Partition(name); i < len(p.Holders) {
 		return p.Holders[i]
@@ -38,8 +38,9 @@
 	return ""
 }
 
-// PartitionHashes returns the boundaries of n partitions that share the machines of every
-// type equally, as far as the order of their hashes allows. It sorts the hashes.
+// PartitionHashes returns the boundaries of n partitions that hold equal numbers of the
+// hashes, and so roughly equal numbers of machines of every type, as far as the order of the
+// hashes allows. It sorts the hashes.
 func PartitionHashes(hashes []uint32, n int) []uint32 {
 	slices.SortFunc(hashes, cmp.Compare)
 	boundaries := make([]uint32, n-1)
--- a/internal/core/fleet/probe.go
+++ b/internal/core/fleet/probe.go
@@ -1,24 +1,25 @@
 package fleet
 
-// probe is the newest question to a machine for a heartbeat.
+// probe is the newest request to a machine for a heartbeat.
 type probe struct {
 	sentAt  int64
-	pending bool // no answer has come
-	// epoch and seq are the highest numbers that were known when it was sent.
+	pending bool // no answer yet
+	// epoch and seq are the highest numbers known when the probe was sent.
 	epoch, seq uint64
 }
 
-// probeInterval is the least time between two probes of a machine.
+// probeInterval is the minimum time between two probes of a machine, in microseconds.
 const probeInterval = 2 * second
 
-// Heartbeats come at most twice a second, and each answer to a probe and each command
-// counts one more.
+// Bounds on how fast the sequence number of a machine's heartbeats rises. Heartbeats come at
+// most twice a second, and each answer to a probe and each command adds one.
 const (
 	maxSeqPerSecond = 8
 	maxSeqBurst     = 16
 )
 
-// BeginProbe says whether to ask a machine for a heartbeat now, and notes that it is asked.
+// BeginProbe reports whether to request a heartbeat from the machine now, and if so records
+// the request.
 func (m *Machine) BeginProbe(now int64) bool {
 	p := &m.Delivery.probe
 	if p.sentAt != 0 && now-p.sentAt < probeInterval {
@@ -31,18 +32,18 @@
 	return true
 }
 
-// ApplyProbe takes the answer to a probe that was sent at a time, and returns whether it
-// shows that the machine has begun to number its heartbeats anew. The heartbeat of the
-// answer was made after the probe, so where its number is no higher than what was known
-// then, the machine has. From then on only answers to probes prove anything, as a heartbeat
-// from before looks like the newest: they say what the present number is, and whether it
-// has begun once more.
+// ApplyProbe applies the answer to a probe sent at sentAt, and reports whether it shows that
+// the machine has restarted its heartbeat numbering. The heartbeat in the answer was made
+// after the probe was sent. If its number is no higher than the highest known at that time,
+// the numbering has restarted. From then on a heartbeat from before the restart looks like
+// the newest, so only answers to probes are proof: they give the current number and show
+// whether the numbering has restarted once more.
 func (m *Machine) ApplyProbe(sentAt int64, epoch, seq uint64) (restarted bool) {
 	p := &m.Delivery.probe
 	if !p.pending || sentAt < p.sentAt {
 		return false
 	}
-	p.pending = false // another answer is to be compared with newer numbers
+	p.pending = false // a further answer must be compared with newer numbers
 	isNewer := epoch > p.epoch || epoch == p.epoch && seq > p.seq
 	if isNewer && !m.seqRestarted {
 		return false
@@ -54,16 +55,17 @@
 	return restarted
 }
 
-// SeqRestarted says that the machine numbers its heartbeats anew, so that their numbers do
-// not tell a heartbeat of now from a copy of one from before.
+// SeqRestarted reports whether the machine has restarted its heartbeat numbering, so that the
+// numbers do not distinguish a current heartbeat from a copy of one from before the restart.
 func (m *Machine) SeqRestarted() bool { return m.seqRestarted }
 
-// IsPlausible says whether a heartbeat can be of the machine as it is: where it numbers
-// them anew the numbers can't have risen as far, and a new epoch needs a probe.
+// IsPlausible reports whether a heartbeat can be a current one of the machine. After a restart
+// of the numbering, the sequence number can have risen only by a bounded amount since the last
+// heartbeat, and a new epoch needs confirmation by a probe.
 func (m *Machine) IsPlausible(epoch, seq uint64, now int64) bool {
 	if !m.seqRestarted {
 		return true
 	}
-	mostSince := uint64(maxSeqBurst + (now-m.LastHeartbeat)*maxSeqPerSecond/second)
-	return epoch == m.Epoch && seq-m.Seq <= mostSince
+	maxAdvance := uint64(maxSeqBurst + (now-m.LastHeartbeat)*maxSeqPerSecond/second)
+	return epoch == m.Epoch && seq-m.Seq <= maxAdvance
 }
--- a/internal/core/fleet/types.go
+++ b/internal/core/fleet/types.go
@@ -18,14 +18,14 @@
 	Zones     []string           `json:"z"`
 }
 
-// fits says whether a machine of the type can take a task of a job.
+// fits reports whether an empty machine of the type can run a task of a job.
 func (t *Type) fits(s *jobstate.Spec) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) &&
 		s.Need.Fits(t.Cap) &&
 		(s.Zone == "" || slices.Contains(t.Zones, s.Zone))
 }
 
-// FitsAnyType says whether some machine of the types that a job allows can take a task.
+// FitsAnyType reports whether at least one of the types can run a task of a job.
 func FitsAnyType(types []Type, s *jobstate.Spec) bool {
 	for i := range types {
 		if types[i].fits(s) {
@@ -35,7 +35,8 @@
 	return false
 }
 
-// FitsWithoutGPUs says the same of the types without GPUs.
+// FitsWithoutGPUs reports whether at least one of the types without GPUs can run a task of a
+// job.
 func FitsWithoutGPUs(types []Type, s *jobstate.Spec) bool {
 	for i := range types {
 		if types[i].Cap.GPU == 0 && types[i].fits(s) {
@@ -45,11 +46,11 @@
 	return false
 }
 
-// FitsSpread says whether the tasks of a job, all at once, can be in as many zones as they
-// have to be: spread over zones, at most half of them is in one.
+// FitsSpread reports whether the tasks of a job can all run at once in as many zones as they
+// need. With Spread, at most half of them may be in one zone.
 func FitsSpread(types []Type, s *jobstate.Spec) bool {
 	if !s.Spread || s.Kind == jobstate.Array || s.Tasks == 1 {
-		return true // an array's tasks may go one after the other
+		return true // an array's tasks may run one after the other
 	}
 	if s.Zone != "" || s.OneZone {
 		return false
