--- a/internal/core/jobstate/chunks.go
+++ b/internal/core/jobstate/chunks.go
@@ -7,32 +7,32 @@
 	"fmt"
 )
 
-// chunkLayer is a job's stored values of one larger size. A value of a smaller size
-// overrides it for its tasks, whatever their revisions: it is only ever written
-// by a leader that has read the larger one. So values need not be split
-// in one go, and half of a split is as good as the whole.
+// chunkLayer holds the revisions of a job's stored chunks of one earlier, larger chunk size.
+// A stored chunk of a smaller size overrides the larger one for its tasks, whatever their
+// revisions, because only a leader that has read the larger one writes it. So chunks need
+// not be split in one transaction, and a partly completed split is consistent.
 type chunkLayer struct {
 	chunkSize int
 	revisions []uint64
 }
 
-// ChunkRef names one stored value of a job's progress: number Index of those of ChunkSize
-// tasks.
+// ChunkRef identifies one stored chunk of a job's progress: the chunk with number Index among
+// those of ChunkSize tasks.
 type ChunkRef struct {
 	ChunkSize int
 	Index     int
 }
 
-// ValidChunkSize says whether values may have so many tasks: an even part of the
-// first format's.
+// ValidChunkSize reports whether a chunk may have size tasks: a power of two, at most the
+// chunk size of the first format.
 func ValidChunkSize(size int) bool { return size > 0 && size <= DefaultChunkSize && size&(size-1) == 0 }
 
-// ChunkSize is how many tasks a chunk has.
+// ChunkSize returns the number of tasks per chunk.
 func (j *Job) ChunkSize() int { return j.chunkSize }
 
-// SplitChunks makes the chunks smaller. What is not stored yet is written anew in
-// smaller values; what is stored stands until then. No write may be under way
-// but one whose outcome nobody will ask for.
+// SplitChunks reduces the chunk size. Changes that are not stored yet will be written in
+// chunks of the new size; stored chunks remain valid until then. No write may be in flight,
+// except one whose outcome will never be processed.
 func (j *Job) SplitChunks(chunkSize int) {
 	if chunkSize >= j.chunkSize {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// part is a part of a chunk that is split. What a write under way has is not known to be
-// stored, so all parts are written again.
+// part returns one part of a chunk that is split. The contents of a write in flight are not
+// known to be stored, so then every part is written again.
 func (c *Chunk) part() Chunk {
 	dirty := c.dirty || c.inFlight
 	return Chunk{
@@ -69,8 +69,8 @@
 	}
 }
 
-// StoredChunks lists the values that the state service has, all of which go when the
-// job's keys are removed, with their revisions.
+// StoredChunks returns the chunks that the state service has, with their revisions. All of
+// them are removed when the job's keys are removed.
 func (j *Job) StoredChunks() (refs []ChunkRef, revisions []uint64) {
 	for _, l := range j.olderLayers {
 		for n, revision := range l.revisions {
@@ -87,8 +87,8 @@
 	return refs, revisions
 }
 
-// chunkRevisionPointer is where the revision of a value is kept, nil if the job has none
-// such.
+// chunkRevisionPointer returns a pointer to the revision of a chunk, or nil if the job has no
+// such chunk.
 func (j *Job) chunkRevisionPointer(ref ChunkRef) *uint64 {
 	if ref.Index < 0 {
 		return nil
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// ChunkRevision is the revision of a stored value, 0 for absent.
+// ChunkRevision returns the revision of a stored chunk, 0 if it is absent.
 func (j *Job) ChunkRevision(ref ChunkRef) uint64 {
 	if s := j.chunkRevisionPointer(ref); s != nil {
 		return *s
@@ -112,15 +112,14 @@
 	return 0
 }
 
-// SetChunkRevision notes the revision of a value, 0 for its removal.
+// SetChunkRevision sets the revision of a stored chunk, 0 for its removal.
 func (j *Job) SetChunkRevision(ref ChunkRef, revision uint64) {
 	if s := j.chunkRevisionPointer(ref); s != nil {
 		*s = revision
 	}
 }
 
-// overridden says whether a value of a smaller size than this is stored for a
-// task.
+// overridden reports whether a chunk of fewer than size tasks is stored for task i.
 func (j *Job) overridden(i, size int) bool {
 	if size > j.chunkSize && j.chunks[i/j.chunkSize].Revision != 0 {
 		return true
@@ -133,17 +132,17 @@
 	return false
 }
 
-// Faults of a stored chunk.
+// Errors of invalid stored chunks.
 var (
-	errNoSuchChunk = errors.New("the job has none such")
-	errForeignTask = errors.New("a task of another chunk")
-	errPlacedTwice = errors.New("placed twice")
+	errNoSuchChunk = errors.New("the job has no such chunk")
+	errForeignTask = errors.New("task belongs to another chunk")
+	errPlacedTwice = errors.New("task is placed twice")
 )
 
-// LoadChunk replaces what is known of a value's tasks by the stored value.
+// LoadChunk replaces the state of a chunk's tasks by that of its stored value.
 func (j *Job) LoadChunk(ref ChunkRef, value []byte, revision uint64, now int64) error {
 	if err := j.loadChunk(ref, value, revision, now); err != nil {
-		return fmt.Errorf("job %s value %d of %d tasks: %w", j.ID, ref.Index, ref.ChunkSize, err)
+		return fmt.Errorf("job %s: chunk %d of %d tasks: %w", j.ID, ref.Index, ref.ChunkSize, err)
 	}
 	return nil
 }
@@ -160,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	// Smaller than is known of: the format was changed meanwhile.
+	// A chunk smaller than the current size shows that the stored format has changed.
 	j.SplitChunks(ref.ChunkSize)
 	if ref.ChunkSize > j.chunkSize && j.chunkRevisionPointer(ref) == nil {
 		numChunks := (len(j.tasks) + ref.ChunkSize - 1) / ref.ChunkSize
@@ -173,18 +172,18 @@
 	if ref.Index == 0 && !j.overridden(0, ref.ChunkSize) {
 		j.TrialDone = stored.TrialDone
 	}
-	j.loadNumbers(ref, &stored, revision)
+	j.loadCounters(ref, &stored, revision)
 	j.SetChunkRevision(ref, revision)
 	return nil
 }
 
-// tasksOf is the range of the tasks that a stored value is of.
+// tasksOf returns the range of a chunk's tasks, from first to before end.
 func (j *Job) tasksOf(ref ChunkRef) (first, end int) {
 	first = ref.Index * ref.ChunkSize
 	return first, min(first+ref.ChunkSize, len(j.tasks))
 }
 
-// loadDone replaces what is known of a value's tasks by whether they are done.
+// loadDone resets a chunk's tasks to unplaced tasks that are done or not as in the bitmap.
 func (j *Job) loadDone(ref ChunkRef, done []byte, now int64) {
 	first, end := j.tasksOf(ref)
 	for i := first; i < end; i++ {
@@ -197,7 +196,7 @@
 	}
 }
 
-// loadPlacements places a value's tasks where the value has them.
+// loadPlacements applies the placements of a stored chunk to its tasks.
 func (j *Job) loadPlacements(ref ChunkRef, placed map[string][]uint32, now int64) error {
 	first, end := j.tasksOf(ref)
 	for machine, numbers := range placed {
@@ -219,8 +218,8 @@
 	return nil
 }
 
-// loadNumbers takes over the numbers of attempts and of the log's entries.
-func (j *Job) loadNumbers(ref ChunkRef, stored *storedChunk, revision uint64) {
+// loadCounters takes over the attempt number and the log sequence number of a stored chunk.
+func (j *Job) loadCounters(ref ChunkRef, stored *storedChunk, revision uint64) {
 	first, end := j.tasksOf(ref)
 	for n := first / j.chunkSize; n*j.chunkSize < end; n++ {
 		c := &j.chunks[n]
@@ -228,7 +227,7 @@
 		case ref.ChunkSize == j.chunkSize:
 			*c = Chunk{Revision: revision, attempt: stored.Attempt, seq: stored.Seq}
 		case !j.overridden(n*j.chunkSize, ref.ChunkSize):
-			// An attempt's number must be above all earlier ones.
+			// An attempt number must be higher than all earlier ones.
 			c.attempt, c.seq = max(c.attempt, stored.Attempt), stored.Seq
 		}
 	}
--- a/internal/core/jobstate/chunkwrite.go
+++ b/internal/core/jobstate/chunkwrite.go
@@ -4,23 +4,26 @@
 	"encoding/hex"
 )
 
-// Chunk is the stored unit of progress.
+// Chunk is a range of a job's tasks whose progress is stored as one value, and the state of
+// its writes.
 type Chunk struct {
 	Revision uint64
 	dirty    bool
 	version  uint64
 	inFlight bool
-	// hasPlacement: a placement waits to be stored, and with it a start.
+	// hasPlacement reports whether a placement, and with it the start of a task, waits to be
+	// stored.
 	hasPlacement bool
 	attempt      uint32
 	DirtySince   int64 // when it became dirty
-	// seq is the number of the log's first entry that the stored value does
-	// not have; inFlightSeq is the same of the value under way.
+	// seq is the sequence number of the first log entry that the stored value does not
+	// include; inFlightSeq is the same for the value in flight.
 	seq, inFlightSeq uint64
-	// changed are the tasks that changed since the last write began, inFlightChanges
-	// those of the write under way; needsFullWrite says that they are not all.
+	// changed are the tasks that changed since the last write began, inFlightChanges those
+	// of the write in flight. needsFullWrite reports whether the chunk has changes that
+	// changed does not list.
 	changed, inFlightChanges     []int32
-	needsFullWrite, inFlightFull bool // inFlightFull: the write under way has all
+	needsFullWrite, inFlightFull bool // inFlightFull: whole chunk in flight
 }
 
 func (j *Job) markTaskDirty(i int, now int64) {
@@ -36,16 +39,16 @@
 	}
 }
 
-// IsTaskStored says that all that is known of task i is stored.
+// IsTaskStored reports whether the current state of task i is stored.
 func (j *Job) IsTaskStored(i int) bool {
 	c := &j.chunks[i/j.chunkSize]
 	return !c.dirty && !c.inFlight
 }
 
-// needsWrite says that the chunk is to be written and no write is under way.
+// needsWrite reports whether the chunk has changes to write and no write is in flight.
 func (c *Chunk) needsWrite() bool { return c.dirty && !c.inFlight }
 
-// DirtyChunks lists the chunks to be written.
+// DirtyChunks returns the indices of the chunks that need a write.
 func (j *Job) DirtyChunks() []int {
 	var l []int
 	for i := range j.chunks {
@@ -56,11 +59,12 @@
 	return l
 }
 
-// HasPlacementToWrite says whether a placement of chunk c waits to be written; otherwise
-// what waits is only that tasks have ended.
+// HasPlacementToWrite reports whether a placement of chunk c waits to be written. Otherwise
+// any changes that wait are only ends of tasks.
 func (j *Job) HasPlacementToWrite(c int) bool { return j.chunks[c].hasPlacement }
 
-// HasAnyPlacementToWrite says the same of all chunks that wait to be written.
+// HasAnyPlacementToWrite reports whether a placement of any chunk that needs a write waits to
+// be written.
 func (j *Job) HasAnyPlacementToWrite() bool {
 	for i := range j.chunks {
 		if c := &j.chunks[i]; c.hasPlacement && c.needsWrite() {
@@ -70,7 +74,8 @@
 	return false
 }
 
-// DirtySince is when the oldest change that waits to be written was made, or 0.
+// DirtySince returns when the oldest change that waits to be written was made, 0 if there is
+// none.
 func (j *Job) DirtySince() int64 {
 	var at int64
 	for i := range j.chunks {
@@ -81,8 +86,8 @@
 	return at
 }
 
-// BeginChunkWrite encodes chunk c for a write that is about to be sent. seq is the number
-// of the log's next entry.
+// BeginChunkWrite encodes chunk c for a write that is about to be sent. seq is the sequence
+// number of the next log entry.
 func (j *Job) BeginChunkWrite(c int, seq uint64) (value []byte, version uint64) {
 	ch := &j.chunks[c]
 	ch.beginWrite()
@@ -90,7 +95,7 @@
 	return j.encodeChunk(c), ch.version
 }
 
-// CommitChunkWrite notes that the write of a version of chunk c is committed.
+// CommitChunkWrite records that the write of a version of chunk c is committed.
 func (j *Job) CommitChunkWrite(c int, version, revision uint64) {
 	ch := &j.chunks[c]
 	if ch.inFlightFull {
@@ -105,8 +110,8 @@
 	}
 }
 
-// AbortChunkWrite notes that the write failed or that nobody knows: it has to be
-// written again, with the condition on the revision that is known by then.
+// AbortChunkWrite records that the write of chunk c failed or that its outcome is unknown. The
+// chunk has to be written again, conditional on the revision that is known by then.
 func (j *Job) AbortChunkWrite(c int) {
 	ch := &j.chunks[c]
 	ch.inFlight, ch.dirty, ch.hasPlacement = false, true, true
@@ -123,12 +128,12 @@
 	lo, hi := j.taskRange(c)
 	s := storedChunk{Attempt: j.chunks[c].attempt, TrialDone: j.TrialDone && c == 0, Seq: j.chunks[c].inFlightSeq}
 	bits := make([]byte, (hi-lo+7)/8)
-	any := false
+	anyDone := false
 	for i := lo; i < hi; i++ {
 		t := &j.tasks[i]
 		if t.Done {
 			bits[(i-lo)/8] |= 1 << ((i - lo) % 8)
-			any = true
+			anyDone = true
 		}
 		if t.Machine != "" {
 			if s.Placed == nil {
@@ -137,7 +142,7 @@
 			s.Placed[t.Machine] = append(s.Placed[t.Machine], uint32(i), t.Attempt)
 		}
 	}
-	if any {
+	if anyDone {
 		s.Done = hex.EncodeToString(bits)
 	}
 	return Encode(s)
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -5,23 +5,25 @@
 	"slices"
 )
 
-// DependencyGraph is which unfinished jobs wait for which. A job waits until each job
-// that it awaits has a stored end; one of them cancelled ends it as cancelled,
-// as a stored end never changes and so it can never be done.
+// DependencyGraph records which unfinished jobs wait for which others. A job waits until each
+// of its dependencies has a stored end. If a dependency ends as cancelled, so does the job: a
+// stored end never changes, so the dependency can never be done.
 type DependencyGraph struct {
-	// dependents are the jobs that await an id.
+	// dependents are the jobs that wait for the job with an ID.
 	dependents map[string][]*Job
-	round      int
+	// round numbers the traversals; Job.visitedRound holds the last one that visited a job.
+	round int
 }
 
-// NewDependencyGraph makes an empty graph.
+// NewDependencyGraph returns an empty graph.
 func NewDependencyGraph() *DependencyGraph { return &DependencyGraph{dependents: map[string][]*Job{}} }
 
-// Empty says that no job waits.
+// Empty reports whether no job waits.
 func (g *DependencyGraph) Empty() bool { return len(g.dependents) == 0 }
 
-// Add enters a job. known tells of ends; last is the time of day of the
-// last of them among the awaited, and cancelled that one of them is cancelled.
+// Add adds a job. known returns the end of a job if it is known. last is the time of day of
+// the latest known end among the job's done dependencies, and cancelled reports whether one of
+// its dependencies is cancelled.
 func (g *DependencyGraph) Add(j *Job, known func(id string) (KnownEnd, bool)) (last int64, cancelled bool) {
 	for _, id := range j.Dependencies {
 		end, isKnown := known(id)
@@ -43,8 +45,9 @@
 	return last, cancelled
 }
 
-// RecordEnd notes a stored end, and returns the jobs that it releases and those
-// that it cancels: only the ones that await it directly, as these end in turn.
+// RecordEnd records a stored end and returns the jobs that it releases and those that it
+// cancels. These are only the direct dependents, as each cancelled job's own end is recorded in
+// turn.
 func (g *DependencyGraph) RecordEnd(id string, end End) (released, cancelled []*Job) {
 	dependents := g.dependents[id]
 	delete(g.dependents, id)
@@ -64,7 +67,7 @@
 	return released, cancelled
 }
 
-// Remove forgets a job that waits no more.
+// Remove removes a job that no longer waits.
 func (g *DependencyGraph) Remove(j *Job) {
 	for id := range j.UnmetDependencies {
 		others := slices.DeleteFunc(g.dependents[id], func(dependent *Job) bool { return dependent == j })
@@ -77,8 +80,8 @@
 	j.UnmetDependencies = nil
 }
 
-// Unresolved lists awaited jobs that are neither unfinished here nor known to
-// have ended, at most so many.
+// Unresolved returns at most limit IDs of dependencies that are neither unfinished jobs of
+// this controller nor known to have ended, in the order of their IDs.
 func (g *DependencyGraph) Unresolved(isUnfinished func(id string) bool, limit int) []string {
 	var ids []string
 	for id := range g.dependents {
@@ -90,9 +93,9 @@
 	return ids[:min(len(ids), limit)]
 }
 
-// IsResolved says whether all that a job needs, directly or through others, is
-// known to be unfinished. Otherwise it may have been cancelled by an end that
-// is not known here.
+// IsResolved reports whether all direct and indirect dependencies that a job still waits for
+// are known to be unfinished. Otherwise the job may have been cancelled through an end that
+// this controller does not know.
 func (g *DependencyGraph) IsResolved(j *Job, find func(id string) *Job) bool {
 	g.round++
 	todo := []*Job{j}
@@ -113,10 +116,11 @@
 	return true
 }
 
-// InheritPriorities gives every job the highest priority of all that need it, and the
-// latest end that leaves time for the longest path behind it by the owners'
-// estimates and so much more a job. It is done anew in each round of planning,
-// as later stages come and are cancelled.
+// InheritPriorities sets the effective priority and deadline of every job. A job inherits the
+// highest priority of all jobs that depend on it. Its deadline is the latest end that leaves
+// time for the longest path of dependents, by their owners' estimates plus overhead
+// microseconds per job. It is repeated in each planning round, because later stages arrive and
+// are cancelled.
 func (g *DependencyGraph) InheritPriorities(jobs iter.Seq[*Job], overhead int64) {
 	g.round++
 	for j := range jobs {
@@ -125,7 +129,7 @@
 }
 
 func (g *DependencyGraph) inheritFrom(j *Job, overhead int64) {
-	// No recursion: a chain may be as long as there are jobs.
+	// Iterative, because a chain of dependencies may be as long as the number of jobs.
 	todo := []*Job{j}
 	for len(todo) > 0 {
 		j := todo[len(todo)-1]
@@ -164,11 +168,11 @@
 	}
 }
 
-// HasDependents says whether unfinished jobs wait for a job.
+// HasDependents reports whether jobs wait for a job.
 func (g *DependencyGraph) HasDependents(j *Job) bool { return len(g.dependents[j.ID]) > 0 }
 
-// DeadlineOwner is the job at the end of the path that decides j's latest end: the one
-// whose deadline it is.
+// DeadlineOwner returns the job from whose own deadline j's effective deadline follows: the
+// last one on the path of dependents that determines it.
 func (g *DependencyGraph) DeadlineOwner(j *Job) *Job {
 	for {
 		var next *Job
@@ -187,5 +191,6 @@
 	}
 }
 
-// latestStart is when a job has to start by its owner's estimate to keep its latest end.
+// latestStart returns when a job has to start, by its owner's estimate, to meet its effective
+// deadline.
 func (j *Job) latestStart() int64 { return j.EffectiveDeadline - j.Estimate }
--- a/internal/core/jobstate/dependencies_test.go
+++ b/internal/core/jobstate/dependencies_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// TestGraph releases, cancels and inherits along the edges "job<needed,...".
-func TestGraph(t *testing.T) {
+// TestDependencyGraph checks which jobs are released and cancelled when their dependencies end,
+// and which priorities and deadlines they inherit.
+func TestDependencyGraph(t *testing.T) {
 	type node struct {
 		id       string
-		awaits   []string
-		rank     int
+		needs    []string
+		priority int
 		estimate int64
 		deadline int64
 	}
@@ -21,18 +22,19 @@
 		nodes     []node
 		done      []string
 		cancelled []string
-		// free are those that wait for nothing, over those cancelled along, ends
-		// the latest ends and ranks as "id end rank"
-		free, over []string
-		ends       []string
+		// ready are the unfinished jobs without unmet dependencies, alsoCancelled those
+		// cancelled because of a dependency, and effective the jobs' effective deadlines
+		// and priorities as "id deadline priority".
+		ready, alsoCancelled []string
+		effective            []string
 	}{
-		{"nothing ended", diamond, nil, nil, []string{"a"}, nil, []string{"a 70 2", "b 91 2", "c 91 2", "d 100 2"}},
-		{"the first is done", diamond, []string{"a"}, nil, []string{"b", "c"}, nil, []string{"b 91 2", "c 91 2", "d 100 2"}},
-		{"all before the last", diamond, []string{"a", "b", "c"}, nil, []string{"d"}, nil, []string{"d 100 2"}},
-		{"the last is cancelled: nothing to inherit", diamond, nil, []string{"d"}, []string{"a"}, nil, []string{"a 0 1", "b 0 0", "c 0 1"}},
-		{"one between is cancelled", diamond, []string{"a"}, []string{"b"}, []string{"c"}, []string{"d"}, []string{"c 0 1"}},
-		{"the last stage has not come", diamond[:3], nil, nil, []string{"a"}, nil, []string{"a 0 1", "b 0 0", "c 0 1"}},
-		{"two pipelines share a stage", append(slices.Clone(diamond), node{"e", []string{"a"}, 3, 1, 30}), nil, nil, []string{"a"}, nil, []string{"a 28 3", "b 91 2", "e 30 3"}},
+		{"no job has ended", diamond, nil, nil, []string{"a"}, nil, []string{"a 70 2", "b 91 2", "c 91 2", "d 100 2"}},
+		{"first stage done", diamond, []string{"a"}, nil, []string{"b", "c"}, nil, []string{"b 91 2", "c 91 2", "d 100 2"}},
+		{"all stages before the last done", diamond, []string{"a", "b", "c"}, nil, []string{"d"}, nil, []string{"d 100 2"}},
+		{"last stage cancelled, nothing is inherited", diamond, nil, []string{"d"}, []string{"a"}, nil, []string{"a 0 1", "b 0 0", "c 0 1"}},
+		{"middle stage cancelled", diamond, []string{"a"}, []string{"b"}, []string{"c"}, []string{"d"}, []string{"c 0 1"}},
+		{"last stage not submitted yet", diamond[:3], nil, nil, []string{"a"}, nil, []string{"a 0 1", "b 0 0", "c 0 1"}},
+		{"two pipelines share the first stage", append(slices.Clone(diamond), node{"e", []string{"a"}, 3, 1, 30}), nil, nil, []string{"a"}, nil, []string{"a 28 3", "b 91 2", "e 30 3"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -40,18 +42,18 @@
 			jobs := map[string]*Job{}
 			var list []*Job
 			for _, n := range tc.nodes {
-				j := NewJob(&Spec{ID: n.id, Tasks: 1, Priority: n.rank, Estimate: n.estimate, Deadline: n.deadline, Dependencies: n.awaits})
+				j := NewJob(&Spec{ID: n.id, Tasks: 1, Priority: n.priority, Estimate: n.estimate, Deadline: n.deadline, Dependencies: n.needs})
 				g.Add(j, func(string) (KnownEnd, bool) { return KnownEnd{}, false })
 				jobs[n.id], list = j, append(list, j)
 			}
-			var over []string
+			var alsoCancelled []string
 			var end func(id, outcome string)
 			end = func(id, outcome string) {
 				jobs[id].RecordEnd(EndStoredAt(End{Outcome: outcome}, 1))
 				g.Remove(jobs[id])
 				_, cancelled := g.RecordEnd(id, End{Outcome: outcome})
 				for _, j := range cancelled {
-					over = append(over, j.ID)
+					alsoCancelled = append(alsoCancelled, j.ID)
 					end(j.ID, Cancelled)
 				}
 			}
@@ -61,32 +63,33 @@
 			for _, id := range tc.cancelled {
 				end(id, Cancelled)
 			}
-			var free, ends []string
+			var ready, effective []string
 			g.InheritPriorities(slices.Values(list), 1)
 			for _, j := range list {
 				if j.Outcome() == "" && !j.IsBlocked() {
-					free = append(free, j.ID)
+					ready = append(ready, j.ID)
 				}
-				ends = append(ends, fmt.Sprintf("%s %d %d", j.ID, j.EffectiveDeadline, j.EffectivePriority))
+				effective = append(effective, fmt.Sprintf("%s %d %d", j.ID, j.EffectiveDeadline, j.EffectivePriority))
 			}
-			if !slices.Equal(free, tc.free) || !slices.Equal(over, tc.over) {
-				t.Errorf("free %v, cancelled along %v", free, over)
+			if !slices.Equal(ready, tc.ready) || !slices.Equal(alsoCancelled, tc.alsoCancelled) {
+				t.Errorf("ready jobs: got %v, want %v; cancelled with a dependency: got %v, want %v", ready, tc.ready, alsoCancelled, tc.alsoCancelled)
 			}
-			for _, want := range tc.ends {
-				if !slices.Contains(ends, want) {
-					t.Errorf("no %q in %v", want, ends)
+			for _, want := range tc.effective {
+				if !slices.Contains(effective, want) {
+					t.Errorf("effective deadlines and priorities: got %v, want %q among them", effective, want)
 				}
 			}
 		})
 	}
 }
 
-// TestGraphKnown has what is known of awaited jobs when a job is entered.
-func TestGraphKnown(t *testing.T) {
+// TestDependencyGraphKnownEnds checks how the ends that are already known affect a job that is
+// added.
+func TestDependencyGraphKnownEnds(t *testing.T) {
 	known := map[string]End{"done": {Outcome: Done, At: 7}, "later": {Outcome: Done, At: 9}, "gone": {Outcome: Cancelled, At: 8}}
 	cases := []struct {
-		awaits    []string
-		waits     bool
+		needs     []string
+		blocked   bool
 		last      int64
 		cancelled bool
 	}{
@@ -96,10 +99,10 @@
 		{[]string{"gone", "open"}, true, 0, true},
 	}
 	for _, tc := range cases {
-		j := NewJob(&Spec{ID: "j", Tasks: 1, Dependencies: tc.awaits})
+		j := NewJob(&Spec{ID: "j", Tasks: 1, Dependencies: tc.needs})
 		last, cancelled := NewDependencyGraph().Add(j, func(id string) (KnownEnd, bool) { e, ok := known[id]; return EndStoredAt(e, 1), ok })
-		if j.IsBlocked() != tc.waits || last != tc.last || cancelled != tc.cancelled {
-			t.Errorf("%v: waits %v, last %d, cancelled %v", tc.awaits, j.IsBlocked(), last, cancelled)
+		if j.IsBlocked() != tc.blocked || last != tc.last || cancelled != tc.cancelled {
+			t.Errorf("dependencies %v: got blocked %v, last end %d, cancelled %v, want %v, %d, %v", tc.needs, j.IsBlocked(), last, cancelled, tc.blocked, tc.last, tc.cancelled)
 		}
 	}
 }
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -1,15 +1,14 @@
-// Package jobstate keeps the jobs: their specifications, which of their tasks
-// are done, and where attempts are placed. A job's progress is stored in
-// chunks of tasks, one value each, so that a job of any size fits the state
-// service's limits and a change rewrites little.
+// Package jobstate holds the state of jobs: their specifications, which of their tasks are
+// done, and where attempts are placed. A job's progress is stored in chunks of tasks, one
+// value each, so that a job of any size fits within the state service's limits and a change
+// rewrites only a small part.
 package jobstate
 
 import "github.com/RoaringBitmap/roaring/v2"
 
-// DefaultChunkSize is how many tasks share one stored value in the first format of
-// stored data. With its placements spread over as many machines as tasks, a
-// chunk still stays below 8 KiB. Later formats split a chunk into parts, see
-// Job.SplitChunks.
+// DefaultChunkSize is the number of tasks per stored chunk in the first format of stored
+// data. Even with every task placed on a different machine, a chunk stays below 8 KiB. Later
+// formats split a chunk into parts, see Job.SplitChunks.
 const DefaultChunkSize = 256
 
 // Job is a job and its tasks.
@@ -20,50 +19,52 @@
 	tasks    []Task
 	// end is how the job has ended, the zero value while it is unfinished.
 	end KnownEnd
-	// unplaced are the tasks that are neither done nor placed, placed those that
-	// are placed: a planning round must not walk 100,000 tasks to find a few.
+	// unplaced are the tasks that are neither done nor placed, placed those that are
+	// placed. They spare a planning round a scan of 100,000 tasks to find a few.
 	unplaced, placed *roaring.Bitmap
-	// chunks are of chunkSize tasks each; olderLayers are the stored values of larger
-	// sizes, which hold for the tasks that no chunk has been stored of.
+	// chunks have chunkSize tasks each. olderLayers are the stored chunks of larger sizes,
+	// which are valid for tasks of which no smaller chunk has been stored.
 	chunkSize   int
 	chunks      []Chunk
 	olderLayers []chunkLayer
-	// NumDone and the others count tasks, and are kept in step with them.
+	// NumDone, NumPlaced and NumRunning are numbers of tasks, updated with every change.
 	NumDone, NumPlaced, NumRunning int
-	// doneAndPlaced counts tasks that are done while their placement still stands;
-	// counting them anew for every question would cost a walk of all tasks.
+	// doneAndPlaced is the number of tasks that are done and still have a placement. It is
+	// maintained, as counting on demand would need a scan of all tasks.
 	doneAndPlaced int
-	// TrialDone: the job's trial is behind it.
+	// TrialDone reports whether the job has used its trial run.
 	TrialDone bool
-	// SubmittedWall is the time of day of the submission, SubmittedAt the same on this
-	// controller's steady clock.
+	// SubmittedWall is the time of day of the submission in microseconds, SubmittedAt the
+	// same on this controller's monotonic clock.
 	SubmittedWall int64
 	SubmittedAt   int64
-	// ReadyAt is when the job could first have been started, on the same clock:
-	// its submission, or the end of the last job that it needs.
+	// ReadyAt is the earliest time at which the job could have been started, on the
+	// monotonic clock: its submission, or the end of the last of its dependencies.
 	ReadyAt int64
-	// UnmetDependencies are the awaited jobs that are not known to be done.
+	// UnmetDependencies are the IDs of dependencies that are not known to be done.
 	UnmetDependencies map[string]struct{}
-	// Truncated: the specification is what is left of an ended job's.
+	// Truncated reports whether the specification of the ended job was cut down to fit
+	// its stored record, see Record.Truncated.
 	Truncated bool
-	// EffectivePriority is the priority that the job is treated as having, and
-	// EffectiveDeadline the latest end that keeps the deadlines of all that depend on it,
-	// 0 for none.
+	// EffectivePriority is the priority used for planning. EffectiveDeadline is the latest
+	// end that meets the deadlines of the job and of all jobs that depend on it, 0 for
+	// none. See DependencyGraph.InheritPriorities.
 	EffectivePriority int
 	EffectiveDeadline int64
-	// DependenciesEndedWall is the time of day of the newest end of a job that it awaits.
+	// DependenciesEndedWall is the time of day of the latest end of a dependency.
 	DependenciesEndedWall int64
-	visitedRound          int
-	// EndPending: the end is being written by the leader.
+	// visitedRound is the last traversal of the DependencyGraph that visited the job.
+	visitedRound int
+	// EndPending reports whether the leader is writing the job's end.
 	EndPending bool
-	// NotBefore delays the next start after failures; Failures counts them.
+	// NotBefore is the earliest next start after failures, Failures their number.
 	NotBefore int64
 	Failures  int
-	// FailedOn are the machines on which tasks of it failed.
+	// FailedOn are the machines on which tasks of the job failed.
 	FailedOn map[string]bool
 }
 
-// NewJob makes a job without progress.
+// NewJob returns a job without progress.
 func NewJob(s *Spec) *Job {
 	j := &Job{
 		Spec:              s,
@@ -78,23 +79,23 @@
 	return j
 }
 
-// Outcome is how the job has ended, "" while it is unfinished.
+// Outcome returns how the job has ended, "" while it is unfinished.
 func (j *Job) Outcome() string { return j.end.Outcome }
 
-// End is how the job has ended, with an outcome of "" while it is unfinished.
+// End returns the end of the job, with an outcome of "" while it is unfinished.
 func (j *Job) End() KnownEnd { return j.end }
 
-// RecordEnd notes how the job has ended, and says whether it was unfinished until now.
+// RecordEnd records how the job has ended, and reports whether it was unfinished until now.
 func (j *Job) RecordEnd(end KnownEnd) (hasJustEnded bool) {
 	if j.Outcome() == "" {
 		j.end = end
 		return true
 	}
-	j.end = j.end.better(end)
+	j.end = j.end.preferStored(end)
 	return false
 }
 
-// IsBlocked says that the job waits for others to be done.
+// IsBlocked reports whether the job waits for dependencies.
 func (j *Job) IsBlocked() bool { return len(j.UnmetDependencies) > 0 }
 
 // Task returns task i, or nil if the job has no such task.
@@ -105,23 +106,24 @@
 	return &j.tasks[i]
 }
 
-// IsPartiallyPlaced says that some tasks of a gang's attempt are gone and others not.
+// IsPartiallyPlaced reports whether the job is an unfinished gang that has both placed and
+// unplaced tasks, as some tasks of its attempt are gone.
 func (j *Job) IsPartiallyPlaced() bool {
 	return j.Kind == Gang && j.Outcome() == "" && j.NumPlaced > 0 && j.Unplaced() > 0
 }
 
-// NumChunks is the number of chunks.
+// NumChunks returns the number of chunks.
 func (j *Job) NumChunks() int { return len(j.chunks) }
 
 // Chunk returns chunk c.
 func (j *Job) Chunk(c int) *Chunk { return &j.chunks[c] }
 
-// Unplaced is how many tasks are neither done nor placed.
+// Unplaced returns the number of tasks that are neither done nor placed.
 func (j *Job) Unplaced() int {
 	return len(j.tasks) - j.NumDone - j.NumPlaced + j.doneAndPlaced
 }
 
-// NextUnplaced returns an unplaced task from index from on, or -1.
+// NextUnplaced returns the first unplaced task at or after index from, or -1.
 func (j *Job) NextUnplaced(from int) int {
 	it := j.unplaced.Iterator()
 	it.AdvanceIfNeeded(uint32(from))
@@ -133,7 +135,7 @@
 
 // EachPlaced calls f for every placed task.
 func (j *Job) EachPlaced(f func(i int, t *Task)) {
-	// f may clear what it is called for.
+	// A copy, and a check of each task, as f may remove placements.
 	for _, i := range j.placed.ToArray() {
 		if t := &j.tasks[i]; t.Machine != "" {
 			f(int(i), t)
@@ -141,21 +143,21 @@
 	}
 }
 
-// reindex enters task i where it belongs by what is known of it.
+// reindex updates the membership of task i in the bitmaps of placed and unplaced tasks.
 func (j *Job) reindex(i int) {
 	t := &j.tasks[i]
-	enter := func(b *roaring.Bitmap, in bool) {
+	setMember := func(b *roaring.Bitmap, in bool) {
 		if in {
 			b.Add(uint32(i))
 		} else {
 			b.Remove(uint32(i))
 		}
 	}
-	enter(j.placed, t.Machine != "")
-	enter(j.unplaced, t.Machine == "" && !t.Done)
+	setMember(j.placed, t.Machine != "")
+	setMember(j.unplaced, t.Machine == "" && !t.Done)
 }
 
-// NextAttempt is a number that no earlier attempt of any task had.
+// NextAttempt returns an attempt number higher than those of all earlier attempts of any task.
 func (j *Job) NextAttempt() uint32 {
 	var a uint32
 	for i := range j.chunks {
@@ -164,7 +166,7 @@
 	return a + 1
 }
 
-// PlaceTask plans an attempt. It may start once its chunk is stored.
+// PlaceTask places an attempt of task i on a machine. It may start once its chunk is stored.
 func (j *Job) PlaceTask(i int, machine string, attempt uint32, now int64) {
 	t, c := &j.tasks[i], &j.chunks[i/j.chunkSize]
 	j.markTaskDirty(i, now)
@@ -175,7 +177,8 @@
 	j.reindex(i)
 }
 
-// UnplaceTask removes a placement; the caller has proof that the task is gone.
+// UnplaceTask removes the placement of task i. The caller must have proof that the attempt has
+// ended.
 func (j *Job) UnplaceTask(i int, now int64) {
 	t := &j.tasks[i]
 	if t.Machine == "" {
@@ -191,7 +194,7 @@
 	j.reindex(i)
 }
 
-// SetDone marks a task complete.
+// SetDone marks task i as done.
 func (j *Job) SetDone(i int, now int64) {
 	t := &j.tasks[i]
 	if t.Done {
@@ -206,7 +209,7 @@
 	j.markTaskDirty(i, now)
 }
 
-// SetTrialDone marks the trial as used; it is stored with the first chunk.
+// SetTrialDone marks the job's trial run as used. This is stored with the first chunk.
 func (j *Job) SetTrialDone(now int64) {
 	if !j.TrialDone {
 		j.TrialDone = true
@@ -215,7 +218,7 @@
 	}
 }
 
-// SetPhase notes what a heartbeat says of a placed task.
+// SetPhase sets the phase of a placed task, as reported by a heartbeat.
 func (j *Job) SetPhase(t *Task, p Phase) {
 	if t.Phase >= Running {
 		j.NumRunning--
--- a/internal/core/jobstate/job_test.go
+++ b/internal/core/jobstate/job_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestChunks stores a job of the largest size and reads it back.
-func TestChunks(t *testing.T) {
+// TestChunkRoundTrip stores the chunks of jobs of up to the maximum size, and loads them again.
+func TestChunkRoundTrip(t *testing.T) {
 	for _, n := range []int{1, DefaultChunkSize, DefaultChunkSize + 1, MaxTasks} {
 		j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: n})
 		for i := range n {
@@ -23,7 +23,7 @@
 		for _, c := range j.DirtyChunks() {
 			v, version := j.BeginChunkWrite(c, 0)
 			if len(v) > 8192 {
-				t.Errorf("chunk of %d bytes", len(v))
+				t.Errorf("%d tasks: chunk %d has %d bytes, want at most 8192", n, c, len(v))
 			}
 			j.CommitChunkWrite(c, version, 5)
 			if err := k.LoadChunk(ChunkRef{DefaultChunkSize, c}, v, 5, 1); err != nil {
@@ -31,57 +31,59 @@
 			}
 		}
 		if len(j.DirtyChunks()) != 0 || k.NumDone != j.NumDone || k.NumPlaced != j.NumPlaced || !k.TrialDone || k.NextAttempt() != j.NextAttempt() || k.Unplaced() != j.Unplaced() {
-			t.Errorf("%d tasks: %d done, %d placed, %d unplaced", n, k.NumDone, k.NumPlaced, k.Unplaced())
+			t.Errorf("%d tasks loaded: got %d done, %d placed, %d unplaced, trial done %v, next attempt %d, want %d, %d, %d, true, %d; %d chunks still dirty, want 0",
+				n, k.NumDone, k.NumPlaced, k.Unplaced(), k.TrialDone, k.NextAttempt(), j.NumDone, j.NumPlaced, j.Unplaced(), j.NextAttempt(), len(j.DirtyChunks()))
 		}
 	}
 }
 
-// TestStored follows what a placement may be used for: a run may follow only
-// from a write that had it, whatever was planned while that was under way.
-func TestStored(t *testing.T) {
+// TestPlacementStored checks that a placement counts as stored, so that its start may be sent,
+// only after the commit of a write that includes it. A placement that is made while a write is in
+// flight is not part of that write.
+func TestPlacementStored(t *testing.T) {
 	j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: 2})
 	j.PlaceTask(0, "a", 1, 1)
 	_, version := j.BeginChunkWrite(0, 0)
 	j.PlaceTask(1, "b", 1, 1)
 	if j.Task(0).Stored || j.IsTaskStored(0) {
-		t.Error("stored before the answer")
+		t.Error("task 0: stored before the write was committed")
 	}
 	j.CommitChunkWrite(0, version, 3)
 	if !j.Task(0).Stored || j.Task(1).Stored || j.IsTaskStored(0) {
-		t.Error("only what the write had is stored")
+		t.Errorf("after the first commit: task 0 stored %v, task 1 stored %v, want true, false; chunk clean %v, want false", j.Task(0).Stored, j.Task(1).Stored, j.IsTaskStored(0))
 	}
 	j.BeginChunkWrite(0, 0)
 	j.AbortChunkWrite(0) // no answer
 	if j.Task(1).Stored || len(j.DirtyChunks()) != 1 || j.Chunk(0).Revision != 3 {
-		t.Error("an unknown write counts for nothing and is repeated")
+		t.Errorf("after the aborted write: task 1 stored %v, %d dirty chunks, revision %d, want false, 1, 3", j.Task(1).Stored, len(j.DirtyChunks()), j.Chunk(0).Revision)
 	}
 	_, version = j.BeginChunkWrite(0, 0)
 	j.CommitChunkWrite(0, version, 4)
 	if !j.Task(1).Stored || !j.IsTaskStored(1) {
-		t.Error("stored by the repeat")
+		t.Errorf("after the repeated write: task 1 stored %v, chunk clean %v, want both true", j.Task(1).Stored, j.IsTaskStored(1))
 	}
 	j.UnplaceTask(0, 2)
 	if j.NumPlaced != 1 || j.IsTaskStored(0) || j.NextAttempt() != 2 {
-		t.Error("cleared, and its attempt is not used again")
+		t.Errorf("after task 0 was unplaced: %d placed, chunk clean %v, next attempt %d, want 1, false, 2", j.NumPlaced, j.IsTaskStored(0), j.NextAttempt())
 	}
 }
 
-// TestLoadRefuses keeps nonsense in the state service from doing harm.
-func TestLoadRefuses(t *testing.T) {
+// TestLoadChunkRejectsInvalid checks that invalid stored chunks are rejected with an error.
+func TestLoadChunkRejectsInvalid(t *testing.T) {
 	j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: 2})
 	for _, v := range []string{`x`, `{"d":"zz"}`, `{"p":{"m":[9,1]}}`} {
 		if err := j.LoadChunk(ChunkRef{DefaultChunkSize, 0}, []byte(v), 1, 1); err == nil {
-			t.Errorf("%s is accepted", v)
+			t.Errorf("chunk %s: loaded without an error, want one", v)
 		}
 	}
 	if err := j.LoadChunk(ChunkRef{DefaultChunkSize, 1}, []byte(`{}`), 1, 1); err == nil {
-		t.Error("a chunk that the job does not have is accepted")
+		t.Error("chunk 1 of a job with one chunk: loaded without an error, want one")
 	}
 }
 
-// TestOpen: whatever is done to a job's tasks, the sets of placed and of open
-// ones are what going through all tasks finds, also after its values are read.
-func TestOpen(t *testing.T) {
+// TestPlacedAndUnplacedSets checks that after random changes, including applied log entries, the
+// sets of placed and unplaced tasks equal what a scan of all tasks finds.
+func TestPlacedAndUnplacedSets(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		j := NewJob(&Spec{ID: "j", Kind: Array, Tasks: 700})
@@ -115,7 +117,7 @@
 				}
 			}
 			if got := j.NextUnplaced(from); got != want {
-				t.Fatalf("seed %d: the next open task from %d is %d, want %d", seed, from, got, want)
+				t.Fatalf("seed %d: next unplaced task from %d: got %d, want %d", seed, from, got, want)
 			}
 			j.EachPlaced(func(_ int, task *Task) {
 				if task.Machine != "" {
@@ -123,7 +125,7 @@
 				}
 			})
 			if placed != 0 {
-				t.Fatalf("seed %d: %d placed tasks were left out", seed, placed)
+				t.Fatalf("seed %d: EachPlaced missed %d placed tasks, want 0", seed, placed)
 			}
 		}
 	}
--- a/internal/core/jobstate/knownend.go
+++ b/internal/core/jobstate/knownend.go
@@ -2,17 +2,19 @@
 
 import "iter"
 
-// EndSource says from where a controller knows how a job has ended.
+// EndSource is the source from which a controller knows how a job has ended.
 type EndSource uint8
 
-// The sources of an end, as they are logged.
+// The sources of an end. Their names, see String, are logged.
 const (
-	// EndDerived: it follows from the stored end of a job that this one depends on, or of
-	// the sweep that it is a run of. Any controller that has both comes to the same.
+	// EndDerived is the source of an end that follows from the stored end of a dependency
+	// of the job, or of the sweep that the job is a run of. Any controller that has both
+	// derives the same end.
 	EndDerived EndSource = iota
-	// EndTold: a peer has told its users so. The peer may have derived it.
+	// EndTold is the source of an end that a peer has reported to its users. The peer may
+	// have derived it.
 	EndTold
-	// EndStored: the state service has it.
+	// EndStored is the source of an end that the state service has.
 	EndStored
 )
 
@@ -26,63 +28,64 @@
 	return "stored"
 }
 
-// KnownEnd is how a job has ended, and from where that is known. Users may be told of an end
-// from any source, as all of them are final; a job's keys may go only with one that is stored.
+// KnownEnd is how a job has ended, and the source of that knowledge. An end from any source may
+// be reported to users, as all of them are final. A job's keys may be removed only if its end
+// is stored.
 type KnownEnd struct {
 	End
 	source EndSource
-	// revision is one at which the end is stored, 0 from any other source.
+	// revision is a revision at which the end is stored, 0 for any other source.
 	revision uint64
 }
 
-// DerivedEnd is an end that follows from another that is stored.
+// DerivedEnd returns an end that follows from another that is stored.
 func DerivedEnd(end End) KnownEnd { return KnownEnd{End: end, source: EndDerived} }
 
-// ToldEnd is an end that a peer has told its users of.
+// ToldEnd returns an end that a peer has reported to its users.
 func ToldEnd(end End) KnownEnd { return KnownEnd{End: end, source: EndTold} }
 
-// EndStoredAt is an end that the state service has, at a revision.
+// EndStoredAt returns an end that the state service has at a revision.
 func EndStoredAt(end End, revision uint64) KnownEnd {
 	return KnownEnd{End: end, source: EndStored, revision: revision}
 }
 
-// Source is from where the end is known.
+// Source returns the source from which the end is known.
 func (e KnownEnd) Source() EndSource { return e.source }
 
-// Revision is one at which the end is stored, 0 where that is not known.
+// Revision returns a revision at which the end is stored, 0 if it is not known to be stored.
 func (e KnownEnd) Revision() uint64 { return e.revision }
 
-// IsStored says whether the state service is known to have the end.
+// IsStored reports whether the state service is known to have the end.
 func (e KnownEnd) IsStored() bool { return e.source == EndStored }
 
-// better is the one of two descriptions of an end that says more: the first one, or one that
-// is stored.
-func (e KnownEnd) better(other KnownEnd) KnownEnd {
+// preferStored returns the more informative of two descriptions of the same end: other if only that
+// one is stored, else e.
+func (e KnownEnd) preferStored(other KnownEnd) KnownEnd {
 	if !e.IsStored() && other.IsStored() {
 		return other
 	}
 	return e
 }
 
-// KnownEnds are the ends of jobs that are not long over. Only the newest are kept.
+// KnownEnds is a bounded set of the ends of jobs. Beyond the limit the oldest are dropped.
 type KnownEnds struct {
 	limit int
 	byJob map[string]KnownEnd
-	order []string // their jobs, the oldest first
+	order []string // job IDs, oldest end first
 }
 
-// NewKnownEnds makes an empty set that keeps so many ends.
+// NewKnownEnds returns an empty set that keeps at most limit ends.
 func NewKnownEnds(limit int) *KnownEnds {
 	return &KnownEnds{limit: limit, byJob: map[string]KnownEnd{}}
 }
 
-// Get is the end of a job, if it is kept.
+// Get returns the end of a job, if it is kept.
 func (k *KnownEnds) Get(job string) (KnownEnd, bool) {
 	end, ok := k.byJob[job]
 	return end, ok
 }
 
-// All are the ends that are kept, by their jobs, the oldest first.
+// All iterates over the IDs of jobs and their ends that are kept, oldest first.
 func (k *KnownEnds) All() iter.Seq2[string, KnownEnd] {
 	return func(yield func(string, KnownEnd) bool) {
 		for _, job := range k.order {
@@ -93,10 +96,11 @@
 	}
 }
 
-// Record notes an end. It returns what is known of the end by now, and whether it is new.
+// Record records an end. It returns the end as it is known now, and whether it is the first one
+// of the job.
 func (k *KnownEnds) Record(job string, end KnownEnd) (known KnownEnd, isNew bool) {
 	if before, ok := k.byJob[job]; ok {
-		known = before.better(end)
+		known = before.preferStored(end)
 		k.byJob[job] = known
 		return known, false
 	}
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRecordEnd: the first end of a job stands, and only one that is stored takes the place of
-// one that is not.
+// TestRecordEnd checks that the first recorded end of a job is kept, and that only a stored end
+// replaces one that is not stored.
 func TestRecordEnd(t *testing.T) {
 	cancelledEnd := End{Outcome: Cancelled, Tasks: 2}
 	derived, told := DerivedEnd(cancelledEnd), ToldEnd(End{Outcome: Cancelled})
@@ -31,24 +31,25 @@
 			for i, end := range tc.ends {
 				known, isNew := ends.Record("j", end)
 				if hasJustEnded := job.RecordEnd(end); isNew != (i == 0) || hasJustEnded != (i == 0) {
-					t.Errorf("end %d: new %v, the job has just ended %v", i, isNew, hasJustEnded)
+					t.Errorf("end %d: got new %v, job just ended %v, want both %v", i, isNew, hasJustEnded, i == 0)
 				}
 				if known != job.End() {
-					t.Errorf("end %d: %+v is known, and %+v of the job", i, known, job.End())
+					t.Errorf("end %d: KnownEnds has %+v, want %+v as in the job", i, known, job.End())
 				}
 			}
 			end := job.End()
 			if end.Source() != tc.source || end.Revision() != tc.revision || end.IsStored() != (tc.source == EndStored) {
-				t.Errorf("known as %s at revision %d", end.Source(), end.Revision())
+				t.Errorf("source and revision: got %s, %d, want %s, %d; stored: %v", end.Source(), end.Revision(), tc.source, tc.revision, end.IsStored())
 			}
 			if job.Outcome() != Cancelled {
-				t.Errorf("the outcome is %q", job.Outcome())
+				t.Errorf("outcome: got %q, want %q", job.Outcome(), Cancelled)
 			}
 		})
 	}
 }
 
-// TestKnownEndsLimit: beyond the limit the oldest ends go, and with them what is known of them.
+// TestKnownEndsLimit checks that beyond the limit the oldest ends are dropped, so that Get no longer
+// returns them.
 func TestKnownEndsLimit(t *testing.T) {
 	ends := NewKnownEnds(2)
 	for _, id := range []string{"a", "b", "a", "c"} {
@@ -59,6 +60,6 @@
 		kept += id
 	}
 	if _, ok := ends.Get("a"); ok || kept != "bc" {
-		t.Errorf("kept %q", kept)
+		t.Errorf("kept ends: got %q, want \"bc\"; end of a kept: %v, want false", kept, ok)
 	}
 }
--- a/internal/core/jobstate/progresslog.go
+++ b/internal/core/jobstate/progresslog.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// LogEntry is the state of one task at some point: whether it is done, and where
-// its attempt is placed, if anywhere.
+// LogEntry is the state of one task at some point in the log: whether it is done, and where its
+// attempt is placed, if anywhere.
 type LogEntry struct {
 	Job     string
 	Task    int
@@ -17,31 +17,32 @@
 	Attempt uint32
 }
 
-// LogPage is one value of the log of progress. A change of many jobs costs one
-// write in it, where a chunk costs one for each job. Entries are numbered
-// through all pages; a page only ever grows, and of a task the entry with the
-// highest number holds, unless its chunk was stored later (Chunk.seq).
+// LogPage is one stored value of the progress log. Changes of many jobs cost a single write in
+// the log, whereas chunks cost at least one write per job. Sequence numbers of entries continue
+// from page to page, and a page only ever grows. The entry of a task with the highest sequence
+// number is the valid one, unless the task's chunk was stored later (Chunk.seq).
 type LogPage struct {
-	// FirstSeq is the number of the first entry.
+	// FirstSeq is the sequence number of the first entry.
 	FirstSeq uint64
 	Entries  []LogEntry
 	Revision uint64
 }
 
-// NextSeq is the number after the last entry's.
+// NextSeq returns the sequence number after that of the last entry.
 func (p *LogPage) NextSeq() uint64 { return p.FirstSeq + uint64(len(p.Entries)) }
 
 type storedLogPage struct {
 	FirstSeq uint64   `json:"b"`
 	Prefix   string   `json:"p"`
-	Machines []string `json:"m"` // of machines, without the prefix
+	Machines []string `json:"m"` // names without the common prefix
 	Jobs     []string `json:"j"`
-	// Entries are four numbers each: job, task, twice the attempt and one if
-	// done, and the machine counted from 1.
+	// Entries has four numbers per entry: the index of the job, the task, twice the
+	// attempt plus one if the task is done, and the index of the machine plus one, 0 for
+	// none.
 	Entries []uint32 `json:"e"`
 }
 
-// Encode makes the page's value.
+// Encode returns the stored value of the page.
 func (p *LogPage) Encode() []byte {
 	s := storedLogPage{FirstSeq: p.FirstSeq, Entries: make([]uint32, 0, 4*len(p.Entries))}
 	jobs, machines := map[string]uint32{}, map[string]uint32{}
@@ -78,17 +79,17 @@
 	return Encode(s)
 }
 
-// DecodeLogPage reads a page's value.
+// DecodeLogPage decodes the stored value of a page.
 func DecodeLogPage(value []byte) (LogPage, error) {
 	var s storedLogPage
 	if err := json.Unmarshal(value, &s); err != nil {
-		return LogPage{}, fmt.Errorf("page of progress: %w", err)
+		return LogPage{}, fmt.Errorf("progress log page: %w", err)
 	}
 	p := LogPage{FirstSeq: s.FirstSeq, Entries: make([]LogEntry, 0, len(s.Entries)/4)}
 	for k := 0; k+3 < len(s.Entries); k += 4 {
 		j, i, a, m := s.Entries[k], s.Entries[k+1], s.Entries[k+2], s.Entries[k+3]
 		if int(j) >= len(s.Jobs) || int(m) > len(s.Machines) || i >= MaxTasks {
-			return LogPage{}, errors.New("page of progress: an entry points nowhere")
+			return LogPage{}, errors.New("progress log page: invalid job, task or machine in an entry")
 		}
 		e := LogEntry{Job: s.Jobs[j], Task: int(i), Attempt: a / 2, Done: a%2 == 1}
 		if m > 0 {
@@ -99,7 +100,7 @@
 	return p, nil
 }
 
-// ApplyLogEntry takes the entry with number seq over, unless its chunk was stored
+// ApplyLogEntry applies the entry with sequence number seq, unless the task's chunk was stored
 // after it.
 func (j *Job) ApplyLogEntry(e *LogEntry, seq uint64, now int64) {
 	t := j.Task(e.Task)
@@ -114,7 +115,7 @@
 	j.restoreTask(e.Task, Task{Done: e.Done, Machine: e.Machine, Attempt: e.Attempt}, now)
 }
 
-// restoreTask replaces what is known of a task by what is stored.
+// restoreTask replaces the state of task i by the stored state.
 func (j *Job) restoreTask(i int, to Task, now int64) {
 	t := &j.tasks[i]
 	if t.Machine != "" {
@@ -141,8 +142,9 @@
 	j.reindex(i)
 }
 
-// ChangedEntries lists the entries for the tasks of chunk c that changed since it was
-// last taken. whole says that only the chunk's value has all that changed.
+// ChangedEntries returns log entries for the tasks of chunk c that changed since its last write
+// began. whole reports that the chunk has to be written as a whole instead, as it has other
+// changes or too many changed tasks.
 func (j *Job) ChangedEntries(c int) (entries []LogEntry, whole bool) {
 	ch := &j.chunks[c]
 	if ch.needsFullWrite || len(ch.changed) > j.chunkSize*3/4 {
@@ -160,8 +162,8 @@
 	return entries, false
 }
 
-// BeginLogWrite says that the changes of chunk c are about to be written to the
-// log.
+// BeginLogWrite records that the changes of chunk c are about to be written to the log, and
+// returns the version that is written.
 func (j *Job) BeginLogWrite(c int) (version uint64) {
 	ch := &j.chunks[c]
 	ch.beginWrite()
@@ -173,16 +175,17 @@
 	c.inFlightChanges, c.changed = c.changed, nil
 }
 
-// CommitLogWrite notes that a version of chunk c is stored by the log.
+// CommitLogWrite records that a version of chunk c is stored in the log.
 func (j *Job) CommitLogWrite(c int, version uint64) {
 	j.CommitChunkWrite(c, version, j.chunks[c].Revision)
 }
 
-// FirstUnstoredSeq is the number up to which chunk c's stored value has all entries.
+// FirstUnstoredSeq returns the sequence number of the first log entry that the stored value of
+// chunk c does not include.
 func (j *Job) FirstUnstoredSeq(c int) uint64 { return j.chunks[c].seq }
 
-// CompactChunk asks for chunk c to be written as a value, so that the log's entries of
-// it are not needed any more.
+// CompactChunk requests that chunk c is written as a whole, so that its log entries are no
+// longer needed.
 func (j *Job) CompactChunk(c int, now int64) {
 	ch := &j.chunks[c]
 	if !ch.needsFullWrite && !ch.inFlightFull {
--- a/internal/core/jobstate/spec.go
+++ b/internal/core/jobstate/spec.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// MaxTasks is the largest job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Priorities of jobs.
+// Priorities of jobs, lowest first.
 const (
 	Idle = iota
 	Normal
@@ -13,34 +13,34 @@
 	Production
 )
 
-// Resources is an amount of a machine, in thousandths of a CPU, GPU or GB.
+// Resources is an amount of resources, in thousandths of a CPU, GPU or GB.
 type Resources struct {
 	CPU int64 `json:"c"`
 	GPU int64 `json:"g"`
 	Mem int64 `json:"m"`
 }
 
-// Add is by component, as Sub and Scale are.
+// Add returns the sum of v and o, by component.
 func (v Resources) Add(o Resources) Resources {
 	return Resources{v.CPU + o.CPU, v.GPU + o.GPU, v.Mem + o.Mem}
 }
 
-// Sub is v less o.
+// Sub returns v minus o, by component.
 func (v Resources) Sub(o Resources) Resources {
 	return Resources{v.CPU - o.CPU, v.GPU - o.GPU, v.Mem - o.Mem}
 }
 
-// Scale is v n times.
+// Scale returns v times n, by component.
 func (v Resources) Scale(n int64) Resources { return Resources{v.CPU * n, v.GPU * n, v.Mem * n} }
 
-// Fits says whether v is within o.
+// Fits reports whether no component of v exceeds that of o.
 func (v Resources) Fits(o Resources) bool { return v.CPU <= o.CPU && v.GPU <= o.GPU && v.Mem <= o.Mem }
 
-// Weight makes work on amounts of different kinds comparable: by GPUs, where
-// there are any.
+// Weight returns a scalar size that makes work on different resources comparable. A GPU weighs
+// as much as 8 CPUs, and the larger of the two counts.
 func (v Resources) Weight() int64 { return max(v.GPU, v.CPU/8) }
 
-// Kind says how a job's tasks belong together.
+// Kind is the kind of a job, which determines how its tasks belong together.
 type Kind string
 
 // The kinds of jobs.
@@ -50,7 +50,7 @@
 	Service Kind = "service"
 )
 
-// Spec is a job as its user described it. Durations are microseconds.
+// Spec is the specification of a job as submitted by its user. Durations are in microseconds.
 type Spec struct {
 	ID         string    `json:"id"`
 	Class      string    `json:"cl"`
@@ -70,15 +70,15 @@
 	Checkpoint int64     `json:"ck,omitempty"`
 	Save       int64     `json:"sv,omitempty"`
 	Deadline   int64     `json:"dl,omitempty"`
-	// Dependencies are the jobs that have to be done before any task starts.
+	// Dependencies are the IDs of jobs that have to be done before any task starts.
 	Dependencies []string `json:"aw,omitempty"`
-	// Sweep is the sweep that the job is a run of, and Run its number there.
+	// Sweep is the sweep that the job is a run of, and Run its number in the sweep.
 	Sweep string `json:"sw,omitempty"`
 	Run   int    `json:"sn,omitempty"`
 }
 
-// FetchTime is how long a machine that lacks the job's image takes to get it,
-// at so many MB a second.
+// FetchTime returns how long a machine that lacks the job's image takes to fetch it at rate MB
+// per second, in microseconds; 0 if the rate is not positive.
 func (s *Spec) FetchTime(rate int64) int64 {
 	if rate <= 0 {
 		return 0
@@ -86,8 +86,8 @@
 	return s.ImageMB * 1_000_000 / rate
 }
 
-// Allows says whether a task may ever be on a machine of a type, zone, kind
-// and size.
+// Allows reports whether a task may ever be placed on a machine of a type, zone, purchase
+// option (spot or on-demand) and size.
 func (s *Spec) Allows(typ, zone string, spot bool, size Resources) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
 		(s.Zone == "" || s.Zone == zone) &&
--- a/internal/core/jobstate/stop.go
+++ b/internal/core/jobstate/stop.go
@@ -1,29 +1,31 @@
 package jobstate
 
-// StopReason is why a placed attempt is to be stopped.
+// StopReason is the reason for which a placed attempt is to be stopped.
 type StopReason string
 
-// The reasons to stop an attempt; the empty one is none.
+// The reasons to stop an attempt. The empty reason means that it is not to be stopped.
 const (
-	// StopCancel and StopComplete follow from the outcome of the attempt's job.
+	// StopCancel and StopComplete stop the attempts of a job that has ended, by its outcome.
 	StopCancel   = StopReason(Cancelled)
 	StopComplete = StopReason(Done)
-	// StopSweep: the job's sweep is cancelled, and its own end is not stored yet.
+	// StopSweep stops attempts of a job whose sweep is cancelled and whose own end is not
+	// stored yet.
 	StopSweep StopReason = "sweep"
-	// StopPreempt makes room for other work.
+	// StopPreempt frees resources for other work.
 	StopPreempt StopReason = "preempt"
-	// StopDrain: the machine is to go.
+	// StopDrain empties a machine that is to be removed.
 	StopDrain StopReason = "drain"
-	// StopTrial: the job's trial run is over.
+	// StopTrial ends the job's trial run.
 	StopTrial StopReason = "trial"
-	// StopGang: another task of the gang's attempt is gone.
+	// StopGang stops the rest of a gang after another task of its attempt is gone.
 	StopGang StopReason = "gang"
-	// StopNotReceiving: the start was sent to a machine that does not receive answers.
+	// StopNotReceiving stops an attempt whose start was sent to a machine that does not
+	// receive answers.
 	StopNotReceiving StopReason = "not_receiving"
 )
 
-// IsStopping says that the attempt is to be stopped.
+// IsStopping reports whether the attempt is to be stopped.
 func (t *Task) IsStopping() bool { return t.StopReason != "" }
 
-// OutcomeStopReason is why attempts of a job that is over are stopped.
+// OutcomeStopReason returns the reason for which attempts of an ended job are stopped.
 func (j *Job) OutcomeStopReason() StopReason { return StopReason(j.Outcome()) }
--- a/internal/core/jobstate/task.go
+++ b/internal/core/jobstate/task.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Phase is what is known of an attempt on its machine.
+// Phase is the last known phase of an attempt on its machine.
 type Phase uint8
 
 // The phases of an attempt, in their order.
@@ -18,38 +18,40 @@
 	Checkpointing
 )
 
-// Task is one task. Machine is empty while it is placed nowhere.
+// Task is one task of a job. Machine is empty while the task is not placed.
 type Task struct {
 	Machine string
 	Attempt uint32
 	Done    bool
-	// Stored: the placement is in the state service, so a start may be sent.
+	// Stored reports whether the state service has the placement, so that a start may be
+	// sent.
 	Stored bool
-	// StartSent: a start may have been sent, by this leader or an earlier one.
+	// StartSent reports whether a start may have been sent, by this leader or an earlier
+	// one.
 	StartSent bool
-	// Confirmed: a heartbeat to this leader has shown the attempt.
+	// Confirmed reports whether a heartbeat to this leader has listed the attempt.
 	Confirmed bool
-	// version of the chunk that first has the placement.
+	// version is the first version of the chunk that includes the placement.
 	version uint64
 	Phase   Phase
-	// Trial: the attempt is the job's trial run.
+	// Trial reports whether the attempt is the job's trial run.
 	Trial bool
-	// PlacedAt is when the attempt was placed, Started when it was seen
-	// running, both on the leader's steady clock.
+	// PlacedAt is when the attempt was placed, StartedAt when it was first seen running,
+	// both on the leader's monotonic clock.
 	PlacedAt, StartedAt int64
-	// StopReason is why the attempt is to be stopped, StopRequestedAt since when.
+	// StopReason is why the attempt is to be stopped, StopRequestedAt when that was decided.
 	StopReason      StopReason
 	Grace           int64
 	StopRequestedAt int64
 }
 
-// errNoTaskNumber is the fault of a name that is no task's.
+// errNoTaskNumber is returned for a task name without a "/".
 var errNoTaskNumber = errors.New("task name without a number")
 
-// TaskName is a task's name on the wire.
+// TaskName returns the name of task i on the wire.
 func TaskName(job string, i int) string { return job + "/" + strconv.Itoa(i) }
 
-// ParseTaskName reads a task's name.
+// ParseTaskName splits the name of a task into its job and its number.
 func ParseTaskName(name string) (job string, i int, err error) {
 	job, num, ok := strings.Cut(name, "/")
 	if !ok {
