--- a/internal/core/sched/gang.go
+++ b/internal/core/sched/gang.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// unboundedStarts is from which bound of a round on a gang is placed although it is
-// larger than what is left of the bound.
+// unboundedStarts is the smallest remaining Planner.MaxStarts with which a gang is placed
+// although it has more tasks than that.
 const unboundedStarts = 1000
 
-// placeGang places all tasks of a gang or none. With one_zone it tries the
-// zones one after the other, the one that would have it start first to begin with.
+// placeGang places all tasks of a gang or none. With one_zone it tries one zone after the
+// other, in the order in which the gang would start soonest.
 func (p *Planner) placeGang(j *Job, partition int) {
 	tasks := j.tasksLeft()
 	if tasks > p.MaxStarts && p.MaxStarts < unboundedStarts {
 		return
 	}
 	for _, zone := range p.zoneChoices(j, tasks) {
-		machines := p.tryGang(j, tasks, partition, zone)
+		machines := p.allocateGang(j, tasks, partition, zone)
 		for _, m := range machines {
 			p.deallocate(j, m)
 		}
@@ -31,9 +31,9 @@
 	}
 }
 
-// tryGang allocates machines for as many tasks of a gang as find one; the caller takes the
-// allocations back.
-func (p *Planner) tryGang(j *Job, tasks, partition int, zone *string) []*Machine {
+// allocateGang tentatively allocates machines for as many tasks of a gang as possible. The caller
+// must deallocate them.
+func (p *Planner) allocateGang(j *Job, tasks, partition int, zone *string) []*Machine {
 	var placed []*Machine
 	tasksByZone := map[string]int{}
 	maps.Copy(tasksByZone, j.TasksByZone)
@@ -43,7 +43,7 @@
 		if m == nil {
 			break
 		}
-		p.allocate(j, m, trialIndex)
+		p.allocate(j, m, tentativeIndex)
 		tasksByZone[m.Zone]++
 		placed = append(placed, m)
 		machines.reinsert(m)
@@ -51,9 +51,9 @@
 	return placed
 }
 
-// zoneChoices are the zones to try for a gang of so many more tasks; nil stands for
-// any. A gang starts with the last of its tasks, so a zone is as good as the
-// costliest machine that would be taken there.
+// zoneChoices returns the zones to try for the remaining tasks of a gang, best first; nil
+// stands for any zone. A gang starts when the last of its tasks does, so the cost of a zone is
+// that of the most expensive machine that would be used there.
 func (p *Planner) zoneChoices(j *Job, tasks int) []*string {
 	if !j.OneZone {
 		return []*string{nil}
--- a/internal/core/sched/imagepreempt.go
+++ b/internal/core/sched/imagepreempt.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	// imagePreemptDelay is what preempting for an image takes besides saving,
-	// minImagePreemptGain the least that it has to gain.
+	// imagePreemptDelay is how long a preemption for an image takes besides saving a
+	// checkpoint, minImagePreemptGain the minimum time that it has to save over a fetch.
+	// Both are in microseconds.
 	imagePreemptDelay   = 1_500_000
 	minImagePreemptGain = 4_000_000
-	// maxLostPerFetch is how many times the work that the fetch would idle may be lost.
+	// maxLostPerFetch is the maximum work lost by a preemption, as a multiple of the work
+	// that the task's resources could do during the fetch.
 	maxLostPerFetch = 2
 )
 
-// imageOption is a machine that a gang could have, how long a task takes to start there,
-// and what is stopped for it.
+// imageOption is a machine that a task of a gang could use, how long the task takes to start
+// there, and the tasks that have to be stopped for it.
 type imageOption struct {
 	m       *Machine
 	delay   int64
 	victims []RunningTask
 }
 
-// preemptForImage finds an urgent gang machines that have its image but run lower work,
-// where those that are free lack it and a fetch would take much longer than
-// stopping that work. What is stopped can go to the free ones. It says that
-// the gang is to wait for them.
+// preemptForImage preempts work of lower priority on machines that have the image of an urgent
+// gang, if the free machines lack the image and a fetch would take much longer than stopping
+// that work. The stopped work can move to the free machines. The result reports whether the
+// gang has to wait for the machines that are being freed.
 func (p *Planner) preemptForImage(j *Job) bool {
 	if j.EffectivePriority < jobstate.Urgent || j.Kind != jobstate.Gang || j.Image == "" || p.isFinished(j) {
 		return false
@@ -49,8 +51,9 @@
 	return true
 }
 
-// freeMachines are the machines that a gang could have now, by zone if it needs one zone,
-// and after what delay all its tasks would have started there; never if it could not.
+// freeMachines returns the machines that a gang could use now, by zone if it needs a single
+// zone, and the delay after which all its tasks would have started there. The delay is never
+// if there are too few machines.
 func (p *Planner) freeMachines(j *Job, tasks int) (options map[string][]imageOption, delay int64) {
 	delays := map[string][]int64{}
 	options = map[string][]imageOption{}
@@ -77,8 +80,8 @@
 	return options, delay
 }
 
-// addBusyMachines adds the machines that have the image, or will have it, and run work
-// that can be stopped for the gang.
+// addBusyMachines adds the machines that have the image, or will have it, and on which work
+// can be stopped for the gang.
 func (p *Planner) addBusyMachines(j *Job, options map[string][]imageOption) {
 	add := func(m *Machine) {
 		if !j.suits(m.group.MachineClass) || j.Need.Fits(m.Free) {
@@ -95,8 +98,8 @@
 	}
 }
 
-// fastestZone picks the machines on which so many tasks would start soonest, and after
-// what delay; never if no zone has enough.
+// fastestZone returns the machines on which tasks many tasks would start soonest, and the
+// delay until then. The delay is never if no zone has enough machines.
 func fastestZone(byZone map[string][]imageOption, tasks int) (best []imageOption, delay int64) {
 	delay = never
 	for _, options := range byZone {
@@ -113,8 +116,8 @@
 	return best, delay
 }
 
-// imageVictims finds what to stop on m, which has work, for one task of a gang, and
-// how long that takes: nothing more where work is being stopped for j already.
+// imageVictims returns the tasks to stop on the busy machine m for one task of a gang, and how
+// long that takes. There are none if work on m is already being stopped for j.
 func (p *Planner) imageVictims(j *Job, m *Machine) (victims []RunningTask, delay int64, ok bool) {
 	if m.FetchRate <= 0 || !m.willHaveImage(j.Image) || m.claimedAhead(j) {
 		return nil, 0, false
@@ -129,7 +132,7 @@
 	delay = imagePreemptDelay
 	for _, victim := range victims {
 		if victim.Job.Kind == jobstate.Gang && victim.Job.NumPlaced > 1 {
-			return nil, 0, false // the rest of it would stop elsewhere
+			return nil, 0, false // its other tasks would stop as well
 		}
 		if !killsVictim(j, victim.Job) {
 			delay = max(delay, imagePreemptDelay+victim.Job.Save)
--- a/internal/core/sched/index.go
+++ b/internal/core/sched/index.go
@@ -9,37 +9,37 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// machineGroup is the machines of a class, by what is free on them.
+// machineGroup holds the machines of a class, ordered by their free resources.
 type machineGroup struct {
 	MachineClass
 	free *btree.BTreeG[*Machine]
 }
 
-// imageHolders is which machines have an image or are fetching it.
+// imageHolders is the set of machines that have an image or are fetching it.
 type imageHolders struct {
 	name     string
 	machines *roaring.Bitmap
-	// worth is what it is worth in this round to jobs to come, as a delay.
+	// worth is the value of the image to future jobs in this round, as a delay in
+	// microseconds.
 	worth int64
 }
 
-// Index holds the machines that tasks may be placed on now, so that a round
-// looks only at those that come into question: by class, by what is free on
-// them, and by image. It is kept from round to round; Put and Remove repair it
-// as what is known of a machine changes.
+// Index holds the machines on which tasks may be placed now, by class, by free resources and
+// by image, so that a planning round visits only candidates. It is kept from round to round;
+// Put and Remove update it as machines change.
 type Index struct {
 	groups []*machineGroup // in the order of their classes
 	byName map[string]*Machine
-	// slots are the machines by number, freeSlots the numbers without one.
+	// slots are the machines by their number in image bitmaps, freeSlots the unused numbers.
 	slots     []*Machine
 	freeSlots []uint32
 	images    map[string]*imageHolders
-	// round numbers the rounds of planning: what a machine has of an earlier
-	// one means nothing.
+	// round is the number of the current planning round. Per-round state of a machine from
+	// an earlier round is invalid.
 	round uint64
 }
 
-// NewIndex makes an index of machines.
+// NewIndex returns an index of machines.
 func NewIndex(machines ...*Machine) *Index {
 	x := &Index{byName: map[string]*Machine{}, images: map[string]*imageHolders{}}
 	for _, m := range machines {
@@ -48,10 +48,10 @@
 	return x
 }
 
-// Len is how many machines there are.
+// Len returns the number of machines.
 func (x *Index) Len() int { return len(x.byName) }
 
-// Capacity is what all machines have together.
+// Capacity returns the total resources of all machines.
 func (x *Index) Capacity() jobstate.Resources {
 	var all jobstate.Resources
 	for _, g := range x.groups {
@@ -60,11 +60,12 @@
 	return all
 }
 
-// Find returns a machine, or nil.
+// Find returns the machine with a name, or nil.
 func (x *Index) Find(name string) *Machine { return x.byName[name] }
 
-// byFree orders by GPUs first, as they are what runs short where there are any.
-func byFree(a, b *Machine) bool {
+// lessFree orders machines by free GPUs first, as GPUs are the scarce resource where there are
+// any, then by free CPUs and name.
+func lessFree(a, b *Machine) bool {
 	if a.free.GPU != b.free.GPU {
 		return a.free.GPU < b.free.GPU
 	}
@@ -74,8 +75,8 @@
 	return a.Name < b.Name
 }
 
-// Put enters a machine, or takes over what has changed of one that was
-// entered. One name is always the same *Machine.
+// Put adds a machine, or updates the index after the fields of a machine in it have changed.
+// A name must always belong to the same *Machine.
 func (x *Index) Put(m *Machine) {
 	class := m.class()
 	switch {
@@ -97,7 +98,7 @@
 	m.round = 0
 }
 
-// assignSlot numbers a machine, with the number of one that was removed if there is any.
+// assignSlot assigns a number to a machine, reusing that of a removed machine if there is one.
 func (x *Index) assignSlot(m *Machine) {
 	n := len(x.freeSlots)
 	if n == 0 {
@@ -109,7 +110,7 @@
 	x.slots[m.slot] = m
 }
 
-// Remove takes a machine out.
+// Remove removes a machine if it is in the index.
 func (x *Index) Remove(m *Machine) {
 	if m.group == nil {
 		return
@@ -127,25 +128,25 @@
 	x.freeSlots = append(x.freeSlots, m.slot)
 }
 
-// setFree moves a machine to its place by what is free on it.
+// setFree sets the free resources of a machine and reorders it in its group.
 func (x *Index) setFree(m *Machine, free jobstate.Resources) {
 	m.group.free.Delete(m)
 	m.Free, m.free = free, free
 	m.group.free.Set(m)
 }
 
-// group is the group of a class; there is one from now on.
+// group returns the group of a class, which it creates if there is none.
 func (x *Index) group(class MachineClass) *machineGroup {
 	i, ok := slices.BinarySearchFunc(x.groups, class, func(g *machineGroup, c MachineClass) int { return g.compare(c) })
 	if !ok {
-		free := btree.NewBTreeGOptions(byFree, btree.Options{NoLocks: true})
+		free := btree.NewBTreeGOptions(lessFree, btree.Options{NoLocks: true})
 		x.groups = slices.Insert(x.groups, i, &machineGroup{MachineClass: class, free: free})
 	}
 	return x.groups[i]
 }
 
-// putImages repairs which images a machine has. Most have a few, and mostly the
-// same as before.
+// putImages updates the image sets that contain a machine. Most machines have a few images,
+// and mostly the same ones as before.
 func (x *Index) putImages(m *Machine) {
 	m.images = slices.DeleteFunc(m.images, func(holders *imageHolders) bool {
 		if _, ok := m.Images[holders.name]; ok {
@@ -169,7 +170,7 @@
 	}
 }
 
-// dropImage takes a machine from those that have an image.
+// dropImage removes a machine from the holders of an image.
 func (x *Index) dropImage(holders *imageHolders, m *Machine) {
 	holders.machines.Remove(m.slot)
 	if holders.machines.IsEmpty() {
@@ -177,7 +178,7 @@
 	}
 }
 
-// beginRound starts a round, in which images are worth so much.
+// beginRound starts a planning round. worth is the value of each image in this round.
 func (x *Index) beginRound(worth map[string]int64) {
 	x.round++
 	for name, holders := range x.images {
--- a/internal/core/sched/index_test.go
+++ b/internal/core/sched/index_test.go
@@ -22,7 +22,7 @@
 		out += fmt.Sprintf("%v:", g.MachineClass)
 		last := Machine{free: jobstate.Resources{GPU: -1 << 40}}
 		g.free.Scan(func(m *Machine) bool {
-			if !byFree(&last, m) || m.group != g || m.free != m.Free || x.byName[m.Name] != m || x.slots[m.slot] != m {
+			if !lessFree(&last, m) || m.group != g || m.free != m.Free || x.byName[m.Name] != m || x.slots[m.slot] != m {
 				out += " broken"
 			}
 			last = Machine{Name: m.Name, free: m.free}
--- a/internal/core/sched/job.go
+++ b/internal/core/sched/job.go
@@ -7,47 +7,55 @@
 )
 
 const (
-	// Unlimited stands for no limit.
+	// Unlimited is the headroom of a team without a limit.
 	Unlimited = int64(1) << 50
-	// never stands for a time that never comes.
+	// never is the delay of something that cannot happen.
 	never = int64(1) << 50
 )
 
-// Job is a job with tasks that wait.
+// Job is a job with tasks that wait to be placed.
 type Job struct {
 	*jobstate.Job
 	Queue int
-	// ExpectedDuration is how long a task is expected to hold its machine.
+	// ExpectedDuration is how long a task is expected to occupy its machine, without the
+	// image fetch.
 	ExpectedDuration int64
-	// Headroom is what its team's limit leaves, shared by the team's jobs.
+	// Headroom is what remains of the team's limit, shared by the team's jobs.
 	Headroom *Headroom
-	// Guaranteed: with its team's earlier jobs it fits the guarantee.
+	// Guaranteed reports whether the job, together with its team's earlier jobs, is within
+	// the team's guarantee.
 	Guaranteed bool
-	// DeadlineLost: its deadline is lost, so it lets its equals go first.
+	// DeadlineLost reports whether the job's deadline can no longer be met, so that
+	// otherwise equal jobs go first.
 	DeadlineLost bool
-	// StartOverdue: it is one of its class's largest and has waited so long that it
-	// goes before its equals.
+	// StartOverdue reports whether the job is among the largest of its class and has waited
+	// so long that it goes before otherwise equal jobs.
 	StartOverdue bool
-	// NeedsGPUMachine: it needs no GPU, and yet no machine without GPUs can take it.
+	// NeedsGPUMachine reports whether the job needs no GPU, but fits only on machines with
+	// GPUs.
 	NeedsGPUMachine bool
-	// QueueOrder is when it came or, with a deadline, its latest start.
+	// QueueOrder is the time by which otherwise equal jobs are ordered: the job's arrival
+	// or, with a deadline, its latest start.
 	QueueOrder int64
-	// TasksByZone are the zones of its placed tasks, with their number.
+	// TasksByZone is the number of the job's placed tasks per zone.
 	TasksByZone map[string]int
-	// StartBy is when it needs free machines to start in time, 0 for no such time.
+	// StartBy is when the job needs free machines to start in time, 0 if it has no
+	// objective for its start.
 	StartBy int64
 
-	// deferred: better machines are being freed for it than there are.
+	// deferred reports whether better machines than the free ones are being freed for the
+	// job, so that it waits for them.
 	deferred bool
-	// nextTask is where the search for unplaced tasks goes on, planned how many found a
-	// machine in this round.
+	// nextTask is the index at which the search for unplaced tasks continues, planned the
+	// number of tasks placed in this round.
 	nextTask, planned int
 }
 
-// Headroom is what a team may still place; a resource without a limit is Unlimited.
+// Headroom is the amount that a team may still place, Unlimited for a resource without a
+// limit.
 type Headroom struct{ CPU, GPU int64 }
 
-// tasksFitting is how many tasks of a need the headroom is good for.
+// tasksFitting returns the number of tasks with a need that fit into the headroom.
 func (h *Headroom) tasksFitting(need jobstate.Resources) int {
 	tasks := Unlimited
 	if need.CPU > 0 {
@@ -59,11 +67,13 @@
 	return int(max(tasks, 0))
 }
 
-// compareJobs is figure 2's order: high priority first, each by arrival; with the
-// exceptions that a job within its team's guarantee goes before its equals, as
-// it is not to wait for other teams, and that a job with a deadline waits its
-// turn by when it has to start at the latest, and after its equals once its
-// deadline is lost. Of equals those go first that are large and have to begin by now.
+// compareJobs orders jobs as in figure 2 of the paper, by descending priority and then by
+// arrival, with these exceptions among jobs of equal priority, the first of which take precedence:
+//
+//   - A job within its team's guarantee goes first, as it must not wait for other teams.
+//   - Next go large jobs whose start is overdue.
+//   - A job whose deadline is lost goes last.
+//   - A job with a deadline is ordered by its latest start instead of its arrival.
 func compareJobs(a, b *Job) int {
 	return cmp.Or(
 		cmp.Compare(b.EffectivePriority, a.EffectivePriority),
@@ -87,13 +97,14 @@
 	return -1
 }
 
-// Before says whether a goes before b where both wait.
+// Before reports whether a goes before b if both wait.
 func Before(a, b *Job) bool { return compareJobs(a, b) < 0 }
 
-// tasksLeft is how many tasks have no machine yet in this round.
+// tasksLeft returns the number of tasks that have no machine yet in this round.
 func (j *Job) tasksLeft() int { return j.Unplaced() - j.planned }
 
-// tasksAtOnce is how many tasks have to start together: all of a gang, one of an array.
+// tasksAtOnce returns the number of tasks that have to start together: all remaining tasks of
+// a gang, one task of any other job.
 func (j *Job) tasksAtOnce() int {
 	if j.Kind == jobstate.Gang {
 		return j.tasksLeft()
@@ -101,7 +112,7 @@
 	return 1
 }
 
-// tasksByZone is TasksByZone as a map that can be written to.
+// tasksByZone returns TasksByZone, which it creates if it is nil.
 func (j *Job) tasksByZone() map[string]int {
 	if j.TasksByZone == nil {
 		j.TasksByZone = make(map[string]int)
@@ -109,23 +120,24 @@
 	return j.TasksByZone
 }
 
-// allows says whether a job may ever be on machines of a class.
+// allows reports whether the job's tasks may ever be placed on machines of a class.
 func (j *Job) allows(c MachineClass) bool {
 	return j.Allows(c.Type, c.Zone, c.Spot, c.Cap)
 }
 
-// suits says whether a machine of a class could take a task of j, were it empty.
+// suits reports whether an empty machine of a class could run a task of j in this round.
 func (j *Job) suits(c MachineClass) bool {
 	return j.allows(c) && j.fitsZone(c.Zone, j.TasksByZone) && !j.avoidsGPUs(c)
 }
 
-// avoidsGPUs says that a job leaves machines with GPUs to others.
+// avoidsGPUs reports whether the job leaves machines of a class to other jobs because they
+// have GPUs that it does not need.
 func (j *Job) avoidsGPUs(c MachineClass) bool {
 	return j.Need.GPU == 0 && c.Cap.GPU > 0 && !j.NeedsGPUMachine
 }
 
-// zoneKey is what machines are distinguished by where the tasks of a gang have to
-// be together: the zone, if it matters.
+// zoneKey returns the key by which machines are grouped so that all tasks that start together
+// can be in one group: the zone for a job with one_zone, else "".
 func (j *Job) zoneKey(c MachineClass) string {
 	if j.OneZone {
 		return c.Zone
@@ -133,8 +145,8 @@
 	return ""
 }
 
-// fitsZone says whether a job that has so many tasks in each zone may have one more in a
-// zone: one_zone keeps all of them in one, spread at most half of them.
+// fitsZone reports whether a job with tasksByZone tasks in each zone may have one more in zone.
+// With one_zone all tasks must be in one zone, with Spread at most half of them, rounded up.
 func (j *Job) fitsZone(zone string, tasksByZone map[string]int) bool {
 	if j.OneZone {
 		for other, tasks := range tasksByZone {
@@ -149,7 +161,8 @@
 	return true
 }
 
-// fetchDelay is how long a machine takes to fetch the job's image if it lacks it.
+// fetchDelay returns how long a machine takes to fetch the job's image, 0 if it has the image
+// or will have it.
 func (j *Job) fetchDelay(m *Machine) int64 {
 	if j.Image == "" || m.willHaveImage(j.Image) {
 		return 0
@@ -157,11 +170,12 @@
 	return j.FetchTime(m.FetchRate)
 }
 
-// durationOn is for how long a task is expected to hold a machine.
+// durationOn returns how long a task is expected to occupy a machine, with the image fetch.
 func (j *Job) durationOn(m *Machine) int64 { return j.ExpectedDuration + j.fetchDelay(m) }
 
-// isDeadlineCritical says that a task lost with a spot machine is likely to cost a
-// deadline that urgent work has: that of a pipeline, by one stage's slowest task.
+// isDeadlineCritical reports whether the loss of one task with a spot machine is likely to miss
+// the deadline of urgent work, such as that of a pipeline, which depends on the slowest task of
+// each stage. Tasks with checkpoints are not critical.
 func (j *Job) isDeadlineCritical() bool {
 	return j.EffectiveDeadline > 0 && j.EffectivePriority >= jobstate.Urgent && j.Checkpoint == 0
 }
--- a/internal/core/sched/machine.go
+++ b/internal/core/sched/machine.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// MachineClass is what machines have in common that decides whether a job may ever
-// be on them, and whose partition they are in.
+// MachineClass holds the properties that determine whether a job may ever be placed on a
+// machine, and the partition that the machine belongs to.
 type MachineClass struct {
 	Type, Zone string
 	Spot       bool
@@ -17,8 +17,8 @@
 	Cap        jobstate.Resources
 }
 
-// compare is the order of classes in an index, and with it that of the groups that a
-// round goes through.
+// compare defines the order of classes in an index, and so the order in which a round visits
+// the groups.
 func (c MachineClass) compare(o MachineClass) int {
 	return cmp.Or(
 		cmp.Compare(c.Type, o.Type),
@@ -31,31 +31,32 @@
 	)
 }
 
-// Machine is a machine that tasks may be placed on now. Its exported fields are
-// set by the owner, who then calls Index.Put.
+// Machine is a machine on which tasks may be placed now. The owner sets its exported fields and
+// then calls Index.Put.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
 	Partition        int
 	Cap, Free        jobstate.Resources
-	// NextContact is when commands can get to it next: in the response to its worker's
-	// next heartbeat, or at once if one is held for them.
+	// NextContact is when commands can next be sent to the machine: with the response to
+	// its worker's next heartbeat, or immediately if a heartbeat's response is held back
+	// for commands.
 	NextContact int64
-	// FetchRate is in MB a second.
+	// FetchRate is the rate of image fetches in MB per second.
 	FetchRate int64
-	// Images are what it has or is fetching; the planner only reads them, and keeps what it
-	// adds itself in plannedImages.
+	// Images are the images that the machine has or is fetching. The planner only reads
+	// them, and adds the images that it plans to fetch to plannedImages.
 	Images map[string]fleet.Image
-	// RunningTasks are what occupies it, by their ends. With LoadRunningTasks they are
-	// there once that was called.
+	// RunningTasks are the tasks that occupy the machine, in the order of their estimated
+	// ends. With Planner.LoadRunningTasks they are valid once that was called in the round.
 	RunningTasks []RunningTask
 
 	group  *machineGroup
-	free   jobstate.Resources // what it is ordered by in its group
-	slot   uint32             // its number in the index
+	free   jobstate.Resources // sort key in the group
+	slot   uint32             // number in the index
 	images []*imageHolders
 
-	// What follows is of one round.
+	// The following fields are state of the planning round with number round.
 	round         uint64
 	tasksLoaded   bool
 	imageWorth    int64
@@ -63,12 +64,13 @@
 	plannedImages []string
 }
 
-// class is the class that the machine belongs to by its fields.
+// class returns the class of the machine according to its current fields.
 func (m *Machine) class() MachineClass {
 	return MachineClass{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Cap: m.Cap}
 }
 
-// willHaveImage says whether the machine has an image or will have it.
+// willHaveImage reports whether the machine has an image, is fetching it, or will fetch it for
+// a task placed in this round.
 func (m *Machine) willHaveImage(name string) bool {
 	for _, holders := range m.images {
 		if holders.name == name {
@@ -78,14 +80,13 @@
 	return slices.Contains(m.plannedImages, name)
 }
 
-// hasImage says whether an image is on the machine, and is not only being fetched.
+// hasImage reports whether the machine has an image and is not still fetching it.
 func (m *Machine) hasImage(name string) bool {
 	image, ok := m.Images[name]
 	return ok && !image.Fetching
 }
 
-// claimedAhead says whether the machine is claimed for another job that j may
-// not take it from.
+// claimedAhead reports whether the machine is claimed for another job that goes before j.
 func (m *Machine) claimedAhead(j *Job) bool {
 	for i := range m.reservations {
 		if r := &m.reservations[i]; r.kind == forClaim && r.blocks(j) {
@@ -95,7 +96,8 @@
 	return false
 }
 
-// claimedFor says whether work is being stopped there for j.
+// claimedFor reports whether the machine is claimed for j, as work on it is being stopped for
+// j.
 func (m *Machine) claimedFor(j *Job) bool {
 	for i := range m.reservations {
 		if r := &m.reservations[i]; r.kind == forClaim && r.job.Job == j.Job {
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -8,17 +8,17 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// queueHead is how far a queue has come while pivots are placed.
+// queueHead is the progress of the pivot placement in one queue.
 type queueHead struct {
 	jobs []*Job
-	// next is the first job that was not looked at, reserved for how many before it
-	// machines are reserved.
+	// next is the index of the first job that was not considered yet, reserved the number
+	// of jobs before it for which machines are reserved.
 	next, reserved int
 }
 
-// placePivots starts heads of queues while they fit now, and reserves machines for the
-// first of each queue that does not. High pivots go first, so that a low one
-// is reserved only what no higher one claims.
+// placePivots starts the first jobs of each queue as long as they fit, and reserves machines for
+// the first one that does not. Pivots of high priority go first, so that those of low priority
+// reserve only what the former leave.
 func (p *Planner) placePivots(queues [][]*Job) {
 	heads := make([]queueHead, len(queues))
 	for i := range queues {
@@ -49,13 +49,13 @@
 		if ok {
 			head.reserved++
 		}
-		// Else no machine can take it, now or later: it waits for scaling out, and
-		// must not block its queue.
+		// Otherwise no existing machines can run the job, now or later. It waits for a
+		// scale-out and must not block its queue.
 	}
 }
 
-// nextQueue is the queue whose head goes before the others', -1 if all have their pivots
-// and the urgent jobs behind them.
+// nextQueue returns the queue whose next job goes before those of the others, -1 if all queues
+// have enough reservations or no more jobs.
 func (p *Planner) nextQueue(heads []queueHead) int {
 	best := -1
 	for i := range heads {
@@ -73,8 +73,8 @@
 	return best
 }
 
-// hasPivots says whether machines are reserved for enough jobs of a queue: one, and
-// ReserveAhead more if they are urgent.
+// hasPivots reports whether machines are reserved for enough jobs of a queue: one, and up to
+// ReserveAhead more as long as they are urgent.
 func (p *Planner) hasPivots(head *queueHead) bool {
 	if head.reserved == 0 {
 		return false
@@ -82,8 +82,8 @@
 	return head.reserved > p.ReserveAhead || head.jobs[head.next].EffectivePriority < jobstate.Urgent
 }
 
-// reserve finds the earliest time at which a pivot can start (a gang whole,
-// of an array one task) and reserves the machines for it.
+// reserve finds the earliest time at which a pivot can start, with all tasks of a gang or one
+// task of any other job, and reserves the machines for it.
 func (p *Planner) reserve(j *Job, kind reservationKind) (at int64, ok bool) {
 	tasks := j.tasksAtOnce()
 	slots := p.freeSlots(j, tasks)
@@ -108,14 +108,15 @@
 	return 0, false
 }
 
-// reserveSlots reserves machines for a job's tasks and returns when the last is free.
+// reserveSlots reserves machines for a job's tasks and returns when the last of them is free.
 func (p *Planner) reserveSlots(j *Job, kind reservationKind, slots []freeSlot) (startAt int64) {
 	for _, slot := range slots {
 		startAt = max(startAt, slot.at)
 		from := slot.at
 		if j.StartOverdue {
-			// Estimates have put it off long enough: what comes free there
-			// is kept, whatever would end in time by its estimate.
+			// Estimates have delayed the job long enough. All that becomes free
+			// on the machine is kept for it, even from tasks that would end in
+			// time by their estimates.
 			from = p.Now
 		}
 		slot.m.reservations = append(slot.m.reservations, reservation{from: from, need: j.Need, job: j, kind: kind})
@@ -123,7 +124,7 @@
 	return startAt
 }
 
-// freeSlots lists when the machines have room for up to so many tasks each. The list is
+// freeSlots returns when the machines have room for up to tasks many tasks each. The result is
 // valid until the next call.
 func (p *Planner) freeSlots(j *Job, tasks int) slotHeap {
 	slots := p.slotBuffer[:0]
@@ -142,8 +143,8 @@
 	return slots
 }
 
-// freeTimes lists when m has room for the first, second, ... of up to so many tasks,
-// besides what is reserved for others. The list is valid until the next call.
+// freeTimes returns when m has room for the first, second and each further of up to tasks many
+// tasks, besides what is reserved for other jobs. The result is valid until the next call.
 func (p *Planner) freeTimes(m *Machine, j *Job, tasks int) []int64 {
 	p.resetForRound(m)
 	free, need := m.Free, j.Need
@@ -173,13 +174,13 @@
 	return times
 }
 
-// freeSlot is when a machine has room for one task.
+// freeSlot is room for one task on a machine, from the time at on.
 type freeSlot struct {
 	m  *Machine
 	at int64
 }
 
-// slotHeap is a heap of slots by time; it implements heap.Interface.
+// slotHeap is a heap of slots by time and machine name. It implements heap.Interface.
 type slotHeap []freeSlot
 
 func (s slotHeap) Len() int { return len(s) }
--- a/internal/core/sched/placement.go
+++ b/internal/core/sched/placement.go
@@ -7,31 +7,35 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// What speaks against a machine for a task, as a delay in microseconds.
+// Costs of placing a task on a machine, as a delay in microseconds.
 const (
-	// openMachineCost is for a small task on an idle machine that a gang could have whole.
-	openMachineCost = 8_000_000
-	// idleGPUCost is for a task without GPUs that leaves GPUs without the CPUs and memory
-	// that tasks with GPUs need.
+	// idleMachineCost is the cost of a small task on an idle machine that a gang could use
+	// as a whole.
+	idleMachineCost = 8_000_000
+	// idleGPUCost is the cost of a task without GPUs that leaves GPUs without the CPUs and
+	// memory that tasks with GPUs need.
 	idleGPUCost = 30_000_000
-	// spotRiskCost is for a deadline-critical task on a spot machine, wrongKindCost for
-	// a task that may use either on the kind that others need more.
-	spotRiskCost  = 5_000_000
-	wrongKindCost = 3_000_000
-	// lendingCost is for a machine of another queue's partition.
+	// spotRiskCost is the cost of a deadline-critical task on a spot machine. spotMismatchCost
+	// is the cost of a task that may use both spot and on-demand machines on the kind that
+	// other jobs need more.
+	spotRiskCost     = 5_000_000
+	spotMismatchCost = 3_000_000
+	// lendingCost is the cost of a machine of another queue's partition.
 	lendingCost = 500_000
-	// loneReplicaCost is for a replica beside those of other services, crowdedCost for one
-	// that would give its service more than half of a machine.
-	loneReplicaCost = 10_000_000
-	crowdedCost     = 30_000_000
-	// permilleCost is for each thousandth of a machine that is free: best fit.
+	// firstReplicaCost is the cost of the first replica of a service on a machine in use.
+	// crowdedCost is the cost of a further one with which the service would occupy more
+	// than half of the machine.
+	firstReplicaCost = 10_000_000
+	crowdedCost      = 30_000_000
+	// permilleCost is the cost per free thousandth of a machine, for a best fit.
 	permilleCost = 1000
 )
 
-// trialIndex stands for the tasks of a gang that is placed on trial.
-const trialIndex = -1
+// tentativeIndex is the task index of tentatively allocated tasks of a gang.
+const tentativeIndex = -1
 
-// placeTasks places what it can of a job on machines of one partition, or of all.
+// placeTasks places as many tasks of a job as possible on machines of one partition, or of all
+// partitions.
 func (p *Planner) placeTasks(j *Job, partition int) {
 	if p.isFinished(j) {
 		return
@@ -51,7 +55,7 @@
 	}
 }
 
-// placeTask places the next task of a job for good.
+// placeTask places the next unplaced task of a job on m and adds it to the plan.
 func (p *Planner) placeTask(j *Job, m *Machine) {
 	index := j.NextUnplaced(j.nextTask)
 	if index < 0 {
@@ -70,7 +74,7 @@
 	p.plan.Starts = append(p.plan.Starts, Start{Job: j, Index: index, Machine: m})
 }
 
-// planFetch notes that a task that was placed brings an image to a machine.
+// planFetch records that a task placed in this round makes a machine fetch an image.
 func (p *Planner) planFetch(image string, m *Machine) {
 	m.plannedImages = append(m.plannedImages, image)
 	if p.fetching == nil {
@@ -79,7 +83,8 @@
 	p.fetching[image] = append(p.fetching[image], m)
 }
 
-// allocate plans a task on m; its running tasks stay in the order of their ends.
+// allocate adds a task to the running tasks of m, in the order of their ends, and takes its
+// resources from what is free.
 func (p *Planner) allocate(j *Job, m *Machine, index int) {
 	run := RunningTask{End: p.Now + j.durationOn(m), Job: j.Job, Index: index}
 	runs := p.runningTasks(m)
@@ -88,22 +93,24 @@
 	p.Index.setFree(m, m.Free.Sub(j.Need))
 }
 
-// deallocate takes back what allocate planned of a gang on trial.
+// deallocate reverts one tentative allocation of a gang's task on m.
 func (p *Planner) deallocate(j *Job, m *Machine) {
-	i := slices.IndexFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == j.Job && r.Index == trialIndex })
+	i := slices.IndexFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == j.Job && r.Index == tentativeIndex })
 	m.RunningTasks = slices.Delete(m.RunningTasks, i, i+1)
 	p.Index.setFree(m, m.Free.Add(j.Need))
 }
 
-// cost orders machines for a task, in microseconds of expected harm: the
-// image fetch, images that others will want, opening an idle machine that a gang could
-// have whole, the wrong one of an on-demand and a spot machine, and lending.
+// cost returns the cost of placing a task on a machine, as a delay in microseconds. It includes
+// the image fetch, the wait for the next contact, the value of the machine's images to other
+// jobs, the use of an idle machine that a gang could use as a whole, GPUs left without CPUs and
+// memory, the choice between spot and on-demand machines, room for services beside their
+// images, lending between partitions, and best fit.
 func (p *Planner) cost(j *Job, m *Machine) int64 {
 	cost := j.fetchDelay(m) + p.contactDelay(m) + p.resetForRound(m).imageWorth
 	isSmall := j.Need.Scale(2).Fits(m.Cap)
-	opens := isSmall && m.Free == m.Cap
-	if opens {
-		cost += openMachineCost
+	startsIdle := isSmall && m.Free == m.Cap
+	if startsIdle {
+		cost += idleMachineCost
 	}
 	if j.NeedsGPUMachine && p.LargestGPUTask.Fits(m.Free) && !p.LargestGPUTask.Fits(m.Free.Sub(j.Need)) {
 		cost += idleGPUCost
@@ -114,29 +121,29 @@
 			cost += spotRiskCost
 		}
 	case j.Spot && m.Spot != p.PreferSpot[m.Type]:
-		cost += wrongKindCost
+		cost += spotMismatchCost
 	}
 	if p.HasSpareMachines && j.Kind == jobstate.Service && !m.hasImage(j.Image) {
 		cost += p.serviceImageCost(j, m)
-		if opens {
-			cost -= openMachineCost
+		if startsIdle {
+			cost -= idleMachineCost
 		}
 	}
 	if m.Partition != j.Queue {
 		cost += lendingCost
 	}
 	if isSmall {
-		// Best fit: the fuller machine first.
+		// Best fit prefers the fuller machine.
 		dominant := max(permille(m.Free.CPU, m.Cap.CPU), permille(m.Free.GPU, m.Cap.GPU))
 		cost += dominant * permilleCost
 	}
 	return cost
 }
 
-// serviceImageCost keeps room beside images: a replica that has to fetch its image anyway
-// leaves what is free on machines in use to those whose image is there, and one
-// service opens machines for no more than half of what they take. Replicas stay,
-// and nothing else can bring their images to a machine.
+// serviceImageCost keeps room on machines for replicas whose images are there. A replica that
+// has to fetch its image anyway leaves the free resources of machines in use to such replicas,
+// and one service fills at most half of a machine that was idle. Replicas are long-lived, and
+// their images get to a machine only with them.
 func (p *Planner) serviceImageCost(j *Job, m *Machine) int64 {
 	if m.Free == m.Cap {
 		return 0
@@ -149,14 +156,14 @@
 	}
 	switch {
 	case replicas == 0:
-		return loneReplicaCost
+		return firstReplicaCost
 	case !j.Need.Scale(2 * (replicas + 1)).Fits(m.Cap):
 		return crowdedCost
 	}
 	return 0
 }
 
-// permille is how many thousandths a is of b.
+// permille returns a in thousandths of b, 0 if b is 0.
 func permille(a, b int64) int64 {
 	if b == 0 {
 		return 0
--- a/internal/core/sched/planner.go
+++ b/internal/core/sched/planner.go
@@ -6,90 +6,95 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// anyPartition has tasks placed on machines of all partitions.
+// anyPartition stands for the machines of all partitions.
 const anyPartition = -1
 
-// Start is one task to be placed.
+// Start is one task to be placed on a machine.
 type Start struct {
 	Job     *Job
 	Index   int
 	Machine *Machine
 }
 
-// Pivot is the head of a queue that waits; StartAt is its expected start, 0 if no
-// machine there is can ever take it.
+// Pivot is the first waiting job of a queue. StartAt is its expected start, 0 if the existing
+// machines can never run it. Urgent jobs behind it for which machines are reserved are included
+// as pivots.
 type Pivot struct {
 	Queue   int
 	Job     *Job
 	StartAt int64
 }
 
-// Preemption is a task to be stopped, and for which job.
+// Preemption is a task to be stopped, and the job for which it is stopped.
 type Preemption struct {
 	RunningTask
 	For *Job
-	// Kill: without saving.
+	// Kill reports whether the task is stopped without saving a checkpoint.
 	Kill bool
 }
 
-// Plan is what is to be done now.
+// Plan is the result of a planning round.
 type Plan struct {
 	Starts []Start
 	Pivots []Pivot
 	// Preemptions are tasks to be stopped to free machines.
 	Preemptions []Preemption
-	// Claims are on the machines of the preemptions.
+	// Claims reserve the machines that are being freed.
 	Claims []Claim
-	// Waiting are jobs with tasks that found no machine.
+	// Waiting are the jobs with tasks that were not placed.
 	Waiting []*Job
 }
 
-// Planner carries one planning round: its exported fields are the input, and Plan may be
-// called once.
+// Planner runs one planning round. Its exported fields are the input, and Plan may be called
+// once.
 type Planner struct {
 	Now    int64
 	Queues int
 	Index  *Index
-	// LoadRunningTasks sets a machine's RunningTasks; a round calls it for those whose work
-	// it has to know, once each. Without it they are as they stand.
+	// LoadRunningTasks sets the RunningTasks of a machine. A round calls it once for each
+	// machine whose tasks it needs. If it is nil, RunningTasks are used as they are.
 	LoadRunningTasks func(*Machine)
-	// ImageWorth is what images are worth to jobs to come, as a delay.
+	// ImageWorth is the value of images to future jobs, as a delay in microseconds.
 	ImageWorth map[string]int64
-	// MaxStarts bounds the tasks placed in a round, so that a large array can
-	// not keep heartbeats waiting; the next round goes on. It is counted down.
+	// MaxStarts is the maximum number of tasks placed in a round, so that a large array does
+	// not delay heartbeats; the next round continues. It is decremented with each placement.
 	MaxStarts int
-	// ReserveAhead is for how many urgent jobs after a queue's pivot machines are freed as
-	// for the pivot, and reserved against lower work. Freeing takes seconds, so that one
-	// at a time starves a large deployment's urgent jobs; a small one needs none.
+	// ReserveAhead is the number of urgent jobs behind a queue's pivot for which machines are
+	// freed as for the pivot, and reserved against lower work. Freeing a machine takes
+	// seconds, so that freeing for one job at a time would starve the urgent jobs of a large
+	// deployment. A small deployment needs none.
 	ReserveAhead int
-	// LargestGPUTask is what the largest task with GPUs needs.
+	// LargestGPUTask is the need of the largest task with GPUs.
 	LargestGPUTask jobstate.Resources
-	// PreemptDelay is how far off a start may be before lower work is stopped.
+	// PreemptDelay is how far off a pivot's start may be, in microseconds, before work of
+	// lower priority is preempted for it.
 	PreemptDelay int64
-	// HasSpareMachines: so many machines are idle that services may take more than they fill.
+	// HasSpareMachines reports whether enough machines are idle for services to use more of
+	// them than they fill.
 	HasSpareMachines bool
-	// PreferSpot are the types whose on-demand machines are wanted by jobs that
-	// may use no others; of the rest on-demand ones go first, as they stay.
+	// PreferSpot are the machine types whose on-demand machines are needed by jobs that may
+	// not use spot machines. Of other types on-demand machines are preferred, as the cloud
+	// does not reclaim them.
 	PreferSpot map[string]bool
-	// BeyondGuarantee says whether stopping work of a team only takes it from
-	// beyond the team's guarantee.
+	// BeyondGuarantee reports whether stopping work with a need takes from a team only what
+	// it has beyond its guarantee.
 	BeyondGuarantee func(team string, need jobstate.Resources) bool
-	// Claims are those of earlier rounds.
+	// Claims are the claims of earlier rounds.
 	Claims []Claim
 
 	plan Plan
-	// fetching are the machines on which this round has placed a task that
-	// brings an image, by the image.
+	// fetching are the machines on which this round has placed a task that makes them fetch
+	// an image, by image.
 	fetching map[string][]*Machine
 
-	// What follows is allocated once and filled anew.
+	// The following buffers are reused within a round.
 	searchBuffer []candidate
 	timesBuffer  []int64
 	victimBuffer []RunningTask
 	slotBuffer   slotHeap
 }
 
-// Plan runs the round.
+// Plan runs the planning round. It sorts jobs.
 func (p *Planner) Plan(jobs []*Job) Plan {
 	p.Index.beginRound(p.ImageWorth)
 	queues := make([][]*Job, p.Queues)
@@ -99,13 +104,13 @@
 	}
 	p.reserveClaims(jobs)
 	p.placePivots(queues)
-	// Rules 7a and 7b: machines of the own partition.
+	// Rules 7a and 7b of the paper's figure 2: machines of the queue's own partition.
 	for _, queue := range queues {
 		for _, j := range queue {
 			p.placeTasks(j, j.Queue)
 		}
 	}
-	// Rule 7c: lending, to jobs of high priority first (jobs is sorted).
+	// Rule 7c: lending, to jobs of high priority first, as jobs is sorted.
 	for _, j := range jobs {
 		p.placeTasks(j, anyPartition)
 	}
@@ -118,7 +123,8 @@
 	return p.plan
 }
 
-// isFinished says that a job has nothing more to place in this round.
+// isFinished reports whether no more tasks of a job can be placed in this round: none is left,
+// MaxStarts is used up, the job is deferred, or the team's headroom is too small.
 func (p *Planner) isFinished(j *Job) bool {
 	left := j.tasksLeft()
 	if left <= 0 || p.MaxStarts <= 0 || j.deferred {
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -8,41 +8,43 @@
 )
 
 const (
-	// minPreemptDelay is how far off a start may be for which stopping work is no use.
+	// minPreemptDelay is how far off a start may be, in microseconds, for preemption to be
+	// of no use.
 	minPreemptDelay = 2_000_000
-	// killCheckpointRatio is how many times the time to save a checkpoint interval may
-	// be for work to be killed for an urgent job.
+	// killCheckpointRatio is the largest ratio of the checkpoint interval to the time to
+	// save a checkpoint at which work is killed for an urgent job.
 	killCheckpointRatio = 4
 )
 
-// RunningTask is something that occupies a machine until about End.
+// RunningTask is a task that occupies a machine until its estimated End.
 type RunningTask struct {
 	End int64
-	// Job and Index name the task.
+	// Job and Index identify the task.
 	Job   *jobstate.Job
 	Index int
-	// LostWork is the work that stopping it costs, Preemptible whether it may be stopped
-	// now.
+	// LostWork is the work that is lost if the task is stopped. Preemptible reports whether
+	// it may be stopped now.
 	LostWork    int64
 	Preemptible bool
-	// Guaranteed: its job lies within its team's guarantee, which is not to
-	// be taken from it for another's; else two teams stop each other's work
-	// in turns.
+	// Guaranteed reports whether the job is within its team's guarantee. Such a task is not
+	// preempted for another team's guarantee, as otherwise two teams would preempt each
+	// other's work in turn.
 	Guaranteed bool
 }
 
-// preemptOption is a machine that a pivot could have, and what that costs.
+// preemptOption is a machine that a task of a pivot could use, and the cost of that.
 type preemptOption struct {
 	m *Machine
-	// preempts: work is stopped on it; lost is what that and the image cost.
+	// preempts reports whether work has to be stopped on the machine. lost is the work lost
+	// by that and by the image fetch.
 	preempts bool
 	lost     int64
 }
 
-// preempt stops lower work for pivots that would wait longer than preemptDelay:
-// work of lower priority for any, and for a job within its team's guarantee
-// what other teams run beyond theirs. It takes the machines where least work
-// is lost, for a gang together with those that are free.
+// preempt plans preemptions for pivots that would wait longer than preemptDelay. Work of lower
+// priority is stopped for any pivot, and for a job within its team's guarantee also work of
+// other teams beyond theirs. The machines with the least lost work are chosen, for a gang
+// together with free machines.
 func (p *Planner) preempt() {
 	for _, pivot := range p.plan.Pivots {
 		j := pivot.Job
@@ -63,8 +65,8 @@
 	}
 }
 
-// preemptOptions are the machines that a job could have, free ones and others, by zone
-// if it needs one zone.
+// preemptOptions returns the machines, free or busy, that a job could use, by zone if it needs a
+// single zone.
 func (p *Planner) preemptOptions(j *Job) map[string][]preemptOption {
 	byZone := map[string][]preemptOption{}
 	p.eachSuitable(j, func(m *Machine) {
@@ -76,15 +78,15 @@
 	return byZone
 }
 
-// preemptOption is what a machine costs for a task of j, if j can have it.
+// preemptOption returns the cost of machine m for a task of j. ok reports whether j can use it.
 func (p *Planner) preemptOption(j *Job, m *Machine) (option preemptOption, ok bool) {
 	if m.claimedAhead(j) {
-		return option, false // what is stopped there is stopped for another
+		return option, false // claimed for another job
 	}
 	option.m = m
-	// What is in the way on a machine that is claimed is being stopped. That may take
-	// longer than the delay; stopping more elsewhere in every round until then would free
-	// machines for nobody.
+	// On a machine that is claimed for j, the work in the way is already being stopped.
+	// That may take longer than the preemption delay. Stopping more work elsewhere in every
+	// round until then would free machines that no job uses.
 	isClaimed := m.claimedFor(j)
 	if !j.Need.Fits(m.Free) {
 		if _, lost, ok := p.victims(j, m); ok {
@@ -96,14 +98,14 @@
 		return option, false
 	}
 	if !isClaimed || option.preempts {
-		// Room without the image is worth as much less.
+		// A machine without the image costs the work not done during the fetch.
 		option.lost += j.fetchDelay(m) * j.Need.Weight()
 	}
 	return option, true
 }
 
-// cheapestZone picks the machines for so many tasks on which least is lost in all, nil if
-// no zone has enough.
+// cheapestZone returns the machines for tasks many tasks with the least total loss, nil if no
+// zone has enough machines.
 func cheapestZone(byZone map[string][]preemptOption, tasks int) []preemptOption {
 	var best []preemptOption
 	var least int64
@@ -125,10 +127,10 @@
 	return best
 }
 
-// preemptDelay is how far off a pivot's start may be before lower work is stopped
-// for it: not so far that it would start too late. What it has waited already
-// counts: tasks past their estimates are taken to end soon, again and again, so that of
-// many such machines some always seem about to come free.
+// preemptDelay returns how far off a pivot's start may be before lower work is preempted for it.
+// The delay must not make the job start too late. The time already waited counts, because tasks
+// past their estimates are repeatedly expected to end soon: among many machines with such tasks,
+// some always seem about to become free.
 func (p *Planner) preemptDelay(j *Job) int64 {
 	if j.EffectivePriority < jobstate.Urgent && !j.Guaranteed {
 		return p.PreemptDelay
@@ -140,9 +142,9 @@
 	return max(minPreemptDelay, left)
 }
 
-// victims finds what to stop on m for one task of j. What it returns is valid until
-// it is called again: it is asked about every machine for every pivot, and few of its
-// answers are used.
+// victims returns the tasks to stop on m for one task of j, and the work that is lost with them.
+// The slice is valid until the next call: the method is called on every machine for every pivot
+// and few results are used, so it reuses a buffer.
 func (p *Planner) victims(j *Job, m *Machine) (victims []RunningTask, lost int64, ok bool) {
 	candidates, available := p.victimBuffer[:0], m.Free
 	for _, run := range p.runningTasks(m) {
@@ -167,20 +169,21 @@
 	return candidates[:n], lost, n > 0
 }
 
-// overGuarantee says that j is within its team's guarantee, and that a running task is
-// what another team runs beyond its own.
+// overGuarantee reports whether j is within its team's guarantee, and run belongs to another
+// team's work beyond its guarantee.
 func (p *Planner) overGuarantee(j *Job, run RunningTask) bool {
 	return j.Guaranteed && !run.Guaranteed && run.Job.Team != j.Team &&
 		p.BeyondGuarantee != nil && p.BeyondGuarantee(run.Job.Team, run.Job.Need)
 }
 
-// killsVictim says whether work is stopped for j without saving: an urgent job waits
-// for the save, which costs about as much as the half interval that is lost.
+// killsVictim reports whether work is stopped for j without saving a checkpoint. An urgent job
+// would have to wait for the save, which costs about as much as the work of half a checkpoint
+// interval that a kill loses on average.
 func killsVictim(j *Job, victim *jobstate.Job) bool {
 	return j.EffectivePriority >= jobstate.Urgent && victim.Checkpoint <= killCheckpointRatio*victim.Save
 }
 
-// planPreemption plans to stop tasks on m for j, and claims what comes free.
+// planPreemption plans to stop tasks on m for j, and claims the machine for j.
 func (p *Planner) planPreemption(j *Job, m *Machine, victims []RunningTask) {
 	if !m.claimedFor(j) {
 		p.plan.Claims = append(p.plan.Claims, Claim{j.Job, m.Name})
--- a/internal/core/sched/reservation.go
+++ b/internal/core/sched/reservation.go
@@ -4,8 +4,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// reservation is what is kept of a machine for a job from a time on: for a pivot, for
-// one of the urgent jobs behind it, or because work was stopped there for it.
+// reservation is an amount of a machine that is reserved for a job from a time on. The job is a
+// pivot, one of the urgent jobs behind it, or a job for which work is stopped on the machine.
 type reservation struct {
 	from int64
 	need jobstate.Resources
@@ -21,9 +21,9 @@
 	forClaim
 )
 
-// blocks says whether j must respect the reservation. A pivot's binds everybody, a
-// claim all that come later; what is reserved for a job behind the pivot binds
-// what that job might preempt.
+// blocks reports whether j must respect the reservation. The reservation of a pivot blocks all
+// other jobs, and a claim blocks all jobs that are ordered later. A reservation for a job behind
+// the pivot blocks the jobs that it could preempt.
 func (r *reservation) blocks(j *Job) bool {
 	switch {
 	case r.job.Job == j.Job:
@@ -36,16 +36,16 @@
 	return true
 }
 
-// Claim says that work was, or is to be, stopped on a machine for one task of a
-// job. Until the job starts what comes free must go to nobody behind it: what was
-// stopped would else be back there in the next round, as a machine comes free
-// piece by piece, and be stopped again.
+// Claim reserves a machine for one task of a job, as work was or is to be stopped on it for that
+// task. Until the job starts, jobs ordered after it must not use what becomes free. As a machine
+// becomes free in steps, the stopped work would otherwise return in the next round and be stopped
+// again.
 type Claim struct {
 	Job     *jobstate.Job
 	Machine string
 }
 
-// reserveClaims reserves what earlier rounds have claimed for jobs that still wait.
+// reserveClaims adds reservations for the claims of earlier rounds whose jobs still wait.
 func (p *Planner) reserveClaims(jobs []*Job) {
 	if len(p.Claims) == 0 {
 		return
@@ -64,8 +64,8 @@
 	}
 }
 
-// respectsReservations says that a task of j on m until end delays no job that m is
-// reserved for.
+// respectsReservations reports whether a task of j that occupies m until end delays no job for
+// which m is reserved.
 func (p *Planner) respectsReservations(m *Machine, j *Job, end int64) bool {
 	p.resetForRound(m)
 	for i := range m.reservations {
@@ -80,7 +80,7 @@
 	return true
 }
 
-// freeAt is what is free on m at a time, by the estimated ends.
+// freeAt returns the resources that are free on m at a time, by the estimated ends of its tasks.
 func (p *Planner) freeAt(m *Machine, at int64) jobstate.Resources {
 	free := m.Free
 	for i := range p.runningTasks(m) {
--- a/internal/core/sched/search.go
+++ b/internal/core/sched/search.go
@@ -4,7 +4,8 @@
 	"container/heap"
 )
 
-// resetForRound makes sure that what a machine has of a round is of this one.
+// resetForRound resets the per-round state of a machine if it is from an earlier round, and
+// returns the machine.
 func (p *Planner) resetForRound(m *Machine) *Machine {
 	if m.round != p.Index.round {
 		m.round, m.tasksLoaded = p.Index.round, p.LoadRunningTasks == nil
@@ -17,7 +18,8 @@
 	return m
 }
 
-// runningTasks are what occupies a machine, by their ends.
+// runningTasks returns the tasks that occupy a machine, in the order of their estimated ends. It
+// loads them if necessary.
 func (p *Planner) runningTasks(m *Machine) []RunningTask {
 	if p.resetForRound(m); !m.tasksLoaded {
 		m.tasksLoaded = true
@@ -26,10 +28,10 @@
 	return m.RunningTasks
 }
 
-// contactDelay is how long it takes until commands can get to a machine.
+// contactDelay returns the time until commands can next be sent to a machine.
 func (p *Planner) contactDelay(m *Machine) int64 { return max(0, m.NextContact-p.Now) }
 
-// eachSuitable calls visit for all machines that could take a task of j, were they empty.
+// eachSuitable calls visit for all machines that could run a task of j if they were empty.
 func (p *Planner) eachSuitable(j *Job, visit func(*Machine)) {
 	for _, g := range p.Index.groups {
 		if j.suits(g.MachineClass) {
@@ -42,13 +44,13 @@
 }
 
 // eachFitting calls visit for the machines of a group that have room for a task of j.
-// Those whose free GPUs j would leave idle are among them only if avoided says so.
-func (p *Planner) eachFitting(j *Job, g *machineGroup, avoided bool, visit func(*Machine)) {
+// Machines with free GPUs that j does not need are included only if includeAvoided is set.
+func (p *Planner) eachFitting(j *Job, g *machineGroup, includeAvoided bool, visit func(*Machine)) {
 	from := Machine{free: j.Need}
-	skipsGPUs := j.avoidsGPUs(g.MachineClass) && !avoided
+	skipsGPUs := j.avoidsGPUs(g.MachineClass) && !includeAvoided
 	g.free.Ascend(&from, func(m *Machine) bool {
 		if skipsGPUs && m.Free.GPU > 0 {
-			// What is beside busy GPUs it may have.
+			// Machines without free GPUs come first in the order and may be used.
 			return false
 		}
 		if j.Need.Fits(m.Free) {
@@ -58,24 +60,25 @@
 	})
 }
 
-// candidate is a machine that a task could go to, and what that costs.
+// candidate is a machine on which a task could be placed, and the cost of that.
 type candidate struct {
 	cost int64
 	m    *Machine
 }
 
-// machineSearch finds, one after the other, the machines that cost least for the tasks
-// of a job. A task that is placed changes only what its own machine costs.
-// It is a heap of the machines by cost, and implements heap.Interface.
+// machineSearch returns the machines for the tasks of a job one after the other, cheapest first.
+// The placement of a task changes only the cost of its own machine. The search is a heap of the
+// machines by cost and name, and implements heap.Interface.
 type machineSearch struct {
 	planner *Planner
 	job     *Job
-	// tasksByZone counts the job's tasks; it may grow meanwhile.
+	// tasksByZone is the number of the job's tasks per zone. It may grow during the search.
 	tasksByZone map[string]int
 	heap        []candidate
 }
 
-// search begins with the machines of one partition and zone, or of all.
+// search starts a search among the machines of one partition and zone, or of all partitions
+// with anyPartition and all zones with nil.
 func (p *Planner) search(j *Job, partition int, zone *string, tasksByZone map[string]int) *machineSearch {
 	s := &machineSearch{planner: p, job: j, tasksByZone: tasksByZone, heap: p.searchBuffer[:0]}
 	for _, g := range p.Index.groups {
@@ -96,7 +99,7 @@
 	return s
 }
 
-// next takes the best machine out, nil if there is none.
+// next removes and returns the cheapest machine, or nil if there is none.
 func (s *machineSearch) next() *Machine {
 	for len(s.heap) > 0 {
 		last := len(s.heap) - 1
@@ -105,7 +108,7 @@
 		if last > 0 {
 			heap.Fix(s, 0)
 		}
-		// Zones only ever get full.
+		// A zone that is full stays full, so its machines are dropped.
 		if s.job.fitsZone(m.Zone, s.tasksByZone) {
 			return m
 		}
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// reinsert enters a machine that a task was put on, if there is room for another.
+// reinsert adds a machine again after a task was placed on it, if it has room for another.
 func (s *machineSearch) reinsert(m *Machine) {
 	p, j := s.planner, s.job
 	if !j.Need.Fits(m.Free) || m.Free.GPU > 0 && j.avoidsGPUs(m.group.MachineClass) {
@@ -135,8 +138,8 @@
 
 func (s *machineSearch) Swap(a, b int) { s.heap[a], s.heap[b] = s.heap[b], s.heap[a] }
 
-// Push and Pop are not used: they would box every candidate.
+// Push is not used, as it would allocate for every candidate.
 func (s *machineSearch) Push(any) {}
 
-// Pop is not used.
+// Pop is not used, as it would allocate for every candidate.
 func (s *machineSearch) Pop() any { return nil }
