--- a/internal/core/sched/imagepreempt_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -9,30 +9,30 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestImagePreemption: an urgent gang that would have to fetch its image on the machines
-// that are free takes some that have it from lower work, and waits for them.
+// TestImagePreemption checks when an urgent gang, which would have to fetch its image on the free
+// machines, preempts work of lower priority on machines that have the image and waits for them.
 func TestImagePreemption(t *testing.T) {
-	// withImage is a machine that has the image; busy ones run one task of a job, which
-	// has run for so many seconds.
+	// withImage adds the image to a machine. busy returns a machine that runs one task of a
+	// job, which has run for ran seconds.
 	withImage := func(m *Machine) *Machine {
 		m.Images["im"] = fleet.Image{LastUsed: 1}
 		return m
 	}
 	busy := func(name string, priority, ran int64, change func(*jobstate.Job)) *Machine {
-		m := box(name, 0, 8, 500)
+		m := testMachine(name, 0, 8, 500)
 		j := m.RunningTasks[0].Job
 		j.EffectivePriority, j.NumPlaced = int(priority), 1
 		if change != nil {
 			change(j)
 		}
-		m.RunningTasks[0].LostWork = ran * s * j.Need.Weight()
+		m.RunningTasks[0].LostWork = ran * second * j.Need.Weight()
 		return m
 	}
-	saving := func(every, save int64) func(*jobstate.Job) {
-		return func(j *jobstate.Job) { j.Checkpoint, j.Save = every*s, save*s }
+	withCheckpoints := func(every, save int64) func(*jobstate.Job) {
+		return func(j *jobstate.Job) { j.Checkpoint, j.Save = every*second, save*second }
 	}
 	urgent := func(tasks int, mb int64) *Job {
-		j := job("u", 0, jobstate.Urgent, jobstate.Gang, tasks, 8, 100)
+		j := testJob("u", 0, jobstate.Urgent, jobstate.Gang, tasks, 8, 100)
 		j.Image, j.ImageMB = "im", mb
 		return j
 	}
@@ -44,68 +44,68 @@
 		job      *Job
 		claims   []string
 		want     []string // starts
-		preempts string   // machines, with ! for those without a checkpoint
+		preempts string   // machines, with ! if stopped without a checkpoint
 	}{
 		{
-			name: "lower work is preempted on the machine that has the image", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
+			name: "lower work is preempted on the machine with the image", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 		{
-			name: "not if the fetch is short", job: urgent(1, 4_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
+			name: "no preemption if the fetch is short", job: urgent(1, 4_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
 		},
 		{
-			name: "not if much is lost", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 25, nil))}, want: []string{"without"},
+			name: "no preemption if much work is lost", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 25, nil))}, want: []string{"without"},
 		},
 		{
-			name: "not if it is as urgent", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", jobstate.Urgent, 5, nil))}, want: []string{"without"},
+			name: "no preemption of urgent work", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", jobstate.Urgent, 5, nil))}, want: []string{"without"},
 		},
 		{
-			name: "not for a job that is not urgent", job: normal,
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
+			name: "no preemption for a job that is not urgent", job: normal,
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without"},
 		},
 		{
-			name: "not a gang of several, as all of it would stop", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"without"},
+			name: "no preemption of a gang of several tasks, as all of it would stop", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, func(j *jobstate.Job) { j.Kind, j.NumPlaced = jobstate.Gang, 2 }))}, want: []string{"without"},
 		},
 		{
-			name: "not if the image is on a free machine too", job: urgent(1, 12_000),
-			machines: []*Machine{withImage(box("free", 0)), withImage(busy("with", 0, 5, nil))}, want: []string{"free"},
+			name: "no preemption if a free machine has the image", job: urgent(1, 12_000),
+			machines: []*Machine{withImage(testMachine("free", 0)), withImage(busy("with", 0, 5, nil))}, want: []string{"free"},
 		},
 		{
-			name: "a checkpoint that is cheaper than what is lost is waited for", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, saving(60, 5)))}, preempts: "with ",
+			name: "a checkpoint is awaited if it costs less than the lost work", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, withCheckpoints(60, 5)))}, preempts: "with ",
 		},
 		{
-			name: "but not if it takes as long as the fetch", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(busy("with", 0, 5, saving(60, 9)))}, want: []string{"without"},
+			name: "no preemption if the checkpoint takes as long as the fetch", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, withCheckpoints(60, 9)))}, want: []string{"without"},
 		},
 		{
-			name: "a gang starts with its last task, so one image does not help", job: urgent(2, 12_000),
-			machines: []*Machine{box("without-0", 0), box("without-1", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without-0", "without-1"},
+			name: "no preemption for one of two tasks, as a gang starts with its last task", job: urgent(2, 12_000),
+			machines: []*Machine{testMachine("without-0", 0), testMachine("without-1", 0), withImage(busy("with", 0, 5, nil))}, want: []string{"without-0", "without-1"},
 		},
 		{
-			name: "two do", job: urgent(2, 12_000),
-			machines: []*Machine{box("without-0", 0), box("without-1", 0), withImage(box("free", 0)), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
+			name: "preemption if both tasks then have the image", job: urgent(2, 12_000),
+			machines: []*Machine{testMachine("without-0", 0), testMachine("without-1", 0), withImage(testMachine("free", 0)), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 		{
-			name: "it waits for what it has claimed", job: urgent(1, 12_000), claims: []string{"with"},
-			machines: []*Machine{box("without", 0), withImage(stopping(busy("with", 0, 5, nil)))},
+			name: "the gang waits for the machine that it has claimed", job: urgent(1, 12_000), claims: []string{"with"},
+			machines: []*Machine{testMachine("without", 0), withImage(alreadyStopping(busy("with", 0, 5, nil)))},
 		},
 		{
-			name: "and goes to a free machine when the claim has expired", job: urgent(1, 12_000),
-			machines: []*Machine{box("without", 0), withImage(stopping(busy("with", 0, 5, nil)))}, want: []string{"without"},
+			name: "the gang uses a free machine after its claim has expired", job: urgent(1, 12_000),
+			machines: []*Machine{testMachine("without", 0), withImage(alreadyStopping(busy("with", 0, 5, nil)))}, want: []string{"without"},
 		},
 		{
-			name: "without a free machine it is preempted for as a pivot", job: urgent(1, 12_000),
+			name: "without a free machine work is preempted for the gang as a pivot", job: urgent(1, 12_000),
 			machines: []*Machine{withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), MaxStarts: 100, PreemptDelay: 60 * s}
+			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), MaxStarts: 100, PreemptDelay: 60 * second}
 			for _, m := range tc.claims {
 				p.Claims = append(p.Claims, Claim{tc.job.Job, m})
 			}
@@ -115,7 +115,7 @@
 				got = append(got, st.Machine.Name)
 			}
 			if !slices.Equal(got, tc.want) {
-				t.Errorf("starts on %v, want %v", got, tc.want)
+				t.Errorf("starts on machines: got %v, want %v", got, tc.want)
 			}
 			preempts := ""
 			for _, st := range plan.Preemptions {
@@ -125,15 +125,15 @@
 				preempts += tc.machines[i].Name + map[bool]string{true: "!"}[st.Kill] + " "
 			}
 			if preempts != tc.preempts {
-				t.Errorf("preempts on %q, want %q", preempts, tc.preempts)
+				t.Errorf("preemptions on machines: got %q, want %q", preempts, tc.preempts)
 			}
 			for _, st := range plan.Preemptions {
 				if !slices.ContainsFunc(plan.Claims, func(c Claim) bool { return c.Job == st.For.Job }) {
-					t.Error(fmt.Sprint("machines are freed for ", st.For.ID, " without a claim"))
+					t.Error(fmt.Sprint("preemption for ", st.For.ID, ": got no claim of that job in the plan, want one"))
 				}
 			}
 		})
 	}
 }
 
-func stopping(m *Machine) *Machine { m.RunningTasks[0].Preemptible = false; return m }
+func alreadyStopping(m *Machine) *Machine { m.RunningTasks[0].Preemptible = false; return m }
--- a/internal/core/sched/index_test.go
+++ b/internal/core/sched/index_test.go
@@ -12,12 +12,13 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// contents is all that an index says, without what it has of a round.
-func contents(x *Index) string {
+// indexContents returns all contents of an index as text, except for the state of a round. It adds
+// "broken" where the index is inconsistent.
+func indexContents(x *Index) string {
 	var out string
 	for _, g := range x.groups {
 		if g.free.Len() == 0 {
-			continue // its machines have gone
+			continue // all its machines were removed
 		}
 		out += fmt.Sprintf("%v:", g.MachineClass)
 		last := Machine{free: jobstate.Resources{GPU: -1 << 40}}
@@ -45,25 +46,24 @@
 	return out
 }
 
-// TestIndex: whatever happens to machines, the index says the same as one that
-// is made of them anew, and the best machine that it finds for a task is the one
-// that going through all of them finds.
+// TestIndex checks that after random changes of machines the index equals one that is built from
+// scratch, and that a search in it returns the same machines as a scan of all machines.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int, of string) int { return rapid.IntRange(0, n-1).Draw(t, of) }
 		x := NewIndex()
-		there := map[string]*Machine{}
+		current := map[string]*Machine{}
 		for range 40 {
 			name := fmt.Sprint("m", draw(9, "machine"))
-			m := there[name]
+			m := current[name]
 			if m != nil && draw(5, "remove") == 0 {
 				x.Remove(m)
-				delete(there, name)
+				delete(current, name)
 				continue
 			}
 			if m == nil {
 				m = &Machine{Name: name, Images: map[string]fleet.Image{}}
-				there[name] = m
+				current[name] = m
 			}
 			m.Type, m.Zone, m.Spot, m.Partition = fmt.Sprint("t", draw(2, "type")), fmt.Sprint("z", draw(2, "zone")), draw(2, "spot") == 0, draw(2, "part")
 			m.Cap = jobstate.Resources{CPU: 8000, GPU: int64(draw(2, "gpus")) * 2000, Mem: 9000}
@@ -75,17 +75,17 @@
 			}
 			x.Put(m)
 		}
-		var anew []*Machine
-		for _, m := range there {
-			anew = append(anew, &Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Cap: m.Cap, Free: m.Free, Images: m.Images})
+		var copies []*Machine
+		for _, m := range current {
+			copies = append(copies, &Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Cap: m.Cap, Free: m.Free, Images: m.Images})
 		}
-		slices.SortFunc(anew, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
-		y := NewIndex(anew...)
-		if got, want := contents(x), contents(y); got != want {
-			t.Fatalf("got  %s\nwant %s", got, want)
+		slices.SortFunc(copies, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
+		y := NewIndex(copies...)
+		if got, want := indexContents(x), indexContents(y); got != want {
+			t.Fatalf("index contents:\ngot  %s\nwant %s", got, want)
 		}
 
-		j := job("j", 0, 0, jobstate.Array, 9, 1+int64(draw(3, "need")), 10)
+		j := testJob("j", 0, 0, jobstate.Array, 9, 1+int64(draw(3, "need")), 10)
 		j.Need.GPU, j.Image, j.ImageMB = int64(draw(2, "need gpu"))*1000, "im1", 5000
 		p := Planner{Queues: 3, Index: x, MaxStarts: 9, ImageWorth: map[string]int64{"im2": 7}}
 		x.beginRound(p.ImageWorth)
@@ -93,15 +93,15 @@
 		partition := draw(3, "in part") - 1
 		c := p.search(j, partition, nil, map[string]int{})
 		for got := c.next(); ; got = c.next() {
-			want := plainBest(&p, j, partition, anew)
+			want := cheapestByScan(&p, j, partition, copies)
 			if got == nil || want == nil {
 				if (got == nil) != (want == nil) {
-					t.Fatalf("got %v, want %v", got, want)
+					t.Fatalf("next machine of the search: got %v, want %v", got, want)
 				}
 				return
 			}
 			if got.Name != want.Name {
-				t.Fatalf("got %s, want %s", got.Name, want.Name)
+				t.Fatalf("next machine of the search: got %s, want %s", got.Name, want.Name)
 			}
 			p.allocate(j, got, 0)
 			want.Free = want.Free.Sub(j.Need)
@@ -110,8 +110,8 @@
 	})
 }
 
-// plainBest goes through all machines for the one that costs least.
-func plainBest(p *Planner, j *Job, partition int, machines []*Machine) *Machine {
+// cheapestByScan returns the machine that costs least by a scan of all machines, nil if none fits.
+func cheapestByScan(p *Planner, j *Job, partition int, machines []*Machine) *Machine {
 	var best *Machine
 	for _, m := range machines {
 		class := MachineClass{m.Type, m.Zone, m.Spot, m.Partition, m.Cap}
--- a/internal/core/sched/recorded_test.go
+++ b/internal/core/sched/recorded_test.go
@@ -15,13 +15,13 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// problem makes a planning round out of a seed: machines of three types in
-// three zones with work on them, jobs of all kinds that wait, and claims.
-func problem(seed uint64) ([]*Machine, []*Job, Planner) {
+// randomRound returns the input of a planning round from a seed: machines of three types in three
+// zones with running tasks, waiting jobs of different kinds, and claims.
+func randomRound(seed uint64) ([]*Machine, []*Job, Planner) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	pick := func(list ...string) string { return list[r.IntN(len(list))] }
 	p := Planner{
-		Now: 1000 * s, Queues: 3, MaxStarts: []int{400, 60, 5}[r.IntN(3)], PreemptDelay: int64(5+r.IntN(20)) * s, ReserveAhead: r.IntN(4),
+		Now: 1000 * second, Queues: 3, MaxStarts: []int{400, 60, 5}[r.IntN(3)], PreemptDelay: int64(5+r.IntN(20)) * second, ReserveAhead: r.IntN(4),
 		PreferSpot: map[string]bool{"g": r.IntN(2) == 0}, LargestGPUTask: jobstate.Resources{CPU: 10000, GPU: 2000, Mem: 38000},
 	}
 	teams := []string{"red", "blue", "green"}
@@ -31,7 +31,7 @@
 	spec := func(id string) *jobstate.Spec {
 		sp := &jobstate.Spec{
 			ID: id, Team: teams[r.IntN(3)], Priority: r.IntN(4), Kind: jobstate.Array, Tasks: 1 + r.IntN(40), Need: jobstate.Resources{CPU: int64(1+r.IntN(3)) * 1000, Mem: 3200},
-			Spot: r.IntN(3) > 0, Image: fmt.Sprint("im", r.IntN(5)), ImageMB: int64(1+r.IntN(8)) * 1000, Estimate: int64(10+r.IntN(300)) * s,
+			Spot: r.IntN(3) > 0, Image: fmt.Sprint("im", r.IntN(5)), ImageMB: int64(1+r.IntN(8)) * 1000, Estimate: int64(10+r.IntN(300)) * second,
 		}
 		if r.IntN(2) == 0 {
 			sp.Need = jobstate.Resources{CPU: int64(5+5*r.IntN(2)) * 1000, GPU: int64(1+r.IntN(2)) * 1000, Mem: 18000}
@@ -43,7 +43,7 @@
 			sp.Spread = r.IntN(2) == 0
 		}
 		if r.IntN(2) == 0 {
-			sp.Checkpoint, sp.Save = 15*s, int64(1+r.IntN(6))*s
+			sp.Checkpoint, sp.Save = 15*second, int64(1+r.IntN(6))*second
 		}
 		if r.IntN(6) == 0 {
 			sp.Types = []string{pick("v", "m", "g")}
@@ -62,7 +62,7 @@
 			Name: fmt.Sprintf("host-%04d", i), Type: typ, Zone: pick("a", "b", "c"), Spot: r.IntN(3) == 0, Partition: r.IntN(3), Cap: caps[typ], Free: caps[typ],
 			FetchRate: []int64{0, 400, 1000}[r.IntN(3)], Images: map[string]fleet.Image{},
 		}
-		setContact(&p, m, int64(r.IntN(3))*2*s)
+		setContact(&p, m, int64(r.IntN(3))*2*second)
 		for range r.IntN(3) {
 			m.Images[fmt.Sprint("im", r.IntN(5))] = fleet.Image{MB: 1000, LastUsed: 1}
 		}
@@ -72,7 +72,7 @@
 				j := jobstate.NewJob(sp)
 				j.EffectivePriority, j.NumPlaced = sp.Priority, 1+r.IntN(2)
 				m.Free = m.Free.Sub(sp.Need)
-				m.RunningTasks = append(m.RunningTasks, RunningTask{End: p.Now + int64(1+r.IntN(200))*s, Job: j, Index: k, LostWork: int64(r.IntN(90)) * s * sp.Need.Weight(), Preemptible: r.IntN(5) > 0, Guaranteed: r.IntN(2) == 0})
+				m.RunningTasks = append(m.RunningTasks, RunningTask{End: p.Now + int64(1+r.IntN(200))*second, Job: j, Index: k, LostWork: int64(r.IntN(90)) * second * sp.Need.Weight(), Preemptible: r.IntN(5) > 0, Guaranteed: r.IntN(2) == 0})
 			}
 		}
 		slices.SortFunc(m.RunningTasks, func(a, b RunningTask) int { return int(a.End - b.End) })
@@ -83,12 +83,12 @@
 	for i := range 1 + r.IntN(40) {
 		sp := spec(fmt.Sprintf("job-%02d", i))
 		j := jobstate.NewJob(sp)
-		j.ReadyAt = p.Now // it has not waited yet, which the recorded plans did not ask
+		j.ReadyAt = p.Now // no waiting time yet, as the recording planner ignored it
 		j.EffectivePriority, j.Arrival = min(sp.Priority+r.IntN(2), 3), uint64(i)
 		if r.IntN(4) == 0 {
-			j.EffectiveDeadline = p.Now + int64(r.IntN(500))*s
+			j.EffectiveDeadline = p.Now + int64(r.IntN(500))*second
 		}
-		jobs = append(jobs, &Job{Job: j, Queue: r.IntN(3), ExpectedDuration: sp.Estimate, Headroom: rooms[sp.Team], Guaranteed: r.IntN(3) == 0, DeadlineLost: r.IntN(6) == 0, QueueOrder: int64(r.IntN(9)) * s, NeedsGPUMachine: sp.Need.GPU == 0 && r.IntN(4) == 0})
+		jobs = append(jobs, &Job{Job: j, Queue: r.IntN(3), ExpectedDuration: sp.Estimate, Headroom: rooms[sp.Team], Guaranteed: r.IntN(3) == 0, DeadlineLost: r.IntN(6) == 0, QueueOrder: int64(r.IntN(9)) * second, NeedsGPUMachine: sp.Need.GPU == 0 && r.IntN(4) == 0})
 		for range r.IntN(3) {
 			p.Claims = append(p.Claims, Claim{Job: j, Machine: machines[r.IntN(n)].Name})
 		}
@@ -96,7 +96,7 @@
 	return machines, jobs, p
 }
 
-// digest is a short name of all that a plan says.
+// digest returns the numbers of a plan's entries and a hash of all its contents.
 func digest(plan Plan) string {
 	var b strings.Builder
 	for _, x := range plan.Starts {
@@ -117,9 +117,9 @@
 	return fmt.Sprintf("%d %d %d %d %016x", len(plan.Starts), len(plan.Pivots), len(plan.Preemptions), len(plan.Claims), xxhash.Sum64String(b.String()))
 }
 
-// TestRecorded plans the rounds whose plans were recorded from the planner that
-// went through all machines for every task: the indexes may change no choice.
-func TestRecorded(t *testing.T) {
+// TestRecordedPlans compares plans with those recorded from an earlier planner without an index,
+// which scanned all machines for every task. The index must not change any choice.
+func TestRecordedPlans(t *testing.T) {
 	f, err := os.Open("testdata/plans.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -127,13 +127,13 @@
 	defer func() { _ = f.Close() }()
 	seed := uint64(0)
 	for in := bufio.NewScanner(f); in.Scan(); seed++ {
-		machines, jobs, p := problem(seed)
+		machines, jobs, p := randomRound(seed)
 		if got := digest(planOn(p, machines, jobs)); got != in.Text() {
-			t.Errorf("round %d: %s, recorded %s", seed, got, in.Text())
+			t.Errorf("round %d: digest of the plan: got %s, want the recorded %s", seed, got, in.Text())
 		}
 	}
 	if seed < 100 {
-		t.Fatalf("only %d rounds recorded", seed)
+		t.Fatalf("recorded rounds: got %d, want at least 100", seed)
 	}
 }
 
