--- a/internal/core/jobstate/chunks.go
+++ b/internal/core/jobstate/chunks.go
@@ -183,7 +183,8 @@
 	return first, min(first+ref.ChunkSize, len(j.tasks))
 }
 
-// loadDone resets a chunk's tasks to unplaced tasks that are done or not as in the bitmap.
+// loadDone sets the tasks of a chunk to done or not done as in the bitmap, without placements.
+// Tasks that a smaller chunk overrides stay unchanged.
 func (j *Job) loadDone(ref ChunkRef, done []byte, now int64) {
 	first, end := j.tasksOf(ref)
 	for i := first; i < end; i++ {
@@ -196,7 +197,8 @@
 	}
 }
 
-// loadPlacements applies the placements of a stored chunk to its tasks.
+// loadPlacements applies the placements of a stored chunk to its tasks, except for tasks that a
+// smaller chunk overrides.
 func (j *Job) loadPlacements(ref ChunkRef, placed map[string][]uint32, now int64) error {
 	first, end := j.tasksOf(ref)
 	for machine, numbers := range placed {
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestKnownEndsLimit checks that beyond the limit the oldest ends are dropped, so that Get no longer
-// returns them.
+// TestKnownEndsLimit checks that beyond the limit the oldest ends are dropped, so that Get no
+// longer returns them.
 func TestKnownEndsLimit(t *testing.T) {
 	ends := NewKnownEnds(2)
 	for _, id := range []string{"a", "b", "a", "c"} {
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -12,8 +12,8 @@
 
 const second = int64(1_000_000)
 
-// testMachine returns a machine of 8 CPUs in partition part. runs are pairs of the CPUs and the end, in
-// seconds, of a running task of the team other.
+// testMachine returns a machine of 8 CPUs in partition part. runs are pairs of the CPUs and the
+// end, in seconds, of a running task of the team other.
 func testMachine(name string, part int, runs ...int64) *Machine {
 	m := &Machine{Name: name, Type: "t", Zone: "a", Partition: part, Cap: jobstate.Resources{CPU: 8000}, Free: jobstate.Resources{CPU: 8000}, FetchRate: 1000, Images: map[string]fleet.Image{}}
 	for i := 0; i+1 < len(runs); i += 2 {
@@ -24,7 +24,7 @@
 	return m
 }
 
-// testJob returns a testJob of the team mine without limits. cpus is per task, length in seconds.
+// testJob returns a job of the team mine without limits. cpus is per task, length in seconds.
 func testJob(id string, queue, prio int, kind jobstate.Kind, tasks int, cpus, length int64) *Job {
 	j := jobstate.NewJob(&jobstate.Spec{ID: id, Kind: kind, Tasks: tasks, Priority: prio, Need: jobstate.Resources{CPU: cpus * 1000}, Estimate: length * second, Team: "mine"})
 	return &Job{Job: j, Queue: queue, ExpectedDuration: length * second, Headroom: &Headroom{CPU: Unlimited, GPU: Unlimited}}
