--- a/internal/core/sched/imagepreempt_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -47,7 +47,7 @@
 		preempts string   // machines, with ! if stopped without a checkpoint
 	}{
 		{
-			name: "lower work is preempted on the machine with the image", job: urgent(1, 12_000),
+			name: "lower-priority work is preempted on the machine with the image", job: urgent(1, 12_000),
 			machines: []*Machine{testMachine("without", 0), withImage(busy("with", 0, 5, nil))}, preempts: "with! ",
 		},
 		{
--- a/internal/core/sched/planner.go
+++ b/internal/core/sched/planner.go
@@ -60,7 +60,7 @@
 	// not delay heartbeats; the next round continues. It is decremented with each placement.
 	MaxStarts int
 	// ReserveAhead is the number of urgent jobs behind a queue's pivot for which machines are
-	// freed as for the pivot, and reserved against lower work. Freeing a machine takes
+	// freed as for the pivot, and reserved against lower-priority work. Freeing a machine takes
 	// seconds, so that freeing for one job at a time would starve the urgent jobs of a large
 	// deployment. A small deployment needs none.
 	ReserveAhead int
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -123,7 +123,7 @@
 			jobs: []*Job{withArrival(1, testJob("a", 0, 0, jobstate.Array, 1, 4, 10)), withArrival(2, testJob("b", 1, 0, jobstate.Array, 1, 4, 10))}, want: []string{"a@m0"},
 		},
 		{
-			name: "lower work is preempted for a pivot of high priority that would wait long", machines: []*Machine{testMachine("m0", 0, 8, 500), testMachine("m1", 0, 8, 400)},
+			name: "lower-priority work is preempted for a pivot of high priority that would wait long", machines: []*Machine{testMachine("m0", 0, 8, 500), testMachine("m1", 0, 8, 400)},
 			jobs: []*Job{testJob("high", 0, 2, jobstate.Array, 1, 8, 10)}, pivots: "high:400", preempts: 1,
 		},
 		{
@@ -135,7 +135,7 @@
 			jobs: []*Job{guaranteed(testJob("in", 0, 0, jobstate.Array, 1, 8, 10))}, pivots: "in:500",
 		},
 		{
-			name: "in a large fleet lower work is preempted for urgent jobs behind the pivot too", ahead: 1,
+			name: "in a large fleet lower-priority work is preempted for urgent jobs behind the pivot too", ahead: 1,
 			machines: []*Machine{testMachine("m0", 0, 8, 500), testMachine("m1", 0, 8, 400), testMachine("m2", 0, 8, 450)},
 			jobs:     []*Job{withArrival(1, testJob("u1", 0, 2, jobstate.Array, 1, 8, 10)), withArrival(2, testJob("u2", 0, 2, jobstate.Array, 1, 8, 10)), withArrival(3, testJob("u3", 0, 2, jobstate.Array, 1, 8, 10))},
 			pivots:   "u1:400u2:450", preempts: 2,
@@ -170,7 +170,7 @@
 			jobs: []*Job{withArrival(1, testJob("u", 0, 2, jobstate.Array, 1, 8, 100)), withArrival(2, testJob("low", 0, 0, jobstate.Array, 1, 4, 100))}, pivots: "u:2",
 		},
 		{
-			name: "without a claim free resources go to the lower work", machines: []*Machine{testMachine("m0", 0, 4, 3), testMachine("m1", 0, 8, 2)},
+			name: "without a claim free resources go to the lower-priority work", machines: []*Machine{testMachine("m0", 0, 4, 3), testMachine("m1", 0, 8, 2)},
 			jobs: []*Job{withArrival(1, testJob("u", 0, 2, jobstate.Array, 1, 8, 100)), withArrival(2, testJob("low", 0, 0, jobstate.Array, 1, 4, 100))},
 			want: []string{"low@m0"}, pivots: "u:2",
 		},
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -127,7 +127,7 @@
 	return best
 }
 
-// preemptDelay returns how far off a pivot's start may be before lower work is preempted for it.
+// preemptDelay returns how far off a pivot's start may be before lower-priority work is preempted for it.
 // The delay must not make the job start too late. The time already waited counts, because tasks
 // past their estimates are repeatedly expected to end soon: among many machines with such tasks,
 // some always seem about to become free.
