--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -1,79 +1,80 @@
-// Package ratelimit divides among the controllers what the state service allows, so that
-// all of them together stay within it.
+// Package ratelimit divides the request and change rates that the state service allows among
+// the controllers, so that all controllers together stay within the limits.
 //
-// Each configured controller has a part for good, half of an even share: it may use
-// that as soon as it starts, whatever it knows. The other half of all shares is
-// divided among those that are members, each of which has a key on its lease. A
-// controller uses that only while its own membership is proven and its view of the
-// others is fresh, and a new member waits until all others must have seen it; so
-// the parts never add up to more than there is, whoever comes, goes or is cut off.
-// Users come in bursts at one controller or another, so the leader gives some of its
-// own budget to whoever lacks changes. The package does no input or output.
+// Each configured controller has a fixed share, half of an even share, which it may use as
+// soon as it starts, whatever it knows of the others. The other halves are divided among the
+// members: the controllers that have a key on their lease. A controller uses its part of them
+// only while its own membership is proven and its view of the members is fresh, and a new
+// member waits until all others must have seen it. The shares therefore never add up to more
+// than the limits, whichever controllers start, stop or are cut off. Users come in bursts at
+// single controllers, so the leader grants changes from its own budget to controllers that
+// run short. The package does no I/O.
 package ratelimit
 
 const second = 1_000_000
 
-// Limits are what the state service allows, a second.
+// Limits are the rates that the state service allows, per second.
 type Limits struct{ Requests, Changes float64 }
 
-// Settled is for how long a controller has to be a member before it uses the part of
-// those that are not there, and Fresh how old its view of the members may be; both in
-// microseconds. The first has to be longer by more than any two clocks differ.
+// SettleTime is how long a controller has to be a member before it uses the shares of absent
+// controllers, and MaxViewAge the maximum age of its view of the members; both in
+// microseconds. SettleTime has to exceed MaxViewAge by more than any two clocks differ.
 const (
 	SettleTime = 3 * second
 	MaxViewAge = 2 * second
 )
 
-// Members is what a controller knows of all.
+// Members is what a controller knows about all controllers.
 type Members struct {
-	// Configured is how many controllers there are by the settings.
+	// Configured is the number of controllers in the settings.
 	Configured int
-	// Present is how many of them are members and do not lead, this one included.
+	// Present is the number of members that do not lead, this controller included.
 	Present int
-	// Legacy is how many members run a program that shares nothing.
+	// Legacy is the number of members whose program does not share the limits.
 	Legacy int
-	// Confirmed: this controller's own membership is proven and has settled, and its
-	// view of the others is fresh.
+	// Confirmed says that this controller's own membership is proven and older than
+	// SettleTime, and that its view of the members is fresh.
 	Confirmed bool
-	// HasLeader: somebody leads. Leads: this controller does, and all others have had the
-	// time to see it.
+	// HasLeader says that some controller leads. IsLeader says that this controller leads,
+	// and that all others have had the time to see it.
 	HasLeader, IsLeader bool
-	// SharingEnabled: all controllers share. Before, each goes by its own.
+	// SharingEnabled says that all controllers share the limits. Otherwise each controller
+	// uses a share that does not depend on the members.
 	SharingEnabled bool
 }
 
-// Share is a controller's part, a second.
+// Share is the share of one controller, per second.
 type Share struct {
-	// Views are reads of what is stored for requests that wait, Reads all reads that
-	// can wait. Renewals of leases and the leader's writes have parts of their own.
+	// Views are reads of the stored state for requests that wait, Reads all reads that can
+	// be delayed. Lease renewals and the leader's writes have budgets of their own.
 	Views, Reads float64
 	// Changes are written keys.
 	Changes float64
 }
 
-// The parts of what the state service allows.
+// How the limits of the state service are divided.
 const (
-	// leaseRequests are what a controller needs for its lease, leaderWrites the
-	// leader for its transactions, of which one is under way at a time.
+	// leaseRequests is the request rate per second that a controller needs for its lease,
+	// leaderWrites that of the leader's transactions, of which one is in flight at a time.
 	leaseRequests = 1.4
 	leaderWrites  = 20
-	// leaderChanges is the share of the changes that only the leader makes, and
-	// leaderReads its share of the reads.
+	// leaderChanges is the fraction of the changes that is reserved for the leader, and
+	// leaderReads its fraction of the reads.
 	leaderChanges = 0.75
 	leaderReads   = 0.45
-	// viewShare is the share of all requests that a controller may use for views, and
-	// leaderViewShare that of a leader which reads for the others too.
+	// viewShare is the fraction of all requests that a controller may use for views, and
+	// leaderViewShare that of a leader that also reads for the others.
 	viewShare       = 0.06
 	leaderViewShare = 3 * viewShare
-	// minReadShare is the share of the requests that is for reads in any case.
+	// minReadShare is the fraction of all requests that always remains for reads.
 	minReadShare = 0.25
-	// legacyShare is the part of the others' reads that is left to each controller
-	// which shares nothing, maxLegacyShare that of all of them.
+	// legacyShare is the fraction of the followers' reads and changes that is left to each
+	// member that does not share the limits, maxLegacyShare the maximum for all of them.
 	legacyShare    = 0.2
 	maxLegacyShare = 0.5
 )
 
-// ShareFor is a controller's share.
+// ShareFor returns the share of a controller that knows m.
 func ShareFor(l Limits, m Members) Share {
 	if !m.SharingEnabled || m.Configured < 2 {
 		return unsharedShare(l, m)
@@ -82,7 +83,7 @@
 	changes := l.Changes * (1 - leaderChanges)
 	reads := readBudget(l, m, changes)
 	if !m.HasLeader {
-		// Nobody uses the leader's part, and all see at once when somebody begins to.
+		// No controller uses the leader's share, and all notice at once when one starts to.
 		even := 1 / float64(m.Configured)
 		s := Share{Reads: readBudget(l, m, l.Changes) * even, Changes: l.Changes * even}
 		s.Views = min(viewShare*l.Requests, s.Reads)
@@ -98,13 +99,15 @@
 	return s
 }
 
-// readBudget is what is left for reads beside the leases, the leader's transactions, and
-// the changes of others, each of which may be a transaction of its own.
+// readBudget returns the request rate that remains for reads after the leases, the leader's
+// transactions, and the changes of other controllers, each of which may be a transaction of
+// its own.
 func readBudget(l Limits, m Members, changes float64) float64 {
 	return max(l.Requests-leaseRequests*float64(m.Configured)-leaderWrites-changes, minReadShare*l.Requests)
 }
 
-// memberShare is a controller's of a pool that so many share when all are there.
+// memberShare returns a controller's share of a pool that is divided among all controllers when
+// all of them are members.
 func memberShare(pool, all float64, m Members) float64 {
 	own := pool / all / 2
 	if !m.Confirmed {
@@ -114,13 +117,14 @@
 	return own + pool/2/present
 }
 
-// maxUnsharedWriters is for how many controllers beside the leader each may use the whole of
-// the changes that the leader leaves, while nothing is shared.
+// maxUnsharedWriters is the number of controllers besides the leader up to which, while the
+// limits are not shared, each may use all changes that are not reserved for the leader.
 const maxUnsharedWriters = 4
 
-// unsharedShare is what a controller uses while nothing is shared: an even part of the reads.
-// Users come in bursts at one controller or another, and change far less than that on
-// average: each may use the whole of what the leader leaves, unless there are many.
+// unsharedShare returns the share of a controller while the limits are not shared: an even part
+// of the reads. Users come in bursts at single controllers, and on average make far fewer
+// changes than the limit allows, so each controller may use all changes that are not reserved
+// for the leader, unless there are more than maxUnsharedWriters.
 func unsharedShare(l Limits, m Members) Share {
 	few := min(1, maxUnsharedWriters/float64(max(m.Configured-1, 1)))
 	s := Share{Views: viewShare * l.Requests, Changes: l.Changes * (1 - leaderChanges) * few}
@@ -131,52 +135,53 @@
 	return s
 }
 
-// Interval is the time between two things that may be done so often a second.
+// Interval returns the time between two operations at a rate per second, in microseconds.
 func Interval(rate float64) int64 { return int64(second / rate) }
 
-// minBurst is how much a budget holds at least: a cancellation is two changes.
+// minBurst is the minimum capacity of a token bucket: a cancellation takes two changes.
 const minBurst = 2
 
-// TokenBucket is what may be used at a rate, with a burst of a second's worth.
+// TokenBucket is a rate limiter with a burst of one second of its rate.
 type TokenBucket struct {
 	level      float64
 	refilledAt int64
 }
 
-// NewTokenBucket is a budget with so much in it.
+// NewTokenBucket returns a token bucket that holds level tokens.
 func NewTokenBucket(now int64, level float64) TokenBucket {
 	return TokenBucket{level: level, refilledAt: now}
 }
 
-// InitialTokens is what a controller that starts may use at once: others may start with it.
+// InitialTokens is the number of tokens that a controller has when it starts. It is small since
+// other controllers may start at the same time.
 const InitialTokens = minBurst
 
-// Refill adds what has come since the last time.
+// Refill adds the tokens that have accrued since the last call.
 func (b *TokenBucket) Refill(now int64, rate float64) {
-	// What was given on top of a full budget stays.
+	// Tokens deposited beyond the capacity are kept.
 	b.level = max(b.level, min(b.level+float64(now-b.refilledAt)/second*rate, max(rate, minBurst)))
 	b.refilledAt = now
 }
 
-// Withdraw moves as many as are wanted to another budget, down to a level that may be
-// below 0, and returns how many. What is given is spent once at most: it is gone here
-// whether it arrives there or not.
+// Withdraw takes up to wanted tokens for another bucket, down to the level least, which may be
+// below 0, and returns how many were taken. A token is spent at most once: it is removed here
+// whether or not it arrives at the other bucket.
 func (b *TokenBucket) Withdraw(wanted int, least float64) int {
 	n := max(0, min(wanted, int(b.level-least)))
 	b.level -= float64(n)
 	return n
 }
 
-// Deposit takes what another budget has given.
+// Deposit adds tokens that were withdrawn from another bucket.
 func (b *TokenBucket) Deposit(n int) { b.level += float64(n) }
 
-// Level is how much there is; it is below 0 after more was used than there was.
+// Level returns the number of tokens. It is below 0 after more were spent than there were.
 func (b *TokenBucket) Level() float64 { return b.level }
 
-// Spend uses n, though there may be less.
+// Spend removes n tokens, even if there are fewer.
 func (b *TokenBucket) Spend(n float64) { b.level -= n }
 
-// TryTake uses one if there is one.
+// TryTake takes one token if there is one, and reports whether it did.
 func (b *TokenBucket) TryTake() bool {
 	if b.level < 1 {
 		return false
--- a/internal/core/readlease/grantor.go
+++ b/internal/core/readlease/grantor.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// holderState is what a grantor knows of a controller that may hold its read lease.
+// holderState is what a grantor knows about a controller that may hold its read lease.
 type holderState struct {
-	grantedAt int64 // when it was last granted, 0 for never
-	// cleared: it has said that it holds no lease of an earlier incarnation.
+	grantedAt int64 // time of the last grant, 0 if there was none
+	// cleared is set once the holder has said that it holds no lease of an earlier
+	// incarnation of the grantor.
 	cleared bool
-	// upTo and appliedRevision are what it knows: the cancellations of this incarnation
-	// up to a number, and what is stored up to a revision.
+	// upTo is the number up to which the holder knows the cancellations of this
+	// incarnation, appliedRevision the revision up to which it knows the stored state.
 	upTo            uint64
 	appliedRevision uint64
 }
@@ -18,19 +19,20 @@
 	h.appliedRevision = max(h.appliedRevision, appliedRevision)
 }
 
-// Grantor is a controller's side as one that tells users of cancellations, and grants read
+// Grantor is the side of a controller that confirms cancellations to users and grants read
 // leases to a leader.
 type Grantor struct {
 	incarnation string
 	startedAt   int64
-	// leaseDuration is for how long a leader may hold a lease after it was granted.
+	// leaseDuration is how long a leader may hold a lease after it was granted, with the
+	// margin for clock drift and transit time.
 	leaseDuration int64
 	cancellations cancellationLog
 	holders       map[string]*holderState
 }
 
-// NewGrantor makes the grantor of a controller that has just started. leaseDuration is for
-// how long a leader goes by a read lease, by its own clock.
+// NewGrantor returns the grantor of a controller that has just started. leaseDuration is how
+// long a leader uses a read lease, measured by the leader's own clock.
 func NewGrantor(incarnation string, peers []string, leaseDuration, now int64) *Grantor {
 	g := &Grantor{
 		incarnation:   incarnation,
@@ -45,14 +47,14 @@
 	return g
 }
 
-// RecordCancellation notes that something is known to be cancelled, stored at a revision, or
-// 0 if that is not known. It has to be called before a user is told.
+// RecordCancellation records a cancellation and the revision at which it was stored, 0 if
+// the revision is not known. It must be called before the cancellation is confirmed to a user.
 func (g *Grantor) RecordCancellation(id string, revision uint64) {
 	g.cancellations.record(id, revision)
 }
 
-// Grant answers a leader's request. mirrored says that this incarnation has read all that was
-// stored when it began. The leader may hold the lease from now on.
+// Grant answers a leader's request. mirrored says whether this incarnation has read all state
+// that was stored when it started. The leader may hold the lease from now on.
 func (g *Grantor) Grant(from string, request GrantRequest, mirrored bool, now int64) CancellationPage {
 	if holder := g.holders[from]; holder != nil {
 		holder.grantedAt = now
@@ -61,7 +63,7 @@
 	return g.pageAfter(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision, mirrored)
 }
 
-// ownNumber is a cancellation's number if it is one of this incarnation, and 0 otherwise.
+// ownNumber returns the number if it was assigned by this incarnation, and 0 otherwise.
 func (g *Grantor) ownNumber(incarnation string, number uint64) uint64 {
 	if incarnation != g.incarnation {
 		return 0
@@ -69,14 +71,15 @@
 	return number
 }
 
-// pageAfter has the cancellations after a number that are not known as stored by a revision.
+// pageAfter returns the page of the cancellations after a number, without those that a
+// controller with appliedRevision has already read from the stored state.
 func (g *Grantor) pageAfter(number, appliedRevision uint64, mirrored bool) CancellationPage {
 	log := &g.cancellations
 	page := CancellationPage{Incarnation: g.incarnation, After: number, UpTo: number, Complete: mirrored}
 	if number+1 < log.firstNumber {
 		page.UpTo = log.firstNumber - 1
 		if log.droppedUnknownTo(appliedRevision) {
-			page.Complete, page.Incarnation = false, "" // what was dropped can't be sent
+			page.Complete, page.Incarnation = false, "" // dropped entries can't be sent
 			return page
 		}
 	}
@@ -94,8 +97,8 @@
 	return page
 }
 
-// HandleAck takes what a controller has answered to a message that was sent to it at a time.
-// ack is nil from a program that knows no read leases.
+// HandleAck processes a controller's answer to a message that was sent to it at sentAt. ack is
+// nil if the controller runs a version without read leases.
 func (g *Grantor) HandleAck(from string, sentAt int64, ack *HolderAck) {
 	holder := g.holders[from]
 	if holder == nil {
@@ -104,14 +107,14 @@
 	if ack == nil || !ack.Holds {
 		holder.cleared = true
 		if holder.grantedAt < sentAt {
-			holder.grantedAt = 0 // a later grant may have arrived after the answer
+			holder.grantedAt = 0 // a grant after sentAt may have arrived after this answer
 		}
 		return
 	}
 	holder.noteKnown(g.ownNumber(ack.Incarnation, ack.UpTo), ack.AppliedRevision)
 }
 
-// mayHold reports whether a controller may hold a read lease of this one, of this
+// mayHold reports whether a controller may hold a read lease of this grantor, granted by this
 // incarnation or an earlier one.
 func (g *Grantor) mayHold(holder *holderState, now int64) bool {
 	if holder.grantedAt != 0 && now-holder.grantedAt < g.leaseDuration {
@@ -120,8 +123,8 @@
 	return !holder.cleared && now-g.startedAt < g.leaseDuration
 }
 
-// Uninformed names the controllers that may hold a read lease and do not know of all of some
-// cancellations, in order.
+// Uninformed returns the names, sorted, of the controllers that may hold a read lease and do
+// not know all of the given cancellations.
 func (g *Grantor) Uninformed(ids []string, now int64) (names []string) {
 	for _, id := range ids {
 		for name, holder := range g.holders {
@@ -134,8 +137,8 @@
 	return slices.Compact(names)
 }
 
-// RecentCancellations are the newest cancellations, for a leader whose program knows no read
-// leases.
+// RecentCancellations returns the newest cancellations, at most maxPageEntries, for a leader
+// that runs a version without read leases.
 func (g *Grantor) RecentCancellations() (ids []string) {
 	entries := g.cancellations.entries
 	for _, entry := range entries[max(0, len(entries)-maxPageEntries):] {
@@ -144,7 +147,8 @@
 	return ids
 }
 
-// PageFor is the next page for a holder that has to be informed. It grants nothing.
+// PageFor returns the next page for a holder that has to be informed. It does not grant a
+// lease.
 func (g *Grantor) PageFor(to string) CancellationPage {
 	holder := g.holders[to]
 	if holder == nil {
--- a/internal/core/readlease/holder.go
+++ b/internal/core/readlease/holder.go
@@ -1,15 +1,17 @@
 package readlease
 
-// grant is what a leader has of one grantor.
+// grant is what a leader knows about its read lease of one grantor.
 type grant struct {
-	// incarnation and upTo say up to which cancellation it knows those of the grantor.
+	// upTo is the number up to which the leader knows the cancellations of the grantor's
+	// incarnation.
 	incarnation string
 	upTo        uint64
-	// grantedAt is when the newest request was sent whose answer counts, 0 for none.
+	// grantedAt is the send time of the newest request whose answer granted the lease, 0 if
+	// there is none.
 	grantedAt int64
-	// requestedAt is when a request was last sent; its answer may be on the way.
+	// requestedAt is the send time of the last request; its answer may be in transit.
 	requestedAt int64
-	// runningIncarnation is the grantor's incarnation that runs, as far as it is known.
+	// runningIncarnation is the incarnation of the grantor that runs now, "" if not known.
 	runningIncarnation string
 }
 
@@ -18,13 +20,13 @@
 	return g.grantedAt != 0 && now-g.grantedAt < leaseDuration
 }
 
-// Holder is a leader's side: the read leases that it holds of each other controller.
+// Holder is the leader's side: its read lease of each other controller.
 type Holder struct {
 	leaseDuration int64
 	grants        map[string]*grant
 }
 
-// NewHolder makes the holder of a leader that has no read leases yet.
+// NewHolder returns the holder of a leader that has no read leases yet.
 func NewHolder(peers []string, leaseDuration int64) *Holder {
 	h := &Holder{leaseDuration: leaseDuration, grants: map[string]*grant{}}
 	for _, peer := range peers {
@@ -33,7 +35,7 @@
 	return h
 }
 
-// NextRequest is the request to send to a controller now.
+// NextRequest returns the request to send to a controller now.
 func (h *Holder) NextRequest(peer string, appliedRevision uint64, now int64) GrantRequest {
 	grant := h.grants[peer]
 	if grant == nil {
@@ -43,11 +45,12 @@
 	return GrantRequest{Incarnation: grant.incarnation, UpTo: grant.upTo, AppliedRevision: appliedRevision}
 }
 
-// ApplyPage takes a page, and reports whether it continues what is known of its grantor.
+// ApplyPage records a page of cancellations, and reports whether it continues what the leader
+// knows of its grantor without a gap.
 func (h *Holder) ApplyPage(peer string, page CancellationPage) bool {
 	grant := h.grants[peer]
 	if grant == nil || page.Incarnation == "" {
-		return false // the grantor can't send all, or its program knows no read leases
+		return false // the grantor can't send all, or runs a version without read leases
 	}
 	if grant.runningIncarnation != "" && page.Incarnation != grant.runningIncarnation {
 		return false
@@ -65,31 +68,32 @@
 	return true
 }
 
-// HandleGrant takes the answer, received now, to a request that was sent at a time. The
-// cancellations in the page have to be noted whether or not the answer counts.
+// HandleGrant processes the answer, received now, to a request that was sent at sentAt. The
+// caller has to apply the cancellations in the page whether or not it grants the lease.
 func (h *Holder) HandleGrant(peer string, sentAt, now int64, page CancellationPage) {
 	if !h.ApplyPage(peer, page) || page.More || now-sentAt >= maxAnswerDelay {
 		return
 	}
 	grant := h.grants[peer]
-	// A grantor that has just restarted speaks for its present incarnation alone. What the
-	// earlier one has confirmed is known while that one's lease is valid: for as long as
-	// the lease could be held, it confirmed nothing that this leader was not informed of.
+	// A grantor that has just restarted knows only what its present incarnation confirmed.
+	// The leader knows what the earlier one confirmed while the lease of that one is valid:
+	// while the leader could hold the lease, the grantor confirmed no cancellation that this
+	// leader was not informed of.
 	if page.Complete || grant.valid(now, h.leaseDuration) {
 		grant.grantedAt = max(grant.grantedAt, sentAt)
 	}
 }
 
-// SetIncarnation notes which incarnation of a controller runs. Answers of another one were
-// delayed on the way and do not count.
+// SetIncarnation records which incarnation of a controller runs. Answers of another
+// incarnation were delayed in transit and are ignored.
 func (h *Holder) SetIncarnation(peer, incarnation string) {
 	if grant := h.grants[peer]; grant != nil && incarnation != "" {
 		grant.runningIncarnation = incarnation
 	}
 }
 
-// Ack is what to answer a controller that has sent cancellations. A lease that is said not to
-// be held has expired for good: it has to be granted anew.
+// Ack returns the answer to a controller that has sent cancellations. Once the answer says
+// that the lease is not held, the lease has to be granted again.
 func (h *Holder) Ack(peer string, appliedRevision uint64, now int64) HolderAck {
 	grant := h.grants[peer]
 	if grant == nil {
@@ -104,11 +108,11 @@
 	return HolderAck{Holds: true, Incarnation: grant.incarnation, UpTo: grant.upTo, AppliedRevision: appliedRevision}
 }
 
-// NeverGranted is the age of the lease of a controller that has granted none.
+// NeverGranted is the age of the read lease of a controller that has not granted one.
 const NeverGranted = -1
 
-// StaleGrantors has the controllers whose read leases are older than maxAge, with the age or
-// [NeverGranted].
+// StaleGrantors returns the controllers whose read leases are older than maxAge, with the age
+// of the lease or [NeverGranted].
 func (h *Holder) StaleGrantors(now, maxAge int64) map[string]int64 {
 	ages := map[string]int64{}
 	for name, grant := range h.grants {
@@ -122,8 +126,8 @@
 	return ages
 }
 
-// OldestGrant is the time up to which all other controllers have confirmed that the leader
-// knows their cancellations, 0 if one of them has not.
+// OldestGrant returns the time up to which all other controllers have confirmed that the
+// leader knows their cancellations, 0 if one of them has not.
 func (h *Holder) OldestGrant() int64 {
 	oldest := int64(-1)
 	for _, grant := range h.grants {
--- a/internal/core/readlease/log.go
+++ b/internal/core/readlease/log.go
@@ -1,20 +1,20 @@
 package readlease
 
-// cancellation is one that is known, with the revision at which it was stored, 0 if that is
-// not known.
+// cancellation is a known cancellation with the revision at which it was stored, 0 if the
+// revision is not known.
 type cancellation struct {
 	id       string
 	revision uint64
 }
 
-// cancellationLog is what a controller knows to be cancelled, numbered in the order in which
-// it learned of it. Only the newest are kept.
+// cancellationLog holds the cancellations that a controller knows, numbered in the order in
+// which it learned of them. Only the newest maxLogEntries are kept.
 type cancellationLog struct {
 	entries     []cancellation
 	firstNumber uint64 // the number of the oldest entry
 	numberByID  map[string]uint64
-	// droppedRevision is the newest revision of the entries that are no longer kept;
-	// droppedUnknown: the revision of one of them was not known.
+	// droppedRevision is the highest revision of the dropped entries; droppedUnknown is set
+	// if the revision of one of them was not known.
 	droppedRevision uint64
 	droppedUnknown  bool
 }
@@ -39,7 +39,7 @@
 
 func (l *cancellationLog) dropOldest() {
 	oldest := l.entries[0]
-	l.entries[0] = cancellation{} // frees the text
+	l.entries[0] = cancellation{} // lets the ID string be garbage collected
 	l.entries = l.entries[1:]
 	l.firstNumber++
 	delete(l.numberByID, oldest.id)
@@ -47,13 +47,13 @@
 	l.droppedUnknown = l.droppedUnknown || oldest.revision == 0
 }
 
-// droppedUnknownTo reports whether an entry that is no longer kept may be unknown to a
-// controller that knows what is stored up to a revision.
+// droppedUnknownTo reports whether a controller that knows the stored state up to
+// appliedRevision may lack a dropped entry.
 func (l *cancellationLog) droppedUnknownTo(appliedRevision uint64) bool {
 	return l.droppedUnknown || l.droppedRevision > appliedRevision
 }
 
-// knownTo reports whether a holder knows of a cancellation.
+// knownTo reports whether a holder is certain to know a cancellation.
 func (l *cancellationLog) knownTo(h *holderState, id string) bool {
 	number, kept := l.numberByID[id]
 	if !kept {
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -8,15 +8,16 @@
 
 const leaseDuration = 10 * second
 
-// pair is a leader l and another controller x, which restarts now and then.
+// pair is a leader "l" that requests read leases, and a controller "x" that grants them and
+// can be restarted.
 type pair struct {
 	now         int64
 	incarnation int
 	grantor     *Grantor
 	holder      *Holder
-	// mirrored: the grantor has read what is stored.
+	// mirrored says that the grantor has read the stored state.
 	mirrored bool
-	// appliedRevision is up to where the leader knows what is stored.
+	// appliedRevision is the revision up to which the leader knows the stored state.
 	appliedRevision uint64
 	known           map[string]bool // the cancellations that the leader knows
 }
@@ -32,13 +33,13 @@
 	p.grantor = NewGrantor(fmt.Sprint("x", p.incarnation), []string{"l"}, leaseDuration, p.now)
 }
 
-// request has the leader send a request, and returns when, and the answer.
+// request sends a request of the leader, and returns its send time and the answer.
 func (p *pair) request() (sentAt int64, page CancellationPage) {
 	request := p.holder.NextRequest("x", p.appliedRevision, p.now)
 	return p.now, p.grantor.Grant("l", request, p.mirrored, p.now)
 }
 
-// receive has the answer arrive.
+// receive delivers an answer to the leader.
 func (p *pair) receive(sentAt int64, page CancellationPage) {
 	for _, id := range page.Cancelled {
 		p.known[id] = true
@@ -56,25 +57,26 @@
 	}
 }
 
-// cancel has so many jobs cancelled, which are not stored yet.
+// cancel records the cancellations of a number of jobs, which are not stored yet.
 func (p *pair) cancel(jobs int) {
 	for i := range jobs {
 		p.grantor.RecordCancellation(fmt.Sprint("j", i), 0)
 	}
 }
 
-// TestHolder: up to when a grantor has confirmed that the leader knows its cancellations.
+// TestHolder checks the time up to which the grantor has confirmed that the leader knows its
+// cancellations.
 func TestHolder(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(p *pair)
-		// grantedAt is the time that is confirmed, known how many cancellations the
-		// leader knows then.
+		// grantedAt is the expected confirmed time, known the expected number of
+		// cancellations that the leader knows.
 		grantedAt int64
 		known     int
 	}{
-		{"none requested", func(*pair) {}, 0, 0},
-		{"counts from the request, not the answer", func(p *pair) {
+		{"no request", func(*pair) {}, 0, 0},
+		{"lease starts at the request, not at the answer", func(p *pair) {
 			sentAt, page := p.request()
 			p.now += second
 			p.receive(sentAt, page)
@@ -92,9 +94,9 @@
 				p.receive(sentAt, page)
 			}
 		}, 0, 1000},
-		{"page missing", func(p *pair) {
+		{"missing page", func(p *pair) {
 			p.cancel(1200)
-			p.holder.grants["x"].upTo = 700 // as if it had received other pages
+			p.holder.grants["x"].upTo = 700 // as if the leader had received further pages
 			p.holder.grants["x"].incarnation = "x1"
 			sentAt, page := p.request()
 			p.holder.grants["x"].upTo = 500
@@ -127,8 +129,8 @@
 			p.grantor.RecordCancellation("c", 0)
 			p.exchange()
 		}, second, 2},
-		{"more than are kept", func(p *pair) { p.cancel(maxLogEntries + 1); p.exchange() }, 0, 0},
-		{"more than are kept, the others stored and read", func(p *pair) {
+		{"more cancellations than are kept", func(p *pair) { p.cancel(maxLogEntries + 1); p.exchange() }, 0, 0},
+		{"more cancellations than are kept, dropped ones stored and read", func(p *pair) {
 			p.appliedRevision = 5
 			p.grantor.RecordCancellation("old", 5)
 			p.cancel(maxLogEntries)
@@ -147,7 +149,7 @@
 			p.mirrored = false
 			p.exchange()
 		}, 0, 0},
-		{"acknowledged as held while the answer is on its way", func(p *pair) {
+		{"acknowledged as held while the answer is in transit", func(p *pair) {
 			sentAt, page := p.request()
 			if a := p.holder.Ack("x", 0, p.now); !a.Holds {
 				return
@@ -158,7 +160,7 @@
 				p.holder.grants["x"].grantedAt = 0
 			}
 		}, second, 0},
-		{"request without an answer, long ago", func(p *pair) {
+		{"old request without an answer", func(p *pair) {
 			p.request()
 			p.now += 2 * second
 			if p.holder.Ack("x", 0, p.now).Holds {
@@ -171,27 +173,28 @@
 			p := newPair()
 			tc.do(p)
 			if got := p.holder.OldestGrant(); got != tc.grantedAt {
-				t.Errorf("confirmed up to %d, want %d", got, tc.grantedAt)
+				t.Errorf("OldestGrant() = %d, want %d", got, tc.grantedAt)
 			}
 			if len(p.known) != tc.known {
-				t.Errorf("knows %d, want %d", len(p.known), tc.known)
+				t.Errorf("leader knows %d cancellations, want %d", len(p.known), tc.known)
 			}
 		})
 	}
 }
 
-// TestGrantor: when users may be told of a cancellation, and whom to inform first.
+// TestGrantor checks when a cancellation may be confirmed to users, and which controllers have
+// to be informed first.
 func TestGrantor(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(p *pair)
-		// mayConfirm: nobody has to be informed first.
+		// mayConfirm says that no controller has to be informed first.
 		mayConfirm bool
 	}{
 		{"grantor just started", func(*pair) {}, false},
 		{"grantor just started, earlier lease disclaimed", func(p *pair) { p.grantor.HandleAck("l", p.now, &HolderAck{}) }, true},
 		{"grantor just started, holder without read leases", func(p *pair) { p.grantor.HandleAck("l", p.now, nil) }, true},
-		{"grantor started long ago", func(p *pair) { p.now += leaseDuration + second }, true},
+		{"earlier lease expired after the start", func(p *pair) { p.now += leaseDuration + second }, true},
 		{"granted", func(p *pair) { p.grantor.HandleAck("l", p.now, &HolderAck{}); p.request() }, false},
 		{"granted after the disclaimer was sent", func(p *pair) {
 			p.request()
@@ -205,16 +208,16 @@
 			p.request()
 			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, Incarnation: "x0", UpTo: 1})
 		}, false},
-		{"granted, holder has read it", func(p *pair) {
+		{"granted, holder has read the stored cancellation", func(p *pair) {
 			p.request()
 			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, AppliedRevision: 9})
 		}, true},
-		{"granted, holder has read less", func(p *pair) {
+		{"granted, holder has read an earlier revision", func(p *pair) {
 			p.request()
 			p.grantor.HandleAck("l", p.now, &HolderAck{Holds: true, AppliedRevision: 8})
 		}, false},
-		{"granted long ago", func(p *pair) { p.request(); p.now += leaseDuration + second }, true},
-		{"informed", func(p *pair) {
+		{"grant expired", func(p *pair) { p.request(); p.now += leaseDuration + second }, true},
+		{"holder informed of a further cancellation", func(p *pair) {
 			p.exchange()
 			p.grantor.RecordCancellation("next", 0)
 			page := p.grantor.PageFor("l")
@@ -231,10 +234,10 @@
 			p.grantor.RecordCancellation("a", 9)
 			tc.do(p)
 			if got := len(p.grantor.Uninformed([]string{"a"}, p.now)) == 0; got != tc.mayConfirm || p.incarnation < 0 {
-				t.Errorf("may confirm: %v, want %v", got, tc.mayConfirm)
+				t.Errorf("may confirm = %v, want %v; incarnation %d (-1: the page did not inform the holder)", got, tc.mayConfirm, p.incarnation)
 			}
 			if got := p.grantor.Uninformed([]string{"a", "a"}, p.now); (len(got) == 0) != tc.mayConfirm {
-				t.Errorf("uninformed: %v", got)
+				t.Errorf("Uninformed with a repeated ID = %v, want none: %v", got, tc.mayConfirm)
 			}
 		})
 	}
--- a/internal/core/replica/main_test.go
+++ b/internal/core/replica/main_test.go
@@ -7,5 +7,5 @@
 	"github.com/zinclb/zinclb/internal/rapidtest"
 )
 
-// TestMain has properties tried on the same histories in every run.
+// TestMain runs the property-based tests with the same inputs in every run.
 func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m)) }
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -1,12 +1,13 @@
-// Package replica lets a controller that does not lead answer linearizable reads
-// without a read of the state service for each, after Raft's ReadIndex: it asks the
-// leader, which reads the state service once for all that have asked until then, and
-// answers with what has changed since the revision that the asker has. What is shown
-// was read after the question came, so it is younger than every request that waits
-// for it, whoever leads by then; a leader's lease proves nothing here.
+// Package replica lets a follower, a controller that does not lead, answer linearizable
+// reads without a read of the state service for each, after Raft's ReadIndex. The follower
+// asks the leader, which reads the state service once for all followers that have asked
+// until then, and answers with the changes since the revision that the follower has. The
+// leader's read began after the follower's request arrived, so its result is newer than
+// every request that waits for it, whoever leads by then. The protocol does not rely on the
+// leader's lease.
 //
-// A controller that gets no such answer reads the state service itself, and watches
-// it, until the leader answers again. The package does no input or output.
+// A follower that gets no such answer reads and watches the state service itself until the
+// leader answers again. The package does no I/O.
 package replica
 
 import "github.com/zinclb/zinclb/internal/core/kv"
@@ -14,35 +15,38 @@
 const second = 1_000_000
 
 const (
-	// refreshAfter is how old the mirror of a follower may be before it asks though
-	// nobody waits.
+	// refreshAfter is the age of a follower's mirror from which the follower asks the leader
+	// even if no request waits.
 	refreshAfter = second
-	// followDuration is for how long an answer makes a controller a follower.
+	// followDuration is how long after an answer the mirror counts as fed by the leader.
 	followDuration = 5 * second / 2
-	// minRetryDelay and maxRetryDelay bound for how long a leader that has failed is not
-	// asked. The pause doubles with each failure in turn.
+	// minRetryDelay and maxRetryDelay bound the backoff after a leader has failed to answer.
+	// The delay doubles with each consecutive failure.
 	minRetryDelay = second
 	maxRetryDelay = 8 * second
 )
 
-// AnswerTimeout is how long the leader may take to answer, in microseconds. A read of
-// the state service takes a few milliseconds, and users wait for two seconds.
+// AnswerTimeout is the time limit for the leader's answer, in microseconds. A read of the
+// state service takes a few milliseconds, and users wait for up to two seconds.
 const AnswerTimeout = 200_000
 
-// Follower decides how a controller that does not lead learns what is stored.
+// Follower decides from where a controller that does not lead reads the stored state.
 type Follower struct {
 	leader       string
 	fencingToken uint64
-	// lastRequest numbers the questions; under is the one under way, 0 for none.
+	// lastRequest is the number of the last request, inFlight that of the request in flight,
+	// 0 if there is none.
 	lastRequest, inFlight uint64
-	// answeredAt is when the leader last answered, 0 if this one has not.
+	// answeredAt is when the present leader last answered, 0 if it has not or has failed
+	// since.
 	answeredAt int64
-	// notBefore is until when it is not asked, pause how long that was.
+	// notBefore is the time until which the leader is not asked, retryDelay the backoff that
+	// led to it.
 	notBefore, retryDelay int64
 }
 
-// SetLeader notes who leads, "" for nobody, and by which token. Another leader is asked
-// at once, and what the last one did proves nothing of it.
+// SetLeader records the leader, "" for none, and its fencing token. A new leader is asked at
+// once: the answers and failures of the previous one say nothing about it.
 func (f *Follower) SetLeader(leader string, token uint64) {
 	if f.leader == leader && f.fencingToken == token {
 		return
@@ -51,7 +55,7 @@
 	f.answeredAt, f.notBefore, f.retryDelay = 0, 0, 0
 }
 
-// Source is whom to ask now for what is stored, "" for the state service.
+// Source returns the controller to ask for the stored state now, "" for the state service.
 func (f *Follower) Source(now int64) string {
 	if now < f.notBefore {
 		return ""
@@ -59,16 +63,16 @@
 	return f.leader
 }
 
-// BeginRequest numbers a question that is asked now. An answer to an earlier one counts no
-// more.
+// BeginRequest returns the number of a request that is sent now. Answers to earlier requests
+// are ignored from now on.
 func (f *Follower) BeginRequest() uint64 {
 	f.lastRequest++
 	f.inFlight = f.lastRequest
 	return f.inFlight
 }
 
-// EndRequest takes the end of a question. It is false for one that is not under way: a
-// late answer, or one that was answered before.
+// EndRequest records the end of a request. It returns false if the request is not in flight:
+// the answer is late, or the request was answered before.
 func (f *Follower) EndRequest(number uint64, ok bool, now int64) bool {
 	if number == 0 || number != f.inFlight {
 		return false
@@ -83,20 +87,21 @@
 	return true
 }
 
-// IsFollowing says whether the mirror lives on the leader's answers, so that nothing but
-// the leadership need be watched in the state service.
+// IsFollowing reports whether the leader's answers keep the mirror up to date, so that only
+// the leadership has to be watched in the state service.
 func (f *Follower) IsFollowing(now int64) bool {
 	return f.answeredAt != 0 && now-f.answeredAt < followDuration && f.Source(now) != ""
 }
 
-// RefreshDue says whether the mirror is to be brought up to date though nobody waits; age is
-// for how long nothing was read.
+// RefreshDue reports whether the mirror should be refreshed from the leader even if no request
+// waits. age is the time since the last read began.
 func (f *Follower) RefreshDue(now, age int64) bool {
 	return f.Source(now) != "" && age >= refreshAfter
 }
 
-// View is what the leader shows: all changes after the asker's revision up to Ledger.
-// Granted are writes that the asker may make on the leader's budget.
+// View is the leader's answer to a follower: all changes after the follower's revision up to
+// Revision. Granted is the number of writes that the follower may make from the leader's
+// budget.
 type View struct {
 	Revision uint64
 	Changes  []kv.Change
@@ -105,26 +110,26 @@
 
 const (
 	// maxLogChanges and maxLogBytes bound the changes that are kept for followers, which ask
-	// once a second at least: 100 transactions of 48 operations and 44 kB a second
-	// have to fit, or every follower reads the state service itself.
+	// at least once a second. 100 transactions of 48 operations and 44 kB per second have to
+	// fit, otherwise every follower reads the state service itself.
 	maxLogChanges = 10_000
 	maxLogBytes   = 5 << 20
-	// changeOverhead is what a change takes beside its key and value.
+	// changeOverhead is the size of a change without its key and value, in bytes.
 	changeOverhead = 64
 )
 
-// ChangeLog has the latest changes, for followers that lack them.
+// ChangeLog holds the latest changes, for followers that do not have them yet.
 type ChangeLog struct {
 	changes []kv.Change
 	bytes   int
-	// startRevision is the revision after which the log has all changes.
+	// startRevision is the revision after which the log contains all changes.
 	startRevision uint64
 }
 
-// Restart begins anew at a revision.
+// Restart empties the log, which then contains the changes after the revision from.
 func (l *ChangeLog) Restart(from uint64) { *l = ChangeLog{startRevision: from} }
 
-// Append takes a change that is newer than all before, or part of the newest
+// Append adds a change, which must be newer than all others or belong to the newest
 // transaction.
 func (l *ChangeLog) Append(c kv.Change) {
 	l.changes = append(l.changes, c)
@@ -134,7 +139,7 @@
 	}
 }
 
-// dropOldest forgets the oldest transaction.
+// dropOldest removes all changes of the oldest transaction.
 func (l *ChangeLog) dropOldest() {
 	l.startRevision = l.changes[0].Revision
 	n := 0
@@ -148,7 +153,7 @@
 
 func size(c kv.Change) int { return changeOverhead + len(c.Key) + len(c.Value) }
 
-// Since are the changes after a revision; ok is false if some of them are forgotten.
+// Since returns the changes after a revision; ok is false if some of them were dropped.
 func (l *ChangeLog) Since(after uint64) (changes []kv.Change, ok bool) {
 	if after < l.startRevision {
 		return nil, false
