--- a/internal/core/connectivity/cloudproxy.go
+++ b/internal/core/connectivity/cloudproxy.go
@@ -1,31 +1,30 @@
 package connectivity
 
 const (
-	// cloudFailureTimeout is for how long calls of the cloud have to fail until a peer
-	// makes them.
+	// cloudFailureTimeout is how long cloud calls have to fail before a peer makes them.
 	cloudFailureTimeout = 3 * second
-	// cloudProxyDuration is for how long a peer makes them before they are tried from
-	// here again, and for how long a peer that failed is not asked.
+	// cloudProxyDuration is how long a peer makes the cloud calls before this controller
+	// tries them itself again, and how long a peer that failed is not asked.
 	cloudProxyDuration = 30 * second
 )
 
-// cloudProxyState is which peer makes this controller's calls of the cloud.
+// cloudProxyState tracks the peer that makes this controller's cloud calls.
 type cloudProxyState struct {
 	peer     string
 	until    int64
-	failedAt map[string]int64 // when a peer last could not
+	failedAt map[string]int64 // time of each peer's last failure
 }
 
-// CloudProxy is the peer that is to make a leader's calls of the cloud, "" for the leader
-// itself: one that can be reached while the cloud has not answered here for a while, and that
-// advertises that it reaches the cloud or at least has not failed.
+// CloudProxy returns the peer that should make a leader's cloud calls, "" for the leader itself.
+// If the cloud has not answered the leader for cloudFailureTimeout, this is a peer that can be
+// reached and has not failed recently, preferably one that advertises that it reaches the cloud.
 func (l *Links) CloudProxy(now int64) string {
 	proxy := &l.cloudProxy
 	if proxy.peer != "" && now < proxy.until && l.PeerUp(proxy.peer, now) {
 		return proxy.peer
 	}
 	proxy.peer = ""
-	// A refusal is the cloud's own, and no better elsewhere.
+	// A refusal comes from the cloud itself, so a peer would be refused as well.
 	if l.Cloud.DownFor(now) < cloudFailureTimeout || l.Cloud.failure != NoResponse || now-l.Cloud.failedAt > cloudProxyDuration {
 		return ""
 	}
@@ -45,7 +44,7 @@
 	return failedAt != 0 && now-failedAt <= cloudProxyDuration
 }
 
-// RecordCloudProxy notes how a call of the cloud by way of a peer ended.
+// RecordCloudProxy records the result of a cloud call through a peer.
 func (l *Links) RecordCloudProxy(peer string, ok bool, now int64) {
 	if ok {
 		return
--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -5,61 +5,61 @@
 	"testing"
 )
 
-// TestLinkState: what a link is taken to be, by its evidence.
+// TestLinkState checks the estimated state of a link after answers and failures.
 func TestLinkState(t *testing.T) {
-	ok := func(sent, now int64) func(*Link) {
+	success := func(sent, now int64) func(*Link) {
 		return func(l *Link) { l.RecordSuccess(sent*second/10, now*second/10) }
 	}
-	bad := func(sent, now int64, how Failure) func(*Link) {
-		return func(l *Link) { l.RecordFailure(sent*second/10, now*second/10, how) }
+	failure := func(sent, now int64, kind Failure) func(*Link) {
+		return func(l *Link) { l.RecordFailure(sent*second/10, now*second/10, kind) }
 	}
 	cases := []struct {
-		name string
-		did  []func(*Link)
-		now  int64
-		want LinkState
+		name   string
+		events []func(*Link)
+		now    int64 // in tenths of a second, as the times of the events
+		want   LinkState
 	}{
-		{"nothing tried", nil, 10, Unknown},
-		{"answered", []func(*Link){ok(10, 11)}, 20, Up},
-		{"answered long ago", []func(*Link){ok(10, 11)}, 200, Unknown},
-		{"no answer since", []func(*Link){ok(10, 11), bad(20, 30, NoResponse)}, 31, Lost},
-		{"refusing", []func(*Link){ok(10, 11), bad(20, 21, Refused)}, 31, Refusing},
-		{"an answer to a request from before the failure", []func(*Link){bad(20, 30, NoResponse), ok(10, 31)}, 32, Lost},
-		{"a late failure of an older request", []func(*Link){ok(20, 21), bad(10, 30, NoResponse)}, 32, Up},
-		{"back", []func(*Link){ok(10, 11), bad(20, 30, NoResponse), ok(40, 41)}, 42, Up},
-		{"slow", []func(*Link){ok(10, 30), ok(40, 60), ok(70, 90), ok(100, 120)}, 121, Slow},
-		{"flapping", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60)}, 61, Flapping},
-		{"flapped long ago", []func(*Link){ok(1, 1), bad(10, 20, NoResponse), ok(30, 30), bad(40, 50, NoResponse), ok(60, 60), ok(500, 500)}, 501, Up},
+		{"no request yet", nil, 10, Unknown},
+		{"answered", []func(*Link){success(10, 11)}, 20, Up},
+		{"evidence too old", []func(*Link){success(10, 11)}, 200, Unknown},
+		{"no response to the newest request", []func(*Link){success(10, 11), failure(20, 30, NoResponse)}, 31, Lost},
+		{"refused", []func(*Link){success(10, 11), failure(20, 21, Refused)}, 31, Refusing},
+		{"late answer to a request before the failed one", []func(*Link){failure(20, 30, NoResponse), success(10, 31)}, 32, Lost},
+		{"late failure of a request before the answered one", []func(*Link){success(20, 21), failure(10, 30, NoResponse)}, 32, Up},
+		{"recovered", []func(*Link){success(10, 11), failure(20, 30, NoResponse), success(40, 41)}, 42, Up},
+		{"slow", []func(*Link){success(10, 30), success(40, 60), success(70, 90), success(100, 120)}, 121, Slow},
+		{"flapping", []func(*Link){success(1, 1), failure(10, 20, NoResponse), success(30, 30), failure(40, 50, NoResponse), success(60, 60)}, 61, Flapping},
+		{"no longer flapping", []func(*Link){success(1, 1), failure(10, 20, NoResponse), success(30, 30), failure(40, 50, NoResponse), success(60, 60), success(500, 500)}, 501, Up},
 	}
 	for _, tc := range cases {
 		var l Link
-		for _, f := range tc.did {
-			f(&l)
+		for _, event := range tc.events {
+			event(&l)
 		}
 		if got := l.State(tc.now*second/10, 10*second); got != tc.want {
-			t.Errorf("%s: %v, not %v", tc.name, got, tc.want)
+			t.Errorf("%s: got state %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestSample: which machines stand for a zone, when they are probed, and how much of the zone
-// counts as reached.
+// TestSample checks which machines of a zone are sampled, when they are probed, and how much of the
+// zone counts as reached.
 func TestSample(t *testing.T) {
-	m := func(i int) Machine {
+	machine := func(i int) Machine {
 		return Machine{Name: fmt.Sprintf("host-%03d", i), Addr: "x", Zone: "a"}
 	}
 	a, b := NewSample(2*second), NewSample(2*second)
 	for i := range 40 {
-		a.Add(m(i), 1)
-		b.Add(m(39-i), 1)
+		a.Add(machine(i), 1)
+		b.Add(machine(39-i), 1)
 	}
 	if x, y := fmt.Sprint(a.Machines()), fmt.Sprint(b.Machines()); x != y || len(a.Machines()) != machinesPerZone {
-		t.Fatalf("two that know the same machines sample %s and %s", x, y)
+		t.Fatalf("two controllers that know the same machines sample %s and %s, want the same %d", x, y, machinesPerZone)
 	}
 	if _, known := a.ReachableEighths("a"); known {
-		t.Error("a zone is known though nothing was tried")
+		t.Error("the reach of a zone is known before any probe, want unknown")
 	}
-	// All are probed, one after the other, until there is evidence of each.
+	// All machines are probed, one after the other, until there is evidence for each.
 	now := second
 	answer := func(s *Sample, ok func(name string) bool) (probed int) {
 		for _, x := range s.DueProbes(now) {
@@ -72,21 +72,21 @@
 	all := func(string) bool { return true }
 	for range 2 * machinesPerZone {
 		if n := answer(&a, all); n > 1 {
-			t.Errorf("%d are probed at once while nothing has failed", n)
+			t.Errorf("%d machines probed at once while none has failed, want at most 1", n)
 		}
 	}
 	if n, known := a.ReachableEighths("a"); !known || n != wholeZone {
-		t.Errorf("all have answered: %d eighths, %v", n, known)
+		t.Errorf("all machines have answered: got %d eighths, known %v, want %d, known true", n, known, wholeZone)
 	}
-	// One fails: the rest of its zone is probed at once.
+	// One machine fails: the rest of its zone is probed at once.
 	dead := a.Machines()[0].Name
-	one := func(name string) bool { return name != dead }
+	allButOne := func(name string) bool { return name != dead }
 	now += a.refreshInterval
 	for range 2 * machinesPerZone {
-		answer(&a, one)
+		answer(&a, allButOne)
 	}
 	if n, _ := a.ReachableEighths("a"); n != wholeZone*(machinesPerZone-1)/machinesPerZone {
-		t.Errorf("one of %d does not answer: %d eighths", machinesPerZone, n)
+		t.Errorf("one of %d machines does not answer: got %d eighths, want %d", machinesPerZone, n, wholeZone*(machinesPerZone-1)/machinesPerZone)
 	}
 	none := func(string) bool { return false }
 	now += a.refreshInterval
@@ -95,42 +95,44 @@
 		most = max(most, answer(&a, none))
 	}
 	if n, _ := a.ReachableEighths("a"); n != 0 || most < machinesPerZone-2 {
-		t.Errorf("none answers: %d eighths, %d probed at once", n, most)
+		t.Errorf("no machine answers: got %d eighths and %d probed at once, want 0 and at least %d", n, most, machinesPerZone-2)
 	}
-	// A machine that sends heartbeats takes the place of one that has long been dead.
+	// A machine that sends heartbeats replaces one without any success for staleTimeout.
 	now += staleTimeout
-	spare := m(39)
+	spare := machine(39)
 	for i := 0; a.byName[spare.Name] != nil; i++ {
-		spare = m(i)
+		spare = machine(i)
 	}
 	if !a.Add(spare, now) || a.byName[dead] != nil && len(a.Machines()) != machinesPerZone {
-		t.Error("a machine that is there finds no room beside dead ones")
+		t.Error("a machine that sends heartbeats did not replace a dead one")
 	}
-	// Heartbeats: one alone proves nothing, two in turn do, two with a gap do not.
+	// Two heartbeats with consecutive sequence numbers prove that a machine is reached. A
+	// single one does not, nor do two with a gap.
 	a.RecordHeartbeat(spare, 1, 7, now)
 	if n, _ := a.ReachableEighths("a"); n != 0 {
-		t.Errorf("one heartbeat alone: %d eighths", n)
+		t.Errorf("after a single heartbeat: got %d eighths, want 0", n)
 	}
 	a.RecordHeartbeat(spare, 1, 9, now)
 	if n, _ := a.ReachableEighths("a"); n != 0 {
-		t.Errorf("its worker was elsewhere in between: %d eighths", n)
+		t.Errorf("after heartbeats with a gap: got %d eighths, want 0", n)
 	}
 	a.RecordHeartbeat(spare, 1, 10, now)
 	if n, _ := a.ReachableEighths("a"); n != wholeZone/machinesPerZone {
-		t.Errorf("two heartbeats in turn: %d eighths", n)
+		t.Errorf("after two consecutive heartbeats: got %d eighths, want %d", n, wholeZone/machinesPerZone)
 	}
 	a.Invalidate(now + second)
 	if n, _ := a.ReachableEighths("a"); n != 0 || len(a.DueProbes(now+second)) != machinesPerZone {
-		t.Errorf("after being suspended: %d eighths", n)
+		t.Errorf("after Invalidate: got %d eighths, want 0 and %d machines to probe", n, machinesPerZone)
 	}
 }
 
-// reaching is the advertisement of a controller that reaches some of two zones, and peers.
+// reaching returns the advertisement of a controller that reaches a and b eighths of the zones "a"
+// and "b", and the given peers.
 func reaching(a, b int, peers ...string) Advertisement {
 	return Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
-// TestBetterLeader: who should lead instead of n0.
+// TestBetterLeader checks which controller should lead instead of n0.
 func TestBetterLeader(t *testing.T) {
 	flapping := reaching(8, 8)
 	flapping.Flapping = true
@@ -139,32 +141,32 @@
 		matrix Matrix
 		want   string
 	}{
-		{"all well", Matrix{"n0": reaching(8, 8, "n1", "n2"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n0", "n1")}, ""},
-		{"no workers, and others that are not reached", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 8, "n2"), "n2": reaching(8, 8, "n1")}, "n1"},
-		{"no workers, but through another", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
-		{"no workers, but through two others", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
-		{"through three is too far", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(0, 0, "n1", "n3"), "n3": reaching(8, 8, "n2")}, "n1"},
-		{"it reaches another that does not reach it", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8)}, "n1"},
-		{"every worker is cut off from all", Matrix{"n0": reaching(0, 0), "n1": reaching(0, 0), "n2": reaching(0, 0)}, ""},
-		{"one zone of two", Matrix{"n0": reaching(8, 0), "n1": reaching(8, 8)}, "n1"},
-		{"a machine fewer", Matrix{"n0": reaching(8, 6), "n1": reaching(8, 8)}, ""},
-		{"another zone each", Matrix{"n0": reaching(8, 0), "n1": reaching(0, 8)}, ""},
-		{"one zone by another way each", Matrix{"n0": reaching(8, 0, "n2"), "n1": reaching(8, 0), "n2": reaching(0, 8, "n0")}, ""},
-		{"the better one is flapping", Matrix{"n0": reaching(0, 0), "n1": flapping}, ""},
-		{"alone", Matrix{"n0": reaching(0, 0)}, ""},
-		{"an older controller advertises nothing", Matrix{"n0": reaching(8, 8), "n1": {}}, ""},
-		{"nothing known here yet", Matrix{"n0": {}, "n1": reaching(8, 8)}, ""},
-		{"the most of two", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 0), "n2": reaching(8, 8)}, "n2"},
+		{"all links up", Matrix{"n0": reaching(8, 8, "n1", "n2"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n0", "n1")}, ""},
+		{"n0 reaches no workers, and no controller reaches it", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 8, "n2"), "n2": reaching(8, 8, "n1")}, "n1"},
+		{"n0 reaches workers through one relay", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
+		{"n0 reaches workers through two relays", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(8, 8, "n1")}, ""},
+		{"three relays are too many", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(0, 0, "n0", "n2"), "n2": reaching(0, 0, "n1", "n3"), "n3": reaching(8, 8, "n2")}, "n1"},
+		{"n0 reaches n1, which does not reach n0", Matrix{"n0": reaching(0, 0, "n1"), "n1": reaching(8, 8)}, "n1"},
+		{"no controller reaches any worker", Matrix{"n0": reaching(0, 0), "n1": reaching(0, 0), "n2": reaching(0, 0)}, ""},
+		{"n0 reaches one zone of two", Matrix{"n0": reaching(8, 0), "n1": reaching(8, 8)}, "n1"},
+		{"n0 reaches one machine fewer", Matrix{"n0": reaching(8, 6), "n1": reaching(8, 8)}, ""},
+		{"each controller reaches a different zone", Matrix{"n0": reaching(8, 0), "n1": reaching(0, 8)}, ""},
+		{"n0 reaches the second zone through a relay", Matrix{"n0": reaching(8, 0, "n2"), "n1": reaching(8, 0), "n2": reaching(0, 8, "n0")}, ""},
+		{"better controller is flapping", Matrix{"n0": reaching(0, 0), "n1": flapping}, ""},
+		{"single controller", Matrix{"n0": reaching(0, 0)}, ""},
+		{"empty advertisement of an older controller", Matrix{"n0": reaching(8, 8), "n1": {}}, ""},
+		{"nothing known to n0 yet", Matrix{"n0": {}, "n1": reaching(8, 8)}, ""},
+		{"the better of two", Matrix{"n0": reaching(0, 0), "n1": reaching(8, 0), "n2": reaching(8, 8)}, "n2"},
 	}
 	for _, tc := range cases {
 		if got := tc.matrix.BetterLeader("n0"); got != tc.want {
-			t.Errorf("%s: %q, not %q", tc.name, got, tc.want)
+			t.Errorf("%s: BetterLeader(n0) = %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// handovers plays the links of a leader n0 with a peer that reaches all workers, while n0
-// reaches them or not, and returns when it hands over.
+// handovers simulates the links of a leader n0 with a peer n1 that reaches all workers, while n0
+// reaches them only when reaches says so, and returns the times at which n0 hands over.
 func handovers(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (handedOver []int64) {
 	t.Helper()
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
@@ -181,49 +183,49 @@
 		if to, _ := l.HandoverTarget(now); to != "" {
 			handedOver = append(handedOver, now)
 			l.RecordHandover(now)             // n1 leads
-			l.RecordHandover(now + 10*second) // and for some reason this one again
+			l.RecordHandover(now + 10*second) // n0 leads again
 		}
 	}
 	return handedOver
 }
 
-// TestHandoverTarget: a better leader has to be seen for a while, the longer the more often the
-// leadership has changed; flapping links do not carry it along.
+// TestHandoverTarget checks that a better leader has to be known for a delay, which grows with
+// recent changes of leadership, and that flapping links do not cause repeated handovers.
 func TestHandoverTarget(t *testing.T) {
 	never := func(int64) bool { return false }
 	at := handovers(t, 20, never, nil)
 	if len(at) == 0 || at[0] < second+baseHandoverDelay || at[0] > 4*second {
-		t.Errorf("handed over at %v", at)
+		t.Errorf("no workers reached: handed over at %v, want the first between %d and %d", at, second+baseHandoverDelay, 4*second)
 	}
 	if at = handovers(t, 120, never, nil); len(at) > 12 {
-		t.Errorf("%d handovers in two minutes", len(at))
+		t.Errorf("got %d handovers in two minutes, want at most 12", len(at))
 	}
 	if at = handovers(t, 60, func(int64) bool { return true }, nil); len(at) != 0 {
-		t.Errorf("handed over with all links up at %v", at)
+		t.Errorf("all links up: handed over at %v, want no handover", at)
 	}
 	for _, interval := range []int64{1, 2, 5, 10} {
 		at = handovers(t, 120, func(now int64) bool { return now/second/interval%2 == 0 }, nil)
 		if len(at) > 6 {
-			t.Errorf("a link that flaps every %d s: %d handovers", interval, len(at))
+			t.Errorf("link that flaps every %d s: got %d handovers, want at most 6", interval, len(at))
 		}
 	}
 	// Writes that are refused while reads are answered.
 	refused := func(l *Links, now int64) { l.Writes.RecordFailure(now, now, Refused) }
 	up := func(int64) bool { return true }
 	if at = handovers(t, 30, up, refused); len(at) == 0 || at[0] < writeFailureTimeout {
-		t.Errorf("writes refused here alone: handed over at %v", at)
+		t.Errorf("only writes of n0 refused: handed over at %v, want the first at %d or later", at, writeFailureTimeout)
 	}
 	outage := func(l *Links, now int64) {
 		l.Writes.RecordFailure(now+1, now+1, Refused)
 		l.Reads.RecordFailure(now+1, now+1, Refused)
 	}
 	if at = handovers(t, 30, up, outage); len(at) != 0 {
-		t.Errorf("handed over in an outage at %v", at)
+		t.Errorf("state service outage: handed over at %v, want no handover", at)
 	}
 }
 
-// TestPendingAdvertisement: an advertisement is stored on change, at a rate that falls while it
-// keeps changing.
+// TestPendingAdvertisement checks that an advertisement is stored when it changes, at a rate that
+// decreases while it keeps changing.
 func TestPendingAdvertisement(t *testing.T) {
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 	stored := 0
@@ -238,7 +240,7 @@
 		}
 	}
 	if stored < 3 || stored > 15 {
-		t.Errorf("a peer that flaps for two minutes: %d stored", stored)
+		t.Errorf("peer that flaps for two minutes: stored %d times, want 3 to 15", stored)
 	}
 	now := 200 * second
 	l.RecordPing("n1", now, now, true, nil)
@@ -248,22 +250,23 @@
 	}
 	l.Refresh(now + second)
 	if _, pending := l.PendingAdvertisement(now + 100*second); pending {
-		t.Error("nothing has changed")
+		t.Error("an unchanged advertisement is pending")
 	}
 	l.ClearAdvertised()
 	if _, pending := l.PendingAdvertisement(now + 100*second); !pending {
-		t.Error("its lease has expired, and it is not stored again")
+		t.Error("the advertisement is not pending after its lease has expired")
 	}
 }
 
-// TestIsolated: a controller is isolated that neither the state service nor a peer answers; a
-// refusal may be an outage for all controllers, which must not all turn users away.
+// TestIsolated checks that a controller is isolated if neither the state service nor a peer answers
+// it, but not if the state service refuses its requests: that may be an outage for all controllers,
+// which must not all reject users.
 func TestIsolated(t *testing.T) {
 	cases := []struct {
-		name  string
-		how   Failure
-		peers bool
-		want  bool
+		name    string
+		failure Failure
+		peers   bool
+		want    bool
 	}{
 		{"no response and no peer", NoResponse, false, true},
 		{"no response and a peer", NoResponse, true, false},
@@ -272,21 +275,22 @@
 	for _, tc := range cases {
 		l := NewLinks("n0", "b", []string{"n1"}, 2*second)
 		l.Reads.RecordSuccess(second, second)
-		l.Lease.RecordFailure(2*second, 3*second, tc.how)
+		l.Lease.RecordFailure(2*second, 3*second, tc.failure)
 		if tc.peers {
 			l.RecordPing("n1", 3*second, 3*second, true, nil)
 		}
 		if got := l.Isolated(4 * second); got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: Isolated() = %v, want %v", tc.name, got, tc.want)
 		}
 		l.Reads.RecordSuccess(4*second, 4*second)
 		if l.Isolated(4*second + 1) {
-			t.Errorf("%s: isolated though the state service has answered", tc.name)
+			t.Errorf("%s: isolated after the state service has answered", tc.name)
 		}
 	}
 }
 
-// TestRelays: by which controller a heartbeat gets to a leader, and which zones one can't reach.
+// TestRelays checks by which controller a heartbeat reaches a leader, and which zones a controller
+// can't reach.
 func TestRelays(t *testing.T) {
 	l := NewLinks("n0", "b", []string{"n1", "n2"}, 2*second)
 	now := 10 * second
@@ -299,18 +303,18 @@
 	advertise("n2", reaching(8, 8, "n0"))
 	l.Refresh(now)
 	if l.RelayTo("n2") != "n1" || l.RelayTo("n1") != "" {
-		t.Errorf("relays to n2 %q, to n1 %q", l.RelayTo("n2"), l.RelayTo("n1"))
+		t.Errorf("got relay %q to n2 and %q to n1, want n1 and none", l.RelayTo("n2"), l.RelayTo("n1"))
 	}
 	if l.CannotReachZone("n1", "a") || !l.CannotReachZone("n1", "b") || l.CannotReachZone("n2", "b") || !l.CannotReachMostZones("n1") || l.CannotReachMostZones("n2") {
-		t.Error("n1 reaches nothing in b, n2 does")
+		t.Error("want that only n1 can't reach zone b, and that this is most of its zones")
 	}
 	advertise("n2", reaching(8, 0, "n0"))
 	l.Refresh(now)
 	if l.CannotReachZone("n1", "b") {
-		t.Error("nobody reaches b, so it is not n1's link")
+		t.Error("n1 counts as cut off from zone b, which no controller reaches")
 	}
 	l.Refresh(now + 4*second)
 	if l.RelayTo("n2") != "" {
-		t.Error("a relay by a peer that has not answered for long")
+		t.Error("got a relay through a peer whose last answer is too old")
 	}
 }
--- a/internal/core/connectivity/handover.go
+++ b/internal/core/connectivity/handover.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// baseHandoverDelay is for how long a better leader has to be seen before a leader
-	// steps down. It doubles with each change of leadership within handoverWindow, of
-	// which maxHandovers are kept, so that flapping links do not carry leadership along.
+	// baseHandoverDelay is how long a better leader has to be known before a leader steps
+	// down, in microseconds. It doubles with each change of leadership within handoverWindow,
+	// up to maxHandovers recorded changes, so that flapping links do not cause repeated
+	// handovers.
 	baseHandoverDelay = 1_500_000
 	handoverWindow    = 60 * second
 	maxHandovers      = 4
-	// candidateDelay is how much longer a candidate waits that knows of a better one.
+	// candidateDelay is how much longer a candidate waits if it knows a better one, in
+	// microseconds.
 	candidateDelay = 1_200_000
-	// writeFailureTimeout is for how long writes have to fail, while reads are answered,
-	// until a leader hands over to any other controller.
+	// writeFailureTimeout is how long writes have to fail, while reads are answered, before
+	// a leader hands over to any other controller.
 	writeFailureTimeout = 5 * second
-	// readFreshness is how recently a read has to have been answered to count for that.
+	// readFreshness is the maximum age of an answered read that counts as evidence for that.
 	readFreshness = 2 * second
 )
 
-// Handover is one by which this controller has ended its leadership.
+// Handover is a handover by which this controller ended its leadership.
 type Handover struct {
 	To, Reason string
 	At         int64
 }
 
-// handoverState is what handing over the leadership goes by.
+// handoverState is the state on which handovers are decided.
 type handoverState struct {
-	changes     []int64 // the times of the newest changes of leadership
-	betterSince int64   // since when another controller should lead, 0 for none
+	changes     []int64 // times of the newest changes of leadership
+	betterSince int64   // time since which another controller should lead, 0 if none should
 	last        Handover
 }
 
-// RecordHandover notes that the leadership has changed hands.
+// RecordHandover records a change of leadership.
 func (l *Links) RecordHandover(now int64) {
 	h := &l.handover
 	h.changes = append(h.changes, now)
@@ -43,14 +45,14 @@
 	}
 }
 
-// LastHandover is the newest one of this controller, with At 0 if there was none.
+// LastHandover returns the last handover by this controller, with At 0 if there was none.
 func (l *Links) LastHandover() Handover { return l.handover.last }
 
-// delay is for how long a better leader has to be seen now.
+// delay returns how long a better leader has to be known before a handover now.
 func (h *handoverState) delay(now int64) int64 {
 	delay := int64(baseHandoverDelay)
 	for i, at := range h.changes {
-		// The change that began this leadership is no sign of unrest.
+		// The newest change, which began this leadership, does not count as instability.
 		if i < len(h.changes)-1 && now-at < handoverWindow {
 			delay *= 2
 		}
@@ -58,8 +60,8 @@
 	return delay
 }
 
-// HandoverTarget is the controller to which this one should hand over its leadership now, and
-// why; "" if it should go on. It is to be called several times a second.
+// HandoverTarget returns the controller to which this one should hand over its leadership now,
+// and the reason; "" if it should keep leading. It has to be called several times per second.
 func (l *Links) HandoverTarget(now int64) (to, reason string) {
 	to, reason = l.betterLeader(now)
 	h := &l.handover
@@ -78,7 +80,7 @@
 	return to, reason
 }
 
-// betterLeader is the controller that should lead instead of this one, and why.
+// betterLeader returns the controller that should lead instead of this one, and the reason.
 func (l *Links) betterLeader(now int64) (to, reason string) {
 	if to = l.matrix.BetterLeader(l.self); to != "" {
 		return to, "it reaches more workers"
@@ -87,8 +89,8 @@
 	if len(l.matrix) < 2 || !writesFail {
 		return "", ""
 	}
-	// No advertisement says who can write, but this controller can't: after so long its
-	// reads prove that it is no outage.
+	// Advertisements do not say who can write. This controller can't, and as its reads are
+	// still answered after writeFailureTimeout, the state service is not down.
 	names := slices.Sorted(maps.Keys(l.matrix))
 	if names[0] == l.self {
 		return names[1], "writes are refused here alone"
@@ -96,8 +98,8 @@
 	return names[0], "writes are refused here alone"
 }
 
-// CandidateDelay is how much longer this candidate waits before it campaigns, since there is
-// one that could serve more workers.
+// CandidateDelay returns how much longer this candidate waits before it campaigns: candidateDelay
+// if another controller could serve more workers, otherwise 0.
 func (l *Links) CandidateDelay() int64 {
 	if l.matrix.BetterLeader(l.self) != "" {
 		return candidateDelay
--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// pingFreshness is for how long the answer to a ping, which is sent once a second,
-	// proves that a peer can be reached.
+	// pingFreshness is how long the answer to a ping, which is sent once per second, proves
+	// that a peer can be reached, in microseconds.
 	pingFreshness = 2_500_000
-	// inboundFreshness is for how long a peer's request proves that it reaches this
-	// controller.
+	// inboundFreshness is how long a peer's request proves that the peer reaches this
+	// controller, in microseconds.
 	inboundFreshness = 3_500_000
-	// isolationTimeout is for how long the state service has to leave a controller without
-	// an answer for it to be isolated.
+	// isolationTimeout is how long the state service has to leave a controller without an
+	// answer before the controller counts as isolated, in microseconds.
 	isolationTimeout = 1_500_000
-	// minAdvertiseInterval is the least time between two advertisements that are stored;
-	// it doubles up to maxAdvertiseInterval while they keep changing.
+	// minAdvertiseInterval is the minimum time between two stored advertisements. It doubles
+	// up to maxAdvertiseInterval while the advertisement keeps changing.
 	minAdvertiseInterval = second
 	maxAdvertiseInterval = 16 * second
 )
 
-// Links are the links of one controller, with what the others advertise of theirs.
+// Links holds the links of one controller, and the advertisements of the others.
 type Links struct {
 	self, incarnation string
 
-	// Reads, Writes, Lease and Watch are the ways to use the state service, which may
-	// fail one by one.
+	// Reads, Writes, Lease and Watch are the kinds of requests to the state service, which
+	// may fail separately.
 	Reads, Writes, Lease, Watch Link
 	Cloud, Users                Link
 	Workers                     Sample
-	outbound, inbound           map[string]*Link // to and from each peer
+	outbound, inbound           map[string]*Link // links to and from each peer
 
-	// stored are the controllers' advertisements in the state service, received those
-	// in the answers to pings.
+	// stored are the controllers' advertisements in the state service, received those from
+	// the answers to pings.
 	stored   map[string]Advertisement
 	received map[string]receivedAdvertisement
 	matrix   Matrix
 
-	advertised        Advertisement // the last one that was stored
+	advertised        Advertisement // the last one that this controller stored
 	advertisedAt      int64
 	advertiseInterval int64
 
@@ -51,8 +51,8 @@
 	at int64
 }
 
-// NewLinks makes a controller's links, of which nothing is known yet. Machines send a
-// heartbeat once in each interval.
+// NewLinks returns the links of a controller, without any evidence yet. Machines send one
+// heartbeat per heartbeatInterval.
 func NewLinks(self, incarnation string, peers []string, heartbeatInterval int64) *Links {
 	l := &Links{
 		self:              self,
@@ -71,7 +71,8 @@
 	return l
 }
 
-// RecordPing notes how a ping to a peer ended, and what the peer advertised.
+// RecordPing records the result of a ping to a peer, and the peer's advertisement, nil if its
+// answer had none.
 func (l *Links) RecordPing(peer string, sentAt, now int64, ok bool, advertisement *Advertisement) {
 	link := l.outbound[peer]
 	switch {
@@ -86,7 +87,7 @@
 	}
 }
 
-// RecordInbound notes a request of a peer.
+// RecordInbound records that a request from a peer has arrived.
 func (l *Links) RecordInbound(peer string, now int64) {
 	if link := l.inbound[peer]; link != nil {
 		link.RecordSuccess(now, now)
@@ -99,11 +100,11 @@
 	return link != nil && link.succeededAt != 0 && now-link.successSentAt < pingFreshness
 }
 
-// peers are the names of the other controllers, in order.
+// peers returns the names of the other controllers, sorted.
 func (l *Links) peers() []string { return slices.Sorted(maps.Keys(l.outbound)) }
 
-// SetStored notes a controller's advertisement in the state service, nil that it disappeared
-// with its lease.
+// SetStored records a controller's advertisement in the state service. nil means that it
+// disappeared with its lease.
 func (l *Links) SetStored(name string, advertisement *Advertisement) {
 	if advertisement == nil {
 		delete(l.stored, name)
@@ -112,18 +113,18 @@
 	l.stored[name] = *advertisement
 }
 
-// Restart forgets the advertisements that were stored, before they are read anew.
+// Restart discards the stored advertisements, before they are read again.
 func (l *Links) Restart() { clear(l.stored) }
 
-// StateListed notes that all advertisements which are stored have been set. If that of this
-// controller is not among them it went with its lease, and no removal of it will be read.
+// StateListed records that SetStored was called for all stored advertisements. If that of this
+// controller is not among them, it disappeared with its lease, and its removal will not be read.
 func (l *Links) StateListed() {
 	if _, stored := l.stored[l.self]; !stored {
 		l.ClearAdvertised()
 	}
 }
 
-// LocalAdvertisement is what this controller advertises.
+// LocalAdvertisement returns this controller's advertisement.
 func (l *Links) LocalAdvertisement(now int64) Advertisement {
 	local := Advertisement{
 		Incarnation: l.incarnation,
@@ -139,7 +140,7 @@
 		}
 	}
 	for _, peer := range l.peers() {
-		// Nobody should come to lead by way of a flapping link.
+		// A flapping link must not make a controller the better leader.
 		if l.PeerUp(peer, now) && !l.outbound[peer].IsFlapping(now) {
 			local.Peers = append(local.Peers, peer)
 		}
@@ -147,9 +148,9 @@
 	return local
 }
 
-// Refresh computes the matrix anew: this controller, and those whose advertisement is on a
-// lease that has not expired. What a recent ping was answered with is newer than what is
-// stored.
+// Refresh recomputes the matrix from this controller and those whose advertisement is on a lease
+// that has not expired. The answer to a recent ping takes precedence over the stored
+// advertisement, which is older.
 func (l *Links) Refresh(now int64) {
 	matrix := Matrix{l.self: l.LocalAdvertisement(now)}
 	for name, advertisement := range l.stored {
@@ -160,8 +161,8 @@
 		if received, ok := l.received[name]; ok && now-received.at < pingFreshness {
 			advertisement = received.Advertisement
 		}
-		// That it reaches this controller may be as old as its last change, so it
-		// counts only where a recent request confirms it.
+		// The advertisement may be as old as its last change. It counts as reaching this
+		// controller only if a recent request from it confirms that.
 		if inbound.succeededAt == 0 || now-inbound.succeededAt >= inboundFreshness {
 			advertisement.Peers = slices.DeleteFunc(slices.Clone(advertisement.Peers), func(peer string) bool { return peer == l.self })
 		}
@@ -170,18 +171,19 @@
 	l.matrix = matrix
 }
 
-// Matrix is who reaches what, as of the last [Links.Refresh].
+// Matrix returns the matrix as of the last [Links.Refresh].
 func (l *Links) Matrix() Matrix { return l.matrix }
 
-// PendingAdvertisement is the advertisement to store now, if it differs from the stored one.
-// Stores keep to a rate, which falls while links keep changing.
+// PendingAdvertisement returns this controller's advertisement; pending says that it has to be
+// stored now, since it differs from the last stored one. Stores are rate limited, at a rate that
+// decreases while links keep changing.
 func (l *Links) PendingAdvertisement(now int64) (local Advertisement, pending bool) {
 	local = l.matrix[l.self]
 	due := l.advertisedAt == 0 || now-l.advertisedAt >= l.advertiseInterval
 	return local, due && local.Differs(&l.advertised)
 }
 
-// MarkAdvertised notes that an advertisement is being stored.
+// MarkAdvertised records that an advertisement is being stored.
 func (l *Links) MarkAdvertised(advertisement Advertisement, now int64) {
 	if l.advertisedAt != 0 && now-l.advertisedAt < 4*l.advertiseInterval {
 		l.advertiseInterval = min(2*l.advertiseInterval, maxAdvertiseInterval)
@@ -191,13 +193,14 @@
 	l.advertised, l.advertisedAt = advertisement, now
 }
 
-// ClearAdvertised has the advertisement stored again, since its lease has expired or the
+// ClearAdvertised causes the advertisement to be stored again, after its lease has expired or the
 // write has failed.
 func (l *Links) ClearAdvertised() { l.advertised = Advertisement{} }
 
-// Isolated reports whether neither the state service nor any other controller answers: such
-// a controller can neither answer users nor forward their requests. Where the state service
-// refuses requests it may be down for all controllers, which must not all turn users away.
+// Isolated reports whether neither the state service nor any other controller answers. An isolated
+// controller can neither answer users nor forward their requests. If the state service refuses
+// requests, it may be down for all controllers, and they must not all reject users, so a
+// controller that is refused does not count as isolated.
 func (l *Links) Isolated(now int64) bool {
 	newest, succeededAt := &l.Reads, int64(0)
 	for _, link := range []*Link{&l.Reads, &l.Writes, &l.Lease} {
@@ -217,17 +220,17 @@
 	return len(l.outbound) > 0
 }
 
-// RelayTo is a controller that answers this one and advertises that it reaches another, ""
-// if there is none.
+// RelayTo returns a controller that answers this one and advertises that it reaches the
+// controller to, "" if there is none.
 func (l *Links) RelayTo(to string) string { return l.matrix.RelayTo(l.matrix[l.self].Peers, to) }
 
-// ReachesZone reports whether a controller advertises that it reaches most of a zone.
+// ReachesZone reports whether a controller advertises that it reaches more than half of a zone.
 func (l *Links) ReachesZone(name, zone string) bool {
 	return l.matrix[name].ReachableEighths[zone] > wholeZone/2
 }
 
 // CannotReachZone reports whether a controller advertises that it reaches less than half of a
-// zone while another reaches more: then it is its link, and not the zone.
+// zone while another reaches more than half: then the controller's link has failed, not the zone.
 func (l *Links) CannotReachZone(name, zone string) bool {
 	eighths, known := l.matrix[name].ReachableEighths[zone]
 	if !known || eighths >= wholeZone/2 {
@@ -241,8 +244,8 @@
 	return false
 }
 
-// CannotReachMostZones reports whether a controller can't reach at least half of the zones
-// that it knows.
+// CannotReachMostZones reports whether a controller can't reach half or more of the zones that it
+// knows.
 func (l *Links) CannotReachMostZones(name string) bool {
 	zones := l.matrix[name].ReachableEighths
 	unreachable := 0
@@ -254,14 +257,14 @@
 	return unreachable > 0 && 2*unreachable >= len(zones)
 }
 
-// LinkView is one link for operators.
+// LinkView describes one link for operators.
 type LinkView struct {
 	Link, State string
-	// Age is how long ago the link was last proven to work, or -1 if never.
+	// Age is the time since the last success, or -1 if there was none.
 	Age int64
 }
 
-// LinkViews are all links, in a fixed order.
+// LinkViews returns all links, in a fixed order.
 func (l *Links) LinkViews(now int64) []LinkView {
 	views := []LinkView{
 		l.Reads.view("state reads", now, 10*second),
--- a/internal/core/connectivity/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -7,25 +7,26 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Advertisement is what a controller tells the others about its links, with its answers to
-// pings and on its lease in the state service. A field that is missing says nothing.
+// Advertisement is what a controller tells the others about its links, with its answers to pings
+// and on its lease in the state service. A missing field gives no information.
 type Advertisement struct {
 	Incarnation string `json:"b,omitempty"`
-	// ReachableEighths has for each zone how many eighths of its machines are reached.
+	// ReachableEighths is the number of eighths of each zone's machines that are reached.
 	ReachableEighths map[string]int `json:"w,omitempty"`
-	// Peers are the controllers that answer this one, in order.
+	// Peers are the controllers that answer this one, sorted.
 	Peers []string `json:"p,omitempty"`
-	// Cloud: the cloud answers.
+	// Cloud says that the cloud answers this controller.
 	Cloud bool `json:"c,omitempty"`
-	// Flapping: the links that this is about keep changing.
+	// Flapping says that the controller's lease requests, or its links to at least half of the
+	// sampled machines, keep changing between up and down.
 	Flapping bool `json:"f,omitempty"`
 }
 
-// wholeZone is the count of eighths of a zone that is reached as a whole.
+// wholeZone is the number of eighths of a zone whose machines are all reached.
 const wholeZone = 8
 
-// Differs reports whether another advertisement says something else that matters: a machine
-// more or less in a zone does not.
+// Differs reports whether another advertisement differs in a way that matters. One machine more
+// or fewer in a zone does not matter.
 func (a *Advertisement) Differs(other *Advertisement) bool {
 	if a.Incarnation != other.Incarnation || a.Cloud != other.Cloud || a.Flapping != other.Flapping || !slices.Equal(a.Peers, other.Peers) {
 		return true
@@ -41,20 +42,21 @@
 	return false
 }
 
-// zoneDiffers reports whether half of a zone lies between two counts, or one of them is a
-// whole zone or none, and the other is not.
+// zoneDiffers reports whether two counts of eighths differ by at least half a zone, or one of them
+// is a whole zone and the other is zero.
 func zoneDiffers(a, b int) bool {
 	return max(a-b, b-a) >= wholeZone/2 || (a == wholeZone) != (b == wholeZone) && (a == 0) != (b == 0)
 }
 
-// Matrix is who reaches what, as each controller advertises it, by controller.
+// Matrix holds the advertisement of each controller, by controller name.
 type Matrix map[string]Advertisement
 
-// maxRelays is how many controllers a heartbeat may pass on its way to the leader.
+// maxRelays is the maximum number of controllers that relay a heartbeat on its way to the leader.
 const maxRelays = 2
 
-// Coverage is how much of each zone a controller would serve if it led: what it reaches
-// itself, and what the controllers reach that reach it, over at most maxRelays controllers.
+// Coverage returns how many eighths of each zone a controller would serve if it led: those that it
+// reaches itself, and those reached by the controllers that reach it through at most maxRelays
+// hops.
 func (m Matrix) Coverage(leader string) map[string]int {
 	names := slices.Sorted(maps.Keys(m))
 	at, ok := slices.BinarySearch(names, leader)
@@ -79,7 +81,7 @@
 	return coverage
 }
 
-// inbound has for each controller the set of those that reach it.
+// inbound returns for each controller the set of controllers that reach it, by index in names.
 func (m Matrix) inbound(names []string) []*bitset.BitSet {
 	sets := make([]*bitset.BitSet, len(names))
 	for i := range names {
@@ -95,13 +97,14 @@
 	return sets
 }
 
-// minHandoverGain is the least gain, in eighths of all zones, for which leadership moves: a
-// quarter of the fleet. A failover costs all of it a second or two.
+// minHandoverGain returns the minimum gain, summed over all zones in eighths, for which leadership
+// moves: a quarter of the fleet, as a failover interrupts all of it for one or two seconds, and at
+// least half a zone.
 func minHandoverGain(zones int) int { return max(wholeZone/2, zones*wholeZone/4) }
 
-// BetterLeader is the controller that could serve so much more than another one that it should
-// lead instead, "" if there is none. It is the one that could serve most, of equals the first
-// by name, so that all who judge by the same matrix choose the same.
+// BetterLeader returns the controller that could serve so much more than self that it should lead
+// instead, "" if there is none. It is the controller that could serve most, and the first by name
+// among equals, so that all controllers with the same matrix choose the same one.
 func (m Matrix) BetterLeader(self string) string {
 	own := m.Coverage(self)
 	best, bestGain := "", 0
@@ -118,8 +121,8 @@
 	return best
 }
 
-// handoverGain is how many more eighths another coverage has. A zone of which nobody on the
-// present one's ways has heard is no loss: it may have no machines.
+// handoverGain returns how many eighths more the coverage other has than own. A zone that is
+// unknown in own does not count, since it may have no machines.
 func handoverGain(own, other map[string]int) (gain int) {
 	for zone, eighths := range other {
 		if mine, known := own[zone]; known {
@@ -129,8 +132,8 @@
 	return gain
 }
 
-// RelayTo is the first by name of some peers that reaches another controller, for messages
-// that can't go straight; "" if there is none.
+// RelayTo returns the first by name of the given peers that reaches the controller to, for
+// messages that can't be sent directly; "" if there is none.
 func (m Matrix) RelayTo(peers []string, to string) string {
 	relays := slices.DeleteFunc(slices.Clone(peers), func(peer string) bool {
 		return peer == to || !slices.Contains(m[peer].Peers, to)
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -8,43 +8,44 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Machine is where a worker is.
+// Machine is the machine of a worker, with its address and zone.
 type Machine struct{ Name, Addr, Zone string }
 
-// machinesPerZone is how many machines of a zone stand for it.
+// machinesPerZone is the maximum number of machines sampled per zone.
 const machinesPerZone = 4
 
 const (
-	// probeInterval paces the probes while no link has failed, probeRetryInterval those of
-	// machines that did not answer.
+	// probeInterval is the minimum time between probes while no link has failed, in
+	// microseconds; probeRetryInterval is that between probes of a machine that did not
+	// answer.
 	probeInterval      = 400_000
 	probeRetryInterval = 2 * second
-	// staleTimeout is after how long without any success a machine makes room for one that
-	// sends heartbeats.
+	// staleTimeout is the time without any success after which a machine may be replaced by
+	// one that sends heartbeats.
 	staleTimeout = 20 * second
-	// doubtTimeout is after how long without any success the others are asked for machines,
-	// and believed that one is gone.
+	// doubtTimeout is the time without any success after which the other controllers are asked
+	// for machines, and after which their information that a machine is gone is accepted.
 	doubtTimeout = 5 * second
-	// forgottenRetention is for how long the others are not believed that a machine is back
-	// which is gone: they may not know yet.
+	// forgottenRetention is how long a machine that is gone is not added again because another
+	// controller samples it: that controller may not know yet that the machine is gone.
 	forgottenRetention = 900 * second
 )
 
-// Sample is a bottom-k sample of each zone's machines by the hashes of their names:
-// controllers that know the same machines sample the same, so that what two reach can be
-// compared and a dead machine counts against both. A machine that has sent no recent
-// heartbeats straight to this controller is probed.
+// Sample is a bottom-k sample of each zone's machines by the hashes of their names. Controllers
+// that know the same machines sample the same ones, so that the reach of two controllers can be
+// compared and a dead machine counts against both. A machine that has sent no recent heartbeats
+// directly to this controller is probed.
 //
-// A machine that is silent stays, whatever the time: a controller that is cut off from a zone
-// must not forget its machines and take itself for whole. One leaves when it is known to be gone
-// ([Sample.Forget]), or when a controller that reaches more of its zone does not know it
-// ([Sample.Learn]).
+// A silent machine stays in the sample, however long it is silent: a controller that is cut off
+// from a zone must not forget the zone's machines and then consider itself fully connected. A
+// machine is removed when it is known to be gone ([Sample.Forget]), or when a controller that
+// reaches more of its zone does not know it ([Sample.Learn]).
 type Sample struct {
-	zones           map[string][]*sampledMachine // in the order of the hashes
+	zones           map[string][]*sampledMachine // sorted by hash
 	byName          map[string]*sampledMachine
-	forgottenAt     map[string]int64 // when machines left that are gone
-	refreshInterval int64            // evidence older than this is renewed
-	probedAt        int64            // when a machine was last probed to renew evidence
+	forgottenAt     map[string]int64 // removal times of machines that are gone
+	refreshInterval int64            // age from which evidence is renewed
+	probedAt        int64            // time of the last probe, or use of heartbeats, to renew evidence
 }
 
 type sampledMachine struct {
@@ -52,13 +53,13 @@
 	hash     uint64
 	link     Link
 	addedAt  int64
-	probedAt int64 // when it was last probed, 0 if never
-	probing  bool  // a probe has not ended yet
-	// epoch and seq are those of the last heartbeat that came straight from it.
+	probedAt int64 // time of the last probe, 0 if never
+	probing  bool  // a probe is in flight
+	// epoch and seq are those of the last heartbeat that came directly from the machine.
 	epoch, seq uint64
 }
 
-// NewSample makes a sample of machines that send a heartbeat once in each interval.
+// NewSample returns an empty sample of machines that send one heartbeat per heartbeatInterval.
 func NewSample(heartbeatInterval int64) Sample {
 	return Sample{
 		zones:           map[string][]*sampledMachine{},
@@ -68,16 +69,16 @@
 	}
 }
 
-// RecordHeartbeat notes a heartbeat that came straight from a machine. One alone proves only
-// the way from the machine. The next one in turn proves that the answer arrived as well, or
-// the worker would have tried another controller.
+// RecordHeartbeat records a heartbeat that came directly from a machine. A single heartbeat proves
+// only the direction from the machine. One with the next sequence number proves that the answer
+// arrived as well, since otherwise the worker would have tried another controller.
 func (s *Sample) RecordHeartbeat(machine Machine, epoch, seq uint64, now int64) {
 	if !s.Add(machine, now) {
 		return
 	}
 	m := s.byName[machine.Name]
 	if epoch < m.epoch || epoch == m.epoch && seq <= m.seq {
-		return // a delayed copy; a machine whose numbers have restarted is probed
+		return // delayed copy; a machine whose sequence numbers restarted is probed
 	}
 	if m.epoch == epoch && m.seq+1 == seq {
 		m.link.RecordSuccess(now, now)
@@ -85,8 +86,8 @@
 	m.epoch, m.seq = epoch, seq
 }
 
-// Invalidate takes all evidence for outdated, as after this controller was suspended: anything
-// may have changed meanwhile. All machines are probed at once.
+// Invalidate treats all evidence as outdated, for example after this controller was suspended,
+// since anything may have changed meanwhile. All machines are probed at once.
 func (s *Sample) Invalidate(now int64) {
 	for _, m := range s.byName {
 		m.link.RecordFailure(now, now, NoResponse)
@@ -94,7 +95,7 @@
 	}
 }
 
-// Add notes that a machine sends heartbeats, and reports whether it is in the sample.
+// Add records that a machine sends heartbeats, and reports whether the machine is in the sample.
 func (s *Sample) Add(machine Machine, now int64) bool {
 	if machine.Addr == "" || machine.Zone == "" {
 		return false
@@ -116,8 +117,9 @@
 	return true
 }
 
-// makeRoom removes a machine from a zone that is full, if there is one with a higher hash than
-// that of the new machine or without a success for long, and reports whether there is room.
+// makeRoom reports whether a zone has room for a machine with a hash. If the zone is full, it
+// removes a machine with a higher hash, or one that is down and had no success for longer than
+// staleTimeout, if there is one.
 func (s *Sample) makeRoom(zone string, hash uint64, now int64) bool {
 	machines := s.zones[zone]
 	if len(machines) < machinesPerZone {
@@ -136,7 +138,7 @@
 	return true
 }
 
-// remove takes a machine out of the sample, and its zone if that was the last one.
+// remove removes a machine from the sample, and its zone if that was its last machine.
 func (s *Sample) remove(m *sampledMachine) {
 	delete(s.byName, m.Name)
 	s.zones[m.Zone] = slices.DeleteFunc(s.zones[m.Zone], func(other *sampledMachine) bool { return other == m })
@@ -145,7 +147,7 @@
 	}
 }
 
-// Forget takes a machine out of the sample that is known to be gone.
+// Forget removes a machine from the sample that is known to be gone.
 func (s *Sample) Forget(name string, now int64) {
 	if m := s.byName[name]; m != nil {
 		s.remove(m)
@@ -153,8 +155,8 @@
 	}
 }
 
-// ForgetUnlisted takes out machines that the cloud's list does not have and that have shown no
-// sign of life since a time from which on the list is complete.
+// ForgetUnlisted removes the doubted machines that are not in the cloud's list and have had no
+// success since completeSince, the time from which the list is complete.
 func (s *Sample) ForgetUnlisted(isListed func(name string) bool, completeSince, now int64) {
 	for _, machine := range s.Machines() {
 		m := s.byName[machine.Name]
@@ -164,13 +166,14 @@
 	}
 }
 
-// isDoubted reports whether a machine has been down for long enough that it may be gone.
+// isDoubted reports whether a machine is down and has had no success for doubtTimeout, so that it
+// may be gone.
 func (m *sampledMachine) isDoubted(now int64) bool {
 	return m.link.down() && now-max(m.link.succeededAt, m.addedAt) >= doubtTimeout
 }
 
-// NeedsMachines reports whether the others are to be asked for machines: some of the zones have
-// fewer than are sampled, or a sampled one may be gone.
+// NeedsMachines reports whether the other controllers should be asked for machines: one of the
+// zones has fewer than machinesPerZone, or a sampled machine may be gone.
 func (s *Sample) NeedsMachines(zones []string, now int64) bool {
 	isShort := func(zone string) bool { return len(s.zones[zone]) < machinesPerZone }
 	if slices.ContainsFunc(zones, isShort) {
@@ -184,33 +187,33 @@
 	return false
 }
 
-// Learn takes over the machines that another controller samples, given how many eighths of each
-// zone it reaches, and returns the names of those that it shows to be gone.
+// Learn adopts the machines that another controller samples, given how many eighths of each zone
+// that controller reaches, and returns the names of the machines that are gone according to it.
 func (s *Sample) Learn(machines []Machine, eighths map[string]int, now int64) (gone []string) {
 	s.expireForgotten(now)
-	named := map[string][]Machine{}
+	listed := map[string][]Machine{}
 	for _, machine := range machines {
-		named[machine.Zone] = append(named[machine.Zone], machine)
+		listed[machine.Zone] = append(listed[machine.Zone], machine)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(named)) {
+	for _, zone := range slices.Sorted(maps.Keys(listed)) {
 		own, known := s.ReachableEighths(zone)
 		reachesMore := known && eighths[zone] > own
 		if reachesMore {
-			gone = append(gone, s.forgetUnknown(zone, named[zone], now)...)
+			gone = append(gone, s.forgetUnknown(zone, listed[zone], now)...)
 		}
-		for _, machine := range named[zone] {
+		for _, machine := range listed[zone] {
 			s.learn(machine, reachesMore, now)
 		}
 	}
 	return gone
 }
 
-// learn adds a machine that another controller samples. Where that one reaches more of the zone
-// the machine counts as not reached until it answers: it may take the place of one that was not
-// reached, and the zone would else be unknown until then.
+// learn adds a machine that another controller samples. If that controller reaches more of the
+// zone, the machine counts as unreachable until it answers: it may replace a machine that was
+// unreachable, and the zone would otherwise be unknown until then.
 func (s *Sample) learn(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
-		// The other controller may know an older address than the one that answers.
+		// The other controller may know an older address. Keep one that answers.
 		if known.link.down() {
 			known.Addr = machine.Addr
 		}
@@ -224,17 +227,17 @@
 	}
 }
 
-// forgetUnknown takes out the doubted machines of a zone that another controller, which reaches
-// more of it, does not sample although it would if it knew them.
-func (s *Sample) forgetUnknown(zone string, named []Machine, now int64) (gone []string) {
+// forgetUnknown removes the doubted machines of a zone that another controller, which reaches more
+// of the zone, does not list although it would sample them if it knew them.
+func (s *Sample) forgetUnknown(zone string, listed []Machine, now int64) (gone []string) {
 	highest := uint64(0)
 	names := map[string]bool{}
-	for _, machine := range named {
+	for _, machine := range listed {
 		names[machine.Name] = true
 		highest = max(highest, xxh3.HashString(machine.Name))
 	}
 	for _, m := range slices.Clone(s.zones[zone]) {
-		wouldBeSampled := len(named) < machinesPerZone || m.hash < highest
+		wouldBeSampled := len(listed) < machinesPerZone || m.hash < highest
 		if !names[m.Name] && wouldBeSampled && m.isDoubted(now) {
 			s.Forget(m.Name, now)
 			gone = append(gone, m.Name)
@@ -243,12 +246,12 @@
 	return gone
 }
 
-// expireForgotten forgets which machines were gone long ago.
+// expireForgotten drops the entries of forgottenAt that are older than forgottenRetention.
 func (s *Sample) expireForgotten(now int64) {
 	maps.DeleteFunc(s.forgottenAt, func(_ string, at int64) bool { return now-at > forgottenRetention })
 }
 
-// Machines are those of the sample, by zone.
+// Machines returns the sampled machines, ordered by zone.
 func (s *Sample) Machines() (machines []Machine) {
 	for _, zone := range s.Zones() {
 		for _, m := range s.zones[zone] {
@@ -258,7 +261,7 @@
 	return machines
 }
 
-// Zones are those of which there are machines, in order.
+// Zones returns the zones with sampled machines, sorted.
 func (s *Sample) Zones() []string {
 	zones := make([]string, 0, len(s.zones))
 	for zone := range s.zones {
@@ -268,8 +271,8 @@
 	return zones
 }
 
-// DueProbes are the machines to probe now: those that a failure in their zone makes urgent,
-// and from time to time the one with the oldest evidence.
+// DueProbes returns the machines to probe now: those that a failure in their zone makes urgent, and
+// once per probeInterval the one with the oldest evidence, if that is outdated.
 func (s *Sample) DueProbes(now int64) (due []Machine) {
 	var oldest *sampledMachine
 	for _, zone := range s.Zones() {
@@ -290,13 +293,14 @@
 	}
 	s.probedAt = now
 	if oldest.link.succeededAt != 0 && now-oldest.link.successSentAt < s.refreshInterval {
-		oldest.probedAt = oldest.link.successSentAt // its heartbeats are evidence enough
+		oldest.probedAt = oldest.link.successSentAt // recent heartbeats make a probe unnecessary
 		return due
 	}
 	return append(due, oldest.probe(now))
 }
 
-// newestFailure is when the newest request failed of a machine in a zone that is down.
+// newestFailure returns the send time of the newest failed request to a machine of a zone that is
+// down, 0 if none is down.
 func (s *Sample) newestFailure(zone string) (sentAt int64) {
 	for _, m := range s.zones[zone] {
 		if m.link.down() {
@@ -306,12 +310,13 @@
 	return sentAt
 }
 
-// lastKnown is when the request was sent that gave, or is to give, the newest evidence.
+// lastKnown returns the send time of the request that gave, or will give, the newest evidence.
 func (m *sampledMachine) lastKnown() int64 { return max(m.link.successSentAt, m.probedAt) }
 
-// needsProbe reports whether a machine is to be probed without delay. One that is down is
-// retried. When one fails that has worked, all of its zone that have not been probed since
-// are: a single machine may have died, or all are cut off together.
+// needsProbe reports whether a machine should be probed without delay. A machine that is down is
+// retried every probeRetryInterval. When a machine that has worked fails, all machines of its zone
+// without newer evidence are probed: the single machine may have died, or the whole zone may be
+// cut off.
 func (m *sampledMachine) needsProbe(zoneFailureSentAt, now int64) bool {
 	if m.link.down() {
 		return now-m.probedAt >= probeRetryInterval
@@ -319,7 +324,8 @@
 	return zoneFailureSentAt > m.lastKnown()
 }
 
-// isOutdated reports whether a machine was never probed, or its evidence has to be renewed.
+// isOutdated reports whether a machine was never probed, or its evidence is at least
+// refreshInterval old.
 func (m *sampledMachine) isOutdated(now, refreshInterval int64) bool {
 	return m.probedAt == 0 || now-m.lastKnown() >= refreshInterval
 }
@@ -329,7 +335,7 @@
 	return m.Machine
 }
 
-// RecordProbe notes how the probe of a machine ended.
+// RecordProbe records the result of a probe of a machine.
 func (s *Sample) RecordProbe(name string, sentAt, now int64, ok bool) {
 	m := s.byName[name]
 	if m == nil {
@@ -343,8 +349,8 @@
 	}
 }
 
-// ReachableEighths is how many eighths of a zone's machines are reached; known is false while
-// nothing was tried.
+// ReachableEighths returns how many eighths of a zone's sampled machines are reached. known is
+// false as long as no request to any of them has been answered or has failed.
 func (s *Sample) ReachableEighths(zone string) (eighths int, known bool) {
 	tried, reached := 0, 0
 	for _, m := range s.zones[zone] {
@@ -362,7 +368,7 @@
 	return reached * wholeZone / tried, true
 }
 
-// IsFlapping reports whether at least half of the machines' links are flapping.
+// IsFlapping reports whether the links to at least half of the sampled machines are flapping.
 func (s *Sample) IsFlapping(now int64) bool {
 	flapping := 0
 	for _, m := range s.byName {
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -8,16 +8,18 @@
 	"github.com/zeebo/xxh3"
 )
 
-// sampleRun is the sample of a controller that probes, and that asks another one for machines.
+// sampleRun simulates the sample of a controller that probes machines and asks a peer for further
+// ones.
 type sampleRun struct {
 	t         *testing.T
 	own, peer Sample
 	now       int64
-	// alive are the machines that are there. ownReaches and peerReaches say whether the
-	// controllers reach them.
+	// alive are the running machines. ownReaches and peerReaches say whether the controller
+	// and its peer reach them.
 	alive                   map[string]bool
 	ownReaches, peerReaches bool
-	// unreached: the zone counts as not reached, and has to do so until the cut ends.
+	// unreached says that the zone counts as unreachable, which has to stay so until the test
+	// clears it.
 	unreached bool
 }
 
@@ -28,7 +30,7 @@
 		now: second, alive: map[string]bool{}, ownReaches: true, peerReaches: true,
 	}
 	for _, name := range machines {
-		r.up(name)
+		r.startMachine(name)
 	}
 	r.advance(20 * second)
 	return r
@@ -36,8 +38,8 @@
 
 func sampled(name string) Machine { return Machine{Name: name, Addr: "x", Zone: "a"} }
 
-// up has a machine come up; both controllers hear of it that reach the zone.
-func (r *sampleRun) up(name string) {
+// startMachine starts a machine. The controllers that reach the zone learn of it.
+func (r *sampleRun) startMachine(name string) {
 	r.alive[name] = true
 	if r.ownReaches {
 		r.own.Add(sampled(name), r.now)
@@ -47,8 +49,8 @@
 	}
 }
 
-// gone has a machine go, and the peer know it if the cloud has confirmed that.
-func (r *sampleRun) gone(confirmed bool, names ...string) {
+// stopMachines stops machines. The peer knows that they are gone if the cloud has confirmed it.
+func (r *sampleRun) stopMachines(confirmed bool, names ...string) {
 	for _, name := range names {
 		delete(r.alive, name)
 		if confirmed {
@@ -57,7 +59,7 @@
 	}
 }
 
-// advance lets time pass: both probe, and this controller asks the peer once a second.
+// advance lets time pass: both controllers probe, and own asks the peer once per second.
 func (r *sampleRun) advance(duration int64) {
 	r.t.Helper()
 	for end := r.now + duration; r.now < end; r.now += second / 5 {
@@ -86,21 +88,21 @@
 	}
 }
 
-// requireEighths fails the test unless so many eighths of the zone are reached.
+// requireEighths fails the test unless want eighths of the zone are reached.
 func (r *sampleRun) requireEighths(when string, want int) {
 	r.t.Helper()
 	if eighths, known := r.own.ReachableEighths("a"); !known || eighths != want {
-		r.t.Errorf("%s: %d eighths, known %v, want %d; samples %v, the peer %v", when, eighths, known, want, r.own.Machines(), r.peer.Machines())
+		r.t.Errorf("%s: got %d eighths, known %v, want %d, known true; own sample %v, peer sample %v", when, eighths, known, want, r.own.Machines(), r.peer.Machines())
 	}
 }
 
-// TestMachinesThatAreGone: machines that are gone leave the sample when others know that they are.
+// TestMachinesThatAreGone checks that machines that are gone leave the sample once another controller
+// knows that they are gone.
 //
-// What happened: after a cut a follower said on and on that it reached two eighths of a zone.
-// Why: only a machine that was heard took the place of one that is gone, a follower without a
-// partition hears none, and it asked the others for none while it had four.
-// What showed it: the samples of the controllers in TestReachAfterCut (experiment), where three of
-// four sampled machines had been scaled in.
+// It guards against a follower that, after a network cut, permanently advertised that it reached two
+// eighths of a zone: a gone machine was replaced only by one that sent heartbeats, a follower without
+// a partition receives none, and it did not ask the others for machines while it had four. This was
+// seen in TestReachAfterCut (experiment), where three of four sampled machines had been scaled in.
 func TestMachinesThatAreGone(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
@@ -108,24 +110,24 @@
 		do   func(r *sampleRun)
 		want int
 	}{
-		{"three of four are scaled in", func(r *sampleRun) { r.gone(true, "m1", "m2", "m3") }, wholeZone},
-		{"all are replaced", func(r *sampleRun) {
-			r.gone(true, four...)
+		{"three of four machines scaled in", func(r *sampleRun) { r.stopMachines(true, "m1", "m2", "m3") }, wholeZone},
+		{"all machines replaced", func(r *sampleRun) {
+			r.stopMachines(true, four...)
 			r.ownReaches = false
 			for i := range 4 {
-				r.up(fmt.Sprintf("n%d", i))
+				r.startMachine(fmt.Sprintf("n%d", i))
 			}
 			r.ownReaches = true
 		}, wholeZone},
-		{"the zone is empty for a while", func(r *sampleRun) {
-			r.gone(true, four...)
+		{"zone empty for a while", func(r *sampleRun) {
+			r.stopMachines(true, four...)
 			r.advance(60 * second)
-			r.requireEighths("while nobody knows other machines", 0)
+			r.requireEighths("while no controller knows other machines", 0)
 			r.ownReaches = false
-			r.up("n1")
+			r.startMachine("n1")
 			r.ownReaches = true
 		}, wholeZone},
-		{"one has died, and nobody knows it yet", func(r *sampleRun) { r.gone(false, "m1") }, wholeZone * 3 / 4},
+		{"one machine dead, not confirmed yet", func(r *sampleRun) { r.stopMachines(false, "m1") }, wholeZone * 3 / 4},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -140,8 +142,8 @@
 	}
 }
 
-// TestSilentMachinesStay: silence takes no machine out, however long it lasts, or a controller
-// that is cut off would take itself for whole.
+// TestSilentMachinesStay checks that no machine is removed for being silent, however long that lasts.
+// Otherwise a controller that is cut off would consider itself fully connected.
 func TestSilentMachinesStay(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	const longest = 1000 * second
@@ -150,17 +152,17 @@
 		do   func(r *sampleRun)
 	}{
 		{"cut off from this controller", func(r *sampleRun) { r.ownReaches = false }},
-		{"cut off from all", func(r *sampleRun) { r.ownReaches, r.peerReaches = false, false }},
-		{"cut off from this controller while all are replaced", func(r *sampleRun) {
+		{"cut off from both controllers", func(r *sampleRun) { r.ownReaches, r.peerReaches = false, false }},
+		{"cut off from this controller while all machines are replaced", func(r *sampleRun) {
 			r.ownReaches = false
-			r.gone(true, four...)
+			r.stopMachines(true, four...)
 			for i := range 4 {
-				r.up(fmt.Sprintf("n%d", i))
+				r.startMachine(fmt.Sprintf("n%d", i))
 			}
 		}},
-		{"cut off from this controller while all but one go", func(r *sampleRun) {
+		{"cut off from this controller while all but one machine stop", func(r *sampleRun) {
 			r.ownReaches = false
-			r.gone(true, four[1:]...)
+			r.stopMachines(true, four[1:]...)
 		}},
 	}
 	for _, tc := range cases {
@@ -169,7 +171,7 @@
 			tc.do(r)
 			r.advance(10 * second) // the probes have failed by then
 			if !r.unreached {
-				t.Error("the cut does not show")
+				t.Error("the zone does not count as unreachable 10 s after the cut")
 			}
 			for end := r.now + longest; r.now < end && !t.Failed(); {
 				r.advance(second)
@@ -182,23 +184,23 @@
 	}
 }
 
-// TestWhoIsBelieved: a machine that does not answer is gone by the word of a controller that
-// reaches more of its zone and would sample it if it knew it, and by no other.
-func TestWhoIsBelieved(t *testing.T) {
+// TestGoneAccordingToPeer checks that a machine that does not answer is taken as gone only if another
+// controller reaches more of its zone and does not list it although it would sample it if it knew it.
+func TestGoneAccordingToPeer(t *testing.T) {
 	cases := []struct {
 		name    string
-		named   []string
+		listed  []string
 		eighths map[string]int
 		silent  int64
 		want    bool
 	}{
-		{"it reaches more", []string{"m4"}, map[string]int{"a": 8}, 60 * second, true},
-		{"it reaches as much", []string{"m4"}, map[string]int{"a": 4}, 60 * second, false},
-		{"it reaches less", []string{"m4"}, map[string]int{"a": 2}, 60 * second, false},
-		{"it does not say what it reaches", []string{"m4"}, nil, 60 * second, false},
-		{"it names the machine", []string{"m4", "m1"}, map[string]int{"a": 8}, 60 * second, false},
-		{"it names none of the zone", nil, map[string]int{"a": 8}, 60 * second, false},
-		{"the machine has answered just now", []string{"m4"}, map[string]int{"a": 8}, second, false},
+		{"peer reaches more", []string{"m4"}, map[string]int{"a": 8}, 60 * second, true},
+		{"peer reaches as much", []string{"m4"}, map[string]int{"a": 4}, 60 * second, false},
+		{"peer reaches less", []string{"m4"}, map[string]int{"a": 2}, 60 * second, false},
+		{"peer does not advertise its reach", []string{"m4"}, nil, 60 * second, false},
+		{"peer lists the machine", []string{"m4", "m1"}, map[string]int{"a": 8}, 60 * second, false},
+		{"peer lists no machine of the zone", nil, map[string]int{"a": 8}, 60 * second, false},
+		{"machine answered just now", []string{"m4"}, map[string]int{"a": 8}, second, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -209,17 +211,18 @@
 			}
 			now := second + tc.silent
 			s.RecordProbe("m1", now, now, false)
-			var named []Machine
-			for _, name := range tc.named {
-				named = append(named, sampled(name))
+			var listed []Machine
+			for _, name := range tc.listed {
+				listed = append(listed, sampled(name))
 			}
-			gone := s.Learn(named, tc.eighths, now)
+			gone := s.Learn(listed, tc.eighths, now)
 			if isGone := slices.Equal(gone, []string{"m1"}); isGone != tc.want || !tc.want && len(gone) > 0 {
-				t.Errorf("gone: %v, want it to be: %v", gone, tc.want)
+				t.Errorf("machines gone: %v, want [m1]: %v", gone, tc.want)
 			}
 		})
 	}
-	// A controller with a full sample of lower hashes says nothing of a machine.
+	// A peer with a full sample of lower hashes proves nothing about a machine with a higher
+	// one.
 	s := NewSample(2 * second)
 	var lower []Machine
 	highest := sampled("h0")
@@ -234,48 +237,48 @@
 	s.Add(highest, second)
 	s.RecordProbe(highest.Name, 60*second, 60*second, false)
 	if gone := s.Learn(lower, map[string]int{"a": 8}, 60*second); len(gone) > 0 {
-		t.Errorf("gone: %v, though it is not of those that the other would sample", gone)
+		t.Errorf("machines gone: %v, want none, since the peer would not sample the machine", gone)
 	}
 }
 
-// TestReplacedMachinesAreNotReached: those that take the place of machines that were not reached
-// count as not reached until they answer, so that the zone is not unknown meanwhile.
-func TestReplacedMachinesAreNotReached(t *testing.T) {
+// TestReplacementsUnreachableUntilAnswer checks that machines that replace unreachable ones count as
+// unreachable until they answer, so that the reach of the zone is not unknown meanwhile.
+func TestReplacementsUnreachableUntilAnswer(t *testing.T) {
 	s := NewSample(2 * second)
 	s.Add(sampled("m1"), second)
 	s.RecordProbe("m1", second, second, false)
 	now := 60 * second
 	s.Learn([]Machine{sampled("m2")}, map[string]int{"a": 8}, now)
 	if eighths, known := s.ReachableEighths("a"); !known || eighths != 0 {
-		t.Errorf("%d eighths, known %v", eighths, known)
+		t.Errorf("after the replacement: got %d eighths, known %v, want 0, known true", eighths, known)
 	}
 	if due := s.DueProbes(now); !slices.Equal(due, []Machine{sampled("m2")}) {
-		t.Errorf("probes %v", due)
+		t.Errorf("machines to probe: got %v, want only m2", due)
 	}
 	s.RecordProbe("m2", now, now, true)
 	if eighths, _ := s.ReachableEighths("a"); eighths != wholeZone {
-		t.Errorf("it has answered, and %d eighths are reached", eighths)
+		t.Errorf("after the answer of m2: got %d eighths, want %d", eighths, wholeZone)
 	}
 }
 
-// TestForgottenMachineIsNotLearned: a controller that does not know yet that a machine is gone
-// does not bring it back; the machine itself does.
+// TestForgottenMachineIsNotLearned checks that a machine that is gone is not added again because a
+// controller that does not know this yet lists it, but is added again by its own heartbeat.
 func TestForgottenMachineIsNotLearned(t *testing.T) {
 	s := NewSample(2 * second)
 	s.Add(sampled("m1"), second)
 	s.Add(sampled("m2"), second)
 	s.Forget("m1", second)
-	hasIt := func() bool { return slices.Contains(s.Machines(), sampled("m1")) }
-	if s.Learn([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); hasIt() {
-		t.Error("a machine that is gone is back by the word of another")
+	isSampled := func() bool { return slices.Contains(s.Machines(), sampled("m1")) }
+	if s.Learn([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); isSampled() {
+		t.Error("a machine that is gone was added again because another controller lists it")
 	}
-	if s.RecordHeartbeat(sampled("m1"), 1, 1, 3*second); !hasIt() {
+	if s.RecordHeartbeat(sampled("m1"), 1, 1, 3*second); !isSampled() {
 		t.Error("a machine that sends heartbeats is not sampled")
 	}
 }
 
-// TestForgetUnlisted: what the cloud does not list goes only if it has been silent since a time
-// of which the list tells.
+// TestForgetUnlisted checks that a machine missing from the cloud's list is removed only if it has
+// been silent since before the time from which the list is complete.
 func TestForgetUnlisted(t *testing.T) {
 	now := 100 * second
 	s := NewSample(2 * second)
@@ -293,13 +296,13 @@
 		names[machine.Name] = true
 	}
 	if len(names) != 3 || names["gone"] {
-		t.Errorf("sampled after the listing: %v", names)
+		t.Errorf("sampled after ForgetUnlisted: %v, want all but \"gone\"", names)
 	}
 }
 
-// TestAddressFromOthers: a machine that answers at an address is not moved by the word of another
-// controller, which may know an older one; one that does not answer is looked for there.
-func TestAddressFromOthers(t *testing.T) {
+// TestAddressFromPeer checks that a machine that answers keeps its address even if another controller
+// lists a different one, which may be older, and that one that does not answer gets that address.
+func TestAddressFromPeer(t *testing.T) {
 	for _, tc := range []struct {
 		answers bool
 		want    string
@@ -309,7 +312,7 @@
 		s.RecordProbe("m", second, second, tc.answers)
 		s.Learn([]Machine{{Name: "m", Addr: "old", Zone: "a"}}, map[string]int{"a": 8}, 2*second)
 		if got := s.byName["m"].Addr; got != tc.want {
-			t.Errorf("answers %v: it is looked for at the %s address, want %s", tc.answers, got, tc.want)
+			t.Errorf("machine answers %v: got the %s address, want %s", tc.answers, got, tc.want)
 		}
 	}
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -16,8 +16,8 @@
 	leads           bool
 }
 
-// used returns what all controllers together may use per second, given what each of them knows.
-func used(l Limits, all []member, now int64, of func(Limits, Members) Share) (requests, changes float64) {
+// totalUsage returns what all controllers together may use per second, given what each of them knows.
+func totalUsage(l Limits, all []member, now int64, shareFor func(Limits, Members) Share) (requests, changes float64) {
 	requests = leaseRequests * float64(len(all))
 	for i, m := range all {
 		if !m.running || m.legacy {
@@ -34,7 +34,7 @@
 			}
 		}
 		k.Confirmed = m.since > 0 && now-m.since > SettleTime && now-m.viewedAt < MaxViewAge && m.seen[i]
-		s := of(l, k)
+		s := shareFor(l, k)
 		requests += s.Reads
 		changes += s.Changes
 		if m.leads {
@@ -46,9 +46,9 @@
 	return requests, changes
 }
 
-// histories runs a random history of members that start, stop, are cut off and are seen late,
+// maxExcess runs a random history of members that start, stop, are cut off and are seen late,
 // and returns by how much the limits were exceeded at most.
-func histories(t *rapid.T, of func(Limits, Members) Share) (over float64) {
+func maxExcess(t *rapid.T, shareFor func(Limits, Members) Share) (excess float64) {
 	n := rapid.IntRange(2, 12).Draw(t, "controllers")
 	l := Limits{Requests: float64(rapid.SampledFrom([]int{80, 200, 250}).Draw(t, "requests")), Changes: float64(rapid.SampledFrom([]int{25, 60, 90}).Draw(t, "changes"))}
 	all := make([]member, n)
@@ -75,10 +75,10 @@
 			}
 		}
 		// A controller that has not read for MaxViewAge knows that its view is outdated.
-		requests, changes := used(l, all, now, of)
-		over = max(over, requests-l.Requests, changes-l.Changes)
+		requests, changes := totalUsage(l, all, now, shareFor)
+		excess = max(excess, requests-l.Requests, changes-l.Changes)
 	}
-	return over
+	return excess
 }
 
 // TestSharesWithinLimits checks that the shares of all controllers together stay within the
@@ -86,8 +86,8 @@
 // the others.
 func TestSharesWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if over := histories(t, ShareFor); over > 1e-6 {
-			t.Fatalf("shares exceed the limits by %.2f per second, want 0", over)
+		if excess := maxExcess(t, ShareFor); excess > 1e-6 {
+			t.Fatalf("shares exceed the limits by %.2f per second, want 0", excess)
 		}
 	})
 }
@@ -101,7 +101,7 @@
 		return ShareFor(l, m)
 	}
 	worst := 0.0
-	rapid.Check(t, func(t *rapid.T) { worst = max(worst, histories(t, withoutSettling)) })
+	rapid.Check(t, func(t *rapid.T) { worst = max(worst, maxExcess(t, withoutSettling)) })
 	if worst < 1 {
 		t.Errorf("planted fault exceeds the limits by %.2f per second, want at least 1", worst)
 	}
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -6,52 +6,52 @@
 	"strings"
 )
 
-// StoredFeature is an active feature by its name, as it is stored. Programs without a
-// Required one must not go on.
+// StoredFeature is an active feature as it is stored, by its name. A program that lacks a
+// Required feature must not continue.
 type StoredFeature struct {
 	Name     FeatureName `json:"n"`
 	Required bool        `json:"d,omitempty"`
 }
 
-// MemberRevision is a controller with the revision of its advertisement, 0 for none.
+// MemberRevision is a controller and the revision of its advertisement, 0 if it has none.
 type MemberRevision struct {
 	Name     string
 	Revision uint64
 }
 
-// member is what is known of a controller.
+// member is what is known about a controller.
 type member struct {
 	advertisement Advertisement
 	revision      uint64 // of the advertisement, 0 if there is none
-	seenAt        int64  // when the advertisement was read
+	seenAt        int64  // time at which the advertisement was read
 
-	// answeredAt is when the newest ping was sent that it answered, format and features
-	// are what it said then.
+	// answeredAt is the send time of the newest ping that the controller answered; format
+	// and features are from that answer.
 	answeredAt int64
 	format     int
 	features   []FeatureName
 
-	// decommissioned: operators have declared that it will not come back.
+	// decommissioned says that operators have declared that the controller will not return.
 	decommissioned bool
 }
 
-// Activation is what one controller knows of all controllers' features, and of those that
-// are active.
+// Activation is what one controller knows about the features of all controllers, and about the
+// active features.
 type Activation struct {
 	program Program
 	self    string
 	local   Advertisement
-	names   []string // of all controllers, this one too, in order
+	names   []string // of all controllers including this one, sorted
 	members map[string]*member
 
-	format  int // the stored one
+	format  int // the stored format
 	enabled map[FeatureName]bool
 	// unknownFeatures are active features that this program does not have.
 	unknownFeatures []StoredFeature
 }
 
-// NewActivation makes the activation of a controller. optedIn are the features that its
-// operators have opted in to, withheld those that they hold back.
+// NewActivation returns the activation of a controller. optedIn are the features that its
+// operators have opted in to, withheld those that they withhold.
 func NewActivation(program Program, self, incarnation string, peers []string, optedIn, withheld []FeatureName) *Activation {
 	a := &Activation{
 		program: program,
@@ -69,54 +69,54 @@
 	return a
 }
 
-// Restart forgets what is stored of the controllers, before it is read anew. Their answers to
-// pings are kept.
+// Restart discards the stored state of the controllers, before it is read again. Their answers
+// to pings are kept.
 func (a *Activation) Restart() {
 	for _, m := range a.members {
 		m.advertisement, m.revision, m.seenAt, m.decommissioned = Advertisement{}, 0, 0, false
 	}
 }
 
-// LocalAdvertisement is this controller's advertisement, with the revision of the one that is
-// stored; pending says that this is another one, or none.
+// LocalAdvertisement returns this controller's advertisement and the revision of its stored
+// advertisement. pending says that the stored one differs or is missing.
 func (a *Activation) LocalAdvertisement() (local Advertisement, revision uint64, pending bool) {
 	m := a.members[a.self]
 	return a.local, m.revision, m.revision == 0 || !m.advertisement.equal(&a.local)
 }
 
-// Features are those that this controller has, for its answers to pings.
+// Features returns the features that this controller advertises, for its answers to pings.
 func (a *Activation) Features() []FeatureName { return a.local.Features }
 
-// SetAdvertisement notes a controller's advertisement in the state service.
+// SetAdvertisement records a controller's advertisement in the state service.
 func (a *Activation) SetAdvertisement(name string, advertisement Advertisement, revision uint64, now int64) {
 	if m := a.members[name]; m != nil {
 		m.advertisement, m.revision, m.seenAt = advertisement, revision, now
 	}
 }
 
-// RemoveAdvertisement notes that a controller's advertisement disappeared with its lease.
+// RemoveAdvertisement records that a controller's advertisement disappeared with its lease.
 func (a *Activation) RemoveAdvertisement(name string) {
 	if m := a.members[name]; m != nil {
 		m.advertisement, m.revision = Advertisement{}, 0
 	}
 }
 
-// RecordPing notes the answer to a ping that was sent at a time: the newest format that the
-// controller writes, 0 from a program before there were others, and its features.
+// RecordPing records the answer to a ping that was sent at sentAt: the newest format that the
+// controller writes, 0 from a program that knows only the first format, and its features.
 func (a *Activation) RecordPing(name string, sentAt int64, format int, features []FeatureName) {
 	if m := a.members[name]; m != nil && sentAt >= m.answeredAt {
 		m.answeredAt, m.format, m.features = sentAt, format, features
 	}
 }
 
-// SetDecommissioned notes whether operators have declared that a controller will not come back.
+// SetDecommissioned records whether operators have declared that a controller will not return.
 func (a *Activation) SetDecommissioned(name string, decommissioned bool) {
 	if m := a.members[name]; m != nil {
 		m.decommissioned = decommissioned
 	}
 }
 
-// Returned are the decommissioned controllers that have an advertisement again.
+// Returned returns the decommissioned controllers that have an advertisement again.
 func (a *Activation) Returned() (names []string) {
 	for _, name := range a.names {
 		if m := a.members[name]; m.decommissioned && m.revision != 0 {
@@ -126,10 +126,10 @@
 	return names
 }
 
-// SetFormat notes the stored format, which never falls.
+// SetFormat records the stored format, which never decreases.
 func (a *Activation) SetFormat(format int) { a.format = max(a.format, format) }
 
-// SetEnabled notes the features that are stored as active.
+// SetEnabled records the features that are stored as active.
 func (a *Activation) SetEnabled(features []StoredFeature) {
 	a.unknownFeatures = nil
 	for _, stored := range features {
@@ -154,8 +154,8 @@
 	}
 }
 
-// Incompatibility is why this program must not go on, "" if it may: what is stored needs
-// something that it does not have.
+// Incompatibility returns why this program must not continue, "" if it may: the stored state
+// needs a format or feature that the program does not have.
 func (a *Activation) Incompatibility() string {
 	if newest := a.program.Format(); a.format > newest {
 		return fmt.Sprintf("the stored format is %d, and this program reads up to %d: start a newer one", a.format, newest)
@@ -172,23 +172,25 @@
 	return ""
 }
 
-// NextFeature is the feature that the leader may activate now, nil if there is none, with the
-// advertisements that show it: the write has to be conditional on their revisions.
-func (a *Activation) NextFeature() (next *Feature, judgedBy []MemberRevision) {
+// NextFeature returns the feature that the leader may activate now, nil if there is none, and
+// the revisions of the advertisements on which the decision is based: the write has to be
+// conditional on them.
+func (a *Activation) NextFeature() (next *Feature, conditions []MemberRevision) {
 	for i := range a.program.Features {
 		feature := &a.program.Features[i]
 		if a.Enabled(feature.Name) || len(a.blockers(feature)) > 0 {
 			continue
 		}
 		for _, name := range a.names {
-			judgedBy = append(judgedBy, MemberRevision{name, a.members[name].revision})
+			conditions = append(conditions, MemberRevision{name, a.members[name].revision})
 		}
-		return feature, judgedBy
+		return feature, conditions
 	}
 	return nil, nil
 }
 
-// blockers is why a feature can't be activated, for operators; none if it can.
+// blockers returns the reasons for which a feature can't be activated, for operators; none if it
+// can.
 func (a *Activation) blockers(feature *Feature) (reasons []string) {
 	for _, name := range feature.Requires {
 		if !a.Enabled(name) {
@@ -206,7 +208,7 @@
 	return reasons
 }
 
-// blockerAt is why one controller blocks a feature, "" if it does not.
+// blockerAt returns the reason for which one controller blocks a feature, "" if it does not.
 func (a *Activation) blockerAt(name string, feature *Feature) string {
 	m := a.members[name]
 	switch {
@@ -224,9 +226,9 @@
 	return ""
 }
 
-// answersWithout reports whether a controller has answered a ping without a feature since its
-// advertisement was read: it may have been replaced by an older program before its lease
-// expired. That it does not answer is no proof of anything.
+// answersWithout reports whether a controller's answer to a ping lacks a feature, where the ping
+// was sent after its advertisement was read: it may have been replaced by an older program
+// before its lease expired. A missing answer proves nothing.
 func (m *member) answersWithout(feature *Feature) bool {
 	if m.answeredAt <= m.seenAt {
 		return false
@@ -237,7 +239,7 @@
 	return !slices.Contains(m.features, feature.Name)
 }
 
-// EnabledWith are the active features to be stored once another one is active too.
+// EnabledWith returns the active features to store when next is activated as well.
 func (a *Activation) EnabledWith(next *Feature) []StoredFeature {
 	features := slices.Clone(a.unknownFeatures)
 	for _, feature := range a.program.Features {
@@ -248,14 +250,15 @@
 	return features
 }
 
-// FeatureState is a feature for operators.
+// FeatureState is the state of a feature, as shown to operators.
 type FeatureState struct {
 	Name     FeatureName
 	Enabled  bool
-	Blockers []string // why it is not
+	Blockers []string // reasons for which it is not enabled
 }
 
-// FeatureStates are all features of this program and those that are active without it.
+// FeatureStates returns the states of all features of this program, and of active features that
+// it does not have.
 func (a *Activation) FeatureStates() (states []FeatureState) {
 	for i := range a.program.Features {
 		feature := &a.program.Features[i]
@@ -271,8 +274,8 @@
 	return states
 }
 
-// CountMembers counts the controllers with an advertisement: those that have a feature, but
-// for the leader, and those that do not have it.
+// CountMembers counts the controllers with an advertisement: those that have a feature, without
+// the leader, and those that do not have it.
 func (a *Activation) CountMembers(name FeatureName, leader string) (with, without int) {
 	feature := a.program.feature(name)
 	for _, controller := range a.names {
@@ -288,8 +291,8 @@
 	return with, without
 }
 
-// MemberFor is for how long this controller has seen its own advertisement stored, 0 if it is
-// not.
+// MemberFor returns how long this controller has known its own advertisement to be stored, 0 if it
+// is not stored.
 func (a *Activation) MemberFor(now int64) int64 {
 	m := a.members[a.self]
 	if m.revision == 0 {
@@ -298,7 +301,7 @@
 	return now - m.seenAt
 }
 
-// Advertisements are the advertisements that are stored, by controller.
+// Advertisements returns the stored advertisements by controller.
 func (a *Activation) Advertisements() map[string]Advertisement {
 	advertisements := map[string]Advertisement{}
 	for name, m := range a.members {
--- a/internal/core/upgrade/advertisement.go
+++ b/internal/core/upgrade/advertisement.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Advertisement is what a controller supports, as it stores it on its lease for as long as it
-// runs. Programs before [firstVersionWithFeatures] say Format and Incarnation alone.
+// Advertisement states what a controller supports. The controller stores it on its lease for as
+// long as it runs. Programs before [firstVersionWithFeatures] set only Format and Incarnation.
 type Advertisement struct {
-	// Format is the newest stored format that it writes, OldestFormat the oldest that
-	// it reads.
+	// Format is the newest stored format that the controller writes, OldestFormat the oldest
+	// that it reads.
 	Format       int    `json:"v"`
 	Incarnation  string `json:"b"`
 	Program      int    `json:"p,omitempty"` // the version
 	OldestFormat int    `json:"o,omitempty"`
-	// Features are those that it has, without the Withheld ones, which its operators
-	// hold back.
+	// Features are the features that the controller has, except for the Withheld ones, which
+	// its operators withhold.
 	Features []FeatureName `json:"f,omitempty"`
 	Withheld []FeatureName `json:"x,omitempty"`
 }
 
-// localAdvertisement is that of a program on which operators have opted in to some features
-// and withhold others.
+// localAdvertisement returns the advertisement of a program whose operators have opted in to
+// some features and withhold others.
 func localAdvertisement(program *Program, incarnation string, optedIn, withheld []FeatureName) Advertisement {
 	local := Advertisement{
 		Format:       firstFormat,
@@ -43,8 +43,8 @@
 	return local
 }
 
-// supports reports whether the controller may run while a feature is active. What a program
-// that advertises no features has follows from its format.
+// supports reports whether the controller may run while a feature is active. For a program that
+// advertises no features, the format tells which features it has.
 func (a *Advertisement) supports(feature *Feature) bool {
 	if a.Program == 0 {
 		return feature.Format != 0 && a.Format >= feature.Format
--- a/internal/core/upgrade/feature.go
+++ b/internal/core/upgrade/feature.go
@@ -1,16 +1,16 @@
 // Package upgrade decides which features are active while controllers of different versions
-// run side by side. It does no input or output.
+// run side by side. It does no I/O.
 //
-// A feature changes what is stored or what controllers ask of each other, so all of them have
-// to know it before one begins. Each controller stores, on its lease, an [Advertisement] of
-// the features that its program has. The leader activates a feature, with a transaction on the
-// condition that each advertisement is still as it was judged, once every controller that
-// operators have not decommissioned advertises it. From then on the feature is active for
-// good, as something that is stored may need it: a program without it does not start, unless
-// the feature is [Feature.Ignorable].
+// A feature changes what is stored or which messages controllers send each other, so all
+// controllers have to support it before any of them uses it. Each controller stores, on its
+// lease, an [Advertisement] of the features that its program has. Once every controller that
+// operators have not decommissioned advertises a feature, the leader activates it with a
+// transaction on the condition that no advertisement has changed since the leader read it. From
+// then on the feature stays active, since stored values may depend on it: a program without it
+// does not start, unless the feature is [Feature.Ignorable].
 //
 // The oldest features are not stored by name: they follow from the version of the stored
-// format, which only rises.
+// format, which never decreases.
 package upgrade
 
 import "strings"
@@ -20,52 +20,55 @@
 
 // The features of this program, oldest first.
 const (
-	// ProgressLog is the log of progress, pipelines, and chunks of fewer tasks.
+	// ProgressLog stands for the progress log, pipelines, and chunks of fewer tasks.
 	ProgressLog FeatureName = "log"
-	// Sweeps are sweeps and their templates.
+	// Sweeps stands for sweeps and their templates.
 	Sweeps FeatureName = "sweeps"
-	// Connectivity is that controllers advertise in the state service what they reach.
+	// Connectivity means that controllers advertise in the state service what they reach.
 	Connectivity FeatureName = "reach"
-	// SharedReads is that the leader reads the state service for the others, and all
-	// keep to shares of what it allows.
+	// SharedReads means that the leader reads the state service for the other controllers,
+	// and that all controllers keep to shares of its limits.
 	SharedReads FeatureName = "shared-reads"
 )
 
-// Feature is something that changes what is stored, or what controllers ask of each other,
-// and that all of them have to know before one begins.
+// Feature is a change to what is stored, or to the messages between controllers, that all
+// controllers have to support before any of them uses it.
 type Feature struct {
 	Name FeatureName
-	// SinceVersion is the version of the first program that has it.
+	// SinceVersion is the first program version that has the feature.
 	SinceVersion int
-	// Format is the version of the stored format that implies it, 0 for a feature that
-	// is activated by its name.
+	// Format is the version of the stored format that implies the feature, 0 for a feature
+	// that is activated by name.
 	Format int
-	// Requires have to be active before.
+	// Requires are the features that have to be active before this one is activated.
 	Requires []FeatureName
-	// KeyPrefixes are the beginnings of the keys that only it writes, without the prefix
-	// of all keys.
+	// KeyPrefixes are the prefixes of the keys that only this feature writes, without the
+	// common prefix of all keys.
 	KeyPrefixes []string
-	// MessagesOnly: it stores nothing, and only changes what controllers ask of each other.
+	// MessagesOnly says that the feature stores nothing, and only changes the messages between
+	// controllers.
 	MessagesOnly bool
-	// Ignorable: a program without it ignores its keys and may run beside it, and start
-	// while it is active. Any other feature is required once it is active.
+	// Ignorable says that a program without the feature ignores its keys, and may run and
+	// start while the feature is active. Any other feature is required once it is active.
 	Ignorable bool
-	// OptIn: it is activated only if the operators have opted in on every controller.
+	// OptIn says that the feature is activated only if the operators have opted in on every
+	// controller.
 	OptIn bool
 }
 
-// Program is what a controller runs.
+// Program describes the program that a controller runs: its version and features.
 type Program struct {
 	Version  int
 	Features []Feature
 }
 
-// firstVersionWithFeatures is the first program that advertises its version and features.
+// firstVersionWithFeatures is the first program version that advertises its version and features.
 const firstVersionWithFeatures = 4
 
-// CurrentProgram is this program. To add a feature: give it a name above and an entry here
-// that lists its keys, ask [Activation.Enabled] wherever its keys or fields are written or its
-// messages are sent, and add its values to the recorded ones.
+// CurrentProgram returns the description of this program. To add a feature: add a name above and
+// an entry here that lists its keys, check [Activation.Enabled] wherever its keys or fields are
+// written or its messages are sent, and add its values to the recorded stored values in the
+// tests of the core package.
 func CurrentProgram() Program {
 	return Program{Version: 5, Features: []Feature{
 		{
@@ -99,7 +102,7 @@
 	}}
 }
 
-// feature is the program's feature of a name, nil if it does not have it.
+// feature returns the program's feature with a name, nil if it does not have it.
 func (p *Program) feature(name FeatureName) *Feature {
 	for i := range p.Features {
 		if p.Features[i].Name == name {
@@ -109,10 +112,10 @@
 	return nil
 }
 
-// firstFormat is the stored format before there were others.
+// firstFormat is the first version of the stored format.
 const firstFormat = 1
 
-// Format is the newest stored format that the program reads.
+// Format returns the newest stored format that the program reads.
 func (p *Program) Format() int {
 	newest := firstFormat
 	for _, feature := range p.Features {
@@ -121,8 +124,8 @@
 	return newest
 }
 
-// FeatureOfKey is the feature that alone writes a key, given without the prefix of all keys;
-// "" if there is none.
+// FeatureOfKey returns the only feature that writes a key, "" if there is none. The key is given
+// without the common prefix of all keys.
 func (p *Program) FeatureOfKey(key string) FeatureName {
 	for _, feature := range p.Features {
 		for _, prefix := range feature.KeyPrefixes {
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// The model: two members and a leader that activates features, with the state service between
-// them. A member runs this program or an older one, stores its advertisement on its lease, is
-// restarted as either program at any moment, and its lease expires at any time after. The
-// leader reads an advertisement at any time, decides by NextFeature, and its write is executed
+// The model has two members and a leader that activates features, with the state service between
+// them. A member runs this program or an older one, stores its advertisement on its lease, can be
+// restarted with either program at any moment, and its old lease expires at any time after that.
+// The leader reads an advertisement at any time and decides by NextFeature; its write is executed
 // later, if its conditions hold then.
 const (
 	modelMembers = 2
@@ -16,97 +16,99 @@
 )
 
 type modelMember struct {
-	current    bool   // this program runs, and not the older one
-	advertised bool   // the advertisement is there
-	saysNew    bool   // it is of this program
-	revision   uint64 // of the advertisement
-	own        bool   // the advertisement is of the process that runs
-	expired    bool   // its lease has expired, and it is there all the same: a planted fault
+	current           bool   // runs this program, not the older one
+	advertised        bool   // an advertisement is stored
+	advertisesCurrent bool   // the advertisement is of this program
+	revision          uint64 // of the advertisement
+	own               bool   // the advertisement is of the running process
+	expired           bool   // stored although its lease has expired: a planted fault
 }
 
 type model struct {
 	members [modelMembers]modelMember
 	// read is what the leader has read of each advertisement.
 	read [modelMembers]struct {
-		saysNew, advertised bool
-		revision            uint64
+		advertisesCurrent, advertised bool
+		revision                      uint64
 	}
 	revision uint64 // the newest
-	// writing: the transaction is on its way, on the condition of the judged revisions.
-	writing  bool
-	judgedBy [modelMembers]uint64
-	active   bool
+	// writing says that the transaction is in transit, with conditions on the revisions of
+	// the advertisements.
+	writing    bool
+	conditions [modelMembers]uint64
+	active     bool
 }
 
-// flaw is a fault that is planted in the protocol.
-type flaw int
+// plantedFault is a fault that the model adds to the protocol.
+type plantedFault int
 
 const (
-	sound flaw = iota
-	byPings
+	noFault plantedFault = iota
+	pingsAsAdvertisements
 	advertisementOutlivesLease
-	unconditional
+	unconditionalWrite
 )
 
-// decide asks the activation itself.
-func (s *model) decide(f flaw) bool {
+// decide calls NextFeature with what the leader has read, and reports whether it activates
+// Connectivity.
+func (s *model) decide(fault plantedFault) bool {
 	a := NewActivation(CurrentProgram(), "n0", "b", []string{"n1"}, nil, nil)
 	a.SetFormat(2)
 	for i := range s.members {
 		name := fmt.Sprint("n", i)
 		switch {
-		case f == byPings && s.members[i].current:
+		case fault == pingsAsAdvertisements && s.members[i].current:
 			a.SetAdvertisement(name, advertisementOf(CurrentProgram()), 1, 1)
-		case f == byPings:
-		case s.read[i].advertised && s.read[i].saysNew:
+		case fault == pingsAsAdvertisements:
+		case s.read[i].advertised && s.read[i].advertisesCurrent:
 			a.SetAdvertisement(name, advertisementOf(CurrentProgram()), s.read[i].revision, 1)
 		case s.read[i].advertised:
-			a.SetAdvertisement(name, advertisementOf(older()), s.read[i].revision, 1)
+			a.SetAdvertisement(name, advertisementOf(olderProgram()), s.read[i].revision, 1)
 		}
 	}
-	next, judgedBy := a.NextFeature()
+	next, conditions := a.NextFeature()
 	if next == nil || next.Name != Connectivity {
 		return false
 	}
-	for i, member := range judgedBy {
-		s.judgedBy[i] = member.Revision
+	for i, member := range conditions {
+		s.conditions[i] = member.Revision
 	}
 	return true
 }
 
-// steps are all that may happen next.
-func (s model) steps(f flaw) (out []model) {
+// steps returns the states that may follow.
+func (s model) steps(fault plantedFault) (out []model) {
 	for i := range s.members {
-		for _, current := range []bool{true, false} { // restarted as this program or the older one
+		for _, current := range []bool{true, false} { // restarted with this program or the older one
 			n := s
 			n.members[i].current, n.members[i].own = current, false
 			out = append(out, n)
 		}
-		if !s.members[i].own { // it advertises, or the lease of its predecessor expires
+		if !s.members[i].own { // it advertises, or the lease of the previous process expires
 			n := s
 			n.revision++
-			n.members[i].advertised, n.members[i].saysNew, n.members[i].revision, n.members[i].own = true, s.members[i].current, n.revision, true
+			n.members[i].advertised, n.members[i].advertisesCurrent, n.members[i].revision, n.members[i].own = true, s.members[i].current, n.revision, true
 			n.members[i].expired = false
 			out = append(out, n)
 			if s.members[i].advertised {
 				n = s
-				if n.members[i].expired = f == advertisementOutlivesLease; !n.members[i].expired {
+				if n.members[i].expired = fault == advertisementOutlivesLease; !n.members[i].expired {
 					n.members[i].advertised, n.members[i].revision = false, 0
 				}
 				out = append(out, n)
 			}
 		}
 		n := s // the leader reads its advertisement
-		n.read[i].advertised, n.read[i].saysNew, n.read[i].revision = s.members[i].advertised, s.members[i].saysNew, s.members[i].revision
+		n.read[i].advertised, n.read[i].advertisesCurrent, n.read[i].revision = s.members[i].advertised, s.members[i].advertisesCurrent, s.members[i].revision
 		out = append(out, n)
 	}
 	if !s.writing && !s.active {
-		if n := s; n.decide(f) {
+		if n := s; n.decide(fault) {
 			n.writing = true
 			out = append(out, n)
 		}
 	}
-	if s.writing { // it is executed, or lost
+	if s.writing { // the transaction is executed, or lost
 		n := s
 		n.writing = false
 		out = append(out, n)
@@ -116,9 +118,9 @@
 			if s.members[i].advertised {
 				at = s.members[i].revision
 			}
-			holds = holds && at == s.judgedBy[i]
+			holds = holds && at == s.conditions[i]
 		}
-		if holds || f == unconditional || f == byPings {
+		if holds || fault == unconditionalWrite || fault == pingsAsAdvertisements {
 			n.active = true
 			out = append(out, n)
 		}
@@ -126,11 +128,11 @@
 	return out
 }
 
-// wrong: the feature has just been activated while a member runs that does not have it, and
-// whose advertisement did not say that it has. The one exception is a process that was replaced
-// before its lease expired: its advertisement stays until the new process advertises or the
-// lease expires, and the new one reads what is active before it does anything.
-func (s *model) wrong(before *model) bool {
+// violates reports whether the feature has just been activated while a member runs that does not
+// have it and whose advertisement did not claim it. The one exception is a process that was
+// replaced before its lease expired: its advertisement stays until the new process advertises or
+// the lease expires, and the new process reads which features are active before it does anything.
+func (s *model) violates(before *model) bool {
 	if !s.active || before.active {
 		return false
 	}
@@ -142,8 +144,9 @@
 	return false
 }
 
-// explore goes through all histories to a depth, and counts the states.
-func explore(f flaw, depth int) (states int, found bool) {
+// explore searches all histories up to a depth until it finds a violation. It returns the number
+// of states visited and whether a violation was found.
+func explore(fault plantedFault, depth int) (states int, found bool) {
 	seen := map[model]int{}
 	var walk func(s model, left int)
 	walk = func(s model, left int) {
@@ -154,8 +157,8 @@
 		if left == 0 {
 			return
 		}
-		for _, n := range s.steps(f) {
-			if n.wrong(&s) {
+		for _, n := range s.steps(fault) {
+			if n.violates(&s) {
 				found = true
 				return
 			}
@@ -166,18 +169,19 @@
 	return len(seen), found
 }
 
-// TestModel searches all histories of the model to a depth: a feature is never activated while
-// a controller can write that advertises not to have it, or nothing. Each planted fault is found.
+// TestModel searches all histories of the model up to a depth. It checks that a feature is never
+// activated while a controller can write whose advertisement lacks the feature or is missing, and
+// that each planted fault is found.
 func TestModel(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		f     flaw
+		fault plantedFault
 		found bool
-	}{{"sound", sound, false}, {"judged by pings alone", byPings, true}, {"advertisements that outlive their leases", advertisementOutlivesLease, true}, {"a write without conditions", unconditional, true}} {
-		states, found := explore(tc.f, modelDepth)
-		t.Logf("%s: %d states to a depth of %d", tc.name, states, modelDepth)
+	}{{"no fault", noFault, false}, {"decided by pings alone", pingsAsAdvertisements, true}, {"advertisements that outlive their leases", advertisementOutlivesLease, true}, {"write without conditions", unconditionalWrite, true}} {
+		states, found := explore(tc.fault, modelDepth)
+		t.Logf("%s: %d states up to depth %d", tc.name, states, modelDepth)
 		if found != tc.found {
-			t.Errorf("%s: found %v", tc.name, found)
+			t.Errorf("%s: found a violation: %v, want %v", tc.name, found, tc.found)
 		}
 	}
 }
