--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestMachinesThatAreGone checks that machines that are gone leave the sample once another controller
+// TestGoneMachinesRemoved checks that machines that are gone leave the sample once another controller
 // knows that they are gone.
 //
 // It guards against a follower that, after a network cut, permanently advertised that it reached two
 // eighths of a zone: a gone machine was replaced only by one that sent heartbeats, a follower without
 // a partition receives none, and it did not ask the others for machines while it had four. This was
 // seen in TestReachAfterCut (experiment), where three of four sampled machines had been scaled in.
-func TestMachinesThatAreGone(t *testing.T) {
+func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
 		name string
--- a/internal/core/readlease/grantor.go
+++ b/internal/core/readlease/grantor.go
@@ -107,7 +107,7 @@
 	if ack == nil || !ack.Holds {
 		holder.cleared = true
 		if holder.grantedAt < sentAt {
-			holder.grantedAt = 0 // a grant after sentAt may have arrived after this answer
+			holder.grantedAt = 0 // a grant since sentAt may have arrived after the holder answered
 		}
 		return
 	}
--- a/internal/core/readlease/holder.go
+++ b/internal/core/readlease/holder.go
@@ -69,7 +69,7 @@
 }
 
 // HandleGrant processes the answer, received now, to a request that was sent at sentAt. The
-// caller has to apply the cancellations in the page whether or not it grants the lease.
+// caller has to record the cancellations in the page whether or not the lease is granted.
 func (h *Holder) HandleGrant(peer string, sentAt, now int64, page CancellationPage) {
 	if !h.ApplyPage(peer, page) || page.More || now-sentAt >= maxAnswerDelay {
 		return
@@ -93,7 +93,7 @@
 }
 
 // Ack returns the answer to a controller that has sent cancellations. Once the answer says
-// that the lease is not held, the lease has to be granted again.
+// that the lease is not held, the lease has ended for good and has to be granted again.
 func (h *Holder) Ack(peer string, appliedRevision uint64, now int64) HolderAck {
 	grant := h.grants[peer]
 	if grant == nil {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -27,7 +27,7 @@
 )
 
 // AnswerTimeout is the time limit for the leader's answer, in microseconds. A read of the
-// state service takes a few milliseconds, and users wait for up to two seconds.
+// state service takes a few milliseconds, and users wait for two seconds.
 const AnswerTimeout = 200_000
 
 // Follower decides from where a controller that does not lead reads the stored state.
