--- a/internal/node/actor.go
+++ b/internal/node/actor.go
@@ -8,22 +8,23 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// tickInterval is how often the core learns the time.
+// tickInterval is the interval at which the core is sent the time.
 const tickInterval = 50 * time.Millisecond
 
-// overloadedRetryAfter is in how many seconds a request that found the inbox full
-// may be repeated.
+// overloadedRetryAfter is the number of seconds after which a request that was refused
+// because the inbox was full may be retried.
 const overloadedRetryAfter = 1
 
 var (
-	// errNoReply says that the core has not replied to a peer's request in time.
+	// errNoReply is returned if the core has not replied to a peer's request in time.
 	errNoReply = errors.New("no answer from the core")
-	// errStopping says that the node stops before the core has replied.
+	// errStopping is returned if the node stops before the core has replied.
 	errStopping = errors.New("the controller is stopping")
 )
 
-// envelope is a message to the core: message, or for a request what build makes
-// once the actor has numbered it. reply takes the reply to a request.
+// envelope wraps a message to the core. For a request, build returns the message once
+// the actor has assigned a request ID, and reply is called with the reply; for any
+// other message, build is nil.
 type envelope struct {
 	message any
 	build   func(requestID uint64) any
@@ -40,8 +41,8 @@
 // tick is the message that tells the core the time of day.
 func tick() core.Tick { return core.Tick{TimeOfDay: time.Now().UnixMicro()} }
 
-// sendTicks sends ticks until the node stops. While the inbox is full they are
-// left out, as messages bring the time too.
+// sendTicks sends ticks until the node stops. Ticks are skipped while the inbox is
+// full, because every message the core handles brings it the time too.
 func (n *Node) sendTicks() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -58,8 +59,8 @@
 	}
 }
 
-// runActor steps the core with each message in turn until the node stops. The
-// core is used by this goroutine only.
+// runActor passes each message in turn to the core until the node stops. Only this
+// goroutine uses the core.
 func (n *Node) runActor() {
 	n.step(tick())
 	for {
@@ -72,7 +73,8 @@
 	}
 }
 
-// open takes the message out of an envelope, numbering a request.
+// open returns the message in an envelope. A request is assigned a request ID and
+// recorded as pending.
 func (n *Node) open(e envelope) any {
 	if e.build == nil {
 		return e.message
@@ -87,15 +89,15 @@
 	return message
 }
 
-// step hands the core a message and executes the effects.
+// step passes a message to the core and executes the resulting effects.
 func (n *Node) step(message any) {
 	for _, effect := range n.core.Step(n.now(), message) {
 		n.execute(effect)
 	}
 }
 
-// deliver sends the result of an effect to the core. Results must not be lost, so
-// this waits for room; the number of effects under way is bounded by the core.
+// deliver sends the result of an effect to the core. Results must not be lost, so it
+// blocks while the inbox is full; the core bounds the number of effects in progress.
 func (n *Node) deliver(result any) {
 	select {
 	case n.inbox <- envelope{message: result}:
@@ -103,7 +105,8 @@
 	}
 }
 
-// request sends a request to the core. If the inbox is full it is refused at once.
+// request sends a request to the core. If the inbox is full, the request is refused
+// immediately.
 func (n *Node) request(build func(requestID uint64) any, reply func(core.Reply)) {
 	select {
 	case n.inbox <- envelope{build: build, reply: reply}:
--- a/internal/node/cloud.go
+++ b/internal/node/cloud.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// cloudViaPeerTimeout is how long a call of the cloud by another controller may
-// take: a list has pages with gaps between them.
+// cloudViaPeerTimeout is the timeout of a cloud call made by a peer. It has to cover a
+// list, which is read page by page with gaps in between.
 const cloudViaPeerTimeout = 15 * time.Second
 
 func (n *Node) listMachineTypes(e core.ListMachineTypes) {
@@ -26,7 +26,7 @@
 
 func (n *Node) scaleOut(e core.ScaleOut) {
 	if n.isExpired(e.NotAfter) {
-		n.deliver(core.ScaledOut{Request: e}) // asked again under the same name, if at all
+		n.deliver(core.ScaledOut{Request: e}) // a retry has the same request name
 		return
 	}
 	n.deliver(n.cloud.ScaleOut(e))
@@ -42,8 +42,9 @@
 	n.deliver(result)
 }
 
-// isExpired says that a call which changes something must not be made any more: this
-// process has stood still since it was decided, and another controller may lead.
+// isExpired reports whether a cloud call that changes something is past its deadline
+// and must not be made: this process was suspended after the call was decided, and
+// another controller may lead by now.
 func (n *Node) isExpired(notAfter int64) bool {
 	expired := n.now() >= notAfter
 	if expired {
@@ -52,12 +53,13 @@
 	return expired
 }
 
-// callCloudForPeer makes a call of the cloud that a peer has asked for.
+// callCloudForPeer makes a cloud call that a peer has requested.
 func (n *Node) callCloudForPeer(e core.CallCloudForPeer) {
 	n.deliver(core.CloudCalledForPeer{RequestID: e.RequestID, Answer: n.callCloud(e.Call)})
 }
 
-// callCloud makes a call of the cloud. Status 0 means that the outcome is unknown.
+// callCloud makes a cloud call. In the result, status 0 means that the outcome is
+// unknown.
 func (n *Node) callCloud(call core.CloudCall) core.CloudResult {
 	var result core.CloudResult
 	var err error
@@ -82,10 +84,10 @@
 	return result
 }
 
-// callCloudViaPeer has a peer make a call of the cloud.
+// callCloudViaPeer requests a peer to make a cloud call.
 func (n *Node) callCloudViaPeer(e core.CallCloudViaPeer) {
 	if n.isExpired(e.NotAfter) {
-		_, result := core.CloudViaPeerResult(e, core.Reply{}, nil) // no fault of the peer's
+		_, result := core.CloudViaPeerResult(e, core.Reply{}, nil) // the peer was not called, so it is not blamed
 		n.deliver(result)
 		return
 	}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -6,15 +6,14 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// execute starts the input or output that the core asks for. It runs in the actor
-// and does not wait: what takes time has a goroutine of its own, which delivers
-// the result.
+// execute starts the I/O that the core requests. It runs in the actor and must not
+// block: slow operations run in their own goroutines, which deliver the results.
 func (n *Node) execute(effect any) {
 	switch e := effect.(type) {
 	case core.Reply:
 		n.reply(e)
 	case core.Quit:
-		n.fatal <- errors.New(e.Reason) // the core quits once
+		n.fatal <- errors.New(e.Reason) // does not block: the core quits only once
 	case core.ExpandSweep:
 		n.goroutines.Go(func() { n.expandSweep(e) })
 	case core.SendCommands:
@@ -23,12 +22,13 @@
 		sentAt := n.now()
 		n.goroutines.Go(func() { n.probeMachine(e, sentAt) })
 	default:
-		// Each starts the effects of its own kind and says whether it was one.
+		// Each of these reports whether the effect was of its kind.
 		_ = n.executeStateEffect(effect) || n.executePeerEffect(effect) || n.executeCloudEffect(effect)
 	}
 }
 
-// reply answers a request, unless it has been answered.
+// reply answers a pending request. It does nothing if the request has already been
+// answered.
 func (n *Node) reply(r core.Reply) {
 	request, ok := n.pending[r.RequestID]
 	if !ok {
@@ -42,7 +42,8 @@
 	request.reply(r)
 }
 
-// executeStateEffect starts a call of the state service.
+// executeStateEffect starts a call to the state service. It reports whether the effect
+// is such a call.
 func (n *Node) executeStateEffect(effect any) bool {
 	sentAt := n.now()
 	var call func()
@@ -72,7 +73,8 @@
 	return true
 }
 
-// executePeerEffect starts a call of another controller.
+// executePeerEffect starts a call to another controller. It reports whether the effect
+// is such a call.
 func (n *Node) executePeerEffect(effect any) bool {
 	sentAt := n.now()
 	var call func()
@@ -92,7 +94,8 @@
 	return true
 }
 
-// executeCloudEffect starts a call of the cloud, by this controller or by another.
+// executeCloudEffect starts a cloud call, made by this controller or via a peer. It
+// reports whether the effect is such a call.
 func (n *Node) executeCloudEffect(effect any) bool {
 	var call func()
 	switch e := effect.(type) {
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -8,15 +8,15 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// Range and precision of the recorded latencies. maxLatency is beyond what any
-// request waits for its answer, in microseconds.
+// Range, in microseconds, and precision of the recorded latencies. maxLatency is
+// longer than any request waits for its answer.
 const (
 	minLatency         = 1
 	maxLatency         = int64(time.Minute / time.Microsecond)
 	significantFigures = 2
 )
 
-// userCall is a kind of users' request whose latencies are recorded.
+// userCall is a kind of user request whose latencies are recorded.
 type userCall string
 
 const (
@@ -25,13 +25,13 @@
 	cancelCall userCall = "cancel"
 )
 
-// latencyRecorder has how long users' requests took in this process, from the
-// request read to the answer handed over. The actor owns it. Workers' heartbeats
-// are left out: their answers are held back on purpose.
+// latencyRecorder records the latencies of users' requests in this process, from
+// reading the request to handing over the response. It is owned by the actor. Workers'
+// heartbeats are not recorded, because their responses are delayed on purpose.
 type latencyRecorder map[userCall]*hdrhistogram.Histogram
 
-// record counts an answer to a request that took some microseconds.
-func (l latencyRecorder) record(request any, took int64) {
+// record records the latency of an answered request, in microseconds.
+func (l latencyRecorder) record(request any, latency int64) {
 	var call userCall
 	switch request.(type) {
 	case core.SubmitJob:
@@ -48,11 +48,11 @@
 		histogram = hdrhistogram.New(minLatency, maxLatency, significantFigures)
 		l[call] = histogram
 	}
-	// It fails for values out of range only.
-	_ = histogram.RecordValue(min(max(took, minLatency), maxLatency))
+	// RecordValue fails only for values that are out of range.
+	_ = histogram.RecordValue(min(max(latency, minLatency), maxLatency))
 }
 
-// summary is what operators are shown, in milliseconds.
+// summary returns the latencies of each recorded call in milliseconds, for operators.
 func (l latencyRecorder) summary() []core.LatencyView {
 	var views []core.LatencyView
 	for _, call := range []userCall{submitCall, statusCall, cancelCall} {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -1,8 +1,8 @@
 package node
 
-// Bounds of the messages that wait for the core: so many for each socket, which
-// leaves room for a heartbeat of every machine beside the users' requests, the
-// results of effects and what peers relay.
+// Capacity of the core's inbox, in messages. It grows with the number of sockets, so
+// that a heartbeat from every machine fits beside users' requests, results of effects
+// and messages relayed by peers.
 const (
 	inboxPerSocket = 4
 	minInbox       = 4096
@@ -11,16 +11,17 @@
 
 func inboxSize(sockets int) int { return min(max(minInbox, sockets*inboxPerSocket), maxInbox) }
 
-// Shares of a controller's sockets. The rest is for the state service, the cloud,
-// peers and probes of machines.
+// Shares of a controller's sockets. The remaining sockets are for the state service,
+// the cloud, peers and probes of machines.
 const (
-	// userQuarters of four are for workers and users.
+	// userQuarters is the number of quarters of the sockets for users and workers.
 	userQuarters = 3
-	// socketsPerCommandCall is how many sockets there are for each call that brings
+	// socketsPerCommandCall is the number of sockets per concurrent call that delivers
 	// commands to a worker.
 	socketsPerCommandCall = 16
 	minCommandCalls       = 16
-	// stateConns and watchConns are for the state service.
+	// stateConns and watchConns are the numbers of connections to the state service
+	// for ordinary calls and for watches.
 	stateConns = 24
 	watchConns = 2
 )
@@ -31,8 +32,8 @@
 	return max(minCommandCalls, sockets/socketsPerCommandCall)
 }
 
-// Connections that peers may have here: a few for each, as one that broke may not
-// have been noticed yet.
+// Maximum number of connections from peers: more than one for each, because a broken
+// connection may not have been detected yet.
 const (
 	connsPerPeer = 2
 	minPeerConns = 32
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,8 +21,8 @@
 	"github.com/zinclb/zinclb/internal/store"
 )
 
-// The runtime's soft memory limit is well below the deployment's: the platform
-// counts more than the heap.
+// The Go runtime's soft memory limit is well below the deployment's limit, because the
+// platform counts more than the heap.
 const (
 	bytesPerMB      = 1e6
 	heapLimitTenths = 7
@@ -40,8 +40,8 @@
 	core     *core.Core
 	start    time.Time
 
-	// inbox has the messages to the core. pending, lastRequestID and latencies
-	// belong to the actor, see actor.go.
+	// inbox holds messages to the core. pending, lastRequestID and latencies are owned
+	// by the actor, see actor.go.
 	inbox         chan envelope
 	pending       map[uint64]pendingRequest
 	lastRequestID uint64
@@ -53,20 +53,21 @@
 	peers   map[string]*peer.Client
 	workers *workerPool
 
-	// sweepSlots bounds the submissions of sweeps under way; one sweep is expanded
-	// at a time.
+	// sweepSlots bounds the sweep submissions in progress. expanding ensures that
+	// only one sweep is expanded at a time.
 	sweepSlots chan struct{}
 	expanding  sync.Mutex
 
-	// fatal has the error for which the core ends the process.
+	// fatal receives the error with which the core ends the process.
 	fatal chan error
 	// done is closed when the node stops. It is nil before Run.
 	done <-chan struct{}
-	// goroutines counts those that Run, the actor and the servers have started.
+	// goroutines tracks the goroutines started by Run, the actor and the servers.
 	goroutines sync.WaitGroup
 }
 
-// New makes a controller from its settings. It does no I/O before Run.
+// New returns a controller with the given settings. The controller does no I/O before
+// Run is called.
 func New(platform *config.Platform, operators config.Operators) *Node {
 	sockets := platform.Deployment.Limits.Sockets
 	n := &Node{
@@ -98,12 +99,12 @@
 	return n
 }
 
-// now is the steady clock in microseconds since the start.
+// now returns the monotonic time in microseconds since the start. It is at least 1.
 func (n *Node) now() int64 { return time.Since(n.start).Microseconds() + 1 }
 
-// Run serves until the context ends. Before that it returns only if a listener
-// can't be opened or what is stored needs a newer program. It may be called once,
-// and does not wait for the goroutines that it ends: Close does.
+// Run serves until the context ends. It returns earlier only if a listener can't be
+// opened or if the stored data needs a newer program. It may be called only once. It
+// does not wait for the goroutines it has started to end; Close does.
 func (n *Node) Run(ctx context.Context) error {
 	deployment := n.platform.Deployment
 	memory := int64(deployment.Limits.MemMB * bytesPerMB)
@@ -127,8 +128,8 @@
 	}
 }
 
-// Close ends the calls that are under way and waits for every goroutine of a
-// node whose Run has returned.
+// Close ends the calls in progress and waits for all goroutines of the node. Run must
+// have returned.
 func (n *Node) Close() {
 	n.state.Close()
 	n.watches.Close()
@@ -140,7 +141,7 @@
 	n.workers.wait()
 }
 
-// serveUsers answers users and workers until the context ends.
+// serveUsers serves users and workers until the context ends.
 func (n *Node) serveUsers(ctx context.Context) error {
 	server := &httpwire.Server{
 		Addr:        n.platform.UserAddr,
@@ -153,12 +154,12 @@
 	return server.Serve(ctx)
 }
 
-// servePeers answers the other controllers until the context ends.
+// servePeers serves the other controllers until the context ends.
 func (n *Node) servePeers(ctx context.Context) error {
 	return peer.Serve(ctx, n.platform.PeerAddr, n.platform.Name, n, maxPeerConns(len(n.platform.Peers)))
 }
 
-// sleep waits for a time, or until the node stops.
+// sleep waits for the given duration or until the node stops.
 func (n *Node) sleep(pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,7 +14,7 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-// freeAddr is an address on loopback that nobody listens on.
+// freeAddr returns a loopback address that nothing listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,8 +25,8 @@
 	return listener.Addr().String()
 }
 
-// testPlatform are the settings of a controller with two peers that do not run. The
-// services refuse every call.
+// testPlatform returns the settings of a controller with two peers that are not
+// running, and with services that refuse every call.
 func testPlatform(t *testing.T) *config.Platform {
 	t.Helper()
 	p := &config.Platform{
@@ -48,15 +48,15 @@
 	return p
 }
 
-// TestRun: a controller serves until its context ends, and after Close none of its
-// goroutines is left, which TestMain checks.
+// TestRun checks that a controller serves until its context ends. TestMain checks that
+// none of its goroutines is left after Close.
 func TestRun(t *testing.T) {
 	platform := testPlatform(t)
 	n := New(platform, config.Defaults())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- n.Run(ctx) }()
 
 	client := httpwire.NewClient(platform.UserAddr, 1, 1<<20)
 	defer client.Close()
@@ -66,17 +66,18 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("not served: %v, %v", m, err)
+			t.Fatalf("GET /ops/status: got response %v, error %v, want status 200 within 10 s", m, err)
 		}
 	}
 	cancel()
-	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("ended by %v", err)
+	if err := <-runResult; !errors.Is(err, context.Canceled) {
+		t.Errorf("Run: got error %v, want %v", err, context.Canceled)
 	}
 	n.Close()
 }
 
-// TestRunWithoutListener: a controller whose address is taken ends at its start.
+// TestRunWithoutListener checks that Run fails if one of the controller's addresses is
+// already in use.
 func TestRunWithoutListener(t *testing.T) {
 	for _, listener := range []string{"users", "peers"} {
 		t.Run(listener, func(t *testing.T) {
@@ -93,17 +94,17 @@
 			}
 			n := New(platform, config.Defaults())
 			if err := n.Run(context.Background()); !errors.Is(err, syscall.EADDRINUSE) {
-				t.Errorf("ended by %v", err)
+				t.Errorf("Run with the address in use: got error %v, want %v", err, syscall.EADDRINUSE)
 			}
 			n.Close()
 		})
 	}
 }
 
-// TestUnknownPeer: a request for a controller that is no peer fails.
+// TestUnknownPeer checks that a request to a controller that is not a peer fails.
 func TestUnknownPeer(t *testing.T) {
 	n := &Node{}
 	if _, err := n.askPeer("node-9", nil, time.Second); !errors.Is(err, errNoPeer) {
-		t.Error(err)
+		t.Errorf("request to an unknown peer: got error %v, want %v", err, errNoPeer)
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,25 +11,27 @@
 	"github.com/zinclb/zinclb/internal/peer"
 )
 
-// Timeouts of calls between controllers. A call ends here sooner than the peer
-// gives it up, or than the user does who waits for it.
+// Timeouts of calls between controllers. Each is shorter than the time after which the
+// calling peer or the waiting user gives up.
 const (
 	pingTimeout = time.Second
-	// relayTimeout is for a relayed heartbeat: its worker gives up after 4 s, and
-	// the leader holds an answer for up to 3 s.
+	// relayTimeout is the timeout of a relayed heartbeat: the worker gives up after
+	// 4 s, and the leader may delay its response for up to 3 s.
 	relayTimeout = 3700 * time.Millisecond
-	// forwardTimeout is for a user's request that is forwarded, and
-	// forwardQueryTimeout for one that changes nothing.
+	// forwardTimeout is the timeout of a forwarded user request, and
+	// forwardQueryTimeout that of a forwarded read-only request.
 	forwardTimeout      = 3500 * time.Millisecond
 	forwardQueryTimeout = 1500 * time.Millisecond
-	// forwardedTimeout is for a request that a peer has forwarded to this controller.
+	// forwardedTimeout is the timeout of a request that a peer has forwarded to this
+	// controller.
 	forwardedTimeout = 4 * time.Second
 )
 
-// errNoPeer says that a controller is not among this one's peers.
+// errNoPeer is returned for a controller that is not one of this controller's peers.
 var errNoPeer = errors.New("the leader is no peer")
 
-// HandleRelayedHeartbeat hands a heartbeat that a peer relays to the core.
+// HandleRelayedHeartbeat passes a heartbeat that a peer relayed to the core and waits
+// for the reply.
 func (n *Node) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
 	build := func(requestID uint64) any {
 		heartbeat.RequestID = requestID
@@ -38,7 +40,7 @@
 	return n.requestAndWait(build, relayTimeout)
 }
 
-// HandlePing asks the core what to answer a peer's ping.
+// HandlePing passes a peer's ping to the core and waits for the reply.
 func (n *Node) HandlePing(ping core.PingReceived) (core.Reply, error) {
 	build := func(requestID uint64) any {
 		ping.RequestID = requestID
@@ -47,7 +49,8 @@
 	return n.requestAndWait(build, pingTimeout)
 }
 
-// HandleRequest hands a request that a peer forwards to the core.
+// HandleRequest passes a request that a peer forwarded to the core and waits for the
+// reply.
 func (n *Node) HandleRequest(request any) (core.Reply, error) {
 	if sweep, ok := request.(core.ForwardedSweep); ok {
 		submission, err := n.submissionOf(sweep)
@@ -68,7 +71,8 @@
 	return n.requestAndWait(build, timeout)
 }
 
-// submissionOf expands a sweep that a peer has forwarded.
+// submissionOf expands a forwarded sweep into a submission. The plan of an invalid
+// sweep has only its ID.
 func (n *Node) submissionOf(sweep core.ForwardedSweep) (core.SubmitSweep, error) {
 	submission := core.SubmitSweep{
 		Plan:      &core.SweepPlan{ID: sweep.ID},
@@ -87,14 +91,14 @@
 	return submission, nil
 }
 
-// unpackSweep expands a stored sweep, one at a time.
+// unpackSweep expands a stored sweep. Only one sweep is expanded at a time.
 func (n *Node) unpackSweep(stored string) (*core.SweepPlan, error) {
 	n.expanding.Lock()
 	defer n.expanding.Unlock()
 	return api.UnpackSweep(stored)
 }
 
-// askPeer makes a request of a peer.
+// askPeer sends a request to the named peer and returns its reply.
 func (n *Node) askPeer(name string, request any, timeout time.Duration) (core.Reply, error) {
 	client, ok := n.peers[name]
 	if !ok {
@@ -115,13 +119,14 @@
 	n.deliver(core.PeerPinged{
 		Peer:   e.Peer,
 		SentAt: sentAt,
-		// Another name means that the address is another controller's by now.
+		// A different name means that the address now belongs to another controller.
 		OK:     err == nil && answer.Name == e.Peer,
 		Status: answer.Status,
 	})
 }
 
-// relayHeartbeat hands a worker's heartbeat to the leader.
+// relayHeartbeat relays a worker's heartbeat to the leader, or to a peer that passes it
+// on, and delivers the answer to the core.
 func (n *Node) relayHeartbeat(e core.RelayHeartbeat) {
 	result := core.HeartbeatRelayed{RequestID: e.RequestID, Err: errNoPeer}
 	if client, ok := n.peers[e.To]; ok {
@@ -131,7 +136,8 @@
 	n.deliver(result)
 }
 
-// forwardRequest hands a user's request to a peer.
+// forwardRequest forwards a user's request to a peer and delivers the answer to the
+// core.
 func (n *Node) forwardRequest(e core.ForwardRequest) {
 	timeout := forwardTimeout
 	switch e.Request.(type) {
@@ -142,7 +148,7 @@
 	n.deliver(core.RequestForwarded{RequestID: e.RequestID, Answer: answer, Err: err})
 }
 
-// readFromLeader asks the leader for what has changed.
+// readFromLeader asks the leader for the changes after a revision.
 func (n *Node) readFromLeader(e core.ReadFromLeader, sentAt int64) {
 	read := core.FollowerRead{AfterRevision: e.AfterRevision, WritesNeeded: e.WritesNeeded}
 	answer, err := n.askPeer(e.To, read, replica.AnswerTimeout*time.Microsecond)
--- a/internal/node/recorded_test.go
+++ b/internal/node/recorded_test.go
@@ -10,8 +10,8 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-// TestRecordedAnswers compares whole HTTP answers, with their headers, with their
-// recorded form.
+// TestRecordedAnswers compares complete HTTP responses, including headers, with the
+// recorded ones. The case names are part of the recording.
 func TestRecordedAnswers(t *testing.T) {
 	var b strings.Builder
 	answerTo := func(n *Node, name, method, target string) {
@@ -47,9 +47,9 @@
 	golden.Compare(t, "testdata/answers.txt", b.String())
 }
 
-// TestRecordedDirect compares commands to a worker's own address, as a whole
-// request, with their recorded form.
-func TestRecordedDirect(t *testing.T) {
+// TestRecordedCommands compares a complete request that sends commands directly to a
+// worker with the recorded one.
+func TestRecordedCommands(t *testing.T) {
 	service := golden.NewService(t)
 	service.Answer(httpwire.Response{Status: 200, Body: []byte("{}")})
 	workers := newWorkerPool(1)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -11,15 +11,16 @@
 	"github.com/zinclb/zinclb/internal/metrics"
 )
 
-// maxWaitingSweeps is how many submissions of sweeps may wait to be expanded.
+// maxWaitingSweeps is the maximum number of sweep submissions in progress, of which one
+// is expanded and the others wait.
 const maxWaitingSweeps = 4
 
-// sweepRetryAfter is in how many seconds a sweep that found too many waiting may be
-// submitted again.
+// sweepRetryAfter is the number of seconds after which a sweep that was refused because
+// too many were waiting may be submitted again.
 const sweepRetryAfter = 2
 
-// handle answers a request of a user or a worker. It runs in the server's event
-// loop, so a request that takes long gets a goroutine.
+// handle answers a request from a user or a worker. It runs in the server's event loop,
+// so a slow request is handled in its own goroutine.
 func (n *Node) handle(m *httpwire.Message, reply func(httpwire.Response)) {
 	if !api.IsSlow(m) {
 		n.route(m, reply)
@@ -42,7 +43,8 @@
 	}
 }
 
-// route turns a request into a message for the core, and its reply into the answer.
+// route converts an HTTP request to a message for the core, and the core's reply to the
+// HTTP response.
 func (n *Node) route(m *httpwire.Message, reply func(httpwire.Response)) {
 	build, answer := api.Route(m)
 	if answer != nil {
@@ -58,13 +60,13 @@
 	})
 }
 
-// targetPath is the path of a request, without its query.
+// targetPath returns the path of a request without its query.
 func targetPath(m *httpwire.Message) string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return path
 }
 
-// httpResponse is the answer that carries a reply of the core.
+// httpResponse converts a reply of the core to an HTTP response.
 func httpResponse(r core.Reply) httpwire.Response {
 	return httpwire.Response{
 		Status:     int(r.Status),
@@ -73,7 +75,7 @@
 	}
 }
 
-// metricsResponse is the answer to a scrape of the metrics.
+// metricsResponse returns the response to a metrics scrape.
 func metricsResponse(view *core.OperatorView) httpwire.Response {
 	body, err := metrics.Encode(view)
 	if err != nil {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// commitTimeout is how long a transaction may take.
+	// commitTimeout is the timeout of a transaction.
 	commitTimeout = 2 * time.Second
 	// watchTimeout is how long a watch waits for a change.
 	watchTimeout = 10 * time.Second
-	// stateRetryPause delays the result of a read that failed, so that the core's
-	// repeats do not load a state service in trouble.
+	// stateRetryPause is how long the result of a failed read is delayed, so that the
+	// core's retries do not overload a failing state service.
 	stateRetryPause = 300 * time.Millisecond
 )
 
-// listState reads the start prefixes at the pace that is asked for.
+// listState reads all keys under the start prefixes. The first AtOnce pages are read
+// without a pause, each later one after the requested gap.
 func (n *Node) listState(e core.ListState) {
 	var result core.StateListed
 	pages := 0
@@ -41,7 +42,7 @@
 	n.deliver(result)
 }
 
-// watchState waits for changes of what is stored.
+// watchState waits for changes of the stored state.
 func (n *Node) watchState(e core.WatchState, sentAt int64) {
 	result := n.watches.Watch(core.Prefix, e.AfterRevision, watchTimeout)
 	result.SentAt = sentAt
@@ -51,7 +52,7 @@
 	n.deliver(result)
 }
 
-// watchLeader waits for a change of the leader.
+// watchLeader waits for a change of the leader key.
 func (n *Node) watchLeader(e core.WatchLeader) {
 	read := n.watches.Watch(core.LeaderKey, e.AfterRevision, watchTimeout)
 	if read.Err != nil {
@@ -60,7 +61,7 @@
 	n.deliver(core.LeaderWatched{Changed: read.Compacted || len(read.Changes) > 0, Err: read.Err})
 }
 
-// readState reads what has changed by now.
+// readState reads the changes after a revision without waiting for further ones.
 func (n *Node) readState(e core.ReadState, sentAt int64) {
 	result := n.state.Watch(core.Prefix, e.AfterRevision, 0)
 	result.SentAt = sentAt
@@ -85,7 +86,7 @@
 	n.deliver(core.LeaseRenewed{Lease: e.Lease, SentAt: sentAt, Expired: expired, Err: err})
 }
 
-// revokeLease ends a lease early. If that fails the lease expires by itself.
+// revokeLease ends a lease early. If that fails, the lease expires by itself.
 func (n *Node) revokeLease(e core.RevokeLease) {
 	if err := n.state.RevokeLease(e.Lease); err != nil {
 		slog.Debug("lease revocation failed", "error", err)
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -14,16 +14,17 @@
 const (
 	// commandTimeout is how long a worker may take to accept commands.
 	commandTimeout = 2 * time.Second
-	// probeTimeout is how long a machine may take to answer whether it can be reached.
+	// probeTimeout is how long a probed machine may take to answer.
 	probeTimeout = time.Second
 	// maxWorkerAnswer bounds a worker's answer, in bytes.
 	maxWorkerAnswer = 1 << 20
 )
 
-// workerPool sends commands to workers' own addresses, a bounded number of calls at
-// a time. What does not fit travels with the answer to the next heartbeat anyway.
-// That can be too late for a gang's orderly stop, of which all tasks must learn
-// within gang_peer_s: the bound has to take several large gangs at once.
+// workerPool sends commands directly to workers' addresses, with a bounded number of
+// concurrent calls. Commands beyond the bound are delivered with the response to the
+// worker's next heartbeat. That can be too late to stop a gang in order, because all
+// its tasks must be told within gang_peer_s, so the bound has to allow for several
+// large gangs at once.
 type workerPool struct {
 	slots chan struct{}
 	calls sync.WaitGroup
@@ -33,7 +34,8 @@
 	return &workerPool{slots: make(chan struct{}, maxCalls)}
 }
 
-// send starts a call that brings a worker commands, unless too many are under way.
+// send starts a call that delivers commands to a worker. It does nothing if the
+// maximum number of calls is already in progress.
 func (w *workerPool) send(e core.SendCommands) {
 	select {
 	case w.slots <- struct{}{}:
@@ -51,18 +53,19 @@
 	})
 }
 
-// wait waits for the calls under way. No call may be started any more.
+// wait waits for the calls in progress. No call may be started after it.
 func (w *workerPool) wait() { w.calls.Wait() }
 
-// probeMachine asks a machine for its heartbeat. The core asks for a bounded number
-// at a time and has to learn of each how it ended, so probes take no slot.
+// probeMachine requests a heartbeat from a machine and delivers the result to the
+// core. Probes are not limited by the pool's slots, because the core bounds the number
+// of concurrent probes itself and needs the result of each.
 func (n *Node) probeMachine(e core.ProbeMachine, sentAt int64) {
 	heartbeat, ok := probe(e.Addr)
 	n.deliver(core.MachineProbed{Machine: e.Machine, SentAt: sentAt, OK: ok, Heartbeat: heartbeat})
 }
 
-// probe asks the worker at an address for its heartbeat. That there is an answer
-// matters even if the heartbeat can't be read.
+// probe requests a heartbeat from the worker at addr. It reports ok if the worker
+// answered with status 200, even if the heartbeat can't be decoded.
 func probe(addr string) (heartbeat *core.Heartbeat, ok bool) {
 	client := httpwire.NewClient(addr, 1, maxWorkerAnswer)
 	defer client.Close()
