--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,8 +1,8 @@
-// Package cloud is the client of the cloud's interface. The cloud's wire names stand
-// only here.
+// Package cloud is the client of the cloud API. It is the only package that knows the
+// names used by that API.
 //
-// An error that is a StatusError says that the cloud has refused the call. Any other
-// one leaves open whether the call was executed.
+// A StatusError means that the cloud has refused the call. After any other error it is
+// unknown whether the call was executed.
 package cloud
 
 import (
@@ -21,11 +21,11 @@
 )
 
 const (
-	// callTimeout is how long a call may take; a page of a list is one.
+	// callTimeout is the timeout of a call, such as reading one page of a list.
 	callTimeout = 4 * time.Second
-	// maxConns bounds the connections.
+	// maxConns is the maximum number of connections to the cloud.
 	maxConns = 6
-	// maxBody bounds the cloud's answers, in bytes.
+	// maxBody is the maximum size of a response body, in bytes.
 	maxBody = 4 << 20
 )
 
@@ -34,10 +34,10 @@
 	rentalsPath      = "/rentals"
 )
 
-// statusUnknown is the status of a call whose outcome is unknown.
+// statusUnknown is the status returned for a call whose outcome is unknown.
 const statusUnknown = 0
 
-// Units of the core for one of the wire's.
+// Factors that convert the cloud's units to those of the core.
 const (
 	milli           = 1000
 	mbPerGB         = 1000
@@ -46,7 +46,7 @@
 
 var _ core.Refusal = StatusError{}
 
-// StatusError is an answer other than 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   string
@@ -56,22 +56,22 @@
 	return fmt.Sprintf("cloud answered %d: %.100s", e.Status, e.Body)
 }
 
-// Refused says that the cloud has answered, so that it can be reached.
+// Refused reports true: the cloud has answered, so it can be reached.
 func (e StatusError) Refused() bool { return true }
 
-// Client calls the cloud.
+// Client makes calls to the cloud.
 type Client struct{ http *httpwire.Client }
 
-// New makes a client.
+// New returns a client for the cloud at addr.
 func New(addr string) *Client {
 	return &Client{http: httpwire.NewClient(addr, maxConns, maxBody)}
 }
 
-// Close closes all connections. Calls under way and later ones fail.
+// Close closes all connections. Calls in progress and later ones fail.
 func (c *Client) Close() { c.http.Close() }
 
-// call makes a call and decodes the body of its answer, if answer is not nil. Any
-// status but 200 is a StatusError.
+// call makes a call and decodes the response body into answer, unless answer is nil.
+// For any status but 200 it returns a StatusError.
 func (c *Client) call(method, target string, body []byte, answer any) error {
 	m, err := c.http.Do(method, target, body, callTimeout)
 	if err != nil {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// post sends a request that changes something. The status is 0 if its outcome is
-// unknown.
+// post sends a request that changes something. The returned status is statusUnknown if
+// the outcome is unknown.
 func (c *Client) post(target string, request, answer any) (status int) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -122,7 +122,7 @@
 	Zones     []string `json:"paddocks"`
 }
 
-// ToCore is the type as the core has it.
+// ToCore converts the machine type to the core's representation.
 func (t MachineType) ToCore() fleet.Type {
 	return fleet.Type{
 		Name: t.Name,
@@ -140,7 +140,7 @@
 	}
 }
 
-// MachineListing is a machine of the cloud's list on the wire.
+// MachineListing is an entry of the cloud's list of machines on the wire.
 type MachineListing struct {
 	Name   string  `json:"name_id"`
 	Addr   string  `json:"endpoint"`
@@ -151,7 +151,7 @@
 	AgeS   float64 `json:"held_s"`
 }
 
-// ToCore is the listing as the core has it.
+// ToCore converts the list entry to the core's representation.
 func (l MachineListing) ToCore() core.CloudMachine {
 	return core.CloudMachine{
 		Name:   l.Name,
@@ -179,13 +179,13 @@
 	return listed
 }
 
-// pageWire is a page of the list of machines.
+// pageWire is a page of the list of machines on the wire.
 type pageWire struct {
 	Machines []MachineListing `json:"stokers"`
 	More     bool             `json:"truncated"`
 }
 
-// ListMachines reads all machines, page by page with a gap between them.
+// ListMachines reads the list of all machines, pausing for gap between pages.
 func (c *Client) ListMachines(gap time.Duration) core.MachinesListed {
 	var listed core.MachinesListed
 	after := ""
@@ -205,7 +205,8 @@
 	}
 }
 
-// listPage reads the machines that follow one of a name, "" for the first.
+// listPage reads the page of machines that follows the named machine; "" reads the
+// first page.
 func (c *Client) listPage(after string) (pageWire, error) {
 	var page pageWire
 	target := rentalsPath + "?after=" + url.QueryEscape(after) + "&most=" + strconv.Itoa(core.ListPage)
@@ -213,7 +214,8 @@
 	return page, err
 }
 
-// rentalWire asks for machines. Repeated under the same name it is the same request.
+// rentalWire is a request for machines on the wire. It is idempotent: a repeated request
+// with the same name is the same request.
 type rentalWire struct {
 	Name  string `json:"hire"`
 	Type  string `json:"breed"`
@@ -222,12 +224,12 @@
 	Count int    `json:"number"`
 }
 
-// machinesWire names machines.
+// machinesWire is a list of machine names on the wire.
 type machinesWire struct {
 	Machines []string `json:"stokers"`
 }
 
-// ScaleOut asks for machines.
+// ScaleOut requests new machines.
 func (c *Client) ScaleOut(request core.ScaleOut) core.ScaledOut {
 	rental := rentalWire{
 		Name:  request.Name,
@@ -241,7 +243,7 @@
 	return core.ScaledOut{Request: request, Names: rented.Machines, Status: status}
 }
 
-// ScaleIn returns machines.
+// ScaleIn returns the named machines to the cloud.
 func (c *Client) ScaleIn(names []string) core.ScaledIn {
 	status := c.post(rentalsPath+"/release", machinesWire{Machines: names}, nil)
 	return core.ScaledIn{Names: names, OK: status == http.StatusOK}
--- a/internal/cloud/recorded_test.go
+++ b/internal/cloud/recorded_test.go
@@ -13,18 +13,18 @@
 	"github.com/zinclb/zinclb/internal/httpwire"
 )
 
-// answered is an answer with a body.
+// answered returns a response with a status and a body.
 func answered(status int, body string) httpwire.Response {
 	return httpwire.Response{Status: status, Body: []byte(body)}
 }
 
 const (
-	wholeType    = `{"label":"g8","vcpus":96.5,"gpus":8,"mem_gb":768.25,"local_gb":900.5,"fetch_gb_per_s":1.25,"price":32.5,"market_price":12.5,"boot_s":90.5,"paddocks":["a","b"]}`
-	wholeListing = `{"name_id":"host-1","endpoint":"10.1.0.1:9000","breed":"g8","paddock":"a","borrowed":true,"status":"up","held_s":61.5}`
+	completeType    = `{"label":"g8","vcpus":96.5,"gpus":8,"mem_gb":768.25,"local_gb":900.5,"fetch_gb_per_s":1.25,"price":32.5,"market_price":12.5,"boot_s":90.5,"paddocks":["a","b"]}`
+	completeListing = `{"name_id":"host-1","endpoint":"10.1.0.1:9000","breed":"g8","paddock":"a","borrowed":true,"status":"up","held_s":61.5}`
 )
 
-// TestRecorded compares the requests of every call with their recorded form, and
-// what each answer is read as.
+// TestRecorded compares the requests of every call with the recorded ones, and the
+// decoded responses with the expected results. The case names are part of the recording.
 func TestRecorded(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr)
@@ -41,14 +41,14 @@
 		answers []httpwire.Response
 		want    any
 	}{
-		{"types", types, []httpwire.Response{answered(200, `{"breeds":[`+wholeType+`]}`)}, core.MachineTypesListed{Types: []fleet.Type{{
+		{"types", types, []httpwire.Response{answered(200, `{"breeds":[`+completeType+`]}`)}, core.MachineTypesListed{Types: []fleet.Type{{
 			Name: "g8", Cap: jobstate.Resources{CPU: 96500, GPU: 8000, Mem: 768250},
 			FetchRate: 1250, CacheMB: 900500, Price: 32.5, SpotPrice: 12.5, Boot: 90_500_000, Zones: []string{"a", "b"},
 		}}}},
 		{"types, refused", types, []httpwire.Response{answered(503, `{"error":"busy"}`)}, core.MachineTypesListed{Err: StatusError{503, `{"error":"busy"}`}}},
 		{
 			"list, two pages", list,
-			[]httpwire.Response{answered(200, `{"stokers":[`+wholeListing+`,{"name_id":"host 2&3"}],"truncated":true}`), answered(200, `{"stokers":[{"name_id":"host-4","status":"booting"}],"truncated":false}`)},
+			[]httpwire.Response{answered(200, `{"stokers":[`+completeListing+`,{"name_id":"host 2&3"}],"truncated":true}`), answered(200, `{"stokers":[{"name_id":"host-4","status":"booting"}],"truncated":false}`)},
 			core.MachinesListed{List: []core.CloudMachine{listing, {Name: "host 2&3"}, {Name: "host-4", Status: "booting"}}},
 		},
 		{"list, nothing", list, []httpwire.Response{answered(200, `{"stokers":[]}`)}, core.MachinesListed{}},
@@ -62,15 +62,15 @@
 		service.Note("%s:", tc.name)
 		service.Answer(tc.answers...)
 		if got := tc.call(); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s: read as %+v, want %+v", tc.name, got, tc.want)
+			t.Errorf("%s: got %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
 	golden.Compare(t, "testdata/requests.txt", service.Requests())
 }
 
-// TestRecordedFaults has what is said of a refusal and of an answer that can't be
-// read.
-func TestRecordedFaults(t *testing.T) {
+// TestErrorTexts checks the error texts for a refused call and for a response that
+// can't be decoded.
+func TestErrorTexts(t *testing.T) {
 	service := golden.NewService(t)
 	client := New(service.Addr)
 	defer client.Close()
@@ -86,7 +86,7 @@
 		err := client.ListTypes().Err
 		var refused interface{ Refused() bool }
 		if err == nil || err.Error() != tc.want || errors.As(err, &refused) != tc.refused {
-			t.Errorf("%d: %v, want %s", tc.answer.Status, err, tc.want)
+			t.Errorf("response with status %d: got error %v, want %s with refused %v", tc.answer.Status, err, tc.want, tc.refused)
 		}
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -28,7 +28,7 @@
 )
 
 // errNoPeer is returned for a controller that is not one of this controller's peers.
-var errNoPeer = errors.New("the leader is no peer")
+var errNoPeer = errors.New("controller is not a peer")
 
 // HandleRelayedHeartbeat passes a heartbeat that a peer relayed to the core and waits
 // for the reply.
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// leaseTimeout is how long a call about a lease may take.
+// leaseTimeout is the timeout of a call that grants, renews or revokes a lease.
 const leaseTimeout = time.Second
 
-var errNoLease = errors.New("no tenure")
+// errNoLease is returned if a response has no lease ID.
+var errNoLease = errors.New("field tenure is missing or 0")
 
-// leaseWire is a lease that was granted.
+// leaseWire is a granted lease on the wire.
 type leaseWire struct {
 	Lease uint64 `json:"tenure"`
 }
 
-// GrantLease opens a lease that expires unless it is renewed within ttl.
+// GrantLease requests a lease that expires unless it is renewed within ttl.
 func (c *Client) GrantLease(ttl time.Duration) (lease uint64, err error) {
 	request := []byte(`{"life_ms":` + strconv.FormatInt(ttl.Milliseconds(), 10) + `}`)
 	body, err := c.call(http.MethodPost, "/leases", request, leaseTimeout)
@@ -32,12 +33,12 @@
 		err = errNoLease
 	}
 	if err != nil {
-		return 0, fmt.Errorf("lease: bad answer %w", err)
+		return 0, fmt.Errorf("grant lease: invalid response: %w", err)
 	}
 	return granted.Lease, nil
 }
 
-// RenewLease renews a lease; expired says that it has ended.
+// RenewLease renews a lease. It reports expired if the lease does not exist any more.
 func (c *Client) RenewLease(lease uint64) (expired bool, err error) {
 	_, err = c.call(http.MethodPost, leaseTarget(lease)+"/touch", []byte("{}"), leaseTimeout)
 	if errors.Is(err, StatusError(http.StatusNotFound)) {
@@ -46,8 +47,8 @@
 	return false, err
 }
 
-// RevokeLease ends a lease. Whatever the service answers, the lease is not used any
-// more and expires at the latest, so only a call without an answer is an error.
+// RevokeLease ends a lease. The status of the response does not matter, because the
+// lease is no longer used and will expire; only a call without a response is an error.
 func (c *Client) RevokeLease(lease uint64) error {
 	_, err := c.http.Do(http.MethodDelete, leaseTarget(lease), nil, leaseTimeout)
 	return err
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -15,31 +15,33 @@
 const (
 	listTimeout = 5 * time.Second
 	getTimeout  = 1500 * time.Millisecond
-	// watchGrace is how long after the end of its wait a watch is given up.
+	// watchGrace is how much longer than its requested wait a watch may take before it
+	// times out.
 	watchGrace = 1500 * time.Millisecond
-	// listPageSize is how many keys a page of a list has at most.
+	// listPageSize is the maximum number of keys in a page of a list.
 	listPageSize = 500
 )
 
-var errNoRevision = errors.New("no stamp")
+// errNoRevision is returned if a key that was read has no revision.
+var errNoRevision = errors.New("field stamp is missing or 0")
 
-// rowWire is a key as it is stored.
+// rowWire is a stored key with its value on the wire.
 type rowWire struct {
 	Key      string          `json:"path"`
 	Value    json.RawMessage `json:"data"`
 	Revision uint64          `json:"stamp"`
 }
 
-// pageWire is a page of a list.
+// pageWire is a page of a list on the wire.
 type pageWire struct {
 	Rows     []rowWire `json:"rows"`
 	More     bool      `json:"truncated"`
 	Revision uint64    `json:"ledger"`
 }
 
-// List reads all keys of a prefix, page by page; pace is called before each. The
-// revision returned is that of the first page, so that watching from it misses
-// nothing.
+// List reads all keys with a prefix page by page and calls pace before each page. It
+// returns the revision of the first page, so that a watch from that revision misses no
+// change.
 func (c *Client) List(prefix string, pace func()) (rows []core.Change, revision uint64, err error) {
 	after := ""
 	for first := true; ; first = false {
@@ -61,7 +63,8 @@
 	}
 }
 
-// listPage reads the keys of a prefix that follow a key, "" for the first.
+// listPage reads the page of keys with a prefix that follows the key after; "" reads the
+// first page.
 func (c *Client) listPage(prefix, after string) (pageWire, error) {
 	target := "/kv?starts=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(listPageSize)
 	if after != "" {
@@ -78,7 +81,8 @@
 	return page, nil
 }
 
-// Get reads a key; a revision of 0 means that it does not exist.
+// Get reads a key. In the result, revision 0 without an error means that the key does
+// not exist.
 func (c *Client) Get(key string) core.KeyRead {
 	body, err := c.call(http.MethodGet, "/kv/"+key, nil, getTimeout)
 	read := core.KeyRead{Key: key}
@@ -103,8 +107,9 @@
 	return read
 }
 
-// absentAt is the revision that an answer about an absent key names, 0 if it can't be read:
-// that the key is absent is certain all the same.
+// absentAt returns the revision at which a key is absent, from the body of a 404
+// response. It returns 0 if the body can't be decoded; the key is absent in that case
+// too.
 func absentAt(body []byte) uint64 {
 	var answer struct {
 		Revision uint64 `json:"ledger"`
@@ -115,13 +120,14 @@
 	return answer.Revision
 }
 
-// changesWire is the answer of a watch.
+// changesWire is the response to a watch on the wire.
 type changesWire struct {
 	Revision uint64       `json:"ledger"`
 	Changes  []changeWire `json:"news"`
 }
 
-// changeWire is a key that was written or, with Delete, one that was deleted.
+// changeWire is a change of a key on the wire: Put is set if the key was written, Delete
+// if it was deleted.
 type changeWire struct {
 	Put      string          `json:"put"`
 	Value    json.RawMessage `json:"data"`
@@ -129,7 +135,7 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// toCore is the change as the core has it.
+// toCore converts the change to the core's representation.
 func (w changeWire) toCore() core.Change {
 	if w.Put == "" {
 		return core.Change{Key: w.Delete, Revision: w.Revision, Removed: true}
@@ -137,8 +143,9 @@
 	return core.Change{Key: w.Put, Value: w.Value, Revision: w.Revision}
 }
 
-// Watch reads the changes of a prefix after a revision, and waits for one if there is
-// none yet. Compacted says that the service no longer has all of them.
+// Watch reads the changes of keys with a prefix after a revision. If there is none yet,
+// it waits for one. In the result, Compacted means that the service no longer has all
+// these changes.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration) core.StateRead {
 	read := core.StateRead{AfterRevision: after}
 	target := "/watch?starts=" + url.QueryEscape(prefix) +
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,9 @@
-// Package store is the client of the state service: a key-value store with
-// revisions, transactions, leases and watches. The service's wire names stand only
-// here.
+// Package store is the client of the state service, a key-value store with revisions,
+// transactions, leases and watches. It is the only package that knows the names used by
+// the service's API.
 //
-// An error that is a StatusError says that the service has refused the call. Any
-// other one leaves open whether the call was executed.
+// A StatusError means that the service has refused the call. After any other error it is
+// unknown whether the call was executed.
 package store
 
 import (
@@ -17,32 +17,33 @@
 
 var _ core.Refusal = StatusError(0)
 
-// maxBody bounds the service's answers, in bytes: watches bring all changes at once.
+// maxBody is the maximum size of a response body, in bytes. It is large because a watch
+// returns all changes in one response.
 const maxBody = 16 << 20
 
-// Client calls the state service.
+// Client makes calls to the state service.
 type Client struct {
 	http *httpwire.Client
 }
 
-// New makes a client with at most conns connections.
+// New returns a client for the state service at addr with at most conns connections.
 func New(addr string, conns int) *Client {
 	return &Client{http: httpwire.NewClient(addr, conns, maxBody)}
 }
 
-// Close closes all connections. Calls under way and later ones fail.
+// Close closes all connections. Calls in progress and later ones fail.
 func (c *Client) Close() { c.http.Close() }
 
-// StatusError is the status of an answer other than those that a call expects.
+// StatusError is a response status that the call does not expect.
 type StatusError int
 
-// Refused says that the service has answered, so that it can be reached.
+// Refused reports true: the service has answered, so it can be reached.
 func (e StatusError) Refused() bool { return true }
 
 func (e StatusError) Error() string { return "state service answered " + strconv.Itoa(int(e)) }
 
-// call makes a call and returns the body of its answer. Any status but 200 is a
-// StatusError, which comes with the body too.
+// call makes a call and returns the response body. For any status but 200 it returns a
+// StatusError along with the body.
 func (c *Client) call(method, target string, body []byte, timeout time.Duration) ([]byte, error) {
 	m, err := c.http.Do(method, target, body, timeout)
 	if err != nil {
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -9,7 +9,8 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// transactionWire is a transaction: the writes are executed if every condition holds.
+// transactionWire is a transaction on the wire. The writes are executed if all
+// conditions hold.
 type transactionWire struct {
 	Conditions []conditionWire `json:"when"`
 	Writes     []writeWire     `json:"writes"`
@@ -27,13 +28,14 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// outcomeWire is the answer to a transaction.
+// outcomeWire is the response to a transaction on the wire.
 type outcomeWire struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
-// newTransaction is a transaction on the wire. A write without a value deletes.
+// newTransaction converts a transaction to its wire form. A write without a value
+// becomes a deletion.
 func newTransaction(t core.CommitTransaction) transactionWire {
 	var w transactionWire
 	for _, condition := range t.Conditions {
@@ -49,11 +51,11 @@
 	return w
 }
 
-// noAnswer stands for the status of an answer that did not come.
+// noAnswer is the status that stands for a missing response.
 const noAnswer = 0
 
-// Outcome is the outcome of a transaction that the state service answers with an HTTP
-// status; 0 stands for no answer.
+// Outcome returns the outcome of a transaction that the state service has answered with
+// an HTTP status; 0 means that there was no response.
 func Outcome(status int) kv.Outcome {
 	switch status {
 	case noAnswer:
@@ -72,7 +74,8 @@
 	return kv.Rejected
 }
 
-// Transact executes a transaction. Without a readable answer its outcome is kv.Unknown.
+// Transact executes a transaction. Its outcome is kv.Unknown if there is no response or
+// if the response can't be decoded.
 func (c *Client) Transact(t core.CommitTransaction, timeout time.Duration) core.TransactionResult {
 	body, err := json.Marshal(newTransaction(t))
 	if err != nil {
