--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// ErrPoolExhausted says that every connection of the pool is in use.
+// ErrPoolExhausted is returned if all connections of the pool are in use.
 var ErrPoolExhausted = errors.New("no free connection")
 
 const (
-	// maxDialTime is how long a connection may take to come about.
+	// maxDialTime is the timeout for establishing a connection.
 	maxDialTime = 2 * time.Second
-	// responseBuffer is the first size of the buffer that an answer is read into.
+	// responseBuffer is the initial size of the buffer for a response, in bytes.
 	responseBuffer = 4096
 )
 
-// Client talks to one address over a bounded pool of connections.
+// Client sends requests to one address over a bounded pool of connections.
 type Client struct {
 	addr    string
 	maxBody int
-	// idle has the connections that wait for a request, slots one element for each
-	// request under way.
+	// idle holds the idle connections. slots has one element for each request in
+	// progress.
 	idle  chan net.Conn
 	slots chan struct{}
 
-	// mu guards inUse, the connections with a request under way, and closed.
+	// mu guards closed and inUse, the connections with a request in progress.
 	mu     sync.Mutex
 	inUse  map[net.Conn]struct{}
 	closed bool
 }
 
-// NewClient makes a client with at most conns connections.
+// NewClient returns a client for addr with at most conns connections, which accepts
+// response bodies of up to maxBody bytes.
 func NewClient(addr string, conns, maxBody int) *Client {
 	return &Client{
 		addr:    addr,
@@ -46,8 +47,8 @@
 	}
 }
 
-// Do sends one request and waits for its answer, for timeout at most. An error
-// after the request was sent leaves open whether it was executed.
+// Do sends one request and waits for the response, at most for timeout. If it fails
+// after the request was sent, it is unknown whether the request was executed.
 func (c *Client) Do(method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	select {
 	case c.slots <- struct{}{}:
@@ -61,8 +62,8 @@
 		return nil, err
 	}
 	m, err := c.exchange(conn, method, target, body, deadline)
-	// The other side may have closed a connection while it was idle. Only a request
-	// that is safe to repeat is tried once more, over a new connection.
+	// The server may have closed the connection while it was idle. The request is
+	// retried once over a new connection if it is safe to repeat.
 	if err != nil && reused && method == http.MethodGet && !isTimeout(err) {
 		if conn, err = c.dial(deadline); err != nil {
 			return nil, err
@@ -75,7 +76,7 @@
 	return m, nil
 }
 
-// acquire takes an idle connection, or makes one if there is none.
+// acquire returns an idle connection, or a new one if there is none.
 func (c *Client) acquire(deadline time.Time) (conn net.Conn, reused bool, err error) {
 	select {
 	case conn = <-c.idle:
@@ -94,20 +95,21 @@
 	return conn, nil
 }
 
-// exchange makes one request over a connection, which it keeps for the next one or
-// closes.
+// exchange sends one request over a connection and reads the response. Afterwards it
+// returns the connection to the pool or closes it.
 func (c *Client) exchange(conn net.Conn, method, target string, body []byte, deadline time.Time) (*Message, error) {
-	if !c.begin(conn) {
+	if !c.markInUse(conn) {
 		closeConn(conn)
 		return nil, net.ErrClosed
 	}
 	m, err := roundTrip(conn, c.addr, method, target, body, deadline, c.maxBody)
-	c.end(conn, err == nil && !m.Close)
+	c.release(conn, err == nil && !m.Close)
 	return m, err
 }
 
-// begin notes that a connection is in use. It is false for a client that is closed.
-func (c *Client) begin(conn net.Conn) bool {
+// markInUse records that a connection is in use. It returns false if the client is
+// closed.
+func (c *Client) markInUse(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -117,8 +119,8 @@
 	return true
 }
 
-// end keeps a connection that can be used again, and closes any other.
-func (c *Client) end(conn net.Conn, usable bool) {
+// release returns a connection that is still usable to the pool, and closes any other.
+func (c *Client) release(conn net.Conn, usable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.inUse, conn)
@@ -132,7 +134,7 @@
 	closeConn(conn)
 }
 
-// Close closes all connections. Requests under way and later ones fail.
+// Close closes all connections. Requests in progress and later ones fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,8 +152,8 @@
 	}
 }
 
-// closeConn closes a connection that is given up. An error changes nothing for its
-// owner, and a connection that Close has closed meanwhile gives one.
+// closeConn closes a connection that is no longer used. An error is only logged, because
+// the caller can't act on it; it is expected if Close has already closed the connection.
 func closeConn(conn net.Conn) {
 	if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		slog.Debug("closing a connection failed", "addr", conn.RemoteAddr(), "error", err)
@@ -163,7 +165,7 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// roundTrip writes a request and reads the answer.
+// roundTrip writes a request and reads the response.
 func roundTrip(conn net.Conn, host, method, target string, body []byte, deadline time.Time, maxBody int) (*Message, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
--- a/internal/httpwire/client_test.go
+++ b/internal/httpwire/client_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestClientClose: Close ends a request under way, and later ones fail.
+// TestClientClose checks that Close ends a request in progress, that later requests fail,
+// and that a request beyond the maximum number of connections is refused.
 func TestClientClose(t *testing.T) {
 	received := make(chan struct{})
 	addr := serve(t, &Server{
@@ -16,20 +17,20 @@
 		Handle:   func(*Message, func(Response)) { close(received) }, // never answers
 	})
 	client := NewClient(addr, 1, 1000)
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := client.Do(http.MethodGet, "/", nil, time.Minute)
-		ended <- err
+		result <- err
 	}()
 	<-received
 	if _, err := client.Do(http.MethodGet, "/", nil, time.Minute); !errors.Is(err, ErrPoolExhausted) {
-		t.Errorf("beyond the bound: %v", err)
+		t.Errorf("request beyond the maximum: got error %v, want %v", err, ErrPoolExhausted)
 	}
 	client.Close()
-	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("under way: %v", err)
+	if err := <-result; !errors.Is(err, net.ErrClosed) {
+		t.Errorf("request in progress during Close: got error %v, want %v", err, net.ErrClosed)
 	}
 	if _, err := client.Do(http.MethodGet, "/", nil, time.Minute); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("later: %v", err)
+		t.Errorf("request after Close: got error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -1,4 +1,4 @@
-// Package httpwire speaks HTTP/1.1: one parser for both directions, a server
+// Package httpwire implements HTTP/1.1: a parser for requests and responses, a server
 // on evio's event loop, and a client with a bounded pool of connections.
 package httpwire
 
@@ -12,27 +12,27 @@
 	"strings"
 )
 
-// Limits of what the parser takes before it gives up on a peer.
+// Limits of the parser for one message.
 const (
 	MaxHeadBytes = 16 << 10
 	MaxHeaders   = 100
-	// maxChunkLine bounds the line before a chunk.
+	// maxChunkLine is the maximum length of the line before a chunk, in bytes.
 	maxChunkLine = 1024
 )
 
-// Ends of a line and of a message's head.
+// Terminators of a line and of a message's head.
 const (
 	lineEnd = "\r\n"
 	headEnd = lineEnd + lineEnd
 )
 
-// Statuses that a response may have.
+// Range of valid response statuses.
 const (
 	minStatus = 100
 	maxStatus = 599
 )
 
-// Faults that the server answers with a status of their own.
+// Parse errors. The server answers each with its own status.
 var (
 	ErrMalformed = errors.New("malformed http message")
 	ErrTooLarge  = errors.New("http body too large")
@@ -49,11 +49,12 @@
 	Status  int
 	Headers []Header
 	Body    []byte
-	// Close says that the connection ends after this message.
+	// Close means that the connection is closed after this message.
 	Close bool
 }
 
-// Get returns the first header of the (lower case) name.
+// Get returns the value of the first header with the name, which must be in lower case,
+// or "" if there is none.
 func (m *Message) Get(name string) string {
 	for _, h := range m.Headers {
 		if h.Name == name {
@@ -63,13 +64,13 @@
 	return ""
 }
 
-// ParseRequest reads one request from the start of buf. It returns how many
-// bytes it took, or 0 if the request is not complete yet.
+// ParseRequest parses one request at the start of buf. It returns the length of the
+// request in bytes, or 0 if the request is not complete yet.
 func ParseRequest(buf []byte, maxBody int) (*Message, int, error) {
 	return parse(buf, maxBody, false)
 }
 
-// ParseResponse is ParseRequest for answers.
+// ParseResponse parses one response like ParseRequest parses a request.
 func ParseResponse(buf []byte, maxBody int) (*Message, int, error) {
 	return parse(buf, maxBody, true)
 }
@@ -96,14 +97,15 @@
 	return m, bodyStart + bodyLength, nil
 }
 
-// framing is how a head says where its body ends. A message without either has none.
+// framing describes how the end of the body is determined: by its length or by chunked
+// encoding. A message with neither has no body.
 type framing struct {
 	hasLength bool
 	length    int
 	chunked   bool
 }
 
-// parseHead reads the start line and the headers.
+// parseHead parses the start line and the headers into m.
 func parseHead(m *Message, head string, response bool) (framing, error) {
 	var f framing
 	line, rest, _ := strings.Cut(head, lineEnd)
@@ -120,19 +122,20 @@
 		}
 		header := Header{Name: strings.ToLower(name), Value: strings.Trim(value, " \t")}
 		m.Headers = append(m.Headers, header)
-		if err := f.note(m, header); err != nil {
+		if err := f.applyHeader(m, header); err != nil {
 			return f, err
 		}
 	}
 	if f.chunked && f.hasLength {
-		// Two lengths for one body are how requests get smuggled.
+		// A body with two lengths allows request smuggling.
 		return f, fmt.Errorf("%w: both length and chunks", ErrMalformed)
 	}
 	return f, nil
 }
 
-// note takes what a header says of the body's end and of the connection's.
-func (f *framing) note(m *Message, header Header) error {
+// applyHeader evaluates a header that determines the end of the body or that closes the
+// connection. It ignores other headers.
+func (f *framing) applyHeader(m *Message, header Header) error {
 	switch header.Name {
 	case "content-length":
 		length, err := strconv.ParseUint(header.Value, 10, 31)
@@ -153,8 +156,8 @@
 	return nil
 }
 
-// parseBody reads the body from what follows the head. It returns how many bytes it
-// took, and whether the body is complete.
+// parseBody parses the body from the bytes after the head. It returns the body's length
+// on the wire in bytes and whether the body is complete.
 func (f *framing) parseBody(buf []byte, maxBody int) (body []byte, length int, complete bool, err error) {
 	switch {
 	case f.chunked:
@@ -202,7 +205,8 @@
 	return version, nil
 }
 
-// parseChunks decodes a chunked body; n is 0 while it is incomplete.
+// parseChunks decodes a chunked body. It returns the body's length on the wire in bytes,
+// or 0 if the body is not complete yet.
 func parseChunks(buf []byte, maxBody int) (body []byte, n int, err error) {
 	for {
 		eol := bytes.Index(buf[n:], []byte(lineEnd))
@@ -236,7 +240,8 @@
 	}
 }
 
-// parseTrailer skips the headers after the last chunk.
+// parseTrailer skips the headers after the last chunk, from position n on. It returns
+// the body and the position after the trailer, or 0 if the trailer is not complete yet.
 func parseTrailer(buf, body []byte, n int) ([]byte, int, error) {
 	for {
 		eol := bytes.Index(buf[n:], []byte(lineEnd))
@@ -252,7 +257,7 @@
 	}
 }
 
-// AppendRequest writes a request.
+// AppendRequest appends an encoded request to b.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -267,19 +272,21 @@
 	return append(b, body...)
 }
 
-// Response is what a handler answers. RetryAfter is in seconds, 0 for none.
+// Response is a handler's response.
 type Response struct {
-	Status     int
-	Body       []byte
+	Status int
+	Body   []byte
+	// RetryAfter is the value of the Retry-After header in seconds, or 0 for no header.
 	RetryAfter int
 	Allow      string
-	// ContentType is JSON's if it is empty.
+	// ContentType defaults to application/json if it is empty.
 	ContentType string
 	Close       bool
 }
 
-// reason is the reason phrase of a status, "" for one that no handler answers with.
-func reason(status int) string {
+// reasonPhrase returns the reason phrase of a status, or "" for a status that no handler
+// uses.
+func reasonPhrase(status int) string {
 	switch status {
 	case http.StatusOK:
 		return "OK"
@@ -306,12 +313,12 @@
 	}
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends an encoded response to b.
 func AppendResponse(b []byte, r Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reason(r.Status)...)
+	b = append(b, reasonPhrase(r.Status)...)
 	b = append(b, "\r\nContent-Type: "...)
 	b = append(b, cmp.Or(r.ContentType, "application/json")...)
 	b = append(b, "\r\nContent-Length: "...)
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -13,21 +13,22 @@
 	"github.com/tidwall/evio"
 )
 
-// Handler takes a request and calls reply once, from any goroutine.
+// Handler handles a request. It calls reply once, from any goroutine.
 type Handler func(m *Message, reply func(Response))
 
-// Server answers HTTP on one address from evio's loop.
+// Server serves HTTP on one address from evio's event loop.
 type Server struct {
 	Addr    string
 	Handle  Handler
 	MaxBody int
-	// MaxConns bounds the connections; more are closed unanswered. Shortly below
-	// the bound answers end their connections, see scarce.
+	// MaxConns is the maximum number of connections. Connections beyond it are closed
+	// without a response. When the number is close to it, each response closes its
+	// connection, see nearlyFull.
 	MaxConns int
-	// ReadTimeout ends connections whose request stays incomplete, and
-	// IdleTimeout those that ask nothing.
+	// ReadTimeout is the time after which a connection with an incomplete request is
+	// closed, and IdleTimeout that for a connection without a request.
 	ReadTimeout, IdleTimeout time.Duration
-	// Serving, if set, is called when connections are taken.
+	// Serving, if set, is called when the server starts to accept connections.
 	Serving func()
 
 	conns atomic.Int64
@@ -36,28 +37,30 @@
 }
 
 const (
-	// scarceEighths is from how many eighths of MaxConns on connections are scarce.
-	scarceEighths = 7
-	// scarceIdleTimeout is IdleTimeout while they are: longer than the pause
-	// between a worker's heartbeats, so that a request rarely meets the close.
-	scarceIdleTimeout = 15 * time.Second
-	// timeoutCheckInterval is how often connections are checked for timeouts, and
-	// whether the server is to stop.
+	// nearlyFullEighths is the number of eighths of MaxConns above which the server is
+	// nearly full.
+	nearlyFullEighths = 7
+	// nearlyFullIdleTimeout is the idle timeout while the server is nearly full. It is
+	// longer than the pause between a worker's heartbeats, so that a request is rarely
+	// sent on a connection that is just being closed.
+	nearlyFullIdleTimeout = 15 * time.Second
+	// timeoutCheckInterval is the interval of the checks whether connections have timed
+	// out and whether the server has to stop.
 	timeoutCheckInterval = time.Second
-	// restartPause is how long to wait before a listener that failed is opened again.
+	// restartPause is the pause before a failed listener is reopened.
 	restartPause = time.Second
-	// tickerEndPause is how long evio's ticker sleeps before it finds out that its
+	// tickerEndPause is how long evio's ticker sleeps before it detects that its event
 	// loop has ended.
 	tickerEndPause = 50 * time.Millisecond
 )
 
-// scarce says that few connections are left. There may be more clients than
-// connections, each with a request now and then: then an answer ends its
-// connection, and the room goes to whoever connects next.
-func (s *Server) scarce() bool { return s.conns.Load() > int64(s.MaxConns)*scarceEighths/8 }
+// nearlyFull reports whether few connections are left. There may be more clients than
+// connections, each with an occasional request. While the server is nearly full, each
+// response closes its connection, so that other clients can connect.
+func (s *Server) nearlyFull() bool { return s.conns.Load() > int64(s.MaxConns)*nearlyFullEighths/8 }
 
-// conn is the state of one connection. The loop owns all but what mu guards:
-// replies come from other goroutines.
+// conn is the state of one connection. The event loop owns all fields but those that mu
+// guards, which are set by replies from other goroutines.
 type conn struct {
 	buf          []byte
 	busy         bool
@@ -66,21 +69,21 @@
 
 	mu               sync.Mutex
 	output           []byte
-	closeAfterOutput bool // the connection ends after output
+	closeAfterOutput bool // close the connection after output is written
 }
 
-// Serve answers until the context ends, and returns its error. Before that it
-// returns only if listening fails. evio ends its loop on an accept error other than
-// EAGAIN (an aborted connection, no free descriptor); a controller must not end for
-// that, so the loop is started again. MaxConns keeps descriptors from running out in
-// the first place.
+// Serve serves until the context ends, and returns the context's error. It returns
+// earlier only if the first attempt to listen fails. evio ends its event loop on an
+// accept error other than EAGAIN, such as an aborted connection or a lack of file
+// descriptors. A controller must not stop because of that, so the loop is restarted.
+// MaxConns prevents the descriptors from running out in the first place.
 func (s *Server) Serve(ctx context.Context) error {
 	for restart := 0; ; restart++ {
 		err := s.serveOnce(ctx)
 		switch {
 		case ctx.Err() != nil:
-			// The ticker writes to a descriptor that is closed by now: its number
-			// must not be used again before that.
+			// evio's ticker still writes to a descriptor that is already closed. Wait
+			// for it, so that the descriptor's number is not reused before that write.
 			time.Sleep(2 * tickerEndPause)
 			return ctx.Err()
 		case err == nil:
@@ -97,7 +100,7 @@
 	}
 }
 
-// serveOnce runs evio's loop until that ends.
+// serveOnce runs evio's event loop until it ends.
 func (s *Server) serveOnce(ctx context.Context) error {
 	s.mu.Lock()
 	s.open = make(map[evio.Conn]*conn)
@@ -144,7 +147,7 @@
 	return evio.None
 }
 
-// wakeExpired wakes connections that are past their time, so that onData closes them.
+// wakeExpired wakes the connections that have timed out, so that onData closes them.
 func (s *Server) wakeExpired() {
 	now := time.Now()
 	s.mu.Lock()
@@ -156,7 +159,8 @@
 	}
 }
 
-// expired says that a connection has sent nothing, or no whole request, for too long.
+// expired reports whether a connection without a request in progress has timed out: it
+// has been idle, or its request has been incomplete, for too long.
 func (s *Server) expired(state *conn, now time.Time) bool {
 	if state.busy {
 		return false
@@ -165,13 +169,13 @@
 	switch {
 	case len(state.buf) > 0:
 		limit = s.ReadTimeout
-	case s.scarce():
-		limit = min(limit, scarceIdleTimeout)
+	case s.nearlyFull():
+		limit = min(limit, nearlyFullIdleTimeout)
 	}
 	return now.Sub(state.requestStart) > limit
 }
 
-// onData is called with input, or with nil after Wake.
+// onData handles input from a connection. After Wake it is called with nil.
 func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
 	state, ok := c.Context().(*conn)
 	switch {
@@ -180,8 +184,8 @@
 	case in == nil:
 		return s.onWake(state)
 	case state.busy:
-		// Pipelining does not occur on this interface, and evio would
-		// overwrite a half-written answer with the next one.
+		// Clients of this interface do not pipeline requests, and evio would overwrite a
+		// partly written response with the next one.
 		state.closing = true
 		return nil, evio.Close
 	}
@@ -192,7 +196,7 @@
 	m, length, err := ParseRequest(state.buf, s.MaxBody)
 	if err != nil {
 		state.closing = true
-		return AppendResponse(nil, faultResponse(err)), evio.Close
+		return AppendResponse(nil, errorResponse(err)), evio.Close
 	}
 	if length == 0 {
 		return nil, evio.None
@@ -204,8 +208,8 @@
 	return nil, evio.None
 }
 
-// onWake writes the answer that a handler has given, or closes a connection that is
-// past its time.
+// onWake writes the response of a handler if there is one. Otherwise it closes the
+// connection if it has timed out.
 func (s *Server) onWake(state *conn) ([]byte, evio.Action) {
 	state.mu.Lock()
 	out := state.output
@@ -226,13 +230,13 @@
 	return out, evio.None
 }
 
-// replier is the function by which a handler answers a request. Only its first call
-// counts.
+// replier returns the function with which a handler answers a request. Only the first
+// call of that function has an effect.
 func (s *Server) replier(c evio.Conn, state *conn, closeAfter bool) func(Response) {
 	var once sync.Once
 	return func(r Response) {
 		once.Do(func() {
-			r.Close = r.Close || closeAfter || s.scarce()
+			r.Close = r.Close || closeAfter || s.nearlyFull()
 			output := AppendResponse(nil, r)
 			state.mu.Lock()
 			state.output, state.closeAfterOutput = output, r.Close
@@ -242,8 +246,8 @@
 	}
 }
 
-// faultResponse is the answer to a request that can't be read.
-func faultResponse(err error) Response {
+// errorResponse returns the response to a request that can't be parsed.
+func errorResponse(err error) Response {
 	if errors.Is(err, ErrTooLarge) {
 		return Response{
 			Status: http.StatusRequestEntityTooLarge,
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// serve starts a server on a port of its own.
+// serve starts a server on a free port and stops it at the end of the test.
 func serve(t *testing.T, s *Server) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,45 +33,47 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-served; !errors.Is(err, context.Canceled) {
-			t.Errorf("served: %v", err)
+			t.Errorf("Serve: got error %v, want %v", err, context.Canceled)
 		}
 	})
 	<-serving
 	return addr
 }
 
-// reporter is a worker that keeps its connection while the server does. Unlike
-// Client it connects without a deadline, so that a busy machine fails no test.
-type reporter struct{ conn net.Conn }
+// worker sends heartbeats and keeps its connection until the server closes it. Unlike
+// Client it connects without a deadline, so that tests do not fail on a busy machine.
+type worker struct{ conn net.Conn }
 
-// report sends one heartbeat, and says whether the answer ended the connection.
-func (r *reporter) report(t *testing.T, addr string) (ended bool, err error) {
+// sendHeartbeat sends one heartbeat. It reports whether the response closed the
+// connection.
+func (w *worker) sendHeartbeat(t *testing.T, addr string) (closed bool, err error) {
 	t.Helper()
-	if r.conn == nil {
-		if r.conn, err = net.Dial("tcp", addr); err != nil {
+	if w.conn == nil {
+		if w.conn, err = net.Dial("tcp", addr); err != nil {
 			return false, err
 		}
-		conn := r.conn
+		conn := w.conn
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	m, err := roundTrip(r.conn, addr, "POST", "/", []byte("report"), time.Now().Add(time.Minute), 1000)
+	m, err := roundTrip(w.conn, addr, "POST", "/", []byte("report"), time.Now().Add(time.Minute), 1000)
 	if err != nil {
 		return false, err
 	}
 	if m.Status != 200 || string(m.Body) != "report" {
-		return false, fmt.Errorf("answered %d %q", m.Status, m.Body)
+		return false, fmt.Errorf("got status %d and body %q, want status 200 and body \"report\"", m.Status, m.Body)
 	}
 	if m.Close {
-		_ = r.conn.Close()
-		r.conn = nil
+		_ = w.conn.Close()
+		w.conn = nil
 	}
 	return m.Close, nil
 }
 
-// TestScarce: more workers than connections send heartbeats in turn. Each is answered at its
-// first try, and as long as connections are not scarce they are kept.
-func TestScarce(t *testing.T) {
-	const rounds, atOnce = 2, 32
+// TestNearlyFull lets workers send heartbeats in turn, in some cases more workers than the
+// server has connections. It checks that each heartbeat is answered at the first attempt,
+// and that the server closes connections only while it is nearly full.
+func TestNearlyFull(t *testing.T) {
+	const rounds, concurrency = 2, 32
 	cases := []struct {
 		name           string
 		conns, workers int
@@ -87,16 +89,16 @@
 			addr := serve(t, s)
 			var closed atomic.Int64
 			var wg sync.WaitGroup
-			for k := range atOnce {
+			for k := range concurrency {
 				wg.Go(func() {
-					workers := make([]reporter, tc.workers/atOnce)
+					workers := make([]worker, tc.workers/concurrency)
 					for i := range rounds * len(workers) {
-						ended, err := workers[i%len(workers)].report(t, addr)
+						connClosed, err := workers[i%len(workers)].sendHeartbeat(t, addr)
 						if err != nil {
-							t.Errorf("report %d of group %d: %v", i, k, err)
+							t.Errorf("heartbeat %d of group %d failed: %v", i, k, err)
 							return
 						}
-						if ended {
+						if connClosed {
 							closed.Add(1)
 						}
 					}
@@ -104,13 +106,14 @@
 			}
 			wg.Wait()
 			if (closed.Load() > 0) != tc.closes || s.conns.Load() > int64(tc.conns) {
-				t.Errorf("%d of %d connections are open, %d were closed", s.conns.Load(), tc.conns, closed.Load())
+				t.Errorf("got %d open connections and %d closed ones, want at most %d open and any closed: %v", s.conns.Load(), closed.Load(), tc.conns, tc.closes)
 			}
 		})
 	}
 }
 
-// TestExpired: a connection that asks nothing is closed sooner while they are scarce.
+// TestExpired checks the timeouts of connections: an idle one times out earlier while the
+// server is nearly full, and one with a request in progress never does.
 func TestExpired(t *testing.T) {
 	s := &Server{MaxConns: 80, ReadTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
 	now := time.Now()
@@ -132,13 +135,14 @@
 		s.conns.Store(tc.conns)
 		tc.st.requestStart = now.Add(-tc.idle)
 		if got := s.expired(&tc.st, now); got != tc.want {
-			t.Errorf("%d connections, idle for %v: %v", tc.conns, tc.idle, got)
+			t.Errorf("%d connections, idle for %v: got expired %v, want %v", tc.conns, tc.idle, got, tc.want)
 		}
 	}
 }
 
-// TestServerAndClient speaks over a real loopback connection: answers from
-// another goroutine, a large answer, a request in pieces, and pipelining.
+// TestServerAndClient checks a server over real loopback connections: responses from
+// another goroutine, a large response, a request body that is too large, a request sent
+// in pieces, pipelining and a malformed request.
 func TestServerAndClient(t *testing.T) {
 	big := strings.Repeat("b", 3<<20)
 	addr := serve(t, &Server{
@@ -150,7 +154,7 @@
 					return
 				}
 				reply(Response{Status: 200, Body: m.Body})
-				reply(Response{Status: 500}) // a second answer is dropped
+				reply(Response{Status: 500}) // a second reply is ignored
 			}()
 		},
 	})
@@ -158,13 +162,13 @@
 	defer c.Close()
 	m, err := c.Do("POST", "/", []byte("hello"), 10*time.Second)
 	if err != nil || string(m.Body) != "hello" {
-		t.Fatalf("got %v, %v", m, err)
+		t.Fatalf("echo: got response %v, error %v, want body \"hello\"", m, err)
 	}
 	if m, err = c.Do("GET", "/big", nil, 20*time.Second); err != nil || string(m.Body) != big {
-		t.Fatalf("large answer: %v", err)
+		t.Fatalf("large response: got error %v or a wrong body, want %d bytes", err, len(big))
 	}
 	if m, err = c.Do("POST", "/", []byte(strings.Repeat("x", 2000)), 10*time.Second); err != nil || m.Status != 413 || !m.Close {
-		t.Fatalf("too large: %+v, %v", m, err)
+		t.Fatalf("request body too large: got response %+v, error %v, want status 413 and a closed connection", m, err)
 	}
 	raw := func(parts ...string) string {
 		conn, err := net.Dial("tcp", addr)
@@ -182,15 +186,15 @@
 		return string(b)
 	}
 	if got := raw("POST / HTTP/1.1\r\nConnection: close\r\nCont", "ent-Length: 4\r\n\r\nab", "cd"); !strings.HasSuffix(got, "\r\n\r\nabcd") {
-		t.Errorf("in pieces: %q", got)
+		t.Errorf("request in pieces: got %q, want body \"abcd\"", got)
 	}
-	// A second request behind the first is not answered: the connection
-	// ends after the first answer.
+	// A pipelined second request is not answered: the server closes the connection
+	// after the first response.
 	two := "GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n"
 	if got := raw(two); strings.Count(got, "HTTP/1.1 200") != 1 {
-		t.Errorf("pipelined: %q", got)
+		t.Errorf("pipelined requests: got %q, want one response with status 200", got)
 	}
 	if got := raw("nonsense\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
-		t.Errorf("nonsense: %q", got)
+		t.Errorf("malformed request: got %q, want status 400", got)
 	}
 }
