--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,38 +12,39 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// Client calls one peer. net/rpc has no deadlines of its own: a call that is
-// late is given up, and drops the connection if no other call has been
-// answered on it meanwhile. One late answer must not take the others along,
-// as hundreds of relayed heartbeats wait on one connection.
+// Client makes calls to one peer. As net/rpc has no deadlines, the client itself gives
+// up a call after its timeout. It then drops the connection only if no other call has
+// been answered on it since the call started: hundreds of relayed heartbeats may wait
+// on one connection, and a single late response must not make them all fail.
 type Client struct {
 	addr string
-	// slots has one element for each call under way.
+	// slots has one element for each call in progress.
 	slots chan struct{}
 
 	mu     sync.Mutex
 	closed bool
 	// rpcClient is nil while there is no connection.
 	rpcClient *rpc.Client
-	// answeredAt is when the connection last brought an answer.
+	// answeredAt is the time of the last response on the connection.
 	answeredAt time.Time
 }
 
-// NewClient makes a client for a peer's address that has at most calls under
-// way. A relayed heartbeat is one for as long as the leader holds its answer, so
-// the bound has to be as large as the machines that one controller serves.
-func NewClient(addr string, calls int) *Client {
-	return &Client{addr: addr, slots: make(chan struct{}, calls)}
+// NewClient returns a client for the peer at addr with at most maxCalls calls in
+// progress. A relayed heartbeat is in progress for as long as the leader delays its
+// response, so maxCalls has to be at least the number of machines that one controller
+// serves.
+func NewClient(addr string, maxCalls int) *Client {
+	return &Client{addr: addr, slots: make(chan struct{}, maxCalls)}
 }
 
-// maxDialTime is how long a connection may take to come about.
+// maxDialTime is the timeout for establishing a connection.
 const maxDialTime = time.Second
 
-// minSilence is how long a connection has to be silent to be given up. A call that
-// waits for less says nothing of the others on it.
+// minSilence is the minimum timeout of a call that may drop the connection. If a call
+// with a shorter timeout is not answered, the connection may still work for other calls.
 const minSilence = time.Second
 
-// connection is the connection to the peer, which is made if there is none.
+// connection returns the connection to the peer. It establishes one if there is none.
 func (c *Client) connection(timeout time.Duration) (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,21 +62,21 @@
 	return c.rpcClient, nil
 }
 
-// recordAnswer notes that the connection has brought an answer.
+// recordAnswer records that a response has arrived on the connection.
 func (c *Client) recordAnswer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answeredAt = time.Now()
 }
 
-// silentSince says that no answer has come since a time.
+// silentSince reports whether no response has arrived since the given time.
 func (c *Client) silentSince(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answeredAt.Before(since)
 }
 
-// drop closes a connection; the next call makes another.
+// drop closes a connection. The next call establishes a new one.
 func (c *Client) drop(connection *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +86,7 @@
 	closeLogged(connection)
 }
 
-// Close closes the connection. Calls under way and later ones fail.
+// Close closes the connection. Calls in progress and later ones fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,13 +96,14 @@
 	}
 }
 
-// PingAnswer is the name of the controller that answered a ping, and its status.
+// PingAnswer is the response to a ping: the name and status of the controller that
+// answered.
 type PingAnswer struct {
 	Name   string
 	Status core.PeerStatus
 }
 
-// Ping asks whether the peer is there. The ping's number is not sent.
+// Ping requests the peer's name and status. The ping's request ID is not sent.
 func (c *Client) Ping(ping core.PingReceived, timeout time.Duration) (PingAnswer, error) {
 	var reply wire.PingReply
 	if err := c.call("Ping", wire.NewPing(ping), &reply, timeout); err != nil {
@@ -110,17 +112,18 @@
 	return PingAnswer{Name: reply.Name, Status: reply.Core()}, nil
 }
 
-// RelayHeartbeat relays a worker's heartbeat. Its number is not sent.
+// RelayHeartbeat relays a worker's heartbeat to the peer. The heartbeat's request ID is
+// not sent.
 func (c *Client) RelayHeartbeat(heartbeat core.HeartbeatReceived, timeout time.Duration) (core.Reply, error) {
 	return c.callForReply("Beat", wire.NewHeartbeat(heartbeat), timeout)
 }
 
-// Ask forwards a request of the core: a core.ForwardedSweep, or one that Numbered
-// knows.
+// Ask forwards a request to the peer: a core.ForwardedSweep or one of the types that
+// Numbered supports.
 func (c *Client) Ask(request any, timeout time.Duration) (core.Reply, error) {
 	args, ok := wire.NewRequest(request)
 	if !ok {
-		return core.Reply{}, fmt.Errorf("%T is not forwarded: %w", request, ErrEmptyRequest)
+		return core.Reply{}, fmt.Errorf("request type %T can't be forwarded: %w", request, ErrEmptyRequest)
 	}
 	return c.callForReply("Ask", args, timeout)
 }
@@ -133,11 +136,11 @@
 	return reply.Core(), nil
 }
 
-// call makes one call with a deadline. After an error reply must not be read: a late
-// answer may still be written to it.
+// call makes one call with a timeout. If it returns an error, the caller must not read
+// reply, because a late response may still be written to it.
 func (c *Client) call(method string, args, reply any, timeout time.Duration) error {
 	if err := c.callOnce(method, args, reply, timeout); err != nil {
-		return fmt.Errorf("%s of the peer at %s: %w", method, c.addr, err)
+		return fmt.Errorf("call %s on peer %s: %w", method, c.addr, err)
 	}
 	return nil
 }
@@ -168,7 +171,9 @@
 	}
 }
 
-// finish notes how a call ended: an answer, be it an error, proves the connection.
+// finish handles the end of a call and returns its error. A response proves that the
+// connection works, even if it is an error of the peer; after any other error the
+// connection is dropped.
 func (c *Client) finish(connection *rpc.Client, err error) error {
 	var answered rpc.ServerError
 	switch {
@@ -177,7 +182,7 @@
 		return nil
 	case errors.As(err, &answered):
 		c.recordAnswer()
-		return fromText(answered)
+		return sentinelFor(answered)
 	default:
 		c.drop(connection)
 		return err
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -13,59 +13,66 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// patience is how long a call of a test may take that ought to be answered.
-const patience = 10 * time.Second
+// callTimeout is the timeout of calls that a test expects to be answered.
+const callTimeout = 10 * time.Second
 
-// recorder is a Handler that answers each call alike and passes on what it was given.
-type recorder struct {
-	given  chan any
-	answer core.Reply
-	err    error
-	// entered, if set, learns of a call before given takes it.
+// recordingHandler is a Handler that answers all calls with the same reply and sends
+// each message it receives to a channel.
+type recordingHandler struct {
+	received chan any
+	answer   core.Reply
+	err      error
+	// entered, if set, is sent a value for each call before its message is sent to
+	// received.
 	entered chan struct{}
 }
 
-func (r *recorder) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
-	return r.take(heartbeat)
+func (r *recordingHandler) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
+	return r.handle(heartbeat)
 }
-func (r *recorder) HandlePing(ping core.PingReceived) (core.Reply, error) { return r.take(ping) }
-func (r *recorder) HandleRequest(request any) (core.Reply, error)         { return r.take(request) }
 
-func (r *recorder) take(message any) (core.Reply, error) {
+func (r *recordingHandler) HandlePing(ping core.PingReceived) (core.Reply, error) {
+	return r.handle(ping)
+}
+func (r *recordingHandler) HandleRequest(request any) (core.Reply, error) { return r.handle(request) }
+
+func (r *recordingHandler) handle(message any) (core.Reply, error) {
 	if r.entered != nil {
 		r.entered <- struct{}{}
 	}
-	r.given <- message
+	r.received <- message
 	return r.answer, r.err
 }
 
-// serving serves a handler and returns its address.
-func serving(t *testing.T, h Handler) string {
+// startServer starts a server for a handler and returns its address. At the end of the
+// test it stops the server.
+func startServer(t *testing.T, h Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, l, "node-1", h, 4) }()
+	result := make(chan error, 1)
+	go func() { result <- serve(ctx, l, "node-1", h, 4) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("serving ended by %v", err)
+		if err := <-result; !errors.Is(err, context.Canceled) {
+			t.Errorf("serve: got error %v, want %v", err, context.Canceled)
 		}
 		if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
 			closeLogged(conn)
-			t.Error("still listening")
+			t.Error("server still accepts connections after it was stopped")
 		}
 	})
 	return l.Addr().String()
 }
 
-// TestCalls has each complete message arrive as it was sent.
+// TestCalls checks that each message, with all fields set, arrives as it was sent, and
+// that its reply does too.
 func TestCalls(t *testing.T) {
-	h := &recorder{given: make(chan any, 1)}
-	client := NewClient(serving(t, h), 1)
+	h := &recordingHandler{received: make(chan any, 1)}
+	client := NewClient(startServer(t, h), 1)
 	defer client.Close()
 	for name, message := range completeMessages() {
 		want := message
@@ -73,113 +80,113 @@
 		var err error
 		switch m := message.(type) {
 		case wire.AskArgs:
-			continue // no message of the core's
+			continue // not a message of the core
 		case core.Reply:
 			want = core.QueryJob{ID: "job-01"}
 			h.answer = m
-			answered, err = client.Ask(want, patience)
+			answered, err = client.Ask(want, callTimeout)
 		case PingAnswer:
 			want = core.PingReceived{From: "node-0"}
 			h.answer = core.Reply{PeerStatus: &m.Status}
 			var answer PingAnswer
-			answer, err = client.Ping(core.PingReceived{From: "node-0"}, patience)
+			answer, err = client.Ping(core.PingReceived{From: "node-0"}, callTimeout)
 			if !reflect.DeepEqual(answer, m) {
-				t.Errorf("%s: answered %+v", name, answer)
+				t.Errorf("%s: got answer %+v, want %+v", name, answer, m)
 			}
 			answered = h.answer
 		case core.PingReceived:
 			h.answer = core.Reply{PeerStatus: &core.PeerStatus{}}
-			_, err = client.Ping(m, patience)
+			_, err = client.Ping(m, callTimeout)
 			answered = h.answer
 		case core.HeartbeatReceived:
-			answered, err = client.RelayHeartbeat(m, patience)
+			answered, err = client.RelayHeartbeat(m, callTimeout)
 		default:
-			answered, err = client.Ask(m, patience)
+			answered, err = client.Ask(m, callTimeout)
 		}
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: call failed: %v", name, err)
 		}
-		if given := <-h.given; !reflect.DeepEqual(given, want) {
-			t.Errorf("%s: arrived as %+v", name, given)
+		if received := <-h.received; !reflect.DeepEqual(received, want) {
+			t.Errorf("%s: received %+v, want %+v", name, received, want)
 		}
 		if !reflect.DeepEqual(answered, any(h.answer)) {
-			t.Errorf("%s: answered %+v, not %+v", name, answered, h.answer)
+			t.Errorf("%s: got answer %+v, want %+v", name, answered, h.answer)
 		}
 	}
 }
 
-// TestErrors has the errors of calls be found by errors.Is and errors.As.
+// TestErrors checks that errors of calls are found by errors.Is and errors.As.
 func TestErrors(t *testing.T) {
-	h := &recorder{given: make(chan any)}
-	client := NewClient(serving(t, h), 1)
+	h := &recordingHandler{received: make(chan any)}
+	client := NewClient(startServer(t, h), 1)
 	defer client.Close()
-	t.Run("not forwarded", func(t *testing.T) {
-		if _, err := client.Ask(core.Tick{}, patience); !errors.Is(err, ErrEmptyRequest) {
-			t.Error(err)
+	t.Run("message that can't be forwarded", func(t *testing.T) {
+		if _, err := client.Ask(core.Tick{}, callTimeout); !errors.Is(err, ErrEmptyRequest) {
+			t.Errorf("got error %v, want %v", err, ErrEmptyRequest)
 		}
 	})
 	t.Run("request that the peer does not know", func(t *testing.T) {
 		for _, args := range []wire.AskArgs{{}, {Submit: &wire.Submit{Invalid: "no job"}}} {
-			if _, err := client.callForReply("Ask", args, patience); !errors.Is(err, ErrEmptyRequest) {
-				t.Error(err)
+			if _, err := client.callForReply("Ask", args, callTimeout); !errors.Is(err, ErrEmptyRequest) {
+				t.Errorf("%+v: got error %v, want %v", args, err, ErrEmptyRequest)
 			}
 		}
 	})
-	t.Run("no status", func(t *testing.T) {
-		go func() { <-h.given }()
-		if _, err := client.Ping(core.PingReceived{}, patience); !errors.Is(err, ErrNoAnswer) {
-			t.Error(err)
+	t.Run("ping answered without a status", func(t *testing.T) {
+		go func() { <-h.received }()
+		if _, err := client.Ping(core.PingReceived{}, callTimeout); !errors.Is(err, ErrNoAnswer) {
+			t.Errorf("got error %v, want %v", err, ErrNoAnswer)
 		}
 	})
 	t.Run("any other error of the peer", func(t *testing.T) {
 		var answered rpc.ServerError
-		if err := client.call("Unknown", wire.AskArgs{}, &wire.Reply{}, patience); !errors.As(err, &answered) {
-			t.Error(err)
+		if err := client.call("Unknown", wire.AskArgs{}, &wire.Reply{}, callTimeout); !errors.As(err, &answered) {
+			t.Errorf("got error %v, want an rpc.ServerError", err)
 		}
 	})
-	t.Run("late", func(t *testing.T) {
+	t.Run("timeout", func(t *testing.T) {
 		if _, err := client.Ask(core.QueryJob{}, 100*time.Millisecond); !errors.Is(err, ErrTimeout) {
-			t.Error(err)
+			t.Errorf("got error %v, want %v", err, ErrTimeout)
 		}
-		<-h.given
+		<-h.received
 	})
-	t.Run("too many", func(t *testing.T) {
+	t.Run("too many calls", func(t *testing.T) {
 		client.slots <- struct{}{}
 		defer func() { <-client.slots }()
-		if _, err := client.Ask(core.QueryJob{}, patience); !errors.Is(err, ErrTooManyCalls) {
-			t.Error(err)
+		if _, err := client.Ask(core.QueryJob{}, callTimeout); !errors.Is(err, ErrTooManyCalls) {
+			t.Errorf("got error %v, want %v", err, ErrTooManyCalls)
 		}
 	})
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		var failed *net.OpError
-		if _, err := NewClient("127.0.0.1:1", 1).Ask(core.QueryJob{}, patience); !errors.As(err, &failed) {
-			t.Error(err)
+		if _, err := NewClient("127.0.0.1:1", 1).Ask(core.QueryJob{}, callTimeout); !errors.As(err, &failed) {
+			t.Errorf("got error %v, want a net.OpError", err)
 		}
 	})
 }
 
-// TestClose: Close ends a call under way, and later ones fail.
+// TestClose checks that Close ends a call in progress and that later calls fail.
 func TestClose(t *testing.T) {
-	h := &recorder{given: make(chan any), entered: make(chan struct{}, 1)}
-	client := NewClient(serving(t, h), 1)
-	ended := make(chan error, 1)
+	h := &recordingHandler{received: make(chan any), entered: make(chan struct{}, 1)}
+	client := NewClient(startServer(t, h), 1)
+	result := make(chan error, 1)
 	go func() {
-		_, err := client.Ask(core.QueryJob{}, patience)
-		ended <- err
+		_, err := client.Ask(core.QueryJob{}, callTimeout)
+		result <- err
 	}()
 	<-h.entered
 	client.Close()
-	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("under way: %v", err)
+	if err := <-result; !errors.Is(err, net.ErrClosed) {
+		t.Errorf("call in progress during Close: got error %v, want %v", err, net.ErrClosed)
 	}
-	<-h.given
-	if _, err := client.Ask(core.QueryJob{}, patience); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("later: %v", err)
+	<-h.received
+	if _, err := client.Ask(core.QueryJob{}, callTimeout); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("call after Close: got error %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// TestNumbered has each request but a sweep numbered anew and otherwise be what was
-// forwarded.
+// TestNumbered checks that each forwarded request except a sweep gets the new request ID
+// and is otherwise unchanged.
 func TestNumbered(t *testing.T) {
 	spec := completeSpec()
 	for _, c := range []struct{ request, want any }{
@@ -194,7 +201,7 @@
 		{core.ForwardedSweep{ID: "a"}, nil},
 	} {
 		if got := Numbered(c.request, 7); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%+v", got)
+			t.Errorf("Numbered(%+v): got %+v, want %+v", c.request, got, c.want)
 		}
 	}
 }
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -15,8 +15,8 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// completeNews has each field set.
-func completeNews() core.PeerStatus {
+// completeStatus returns a status with all fields set.
+func completeStatus() core.PeerStatus {
 	return core.PeerStatus{
 		FencingToken: 3, Leader: "node-0", StateAge: 5, Cancelled: []string{"job-01", "job-02"},
 		ReadLease: &readlease.CancellationPage{Incarnation: "b2", After: 3, UpTo: 5, Cancelled: []string{"job-01", "sweep/s"}, More: true, Complete: true},
@@ -27,7 +27,7 @@
 	}
 }
 
-// completeSpec has each field set.
+// completeSpec returns a job specification with all fields set.
 func completeSpec() *jobstate.Spec {
 	return &jobstate.Spec{
 		ID: "job-01", Class: "class-1", Team: "team-1", Kind: "batch", Priority: 4, Tasks: 5,
@@ -37,10 +37,11 @@
 	}
 }
 
-// completeMessages are all calls and answers between controllers with each field
-// set, and with those pointers whose presence alone says something.
+// completeMessages returns all requests and responses between controllers with all
+// fields set, and also with pointers to zero values, as their presence alone has a
+// meaning. The names of the messages are part of the recording.
 func completeMessages() map[string]any {
-	status := completeNews()
+	status := completeStatus()
 	return map[string]any{
 		"PingArgs": core.PingReceived{
 			From: "node-1", NeedMachines: true, Incarnation: "b1",
@@ -100,13 +101,14 @@
 	}
 }
 
-// neverSent are the fields that no message between controllers has: numbers, which
-// each core gives anew, and an operator's view, which is no request that is forwarded.
+// neverSent are the fields that are in no message between controllers: request IDs,
+// which each core assigns itself, and the operators' view, for which requests are not
+// forwarded.
 var neverSent = map[string]bool{"PingReceived.RequestID": true, "HeartbeatReceived.RequestID": true, "Reply.Ops": true}
 
-// TestComplete has each field of the core at each depth set in one of the complete
-// messages.
-func TestComplete(t *testing.T) {
+// TestCoreFieldsComplete checks that each field of the core's message types, at any depth,
+// is set in at least one of the complete messages.
+func TestCoreFieldsComplete(t *testing.T) {
 	roots := []any{
 		core.PingReceived{},
 		PingAnswer{},
@@ -129,9 +131,10 @@
 	testComplete(t, roots, messages)
 }
 
-// TestWireComplete has each field that is sent set by one of the complete messages as
-// the earlier program wrote them: a field of another name stays zero.
-func TestWireComplete(t *testing.T) {
+// TestWireFieldsComplete checks that each field of the wire types is set in at least one
+// of the complete messages as encoded by the base version. A renamed field would stay
+// zero.
+func TestWireFieldsComplete(t *testing.T) {
 	roots := []any{wire.PingArgs{}, wire.PingReply{}, wire.BeatArgs{}, wire.AskArgs{}, wire.Reply{}}
 	raws := readRecording(t, baseRecording)
 	var messages []any
@@ -141,6 +144,7 @@
 	testComplete(t, roots, messages)
 }
 
+// testComplete checks that each field of the types of roots is set in one of messages.
 func testComplete(t *testing.T, roots, messages []any) {
 	t.Helper()
 	set := map[string]bool{}
@@ -153,13 +157,13 @@
 		fieldsOf(reflect.TypeOf(root).Name(), reflect.TypeOf(root), fields)
 		for field := range fields {
 			if !set[field] {
-				t.Errorf("%s is set in no message", field)
+				t.Errorf("field %s is set in no message, want it set in at least one", field)
 			}
 		}
 	}
 }
 
-// fieldsSet adds the paths of the fields of a value that are not zero.
+// fieldsSet adds the paths of the nonzero fields of a value to set.
 func fieldsSet(path string, v reflect.Value, set map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -180,7 +184,7 @@
 	}
 }
 
-// fieldsOf adds the paths of all fields of a type that are sent.
+// fieldsOf adds the paths of all fields of a type that are sent to fields.
 func fieldsOf(path string, t reflect.Type, fields map[string]bool) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice:
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -2,30 +2,30 @@
 
 import "errors"
 
-// The errors of calls between controllers. ErrTimeout and ErrNoAnswer leave open
-// whether the peer has done what it was asked.
+// Errors of calls between controllers. After ErrTimeout and ErrNoAnswer it is unknown
+// whether the peer has executed the call.
 var (
-	// ErrTimeout says that the peer did not answer within the time that the caller
-	// gave it.
+	// ErrTimeout is returned if the peer did not answer within the call's timeout.
 	ErrTimeout = errors.New("peer did not answer in time")
-	// ErrTooManyCalls says that as many calls as the client may have are under way,
-	// so this one was not made.
+	// ErrTooManyCalls is returned for a call that was not made because the client's
+	// maximum number of calls is already in progress.
 	ErrTooManyCalls = errors.New("too many calls to the peer under way")
-	// ErrEmptyRequest says that there is no request, or none that the receiver's
-	// version knows.
+	// ErrEmptyRequest is returned for a message without a request, or with one that the
+	// receiver's version does not know.
 	ErrEmptyRequest = errors.New("empty request")
-	// ErrNoAnswer says that the peer's core did not answer the peer.
+	// ErrNoAnswer is returned if the peer's core did not reply to the peer.
 	ErrNoAnswer = errors.New("no answer from the core")
 )
 
-// sentinels are the errors that a peer answers with. net/rpc carries only their text.
+// sentinels returns the errors with which a peer answers. net/rpc transmits only their
+// texts, so these must be the same in all versions.
 func sentinels() []error {
 	return []error{ErrEmptyRequest, ErrNoAnswer}
 }
 
-// fromText is the sentinel error with the text of an error that a peer answered
-// with, or that error itself if there is none.
-func fromText(answered error) error {
+// sentinelFor returns the sentinel error with the same text as an error with which a
+// peer has answered, or that error itself if there is none.
+func sentinelFor(answered error) error {
 	for _, sentinel := range sentinels() {
 		if answered.Error() == sentinel.Error() {
 			return sentinel
--- a/internal/peer/internal/wire/convert.go
+++ b/internal/peer/internal/wire/convert.go
@@ -1,6 +1,6 @@
 package wire
 
-// optional maps what a pointer points to; nil stays nil.
+// optional converts the value that a pointer points to. It returns nil for nil.
 func optional[A, B any](in *A, convert func(A) B) *B {
 	if in == nil {
 		return nil
@@ -9,8 +9,8 @@
 	return &out
 }
 
-// each maps the elements of a slice; nil stays nil.
-func each[A, B any](in []A, convert func(A) B) []B {
+// convertAll converts the elements of a slice. It returns nil for nil.
+func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if in == nil {
 		return nil
 	}
--- a/internal/peer/internal/wire/heartbeat.go
+++ b/internal/peer/internal/wire/heartbeat.go
@@ -4,13 +4,13 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// NewHeartbeat is a heartbeat as it is relayed. It has no number: each core numbers
-// its own.
+// NewHeartbeat converts a heartbeat for relaying to a peer. The request ID is left out,
+// because each core assigns its own.
 func NewHeartbeat(in core.HeartbeatReceived) BeatArgs {
 	return BeatArgs{From: in.From, Report: newReport(in.Heartbeat), Onward: in.ViaPeer}
 }
 
-// Core is the heartbeat as a message to the core, not numbered yet.
+// Core converts the heartbeat to a message to the core, without a request ID.
 func (in BeatArgs) Core() core.HeartbeatReceived {
 	return core.HeartbeatReceived{From: in.From, Heartbeat: in.Report.core(), ViaPeer: in.Onward}
 }
@@ -26,7 +26,7 @@
 		Seq:     in.Seq,
 		Token:   in.FencingToken,
 		Notice:  in.PreemptionNotice,
-		Tasks:   each(in.Tasks, newTaskReport),
+		Tasks:   convertAll(in.Tasks, newTaskReport),
 	}
 }
 
@@ -41,7 +41,7 @@
 		Seq:              in.Seq,
 		FencingToken:     in.Token,
 		PreemptionNotice: in.Notice,
-		Tasks:            each(in.Tasks, TaskReport.core),
+		Tasks:            convertAll(in.Tasks, TaskReport.core),
 	}
 }
 
--- a/internal/peer/internal/wire/ping.go
+++ b/internal/peer/internal/wire/ping.go
@@ -7,7 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// NewPing is a ping as it is sent. It has no number: each core numbers its own.
+// NewPing converts a ping for sending. The request ID is left out, because each core
+// assigns its own.
 func NewPing(in core.PingReceived) PingArgs {
 	return PingArgs{
 		From: in.From,
@@ -18,7 +19,7 @@
 	}
 }
 
-// Core is the ping as a message to the core, not numbered yet.
+// Core converts the ping to a message to the core, without a request ID.
 func (in PingArgs) Core() core.PingReceived {
 	return core.PingReceived{
 		From:             in.From,
@@ -29,12 +30,12 @@
 	}
 }
 
-// NewPingReply is the answer of the controller of a name as it is sent.
+// NewPingReply converts the response of the named controller for sending.
 func NewPingReply(name string, status core.PeerStatus) PingReply {
 	return PingReply{Name: name, News: newPeerNews(status)}
 }
 
-// Core is the status of the controller that answered.
+// Core converts the status of the controller that answered to the core's type.
 func (in PingReply) Core() core.PeerStatus {
 	return in.News.core()
 }
@@ -104,10 +105,10 @@
 		Vouch:     optional(in.ReadLease, newPage),
 		Ack:       optional(in.Ack, newAck),
 		Version:   in.Version,
-		Features:  each(in.Features, newFeature),
+		Features:  convertAll(in.Features, newFeature),
 		Lowered:   in.LimitsLowered,
 		Reach:     optional(in.Connectivity, newReach),
-		Machines:  each(in.Machines, newMachine),
+		Machines:  convertAll(in.Machines, newMachine),
 	}
 }
 
@@ -120,10 +121,10 @@
 		ReadLease:     optional(in.Vouch, Page.core),
 		Ack:           optional(in.Ack, Ack.core),
 		Version:       in.Version,
-		Features:      each(in.Features, coreFeature),
+		Features:      convertAll(in.Features, coreFeature),
 		LimitsLowered: in.Lowered,
 		Connectivity:  optional(in.Reach, Reach.core),
-		Machines:      each(in.Machines, Machine.core),
+		Machines:      convertAll(in.Machines, Machine.core),
 	}
 }
 
--- a/internal/peer/internal/wire/reply.go
+++ b/internal/peer/internal/wire/reply.go
@@ -6,7 +6,7 @@
 	"github.com/zinclb/zinclb/internal/core/replica"
 )
 
-// NewReply is an answer as it is sent.
+// NewReply converts a reply for sending.
 func NewReply(in core.Reply) Reply {
 	return Reply{
 		Req:    in.RequestID,
@@ -21,12 +21,12 @@
 		Gone:   optional(in.Decommission, newGoneState),
 		View:   optional(in.View, newView),
 		Token:  in.FencingToken,
-		Orders: each(in.Commands, newOrder),
+		Orders: convertAll(in.Commands, newOrder),
 		Leader: in.Leader,
 	}
 }
 
-// Core is the answer as the core's type.
+// Core converts the reply to the core's type.
 func (in Reply) Core() core.Reply {
 	return core.Reply{
 		RequestID:    in.Req,
@@ -41,7 +41,7 @@
 		Decommission: optional(in.Gone, GoneState.core),
 		View:         optional(in.View, View.core),
 		FencingToken: in.Token,
-		Commands:     each(in.Orders, Order.core),
+		Commands:     convertAll(in.Orders, Order.core),
 		Leader:       in.Leader,
 	}
 }
@@ -88,14 +88,14 @@
 
 func newSweepPage(in core.SweepPage) SweepPage {
 	return SweepPage{
-		Runs: each(in.Runs, newSweepRun),
+		Runs: convertAll(in.Runs, newSweepRun),
 		Next: in.Next,
 	}
 }
 
 func (in SweepPage) core() core.SweepPage {
 	return core.SweepPage{
-		Runs: each(in.Runs, SweepRun.core),
+		Runs: convertAll(in.Runs, SweepRun.core),
 		Next: in.Next,
 	}
 }
@@ -123,8 +123,8 @@
 func newCloudAnswer(in core.CloudResult) CloudAnswer {
 	return CloudAnswer{
 		Status: in.Status,
-		Types:  each(in.Types, newMachineType),
-		List:   each(in.List, newListing),
+		Types:  convertAll(in.Types, newMachineType),
+		List:   convertAll(in.List, newListing),
 		Names:  in.Names,
 	}
 }
@@ -132,8 +132,8 @@
 func (in CloudAnswer) core() core.CloudResult {
 	return core.CloudResult{
 		Status: in.Status,
-		Types:  each(in.Types, MachineType.core),
-		List:   each(in.List, Listing.core),
+		Types:  convertAll(in.Types, MachineType.core),
+		List:   convertAll(in.List, Listing.core),
 		Names:  in.Names,
 	}
 }
@@ -205,7 +205,7 @@
 func newView(in replica.View) View {
 	return View{
 		Ledger:  in.Revision,
-		Changes: each(in.Changes, newChange),
+		Changes: convertAll(in.Changes, newChange),
 		Granted: in.Granted,
 	}
 }
@@ -213,7 +213,7 @@
 func (in View) core() replica.View {
 	return replica.View{
 		Revision: in.Ledger,
-		Changes:  each(in.Changes, Change.core),
+		Changes:  convertAll(in.Changes, Change.core),
 		Granted:  in.Granted,
 	}
 }
--- a/internal/peer/internal/wire/request.go
+++ b/internal/peer/internal/wire/request.go
@@ -5,8 +5,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// NewRequest is a request of the core as it is forwarded; ok is false if it is none
-// that can be.
+// NewRequest converts a request of the core for forwarding. It returns false if requests
+// of this type can't be forwarded.
 func NewRequest(request any) (out AskArgs, ok bool) {
 	switch in := request.(type) {
 	case core.ForwardedSweep:
@@ -42,8 +42,8 @@
 	return out, true
 }
 
-// Core is the request as a type of the core; ok is false if there is none, or one
-// that this version does not know.
+// Core converts the request to the core's type. It returns false if there is no request,
+// or one that this version does not know.
 func (in AskArgs) Core() (request any, ok bool) {
 	switch {
 	case in.Sweep != nil:
--- a/internal/peer/internal/wire/wire.go
+++ b/internal/peer/internal/wire/wire.go
@@ -1,30 +1,32 @@
-// Package wire has the messages that controllers of different versions exchange,
-// and maps them to and from the core's types.
+// Package wire defines the messages that controllers of different versions exchange,
+// and converts them to and from the core's types.
 //
-// The messages are sent as gob, which matches fields by their names and silently
-// drops a field that the other side does not have. So a name here is fixed for good,
-// whatever the field is called in the core, and a field is added but never renamed,
-// retyped or given another meaning. The types' own names are not matched.
+// The messages are encoded with gob, which matches fields by name and silently drops a
+// field that the receiver does not have. Field names in this package are therefore
+// fixed, even if the core calls the field differently: fields may be added, but must
+// not be renamed, retyped or given another meaning. The names of the types are not
+// matched.
 //
-// A field that is missing in a message is zero: older versions do not send it. A
-// pointer that is nil is not sent, one to a zero struct is. Times are microseconds.
+// A field that is missing in a message is zero, because older versions do not send it.
+// A nil pointer is not sent; a pointer to a zero struct is. Times and durations are in
+// microseconds unless noted otherwise.
 package wire
 
-// PingArgs asks whether a controller is there.
+// PingArgs is a ping, the request for a controller's status.
 type PingArgs struct {
 	// From is the name of the sender.
 	From string
-	// Need says that the sender knows too few machines.
+	// Need means that the sender knows too few machines to probe.
 	Need bool
 	// Boot is the incarnation of the sender.
 	Boot string
-	// Ask is the read lease that the sender asks for.
+	// Ask is the sender's request for a read lease.
 	Ask *Question
-	// Tell is what the sender knows to be cancelled.
+	// Tell has cancellations that the sender knows.
 	Tell *Page
 }
 
-// PingReply says that it is there, and what it knows.
+// PingReply is the response to a ping: the controller's name and status.
 type PingReply struct {
 	Name string
 	News PeerNews
@@ -32,16 +34,17 @@
 
 // BeatArgs is a worker's heartbeat that is relayed to the leader.
 type BeatArgs struct {
-	// From is the name of the controller that relays it.
+	// From is the name of the controller that relays the heartbeat.
 	From   string
 	Report Report
-	// Onward says that the sender can't reach the leader. A version that does not
-	// know it answers that it does not lead.
+	// Onward means that the sender can't reach the leader, so that the receiver has to
+	// pass the heartbeat on. A version that does not know the field answers that it is
+	// not the leader.
 	Onward bool
 }
 
-// AskArgs is a request that is forwarded: one of them all. A version that does not
-// know the request reads an empty one, and says so.
+// AskArgs is a forwarded request. Exactly one field is set. A version that does not know
+// the request decodes an empty one, and answers with that error.
 type AskArgs struct {
 	Submit *Submit
 	Status *Status
@@ -55,14 +58,14 @@
 	CancelSweep *CancelSweep
 }
 
-// Reply answers a BeatArgs or an AskArgs.
+// Reply is the response to a BeatArgs or an AskArgs.
 //
 // Versions before this type sent the core's reply, which also has a field Ops. No
-// request that is forwarded is answered with it, so the name stays unused.
+// forwarded request is answered with that field, and its name must stay unused here.
 type Reply struct {
 	Req    uint64
 	Status int
-	// Retry is in seconds.
+	// Retry is the time after which the request may be retried, in seconds.
 	Retry int
 	Error string
 	Job   *JobState
@@ -72,68 +75,89 @@
 	Cloud *CloudAnswer
 	Gone  *GoneState
 	View  *View
-	// Token and Orders answer a heartbeat.
+	// Token and Orders are the fencing token and the commands that answer a heartbeat.
 	Token  uint64
 	Orders []Order
-	// Leader is where a misdirected heartbeat should go.
+	// Leader is the controller to which a misdirected heartbeat should be sent.
 	Leader string
 }
 
-// Question asks a controller for a read lease on the cancellations that it has
-// confirmed.
+// Question is a request for a read lease on the cancellations that a controller has
+// confirmed, see readlease.GrantRequest.
 type Question struct {
-	Boot    string
-	Upto    uint64
+	// Boot is the incarnation of the grantor whose cancellations are known up to Upto.
+	Boot string
+	Upto uint64
+	// Applied is the revision up to which the stored state is known.
 	Applied uint64
 }
 
-// Page is a part of the cancellations that a controller knows.
+// Page is a part of the cancellations that a controller knows, see
+// readlease.CancellationPage.
 type Page struct {
-	Boot        string
+	// Boot is the incarnation of the grantor.
+	Boot string
+	// The page has the cancellations with numbers above After and up to Upto.
 	After, Upto uint64
 	Cancelled   []string
+	// More means that there are further pages. Whole means that with this page the
+	// confirmed cancellations of this and all earlier incarnations are known; otherwise
+	// only those of this incarnation are.
 	More, Whole bool
 }
 
-// Ack answers a Page.
+// Ack is the response to a Page, see readlease.HolderAck.
 type Ack struct {
-	Holds   bool
-	Boot    string
-	Upto    uint64
+	// Holds means that the sender holds, or may come to hold, a read lease of the
+	// grantor.
+	Holds bool
+	// Boot is the incarnation of the grantor whose cancellations are known up to Upto.
+	Boot string
+	Upto uint64
+	// Applied is the revision up to which the stored state is known.
 	Applied uint64
 }
 
 // PeerNews is the status that a controller sends its peers.
 type PeerNews struct {
-	// Token and Leader are of the newest leadership that is known.
+	// Token and Leader are the fencing token and the name of the newest known leader.
 	Token  uint64
 	Leader string
-	// StateAge is how long ago the state service last answered.
+	// StateAge is the time since the last response of the state service.
 	StateAge int64
-	// Cancelled are cancellations for a leader that does not know Vouch.
+	// Cancelled has recent cancellations for a leader whose version does not know Vouch.
 	Cancelled []string
-	Vouch     *Page
-	Ack       *Ack
-	// Version is the format that the controller can write, Features what it has.
+	// Vouch is the read lease that answers the Ask of a ping, and Ack the answer to its
+	// Tell.
+	Vouch *Page
+	Ack   *Ack
+	// Version is the storage format that the controller can write, and Features are the
+	// features that it supports.
 	Version  int
 	Features []string
-	// Lowered says that the limits of the state service have fallen.
-	Lowered  bool
-	Reach    *Reach
+	// Lowered means that the limits of the state service have been lowered.
+	Lowered bool
+	// Reach is the connectivity of the controller.
+	Reach *Reach
+	// Machines has some known machines, for a sender whose ping has Need set.
 	Machines []Machine
 }
 
-// Reach is what a controller reaches.
+// Reach is the connectivity of a controller, see connectivity.Advertisement.
 type Reach struct {
+	// Boot is the incarnation of the controller.
 	Boot string
-	// Workers has for each zone how many eighths of its machines are reached.
+	// Workers is the share of reachable machines of each zone, in eighths.
 	Workers map[string]int
-	Peers   []string
-	Cloud   bool
-	Flaps   bool
+	// Peers are the reachable controllers.
+	Peers []string
+	// Cloud means that the cloud is reachable.
+	Cloud bool
+	// Flaps means that the connectivity is flapping.
+	Flaps bool
 }
 
-// Machine is where a worker is.
+// Machine is the location of a worker.
 type Machine struct {
 	Name, Addr, Zone string
 }
@@ -142,8 +166,11 @@
 type Report struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
-	Session, Seq, Token       uint64
-	// Notice is how long the machine is left, -1 if no notice was given.
+	// Session is the worker's epoch, Seq the number of the heartbeat in it, and Token
+	// the highest fencing token that the worker has accepted.
+	Session, Seq, Token uint64
+	// Notice is the time until the cloud preempts the machine, or -1 if there is no
+	// preemption notice.
 	Notice int64
 	Tasks  []TaskReport
 }
@@ -153,8 +180,10 @@
 	Name    string
 	Attempt uint64
 	State   string
-	Why     string
-	Saved   bool
+	// Why is the reason of the task's exit.
+	Why string
+	// Saved means that the task has written a checkpoint.
+	Saved bool
 }
 
 // Order is a command to a worker.
@@ -165,16 +194,19 @@
 	Grace   int64
 }
 
-// Submit submits a job.
+// Submit is the submission of a job.
+//
+// In this and the other requests, Req is the request ID and Handed means that the
+// request was forwarded by a peer.
 type Submit struct {
 	Req    uint64
 	Handed bool
 	Spec   *Spec
-	// Invalid says why only the id of the job could be read.
+	// Invalid is the reason why only the ID of the job could be decoded.
 	Invalid string
 }
 
-// Spec is what a user wants run.
+// Spec is the specification of a job.
 type Spec struct {
 	ID         string
 	Class      string
@@ -199,71 +231,76 @@
 	Run        int
 }
 
-// Vec is an amount of each resource.
+// Vec is an amount of each resource, see jobstate.Resources.
 type Vec struct {
 	CPU, GPU, Mem int64
 }
 
-// Status asks for the state of a job.
+// Status is a query for the state of a job.
 type Status struct {
 	Req    uint64
 	Handed bool
 	ID     string
 }
 
-// Cancel cancels a job.
+// Cancel is the cancellation of a job.
 type Cancel struct {
 	Req    uint64
 	Handed bool
 	ID     string
 }
 
-// CloudFor is a leader's call of the cloud that a peer is to make for it.
+// CloudFor is a leader's request to a peer to make a cloud call.
 type CloudFor struct {
 	Req   uint64
 	Token uint64
 	Call  CloudCall
 }
 
-// CloudCall is a call of the cloud: one of the four.
+// CloudCall is a cloud call. Exactly one of Types, List, Rent and Release is set.
 type CloudCall struct {
+	// Types lists the machine types, and List the machines.
 	Types, List bool
-	// Gap is the time between two pages of a list.
-	Gap     int64
-	Rent    *Rent
+	// Gap is the pause between two pages of a list.
+	Gap int64
+	// Rent requests new machines.
+	Rent *Rent
+	// Release has the names of the machines to return.
 	Release []string
 }
 
-// Rent asks for machines under the name of a request.
+// Rent is a request for machines. Name is the name of the request.
 type Rent struct {
 	Name, Type, Zone string
 	Spot             bool
 	Count            int
-	// Until is a time of the sender's clock: it says nothing to the receiver.
+	// Until is a deadline on the sender's clock. It has no meaning for the receiver.
 	Until int64
 	Token uint64
 }
 
-// ViewFor asks a leader for what has changed after a revision.
+// ViewFor is a follower's request for the changes after revision After.
 type ViewFor struct {
 	Req   uint64
 	After uint64
-	Need  int
+	// Need is the number of writes that the follower lacks for its users' requests.
+	Need int
 }
 
-// HandedSweep submits a sweep.
+// HandedSweep is the forwarded submission of a sweep. Stored is the packed sweep, and
+// Invalid the reason why it can't be accepted, if there is one.
 type HandedSweep struct {
 	ID, Stored, Invalid string
 }
 
-// SweepStatus asks for the state of a sweep.
+// SweepStatus is a query for the state of a sweep.
 type SweepStatus struct {
 	Req    uint64
 	ID     string
 	Handed bool
 }
 
-// SweepRuns asks for at most Most runs of a sweep from number After on.
+// SweepRuns is a query for at most Most runs of a sweep, from number After on.
 type SweepRuns struct {
 	Req         uint64
 	ID          string
@@ -271,7 +308,7 @@
 	Handed      bool
 }
 
-// CancelSweep cancels a sweep.
+// CancelSweep is the cancellation of a sweep.
 type CancelSweep struct {
 	Req    uint64
 	ID     string
@@ -291,13 +328,14 @@
 	Runs, Created, Done, Withdrawn int
 }
 
-// SweepPage is some runs of a sweep; Next is where to go on, 0 at the end.
+// SweepPage is a page of the runs of a sweep. Next is the position of the next page, or
+// 0 on the last page.
 type SweepPage struct {
 	Runs []SweepRun
 	Next int
 }
 
-// SweepRun is a run of a sweep. Values is JSON.
+// SweepRun is a run of a sweep. Values is encoded as JSON.
 type SweepRun struct {
 	Number    int
 	ID, State string
@@ -305,12 +343,12 @@
 	Sets      []int
 }
 
-// CloudAnswer is how a CloudCall ended; Status is 0 if nobody knows.
+// CloudAnswer is the result of a CloudCall. Status is 0 if the outcome is unknown.
 type CloudAnswer struct {
 	Status int
 	Types  []MachineType
 	List   []Listing
-	// Names are of the machines that were rented.
+	// Names are the names of the new machines.
 	Names []string
 }
 
@@ -326,28 +364,28 @@
 	Zones     []string
 }
 
-// Listing is a machine as the cloud lists it.
+// Listing is an entry of the cloud's list of machines.
 type Listing struct {
 	Name, Addr, Type, Zone, Status string
 	Spot                           bool
 	Age                            int64
 }
 
-// GoneState says whether operators take a controller for gone.
+// GoneState states whether operators have marked a controller as decommissioned.
 type GoneState struct {
 	Name string
 	Gone bool
 }
 
-// View is what has changed after a revision up to Ledger.
+// View is the leader's response to a ViewFor: the changes up to revision Ledger.
 type View struct {
 	Ledger  uint64
 	Changes []Change
-	// Granted are writes that the asker may make on the leader's budget.
+	// Granted is the number of writes that the follower may make on the leader's budget.
 	Granted int
 }
 
-// Change is the new value of a key, or its removal.
+// Change is the new value of a key at revision Stamp, or its removal.
 type Change struct {
 	Key     string
 	Value   []byte
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between controllers, over net/rpc.
+// Package peer implements calls between controllers over net/rpc.
 //
-// Its callers and handlers use the core's types. What is sent are the types of
-// package wire, so that a field of the core can be renamed without a controller of
-// another version losing it.
+// Callers and handlers use the core's types. The messages on the wire have the types of
+// package wire, so that renaming a field of the core does not make controllers of other
+// versions lose it.
 package peer
 
 import (
@@ -19,31 +19,31 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// serviceName is the name under which a controller's methods are called.
+// serviceName is the net/rpc name of the service that has a controller's methods.
 const serviceName = "Peer"
 
-// acceptRetry is how long to wait after a connection could not be accepted.
+// acceptRetry is the pause after a failed attempt to accept a connection.
 const acceptRetry = 100 * time.Millisecond
 
-// Handler is what a controller does for its peers. What it is given is not numbered
-// yet.
+// Handler handles the calls of a controller's peers. The messages passed to it have no
+// request ID of this controller yet.
 type Handler interface {
-	// HandleRelayedHeartbeat answers a heartbeat that a peer relays.
+	// HandleRelayedHeartbeat answers a worker's heartbeat that a peer relays.
 	HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error)
 	// HandlePing answers a ping with the controller's status.
 	HandlePing(ping core.PingReceived) (core.Reply, error)
-	// HandleRequest answers a request that a peer forwards: a core.ForwardedSweep, or
-	// one that Numbered makes a message of.
+	// HandleRequest answers a request that a peer forwards: a core.ForwardedSweep or one
+	// of the types that Numbered supports.
 	HandleRequest(request any) (core.Reply, error)
 }
 
-// service has the methods that peers call.
+// service has the methods that peers call with net/rpc.
 type service struct {
 	name    string
 	handler Handler
 }
 
-// Ping answers that the controller is there, with its status.
+// Ping answers a ping with the controller's name and status.
 func (s *service) Ping(args wire.PingArgs, reply *wire.PingReply) error {
 	r, err := s.handler.HandlePing(args.Core())
 	if err != nil || r.PeerStatus == nil {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Ask answers a user's request that a peer can't answer itself, or makes a call of
-// the cloud that a peer can't make.
+// Ask answers a user's request that a peer can't answer itself, or makes a cloud call
+// that a peer can't make.
 func (s *service) Ask(args wire.AskArgs, reply *wire.Reply) error {
 	request, ok := args.Core()
 	if !ok {
@@ -72,8 +72,8 @@
 	return err
 }
 
-// Serve answers peers on addr until the context ends, and returns its error; before
-// that it returns only if it can't listen.
+// Serve serves peers on addr until the context ends, and returns the context's error. It
+// returns earlier only if it can't listen.
 func Serve(ctx context.Context, addr, name string, h Handler, maxConns int) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return serve(ctx, listener, name, h, maxConns)
 }
 
-// serve answers peers on a listener. When the context ends it closes the listener
-// and all connections, and waits for the calls under way.
+// serve serves peers on a listener. When the context ends, it closes the listener and
+// all connections, and waits for the calls in progress.
 func serve(ctx context.Context, listener net.Listener, name string, h Handler, maxConns int) error {
 	stop := context.AfterFunc(ctx, func() { closeLogged(listener) })
 	defer stop()
@@ -118,8 +118,9 @@
 	}
 }
 
-// closeLogged closes a listener or connection that is given up. An error changes
-// nothing for its owner, and one that the other side or a call has closed gives one.
+// closeLogged closes a listener or connection that is no longer used. An error is only
+// logged, because the caller can't act on it; errors for one that is already closed, by
+// the peer or by another call, are ignored.
 func closeLogged(c io.Closer) {
 	err := c.Close()
 	if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, rpc.ErrShutdown) {
--- a/internal/peer/ping_test.go
+++ b/internal/peer/ping_test.go
@@ -11,11 +11,11 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// BenchmarkPing is what a leader's round of pings to four other controllers costs
-// with 3,000 cancellations outstanding, both sides and the encoding together: in
-// calm, when they are granted at first, and each second from then on.
+// BenchmarkPing measures a leader's round of pings to four other controllers with 3,000
+// outstanding cancellations, including both sides and the encoding: without read leases,
+// for the first grants of read leases, and for the later grants, one each second.
 func BenchmarkPing(b *testing.B) {
-	const others, outstanding, second = 4, 3000, 1_000_000
+	const others, outstanding, second = 4, 3000, 1_000_000 // second is in microseconds
 	var buffer bytes.Buffer
 	enc, dec := gob.NewEncoder(&buffer), gob.NewDecoder(&buffer)
 	total := 0
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	b.Run("calm", func(b *testing.B) {
+	b.Run("no grants", func(b *testing.B) {
 		total = 0
 		for b.Loop() {
 			round(nil, 0)
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -20,14 +20,14 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-var record = flag.Bool("record", false, "writes the messages that are not recorded yet for later programs to read")
+var record = flag.Bool("record", false, "record the messages that have no recording yet")
 
-// baseRecording has each message with each field set, as the last program wrote it
+// baseRecording has each message with all fields set, as encoded by the last version
 // that sent the core's own types.
 const baseRecording = "wire_63ef244"
 
-// messages4 are both directions of each call as program 4 sends them.
-func messages4() map[string]any {
+// messagesVersion4 returns the requests and responses of each call as sent by version 4.
+func messagesVersion4() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", NeedMachines: true},
 		"PingReply": PingAnswer{Name: "node-1", Status: core.PeerStatus{
@@ -59,9 +59,10 @@
 	}
 }
 
-// messagesVouch are those that changed when controllers began to grant read leases on what
-// they tell users, which took no other program number: nothing stored depends on it.
-func messagesVouch() map[string]any {
+// messagesReadLease returns the messages that changed when controllers began to grant
+// read leases on what they tell users. The version number stayed the same, because no
+// stored data depends on the change.
+func messagesReadLease() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", ReadLeaseRequest: &readlease.GrantRequest{Incarnation: "b2", UpTo: 3, AppliedRevision: 9}, Cancellations: &readlease.CancellationPage{Incarnation: "b1", After: 1, UpTo: 2, Cancelled: []string{"job-02"}}},
 		"PingReply": PingAnswer{Name: "node-2", Status: core.PeerStatus{
@@ -72,9 +73,9 @@
 	}
 }
 
-// messagesShared are those by which followers ask the leader for what is stored, since
-// program 5.
-func messagesShared() map[string]any {
+// messagesFollowerRead returns the messages with which followers read the stored state
+// from the leader, since version 5.
+func messagesFollowerRead() map[string]any {
 	return map[string]any{
 		"AskArgs view": core.FollowerRead{AfterRevision: 7, WritesNeeded: 2},
 		"Reply view": core.Reply{RequestID: 1, Status: 200, View: &replica.View{
@@ -84,13 +85,14 @@
 	}
 }
 
-// recordings are the messages by the file that has them as they were written first.
+// recordings returns the expected messages of each recording. Its keys are the names of
+// the files that have the messages as they were first encoded.
 func recordings() map[string]map[string]any {
-	return map[string]map[string]any{"version4": messages4(), "vouch": messagesVouch(), "shared": messagesShared(), baseRecording: completeMessages()}
+	return map[string]map[string]any{"version4": messagesVersion4(), "vouch": messagesReadLease(), "shared": messagesFollowerRead(), baseRecording: completeMessages()}
 }
 
-// TestRecorded reads messages as earlier programs and this one wrote them: a field
-// that was renamed, or means something else, shows here.
+// TestRecorded decodes messages as recorded from earlier versions and from this one. It
+// fails if a field was renamed or has another meaning.
 func TestRecorded(t *testing.T) {
 	for name, messages := range recordings() {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +108,8 @@
 	return "testdata/" + name + ".json"
 }
 
-// recordMissing writes messages as this program does, unless an earlier one has.
+// recordMissing records the messages as this version encodes them, unless the file
+// already exists.
 func recordMissing(t *testing.T, file string, messages map[string]any) {
 	t.Helper()
 	if _, err := os.Stat(file); err == nil {
@@ -125,7 +128,7 @@
 	}
 }
 
-// readRecording is the bytes of each message of a recording.
+// readRecording returns the encoded messages of a recording by name.
 func readRecording(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	b, err := os.ReadFile(recordingFile(name))
@@ -154,7 +157,7 @@
 	return b.Bytes()
 }
 
-// decoded reads a message into a new value of a type.
+// decoded decodes a message into a new value of the given type.
 func decoded(t *testing.T, raw []byte, as reflect.Type) any {
 	t.Helper()
 	got := reflect.New(as)
@@ -164,7 +167,8 @@
 	return got.Elem().Interface()
 }
 
-// toWire is a message of the core as it is sent. A wire.AskArgs is one already.
+// toWire converts a message of the core to its wire type. A wire.AskArgs is returned
+// unchanged.
 func toWire(t *testing.T, message any) any {
 	t.Helper()
 	switch m := message.(type) {
@@ -181,13 +185,13 @@
 	}
 	args, ok := wire.NewRequest(message)
 	if !ok {
-		t.Fatalf("%T is not forwarded", message)
+		t.Fatalf("type %T can't be forwarded", message)
 	}
 	return args
 }
 
-// fromWire is a message that was sent as a message of the core, nil if it is an empty
-// request.
+// fromWire converts a message of a wire type to a message of the core. It returns nil for
+// an empty request.
 func fromWire(t *testing.T, message any) any {
 	t.Helper()
 	switch m := message.(type) {
@@ -203,31 +207,31 @@
 		request, _ := m.Core()
 		return request
 	}
-	t.Fatalf("%T is not sent", message)
+	t.Fatalf("%T is not a wire type", message)
 	return nil
 }
 
-// testRecorded reads each message as it is sent and as the core's, and has the core's
-// be sent alike.
+// testRecorded checks that each recorded message is decoded as the wire message that this
+// version sends, and that its conversion to the core's type is as expected.
 func testRecorded(t *testing.T, raws map[string][]byte, messages map[string]any) {
 	t.Helper()
 	if len(raws) != len(messages) {
-		t.Errorf("%d messages are recorded, %d expected", len(raws), len(messages))
+		t.Errorf("got %d recorded messages, want %d", len(raws), len(messages))
 	}
 	for name, want := range messages {
 		if len(raws[name]) == 0 {
-			t.Fatalf("%s: not recorded", name)
+			t.Fatalf("%s: message is not recorded", name)
 		}
 		sent := toWire(t, want)
 		got := decoded(t, raws[name], reflect.TypeOf(sent))
 		if !reflect.DeepEqual(got, sent) {
-			t.Errorf("%s: read as %+v, sent as %+v", name, got, sent)
+			t.Errorf("%s: decoded as %+v, want %+v", name, got, sent)
 		}
 		if _, ok := want.(wire.AskArgs); ok {
-			continue // several requests, or none: nothing of the core's
+			continue // with several requests or none, it has no equivalent in the core
 		}
-		if ours := fromWire(t, got); !reflect.DeepEqual(ours, want) {
-			t.Errorf("%s: %+v", name, ours)
+		if converted := fromWire(t, got); !reflect.DeepEqual(converted, want) {
+			t.Errorf("%s: converted to %+v, want %+v", name, converted, want)
 		}
 	}
 }
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -2,34 +2,34 @@
 
 import "github.com/zinclb/zinclb/internal/core"
 
-// Numbered is a forwarded request as a message to the core, under the number that
-// its reply will have. It is nil for anything else, also for a
+// Numbered returns a forwarded request as a message to the core, with the given request
+// ID, which the reply will have too. It returns nil for any other type, also for a
 // core.ForwardedSweep, which has to be expanded first.
-func Numbered(request any, number uint64) any {
+func Numbered(request any, requestID uint64) any {
 	switch r := request.(type) {
 	case core.SubmitJob:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.CancelJob:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.QueryJob:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.CloudCallRequested:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.FollowerRead:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.QuerySweep:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.ListSweepRuns:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	case core.CancelSweep:
-		r.RequestID = number
+		r.RequestID = requestID
 		return r
 	}
 	return nil
--- a/internal/peer/shape_test.go
+++ b/internal/peer/shape_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The types by which gob describes those of a message, by gob's names.
+// The types with which gob describes the types of a message, with gob's names.
 type (
-	// CommonType is what all descriptions have.
+	// CommonType is the part that all descriptions have in common.
 	CommonType struct {
 		Name string
 		Id   int32 //nolint:revive // gob's name
@@ -49,21 +49,21 @@
 	}
 )
 
-// wireTypeID is the number under which gob knows its own wireType.
+// wireTypeID is gob's type ID of its own wireType.
 const wireTypeID = 16
 
-// basicTypes are the types that gob does not describe, by their numbers.
+// basicTypes are the types that gob does not describe, by type ID.
 var basicTypes = map[int32]reflect.Type{
 	1: reflect.TypeFor[bool](), 2: reflect.TypeFor[int64](), 3: reflect.TypeFor[uint64](), 4: reflect.TypeFor[float64](),
 	5: reflect.TypeFor[[]byte](), 6: reflect.TypeFor[string](),
 }
 
-// unusedFields are fields of earlier programs that they never set.
+// unusedFields are fields of earlier versions that these never set.
 var unusedFields = []string{"Ops"}
 
-// shapeOf is a type like that of the program that wrote a message, made of the
-// description that the message begins with. Structs in structs are pointers, so that
-// one that was not sent can be told from an empty one.
+// shapeOf returns a type like the one of the program that encoded a message, built from
+// the type description at the start of the message. Structs in structs become pointers,
+// so that a struct that was not sent can be distinguished from an empty one.
 func shapeOf(t *testing.T, raw []byte) reflect.Type {
 	t.Helper()
 	descriptions := map[int32]wireType{}
@@ -82,10 +82,11 @@
 		}
 		descriptions[-id] = description
 	}
-	t.Fatal("a message without a value")
+	t.Fatal("message has no value")
 	return nil
 }
 
+// shape returns the type with the given gob type ID, built from the descriptions.
 func shape(t *testing.T, descriptions map[int32]wireType, id int32) reflect.Type {
 	t.Helper()
 	if basic, ok := basicTypes[id]; ok {
@@ -110,12 +111,12 @@
 		}
 		return reflect.StructOf(fields)
 	}
-	t.Fatalf("type %d is not described", id)
+	t.Fatalf("no supported description of type %d", id)
 	return nil
 }
 
-// gobUint reads a number: a small one is its own byte, else there is first the
-// negated count of its bytes.
+// gobUint decodes an unsigned number and returns the remaining bytes. A number below
+// 0x80 is a single byte; a larger one is preceded by the negated count of its bytes.
 func gobUint(b []byte) (uint64, []byte) {
 	if b[0] < 0x80 {
 		return uint64(b[0]), b[1:]
@@ -139,7 +140,8 @@
 	return append([]byte{byte(-len(digits))}, digits...)
 }
 
-// gobInt reads a signed number, whose lowest bit says that the others are inverted.
+// gobInt decodes a signed number and returns the remaining bytes. If the lowest bit is
+// set, the other bits are inverted.
 func gobInt(b []byte) (int32, []byte) {
 	n, rest := gobUint(b)
 	if n&1 != 0 {
@@ -148,18 +150,19 @@
 	return int32(n >> 1), rest
 }
 
-// TestForBase has the last program that sent the core's own types read what this one
-// sends: by that program's names and types it is the same as what it sent itself.
-func TestForBase(t *testing.T) {
+// TestBaseVersionDecodesMessages checks that the last version that sent the core's own
+// types can decode current messages: decoded with that version's names and types, they
+// equal the messages that it sent itself.
+func TestBaseVersionDecodesMessages(t *testing.T) {
 	raws := readRecording(t, baseRecording)
 	for name, message := range completeMessages() {
 		base := shapeOf(t, raws[name])
 		sent := encoded(t, toWire(t, message))
 		if now := shapeOf(t, sent); now != base {
-			t.Errorf("%s: described as %v, before as %v", name, now, base)
+			t.Errorf("%s: got type description %v, want that of the base version %v", name, now, base)
 		}
 		if got, want := decoded(t, sent, base), decoded(t, raws[name], base); !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, before as %+v", name, got, want)
+			t.Errorf("%s: got %+v, want as the base version sent it %+v", name, got, want)
 		}
 	}
 }
--- a/internal/peer/version1_test.go
+++ b/internal/peer/version1_test.go
@@ -15,8 +15,9 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// TestVersion1 reads messages as the version without pipelines writes them.
-func TestVersion1(t *testing.T) {
+// TestDecodeVersion1Messages checks that messages recorded from version 1, which had no
+// pipelines, are decoded correctly.
+func TestDecodeVersion1Messages(t *testing.T) {
 	b, err := os.ReadFile("../core/testdata/version1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -43,25 +44,25 @@
 	for name, want := range cases {
 		raw, err := base64.StdEncoding.DecodeString(recorded.Gob[name])
 		if err != nil || len(raw) == 0 {
-			t.Fatalf("%s: not recorded", name)
+			t.Fatalf("%s: got %d recorded bytes, error %v, want a recorded message", name, len(raw), err)
 		}
 		if want == nil {
-			a, ok := fromWire(t, decoded(t, raw, reflect.TypeFor[wire.AskArgs]())).(core.SubmitJob)
-			if !ok || a.Spec.ID != "job-00" || a.Spec.Need.CPU == 0 || a.Spec.Estimate == 0 || a.Spec.Team == "" {
-				t.Errorf("%s: %+v", name, a)
+			submission, ok := fromWire(t, decoded(t, raw, reflect.TypeFor[wire.AskArgs]())).(core.SubmitJob)
+			if !ok || submission.Spec.ID != "job-00" || submission.Spec.Need.CPU == 0 || submission.Spec.Estimate == 0 || submission.Spec.Team == "" {
+				t.Errorf("%s: got %+v, want a submission of job-00 with CPU, estimate and team", name, submission)
 			}
 			continue
 		}
 		got := fromWire(t, decoded(t, raw, reflect.TypeOf(toWire(t, want))))
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: got %+v, want %+v", name, got, want)
 		}
 	}
 }
 
-// TestForVersion1 has the version without pipelines read an answer of today:
-// it knows none of the new fields.
-func TestForVersion1(t *testing.T) {
+// TestVersion1DecodesPingReply checks that version 1, which had no pipelines, can decode a
+// current ping reply although it knows none of the newer fields.
+func TestVersion1DecodesPingReply(t *testing.T) {
 	var old struct {
 		Name string
 		News struct {
@@ -79,6 +80,6 @@
 		t.Fatal(err)
 	}
 	if err := gob.NewDecoder(&b).Decode(&old); err != nil || old.Name != "n" || old.News.Token != 3 || old.News.Leader != "l" || old.News.StateAge != 5 || len(old.News.Cancelled) != 1 {
-		t.Errorf("%+v, %v", old, err)
+		t.Errorf("got %+v, error %v, want name n, token 3, leader l, state age 5 and one cancellation", old, err)
 	}
 }
