--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -34,7 +34,10 @@
 func (r *recordingHandler) HandlePing(ping core.PingReceived) (core.Reply, error) {
 	return r.handle(ping)
 }
-func (r *recordingHandler) HandleRequest(request any) (core.Reply, error) { return r.handle(request) }
+
+func (r *recordingHandler) HandleRequest(request any) (core.Reply, error) {
+	return r.handle(request)
+}
 
 func (r *recordingHandler) handle(message any) (core.Reply, error) {
 	if r.entered != nil {
