--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -33,7 +33,7 @@
 
 	conns atomic.Int64
 	mu    sync.Mutex
-	open  map[evio.Conn]*conn
+	openConns  map[evio.Conn]*conn
 }
 
 const (
@@ -103,7 +103,7 @@
 // serveOnce runs evio's event loop until it ends.
 func (s *Server) serveOnce(ctx context.Context) error {
 	s.mu.Lock()
-	s.open = make(map[evio.Conn]*conn)
+	s.openConns = make(map[evio.Conn]*conn)
 	s.mu.Unlock()
 	s.conns.Store(0)
 	return evio.Serve(evio.Events{
@@ -134,7 +134,7 @@
 	state := &conn{requestStart: time.Now()}
 	c.SetContext(state)
 	s.mu.Lock()
-	s.open[c] = state
+	s.openConns[c] = state
 	s.mu.Unlock()
 	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
 }
@@ -142,7 +142,7 @@
 func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
 	s.conns.Add(-1)
 	s.mu.Lock()
-	delete(s.open, c)
+	delete(s.openConns, c)
 	s.mu.Unlock()
 	return evio.None
 }
@@ -152,7 +152,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, state := range s.open {
+	for c, state := range s.openConns {
 		if s.expired(state, now) {
 			c.Wake()
 		}
--- a/internal/node/actor.go
+++ b/internal/node/actor.go
@@ -38,7 +38,7 @@
 	reply      func(core.Reply)
 }
 
-// tick is the message that tells the core the time of day.
+// tick returns a message with the current time of day for the core.
 func tick() core.Tick { return core.Tick{TimeOfDay: time.Now().UnixMicro()} }
 
 // sendTicks sends ticks until the node stops. Ticks are skipped while the inbox is
@@ -68,14 +68,14 @@
 		case <-n.done:
 			return
 		case e := <-n.inbox:
-			n.step(n.open(e))
+			n.step(n.unwrap(e))
 		}
 	}
 }
 
-// open returns the message in an envelope. A request is assigned a request ID and
+// unwrap returns the message in an envelope. A request is assigned a request ID and
 // recorded as pending.
-func (n *Node) open(e envelope) any {
+func (n *Node) unwrap(e envelope) any {
 	if e.build == nil {
 		return e.message
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node runs one controller. An actor owns the core and its state and
-// takes messages from an inbox; around it, goroutines do the input and output
-// that the core asks for and send the results back to the inbox.
+// receives messages from an inbox. Other goroutines perform the I/O that the core
+// requests and send the results to the inbox.
 package node
 
 import (
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -104,7 +104,7 @@
 // TestUnknownPeer checks that a request to a controller that is not a peer fails.
 func TestUnknownPeer(t *testing.T) {
 	n := &Node{}
-	if _, err := n.askPeer("node-9", nil, time.Second); !errors.Is(err, errNoPeer) {
-		t.Errorf("request to an unknown peer: got error %v, want %v", err, errNoPeer)
+	if _, err := n.askPeer("node-9", nil, time.Second); !errors.Is(err, errUnknownPeer) {
+		t.Errorf("request to an unknown peer: got error %v, want %v", err, errUnknownPeer)
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -27,8 +27,8 @@
 	forwardedTimeout = 4 * time.Second
 )
 
-// errNoPeer is returned for a controller that is not one of this controller's peers.
-var errNoPeer = errors.New("controller is not a peer")
+// errUnknownPeer is returned for a controller that is not one of this controller's peers.
+var errUnknownPeer = errors.New("controller is not a peer")
 
 // HandleRelayedHeartbeat passes a heartbeat that a peer relayed to the core and waits
 // for the reply.
@@ -102,7 +102,7 @@
 func (n *Node) askPeer(name string, request any, timeout time.Duration) (core.Reply, error) {
 	client, ok := n.peers[name]
 	if !ok {
-		return core.Reply{}, errNoPeer
+		return core.Reply{}, errUnknownPeer
 	}
 	return client.Ask(request, timeout)
 }
@@ -128,7 +128,7 @@
 // relayHeartbeat relays a worker's heartbeat to the leader, or to a peer that passes it
 // on, and delivers the answer to the core.
 func (n *Node) relayHeartbeat(e core.RelayHeartbeat) {
-	result := core.HeartbeatRelayed{RequestID: e.RequestID, Err: errNoPeer}
+	result := core.HeartbeatRelayed{RequestID: e.RequestID, Err: errUnknownPeer}
 	if client, ok := n.peers[e.To]; ok {
 		heartbeat := core.HeartbeatReceived{From: n.platform.Name, Heartbeat: e.Heartbeat, ViaPeer: e.ViaPeer}
 		result.Answer, result.Err = client.RelayHeartbeat(heartbeat, relayTimeout)
--- a/internal/peer/internal/wire/wire.go
+++ b/internal/peer/internal/wire/wire.go
@@ -44,7 +44,7 @@
 }
 
 // AskArgs is a forwarded request. Exactly one field is set. A version that does not know
-// the request decodes an empty one, and answers with that error.
+// the request decodes an empty one and answers with peer.ErrEmptyRequest.
 type AskArgs struct {
 	Submit *Submit
 	Status *Status
