--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -31,9 +31,9 @@
 	// Serving, if set, is called when the server starts to accept connections.
 	Serving func()
 
-	conns atomic.Int64
-	mu    sync.Mutex
-	openConns  map[evio.Conn]*conn
+	conns     atomic.Int64
+	mu        sync.Mutex
+	openConns map[evio.Conn]*conn
 }
 
 const (
