--- a/cmd/zinclb/client.go
+++ b/cmd/zinclb/client.go
@@ -111,17 +111,17 @@
 	deadline := time.Now().Add(retryTimeout)
 	for {
 		err := attempt()
-		pause := minRetryDelay
+		delay := minRetryDelay
 		var refused *responseError
 		if errors.As(err, &refused) {
 			if !refused.isTemporary() {
 				return err
 			}
-			pause = refused.retryDelay()
+			delay = refused.retryDelay()
 		}
-		if err == nil || time.Now().Add(pause).After(deadline) {
+		if err == nil || time.Now().Add(delay).After(deadline) {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -21,7 +21,7 @@
 "state":{"rps":80.5,"write_rps":25.5,"value_kb":8.5,"txn_ops":12,"next":{"rps":70.5,"write_rps":18.5,"value_kb":2.5,"txn_ops":4}},
 "cloud":{"rps":3.5,"list_lag_s":8.5},"resources":{"core_share":0.25,"mem_mb":125.5,"sockets":1500},"clock_error_ms":250.5}}`
 
-// platformWithAllFields is what wholePlatform says.
+// platformWithAllFields returns the settings that fullPlatform encodes.
 func platformWithAllFields() *Platform {
 	rps, writes, large, ops := 70.5, 18.5, 2.5, 4
 	p := &Platform{
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -21,15 +21,15 @@
 		Plain   []int
 		hidden  int
 	}
-	whole := inner{1, "a"}
+	full := inner{1, "a"}
 	for _, tc := range []struct {
 		name  string
 		value outer
 		want  []string
 	}{
-		{"all set", outer{true, []inner{whole}, map[string]inner{"k": whole}, &whole, []int{0}, 0}, nil},
+		{"all set", outer{true, []inner{full}, map[string]inner{"k": full}, &full, []int{0}, 0}, nil},
 		{"nothing set", outer{}, []string{".Flag", ".List", ".ByName", ".Pointer", ".Plain"}},
-		{"nested fields", outer{true, []inner{whole, {Number: 1}}, map[string]inner{"k": {Text: "a"}}, &inner{Number: 1}, []int{0}, 0}, []string{".List[1].Text", ".ByName[k].Number", ".Pointer.Text"}},
+		{"nested fields", outer{true, []inner{full, {Number: 1}}, map[string]inner{"k": {Text: "a"}}, &inner{Number: 1}, []int{0}, 0}, []string{".List[1].Text", ".ByName[k].Number", ".Pointer.Text"}},
 	} {
 		if got := Unset(tc.value); !reflect.DeepEqual(got, tc.want) && !slices.Equal(got, tc.want) {
 			t.Errorf("%s: got unset paths %q, want %q", tc.name, got, tc.want)
--- a/internal/metrics/recorded_test.go
+++ b/internal/metrics/recorded_test.go
@@ -16,16 +16,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var whole core.OperatorView
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var full core.OperatorView
+	if err := json.Unmarshal(body, &full); err != nil {
 		t.Fatal(err)
 	}
-	if paths := golden.Unset(whole); len(paths) > 0 {
+	if paths := golden.Unset(full); len(paths) > 0 {
 		t.Errorf("fields of the view are not set in ops.json: %s", paths)
 	}
-	follower := whole
+	follower := full
 	follower.Leading = false
-	for file, view := range map[string]*core.OperatorView{"leader": &whole, "follower": &follower, "empty": {}} {
+	for file, view := range map[string]*core.OperatorView{"leader": &full, "follower": &follower, "empty": {}} {
 		text, err := Encode(view)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sweep/files.go
+++ b/internal/sweep/files.go
@@ -58,11 +58,11 @@
 // that can be parsed as a number is a number; any other is a string.
 func fromCSV(content []byte, column string) ([]*sweeppb.Value, error) {
 	reader := csv.NewReader(bytes.NewReader(content))
-	head, err := reader.Read()
+	header, err := reader.Read()
 	if err != nil {
 		return nil, fmt.Errorf("line of names: %w", err)
 	}
-	i := slices.Index(head, column)
+	i := slices.Index(header, column)
 	if i < 0 {
 		return nil, fmt.Errorf("no column %q", column)
 	}
--- a/internal/sweep/runid.go
+++ b/internal/sweep/runid.go
@@ -57,9 +57,9 @@
 // hashField hashes a field with its kind and length, so that different lists of fields never
 // give the same sequence of bytes.
 func hashField(h hash.Hash, kind byte, content []byte) {
-	var head [9]byte
-	head[0] = kind
-	binary.BigEndian.PutUint64(head[1:], uint64(len(content)))
-	h.Write(head[:])
+	var header [9]byte
+	header[0] = kind
+	binary.BigEndian.PutUint64(header[1:], uint64(len(content)))
+	h.Write(header[:])
 	h.Write(content)
 }
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// expand parses and expands the text of a sweep. files has the contents of files by name.
-func expand(text string, files map[string]string) (*Expansion, error) {
+// parseAndExpand parses and expands the text of a sweep. files has the contents of files by name.
+func parseAndExpand(text string, files map[string]string) (*Expansion, error) {
 	s, err := Parse([]byte(text))
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 // TestExpand checks the runs of valid sweeps, and the errors for invalid ones.
 func TestExpand(t *testing.T) {
 	files := map[string]string{"p.csv": "x,name\n1,a\n2.5,\"b, c\"\n", "p.jsonl": `{"x": 1, "ok": true}` + "\n" + `{"x": 7, "ok": false}`, "odd.csv": "x\n1\n2,3\n"}
-	head := `id: "s" job { herd: "h" } `
+	header := `id: "s" job { herd: "h" } `
 	cases := []struct{ name, text, want, wantErr string }{
 		{
 			name: "product, the last parameter varies fastest", text: `parameter { name: "a" value { int: 1 } value { int: 2 } } parameter { name: "b" value { text: "x" } value { text: "y" } }`,
@@ -88,7 +88,7 @@
 		{name: "runs sorted by dependencies", text: `set { field: "awaits" is: "[run(a=a+1)] if a < 3 else []" } parameter { name: "a" range { from: 1 to: 3 } }`, want: `{a: 3}[2] {a: 2}[1] {a: 1}[0]`},
 	}
 	for _, tc := range cases {
-		x, err := expand(head+tc.text, files)
+		x, err := parseAndExpand(header+tc.text, files)
 		switch {
 		case tc.wantErr != "" && (err == nil || !strings.Contains(err.Error(), tc.wantErr)):
 			t.Errorf("%s: got error %v, want one with %q", tc.name, err, tc.wantErr)
@@ -104,10 +104,10 @@
 // they are written. Ids are stored in deployments, so the id of a given run must never
 // change.
 func TestRunID(t *testing.T) {
-	const one = "sweep.s.57f18a6cfe5a6cf3077249d5"
+	const wantID = "sweep.s.57f18a6cfe5a6cf3077249d5"
 	a := RunID("s", []string{"a", "b"}, []Value{int64(1), "x"})
-	if a != one {
-		t.Errorf("run id: got %s, want %s", a, one)
+	if a != wantID {
+		t.Errorf("run id: got %s, want %s", a, wantID)
 	}
 	if b := RunID("s", []string{"b", "a"}, []Value{"x", int64(1)}); a != b {
 		t.Errorf("run id with the parameters in another order: got %s, want %s", b, a)
@@ -124,7 +124,7 @@
 			t.Errorf("run id of a different run: got %s again, want a different id", a)
 		}
 	}
-	x, err := expand(`id: "s" job { herd: "h" hands: 2 } set { field: "hands" is: "1" } parameter { name: "a" value { int: 1 } }`, nil)
+	x, err := parseAndExpand(`id: "s" job { herd: "h" hands: 2 } set { field: "hands" is: "1" } parameter { name: "a" value { int: 1 } }`, nil)
 	if err == nil {
 		t.Errorf("hands given twice: got runs %v, want an error", describeRuns(x))
 	}
@@ -175,7 +175,7 @@
 		{"awaits", `[run_of("a b")]`, "", "run_of: takes the id"},
 	}
 	for _, tc := range cases {
-		x, err := expand(fmt.Sprintf(`id: "s" job { herd: "h" } set { field: %q is: %q }
+		x, err := parseAndExpand(fmt.Sprintf(`id: "s" job { herd: "h" } set { field: %q is: %q }
 			parameter { name: "n" value { int: 3 } } parameter { name: "name" value { text: "ab" } } parameter { name: "big" value { flag: false } }`, tc.field, tc.is), nil)
 		switch {
 		case tc.wantErr != "" && (err == nil || !strings.Contains(err.Error(), tc.wantErr)):
@@ -198,10 +198,10 @@
 	for _, f := range []string{"hands", "vcpus", "expect_s"} {
 		text += fmt.Sprintf(` set { field: %q is: %q }`, f, big)
 	}
-	if _, err := expand(text, nil); err == nil || !strings.Contains(err.Error(), "all expressions together") {
+	if _, err := parseAndExpand(text, nil); err == nil || !strings.Contains(err.Error(), "all expressions together") {
 		t.Errorf("long expressions: got error %v, want one about the steps of all expressions", err)
 	}
-	if _, err := expand(`id: "s" job { herd: "h" } parameter { name: "a" value { int: 1 } }`+strings.Repeat(` skip_if: "a > 1"`, 33), nil); err == nil || !strings.Contains(err.Error(), "skip_if: 33 of them") {
+	if _, err := parseAndExpand(`id: "s" job { herd: "h" } parameter { name: "a" value { int: 1 } }`+strings.Repeat(` skip_if: "a > 1"`, 33), nil); err == nil || !strings.Contains(err.Error(), "skip_if: 33 of them") {
 		t.Errorf("33 conditions: got error %v, want one about their number", err)
 	}
 }
@@ -210,8 +210,8 @@
 // ids, and that the digest is reproducible but differs for a different job.
 func TestLargestSweep(t *testing.T) {
 	text := `id: "s" job { herd: "h" } set { field: "hands" is: "a % 7 + 1" } parameter { name: "a" range { from: 1 to: 100 } } parameter { name: "b" range { from: 1 to: 100 } }`
-	x, err := expand(text, nil)
-	y, err2 := expand(text, nil)
+	x, err := parseAndExpand(text, nil)
+	y, err2 := parseAndExpand(text, nil)
 	if err = errors.Join(err, err2); err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 	if len(ids) != MaxRuns || x.Digest != y.Digest {
 		t.Errorf("got %d ids, digests %s and %s, want %d ids and equal digests", len(ids), x.Digest, y.Digest, MaxRuns)
 	}
-	if z, _ := expand(strings.Replace(text, "% 7", "% 6", 1), nil); z.Digest == x.Digest {
+	if z, _ := parseAndExpand(strings.Replace(text, "% 7", "% 6", 1), nil); z.Digest == x.Digest {
 		t.Error("digest with a different job: got the same digest, want a different one")
 	}
 }
