--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -1,5 +1,5 @@
-// Package internal_test keeps the shape of the program: which package may import
-// which, and that what the pages say of the code is there.
+// Package internal_test checks the structure of the program: which packages may import which,
+// and that the documentation names only code that exists.
 package internal_test
 
 import (
@@ -22,21 +22,21 @@
 	moduleRoot = ".."
 )
 
-// allowedImports has, for each package of the module, the packages of the module that
-// it imports outside its tests. A package that is missing here, an import that is
-// missing in its row and one that is no longer there all fail.
+// allowedImports lists, for each package of the module, the packages of the module that it
+// imports outside its tests. The test fails for a package without an entry, an import that is
+// missing from its entry, and an entry for an import that no longer exists.
 //
-// The rules behind the rows:
-//   - the core decides and does no input or output: of the module it imports only its
-//     own parts and the types of the settings;
-//   - the parts of the core know nothing of the core, and of each other only what
-//     stands below them: kv and jobstate, fleet, sched;
-//   - api, cloud, store and peer translate to and from the core's messages, each for
-//     one interface, and do not know each other; node puts them together;
-//   - the wire types of messages between controllers are seen by peer alone;
-//   - the controller knows nothing of the emulator. Of the emulator, environment and
-//     history know the protocols from the outside (wire), and not the controller;
-//   - golden, rapidtest and casestest are for tests.
+// The table follows these rules:
+//   - core makes decisions and does no input or output. Of the module it imports only its
+//     own subpackages and the types of the settings.
+//   - The subpackages of core do not import core, and of each other only lower layers: kv
+//     and jobstate, then fleet, then sched.
+//   - api, cloud, store and peer each translate between one interface and the core's
+//     messages, and do not import each other; node connects them.
+//   - Only peer imports the wire types of messages between controllers.
+//   - The controller does not import the emulator. Of the emulator, environment and history
+//     import only the types of the protocols (wire), and not the controller.
+//   - golden, rapidtest and casestest are used by tests only.
 var allowedImports = map[string][]string{
 	"cmd/zinclb": {
 		"internal/api", "internal/config", "internal/core", "internal/httpwire", "internal/node",
@@ -51,7 +51,8 @@
 	"cmd/zinclb-experiment": {"internal/config", "internal/experiment", "internal/jsonlines"},
 	"cmd/zinclb-load":       {"internal/emulator/scenario", "internal/jsonlines", "internal/load"},
 
-	// Interfaces to the outside, each on its own, and what puts them together.
+	// External interfaces, which are independent of each other, and node, which connects
+	// them.
 	"internal/api":                {"internal/core", "internal/core/jobstate", "internal/httpwire", "internal/sweep", "internal/sweep/sweeppb"},
 	"internal/cloud":              {"internal/core", "internal/core/fleet", "internal/core/jobstate", "internal/httpwire"},
 	"internal/store":              {"internal/core", "internal/core/kv", "internal/httpwire"},
@@ -63,7 +64,7 @@
 		"internal/httpwire", "internal/metrics", "internal/peer", "internal/store",
 	},
 
-	// What stands below them.
+	// Packages that the external interfaces use.
 	"internal/config":            {"internal/config/operatorpb"},
 	"internal/config/operatorpb": {},
 	"internal/httpwire":          {},
@@ -71,7 +72,7 @@
 	"internal/sweep":             {"internal/sweep/sweeppb"},
 	"internal/sweep/sweeppb":     {},
 
-	// The core and its parts.
+	// The core and its subpackages.
 	"internal/core": {
 		"internal/config", "internal/core/connectivity", "internal/core/fleet", "internal/core/jobstate",
 		"internal/core/kv", "internal/core/ratelimit", "internal/core/readlease", "internal/core/replica",
@@ -89,7 +90,7 @@
 	"internal/core/txn":          {"internal/core/kv"},
 	"internal/core/upgrade":      {},
 
-	// The emulator: the outside as a model, and what runs controllers in it.
+	// The emulator: a model of the environment, and the programs that run controllers in it.
 	"internal/emulator/wire":                {},
 	"internal/emulator/history":             {"internal/emulator/wire"},
 	"internal/emulator/environment":         {"internal/config", "internal/emulator/history", "internal/emulator/wire"},
@@ -136,7 +137,7 @@
 	},
 	"internal/emulator/capacity": {"internal/emulator/scale"},
 
-	// Measuring.
+	// Experiments and load generation.
 	"internal/experiment": {
 		"internal/config", "internal/emulator/faketime", "internal/emulator/history", "internal/emulator/scenario",
 		"internal/emulator/sockets", "internal/jsonlines",
@@ -149,9 +150,9 @@
 	"internal/rapidtest":                {},
 }
 
-// TestImports compares the imports of all packages with the table. It reads the
-// sources itself: a result that came from another process, such as go list, would be
-// taken from the cache of tests after a change.
+// TestImports compares the imports of all packages with allowedImports. It reads the source
+// files itself, because the test cache does not notice changes in files that another process,
+// such as go list, reads.
 func TestImports(t *testing.T) {
 	found := map[string][]string{}
 	for _, top := range []string{"cmd", "internal"} {
@@ -168,29 +169,29 @@
 	for _, name := range slices.Sorted(maps.Keys(found)) {
 		allowed, ok := allowedImports[name]
 		if !ok {
-			t.Errorf("%s has no row in the table", name)
+			t.Errorf("package %s has no entry in allowedImports", name)
 			continue
 		}
 		for _, imported := range found[name] {
 			if !slices.Contains(allowed, imported) {
-				t.Errorf("%s imports %s", name, imported)
+				t.Errorf("package %s imports %s, which allowedImports does not list", name, imported)
 			}
 		}
 		for _, imported := range allowed {
 			if !slices.Contains(found[name], imported) {
-				t.Errorf("%s does not import %s any more: take it out of the table", name, imported)
+				t.Errorf("package %s no longer imports %s: remove it from allowedImports", name, imported)
 			}
 		}
 	}
 	for name := range allowedImports {
 		if _, ok := found[name]; !ok {
-			t.Errorf("the table has %s, which is not there", name)
+			t.Errorf("allowedImports has an entry for %s, which does not exist", name)
 		}
 	}
 }
 
-// pureTrees are the directories whose code decides and computes without input, output
-// or a clock: with the same input they do the same, which replaying a seed relies on.
+// pureTrees are the directories whose code does no input or output and reads no clock. The
+// same input gives the same result, which replaying a run by its seed relies on.
 var pureTrees = []string{
 	"internal/core",
 	"internal/emulator/environment",
@@ -199,12 +200,12 @@
 	"internal/sweep",
 }
 
-// pureImports are the packages from outside the module that they may import.
+// pureImports are the packages from outside the module that pure packages may import.
 var pureImports = []string{
 	"bytes", "cmp", "container/heap", "encoding/base64", "encoding/binary", "encoding/csv", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash", "hash/fnv", "iter", "log/slog", "maps", "math", "math/rand/v2",
 	"net/http", "net/netip", "regexp", "slices", "strconv", "strings",
-	"io", // of sweep: the end of a table
+	"io", // io.EOF in sweep, the end of a file's content
 
 	"github.com/HdrHistogram/hdrhistogram-go", "github.com/RoaringBitmap/roaring/v2",
 	"github.com/anishathalye/porcupine", "github.com/benbjohnson/immutable",
@@ -213,20 +214,22 @@
 	"google.golang.org/protobuf/encoding/prototext", "google.golang.org/protobuf/reflect/protoreflect",
 }
 
-// impureUses are what these packages have that writes, or that draws from a source
-// which no seed decides.
+// impureUses matches the functions of these packages that do input or output, or that draw
+// random numbers from a source without a seed.
 var impureUses = map[string]*regexp.Regexp{
 	"fmt":  regexp.MustCompile(`^(Print|Scan)`),
 	"slog": regexp.MustCompile(`^(Debug|Info|Warn|Error|Log$|LogAttrs|Default|SetDefault)`),
 	"rand": regexp.MustCompile(`^(Int|Uint|Float|Perm|Shuffle|N$|NormFloat|ExpFloat)`),
 }
 
-// constantsOnly are packages that are imported for constants alone.
+// constantsOnly has the packages of which only constants may be used, with a pattern for the
+// names of these constants.
 var constantsOnly = map[string]*regexp.Regexp{
 	"http": regexp.MustCompile(`^(Status|Method)[A-Z]\w*$`),
 }
 
-// TestPure keeps input, output, clocks and unseeded draws out of the pure packages.
+// TestPure checks that pure packages do no input or output, read no clock and draw no unseeded
+// random numbers.
 func TestPure(t *testing.T) {
 	files := 0
 	for _, tree := range pureTrees {
@@ -239,7 +242,7 @@
 			if err != nil {
 				return err
 			}
-			for _, fault := range impurities(file) {
+			for _, fault := range findImpurities(file) {
 				t.Errorf("%s %s", path, fault)
 			}
 			return nil
@@ -249,12 +252,12 @@
 		}
 	}
 	if files < len(pureTrees) {
-		t.Fatalf("%d files", files)
+		t.Fatalf("got %d source files, want at least %d", files, len(pureTrees))
 	}
 }
 
-// impurities says what a file imports or uses that a pure package may not.
-func impurities(file *ast.File) []string {
+// findImpurities lists what a file imports or uses although a pure package may not.
+func findImpurities(file *ast.File) []string {
 	var faults []string
 	for _, spec := range file.Imports {
 		name := strings.Trim(spec.Path.Value, `"`)
@@ -278,7 +281,7 @@
 	return faults
 }
 
-// TestImpurities shows that each kind is found.
+// TestImpurities checks that impurities finds each kind of forbidden import and use.
 func TestImpurities(t *testing.T) {
 	const source = `package p
 import ("fmt"; "log/slog"; "math/rand/v2"; "net/http"; "time"; "slices")
@@ -296,13 +299,13 @@
 		t.Fatal(err)
 	}
 	want := []string{"imports time", "uses fmt.Println", "uses rand.IntN", "uses slog.Info", "uses http.Get"}
-	if got := impurities(file); !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+	if got := findImpurities(file); !slices.Equal(got, want) {
+		t.Errorf("impurities: got %q, want %q", got, want)
 	}
 }
 
-// addImports adds what the package in a directory imports of the module, if there is
-// a package that is not of tests alone.
+// addImports adds the packages of the module that the package in a directory imports, unless
+// the directory has no package or only tests.
 func addImports(found map[string][]string, dir string) error {
 	pkg, err := build.ImportDir(dir, 0)
 	var none *build.NoGoError
--- a/internal/loglines_test.go
+++ b/internal/loglines_test.go
@@ -13,17 +13,18 @@
 	"testing"
 )
 
-// controllerTrees are the directories whose code a controller runs.
+// controllerTrees are the directories with the code of a controller.
 var controllerTrees = []string{
 	"cmd/zinclb", "internal/api", "internal/cloud", "internal/config", "internal/core", "internal/httpwire",
 	"internal/metrics", "internal/node", "internal/peer", "internal/store", "internal/sweep",
 }
 
-// logRow is a row of the page's table of log lines: the line, fixed and quoted, and its level.
+// logRow matches a row of the table of log lines in docs/operations.md: the quoted text of
+// the line and its level.
 var logRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (\\w+) \\|")
 
-// TestLogLines compares the log lines that a controller writes at level info and above
-// with those that the operators' page lists.
+// TestLogLines checks that docs/operations.md lists exactly the log lines that a controller
+// writes at level info and above.
 func TestLogLines(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(moduleRoot, "docs", "operations.md"))
 	if err != nil {
@@ -31,34 +32,35 @@
 	}
 	_, section, ok := strings.Cut(string(text), "\n## Log lines\n")
 	if !ok {
-		t.Fatal("docs/operations.md has no section on log lines")
+		t.Fatal("docs/operations.md: got no section \"Log lines\", want one")
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	listed := map[logLine]bool{}
 	for _, match := range logRow.FindAllStringSubmatch(section, -1) {
 		line := logLine{text: match[1], level: match[2]}
 		if listed[line] {
-			t.Errorf("listed twice: %v", line)
+			t.Errorf("docs/operations.md lists a log line twice: %v", line)
 		}
 		listed[line] = true
 	}
 	logged := loggedLines(t)
 	for line, at := range logged {
 		if !listed[line] {
-			t.Errorf("%s: not listed: %v", at, line)
+			t.Errorf("%s: docs/operations.md does not list the log line %v", at, line)
 		}
 	}
 	for line := range listed {
 		if logged[line] == "" {
-			t.Errorf("listed and never logged: %v", line)
+			t.Errorf("docs/operations.md lists a log line that is never logged: %v", line)
 		}
 	}
 }
 
-// logLine is a log call's fixed text and its level in lower case.
+// logLine is the fixed text of a log call and its level in lower case.
 type logLine struct{ text, level string }
 
-// loggedLines has all log calls at level info and above, with a place of each.
+// loggedLines returns all log lines at level info and above, with the position of a call for
+// each.
 func loggedLines(t *testing.T) map[logLine]string {
 	t.Helper()
 	lines := map[logLine]string{}
@@ -84,15 +86,15 @@
 				at := files.Position(call.Pos()).String()
 				text, ok := call.Args[0].(*ast.BasicLit)
 				if !ok {
-					t.Errorf("%s: the text of a log line is not fixed", at)
+					t.Errorf("%s: the text of the log line is not a literal", at)
 					return true
 				}
 				line, err := strconv.Unquote(text.Value)
 				if err != nil {
-					t.Errorf("%s: %v", at, err)
+					t.Errorf("%s: text of the log line: %v", at, err)
 				}
 				if first := line[:1]; first != strings.ToLower(first) {
-					t.Errorf("%s: begins with a capital: %s", at, line)
+					t.Errorf("%s: log line begins with a capital letter: %s", at, line)
 				}
 				lines[logLine{line, level}] = at
 				return true
@@ -106,8 +108,8 @@
 	return lines
 }
 
-// logLevel is the level of a call that logs at level info or above: Info, Warn or Error
-// with a text, of slog or of a logger.
+// logLevel returns the level of a call that logs at level info or above: a call of Info, Warn
+// or Error with arguments, of package slog or of a logger.
 func logLevel(call *ast.CallExpr) (level string, ok bool) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
