--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -82,9 +82,9 @@
 // Route converts a request into a message for the core, or returns an immediate answer if
 // the request is invalid.
 func Route(m *httpwire.Message) (build Build, answer *httpwire.Response) {
-	build, bad := route(m)
-	if bad != nil {
-		return nil, bad.response()
+	build, refusal := route(m)
+	if refusal != nil {
+		return nil, refusal.response()
 	}
 	return build, nil
 }
--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -90,9 +90,9 @@
 	if want := `{"id":"s","status":"withdrawn","runs":3,"created":0,"done":0,"withdrawn":3}`; state != want {
 		t.Errorf("state of the sweep: got %s, want %s", state, want)
 	}
-	for _, bad := range []string{"", "!", "AAAA", m.Stored[:len(m.Stored)/2]} {
-		if _, err := UnpackSweep(bad); err == nil {
-			t.Errorf("unpack %q: got no error, want one", bad)
+	for _, invalid := range []string{"", "!", "AAAA", m.Stored[:len(m.Stored)/2]} {
+		if _, err := UnpackSweep(invalid); err == nil {
+			t.Errorf("unpack %q: got no error, want one", invalid)
 		}
 	}
 }
--- a/internal/sweep/expr.go
+++ b/internal/sweep/expr.go
@@ -35,7 +35,7 @@
 
 // expr is a compiled expression that uses only the allowed subset of Starlark.
 type expr struct {
-	// location is the field of the sweep file with the expression, for messages.
+	// location names the expression in errors, such as "set hands" or "skip_if 1".
 	location string
 	// program stores the value of the expression in the global named resultName.
 	program *starlark.Program
