--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/zinclb/zinclb/internal/golden"
 )
 
-const wholePlatform = `{"label":"n0","site":"a","front":"127.0.0.1:8080","back":"127.0.0.1:8081",
+const fullPlatform = `{"label":"n0","site":"a","front":"127.0.0.1:8080","back":"127.0.0.1:8081",
 "members":[{"label":"n1","site":"b","peer_addr":"127.0.0.1:8091"},{"label":"n2","site":"c","peer_addr":"127.0.0.1:8092"}],
 "outside":{"cloud":"127.0.0.1:1","state":"127.0.0.1:2"},
 "settings":{"size":3,"zones":["a","b","c"],"teams":[{"name":"t","cpus":11.5,"cpus_max":12.5,"gpus":1.5,"gpus_max":2.5}],
@@ -21,8 +21,8 @@
 "state":{"rps":80.5,"write_rps":25.5,"value_kb":8.5,"txn_ops":12,"next":{"rps":70.5,"write_rps":18.5,"value_kb":2.5,"txn_ops":4}},
 "cloud":{"rps":3.5,"list_lag_s":8.5},"resources":{"core_share":0.25,"mem_mb":125.5,"sockets":1500},"clock_error_ms":250.5}}`
 
-// everyPlatformField is what wholePlatform says.
-func everyPlatformField() *Platform {
+// platformWithAllFields returns the settings that fullPlatform encodes.
+func platformWithAllFields() *Platform {
 	rps, writes, large, ops := 70.5, 18.5, 2.5, 4
 	p := &Platform{
 		Name: "n0", Zone: "a", UserAddr: "127.0.0.1:8080", PeerAddr: "127.0.0.1:8081",
@@ -51,15 +51,16 @@
 	return path
 }
 
-// TestRecordedPlatform reads the platform's settings with every field, and writes
-// them as the emulator does for the controllers that it starts.
+// TestRecordedPlatform decodes platform settings with every field set. It also encodes them,
+// as the emulator does for the controllers that it starts, and compares them with a golden
+// file.
 func TestRecordedPlatform(t *testing.T) {
-	want := everyPlatformField()
+	want := platformWithAllFields()
 	if paths := golden.Unset(want); len(paths) > 0 {
-		t.Errorf("not recorded: %s", paths)
+		t.Errorf("fields are not set in this test: %s", paths)
 	}
-	if got, err := Load(writeSettings(t, wholePlatform)); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v", got, err)
+	if got, err := Load(writeSettings(t, fullPlatform)); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 	body, err := json.MarshalIndent(want, "", " ")
 	if err != nil {
@@ -68,34 +69,34 @@
 	golden.Compare(t, "testdata/platform.json", string(body)+"\n")
 }
 
-const wholeOperators = `short_cutoff_s: 30.5 long_cutoff_s: 500.5 term_s: 11.5 trial_s: 90.5 idle_return_s: 41.5 spare_share: 2.5 leader_lease_s: 4.5
+const fullOperators = `short_cutoff_s: 30.5 long_cutoff_s: 500.5 term_s: 11.5 trial_s: 90.5 idle_return_s: 41.5 spare_share: 2.5 leader_lease_s: 4.5
 sweeps: true reach: true hold_features: "log" hold_features: "a-newer-1" weigh_money: true`
 
-// TestRecordedOperators reads the operators' file with every field, and the
-// defaults without any.
+// TestRecordedOperators parses operators' settings with every field set, with none, which
+// gives the defaults, and with one.
 func TestRecordedOperators(t *testing.T) {
-	yes := true
-	whole := Operators{
+	weighMoney := true
+	full := Operators{
 		ShortCutoff: 30_500_000, LongCutoff: 500_500_000, Term: 11_500_000, Trial: 90_500_000, IdleReturn: 41_500_000, LeaderLease: 4_500_000,
-		SpareShare: 2.5, Sweeps: true, Reach: true, WeighMoney: &yes, HoldFeatures: []string{"log", "a-newer-1"},
+		SpareShare: 2.5, Sweeps: true, Reach: true, WeighMoney: &weighMoney, HoldFeatures: []string{"log", "a-newer-1"},
 	}
-	if paths := golden.Unset(whole); len(paths) > 0 {
-		t.Errorf("not recorded: %s", paths)
+	if paths := golden.Unset(full); len(paths) > 0 {
+		t.Errorf("fields are not set in this test: %s", paths)
 	}
-	least := Operators{ShortCutoff: 60_000_000, LongCutoff: 600_000_000, Term: 10_000_000, Trial: 180_000_000, IdleReturn: 40_000_000, LeaderLease: 3_000_000, SpareShare: 1, Reach: true}
-	without := least
-	without.Reach = false
+	defaults := Operators{ShortCutoff: 60_000_000, LongCutoff: 600_000_000, Term: 10_000_000, Trial: 180_000_000, IdleReturn: 40_000_000, LeaderLease: 3_000_000, SpareShare: 1, Reach: true}
+	reachOff := defaults
+	reachOff.Reach = false
 	for _, tc := range []struct {
 		text string
 		want Operators
-	}{{wholeOperators, whole}, {"", least}, {"reach: false", without}} {
+	}{{fullOperators, full}, {"", defaults}, {"reach: false", reachOff}} {
 		if got, err := ParseOperators([]byte(tc.text)); err != nil || !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%q is read as %+v, %v", tc.text, got, err)
+			t.Errorf("%q: got %+v, error %v, want %+v", tc.text, got, err, tc.want)
 		}
 	}
 }
 
-// TestRecordedFaults compares what is said of bad settings with its recorded form.
+// TestRecordedFaults compares the errors for invalid settings with a golden file.
 func TestRecordedFaults(t *testing.T) {
 	var b strings.Builder
 	var empty Platform
@@ -111,18 +112,18 @@
 		{`"value_kb":2.5`, `"value_kb":-2`},
 		{`"txn_ops":4`, `"txn_ops":3`},
 	} {
-		_, err := Load(writeSettings(t, strings.Replace(wholePlatform, replace[0], replace[1], 1)))
+		_, err := Load(writeSettings(t, strings.Replace(fullPlatform, replace[0], replace[1], 1)))
 		fmt.Fprintf(&b, "%s -> %s: %v\n", replace[0], replace[1], err)
 	}
 	for _, text := range []string{"short_cutoff_s: 0", "long_cutoff_s: 0", "term_s: 1", "trial_s: 1", "idle_return_s: 1", "leader_lease_s: 0", "spare_share: 11", `hold_features: "A"`, "short_cutoff_s: 700"} {
 		_, err := ParseOperators([]byte(text))
 		fmt.Fprintf(&b, "%s: %v\n", text, err)
 	}
-	// Package json names the Go type, package prototext spaces at random: only the
-	// names of the fields hold.
-	path := writeSettings(t, strings.Replace(wholePlatform, `"mem_mb":125.5`, `"mem_mb":"much"`, 1))
+	// Errors of encoding/json contain the names of Go types and those of prototext have
+	// random spaces, so only the names of the fields are checked.
+	path := writeSettings(t, strings.Replace(fullPlatform, `"mem_mb":125.5`, `"mem_mb":"much"`, 1))
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "settings.resources.mem_mb") || !strings.HasPrefix(err.Error(), "settings "+path+": ") {
-		t.Errorf("a wrong type: %v", err)
+		t.Errorf("mem_mb of the wrong type: got error %v, want one with the file and the field", err)
 	}
 	golden.Compare(t, "testdata/faults.txt", b.String())
 }
--- a/internal/metrics/recorded_test.go
+++ b/internal/metrics/recorded_test.go
@@ -9,24 +9,23 @@
 	"github.com/zinclb/zinclb/internal/golden"
 )
 
-// TestRecorded compares the whole text with its recorded form: of a leader with
-// every field set, of the same controller when it does not lead, and of one that
-// knows nothing yet.
+// TestRecorded compares the encoded metrics with golden files for a leader with every field
+// of the view set, for the same controller when it does not lead, and for an empty view.
 func TestRecorded(t *testing.T) {
 	body, err := os.ReadFile("../api/testdata/ops.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var whole core.OperatorView
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var full core.OperatorView
+	if err := json.Unmarshal(body, &full); err != nil {
 		t.Fatal(err)
 	}
-	if paths := golden.Unset(whole); len(paths) > 0 {
-		t.Errorf("not recorded: %s", paths)
+	if paths := golden.Unset(full); len(paths) > 0 {
+		t.Errorf("fields of the view are not set in ops.json: %s", paths)
 	}
-	follower := whole
+	follower := full
 	follower.Leading = false
-	for file, view := range map[string]*core.OperatorView{"leader": &whole, "follower": &follower, "empty": {}} {
+	for file, view := range map[string]*core.OperatorView{"leader": &full, "follower": &follower, "empty": {}} {
 		text, err := Encode(view)
 		if err != nil {
 			t.Fatal(err)
@@ -34,6 +33,6 @@
 		golden.Compare(t, "testdata/"+file+".txt", string(text))
 	}
 	if ContentType != "text/plain; version=0.0.4; charset=utf-8" {
-		t.Errorf("the content type is %q", ContentType)
+		t.Errorf("content type: got %q", ContentType)
 	}
 }
