--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -36,7 +36,7 @@
 			{Waiting: 4, Tasks: 41, Pivot: "job-2", StartsS: 2.5, WaitsS: 63.25, Reason: "no machine that it may use is up"},
 		},
 		Machines: core.MachinesView{Busy: 21, Idle: 22, Prefetching: 23, Silent: 24, NotReceiving: 25, Draining: 26, Booting: 27},
-		Jobs:     31, AnswersForS: 4.5, Awaiting: 5, UnstoredEnds: 7, Ends: core.EndCounts{Derived: 61, Told: 62, FailedReads: 63, NotFoundCompared: 64, NotFoundRead: 65}, Format: 6, LimitsLowered: true, Conditions: []string{"no controller leads", "the cloud does not answer"},
+		Jobs:     31, AnswersForS: 4.5, Awaiting: 5, UnstoredEnds: 7, Ends: core.EndCounts{Derived: 61, Reported: 62, FailedReads: 63, NotFoundCompared: 64, NotFoundRead: 65}, Format: 6, LimitsLowered: true, Conditions: []string{"no controller leads", "the cloud does not answer"},
 		Features: []core.FeatureView{{Name: "log", On: true, Held: []string{"node-2"}}},
 		Members:  map[string]core.MemberView{"node-0": {Program: 5, Format: 6, Features: []upgrade.FeatureName{upgrade.ProgressLog, upgrade.Connectivity}, Held: []upgrade.FeatureName{upgrade.Connectivity}}},
 		Reach: core.ConnectivityView{
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -175,7 +175,7 @@
 	if m.elector.isLeader() {
 		m.elector.resign(reason)
 	}
-	m.cache.suspend()
+	m.cache.invalidate()
 	if starting {
 		m.emit(Quit{Reason: reason})
 	}
--- a/internal/core/alerts_test.go
+++ b/internal/core/alerts_test.go
@@ -25,7 +25,7 @@
 	for _, tc := range cases {
 		last := job("c", "b")
 		last.Spec.Deadline = tc.deadline
-		keys := map[string]any{formatKey: joined, jobPrefix + "b": job("b", "a"), jobPrefix + "c": last}
+		keys := map[string]any{formatKey: progressLogFormat, jobPrefix + "b": job("b", "a"), jobPrefix + "c": last}
 		if tc.done {
 			keys[endPrefix+"a"] = endDone
 		} else {
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -34,7 +34,7 @@
 			if j.Revision == revision {
 				j.Revision = result.Revision
 			}
-			h.cache.noteEnd(r.targetID, jobstate.EndStoredAt(end, result.Revision))
+			h.cache.recordEnd(r.targetID, jobstate.EndStoredAt(end, result.Revision))
 			h.answerEnd(r.id, r.targetID, end)
 		case kv.Conflict:
 			h.retryCancellation(r)
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -150,7 +150,7 @@
 // onCloudCallRequested makes a call for a leader, unless a newer leader is known: the calls of a
 // replaced leader must not reach the cloud through its successors.
 func (c *cloudCaller) onCloudCallRequested(m CloudCallRequested) {
-	c.elector.noteNewestLeader(c.cache.leader)
+	c.elector.updateNewestLeader(c.cache.leader)
 	if m.FencingToken < c.elector.newestLeader.Token {
 		c.emit(Reply{RequestID: m.RequestID, Status: ReplyUnavailable, Error: "a newer leader is known"})
 		return
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -278,7 +278,7 @@
 		if written.end.Outcome == jobstate.Done {
 			c.log.Info("job done", "job", j.ID, "tasks", j.Tasks, "revision", revision)
 		}
-		c.cache.noteEnd(j.ID, jobstate.EndStoredAt(written.end, revision))
+		c.cache.recordEnd(j.ID, jobstate.EndStoredAt(written.end, revision))
 	}
 	for _, chunk := range written.chunks {
 		if chunk.logged {
@@ -292,7 +292,7 @@
 	}
 	if written.removesJob {
 		if j.Outcome() == jobstate.Cancelled {
-			c.endMonitor.removed(j.ID, written.proof, revision)
+			c.endMonitor.recordRemoval(j.ID, written.proof, revision)
 		}
 		c.jobKeyRemoved(j)
 		return
--- a/internal/core/conflicts.go
+++ b/internal/core/conflicts.go
@@ -65,7 +65,7 @@
 	if read.Revision == 0 || json.Unmarshal(read.Value, &end) != nil {
 		return
 	}
-	c.cache.noteEnd(id, jobstate.EndStoredAt(end, read.Revision))
+	c.cache.recordEnd(id, jobstate.EndStoredAt(end, read.Revision))
 }
 
 // applyStoredJob applies a job's record, or its removal.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,5 @@
 // Package core decides what a controller does. It performs no input or output itself:
-// Core.Step takes one message and the time of the steady (monotonic) clock, and returns the
+// Core.Step takes one message and the time of the monotonic clock, and returns the
 // resulting effects as values for package node (or an emulator) to carry out. The results of
 // an effect come back as a later message. The same messages at the same times have the same
 // effects, so that a whole cluster can be run in simulated time.
@@ -277,7 +277,7 @@
 	return c
 }
 
-// Step handles one message at the given time of the steady clock and returns the resulting
+// Step handles one message at the given time of the monotonic clock and returns the resulting
 // effects, which must be carried out in order. A message of an unknown type has no effects of
 // its own, but time advances.
 func (c *Core) Step(now int64, msg any) []any {
@@ -492,7 +492,7 @@
 
 // leadStep plans tasks, writes state and answers heartbeats as the last message allows.
 func (c *Core) leadStep() {
-	if term := c.elector.leadership; term.planning.wanted && c.now-term.planning.plannedAt >= planInterval {
+	if term := c.elector.leadership; term.planning.roundRequested && c.now-term.planning.plannedAt >= planInterval {
 		c.planner.plan()
 	}
 	c.committer.commitNow()
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -72,7 +72,7 @@
 // the end of its last dependency. lastEndWall is a wall-clock time, or 0 if the end is stored in the first
 // format, which has no time.
 func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
-	j.ReadyAt = max(j.SubmittedAt, d.steadyTime(lastEndWall))
+	j.ReadyAt = max(j.SubmittedAt, d.monotonicTime(lastEndWall))
 	if d.elector.isLeader() {
 		d.elector.leadership.planning.requestRound()
 	}
@@ -110,7 +110,7 @@
 	}
 	d.graph.Remove(j)
 	d.endMonitor.recordDerived(j.ID, from, fromEnd)
-	d.cache.noteEnd(j.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}))
+	d.cache.recordEnd(j.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}))
 }
 
 // dependenciesKnown reports whether a job is certainly not cancelled by an end that this
@@ -185,7 +185,7 @@
 		default:
 			delete(d.endReads, id)
 			stored := jobstate.EndStoredAt(end, read.Revision)
-			d.cache.noteEnd(id, stored)
+			d.cache.recordEnd(id, stored)
 			d.resolveDependents(id, stored) // in case the cache knew the end and the graph did not
 		}
 	})
@@ -200,7 +200,7 @@
 		var end jobstate.End
 		if read.Err == nil && read.Revision != 0 && json.Unmarshal(read.Value, &end) == nil {
 			delete(d.endReads, id)
-			d.cache.noteEnd(id, jobstate.EndStoredAt(end, read.Revision))
+			d.cache.recordEnd(id, jobstate.EndStoredAt(end, read.Revision))
 		}
 	})
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -12,7 +12,7 @@
 func TestSubmitWithDependencies(t *testing.T) {
 	service := job("service")
 	service.Spec.Kind = jobstate.Service
-	keys := map[string]any{formatKey: joined, jobPrefix + "open": job("open"), endPrefix + "done": endDone, endPrefix + "cancelled": cancelled, jobPrefix + "service": service}
+	keys := map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open"), endPrefix + "done": endDone, endPrefix + "cancelled": cancelled, jobPrefix + "service": service}
 	cases := []struct {
 		name   string
 		awaits []string
@@ -55,7 +55,7 @@
 // TestBlockedJobs checks the states of dependent jobs after the ends of their dependencies, also
 // after a restart.
 func TestBlockedJobs(t *testing.T) {
-	chain := map[string]any{formatKey: joined, jobPrefix + "a": job("a"), jobPrefix + "b": job("b", "a"), jobPrefix + "c": job("c", "b"), jobPrefix + "d": job("d", "b", "c")}
+	chain := map[string]any{formatKey: progressLogFormat, jobPrefix + "a": job("a"), jobPrefix + "b": job("b", "a"), jobPrefix + "c": job("c", "b"), jobPrefix + "d": job("d", "b", "c")}
 	with := func(key string, v any) map[string]any {
 		m := map[string]any{}
 		for k, v := range chain {
@@ -129,7 +129,7 @@
 	}
 	for name, awaits := range shapes {
 		t.Run(name, func(t *testing.T) {
-			keys := map[string]any{formatKey: joined, jobPrefix + id(0): job(id(0))}
+			keys := map[string]any{formatKey: progressLogFormat, jobPrefix + id(0): job(id(0))}
 			for i := 1; i < n; i++ {
 				keys[jobPrefix+id(i)] = job(id(i), awaits(i)...)
 			}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -126,8 +126,8 @@
 	return e.hasLease() && e.now-e.candidacy.leaseProvenAt < e.settings.Ops.LeaderLease
 }
 
-// noteNewestLeader records a leader if its fencing token is higher than any seen before.
-func (e *elector) noteNewestLeader(leader leaderRecord) {
+// updateNewestLeader records a leader if its fencing token is higher than any seen before.
+func (e *elector) updateNewestLeader(leader leaderRecord) {
 	if leader.Token > e.newestLeader.Token {
 		e.newestLeader = leader
 	}
@@ -375,8 +375,8 @@
 	placements := 0
 	for _, id := range sortedKeys(e.cache.jobs) {
 		job := e.cache.jobs[id]
-		e.prefetcher.noteImageDemand(job.Spec)
-		e.leadership.planning.classSizes.note(job.Spec)
+		e.prefetcher.addImageDemand(job.Spec)
+		e.leadership.planning.classSizes.record(job.Spec)
 		placements += e.restorePlacements(job)
 		switch {
 		case job.Outcome() != "":
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -113,7 +113,7 @@
 				h.refuse(r)
 			}
 		default:
-			h.cache.noteEnd(id, jobstate.EndStoredAt(end, read.Revision))
+			h.cache.recordEnd(id, jobstate.EndStoredAt(end, read.Revision))
 			for _, r := range requests {
 				h.answerEnd(r.id, id, end)
 			}
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			keys := map[string]any{formatKey: joined}
+			keys := map[string]any{formatKey: progressLogFormat}
 			want := map[string]string{}
 			for i := range 100 {
 				id := fmt.Sprintf("job-%03d", i)
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -14,7 +14,7 @@
 	// Derived counts ends that were derived from the ends of other jobs, Told ends that
 	// this controller learned first from a peer.
 	Derived uint64 `json:"derived"`
-	Told    uint64 `json:"told_by_peers"`
+	Reported    uint64 `json:"told_by_peers"`
 	// FailedReads counts reads of dependencies' ends that failed or found no end.
 	FailedReads uint64 `json:"failed_reads"`
 	// NotFoundCompared and NotFoundRead count replies that a job is not known, after its end
@@ -51,7 +51,7 @@
 
 	counts EndCounts
 
-	derivedLogs, toldLogs, failedReadLogs, removalLogs, notFoundLogs logLimiter
+	derivedLogs, reportedLogs, failedReadLogs, removalLogs, notFoundLogs logLimiter
 }
 
 func newEndMonitor(run *engine) *endMonitor { return &endMonitor{engine: run} }
@@ -78,10 +78,10 @@
 	}
 }
 
-// told records that a peer reported a job's cancellation.
-func (m *endMonitor) told(job, peer string) {
-	m.counts.Told++
-	if omitted, ok := m.toldLogs.allow(m.now); ok {
+// recordReportedEnd records that a peer reported a job's cancellation.
+func (m *endMonitor) recordReportedEnd(job, peer string) {
+	m.counts.Reported++
+	if omitted, ok := m.reportedLogs.allow(m.now); ok {
 		_, unfinished := m.cache.jobs[job]
 		m.log.Info("cancellation reported by peer", "job", job, "peer", peer, "unfinished_here", unfinished,
 			"revision", m.cache.appliedRevision, "omitted", omitted)
@@ -98,9 +98,9 @@
 	}
 }
 
-// removed records that a cancelled job's key was removed at a revision, and the proof that
+// recordRemoval records that a cancelled job's key was removed at a revision, and the proof that
 // its end was stored.
-func (m *endMonitor) removed(job string, proof endProof, revision uint64) {
+func (m *endMonitor) recordRemoval(job string, proof endProof, revision uint64) {
 	if omitted, ok := m.removalLogs.allow(m.now); ok {
 		m.log.Info("cancelled job removed", "job", job, "end_revision", proof.endRevision(revision),
 			"revision", revision, "omitted", omitted)
--- a/internal/core/endmonitor_test.go
+++ b/internal/core/endmonitor_test.go
@@ -20,7 +20,7 @@
 // the counts agree.
 func TestEndLogging(t *testing.T) {
 	h := newHarness(t, map[string]any{
-		formatKey:            joined,
+		formatKey:            progressLogFormat,
 		endPrefix + "first":  cancelled,
 		jobPrefix + "second": job("second", "first"),
 		jobPrefix + "third":  job("third", "second"),
@@ -62,7 +62,7 @@
 		t.Errorf("got %d unstored ends after all writes, want 0", view.UnstoredEnds)
 	}
 	counts := view.Ends
-	if counts.FailedReads == 0 || counts.Told != 1 || counts.Derived != 1 || counts.NotFoundRead != 1 || counts.NotFoundCompared != 0 {
+	if counts.FailedReads == 0 || counts.Reported != 1 || counts.Derived != 1 || counts.NotFoundRead != 1 || counts.NotFoundCompared != 0 {
 		t.Errorf("got counts %+v, want failed reads, 1 told, 1 derived, 1 not found by a read and 0 by comparison", counts)
 	}
 	if t.Failed() {
@@ -74,7 +74,7 @@
 // next line has the number of omitted ones.
 func TestEndLoggingRateLimit(t *testing.T) {
 	const unknown = 100
-	h := newHarness(t, map[string]any{formatKey: joined})
+	h := newHarness(t, map[string]any{formatKey: progressLogFormat})
 	h.advance(2 * second)
 	text := h.captureLogs()
 	for range unknown {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -15,7 +15,7 @@
 	log      *slog.Logger
 	rng      *rand.Rand
 
-	// now is the time of the steady clock in microseconds; wallOffset is the time of day
+	// now is the time of the monotonic clock in microseconds; wallOffset is the time of day
 	// minus now, 0 if the time of day is not known.
 	now        int64
 	wallOffset int64
@@ -74,9 +74,9 @@
 	done(m)
 }
 
-// steadyTime converts a time of day to the steady clock. It returns the current time if
+// monotonicTime converts a time of day to the monotonic clock. It returns the current time if
 // the conversion is not possible or if the time of day lies in the future.
-func (e *engine) steadyTime(wall int64) int64 {
+func (e *engine) monotonicTime(wall int64) int64 {
 	if wall == 0 || e.wallOffset == 0 {
 		return e.now
 	}
--- a/internal/core/fleet/partitions.go
+++ b/internal/core/fleet/partitions.go
@@ -38,10 +38,10 @@
 	return ""
 }
 
-// PartitionHashes returns the boundaries of n partitions that hold equal numbers of the
+// PartitionBoundaries returns the boundaries of n partitions that hold equal numbers of the
 // hashes, and so roughly equal numbers of machines of every type, as far as the order of the
 // hashes allows. It sorts the hashes.
-func PartitionHashes(hashes []uint32, n int) []uint32 {
+func PartitionBoundaries(hashes []uint32, n int) []uint32 {
 	slices.SortFunc(hashes, cmp.Compare)
 	boundaries := make([]uint32, n-1)
 	for i := range boundaries {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -20,7 +20,7 @@
 const (
 	// tickInterval is the time between two ticks of a harness.
 	tickInterval = second / 20
-	// wallOffsetInTests is the time of day minus the time of the steady clock.
+	// wallOffsetInTests is the time of day minus the time of the monotonic clock.
 	wallOffsetInTests = 1_000_000 * second
 	// maxRequestTicks is the number of ticks after which a request counts as unanswered.
 	maxRequestTicks = 40
@@ -318,7 +318,7 @@
 
 // Stored values: a format with the progress log, and the ends of jobs with one task.
 var (
-	joined    = formatRecord{Version: 2, Tasks: 64}
-	endDone   = jobstate.End{Outcome: jobstate.Done, Tasks: 1}
-	cancelled = jobstate.End{Outcome: jobstate.Cancelled, Tasks: 1}
+	progressLogFormat = formatRecord{Version: 2, Tasks: 64}
+	endDone           = jobstate.End{Outcome: jobstate.Done, Tasks: 1}
+	cancelled         = jobstate.End{Outcome: jobstate.Cancelled, Tasks: 1}
 )
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -41,7 +41,7 @@
 		r.routeAsLeader(m)
 		return
 	}
-	r.elector.noteNewestLeader(r.cache.leader)
+	r.elector.updateNewestLeader(r.cache.leader)
 	leader := r.elector.newestLeader.Name
 	leaderUp := leader != "" && leader != r.settings.Name && r.peers.connectivity.PeerUp(leader, r.now)
 	switch {
--- a/internal/core/imagedemand.go
+++ b/internal/core/imagedemand.go
@@ -43,8 +43,8 @@
 	delete(s.sources, oldest)
 }
 
-// noteImageDemand adds a job to the demand for its image; jobs of higher priority count more.
-func (p *prefetcher) noteImageDemand(spec *jobstate.Spec) {
+// addImageDemand adds a job to the demand for its image; jobs of higher priority count more.
+func (p *prefetcher) addImageDemand(spec *jobstate.Spec) {
 	state := &p.elector.leadership.prefetch
 	if spec.Image == "" {
 		return
--- a/internal/core/jobstate/knownend.go
+++ b/internal/core/jobstate/knownend.go
@@ -11,9 +11,9 @@
 	// of the job, or of the sweep that the job is a run of. Any controller that has both
 	// derives the same end.
 	EndDerived EndSource = iota
-	// EndTold is the source of an end that a peer has reported to its users. The peer may
+	// EndReported is the source of an end that a peer has reported to its users. The peer may
 	// have derived it.
-	EndTold
+	EndReported
 	// EndStored is the source of an end that the state service has.
 	EndStored
 )
@@ -22,7 +22,7 @@
 	switch s {
 	case EndDerived:
 		return "derived"
-	case EndTold:
+	case EndReported:
 		return "told by a peer"
 	}
 	return "stored"
@@ -41,8 +41,8 @@
 // DerivedEnd returns an end that follows from another that is stored.
 func DerivedEnd(end End) KnownEnd { return KnownEnd{End: end, source: EndDerived} }
 
-// ToldEnd returns an end that a peer has reported to its users.
-func ToldEnd(end End) KnownEnd { return KnownEnd{End: end, source: EndTold} }
+// ReportedEnd returns an end that a peer has reported to its users.
+func ReportedEnd(end End) KnownEnd { return KnownEnd{End: end, source: EndReported} }
 
 // EndStoredAt returns an end that the state service has at a revision.
 func EndStoredAt(end End, revision uint64) KnownEnd {
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -6,7 +6,7 @@
 // replaces one that is not stored.
 func TestRecordEnd(t *testing.T) {
 	cancelledEnd := End{Outcome: Cancelled, Tasks: 2}
-	derived, told := DerivedEnd(cancelledEnd), ToldEnd(End{Outcome: Cancelled})
+	derived, told := DerivedEnd(cancelledEnd), ReportedEnd(End{Outcome: Cancelled})
 	stored, again := EndStoredAt(cancelledEnd, 7), EndStoredAt(cancelledEnd, 9)
 	cases := []struct {
 		name     string
@@ -15,9 +15,9 @@
 		revision uint64
 	}{
 		{"derived", []KnownEnd{derived}, EndDerived, 0},
-		{"told by a peer", []KnownEnd{told}, EndTold, 0},
+		{"told by a peer", []KnownEnd{told}, EndReported, 0},
 		{"stored", []KnownEnd{stored}, EndStored, 7},
-		{"told, then derived", []KnownEnd{told, derived}, EndTold, 0},
+		{"told, then derived", []KnownEnd{told, derived}, EndReported, 0},
 		{"derived, then told", []KnownEnd{derived, told}, EndDerived, 0},
 		{"derived, then stored", []KnownEnd{derived, stored}, EndStored, 7},
 		{"told, then stored", []KnownEnd{told, stored}, EndStored, 7},
--- a/internal/core/machinetypes.go
+++ b/internal/core/machinetypes.go
@@ -43,9 +43,9 @@
 	for _, w := range writes {
 		s.committer.putAsLeader(w.Key, w.Value, func(r TransactionResult) {
 			if r.Outcome == kv.Committed {
-				s.cache.typesWritten(r.Revision)
+				s.cache.setTypesRevision(r.Revision)
 			} else {
-				s.cache.typesWritten(0)
+				s.cache.setTypesRevision(0)
 			}
 		})
 	}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// restart discards what was read about members and features, before the state is listed again.
-func (m *membership) restart() {
+// reset discards what was read about members and features, before the state is listed again.
+func (m *membership) reset() {
 	m.activation.Restart()
 	m.featuresRevision, m.decommissionedRevisions = 0, map[string]uint64{}
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -11,7 +11,7 @@
 // (cloudmessages.go). A message that has a RequestID is answered by a Reply with the same
 // RequestID.
 //
-// Times are of the steady clock in microseconds unless stated otherwise. SentAt is when the
+// Times are of the monotonic clock in microseconds unless stated otherwise. SentAt is when the
 // request that a message answers was sent; the content of the message was true at that time
 // or later.
 
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -37,7 +37,7 @@
 
 // view returns the current view.
 func (o *operatorViewer) view() *OperatorView {
-	o.elector.noteNewestLeader(o.cache.leader)
+	o.elector.updateNewestLeader(o.cache.leader)
 	newest := o.elector.newestLeader
 	v := &OperatorView{
 		Controller:    o.settings.Name,
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -93,7 +93,7 @@
 		Seq:           term.partitions.seq + 1,
 	}
 	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnbalanced(hashes) {
-		partitions.Boundaries = fleet.PartitionHashes(hashes, queueCount)
+		partitions.Boundaries = fleet.PartitionBoundaries(hashes, queueCount)
 	}
 	return partitions
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// restart discards what was read about links, before the state is listed again.
-func (p *peerMonitor) restart() {
+// reset discards what was read about links, before the state is listed again.
+func (p *peerMonitor) reset() {
 	p.connectivityRevisions = map[string]uint64{}
 	p.connectivity.Restart()
 }
@@ -104,7 +104,7 @@
 // onPingReceived answers a peer's ping with this controller's status.
 func (p *peerMonitor) onPingReceived(m PingReceived) {
 	p.connectivity.RecordInbound(m.From, p.now)
-	p.elector.noteNewestLeader(p.cache.leader)
+	p.elector.updateNewestLeader(p.cache.leader)
 	leader := p.elector.newestLeader
 	status := &PeerStatus{
 		FencingToken:  leader.Token,
@@ -138,7 +138,7 @@
 		p.membership.lowerLimits("reported by a peer")
 	}
 	p.readLeases.onAck(m)
-	p.elector.noteNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
+	p.elector.updateNewestLeader(leaderRecord{Name: m.Status.Leader, Token: m.Status.FencingToken})
 	if !p.elector.isLeader() {
 		return
 	}
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -45,11 +45,11 @@
 
 // planState is the planner's state during one leadership term.
 type planState struct {
-	wanted      bool
-	plannedAt   int64
-	pivots      []plannedPivot
-	waitingJobs []waitingJob
-	claims      []claim
+	roundRequested bool
+	plannedAt      int64
+	pivots         []plannedPivot
+	waitingJobs    []waitingJob
+	claims         []claim
 	// capacity is the total of the resources of all usable machines.
 	capacity   jobstate.Resources
 	classSizes classSizes
@@ -60,7 +60,7 @@
 
 func newPlanState() planState {
 	return planState{
-		wanted:           true,
+		roundRequested:   true,
 		classSizes:       classSizes{},
 		onDemandWantedAt: map[string]int64{},
 	}
@@ -68,7 +68,7 @@
 
 // requestRound schedules a planning round for the next step, because something that
 // placements depend on has changed.
-func (s *planState) requestRound() { s.wanted = true }
+func (s *planState) requestRound() { s.roundRequested = true }
 
 // planner runs the scheduling rounds: quotas, queues, pivots and preemption. Package sched
 // decides the placements; the planner prepares its input from the state cache and the
@@ -88,7 +88,7 @@
 // plan runs one planning round and executes the resulting plan.
 func (p *planner) plan() {
 	planning := &p.elector.leadership.planning
-	planning.wanted, planning.plannedAt = false, p.now
+	planning.roundRequested, planning.plannedAt = false, p.now
 	if !p.elector.mayStartTasks() || len(p.cache.machineTypes) == 0 {
 		return
 	}
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// place places each task of a job on a machine of its own, as stored and running.
-func (r *leaderHarness) place(j *jobstate.Job, trial bool) {
+// placeRunning places each task of a job on a machine of its own, as stored and running.
+func (r *leaderHarness) placeRunning(j *jobstate.Job, trial bool) {
 	r.c.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
 		m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i))
@@ -79,7 +79,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
-			r.place(j, true)
+			r.placeRunning(j, true)
 			r.now += tc.after
 			if tc.waiting {
 				w := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
@@ -126,7 +126,7 @@
 		r := newLeaderHarness(t)
 		r.c.settings.Objectives = tc.objectives
 		j := jobstate.NewJob(&jobstate.Spec{ID: "young", Class: tc.class, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{GPU: 1}, Estimate: 100 * second})
-		r.place(j, true)
+		r.placeRunning(j, true)
 		j.Task(0).StartedAt = r.now
 		r.c.now = r.now + tc.ran
 		got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
@@ -146,7 +146,7 @@
 	}{{jobstate.Array, 1}, {jobstate.Gang, 3}} {
 		r := newLeaderHarness(t)
 		j := jobstate.NewJob(&jobstate.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: jobstate.Resources{GPU: 1}, Estimate: 900 * second})
-		r.place(j, true)
+		r.placeRunning(j, true)
 		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
 		r.c.now = r.now + 60*second
 		if got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
@@ -235,13 +235,13 @@
 		{"gang incomplete, fetching task continues", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
 		{"gang incomplete, fetching task stops after the fetch", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
@@ -252,7 +252,7 @@
 			x1 := r.c.workers.getOrAddMachine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			r.c.now += 41 * second
 			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
@@ -260,7 +260,7 @@
 		{"one task lost during its image fetch", func(r *leaderHarness, j *jobstate.Job) {
 			x1 := r.c.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.noteTaskPhase(x1, j, j.Task(1), TaskFetching)
+			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
 				r.t.Error("image is not recorded as being fetched")
 			}
@@ -279,7 +279,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: n, Need: jobstate.Resources{CPU: 1000}, Estimate: 50 * second, Checkpoint: second, Save: config.Second, Image: "im", ImageMB: 1000})
-			r.place(j, false)
+			r.placeRunning(j, false)
 			r.c.now = r.now
 			tc.do(r, j)
 			if got := stops(j); got != tc.want {
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -79,7 +79,7 @@
 		!machine.Draining &&
 		!machine.Releasing &&
 		machine.ReclaimAt == 0 &&
-		machine.LastHeartbeat > p.now-p.settings.Overdue() &&
+		machine.LastHeartbeat > p.now-p.settings.MaxHeartbeatAge() &&
 		machine.Cap != jobstate.Resources{}
 }
 
@@ -96,7 +96,7 @@
 	term.fleet.ForEachChanged(p.updateIndexed)
 	for {
 		oldest, ok := index.byLastHeartbeat.Min()
-		if !ok || oldest.lastHeartbeat > p.now-p.settings.Overdue() {
+		if !ok || oldest.lastHeartbeat > p.now-p.settings.MaxHeartbeatAge() {
 			return index.index
 		}
 		p.updateIndexed(term.fleet.Get(oldest.Name))
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -65,7 +65,7 @@
 			r := newLeaderHarness(t)
 			r.c.settings.State.ValueKB = 8
 			for k := range 20 {
-				r.c.prefetcher.noteImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
+				r.c.prefetcher.addImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
 			}
 			for i := range machines {
 				m := r.c.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
@@ -139,7 +139,7 @@
 		add(tc.large, "g")
 		for i, need := range []jobstate.Resources{{CPU: 1000}, {CPU: 1000, GPU: 1000}} {
 			s := &jobstate.Spec{ID: fmt.Sprint("done-", i), Team: "t", Image: fmt.Sprint("im-", i), ImageMB: 1000, Kind: jobstate.Array, Tasks: 40, Need: need}
-			c.prefetcher.noteImageDemand(s)
+			c.prefetcher.addImageDemand(s)
 			for range 3 {
 				c.prefetcher.addPrefetchSources(s)
 			}
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -123,7 +123,7 @@
 
 // inheritSource records a completed job of an earlier leadership, to be used as a prefetch source later.
 func (p *prefetcher) inheritSource(spec *jobstate.Spec) {
-	p.noteImageDemand(spec)
+	p.addImageDemand(spec)
 	state := &p.elector.leadership.hints
 	state.inheritedSources = append(state.inheritedSources, spec)
 }
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -29,12 +29,12 @@
 // newLeaderHarness starts a leader that reads job j with task 0 placed on machine m.
 func newLeaderHarness(t *testing.T) *leaderHarness {
 	t.Helper()
-	return newLeaderHarnessOf(t, "")
+	return newLeaderHarnessWithOutcome(t, "")
 }
 
-// newLeaderHarnessOf is newLeaderHarness with the given stored outcome of the job, "" for a job
+// newLeaderHarnessWithOutcome is newLeaderHarness with the given stored outcome of the job, "" for a job
 // that has not ended.
-func newLeaderHarnessOf(t *testing.T, outcome string) *leaderHarness {
+func newLeaderHarnessWithOutcome(t *testing.T, outcome string) *leaderHarness {
 	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
 	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -224,7 +224,7 @@
 // TestCancelledEarlier checks that a new leader stops the running task of a job that was
 // cancelled under an earlier leader, and then removes the job's keys.
 func TestCancelledEarlier(t *testing.T) {
-	r := newLeaderHarnessOf(t, jobstate.Cancelled)
+	r := newLeaderHarnessWithOutcome(t, jobstate.Cancelled)
 	if _, o := r.heartbeat(5, 1, running(3)); o != "stop j/0.3;" {
 		t.Errorf("got commands %q for the cancelled job's task, want %q", o, "stop j/0.3;")
 	}
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -140,17 +140,17 @@
 			end.Tasks = job.Tasks
 		}
 		if _, known := r.cache.ends.Get(id); !known {
-			r.endMonitor.told(id, peer)
+			r.endMonitor.recordReportedEnd(id, peer)
 		}
 		// The peer may have derived the end from that of a dependency, so the end may
 		// not be stored.
-		r.cache.noteEnd(id, jobstate.ToldEnd(end))
+		r.cache.recordEnd(id, jobstate.ReportedEnd(end))
 	}
 }
 
-// noteCancellation records the cancellation of a job, unless holders of read leases need not
+// recordJobCancellation records the cancellation of a job, unless holders of read leases need not
 // know of it.
-func (r *readLeaseManager) noteCancellation(id string, end jobstate.KnownEnd) {
+func (r *readLeaseManager) recordJobCancellation(id string, end jobstate.KnownEnd) {
 	if !r.cancelledWithSweep(id) && end.Source() != jobstate.EndDerived {
 		r.recordCancellation(id, end.Revision())
 	}
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -142,7 +142,7 @@
 		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
 	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	s.core.sweepManager.sweep("s").plan = sweepOf(2, 1000).Plan
+	s.core.sweepManager.getOrAddSweep("s").plan = sweepOf(2, 1000).Plan
 	if s.core.cache.jobs["sweep.s.1"] == nil {
 		t.Fatal("got no run sweep.s.1 in the mirror, want it there")
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -109,7 +109,7 @@
 func (w *workerManager) reconcilePlaced(machine *fleet.Machine, listed *listedTask) {
 	job, task := listed.job, listed.task
 	task.Confirmed, task.StartSent = true, true
-	w.noteTaskPhase(machine, job, task, listed.status.State)
+	w.recordTaskPhase(machine, job, task, listed.status.State)
 	if job.IsPartiallyPlaced() && !task.IsStopping() && !w.mayFinishFetch(machine, job, task) {
 		w.tasks.requestStop(job, listed.index, jobstate.StopGang, 0)
 	}
@@ -138,8 +138,8 @@
 	return jobstate.Fetching
 }
 
-// noteTaskPhase records the state of a placed attempt.
-func (w *workerManager) noteTaskPhase(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task, state TaskState) {
+// recordTaskPhase records the state of a placed attempt.
+func (w *workerManager) recordTaskPhase(machine *fleet.Machine, job *jobstate.Job, task *jobstate.Task, state TaskState) {
 	phase := phaseOf(state)
 	if phase == jobstate.Running && task.StartedAt == 0 {
 		task.StartedAt = w.now
--- a/internal/core/repeatedsubmission_test.go
+++ b/internal/core/repeatedsubmission_test.go
@@ -36,7 +36,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, map[string]any{
-				formatKey:            joined,
+				formatKey:            progressLogFormat,
 				endPrefix + "before": endDone,
 				endPrefix + "again":  tc.end,
 			})
--- a/internal/core/toldend_test.go
+++ b/internal/core/reportedend_test.go
@@ -182,7 +182,7 @@
 // versions side by side, such a leader lost an end that a newer controller had reported to it.
 func TestDerivedEndNotReported(t *testing.T) {
 	h := newHarness(t, map[string]any{
-		formatKey:            joined,
+		formatKey:            progressLogFormat,
 		LeaderKey:            leaderRecord{Name: "n1", Incarnation: "x", Token: 1, Lease: 1},
 		endPrefix + "first":  cancelled,
 		jobPrefix + "second": job("second", "first"),
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -371,7 +371,7 @@
 				w.c.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
 				w.step(MachineTypesListed{Types: w.c.cache.machineTypes, FencingToken: w.c.elector.leadership.fencingToken})
 			case 6:
-				w.c.cache.partitions.Boundaries = fleet.PartitionHashes([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
+				w.c.cache.partitions.Boundaries = fleet.PartitionBoundaries([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
 			case 7, 8, 9:
 				w.submit()
 			}
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -37,7 +37,7 @@
 			r.now += 100 * second
 			r.c.now, r.c.elector.leadership.since = r.now, r.now
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.live, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
-			r.place(j, false)
+			r.placeRunning(j, false)
 			for i := range tc.silent {
 				if m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
 					m.LastHeartbeat = 0
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -18,7 +18,7 @@
 	Program *upgrade.Program
 }
 
-// withClockDrift extends a duration by the most by which two steady clocks may drift apart
+// withClockDrift extends a duration by the most by which two monotonic clocks may drift apart
 // during it, 1 part in 1000.
 func withClockDrift(d int64) int64 { return d + d/1000 }
 
@@ -32,5 +32,5 @@
 // earlier leader may continue to answer for its authority time.
 func (s *Settings) FailoverEpochTimeout() int64 { return s.LeaderAuthorityTime() + s.EpochTimeout() }
 
-// Overdue is the longest time without a heartbeat for which a machine is still used.
-func (s *Settings) Overdue() int64 { return config.MicrosOf(s.Workers.ReportS)*2 + second }
+// MaxHeartbeatAge is the longest time without a heartbeat for which a machine is still used.
+func (s *Settings) MaxHeartbeatAge() int64 { return config.MicrosOf(s.Workers.ReportS)*2 + second }
--- a/internal/core/deadlinestart.go
+++ b/internal/core/sizestats.go
@@ -29,8 +29,8 @@
 	kind  jobstate.Kind
 }
 
-// note adds a job to the statistics. Services are not counted, as they never end.
-func (c classSizes) note(spec *jobstate.Spec) {
+// record adds a job to the statistics. Services are not counted, as they never end.
+func (c classSizes) record(spec *jobstate.Spec) {
 	if spec.Kind == jobstate.Service {
 		return
 	}
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// suspend marks the cache as out of date, so that no more decisions are based on it.
-func (s *stateCache) suspend() { s.synced = false }
+// invalidate marks the cache as out of date, so that no more decisions are based on it.
+func (s *stateCache) invalidate() { s.synced = false }
 
 // assignPartitions sets the partitions that this controller assigned as the leader.
 func (s *stateCache) assignPartitions(partitions fleet.Partitions) { s.partitions = partitions }
@@ -121,9 +121,9 @@
 	return s.typesRevision != 0
 }
 
-// typesWritten records the revision at which this controller stored the machine types, or 0
+// setTypesRevision records the revision at which this controller stored the machine types, or 0
 // if the write failed.
-func (s *stateCache) typesWritten(revision uint64) { s.typesRevision = revision }
+func (s *stateCache) setTypesRevision(revision uint64) { s.typesRevision = revision }
 
 // dropPartitions clears the partitions that this controller assigned as the leader.
 func (s *stateCache) dropPartitions() { s.partitions = fleet.Partitions{} }
@@ -175,9 +175,9 @@
 	s.leader, s.leaderRevision = leaderRecord{}, 0
 	s.token, s.tokenRevision = tokenRecord{}, 0
 	s.dependencies.reset()
-	s.membership.restart()
+	s.membership.reset()
 	s.keyRevisions = map[string]uint64{}
-	s.peers.restart()
+	s.peers.reset()
 	s.progressLog = nil
 	s.sweepManager.reset()
 }
@@ -325,7 +325,7 @@
 	if s.leader.Token > s.elector.newestLeader.Token {
 		s.peers.connectivity.RecordHandover(s.now)
 	}
-	s.elector.noteNewestLeader(s.leader)
+	s.elector.updateNewestLeader(s.leader)
 }
 
 // applyToken applies the newest fencing token.
@@ -363,7 +363,7 @@
 		reject(err)
 		return
 	}
-	s.noteEnd(id, jobstate.EndStoredAt(end, change.Revision))
+	s.recordEnd(id, jobstate.EndStoredAt(end, change.Revision))
 }
 
 // applyJob applies a job's record, or its removal.
@@ -395,7 +395,7 @@
 	// The transaction that stores a job's end also sets the outcome in its record.
 	end := jobstate.EndStoredAt(jobstate.End{Outcome: record.Outcome, Tasks: j.Tasks}, change.Revision)
 	hasJustEnded := j.RecordEnd(end)
-	s.noteEnd(id, end)
+	s.recordEnd(id, end)
 	if hasJustEnded {
 		s.tasks.jobEnded(j)
 	}
@@ -411,7 +411,7 @@
 	j := jobstate.NewJob(record.Spec)
 	j.SplitChunks(s.membership.chunkTasks)
 	j.Arrival, j.SubmittedWall, j.Truncated = record.Arrival, record.SubmittedWall, record.Truncated
-	j.SubmittedAt = s.steadyTime(record.SubmittedWall)
+	j.SubmittedAt = s.monotonicTime(record.SubmittedWall)
 	j.ReadyAt = j.SubmittedAt
 	if j.Arrival == 0 {
 		j.Arrival = revision
@@ -507,12 +507,12 @@
 	return jobstate.KnownEnd{}, false
 }
 
-// noteEnd records how a job has ended. Every end that users are told of passes through here, so
+// recordEnd records how a job has ended. Every end that users are told of passes through here, so
 // this is where the controller records a cancellation for its read leases.
-func (s *stateCache) noteEnd(id string, end jobstate.KnownEnd) {
+func (s *stateCache) recordEnd(id string, end jobstate.KnownEnd) {
 	known, isNew := s.ends.Record(id, end)
 	if known.Outcome == jobstate.Cancelled {
-		s.readLeases.noteCancellation(id, known)
+		s.readLeases.recordJobCancellation(id, known)
 	}
 	if j := s.jobs[id]; j != nil && j.RecordEnd(known) {
 		if known.Outcome == jobstate.Done {
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -69,8 +69,8 @@
 
 func (m *sweepManager) enabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
 
-// sweep returns a sweep, or adds an empty one that is filled from the keys as they are read.
-func (m *sweepManager) sweep(id string) *sweep {
+// getOrAddSweep returns a sweep, or adds an empty one that is filled from the keys as they are read.
+func (m *sweepManager) getOrAddSweep(id string) *sweep {
 	s := m.sweeps[id]
 	if s == nil {
 		s = &sweep{id: id, parts: map[int]string{}, ended: roaring.New(), cancelled: roaring.New()}
@@ -153,7 +153,7 @@
 
 // sweepEnded records how a sweep has ended.
 func (m *sweepManager) sweepEnded(id, outcome string, revision uint64) {
-	s := m.sweep(id)
+	s := m.getOrAddSweep(id)
 	if outcome == jobstate.Cancelled {
 		m.readLeases.recordCancellation(cancelledSweepPrefix+id, revision)
 	}
@@ -190,7 +190,7 @@
 // noteCancelled is called when a sweep is known to be cancelled but the cache may lag
 // behind. The leader stops its tasks, and none is started any more.
 func (m *sweepManager) noteCancelled(id string) {
-	s := m.sweep(id)
+	s := m.getOrAddSweep(id)
 	if s.cancelConfirmed || s.outcome != "" {
 		return
 	}
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -213,7 +213,7 @@
 	onInvalid := func(err error) { t.Error(err) }
 	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, onInvalid)
 	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, onInvalid)
-	if s := manager.sweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
+	if s := manager.getOrAddSweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
 		t.Error("decoded position or cancelled runs differ from the encoded ones")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
@@ -230,7 +230,7 @@
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
 	h.submitSweep(submission)
-	sweep := h.core.sweepManager.sweep(sweepID)
+	sweep := h.core.sweepManager.getOrAddSweep(sweepID)
 	sweep.plan = submission.Plan
 	h.advance(2 * second)
 	id := runID(0)
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -86,7 +86,7 @@
 		return // keys of sweeps are never removed
 	}
 	k := parseSweepKey(key)
-	s := m.sweep(k.id)
+	s := m.getOrAddSweep(k.id)
 	var err error
 	switch {
 	case k.kind == sweepKeyDescription && k.hasSuffix:
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -206,8 +206,8 @@
 		return
 	}
 	t.elector.leadership.planning.requestRound()
-	t.prefetcher.noteImageDemand(job.Spec)
-	t.elector.leadership.planning.classSizes.note(job.Spec)
+	t.prefetcher.addImageDemand(job.Spec)
+	t.elector.leadership.planning.classSizes.record(job.Spec)
 }
 
 // jobEnded stops the remaining tasks of a job that now has an outcome.
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -77,7 +77,7 @@
 // the state service is lost, the user is answered within half a second, and not only when the
 // writer stops waiting for the answer.
 func TestAnswerLost(t *testing.T) {
-	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
+	s := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
 	s.advance(200_000)
 	s.losesAnswers = true
 	for _, tc := range []struct {
@@ -104,7 +104,7 @@
 // being written causes no further writes: the writes per second are limited, and placements need
 // them.
 func TestRepeatedRequestsWriteOnce(t *testing.T) {
-	s := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
+	s := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
 	s.advance(200_000)
 	for _, tc := range []struct {
 		id, want string
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -22,7 +22,7 @@
 // and that has just placed a task. From here on, transactions are delayed.
 func newPlacementHarness(t *testing.T) *harness {
 	t.Helper()
-	h := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "open": job("open")})
+	h := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
 	h.advance(2 * second)
 	h.delaysCommits = true
 	h.place("open")
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarnessOf(t, tc.over)
+			r := newLeaderHarnessWithOutcome(t, tc.over)
 			r.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: r.token})
 			if tc.do != nil {
 				tc.do(r)
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -21,8 +21,8 @@
 		maxRejected int
 	}{
 		{"announced, before the format allows smaller values", formatRecord{}, true, 2},
-		{"announced", joined, true, 0},
-		{"not announced", joined, false, 20},
+		{"announced", progressLogFormat, true, 0},
+		{"not announced", progressLogFormat, false, 20},
 	}
 	keys := map[string]any{}
 	large := job("large")
@@ -115,7 +115,7 @@
 	for i := range 40 {
 		long.Spec.Types = append(long.Spec.Types, fmt.Sprintf("%s-%02d", strings.Repeat("x", 100), i))
 	}
-	h := newHarness(t, map[string]any{formatKey: joined, jobPrefix + "long": long})
+	h := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "long": long})
 	kb := 2.0
 	h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
 	h.maxValue = 2048
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -115,7 +115,7 @@
 // ends sends how ends became known, and how often a job was called unknown.
 func (s sink) ends(counts *core.EndCounts) {
 	s.counter("ends_derived_total", "Ends of jobs that followed from the ends of others.", counts.Derived)
-	s.counter("ends_told_total", "Ends of jobs that other controllers told of first.", counts.Told)
+	s.counter("ends_told_total", "Ends of jobs that other controllers told of first.", counts.Reported)
 	s.counter("end_reads_failed_total", "Reads of ends of dependencies that had no answer or found none.", counts.FailedReads)
 	const help = "Answers that a job is not known, by how its end was looked for."
 	s.counter("not_found_total", help, counts.NotFoundCompared, label{"lookup", "compared"})
