--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -229,7 +229,7 @@
 }
 
 // commitActivation writes a change of features, format or members. It takes effect when the
-// mirror contains it, on this controller as on all others.
+// state cache contains it, on this controller as on all others.
 func (m *membership) commitActivation(conditions []Cond, write Write) {
 	state := &m.elector.leadership.activation
 	state.writing, state.notBefore = true, m.now+activationInterval
--- a/internal/core/alerts_test.go
+++ b/internal/core/alerts_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		h := newHarness(t, nil)
-		h.advance(second) // the controller has to learn the wall-clock time first
+		h.advance(second) // the controller has to learn the time of day first
 		for _, key := range slices.Sorted(maps.Keys(keys)) {
 			h.store(key, keys[key])
 		}
--- a/internal/core/conflicts.go
+++ b/internal/core/conflicts.go
@@ -38,7 +38,7 @@
 	case strings.HasPrefix(key, logPrefix):
 		c.cache.setPageRevision(key, read.Revision)
 	case strings.HasPrefix(key, sweepEndPrefix) && read.Revision != 0:
-		c.sweepManager.noteCancelled(key[len(sweepEndPrefix):])
+		c.sweepManager.recordCancelled(key[len(sweepEndPrefix):])
 	case strings.HasPrefix(key, endPrefix):
 		c.applyStoredEnd(key[len(endPrefix):], read)
 	case strings.HasPrefix(key, jobPrefix):
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -125,7 +125,7 @@
 	return out
 }
 
-// reachAdvertisement returns the advertisement of a controller that reachAdvertisement the given eighths of the
+// reachAdvertisement returns the advertisement of a controller that reaches the given eighths of the
 // machines of zones a and b, and the given peers.
 func reachAdvertisement(a, b int, peers ...string) connectivity.Advertisement {
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
@@ -157,8 +157,8 @@
 // watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
 	b := newPeerHarness(t, "n0")
-	b.c.elector.leadership.mirrorFreshAt = b.now + 3600*second // prevents the leader's reads that TestMirrorProof covers
-	b.revision += 3                                            // writes of others that the watch does not deliver
+	b.c.elector.leadership.cacheFreshAt = b.now + 3600*second // prevents the leader's reads that TestMirrorProof covers
+	b.revision += 3                                           // writes of others that the watch does not deliver
 	id := b.c.newID()
 	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
 	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.revision})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,8 +14,8 @@
 // A Core consists of parts, each a type with a file of its name, which share an engine
 // (clock, settings, log, effects):
 //
-//   - the stored state: stateCache mirrors it, stateReader keeps the mirror fresh by
-//     watches and reads, committer writes what the leader decides, stateHealth tracks
+//   - the stored state: stateCache is the local copy of it, stateReader keeps that up to
+//     date by watches and reads, committer writes what the leader decides, stateHealth tracks
 //     whether the state service answers and how many requests may be sent;
 //   - the controllers: elector campaigns and leads, membership tracks which programs and
 //     features are present, peerMonitor pings the others and forwards requests to them,
@@ -243,7 +243,7 @@
 	c.cloud.peers = c.peers
 }
 
-// New returns a Core that is about to list the stored state. now is the time of the steady
+// New returns a Core that is about to list the stored state. now is the time of the monotonic
 // clock in microseconds.
 func New(settings Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
 	run := newEngine(settings, now, rng, log)
@@ -420,7 +420,7 @@
 // the callback of the transaction.
 func (c *Core) onTransactionResult(m TransactionResult) {
 	if !c.transactions.IsConditionOnly(m.ID) {
-		c.membership.noteRateLimited(m.Outcome)
+		c.membership.handleRateLimited(m.Outcome)
 	}
 	c.health.recordTransaction(m)
 	c.transactions.RecordAnswer(m.ID, m.Outcome, c.now)
@@ -467,7 +467,7 @@
 		term.planning.requestRound()
 	}
 	term.heartbeats.requestRelease() // held replies may have reached their maximum delay
-	c.reader.refreshMirrorTick()
+	c.reader.refreshCacheTick()
 	c.partitionManager.partitionsTick()
 	if c.now-term.machinesScannedAt >= machineScanInterval {
 		// Work that iterates over all machines and can wait.
@@ -496,7 +496,7 @@
 		c.planner.plan()
 	}
 	c.committer.commitNow()
-	if term := c.elector.leadership; term != nil && term.heartbeats.releaseWanted {
+	if term := c.elector.leadership; term != nil && term.heartbeats.releaseRequested {
 		c.workers.releaseReadyReplies()
 	}
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -69,8 +69,8 @@
 }
 
 // startDependent makes a job ready to start. Its waiting time and start objective count from
-// the end of its last dependency. lastEndWall is a wall-clock time, or 0 if the end is stored in the first
-// format, which has no time.
+// the end of its last dependency. lastEndWall is a time of day, or 0 if the end is stored in the
+// first format, which has no time.
 func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
 	j.ReadyAt = max(j.SubmittedAt, d.monotonicTime(lastEndWall))
 	if d.elector.isLeader() {
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -52,7 +52,7 @@
 // the controller's lease, so it disappears when the lease expires. A candidate creates it
 // in a transaction that raises the stored fencing token by one on the condition that
 // there is no leadership key and that the token is the one that the candidate knows. Its
-// term begins when its mirror contains the key, and therefore everything that was written
+// term begins when its state cache contains the key, and therefore everything that was written
 // before the key.
 //
 // A leader steps down when the key is no longer its own, when its lease expires, and
@@ -258,7 +258,7 @@
 }
 
 // onCampaignEnded requests a read of the state after a campaign, even after a lost one:
-// leadership begins when the mirror contains the key.
+// leadership begins when the state cache contains the key.
 func (e *elector) onCampaignEnded(m TransactionResult) {
 	c := &e.candidacy
 	c.campaigning = false
@@ -346,30 +346,30 @@
 	e.leadership.tokenProvenAt = max(e.leadership.tokenProvenAt, sentAt)
 }
 
-// mirrorRefreshed records that everything that was stored at the given time is known here.
-func (e *elector) mirrorRefreshed(at int64) {
+// cacheRefreshed records that everything that was stored at the given time is known here.
+func (e *elector) cacheRefreshed(at int64) {
 	if e.isLeader() {
-		e.leadership.mirrorFreshAt = max(e.leadership.mirrorFreshAt, at)
+		e.leadership.cacheFreshAt = max(e.leadership.cacheFreshAt, at)
 	}
 }
 
-// checkLeadership begins or ends a term if the leadership key in the mirror and this
-// controller's role disagree. The mirror contains everything stored up to mirrorFreshAt.
-func (e *elector) checkLeadership(mirrorFreshAt int64) {
+// checkLeadership begins or ends a term if the leadership key in the state cache and
+// this controller's role disagree. The cache contains everything stored up to cacheFreshAt.
+func (e *elector) checkLeadership(cacheFreshAt int64) {
 	leader := &e.cache.leader
 	mine := e.cache.synced && e.cache.leaderRevision != 0 && leader.Name == e.settings.Name && leader.Incarnation == e.settings.Incarnation
 	switch {
 	case e.isLeader() && (!mine || e.cache.leaderRevision != e.leadership.keyRevision):
 		e.stepDown("another controller leads")
 	case !e.isLeader() && mine && leader.Lease == e.candidacy.lease:
-		e.becomeLeader(mirrorFreshAt)
+		e.becomeLeader(cacheFreshAt)
 	}
 }
 
 // becomeLeader begins a term. It restores the placements that earlier leaders have stored;
 // whether these tasks run is unknown until their machines' heartbeats arrive.
-func (e *elector) becomeLeader(mirrorFreshAt int64) {
-	e.leadership = e.newLeadership(mirrorFreshAt)
+func (e *elector) becomeLeader(cacheFreshAt int64) {
+	e.leadership = e.newLeadership(cacheFreshAt)
 	e.health.updateShare()
 	e.prefetcher.loadImageHints()
 	placements := 0
@@ -389,7 +389,7 @@
 	}
 	e.committer.openProgressLog()
 	e.log.Info("elected leader", "fencing_token", e.fencingToken(), "jobs", len(e.cache.jobs), "placements", placements,
-		"revision", e.cache.appliedRevision, "mirror_age_s", inSeconds(e.now-mirrorFreshAt), "unknown_ends", e.dependencies.countUnknownEnds())
+		"revision", e.cache.appliedRevision, "mirror_age_s", inSeconds(e.now-cacheFreshAt), "unknown_ends", e.dependencies.countUnknownEnds())
 }
 
 // restorePlacements adds a job's placed tasks to their machines and returns their number.
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -134,7 +134,7 @@
 func (h *stateHealth) membershipConfirmed() bool {
 	return h.elector.leaseValid() &&
 		h.membership.activation.MemberFor(h.now) > ratelimit.SettleTime &&
-		h.now-h.cache.mirrorFreshAt < ratelimit.MaxViewAge
+		h.now-h.cache.freshAt < ratelimit.MaxViewAge
 }
 
 // refillBudgets refills both budgets up to the current time at the current share.
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -8,9 +8,9 @@
 // heartbeatState is the state that the worker manager keeps while this controller leads.
 type heartbeatState struct {
 	held heldHeartbeats
-	// releaseWanted is set if there may now be commands for held heartbeats.
-	releaseWanted bool
-	departed      departedMachines
+	// releaseRequested is set if there may now be commands for held heartbeats.
+	releaseRequested bool
+	departed         departedMachines
 }
 
 func newHeartbeatState() heartbeatState {
@@ -22,7 +22,7 @@
 
 // requestRelease schedules a check of the held heartbeats for after the current message has
 // been handled.
-func (s *heartbeatState) requestRelease() { s.releaseWanted = true }
+func (s *heartbeatState) requestRelease() { s.releaseRequested = true }
 
 // workerManager handles the heartbeats of all workers at the leader, and reconciles the
 // tasks that they list with the placed tasks.
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -6,7 +6,7 @@
 // replaces one that is not stored.
 func TestRecordEnd(t *testing.T) {
 	cancelledEnd := End{Outcome: Cancelled, Tasks: 2}
-	derived, told := DerivedEnd(cancelledEnd), ReportedEnd(End{Outcome: Cancelled})
+	derived, reported := DerivedEnd(cancelledEnd), ReportedEnd(End{Outcome: Cancelled})
 	stored, again := EndStoredAt(cancelledEnd, 7), EndStoredAt(cancelledEnd, 9)
 	cases := []struct {
 		name     string
@@ -15,13 +15,13 @@
 		revision uint64
 	}{
 		{"derived", []KnownEnd{derived}, EndDerived, 0},
-		{"told by a peer", []KnownEnd{told}, EndReported, 0},
+		{"reported by a peer", []KnownEnd{reported}, EndReported, 0},
 		{"stored", []KnownEnd{stored}, EndStored, 7},
-		{"told, then derived", []KnownEnd{told, derived}, EndReported, 0},
-		{"derived, then told", []KnownEnd{derived, told}, EndDerived, 0},
+		{"reported, then derived", []KnownEnd{reported, derived}, EndReported, 0},
+		{"derived, then reported", []KnownEnd{derived, reported}, EndDerived, 0},
 		{"derived, then stored", []KnownEnd{derived, stored}, EndStored, 7},
-		{"told, then stored", []KnownEnd{told, stored}, EndStored, 7},
-		{"stored, then told", []KnownEnd{stored, told}, EndStored, 7},
+		{"reported, then stored", []KnownEnd{reported, stored}, EndStored, 7},
+		{"stored, then reported", []KnownEnd{stored, reported}, EndStored, 7},
 		{"stored, then derived", []KnownEnd{stored, derived}, EndStored, 7},
 		{"stored twice", []KnownEnd{stored, again}, EndStored, 7},
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -19,11 +19,12 @@
 
 	// tokenProvenAt is the send time of the newest request whose answer proved that no
 	// higher fencing token had been stored. Everything that was stored up to
-	// mirrorFreshAt is known here.
-	tokenProvenAt, mirrorFreshAt int64
-	// mirrorReadAt is when the stored state was last read only to refresh the mirror;
-	// urgentPingAt is when the peers were last pinged outside the regular interval.
-	mirrorReadAt, urgentPingAt int64
+	// cacheFreshAt is known here.
+	tokenProvenAt, cacheFreshAt int64
+	// cacheRefreshReadAt is when the stored state was last read only to refresh the
+	// state cache; urgentPingAt is when the peers were last pinged outside the regular
+	// interval.
+	cacheRefreshReadAt, urgentPingAt int64
 	// readLeases are the read leases that the other controllers have granted, for use
 	// during an outage of the state service.
 	readLeases *readlease.Holder
@@ -49,8 +50,8 @@
 
 // stateProofAt returns the time up to which the state service has proved the fencing token
 // and delivered everything that was stored. Renewing the lease proves only the token, because
-// the mirror may lag behind.
-func (l *leadership) stateProofAt() int64 { return min(l.tokenProvenAt, l.mirrorFreshAt) }
+// the state cache may lag behind.
+func (l *leadership) stateProofAt() int64 { return min(l.tokenProvenAt, l.cacheFreshAt) }
 
 // authorityProvenAt returns the time up to which it is proven that no other controller led
 // and that everything users were told is known here. Read leases from all other controllers
@@ -61,14 +62,14 @@
 }
 
 // newLeadership returns the state of a term whose leadership key this controller has just
-// found in the mirror. The mirror contains everything stored up to mirrorFreshAt.
-func (e *elector) newLeadership(mirrorFreshAt int64) *leadership {
+// found in the state cache. The cache contains everything stored up to cacheFreshAt.
+func (e *elector) newLeadership(cacheFreshAt int64) *leadership {
 	return &leadership{
 		fencingToken:  e.cache.leader.Token,
 		keyRevision:   e.cache.leaderRevision,
 		since:         e.now,
 		tokenProvenAt: e.candidacy.leaseProvenAt,
-		mirrorFreshAt: mirrorFreshAt,
+		cacheFreshAt:  cacheFreshAt,
 		readLeases:    readlease.NewHolder(e.settings.Peers, e.settings.LeaderAuthorityTime()),
 
 		directCommands: map[string][]Command{},
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -171,7 +171,7 @@
 // message.
 func (w *workerManager) releaseReadyReplies() {
 	heartbeats := &w.elector.leadership.heartbeats
-	heartbeats.releaseWanted = false
+	heartbeats.releaseRequested = false
 	for _, name := range heartbeats.held.ready(w.now, w.hasCommandsFor) {
 		w.releaseReply(name, true)
 	}
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -49,7 +49,7 @@
 		{"peers report it without an advertisement", func(s *harness) { reportVersion(s, "n1", 2); reportVersion(s, "n2", 2) }, false},
 		{"one peer's lease expires before the format is written", func(s *harness) {
 			advertise(s, "n1")
-			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the mirror has not seen this
+			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the state cache lacks this
 			advertise(s, "n2")
 		}, false},
 	}
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -95,7 +95,7 @@
 			m.LastHeartbeat = r.now
 			m.MarkChanged()
 			r.c.now = r.now
-			r.c.elector.leadership.mirrorFreshAt, r.c.elector.leadership.tokenProvenAt = r.now, r.now
+			r.c.elector.leadership.cacheFreshAt, r.c.elector.leadership.tokenProvenAt = r.now, r.now
 			r.c.planner.plan()
 			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
 				t.Errorf("got stop reason %q with grace %d s, want %q with at least 4 s if stopped", got.StopReason, got.Grace/second, tc.stop)
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -232,7 +232,7 @@
 }
 
 // prefetchCommand returns the command that starts a machine's prefetch, if it is still wanted, for
-// the answer to a heartbeat. listed tells whether the heartbeat already lists the prefetch.
+// the answer to a heartbeat. listed reports whether the heartbeat already lists the prefetch.
 func (p *prefetcher) prefetchCommand(m *fleet.Machine, listed bool) []Command {
 	prefetch := m.Prefetch
 	switch {
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -46,10 +46,10 @@
 func pageKey(n int) string { return fmt.Sprintf("%s%010d", logPrefix, n) }
 
 // applyPage applies the new entries of a page; name is its key without the prefix.
-func (s *stateCache) applyPage(name string, change Change, reject func(error)) {
+func (s *stateCache) applyPage(name string, change Change, reportInvalid func(error)) {
 	number, err := strconv.Atoi(name)
 	if err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	if s.elector.isLeader() {
@@ -69,7 +69,7 @@
 	}
 	page, err := jobstate.DecodeLogPage(change.Value)
 	if err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	page.Revision = change.Revision
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -32,8 +32,8 @@
 	return newLeaderHarnessWithOutcome(t, "")
 }
 
-// newLeaderHarnessWithOutcome is newLeaderHarness with the given stored outcome of the job, "" for a job
-// that has not ended.
+// newLeaderHarnessWithOutcome is newLeaderHarness with the given stored outcome of the job, ""
+// for a job that has not ended.
 func newLeaderHarnessWithOutcome(t *testing.T, outcome string) *leaderHarness {
 	t.Helper()
 	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -12,8 +12,8 @@
 	// leader requests read leases. While a leader requests none, users of the other
 	// controllers never wait for it.
 	readLeaseAfter = 2 * second
-	// mirrorMaxAge is the age of the mirror above which a leader reads the stored state.
-	mirrorMaxAge = second
+	// maxCacheAge is the age of the state cache above which a leader reads the stored state.
+	maxCacheAge = second
 	// maxHeldReply is the longest time for which a user's answer is held back until a
 	// leader knows of a cancellation. It is shorter than users wait for an answer to a
 	// poll.
@@ -132,7 +132,7 @@
 func (r *readLeaseManager) recordPeerCancellations(peer string, ids []string) {
 	for _, id := range ids {
 		if sweepID, ok := strings.CutPrefix(id, cancelledSweepPrefix); ok {
-			r.sweepManager.noteCancelled(sweepID)
+			r.sweepManager.recordCancelled(sweepID)
 			continue
 		}
 		end := jobstate.End{Outcome: jobstate.Cancelled}
@@ -148,8 +148,8 @@
 	}
 }
 
-// recordJobCancellation records the cancellation of a job, unless holders of read leases need not
-// know of it.
+// recordJobCancellation records the cancellation of a job, unless holders of read leases need
+// not know of it.
 func (r *readLeaseManager) recordJobCancellation(id string, end jobstate.KnownEnd) {
 	if !r.cancelledWithSweep(id) && end.Source() != jobstate.EndDerived {
 		r.recordCancellation(id, end.Revision())
@@ -187,18 +187,18 @@
 // job that depends on a cancelled one, and a leader of an earlier version would take a derived
 // end for a stored one.
 func (r *readLeaseManager) cancellationsToReport(ids []string) []string {
-	var told []string
+	var toReport []string
 	for _, id := range ids {
 		if r.cancelledWithSweep(id) {
-			told = append(told, cancelledSweepPrefix+r.cache.jobs[id].Sweep)
+			toReport = append(toReport, cancelledSweepPrefix+r.cache.jobs[id].Sweep)
 			continue
 		}
 		if end, known := r.cache.knownEnd(id); known && end.Source() == jobstate.EndDerived {
 			continue
 		}
-		told = append(told, id)
+		toReport = append(toReport, id)
 	}
-	return told
+	return toReport
 }
 
 func cancellationUnconfirmed(requestID uint64) Reply {
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -144,7 +144,7 @@
 	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
 	s.core.sweepManager.getOrAddSweep("s").plan = sweepOf(2, 1000).Plan
 	if s.core.cache.jobs["sweep.s.1"] == nil {
-		t.Fatal("got no run sweep.s.1 in the mirror, want it there")
+		t.Fatal("got no run sweep.s.1 in the state cache, want it there")
 	}
 	s.core.settings.Peers = []string{"n1"}
 	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
--- a/internal/core/reportedend_test.go
+++ b/internal/core/reportedend_test.go
@@ -58,15 +58,15 @@
 	// firstEndUnreadable reports whether the end of the first job can't be read initially.
 	firstEndUnreadable bool
 	// events are executed in order.
-	events []func(h *harness, tell func(ids ...string))
+	events []func(h *harness, reportCancelled func(ids ...string))
 }
 
 // reportedEndCases returns cases that differ in when the controller receives the report, in what it
 // knows by then, and in whether it leads.
 func reportedEndCases() []reportedEndCase {
-	type events = []func(h *harness, tell func(ids ...string))
+	type events = []func(h *harness, reportCancelled func(ids ...string))
 	tellOf := func(ids ...string) func(*harness, func(...string)) {
-		return func(_ *harness, tell func(...string)) { tell(ids...) }
+		return func(_ *harness, reportCancelled func(...string)) { reportCancelled(ids...) }
 	}
 	wait := func(h *harness, _ func(...string)) { h.advance(3 * second) }
 	reveal := func(h *harness, _ func(...string)) { h.unreachable = map[string]bool{} }
@@ -120,16 +120,16 @@
 	if tc.firstEndUnreadable {
 		h.unreachable[endPrefix+"first"] = true
 	}
-	told := false
-	tell := func(ids ...string) {
-		told = true
+	reported := false
+	reportCancelled := func(ids ...string) {
+		reported = true
 		h.step(message(h, ids...))
 	}
 	for _, event := range tc.events {
-		event(h, tell)
+		event(h, reportCancelled)
 		h.requireKnown("second")
 	}
-	if !told {
+	if !reported {
 		t.Fatal("got no report of a cancellation in the events, want at least one")
 	}
 	h.unreachable = map[string]bool{}
@@ -201,7 +201,7 @@
 		t.Errorf("got cancellations %v reported to the holder of a read lease, want first and not second", page.Cancelled)
 	}
 	h.step(PingReceived{RequestID: 902, From: "n1"})
-	if told := h.replies[902].PeerStatus.Cancelled; slices.Contains(told, "second") || !slices.Contains(told, "first") {
-		t.Errorf("got cancellations %v reported to a leader of an older version, want first and not second", told)
+	if reported := h.replies[902].PeerStatus.Cancelled; slices.Contains(reported, "second") || !slices.Contains(reported, "first") {
+		t.Errorf("got cancellations %v reported to a leader of an older version, want first and not second", reported)
 	}
 }
--- a/internal/core/requestmessages.go
+++ b/internal/core/requestmessages.go
@@ -46,7 +46,7 @@
 // CheckReady asks whether this controller can serve requests; load balancers send it.
 type CheckReady struct{ RequestID uint64 }
 
-// SetDecommissioned tells that a controller will not return, or that it may return again;
+// SetDecommissioned declares that a controller will not return, or that it may return again;
 // operators send it.
 type SetDecommissioned struct {
 	RequestID      uint64
@@ -54,7 +54,7 @@
 	Decommissioned bool
 }
 
-// DecommissionState tells whether operators have decommissioned a controller.
+// DecommissionState reports whether operators have decommissioned a controller.
 type DecommissionState struct {
 	Name           string
 	Decommissioned bool
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -29,7 +29,7 @@
 	Token uint64 `json:"t"`
 }
 
-// stateCache mirrors the keys of the state service. It applies the results of lists, watches
+// stateCache is the local copy of the keys of the state service. It applies the results of lists, watches
 // and reads in the order of their revisions, and notifies the other components of what changed.
 type stateCache struct {
 	*engine
@@ -47,12 +47,12 @@
 	tasks        *taskManager
 
 	// synced reports whether the cache reflects the stored state up to appliedRevision.
-	// mirrorFreshAt is the earliest time at which it did. listingState reports whether a
+	// freshAt is the earliest time at which it did. listingState reports whether a
 	// list is in progress.
 	synced          bool
 	listingState    bool
 	appliedRevision uint64
-	mirrorFreshAt   int64
+	freshAt         int64
 
 	// jobs are the unfinished jobs and those whose keys have yet to be removed, by ID.
 	// progressLog are the pages of the log of their progress, by number. orphanedChunks
@@ -199,7 +199,7 @@
 			return
 		}
 		s.sweepManager.endCancelledRuns()
-		s.elector.mirrorRefreshed(m.SentAt)
+		s.elector.cacheRefreshed(m.SentAt)
 		s.elector.checkLeadership(m.SentAt)
 	}
 	if !m.Immediate {
@@ -235,7 +235,7 @@
 		}
 	}
 	s.appliedRevision = max(s.appliedRevision, m.Revision)
-	s.mirrorFreshAt = max(s.mirrorFreshAt, m.SentAt)
+	s.freshAt = max(s.freshAt, m.SentAt)
 	s.transactions.Observe(m.Changes, s.now)
 }
 
@@ -244,49 +244,49 @@
 func (s *stateCache) apply(change Change) {
 	key := change.Key
 	s.updateKeyRevision(change)
-	reject := func(err error) {
+	reportInvalid := func(err error) {
 		s.log.Error("stored value can't be read", "key", key, "error", err)
 	}
 	switch key {
 	case LeaderKey:
-		s.applyLeader(change, reject)
+		s.applyLeader(change, reportInvalid)
 	case tokenKey:
-		s.applyToken(change, reject)
+		s.applyToken(change, reportInvalid)
 	case typesKey:
-		s.applyTypes(change, reject)
+		s.applyTypes(change, reportInvalid)
 	case partitionsKey:
-		s.applyPartitions(change, reject)
+		s.applyPartitions(change, reportInvalid)
 	case formatKey:
 		if !change.Removed {
-			s.membership.applyFormat(change, reject)
+			s.membership.applyFormat(change, reportInvalid)
 		}
 	case featuresKey:
-		s.membership.applyActivation(change, reject)
+		s.membership.applyActivation(change, reportInvalid)
 	default:
-		s.applyByPrefix(change, reject)
+		s.applyByPrefix(change, reportInvalid)
 	}
 }
 
 // applyByPrefix applies the change of a key whose kind is given by its prefix.
-func (s *stateCache) applyByPrefix(change Change, reject func(error)) {
+func (s *stateCache) applyByPrefix(change Change, reportInvalid func(error)) {
 	key := change.Key
 	switch {
 	case strings.HasPrefix(key, jobPrefix):
-		s.applyJob(key[len(jobPrefix):], change, reject)
+		s.applyJob(key[len(jobPrefix):], change, reportInvalid)
 	case strings.HasPrefix(key, runPrefix):
-		s.applyChunk(key[len(runPrefix):], change, reject)
+		s.applyChunk(key[len(runPrefix):], change, reportInvalid)
 	case strings.HasPrefix(key, endPrefix):
-		s.applyEnd(key[len(endPrefix):], change, reject)
+		s.applyEnd(key[len(endPrefix):], change, reportInvalid)
 	case strings.HasPrefix(key, typesPartPrefix):
-		s.applyTypes(change, reject)
+		s.applyTypes(change, reportInvalid)
 	case strings.HasPrefix(key, logPrefix):
-		s.applyPage(key[len(logPrefix):], change, reject)
+		s.applyPage(key[len(logPrefix):], change, reportInvalid)
 	case strings.HasPrefix(key, sweepRoot):
-		s.sweepManager.apply(key[len(Prefix):], change, reject)
+		s.sweepManager.apply(key[len(Prefix):], change, reportInvalid)
 	case strings.HasPrefix(key, decommissionedPrefix), strings.HasPrefix(key, memberPrefix):
-		s.membership.applyActivation(change, reject)
+		s.membership.applyActivation(change, reportInvalid)
 	case strings.HasPrefix(key, connectivityPrefix):
-		s.peers.applyConnectivity(key[len(connectivityPrefix):], change, reject)
+		s.peers.applyConnectivity(key[len(connectivityPrefix):], change, reportInvalid)
 	case strings.HasPrefix(key, hintsPartPrefix):
 		if !change.Removed {
 			s.imageHints[key] = change.Value
@@ -313,13 +313,13 @@
 }
 
 // applyLeader applies a change of the leadership key, which is absent if there is no leader.
-func (s *stateCache) applyLeader(change Change, reject func(error)) {
+func (s *stateCache) applyLeader(change Change, reportInvalid func(error)) {
 	s.leader, s.leaderRevision = leaderRecord{}, 0
 	if change.Removed {
 		return
 	}
 	if err := json.Unmarshal(change.Value, &s.leader); err != nil {
-		reject(err)
+		reportInvalid(err)
 	}
 	s.leaderRevision = change.Revision
 	if s.leader.Token > s.elector.newestLeader.Token {
@@ -329,45 +329,45 @@
 }
 
 // applyToken applies the newest fencing token.
-func (s *stateCache) applyToken(change Change, reject func(error)) {
+func (s *stateCache) applyToken(change Change, reportInvalid func(error)) {
 	if change.Removed {
 		return
 	}
 	if err := json.Unmarshal(change.Value, &s.token); err != nil {
-		reject(err)
+		reportInvalid(err)
 	}
 	s.tokenRevision = change.Revision
 }
 
 // applyPartitions applies the assignment of partitions to controllers. The leader ignores it,
 // as it makes the assignment itself.
-func (s *stateCache) applyPartitions(change Change, reject func(error)) {
+func (s *stateCache) applyPartitions(change Change, reportInvalid func(error)) {
 	if change.Removed || s.elector.isLeader() {
 		return
 	}
 	var partitions fleet.Partitions
 	if err := json.Unmarshal(change.Value, &partitions); err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	s.partitions, s.partitionsReadAt = partitions, s.now
 }
 
 // applyEnd applies the stored end of a job.
-func (s *stateCache) applyEnd(id string, change Change, reject func(error)) {
+func (s *stateCache) applyEnd(id string, change Change, reportInvalid func(error)) {
 	if change.Removed {
 		return
 	}
 	var end jobstate.End
 	if err := json.Unmarshal(change.Value, &end); err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	s.recordEnd(id, jobstate.EndStoredAt(end, change.Revision))
 }
 
 // applyJob applies a job's record, or its removal.
-func (s *stateCache) applyJob(id string, change Change, reject func(error)) {
+func (s *stateCache) applyJob(id string, change Change, reportInvalid func(error)) {
 	j := s.jobs[id]
 	if change.Removed {
 		if j != nil && change.Revision > j.Revision {
@@ -382,11 +382,11 @@
 	}
 	var record jobstate.Record
 	if err := json.Unmarshal(change.Value, &record); err != nil || !isValidRecord(&record) {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	if j == nil {
-		j = s.addJob(id, &record, change.Revision, reject)
+		j = s.addJob(id, &record, change.Revision, reportInvalid)
 	}
 	j.Revision = change.Revision
 	if record.Outcome == "" {
@@ -407,7 +407,7 @@
 }
 
 // addJob adds a job that was not known, with the progress that was read before its record.
-func (s *stateCache) addJob(id string, record *jobstate.Record, revision uint64, reject func(error)) *jobstate.Job {
+func (s *stateCache) addJob(id string, record *jobstate.Record, revision uint64, reportInvalid func(error)) *jobstate.Job {
 	j := jobstate.NewJob(record.Spec)
 	j.SplitChunks(s.membership.chunkTasks)
 	j.Arrival, j.SubmittedWall, j.Truncated = record.Arrival, record.SubmittedWall, record.Truncated
@@ -417,7 +417,7 @@
 		j.Arrival = revision
 	}
 	s.jobs[id] = j
-	s.loadOrphanedChunks(j, reject)
+	s.loadOrphanedChunks(j, reportInvalid)
 	s.replayLog(j)
 	if end, ended := s.ends.Get(id); ended && record.Outcome == "" {
 		// The end was reported by a peer, or derived, perhaps before the state was listed
@@ -426,30 +426,30 @@
 		s.tasks.jobEnded(j)
 	} else if record.Outcome == "" {
 		s.dependencies.addJob(j)
-		s.sweepManager.noteRun(j)
+		s.sweepManager.recordRun(j)
 	}
 	s.tasks.jobArrived(j)
 	return j
 }
 
 // loadOrphanedChunks loads the chunks of a job that were read before its record.
-func (s *stateCache) loadOrphanedChunks(j *jobstate.Job, reject func(error)) {
+func (s *stateCache) loadOrphanedChunks(j *jobstate.Job, reportInvalid func(error)) {
 	for ref, stored := range s.orphanedChunks[j.ID] {
 		if stored.Value == nil {
 			continue
 		}
 		if err := j.LoadChunk(ref, stored.Value, stored.Revision, s.now); err != nil {
-			reject(err)
+			reportInvalid(err)
 		}
 	}
 	delete(s.orphanedChunks, j.ID)
 }
 
 // applyChunk applies a chunk of a job's progress; name is its key without the prefix.
-func (s *stateCache) applyChunk(name string, change Change, reject func(error)) {
+func (s *stateCache) applyChunk(name string, change Change, reportInvalid func(error)) {
 	id, ref, err := parseChunkKey(name)
 	if err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	if s.elector.isLeader() {
@@ -472,7 +472,7 @@
 		return
 	}
 	if err := j.LoadChunk(ref, change.Value, change.Revision, s.now); err != nil {
-		reject(err)
+		reportInvalid(err)
 	}
 	s.replayLog(j)
 	for i := ref.Index * ref.ChunkSize; i < min((ref.Index+1)*ref.ChunkSize, j.Tasks); i++ {
@@ -527,13 +527,13 @@
 
 // applyTypes applies a value with all machine types or some of them: types that do not fit in
 // one value are stored in several.
-func (s *stateCache) applyTypes(change Change, reject func(error)) {
+func (s *stateCache) applyTypes(change Change, reportInvalid func(error)) {
 	if change.Removed {
 		return
 	}
 	var types []fleet.Type
 	if err := json.Unmarshal(change.Value, &types); err != nil {
-		reject(err)
+		reportInvalid(err)
 		return
 	}
 	if change.Key == typesKey {
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -14,7 +14,7 @@
 	// Requests that arrive in between share the next read.
 	leaderReadGap = 10_000
 	// expectedChangeGap is the interval between reads, in microseconds, while a change is
-	// known to be stored, or is expected, that the mirror does not show yet.
+	// known to be stored, or is expected, that the state cache lacks.
 	expectedChangeGap = 150_000
 )
 
@@ -121,13 +121,13 @@
 	r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 }
 
-// refreshMirrorTick reads the stored state if a leader's mirror has become too old. The watch
+// refreshCacheTick reads the stored state if a leader's state cache has become too old. The watch
 // delivers changes, but it may hang, and without changes it proves only that there were none
 // when it started.
-func (r *stateReader) refreshMirrorTick() {
+func (r *stateReader) refreshCacheTick() {
 	term := r.elector.leadership
-	if r.now-term.mirrorFreshAt > mirrorMaxAge && r.now-term.mirrorReadAt > mirrorMaxAge/2 {
-		term.mirrorReadAt = r.now
+	if r.now-term.cacheFreshAt > maxCacheAge && r.now-term.cacheRefreshReadAt > maxCacheAge/2 {
+		term.cacheRefreshReadAt = r.now
 		r.emit(ReadState{AfterRevision: r.cache.appliedRevision})
 	}
 }
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -263,7 +263,7 @@
 		}
 		var end sweepEndRecord
 		if read.Revision != 0 && json.Unmarshal(read.Value, &end) == nil && end.Outcome == jobstate.Cancelled {
-			m.noteCancelled(id)
+			m.recordCancelled(id)
 		}
 		done()
 	})
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -218,7 +218,7 @@
 		switch result.Outcome {
 		case kv.Committed:
 			m.readLeases.recordCancellation(cancelledSweepPrefix+r.targetID, result.Revision)
-			m.noteCancelled(r.targetID)
+			m.recordCancelled(r.targetID)
 			m.requests.waitForRead(r) // the reply includes the runs done before the cancellation
 		case kv.Conflict:
 			m.requests.retryCancellation(r)
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -69,7 +69,8 @@
 
 func (m *sweepManager) enabled() bool { return m.membership.featureEnabled(upgrade.Sweeps) }
 
-// getOrAddSweep returns a sweep, or adds an empty one that is filled from the keys as they are read.
+// getOrAddSweep returns a sweep, or adds an empty one that is filled from the keys as they are
+// read.
 func (m *sweepManager) getOrAddSweep(id string) *sweep {
 	s := m.sweeps[id]
 	if s == nil {
@@ -144,8 +145,9 @@
 	s.parts, s.plan = map[int]string{}, nil
 }
 
-// noteRun is called for each unfinished job that is new to this controller.
-func (m *sweepManager) noteRun(j *jobstate.Job) {
+// recordRun records that an unfinished job, which is new to this controller, may be a run of a
+// cancelled sweep.
+func (m *sweepManager) recordRun(j *jobstate.Job) {
 	if j.Sweep != "" {
 		m.mayHaveOpenRuns = true
 	}
@@ -187,9 +189,9 @@
 	}
 }
 
-// noteCancelled is called when a sweep is known to be cancelled but the cache may lag
+// recordCancelled records that a sweep is known to be cancelled although the cache may lag
 // behind. The leader stops its tasks, and none is started any more.
-func (m *sweepManager) noteCancelled(id string) {
+func (m *sweepManager) recordCancelled(id string) {
 	s := m.getOrAddSweep(id)
 	if s.cancelConfirmed || s.outcome != "" {
 		return
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -210,9 +210,9 @@
 		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(position), len(cancelled), maxBytes)
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
-	onInvalid := func(err error) { t.Error(err) }
-	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, onInvalid)
-	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, onInvalid)
+	reportInvalid := func(err error) { t.Error(err) }
+	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, reportInvalid)
+	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, reportInvalid)
 	if s := manager.getOrAddSweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
 		t.Error("decoded position or cancelled runs differ from the encoded ones")
 	}
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -79,9 +79,9 @@
 	return sweepKey{kind: sweepKeyKind(kind), id: id, suffix: suffix, hasSuffix: hasSuffix}
 }
 
-// apply applies a change of a sweep's key to the cache. key is without Prefix; onInvalid is
-// called with the error if the value can't be decoded.
-func (m *sweepManager) apply(key string, change Change, onInvalid func(error)) {
+// apply applies a change of a sweep's key to the cache. key is without Prefix;
+// reportInvalid is called with the error if the value can't be decoded.
+func (m *sweepManager) apply(key string, change Change, reportInvalid func(error)) {
 	if change.Removed {
 		return // keys of sweeps are never removed
 	}
@@ -101,7 +101,7 @@
 		err = m.applySweepEnd(k.id, change)
 	}
 	if err != nil {
-		onInvalid(err)
+		reportInvalid(err)
 	}
 }
 
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -3,7 +3,7 @@
 // The answer to a transaction may be lost although the transaction was executed. Other
 // controllers then read its changes and answer users accordingly, while its writer waits for the
 // answer, gives up and writes the changes again, in vain. So a writer also uses what it reads: if
-// its mirror shows all changes of a transaction at one revision, the transaction was executed,
+// its state cache shows all changes of a transaction at one revision, the transaction was executed,
 // either this one or an earlier one with the same changes. That proves what is stored, but not
 // when it was written: see kv.TransactionResult.Observed.
 package txn
