--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCloudListings checks that a list without a machine proves that the machine is gone only if it describes
-// a later time than a list that contained it.
+// TestCloudListings checks that a list without a machine proves that the machine is gone only
+// if it describes a later time than a list that contained it.
 func TestCloudListings(t *testing.T) {
 	const lag = 8 * second // twice the nominal lag
 	type read struct {
@@ -53,8 +53,8 @@
 	return list
 }
 
-// TestCloudListingsRandom checks with random fleets, lists and pages with permitted lags that no existing
-// machine is ever considered gone, and that most machines that are gone are found.
+// TestCloudListingsRandom checks with random fleets, lists and pages with permitted lags that no
+// existing machine is ever considered gone, and that most machines that are gone are found.
 func TestCloudListingsRandom(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	found, missed := 0, 0
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestScaleInFenced checks that machines are returned only while no other controller can lead, and that
-// the call contains the time until which this holds; the same rule applies to renting machines. It guards against a return that was queued, for
-// example until the call budget allowed it, and then sent although the leadership may have been lost
-// since.
+// the call contains the time until which this holds; the same rule applies to renting
+// machines. It guards against a return that was queued, for example until the call budget allowed
+// it, and then sent although the leadership may have been lost since.
 func TestScaleInFenced(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	ttl := b.c.settings.Ops.LeaderLease
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -157,7 +157,7 @@
 // watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
 	b := newPeerHarness(t, "n0")
-	b.c.elector.leadership.cacheFreshAt = b.now + 3600*second // prevents the leader's reads that TestMirrorProof covers
+	b.c.elector.leadership.cacheFreshAt = b.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
 	b.revision += 3                                           // writes of others that the watch does not deliver
 	id := b.c.newID()
 	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -246,30 +246,30 @@
 // New returns a Core that is about to list the stored state. now is the time of the monotonic
 // clock in microseconds.
 func New(settings Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	run := newEngine(settings, now, rng, log)
+	shared := newEngine(settings, now, rng, log)
 	c := &Core{
-		engine:           run,
-		elector:          &elector{engine: run},
-		membership:       newMembership(run),
-		peers:            newPeerMonitor(run),
-		readLeases:       newReadLeaseManager(run),
-		health:           &stateHealth{engine: run},
-		reader:           &stateReader{engine: run},
-		cache:            newStateCache(run),
-		committer:        &committer{engine: run},
-		tasks:            &taskManager{engine: run},
-		router:           newHeartbeatRouter(run),
-		workers:          &workerManager{engine: run},
-		requests:         newRequestHandler(run),
-		dependencies:     newDependencyResolver(run),
-		endMonitor:       newEndMonitor(run),
-		planner:          &planner{engine: run},
-		partitionManager: &partitionManager{engine: run},
-		scaler:           &scaler{engine: run, costAware: settings.WeighsCost(&run.settings.Ops)},
-		cloud:            &cloudCaller{engine: run},
-		prefetcher:       &prefetcher{engine: run},
-		sweepManager:     &sweepManager{engine: run, sweeps: map[string]*sweep{}},
-		operators:        &operatorViewer{engine: run},
+		engine:           shared,
+		elector:          &elector{engine: shared},
+		membership:       newMembership(shared),
+		peers:            newPeerMonitor(shared),
+		readLeases:       newReadLeaseManager(shared),
+		health:           &stateHealth{engine: shared},
+		reader:           &stateReader{engine: shared},
+		cache:            newStateCache(shared),
+		committer:        &committer{engine: shared},
+		tasks:            &taskManager{engine: shared},
+		router:           newHeartbeatRouter(shared),
+		workers:          &workerManager{engine: shared},
+		requests:         newRequestHandler(shared),
+		dependencies:     newDependencyResolver(shared),
+		endMonitor:       newEndMonitor(shared),
+		planner:          &planner{engine: shared},
+		partitionManager: &partitionManager{engine: shared},
+		scaler:           &scaler{engine: shared, costAware: settings.WeighsCost(&shared.settings.Ops)},
+		cloud:            &cloudCaller{engine: shared},
+		prefetcher:       &prefetcher{engine: shared},
+		sweepManager:     &sweepManager{engine: shared, sweeps: map[string]*sweep{}},
+		operators:        &operatorViewer{engine: shared},
 	}
 	c.connect()
 	c.health.start()
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -29,9 +29,9 @@
 	return m != nil && r.c.planner.usable(m)
 }
 
-// TestMachineNotReceivingAnswers checks that a machine that sends heartbeats but does not receive the answers gets
-// no work. If commands have no effect twice in succession, nothing more is placed on the machine. The
-// tasks that it should have started are placed elsewhere once a later heartbeat does not list them
+// TestMachineNotReceivingAnswers checks that a machine that sends heartbeats but does not receive
+// the answers gets no work. If commands have no effect twice in succession, nothing more is placed
+// on the machine. The tasks that it should have started are placed elsewhere once a later heartbeat does not list them
 // either. The machine is used again when it receives an answer or a probe.
 func TestMachineNotReceivingAnswers(t *testing.T) {
 	cases := []struct {
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestLateHeartbeatCopies checks that a late copy of a heartbeat has no effect: it does not add a machine again
-// that is gone, and does not prove that a task is absent. A machine that has restarted its sequence
+// TestLateHeartbeatCopies checks that a late copy of a heartbeat has no effect: it does not add a
+// machine again that is gone, and does not prove that a task is absent. A machine that has restarted its sequence
 // numbers is accepted after its answer to a probe, and copies from before the restart are refused.
 func TestLateHeartbeatCopies(t *testing.T) {
 	restarted := func(r *leaderHarness) {
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestGangStopsAfterUnreceivedStart checks that a gang attempt is stopped if the machine of one of its tasks
-// does not receive the start, so that the other tasks do not wait for it.
+// TestGangStopsAfterUnreceivedStart checks that a gang attempt is stopped if the machine of one of its
+// tasks does not receive the start, so that the other tasks do not wait for it.
 func TestGangStopsAfterUnreceivedStart(t *testing.T) {
 	r := newLeaderHarness(t)
 	j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: 2, Need: jobstate.Resources{CPU: 1}, Estimate: second})
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -33,9 +33,9 @@
 	endReads map[string]int64
 }
 
-func newDependencyResolver(run *engine) *dependencyResolver {
+func newDependencyResolver(shared *engine) *dependencyResolver {
 	return &dependencyResolver{
-		engine:   run,
+		engine:   shared,
 		graph:    jobstate.NewDependencyGraph(),
 		endReads: map[string]int64{},
 	}
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -54,7 +54,7 @@
 	derivedLogs, reportedLogs, failedReadLogs, removalLogs, notFoundLogs logLimiter
 }
 
-func newEndMonitor(run *engine) *endMonitor { return &endMonitor{engine: run} }
+func newEndMonitor(shared *engine) *endMonitor { return &endMonitor{engine: shared} }
 
 // countUnstoredEnds counts the jobs whose ends this controller knows but does not know to be
 // stored.
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// handlePreemptionNotice drains a machine that the cloud is about to reclaim. A negative notice means
-// that there is no preemption notice.
+// handlePreemptionNotice drains a machine that the cloud is about to reclaim. A negative notice
+// means that there is no preemption notice.
 func (w *workerManager) handlePreemptionNotice(machine *fleet.Machine, notice int64) {
 	if notice < 0 || machine.ReclaimAt != 0 {
 		return
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -16,8 +16,8 @@
 	redirects map[string]redirect
 }
 
-func newHeartbeatRouter(run *engine) *heartbeatRouter {
-	return &heartbeatRouter{engine: run, redirects: map[string]redirect{}}
+func newHeartbeatRouter(shared *engine) *heartbeatRouter {
+	return &heartbeatRouter{engine: shared, redirects: map[string]redirect{}}
 }
 
 // redirect records when a worker was last redirected to another controller, the time until
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -54,7 +54,7 @@
 func (l *leadership) stateProofAt() int64 { return min(l.tokenProvenAt, l.cacheFreshAt) }
 
 // authorityProvenAt returns the time up to which it is proven that no other controller led
-// and that everything users were told is known here. Read leases from all other controllers
+// and that every end reported to users is known here. Read leases from all other controllers
 // prove both: only a failover raises the fencing token, and a peer that knows of a newer
 // leader reports it.
 func (l *leadership) authorityProvenAt() int64 {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -50,10 +50,10 @@
 	publishNotBefore int64
 }
 
-func newMembership(run *engine) *membership {
+func newMembership(shared *engine) *membership {
 	return &membership{
-		engine:                  run,
-		activation:              newActivation(&run.settings),
+		engine:                  shared,
+		activation:              newActivation(&shared.settings),
 		decommissionedRevisions: map[string]uint64{},
 		chunkTasks:              jobstate.DefaultChunkSize,
 	}
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -153,8 +153,8 @@
 	return true
 }
 
-// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although enough
-// machines are known in its partition and enough machines still send heartbeats.
+// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although
+// enough machines are known in its partition and enough machines still send heartbeats.
 func (p *partitionManager) receivesNoHeartbeats(controller string) bool {
 	term := p.elector.leadership
 	silenceTimeout := 3*p.heartbeatInterval() + second
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -42,10 +42,10 @@
 	pingedAt              int64
 }
 
-func newPeerMonitor(run *engine) *peerMonitor {
-	settings := &run.settings
+func newPeerMonitor(shared *engine) *peerMonitor {
+	settings := &shared.settings
 	return &peerMonitor{
-		engine:                run,
+		engine:                shared,
 		peerStates:            map[string]peerState{},
 		connectivityRevisions: map[string]uint64{},
 		connectivity: connectivity.NewLinks(settings.Name, settings.Incarnation, settings.Peers,
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -50,11 +50,11 @@
 	informedAt  map[string]int64 // when a controller was last informed of cancellations
 }
 
-func newReadLeaseManager(run *engine) *readLeaseManager {
-	settings := &run.settings
+func newReadLeaseManager(shared *engine) *readLeaseManager {
+	settings := &shared.settings
 	return &readLeaseManager{
-		engine:     run,
-		grantor:    readlease.NewGrantor(settings.Incarnation, settings.Peers, settings.LeaderAuthorityTime(), run.now),
+		engine:     shared,
+		grantor:    readlease.NewGrantor(settings.Incarnation, settings.Peers, settings.LeaderAuthorityTime(), shared.now),
 		informedAt: map[string]int64{},
 	}
 }
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestMirrorProof checks that renewing its lease does not count as proof that a leader knows
+// TestStateReadProof checks that renewing its lease does not count as proof that a leader knows
 // what users were told. If its watch delivers nothing the leader reads the stored state, and
 // without an answer it stops answering workers after its authority time.
-func TestMirrorProof(t *testing.T) {
+func TestStateReadProof(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.watchHung = true
 	before := b.c.elector.leadership.authorityProvenAt()
--- a/internal/core/reportedend_test.go
+++ b/internal/core/reportedend_test.go
@@ -9,7 +9,7 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// These tests guard against the loss of a job whose cancellation users were told of. The controller
+// These tests guard against the loss of a job whose cancellation was reported to users. The controller
 // that had started last answered 404 for the job, while the others continued to report it as
 // cancelled until they were restarted. It came about as follows:
 //
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -132,8 +132,8 @@
 	queues requestQueues
 }
 
-func newRequestHandler(run *engine) *requestHandler {
-	return &requestHandler{engine: run, queues: requestQueues{inFlight: map[string][]*request{}}}
+func newRequestHandler(shared *engine) *requestHandler {
+	return &requestHandler{engine: shared, queues: requestQueues{inFlight: map[string][]*request{}}}
 }
 
 // hasQueuedWrites reports whether users' writes wait for the write budget.
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -85,9 +85,9 @@
 	imageHistory imageHistory
 }
 
-func newStateCache(run *engine) *stateCache {
+func newStateCache(shared *engine) *stateCache {
 	return &stateCache{
-		engine:         run,
+		engine:         shared,
 		jobs:           map[string]*jobstate.Job{},
 		orphanedChunks: map[string]map[jobstate.ChunkRef]Change{},
 		ends:           jobstate.NewKnownEnds(maxEnds),
@@ -507,7 +507,7 @@
 	return jobstate.KnownEnd{}, false
 }
 
-// recordEnd records how a job has ended. Every end that users are told of passes through here, so
+// recordEnd records how a job has ended. Every end that is reported to users passes through here, so
 // this is where the controller records a cancellation for its read leases.
 func (s *stateCache) recordEnd(id string, end jobstate.KnownEnd) {
 	known, isNew := s.ends.Record(id, end)
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// abandonGangAttempt stops the remaining tasks of a gang's attempt; the next attempt begins when all of
-// them are gone. If the attempt was only incomplete for too long, tasks that are still fetching
+// abandonGangAttempt stops the remaining tasks of a gang's attempt; the next attempt begins when
+// all of them are gone. If the attempt was only incomplete for too long, tasks that are still fetching
 // the image continue until they have it. If they were stopped, they would restart the fetch with
 // the next attempt, which would be incomplete as well, and so on endlessly if one machine fetches
 // slowly and the others have the image.
