--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -170,8 +170,8 @@
 	}
 	w.stopListedTasks(machine, heartbeat)
 	if machine.ApplyProbe(m.SentAt, heartbeat.Epoch, heartbeat.Seq) {
-		// It is not known when the numbering restarted; tasks that were started after
-		// that are still there.
+		// It is not known when the sequence numbers restarted; tasks that were started
+		// after that are still there.
 		w.log.Info("machine restarted its heartbeat sequence numbers", "machine", machine.Name, "tasks", len(machine.Placed))
 		machine.LastHeartbeat, machine.HasCurrentToken = w.now, false
 		machine.MarkChanged()
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -17,7 +17,7 @@
 type departure struct {
 	epoch, seq uint64
 	// returned is set if the machine is certainly gone, because the cloud has confirmed its
-	// release or its list proves it.
+	// return or its list proves it.
 	returned bool
 	at       int64
 }
@@ -27,7 +27,7 @@
 }
 
 // recordReturned records a machine that is certainly gone, because the cloud has confirmed its
-// release or its list proves it.
+// return or its list proves it.
 func (d *departedMachines) recordReturned(name string, now int64) {
 	d.record(name, departure{returned: true, at: now})
 }
--- a/internal/core/fleet/delivery.go
+++ b/internal/core/fleet/delivery.go
@@ -27,7 +27,7 @@
 }
 
 // maxMissedAnswers is the number of consecutive missed answers after which a machine is
-// taken not to receive any. It is above 1, as a single answer is occasionally lost.
+// considered not to receive any. It is above 1, as a single answer is occasionally lost.
 const maxMissedAnswers = 2
 
 // Bounds of the retry delay, in microseconds. The delay doubles each time the machine is
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -67,7 +67,7 @@
 	Prefetch *Prefetch
 	// IdleSince is when the last placement was removed, 0 while there are any.
 	IdleSince int64
-	// Releasing reports whether the machine's release was requested from the cloud and
+	// Releasing reports whether the machine's return to the cloud was requested and
 	// the answer is pending.
 	Releasing bool
 	// Draining reports whether the machine gets no more tasks because it looks faulty.
@@ -76,7 +76,8 @@
 	FailedJobs map[string]bool
 	// Delivery tracks whether the machine receives answers.
 	Delivery Delivery
-	// seqRestarted reports whether the machine has restarted its heartbeat numbering.
+	// seqRestarted reports whether the machine has restarted its heartbeat sequence
+	// numbers.
 	seqRestarted bool
 
 	// set is the set that contains the machine, index its position in the set's list.
--- a/internal/core/fleet/probe.go
+++ b/internal/core/fleet/probe.go
@@ -33,11 +33,11 @@
 }
 
 // ApplyProbe applies the answer to a probe sent at sentAt, and reports whether it shows that
-// the machine has restarted its heartbeat numbering. The heartbeat in the answer was made
+// the machine has restarted its heartbeat sequence numbers. The heartbeat in the answer was made
 // after the probe was sent. If its number is no higher than the highest known at that time,
-// the numbering has restarted. From then on a heartbeat from before the restart looks like
+// the sequence has restarted. From then on a heartbeat from before the restart looks like
 // the newest, so only answers to probes are proof: they give the current number and show
-// whether the numbering has restarted once more.
+// whether the sequence has restarted once more.
 func (m *Machine) ApplyProbe(sentAt int64, epoch, seq uint64) (restarted bool) {
 	p := &m.Delivery.probe
 	if !p.pending || sentAt < p.sentAt {
@@ -55,12 +55,12 @@
 	return restarted
 }
 
-// SeqRestarted reports whether the machine has restarted its heartbeat numbering, so that the
-// numbers do not distinguish a current heartbeat from a copy of one from before the restart.
+// SeqRestarted reports whether the machine has restarted its heartbeat sequence numbers, so that
+// they do not distinguish a current heartbeat from a copy of one from before the restart.
 func (m *Machine) SeqRestarted() bool { return m.seqRestarted }
 
 // IsPlausible reports whether a heartbeat can be a current one of the machine. After a restart
-// of the numbering, the sequence number can have risen only by a bounded amount since the last
+// of the sequence, the number can have risen only by a bounded amount since the last
 // heartbeat, and a new epoch needs confirmation by a probe.
 func (m *Machine) IsPlausible(epoch, seq uint64, now int64) bool {
 	if !m.seqRestarted {
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -13,9 +13,10 @@
 )
 
 // hintsRecord is one stored value of the hints about images that a leader leaves to the next one:
-// which machine has which images, and completed jobs whose tasks can be used to prefetch them. The hints are spread over
-// as many values as the size of the fleet requires. The values are written in turn, with what is left
-// of the write budget. Nothing depends on the hints being correct or present.
+// which machine has which images, and completed jobs whose tasks can be used to prefetch them.
+// The hints are spread over as many values as the size of the fleet requires. The values are written
+// in turn, with what is left of the write budget. Nothing depends on the hints being correct or
+// present.
 type hintsRecord struct {
 	// Of is the total number of values.
 	Of     int         `json:"of"`
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -20,7 +20,7 @@
 	// end is how the job has ended, the zero value while it is unfinished.
 	end KnownEnd
 	// unplaced are the tasks that are neither done nor placed, placed those that are
-	// placed. They spare a planning round a scan of 100,000 tasks to find a few.
+	// placed. They save a planning round a scan of 100,000 tasks to find a few.
 	unplaced, placed *roaring.Bitmap
 	// chunks have chunkSize tasks each. olderLayers are the stored chunks of larger sizes,
 	// which are valid for tasks of which no smaller chunk has been stored.
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -72,7 +72,7 @@
 
 // usable reports whether tasks may be placed on a machine now: its worker has accepted this
 // leader, receives responses and sends heartbeats in time, and the machine is not being
-// drained, released or reclaimed.
+// drained, returned or reclaimed.
 func (p *planner) usable(machine *fleet.Machine) bool {
 	return machine.HasCurrentToken &&
 		!machine.Delivery.CannotReceive &&
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -127,9 +127,9 @@
 	return best
 }
 
-// preemptDelay returns how far off a pivot's start may be before lower-priority work is preempted for it.
-// The delay must not make the job start too late. The time already waited counts, because tasks
-// past their estimates are repeatedly expected to end soon: among many machines with such tasks,
+// preemptDelay returns how far off a pivot's start may be before lower-priority work is preempted
+// for it. The delay must not make the job start too late. The time already waited counts, because
+// tasks past their estimates are repeatedly expected to end soon: among many machines with such tasks,
 // some always seem about to become free.
 func (p *Planner) preemptDelay(j *Job) int64 {
 	if j.EffectivePriority < jobstate.Urgent && !j.Guaranteed {
