--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -111,7 +111,8 @@
 	return hashes
 }
 
-// isStored reports whether this leadership has written the same boundaries and holders.
+// isStored reports whether this controller has written the same boundaries and holders in its
+// current term.
 func (p *partitionManager) isStored(partitions fleet.Partitions) bool {
 	stored := &p.cache.partitions
 	return stored.FencingToken == partitions.FencingToken &&
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -43,7 +43,7 @@
 	since int64
 }
 
-// planState is the planner's state during one leadership term.
+// planState is the planner's state during one term of leadership.
 type planState struct {
 	roundRequested bool
 	plannedAt      int64
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -121,7 +121,7 @@
 	term.hints.inheritedSources = nil
 }
 
-// inheritSource records a completed job of an earlier leadership, to be used as a prefetch source later.
+// inheritSource records a completed job of an earlier term, to be used as a prefetch source later.
 func (p *prefetcher) inheritSource(spec *jobstate.Spec) {
 	p.addImageDemand(spec)
 	state := &p.elector.leadership.hints
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -226,7 +226,7 @@
 		case isOurs:
 			// The result is unknown, and the call may be executed late. Repeat it
 			// until it is confirmed; no more tasks are placed on the machine. A
-			// call of an earlier leadership is not repeated, as another leader may
+			// call of an earlier term is not repeated, as another leader may
 			// have placed work on the machine since.
 			term.scaling.queueScaleIn(name)
 		}
