--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -15,8 +15,8 @@
 // A leader that judged the silence of the state service by the age of the newest successful
 // renewal let the lease expire after that one lost answer, and another controller was elected:
 // after an outage that renewal is older than a lease although every request was answered. In
-// the case of TestTroubles with renewals and revocations executed late, first the leader
-// refused and then all controllers, the state service refused until 82.0 s, committed a
+// the case of TestTroubles "renewals and dropped leases are executed late and the leader is
+// refused, and then all", the state service refused until 82.0 s, committed a
 // transaction of node-0 at 82.07 s and left the renewal of 82.30 s unanswered; node-0 sent no
 // other, and its lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected
 // after the faults began, and 83 with the fix.
@@ -45,8 +45,8 @@
 //
 // When a renewal waited for the one in flight to end, each lost answer cost the request's
 // deadline, a third of the lease: a leader sent two renewals per lease, and another controller
-// was elected each time that both answers were lost. In the case of TestTroubles with renewals
-// and revocations executed late, first the leader refused and then all controllers, node-0
+// was elected each time that both answers were lost. In the case of TestTroubles "renewals
+// and dropped leases are executed late and the leader is refused, and then all", node-0
 // renewed at 82.30 s and 83.70 s without an answer and its lease expired at 85.02 s; node-1
 // renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97 seeds of that case,
 // 83 leaders were elected after the faults began, and none with the fix.
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -13,8 +13,8 @@
 //
 // It guards against holding answers only for machines without placements: a placement counts from its
 // planning on, so the heartbeat was answered immediately without commands, and the start was sent only
-// in the answer to the next one. This was seen in the case of TestTroubles with renewals and dropped
-// leases executed late, the leader refused, then all: the heartbeat of host-000002 at 82.535 s was
+// in the answer to the next one. This was seen in the case of TestTroubles "renewals and dropped leases
+// are executed late and the leader is refused, and then all": the heartbeat of host-000002 at 82.535 s was
 // answered without commands, although its three placements were stored at 82.754 s. The next one, at
 // 85.474 s, was answered with the last start of a gang of four, whose other tasks had received
 // theirs at 82.755 s.
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -42,8 +42,8 @@
 //
 // The leader has one transaction in progress at a time. It used to wait for each until its
 // deadline of two seconds, in which nothing was written and no task started. The state service's
-// log of a case of TestTroubles showed it (lease renewals and dropped leases executed late, first
-// the leader's requests refused, then everyone's): the write of a gang of four at 82.203 s got no
+// log of the case of TestTroubles "renewals and dropped leases are executed late and the leader is
+// refused, and then all" showed it: the write of a gang of four at 82.203 s got no
 // answer, the next one was stored at 84.354 s, and the gang was done at 94.33 s instead of by
 // 93.0 s. With this and related fixes, the write was stored at 82.753 s, the gang started at
 // 82.755 s and was done at 90.95 s.
