--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -175,7 +175,7 @@
 	if m.elector.isLeader() {
 		m.elector.resign(reason)
 	}
-	m.cache.suspend()
+	m.cache.invalidate()
 	if starting {
 		m.emit(Quit{Reason: reason})
 	}
@@ -229,7 +229,7 @@
 }
 
 // commitActivation writes a change of features, format or members. It takes effect when the
-// mirror contains it, on this controller as on all others.
+// state cache contains it, on this controller as on all others.
 func (m *membership) commitActivation(conditions []Cond, write Write) {
 	state := &m.elector.leadership.activation
 	state.writing, state.notBefore = true, m.now+activationInterval
--- a/internal/core/conflicts.go
+++ b/internal/core/conflicts.go
@@ -38,7 +38,7 @@
 	case strings.HasPrefix(key, logPrefix):
 		c.cache.setPageRevision(key, read.Revision)
 	case strings.HasPrefix(key, sweepEndPrefix) && read.Revision != 0:
-		c.sweepManager.noteCancelled(key[len(sweepEndPrefix):])
+		c.sweepManager.recordCancelled(key[len(sweepEndPrefix):])
 	case strings.HasPrefix(key, endPrefix):
 		c.applyStoredEnd(key[len(endPrefix):], read)
 	case strings.HasPrefix(key, jobPrefix):
@@ -65,7 +65,7 @@
 	if read.Revision == 0 || json.Unmarshal(read.Value, &end) != nil {
 		return
 	}
-	c.cache.noteEnd(id, jobstate.EndStoredAt(end, read.Revision))
+	c.cache.recordEnd(id, jobstate.EndStoredAt(end, read.Revision))
 }
 
 // applyStoredJob applies a job's record, or its removal.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,5 @@
 // Package core decides what a controller does. It performs no input or output itself:
-// Core.Step takes one message and the time of the steady (monotonic) clock, and returns the
+// Core.Step takes one message and the time of the monotonic clock, and returns the
 // resulting effects as values for package node (or an emulator) to carry out. The results of
 // an effect come back as a later message. The same messages at the same times have the same
 // effects, so that a whole cluster can be run in simulated time.
@@ -14,8 +14,8 @@
 // A Core consists of parts, each a type with a file of its name, which share an engine
 // (clock, settings, log, effects):
 //
-//   - the stored state: stateCache mirrors it, stateReader keeps the mirror fresh by
-//     watches and reads, committer writes what the leader decides, stateHealth tracks
+//   - the stored state: stateCache is the local copy of it, stateReader keeps that up to
+//     date by watches and reads, committer writes what the leader decides, stateHealth tracks
 //     whether the state service answers and how many requests may be sent;
 //   - the controllers: elector campaigns and leads, membership tracks which programs and
 //     features are present, peerMonitor pings the others and forwards requests to them,
@@ -243,33 +243,33 @@
 	c.cloud.peers = c.peers
 }
 
-// New returns a Core that is about to list the stored state. now is the time of the steady
+// New returns a Core that is about to list the stored state. now is the time of the monotonic
 // clock in microseconds.
 func New(settings Settings, now int64, rng *rand.Rand, log *slog.Logger) *Core {
-	run := newEngine(settings, now, rng, log)
+	shared := newEngine(settings, now, rng, log)
 	c := &Core{
-		engine:           run,
-		elector:          &elector{engine: run},
-		membership:       newMembership(run),
-		peers:            newPeerMonitor(run),
-		readLeases:       newReadLeaseManager(run),
-		health:           &stateHealth{engine: run},
-		reader:           &stateReader{engine: run},
-		cache:            newStateCache(run),
-		committer:        &committer{engine: run},
-		tasks:            &taskManager{engine: run},
-		router:           newHeartbeatRouter(run),
-		workers:          &workerManager{engine: run},
-		requests:         newRequestHandler(run),
-		dependencies:     newDependencyResolver(run),
-		endMonitor:       newEndMonitor(run),
-		planner:          &planner{engine: run},
-		partitionManager: &partitionManager{engine: run},
-		scaler:           &scaler{engine: run, costAware: settings.WeighsCost(&run.settings.Ops)},
-		cloud:            &cloudCaller{engine: run},
-		prefetcher:       &prefetcher{engine: run},
-		sweepManager:     &sweepManager{engine: run, sweeps: map[string]*sweep{}},
-		operators:        &operatorViewer{engine: run},
+		engine:           shared,
+		elector:          &elector{engine: shared},
+		membership:       newMembership(shared),
+		peers:            newPeerMonitor(shared),
+		readLeases:       newReadLeaseManager(shared),
+		health:           &stateHealth{engine: shared},
+		reader:           &stateReader{engine: shared},
+		cache:            newStateCache(shared),
+		committer:        &committer{engine: shared},
+		tasks:            &taskManager{engine: shared},
+		router:           newHeartbeatRouter(shared),
+		workers:          &workerManager{engine: shared},
+		requests:         newRequestHandler(shared),
+		dependencies:     newDependencyResolver(shared),
+		endMonitor:       newEndMonitor(shared),
+		planner:          &planner{engine: shared},
+		partitionManager: &partitionManager{engine: shared},
+		scaler:           &scaler{engine: shared, costAware: settings.WeighsCost(&shared.settings.Ops)},
+		cloud:            &cloudCaller{engine: shared},
+		prefetcher:       &prefetcher{engine: shared},
+		sweepManager:     &sweepManager{engine: shared, sweeps: map[string]*sweep{}},
+		operators:        &operatorViewer{engine: shared},
 	}
 	c.connect()
 	c.health.start()
@@ -277,7 +277,7 @@
 	return c
 }
 
-// Step handles one message at the given time of the steady clock and returns the resulting
+// Step handles one message at the given time of the monotonic clock and returns the resulting
 // effects, which must be carried out in order. A message of an unknown type has no effects of
 // its own, but time advances.
 func (c *Core) Step(now int64, msg any) []any {
@@ -420,7 +420,7 @@
 // the callback of the transaction.
 func (c *Core) onTransactionResult(m TransactionResult) {
 	if !c.transactions.IsConditionOnly(m.ID) {
-		c.membership.noteRateLimited(m.Outcome)
+		c.membership.handleRateLimited(m.Outcome)
 	}
 	c.health.recordTransaction(m)
 	c.transactions.RecordAnswer(m.ID, m.Outcome, c.now)
@@ -467,7 +467,7 @@
 		term.planning.requestRound()
 	}
 	term.heartbeats.requestRelease() // held replies may have reached their maximum delay
-	c.reader.refreshMirrorTick()
+	c.reader.refreshCacheTick()
 	c.partitionManager.partitionsTick()
 	if c.now-term.machinesScannedAt >= machineScanInterval {
 		// Work that iterates over all machines and can wait.
@@ -492,11 +492,11 @@
 
 // leadStep plans tasks, writes state and answers heartbeats as the last message allows.
 func (c *Core) leadStep() {
-	if term := c.elector.leadership; term.planning.wanted && c.now-term.planning.plannedAt >= planInterval {
+	if term := c.elector.leadership; term.planning.roundRequested && c.now-term.planning.plannedAt >= planInterval {
 		c.planner.plan()
 	}
 	c.committer.commitNow()
-	if term := c.elector.leadership; term != nil && term.heartbeats.releaseWanted {
+	if term := c.elector.leadership; term != nil && term.heartbeats.releaseRequested {
 		c.workers.releaseReadyReplies()
 	}
 }
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -16,8 +16,8 @@
 	redirects map[string]redirect
 }
 
-func newHeartbeatRouter(run *engine) *heartbeatRouter {
-	return &heartbeatRouter{engine: run, redirects: map[string]redirect{}}
+func newHeartbeatRouter(shared *engine) *heartbeatRouter {
+	return &heartbeatRouter{engine: shared, redirects: map[string]redirect{}}
 }
 
 // redirect records when a worker was last redirected to another controller, the time until
@@ -41,7 +41,7 @@
 		r.routeAsLeader(m)
 		return
 	}
-	r.elector.noteNewestLeader(r.cache.leader)
+	r.elector.updateNewestLeader(r.cache.leader)
 	leader := r.elector.newestLeader.Name
 	leaderUp := leader != "" && leader != r.settings.Name && r.peers.connectivity.PeerUp(leader, r.now)
 	switch {
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -93,7 +93,7 @@
 		Seq:           term.partitions.seq + 1,
 	}
 	if len(partitions.Boundaries) != queueCount-1 || p.partitionsUnbalanced(hashes) {
-		partitions.Boundaries = fleet.PartitionHashes(hashes, queueCount)
+		partitions.Boundaries = fleet.PartitionBoundaries(hashes, queueCount)
 	}
 	return partitions
 }
@@ -111,7 +111,8 @@
 	return hashes
 }
 
-// isStored reports whether this leadership has written the same boundaries and holders.
+// isStored reports whether this controller has written the same boundaries and holders in its
+// current term.
 func (p *partitionManager) isStored(partitions fleet.Partitions) bool {
 	stored := &p.cache.partitions
 	return stored.FencingToken == partitions.FencingToken &&
@@ -153,8 +154,8 @@
 	return true
 }
 
-// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although enough
-// machines are known in its partition and enough machines still send heartbeats.
+// receivesNoHeartbeats reports whether a holder has received no heartbeat for a long time although
+// enough machines are known in its partition and enough machines still send heartbeats.
 func (p *partitionManager) receivesNoHeartbeats(controller string) bool {
 	term := p.elector.leadership
 	silenceTimeout := 3*p.heartbeatInterval() + second
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -72,14 +72,14 @@
 
 // usable reports whether tasks may be placed on a machine now: its worker has accepted this
 // leader, receives responses and sends heartbeats in time, and the machine is not being
-// drained, released or reclaimed.
+// drained, returned or reclaimed.
 func (p *planner) usable(machine *fleet.Machine) bool {
 	return machine.HasCurrentToken &&
 		!machine.Delivery.CannotReceive &&
 		!machine.Draining &&
 		!machine.Releasing &&
 		machine.ReclaimAt == 0 &&
-		machine.LastHeartbeat > p.now-p.settings.Overdue() &&
+		machine.LastHeartbeat > p.now-p.settings.MaxHeartbeatAge() &&
 		machine.Cap != jobstate.Resources{}
 }
 
@@ -96,7 +96,7 @@
 	term.fleet.ForEachChanged(p.updateIndexed)
 	for {
 		oldest, ok := index.byLastHeartbeat.Min()
-		if !ok || oldest.lastHeartbeat > p.now-p.settings.Overdue() {
+		if !ok || oldest.lastHeartbeat > p.now-p.settings.MaxHeartbeatAge() {
 			return index.index
 		}
 		p.updateIndexed(term.fleet.Get(oldest.Name))
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestMirrorProof checks that renewing its lease does not count as proof that a leader knows
+// TestStateReadProof checks that renewing its lease does not count as proof that a leader knows
 // what users were told. If its watch delivers nothing the leader reads the stored state, and
 // without an answer it stops answering workers after its authority time.
-func TestMirrorProof(t *testing.T) {
+func TestStateReadProof(t *testing.T) {
 	b := newPeerHarness(t, "n0")
 	b.watchHung = true
 	before := b.c.elector.leadership.authorityProvenAt()
@@ -142,9 +142,9 @@
 		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
 	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	s.core.sweepManager.sweep("s").plan = sweepOf(2, 1000).Plan
+	s.core.sweepManager.getOrAddSweep("s").plan = sweepOf(2, 1000).Plan
 	if s.core.cache.jobs["sweep.s.1"] == nil {
-		t.Fatal("got no run sweep.s.1 in the mirror, want it there")
+		t.Fatal("got no run sweep.s.1 in the state cache, want it there")
 	}
 	s.core.settings.Peers = []string{"n1"}
 	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not arrive are stopped by
-// direct commands, also by a leader that has received no heartbeat of the machine: the address comes
+// TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not
+// arrive are stopped by direct commands, also by a leader that has received no heartbeat of the machine: the address comes
 // from the cloud's list and the epoch from the machine's answer to a probe. Otherwise such tasks
 // continue until the machine's lease has expired. The answer does not prove that a task is absent.
 func TestStopOnUnreachableMachine(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarnessOf(t, tc.over)
+			r := newLeaderHarnessWithOutcome(t, tc.over)
 			r.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: r.token})
 			if tc.do != nil {
 				tc.do(r)
