--- a/internal/emulator/cases/cases.go
+++ b/internal/emulator/cases/cases.go
@@ -1,6 +1,6 @@
-// Package cases has what the packages share that enumerate cases of faults and run each in
-// simulated time: a selection of cases, the deployment they start from, a runner and the
-// share of jobs that was served.
+// Package cases contains the code shared by the packages that enumerate fault cases and run
+// each case in simulated time: selecting cases, the initial deployment, a parallel runner,
+// and the share of jobs that were served.
 package cases
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// Case is one of an enumeration.
+// Case is one case of an enumeration.
 type Case interface {
 	fmt.Stringer
-	// ID is the case's number in its enumeration.
+	// ID returns the number of the case in its enumeration.
 	ID() uint64
 }
 
 // Result is the result of a case.
 type Result interface {
-	// Shortfall says what falls short of what is required, "" if nothing does.
+	// Shortfall describes the first unmet requirement, "" if all are met.
 	Shortfall() string
-	// HasViolations says whether the history violates a rule.
+	// HasViolations reports whether the history violates a rule.
 	HasViolations() bool
 }
 
-// EveryNth is every n-th case from the first on.
+// EveryNth returns every n-th case, beginning with the one at index first.
 func EveryNth[C any](all []C, first, n int) (selected []C) {
 	for i := first; i < len(all); i += n {
 		selected = append(selected, all[i])
@@ -35,14 +35,15 @@
 	return selected
 }
 
-// Summary counts the cases that were run, that fell short, and that violated a rule.
+// Summary counts the cases that were run, that had a shortfall or an error, and that
+// violated a rule.
 type Summary struct{ Run, Short, Violating int }
 
-// progressInterval is how often a runner prints how far it is.
+// progressInterval is the minimum time between two progress lines.
 const progressInterval = 10 * time.Second
 
-// RunAll runs cases, so many in parallel, and prints those that fall short. It calls note
-// with the results, one at a time.
+// RunAll runs the cases, at most parallel of them at a time, and prints those that fail to
+// run or have a shortfall. It calls note with each result, one at a time.
 func RunAll[C Case, R Result](all []C, parallel int, out io.Writer, run func(C) (R, error), note func(R)) Summary {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -68,7 +69,7 @@
 		}
 		if time.Since(printed) > progressInterval {
 			printed = time.Now()
-			_, _ = fmt.Fprintf(out, "%d of %d played\n", summary.Run, len(all))
+			_, _ = fmt.Fprintf(out, "%d of %d cases run\n", summary.Run, len(all))
 		}
 	}
 	next := make(chan C)
@@ -88,15 +89,15 @@
 	return summary
 }
 
-// Deadline is when all tasks of a job have to be done.
+// Deadline is the time by which all tasks of a job have to be done.
 type Deadline struct {
 	Job   string
 	Tasks int
 	By    int64
 }
 
-// ServedShare is the share of jobs that were done by their deadlines, of those that no user
-// asked to cancel.
+// ServedShare returns the share of jobs that were done by their deadlines. Jobs that a user
+// asked to cancel are not counted.
 func ServedShare(events []history.Event, jobs []Deadline) float64 {
 	left, by := map[string]int{}, map[string]int64{}
 	for _, job := range jobs {
--- a/internal/emulator/cases/casestest/casestest.go
+++ b/internal/emulator/cases/casestest/casestest.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/cases"
 )
 
-// Run runs each case in parallel as a subtest, which fails if the case falls short, and
-// calls check with its result, if that is not nil.
+// Run runs each case as a parallel subtest, which fails if the result has a shortfall. If
+// check is not nil, it is called with each result.
 func Run[C cases.Case, R cases.Result](t *testing.T, all []C, run func(C) (R, error), check func(*testing.T, C, R)) {
 	t.Helper()
 	for _, c := range all {
--- a/internal/emulator/cases/deployment.go
+++ b/internal/emulator/cases/deployment.go
@@ -8,10 +8,10 @@
 
 const second = config.Second
 
-// Deployment is a small deployment with one type of machines in two zones. Cases add jobs,
-// teams and what else they need to its Config.
+// Deployment describes a small deployment with one machine type in two zones. The packages
+// that define cases add jobs, teams and other settings to its Config.
 type Deployment struct {
-	Size             int // controllers
+	Size             int // number of controllers
 	Seed             uint64
 	LeaseS, CancelS  float64
 	StateRPS         float64
@@ -19,14 +19,15 @@
 	StateTxnOps      int
 	ListLagS         float64
 	FetchRate, BootS float64 // of machines
-	// MachinesPerZone are up at the start, CapacityPerZone is what the cloud has.
+	// MachinesPerZone is the number of machines that are up at the start, CapacityPerZone
+	// the number that the cloud offers.
 	MachinesPerZone, CapacityPerZone int
 }
 
-// Zones are the zones of a Deployment.
+// Zones returns the zones of a Deployment.
 func Zones() []string { return []string{"a", "b"} }
 
-// Config is the configuration of the environment.
+// Config returns the configuration of the environment.
 func (d Deployment) Config() environment.Config {
 	zones := Zones()
 	cfg := environment.Config{
--- a/internal/emulator/faketime/cloud.go
+++ b/internal/emulator/faketime/cloud.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// serveCloudCall makes a request to the cloud on behalf of another controller.
+// serveCloudCall sends a request to the cloud on behalf of another controller.
 func (n *Controller) serveCloudCall(e core.CallCloudForPeer) {
 	done := func(result core.CloudResult, err error) {
 		if err == nil && result.Status == 0 {
@@ -77,7 +77,8 @@
 	}
 }
 
-// listMachines reads the list of machines, page by page with a gap between the pages.
+// listMachines reads the list of machines page by page, with a pause of gap between pages.
+// The machines read so far are in listed; the next page begins after the name after.
 func (n *Controller) listMachines(listed core.MachinesListed, after string, gap int64, done func(core.MachinesListed)) {
 	n.call(environment.CloudHost, wire.Machines{After: after, Limit: core.ListPage}, cloudTimeout, func(status int, body any) {
 		answer, ok := body.(wire.MachinesAnswer)
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -1,6 +1,5 @@
-// Package faketime runs the emulated environment and the cores of real controllers in
-// simulated time: without sockets and goroutines, so that a seed always gives the same
-// history.
+// Package faketime runs the emulated environment and real controller cores in simulated
+// time. It uses neither sockets nor goroutines, so that a seed always gives the same history.
 package faketime
 
 import (
@@ -20,51 +19,53 @@
 
 const second = config.Second
 
-// tickInterval is how often a controller's core gets a tick.
+// tickInterval is the time between two ticks of a controller's core, in microseconds.
 const tickInterval = 50_000
 
-// startOfDay is the time of day at which a run begins.
+// startOfDay is the wall-clock time at which a run begins, in microseconds.
 const startOfDay = 1_000_000 * second
 
-// Options are what a run adds to the configuration of the environment.
+// Options contains the settings of a run that are not part of the environment's configuration.
 type Options struct {
 	Operators config.Operators
-	// OneMissing adds a controller to the settings that never starts.
+	// OneMissing adds a peer to each controller's settings that never starts.
 	OneMissing bool
-	// Programs, if set, is what a controller runs from its epoch-th start on.
+	// Programs, if set, returns the program version that a controller runs from the start
+	// of the given epoch. A controller's epoch increases at each start and each end.
 	Programs func(node, epoch int) upgrade.Program
-	// Legacy, if set, says which controllers run a program without read leases.
+	// Legacy, if set, reports whether a controller runs a program without read leases.
 	Legacy func(node string) bool
-	// OnStart, if set, is called before anything happens.
+	// OnStart, if set, is called after the controllers have started and before simulated
+	// time advances.
 	OnStart func(*Cluster)
 	// OnEvent, if set, is called with each event as it happens.
 	OnEvent func(history.Event)
 	// OnTransaction, if set, is called with each transaction that a controller sends.
 	OnTransaction func(core.CommitTransaction)
-	// OnQuery, if set, is called with each read of a follower from the leader, and
-	// OnQueryEnd with its result, which it may change.
+	// OnQuery, if set, is called with each read that a follower sends to the leader.
+	// OnQueryEnd, if set, is called with its result, which it may change.
 	OnQuery    func(node string, query core.ReadFromLeader)
 	OnQueryEnd func(node string, result *core.LeaderReadDone)
 	// OnProgress, if set, is called every simulated minute.
 	OnProgress func(now int64)
-	// Log, if set, gets what the controllers log.
+	// Log, if set, receives the log records of the controllers.
 	Log *slog.Logger
 }
 
-// Cluster is an environment with its controllers.
+// Cluster is an emulated environment with its controllers.
 type Cluster struct {
 	Options
 	Environment *environment.Environment
 	Config      environment.Config
 	Controllers []*Controller
-	// History is every event so far.
+	// History contains all events so far.
 	History []history.Event
 	now     int64
 	timers  environment.Timers
 	rng     *rand.Rand
 }
 
-// Run runs a cluster from its start to the configured length.
+// Run runs a cluster until the configured length of simulated time has passed.
 func Run(cfg environment.Config, options Options) (*Cluster, error) {
 	c := &Cluster{Options: options, Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	if c.Log == nil {
@@ -90,7 +91,8 @@
 	return c, nil
 }
 
-// startControllers starts all controllers, each with a clock that is a little off.
+// startControllers starts all controllers, each with a random clock error within the
+// configured bound.
 func (c *Cluster) startControllers() {
 	maxClockError := int64(c.Config.Params.ClockErrorMS * 1000)
 	for i := range c.Config.Params.Size {
@@ -103,8 +105,8 @@
 	}
 }
 
-// runTimers advances the time from one timer to the next until the configured length. At
-// the same time those of the environment come before the cluster's own.
+// runTimers advances the time from one timer to the next until the configured length. If
+// timers are due at the same time, those of the environment run before those of the cluster.
 func (c *Cluster) runTimers() {
 	for minute := int64(0); ; {
 		at, ok := c.timers.Next()
@@ -128,7 +130,8 @@
 	}
 }
 
-// simulatedTimeHandler gives log records the simulated time.
+// simulatedTimeHandler is a slog.Handler that sets the time of log records to the simulated
+// time.
 type simulatedTimeHandler struct {
 	slog.Handler
 	cluster *Cluster
@@ -143,14 +146,14 @@
 	return simulatedTimeHandler{h.Handler.WithAttrs(a), h.cluster}
 }
 
-// Now is the simulated time.
+// Now returns the simulated time in microseconds.
 func (c *Cluster) Now() int64 { return c.now }
 
-// After calls f after a time.
+// After calls f when the duration d has passed.
 func (c *Cluster) After(d int64, f func()) { c.timers.Add(c.now+d, f) }
 
-// Leaders are the controllers that consider themselves the leader, the one with the highest
-// fencing token last.
+// Leaders returns the controllers that consider themselves the leader, in ascending order of
+// their fencing tokens.
 func (c *Cluster) Leaders() (leaders []string) {
 	tokens := map[string]uint64{}
 	for _, n := range c.Controllers {
@@ -164,20 +167,21 @@
 	return leaders
 }
 
-// InjectFault begins a fault now.
+// InjectFault starts a fault immediately.
 func (c *Cluster) InjectFault(f environment.Fault) error {
 	err := c.Environment.InjectFault(f)
 	c.step(nil)
 	return err
 }
 
-// DeliverHeldReports delivers the copies of heartbeats that are held back for the next leader.
+// DeliverHeldReports delivers the copies of heartbeats that were held back for the next
+// leader.
 func (c *Cluster) DeliverHeldReports() {
 	c.Environment.DeliverHeldReports()
 	c.step(nil)
 }
 
-// LeaderFirst are the controllers' names, the leader's first.
+// LeaderFirst returns the names of all controllers, beginning with the leader.
 func (c *Cluster) LeaderFirst() []string {
 	names := make([]string, c.Config.Params.Size)
 	for i := range names {
@@ -190,7 +194,8 @@
 	return names
 }
 
-// ScheduleFaults injects faults, each its At from now, and keeps the first error in failed.
+// ScheduleFaults injects each fault when its At has passed from now, and stores the first
+// error in failed.
 func (c *Cluster) ScheduleFaults(failed *error, faults ...environment.Fault) {
 	for _, f := range faults {
 		c.After(f.At, func() {
@@ -201,15 +206,15 @@
 	}
 }
 
-// Violations are the rules that the history violates, one a line.
+// Violations returns the rule violations found in the history, one per line.
 func (c *Cluster) Violations() []string {
 	return history.Lines(history.CheckAll(c.History, c.Expectations()))
 }
 
-// Expectations are what the rules are checked against.
+// Expectations returns the expectations that the rules are checked against.
 func (c *Cluster) Expectations() history.Expectations { return c.Config.Expectations() }
 
-// step gives the environment a message and carries out the effects that it returns.
+// step passes a message to the environment and executes the effects that it returns.
 func (c *Cluster) step(msg any) {
 	for _, e := range c.Environment.Step(c.now, msg) {
 		switch e := e.(type) {
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -8,7 +8,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 )
 
-// Controller is the simulated process of a controller, with a real core.
+// Controller is a simulated controller process with a real core.
 type Controller struct {
 	cluster     *Cluster
 	name        string
@@ -16,9 +16,9 @@
 	core        *core.Core
 	up          bool
 	frozen      bool
-	deferred    []func() // what came while it was frozen
-	epoch       int      // counts starts and ends, so that timers of an earlier process do nothing
-	clockOffset int64    // how far its time of day is off
+	deferred    []func() // calls that arrived while it was frozen
+	epoch       int      // number of starts and ends, so that timers of an earlier process are ignored
+	clockOffset int64    // error of its wall clock, in microseconds
 	replies     map[uint64]func(core.Reply)
 	calls       map[uint64]func(status int, body any)
 	nextID      uint64
@@ -34,7 +34,7 @@
 	n.tick(n.epoch)
 }
 
-// settings are those that a controller starts with.
+// settings returns the settings that a controller starts with.
 func (c *Cluster) settings(n *Controller) core.Settings {
 	settings := core.Settings{
 		Name:        n.name,
@@ -85,8 +85,8 @@
 	}
 }
 
-// runUnlessEnded calls f unless the process has ended since; while it is frozen the call is
-// deferred.
+// runUnlessEnded calls f unless the process of the given epoch has ended. While the process
+// is frozen, the call is deferred.
 func (n *Controller) runUnlessEnded(epoch int, f func()) {
 	switch {
 	case !n.up || n.epoch != epoch:
@@ -97,9 +97,9 @@
 	}
 }
 
-// legacy says whether it runs a program without read leases, which neither reads nor sends
-// their fields.
-func (n *Controller) legacy() bool { return n.cluster.Legacy != nil && n.cluster.Legacy(n.name) }
+// isLegacy reports whether the controller runs a program without read leases, which neither
+// reads nor sends their fields.
+func (n *Controller) isLegacy() bool { return n.cluster.Legacy != nil && n.cluster.Legacy(n.name) }
 
 func (n *Controller) step(msg any) {
 	for _, e := range n.core.Step(n.cluster.now+1, msg) {
@@ -107,15 +107,15 @@
 	}
 }
 
-// Request sends a request to a controller directly, past the emulated network.
+// Request sends a request directly to the controller's core, bypassing the emulated network.
 func (n *Controller) Request(build func(req uint64) any, reply func(core.Reply)) {
 	n.nextID++
 	n.replies[n.nextID] = reply
 	n.step(build(n.nextID))
 }
 
-// call sends a request over the emulated network; done gets status 0 if no response comes
-// in time.
+// call sends a request over the emulated network. If no response arrives within timeout,
+// done is called with status 0.
 func (n *Controller) call(to string, request any, timeout int64, done func(status int, body any)) {
 	n.nextID++
 	id := uint64(n.index)<<48 | uint64(n.epoch)<<32 | n.nextID
@@ -135,14 +135,14 @@
 	n.runUnlessEnded(n.epoch, func() { n.finishCall(a.ID, a.Status, a.Body) })
 }
 
-// onRequest gives the core a request that has reached the controller.
+// onRequest passes a request that has reached the controller to its core.
 func (n *Controller) onRequest(a environment.Ask) {
 	if !n.up {
 		n.cluster.step(environment.AskAnswer{ID: a.ID})
 		return
 	}
 	n.runUnlessEnded(n.epoch, func() {
-		if q, ok := a.Request.(pingRequest); ok && n.legacy() {
+		if q, ok := a.Request.(pingRequest); ok && n.isLegacy() {
 			q.Incarnation, q.ReadLeaseRequest, q.Cancellations = "", nil, nil
 			a.Request = q
 		}
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -17,16 +17,16 @@
 	job   = environment.Job
 )
 
-// day is the configuration of a run, with the settings of its controllers.
-type day struct {
+// testRun is the configuration of a run, with the settings of its controllers.
+type testRun struct {
 	environment.Config
-	ops     config.Operators
-	missing bool
+	ops        config.Operators
+	oneMissing bool
 }
 
-// small is a deployment with tight limits.
-func small(seed uint64) *day {
-	d := &day{ops: config.Defaults()}
+// newTestRun is a deployment with tight limits.
+func newTestRun(seed uint64) *testRun {
+	d := &testRun{ops: config.Defaults()}
 	set := &d.Params
 	set.Size = 3
 	set.Zones = []string{"a", "b"}
@@ -38,7 +38,7 @@
 	d.Seed, d.Length = seed, 400*second
 	d.RestartTime, d.StateDelay, d.CloudDelay, d.ClockDrift, d.StrayRequestRate = 4*second, 3000, 50_000, 0.0005, 0.1
 	d.Types = []wire.MachineType{{Name: "big", CPUs: 12, GPUs: 2, MemGB: 48, FetchRate: 0.5, CacheGB: 50, BootS: 20, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}}
-	d.up(8)
+	d.setMachines(8)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range 30 {
 		j := job{At: second + rng.Int64N(180*second), Run: 4*second + rng.Int64N(30*second)}
@@ -65,9 +65,9 @@
 	return d
 }
 
-// up lets so many machines be there at the start, and as many more of each kind
+// setMachines lets so many machines be there at the start, and as many more of each kind
 // in each zone be rented.
-func (d *day) up(n int) {
+func (d *testRun) setMachines(n int) {
 	d.Machines, d.Capacity = nil, nil
 	for i, z := range d.Params.Zones {
 		d.Machines = append(d.Machines, environment.Machines{Type: "big", Zone: z, Count: (n + i) / 2})
@@ -75,10 +75,10 @@
 	}
 }
 
-// piped adds pipelines of four stages to a day: some are cancelled at some
+// addPipelines adds pipelines of four stages to a day: some are cancelled at some
 // stage, some last stages come when the others are over, and some first stages
 // await a job of the day.
-func (d *day) piped(n int) {
+func (d *testRun) addPipelines(n int) {
 	rng := rand.New(rand.NewPCG(d.Seed, 10))
 	for i := range n {
 		id := func(k int) string { return fmt.Sprintf("pipe-%02d-%d", i, k) }
@@ -108,32 +108,32 @@
 	}
 }
 
-// tighten announces lower limits of the state service.
-func (d *day) tighten() {
+// announceLowerLimits announces lower limits of the state service.
+func (d *testRun) announceLowerLimits() {
 	rate, kb, ops := 18.0, 2.0, 4
 	d.Params.State.Next = &config.UpcomingStateLimits{WriteRPS: &rate, ValueKB: &kb, TxnOps: &ops}
 }
 
-// play runs it.
-func (d *day) play(tb testing.TB, begin func(*Cluster)) *Cluster {
+// run runs it.
+func (d *testRun) run(tb testing.TB, begin func(*Cluster)) *Cluster {
 	tb.Helper()
-	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.missing, OnStart: begin})
+	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.oneMissing, OnStart: begin})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return c
 }
 
-// whole runs a day on which every rule has to hold, and every accepted job has to end.
-func (d *day) whole(tb testing.TB) *Cluster {
+// runAndCheck runs a day on which every rule has to hold, and every accepted job has to end.
+func (d *testRun) runAndCheck(tb testing.TB) *Cluster {
 	tb.Helper()
-	c := d.play(tb, nil)
-	keeps(tb, c)
+	c := d.run(tb, nil)
+	checkRun(tb, c)
 	return c
 }
 
-// keeps fails a day that violated a rule, or on which an accepted job did not end.
-func keeps(tb testing.TB, c *Cluster) {
+// checkRun fails a day that violated a rule, or on which an accepted job did not end.
+func checkRun(tb testing.TB, c *Cluster) {
 	tb.Helper()
 	for _, b := range c.Violations() {
 		tb.Error(b)
@@ -143,81 +143,81 @@
 	}
 }
 
-func at(s int64, kind environment.FaultKind, forS int64, hosts ...string) fault {
+func faultAt(s int64, kind environment.FaultKind, forS int64, hosts ...string) fault {
 	return fault{At: s * second, Duration: forS * second, Kind: kind, Hosts: hosts}
 }
 
-// seeds is how many a case is played with: fewer where all runs many times as
+// seedCount is how many a case is played with: fewer where all runs many times as
 // slow.
-func seeds() uint64 {
+func seedCount() uint64 {
 	if raceEnabled {
 		return 1
 	}
 	return 3
 }
 
-// inTurn lets a fault happen to one controller after the other, from 50 s on.
-func inTurn(kind environment.FaultKind, each, forS int64) (l []fault) {
+// faultPerController lets a fault happen to one controller after the other, from 50 s on.
+func faultPerController(kind environment.FaultKind, each, forS int64) (l []fault) {
 	for i := range int64(3) {
-		l = append(l, at(50+i*each, kind, forS, environment.ControllerName(int(i))))
+		l = append(l, faultAt(50+i*each, kind, forS, environment.ControllerName(int(i))))
 	}
 	return l
 }
 
-// cases of faults that every kind of day has to get through.
-var cases = []struct {
+// sharedFaultCases of faults that every kind of day has to get through.
+var sharedFaultCases = []struct {
 	name   string
 	faults []fault
 	loss   float64
 }{
 	{name: "quiet"},
-	{name: "one controller crashes", faults: []fault{at(60, "crash", 0, "node-0"), at(90, "crash", 0, "node-1")}},
-	{name: "two crash at once", faults: []fault{at(70, "crash", 0, "node-0", "node-1")}},
-	{name: "all crash", faults: []fault{at(50, "crash", 0), at(120, "crash", 0)}},
+	{name: "one controller crashes", faults: []fault{faultAt(60, "crash", 0, "node-0"), faultAt(90, "crash", 0, "node-1")}},
+	{name: "two crash at once", faults: []fault{faultAt(70, "crash", 0, "node-0", "node-1")}},
+	{name: "all crash", faults: []fault{faultAt(50, "crash", 0), faultAt(120, "crash", 0)}},
 	{
 		name:   "all are restarted in turn while capacity is refused and the state service comes back cold",
-		faults: []fault{at(50, "cloud_refuse", 120), at(60, "roll", 7), at(63, "state_cold", 12), at(80, "machine_die", 0, "host-000003")},
+		faults: []fault{faultAt(50, "cloud_refuse", 120), faultAt(60, "roll", 7), faultAt(63, "state_cold", 12), faultAt(80, "machine_die", 0, "host-000003")},
 	},
-	{name: "state outage", faults: []fault{at(60, "state_outage", 15)}},
-	{name: "state outage longer than hold and lease", faults: []fault{at(60, "state_outage", 45)}},
-	{name: "all crash in a state outage", faults: []fault{at(60, "state_outage", 15), at(65, "crash", 0)}},
-	{name: "the state service refuses one after the other", faults: inTurn("state_refuse", 45, 40)},
+	{name: "state outage", faults: []fault{faultAt(60, "state_outage", 15)}},
+	{name: "state outage longer than hold and lease", faults: []fault{faultAt(60, "state_outage", 45)}},
+	{name: "all crash in a state outage", faults: []fault{faultAt(60, "state_outage", 15), faultAt(65, "crash", 0)}},
+	{name: "the state service refuses one after the other", faults: faultPerController("state_refuse", 45, 40)},
 	{name: "the state service is slow", faults: []fault{{At: 50 * second, Duration: 60 * second, Kind: "state_slow", Factor: 100}}},
-	{name: "each is cut in turn", faults: inTurn("cut", 35, 30)},
-	{name: "each stands still in turn", faults: inTurn("freeze", 50, 40)},
+	{name: "each is cut in turn", faults: faultPerController("cut", 35, 30)},
+	{name: "each stands still in turn", faults: faultPerController("freeze", 50, 40)},
 	{name: "controllers cannot reach each other", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"controllers"}, PartitionMode: environment.PartitionMode{Reset: true}}}},
-	{name: "a zone is cut off", faults: []fault{at(60, "cut", 40, "zone:a")}},
+	{name: "a zone is cut off", faults: []fault{faultAt(60, "cut", 40, "zone:a")}},
 	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
 	{name: "the leader hears no worker", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
-	{name: "answers are lost and requests executed late", loss: 0.05, faults: []fault{at(100, "crash", 0, "node-1")}},
+	{name: "answers are lost and requests executed late", loss: 0.05, faults: []fault{faultAt(100, "crash", 0, "node-1")}},
 	{name: "machines go silent and die", faults: []fault{
-		at(40, "machine_silent", 12, "host-000000"), at(60, "machine_silent", 40, "host-000001"),
-		at(80, "machine_die", 0, "host-000002"), at(82, "crash", 0),
+		faultAt(40, "machine_silent", 12, "host-000000"), faultAt(60, "machine_silent", 40, "host-000001"),
+		faultAt(80, "machine_die", 0, "host-000002"), faultAt(82, "crash", 0),
 	}},
 	{name: "a third hangs for half a lease while a new leader begins", faults: []fault{
-		at(60, "crash", 0, "node-0", "node-1"),
-		at(61, "machine_hang", 8, "host-000000", "host-000003", "host-000006"),
+		faultAt(60, "crash", 0, "node-0", "node-1"),
+		faultAt(61, "machine_hang", 8, "host-000000", "host-000003", "host-000006"),
 	}},
-	{name: "a third dies as all controllers end", faults: []fault{at(70, "machine_die", 0, "host-000001", "host-000004", "host-000007"), at(71, "crash", 0)}},
+	{name: "a third dies as all controllers end", faults: []fault{faultAt(70, "machine_die", 0, "host-000001", "host-000004", "host-000007"), faultAt(71, "crash", 0)}},
 	{name: "a controller is cut off with a third of the machines, and another crashes", faults: []fault{
-		at(60, "cut", 35, "node-0"), at(60, "machine_silent", 35, "host-000000", "host-000002", "host-000005"), at(63, "crash", 0, "node-1"),
+		faultAt(60, "cut", 35, "node-0"), faultAt(60, "machine_silent", 35, "host-000000", "host-000002", "host-000005"), faultAt(63, "crash", 0, "node-1"),
 	}},
-	{name: "silent machines in a cloud outage", faults: []fault{at(40, "cloud_outage", 100), at(60, "machine_silent", 30, "host-000001"), at(70, "machine_silent", 50, "host-000003")}},
-	{name: "machines fail every task", faults: []fault{at(40, "machine_faulty", 60, "host-000001", "host-000002")}},
+	{name: "silent machines in a cloud outage", faults: []fault{faultAt(40, "cloud_outage", 100), faultAt(60, "machine_silent", 30, "host-000001"), faultAt(70, "machine_silent", 50, "host-000003")}},
+	{name: "machines fail every task", faults: []fault{faultAt(40, "machine_faulty", 60, "host-000001", "host-000002")}},
 	{name: "spot machines are taken in a wave", faults: []fault{{At: 60 * second, Kind: "spot_wave", Share: 1}, {At: 130 * second, Kind: "spot_wave", Share: 0.5}}},
 }
 
-// TestDays plays whole days with faults.
-func TestDays(t *testing.T) {
-	for i, tc := range cases {
-		for seed := range seeds() {
+// TestFaults plays whole days with faults.
+func TestFaults(t *testing.T) {
+	for i, tc := range sharedFaultCases {
+		for seed := range seedCount() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := small(uint64(i)*10 + seed + 1)
+				d := newTestRun(uint64(i)*10 + seed + 1)
 				d.Faults, d.AnswerLoss = tc.faults, tc.loss
 				d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
 				d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
-				d.whole(t)
+				d.runAndCheck(t)
 			})
 		}
 	}
@@ -226,7 +226,7 @@
 // TestPipelines plays days with pipelines, while limits fall and controllers
 // and the state service fail.
 func TestPipelines(t *testing.T) {
-	limits := at(70, "state_limits", 0)
+	limits := faultAt(70, "state_limits", 0)
 	cases := []struct {
 		name   string
 		faults []fault
@@ -234,31 +234,31 @@
 	}{
 		{name: "quiet"},
 		{name: "limits fall", faults: []fault{limits}},
-		{name: "limits fall in a take-over", faults: []fault{limits, at(69, "crash", 0), at(120, "crash", 0, "node-0")}},
-		{name: "crashes", faults: []fault{limits, at(60, "crash", 0, "node-0"), at(90, "crash", 0, "node-1"), at(130, "crash", 0)}},
-		{name: "state outage", faults: []fault{limits, at(80, "state_outage", 45)}},
-		{name: "each is refused in turn", faults: append(inTurn("state_refuse", 45, 40), limits)},
-		{name: "each is cut in turn", faults: append(inTurn("cut", 35, 30), limits)},
-		{name: "answers are lost", loss: 0.05, faults: []fault{limits, at(100, "crash", 0, "node-1")}},
+		{name: "limits fall in a take-over", faults: []fault{limits, faultAt(69, "crash", 0), faultAt(120, "crash", 0, "node-0")}},
+		{name: "crashes", faults: []fault{limits, faultAt(60, "crash", 0, "node-0"), faultAt(90, "crash", 0, "node-1"), faultAt(130, "crash", 0)}},
+		{name: "state outage", faults: []fault{limits, faultAt(80, "state_outage", 45)}},
+		{name: "each is refused in turn", faults: append(faultPerController("state_refuse", 45, 40), limits)},
+		{name: "each is cut in turn", faults: append(faultPerController("cut", 35, 30), limits)},
+		{name: "answers are lost", loss: 0.05, faults: []fault{limits, faultAt(100, "crash", 0, "node-1")}},
 	}
 	for i, tc := range cases {
-		for seed := range seeds() {
+		for seed := range seedCount() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := small(uint64(i)*10 + seed + 201)
+				d := newTestRun(uint64(i)*10 + seed + 201)
 				d.Length = 500 * second
-				d.tighten()
-				d.piped(8)
+				d.announceLowerLimits()
+				d.addPipelines(8)
 				d.Faults, d.AnswerLoss = tc.faults, tc.loss
-				d.whole(t)
+				d.runAndCheck(t)
 			})
 		}
 	}
 }
 
-// TestArrays runs jobs of many chunks, up to the largest there may be, to their
+// TestLargeArrays runs jobs of many chunks, up to the largest there may be, to their
 // end through a crash of all controllers, within the memory of a small one.
-func TestArrays(t *testing.T) {
+func TestLargeArrays(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name                  string
@@ -273,21 +273,21 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := small(uint64(77 + i))
+			d := newTestRun(uint64(77 + i))
 			d.Params.Teams[0].GPUsMax = 0
-			d.up(tc.machines)
+			d.setMachines(tc.machines)
 			d.Length = tc.length * second
 			d.Jobs = []job{{At: second, Run: 2 * second, Spec: wire.Job{
 				ID: tc.name, Class: "c", Team: "red", Kind: wire.Array, Priority: "idle", Image: "i",
 				Tasks: tc.tasks, CPUs: tc.cpus, GPUs: tc.gpus, MemGB: tc.mem, EstimateS: 2,
 			}}}
 			d.Jobs[0].Spec.ID = strings.ReplaceAll(tc.name, " ", "-")
-			d.Faults = []fault{at(tc.crash, "crash", 0)}
+			d.Faults = []fault{faultAt(tc.crash, "crash", 0)}
 			if tc.limits != 0 {
-				d.tighten()
-				d.Faults = append(d.Faults, at(tc.limits, "state_limits", 0))
+				d.announceLowerLimits()
+				d.Faults = append(d.Faults, faultAt(tc.limits, "state_limits", 0))
 			}
-			d.whole(t)
+			d.runAndCheck(t)
 			// The most that the heap has held for all tests until now: of each day
 			// three controllers, the state service, all workers and the history.
 			var m runtime.MemStats
--- a/internal/emulator/faketime/effects.go
+++ b/internal/emulator/faketime/effects.go
@@ -8,8 +8,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The timeouts of a controller's requests, as in package node, and its pauses, in
-// microseconds.
+// Timeouts of a controller's requests, as in package node, and its delays, in microseconds.
 const (
 	commitTimeout         = 2 * second
 	getTimeout            = 3 * second / 2
@@ -27,10 +26,10 @@
 	errorRetryDelay       = 300_000
 )
 
-// sweepExpandTime is how long it takes to expand a stored sweep.
+// sweepExpandTime is the simulated time that expanding a stored sweep takes, in microseconds.
 const sweepExpandTime = 20_000
 
-// execute starts the input and output that a core asks for.
+// execute executes an effect that the core returned, such as a reply or a request to send.
 func (n *Controller) execute(effect any) {
 	switch e := effect.(type) {
 	case core.Reply:
@@ -54,18 +53,18 @@
 	}
 }
 
-// stepAfter gives the core a message after a time, unless the process ends before.
+// stepAfter passes a message to the core after a delay, unless the process ends before.
 func (n *Controller) stepAfter(delay int64, msg any) {
 	n.callAfter(delay, func() { n.step(msg) })
 }
 
-// callAfter calls f after a time, unless the process ends before.
+// callAfter calls f after a delay, unless the process ends before.
 func (n *Controller) callAfter(delay int64, f func()) {
 	epoch := n.epoch
 	n.cluster.After(delay, func() { n.runUnlessEnded(epoch, f) })
 }
 
-// sentAt is the core's time of what is sent now.
+// sentAt returns the core's current time, as the time at which a request is sent.
 func (n *Controller) sentAt() int64 { return n.cluster.now + 1 }
 
 func (n *Controller) probeMachine(e core.ProbeMachine) {
@@ -73,7 +72,7 @@
 	n.call(e.Addr, wire.Inspect{}, probeTimeout, func(status int, body any) {
 		probed := core.MachineProbed{Machine: e.Machine, SentAt: sent, OK: status == http.StatusOK}
 		if report, ok := body.(*wire.Report); ok {
-			heartbeat := coreReport(report)
+			heartbeat := coreHeartbeat(report)
 			probed.Heartbeat = &heartbeat
 		}
 		n.step(probed)
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -12,14 +12,14 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// followers is a run in which users probe all controllers and cancel, so that followers have
+// newFollowerRun is a run in which users probe all controllers and cancel, so that newFollowerRun have
 // to answer right after something has happened elsewhere.
-func followers(seed uint64, size int) *day {
-	d := small(seed)
+func newFollowerRun(seed uint64, size int) *testRun {
+	d := newTestRun(seed)
 	d.Params.Size, d.Length = size, 270*second
 	d.Params.State.RPS = float64(60 + 15*size)
 	d.StrayRequestRate = 1
-	d.Faults = []fault{at(15, "close_looks", 240)}
+	d.Faults = []fault{faultAt(15, "close_looks", 240)}
 	for i := range d.Jobs {
 		if i%3 == 0 {
 			d.Jobs[i].Cancel = d.Jobs[i].At + 3*second + int64(i)*second
@@ -28,30 +28,30 @@
 	return d
 }
 
-// following counts the reads of the followers from the leader.
-type following struct {
-	asked, shown, failed int
+// followerReads counts the reads of the followers from the leader.
+type followerReads struct {
+	sent, answered, failed int
 	// err is that of the first fault that could not be injected.
 	err error
-	// meet, if set, is called with each read from the leader, while faults last.
-	meet func(c *Cluster, node, leader string)
+	// onRead, if set, is called with each read from the leader, while faults last.
+	onRead func(c *Cluster, node, leader string)
 }
 
-// playFollowing runs a day, with a fault every so often from 20 s to 170 s.
-func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+// runWithFollowers runs a day, with a fault every so often from 20 s to 170 s.
+func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
 	o := Options{
 		Operators: d.ops, Programs: programs,
 		OnQuery: func(node string, q core.ReadFromLeader) {
-			f.asked++
-			if f.meet != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
-				f.meet(cluster, node, q.To)
+			f.sent++
+			if f.onRead != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
+				f.onRead(cluster, node, q.To)
 			}
 		},
 		OnQueryEnd: func(_ string, s *core.LeaderReadDone) {
 			if s.Answer.View != nil {
-				f.shown++
+				f.answered++
 			} else {
 				f.failed++
 			}
@@ -71,17 +71,17 @@
 	return c
 }
 
-// TestFollowers plays what may come between a follower's question and its answer,
+// TestFollowerReads plays what may come between a follower's question and its answer,
 // with 3, 5 and 12 controllers. No rule is broken, nobody is told anything older than
 // before, and all that was accepted comes to its end.
-func TestFollowers(t *testing.T) {
+func TestFollowerReads(t *testing.T) {
 	nothing := func(*Cluster, func(environment.Fault), int) {}
 	// atQuestion injects a fault into the leader at every so manieth question, as
 	// long as it takes the question to arrive.
-	atQuestion := func(nth int, x environment.Fault) func(f *following) {
-		return func(f *following) {
+	atQuestion := func(nth int, x environment.Fault) func(f *followerReads) {
+		return func(f *followerReads) {
 			n := 0
-			f.meet = func(c *Cluster, _, leader string) {
+			f.onRead = func(c *Cluster, _, leader string) {
 				if n++; n%nth == 0 {
 					x.Hosts = []string{leader}
 					x.At = int64(n/nth%4) * 300
@@ -94,7 +94,7 @@
 		name  string
 		every int64
 		again func(c *Cluster, inject func(environment.Fault), i int)
-		meet  func(f *following)
+		meet  func(f *followerReads)
 		// fails: some questions have to go unanswered.
 		fails bool
 	}
@@ -141,24 +141,24 @@
 			}
 			t.Run(fmt.Sprintf("%d controllers/%s", size, x.name), func(t *testing.T) {
 				t.Parallel()
-				f := &following{}
+				f := &followerReads{}
 				if x.meet != nil {
 					x.meet(f)
 				}
-				d := followers(uint64(900+20*k+i), size)
-				c := d.playFollowing(t, f, x.every, x.again, nil)
-				keeps(t, c)
-				if f.shown < 100 || x.fails && f.failed == 0 {
-					t.Errorf("%d questions, %d answers, %d without one", f.asked, f.shown, f.failed)
+				d := newFollowerRun(uint64(900+20*k+i), size)
+				c := d.runWithFollowers(t, f, x.every, x.again, nil)
+				checkRun(t, c)
+				if f.answered < 100 || x.fails && f.failed == 0 {
+					t.Errorf("%d questions, %d answers, %d without one", f.sent, f.answered, f.failed)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowersMixed: beside a program that shares nothing nobody asks the leader, and
+// TestFollowerReadsMixedVersions: beside a program that shares nothing nobody asks the leader, and
 // one that comes back when all share reads does no harm.
-func TestFollowersMixed(t *testing.T) {
+func TestFollowerReadsMixedVersions(t *testing.T) {
 	this := upgrade.CurrentProgram()
 	before := this
 	before.Version, before.Features = 4, this.Features[:len(this.Features)-1]
@@ -184,14 +184,14 @@
 			}
 			t.Run(fmt.Sprintf("%d controllers/%s", size, tc.name), func(t *testing.T) {
 				t.Parallel()
-				f := &following{}
-				d := followers(uint64(970+3*k+i), size)
-				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
+				f := &followerReads{}
+				d := newFollowerRun(uint64(970+3*k+i), size)
+				c := d.runWithFollowers(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
 					inject(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
 				}, tc.programs)
-				keeps(t, c)
-				if tc.asks != (f.asked > 0) {
-					t.Errorf("%d questions", f.asked)
+				checkRun(t, c)
+				if tc.asks != (f.sent > 0) {
+					t.Errorf("%d questions", f.sent)
 				}
 			})
 		}
@@ -221,7 +221,7 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := followers(uint64(990+i), 3)
+			d := newFollowerRun(uint64(990+i), 3)
 			var cluster *Cluster
 			led := int64(0)
 			var failed error
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -11,25 +11,25 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestGapOfMany runs what package outages runs for jobs, for all that goes with one
+// TestOutageAfterCancellations runs what package outages runs for jobs, for all that goes with one
 // cancellation: the runs of a sweep, and the stages of a pipeline behind a
 // cancelled one. The leader is refused, another controller confirms, and the state
 // service is down for twice cancel_s.
-func TestGapOfMany(t *testing.T) {
+func TestOutageAfterCancellations(t *testing.T) {
 	const refused, outage, ends = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
 	confirmed := 0
 	day := func(t *testing.T, size int, lose environment.LossOutcome, back bool) {
 		t.Helper()
 		t.Parallel()
-		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 20)})
+		d := newSweepRun(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: sweepText("rain", 10, 20)})
 		d.Params.Size, d.Length = size, 420*second
 		long := wire.Job{Class: "p", Team: "blue", Kind: wire.Array, Tasks: 3, CPUs: 1, MemGB: 0.5, Priority: "urgent", Image: "im-p", ImageGB: 0.5, EstimateS: 200}
 		first, behind := long, long
 		first.ID, behind.ID = "first", "second"
 		behind.DependsOn = []string{"first"}
 		d.Jobs = append(d.Jobs, job{At: 6 * second, Run: 200 * second, Cancel: refused + second/2, Spec: first}, job{At: 8 * second, Run: 5 * second, Spec: behind})
-		c := d.play(t, func(c *Cluster) {
+		c := d.run(t, func(c *Cluster) {
 			var failed error
 			for _, prefix := range []string{"sweepend/", "end/", "end/"} {
 				if lose != "" {
@@ -48,7 +48,7 @@
 				t.Fatal(failed)
 			}
 		})
-		keeps(t, c)
+		checkRun(t, c)
 		on := 0
 		for _, e := range c.History {
 			switch {
--- a/internal/emulator/faketime/largest_test.go
+++ b/internal/emulator/faketime/largest_test.go
@@ -10,17 +10,17 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestLargestBegin: wide gangs, and wide arrays whose deadline is lost, begin
+// TestWideJobsStart: wide gangs, and wide arrays whose deadline is lost, begin
 // within four minutes in a flood of small jobs of their priority that all take
 // five times as long as estimated, so that each seems to end in time.
-func TestLargestBegin(t *testing.T) {
+func TestWideJobsStart(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{wire.Gang, wire.Array} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			d := small(71)
+			d := newTestRun(71)
 			d.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
-			d.up(4)
+			d.setMachines(4)
 			d.Capacity = []environment.Capacity{{Type: "big", Zone: "a", Count: 2}, {Type: "big", Zone: "b", Count: 2}}
 			d.Length = 430 * second
 			d.Jobs = nil
@@ -49,7 +49,7 @@
 					Tasks: 1, CPUs: 11, MemGB: 4, EstimateS: 5, Image: "w", ImageGB: 1,
 				}})
 			}
-			c := d.play(t, nil)
+			c := d.run(t, nil)
 			if l := c.Violations(); len(l) > 0 {
 				t.Error(l)
 			}
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -16,30 +16,30 @@
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
-// kinds of keys that controllers write.
-var kinds = []string{"job/", "run/", "end/", "leader", "token", "types", "bounds", "hints", "format", "member/", "log/", "reach/", "features"}
+// keyKinds of keys that controllers write.
+var keyKinds = []string{"job/", "run/", "end/", "leader", "token", "types", "bounds", "hints", "format", "member/", "log/", "reach/", "features"}
 
 // TestEveryWriteLost loses a write of each kind during a take-over: before it is
 // executed, its answer alone, and with the write executed five seconds or a minute late. The
 // first, the second and the fifth of each kind are lost.
 func TestEveryWriteLost(t *testing.T) {
 	t.Parallel()
-	day := func() *day {
-		d := small(31)
+	day := func() *testRun {
+		d := newTestRun(31)
 		d.Length = 300 * second
-		d.piped(2)
-		d.tighten()
+		d.addPipelines(2)
+		d.announceLowerLimits()
 		return d
 	}
-	for _, e := range day().play(t, nil).History {
-		if e.Kind == history.StateChanged && !slices.ContainsFunc(kinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
+	for _, e := range day().run(t, nil).History {
+		if e.Kind == history.StateChanged && !slices.ContainsFunc(keyKinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
 			t.Fatalf("a kind of write that is not in the table: %s", e.Key)
 		}
 	}
 	var mu sync.Mutex
 	met := map[string]int{}
 	t.Run("each", func(t *testing.T) {
-		for _, kind := range kinds {
+		for _, kind := range keyKinds {
 			for _, how := range []string{"before", "after", "soon", "late"} {
 				for _, skip := range []int{0, 1, 4} {
 					t.Run(fmt.Sprintf("%s/%s/%d", strings.Trim(kind, "/"), how, skip), func(t *testing.T) {
@@ -52,18 +52,18 @@
 						case "late":
 							l.Delay = 60 * second
 						}
-						crash := at(60, "crash", 0)
+						crash := faultAt(60, "crash", 0)
 						// Users ask everywhere what others read of it meanwhile.
-						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: l}, crash, at(40, "close_looks", 60)}
+						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: l}, crash, faultAt(40, "close_looks", 60)}
 						switch kind {
 						case "types", "format", "member/", "features":
 							d.Faults[0].At = 0 // they are written once, at the start
 						case "run/":
 							// Progress is stored this way until all controllers
 							// are known to have this version.
-							d.missing, d.Jobs = true, small(31).Jobs
+							d.oneMissing, d.Jobs = true, newTestRun(31).Jobs
 						}
-						d.whole(t)
+						d.runAndCheck(t)
 						if l.Matched > skip {
 							mu.Lock()
 							met[kind]++
@@ -74,43 +74,43 @@
 			}
 		}
 	})
-	for _, kind := range kinds {
+	for _, kind := range keyKinds {
 		if met[kind] < 3 {
 			t.Errorf("%s: only %d were lost", kind, met[kind])
 		}
 	}
 }
 
-// mixed is a day with a third of the kinds of load, by its number.
-func mixed(tb testing.TB, i int, seed uint64) *day {
+// mixedLoadRun is a day with a third of the kinds of load, by its number.
+func mixedLoadRun(tb testing.TB, i int, seed uint64) *testRun {
 	tb.Helper()
-	d := small(seed)
+	d := newTestRun(seed)
 	switch i % 3 {
 	case 1:
-		d.piped(8)
-		d.tighten()
+		d.addPipelines(8)
+		d.announceLowerLimits()
 	case 2:
-		d = sweeping(tb, seed, environment.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: forecast("rain", 40, 40)})
+		d = newSweepRun(tb, seed, environment.Sweep{At: 12 * second, Run: 4 * second, Times: 3, Text: sweepText("rain", 40, 40)})
 	}
 	d.Length = 500 * second
-	d.Faults, d.AnswerLoss = cases[i].faults, cases[i].loss
+	d.Faults, d.AnswerLoss = sharedFaultCases[i].faults, sharedFaultCases[i].loss
 	d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
 	d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 	return d
 }
 
-// TestSameAgain: two runs of one seed in fake time give the same bytes, and
+// TestDeterministicHistory: two runs of one seed in fake time give the same bytes, and
 // another seed gives others. Decisions that followed the order of a map once
 // made days differ.
-func TestSameAgain(t *testing.T) {
+func TestDeterministicHistory(t *testing.T) {
 	digest := func(i int, seed uint64) uint64 {
 		h := xxhash.New()
-		if err := jsonlines.Write(h, mixed(t, i, seed).play(t, nil).History); err != nil {
+		if err := jsonlines.Write(h, mixedLoadRun(t, i, seed).run(t, nil).History); err != nil {
 			t.Fatal(err)
 		}
 		return h.Sum64()
 	}
-	for i, tc := range cases {
+	for i, tc := range sharedFaultCases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			seed := uint64(i) + 900
@@ -125,26 +125,26 @@
 	}
 }
 
-// TestGather: on these days a gang waited to the end for machines that were
+// TestGangInOneZone: on these days a gang waited to the end for machines that were
 // rented in zones at random and returned before there were enough in one.
-func TestGather(t *testing.T) {
+func TestGangInOneZone(t *testing.T) {
 	t.Parallel()
-	d := mixed(t, 2, 20681)
-	for i, tc := range cases {
+	d := mixedLoadRun(t, 2, 20681)
+	for i, tc := range sharedFaultCases {
 		if tc.name == "the leader hears no worker" {
-			d.Faults = cases[i].faults
+			d.Faults = sharedFaultCases[i].faults
 		}
 	}
-	d.whole(t)
+	d.runAndCheck(t)
 	for seed := range uint64(4) { // and with nothing but such gangs and bad boots
-		d := small(40 + seed)
+		d := newTestRun(40 + seed)
 		d.Boot, d.Jobs, d.Machines = environment.Boot{Slow: 0.3, Never: 0.2}, d.Jobs[:4], nil
 		for i := range d.Jobs {
 			j := &d.Jobs[i]
 			j.At, j.Cancel = int64(10+40*i)*second, 0
 			j.Spec = wire.Job{ID: j.Spec.ID, Class: "c", Team: "red", Priority: "normal", Kind: wire.Gang, Tasks: 4, CPUs: 10, GPUs: 2, MemGB: 30, Image: "i", ImageGB: 1, OneZone: true, EstimateS: 20}
 		}
-		d.whole(t)
+		d.runAndCheck(t)
 	}
 }
 
@@ -152,14 +152,14 @@
 // part of its tasks. A planted gang of which one task is missing is caught.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
-	d := small(8)
+	d := newTestRun(8)
 	for i := range d.Jobs {
 		if s := &d.Jobs[i].Spec; s.Kind == "gang" {
 			s.Tasks, s.OneZone = 3, false // so that its tasks are in both zones
 		}
 	}
-	d.Faults = []fault{at(40, "cut", 60, "zone:b"), at(130, "cut", 45, "zone:a")}
-	c := d.whole(t)
+	d.Faults = []fault{faultAt(40, "cut", 60, "zone:b"), faultAt(130, "cut", 45, "zone:a")}
+	c := d.runAndCheck(t)
 	gangs := 0
 	for _, e := range c.History {
 		if e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" {
--- a/internal/emulator/faketime/lostend_test.go
+++ b/internal/emulator/faketime/lostend_test.go
@@ -8,11 +8,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// TestLostEndPlanted: the rule on lost ends looks at the keys that controllers write. Were their
+// TestLostEndDetected: the rule on lost ends looks at the keys that controllers write. Were their
 // prefixes others than those it is told, it would see no key, and find nothing for ever.
-func TestLostEndPlanted(t *testing.T) {
+func TestLostEndDetected(t *testing.T) {
 	t.Parallel()
-	c := small(5).whole(t)
+	c := newTestRun(5).runAndCheck(t)
 	expected := c.Expectations()
 	isEnd := func(e history.Event) bool {
 		return e.Kind == history.StateChanged && e.State == history.KeyPut && strings.HasPrefix(e.Key, expected.Stored.Ends)
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -11,18 +11,18 @@
 	"github.com/zinclb/zinclb/internal/peer"
 )
 
-// errNoAnswer stands for a request without a response.
+// errNoAnswer is the error of a request that got no response.
 var errNoAnswer = errors.New("no answer")
 
-// refusedError is the status of a response that declines the request.
+// refusedError is the status of a response that rejects the request.
 type refusedError int
 
 func (r refusedError) Error() string { return "refused" }
 
-// Refused reports that the other side can be reached.
+// Refused returns true: a server that rejects a request can be reached.
 func (r refusedError) Refused() bool { return true }
 
-// statusError is the error that a response's status stands for.
+// statusError returns the error for the status of a response, nil for 200.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -33,21 +33,21 @@
 	return refusedError(status)
 }
 
-// pingRequest is a ping between controllers.
+// pingRequest is a ping from one controller to another.
 type pingRequest struct {
 	from string
 	core.PingPeer
 }
 
-// coreMessage makes a message to a core of the number that its reply will have.
+// coreMessage builds a message to a core; its reply will have the given request ID.
 type coreMessage func(requestID uint64) any
 
-// toCoreMessage turns a request that reaches a controller into a message to its core, or
-// into an immediate answer.
+// toCoreMessage converts a request to a controller into a message to its core, or into an
+// immediate reply if the request is rejected.
 func toCoreMessage(request any) (coreMessage, *core.Reply) {
 	switch q := request.(type) {
 	case *wire.Report:
-		heartbeat := coreReport(q)
+		heartbeat := coreHeartbeat(q)
 		return func(id uint64) any { return core.HeartbeatReceived{RequestID: id, Heartbeat: heartbeat} }, nil
 	case *wire.Job:
 		body, err := json.Marshal(q)
@@ -77,7 +77,7 @@
 	return peerMessage(request)
 }
 
-// submissionMessage is toCoreMessage for a job as a user sends it.
+// submissionMessage is toCoreMessage for the JSON body of a job submission.
 func submissionMessage(body []byte) (coreMessage, *core.Reply) {
 	submission, err := api.DecodeSubmission(body)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return func(id uint64) any { submission.RequestID = id; return submission }, nil
 }
 
-// peerMessage is toCoreMessage for requests of other controllers.
+// peerMessage is toCoreMessage for requests from other controllers.
 func peerMessage(request any) (coreMessage, *core.Reply) {
 	switch q := request.(type) {
 	case pingRequest:
@@ -120,7 +120,7 @@
 	return func(id uint64) any { submission.RequestID = id; return submission }, nil
 }
 
-// responseBody is the body of the response to a request, made of the core's reply.
+// responseBody converts the core's reply to a request into the body of the response.
 func responseBody(request any, r core.Reply) any {
 	switch request.(type) {
 	case *wire.Report:
@@ -138,14 +138,14 @@
 		}
 		return wire.JobAnswer{}
 	}
-	return r // to another controller
+	return r // the request came from another controller
 }
 
 func wireOrder(o core.Command) wire.Order {
 	return wire.Order{Op: api.CommandVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
 }
 
-func coreReport(q *wire.Report) core.Heartbeat {
+func coreHeartbeat(q *wire.Report) core.Heartbeat {
 	r := core.Heartbeat{
 		Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
 		Tasks: make([]core.TaskStatus, len(q.Tasks)),
@@ -159,7 +159,7 @@
 	return r
 }
 
-// controllerReply is the reply of another controller, errNoAnswer if there is none.
+// controllerReply returns the reply of another controller, or errNoAnswer if there is none.
 func controllerReply(body any) (core.Reply, error) {
 	if r, ok := body.(core.Reply); ok {
 		return r, nil
--- a/internal/emulator/faketime/nothing_test.go
+++ b/internal/emulator/faketime/nothing_test.go
@@ -9,10 +9,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestFromNothing plays days of a deployment where no machine is up at the start
+// TestStartWithoutMachines plays days of a deployment where no machine is up at the start
 // and nobody has a guarantee, so that money is weighed, with services spread over
 // zones, through every trouble that such a one has had.
-func TestFromNothing(t *testing.T) {
+func TestStartWithoutMachines(t *testing.T) {
 	cut := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
 		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: how}
 	}
@@ -23,21 +23,21 @@
 		faults []fault
 	}{
 		{"machines die and spot machines are taken", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
-		{"a roll with a wave of taken machines and a crash", []fault{at(65, "roll", 9), wave, at(110, "crash", 0, "node-1")}},
+		{"a roll with a wave of taken machines and a crash", []fault{faultAt(65, "roll", 9), wave, faultAt(110, "crash", 0, "node-1")}},
 		{"a slow state service, a zone cut off, two zones apart", []fault{
 			{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
 			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
 		}},
-		{"all controllers end in an outage, and machines die", []fault{at(80, "state_outage", 10), at(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
+		{"all controllers end in an outage, and machines die", []fault{faultAt(80, "state_outage", 10), faultAt(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
 		{"controllers are refused, cut off and apart", []fault{
-			at(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
-			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), at(135, "cut", 20, "node-2"),
+			faultAt(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
+			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), faultAt(135, "cut", 20, "node-2"),
 		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := small(uint64(700 + i))
+			d := newTestRun(uint64(700 + i))
 			d.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 			d.Params.State.TxnOps = 20
 			d.Machines = nil
@@ -50,7 +50,7 @@
 				}})
 			}
 			d.Faults = tc.faults
-			d.whole(t)
+			d.runAndCheck(t)
 		})
 	}
 }
--- a/internal/emulator/faketime/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -10,13 +10,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestOdds sends every controller what can't run, and what lacks a field or has a
+// TestInvalidSubmissions sends every controller what can't run, and what lacks a field or has a
 // wrong one: it is refused for good with a word that names the field, and nothing of
 // it is stored. The same with the id of a job that is known, done or cancelled is
 // told of that job. A gang that was to be spread and could be in one zone only was
 // accepted once, and waited for ever.
-func TestOdds(t *testing.T) {
-	d := small(3)
+func TestInvalidSubmissions(t *testing.T) {
+	d := newTestRun(3)
 	d.Jobs, d.Length = nil, 40*second
 	good := wire.Job{ID: "good", Class: "c", Team: "red", Kind: wire.Array, Tasks: 1, CPUs: 1, GPUs: 0.5, MemGB: 1, Priority: "normal", Image: "i", ImageGB: 1, EstimateS: 3}
 	known := map[string]string{"good": core.Queued, "was-done": "done", "was-cancelled": "cancelled"}
@@ -32,7 +32,7 @@
 	}
 	odds := environment.InvalidSubmissions(good, d.Types)
 	answers := 0
-	c := d.play(t, func(c *Cluster) {
+	c := d.run(t, func(c *Cluster) {
 		c.After(20*second, func() {
 			for _, n := range c.Controllers {
 				for i, o := range odds {
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -16,9 +16,9 @@
 // all are served at once, and at the end no key of theirs is left but the end.
 func TestOneTaskJobs(t *testing.T) {
 	t.Parallel()
-	d := small(12)
+	d := newTestRun(12)
 	d.Jobs, d.Length = nil, 330*second
-	d.up(16)
+	d.setMachines(16)
 	const n = 720
 	for i := range n {
 		j := job{At: 20*second + int64(i)*250_000, Run: 5 * second, Spec: wire.Job{
@@ -30,8 +30,8 @@
 		}
 		d.Jobs = append(d.Jobs, j)
 	}
-	d.Faults = []fault{at(80, "close_looks", 30), at(140, "crash", 0)}
-	c := d.whole(t)
+	d.Faults = []fault{faultAt(80, "close_looks", 30), faultAt(140, "crash", 0)}
+	c := d.runAndCheck(t)
 	changes, left := 0, map[string]bool{}
 	for _, e := range c.History {
 		key := strings.TrimPrefix(e.Key, core.Prefix)
--- a/internal/emulator/faketime/peers.go
+++ b/internal/emulator/faketime/peers.go
@@ -5,7 +5,8 @@
 	"github.com/zinclb/zinclb/internal/core/replica"
 )
 
-// executePeerEffect starts a request to another controller; false if the effect is none.
+// executePeerEffect starts a request to another controller. It returns false if the effect
+// is not such a request.
 func (n *Controller) executePeerEffect(effect any) bool {
 	switch e := effect.(type) {
 	case core.ReadFromLeader:
@@ -57,14 +58,14 @@
 
 func (n *Controller) pingPeer(e core.PingPeer) {
 	sent := n.sentAt()
-	if n.legacy() {
+	if n.isLegacy() {
 		e.Incarnation, e.ReadLeaseRequest, e.Cancellations = "", nil, nil
 	}
 	n.call(e.Peer, pingRequest{n.name, e}, pingTimeout, func(_ int, body any) {
 		pinged := core.PeerPinged{Peer: e.Peer, SentAt: sent}
 		if reply, err := controllerReply(body); err == nil && reply.PeerStatus != nil {
 			pinged.OK, pinged.Status = true, *reply.PeerStatus
-			if n.legacy() {
+			if n.isLegacy() {
 				pinged.Status.ReadLease, pinged.Status.Ack = nil, nil
 			}
 		}
--- a/internal/emulator/faketime/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestCloudByPeer: a leader that the cloud does not answer rents and returns by
+// TestCloudViaPeer: a leader that the cloud does not answer rents and returns by
 // way of one that it does, and each request once.
-func TestCloudByPeer(t *testing.T) {
+func TestCloudViaPeer(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		to   []string // what is cut off from the cloud besides the leader
@@ -26,17 +26,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := small(71)
+			d := newTestRun(71)
 			d.ops = config.Defaults()
 			d.ops.Reach = tc.on
-			d.up(8)
+			d.setMachines(8)
 			d.Length = 500 * second
 			d.Jobs = []job{
 				{At: 60 * second, Run: 120 * second, Spec: wire.Job{ID: "burst", Class: "c", Team: "red", Kind: wire.Array, Tasks: 12, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
 				{At: 61 * second, Run: 120 * second, Spec: wire.Job{ID: "more", Class: "c", Team: "blue", Kind: wire.Array, Tasks: 10, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
 			}
 			const from, until = 50 * second, 170 * second
-			c := d.play(t, func(c *Cluster) {
+			c := d.run(t, func(c *Cluster) {
 				c.After(from, func() {
 					f := environment.Fault{Kind: "cut", Hosts: append(tc.to, c.Leaders()...), To: []string{environment.CloudHost}, Duration: until - from}
 					if err := c.InjectFault(f); err != nil {
--- a/internal/emulator/faketime/state.go
+++ b/internal/emulator/faketime/state.go
@@ -9,7 +9,8 @@
 	"github.com/zinclb/zinclb/internal/store"
 )
 
-// executeStateEffect starts a request to the state service; false if the effect is none.
+// executeStateEffect starts a request to the state service. It returns false if the effect
+// is not such a request.
 func (n *Controller) executeStateEffect(effect any) bool {
 	switch e := effect.(type) {
 	case core.ListState:
@@ -81,8 +82,10 @@
 	})
 }
 
-// list reads the start prefixes, page by page, at the pace that is asked for. What has been
-// read is in listed; it goes on after a key of the prefix of an index.
+// list reads the keys under core.StartPrefixes page by page: e.AtOnce pages without a pause,
+// then one page every e.Gap. The keys read so far are in listed; reading continues after the
+// key after, under the prefix with the index prefix. pages counts the pages read since the
+// last pause.
 func (n *Controller) list(listed *core.StateListed, prefix int, after string, e core.ListState, pages int) {
 	if pages == e.AtOnce && prefix < len(core.StartPrefixes) {
 		n.callAfter(e.Gap, func() { n.list(listed, prefix, after, core.ListState{AtOnce: 1, Gap: e.Gap}, 0) })
@@ -114,8 +117,8 @@
 	})
 }
 
-// watch asks for the changes after a revision, waits so long for the first, and gives the
-// core the result with what read has already.
+// watch requests the changes after a revision; the state service waits up to wait for the
+// first one. It adds the result to read and passes that to the core.
 func (n *Controller) watch(after uint64, wait, timeout int64, read core.StateRead) {
 	n.call(environment.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, timeout, func(status int, body any) {
 		read.AfterRevision, read.Compacted = after, status == http.StatusGone
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -16,8 +16,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// forecast is the text of a sweep of a times two sets; the second of each pair depends on the first.
-func forecast(id string, a, pending int) string {
+// sweepText is the text of a sweep of a times two sets; the second of each pair depends on the first.
+func sweepText(id string, a, pending int) string {
 	return fmt.Sprintf(`id: %q pending: %d
 		job { herd: "s" steward: "red" shape: "sweep" urgency: "normal" vcpus: 1 mem_gb: 1 seedstock: "im-s" pull_gb: 0.5 }
 		set { field: "hands" is: "1 + a %% 3" }
@@ -26,18 +26,18 @@
 		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, a)
 }
 
-// sweeping is a small day with a sweep and some other work.
-func sweeping(tb testing.TB, seed uint64, s environment.Sweep) *day {
+// newSweepRun is a small day with a sweep and some other work.
+func newSweepRun(tb testing.TB, seed uint64, s environment.Sweep) *testRun {
 	tb.Helper()
-	d := small(seed)
+	d := newTestRun(seed)
 	d.ops.Sweeps = true
 	d.Jobs = d.Jobs[:6]
-	d.Sweeps = []environment.Sweep{expand(tb, s)}
+	d.Sweeps = []environment.Sweep{expandSweep(tb, s)}
 	return d
 }
 
-// expand fills in the runs of a sweep.
-func expand(tb testing.TB, s environment.Sweep) environment.Sweep {
+// expandSweep fills in the runs of a sweep.
+func expandSweep(tb testing.TB, s environment.Sweep) environment.Sweep {
 	tb.Helper()
 	s, err := scenario.Expand(s)
 	if err != nil {
@@ -46,19 +46,19 @@
 	return s
 }
 
-// accountFor runs a day to its end and checks that each run of its sweeps came to one end,
+// checkSweep runs a day to its end and checks that each run of its sweeps came to one end,
 // which every controller shows alike.
-func accountFor(t *testing.T, d *day, begin func(*Cluster)) (over string) {
+func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (over string) {
 	t.Helper()
 	var listed [][]core.SweepRun
-	c := d.play(t, func(c *Cluster) {
+	c := d.run(t, func(c *Cluster) {
 		if begin != nil {
 			begin(c)
 		}
 		c.After(d.Length-max(20*second, d.Length/10), func() {
 			for _, n := range c.Controllers {
 				for _, s := range d.Sweeps {
-					n.pages(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
+					n.listAllSweepRuns(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
 				}
 			}
 		})
@@ -68,7 +68,7 @@
 		wrong = append(wrong, fmt.Sprintf("%d controllers have listed the runs", len(listed)))
 	}
 	for i, r := range listed {
-		wrong = append(wrong, account(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
+		wrong = append(wrong, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
 	}
 	for _, e := range c.History {
 		if e.Kind == history.ResponseReceived && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Cancelled) {
@@ -84,8 +84,8 @@
 	return over
 }
 
-// pages asks a controller for all runs of a sweep and calls f with them.
-func (n *Controller) pages(id string, f func([]core.SweepRun)) {
+// listAllSweepRuns asks a controller for all runs of a sweep and calls f with them.
+func (n *Controller) listAllSweepRuns(id string, f func([]core.SweepRun)) {
 	var runs []core.SweepRun
 	var next func(after int)
 	next = func(after int) {
@@ -105,9 +105,9 @@
 	next(0)
 }
 
-// account says what is wrong with the runs of a sweep that is over: each must be
+// sweepRunErrors says what is wrong with the runs of a sweep that is over: each must be
 // listed once, with its values, and have come to the end that is stored.
-func account(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
+func sweepRunErrors(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
 	var wrong []string
 	fail := func(format string, a ...any) { wrong = append(wrong, fmt.Sprintf(format, a...)) }
 	ends, created := map[string]string{}, map[string]int{}
@@ -162,7 +162,7 @@
 	random := func(seed uint64) (l []fault) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		for range 6 {
-			f := at(10+r.Int64N(120), "crash", 0)
+			f := faultAt(10+r.Int64N(120), "crash", 0)
 			if n := r.IntN(4); n < 3 {
 				f.Hosts = []string{environment.ControllerName(n)}
 			}
@@ -183,29 +183,29 @@
 		{name: "answers are lost", loss: 0.08, faults: random},
 		{name: "answers are lost, and it is cancelled", loss: 0.08, cancel: 60 * second},
 		{name: "limits fall", tight: true, faults: func(uint64) []fault {
-			return []fault{at(30, "state_limits", 0), at(40, "crash", 0)}
+			return []fault{faultAt(30, "state_limits", 0), faultAt(40, "crash", 0)}
 		}},
 		{name: "the state service goes, and all crash", faults: func(uint64) []fault {
-			return []fault{at(35, "state_outage", 30), at(50, "crash", 0)}
+			return []fault{faultAt(35, "state_outage", 30), faultAt(50, "crash", 0)}
 		}},
 		{name: "cancelled before an outage", cancel: 39 * second, faults: func(uint64) []fault {
-			return []fault{at(40, "state_outage", 30), at(41, "cut", 60, "node-0")}
+			return []fault{faultAt(40, "state_outage", 30), faultAt(41, "cut", 60, "node-0")}
 		}},
 	}
 	for i, tc := range cases {
-		for seed := range seeds() {
+		for seed := range seedCount() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := sweeping(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 40)})
+				d := newSweepRun(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: sweepText("rain", 100, 40)})
 				d.Length = 500 * second
 				if tc.tight {
-					d.tighten()
+					d.announceLowerLimits()
 				}
 				if tc.faults != nil {
 					d.Faults = tc.faults(seed)
 				}
 				d.AnswerLoss = tc.loss
-				over := accountFor(t, d, nil)
+				over := checkSweep(t, d, nil)
 				if tc.cancel == 0 && over != wire.Done {
 					t.Errorf("it is %q", over)
 				}
@@ -214,38 +214,38 @@
 	}
 }
 
-// TestSweepLargest plays 10,000 runs under the tightest limits, through three
+// TestLargestSweep plays 10,000 runs under the tightest limits, through three
 // crashes: values of 2 KiB, four changes a transaction, 18 a second.
-func TestSweepLargest(t *testing.T) {
+func TestLargestSweep(t *testing.T) {
 	t.Parallel()
 	pairs, length := 5000, int64(4500)
 	if raceEnabled || testing.Short() {
 		pairs, length = 300, 700 // it is the same code, many times as slow
 	}
-	d := sweeping(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 100)})
-	d.tighten()
-	d.up(30)
+	d := newSweepRun(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: sweepText("tight", pairs, 100)})
+	d.announceLowerLimits()
+	d.setMachines(30)
 	d.Length = length * second
-	d.Faults = []fault{at(20, "state_limits", 0), at(90, "crash", 0), at(120, "crash", 0, "node-0"), at(150, "crash", 0)}
-	if over := accountFor(t, d, nil); over != wire.Done {
+	d.Faults = []fault{faultAt(20, "state_limits", 0), faultAt(90, "crash", 0), faultAt(120, "crash", 0, "node-0"), faultAt(150, "crash", 0)}
+	if over := checkSweep(t, d, nil); over != wire.Done {
 		t.Errorf("it is %q", over)
 	}
 }
 
-// TestSweepBoundaries cancels a sweep, and ends all controllers, after each
+// TestSweepCancelledAtEachWrite cancels a sweep, and ends all controllers, after each
 // change that has to do with it.
-func TestSweepBoundaries(t *testing.T) {
+func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
 	about := func(e history.Event) bool {
 		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
 	}
-	day := func() *day {
-		d := sweeping(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 8)})
+	day := func() *testRun {
+		d := newSweepRun(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: sweepText("edge", 12, 8)})
 		d.Length = 240 * second
 		return d
 	}
 	boundaries := map[int64]bool{}
-	for _, e := range day().play(t, nil).History {
+	for _, e := range day().run(t, nil).History {
 		if about(e) {
 			boundaries[e.At] = true
 		}
@@ -256,7 +256,7 @@
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			over := accountFor(t, day(), func(c *Cluster) {
+			over := checkSweep(t, day(), func(c *Cluster) {
 				n, last := 0, int64(0)
 				c.OnEvent = func(e history.Event) {
 					if !about(e) || e.At == last {
@@ -266,7 +266,7 @@
 					if n++; n == k {
 						c.After(1, func() { c.Environment.CancelSweep("edge") })
 						c.After(int64(k%3)*20_000, func() {
-							if err := c.InjectFault(at(0, "crash", 0)); err != nil {
+							if err := c.InjectFault(faultAt(0, "crash", 0)); err != nil {
 								t.Error(err)
 							}
 						})
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestAccountCatches plants faults of accounting.
-func TestAccountCatches(t *testing.T) {
+// TestSweepRunErrors plants faults of accounting.
+func TestSweepRunErrors(t *testing.T) {
 	sweep := &environment.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
 	put := func(key, value string) history.Event {
 		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, Value: value, State: "put"}
@@ -309,7 +309,7 @@
 		{"a run ends twice", runs, append(slices.Clone(good), put("end/sweep.s.0", done)), "a second end"},
 	}
 	for _, tc := range cases {
-		got := strings.Join(account(sweep, tc.runs, tc.log), "; ")
+		got := strings.Join(sweepRunErrors(sweep, tc.runs, tc.log), "; ")
 		if tc.wants == "" && got != "" || tc.wants != "" && !strings.Contains(got, tc.wants) {
 			t.Errorf("%s: %q", tc.name, got)
 		}
@@ -324,17 +324,17 @@
 		for _, as := range []string{"none", "sweep", "jobs"} {
 			b.Run(fmt.Sprint(n, "/", as), func(b *testing.B) {
 				for b.Loop() {
-					d := small(3)
+					d := newTestRun(3)
 					d.ops.Sweeps = true
 					d.Params.State.RPS, d.Params.State.WriteRPS, d.Params.State.TxnOps = 250, 100, 48
-					d.up(40)
+					d.setMachines(40)
 					d.Jobs = nil
 					d.Length = int64(60+n/4) * second
 					for k := range 200 {
 						spec := wire.Job{ID: fmt.Sprintf("job-%03d", k), Class: "c", Image: "i", Priority: "normal", Team: "blue", Kind: wire.Array, Tasks: 1, CPUs: 0.5, EstimateS: 1}
 						d.Jobs = append(d.Jobs, job{At: 20*second + int64(k)*d.Length/260, Run: second, Spec: spec})
 					}
-					s := expand(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 400)})
+					s := expandSweep(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: sweepText("many", n/2, 400)})
 					switch as {
 					case "sweep":
 						d.Sweeps = []environment.Sweep{s}
@@ -344,7 +344,7 @@
 							d.Jobs = append(d.Jobs, job{At: 15*second + int64(i)*second/40, Run: 2 * second, Spec: spec})
 						}
 					}
-					c := d.play(b, nil)
+					c := d.run(b, nil)
 					changes, last := 0, int64(0)
 					first, took := map[string]int64{}, []int64{}
 					for _, e := range c.History {
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -14,9 +14,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// The programs of a roll: one before features, this one, and a made-up next one
+// The upgradePrograms of a roll: one before features, this one, and a made-up next one
 // with a feature that is needed from then on.
-func programs() (older, this, next upgrade.Program) {
+func upgradePrograms() (older, this, next upgrade.Program) {
 	this = upgrade.CurrentProgram()
 	older, next = this, this
 	older.Version, older.Features = 3, this.Features[:2]
@@ -25,9 +25,9 @@
 	return older, this, next
 }
 
-// features goes through a history and says which features came on when; it
+// featureActivations goes through a history and says which featureActivations came on when; it
 // fails for a key that was written while its feature was off.
-func features(t *testing.T, c *Cluster, p upgrade.Program) map[upgrade.FeatureName]int64 {
+func featureActivations(t *testing.T, c *Cluster, p upgrade.Program) map[upgrade.FeatureName]int64 {
 	t.Helper()
 	on := map[upgrade.FeatureName]int64{}
 	for _, e := range c.History {
@@ -70,10 +70,10 @@
 	return on
 }
 
-// TestRolls rolls three controllers from one program to another in every order,
+// TestRollingUpgrades rolls three controllers from one program to another in every order,
 // straight on and half-way back and forth again, with trouble inside.
-func TestRolls(t *testing.T) {
-	older, this, next := programs()
+func TestRollingUpgrades(t *testing.T) {
+	older, this, next := upgradePrograms()
 	type step struct {
 		node int
 		to   *upgrade.Program
@@ -102,7 +102,7 @@
 						plan = []step{{order[0], to}, {order[1], to}, {order[0], from}, {order[1], from}, {order[0], to}, {order[1], to}, {order[2], to}}
 					}
 					run := []*upgrade.Program{from, from, from}
-					d := small(uint64(500 + n))
+					d := newTestRun(uint64(500 + n))
 					d.Length = 480 * second
 					failed := func(c *Cluster, f environment.Fault) {
 						if err := c.InjectFault(f); err != nil {
@@ -140,9 +140,9 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					keeps(t, c)
+					checkRun(t, c)
 					last := int64(60+12*(len(plan)-1)) * second
-					on := features(t, c, next)
+					on := featureActivations(t, c, next)
 					if on[upgrade.Connectivity] == 0 {
 						t.Error("reach was never switched on")
 					}
@@ -163,9 +163,9 @@
 // back, by then with a program that lacks what is needed, it ends at its start
 // and touches nothing.
 func TestStraggler(t *testing.T) {
-	_, this, next := programs()
+	_, this, next := upgradePrograms()
 	run := []*upgrade.Program{&next, &next, &this}
-	d := small(611)
+	d := newTestRun(611)
 	d.Length = 300 * second
 	var said core.Reply
 	back := false
@@ -184,7 +184,7 @@
 	if l := c.Violations(); len(l) > 0 {
 		t.Error(strings.Join(l, "\n"))
 	}
-	on := features(t, c, next)
+	on := featureActivations(t, c, next)
 	if said.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
 		t.Errorf("said to be gone: %d; next on at %d", said.Status, on["next"])
 	}
--- a/internal/emulator/faketime/version1_test.go
+++ b/internal/emulator/faketime/version1_test.go
@@ -65,21 +65,21 @@
 	}
 )
 
-// TestBeforeFormat plays a day on which one controller never says that it has
+// TestFirstFormat plays a day on which one controller never says that it has
 // this version: whatever is stored all day, the version without pipelines can
 // read, and a job that awaits others is put off.
-func TestBeforeFormat(t *testing.T) {
+func TestFirstFormat(t *testing.T) {
 	t.Parallel()
-	d := small(5)
-	d.missing = true
-	d.piped(2)
+	d := newTestRun(5)
+	d.oneMissing = true
+	d.addPipelines(2)
 	awaits := 0
 	for _, j := range d.Jobs {
 		if len(j.Spec.DependsOn) > 0 {
 			awaits++
 		}
 	}
-	c := d.play(t, nil)
+	c := d.run(t, nil)
 	if l, left := c.Violations(), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
 		t.Errorf("%d that await others, %v unfinished, %v", awaits, left, l)
 	}
--- a/internal/emulator/faultcombos/cases.go
+++ b/internal/emulator/faultcombos/cases.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// ID is the case's number.
+// ID returns the number of the case.
 func (c Case) ID() uint64 { return c.Seed }
 
-// Case is a run with one or two fault scripts.
+// Case is a run with one or two fault scripts, and possibly an extra script.
 type Case struct {
 	Size    int
 	scripts []faultScript
@@ -29,8 +29,9 @@
 	return s
 }
 
-// AllCases are the cases of a size: each of the base scripts, then each pair of them, with
-// each extra script; then the other scripts, and those about pipelines.
+// AllCases returns all cases with the given number of controllers: each base script and each
+// pair of base scripts, with each extra script; then the further scripts, alone and in pairs;
+// and last the pipeline scripts.
 func AllCases(size int) (out []Case) {
 	add := func(l ...faultScript) {
 		for _, w := range extraScripts {
@@ -48,7 +49,7 @@
 	for _, t := range moreScripts {
 		add(t)
 	}
-	// Pairs with the other scripts have one extra script each, in turn.
+	// Each pair with a further script has one extra script; the extra scripts take turns.
 	for i, a := range moreScripts {
 		for _, b := range slices.Concat(baseScripts, moreScripts[i+1:]) {
 			out = append(out, Case{Size: size, scripts: []faultScript{a, b}, extra: extraScripts[len(out)%len(extraScripts)], Seed: uint64(len(out) + 1)})
--- a/internal/emulator/faultcombos/deployment.go
+++ b/internal/emulator/faultcombos/deployment.go
@@ -9,14 +9,15 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// When the faults of a case begin, and how long its deployment goes on after the last one.
+// Start of the faults of a case, and how long the run continues after the faults.
 const (
 	faultsBegin = 60 * second
 	quietTime   = 130 * second
 )
 
-// deployment has a load of three quarters of its capacity, so that what machines lose can be
-// made up for, with services, gangs, arrays, cancellations and pipelines.
+// deployment returns the deployment of a case. Its load of services, gangs, arrays,
+// cancellations and pipelines takes three quarters of its capacity, so that work that is lost
+// with machines can be repeated in time.
 func deployment(c Case) environment.Config {
 	d := &deploymentBuilder{rng: 7 * c.Seed}
 	d.Config = cases.Deployment{
@@ -56,7 +57,7 @@
 		default:
 			first := fmt.Sprintf("stage-%02d", i)
 			d.addJob(first, "stage", "red", wire.Array, at, 2, 1, 4*second)
-			// Its tasks end far apart, and leaders change in between.
+			// The tasks of this job end far apart, so that leaders change in between.
 			d.addJob(fmt.Sprintf("uneven-%02d", i), "uneven", "red", wire.Array, at+second, 2+pick%2, 1, 3*second).RunIncrement = 6 * second
 			d.addJob(fmt.Sprintf("stage-%02d-b", i), "stage", "red", wire.Array, at, 2, 1, 4*second).Spec.DependsOn = []string{first}
 		}
@@ -75,7 +76,7 @@
 	rng uint64
 }
 
-// random is the next random number of the case's seed.
+// random returns the next number of the random sequence of the case's seed.
 func (d *deploymentBuilder) random() int {
 	d.rng = d.rng*6364136223846793005 + 1442695040888963407
 	return int(d.rng >> 33)
--- a/internal/emulator/faultcombos/faultcombos.go
+++ b/internal/emulator/faultcombos/faultcombos.go
@@ -1,8 +1,8 @@
-// Package faultcombos enumerates combinations of faults beside crashes and partitions:
-// one-way partitions of machines, delayed copies of heartbeats, controllers that only
-// workers can reach, and processes and machines that restart at once. Each fault runs in
-// simulated time, alone and in pairs, with a further fault inside, under a load with every
-// kind of job, and the history is checked against all rules.
+// Package faultcombos enumerates combinations of faults other than plain crashes and
+// partitions: one-way partitions of machines, delayed copies of heartbeats, controllers that
+// only workers can reach, and processes and machines that restart immediately. The faults run
+// in simulated time, alone and in pairs, with an extra fault while they last, under a load
+// with every kind of job, and the history is checked against all rules.
 package faultcombos
 
 import (
@@ -18,7 +18,7 @@
 
 const second = config.Second
 
-// Run runs a case; log gets what controllers log, if it is not nil.
+// Run runs a case. If log is not nil, it receives the log records of the controllers.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
 	cl, err := runCluster(c, ops, log)
 	if err != nil {
@@ -28,18 +28,19 @@
 	r.required = map[string]int{}
 	for _, t := range c.scripts {
 		r.overloaded = r.overloaded || t.overloaded
-		if t.mustOccur != "" && len(c.scripts) == 1 && c.extra.name == "" { // one may keep another from occurring
+		if t.mustOccur != "" && len(c.scripts) == 1 && c.extra.name == "" { // in combinations one fault may prevent another
 			r.required[t.mustOccur] = max(t.minOccurrences, 1)
 		}
 	}
 	return r, nil
 }
 
-// heldReportDelays are how long after a new leader's key is written the held copies of
-// reports arrive: before it knows that it leads, as it begins, and after its first reports.
+// heldReportDelays are the delays, in microseconds, between the write of a new leader's key
+// and the arrival of the held copies of heartbeats: before the leader knows that it leads, as
+// its term begins, and after its first heartbeats.
 var heldReportDelays = []int64{1000, 5000, 20_000, 300_000}
 
-// runCluster runs a case's deployment with its faults.
+// runCluster runs the deployment of a case with its faults.
 func runCluster(c Case, ops config.Operators, log *slog.Logger) (*faketime.Cluster, error) {
 	var failed error
 	var cluster *faketime.Cluster
@@ -61,7 +62,7 @@
 	return cl, cmp.Or(err, failed)
 }
 
-// beginFaults schedules the faults of the case's scripts.
+// beginFaults schedules the faults of the case's scripts, without the extra script.
 func (c Case) beginFaults(cl *faketime.Cluster, failed *error) {
 	nodes := cl.LeaderFirst()
 	for _, script := range c.scripts {
--- a/internal/emulator/faultcombos/faultcombos_test.go
+++ b/internal/emulator/faultcombos/faultcombos_test.go
@@ -10,14 +10,15 @@
 	"github.com/zinclb/zinclb/internal/emulator/cases/casestest"
 )
 
-// eachOf has no factor in common with the number of extra scripts.
-const eachOf = 13
+// sampleInterval is coprime to the number of extra scripts, so that the sample covers all of
+// them.
+const sampleInterval = 13
 
-// TestTroubles runs a part of all combinations of faults; zinclb-emulator troubles runs them
-// all.
+// TestTroubles runs a sample of the combinations of faults; zinclb-emulator troubles runs all
+// of them.
 func TestTroubles(t *testing.T) {
-	selected := append(cases.EveryNth(AllCases(3), 0, eachOf), cases.EveryNth(AllCases(5), 6, 4*eachOf+1)...)
-	for _, c := range append(AllCases(3), AllCases(5)...) { // each by itself, in which its faults have to meet
+	selected := append(cases.EveryNth(AllCases(3), 0, sampleInterval), cases.EveryNth(AllCases(5), 6, 4*sampleInterval+1)...)
+	for _, c := range append(AllCases(3), AllCases(5)...) { // alone, these scripts have to cause their mustOccur
 		if c.isSingle() {
 			selected = append(selected, c)
 		}
@@ -25,15 +26,16 @@
 	run := func(c Case) (Result, error) { return Run(c, config.Defaults(), nil) }
 	casestest.Run(t, selected, run, func(t *testing.T, c Case, r Result) {
 		t.Helper()
-		// In an outage there is nothing that could be executed at all.
+		// During an outage of the state service no request is executed, not even late.
 		down := slices.ContainsFunc(c.scripts, func(s faultScript) bool { return s.outage })
 		if strings.Contains(c.String(), "executed late") && !down && r.DelayedRequests < 20 {
-			t.Errorf("%d requests were executed late", r.DelayedRequests)
+			t.Errorf("%d requests were executed late, want at least 20", r.DelayedRequests)
 		}
 	})
 }
 
-// isSingle says whether it has one of moreScripts or pipelineScripts and nothing else.
+// isSingle reports whether the case consists of one script of moreScripts or pipelineScripts
+// alone.
 func (c Case) isSingle() bool {
 	scripts := slices.Concat(moreScripts, pipelineScripts)
 	return len(c.scripts) == 1 && c.extra.name == "" && slices.ContainsFunc(scripts, func(t faultScript) bool { return t.name == c.scripts[0].name })
--- a/internal/emulator/faultcombos/more_faults.go
+++ b/internal/emulator/faultcombos/more_faults.go
@@ -10,8 +10,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// moreScripts are further scripts; docs/fault-combinations.md says which combination of
-// faults each stands for.
+// moreScripts are further scripts. docs/fault-combinations.md describes which combination of
+// faults each represents.
 var moreScripts = []faultScript{
 	{name: "users ask everywhere at once", mustOccur: history.OccurProbe, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCloseLooks, Duration: faultDuration}}
@@ -63,10 +63,10 @@
 			{At: 26_500_000, Kind: environment.FaultCrash, Hosts: n[1:2]},
 		}
 	}},
-	{name: "a zone is cut off for longer than a lease", mustOccur: occurLease, begin: func([]string) []environment.Fault {
+	{name: "a zone is cut off for longer than a lease", mustOccur: occurLeaseExpired, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: []string{"zone:a"}, To: []string{"zone:b", "services", "users"}, Duration: 34 * second}, {At: 4 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
-	{name: "leaders change ten times, also in an outage", mustOccur: occurLeader, minOccurrences: 6, repeats: 10, interval: 4200 * second / 1000, repeat: func(n []string, i int) []environment.Fault {
+	{name: "leaders change ten times, also in an outage", mustOccur: occurLeaderElected, minOccurrences: 6, repeats: 10, interval: 4200 * second / 1000, repeat: func(n []string, i int) []environment.Fault {
 		l := []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: second}}
 		if i%3 == 1 {
 			l[0] = environment.Fault{Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 4 * second}
@@ -76,10 +76,10 @@
 		}
 		return l
 	}},
-	{name: "all controllers are away for longer than a lease", mustOccur: occurLease, begin: func([]string) []environment.Fault {
+	{name: "all controllers are away for longer than a lease", mustOccur: occurLeaseExpired, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: []string{"all"}, Duration: 19 * second}}
 	}},
-	// Nothing can begin in such an outage.
+	// No job can start during this outage, hence overloaded.
 	{name: "cancellations as the leader is refused, and then all", mustOccur: history.OccurCancel, overloaded: true, outage: true, begin: func(n []string) (l []environment.Fault) {
 		for i := range int64(4) {
 			l = append(l, environment.Fault{At: i * 300_000, Kind: environment.FaultCancelNow, Count: 2})
@@ -106,7 +106,7 @@
 			{At: 30 * second, Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 5 * second},
 		}
 	}},
-	{name: "one-task jobs come four a second", mustOccur: occurTiny, minOccurrences: 120, prepare: func(d *deploymentBuilder) {
+	{name: "one-task jobs come four a second", mustOccur: occurOneTaskJob, minOccurrences: 120, prepare: func(d *deploymentBuilder) {
 		d.Params.State.WriteRPS = 25
 		for i := range int(faultDuration / 250_000) {
 			at := faultsBegin + int64(i)*250_000
@@ -116,7 +116,7 @@
 			}
 		}
 	}},
-	{name: "more work than room, over slow links", mustOccur: occurQueue, minOccurrences: 10, overloaded: true, prepare: func(d *deploymentBuilder) {
+	{name: "more work than room, over slow links", mustOccur: occurLongWait, minOccurrences: 10, overloaded: true, prepare: func(d *deploymentBuilder) {
 		d.Network = environment.Network{SameZone: 60_000, CrossZone: 160_000, Jitter: 0.4, Loss: 0.01}
 		for i := range 20 {
 			j := d.addJob(fmt.Sprintf("more-%02d", i), "more", []string{"blue", "red", "red", "red"}[i%4], []string{wire.Array, wire.Gang}[i/2%2], faultsBegin+int64(i)*second, 4, 4, 9*second)
@@ -124,7 +124,7 @@
 			j.Spec.CheckpointS, j.Spec.CheckpointCostS = 4, 1
 		}
 	}},
-	{name: "jobs bound to a zone lose machines", mustOccur: occurBound, prepare: func(d *deploymentBuilder) {
+	{name: "jobs bound to a zone lose machines", mustOccur: occurBoundTaskLost, prepare: func(d *deploymentBuilder) {
 		for i := range 16 {
 			z := cases.Zones()[i%2]
 			j := d.addJob(fmt.Sprintf("bound-%02d", i), "bound", "red", []string{wire.Array, wire.Gang}[i/2%2], faultsBegin-4*second+int64(i)*2*second, 3, 2, 5*second)
@@ -137,8 +137,8 @@
 	}},
 }
 
-// handoverFaults hand tasks over between leaders, and between the holders of a partition of
-// the machines, and cancel jobs before, in and after each of these seconds.
+// handoverFaults returns faults that hand tasks over between leaders, or between the holders
+// of a partition of the machines, and cancellations before, during and after the handover.
 func handoverFaults(n []string, i int) []environment.Fault {
 	l := []environment.Fault{{At: 200_000, Kind: environment.FaultCrash, Hosts: n[:1]}}
 	switch i % 5 {
--- a/internal/emulator/faultcombos/pipeline_faults.go
+++ b/internal/emulator/faultcombos/pipeline_faults.go
@@ -8,24 +8,26 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// classBehind is the class of jobs that depend on one that was cancelled before them.
-const classBehind = "behind"
+// classDependent is the class of jobs that are submitted after a job on which they depend was
+// cancelled.
+const classDependent = "behind"
 
-// occurDerived: a user is told that such a job is cancelled, which nobody has asked for.
-const occurDerived = "a job is cancelled by another's end"
+// occurDependencyCancelled occurs when a user is told that a job of classDependent is
+// cancelled, although no user cancelled that job itself.
+const occurDependencyCancelled = "a job is cancelled by another's end"
 
-// pipelineScripts are about jobs that end because others did. Their cases come after all others,
-// whose numbers and seeds stay.
+// pipelineScripts are about jobs that end because their dependencies ended. Their cases come
+// last, so that the numbers and seeds of the other cases stay the same.
 var pipelineScripts = []faultScript{
 	{
-		name: "jobs depend on cancelled ones while each leader is refused and restarted", mustOccur: occurDerived, minOccurrences: 20, overloaded: true,
+		name: "jobs depend on cancelled ones while each leader is refused and restarted", mustOccur: occurDependencyCancelled, minOccurrences: 20, overloaded: true,
 		prepare: func(d *deploymentBuilder) {
 			d.Params.State.RPS = 30 + 12*float64(d.Params.Size)
 			for i := range 40 {
 				before := fmt.Sprintf("before-%02d", i)
 				at := faultsBegin - 40*second + int64(i)*second/2
 				d.addJob(before, "before", "red", wire.Array, at, 1, 1, 30*second).Cancel = at + 3*second
-				behind := d.addJob(fmt.Sprintf("behind-%02d", i), classBehind, "red", wire.Array, faultsBegin+int64(i)*second, 1, 1, 3*second)
+				behind := d.addJob(fmt.Sprintf("behind-%02d", i), classDependent, "red", wire.Array, faultsBegin+int64(i)*second, 1, 1, 3*second)
 				behind.Spec.DependsOn = []string{before}
 			}
 		},
@@ -43,7 +45,8 @@
 	},
 }
 
-// isDerivedEnd says whether an event tells a user of a job of classBehind that it is cancelled.
-func isDerivedEnd(e *history.Event, job *wire.Job) bool {
-	return e.Kind == history.ResponseReceived && e.State == wire.Cancelled && job != nil && job.Class == classBehind
+// isDependencyCancellation reports whether an event tells a user that a job of classDependent
+// is cancelled.
+func isDependencyCancellation(e *history.Event, job *wire.Job) bool {
+	return e.Kind == history.ResponseReceived && e.State == wire.Cancelled && job != nil && job.Class == classDependent
 }
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -16,60 +16,62 @@
 )
 
 const (
-	// serveWithin is what jobs of 4 to 8 s have, and minServed the share of a class or a
-	// team that has to be done by then, over a run a quarter of which has faults.
+	// serveWithin is the time limit for jobs, whose tasks run for 4 to 8 s. minServed is the
+	// required share of each class and team that is done by then, over a run during a
+	// quarter of which there are faults.
 	serveWithin = 25 * second
 	minServed   = 0.7
-	// minServedDuring is the same of all that is submitted during the faults.
+	// minServedDuring is the required share of the jobs submitted during the faults.
 	minServedDuring = 0.5
 )
 
-// Result is how a case went.
+// Result is the result of a case.
 type Result struct {
 	Violations []string
-	// MinServed is the least share of a class or a team that was served,
-	// MinLargestServed of a class's largest jobs that were served or begun in four
-	// minutes; Unfinished are the jobs that had not ended when they should have.
+	// MinServed is the minimum, over classes and teams, of the share that was served.
+	// MinLargestServed is the minimum, over classes, of the share of the largest jobs
+	// that were served or started within four minutes. Unfinished are the jobs that had
+	// not ended when they should have.
 	MinServed, MinLargestServed float64
 	Unfinished                  []string
 	// ServedDuringFaults is the share of the jobs submitted during the faults that were
 	// done in time.
 	ServedDuringFaults float64
-	// DelayedRequests is how many requests to the state service were executed late,
-	// Occurrences how often each thing occurred that the faults are to bring about.
+	// DelayedRequests is the number of requests to the state service that were executed
+	// late. Occurrences counts the events that the faults are meant to cause.
 	DelayedRequests int
 	Occurrences     map[string]int
-	// StartsAfter is how many tasks entered a machine after users had an answer that
-	// their job is cancelled.
+	// StartsAfter is the number of tasks that entered a machine after a user was told
+	// that their job is cancelled.
 	StartsAfter int
 	overloaded  bool
 	required    map[string]int
 }
 
-// HasViolations says whether the history violates a rule.
+// HasViolations reports whether the history violates a rule.
 func (r Result) HasViolations() bool { return len(r.Violations) > 0 }
 
-// Shortfall says what falls short of what is required, "" if nothing does.
+// Shortfall describes the first unmet requirement, "" if all are met.
 func (r Result) Shortfall() string {
 	switch {
 	case len(r.Violations) > 0:
-		return "broken: " + strings.Join(r.Violations, "; ")
+		return "rules violated: " + strings.Join(r.Violations, "; ")
 	case len(r.missing()) > 0:
-		return fmt.Sprintf("not met: %v", r.missing())
+		return fmt.Sprintf("required events missing: %v", r.missing())
 	case len(r.Unfinished) > 0:
-		return fmt.Sprintf("not over at the end: %v", r.Unfinished)
+		return fmt.Sprintf("jobs unfinished at the end: %v", r.Unfinished)
 	case r.overloaded:
 	case r.MinServed < minServed:
-		return fmt.Sprintf("%.2f served of a class or team", r.MinServed)
+		return fmt.Sprintf("share served of a class or team is %.2f", r.MinServed)
 	case r.ServedDuringFaults < minServedDuring:
-		return fmt.Sprintf("%.2f served of what came within", r.ServedDuringFaults)
+		return fmt.Sprintf("share served of jobs submitted during the faults is %.2f", r.ServedDuringFaults)
 	case r.MinLargestServed < 0.5:
-		return fmt.Sprintf("%.2f served or begun of a class's largest", r.MinLargestServed)
+		return fmt.Sprintf("share of a class's largest jobs served or started is %.2f", r.MinLargestServed)
 	}
 	return ""
 }
 
-// missing names what the faults were to bring about and did not.
+// missing lists the required events that occurred too rarely.
 func (r Result) missing() (l []string) {
 	for _, w := range slices.Sorted(maps.Keys(r.required)) {
 		if r.Occurrences[w] < r.required[w] {
@@ -79,13 +81,13 @@
 	return l
 }
 
-// Occurrences beside those that the environment records.
+// Occurrences in addition to those that the environment records.
 const (
-	occurLeader = "a leader begins"
-	occurLease  = "a task ends with its machine's lease"
-	occurBound  = "a task bound to a zone loses its machine"
-	occurTiny   = "a one-task job is accepted"
-	occurQueue  = "a job waits for ten seconds"
+	occurLeaderElected = "a leader begins"
+	occurLeaseExpired  = "a task ends with its machine's lease"
+	occurBoundTaskLost = "a task bound to a zone loses its machine"
+	occurOneTaskJob    = "a one-task job is accepted"
+	occurLongWait      = "a job waits for ten seconds"
 )
 
 func evaluate(cl *faketime.Cluster) Result {
@@ -98,7 +100,8 @@
 	return r
 }
 
-// addMetrics adds the shares that were served.
+// addMetrics adds the metrics of the history: the shares that were served, and StartsAfter.
+// A metric that is not a number counts as a violation.
 func (r *Result) addMetrics(cl *faketime.Cluster) {
 	var objectives []history.Objective
 	for _, class := range []string{"gang", "array", "stage"} {
@@ -118,7 +121,8 @@
 	}
 }
 
-// countOccurrences counts what the faults are to bring about.
+// countOccurrences counts the events that the faults are meant to cause, and the delayed
+// requests.
 func (r *Result) countOccurrences(cl *faketime.Cluster) {
 	jobs, firstRequest, begun := cl.Expectations().Jobs, map[string]int64{}, map[string]bool{}
 	for i := range cl.History {
@@ -131,7 +135,7 @@
 			r.DelayedRequests++
 		case history.TaskStarted:
 			if !begun[e.Job] && e.At-firstRequest[e.Job] > 10*second {
-				r.Occurrences[occurQueue]++
+				r.Occurrences[occurLongWait]++
 			}
 			begun[e.Job] = true
 		default:
@@ -142,28 +146,28 @@
 	}
 }
 
-// occurrenceOf is what an event shows that faults are to bring about, "" for nothing.
+// occurrenceOf returns the occurrence that an event shows, "" if it shows none.
 func occurrenceOf(e *history.Event, jobs map[string]*wire.Job) string {
 	job := jobs[e.Job]
 	switch {
 	case e.Kind == history.Occurred:
 		return e.Reason
 	case e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == history.KeyPut && e.At > faultsBegin:
-		return occurLeader
-	case isDerivedEnd(e, job):
-		return occurDerived
+		return occurLeaderElected
+	case isDependencyCancellation(e, job):
+		return occurDependencyCancelled
 	case e.Kind == history.TaskLeft && e.Reason == "lease":
-		return occurLease
+		return occurLeaseExpired
 	case e.Kind == history.TaskLeft && e.Reason == "died" && job != nil && job.Class == "bound":
-		return occurBound
+		return occurBoundTaskLost
 	case e.Kind == history.ResponseReceived && e.Status == http.StatusCreated && job != nil && job.Class == "tiny":
-		return occurTiny
+		return occurOneTaskJob
 	}
 	return ""
 }
 
-// servedDuringFaults is the share of the jobs submitted during the faults that were done in
-// time; the second stage of a pipeline has as long again.
+// servedDuringFaults returns the share of the jobs submitted during the faults that were done
+// in time. The second stage of a pipeline has twice the time limit.
 func servedDuringFaults(cl *faketime.Cluster) float64 {
 	var deadlines []cases.Deadline
 	for _, j := range cl.Config.Jobs {
--- a/internal/emulator/faultcombos/scripts.go
+++ b/internal/emulator/faultcombos/scripts.go
@@ -4,31 +4,32 @@
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 )
 
-// faultScript is a sequence of faults that a case may have.
+// faultScript is a named sequence of faults.
 type faultScript struct {
 	name string
-	// begin gets the controllers, the leader first, and returns the faults.
+	// begin returns the faults; nodes are the controllers, the leader first.
 	begin func(nodes []string) []environment.Fault
-	// repeat is called several times, so long apart, with the controllers as they are
-	// then, and the number of the call.
+	// repeat is called repeats times, at the given interval, with the controllers in their
+	// order at that time and the number of the call, and returns faults.
 	repeat   func(nodes []string, i int) []environment.Fault
 	repeats  int
 	interval int64
-	// prepare changes the deployment or adds to what comes, if it is set.
+	// prepare, if set, changes the deployment or adds jobs to it.
 	prepare func(*deploymentBuilder)
-	// overloaded: there are more jobs than room, so that not all are served.
+	// overloaded is set if there are more jobs than capacity, so that not all are served.
 	overloaded bool
-	// outage: the state service is down for almost all of it.
+	// outage is set if the state service is down for almost the whole script.
 	outage bool
-	// mustOccur is what the faults have to bring about, minOccurrences how often at least.
+	// mustOccur is the event that the faults have to cause, at least minOccurrences times.
 	mustOccur      string
 	minOccurrences int
 }
 
-// faultDuration is how long a fault lasts, longer than two leases.
+// faultDuration is the duration of a fault, longer than two leases.
 const faultDuration = 40 * second
 
-// repeatedCrashes are crashes of controllers one after the other, away for different times.
+// repeatedCrashes returns successive crashes of the hosts, which stay down for a different
+// time after each.
 func repeatedCrashes(times int, hosts ...string) (l []environment.Fault) {
 	away := []int64{50_000, 200_000, 1_000_000, 400_000, 100_000}
 	at := int64(0)
@@ -39,7 +40,8 @@
 	return l
 }
 
-// isolate partitions a controller from the state service and the other controllers.
+// isolate returns a partition of a controller from the state service and the other
+// controllers.
 func isolate(node string, how environment.PartitionMode) []environment.Fault {
 	return []environment.Fault{{Kind: environment.FaultPartition, Duration: faultDuration, Hosts: []string{node}, To: []string{environment.StateHost, "controllers"}, PartitionMode: how}}
 }
@@ -118,7 +120,7 @@
 	{name: "all are back at once, five times", begin: func([]string) []environment.Fault { return repeatedCrashes(5, "all") }},
 }
 
-// extraScripts is what else may happen 3 s after the first faults have begun.
+// extraScripts are faults that are injected in addition, 3 s after the first faults.
 var extraScripts = []faultScript{
 	{name: ""},
 	{name: "a take-over", begin: func(n []string) []environment.Fault {
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -1,8 +1,8 @@
-// Package outages enumerates runs in which the state service refuses the leader alone, other
-// controllers confirm cancellations to users, and then the state service is down for all,
-// for up to three times as long as a cancellation may take. They run in simulated time, and
-// their histories are checked against all rules; jobs that were not cancelled have to keep
-// running as far as that is possible.
+// Package outages enumerates cases in which the state service first refuses only the leader,
+// while other controllers confirm cancellations to users, and is then down for all
+// controllers, for up to three times as long as a cancellation may take (cancel_s). The cases
+// run in simulated time, and their histories are checked against all rules. Jobs that were
+// not cancelled have to keep running as far as possible.
 package outages
 
 import (
@@ -22,16 +22,17 @@
 const second = config.Second
 
 const (
-	refusalStart    = 60 * second // when the state service begins to refuse the leader
+	refusalStart    = 60 * second // when the state service starts refusing the leader
 	refusalDuration = 14 * second
-	outageDelay     = 2 * second // from then until the outage, less than the leader's lease
-	longOutageDelay = 7 * second // the same, so that another leads by then
-	cancelS         = 26         // three times this is less than users are kept waiting for
+	outageDelay     = 2 * second // from the refusal to the outage, shorter than the leader's lease
+	longOutageDelay = 7 * second // long enough for another controller to become the leader before the outage
+	cancelS         = 26         // three times this is less than how long users wait for an answer
 	leaseS          = 11
-	taskDuration    = 200 * second // longer than until the longest outage is over
+	taskDuration    = 200 * second // extends past the end of the longest outage
 )
 
-// cancelTiming is when users cancel: so long before the outage, and so far apart.
+// cancelTiming describes when users cancel: the first cancellation is sent beforeOutage
+// before the outage (after its start if negative), the others at the given interval.
 type cancelTiming struct {
 	name         string
 	beforeOutage int64
@@ -45,15 +46,16 @@
 	{"in the outage", -5 * second, 500_000},
 }
 
-// writeLosses are how the state service treats the writes of cancellations.
+// writeLosses are the ways in which the writes of cancellations are lost; nil means not at all.
 var writeLosses = []*environment.TransactionLoss{nil, {Outcome: environment.LostAfter}, {Outcome: environment.LostLate, Delay: second}}
 
-// controllerEvent is what happens to the controllers in the outage. The leader comes first.
+// controllerEvent is a set of faults that happen to controllers or machines around the outage.
+// faults gets the names of the controllers, the leader first.
 type controllerEvent struct {
 	name   string
-	at     int64 // since the outage began, or before if it is negative
+	at     int64 // relative to the start of the outage
 	faults func(nodes []string) []environment.Fault
-	// mayLoseTasks: not all tasks can be kept, as no controller may answer heartbeats.
+	// mayLoseTasks is set if tasks may be lost, as possibly no controller answers heartbeats.
 	mayLoseTasks bool
 }
 
@@ -71,7 +73,7 @@
 	}, false},
 	{"all others are back at once, as the outage begins", 20_000, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
-	}, true}, // nobody can have granted them a read lease before
+	}, true}, // nobody can have granted them a read lease before the outage the outage
 	{"another crashes while it is cut from the leader", 4 * second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, true},
@@ -92,26 +94,26 @@
 	}, true},
 	{"the leader is back at once", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: 200_000}}
-	}, true}, // nobody can lead in an outage
+	}, true}, // no controller can become leader during an outage
 }
 
-// ID is the case's number.
+// ID returns the number of the case.
 func (c Case) ID() uint64 { return uint64(c.Number) }
 
-// Case is one such run.
+// Case is one combination of cancellation timing, lost writes, outage and controller event.
 type Case struct {
 	Size      int
 	Number    int
 	timing    cancelTiming
 	writeLoss *environment.TransactionLoss
 	event     controllerEvent
-	// quarters is the length of the outage in quarters of cancel_s, newLeader says that
-	// another controller leads before it begins.
-	quarters  int
-	newLeader bool
-	// Jobs is how many there are; two of three are cancelled.
+	// outageQuarters is the length of the outage in quarters of cancel_s. If newLeader is
+	// set, another controller becomes the leader before the outage begins.
+	outageQuarters int
+	newLeader      bool
+	// Jobs is the number of jobs; two of three are cancelled.
 	Jobs int
-	// Legacy: one of the followers runs a program without read leases.
+	// Legacy is set if one of the followers runs a program without read leases.
 	Legacy bool
 }
 
@@ -129,17 +131,17 @@
 	if c.Legacy {
 		s += ", beside an older program"
 	}
-	return s + fmt.Sprintf(", an outage of %.1f cancel_s in which %s", float64(c.quarters)/4, c.event.name)
+	return s + fmt.Sprintf(", an outage of %.1f cancel_s in which %s", float64(c.outageQuarters)/4, c.event.name)
 }
 
-// AllCases are the cases of a size.
+// AllCases returns all cases with the given number of controllers.
 func AllCases(size int) (out []Case) {
 	for _, e := range controllerEvents {
 		for _, m := range cancelTimings {
 			for _, f := range writeLosses {
 				for _, l := range []int{2, 4, 6, 12} {
 					for _, taken := range []bool{false, true} {
-						out = append(out, Case{Size: size, Number: len(out), timing: m, writeLoss: f, event: e, quarters: l, newLeader: taken, Jobs: defaultJobs})
+						out = append(out, Case{Size: size, Number: len(out), timing: m, writeLoss: f, event: e, outageQuarters: l, newLeader: taken, Jobs: defaultJobs})
 					}
 				}
 			}
@@ -148,10 +150,10 @@
 	return out
 }
 
-// defaultJobs is how many jobs a case has.
+// defaultJobs is the number of jobs of the cases of AllCases.
 const defaultJobs = 24
 
-// outageStart is when the outage begins.
+// outageStart returns the time at which the outage begins.
 func (c Case) outageStart() int64 {
 	if c.newLeader {
 		return refusalStart + longOutageDelay
@@ -159,9 +161,9 @@
 	return refusalStart + outageDelay
 }
 
-func (c Case) outageDuration() int64 { return int64(c.quarters) * cancelS / 4 * second }
+func (c Case) outageDuration() int64 { return int64(c.outageQuarters) * cancelS / 4 * second }
 
-// deployment is that of the case, with jobs that run for longer than the outage.
+// deployment returns the case's deployment, with jobs that run longer than the outage.
 func (c Case) deployment() environment.Config {
 	cfg := cases.Deployment{
 		Size:            c.Size,
@@ -195,34 +197,35 @@
 	return cfg
 }
 
-// Result is how a case went.
+// Result is the result of a case.
 type Result struct {
 	Violations []string
 	Unfinished []string
-	// Killed are tasks that nobody cancelled and that ended with the leases of their
-	// machines; Confirmed is how many jobs users had an answer of as cancelled from the
-	// refusal on until the outage's end, LostWrites how many writes were lost.
+	// Killed is the number of tasks that nobody cancelled and that ended because the lease
+	// of their machine expired. Confirmed is the number of jobs that users were told are
+	// cancelled between the start of the refusal and the end of the outage. LostWrites is
+	// the number of writes that were lost.
 	Killed, Confirmed, LostWrites int
 	mayLoseTasks                  bool
 }
 
-// HasViolations says whether the history violates a rule.
+// HasViolations reports whether the history violates a rule.
 func (r Result) HasViolations() bool { return len(r.Violations) > 0 }
 
-// Shortfall says what falls short of what is required, "" if nothing does.
+// Shortfall describes the first unmet requirement, "" if all are met.
 func (r Result) Shortfall() string {
 	switch {
 	case len(r.Violations) > 0:
-		return fmt.Sprintf("broken: %v", r.Violations)
+		return fmt.Sprintf("rules violated: %v", r.Violations)
 	case len(r.Unfinished) > 0:
-		return fmt.Sprintf("not over at the end: %v", r.Unfinished)
+		return fmt.Sprintf("jobs unfinished at the end: %v", r.Unfinished)
 	case r.Killed > 0 && !r.mayLoseTasks:
-		return fmt.Sprintf("%d tasks that nobody cancelled ended with their lease", r.Killed)
+		return fmt.Sprintf("%d tasks that were not cancelled ended when their lease expired", r.Killed)
 	}
 	return ""
 }
 
-// Run runs a case; log gets what controllers log, if it is not nil.
+// Run runs a case. If log is not nil, it receives the log records of the controllers.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
 	run := caseRun{Case: c, losses: c.losses()}
 	options := faketime.Options{Operators: ops, Log: log, Legacy: c.isLegacy, OnStart: run.schedule}
@@ -233,7 +236,7 @@
 	return run.evaluate(cl), nil
 }
 
-// losses are the losses of the writes of cancellations.
+// losses returns the losses to inject for the writes of cancellations.
 func (c Case) losses() (losses []*environment.TransactionLoss) {
 	if c.writeLoss == nil {
 		return nil
@@ -246,14 +249,14 @@
 	return losses
 }
 
-// caseRun is a case that is running.
+// caseRun is the state of a running case.
 type caseRun struct {
 	Case
 	losses []*environment.TransactionLoss
 	failed error
 }
 
-// schedule schedules the faults.
+// schedule schedules the faults of the case.
 func (r *caseRun) schedule(cl *faketime.Cluster) {
 	cl.After(refusalStart-2*second, func() {
 		for _, loss := range r.losses {
@@ -294,8 +297,8 @@
 	return result
 }
 
-// isLegacy says which controllers run a program without read leases: the last, which does
-// not lead in these cases.
+// isLegacy reports whether a controller runs a program without read leases. In legacy cases
+// this is the last controller, which does not lead in them.
 func (c Case) isLegacy(node string) bool {
 	return c.Legacy && node == environment.ControllerName(c.Size-1)
 }
--- a/internal/emulator/outages/outages_test.go
+++ b/internal/emulator/outages/outages_test.go
@@ -10,12 +10,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 )
 
-// TestGaps runs a part of all cases; zinclb-emulator gaps runs them all. The steps have no
-// factor in common with the numbers of timings, losses and lengths.
-func TestGaps(t *testing.T) {
+// TestOutages runs a sample of the cases; zinclb-emulator gaps runs all of them. The sampling
+// intervals are coprime to the numbers of timings, losses and lengths, so that the sample
+// covers all of these.
+func TestOutages(t *testing.T) {
 	selected := append(cases.EveryNth(AllCases(3), 0, 13), cases.EveryNth(AllCases(5), 6, 41)...)
 	selected = append(selected, manyJobs(3, 500, false), manyJobs(5, 500, true), manyJobs(3, 3000, true))
-	for i := 2; i < 24; i += 7 { // nothing else happens
+	for i := 2; i < 24; i += 7 { // cases of the event "nothing else happens"
 		selected = append(selected, withLegacyController(AllCases(3)[i]))
 	}
 	var mu sync.Mutex
@@ -29,26 +30,27 @@
 			confirmed, lost = confirmed+r.Confirmed, lost+r.LostWrites
 		})
 	})
-	// The cases show nothing if no cancellation is confirmed, or no write is lost.
+	// The cases test nothing if no cancellation is confirmed or no write is lost.
 	if confirmed < 4*len(selected) || lost < len(selected) {
-		t.Errorf("%d jobs were called cancelled within, and %d writes were lost", confirmed, lost)
+		t.Errorf("%d cancellations were confirmed during refusals and outages, want at least %d; %d writes were lost, want at least %d", confirmed, 4*len(selected), lost, len(selected))
 	}
 }
 
-// manyJobs is a case of a size with so many jobs, which are cancelled in the second before a
-// long outage, by writes that get no answer if unanswered is set.
+// manyJobs returns a case with the given numbers of controllers and jobs. The jobs are
+// cancelled in the second before an outage of two cancel_s; if unanswered is set, the answers to the
+// writes of the cancellations are lost.
 func manyJobs(size, jobs int, unanswered bool) Case {
 	m := cancelTimings[1]
 	m.interval = outageDelay / 2 / int64(jobs)
-	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], quarters: 8, Jobs: jobs}
+	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], outageQuarters: 8, Jobs: jobs}
 	if unanswered {
 		c.writeLoss = &environment.TransactionLoss{Outcome: environment.LostAfter}
 	}
 	return c
 }
 
-// withLegacyController is a case with an older program beside the leader.
+// withLegacyController returns the case with one follower that runs an older program.
 func withLegacyController(c Case) Case {
-	c.Legacy, c.event.mayLoseTasks = true, true // it grants no read lease
+	c.Legacy, c.event.mayLoseTasks = true, true // the older program grants no read lease
 	return c
 }
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -1,6 +1,6 @@
 // Package partitions enumerates partial network partitions, in which some links of a
-// controller stay up, runs each in simulated time, and tells whether the service went on
-// as far as it could.
+// controller stay up, runs each in simulated time, and checks that the service continued
+// as far as possible.
 package partitions
 
 import (
@@ -20,43 +20,43 @@
 
 const second = config.Second
 
-// The roles of the partitioned controller when the partition begins.
+// Roles of the partitioned controller when the partition begins.
 const (
 	Leader   = "leader"
 	Follower = "holder"
 )
 
-// The directions of a partition, seen from the controller.
+// Directions of a partition, relative to the controller.
 const (
 	bothWays = "both"
 	outward  = "out"
 	inward   = "in"
 )
 
-// The modes of a partition: what happens to messages and connections over its links.
+// Modes of a partition: what happens to messages and connections on its links.
 const (
 	modeHold   = "hold"
 	modeReset  = "reset"
 	modeRefuse = "refuse"
 )
 
-// Extra faults, which may happen a moment after the partitions have begun.
+// Extra faults, injected 3 s after the partitions have begun.
 const (
 	extraNone     = ""
 	extraFailover = "take-over"  // the leader crashes
-	extraFreeze   = "standstill" // the leader is suspended for longer than its lease
-	extraCrash    = "crash"      // the first partitioned controller crashes and comes back
+	extraFreeze   = "standstill" // the leader's process is suspended for longer than its lease
+	extraCrash    = "crash"      // the first partitioned controller crashes and restarts
 )
 
 // Partition takes some links of one controller down.
 type Partition struct {
 	Role            string
-	Links           []string // state, cloud, users, peers, peer-1 and so on, zone:a and so on
+	Links           []string // state, cloud, users, peers, peer-1 etc., zone:a etc.
 	Direction, Mode string
 	Duration        int64
 }
 
-// Case is one or two partitions at once, and an extra fault a moment later.
+// Case is one or two simultaneous partitions, and possibly an extra fault 3 s later.
 type Case struct {
 	Size       int
 	Partitions []Partition
@@ -64,7 +64,7 @@
 	Seed       uint64
 }
 
-// ID is the case's number.
+// ID returns the number of the case.
 func (c Case) ID() uint64 { return c.Seed }
 
 func (c Case) String() string {
@@ -78,7 +78,7 @@
 	return s
 }
 
-// links are all links of a controller.
+// links returns all links of a controller.
 func links(size int) []string {
 	all := []string{"state"}
 	for i := 1; i < size; i++ {
@@ -90,7 +90,7 @@
 	return append(all, "cloud", "users")
 }
 
-// subsets are all subsets of some links that are not empty.
+// subsets returns all non-empty subsets of links.
 func subsets(links []string) (out [][]string) {
 	for set := 1; set < 1<<len(links); set++ {
 		var subset []string
@@ -104,14 +104,14 @@
 	return out
 }
 
-// extraFaults are all extra faults.
+// extraFaults lists all extra faults.
 var extraFaults = []string{extraNone, extraFailover, extraFreeze, extraCrash}
 
-// pairLinks are the sets of links that partitions of two controllers are made of.
+// pairLinks are the sets of links that are cut when two controllers are partitioned.
 var pairLinks = [][]string{{"state"}, {"peers"}, {"zone:a"}, {"zone:a", "zone:b"}, {"state", "peers"}, {"zone:a", "zone:b", "peers"}, {"state", "zone:a", "zone:b"}}
 
-// AllCases are all cases of a size: single partitions, pairs of partitions, and single
-// partitions with an extra fault.
+// AllCases returns all cases with the given number of controllers: single partitions, pairs
+// of partitions, and single partitions with an extra fault.
 func AllCases(size int) []Case {
 	all := slices.Concat(singleCases(size), pairCases(size), extraCases(size))
 	for i := range all {
@@ -120,8 +120,8 @@
 	return all
 }
 
-// singleCases are every subset of the links of the leader and of a follower, in each
-// direction, mode and length.
+// singleCases returns one partition for each subset of the links of the leader and of a
+// follower, in each direction, mode and duration.
 func singleCases(size int) (out []Case) {
 	for _, role := range []string{Leader, Follower} {
 		for _, set := range subsets(links(size)) {
@@ -137,8 +137,8 @@
 	return out
 }
 
-// pairCases are partitions of the leader and a follower at once, without and with each
-// extra fault.
+// pairCases returns simultaneous partitions of the leader and a follower, without and with
+// each extra fault.
 func pairCases(size int) (out []Case) {
 	for _, leaderLinks := range pairLinks {
 		for _, followerLinks := range pairLinks {
@@ -155,8 +155,8 @@
 	return out
 }
 
-// extraCases are every subset of the links that serving jobs depends on, with each extra
-// fault.
+// extraCases returns partitions of each subset of the links that serving jobs depends on,
+// with each extra fault.
 func extraCases(size int) (out []Case) {
 	for _, role := range []string{Leader, Follower} {
 		for _, set := range subsets(links(size)[:size+len(cases.Zones())]) {
@@ -168,31 +168,31 @@
 	return out
 }
 
-// Result is how a case went.
+// Result is the result of a case.
 type Result struct {
-	// Serviceable says that some controller reaches the state service and, itself or
-	// through at most two others, all workers, for as long as the partitions last.
+	// Serviceable is set if, while the partitions last, some controller reaches the state
+	// service and, directly or through at most two others, all workers.
 	Serviceable bool
-	// Served is the share of the jobs submitted from 15 s after the partition, while it
-	// lasts and a little longer, that were done in time; Killed counts tasks that
-	// ended with the lease of their worker.
+	// Served is the share of jobs that were done in time, of those submitted from 15 s
+	// after the partition began until 20 s after it ended. Killed is the number of tasks
+	// that ended because the lease of their worker expired.
 	Served     float64
 	Killed     int
 	Violations []string
 }
 
-// HasViolations says whether the history violates a rule.
+// HasViolations reports whether the history violates a rule.
 func (r Result) HasViolations() bool { return len(r.Violations) > 0 }
 
-// Shortfall says what falls short of what is required, "" if nothing does.
+// Shortfall describes the first unmet requirement, "" if all are met.
 func (r Result) Shortfall() string {
 	switch {
 	case len(r.Violations) > 0:
-		return "broken: " + strings.Join(r.Violations, "; ")
+		return "rules violated: " + strings.Join(r.Violations, "; ")
 	case r.Serviceable && r.Killed > 0:
-		return fmt.Sprintf("%d tasks were killed by their lease", r.Killed)
+		return fmt.Sprintf("%d tasks ended when their lease expired", r.Killed)
 	case r.Serviceable && r.Served < 0.9:
-		return fmt.Sprintf("%.2f served", r.Served)
+		return fmt.Sprintf("share of jobs served is %.2f, want at least 0.90", r.Served)
 	}
 	return ""
 }
@@ -204,8 +204,8 @@
 	jobInterval    = 1 * second
 )
 
-// deployment is small, with more room than is needed, so that only a partition can keep
-// jobs waiting: a job a second, and tasks that run all the time.
+// deployment returns a small deployment with spare capacity, so that only a partition can
+// keep jobs waiting. Its load is one short job per second, and tasks that run all the time.
 func deployment(c Case) environment.Config {
 	cfg := cases.Deployment{
 		Size:            c.Size,
@@ -238,8 +238,8 @@
 	return cfg
 }
 
-// Run runs a case with controllers of some settings; log gets what they log, if it is not
-// nil.
+// Run runs a case with the given controller settings. If log is not nil, it receives the log
+// records of the controllers.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
 	run := caseRun{Case: c}
 	cl, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnStart: run.schedule})
@@ -249,15 +249,15 @@
 	return evaluate(cl, c, run.serviceable), nil
 }
 
-// caseRun is a case that is running.
+// caseRun is the state of a running case.
 type caseRun struct {
 	Case
-	hosts       []string // the controllers of the partitions
+	hosts       []string // the partitioned controllers, in the order of Partitions
 	serviceable bool
 	failed      error
 }
 
-// schedule schedules the faults.
+// schedule schedules the faults of the case.
 func (r *caseRun) schedule(cl *faketime.Cluster) {
 	cl.After(partitionStart, func() {
 		r.hosts = affectedControllers(cl, r.Case)
@@ -288,7 +288,7 @@
 	return gone
 }
 
-// longest is how long the longest partition of the case lasts.
+// longest returns the duration of the longest partition of the case.
 func (c Case) longest() (longest int64) {
 	for _, p := range c.Partitions {
 		longest = max(longest, p.Duration)
@@ -314,8 +314,8 @@
 	return r
 }
 
-// affectedControllers are the controllers of a case's partitions: the leader, and the others
-// in their order.
+// affectedControllers returns the controller of each partition of a case: the leader for the
+// role Leader, the other controllers in the order of their numbers for the role Follower.
 func affectedControllers(cl *faketime.Cluster, c Case) (out []string) {
 	lead := cl.Leaders()
 	if len(lead) == 0 {
@@ -336,7 +336,7 @@
 	return out
 }
 
-// farSide are the hosts at the far side of a partition's links.
+// farSide returns the hosts at the far side of a partition's links.
 func farSide(x Partition, host string, size int) (out []string) {
 	peers := []string{}
 	for i := range size {
@@ -373,7 +373,7 @@
 		},
 	}
 	for _, o := range farSide(x, host, cl.Config.Params.Size) {
-		// A zone's controllers are not part of the link to its workers.
+		// The link to a zone consists of its workers alone, not of its controllers.
 		to := []string{o}
 		if z, ok := strings.CutPrefix(o, "zone:"); ok {
 			to = []string{"workers:" + z}
@@ -389,9 +389,9 @@
 	return nil
 }
 
-// serviceable is the oracle: whether some controller could lead and reach all workers
-// through at most two others. A link that is down in one direction counts as down, and a
-// controller that crashes or is suspended during the case as gone.
+// serviceable is the oracle for Result.Serviceable: it reports whether some controller could
+// lead and reach all workers through at most two others. A link that is down in one direction
+// counts as down, and a controller that crashes or is suspended during the case as gone.
 func serviceable(c Case, hosts []string, gone string) bool {
 	cut := map[[2]string]bool{}
 	for i, x := range c.Partitions {
--- a/internal/emulator/partitions/partitions_test.go
+++ b/internal/emulator/partitions/partitions_test.go
@@ -8,35 +8,36 @@
 	"github.com/zinclb/zinclb/internal/emulator/cases/casestest"
 )
 
-// Of all cases one in so many runs here, from the first one on; the number has no factor in
-// common with those of the directions, modes and lengths, so that all of these come.
-// zinclb-emulator cuts runs all of them.
+// The test runs every sampleInterval-th case, beginning with firstCase. The interval is
+// coprime to the numbers of directions, modes and durations, so that the sample covers all of
+// these. zinclb-emulator cuts runs all cases.
 const (
-	first  = 0
-	eachOf = 97
+	firstCase      = 0
+	sampleInterval = 97
 )
 
-// TestCuts runs a part of all partitions of three controllers: every rule holds, and where
-// the service can go on it does.
-func TestCuts(t *testing.T) {
-	casestest.Run(t, cases.EveryNth(AllCases(3), first, eachOf), runWithDefaults, nil)
+// TestPartitions runs a sample of the partitions of three controllers: every rule has to
+// hold, and the service has to continue where it can.
+func TestPartitions(t *testing.T) {
+	casestest.Run(t, cases.EveryNth(AllCases(3), firstCase, sampleInterval), runWithDefaults, nil)
 }
 
 func runWithDefaults(c Case) (Result, error) { return Run(c, config.Defaults(), nil) }
 
-// TestCutsTell checks the checks: they fail a run in which a leader without links does not
-// step down, and expect no service where no controller could give it.
-func TestCutsTell(t *testing.T) {
+// TestPartitionChecks tests the checks themselves: they have to fail a run in which a leader
+// that reaches neither peers nor workers does not step down, and must not expect service
+// where no controller could provide it.
+func TestPartitionChecks(t *testing.T) {
 	off := config.Defaults()
 	off.Reach = false
 	alone := Case{Size: 3, Seed: 5, Partitions: []Partition{{Leader, []string{"peers", "zone:a", "zone:b"}, bothWays, modeHold, 90 * second}}}
 	r, err := Run(alone, off, nil)
 	if err != nil || !r.Serviceable || r.Killed == 0 || r.Shortfall() == "" {
-		t.Errorf("a leader that leads nothing passed: %+v, %v", r, err)
+		t.Errorf("isolated leader that stays leader: got %+v, error %v, want a serviceable case with killed tasks and a shortfall", r, err)
 	}
 	nobody := alone
 	nobody.Partitions = append(nobody.Partitions, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second}, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second})
 	if r, err = Run(nobody, config.Defaults(), nil); err != nil || r.Serviceable || len(r.Violations) > 0 {
-		t.Errorf("nobody could serve: %+v, %v", r, err)
+		t.Errorf("no controller can serve: got %+v, error %v, want a case that is not serviceable, without violations", r, err)
 	}
 }
--- a/internal/emulator/soak/draw.go
+++ b/internal/emulator/soak/draw.go
@@ -1,7 +1,7 @@
-// Package soak plays runs that are drawn from seeds: pipelines of which users cancel much, near
-// the limits of the state service, while controllers are restarted, one or all, and the state
-// service refuses one after the other. A seed always gives the same run, and each history is
-// checked against all rules.
+// Package soak runs random configurations in simulated time: pipelines with many cancelled
+// jobs, near the limits of the state service, while single or all controllers are restarted
+// and the state service refuses one controller after the other. A seed always gives the same
+// run, and each history is checked against all rules.
 package soak
 
 import (
@@ -17,27 +17,27 @@
 const (
 	second = config.Second
 
-	// length of a run: the last job comes and the last fault begins before lastFault, and the
-	// rule on forgotten jobs needs 75 s after it.
+	// length is the length of a run. The last job is submitted and the last fault begins
+	// before lastFault, and the rule on forgotten jobs needs 75 s after that.
 	length     = 210 * second
 	firstFault = 14 * second
 	lastFault  = 90 * second
 
-	// stream tells the random numbers of a run's plan from others of the same seed.
-	stream = 47
+	// rngStream separates the random numbers of a configuration from others of the same seed.
+	rngStream = 47
 )
 
-// plan is a run that is being drawn.
-type plan struct {
+// configBuilder builds a random configuration.
+type configBuilder struct {
 	environment.Config
 	rng *rand.Rand
-	// ids are the jobs so far, for pipelines that depend on earlier ones.
+	// ids are the IDs of the jobs so far, for pipelines that depend on earlier jobs.
 	ids []string
 }
 
-// Draw draws the run of a seed.
-func Draw(seed uint64) environment.Config {
-	p := &plan{rng: rand.New(rand.NewPCG(seed, stream))}
+// RandomConfig returns the random configuration of a seed.
+func RandomConfig(seed uint64) environment.Config {
+	p := &configBuilder{rng: rand.New(rand.NewPCG(seed, rngStream))}
 	p.Config = p.deployment(seed).Config()
 	p.Length = length
 	p.StrayRequestRate = 0.3
@@ -52,8 +52,9 @@
 	return p.Config
 }
 
-// deployment draws a deployment whose state service allows little more than is used.
-func (p *plan) deployment(seed uint64) cases.Deployment {
+// deployment returns a random deployment whose state service has rate limits slightly above
+// the usage.
+func (p *configBuilder) deployment(seed uint64) cases.Deployment {
 	size := []int{3, 5}[p.rng.IntN(2)]
 	return cases.Deployment{
 		Size:            size,
@@ -71,13 +72,13 @@
 	}
 }
 
-// between draws a time.
-func (p *plan) between(from, to int64) int64 { return from + p.rng.Int64N(to-from) }
+// between returns a random time in [from, to).
+func (p *configBuilder) between(from, to int64) int64 { return from + p.rng.Int64N(to-from) }
 
-// chance is true so often.
-func (p *plan) chance(share float64) bool { return p.rng.Float64() < share }
+// chance returns true with the given probability.
+func (p *configBuilder) chance(share float64) bool { return p.rng.Float64() < share }
 
-func (p *plan) addJob(at int64, spec wire.Job) *environment.Job {
+func (p *configBuilder) addJob(at int64, spec wire.Job) *environment.Job {
 	run := p.between(2*second, 8*second)
 	spec.MemGB, spec.Image, spec.ImageGB = 1, "im-"+spec.Class, 0.5
 	spec.EstimateS = float64(run) / float64(second)
@@ -86,10 +87,10 @@
 	return &p.Jobs[len(p.Jobs)-1]
 }
 
-// addPipeline adds jobs each of which depends on the one before. Many are cancelled at some
-// stage, some begin behind an earlier job, which may be over by then, and some last stages come
-// when the others are over.
-func (p *plan) addPipeline(number int) {
+// addPipeline adds jobs each of which depends on the one before. Half of the pipelines are
+// cancelled at some stage, some depend on an earlier job, which may have ended by then, and
+// some last stages are submitted only after their dependencies have ended.
+func (p *configBuilder) addPipeline(number int) {
 	at := p.between(2*second, lastFault-10*second)
 	team := []string{"red", "blue"}[p.rng.IntN(2)]
 	var dependencies []string
@@ -114,8 +115,8 @@
 	}
 }
 
-// addGang adds a job that runs as a whole or not at all.
-func (p *plan) addGang(number int) {
+// addGang adds a gang job, whose tasks all run at the same time.
+func (p *configBuilder) addGang(number int) {
 	at := p.between(2*second, lastFault)
 	job := p.addJob(at, wire.Job{
 		ID: fmt.Sprintf("gang-%02d", number), Class: "gang", Team: "red", Kind: wire.Gang,
@@ -126,8 +127,8 @@
 	}
 }
 
-// addFaults adds faults one after the other, some of which overlap.
-func (p *plan) addFaults() {
+// addFaults adds successive faults, some of which overlap.
+func (p *configBuilder) addFaults() {
 	p.Faults = append(p.Faults, environment.Fault{At: 4 * second, Kind: environment.FaultCloseLooks, Duration: lastFault})
 	for at := firstFault; at < lastFault; at += p.between(2*second, 10*second) {
 		fault := p.fault()
@@ -136,8 +137,8 @@
 	}
 }
 
-// fault draws a fault; restarts and refusals are the most frequent.
-func (p *plan) fault() environment.Fault {
+// fault returns a random fault. Restarts and refusals are the most frequent.
+func (p *configBuilder) fault() environment.Fault {
 	one := []string{environment.ControllerName(p.rng.IntN(p.Params.Size))}
 	switch p.rng.IntN(14) {
 	case 0, 1, 2:
--- a/internal/emulator/soak/soak.go
+++ b/internal/emulator/soak/soak.go
@@ -12,53 +12,54 @@
 	"github.com/zinclb/zinclb/internal/emulator/faketime"
 )
 
-// progressInterval is how often a soak prints how far it is.
+// progressInterval is the minimum time between two progress lines.
 const progressInterval = time.Minute
 
-// Result is what came of one run.
+// Result is the result of one run.
 type Result struct {
 	Seed uint64
-	// Violations are the rules that it broke, a line each; Unfinished are the jobs that were
+	// Violations are the rule violations, one per line. Unfinished are the jobs that were
 	// accepted and have not ended.
 	Violations, Unfinished []string
-	// Err says why the run could not be played.
+	// Err is the error if the run could not be executed.
 	Err error
 }
 
-// Failed says whether anything is wrong with the run.
+// Failed reports whether the run had an error, a violation or an unfinished job.
 func (r *Result) Failed() bool {
 	return r.Err != nil || len(r.Violations) > 0 || len(r.Unfinished) > 0
 }
 
 func (r *Result) String() string {
-	return fmt.Sprintf("seed %d: broken %q, not over %v, error %v", r.Seed, r.Violations, r.Unfinished, r.Err)
+	return fmt.Sprintf("seed %d: rules violated %q, unfinished jobs %v, error %v", r.Seed, r.Violations, r.Unfinished, r.Err)
 }
 
-// Play plays the run of a seed.
-func Play(seed uint64) Result {
-	cluster, err := faketime.Run(Draw(seed), faketime.Options{Operators: config.Defaults()})
+// RunSeed runs the configuration of a seed.
+func RunSeed(seed uint64) Result {
+	cluster, err := faketime.Run(RandomConfig(seed), faketime.Options{Operators: config.Defaults()})
 	if err != nil {
 		return Result{Seed: seed, Err: err}
 	}
 	return Result{Seed: seed, Violations: cluster.Violations(), Unfinished: cluster.Environment.Unfinished()}
 }
 
-// Plan says which seeds a soak plays, and for how long.
+// Plan contains the seeds of a soak and its time limit.
 type Plan struct {
 	First, Seeds uint64
-	// AtMost ends the soak early; 0 plays all seeds.
+	// AtMost is the time after which no further run is started; 0 means no limit.
 	AtMost time.Duration
-	// Parallel is how many runs are played at once.
+	// Parallel is the number of concurrent runs.
 	Parallel int
 }
 
-// Summary is what came of a soak.
+// Summary is the result of a soak.
 type Summary struct {
 	Played uint64
-	Failed []uint64 // seeds, in order
+	Failed []uint64 // seeds of the failed runs, in ascending order
 }
 
-// Run plays a soak. It prints each run that fails when it does, and a line a minute.
+// Run runs a soak. It prints each failed run when it ends, and a progress line at most once
+// a minute.
 func (p Plan) Run(ctx context.Context, out io.Writer) Summary {
 	if p.AtMost > 0 {
 		var cancel context.CancelFunc
@@ -81,7 +82,7 @@
 	for range p.Parallel {
 		workers.Go(func() {
 			for seed := range seeds {
-				report.add(Play(seed))
+				report.add(RunSeed(seed))
 			}
 		})
 	}
@@ -90,7 +91,7 @@
 	return report.summary
 }
 
-// progress counts the runs of a soak and prints how it goes.
+// progress collects the results of a soak and prints its progress.
 type progress struct {
 	mu        sync.Mutex
 	out       io.Writer
@@ -109,6 +110,6 @@
 	}
 	if time.Since(p.printedAt) >= progressInterval {
 		p.printedAt = time.Now()
-		_, _ = fmt.Fprintf(p.out, "%d of %d played, %d failed\n", p.summary.Played, p.total, len(p.summary.Failed))
+		_, _ = fmt.Fprintf(p.out, "%d of %d runs completed, %d failed\n", p.summary.Played, p.total, len(p.summary.Failed))
 	}
 }
--- a/internal/emulator/soak/soak_test.go
+++ b/internal/emulator/soak/soak_test.go
@@ -8,38 +8,38 @@
 	"testing"
 )
 
-// soakSeeds is how many seeds the tests play, less than two minutes under the race detector;
-// zinclb-emulator soak plays any number.
+// soakSeeds is the number of seeds that TestSoak runs, which takes less than two minutes under
+// the race detector. zinclb-emulator soak runs any number.
 const soakSeeds = 100
 
-// TestSoak plays the first seeds: no rule is broken, and all that was accepted comes to its end.
+// TestSoak runs the first seeds: no rule may be violated, and all accepted jobs have to end.
 func TestSoak(t *testing.T) {
 	var out strings.Builder
 	summary := Plan{First: 1, Seeds: soakSeeds, Parallel: runtime.NumCPU()}.Run(context.Background(), &out)
 	if summary.Played != soakSeeds || len(summary.Failed) > 0 {
-		t.Errorf("%d played, %d failed:\n%s", summary.Played, len(summary.Failed), out.String())
+		t.Errorf("%d runs completed, want %d; %d failed, want 0:\n%s", summary.Played, soakSeeds, len(summary.Failed), out.String())
 	}
 }
 
-// TestFoundRuns plays the runs of further seeds in which something once went wrong: in the first
-// ones the end of a job was lost, in the last one a repeated submission was never answered.
-func TestFoundRuns(t *testing.T) {
+// TestRegressionSeeds runs further seeds whose runs failed once: in 396 a repeated submission was
+// never answered, in the others the end of a job was lost.
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{139, 155, 176, 282, 396} {
-		if result := Play(seed); result.Failed() {
+		if result := RunSeed(seed); result.Failed() {
 			t.Error(&result)
 		}
 	}
 }
 
-// TestDrawnRuns: a seed always draws the same run, another draws another, and all kinds of what
-// the soak is for are among few of them.
-func TestDrawnRuns(t *testing.T) {
-	if !reflect.DeepEqual(Draw(7), Draw(7)) || reflect.DeepEqual(Draw(7), Draw(8)) {
-		t.Error("what is drawn does not follow from the seed")
+// TestRandomConfig checks that a seed always gives the same configuration, that another seed
+// gives another, and that few seeds suffice to get every kind of fault and job that the soak is for.
+func TestRandomConfig(t *testing.T) {
+	if !reflect.DeepEqual(RandomConfig(7), RandomConfig(7)) || reflect.DeepEqual(RandomConfig(7), RandomConfig(8)) {
+		t.Error("configuration is not determined by the seed, or is the same for seeds 7 and 8")
 	}
 	drawn := map[string]int{}
 	for seed := range uint64(30) {
-		run := Draw(seed)
+		run := RandomConfig(seed)
 		for _, fault := range run.Faults {
 			drawn[string(fault.Kind)]++
 		}
@@ -57,20 +57,20 @@
 	}
 	for _, kind := range []string{"crash", "state_refuse", "state_outage", "state_slow", "late_writes", "cut", "freeze", "close_looks", "a dependent job", "a cancelled job", "a job submitted after its dependencies"} {
 		if drawn[kind] < 5 {
-			t.Errorf("%s: %d in 30 runs", kind, drawn[kind])
+			t.Errorf("%s: got %d in 30 runs, want at least 5", kind, drawn[kind])
 		}
 	}
 }
 
-// TestPlan: a soak ends with its time, and plays each of its seeds once.
+// TestPlan checks that a soak ends when its context does, and runs each of its seeds once.
 func TestPlan(t *testing.T) {
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	var out strings.Builder
 	if summary := (Plan{First: 1, Seeds: 1000, Parallel: 1}).Run(cancelled, &out); summary.Played > 2 {
-		t.Errorf("%d runs were played when the time was over", summary.Played)
+		t.Errorf("%d runs after the context was cancelled, want at most 2", summary.Played)
 	}
 	if summary := (Plan{First: 3, Seeds: 2, Parallel: 2}).Run(context.Background(), &out); summary.Played != 2 {
-		t.Errorf("%d runs of 2 seeds were played", summary.Played)
+		t.Errorf("got %d runs of 2 seeds, want 2", summary.Played)
 	}
 }
