--- a/internal/emulator/cases/cases.go
+++ b/internal/emulator/cases/cases.go
@@ -43,8 +43,8 @@
 const progressInterval = 10 * time.Second
 
 // RunAll runs the cases, at most parallel of them at a time, and prints those that fail to
-// run or have a shortfall. It calls note with each result, one at a time.
-func RunAll[C Case, R Result](all []C, parallel int, out io.Writer, run func(C) (R, error), note func(R)) Summary {
+// run or have a shortfall. It calls onResult with each result, one at a time.
+func RunAll[C Case, R Result](all []C, parallel int, out io.Writer, run func(C) (R, error), onResult func(R)) Summary {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	var summary Summary
@@ -61,7 +61,7 @@
 			if result.HasViolations() {
 				summary.Violating++
 			}
-			note(result)
+			onResult(result)
 		}
 		if shortfall != "" {
 			summary.Short++
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -17,14 +17,14 @@
 	job   = environment.Job
 )
 
-// testRun is the configuration of a run, with the settings of its controllers.
+// testRun is the configuration of a run and the settings of its controllers.
 type testRun struct {
 	environment.Config
 	ops        config.Operators
 	oneMissing bool
 }
 
-// newTestRun is a deployment with tight limits.
+// newTestRun returns a small deployment with tight limits and random jobs.
 func newTestRun(seed uint64) *testRun {
 	d := &testRun{ops: config.Defaults()}
 	set := &d.Params
@@ -65,8 +65,8 @@
 	return d
 }
 
-// setMachines lets so many machines be there at the start, and as many more of each kind
-// in each zone be rented.
+// setMachines sets the number of machines that are up at the start to n, and the number that
+// can be rented in each zone to n, of which half as spot machines.
 func (d *testRun) setMachines(n int) {
 	d.Machines, d.Capacity = nil, nil
 	for i, z := range d.Params.Zones {
@@ -75,9 +75,9 @@
 	}
 }
 
-// addPipelines adds pipelines of four stages to a day: some are cancelled at some
-// stage, some last stages come when the others are over, and some first stages
-// await a job of the day.
+// addPipelines adds n pipelines of four stages to the run. Some are cancelled at some stage,
+// some last stages are submitted only after their dependencies have ended, and some first
+// stages depend on another job of the run.
 func (d *testRun) addPipelines(n int) {
 	rng := rand.New(rand.NewPCG(d.Seed, 10))
 	for i := range n {
@@ -108,13 +108,14 @@
 	}
 }
 
-// announceLowerLimits announces lower limits of the state service.
+// announceLowerLimits announces lower limits of the state service. They take effect with the
+// fault state_limits.
 func (d *testRun) announceLowerLimits() {
 	rate, kb, ops := 18.0, 2.0, 4
 	d.Params.State.Next = &config.UpcomingStateLimits{WriteRPS: &rate, ValueKB: &kb, TxnOps: &ops}
 }
 
-// run runs it.
+// run runs the configuration and fails the test if it cannot be run.
 func (d *testRun) run(tb testing.TB, begin func(*Cluster)) *Cluster {
 	tb.Helper()
 	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.oneMissing, OnStart: begin})
@@ -124,7 +125,7 @@
 	return c
 }
 
-// runAndCheck runs a day on which every rule has to hold, and every accepted job has to end.
+// runAndCheck runs the configuration and fails the test if checkRun finds an error.
 func (d *testRun) runAndCheck(tb testing.TB) *Cluster {
 	tb.Helper()
 	c := d.run(tb, nil)
@@ -132,14 +133,14 @@
 	return c
 }
 
-// checkRun fails a day that violated a rule, or on which an accepted job did not end.
+// checkRun fails the test if the run violated a rule or an accepted job did not end.
 func checkRun(tb testing.TB, c *Cluster) {
 	tb.Helper()
 	for _, b := range c.Violations() {
 		tb.Error(b)
 	}
 	if l := c.Environment.Unfinished(); len(l) > 0 {
-		tb.Errorf("not over at the end: %v", l)
+		tb.Errorf("jobs unfinished at the end: %v, want none", l)
 	}
 }
 
@@ -147,8 +148,8 @@
 	return fault{At: s * second, Duration: forS * second, Kind: kind, Hosts: hosts}
 }
 
-// seedCount is how many a case is played with: fewer where all runs many times as
-// slow.
+// seedCount returns the number of seeds that each case is run with, fewer under the race
+// detector, where tests are many times slower.
 func seedCount() uint64 {
 	if raceEnabled {
 		return 1
@@ -156,7 +157,7 @@
 	return 3
 }
 
-// faultPerController lets a fault happen to one controller after the other, from 50 s on.
+// faultPerController returns one fault per controller, at intervals of each from 50 s on.
 func faultPerController(kind environment.FaultKind, each, forS int64) (l []fault) {
 	for i := range int64(3) {
 		l = append(l, faultAt(50+i*each, kind, forS, environment.ControllerName(int(i))))
@@ -164,50 +165,50 @@
 	return l
 }
 
-// sharedFaultCases of faults that every kind of day has to get through.
+// sharedFaultCases are the fault cases that runs with each kind of load have to pass.
 var sharedFaultCases = []struct {
 	name   string
 	faults []fault
 	loss   float64
 }{
-	{name: "quiet"},
+	{name: "no faults"},
 	{name: "one controller crashes", faults: []fault{faultAt(60, "crash", 0, "node-0"), faultAt(90, "crash", 0, "node-1")}},
-	{name: "two crash at once", faults: []fault{faultAt(70, "crash", 0, "node-0", "node-1")}},
-	{name: "all crash", faults: []fault{faultAt(50, "crash", 0), faultAt(120, "crash", 0)}},
+	{name: "two controllers crash at once", faults: []fault{faultAt(70, "crash", 0, "node-0", "node-1")}},
+	{name: "all controllers crash", faults: []fault{faultAt(50, "crash", 0), faultAt(120, "crash", 0)}},
 	{
-		name:   "all are restarted in turn while capacity is refused and the state service comes back cold",
+		name:   "rolling restart while the cloud refuses capacity and the state service is down and compacts its history",
 		faults: []fault{faultAt(50, "cloud_refuse", 120), faultAt(60, "roll", 7), faultAt(63, "state_cold", 12), faultAt(80, "machine_die", 0, "host-000003")},
 	},
 	{name: "state outage", faults: []fault{faultAt(60, "state_outage", 15)}},
 	{name: "state outage longer than hold and lease", faults: []fault{faultAt(60, "state_outage", 45)}},
-	{name: "all crash in a state outage", faults: []fault{faultAt(60, "state_outage", 15), faultAt(65, "crash", 0)}},
-	{name: "the state service refuses one after the other", faults: faultPerController("state_refuse", 45, 40)},
+	{name: "all controllers crash in a state outage", faults: []fault{faultAt(60, "state_outage", 15), faultAt(65, "crash", 0)}},
+	{name: "the state service refuses one controller after the other", faults: faultPerController("state_refuse", 45, 40)},
 	{name: "the state service is slow", faults: []fault{{At: 50 * second, Duration: 60 * second, Kind: "state_slow", Factor: 100}}},
-	{name: "each is cut in turn", faults: faultPerController("cut", 35, 30)},
-	{name: "each stands still in turn", faults: faultPerController("freeze", 50, 40)},
+	{name: "each controller is partitioned in turn", faults: faultPerController("cut", 35, 30)},
+	{name: "each controller is frozen in turn", faults: faultPerController("freeze", 50, 40)},
 	{name: "controllers cannot reach each other", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"controllers"}, PartitionMode: environment.PartitionMode{Reset: true}}}},
-	{name: "a zone is cut off", faults: []fault{faultAt(60, "cut", 40, "zone:a")}},
-	{name: "a zone is cut off from the other zones alone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
-	{name: "the leader hears no worker", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
+	{name: "a zone is partitioned", faults: []fault{faultAt(60, "cut", 40, "zone:a")}},
+	{name: "a zone is partitioned only from the other zone", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"zone:b"}}}},
+	{name: "controllers reach no worker", faults: []fault{{At: 60 * second, Duration: 60 * second, Kind: "cut", Hosts: []string{"controllers"}, To: []string{"workers"}}}},
 	{name: "answers are lost and requests executed late", loss: 0.05, faults: []fault{faultAt(100, "crash", 0, "node-1")}},
 	{name: "machines go silent and die", faults: []fault{
 		faultAt(40, "machine_silent", 12, "host-000000"), faultAt(60, "machine_silent", 40, "host-000001"),
 		faultAt(80, "machine_die", 0, "host-000002"), faultAt(82, "crash", 0),
 	}},
-	{name: "a third hangs for half a lease while a new leader begins", faults: []fault{
+	{name: "a third of the machines hangs for half a lease while a new leader starts", faults: []fault{
 		faultAt(60, "crash", 0, "node-0", "node-1"),
 		faultAt(61, "machine_hang", 8, "host-000000", "host-000003", "host-000006"),
 	}},
-	{name: "a third dies as all controllers end", faults: []fault{faultAt(70, "machine_die", 0, "host-000001", "host-000004", "host-000007"), faultAt(71, "crash", 0)}},
-	{name: "a controller is cut off with a third of the machines, and another crashes", faults: []fault{
+	{name: "a third of the machines dies as all controllers crash", faults: []fault{faultAt(70, "machine_die", 0, "host-000001", "host-000004", "host-000007"), faultAt(71, "crash", 0)}},
+	{name: "a controller is partitioned, a third of the machines is silent, and another controller crashes", faults: []fault{
 		faultAt(60, "cut", 35, "node-0"), faultAt(60, "machine_silent", 35, "host-000000", "host-000002", "host-000005"), faultAt(63, "crash", 0, "node-1"),
 	}},
 	{name: "silent machines in a cloud outage", faults: []fault{faultAt(40, "cloud_outage", 100), faultAt(60, "machine_silent", 30, "host-000001"), faultAt(70, "machine_silent", 50, "host-000003")}},
 	{name: "machines fail every task", faults: []fault{faultAt(40, "machine_faulty", 60, "host-000001", "host-000002")}},
-	{name: "spot machines are taken in a wave", faults: []fault{{At: 60 * second, Kind: "spot_wave", Share: 1}, {At: 130 * second, Kind: "spot_wave", Share: 0.5}}},
+	{name: "waves of spot preemptions", faults: []fault{{At: 60 * second, Kind: "spot_wave", Share: 1}, {At: 130 * second, Kind: "spot_wave", Share: 0.5}}},
 }
 
-// TestFaults plays whole days with faults.
+// TestFaults runs mixed jobs through each of the shared fault cases.
 func TestFaults(t *testing.T) {
 	for i, tc := range sharedFaultCases {
 		for seed := range seedCount() {
@@ -223,8 +224,8 @@
 	}
 }
 
-// TestPipelines plays days with pipelines, while limits fall and controllers
-// and the state service fail.
+// TestPipelines runs pipelines while the limits of the state service are lowered and
+// controllers and the state service fail.
 func TestPipelines(t *testing.T) {
 	limits := faultAt(70, "state_limits", 0)
 	cases := []struct {
@@ -232,13 +233,13 @@
 		faults []fault
 		loss   float64
 	}{
-		{name: "quiet"},
-		{name: "limits fall", faults: []fault{limits}},
-		{name: "limits fall in a take-over", faults: []fault{limits, faultAt(69, "crash", 0), faultAt(120, "crash", 0, "node-0")}},
-		{name: "crashes", faults: []fault{limits, faultAt(60, "crash", 0, "node-0"), faultAt(90, "crash", 0, "node-1"), faultAt(130, "crash", 0)}},
+		{name: "no faults"},
+		{name: "limits are lowered", faults: []fault{limits}},
+		{name: "limits are lowered during a failover", faults: []fault{limits, faultAt(69, "crash", 0), faultAt(120, "crash", 0, "node-0")}},
+		{name: "controllers crash", faults: []fault{limits, faultAt(60, "crash", 0, "node-0"), faultAt(90, "crash", 0, "node-1"), faultAt(130, "crash", 0)}},
 		{name: "state outage", faults: []fault{limits, faultAt(80, "state_outage", 45)}},
-		{name: "each is refused in turn", faults: append(faultPerController("state_refuse", 45, 40), limits)},
-		{name: "each is cut in turn", faults: append(faultPerController("cut", 35, 30), limits)},
+		{name: "the state service refuses each controller in turn", faults: append(faultPerController("state_refuse", 45, 40), limits)},
+		{name: "each controller is partitioned in turn", faults: append(faultPerController("cut", 35, 30), limits)},
 		{name: "answers are lost", loss: 0.05, faults: []fault{limits, faultAt(100, "crash", 0, "node-1")}},
 	}
 	for i, tc := range cases {
@@ -256,7 +257,7 @@
 	}
 }
 
-// TestLargeArrays runs jobs of many chunks, up to the largest there may be, to their
+// TestLargeArrays runs array jobs of many chunks, up to the largest that is allowed, to their
 // end through a crash of all controllers, within the memory of a small one.
 func TestLargeArrays(t *testing.T) {
 	t.Parallel()
@@ -288,11 +289,11 @@
 				d.Faults = append(d.Faults, faultAt(tc.limits, "state_limits", 0))
 			}
 			d.runAndCheck(t)
-			// The most that the heap has held for all tests until now: of each day
-			// three controllers, the state service, all workers and the history.
+			// The memory of the heap for all tests so far. Each run holds three
+			// controllers, the state service, all workers and the history.
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			t.Logf("heap of %d MB at most", m.HeapSys>>20)
+			t.Logf("heap memory obtained so far: %d MB", m.HeapSys>>20)
 		})
 	}
 }
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -12,8 +12,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// newFollowerRun is a run in which users probe all controllers and cancel, so that newFollowerRun have
-// to answer right after something has happened elsewhere.
+// newFollowerRun returns a run in which users query all controllers and cancel jobs, so that
+// followers have to answer immediately after a change through another controller.
 func newFollowerRun(seed uint64, size int) *testRun {
 	d := newTestRun(seed)
 	d.Params.Size, d.Length = size, 270*second
@@ -28,16 +28,17 @@
 	return d
 }
 
-// followerReads counts the reads of the followers from the leader.
+// followerReads counts the reads that followers send to the leader.
 type followerReads struct {
 	sent, answered, failed int
-	// err is that of the first fault that could not be injected.
+	// err is the error of the first fault that could not be injected.
 	err error
-	// onRead, if set, is called with each read from the leader, while faults last.
+	// onRead, if set, is called with each read from the leader between 20 s and 170 s.
 	onRead func(c *Cluster, node, leader string)
 }
 
-// runWithFollowers runs a day, with a fault every so often from 20 s to 170 s.
+// runWithFollowers runs the configuration and counts reads in f. It calls again, which may
+// inject faults, at the given interval from 20 s to 170 s.
 func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
@@ -71,14 +72,14 @@
 	return c
 }
 
-// TestFollowerReads plays what may come between a follower's question and its answer,
-// with 3, 5 and 12 controllers. No rule is broken, nobody is told anything older than
-// before, and all that was accepted comes to its end.
+// TestFollowerReads injects faults between a follower's read from the leader and its answer,
+// with 3, 5 and 12 controllers. No rule may be violated, no user may get a state older than
+// one that was answered before, and all accepted jobs have to end.
 func TestFollowerReads(t *testing.T) {
 	nothing := func(*Cluster, func(environment.Fault), int) {}
-	// atQuestion injects a fault into the leader at every so manieth question, as
-	// long as it takes the question to arrive.
-	atQuestion := func(nth int, x environment.Fault) func(f *followerReads) {
+	// atRead injects a fault into the leader at every nth read, with a delay of 0 to
+	// 900 µs, while the read is on its way.
+	atRead := func(nth int, x environment.Fault) func(f *followerReads) {
 		return func(f *followerReads) {
 			n := 0
 			f.onRead = func(c *Cluster, _, leader string) {
@@ -94,24 +95,24 @@
 		name  string
 		every int64
 		again func(c *Cluster, inject func(environment.Fault), i int)
-		meet  func(f *followerReads)
-		// fails: some questions have to go unanswered.
+		setup func(f *followerReads)
+		// fails is set if some reads have to fail.
 		fails bool
 	}
 	faultCases := []faultCase{
-		{name: "calm", every: 150 * second, again: nothing},
-		{name: "the one asked ends", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash"}), fails: true},
-		{name: "the one asked is back at once", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
-		{name: "the one asked stands still for longer than its lease", every: 150 * second, again: nothing, meet: atQuestion(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
+		{name: "no faults", every: 150 * second, again: nothing},
+		{name: "the leader crashes", every: 150 * second, again: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), fails: true},
+		{name: "the leader restarts immediately", every: 150 * second, again: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
+		{name: "the leader is frozen for longer than its lease", every: 150 * second, again: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
 		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "reads are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "answers are delayed", every: 1500_000, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
@@ -130,7 +131,7 @@
 				to = append(to, l)
 			}
 		}
-		faultCases = append(faultCases, faultCase{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		faultCases = append(faultCases, faultCase{name: "a follower partitioned from " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
 		}})
 	}
@@ -142,22 +143,23 @@
 			t.Run(fmt.Sprintf("%d controllers/%s", size, x.name), func(t *testing.T) {
 				t.Parallel()
 				f := &followerReads{}
-				if x.meet != nil {
-					x.meet(f)
+				if x.setup != nil {
+					x.setup(f)
 				}
 				d := newFollowerRun(uint64(900+20*k+i), size)
 				c := d.runWithFollowers(t, f, x.every, x.again, nil)
 				checkRun(t, c)
 				if f.answered < 100 || x.fails && f.failed == 0 {
-					t.Errorf("%d questions, %d answers, %d without one", f.sent, f.answered, f.failed)
+					t.Errorf("%d reads, %d answered, want at least 100; %d failed, want some: %v", f.sent, f.answered, f.failed, x.fails)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowerReadsMixedVersions: beside a program that shares nothing nobody asks the leader, and
-// one that comes back when all share reads does no harm.
+// TestFollowerReadsMixedVersions checks that no follower reads from the leader while one
+// controller runs an older program without that feature, and that a controller which goes back
+// to the older program after the feature was activated does no harm.
 func TestFollowerReadsMixedVersions(t *testing.T) {
 	this := upgrade.CurrentProgram()
 	before := this
@@ -167,13 +169,13 @@
 		programs func(node, epoch int) upgrade.Program
 		asks     bool
 	}{
-		{"one is older", func(node, _ int) upgrade.Program {
+		{"one controller is older", func(node, _ int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[node == 1]
 		}, false},
-		{"all are older at first", func(_, epoch int) upgrade.Program {
+		{"all controllers are older at first", func(_, epoch int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[epoch == 1]
 		}, true},
-		{"one goes back to the older", func(node, epoch int) upgrade.Program {
+		{"one controller goes back to the older program", func(node, epoch int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[node == 1 && epoch > 1]
 		}, true},
 	}
@@ -191,28 +193,29 @@
 				}, tc.programs)
 				checkRun(t, c)
 				if tc.asks != (f.sent > 0) {
-					t.Errorf("%d questions", f.sent)
+					t.Errorf("%d reads from the leader, want some: %v", f.sent, tc.asks)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowersPlanted: a leader that shows what it read before the question came, or
-// that goes on answering by what it knew when another leads, is found out.
-func TestFollowersPlanted(t *testing.T) {
+// TestStaleFollowerReads checks that the rules detect a leader that answers with a state that
+// it read before the request arrived, or that keeps answering from its state after another
+// controller became the leader.
+func TestStaleFollowerReads(t *testing.T) {
 	stale := func(s *core.LeaderReadDone) {
 		s.Err, s.Answer = nil, core.Reply{Status: 200, View: &replica.View{Revision: s.AfterRevision}}
 	}
 	cases := []struct {
 		name string
-		// tamper changes an answer; since is for how long the present leader leads.
+		// tamper changes an answer; since is the time since the current leader took office.
 		tamper func(s *core.LeaderReadDone, since int64)
 		want   bool
 	}{
-		{"nothing is planted", func(*core.LeaderReadDone, int64) {}, false},
-		{"a proof older than the request", func(s *core.LeaderReadDone, _ int64) { stale(s) }, true},
-		{"a proof kept over a change of leader", func(s *core.LeaderReadDone, since int64) {
+		{"answers are unchanged", func(*core.LeaderReadDone, int64) {}, false},
+		{"the answer is older than the request", func(s *core.LeaderReadDone, _ int64) { stale(s) }, true},
+		{"the answer is older than the change of leader", func(s *core.LeaderReadDone, since int64) {
 			if since < 10*second {
 				stale(s)
 			}
@@ -246,7 +249,7 @@
 				t.Fatal(err, failed)
 			}
 			if found := c.Violations(); (len(found) > 0) != tc.want {
-				t.Errorf("found %v", found)
+				t.Errorf("violations %v, want some: %v", found, tc.want)
 			}
 		})
 	}
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -11,10 +11,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestOutageAfterCancellations runs what package outages runs for jobs, for all that goes with one
-// cancellation: the runs of a sweep, and the stages of a pipeline behind a
-// cancelled one. The leader is refused, another controller confirms, and the state
-// service is down for twice cancel_s.
+// TestOutageAfterCancellations tests the scenario of package outages for cancellations that
+// end several jobs: those of a sweep with all its runs, and of a pipeline stage on which
+// another depends. The state service refuses the leader, another controller confirms the
+// cancellation, and then the state service is down for twice cancel_s.
 func TestOutageAfterCancellations(t *testing.T) {
 	const refused, outage, ends = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
@@ -61,14 +61,14 @@
 			}
 		}
 		if on < 10 {
-			t.Errorf("%d tasks were on machines", on)
+			t.Errorf("%d tasks entered machines before the refusal, want at least 10", on)
 		}
 	}
 	t.Run("each", func(t *testing.T) {
 		for _, size := range []int{3, 5} {
 			for _, lose := range []environment.LossOutcome{"", environment.LostAfter, environment.LostLate} {
 				for _, back := range []bool{false, true} {
-					t.Run(fmt.Sprintf("%d controllers, answers lost %q, another is back at once %v", size, lose, back), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%d controllers, loss of writes %q, another controller restarts %v", size, lose, back), func(t *testing.T) {
 						day(t, size, lose, back)
 					})
 				}
@@ -76,6 +76,6 @@
 		}
 	})
 	if confirmed < 12 {
-		t.Errorf("%d cancellations were confirmed within", confirmed)
+		t.Errorf("%d cancellations were confirmed during refusals and outages, want at least 12", confirmed)
 	}
 }
--- a/internal/emulator/faketime/largest_test.go
+++ b/internal/emulator/faketime/largest_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestWideJobsStart: wide gangs, and wide arrays whose deadline is lost, begin
-// within four minutes in a flood of small jobs of their priority that all take
-// five times as long as estimated, so that each seems to end in time.
+// TestWideJobsStart checks that wide gangs, and wide arrays that can no longer meet their
+// deadline, start within four minutes during a flood of small jobs of the same priority. The
+// small jobs all take five times as long as estimated, so that each seems to end in time.
 func TestWideJobsStart(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{wire.Gang, wire.Array} {
@@ -54,9 +54,9 @@
 				t.Error(l)
 			}
 			got := history.Metrics(c.History, c.Expectations(), nil)
-			t.Logf("begun of the largest %.2f, of small ones done by their deadline %.2f", got["largest begun wide"], got["served class small"])
+			t.Logf("share of wide jobs started %.2f, share of small jobs done by their deadline %.2f", got["largest begun wide"], got["served class small"])
 			if v, ok := got["largest begun wide"]; !ok || v < 0.9 {
-				t.Errorf("%.2f (%v) of the largest have begun in four minutes", v, ok)
+				t.Errorf("share of wide jobs started within four minutes is %.2f (found: %v), want at least 0.90", v, ok)
 			}
 		})
 	}
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -16,12 +16,12 @@
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
-// keyKinds of keys that controllers write.
+// keyKinds are the prefixes of the keys that controllers write.
 var keyKinds = []string{"job/", "run/", "end/", "leader", "token", "types", "bounds", "hints", "format", "member/", "log/", "reach/", "features"}
 
-// TestEveryWriteLost loses a write of each kind during a take-over: before it is
-// executed, its answer alone, and with the write executed five seconds or a minute late. The
-// first, the second and the fifth of each kind are lost.
+// TestEveryWriteLost loses a write of each kind during a failover: the write itself, only its
+// answer, or the answer while the write is executed five seconds or a minute late. The first,
+// the second or the fifth write of each kind is lost.
 func TestEveryWriteLost(t *testing.T) {
 	t.Parallel()
 	day := func() *testRun {
@@ -33,7 +33,7 @@
 	}
 	for _, e := range day().run(t, nil).History {
 		if e.Kind == history.StateChanged && !slices.ContainsFunc(keyKinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
-			t.Fatalf("a kind of write that is not in the table: %s", e.Key)
+			t.Fatalf("write of key %s, whose kind is not in keyKinds", e.Key)
 		}
 	}
 	var mu sync.Mutex
@@ -48,19 +48,19 @@
 						l := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: environment.LossOutcome(how)}
 						switch how {
 						case "soon":
-							l.Outcome, l.Delay = environment.LostLate, 5*second // after newer ones of the same leader
+							l.Outcome, l.Delay = environment.LostLate, 5*second // executed after newer writes of the same leader
 						case "late":
 							l.Delay = 60 * second
 						}
 						crash := faultAt(60, "crash", 0)
-						// Users ask everywhere what others read of it meanwhile.
+						// Meanwhile users query all controllers for the affected jobs.
 						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: l}, crash, faultAt(40, "close_looks", 60)}
 						switch kind {
 						case "types", "format", "member/", "features":
-							d.Faults[0].At = 0 // they are written once, at the start
+							d.Faults[0].At = 0 // these keys are written once, at the start
 						case "run/":
-							// Progress is stored this way until all controllers
-							// are known to have this version.
+							// Progress is stored in these keys until all
+							// controllers are known to run this version.
 							d.oneMissing, d.Jobs = true, newTestRun(31).Jobs
 						}
 						d.runAndCheck(t)
@@ -76,12 +76,13 @@
 	})
 	for _, kind := range keyKinds {
 		if met[kind] < 3 {
-			t.Errorf("%s: only %d were lost", kind, met[kind])
+			t.Errorf("%s: %d cases lost a write, want at least 3", kind, met[kind])
 		}
 	}
 }
 
-// mixedLoadRun is a day with a third of the kinds of load, by its number.
+// mixedLoadRun returns a run of the shared fault case i; its kind of load is jobs alone, jobs
+// and pipelines, or a sweep, chosen by i modulo 3.
 func mixedLoadRun(tb testing.TB, i int, seed uint64) *testRun {
 	tb.Helper()
 	d := newTestRun(seed)
@@ -99,9 +100,9 @@
 	return d
 }
 
-// TestDeterministicHistory: two runs of one seed in fake time give the same bytes, and
-// another seed gives others. Decisions that followed the order of a map once
-// made days differ.
+// TestDeterministicHistory checks that two runs of the same seed give the same history byte
+// for byte, and that another seed gives another. It guards against decisions that depend on
+// the iteration order of a map, which once made runs differ.
 func TestDeterministicHistory(t *testing.T) {
 	digest := func(i int, seed uint64) uint64 {
 		h := xxhash.New()
@@ -116,27 +117,27 @@
 			seed := uint64(i) + 900
 			first := digest(i, seed)
 			if digest(i, seed) != first {
-				t.Error("other bytes")
+				t.Error("two runs of the same seed gave different histories, want the same")
 			}
 			if i < 3 && digest(i, seed+100) == first {
-				t.Error("the bytes of another seed")
+				t.Error("another seed gave the same history, want a different one")
 			}
 		})
 	}
 }
 
-// TestGangInOneZone: on these days a gang waited to the end for machines that were
-// rented in zones at random and returned before there were enough in one.
+// TestGangInOneZone guards against a gang that has to run in one zone waiting until the end of
+// the run: machines were rented in random zones, and returned before there were enough in one.
 func TestGangInOneZone(t *testing.T) {
 	t.Parallel()
 	d := mixedLoadRun(t, 2, 20681)
 	for i, tc := range sharedFaultCases {
-		if tc.name == "the leader hears no worker" {
+		if tc.name == "controllers reach no worker" {
 			d.Faults = sharedFaultCases[i].faults
 		}
 	}
 	d.runAndCheck(t)
-	for seed := range uint64(4) { // and with nothing but such gangs and bad boots
+	for seed := range uint64(4) { // only such gangs, on machines that often boot slowly or never
 		d := newTestRun(40 + seed)
 		d.Boot, d.Jobs, d.Machines = environment.Boot{Slow: 0.3, Never: 0.2}, d.Jobs[:4], nil
 		for i := range d.Jobs {
@@ -148,8 +149,9 @@
 	}
 }
 
-// TestZoneOutage: a zone is partitioned while gangs start, and no gang runs with only
-// part of its tasks. A planted gang of which one task is missing is caught.
+// TestZoneOutage partitions a zone while gangs start, and checks that no gang runs with only
+// part of its tasks. It also checks that the rule detects a gang one of whose tasks was removed
+// from the history.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(8)
@@ -167,12 +169,12 @@
 		}
 	}
 	if gangs < 20 {
-		t.Fatalf("only %d starts of gangs' tasks", gangs)
+		t.Fatalf("%d tasks of gangs were started, want at least 20", gangs)
 	}
 	planted := slices.DeleteFunc(slices.Clone(c.History), func(e history.Event) bool {
 		return e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" && e.Task == 1
 	})
 	if b := history.CheckRules(planted, c.Expectations()); len(b) == 0 || b[0].Rule != "part_of_gang" {
-		t.Errorf("a part of a gang is not caught: %v", b)
+		t.Errorf("history with an incomplete gang: got violations %v, want part_of_gang first", b)
 	}
 }
--- a/internal/emulator/faketime/lostend_test.go
+++ b/internal/emulator/faketime/lostend_test.go
@@ -8,8 +8,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// TestLostEndDetected: the rule on lost ends looks at the keys that controllers write. Were their
-// prefixes others than those it is told, it would see no key, and find nothing for ever.
+// TestLostEndDetected checks that the rule on lost ends detects a missing end. The rule looks at
+// the keys that controllers write. If its configured prefixes differed from theirs, it would
+// match no key and never find a violation.
 func TestLostEndDetected(t *testing.T) {
 	t.Parallel()
 	c := newTestRun(5).runAndCheck(t)
@@ -19,11 +20,11 @@
 	}
 	first := slices.IndexFunc(c.History, isEnd)
 	if first < 0 {
-		t.Fatal("no end was stored")
+		t.Fatal("the history has no write of an end, want at least one")
 	}
 	planted := slices.Delete(slices.Clone(c.History), first, first+1)
 	found := history.CheckRules(planted, expected)
 	if len(found) != 1 || found[0].Rule != history.LostEnd {
-		t.Errorf("without the write of an end: %v", found)
+		t.Errorf("history without the write of an end: got violations %v, want one of %s", found, history.LostEnd)
 	}
 }
--- a/internal/emulator/faketime/mute_test.go
+++ b/internal/emulator/faketime/mute_test.go
@@ -8,11 +8,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestMuteMachinesStopTasks: no machine reaches a controller for fourteen seconds, jobs are
-// cancelled in the midst of it, before or after the leader has changed, and their
-// tasks are stopped by direct commands long before a report could come or a lease end.
+// TestMuteMachinesStopTasks cancels jobs while no machine can send to a controller for 14 s,
+// with the same leader or after the leader has changed. Their tasks have to be stopped by
+// direct commands, long before a heartbeat could arrive or a lease could expire.
 func TestMuteMachinesStopTasks(t *testing.T) {
-	for name, crash := range map[string]bool{"the leader stays": false, "another leads": true} {
+	for name, crash := range map[string]bool{"same leader": false, "new leader": true} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestRun(21)
 			d.Jobs, d.Length = nil, 120*second
@@ -25,7 +25,7 @@
 			d.Faults = []fault{{At: 40 * second, Kind: "machine_mute", Share: 1, Duration: 14 * second}}
 			if crash {
 				d.Faults = append(d.Faults, faultAt(41, "crash", 30))
-				d.Faults[1].Hosts = []string{"node-0", "node-1"} // of three, so that a new one leads for certain
+				d.Faults[1].Hosts = []string{"node-0", "node-1"} // two of three, so that there certainly is a new leader
 			}
 			c := d.runAndCheck(t)
 			stopped := 0
@@ -35,7 +35,7 @@
 				}
 			}
 			if stopped != 12 {
-				t.Errorf("%d of 12 tasks were stopped in time", stopped)
+				t.Errorf("%d tasks were stopped within 4 s of the cancellation, want 12", stopped)
 			}
 		})
 	}
--- a/internal/emulator/faketime/nothing_test.go
+++ b/internal/emulator/faketime/nothing_test.go
@@ -9,9 +9,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestStartWithoutMachines plays days of a deployment where no machine is up at the start
-// and nobody has a guarantee, so that money is weighed, with services spread over
-// zones, through every trouble that such a one has had.
+// TestStartWithoutMachines runs deployments in which no machine is up at the start and no team
+// has a guarantee, so that costs are weighed, with services spread over zones. The faults are
+// those that have caused failures in such deployments.
 func TestStartWithoutMachines(t *testing.T) {
 	cut := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
 		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: how}
@@ -22,14 +22,14 @@
 		name   string
 		faults []fault
 	}{
-		{"machines die and spot machines are taken", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
-		{"a roll with a wave of taken machines and a crash", []fault{faultAt(65, "roll", 9), wave, faultAt(110, "crash", 0, "node-1")}},
-		{"a slow state service, a zone cut off, two zones apart", []fault{
+		{"machines die and spot machines are preempted", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
+		{"rolling restart with a wave of spot preemptions and a crash", []fault{faultAt(65, "roll", 9), wave, faultAt(110, "crash", 0, "node-1")}},
+		{"slow state service, a zone is partitioned, two zones are partitioned from each other", []fault{
 			{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
 			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
 		}},
-		{"all controllers end in an outage, and machines die", []fault{faultAt(80, "state_outage", 10), faultAt(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
-		{"controllers are refused, cut off and apart", []fault{
+		{"all controllers crash in a state outage, and machines die", []fault{faultAt(80, "state_outage", 10), faultAt(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
+		{"controllers are refused and partitioned, also from each other", []fault{
 			faultAt(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
 			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), faultAt(135, "cut", 20, "node-2"),
 		}},
--- a/internal/emulator/faketime/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -10,11 +10,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestInvalidSubmissions sends every controller what can't run, and what lacks a field or has a
-// wrong one: it is refused for good with a word that names the field, and nothing of
-// it is stored. The same with the id of a job that is known, done or cancelled is
-// told of that job. A gang that was to be spread and could be in one zone only was
-// accepted once, and waited for ever.
+// TestInvalidSubmissions sends every controller jobs that can't run, and jobs with a missing or
+// invalid field. They have to be rejected permanently with an error that names the field, and
+// nothing of them may be stored. A request with the same content and the ID of a job that is known, done
+// or cancelled has to be answered with the state of that job. Once a gang that had to be spread
+// but could be in only one zone was accepted, and waited forever.
 func TestInvalidSubmissions(t *testing.T) {
 	d := newTestRun(3)
 	d.Jobs, d.Length = nil, 40*second
@@ -40,19 +40,19 @@
 						body := strings.Replace(string(o.Body), `"good"`, fmt.Sprintf("%q", id), 1)
 						build, bad := toCoreMessage(wire.RawSubmission{Body: []byte(body)})
 						if bad != nil {
-							t.Fatalf("%s: only its id counts while the rest can't be read: %+v", o.Reason, bad)
+							t.Fatalf("%s: rejected with %+v before it reached the core, want only the ID to be required", o.Reason, bad)
 						}
 						n.Request(build, func(r core.Reply) { answers++; check(r) })
 					}
 					send(fmt.Sprintf("odd-%s-%d", n.name, i), func(r core.Reply) {
 						if int(r.Status) != o.Status || !strings.Contains(r.Error, o.Field) || r.Error == "" {
-							t.Errorf("%s, %s: %d %q, want %d naming %q", n.name, o.Reason, r.Status, r.Error, o.Status, o.Field)
+							t.Errorf("%s, %s: got status %d, error %q, want status %d and an error that names %q", n.name, o.Reason, r.Status, r.Error, o.Status, o.Field)
 						}
 					})
 					for id, want := range known {
 						send(id, func(r core.Reply) {
 							if r.Status != 200 || r.Job == nil || r.Job.State != want && (want != core.Queued || r.Job.State != core.Running) {
-								t.Errorf("%s, %s of %s: %d %+v, want %s", n.name, o.Reason, id, r.Status, r.Job, want)
+								t.Errorf("%s, %s with the ID %s: got status %d, job %+v, want status 200, state %s", n.name, o.Reason, id, r.Status, r.Job, want)
 							}
 						})
 					}
@@ -61,11 +61,11 @@
 		})
 	})
 	if want := len(odds) * 4 * len(c.Controllers); answers != want {
-		t.Errorf("%d answers, want %d", answers, want)
+		t.Errorf("got %d answers, want %d", answers, want)
 	}
 	for _, e := range c.History {
 		if strings.Contains(e.Key, "odd-") {
-			t.Errorf("%s is stored", e.Key)
+			t.Errorf("key %s of an invalid job was stored, want none", e.Key)
 		}
 	}
 }
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestOneTaskJobs: one-task jobs come four a second for three minutes, a quarter of
-// them cancelled, where 25 changes a second are allowed, and users look closely for a
-// while. What a job costs in changes from its acceptance to its removal is bounded,
-// all are served at once, and at the end no key of theirs is left but the end.
+// TestOneTaskJobs submits four one-task jobs per second for three minutes, a quarter of which
+// are cancelled, with a limit of 25 changes per second. For 30 s users query all controllers
+// after each answer. The number of changes per job from acceptance to removal is bounded, all
+// jobs are served promptly, and of their keys only those of the ends are left at the end.
 func TestOneTaskJobs(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(12)
@@ -45,21 +45,21 @@
 		}
 	}
 	per := float64(changes) / n
-	t.Logf("%.2f changes a job", per)
+	t.Logf("%.2f changes per job", per)
 	if per > 4.5 {
-		t.Errorf("%.2f changes a job, of which 25 a second are allowed for four jobs", per)
+		t.Errorf("%.2f changes per job, want at most 4.5; the limit is 25 changes per second for four jobs", per)
 	}
 	for key := range left {
 		if strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "run/") {
-			t.Errorf("%s is left", key)
+			t.Errorf("key %s is left at the end, want it removed", key)
 		}
 	}
 	m := history.Metrics(c.History, c.Expectations(), []history.Objective{{Kind: "complete", Class: "tiny", Within: 20 * second}})
 	if v := m["complete tiny 20 s"]; v < 0.9 {
-		t.Errorf("%.2f are done within 20 s", v)
+		t.Errorf("share of jobs done within 20 s is %.2f, want at least 0.90", v)
 	}
 	if m["accept_p99_s"] > 8 {
-		t.Errorf("accepted within %.1f s (99%%)", m["accept_p99_s"])
+		t.Errorf("99th percentile of the time to acceptance is %.1f s, want at most 8 s", m["accept_p99_s"])
 	}
 	t.Log(m["complete tiny 20 s"], m["accept_p50_s"], m["accept_p99_s"], m[history.StartsAfter])
 }
--- a/internal/emulator/faketime/race_test.go
+++ b/internal/emulator/faketime/race_test.go
@@ -2,5 +2,5 @@
 
 package faketime
 
-// raceEnabled: the tests run many times as slow.
+// raceEnabled reports whether the race detector is on, which makes tests many times slower.
 const raceEnabled = true
--- a/internal/emulator/faketime/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -10,19 +10,20 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestCloudViaPeer: a leader that the cloud does not answer rents and returns by
-// way of one that it does, and each request once.
+// TestCloudViaPeer checks that a leader that cannot reach the cloud rents and returns machines
+// through a controller that can, sending each request once.
 func TestCloudViaPeer(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		to   []string // what is cut off from the cloud besides the leader
+		to   []string // hosts that are partitioned from the cloud in addition to the leader
 		on   bool
-		// came is how many machines come up meanwhile, of 16 to 20 without a cut.
+		// least and most bound the number of machines that come up during the partition;
+		// without a partition it is 16 to 20.
 		least, most int
 	}{
-		{"by a peer", nil, true, 14, 21},
-		{"switched off", nil, false, 0, 0},
-		{"nobody reaches it", []string{"controllers"}, true, 0, 0},
+		{"through a peer", nil, true, 14, 21},
+		{"feature switched off", nil, false, 0, 0},
+		{"no controller reaches the cloud", []string{"controllers"}, true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -54,7 +55,7 @@
 				}
 			}
 			if came < tc.least || came > tc.most {
-				t.Errorf("%d machines came up in the cut", came)
+				t.Errorf("%d machines came up during the partition, want %d to %d", came, tc.least, tc.most)
 			}
 		})
 	}
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -16,7 +16,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// sweepText is the text of a sweep of a times two sets; the second of each pair depends on the first.
+// sweepText returns the text of a sweep with 2a runs in pairs; the second run of each pair
+// depends on the first.
 func sweepText(id string, a, pending int) string {
 	return fmt.Sprintf(`id: %q pending: %d
 		job { herd: "s" steward: "red" shape: "sweep" urgency: "normal" vcpus: 1 mem_gb: 1 seedstock: "im-s" pull_gb: 0.5 }
@@ -26,7 +27,7 @@
 		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, a)
 }
 
-// newSweepRun is a small day with a sweep and some other work.
+// newSweepRun returns a run with a sweep and six other jobs.
 func newSweepRun(tb testing.TB, seed uint64, s environment.Sweep) *testRun {
 	tb.Helper()
 	d := newTestRun(seed)
@@ -36,7 +37,7 @@
 	return d
 }
 
-// expandSweep fills in the runs of a sweep.
+// expandSweep returns the sweep with its runs filled in.
 func expandSweep(tb testing.TB, s environment.Sweep) environment.Sweep {
 	tb.Helper()
 	s, err := scenario.Expand(s)
@@ -46,8 +47,8 @@
 	return s
 }
 
-// checkSweep runs a day to its end and checks that each run of its sweeps came to one end,
-// which every controller shows alike.
+// checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
+// controller lists. It returns the final state of the last sweep that users were told.
 func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (over string) {
 	t.Helper()
 	var listed [][]core.SweepRun
@@ -65,7 +66,7 @@
 	})
 	wrong := c.Violations()
 	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
-		wrong = append(wrong, fmt.Sprintf("%d controllers have listed the runs", len(listed)))
+		wrong = append(wrong, fmt.Sprintf("got %d lists of runs, want %d", len(listed), len(c.Controllers)*len(d.Sweeps)))
 	}
 	for i, r := range listed {
 		wrong = append(wrong, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
@@ -76,7 +77,7 @@
 		}
 	}
 	if over == "" {
-		wrong = append(wrong, "the sweep is not over")
+		wrong = append(wrong, "no user was told that the sweep has ended")
 	}
 	if len(wrong) > 0 {
 		t.Errorf("%s", strings.Join(wrong[:min(len(wrong), 12)], "\n"))
@@ -84,7 +85,8 @@
 	return over
 }
 
-// listAllSweepRuns asks a controller for all runs of a sweep and calls f with them.
+// listAllSweepRuns requests all runs of a sweep from a controller, page by page, and calls f
+// with them. It repeats a request that fails after a second.
 func (n *Controller) listAllSweepRuns(id string, f func([]core.SweepRun)) {
 	var runs []core.SweepRun
 	var next func(after int)
@@ -105,8 +107,8 @@
 	next(0)
 }
 
-// sweepRunErrors says what is wrong with the runs of a sweep that is over: each must be
-// listed once, with its values, and have come to the end that is stored.
+// sweepRunErrors returns the errors in the listed runs of a sweep that has ended: each run has
+// to be listed once, with its values, and in the state of its stored end.
 func sweepRunErrors(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
 	var wrong []string
 	fail := func(format string, a ...any) { wrong = append(wrong, fmt.Sprintf(format, a...)) }
@@ -123,7 +125,7 @@
 		if id, ok := strings.CutPrefix(e.Key, core.Prefix+"end/"); ok {
 			var end jobstate.End
 			if err := json.Unmarshal([]byte(e.Value), &end); err != nil || ends[id] != "" {
-				fail("%s has a second end, or none that can be read", id)
+				fail("%s has a second end, or an end that cannot be decoded", id)
 			}
 			ends[id] = end.Outcome
 		}
@@ -136,7 +138,7 @@
 		listed[r.Number] = r
 	}
 	if len(listed) != len(s.Jobs) {
-		fail("%d runs are listed, and there are %d", len(listed), len(s.Jobs))
+		fail("%d runs are listed, want %d", len(listed), len(s.Jobs))
 	}
 	for i, j := range s.Jobs {
 		r, ok := listed[i]
@@ -144,20 +146,20 @@
 		case !ok:
 			fail("run %d is not listed", i)
 		case r.ID != j.ID || string(r.Values) != s.Values[i]:
-			fail("run %d is listed as %s with %s, and is %s with %s", i, r.ID, r.Values, j.ID, s.Values[i])
+			fail("run %d is listed as %s with values %s, want %s with values %s", i, r.ID, r.Values, j.ID, s.Values[i])
 		case created[j.ID] > 1:
 			fail("run %d was created %d times", i, created[j.ID])
 		case created[j.ID] == 1 && ends[j.ID] == "":
 			fail("run %d was created and never ended", i)
 		case created[j.ID] == 1 && ends[j.ID] != r.State || created[j.ID] == 0 && r.State != jobstate.Cancelled:
-			fail("run %d is listed as %s, and its end is %q", i, r.State, ends[j.ID])
+			fail("run %d is listed as %s, but its end is %q", i, r.State, ends[j.ID])
 		}
 	}
 	slices.Sort(wrong)
 	return wrong
 }
 
-// TestSweeps plays sweeps of 200 runs through crashes, outages and lost answers.
+// TestSweeps runs sweeps of 200 runs through crashes, outages and lost answers.
 func TestSweeps(t *testing.T) {
 	random := func(seed uint64) (l []fault) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -177,15 +179,15 @@
 		loss   float64
 		tight  bool
 	}{
-		{name: "quiet"},
+		{name: "no faults"},
 		{name: "controllers crash at random", faults: random},
 		{name: "cancelled halfway, while controllers crash", cancel: 45 * second, faults: random},
 		{name: "answers are lost", loss: 0.08, faults: random},
-		{name: "answers are lost, and it is cancelled", loss: 0.08, cancel: 60 * second},
-		{name: "limits fall", tight: true, faults: func(uint64) []fault {
+		{name: "answers are lost, and the sweep is cancelled", loss: 0.08, cancel: 60 * second},
+		{name: "limits are lowered", tight: true, faults: func(uint64) []fault {
 			return []fault{faultAt(30, "state_limits", 0), faultAt(40, "crash", 0)}
 		}},
-		{name: "the state service goes, and all crash", faults: func(uint64) []fault {
+		{name: "state outage, and all controllers crash", faults: func(uint64) []fault {
 			return []fault{faultAt(35, "state_outage", 30), faultAt(50, "crash", 0)}
 		}},
 		{name: "cancelled before an outage", cancel: 39 * second, faults: func(uint64) []fault {
@@ -207,20 +209,20 @@
 				d.AnswerLoss = tc.loss
 				over := checkSweep(t, d, nil)
 				if tc.cancel == 0 && over != wire.Done {
-					t.Errorf("it is %q", over)
+					t.Errorf("the sweep ended as %q, want %q", over, wire.Done)
 				}
 			})
 		}
 	}
 }
 
-// TestLargestSweep plays 10,000 runs under the tightest limits, through three
-// crashes: values of 2 KiB, four changes a transaction, 18 a second.
+// TestLargestSweep runs a sweep of 10,000 runs through three crashes under the tightest limits:
+// values of 2 KiB, four changes per transaction, 18 changes per second.
 func TestLargestSweep(t *testing.T) {
 	t.Parallel()
 	pairs, length := 5000, int64(4500)
 	if raceEnabled || testing.Short() {
-		pairs, length = 300, 700 // it is the same code, many times as slow
+		pairs, length = 300, 700 // the race detector makes the same code many times slower
 	}
 	d := newSweepRun(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: sweepText("tight", pairs, 100)})
 	d.announceLowerLimits()
@@ -228,16 +230,16 @@
 	d.Length = length * second
 	d.Faults = []fault{faultAt(20, "state_limits", 0), faultAt(90, "crash", 0), faultAt(120, "crash", 0, "node-0"), faultAt(150, "crash", 0)}
 	if over := checkSweep(t, d, nil); over != wire.Done {
-		t.Errorf("it is %q", over)
+		t.Errorf("the sweep ended as %q, want %q", over, wire.Done)
 	}
 }
 
-// TestSweepCancelledAtEachWrite cancels a sweep, and ends all controllers, after each
-// change that has to do with it.
+// TestSweepCancelledAtEachWrite cancels a sweep and crashes all controllers after each
+// transaction that changes a key of the sweep or its runs.
 func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
 	about := func(e history.Event) bool {
-		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
+		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // the keys of the sweep and of its runs
 	}
 	day := func() *testRun {
 		d := newSweepRun(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: sweepText("edge", 12, 8)})
@@ -251,7 +253,7 @@
 		}
 	}
 	if len(boundaries) < 10 {
-		t.Fatalf("only %d transactions", len(boundaries))
+		t.Fatalf("got %d transactions about the sweep, want at least 10", len(boundaries))
 	}
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
@@ -277,11 +279,12 @@
 		})
 	}
 	if outcomes[wire.Cancelled] < len(boundaries)/2 {
-		t.Errorf("outcomes %v", outcomes)
+		t.Errorf("got outcomes %v, want at least %d cancelled", outcomes, len(boundaries)/2)
 	}
 }
 
-// TestSweepRunErrors plants faults of accounting.
+// TestSweepRunErrors checks that sweepRunErrors detects errors planted in the list of runs or
+// in the history.
 func TestSweepRunErrors(t *testing.T) {
 	sweep := &environment.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
 	put := func(key, value string) history.Event {
@@ -299,26 +302,26 @@
 		log   []history.Event
 		wants string
 	}{
-		{"all is well", runs, good, ""},
+		{"no error", runs, good, ""},
 		{"a run is created twice", runs, append(slices.Clone(good), put("job/sweep.s.0", "{}")), "created 2 times"},
 		{"a run is lost", runs, append(slices.Clone(good[:4]), gone("job/sweep.s.1")), "never ended"},
 		{"a run is not listed", runs[:1], good, "run 1 is not listed"},
 		{"a run is listed twice", append(slices.Clone(runs), runs[0]), good, "run 0 is listed twice"},
-		{"a run has another's values", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, good, "run 1 is listed as"},
-		{"a run is called done and was never created", runs, good[:0], "its end is"},
+		{"a run has the values of another", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, good, "run 1 is listed as"},
+		{"a run is listed as done but was never created", runs, good[:0], "its end is"},
 		{"a run ends twice", runs, append(slices.Clone(good), put("end/sweep.s.0", done)), "a second end"},
 	}
 	for _, tc := range cases {
 		got := strings.Join(sweepRunErrors(sweep, tc.runs, tc.log), "; ")
 		if tc.wants == "" && got != "" || tc.wants != "" && !strings.Contains(got, tc.wants) {
-			t.Errorf("%s: %q", tc.name, got)
+			t.Errorf("%s: got errors %q, want %q", tc.name, got, tc.wants)
 		}
 	}
 }
 
-// BenchmarkSweeps is what runs cost as a sweep and as jobs submitted singly, in
-// fake time: changes of the state service and seconds until all are done, and how
-// long ordinary submissions take meanwhile.
+// BenchmarkSweeps measures the cost of runs submitted as a sweep and as single jobs, in
+// simulated time: the changes in the state service, the seconds until all runs are done, and
+// how long other submissions take meanwhile.
 func BenchmarkSweeps(b *testing.B) {
 	for _, n := range []int{200, 2000, 10_000} {
 		for _, as := range []string{"none", "sweep", "jobs"} {
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -14,8 +14,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// The upgradePrograms of a roll: one before features, this one, and a made-up next one
-// with a feature that is needed from then on.
+// upgradePrograms returns the program versions of a rolling upgrade: an older one without
+// feature activation, the current one, and a hypothetical next one with an additional feature
+// that programs need once it is on.
 func upgradePrograms() (older, this, next upgrade.Program) {
 	this = upgrade.CurrentProgram()
 	older, next = this, this
@@ -25,8 +26,8 @@
 	return older, this, next
 }
 
-// featureActivations goes through a history and says which featureActivations came on when; it
-// fails for a key that was written while its feature was off.
+// featureActivations returns the time at which each feature was switched on in the history. It
+// fails the test if a feature is switched off, or a key is written while its feature is off.
 func featureActivations(t *testing.T, c *Cluster, p upgrade.Program) map[upgrade.FeatureName]int64 {
 	t.Helper()
 	on := map[upgrade.FeatureName]int64{}
@@ -54,7 +55,7 @@
 			}
 			for n := range on {
 				if n != upgrade.ProgressLog && n != upgrade.Sweeps && !slices.ContainsFunc(v.On, func(s struct{ N upgrade.FeatureName }) bool { return s.N == n }) {
-					t.Errorf("%s was switched off", n)
+					t.Errorf("feature %s was switched off, want it to stay on", n)
 				}
 			}
 			for _, s := range v.On {
@@ -64,14 +65,15 @@
 			}
 		}
 		if f := p.FeatureOfKey(key); f != "" && on[f] == 0 && e.Value != "" {
-			t.Errorf("at %d: %s was written before %s was on", e.At, key, f)
+			t.Errorf("at %d: key %s was written before feature %s was on", e.At, key, f)
 		}
 	}
 	return on
 }
 
-// TestRollingUpgrades rolls three controllers from one program to another in every order,
-// straight on and half-way back and forth again, with trouble inside.
+// TestRollingUpgrades restarts three controllers with another program version, one at a time in
+// every order, either directly or with a rollback after two of them, with a fault shortly before
+// the last restart.
 func TestRollingUpgrades(t *testing.T) {
 	older, this, next := upgradePrograms()
 	type step struct {
@@ -116,7 +118,7 @@
 								failed(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
 							})
 						}
-						c.After(int64(60+12*len(plan)-14)*second, func() { // just before the last
+						c.After(int64(60+12*len(plan)-14)*second, func() { // 2 s before the last restart
 							lead := c.Leaders()
 							switch {
 							case trouble == "state outage":
@@ -128,7 +130,7 @@
 								failed(c, environment.Fault{Kind: "crash", Hosts: lead})
 							case trouble == "leader stands still":
 								failed(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
-							default: // what the leader keeps
+							default: // the leader keeps only one of its links
 								for host, keep := range map[string]string{environment.StateHost: "state service alone", "workers": "workers alone", "controllers": "peers alone"} {
 									if keep != trouble {
 										failed(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
@@ -144,13 +146,13 @@
 					last := int64(60+12*(len(plan)-1)) * second
 					on := featureActivations(t, c, next)
 					if on[upgrade.Connectivity] == 0 {
-						t.Error("reach was never switched on")
+						t.Errorf("feature %s was never switched on", upgrade.Connectivity)
 					}
 					if way != "this to next" && on[upgrade.Connectivity] < last {
-						t.Errorf("reach was switched on at %d, before the last was rolled at %d", on[upgrade.Connectivity], last)
+						t.Errorf("feature %s was switched on at %d, want after the last restart at %d", upgrade.Connectivity, on[upgrade.Connectivity], last)
 					}
 					if way == "this to next" && on["next"] < last {
-						t.Errorf("next was switched on at %d, and the last was rolled at %d", on["next"], last)
+						t.Errorf("feature next was switched on at %d, want after the last restart at %d", on["next"], last)
 					}
 				})
 			}
@@ -158,10 +160,9 @@
 	}
 }
 
-// TestStraggler: one that is still on the older program holds activation back
-// for as long as it is configured; said to be gone it does not, and when it is
-// back, by then with a program that lacks what is needed, it ends at its start
-// and touches nothing.
+// TestStraggler checks that a controller that still runs the older program holds back activation
+// while it is configured, but not after it is decommissioned. When it comes back, its program
+// lacks a feature that is now needed: it has to exit at its start without writing anything.
 func TestStraggler(t *testing.T) {
 	_, this, next := upgradePrograms()
 	run := []*upgrade.Program{&next, &next, &this}
@@ -170,7 +171,7 @@
 	var said core.Reply
 	back := false
 	c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, OnStart: func(c *Cluster) {
-		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // for good
+		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // permanently
 		c.After(100*second, func() {
 			c.Controllers[0].Request(func(req uint64) any {
 				return core.SetDecommissioned{RequestID: req, Name: "node-2", Decommissioned: true}
@@ -186,14 +187,14 @@
 	}
 	on := featureActivations(t, c, next)
 	if said.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
-		t.Errorf("said to be gone: %d; next on at %d", said.Status, on["next"])
+		t.Errorf("decommissioning: got status %d, want 200; feature next on at %d, want between 100 s and 110 s", said.Status, on["next"])
 	}
 	if !back || c.Controllers[2].up {
-		t.Error("an older program goes on beside what it lacks")
+		t.Error("older program still runs although it lacks a needed feature, want it to exit at its start")
 	}
 	for _, e := range c.History {
 		if e.Kind == history.StateChanged && e.At > 200*second && strings.HasSuffix(e.Key, "/node-2") {
-			t.Errorf("it wrote %s", e.Key)
+			t.Errorf("older program wrote key %s after its restart, want no write", e.Key)
 		}
 	}
 }
--- a/internal/emulator/faketime/version1_test.go
+++ b/internal/emulator/faketime/version1_test.go
@@ -8,8 +8,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// The shapes of stored values that the version without pipelines reads. They
-// never change.
+// The formats of stored values that the version without pipelines reads. They never change.
 type (
 	oldVec  struct{ C, G, M int64 }
 	oldSpec struct {
@@ -65,9 +64,9 @@
 	}
 )
 
-// TestFirstFormat plays a day on which one controller never says that it has
-// this version: whatever is stored all day, the version without pipelines can
-// read, and a job that awaits others is put off.
+// TestFirstFormat runs a deployment in which one controller never reports that it runs this
+// version. All values that are stored have to be readable by the version without pipelines, and
+// jobs that depend on others are refused meanwhile.
 func TestFirstFormat(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(5)
@@ -81,7 +80,7 @@
 	}
 	c := d.run(t, nil)
 	if l, left := c.Violations(), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
-		t.Errorf("%d that await others, %v unfinished, %v", awaits, left, l)
+		t.Errorf("got %d unfinished jobs %v, want %d, those with dependencies; got violations %v, want none", len(left), left, awaits, l)
 	}
 	shapes := map[string]func() any{
 		"job": func() any { return &oldRecord{} }, "run": func() any { return &oldChunk{} }, "end": func() any { return &oldEnd{} },
@@ -96,24 +95,24 @@
 		kind, rest, _ := strings.Cut(strings.TrimPrefix(ch.Key, "zinclb/"), "/")
 		seen[kind]++
 		if kind == "member" || ch.State == "removed" {
-			continue // the old version passes over keys that it does not know
+			continue // the old version ignores keys that it does not know
 		}
 		shape := shapes[kind]
 		if shape == nil {
-			t.Fatalf("%s is stored", ch.Key)
+			t.Fatalf("key %s was stored, want only kinds that the old version knows", ch.Key)
 		}
 		if strings.Contains(rest, "-") && kind == "run" && strings.Contains(rest[strings.Index(rest, "/"):], "-") {
-			t.Errorf("%s has a number that can't be read", ch.Key)
+			t.Errorf("key %s has a chunk number that the old version can't parse", ch.Key)
 		}
 		dec := json.NewDecoder(strings.NewReader(ch.Value))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(shape()); err != nil {
-			t.Errorf("%s: %s: %v", ch.Key, ch.Value, err)
+			t.Errorf("key %s: decode %s: %v", ch.Key, ch.Value, err)
 		}
 	}
 	for kind := range shapes {
 		if seen[kind] == 0 {
-			t.Errorf("no %s was stored", kind)
+			t.Errorf("no key of kind %s was stored, want at least one", kind)
 		}
 	}
 }
--- a/internal/emulator/faketime/writes_test.go
+++ b/internal/emulator/faketime/writes_test.go
@@ -9,19 +9,21 @@
 	"github.com/zinclb/zinclb/internal/emulator/environment"
 )
 
-// writeKind is a row of the table of writes in docs/design.md.
+// writeKind is a row of the table of writes in docs/design.md. It describes the writes to the
+// keys with a prefix.
 type writeKind struct {
-	keyPrefix string // how they begin, after core.Prefix
-	// once: the key is only ever created. Else each write is conditional on the
-	// version that it follows, or on that of another key which is written in the
-	// same transaction.
+	keyPrefix string // prefix of the keys, after core.Prefix
+	// once is set if the key is only ever created. Otherwise each write is conditional on
+	// the revision that it follows. Instead, a write may be conditional on the revision of
+	// another key, with guardPrefix, that is written in the same transaction.
 	once        bool
 	guardPrefix string
-	leader      bool // conditional on the leadership, too
-	lease       bool // on the writer's lease
+	leader      bool // the write is also conditional on the leadership
+	lease       bool // the key is attached to the writer's lease
 }
 
-// writeKinds are all that controllers write. Longer beginnings come first.
+// writeKinds are all kinds of writes of controllers. Longer prefixes come before their own
+// prefixes.
 var writeKinds = []writeKind{
 	{keyPrefix: "job/"}, // created, ended by whoever cancels it, removed by the leader
 	{keyPrefix: "end/", once: true},
@@ -42,10 +44,9 @@
 	{keyPrefix: "sweep/", once: true, guardPrefix: "sweep/"},
 }
 
-// TestWriteConditions: a write that gets no answer may be executed seconds later, after
-// newer ones of the same controller, or twice with its repeat. What makes that
-// harmless is on what each is conditional: so a write of a kind that is not in the
-// table, or without the conditions that the table has, fails.
+// TestWriteConditions checks that each write is of a kind in writeKinds and has the conditions
+// given there. A write that gets no answer may be executed seconds later, after newer writes of
+// the same controller, or twice because of a retry. Its conditions make that harmless.
 func TestWriteConditions(t *testing.T) {
 	t.Parallel()
 	met := map[string]int{}
@@ -57,7 +58,7 @@
 		for _, x := range e.Writes {
 			i := slices.IndexFunc(writeKinds, func(k writeKind) bool { return strings.HasPrefix(x.Key, core.Prefix+k.keyPrefix) })
 			if i < 0 {
-				t.Errorf("%s is not in the table", x.Key)
+				t.Errorf("key %s was written, but its kind is not in writeKinds", x.Key)
 				continue
 			}
 			k := writeKinds[i]
@@ -70,13 +71,13 @@
 			})
 			switch {
 			case !own && !beside:
-				t.Errorf("%s is not conditional on what it follows: %v", x.Key, e.Conditions)
+				t.Errorf("write of %s has conditions %v, want one on the revision that it follows", x.Key, e.Conditions)
 			case k.once && own && stamp != 0:
-				t.Errorf("%s is written over version %d", x.Key, stamp)
+				t.Errorf("write of %s is conditional on revision %d, want 0, as the key is only ever created", x.Key, stamp)
 			case k.leader && !leads:
-				t.Errorf("%s is not conditional on the leadership: %v", x.Key, e.Conditions)
+				t.Errorf("write of %s has conditions %v, want one on the leadership", x.Key, e.Conditions)
 			case k.lease != (x.Lease != 0):
-				t.Errorf("%s has lease %d", x.Key, x.Lease)
+				t.Errorf("write of %s has lease %d, want a lease: %v", x.Key, x.Lease, k.lease)
 			}
 		}
 	}
@@ -92,15 +93,15 @@
 	piped.AnswerLoss = 0.03
 	piped.Faults = []fault{faultAt(60, "crash", 0), faultAt(90, "cut", 20, environment.ControllerName(0)), {At: 110 * second, Duration: 60 * second, Kind: "late_writes", Share: 0.2}}
 	play(piped)
-	first := newTestRun(42) // in the first format, as one controller is missing
+	first := newTestRun(42) // in the first storage format, as one controller is missing
 	first.oneMissing = true
 	first.Faults = []fault{faultAt(60, "crash", 0)}
 	play(first)
 	sweeps := newSweepRun(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: sweepText("rain", 40, 40)})
 	play(sweeps)
 	for _, k := range writeKinds {
-		if k.keyPrefix != "gone/" && met[k.keyPrefix] == 0 { // operators write it, see TestSetGone
-			t.Errorf("%s was not written", k.keyPrefix)
+		if k.keyPrefix != "gone/" && met[k.keyPrefix] == 0 { // operators write it, see TestSetDecommissioned
+			t.Errorf("no key with the prefix %s was written, want at least one", k.keyPrefix)
 		}
 	}
 }
--- a/internal/emulator/soak/draw.go
+++ b/internal/emulator/soak/draw.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// addGang adds a gang job, whose tasks all run at the same time.
+// addGang adds a gang job, which runs with all its tasks or not at all.
 func (p *configBuilder) addGang(number int) {
 	at := p.between(2*second, lastFault)
 	job := p.addJob(at, wire.Job{
