--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -37,9 +37,9 @@
 	onRead func(c *Cluster, node, leader string)
 }
 
-// runWithFollowers runs the configuration and counts reads in f. It calls again, which may
-// inject faults, at the given interval from 20 s to 170 s.
-func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+// runWithFollowers runs the configuration and counts reads in f. It calls injectFaults at the
+// given interval from 20 s to 170 s.
+func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, interval int64, injectFaults func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
 	o := Options{
@@ -60,8 +60,8 @@
 		OnStart: func(c *Cluster) {
 			cluster = c
 			inject := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
-			for i := range int(150 * second / every) {
-				c.After(20*second+int64(i)*every, func() { again(c, inject, i) })
+			for i := range int(150 * second / interval) {
+				c.After(20*second+int64(i)*interval, func() { injectFaults(c, inject, i) })
 			}
 		},
 	}
@@ -92,34 +92,34 @@
 		}
 	}
 	type faultCase struct {
-		name  string
-		every int64
-		again func(c *Cluster, inject func(environment.Fault), i int)
-		setup func(f *followerReads)
+		name         string
+		interval     int64
+		injectFaults func(c *Cluster, inject func(environment.Fault), i int)
+		setup        func(f *followerReads)
 		// fails is set if some reads have to fail.
 		fails bool
 	}
 	faultCases := []faultCase{
-		{name: "no faults", every: 150 * second, again: nothing},
-		{name: "the leader crashes", every: 150 * second, again: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), fails: true},
-		{name: "the leader restarts immediately", every: 150 * second, again: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
-		{name: "the leader is frozen for longer than its lease", every: 150 * second, again: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
-		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "no faults", interval: 150 * second, injectFaults: nothing},
+		{name: "the leader crashes", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), fails: true},
+		{name: "the leader restarts immediately", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
+		{name: "the leader is frozen for longer than its lease", interval: 150 * second, injectFaults: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
+		{name: "answers are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "reads are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "reads are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers are delayed", every: 1500_000, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "answers are delayed", interval: 1500_000, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
-		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "ten leaders in two minutes", interval: 13 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			inject(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
 		}},
-		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "the leader is refused by the state service", interval: 30 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
 		}, fails: true},
 	}
@@ -131,7 +131,7 @@
 				to = append(to, l)
 			}
 		}
-		faultCases = append(faultCases, faultCase{name: "a follower partitioned from " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		faultCases = append(faultCases, faultCase{name: "a follower partitioned from " + strings.Join(to, ", "), interval: 25 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
 		}})
 	}
@@ -147,7 +147,7 @@
 					x.setup(f)
 				}
 				d := newFollowerRun(uint64(900+20*k+i), size)
-				c := d.runWithFollowers(t, f, x.every, x.again, nil)
+				c := d.runWithFollowers(t, f, x.interval, x.injectFaults, nil)
 				checkRun(t, c)
 				if f.answered < 100 || x.fails && f.failed == 0 {
 					t.Errorf("%d reads, %d answered, want at least 100; %d failed, want some: %v", f.sent, f.answered, f.failed, x.fails)
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -16,10 +16,10 @@
 // another depends. The state service refuses the leader, another controller confirms the
 // cancellation, and then the state service is down for twice cancel_s.
 func TestOutageAfterCancellations(t *testing.T) {
-	const refused, outage, ends = 60 * second, 62 * second, 138 * second
+	const refused, outage, outageEnd = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
 	confirmed := 0
-	day := func(t *testing.T, size int, lose environment.LossOutcome, back bool) {
+	runCase := func(t *testing.T, size int, lose environment.LossOutcome, restart bool) {
 		t.Helper()
 		t.Parallel()
 		d := newSweepRun(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: sweepText("rain", 10, 20)})
@@ -36,11 +36,11 @@
 					c.ScheduleFaults(&failed, environment.Fault{At: refused, Kind: "state_lose", TransactionLoss: &environment.TransactionLoss{Prefix: core.Prefix + prefix, Outcome: lose, Delay: second / 2}})
 				}
 			}
-			c.ScheduleFaults(&failed, environment.Fault{At: outage, Kind: "state_outage", Duration: ends - outage})
+			c.ScheduleFaults(&failed, environment.Fault{At: outage, Kind: "state_outage", Duration: outageEnd - outage})
 			c.After(refused, func() {
 				nodes := c.LeaderFirst()
 				c.ScheduleFaults(&failed, environment.Fault{Kind: "state_refuse", Hosts: nodes[:1], Duration: 14 * second})
-				if back {
+				if restart {
 					c.ScheduleFaults(&failed, environment.Fault{At: 4 * second, Kind: "crash", Hosts: nodes[1:2], Duration: 200_000})
 				}
 			})
@@ -49,27 +49,27 @@
 			}
 		})
 		checkRun(t, c)
-		on := 0
+		entered := 0
 		for _, e := range c.History {
 			switch {
-			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < ends && (e.Job == history.SweepJob("rain") || e.Job == "second"):
+			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < outageEnd && (e.Job == history.SweepJob("rain") || e.Job == "second"):
 				mu.Lock()
 				confirmed++
 				mu.Unlock()
 			case e.Kind == history.TaskEntered && e.At < refused:
-				on++
+				entered++
 			}
 		}
-		if on < 10 {
-			t.Errorf("%d tasks entered machines before the refusal, want at least 10", on)
+		if entered < 10 {
+			t.Errorf("%d tasks entered machines before the refusal, want at least 10", entered)
 		}
 	}
 	t.Run("each", func(t *testing.T) {
 		for _, size := range []int{3, 5} {
 			for _, lose := range []environment.LossOutcome{"", environment.LostAfter, environment.LostLate} {
-				for _, back := range []bool{false, true} {
-					t.Run(fmt.Sprintf("%d controllers, loss of writes %q, another controller restarts %v", size, lose, back), func(t *testing.T) {
-						day(t, size, lose, back)
+				for _, restart := range []bool{false, true} {
+					t.Run(fmt.Sprintf("%d controllers, loss of writes %q, another controller restarts %v", size, lose, restart), func(t *testing.T) {
+						runCase(t, size, lose, restart)
 					})
 				}
 			}
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lose_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	var mu sync.Mutex
-	met := map[string]int{}
+	lostCases := map[string]int{}
 	t.Run("each", func(t *testing.T) {
 		for _, kind := range keyKinds {
 			for _, how := range []string{"before", "after", "soon", "late"} {
@@ -66,7 +66,7 @@
 						d.runAndCheck(t)
 						if l.Matched > skip {
 							mu.Lock()
-							met[kind]++
+							lostCases[kind]++
 							mu.Unlock()
 						}
 					})
@@ -75,8 +75,8 @@
 		}
 	})
 	for _, kind := range keyKinds {
-		if met[kind] < 3 {
-			t.Errorf("%s: %d cases lost a write, want at least 3", kind, met[kind])
+		if lostCases[kind] < 3 {
+			t.Errorf("%s: %d cases lost a write, want at least 3", kind, lostCases[kind])
 		}
 	}
 }
--- a/internal/emulator/faketime/odd_test.go
+++ b/internal/emulator/faketime/odd_test.go
@@ -12,8 +12,8 @@
 
 // TestInvalidSubmissions sends every controller jobs that can't run, and jobs with a missing or
 // invalid field. They have to be rejected permanently with an error that names the field, and
-// nothing of them may be stored. A request with the same content and the ID of a job that is known, done
-// or cancelled has to be answered with the state of that job. Once a gang that had to be spread
+// nothing of them may be stored. The same submission with the ID of a job that is known, done or
+// cancelled has to be answered with the state of that job. Once a gang that had to be spread
 // but could be in only one zone was accepted, and waited forever.
 func TestInvalidSubmissions(t *testing.T) {
 	d := newTestRun(3)
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -49,7 +49,7 @@
 
 // checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
 // controller lists. It returns the final state of the last sweep that users were told.
-func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (over string) {
+func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (finalState string) {
 	t.Helper()
 	var listed [][]core.SweepRun
 	c := d.run(t, func(c *Cluster) {
@@ -64,25 +64,25 @@
 			}
 		})
 	})
-	wrong := c.Violations()
+	errs := c.Violations()
 	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
-		wrong = append(wrong, fmt.Sprintf("got %d lists of runs, want %d", len(listed), len(c.Controllers)*len(d.Sweeps)))
+		errs = append(errs, fmt.Sprintf("got %d lists of runs, want %d", len(listed), len(c.Controllers)*len(d.Sweeps)))
 	}
 	for i, r := range listed {
-		wrong = append(wrong, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
+		errs = append(errs, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
 	}
 	for _, e := range c.History {
 		if e.Kind == history.ResponseReceived && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Cancelled) {
-			over = e.State
+			finalState = e.State
 		}
 	}
-	if over == "" {
-		wrong = append(wrong, "no user was told that the sweep has ended")
+	if finalState == "" {
+		errs = append(errs, "no user was told that the sweep has ended")
 	}
-	if len(wrong) > 0 {
-		t.Errorf("%s", strings.Join(wrong[:min(len(wrong), 12)], "\n"))
+	if len(errs) > 0 {
+		t.Errorf("%s", strings.Join(errs[:min(len(errs), 12)], "\n"))
 	}
-	return over
+	return finalState
 }
 
 // listAllSweepRuns requests all runs of a sweep from a controller, page by page, and calls f
@@ -110,8 +110,8 @@
 // sweepRunErrors returns the errors in the listed runs of a sweep that has ended: each run has
 // to be listed once, with its values, and in the state of its stored end.
 func sweepRunErrors(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
-	var wrong []string
-	fail := func(format string, a ...any) { wrong = append(wrong, fmt.Sprintf(format, a...)) }
+	var errs []string
+	fail := func(format string, a ...any) { errs = append(errs, fmt.Sprintf(format, a...)) }
 	ends, created := map[string]string{}, map[string]int{}
 	there := map[string]bool{}
 	for _, e := range events {
@@ -155,8 +155,8 @@
 			fail("run %d is listed as %s, but its end is %q", i, r.State, ends[j.ID])
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(errs)
+	return errs
 }
 
 // TestSweeps runs sweeps of 200 runs through crashes, outages and lost answers.
@@ -207,9 +207,9 @@
 					d.Faults = tc.faults(seed)
 				}
 				d.AnswerLoss = tc.loss
-				over := checkSweep(t, d, nil)
-				if tc.cancel == 0 && over != wire.Done {
-					t.Errorf("the sweep ended as %q, want %q", over, wire.Done)
+				finalState := checkSweep(t, d, nil)
+				if tc.cancel == 0 && finalState != wire.Done {
+					t.Errorf("the sweep ended as %q, want %q", finalState, wire.Done)
 				}
 			})
 		}
@@ -229,8 +229,8 @@
 	d.setMachines(30)
 	d.Length = length * second
 	d.Faults = []fault{faultAt(20, "state_limits", 0), faultAt(90, "crash", 0), faultAt(120, "crash", 0, "node-0"), faultAt(150, "crash", 0)}
-	if over := checkSweep(t, d, nil); over != wire.Done {
-		t.Errorf("the sweep ended as %q, want %q", over, wire.Done)
+	if finalState := checkSweep(t, d, nil); finalState != wire.Done {
+		t.Errorf("the sweep ended as %q, want %q", finalState, wire.Done)
 	}
 }
 
@@ -238,7 +238,7 @@
 // transaction that changes a key of the sweep or its runs.
 func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
-	about := func(e history.Event) bool {
+	isSweepChange := func(e history.Event) bool {
 		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // the keys of the sweep and of its runs
 	}
 	day := func() *testRun {
@@ -248,7 +248,7 @@
 	}
 	boundaries := map[int64]bool{}
 	for _, e := range day().run(t, nil).History {
-		if about(e) {
+		if isSweepChange(e) {
 			boundaries[e.At] = true
 		}
 	}
@@ -258,10 +258,10 @@
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			over := checkSweep(t, day(), func(c *Cluster) {
+			finalState := checkSweep(t, day(), func(c *Cluster) {
 				n, last := 0, int64(0)
 				c.OnEvent = func(e history.Event) {
-					if !about(e) || e.At == last {
+					if !isSweepChange(e) || e.At == last {
 						return
 					}
 					last = e.At
@@ -275,7 +275,7 @@
 					}
 				}
 			})
-			outcomes[over]++
+			outcomes[finalState]++
 		})
 	}
 	if outcomes[wire.Cancelled] < len(boundaries)/2 {
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -81,32 +81,32 @@
 		to   *upgrade.Program
 	}
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
-	inside := []string{"", "leader crashes", "all crash", "state service alone", "workers alone", "peers alone", "state outage", "leader stands still"}
+	extraFaults := []string{"", "leader crashes", "all crash", "leader reaches only the state service", "leader reaches only workers", "leader reaches only peers", "state outage", "leader is frozen"}
 	each := 5
 	if raceEnabled {
 		each = 11
 	}
 	n := 0
-	for _, way := range []string{"older to this", "half-way back", "this to next"} {
+	for _, upgradePath := range []string{"older to this", "with a rollback", "this to next"} {
 		for _, order := range orders {
-			for _, trouble := range inside {
+			for _, extraFault := range extraFaults {
 				if n++; n%each != 0 {
 					continue
 				}
-				t.Run(fmt.Sprintf("%s/%v/%s", way, order, trouble), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/%s", upgradePath, order, extraFault), func(t *testing.T) {
 					t.Parallel()
 					from, to := &older, &this
-					if way == "this to next" {
+					if upgradePath == "this to next" {
 						from, to = &this, &next
 					}
 					plan := []step{{order[0], to}, {order[1], to}, {order[2], to}}
-					if way == "half-way back" {
+					if upgradePath == "with a rollback" {
 						plan = []step{{order[0], to}, {order[1], to}, {order[0], from}, {order[1], from}, {order[0], to}, {order[1], to}, {order[2], to}}
 					}
 					run := []*upgrade.Program{from, from, from}
 					d := newTestRun(uint64(500 + n))
 					d.Length = 480 * second
-					failed := func(c *Cluster, f environment.Fault) {
+					inject := func(c *Cluster, f environment.Fault) {
 						if err := c.InjectFault(f); err != nil {
 							t.Error(err)
 						}
@@ -115,25 +115,25 @@
 						for k, s := range plan {
 							c.After(int64(60+12*k)*second, func() {
 								run[s.node] = s.to
-								failed(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
+								inject(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
 							})
 						}
 						c.After(int64(60+12*len(plan)-14)*second, func() { // 2 s before the last restart
 							lead := c.Leaders()
 							switch {
-							case trouble == "state outage":
-								failed(c, environment.Fault{Kind: "state_outage", Duration: 20 * second})
-							case trouble == "all crash":
-								failed(c, environment.Fault{Kind: "crash"})
-							case len(lead) == 0 || trouble == "":
-							case trouble == "leader crashes":
-								failed(c, environment.Fault{Kind: "crash", Hosts: lead})
-							case trouble == "leader stands still":
-								failed(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
+							case extraFault == "state outage":
+								inject(c, environment.Fault{Kind: "state_outage", Duration: 20 * second})
+							case extraFault == "all crash":
+								inject(c, environment.Fault{Kind: "crash"})
+							case len(lead) == 0 || extraFault == "":
+							case extraFault == "leader crashes":
+								inject(c, environment.Fault{Kind: "crash", Hosts: lead})
+							case extraFault == "leader is frozen":
+								inject(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
 							default: // the leader keeps only one of its links
-								for host, keep := range map[string]string{environment.StateHost: "state service alone", "workers": "workers alone", "controllers": "peers alone"} {
-									if keep != trouble {
-										failed(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
+								for host, keep := range map[string]string{environment.StateHost: "leader reaches only the state service", "workers": "leader reaches only workers", "controllers": "leader reaches only peers"} {
+									if keep != extraFault {
+										inject(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
 									}
 								}
 							}
@@ -148,10 +148,10 @@
 					if on[upgrade.Connectivity] == 0 {
 						t.Errorf("feature %s was never switched on", upgrade.Connectivity)
 					}
-					if way != "this to next" && on[upgrade.Connectivity] < last {
+					if upgradePath != "this to next" && on[upgrade.Connectivity] < last {
 						t.Errorf("feature %s was switched on at %d, want after the last restart at %d", upgrade.Connectivity, on[upgrade.Connectivity], last)
 					}
-					if way == "this to next" && on["next"] < last {
+					if upgradePath == "this to next" && on["next"] < last {
 						t.Errorf("feature next was switched on at %d, want after the last restart at %d", on["next"], last)
 					}
 				})
@@ -168,16 +168,16 @@
 	run := []*upgrade.Program{&next, &next, &this}
 	d := newTestRun(611)
 	d.Length = 300 * second
-	var said core.Reply
-	back := false
+	var reply core.Reply
+	restarted := false
 	c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, OnStart: func(c *Cluster) {
 		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // permanently
 		c.After(100*second, func() {
 			c.Controllers[0].Request(func(req uint64) any {
 				return core.SetDecommissioned{RequestID: req, Name: "node-2", Decommissioned: true}
-			}, func(r core.Reply) { said = r })
+			}, func(r core.Reply) { reply = r })
 		})
-		c.After(200*second, func() { back = true; c.Start(c.Controllers[2]) })
+		c.After(200*second, func() { restarted = true; c.Start(c.Controllers[2]) })
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -186,10 +186,10 @@
 		t.Error(strings.Join(l, "\n"))
 	}
 	on := featureActivations(t, c, next)
-	if said.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
-		t.Errorf("decommissioning: got status %d, want 200; feature next on at %d, want between 100 s and 110 s", said.Status, on["next"])
+	if reply.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
+		t.Errorf("decommissioning: got status %d, want 200; feature next on at %d, want between 100 s and 110 s", reply.Status, on["next"])
 	}
-	if !back || c.Controllers[2].up {
+	if !restarted || c.Controllers[2].up {
 		t.Error("older program still runs although it lacks a needed feature, want it to exit at its start")
 	}
 	for _, e := range c.History {
--- a/internal/emulator/outages/outages_test.go
+++ b/internal/emulator/outages/outages_test.go
@@ -37,8 +37,8 @@
 }
 
 // manyJobs returns a case with the given numbers of controllers and jobs. The jobs are
-// cancelled in the second before an outage of two cancel_s; if unanswered is set, the answers to the
-// writes of the cancellations are lost.
+// cancelled in the second before an outage of two cancel_s; if unanswered is set, the answers
+// to the writes of the cancellations are lost.
 func manyJobs(size, jobs int, unanswered bool) Case {
 	m := cancelTimings[1]
 	m.interval = outageDelay / 2 / int64(jobs)
--- a/internal/emulator/soak/soak_test.go
+++ b/internal/emulator/soak/soak_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestRegressionSeeds runs further seeds whose runs failed once: in 396 a repeated submission was
-// never answered, in the others the end of a job was lost.
+// TestRegressionSeeds runs further seeds whose runs failed once: in 396 a repeated submission
+// was never answered, in the others the end of a job was lost.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{139, 155, 176, 282, 396} {
 		if result := RunSeed(seed); result.Failed() {
@@ -32,7 +32,7 @@
 }
 
 // TestRandomConfig checks that a seed always gives the same configuration, that another seed
-// gives another, and that few seeds suffice to get every kind of fault and job that the soak is for.
+// gives another, and that 30 seeds give every kind of fault and job that the soak is for.
 func TestRandomConfig(t *testing.T) {
 	if !reflect.DeepEqual(RandomConfig(7), RandomConfig(7)) || reflect.DeepEqual(RandomConfig(7), RandomConfig(8)) {
 		t.Error("configuration is not determined by the seed, or is the same for seeds 7 and 8")
