--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/day_test.go
@@ -65,8 +65,8 @@
 	return d
 }
 
-// setMachines sets the number of machines that are up at the start to n, and the number that
-// can be rented in each zone to n, of which half as spot machines.
+// setMachines sets the number of machines that are up at the start to n. In addition, n machines
+// and n/2 spot machines can be rented in each zone.
 func (d *testRun) setMachines(n int) {
 	d.Machines, d.Capacity = nil, nil
 	for i, z := range d.Params.Zones {
--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -209,7 +209,7 @@
 	}
 	cases := []struct {
 		name string
-		// tamper changes an answer; since is the time since the current leader took office.
+		// tamper changes an answer; since is the time since the current leader was elected.
 		tamper func(s *core.LeaderReadDone, since int64)
 		want   bool
 	}{
--- a/internal/emulator/faketime/writes_test.go
+++ b/internal/emulator/faketime/writes_test.go
@@ -22,8 +22,7 @@
 	lease       bool // the key is attached to the writer's lease
 }
 
-// writeKinds are all kinds of writes of controllers. Longer prefixes come before their own
-// prefixes.
+// writeKinds are all kinds of writes of controllers. Longer prefixes come first.
 var writeKinds = []writeKind{
 	{keyPrefix: "job/"}, // created, ended by whoever cancels it, removed by the leader
 	{keyPrefix: "end/", once: true},
@@ -49,7 +48,7 @@
 // the same controller, or twice because of a retry. Its conditions make that harmless.
 func TestWriteConditions(t *testing.T) {
 	t.Parallel()
-	met := map[string]int{}
+	written := map[string]int{}
 	check := func(e core.CommitTransaction) {
 		on := map[string]uint64{}
 		for _, c := range e.Conditions {
@@ -62,7 +61,7 @@
 				continue
 			}
 			k := writeKinds[i]
-			met[k.keyPrefix]++
+			written[k.keyPrefix]++
 			stamp, own := on[x.Key]
 			_, leads := on[core.Prefix+"leader"]
 			beside := k.guardPrefix != "" && slices.ContainsFunc(e.Writes, func(o core.Write) bool {
@@ -100,7 +99,7 @@
 	sweeps := newSweepRun(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: sweepText("rain", 40, 40)})
 	play(sweeps)
 	for _, k := range writeKinds {
-		if k.keyPrefix != "gone/" && met[k.keyPrefix] == 0 { // operators write it, see TestSetDecommissioned
+		if k.keyPrefix != "gone/" && written[k.keyPrefix] == 0 { // operators write it, see TestSetDecommissioned
 			t.Errorf("no key with the prefix %s was written, want at least one", k.keyPrefix)
 		}
 	}
