--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -55,7 +55,8 @@
 	name   string
 	at     int64 // relative to the start of the outage
 	faults func(nodes []string) []environment.Fault
-	// mayLoseTasks is set if tasks may be lost, as possibly no controller answers heartbeats.
+	// mayLoseTasks is set if not all tasks can be kept, as no controller is allowed to answer
+	// heartbeats.
 	mayLoseTasks bool
 }
 
@@ -73,7 +74,7 @@
 	}, false},
 	{"all others are back at once, as the outage begins", 20_000, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
-	}, true}, // nobody can have granted them a read lease before the outage the outage
+	}, true}, // nobody can have granted them a read lease before the outage
 	{"another crashes while it is cut from the leader", 4 * second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, true},
