--- a/internal/emulator/faketime/follow_test.go
+++ b/internal/emulator/faketime/follow_test.go
@@ -12,14 +12,14 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// followers is a run in which users probe all controllers and cancel, so that followers have
-// to answer right after something has happened elsewhere.
-func followers(seed uint64, size int) *day {
-	d := small(seed)
+// newFollowerRun returns a run in which users query all controllers and cancel jobs, so that
+// followers have to answer immediately after a change through another controller.
+func newFollowerRun(seed uint64, size int) *testRun {
+	d := newTestRun(seed)
 	d.Params.Size, d.Length = size, 270*second
 	d.Params.State.RPS = float64(60 + 15*size)
 	d.StrayRequestRate = 1
-	d.Faults = []fault{at(15, "close_looks", 240)}
+	d.Faults = []fault{faultAt(15, "close_looks", 240)}
 	for i := range d.Jobs {
 		if i%3 == 0 {
 			d.Jobs[i].Cancel = d.Jobs[i].At + 3*second + int64(i)*second
@@ -28,30 +28,31 @@
 	return d
 }
 
-// following counts the reads of the followers from the leader.
-type following struct {
-	asked, shown, failed int
-	// err is that of the first fault that could not be injected.
+// followerReads counts the reads that followers send to the leader.
+type followerReads struct {
+	sent, answered, failed int
+	// err is the error of the first fault that could not be injected.
 	err error
-	// meet, if set, is called with each read from the leader, while faults last.
-	meet func(c *Cluster, node, leader string)
+	// onRead, if set, is called with each read from the leader between 20 s and 170 s.
+	onRead func(c *Cluster, node, leader string)
 }
 
-// playFollowing runs a day, with a fault every so often from 20 s to 170 s.
-func (d *day) playFollowing(t *testing.T, f *following, every int64, again func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+// runWithFollowers runs the configuration and counts reads in f. It calls injectFaults at the
+// given interval from 20 s to 170 s.
+func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, interval int64, injectFaults func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
 	o := Options{
 		Operators: d.ops, Programs: programs,
 		OnQuery: func(node string, q core.ReadFromLeader) {
-			f.asked++
-			if f.meet != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
-				f.meet(cluster, node, q.To)
+			f.sent++
+			if f.onRead != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
+				f.onRead(cluster, node, q.To)
 			}
 		},
 		OnQueryEnd: func(_ string, s *core.LeaderReadDone) {
 			if s.Answer.View != nil {
-				f.shown++
+				f.answered++
 			} else {
 				f.failed++
 			}
@@ -59,8 +60,8 @@
 		OnStart: func(c *Cluster) {
 			cluster = c
 			inject := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
-			for i := range int(150 * second / every) {
-				c.After(20*second+int64(i)*every, func() { again(c, inject, i) })
+			for i := range int(150 * second / interval) {
+				c.After(20*second+int64(i)*interval, func() { injectFaults(c, inject, i) })
 			}
 		},
 	}
@@ -71,17 +72,17 @@
 	return c
 }
 
-// TestFollowers plays what may come between a follower's question and its answer,
-// with 3, 5 and 12 controllers. No rule is broken, nobody is told anything older than
-// before, and all that was accepted comes to its end.
-func TestFollowers(t *testing.T) {
+// TestFollowerReads injects faults between a follower's read from the leader and its answer,
+// with 3, 5 and 12 controllers. No rule may be violated, no user may get a state older than
+// one that was answered before, and all accepted jobs have to end.
+func TestFollowerReads(t *testing.T) {
 	nothing := func(*Cluster, func(environment.Fault), int) {}
-	// atQuestion injects a fault into the leader at every so manieth question, as
-	// long as it takes the question to arrive.
-	atQuestion := func(nth int, x environment.Fault) func(f *following) {
-		return func(f *following) {
+	// atRead injects a fault into the leader at every nth read, with a delay of 0 to
+	// 900 µs, while the read is on its way.
+	atRead := func(nth int, x environment.Fault) func(f *followerReads) {
+		return func(f *followerReads) {
 			n := 0
-			f.meet = func(c *Cluster, _, leader string) {
+			f.onRead = func(c *Cluster, _, leader string) {
 				if n++; n%nth == 0 {
 					x.Hosts = []string{leader}
 					x.At = int64(n/nth%4) * 300
@@ -91,34 +92,34 @@
 		}
 	}
 	type faultCase struct {
-		name  string
-		every int64
-		again func(c *Cluster, inject func(environment.Fault), i int)
-		meet  func(f *following)
-		// fails: some questions have to go unanswered.
+		name         string
+		interval     int64
+		injectFaults func(c *Cluster, inject func(environment.Fault), i int)
+		setup        func(f *followerReads)
+		// fails is set if some reads have to fail.
 		fails bool
 	}
 	faultCases := []faultCase{
-		{name: "calm", every: 150 * second, again: nothing},
-		{name: "the one asked ends", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash"}), fails: true},
-		{name: "the one asked is back at once", every: 150 * second, again: nothing, meet: atQuestion(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
-		{name: "the one asked stands still for longer than its lease", every: 150 * second, again: nothing, meet: atQuestion(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
-		{name: "answers are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "no faults", interval: 150 * second, injectFaults: nothing},
+		{name: "the leader crashes", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), fails: true},
+		{name: "the leader restarts immediately", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
+		{name: "the leader is frozen for longer than its lease", interval: 150 * second, injectFaults: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
+		{name: "answers are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "questions are lost one way", every: 20 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "reads are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers come late", every: 1500_000, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "answers are delayed", interval: 1500_000, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
-		{name: "ten leaders in two minutes", every: 13 * second, fails: true, again: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "ten leaders in two minutes", interval: 13 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			inject(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
 		}},
-		{name: "the leader is refused by the state service", every: 30 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "the leader is refused by the state service", interval: 30 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
 		}, fails: true},
 	}
@@ -130,7 +131,7 @@
 				to = append(to, l)
 			}
 		}
-		faultCases = append(faultCases, faultCase{name: "a follower without " + strings.Join(to, ", "), every: 25 * second, again: func(c *Cluster, inject func(environment.Fault), _ int) {
+		faultCases = append(faultCases, faultCase{name: "a follower partitioned from " + strings.Join(to, ", "), interval: 25 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "cut", Hosts: c.LeaderFirst()[1:2], To: to, Duration: 12 * second})
 		}})
 	}
@@ -141,24 +142,25 @@
 			}
 			t.Run(fmt.Sprintf("%d controllers/%s", size, x.name), func(t *testing.T) {
 				t.Parallel()
-				f := &following{}
-				if x.meet != nil {
-					x.meet(f)
+				f := &followerReads{}
+				if x.setup != nil {
+					x.setup(f)
 				}
-				d := followers(uint64(900+20*k+i), size)
-				c := d.playFollowing(t, f, x.every, x.again, nil)
-				keeps(t, c)
-				if f.shown < 100 || x.fails && f.failed == 0 {
-					t.Errorf("%d questions, %d answers, %d without one", f.asked, f.shown, f.failed)
+				d := newFollowerRun(uint64(900+20*k+i), size)
+				c := d.runWithFollowers(t, f, x.interval, x.injectFaults, nil)
+				checkRun(t, c)
+				if f.answered < 100 || x.fails && f.failed == 0 {
+					t.Errorf("%d reads, %d answered, want at least 100; %d failed, want some: %v", f.sent, f.answered, f.failed, x.fails)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowersMixed: beside a program that shares nothing nobody asks the leader, and
-// one that comes back when all share reads does no harm.
-func TestFollowersMixed(t *testing.T) {
+// TestFollowerReadsMixedVersions checks that no follower reads from the leader while one
+// controller runs an older program without that feature, and that a controller which goes back
+// to the older program after the feature was activated does no harm.
+func TestFollowerReadsMixedVersions(t *testing.T) {
 	this := upgrade.CurrentProgram()
 	before := this
 	before.Version, before.Features = 4, this.Features[:len(this.Features)-1]
@@ -167,13 +169,13 @@
 		programs func(node, epoch int) upgrade.Program
 		asks     bool
 	}{
-		{"one is older", func(node, _ int) upgrade.Program {
+		{"one controller is older", func(node, _ int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[node == 1]
 		}, false},
-		{"all are older at first", func(_, epoch int) upgrade.Program {
+		{"all controllers are older at first", func(_, epoch int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[epoch == 1]
 		}, true},
-		{"one goes back to the older", func(node, epoch int) upgrade.Program {
+		{"one controller goes back to the older program", func(node, epoch int) upgrade.Program {
 			return map[bool]upgrade.Program{true: before, false: this}[node == 1 && epoch > 1]
 		}, true},
 	}
@@ -184,35 +186,36 @@
 			}
 			t.Run(fmt.Sprintf("%d controllers/%s", size, tc.name), func(t *testing.T) {
 				t.Parallel()
-				f := &following{}
-				d := followers(uint64(970+3*k+i), size)
-				c := d.playFollowing(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
+				f := &followerReads{}
+				d := newFollowerRun(uint64(970+3*k+i), size)
+				c := d.runWithFollowers(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
 					inject(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
 				}, tc.programs)
-				keeps(t, c)
-				if tc.asks != (f.asked > 0) {
-					t.Errorf("%d questions", f.asked)
+				checkRun(t, c)
+				if tc.asks != (f.sent > 0) {
+					t.Errorf("%d reads from the leader, want some: %v", f.sent, tc.asks)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowersPlanted: a leader that shows what it read before the question came, or
-// that goes on answering by what it knew when another leads, is found out.
-func TestFollowersPlanted(t *testing.T) {
+// TestStaleFollowerReads checks that the rules detect a leader that answers with a state that
+// it read before the request arrived, or that keeps answering from its state after another
+// controller became the leader.
+func TestStaleFollowerReads(t *testing.T) {
 	stale := func(s *core.LeaderReadDone) {
 		s.Err, s.Answer = nil, core.Reply{Status: 200, View: &replica.View{Revision: s.AfterRevision}}
 	}
 	cases := []struct {
 		name string
-		// tamper changes an answer; since is for how long the present leader leads.
+		// tamper changes an answer; since is the time since the current leader was elected.
 		tamper func(s *core.LeaderReadDone, since int64)
 		want   bool
 	}{
-		{"nothing is planted", func(*core.LeaderReadDone, int64) {}, false},
-		{"a proof older than the request", func(s *core.LeaderReadDone, _ int64) { stale(s) }, true},
-		{"a proof kept over a change of leader", func(s *core.LeaderReadDone, since int64) {
+		{"answers are unchanged", func(*core.LeaderReadDone, int64) {}, false},
+		{"the answer is older than the request", func(s *core.LeaderReadDone, _ int64) { stale(s) }, true},
+		{"the answer is older than the change of leader", func(s *core.LeaderReadDone, since int64) {
 			if since < 10*second {
 				stale(s)
 			}
@@ -221,7 +224,7 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := followers(uint64(990+i), 3)
+			d := newFollowerRun(uint64(990+i), 3)
 			var cluster *Cluster
 			led := int64(0)
 			var failed error
@@ -246,7 +249,7 @@
 				t.Fatal(err, failed)
 			}
 			if found := c.Violations(); (len(found) > 0) != tc.want {
-				t.Errorf("found %v", found)
+				t.Errorf("violations %v, want some: %v", found, tc.want)
 			}
 		})
 	}
--- a/internal/emulator/faketime/gap_test.go
+++ b/internal/emulator/faketime/gap_test.go
@@ -11,36 +11,36 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestGapOfMany runs what package outages runs for jobs, for all that goes with one
-// cancellation: the runs of a sweep, and the stages of a pipeline behind a
-// cancelled one. The leader is refused, another controller confirms, and the state
-// service is down for twice cancel_s.
-func TestGapOfMany(t *testing.T) {
-	const refused, outage, ends = 60 * second, 62 * second, 138 * second
+// TestOutageAfterCancellations tests the scenario of package outages for cancellations that
+// end several jobs: those of a sweep with all its runs, and of a pipeline stage on which
+// another depends. The state service refuses the leader, another controller confirms the
+// cancellation, and then the state service is down for twice cancel_s.
+func TestOutageAfterCancellations(t *testing.T) {
+	const refused, outage, outageEnd = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
 	confirmed := 0
-	day := func(t *testing.T, size int, lose environment.LossOutcome, back bool) {
+	runCase := func(t *testing.T, size int, lose environment.LossOutcome, restart bool) {
 		t.Helper()
 		t.Parallel()
-		d := sweeping(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: forecast("rain", 10, 20)})
+		d := newSweepRun(t, uint64(size), environment.Sweep{At: 5 * second, Run: 200 * second, Cancel: refused + second, Times: 2, Text: sweepText("rain", 10, 20)})
 		d.Params.Size, d.Length = size, 420*second
 		long := wire.Job{Class: "p", Team: "blue", Kind: wire.Array, Tasks: 3, CPUs: 1, MemGB: 0.5, Priority: "urgent", Image: "im-p", ImageGB: 0.5, EstimateS: 200}
 		first, behind := long, long
 		first.ID, behind.ID = "first", "second"
 		behind.DependsOn = []string{"first"}
 		d.Jobs = append(d.Jobs, job{At: 6 * second, Run: 200 * second, Cancel: refused + second/2, Spec: first}, job{At: 8 * second, Run: 5 * second, Spec: behind})
-		c := d.play(t, func(c *Cluster) {
+		c := d.run(t, func(c *Cluster) {
 			var failed error
 			for _, prefix := range []string{"sweepend/", "end/", "end/"} {
 				if lose != "" {
 					c.ScheduleFaults(&failed, environment.Fault{At: refused, Kind: "state_lose", TransactionLoss: &environment.TransactionLoss{Prefix: core.Prefix + prefix, Outcome: lose, Delay: second / 2}})
 				}
 			}
-			c.ScheduleFaults(&failed, environment.Fault{At: outage, Kind: "state_outage", Duration: ends - outage})
+			c.ScheduleFaults(&failed, environment.Fault{At: outage, Kind: "state_outage", Duration: outageEnd - outage})
 			c.After(refused, func() {
 				nodes := c.LeaderFirst()
 				c.ScheduleFaults(&failed, environment.Fault{Kind: "state_refuse", Hosts: nodes[:1], Duration: 14 * second})
-				if back {
+				if restart {
 					c.ScheduleFaults(&failed, environment.Fault{At: 4 * second, Kind: "crash", Hosts: nodes[1:2], Duration: 200_000})
 				}
 			})
@@ -48,34 +48,34 @@
 				t.Fatal(failed)
 			}
 		})
-		keeps(t, c)
-		on := 0
+		checkRun(t, c)
+		entered := 0
 		for _, e := range c.History {
 			switch {
-			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < ends && (e.Job == history.SweepJob("rain") || e.Job == "second"):
+			case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At > refused && e.At < outageEnd && (e.Job == history.SweepJob("rain") || e.Job == "second"):
 				mu.Lock()
 				confirmed++
 				mu.Unlock()
 			case e.Kind == history.TaskEntered && e.At < refused:
-				on++
+				entered++
 			}
 		}
-		if on < 10 {
-			t.Errorf("%d tasks were on machines", on)
+		if entered < 10 {
+			t.Errorf("%d tasks entered machines before the refusal, want at least 10", entered)
 		}
 	}
 	t.Run("each", func(t *testing.T) {
 		for _, size := range []int{3, 5} {
 			for _, lose := range []environment.LossOutcome{"", environment.LostAfter, environment.LostLate} {
-				for _, back := range []bool{false, true} {
-					t.Run(fmt.Sprintf("%d controllers, answers lost %q, another is back at once %v", size, lose, back), func(t *testing.T) {
-						day(t, size, lose, back)
+				for _, restart := range []bool{false, true} {
+					t.Run(fmt.Sprintf("%d controllers, loss of writes %q, another controller restarts %v", size, lose, restart), func(t *testing.T) {
+						runCase(t, size, lose, restart)
 					})
 				}
 			}
 		}
 	})
 	if confirmed < 12 {
-		t.Errorf("%d cancellations were confirmed within", confirmed)
+		t.Errorf("%d cancellations were confirmed during refusals and outages, want at least 12", confirmed)
 	}
 }
--- a/internal/emulator/faketime/reach_test.go
+++ b/internal/emulator/faketime/reach_test.go
@@ -10,33 +10,34 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestCloudByPeer: a leader that the cloud does not answer rents and returns by
-// way of one that it does, and each request once.
-func TestCloudByPeer(t *testing.T) {
+// TestCloudViaPeer checks that a leader that cannot reach the cloud rents and returns machines
+// through a controller that can, sending each request once.
+func TestCloudViaPeer(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		to   []string // what is cut off from the cloud besides the leader
+		to   []string // hosts that are partitioned from the cloud in addition to the leader
 		on   bool
-		// came is how many machines come up meanwhile, of 16 to 20 without a cut.
+		// least and most bound the number of machines that come up during the partition;
+		// without a partition it is 16 to 20.
 		least, most int
 	}{
-		{"by a peer", nil, true, 14, 21},
-		{"switched off", nil, false, 0, 0},
-		{"nobody reaches it", []string{"controllers"}, true, 0, 0},
+		{"through a peer", nil, true, 14, 21},
+		{"feature switched off", nil, false, 0, 0},
+		{"no controller reaches the cloud", []string{"controllers"}, true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := small(71)
+			d := newTestRun(71)
 			d.ops = config.Defaults()
 			d.ops.Reach = tc.on
-			d.up(8)
+			d.setMachines(8)
 			d.Length = 500 * second
 			d.Jobs = []job{
 				{At: 60 * second, Run: 120 * second, Spec: wire.Job{ID: "burst", Class: "c", Team: "red", Kind: wire.Array, Tasks: 12, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
 				{At: 61 * second, Run: 120 * second, Spec: wire.Job{ID: "more", Class: "c", Team: "blue", Kind: wire.Array, Tasks: 10, CPUs: 4, GPUs: 1, MemGB: 9, Priority: "normal", Image: "i", EstimateS: 120}},
 			}
 			const from, until = 50 * second, 170 * second
-			c := d.play(t, func(c *Cluster) {
+			c := d.run(t, func(c *Cluster) {
 				c.After(from, func() {
 					f := environment.Fault{Kind: "cut", Hosts: append(tc.to, c.Leaders()...), To: []string{environment.CloudHost}, Duration: until - from}
 					if err := c.InjectFault(f); err != nil {
@@ -54,7 +55,7 @@
 				}
 			}
 			if came < tc.least || came > tc.most {
-				t.Errorf("%d machines came up in the cut", came)
+				t.Errorf("%d machines came up during the partition, want %d to %d", came, tc.least, tc.most)
 			}
 		})
 	}
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -16,8 +16,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// forecast is the text of a sweep of a times two sets; the second of each pair depends on the first.
-func forecast(id string, a, pending int) string {
+// sweepText returns the text of a sweep with 2a runs in pairs; the second run of each pair
+// depends on the first.
+func sweepText(id string, a, pending int) string {
 	return fmt.Sprintf(`id: %q pending: %d
 		job { herd: "s" steward: "red" shape: "sweep" urgency: "normal" vcpus: 1 mem_gb: 1 seedstock: "im-s" pull_gb: 0.5 }
 		set { field: "hands" is: "1 + a %% 3" }
@@ -26,18 +27,18 @@
 		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, a)
 }
 
-// sweeping is a small day with a sweep and some other work.
-func sweeping(tb testing.TB, seed uint64, s environment.Sweep) *day {
+// newSweepRun returns a run with a sweep and six other jobs.
+func newSweepRun(tb testing.TB, seed uint64, s environment.Sweep) *testRun {
 	tb.Helper()
-	d := small(seed)
+	d := newTestRun(seed)
 	d.ops.Sweeps = true
 	d.Jobs = d.Jobs[:6]
-	d.Sweeps = []environment.Sweep{expand(tb, s)}
+	d.Sweeps = []environment.Sweep{expandSweep(tb, s)}
 	return d
 }
 
-// expand fills in the runs of a sweep.
-func expand(tb testing.TB, s environment.Sweep) environment.Sweep {
+// expandSweep returns the sweep with its runs filled in.
+func expandSweep(tb testing.TB, s environment.Sweep) environment.Sweep {
 	tb.Helper()
 	s, err := scenario.Expand(s)
 	if err != nil {
@@ -46,46 +47,47 @@
 	return s
 }
 
-// accountFor runs a day to its end and checks that each run of its sweeps came to one end,
-// which every controller shows alike.
-func accountFor(t *testing.T, d *day, begin func(*Cluster)) (over string) {
+// checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
+// controller lists. It returns the final state of the last sweep that users were told.
+func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (finalState string) {
 	t.Helper()
 	var listed [][]core.SweepRun
-	c := d.play(t, func(c *Cluster) {
+	c := d.run(t, func(c *Cluster) {
 		if begin != nil {
 			begin(c)
 		}
 		c.After(d.Length-max(20*second, d.Length/10), func() {
 			for _, n := range c.Controllers {
 				for _, s := range d.Sweeps {
-					n.pages(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
+					n.listAllSweepRuns(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
 				}
 			}
 		})
 	})
-	wrong := c.Violations()
+	errs := c.Violations()
 	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
-		wrong = append(wrong, fmt.Sprintf("%d controllers have listed the runs", len(listed)))
+		errs = append(errs, fmt.Sprintf("got %d lists of runs, want %d", len(listed), len(c.Controllers)*len(d.Sweeps)))
 	}
 	for i, r := range listed {
-		wrong = append(wrong, account(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
+		errs = append(errs, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
 	}
 	for _, e := range c.History {
 		if e.Kind == history.ResponseReceived && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Cancelled) {
-			over = e.State
+			finalState = e.State
 		}
 	}
-	if over == "" {
-		wrong = append(wrong, "the sweep is not over")
+	if finalState == "" {
+		errs = append(errs, "no user was told that the sweep has ended")
 	}
-	if len(wrong) > 0 {
-		t.Errorf("%s", strings.Join(wrong[:min(len(wrong), 12)], "\n"))
+	if len(errs) > 0 {
+		t.Errorf("%s", strings.Join(errs[:min(len(errs), 12)], "\n"))
 	}
-	return over
+	return finalState
 }
 
-// pages asks a controller for all runs of a sweep and calls f with them.
-func (n *Controller) pages(id string, f func([]core.SweepRun)) {
+// listAllSweepRuns requests all runs of a sweep from a controller, page by page, and calls f
+// with them. It repeats a request that fails after a second.
+func (n *Controller) listAllSweepRuns(id string, f func([]core.SweepRun)) {
 	var runs []core.SweepRun
 	var next func(after int)
 	next = func(after int) {
@@ -105,11 +107,11 @@
 	next(0)
 }
 
-// account says what is wrong with the runs of a sweep that is over: each must be
-// listed once, with its values, and have come to the end that is stored.
-func account(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
-	var wrong []string
-	fail := func(format string, a ...any) { wrong = append(wrong, fmt.Sprintf(format, a...)) }
+// sweepRunErrors returns the errors in the listed runs of a sweep that has ended: each run has
+// to be listed once, with its values, and in the state of its stored end.
+func sweepRunErrors(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
+	var errs []string
+	fail := func(format string, a ...any) { errs = append(errs, fmt.Sprintf(format, a...)) }
 	ends, created := map[string]string{}, map[string]int{}
 	there := map[string]bool{}
 	for _, e := range events {
@@ -123,7 +125,7 @@
 		if id, ok := strings.CutPrefix(e.Key, core.Prefix+"end/"); ok {
 			var end jobstate.End
 			if err := json.Unmarshal([]byte(e.Value), &end); err != nil || ends[id] != "" {
-				fail("%s has a second end, or none that can be read", id)
+				fail("%s has a second end, or an end that cannot be decoded", id)
 			}
 			ends[id] = end.Outcome
 		}
@@ -136,7 +138,7 @@
 		listed[r.Number] = r
 	}
 	if len(listed) != len(s.Jobs) {
-		fail("%d runs are listed, and there are %d", len(listed), len(s.Jobs))
+		fail("%d runs are listed, want %d", len(listed), len(s.Jobs))
 	}
 	for i, j := range s.Jobs {
 		r, ok := listed[i]
@@ -144,25 +146,25 @@
 		case !ok:
 			fail("run %d is not listed", i)
 		case r.ID != j.ID || string(r.Values) != s.Values[i]:
-			fail("run %d is listed as %s with %s, and is %s with %s", i, r.ID, r.Values, j.ID, s.Values[i])
+			fail("run %d is listed as %s with values %s, want %s with values %s", i, r.ID, r.Values, j.ID, s.Values[i])
 		case created[j.ID] > 1:
 			fail("run %d was created %d times", i, created[j.ID])
 		case created[j.ID] == 1 && ends[j.ID] == "":
 			fail("run %d was created and never ended", i)
 		case created[j.ID] == 1 && ends[j.ID] != r.State || created[j.ID] == 0 && r.State != jobstate.Cancelled:
-			fail("run %d is listed as %s, and its end is %q", i, r.State, ends[j.ID])
+			fail("run %d is listed as %s, but its end is %q", i, r.State, ends[j.ID])
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(errs)
+	return errs
 }
 
-// TestSweeps plays sweeps of 200 runs through crashes, outages and lost answers.
+// TestSweeps runs sweeps of 200 runs through crashes, outages and lost answers.
 func TestSweeps(t *testing.T) {
 	random := func(seed uint64) (l []fault) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		for range 6 {
-			f := at(10+r.Int64N(120), "crash", 0)
+			f := faultAt(10+r.Int64N(120), "crash", 0)
 			if n := r.IntN(4); n < 3 {
 				f.Hosts = []string{environment.ControllerName(n)}
 			}
@@ -177,112 +179,113 @@
 		loss   float64
 		tight  bool
 	}{
-		{name: "quiet"},
+		{name: "no faults"},
 		{name: "controllers crash at random", faults: random},
 		{name: "cancelled halfway, while controllers crash", cancel: 45 * second, faults: random},
 		{name: "answers are lost", loss: 0.08, faults: random},
-		{name: "answers are lost, and it is cancelled", loss: 0.08, cancel: 60 * second},
-		{name: "limits fall", tight: true, faults: func(uint64) []fault {
-			return []fault{at(30, "state_limits", 0), at(40, "crash", 0)}
+		{name: "answers are lost, and the sweep is cancelled", loss: 0.08, cancel: 60 * second},
+		{name: "limits are lowered", tight: true, faults: func(uint64) []fault {
+			return []fault{faultAt(30, "state_limits", 0), faultAt(40, "crash", 0)}
 		}},
-		{name: "the state service goes, and all crash", faults: func(uint64) []fault {
-			return []fault{at(35, "state_outage", 30), at(50, "crash", 0)}
+		{name: "state outage, and all controllers crash", faults: func(uint64) []fault {
+			return []fault{faultAt(35, "state_outage", 30), faultAt(50, "crash", 0)}
 		}},
 		{name: "cancelled before an outage", cancel: 39 * second, faults: func(uint64) []fault {
-			return []fault{at(40, "state_outage", 30), at(41, "cut", 60, "node-0")}
+			return []fault{faultAt(40, "state_outage", 30), faultAt(41, "cut", 60, "node-0")}
 		}},
 	}
 	for i, tc := range cases {
-		for seed := range seeds() {
+		for seed := range seedCount() {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				d := sweeping(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: forecast("rain", 100, 40)})
+				d := newSweepRun(t, uint64(i)*10+seed+501, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: tc.cancel, Times: 10, Text: sweepText("rain", 100, 40)})
 				d.Length = 500 * second
 				if tc.tight {
-					d.tighten()
+					d.announceLowerLimits()
 				}
 				if tc.faults != nil {
 					d.Faults = tc.faults(seed)
 				}
 				d.AnswerLoss = tc.loss
-				over := accountFor(t, d, nil)
-				if tc.cancel == 0 && over != wire.Done {
-					t.Errorf("it is %q", over)
+				finalState := checkSweep(t, d, nil)
+				if tc.cancel == 0 && finalState != wire.Done {
+					t.Errorf("the sweep ended as %q, want %q", finalState, wire.Done)
 				}
 			})
 		}
 	}
 }
 
-// TestSweepLargest plays 10,000 runs under the tightest limits, through three
-// crashes: values of 2 KiB, four changes a transaction, 18 a second.
-func TestSweepLargest(t *testing.T) {
+// TestLargestSweep runs a sweep of 10,000 runs through three crashes under the tightest limits:
+// values of 2 KiB, four changes per transaction, 18 changes per second.
+func TestLargestSweep(t *testing.T) {
 	t.Parallel()
 	pairs, length := 5000, int64(4500)
 	if raceEnabled || testing.Short() {
-		pairs, length = 300, 700 // it is the same code, many times as slow
+		pairs, length = 300, 700 // the race detector makes the same code many times slower
 	}
-	d := sweeping(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: forecast("tight", pairs, 100)})
-	d.tighten()
-	d.up(30)
+	d := newSweepRun(t, 11, environment.Sweep{At: 12 * second, Run: 2 * second, Times: 3, Text: sweepText("tight", pairs, 100)})
+	d.announceLowerLimits()
+	d.setMachines(30)
 	d.Length = length * second
-	d.Faults = []fault{at(20, "state_limits", 0), at(90, "crash", 0), at(120, "crash", 0, "node-0"), at(150, "crash", 0)}
-	if over := accountFor(t, d, nil); over != wire.Done {
-		t.Errorf("it is %q", over)
+	d.Faults = []fault{faultAt(20, "state_limits", 0), faultAt(90, "crash", 0), faultAt(120, "crash", 0, "node-0"), faultAt(150, "crash", 0)}
+	if finalState := checkSweep(t, d, nil); finalState != wire.Done {
+		t.Errorf("the sweep ended as %q, want %q", finalState, wire.Done)
 	}
 }
 
-// TestSweepBoundaries cancels a sweep, and ends all controllers, after each
-// change that has to do with it.
-func TestSweepBoundaries(t *testing.T) {
+// TestSweepCancelledAtEachWrite cancels a sweep and crashes all controllers after each
+// transaction that changes a key of the sweep or its runs.
+func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
-	about := func(e history.Event) bool {
-		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // its keys, and those of its runs
+	isSweepChange := func(e history.Event) bool {
+		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // the keys of the sweep and of its runs
 	}
-	day := func() *day {
-		d := sweeping(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: forecast("edge", 12, 8)})
+	day := func() *testRun {
+		d := newSweepRun(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: sweepText("edge", 12, 8)})
 		d.Length = 240 * second
 		return d
 	}
 	boundaries := map[int64]bool{}
-	for _, e := range day().play(t, nil).History {
-		if about(e) {
+	for _, e := range day().run(t, nil).History {
+		if isSweepChange(e) {
 			boundaries[e.At] = true
 		}
 	}
 	if len(boundaries) < 10 {
-		t.Fatalf("only %d transactions", len(boundaries))
+		t.Fatalf("got %d transactions about the sweep, want at least 10", len(boundaries))
 	}
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			over := accountFor(t, day(), func(c *Cluster) {
+			finalState := checkSweep(t, day(), func(c *Cluster) {
 				n, last := 0, int64(0)
 				c.OnEvent = func(e history.Event) {
-					if !about(e) || e.At == last {
+					if !isSweepChange(e) || e.At == last {
 						return
 					}
 					last = e.At
 					if n++; n == k {
 						c.After(1, func() { c.Environment.CancelSweep("edge") })
 						c.After(int64(k%3)*20_000, func() {
-							if err := c.InjectFault(at(0, "crash", 0)); err != nil {
+							if err := c.InjectFault(faultAt(0, "crash", 0)); err != nil {
 								t.Error(err)
 							}
 						})
 					}
 				}
 			})
-			outcomes[over]++
+			outcomes[finalState]++
 		})
 	}
 	if outcomes[wire.Cancelled] < len(boundaries)/2 {
-		t.Errorf("outcomes %v", outcomes)
+		t.Errorf("got outcomes %v, want at least %d cancelled", outcomes, len(boundaries)/2)
 	}
 }
 
-// TestAccountCatches plants faults of accounting.
-func TestAccountCatches(t *testing.T) {
+// TestSweepRunErrors checks that sweepRunErrors detects errors planted in the list of runs or
+// in the history.
+func TestSweepRunErrors(t *testing.T) {
 	sweep := &environment.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
 	put := func(key, value string) history.Event {
 		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, Value: value, State: "put"}
@@ -299,42 +302,42 @@
 		log   []history.Event
 		wants string
 	}{
-		{"all is well", runs, good, ""},
+		{"no error", runs, good, ""},
 		{"a run is created twice", runs, append(slices.Clone(good), put("job/sweep.s.0", "{}")), "created 2 times"},
 		{"a run is lost", runs, append(slices.Clone(good[:4]), gone("job/sweep.s.1")), "never ended"},
 		{"a run is not listed", runs[:1], good, "run 1 is not listed"},
 		{"a run is listed twice", append(slices.Clone(runs), runs[0]), good, "run 0 is listed twice"},
-		{"a run has another's values", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, good, "run 1 is listed as"},
-		{"a run is called done and was never created", runs, good[:0], "its end is"},
+		{"a run has the values of another", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, good, "run 1 is listed as"},
+		{"a run is listed as done but was never created", runs, good[:0], "its end is"},
 		{"a run ends twice", runs, append(slices.Clone(good), put("end/sweep.s.0", done)), "a second end"},
 	}
 	for _, tc := range cases {
-		got := strings.Join(account(sweep, tc.runs, tc.log), "; ")
+		got := strings.Join(sweepRunErrors(sweep, tc.runs, tc.log), "; ")
 		if tc.wants == "" && got != "" || tc.wants != "" && !strings.Contains(got, tc.wants) {
-			t.Errorf("%s: %q", tc.name, got)
+			t.Errorf("%s: got errors %q, want %q", tc.name, got, tc.wants)
 		}
 	}
 }
 
-// BenchmarkSweeps is what runs cost as a sweep and as jobs submitted singly, in
-// fake time: changes of the state service and seconds until all are done, and how
-// long ordinary submissions take meanwhile.
+// BenchmarkSweeps measures the cost of runs submitted as a sweep and as single jobs, in
+// simulated time: the changes in the state service, the seconds until all runs are done, and
+// how long other submissions take meanwhile.
 func BenchmarkSweeps(b *testing.B) {
 	for _, n := range []int{200, 2000, 10_000} {
 		for _, as := range []string{"none", "sweep", "jobs"} {
 			b.Run(fmt.Sprint(n, "/", as), func(b *testing.B) {
 				for b.Loop() {
-					d := small(3)
+					d := newTestRun(3)
 					d.ops.Sweeps = true
 					d.Params.State.RPS, d.Params.State.WriteRPS, d.Params.State.TxnOps = 250, 100, 48
-					d.up(40)
+					d.setMachines(40)
 					d.Jobs = nil
 					d.Length = int64(60+n/4) * second
 					for k := range 200 {
 						spec := wire.Job{ID: fmt.Sprintf("job-%03d", k), Class: "c", Image: "i", Priority: "normal", Team: "blue", Kind: wire.Array, Tasks: 1, CPUs: 0.5, EstimateS: 1}
 						d.Jobs = append(d.Jobs, job{At: 20*second + int64(k)*d.Length/260, Run: second, Spec: spec})
 					}
-					s := expand(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: forecast("many", n/2, 400)})
+					s := expandSweep(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: sweepText("many", n/2, 400)})
 					switch as {
 					case "sweep":
 						d.Sweeps = []environment.Sweep{s}
@@ -344,7 +347,7 @@
 							d.Jobs = append(d.Jobs, job{At: 15*second + int64(i)*second/40, Run: 2 * second, Spec: spec})
 						}
 					}
-					c := d.play(b, nil)
+					c := d.run(b, nil)
 					changes, last := 0, int64(0)
 					first, took := map[string]int64{}, []int64{}
 					for _, e := range c.History {
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -14,9 +14,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// The programs of a roll: one before features, this one, and a made-up next one
-// with a feature that is needed from then on.
-func programs() (older, this, next upgrade.Program) {
+// upgradePrograms returns the program versions of a rolling upgrade: an older one without
+// feature activation, the current one, and a hypothetical next one with an additional feature
+// that programs need once it is on.
+func upgradePrograms() (older, this, next upgrade.Program) {
 	this = upgrade.CurrentProgram()
 	older, next = this, this
 	older.Version, older.Features = 3, this.Features[:2]
@@ -25,9 +26,9 @@
 	return older, this, next
 }
 
-// features goes through a history and says which features came on when; it
-// fails for a key that was written while its feature was off.
-func features(t *testing.T, c *Cluster, p upgrade.Program) map[upgrade.FeatureName]int64 {
+// featureActivations returns the time at which each feature was switched on in the history. It
+// fails the test if a feature is switched off, or a key is written while its feature is off.
+func featureActivations(t *testing.T, c *Cluster, p upgrade.Program) map[upgrade.FeatureName]int64 {
 	t.Helper()
 	on := map[upgrade.FeatureName]int64{}
 	for _, e := range c.History {
@@ -54,7 +55,7 @@
 			}
 			for n := range on {
 				if n != upgrade.ProgressLog && n != upgrade.Sweeps && !slices.ContainsFunc(v.On, func(s struct{ N upgrade.FeatureName }) bool { return s.N == n }) {
-					t.Errorf("%s was switched off", n)
+					t.Errorf("feature %s was switched off, want it to stay on", n)
 				}
 			}
 			for _, s := range v.On {
@@ -64,47 +65,48 @@
 			}
 		}
 		if f := p.FeatureOfKey(key); f != "" && on[f] == 0 && e.Value != "" {
-			t.Errorf("at %d: %s was written before %s was on", e.At, key, f)
+			t.Errorf("at %d: key %s was written before feature %s was on", e.At, key, f)
 		}
 	}
 	return on
 }
 
-// TestRolls rolls three controllers from one program to another in every order,
-// straight on and half-way back and forth again, with trouble inside.
-func TestRolls(t *testing.T) {
-	older, this, next := programs()
+// TestRollingUpgrades restarts three controllers with another program version, one at a time in
+// every order, either directly or with a rollback after two of them, with a fault shortly before
+// the last restart.
+func TestRollingUpgrades(t *testing.T) {
+	older, this, next := upgradePrograms()
 	type step struct {
 		node int
 		to   *upgrade.Program
 	}
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
-	inside := []string{"", "leader crashes", "all crash", "state service alone", "workers alone", "peers alone", "state outage", "leader stands still"}
+	extraFaults := []string{"", "leader crashes", "all crash", "leader reaches only the state service", "leader reaches only workers", "leader reaches only peers", "state outage", "leader is frozen"}
 	each := 5
 	if raceEnabled {
 		each = 11
 	}
 	n := 0
-	for _, way := range []string{"older to this", "half-way back", "this to next"} {
+	for _, upgradePath := range []string{"older to this", "with a rollback", "this to next"} {
 		for _, order := range orders {
-			for _, trouble := range inside {
+			for _, extraFault := range extraFaults {
 				if n++; n%each != 0 {
 					continue
 				}
-				t.Run(fmt.Sprintf("%s/%v/%s", way, order, trouble), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/%s", upgradePath, order, extraFault), func(t *testing.T) {
 					t.Parallel()
 					from, to := &older, &this
-					if way == "this to next" {
+					if upgradePath == "this to next" {
 						from, to = &this, &next
 					}
 					plan := []step{{order[0], to}, {order[1], to}, {order[2], to}}
-					if way == "half-way back" {
+					if upgradePath == "with a rollback" {
 						plan = []step{{order[0], to}, {order[1], to}, {order[0], from}, {order[1], from}, {order[0], to}, {order[1], to}, {order[2], to}}
 					}
 					run := []*upgrade.Program{from, from, from}
-					d := small(uint64(500 + n))
+					d := newTestRun(uint64(500 + n))
 					d.Length = 480 * second
-					failed := func(c *Cluster, f environment.Fault) {
+					inject := func(c *Cluster, f environment.Fault) {
 						if err := c.InjectFault(f); err != nil {
 							t.Error(err)
 						}
@@ -113,25 +115,25 @@
 						for k, s := range plan {
 							c.After(int64(60+12*k)*second, func() {
 								run[s.node] = s.to
-								failed(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
+								inject(c, environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(s.node)}})
 							})
 						}
-						c.After(int64(60+12*len(plan)-14)*second, func() { // just before the last
+						c.After(int64(60+12*len(plan)-14)*second, func() { // 2 s before the last restart
 							lead := c.Leaders()
 							switch {
-							case trouble == "state outage":
-								failed(c, environment.Fault{Kind: "state_outage", Duration: 20 * second})
-							case trouble == "all crash":
-								failed(c, environment.Fault{Kind: "crash"})
-							case len(lead) == 0 || trouble == "":
-							case trouble == "leader crashes":
-								failed(c, environment.Fault{Kind: "crash", Hosts: lead})
-							case trouble == "leader stands still":
-								failed(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
-							default: // what the leader keeps
-								for host, keep := range map[string]string{environment.StateHost: "state service alone", "workers": "workers alone", "controllers": "peers alone"} {
-									if keep != trouble {
-										failed(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
+							case extraFault == "state outage":
+								inject(c, environment.Fault{Kind: "state_outage", Duration: 20 * second})
+							case extraFault == "all crash":
+								inject(c, environment.Fault{Kind: "crash"})
+							case len(lead) == 0 || extraFault == "":
+							case extraFault == "leader crashes":
+								inject(c, environment.Fault{Kind: "crash", Hosts: lead})
+							case extraFault == "leader is frozen":
+								inject(c, environment.Fault{Kind: "freeze", Hosts: lead, Duration: 20 * second})
+							default: // the leader keeps only one of its links
+								for host, keep := range map[string]string{environment.StateHost: "leader reaches only the state service", "workers": "leader reaches only workers", "controllers": "leader reaches only peers"} {
+									if keep != extraFault {
+										inject(c, environment.Fault{Kind: "cut", Hosts: lead, To: []string{host}, Duration: 25 * second})
 									}
 								}
 							}
@@ -140,17 +142,17 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					keeps(t, c)
+					checkRun(t, c)
 					last := int64(60+12*(len(plan)-1)) * second
-					on := features(t, c, next)
+					on := featureActivations(t, c, next)
 					if on[upgrade.Connectivity] == 0 {
-						t.Error("reach was never switched on")
+						t.Errorf("feature %s was never switched on", upgrade.Connectivity)
 					}
-					if way != "this to next" && on[upgrade.Connectivity] < last {
-						t.Errorf("reach was switched on at %d, before the last was rolled at %d", on[upgrade.Connectivity], last)
+					if upgradePath != "this to next" && on[upgrade.Connectivity] < last {
+						t.Errorf("feature %s was switched on at %d, want after the last restart at %d", upgrade.Connectivity, on[upgrade.Connectivity], last)
 					}
-					if way == "this to next" && on["next"] < last {
-						t.Errorf("next was switched on at %d, and the last was rolled at %d", on["next"], last)
+					if upgradePath == "this to next" && on["next"] < last {
+						t.Errorf("feature next was switched on at %d, want after the last restart at %d", on["next"], last)
 					}
 				})
 			}
@@ -158,25 +160,24 @@
 	}
 }
 
-// TestStraggler: one that is still on the older program holds activation back
-// for as long as it is configured; said to be gone it does not, and when it is
-// back, by then with a program that lacks what is needed, it ends at its start
-// and touches nothing.
+// TestStraggler checks that a controller that still runs the older program holds back activation
+// while it is configured, but not after it is decommissioned. When it comes back, its program
+// lacks a feature that is now needed: it has to exit at its start without writing anything.
 func TestStraggler(t *testing.T) {
-	_, this, next := programs()
+	_, this, next := upgradePrograms()
 	run := []*upgrade.Program{&next, &next, &this}
-	d := small(611)
+	d := newTestRun(611)
 	d.Length = 300 * second
-	var said core.Reply
-	back := false
+	var reply core.Reply
+	restarted := false
 	c, err := Run(d.Config, Options{Operators: config.Defaults(), Programs: func(node, _ int) upgrade.Program { return *run[node] }, OnStart: func(c *Cluster) {
-		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // for good
+		c.After(60*second, func() { c.Kill(c.Controllers[2]) }) // permanently
 		c.After(100*second, func() {
 			c.Controllers[0].Request(func(req uint64) any {
 				return core.SetDecommissioned{RequestID: req, Name: "node-2", Decommissioned: true}
-			}, func(r core.Reply) { said = r })
+			}, func(r core.Reply) { reply = r })
 		})
-		c.After(200*second, func() { back = true; c.Start(c.Controllers[2]) })
+		c.After(200*second, func() { restarted = true; c.Start(c.Controllers[2]) })
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -184,16 +185,16 @@
 	if l := c.Violations(); len(l) > 0 {
 		t.Error(strings.Join(l, "\n"))
 	}
-	on := features(t, c, next)
-	if said.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
-		t.Errorf("said to be gone: %d; next on at %d", said.Status, on["next"])
+	on := featureActivations(t, c, next)
+	if reply.Status != 200 || on["next"] < 100*second || on["next"] > 110*second {
+		t.Errorf("decommissioning: got status %d, want 200; feature next on at %d, want between 100 s and 110 s", reply.Status, on["next"])
 	}
-	if !back || c.Controllers[2].up {
-		t.Error("an older program goes on beside what it lacks")
+	if !restarted || c.Controllers[2].up {
+		t.Error("older program still runs although it lacks a needed feature, want it to exit at its start")
 	}
 	for _, e := range c.History {
 		if e.Kind == history.StateChanged && e.At > 200*second && strings.HasSuffix(e.Key, "/node-2") {
-			t.Errorf("it wrote %s", e.Key)
+			t.Errorf("older program wrote key %s after its restart, want no write", e.Key)
 		}
 	}
 }
