--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -11,30 +11,30 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// What the cloud takes and shows.
+// Limits and timing of the cloud API.
 const (
 	maxRentCount    = 50
 	maxReleaseCount = 100
 	maxListPage     = 500
-	// minBilledTime is what a machine costs at least, in microseconds.
+	// minBilledTime is the minimum time that a machine is billed for, in microseconds.
 	minBilledTime = 60 * second
-	// deadListedFor is how long a dead machine is still listed as running.
+	// deadListedFor is how long a machine that has died is still listed as running, in microseconds.
 	deadListedFor = 30 * second
 )
 
-// cloud rents machines. What its list shows is some seconds old: each change
-// makes a new version of an immutable map, and readers get an old one.
+// cloud rents out machines. Its machine list is some seconds old: each change creates a new
+// version of an immutable map, and readers get an earlier version.
 type cloud struct {
 	env           *Environment
 	machines      map[string]*machine
-	order         []*machine // by name, which is the order of creation
-	rentRequests  map[string][]string
-	used          map[Capacity]int // Count is 1 for spot, see slot
+	order         []*machine          // by name, which is the order of creation
+	rentRequests  map[string][]string // machine names by request ID
+	used          map[Capacity]int    // rented machines by key, see capacityKey
 	versions      []listVersion
 	down          bool
 	refusing      bool
-	capacityShare float64 // of the capacity that is there
-	bootFactor    float64 // times that boots take
+	capacityShare float64 // available share of the configured capacity
+	bootFactor    float64 // multiplier of boot times
 	calls         bucket
 }
 
@@ -64,7 +64,8 @@
 
 func (c *cloud) machine(name string) *machine { return c.machines[name] }
 
-// capacityKey is the key of what is used of a capacity.
+// capacityKey returns the key under which cloud.used counts the machines of a type, zone and
+// billing model. Its Spot is 1 for spot machines; the key has no Count.
 func capacityKey(typ, zone string, spot bool) Capacity {
 	s := Capacity{Type: typ, Zone: zone}
 	if spot {
@@ -73,7 +74,8 @@
 	return s
 }
 
-// setStatus makes a new version of the list.
+// setStatus sets the listed status of a machine in a new version of the list; an empty
+// status removes the machine. It drops versions that are too old to be read.
 func (c *cloud) setStatus(m *machine, status string) {
 	list := c.versions[len(c.versions)-1].list
 	if status == "" {
@@ -143,8 +145,8 @@
 	return 400, wire.Error{Error: "unknown request"}
 }
 
-// price is what a machine costs an hour now: that of spot ones moves by up to a
-// third round the nominal one, over a quarter of an hour.
+// price returns the current price of a machine per hour. The spot price varies by up to a
+// third around the nominal one, with a period of a quarter of an hour.
 func (c *cloud) price(t *wire.MachineType, spot bool) float64 {
 	if !spot {
 		return t.Price
@@ -153,8 +155,8 @@
 }
 
 func (c *cloud) list(q wire.Machines) wire.MachinesAnswer {
-	// It describes a moment up to twice the lag ago, sometimes one before
-	// that of the last list.
+	// The list shows the state of up to twice the lag ago, so it can be older than the
+	// previous response.
 	at := c.env.now - c.listLag()
 	if c.env.rng.IntN(5) == 0 {
 		at -= int64(c.env.rng.Float64() * float64(c.listLag()))
@@ -213,8 +215,8 @@
 	return 200, wire.MachineNames{Machines: names}
 }
 
-// available is how many more machines of a kind there are. Without a capacity given,
-// there is no limit.
+// available returns how many more machines of a type can be rented in a zone. If no capacity
+// is configured, there is no limit.
 func (c *cloud) available(typ, zone string, spot bool) int {
 	if len(c.env.Capacity) == 0 {
 		return maxRentCount
@@ -231,10 +233,11 @@
 	return 0
 }
 
-// MachineName is that of the machine that was rented after so many others.
+// MachineName returns the name of the machine that was rented after i others.
 func MachineName(i int) string { return fmt.Sprintf("host-%06d", i) }
 
-// createMachine makes a machine that is up after boot, or never if that is negative.
+// createMachine adds a machine that is up after boot microseconds, or never if boot is
+// negative.
 func (c *cloud) createMachine(t *wire.MachineType, zone string, spot bool, boot int64) *machine {
 	m := newMachine(c.env, MachineName(len(c.order)), t, zone, spot)
 	c.order = append(c.order, m)
@@ -249,13 +252,14 @@
 		c.env.after(boot, m.begin)
 	}
 	if s := c.env.Spot; spot && s.PerHour > 0 {
-		// Taken at a moment of a Poisson process.
+		// Reclaims follow a Poisson process.
 		c.env.after(int64(c.env.rng.ExpFloat64()/s.PerHour*3600e6), func() { c.reclaim(m) })
 	}
 	return m
 }
 
-// reclaim takes a spot machine back, mostly with a notice.
+// reclaim reclaims a spot machine, after a notice unless the deployment gives none or this
+// reclaim is one of the configured share without notice.
 func (c *cloud) reclaim(m *machine) {
 	s := c.env.Spot
 	if m.gone || m.reclaimAt != 0 {
@@ -270,6 +274,7 @@
 	c.env.after(c.env.jitter(s.Notice, 0.5, 1.5), func() { c.reclaimed(m) })
 }
 
+// reclaimed ends a reclaimed machine and removes it from the list.
 func (c *cloud) reclaimed(m *machine) {
 	if !m.gone {
 		m.end("taken")
@@ -277,8 +282,8 @@
 	}
 }
 
-// died is a machine that stops on its own: it is listed as running for a while,
-// and as failed until it is deleted.
+// died stops a machine that fails by itself. It is still listed as running for
+// deadListedFor, and then as failed until it is deleted.
 func (c *cloud) died(m *machine) {
 	m.end("died")
 	c.env.after(deadListedFor, func() {
@@ -288,13 +293,13 @@
 	})
 }
 
-// recordCost records what a machine has cost.
+// recordCost records the total cost of a machine.
 func (c *cloud) recordCost(m *machine) {
 	t := float64(max(c.env.now-m.createdAt, minBilledTime)) / 3600e6
 	c.env.record(history.Event{Kind: history.CostRecorded, Machine: m.name, Type: m.machineType.Name, Spot: m.spot, Cost: t * c.price(m.machineType, m.spot)})
 }
 
-// Close records what the machines that are still there have cost.
+// Close records the cost of the machines that are still rented.
 func (env *Environment) Close() {
 	for _, m := range env.cloud.order {
 		if !m.gone {
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -1,10 +1,10 @@
-// Package environment is a model of everything that zinclb's controllers deal with:
-// the state service, the cloud, workers, users with their balancer, and the
-// network between all of them, as the published protocol has it, with faults.
+// Package environment models everything that zinclb's controllers communicate with: the state
+// service, the cloud, workers, users behind a load balancer, and the network between them. It
+// follows the published protocol and injects faults.
 //
-// It does no input or output: Step takes the time and what a controller sent,
-// and returns what reaches controllers. Drivers run it in simulated time or on
-// sockets. A seed and the same messages always give the same result.
+// The package performs no I/O: Step takes the time and a message from a controller, and
+// returns the messages to controllers. Drivers run it in simulated time or on sockets. The
+// same seed and messages always give the same result.
 package environment
 
 import (
@@ -26,129 +26,131 @@
 	Params   config.Deployment
 	Types    []wire.MachineType
 	Capacity []Capacity
-	Machines []Machines // up at the start
+	Machines []Machines // running at the start
 	Jobs     []Job
 	Sweeps   []Sweep
 	Faults   []Fault
 	Network  Network
-	// StateDelay and CloudDelay are the service times, without the network's delay.
+	// StateDelay and CloudDelay are the service times, without the network delay.
 	StateDelay, CloudDelay int64
-	// RestartTime is how long a controller that has ended takes to restart.
+	// RestartTime is the time until a controller that has exited is started again.
 	RestartTime int64
-	// AnswerLoss is the share of requests to state service and cloud whose answer is
-	// lost; half of these are executed late.
+	// AnswerLoss is the share of requests to the state service and the cloud whose answer
+	// is lost; half of these requests are also executed late.
 	AnswerLoss float64
 	Boot       Boot
 	Spot       Spot
-	// ClockDrift is how far workers' clocks may be off, as a share.
+	// ClockDrift is the maximum relative error of the rate of workers' clocks.
 	ClockDrift float64
-	// StrayRequestRate is how many requests a second ask about a job that nobody
-	// submitted.
+	// StrayRequestRate is the rate of polls for jobs that were never submitted, per second.
 	StrayRequestRate float64
-	// RemoteWorkers: the machines' workers run in other processes, each of which
+	// RemoteWorkers is set if the machines' workers run in other processes, each of which
 	// has an environment of its own, see NewWorkerEnvironment.
 	RemoteWorkers bool
 }
 
-// Capacity is how many machines the cloud has of a type in a zone: on-demand ones and spot
-// ones.
+// Capacity is the number of machines of a type that the cloud has in a zone: Count on-demand
+// machines and Spot spot machines.
 type Capacity struct {
 	Type, Zone  string
 	Count, Spot int
 }
 
-// Machines are up at the start.
+// Machines describes machines that are running at the start.
 type Machines struct {
 	Type, Zone string
 	Spot       bool
 	Count      int
 }
 
-// Job is submitted at At; Run is how long its tasks really take, each of an array
-// RunIncrement longer than the last. Cancel is when its user cancels it, 0 for never.
+// Job is a job that is submitted at time At. Run is the actual duration of its tasks; each
+// task of an array takes RunIncrement longer than the one before. Cancel is the time at which
+// its user cancels it, 0 for never.
 type Job struct {
 	At, Run, Cancel int64
 	RunIncrement    int64
 	Spec            wire.Job
-	// AfterDependencies: it is submitted when the jobs that it depends on are over.
+	// AfterDependencies is set if the job is submitted only once the jobs that it depends
+	// on have ended.
 	AfterDependencies bool
 }
 
-// Sweep is submitted at At as a sweep file, so many Times by independent users. Jobs are its
-// runs, as users of the sweep would expand it.
+// Sweep is a sweep file that is submitted at time At by Times independent users. Jobs are its
+// runs, as a user would expand the sweep.
 type Sweep struct {
 	At, Run, Cancel int64
 	Times           int
 	ID, Text        string
 	Jobs            []wire.Job
-	// Values are what the runs were made of, as JSON.
+	// Values are the parameter values of the runs, as JSON.
 	Values []string
 }
 
 // Boot describes how machines boot.
 type Boot struct {
-	// Slow is the share that takes five times as long, Never the share that
-	// stays booting.
+	// Slow is the share of machines that take five times as long to boot, Never the share
+	// that never finishes booting.
 	Slow, Never float64
 }
 
-// Spot describes how spot machines are reclaimed.
+// Spot describes how spot machines are reclaimed: PerHour is the rate for each machine, Silent
+// the share of reclaims without notice, Notice the nominal time between notice and reclaim.
 type Spot struct {
 	PerHour, Silent float64
 	Notice          int64
 }
 
-// The messages of a driver to the environment, besides Fault.
+// The messages from a driver to the environment, besides Fault.
 type (
-	// Call is a request of controller From to a host: "state", "cloud", a
-	// machine or another controller. It is answered by Answer.
+	// Call is a request of the controller From to a host: "state", "cloud", a machine or
+	// another controller. The response is an Answer.
 	Call struct {
 		ID       uint64
 		From, To string
 		Request  any
 	}
-	// AskAnswer is a controller's answer to Ask; Status 0 means that it does not
-	// answer (it has ended, or does not listen).
+	// AskAnswer is a controller's response to Ask; Status 0 means that there is none
+	// because the controller has exited or does not listen.
 	AskAnswer struct {
 		ID         uint64
 		Status     int
 		RetryAfter int // seconds
 		Body       any
 	}
-	// ControllerUp says whether a controller's process is running.
+	// ControllerUp reports whether a controller's process is running.
 	ControllerUp struct {
 		Controller string
 		Up         bool
 	}
 )
 
-// The messages of the environment to a driver.
+// The messages from the environment to a driver.
 type (
-	// Answer reaches the caller; Status 0 is a connection that broke. A call
-	// may also never be answered.
+	// Answer is the response to a Call; Status 0 means that the connection broke. Some
+	// calls never get a response.
 	Answer struct {
 		ID     uint64
 		To     string
 		Status int
 		Body   any
 	}
-	// Ask is a request that reaches a controller.
+	// Ask is a request to a controller.
 	Ask struct {
 		ID       uint64
 		From, To string
 		Request  any
 	}
-	// Kill ends a controller's process.
+	// Kill kills a controller's process.
 	Kill struct{ Controller string }
 	// Start starts a controller's process.
 	Start struct{ Controller string }
-	// Freeze suspends a process with On and resumes it without.
+	// Freeze suspends a controller's process if On is set and resumes it otherwise.
 	Freeze struct {
 		Controller string
 		On         bool
 	}
-	// Machine is one that is up or gone, for drivers that give it an address or
-	// run its worker. Reason is why it is gone.
+	// Machine reports that a machine is up or gone, for drivers that give it an address or
+	// run its worker. Reason says why it is gone.
 	Machine struct {
 		Name, Type, Zone, Reason string
 		Spot, Up                 bool
@@ -180,10 +182,10 @@
 	Record func(history.Event)
 }
 
-// controller is a controller as the environment sees it.
+// controller is the state of a controller that the environment tracks.
 type controller struct {
 	name, zone  string
-	up, refused bool
+	up, refused bool // refused: the state service refuses its requests
 	frozen      bool
 }
 
@@ -192,7 +194,7 @@
 	answer   func(AskAnswer)
 }
 
-// New makes an environment at time 0.
+// New returns an environment at time 0 that calls record with each event.
 func New(c Config, record func(history.Event)) (*Environment, error) {
 	w := newEnvironment(c, record)
 	w.state = newState(w)
@@ -224,7 +226,8 @@
 	return w, nil
 }
 
-// newEnvironment makes an environment of hosts alone.
+// newEnvironment returns an environment with the network, the controllers and the cloud, but
+// without the state service, the load balancer, machines, jobs and faults.
 func newEnvironment(c Config, record func(history.Event)) *Environment {
 	w := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
 	w.network = newNetwork(w)
@@ -240,8 +243,8 @@
 	return w
 }
 
-// Latency is the delay between two zones without jitter, "" being the zone of the regional
-// services.
+// Latency returns the delay between two zones without jitter. The zone "" is that of the
+// regional services.
 func (env *Environment) Latency(a, b string) int64 { return env.Network.latency(a, b) }
 
 // The names of hosts that are neither controllers nor machines.
@@ -257,13 +260,14 @@
 	endKeyPrefix = "zinclb/end/"
 )
 
-// ControllerName is a controller's.
+// ControllerName returns the name of the controller with index i.
 func ControllerName(i int) string { return fmt.Sprintf("node-%d", i) }
 
-// ControllerZone is the zone of a controller.
+// ControllerZone returns the zone of the controller with index i.
 func (c *Config) ControllerZone(i int) string { return c.Params.Zones[i%len(c.Params.Zones)] }
 
-// Expectations are what the rules are checked against.
+// Expectations returns the jobs, sweeps, limits and machine types that the rules are checked
+// against.
 func (c *Config) Expectations() history.Expectations {
 	t := history.Expectations{
 		Jobs:         map[string]*wire.Job{},
@@ -291,11 +295,11 @@
 	return t
 }
 
-// Next is when the next timer is due.
+// Next returns the time of the next timer, and whether there is one.
 func (env *Environment) Next() (int64, bool) { return env.timers.Next() }
 
-// Step runs all timers that are due, takes a message, which may be nil, and returns what
-// reaches controllers.
+// Step runs all timers that are due, handles a message, which may be nil, and returns the
+// messages to the driver.
 func (env *Environment) Step(now int64, msg any) []any {
 	for {
 		at, ok := env.timers.Next()
@@ -332,8 +336,8 @@
 
 func (env *Environment) after(d int64, f func()) { env.timers.Add(env.now+d, f) }
 
-// afterUnlessReplanned calls f after d, unless plan has been incremented by then: whoever
-// replaces or withdraws the plan increments it.
+// afterUnlessReplanned calls f after d, unless *plan has been incremented by then: code that
+// replaces or cancels the scheduled call increments it.
 func (env *Environment) afterUnlessReplanned(plan *int, d int64, f func()) {
 	*plan++
 	made := *plan
@@ -362,11 +366,11 @@
 	return nil
 }
 
-// call carries a controller's request to its destination, and the answer back.
+// call delivers a controller's request to its destination, and the response back.
 func (env *Environment) call(c Call) {
 	if m := env.cloud.machine(c.To); c.From == "" && m != nil {
-		// On sockets the sender of commands to a machine is unknown: it is taken
-		// for the controller that the machine reports to.
+		// On sockets the sender of commands to a machine is unknown; assume the
+		// controller that the machine reports to.
 		c.From = env.controllers[m.controllerIndex].name
 	}
 	answer := func(status int, body any) {
@@ -389,8 +393,8 @@
 	}, broken)
 }
 
-// ask delivers a request to a controller at once; f gets the answer, if there is one, after
-// the network's delay.
+// ask delivers a request to a controller without delay. It calls f with the response, if there
+// is one, after the network delay; a controller that is down gives an empty response.
 func (env *Environment) ask(from, to string, request any, f func(AskAnswer)) {
 	if n := env.controller(to); n == nil || !n.up {
 		env.after(env.network.delay(to, from), func() { f(AskAnswer{}) })
@@ -401,8 +405,8 @@
 	env.emit(Ask{env.nextID, from, to, request})
 }
 
-// loseAnswer says whether an answer is lost on its way, and how much later the request
-// is executed than it should be.
+// loseAnswer decides whether the response to a request is lost, and by how much the execution
+// of the request is delayed.
 func (env *Environment) loseAnswer() (lost bool, late int64) {
 	if env.AnswerLoss == 0 || env.rng.Float64() >= env.AnswerLoss {
 		return false, 0
@@ -413,18 +417,19 @@
 	return true, late
 }
 
-// jitter is a random time round d, from lo to hi times as long.
+// jitter returns a random duration between lo and hi times d.
 func (env *Environment) jitter(d int64, lo, hi float64) int64 {
 	return int64(float64(d) * (lo + env.rng.Float64()*(hi-lo)))
 }
 
-// bucket is a token bucket of so many a second, with a burst of some seconds' worth.
+// bucket is a token bucket for rate limits; take sets its rate and burst.
 type bucket struct {
 	level float64
 	at    int64
 }
 
-// take takes n, or nothing if there are not as many.
+// take takes n tokens and reports whether there were enough; otherwise it takes none. The
+// bucket refills with rate tokens a second and holds those of burst seconds.
 func (b *bucket) take(now int64, rate, burst, n float64) bool {
 	b.level = min(b.level+float64(now-b.at)/1e6*rate, rate*burst)
 	b.at = now
--- a/internal/emulator/environment/external.go
+++ b/internal/emulator/environment/external.go
@@ -6,28 +6,29 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// ExternalRequest records a request of a user, of this environment or from outside, and
-// returns its number for ExternalAnswer.
+// ExternalRequest records a request of a user, in this environment or from outside, and
+// returns the call number for ExternalAnswer.
 func (env *Environment) ExternalRequest(op, job string) (call uint64) {
 	env.nextID++
 	env.record(history.Event{Kind: history.RequestSent, Op: op, Call: env.nextID, Job: job})
 	return env.nextID
 }
 
-// ExternalAnswer records the answer to a request.
+// ExternalAnswer records the response to a request.
 func (env *Environment) ExternalAnswer(call uint64, op, job string, status int, state string) {
 	env.record(history.Event{Kind: history.ResponseReceived, Op: op, Call: call, Job: job, Status: status, State: state})
 }
 
-// AddExternalJob gives workers the description of a job that is submitted from outside.
-// Its tasks run as long as its owner estimates.
+// AddExternalJob adds a job that is submitted from outside, so that workers know its
+// description. Its tasks run for the estimated time.
 func (env *Environment) AddExternalJob(j wire.Job) {
 	if env.jobs[j.ID] == nil {
 		env.jobs[j.ID] = &jobUser{env: env, spec: j, run: config.MicrosOf(j.EstimateS), submitted: true, finalState: "outside", done: map[int]bool{}, progress: map[int]int64{}}
 	}
 }
 
-// HealthyControllers are the controllers that the balancer would try, best first.
+// HealthyControllers returns the controllers that the load balancer would try, in order of
+// preference.
 func (env *Environment) HealthyControllers() (names []string) {
 	for _, h := range env.balancer.pick() {
 		names = append(names, h.controller.name)
@@ -35,13 +36,14 @@
 	return names
 }
 
-// StoredValue is the value of a key of the state service, nil if it is not there.
+// StoredValue returns the value of a key of the state service, nil if there is none.
 func (env *Environment) StoredValue(key string) []byte {
 	v, _ := env.state.keys.Get(key)
 	return v.value
 }
 
-// LinkState says whether two hosts are partitioned, and whether that breaks connections.
+// LinkState reports whether a partition separates two hosts, and whether it breaks
+// connections.
 func (env *Environment) LinkState(a, b string) (cut, reset bool) {
 	if c := env.network.partitionBetween(a, b); c != nil {
 		return true, c.mode.Reset || c.mode.Refuse
--- a/internal/emulator/environment/fault_kinds.go
+++ b/internal/emulator/environment/fault_kinds.go
@@ -42,13 +42,13 @@
 	FaultOddRequests   FaultKind = "odd_requests"
 )
 
-// faultType is what there is to a kind of fault.
+// faultType is the help text and the implementation of a kind of fault.
 type faultType struct {
 	help    string
 	prepare prepareFault
 }
 
-// faultTypes are all kinds of faults.
+// faultTypes has the implementation of each kind of fault.
 var faultTypes = map[FaultKind]faultType{
 	FaultCrash:         {help: "controllers end, and are started again, after For if that is given", prepare: forControllers(crashControllers)},
 	FaultRoll:          {help: "controllers are restarted one after the other, For apart", prepare: forControllers(restartInTurn)},
@@ -82,11 +82,11 @@
 	FaultOddRequests:   {help: "users repeat submissions, cancel what is done, and send jobs that can't run or lack a field", prepare: sendInvalidRequests},
 }
 
-// FaultKinds are the names of all kinds of faults, in order.
+// FaultKinds returns all kinds of faults, sorted.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultTypes)) }
 
-// Known says whether there is such a kind of fault.
+// Known reports whether the kind of fault exists.
 func (k FaultKind) Known() bool { return faultTypes[k].prepare != nil }
 
-// Help says in a line what the fault does.
+// Help returns a one-line description of the fault.
 func (k FaultKind) Help() string { return faultTypes[k].help }
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -8,31 +8,32 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// Fault is something that happens at At and, where it lasts, ends after Duration.
+// Fault is a fault that begins at At and, if its kind lasts, ends after Duration.
 type Fault struct {
 	At, Duration int64
 	Kind         FaultKind
-	// Hosts is what it affects: controllers or machines by name, "all", or, for a
-	// partition, the sets of one side; To is the other side, everybody if it is empty.
+	// Hosts are the affected hosts: controllers or machines by name, "all", or, for a
+	// partition, the host sets of one side. To is the other side, all hosts if it is empty.
 	Hosts, To []string
-	// Count is how many machines it affects, if none is named; Share is the
-	// share of machines or of capacity.
+	// Count is the number of affected machines if Hosts is empty. Share is the affected
+	// share of machines, capacity, requests, reports or jobs.
 	Count int
 	Share float64
-	// Class, if it is set, has those machines chosen first that have a task of
-	// that class of jobs.
+	// Class, if set, prefers machines that run a task of a job of this class.
 	Class string
-	// Factor is how many times as slow something is.
+	// Factor is the factor by which something slows down. For FaultReportCopies it is the
+	// maximum delay of a copy, in leases.
 	Factor float64
-	// OnlyAnswers has FaultLateWrites carry out writes at once and lose their answers alone.
-	// UntilNextLeader has FaultReportCopies hold copies until the next leader has begun.
+	// OnlyAnswers makes FaultLateWrites execute writes at once and lose only their
+	// responses. UntilNextLeader makes FaultReportCopies hold copies until the next leader
+	// has started.
 	OnlyAnswers, UntilNextLeader bool
 	PartitionMode
-	// TransactionLoss is what FaultStateLose does.
+	// TransactionLoss describes the loss for FaultStateLose.
 	TransactionLoss *TransactionLoss
 }
 
-// schedule injects a fault at its time.
+// schedule checks a fault and sets a timer that begins it at its time.
 func (env *Environment) schedule(f Fault) error {
 	begin, err := env.prepareFault(f)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// InjectFault begins a fault now.
+// InjectFault checks a fault and begins it now.
 func (env *Environment) InjectFault(f Fault) error {
 	begin, err := env.prepareFault(f)
 	if err == nil {
@@ -63,13 +64,13 @@
 	})
 }
 
-// prepareFault checks a fault and returns what begins it.
+// prepareFault checks a fault and returns the function that begins it.
 type prepareFault func(*Environment, Fault) (beginFault, error)
 
-// beginFault begins a fault and returns what ends it, nil if it has no end.
+// beginFault begins a fault and returns the function that ends it, nil if it does not end.
 type beginFault func() (end func())
 
-// prepareFault checks a fault and returns what begins it.
+// prepareFault checks a fault and returns the function that begins it.
 func (env *Environment) prepareFault(f Fault) (beginFault, error) {
 	prepare := faultTypes[f.Kind].prepare
 	if prepare == nil {
@@ -78,7 +79,7 @@
 	return prepare(env, f)
 }
 
-// toggle makes a fault that sets something and, at its end, resets it.
+// toggle returns a fault that calls set with on when it begins, and with off when it ends.
 func toggle(set func(env *Environment, on bool)) prepareFault {
 	return func(env *Environment, _ Fault) (beginFault, error) {
 		return func() func() {
@@ -88,7 +89,8 @@
 	}
 }
 
-// forControllers makes a fault of the controllers that Hosts names.
+// forControllers returns a fault of the controllers in Hosts, or of all controllers if Hosts
+// is empty or contains "all".
 func forControllers(prepare func(*Environment, Fault, []*controller) beginFault) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		all := len(f.Hosts) == 0 || slices.Contains(f.Hosts, "all")
@@ -151,7 +153,8 @@
 	}
 }
 
-// crash ends a controller, which is back after a time, RestartTime if that is 0.
+// crash kills a controller and starts it again after the time away, or after RestartTime if
+// away is 0.
 func (env *Environment) crash(n *controller, away int64) {
 	if !n.up {
 		return
@@ -182,7 +185,7 @@
 		return nil, err
 	}
 	return func() func() {
-		// The sets were checked; hosts may have come since.
+		// Both sets were valid above; they are read again as hosts may have been added.
 		x, errA := env.network.hostSet(a)
 		y, errB := env.network.hostSet(b)
 		if errA != nil || errB != nil {
--- a/internal/emulator/environment/held_reports.go
+++ b/internal/emulator/environment/held_reports.go
@@ -5,20 +5,23 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// heldReports are copies of reports that arrive when the next leader has begun, at all
-// controllers at once: such a leader has no newer sequence number to compare them with.
+// heldReports are copies of workers' reports that are delivered to all controllers when the
+// next leader has started: a new leader has no newer sequence number to compare them with.
 type heldReports struct {
-	share float64
-	// copies are by machine and in the order of names, so that a seed always gives the
-	// same result; token is the highest that an answer had.
+	share float64 // share of the reports that are copied
+	// copies has the copies of each machine; names is the order in which they are
+	// delivered, so that a seed always gives the same result. token is the highest fencing
+	// token in any response so far.
 	copies map[string][]*wire.Report
 	names  []string
 	token  uint64
 }
 
-// maxHeldCopies is how many copies of a machine's reports are held.
+// maxHeldCopies is the maximum number of report copies that are held for each machine.
 const maxHeldCopies = 3
 
+// holdReportCopy keeps a copy of a report with the probability share. If maxHeldCopies of the
+// machine are held already, it replaces a random one.
 func (env *Environment) holdReportCopy(r *wire.Report) {
 	k := &env.heldReports
 	if k.share == 0 || env.rng.Float64() >= k.share {
@@ -39,8 +42,8 @@
 	k.copies[r.Machine] = l
 }
 
-// noteLeaderToken records the fencing token of an answer: a higher one than any before shows
-// that another leader has begun.
+// noteLeaderToken handles the fencing token of a response. A token higher than all before
+// shows that another leader has started, so the held copies are delivered.
 func (env *Environment) noteLeaderToken(token uint64) {
 	if token > env.heldReports.token {
 		env.heldReports.token = token
@@ -48,8 +51,8 @@
 	}
 }
 
-// DeliverHeldReports delivers the copies that are held for the next leader to all
-// controllers, in random order.
+// DeliverHeldReports sends the held copies to all controllers, those of each machine in random
+// order.
 func (env *Environment) DeliverHeldReports() {
 	k := &env.heldReports
 	for _, name := range k.names {
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -12,13 +12,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The pauses and timeouts of a worker.
+// The delays and timeouts of a worker.
 const (
-	minReportGap     = second / 2
-	failoverDelay    = second
+	minReportGap     = second / 2 // between two reports
+	failoverDelay    = second     // before trying the next controller
 	reportTimeout    = 4 * second
-	failAfter        = 2 * second // a faulty machine's tasks fail after as long
-	maxRedirectDelay = second / 2
+	failAfter        = 2 * second // run time of tasks on a faulty machine
+	maxRedirectDelay = second / 2 // before following a redirect to the leader
 )
 
 // machine is a rented machine with its worker.
@@ -32,31 +32,32 @@
 	deleted     bool
 	hanging     bool
 	faulty      bool
-	mute        bool  // its reports reach no controller
-	reclaimAt   int64 // when the cloud takes it, 0 for never
-	speed       float64
-	clockRate   float64 // of its clock
+	mute        bool    // its reports reach no controller
+	reclaimAt   int64   // announced time of the spot reclaim, 0 if there is none
+	speed       float64 // relative speed of its tasks
+	clockRate   float64 // real time per time of its clock
 
 	session, seq, token uint64
-	// lastAnsweredAt is when the last answered report was sent.
+	// lastAnsweredAt is the time at which the last report with a valid response was sent.
 	lastAnsweredAt  int64
-	controllerIndex int // the controller that it reports to
+	controllerIndex int // controller that it reports to
 	sending         bool
 	reportAgain     bool
 	lastSentAt      int64
-	// tokenReportedAt is when a higher token was last counted as a change.
+	// tokenReportedAt is the time at which a higher token last triggered an early report.
 	tokenReportedAt int64
-	nextReportAt    int64   // when the next report is due
-	tasks           []*task // by name and attempt
+	nextReportAt    int64   // time of the next report
+	tasks           []*task // sorted by name and attempt
 	cache           cache
-	// deferred is what has come while it hangs.
+	// deferred are the requests that arrived while the machine hung.
 	deferred []func()
-	// incarnation counts its worker's starts: answers to an earlier one go nowhere.
+	// incarnation counts the starts of the worker. Responses to an earlier incarnation are
+	// dropped.
 	incarnation int
 }
 
-// duplicateReports says which share of the reports arrives once more, and how late that
-// may be, in leases.
+// duplicateReports is the share of reports that are delivered a second time, and the maximum
+// delay of the duplicate in leases.
 type duplicateReports struct{ share, leases float64 }
 
 func newMachine(env *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
@@ -68,9 +69,10 @@
 	return m
 }
 
-// workerTime is how long a duration of the worker's clock takes.
+// workerTime returns the real duration, in microseconds, of a duration on the worker's clock.
 func (m *machine) workerTime(seconds float64) int64 { return int64(seconds * 1e6 * m.clockRate) }
 
+// begin marks a machine as running when it has booted, and starts its worker.
 func (m *machine) begin() {
 	if m.gone {
 		return
@@ -82,7 +84,7 @@
 	m.work()
 }
 
-// work starts the worker, unless that runs in another process.
+// work starts the worker, unless it runs in another process.
 func (m *machine) work() {
 	if m.env.RemoteWorkers {
 		return
@@ -91,7 +93,7 @@
 	m.send()
 }
 
-// end ends the machine and everything on it.
+// end stops the machine with all its tasks, and records its cost.
 func (m *machine) end(why string) {
 	if m.gone {
 		return
@@ -111,8 +113,9 @@
 	}
 }
 
-// watchLease ends the session when the last answered report was sent too long ago. The tasks
-// of a machine that hangs end then too: it notices when it resumes.
+// watchLease ends the session and all tasks when the lease has expired, that is, when the last
+// report with a response was sent too long ago. The tasks of a hanging machine end at that time
+// too; such a machine detects the expiry when it resumes.
 func (m *machine) watchLease() {
 	until := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
 	if m.gone {
@@ -128,7 +131,7 @@
 	m.env.timers.Add(until+1, m.watchLease)
 }
 
-// reportSoon sends a report as soon as the gap between reports allows.
+// reportSoon schedules a report as soon as minReportGap allows.
 func (m *machine) reportSoon() {
 	if !m.reportAgain {
 		m.reportAgain = true
@@ -136,7 +139,7 @@
 	}
 }
 
-// scheduleReport sends a report at a time, unless one is sent before.
+// scheduleReport schedules a report at a time, unless an earlier one is scheduled.
 func (m *machine) scheduleReport(at int64) {
 	if m.nextReportAt != 0 && m.nextReportAt <= at {
 		return
@@ -162,10 +165,10 @@
 	return r
 }
 
-// reportCall is a report under way to a controller.
+// reportCall is a report that has been sent to a controller and awaits the response.
 type reportCall struct {
 	machine     *machine
-	to          string // the controller
+	to          string // controller name
 	report      *wire.Report
 	sentAt      int64
 	session     uint64
@@ -203,11 +206,11 @@
 	call.duplicate()
 }
 
-// onAnswer takes the controller's answer; giveUp has the next controller asked.
+// onAnswer handles the controller's response; giveUp sends a report to the next controller.
 func (c *reportCall) onAnswer(answer AskAnswer, giveUp func()) {
 	m, env := c.machine, c.machine.env
 	if m.hanging {
-		return // it drops the answer once it resumes: it has waited too long
+		return // the timeout has passed when it resumes, so the response is dropped
 	}
 	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
 	env.noteLeaderToken(heartbeat.Token)
@@ -228,8 +231,8 @@
 	}
 }
 
-// finish ends the call, and has the next report go to a controller: after a wait at once,
-// without one when it is due.
+// finish ends the call and sends further reports to the given controller. If wait is not 0,
+// the next report is sent after it; otherwise when it is due.
 func (c *reportCall) finish(controllerIndex int, wait int64) {
 	m := c.machine
 	if c.over || m.incarnation != c.incarnation {
@@ -246,7 +249,7 @@
 			return
 		}
 		switch {
-		case wait > 0: // it goes to another controller
+		case wait > 0: // retry at another controller
 			m.send()
 		case m.reportAgain:
 			m.nextReportAt = 0
@@ -257,8 +260,8 @@
 	})
 }
 
-// duplicate sends some reports once more, from half a second on, with each factor of delay
-// as likely as another.
+// duplicate sends a share of the reports a second time, after half a second or more. The delay
+// is distributed uniformly on a logarithmic scale.
 func (c *reportCall) duplicate() {
 	m, env := c.machine, c.machine.env
 	if env.copies.share <= 0 || env.rng.Float64() >= env.copies.share {
@@ -270,7 +273,8 @@
 	})
 }
 
-// restart ends the worker with all its tasks, and begins it again after a time.
+// restart stops the worker with all its tasks, and starts it again after the time away. With
+// anew the new worker has lost its session, sequence number and token.
 func (m *machine) restart(away int64, anew bool) {
 	if m.env.RemoteWorkers {
 		kind := FaultMachineBack
@@ -296,7 +300,8 @@
 	})
 }
 
-// noteToken records a fencing token; a higher one is reported, though not too often.
+// noteToken records a fencing token if it is higher than the current one. It then sends an
+// early report, at most once in half a lease.
 func (m *machine) noteToken(token uint64) {
 	if token > m.token {
 		m.token = token
@@ -307,7 +312,8 @@
 	}
 }
 
-// handleDirect takes a request to the worker's own address; false if nobody listens.
+// handleDirect handles a request to the worker's own address. It returns false if the worker
+// is not running.
 func (m *machine) handleDirect(req any, answer func(int, any)) bool {
 	if m.gone || !m.up {
 		return false
@@ -334,7 +340,7 @@
 	return true
 }
 
-// hang suspends a machine, resume lets it go on.
+// hang suspends a machine: its tasks make no progress and requests to it are deferred.
 func (m *machine) hang() {
 	if m.env.RemoteWorkers {
 		m.env.emit(WorkerFault{Name: m.name, Kind: FaultMachineHang})
@@ -346,6 +352,7 @@
 	}
 }
 
+// resume resumes a machine that hangs, and handles the deferred requests.
 func (m *machine) resume() {
 	if m.env.RemoteWorkers {
 		m.env.emit(WorkerFault{Name: m.name, Kind: workerResumes})
@@ -382,7 +389,8 @@
 	}
 }
 
-// find is where an attempt is, or would be, among the tasks.
+// find returns the index of an attempt in tasks, or the index at which to insert it, and
+// whether it was found.
 func (m *machine) find(name string, attempt uint64) (int, bool) {
 	return slices.BinarySearchFunc(m.tasks, attempt, func(t *task, a uint64) int {
 		return cmp.Or(strings.Compare(t.name, name), cmp.Compare(t.attempt, a))
@@ -395,7 +403,8 @@
 	m.reportSoon()
 }
 
-// run starts a task, or refuses to. Whether it may run here is for the rules to check.
+// run starts a task, or reports it as ended if the machine refuses it. The placement
+// constraints of the job are not checked here but by the rules of package history.
 func (m *machine) run(o wire.Order) {
 	id, number, _ := strings.Cut(o.Task, "/")
 	u := m.env.jobs[id]
@@ -419,7 +428,7 @@
 	m.cache.request(u.spec.Image, u.spec.ImageGB, t)
 }
 
-// fits says whether there is room for one more task.
+// fits reports whether there is room for one more task of a job.
 func (m *machine) fits(s *wire.Job) bool {
 	cpus, gpus, mem := s.CPUs, s.GPUs, s.MemGB
 	for _, t := range m.tasks {
@@ -433,13 +442,14 @@
 	return cpus <= m.machineType.CPUs+dust && gpus <= m.machineType.GPUs+dust && mem <= m.machineType.MemGB+dust
 }
 
-// cache has the images of a machine, the most recently used ones last. Fetches
-// share the machine's rate.
+// cache is the image cache of a machine. Concurrent fetches share the machine's fetch rate
+// equally.
 type cache struct {
 	machine  *machine
-	list     []*image
+	list     []*image // least recently used first
 	fetching []*image
-	// advancedAt is when the progress of the fetches was last computed; plan numbers the next event.
+	// advancedAt is the time at which the progress of the fetches was last computed. plan
+	// is the version of the scheduled fetch completion, see afterUnlessReplanned.
 	advancedAt int64
 	plan       int
 }
@@ -447,11 +457,12 @@
 type image struct {
 	name    string
 	sizeGB  float64
-	leftGB  float64
+	leftGB  float64 // remaining fetch time in seconds at the full rate
 	waiting []*task
 }
 
-// request gets a task its image.
+// request provides an image to a task: from the cache, or by a fetch, which tasks with the
+// same image share.
 func (c *cache) request(name string, gb float64, t *task) {
 	if i := slices.IndexFunc(c.list, func(x *image) bool { return x.name == name }); i >= 0 {
 		x := c.list[i]
@@ -470,7 +481,7 @@
 	c.scheduleNext()
 }
 
-// advance brings the fetches to the present.
+// advance updates the progress of the fetches to the current time.
 func (c *cache) advance() {
 	if n := float64(len(c.fetching)); n > 0 && !c.machine.hanging {
 		for _, x := range c.fetching {
@@ -480,7 +491,7 @@
 	c.advancedAt = c.machine.env.now
 }
 
-// scheduleNext schedules the end of the fetch that ends first.
+// scheduleNext schedules the completion of the fetch that completes first.
 func (c *cache) scheduleNext() {
 	if len(c.fetching) == 0 || c.machine.hanging {
 		c.plan++
@@ -515,7 +526,8 @@
 	})
 }
 
-// add puts an image into the cache and evicts the least recently used ones.
+// add adds an image to the cache and evicts the least recently used images until the cache
+// fits its size. The new image always stays.
 func (c *cache) add(x *image) {
 	c.list = append(c.list, x)
 	size := 0.0
@@ -528,7 +540,8 @@
 	}
 }
 
-// cancelFetch takes a task from the fetch that it waits for.
+// cancelFetch removes a task from the fetch that it waits for, and cancels fetches that no
+// task waits for.
 func (c *cache) cancelFetch(t *task) {
 	c.advance()
 	c.fetching = slices.DeleteFunc(c.fetching, func(x *image) bool {
--- a/internal/emulator/environment/machine_faults.go
+++ b/internal/emulator/environment/machine_faults.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// forMachines makes a fault of machines, which are chosen when it begins; do begins it on
-// one and returns what ends it there, if anything does.
+// forMachines returns a fault of machines, which are chosen when it begins. do begins the
+// fault on one machine and returns the function that ends it there, nil if it does not end.
 func forMachines(do func(*machine, Fault) (undo func())) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		return func() func() {
@@ -27,8 +27,9 @@
 	}
 }
 
-// chooseMachines chooses the machines that a fault affects: those that it names, or as many
-// as it says at random, first those with tasks of its class.
+// chooseMachines returns the running machines that a fault affects: those named in Hosts, or
+// otherwise a random choice of Count machines, or of the share Share, in which machines with
+// tasks of the class Class come first.
 func (env *Environment) chooseMachines(f Fault) []*machine {
 	var up, named []*machine
 	for _, m := range env.cloud.order {
@@ -54,7 +55,8 @@
 	return up[:min(count, len(up))]
 }
 
-// classRank is 0 for a machine that has a task of a class of jobs, 1 for any other.
+// classRank returns 0 if the machine has a task of a class of jobs that has not ended, and 1
+// otherwise.
 func (m *machine) classRank(class string) int {
 	if slices.ContainsFunc(m.tasks, func(t *task) bool { return t.spec().Class == class && t.state != wire.Ended }) {
 		return 0
@@ -62,7 +64,8 @@
 	return 1
 }
 
-// restartMachines has no end: machines come back by themselves.
+// restartMachines restarts the worker of each chosen machine. The fault has no end function,
+// as the workers start again by themselves after Duration.
 func restartMachines(env *Environment, f Fault) (beginFault, error) {
 	return func() func() {
 		for _, m := range env.chooseMachines(f) {
@@ -72,7 +75,8 @@
 	}, nil
 }
 
-// cutOrders lets no answer and no command of a controller reach a machine.
+// cutOrders partitions a machine from controllers in one direction: no response and no command
+// of a controller reaches it.
 func cutOrders(m *machine, f Fault) func() {
 	mode := f.PartitionMode
 	mode.OneWay = true
@@ -83,7 +87,7 @@
 	return begin()
 }
 
-// isolateMachine cuts a machine off from everybody.
+// isolateMachine partitions a machine from all other hosts.
 func isolateMachine(m *machine, _ Fault) func() {
 	begin, err := m.env.partition([]string{m.name}, []string{"all"}, PartitionMode{})
 	if err != nil {
@@ -92,6 +96,8 @@
 	return begin()
 }
 
+// copyReports duplicates reports while the fault lasts, or, with UntilNextLeader, holds copies
+// of reports for the next leader.
 func copyReports(env *Environment, f Fault) (beginFault, error) {
 	if f.UntilNextLeader {
 		return func() func() {
--- a/internal/emulator/environment/network.go
+++ b/internal/emulator/environment/network.go
@@ -8,23 +8,23 @@
 	"github.com/gaissmai/bart"
 )
 
-// Network says how long messages take.
+// Network describes the delays of messages.
 type Network struct {
-	// SameZone and CrossZone are the delays within a zone and between two, Jitter the
-	// share by which they vary, Loss the share of messages that are lost once
-	// and sent again.
+	// SameZone and CrossZone are the delays within a zone and between two zones, Jitter is
+	// the maximum relative deviation of a delay, and Loss the share of messages that are
+	// lost once and retransmitted.
 	SameZone, CrossZone int64
 	Jitter, Loss        float64
-	// CrossRegion is the delay between two regions, 0 for that between two zones.
+	// CrossRegion is the delay between two regions; if it is 0, CrossZone applies.
 	CrossRegion int64
-	// Regions has the region of each zone. Without any, all zones are in one.
+	// Regions has the region of each zone. If it is empty, all zones are in one region.
 	Regions map[string]string
-	// HomeRegion is the region of the state service, the cloud, the users and their
-	// balancer, "" for all of them.
+	// HomeRegion is the region of the state service, the cloud, the users and their load
+	// balancer. If it is "", messages to and from them never have the cross-region delay.
 	HomeRegion string
 }
 
-// latency is the delay between two zones without jitter. The zone "" is that of the
+// latency returns the delay between two zones without jitter. The zone "" is that of the
 // regional services.
 func (n *Network) latency(a, b string) int64 {
 	region := func(zone string) string {
@@ -43,24 +43,24 @@
 	}
 }
 
-// retransmitDelay is how long it takes until a lost packet is sent again.
+// retransmitDelay is the additional delay of a message that is lost once, in microseconds.
 const retransmitDelay = 200_000
 
-// Hosts have addresses, so that any ranges of them can be partitioned:
-// 10.ZONE.KIND.0 and up, zone 0 being that of the regional services.
+// The kinds of hosts. Each host has an address from 10.ZONE.KIND.0 on, so that any address
+// range can be partitioned. Zone 0 is that of the regional services.
 const (
 	serviceHosts = iota
 	userHosts
 	controllerHosts
-	workerHosts // to the end of the zone's range
+	workerHosts // up to the end of the zone's range
 )
 
 // network carries messages between hosts.
 type network struct {
 	env        *Environment
 	addrs      map[string]netip.Addr
-	zones      map[string]string // of each host
-	hostCount  map[[2]int]int
+	zones      map[string]string // by host
+	hostCount  map[[2]int]int    // by zone and kind
 	partitions []*partition
 	// connections are the pairs of hosts that have a connection.
 	connections map[[2]string]bool
@@ -70,7 +70,7 @@
 type partition struct {
 	from, to *bart.Lite
 	mode     PartitionMode
-	// held is what is delivered when it ends, in order.
+	// held are the messages that are delivered when the partition ends, in order.
 	held []func()
 }
 
@@ -81,6 +81,7 @@
 	return &network{env: env, addrs: map[string]netip.Addr{}, zones: map[string]string{}, hostCount: map[[2]int]int{}, connections: map[[2]string]bool{}}
 }
 
+// zone returns the number of a zone in addresses, counted from 1, or 0 if it is unknown.
 func (n *network) zone(name string) int {
 	for i, z := range n.env.Params.Zones {
 		if z == name {
@@ -90,7 +91,7 @@
 	return 0
 }
 
-// addHost gives a host its address.
+// addHost assigns an address to a host.
 func (n *network) addHost(name, zone string, kind int) {
 	z := n.zone(zone)
 	n.hostCount[[2]int{z, kind}]++
@@ -99,8 +100,9 @@
 	n.addrs[name] = netip.AddrFrom4([4]byte{10, byte(z), byte(kind + i>>8), byte(i)})
 }
 
-// hostSet reads a set of hosts: names of hosts, "zone:NAME", "region:NAME", "workers:ZONE",
-// "controllers", "workers", "services", "users", "all" and prefixes of addresses.
+// hostSet parses a list of hosts into a set of addresses. An entry is the name of a host,
+// "zone:NAME", "region:NAME", "workers:ZONE", "controllers", "workers", "services", "users",
+// "all" or an address prefix.
 func (n *network) hostSet(list []string) (*bart.Lite, error) {
 	s := &bart.Lite{}
 	zones := len(n.env.Params.Zones)
@@ -154,7 +156,7 @@
 		default:
 			p, err := netip.ParsePrefix(h)
 			if err != nil {
-				return nil, fmt.Errorf("%q is no host, zone, kind of host or prefix", h)
+				return nil, fmt.Errorf("%q is not a host, zone, kind of host or address prefix", h)
 			}
 			s.Insert(p)
 		}
@@ -162,21 +164,22 @@
 	return s, nil
 }
 
-// zonePrefix has the addresses of a zone.
+// zonePrefix returns the address range of a zone.
 func zonePrefix(zone int) netip.Prefix {
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(zone), 0, 0}), 16)
 }
 
-// PartitionMode is how a partition treats what is sent across it.
+// PartitionMode says how a partition treats messages across it. By default they are held until
+// it ends.
 type PartitionMode struct {
-	// Reset: connections break instead of being held. Refuse: new ones break,
-	// and existing ones go on.
+	// Reset breaks connections instead of holding their messages. Refuse breaks only new
+	// connections; existing ones keep working.
 	Reset, Refuse bool
-	// OneWay: only messages from the first hosts to the others are affected.
+	// OneWay affects only messages from the first set of hosts to the second.
 	OneWay bool
 }
 
-// partitionBetween is the partition that separates two hosts, nil if there is none.
+// partitionBetween returns the partition that separates two hosts, nil if there is none.
 func (n *network) partitionBetween(from, to string) *partition {
 	if len(n.partitions) == 0 {
 		return nil
@@ -190,6 +193,7 @@
 	return nil
 }
 
+// delay returns a random delay for a message between two hosts, with jitter and loss.
 func (n *network) delay(from, to string) int64 {
 	c := &n.env.Network
 	d := c.CrossZone
@@ -205,10 +209,10 @@
 	return d
 }
 
-// send delivers a message after the network's delay. Across a partition that holds messages
-// it is delivered when the partition ends, if the two hosts had a connection before;
-// otherwise the connection is never made and nothing arrives. A partition that resets breaks
-// the connection.
+// send delivers a message after the network delay. A partition that holds messages delivers it
+// when it ends, provided that the two hosts had a connection before; otherwise no connection is
+// established and the message is lost. A partition with Reset breaks the connection, and one
+// with Refuse breaks it if it is new: send then calls broken.
 func (n *network) send(from, to string, deliver, broken func()) {
 	n.env.after(n.delay(from, to), func() {
 		pair := [2]string{min(from, to), max(from, to)}
@@ -233,7 +237,7 @@
 	}
 }
 
-// beginPartition begins a partition and returns what ends it.
+// beginPartition begins a partition and returns the function that ends it.
 func (n *network) beginPartition(a, b *bart.Lite, how PartitionMode) (end func()) {
 	c := &partition{from: a, to: b, mode: how}
 	n.partitions = append(n.partitions, c)
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -8,29 +8,29 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The workers of an environment may run in other processes, so that a large fleet is no
-// burden to the one that serves everything else. Each of these processes has an environment
-// of workers alone. The environment that has the cloud decides what happens to a machine and
-// sends it to the one that has its worker.
+// The workers of an environment can run in other processes, so that a large fleet does not load
+// the process that runs everything else. Each of these processes has an environment with workers
+// only. The environment with the cloud decides what happens to a machine and sends it to the
+// environment with the machine's worker.
 
-// The messages to an environment of workers, and WorkerFault also from the environment that
-// has the cloud.
+// The messages to an environment of workers. WorkerFault is also a message from the environment
+// with the cloud.
 type (
-	// WorkerBegin begins the worker of a machine that is up.
+	// WorkerBegin starts the worker of a machine that is up.
 	WorkerBegin struct {
 		Name, Type, Zone string
 		Spot             bool
 	}
-	// WorkerEnd ends a worker and everything on its machine.
+	// WorkerEnd stops a worker and all tasks on its machine.
 	WorkerEnd struct{ Name, Reason string }
-	// WorkerFault is a fault of a worker. Kind is that of the fault, or workerResumes.
+	// WorkerFault is a fault of a worker. Kind is the kind of the fault, or workerResumes.
 	WorkerFault struct {
 		Name     string
 		Kind     FaultKind
 		Duration int64
 	}
-	// TaskCompleted says that a task was completed on a machine elsewhere: its
-	// result is kept for whoever starts it again.
+	// TaskCompleted reports that a task was completed on a machine of another process. Its
+	// result is kept, so that a later attempt of the task is done at once.
 	TaskCompleted struct {
 		Job  string
 		Task int
@@ -40,18 +40,18 @@
 // workerResumes ends FaultMachineHang.
 const workerResumes FaultKind = "machine_goes_on"
 
-// RemoteFaults are the kinds of faults that an environment with RemoteWorkers supports.
+// RemoteFaults lists the kinds of faults that an environment with RemoteWorkers supports.
 var RemoteFaults = []FaultKind{
 	FaultCrash, FaultRoll, FaultFreeze, FaultPartition, FaultStateOutage, FaultStateRefuse, FaultStateSlow,
 	FaultCloudOutage, FaultCloudRefuse, FaultCloudCapacity, FaultCloudSlow,
 	FaultMachineDie, FaultMachineHang, FaultMachineBack, FaultMachineAnew,
 }
 
-// NewWorkerEnvironment makes an environment of workers, in which no machine is up yet. It
-// applies network partitions as the environment that has the cloud does; all other faults
-// come as messages.
+// NewWorkerEnvironment returns an environment of workers, in which no machine is up yet. It
+// applies network partitions as the environment with the cloud does; all other faults arrive as
+// messages.
 func NewWorkerEnvironment(c Config, record func(history.Event)) (*Environment, error) {
-	c.RemoteWorkers = false // they are here
+	c.RemoteWorkers = false // the workers run in this environment
 	w := newEnvironment(c, record)
 	for _, j := range c.Jobs {
 		j.At, j.Cancel = -1, 0
@@ -74,7 +74,7 @@
 	return w, nil
 }
 
-// worker takes a message about a worker.
+// worker handles a message to a worker.
 func (env *Environment) worker(msg any) {
 	switch m := msg.(type) {
 	case WorkerBegin:
@@ -106,7 +106,8 @@
 	env.cloud.machines[m.Name] = x
 	env.network.addHost(m.Name, m.Zone, workerHosts)
 	env.emit(Machine{Name: m.Name, Up: true, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
-	// As if it had come up at some moment of a report interval.
+	// Start after a random part of a second, as if the machine had come up at some point of
+	// a report interval.
 	env.after(env.rng.Int64N(second), func() {
 		x.up, x.lastAnsweredAt = true, env.now
 		x.work()
--- a/internal/emulator/environment/service_faults.go
+++ b/internal/emulator/environment/service_faults.go
@@ -7,8 +7,8 @@
 
 var errFactorNotPositive = errors.New("factor: must be positive")
 
-// stateOutage makes an outage of the state service, which has compacted its changes
-// afterwards if it is cold.
+// stateOutage returns a fault in which the state service is down. With cold, all earlier
+// changes are compacted afterwards.
 func stateOutage(cold bool) prepareFault {
 	return func(env *Environment, _ Fault) (beginFault, error) {
 		return func() func() {
@@ -18,7 +18,7 @@
 	}
 }
 
-// slowdown makes a fault that sets a factor of time.
+// slowdown returns a fault that sets a slowdown factor to Factor, and back to 1 at its end.
 func slowdown(factor func(*Environment) *float64) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		if f.Factor <= 0 {
@@ -49,8 +49,8 @@
 	}, nil
 }
 
-// lateRequests makes a fault that sets the share of requests that are executed late, or,
-// with OnlyAnswers, of transactions whose answers alone are lost.
+// lateRequests returns a fault that sets the share of requests that are executed late, or, with
+// OnlyAnswers, the share of transactions of which only the response is lost.
 func lateRequests(share func(*Environment) *float64) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		v := share(env)
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -13,43 +13,42 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// What a response of the state service holds at most, how many changes it
-// retains, and how late a lease may end.
+// The limits of the state service.
 const (
 	maxPageRows         = 1000
 	maxPageBytes        = 512 << 10
-	retainedChanges     = 10_000
+	retainedChanges     = 10_000 // at least, before compaction
 	maxTransactionBytes = 64 << 10
 	maxKeyBytes         = 200
-	maxLeaseDelay       = 100_000
-	maxWatchWaitMS      = 60_000 // ms
+	maxLeaseDelay       = 100_000 // µs from the end of a lease to its removal
+	maxWatchWaitMS      = 60_000  // ms
 )
 
-// stateService is the state service.
+// stateService is a revisioned key-value store with transactions, leases and watches.
 type stateService struct {
 	env      *Environment
 	keys     btree.Map[string, storedValue]
 	changes  []wire.Change
 	revision uint64
-	// compactedRevision is the newest revision that is compacted.
+	// compactedRevision is the newest revision that has been compacted.
 	compactedRevision uint64
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
 	down              bool
-	// coldRestart: it comes back with all earlier changes compacted.
+	// coldRestart is set if all earlier changes are compacted when the outage ends.
 	coldRestart bool
 	slowFactor  float64
 	limits      config.StateLimits
 	calls       bucket
 	writes      bucket
 	watches     []*watch
-	// transactionLosses are the losses that transactions are subject to.
+	// transactionLosses are the injected losses that have not taken place yet.
 	transactionLosses []*TransactionLoss
-	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of
-	// requests about leases, that get no answer and are executed late.
+	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of lease
+	// requests, that get no response and are executed late.
 	delayedWriteShare, delayedLeaseShare float64
-	// lostAnswerShare is the share of those that are executed at once, and only their
-	// answers are lost.
+	// lostAnswerShare is the share of transactions that are executed at once and of which
+	// only the response is lost.
 	lostAnswerShare float64
 }
 
@@ -72,24 +71,24 @@
 	done   bool
 }
 
-// LossOutcome is what becomes of a transaction that gets no answer.
+// LossOutcome says what happens to a transaction that gets no response.
 type LossOutcome string
 
 // The outcomes, as scenarios name them.
 const (
-	LostBefore LossOutcome = "before" // it is not executed
-	LostAfter  LossOutcome = "after"  // it is executed, and its answer is lost
-	LostLate   LossOutcome = "late"   // it is executed after a delay
+	LostBefore LossOutcome = "before" // not executed
+	LostAfter  LossOutcome = "after"  // executed, response lost
+	LostLate   LossOutcome = "late"   // executed after a delay, response lost
 )
 
-// TransactionLoss is what happens to the first transaction from Skip on that writes a key
-// with a prefix.
+// TransactionLoss is the loss of one transaction: the first that writes a key with the prefix
+// Prefix, after Skip such transactions.
 type TransactionLoss struct {
 	Prefix  string
 	Skip    int
 	Outcome LossOutcome
-	Delay   int64 // of LostLate
-	// Matched counts the transactions that write such a key.
+	Delay   int64 // for LostLate, in microseconds
+	// Matched counts the transactions so far that write such a key.
 	Matched int
 }
 
@@ -101,14 +100,14 @@
 	}
 }
 
-// refuses says whether a caller gets 503.
+// refuses reports whether requests of a host are answered with status 503.
 func (s *stateService) refuses(from string) bool {
 	n := s.env.controller(from)
 	return s.down || n != nil && n.refused
 }
 
 func (s *stateService) call(from string, req any, answer func(int, any)) {
-	// Mostly a few milliseconds, now and then a few hundred.
+	// One request in 500 takes up to 300 ms longer.
 	d := s.env.jitter(s.env.StateDelay, 0.5, 1.5)
 	if s.env.rng.IntN(500) == 0 {
 		d += s.env.rng.Int64N(300_000)
@@ -116,6 +115,7 @@
 	s.env.after(int64(float64(d)*s.slowFactor), func() { s.arrived(from, req, answer) })
 }
 
+// arrived handles a request after the service time, with rate limits and injected losses.
 func (s *stateService) arrived(from string, req any, answer func(int, any)) {
 	if s.refuses(from) {
 		answer(503, wire.Error{Error: "trouble"})
@@ -158,7 +158,7 @@
 	execute()
 }
 
-// delays says whether a request is to be executed late.
+// delays decides whether a request is executed late.
 func (s *stateService) delays(req any) bool {
 	share := 0.0
 	switch req.(type) {
@@ -170,7 +170,8 @@
 	return share > 0 && s.env.rng.Float64() < share
 }
 
-// matchLoss is the loss that a transaction is subject to, nil for none.
+// matchLoss returns the loss that applies to a request and removes it from the pending losses,
+// or returns nil if there is none.
 func (s *stateService) matchLoss(req any) *TransactionLoss {
 	m, ok := req.(wire.Transaction)
 	if !ok {
@@ -226,7 +227,8 @@
 	return 400, wire.Error{Error: "unknown request"}
 }
 
-// renewLease gives a lease its full time, and ends it up to maxLeaseDelay late.
+// renewLease extends a lease to its full duration from now. The service removes it up to
+// maxLeaseDelay after its end.
 func (s *stateService) renewLease(l *lease) {
 	l.expiresAt = s.env.now + l.duration + s.env.rng.Int64N(maxLeaseDelay)
 	until := l.expiresAt
@@ -258,7 +260,8 @@
 	s.wakeWatches()
 }
 
-// apply executes a write at the present revision.
+// apply executes a write at the current revision. It compacts the changes down to the newest
+// retainedChanges once there are more than twice as many.
 func (s *stateService) apply(x wire.Write) {
 	key := x.Key()
 	if old, ok := s.keys.Get(key); ok && old.lease != 0 {
@@ -341,7 +344,7 @@
 	return http.StatusOK, wire.TransactionAnswer{Revision: s.revision}
 }
 
-// malformed says what is wrong with a transaction, "" if nothing is.
+// malformed returns the reason for which a transaction is invalid, "" if it is valid.
 func (s *stateService) malformed(q wire.Transaction) string {
 	size := 0
 	for _, write := range q.Writes {
@@ -361,8 +364,8 @@
 	return ""
 }
 
-// changesSince are the changes of a prefix after a revision; ok is false if they are
-// compacted.
+// changesSince returns the changes of keys with a prefix after a revision; ok is false if some
+// of them have been compacted.
 func (s *stateService) changesSince(prefix string, after uint64) (news []wire.Change, ok bool) {
 	if after < s.compactedRevision {
 		return nil, false
@@ -384,8 +387,8 @@
 	s.env.after(min(x.req.WaitMS, maxWatchWaitMS)*1000, func() { s.answerWatch(x, true) })
 }
 
-// answerWatch answers a watch if it has something, or is over. While the service does
-// not answer its caller it stays open.
+// answerWatch answers a watch if there are changes or its wait time is over. It stays open while
+// the service refuses requests of the caller.
 func (s *stateService) answerWatch(x *watch, over bool) {
 	if x.done {
 		return
@@ -411,7 +414,7 @@
 	x.done = true
 }
 
-// wakeWatches answers the watches for which something has changed.
+// wakeWatches answers the watches that have changes.
 func (s *stateService) wakeWatches() {
 	if s.down {
 		return
@@ -422,7 +425,7 @@
 	s.watches = slices.DeleteFunc(s.watches, func(x *watch) bool { return x.done })
 }
 
-// recover ends an outage: every lease has its full time again.
+// recover ends an outage. Every lease is renewed for its full duration.
 func (s *stateService) recover() {
 	s.down = false
 	if s.coldRestart {
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -10,20 +10,22 @@
 // task is an attempt of a task on a machine.
 type task struct {
 	machine *machine
-	job     *jobUser // nil for one that was refused
+	job     *jobUser // nil if the machine refused the task
 	name    string
 	index   int
 	attempt uint64
 	state   string
 	reason  string
 	saved   bool
-	// planVersion numbers what is scheduled next; a new plan cancels the last.
+	// planVersion is the version of the scheduled step; a new plan cancels the previous one.
 	planVersion int
-	// startedAt is when it last began to run, at the progress base.
+	// startedAt is the time at which the task last started to run, 0 if it is not running;
+	// startProgress is its progress at that time.
 	startedAt, startProgress int64
 	paused                   bool
 	gang                     *gang
-	// ready is held back while the machine hangs.
+	// imageArrived is set if the image arrived while the machine hung: ready is then called
+	// when the machine resumes.
 	imageArrived bool
 }
 
@@ -39,7 +41,8 @@
 	t.machine.env.record(history.Event{Kind: k, Job: t.job.spec.ID, Task: t.index, Attempt: t.attempt, Machine: t.machine.name, Reason: why})
 }
 
-// schedule schedules what happens next unless something else happens first.
+// schedule calls f after d, unless another step is scheduled first or the task has ended or its
+// machine hangs by then.
 func (t *task) schedule(d int64, f func()) {
 	t.machine.env.afterUnlessReplanned(&t.planVersion, d, func() {
 		if t.state != wire.Ended && !t.machine.hanging {
@@ -48,7 +51,7 @@
 	})
 }
 
-// ready is called when the image is there.
+// ready is called when the image is on the machine.
 func (t *task) ready() {
 	if t.state != wire.Fetching {
 		return
@@ -62,7 +65,7 @@
 	t.record(history.TaskEntered, "")
 	switch {
 	case u.done[t.index]:
-		t.exit("done") // its result is kept
+		t.exit("done") // the result of an earlier attempt is kept
 	case t.machine.faulty:
 		t.state = wire.Running
 		t.machine.reportSoon()
@@ -83,14 +86,15 @@
 	t.planEnd()
 }
 
-// remainingTime is how long the rest of the work takes on this machine.
+// remainingTime returns how long the remaining work takes on this machine.
 func (t *task) remainingTime() int64 {
 	return int64(float64(t.totalTime()-t.startProgress) / t.machine.speed)
 }
 
-// totalTime is how long it takes altogether.
+// totalTime returns the duration of the whole work on a machine of speed 1.
 func (t *task) totalTime() int64 { return t.job.run + int64(t.index)*t.job.runIncrement }
 
+// planEnd schedules the completion of the task, unless it is a service or its gang does that.
 func (t *task) planEnd() {
 	if t.job.spec.Kind != wire.Service && t.gang == nil {
 		t.schedule(t.remainingTime(), func() {
@@ -100,7 +104,7 @@
 	}
 }
 
-// currentProgress is its progress now, and bank the part of that which is safe.
+// currentProgress returns the progress of the task now.
 func (t *task) currentProgress() int64 {
 	if t.startedAt == 0 || t.paused {
 		return t.startProgress
@@ -108,6 +112,7 @@
 	return min(t.startProgress+int64(float64(t.machine.env.now-t.startedAt)*t.machine.speed), t.totalTime())
 }
 
+// safeProgress returns the progress at the last checkpoint, 0 if the job has no checkpoints.
 func (t *task) safeProgress() int64 {
 	step := int64(t.job.spec.CheckpointS * 1e6)
 	if step <= 0 {
@@ -116,14 +121,14 @@
 	return t.currentProgress() / step * step
 }
 
-// storeCheckpoints stores the checkpoints that it has made by itself.
+// storeCheckpoints records the progress at the last periodic checkpoint of a running task.
 func (t *task) storeCheckpoints() {
 	if t.startedAt != 0 {
 		t.job.progress[t.index] = max(t.job.progress[t.index], t.safeProgress())
 	}
 }
 
-// kill is the command.
+// kill executes a kill command. With enough grace the task saves its progress and then exits.
 func (t *task) kill(grace int64) {
 	save := int64(t.spec().CheckpointCostS * 1e6)
 	saves := t.spec().CheckpointS > 0
@@ -153,7 +158,7 @@
 	}
 }
 
-// spec is the description, an empty one for a task that was refused.
+// spec returns the job description, an empty one if the machine refused the task.
 func (t *task) spec() *wire.Job {
 	if t.job == nil {
 		return &wire.Job{}
@@ -161,7 +166,7 @@
 	return &t.job.spec
 }
 
-// halt stops progress.
+// halt stops the task's progress while it saves.
 func (t *task) halt() {
 	t.storeCheckpoints()
 	t.startProgress = t.currentProgress()
@@ -170,14 +175,14 @@
 	t.machine.reportSoon()
 }
 
-// exit ends it, and leaves it in the reports.
+// exit ends the task and keeps it in the machine's reports.
 func (t *task) exit(why string) {
 	t.remove(why)
 	t.reason = why
 	t.machine.reportSoon()
 }
 
-// remove takes it from its machine.
+// remove ends the task and frees its resources.
 func (t *task) remove(why string) {
 	if t.state == wire.Ended {
 		return
@@ -196,7 +201,8 @@
 	}
 }
 
-// drop ends it and removes it from the reports, as its session or machine ends.
+// drop ends the task and removes it from the machine's reports, as the session or the machine
+// ends.
 func (t *task) drop(why string) {
 	t.remove(why)
 	if i, ok := t.machine.find(t.name, t.attempt); ok {
@@ -204,7 +210,7 @@
 	}
 }
 
-// pause and resume follow the machine, which hangs and resumes.
+// pause stops the task's progress when its machine hangs.
 func (t *task) pause() {
 	if t.state == wire.Ended || t.job == nil {
 		return
@@ -215,6 +221,7 @@
 	}
 }
 
+// resume continues the task when its machine resumes.
 func (t *task) resume() {
 	if t.state == wire.Ended || t.job == nil {
 		return
@@ -234,31 +241,33 @@
 	}
 }
 
-// gangKey names an attempt of a gang.
+// gangKey identifies an attempt of a gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
-// gang is an attempt of a gang: those of its tasks that have their image.
+// gang is an attempt of a gang, with those of its tasks that have their image.
 type gang struct {
 	env     *Environment
 	key     gangKey
 	job     *jobUser
 	tasks   []*task
 	running bool
-	// startedAt is when it began to run, at the progress base.
+	// startedAt is the time at which the gang started to run, 0 if it is not running;
+	// startProgress is its progress at that time.
 	startedAt, startProgress int64
-	speed                    float64
+	speed                    float64 // of the slowest machine
 	planVersion              int
-	// failed: a running gang that has lost a task.
+	// failed is set if the gang lost a task while it was running.
 	failed bool
-	// firstKillAt is when the first command to save came.
+	// firstKillAt is the time of the first kill command with enough grace to save.
 	firstKillAt   int64
 	killsReceived int
 	stored        bool
 }
 
+// join adds a task that has its image to its gang, and starts the gang if it is complete.
 func (env *Environment) join(t *task) {
 	key := gangKey{t.job.spec.ID, t.attempt}
 	g := env.gangs[key]
@@ -269,7 +278,7 @@
 	t.gang = g
 	g.tasks = append(g.tasks, t)
 	if g.running || g.failed {
-		// It came when the others had begun, or were about to go.
+		// The other tasks have already started or are about to exit.
 		t.schedule(g.peerTimeout(), func() { t.exit("mates_gone") })
 		return
 	}
@@ -279,7 +288,7 @@
 
 func (g *gang) peerTimeout() int64 { return int64(g.env.Params.Workers.GangPeerS * 1e6) }
 
-// begin starts all tasks, once the last has its image and none hangs.
+// begin starts all tasks of the gang if all have their image and none of their machines hangs.
 func (g *gang) begin() {
 	have := map[int]bool{}
 	for _, t := range g.tasks {
@@ -312,7 +321,7 @@
 	}
 }
 
-// currentProgress is the gang's progress.
+// currentProgress returns the progress of the gang now.
 func (g *gang) currentProgress() int64 {
 	if !g.running || g.startedAt == 0 {
 		return g.startProgress
@@ -320,12 +329,12 @@
 	return min(g.startProgress+int64(float64(g.env.now-g.startedAt)*g.speed), g.job.run)
 }
 
-// storeProgress stores progress, which is the gang's and not a task's.
+// storeProgress records the progress of the gang, which is kept under task 0.
 func (g *gang) storeProgress(to int64) {
 	g.job.progress[0] = max(g.job.progress[0], to)
 }
 
-// halt stops progress, with the checkpoints made until now.
+// halt stops the gang's progress and records the progress at the last checkpoint.
 func (g *gang) halt() {
 	if step := int64(g.job.spec.CheckpointS * 1e6); step > 0 {
 		g.storeProgress(g.currentProgress() / step * step)
@@ -334,7 +343,8 @@
 	g.planVersion++
 }
 
-// fail has the remaining tasks notice that one is gone.
+// fail makes the remaining tasks exit within the peer timeout, each when it detects that a task
+// of the gang is gone. It has no effect once the progress has been saved.
 func (g *gang) fail() {
 	if !g.running || g.failed || g.stored {
 		return
@@ -347,7 +357,8 @@
 	}
 }
 
-// taskLost is called when a task has left.
+// taskLost is called when a task has left its machine. The gang fails unless the task was done
+// or stopped after saving.
 func (g *gang) taskLost(t *task, why string) {
 	t.gang = nil
 	g.tasks = slices.DeleteFunc(g.tasks, func(o *task) bool { return o == t })
@@ -360,7 +371,8 @@
 	}
 }
 
-// machineHung is called when a machine of the gang hangs, which the others notice in time.
+// machineHung is called when a machine of the gang hangs. A running gang fails, as the other
+// tasks detect it within the peer timeout.
 func (g *gang) machineHung() {
 	if g.running {
 		g.fail()
@@ -377,8 +389,9 @@
 	g.begin()
 }
 
-// kill is the command to one of its running tasks: with enough grace the orderly stop, in
-// which all have to get it within gang_peer_s of the first.
+// kill executes a kill command to one of the running tasks. With enough grace it begins or
+// continues an orderly stop, in which all tasks have to get the command within gang_peer_s of
+// the first.
 func (g *gang) kill(t *task, grace, save int64, saves bool) {
 	if !saves || grace < save || g.failed {
 		t.exit("stopped")
@@ -389,7 +402,7 @@
 		g.halt()
 		g.env.after(g.peerTimeout(), func() {
 			if g.killsReceived < g.job.spec.Tasks {
-				g.fail() // those that got no command exit, and the save fails
+				g.fail() // tasks that got no command exit, and the save fails
 			}
 			g.exitSaved()
 		})
@@ -403,8 +416,8 @@
 	})
 }
 
-// exitSaved has the tasks that have saved exit, once all got the command and have saved or
-// their time is over. Progress is safe when the first exits.
+// exitSaved makes the tasks that have saved exit, once all tasks have got the command, and all
+// have saved or the peer timeout is over. The progress is stored when the first one exits.
 func (g *gang) exitSaved() {
 	if g.failed || g.killsReceived < g.job.spec.Tasks {
 		return
--- a/internal/emulator/environment/timers.go
+++ b/internal/emulator/environment/timers.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Timers are functions to be called at their time; those of one moment are
+// Timers is a queue of functions to be called at given times. Functions for the same time are
 // called in the order in which they were added.
 type Timers struct {
 	list timerHeap
@@ -15,13 +15,13 @@
 	call func()
 }
 
-// Add adds f at a time.
+// Add schedules f at a time.
 func (t *Timers) Add(at int64, f func()) {
 	t.seq++
 	heap.Push(&t.list, timer{at, t.seq, f})
 }
 
-// Next is when the next one is due, and whether there is one.
+// Next returns the time of the next function, and whether there is one.
 func (t *Timers) Next() (int64, bool) {
 	if len(t.list) == 0 {
 		return 0, false
@@ -29,7 +29,7 @@
 	return t.list[0].at, true
 }
 
-// Take removes the next one.
+// Take removes the next function and returns it.
 func (t *Timers) Take() func() { return heap.Pop(&t.list).(timer).call }
 
 type timerHeap []timer
@@ -42,10 +42,10 @@
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	l := *h
 	x := l[len(l)-1]
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -10,11 +10,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// probeDelays are how long after an answer the controllers are asked, in microseconds; with
-// the second the submission is repeated.
+// probeDelays are the delays, in microseconds, after which the controllers are polled once a
+// user has got a response. The submission is repeated after the second delay.
 var probeDelays = []int64{0, 4_000, 25_000, 120_000}
 
-// cancelOneIn is after how many acceptances that are probed one job is cancelled.
+// cancelOneIn is the average number of probed acceptances for each job that is cancelled.
 const cancelOneIn = 8
 
 // askController sends a user's request to a controller directly, past the load balancer.
@@ -29,8 +29,9 @@
 	f.exchange(op, job, timeout, send, func(AskAnswer, wire.JobAnswer) {})
 }
 
-// probeControllers asks all controllers about a job, and repeats its submission, right after
-// its user had the answer that it is accepted or over.
+// probeControllers polls all controllers for a job and repeats its submission, right after its
+// user has got the response that the job is accepted or has ended. One in cancelOneIn jobs that
+// have not ended is then cancelled.
 func (u *jobUser) probeControllers() {
 	w := u.env
 	if !w.balancer.probeAfterAnswers {
@@ -53,13 +54,14 @@
 	}
 }
 
-// onLastTaskDone is called when the last task of a job has completed.
+// onLastTaskDone is called when the last task of a job has completed. For the share
+// cancelAtEndShare of the jobs, it cancels, polls and resubmits the job several times.
 func (u *jobUser) onLastTaskDone() {
 	f := u.env.balancer
 	if f.cancelAtEndShare == 0 || u.env.rng.Float64() >= f.cancelAtEndShare {
 		return
 	}
-	// Before the controllers can know of the end, as they learn of it, and after.
+	// The delays lie before, around and after the time at which controllers learn of the end.
 	for _, d := range []int64{0, 40_000, 300_000, 900_000} {
 		n := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
 		u.env.recordOccurrence(history.OccurCancelAtEnd)
@@ -73,16 +75,16 @@
 }
 
 const (
-	// minTimeLeft is the least time that a job to be cancelled has left to run.
+	// minTimeLeft is the minimum remaining run time of a job to be cancelled.
 	minTimeLeft = 2 * second
-	// cancelWithin is the time in which the jobs are cancelled.
+	// cancelWithin is the time within which all of the jobs are cancelled.
 	cancelWithin = second / 5
-	// maxHungMachines is how many of their machines hang at most.
+	// maxHungMachines is the maximum number of their machines that hang.
 	maxHungMachines = 8
 )
 
-// cancelNow has users cancel so many jobs that run and have time left. It returns what
-// resumes those of their machines that hang.
+// cancelNow makes the users of count running jobs cancel them. With hangs, some machines of
+// these jobs hang; end resumes them.
 func (env *Environment) cancelNow(count int, hangs bool) (end func()) {
 	on := map[*jobUser][]*machine{}
 	var users []*jobUser
@@ -120,10 +122,10 @@
 	}
 }
 
-// invalidInterval is how often an invalid request comes.
+// invalidInterval is the mean time between two invalid requests, in microseconds.
 const invalidInterval = 300_000
 
-// sendInvalidRequests has users send invalid requests until end is called.
+// sendInvalidRequests makes users send invalid requests until end is called.
 func (f *loadBalancer) sendInvalidRequests() (end func()) {
 	over, turn := false, 0
 	var next func()
@@ -139,16 +141,17 @@
 	return func() { over = true }
 }
 
-// InvalidSubmission is a submission that can't run or lacks a field: what is wrong with it, the
-// field that the refusal has to name, if it is one's fault, and its status.
+// InvalidSubmission is a submission that can't run or has an invalid or missing field. Reason
+// says what is wrong with it, Field is the field that the error response has to name, if there
+// is one, and Status is the expected status.
 type InvalidSubmission struct {
 	Reason, Field string
 	Status        int
 	Body          []byte
 }
 
-// InvalidSubmissions are all kinds of submissions that have to be refused, made of a job that
-// could run: each field wrong or missing, and what fits nothing.
+// InvalidSubmissions returns all kinds of submissions that have to be refused, derived from a
+// valid job: with each field invalid or missing, and with demands that nothing fits.
 func InvalidSubmissions(good wire.Job, types []wire.MachineType) (l []InvalidSubmission) {
 	var fields map[string]any
 	b, err := json.Marshal(good)
@@ -193,7 +196,8 @@
 	return l
 }
 
-// sendInvalid sends the turn-th of them.
+// sendInvalid sends the next invalid request; turn counts the requests so far. Even turns send a
+// new submission that has to be refused, odd turns a request about an existing job.
 func (f *loadBalancer) sendInvalid(turn int) {
 	w := f.env
 	n := w.controllers[turn%len(w.controllers)]
@@ -221,8 +225,8 @@
 		}, func() {})
 		return
 	}
-	// For a job that exists: its submission once more, as it was or changed, or, if it
-	// is done, a cancellation.
+	// For a job that exists: a repeated submission, unchanged or invalid, or, if the job is
+	// done, a cancellation.
 	var known []*jobUser
 	for i := range w.Jobs {
 		if u := w.jobs[w.Jobs[i].Spec.ID]; u.accepted {
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -14,10 +14,10 @@
 	pollTimeout   = 2 * second
 	pollInterval  = 5 * second
 	maxRetryDelay = 30 * second
-	resubmitEvery = 4 // every so many users submit once more when all is over
+	resubmitEvery = 4 // polls after which a user submits an ended job again
 )
 
-// jobUser is a job and whoever has submitted it.
+// jobUser is a job and the user who submits it.
 type jobUser struct {
 	env               *Environment
 	spec              wire.Job
@@ -27,21 +27,21 @@
 	accepted          bool
 	finalState        string
 	polls             int
-	// submitted: the workers can get its description.
+	// submitted is set once workers can get the job's description.
 	submitted bool
-	done      map[int]bool
-	// progress is what is saved of each task; a gang has one, at 0.
+	done      map[int]bool // by task
+	// progress is the saved progress of each task; that of a gang is under task 0.
 	progress map[int]int64
-	// pollInterval is how often its user polls.
+	// pollInterval is the time between the user's polls.
 	pollInterval int64
-	// cancelRequested: its user has asked to cancel it.
+	// cancelRequested is set once the user has requested the cancellation.
 	cancelRequested bool
 }
 
 func (env *Environment) addJob(j Job) error {
 	id := j.Spec.ID
 	if env.jobs[id] != nil {
-		return fmt.Errorf("job %q is there twice", id)
+		return fmt.Errorf("duplicate job ID %q", id)
 	}
 	u := &jobUser{env: env, spec: j.Spec, run: j.Run, runIncrement: j.RunIncrement, afterDependencies: j.AfterDependencies, done: map[int]bool{}, progress: map[int]int64{}, pollInterval: pollInterval}
 	env.jobs[id] = u
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// complete records that a task of the job is done.
 func (u *jobUser) complete(t *task) {
 	if !u.done[t.index] {
 		u.done[t.index] = true
@@ -64,27 +65,28 @@
 	}
 }
 
-// loadBalancer is the load balancer, which knows which controllers are healthy.
+// loadBalancer is the users' load balancer. It probes the controllers and sends requests to
+// healthy ones.
 type loadBalancer struct {
 	env         *Environment
 	controllers []*controllerHealth
-	// probeAfterAnswers has users ask all controllers right after each answer;
-	// cancelAtEndShare is the share of the jobs that are cancelled as they end.
+	// probeAfterAnswers makes users poll all controllers right after each acceptance and
+	// end. cancelAtEndShare is the share of the jobs that are cancelled as they end.
 	probeAfterAnswers bool
 	cancelAtEndShare  float64
 }
 
-// controllerHealth is what the balancer has seen of a controller.
+// controllerHealth is the health of a controller as the load balancer sees it.
 type controllerHealth struct {
 	controller                       *controller
 	healthy, everHealthy             bool
 	consecutiveOK, consecutiveFailed int
-	recent                           []bool // the last six probes
-	since                            int64  // when it became healthy or unhealthy
+	recent                           []bool // results of the last six probes
+	since                            int64  // time of the last change of healthy
 	backoff                          int64
-	failures                         int   // consecutive connections that were refused
-	skipUntil                        int64 // until when it gets no connection
-	removals                         []int64
+	failures                         int     // consecutive refused connections
+	skipUntil                        int64   // end of the time without connections
+	removals                         []int64 // times at which it became unhealthy, last 120 s
 }
 
 const (
@@ -106,6 +108,8 @@
 	return f
 }
 
+// probe sends a readiness probe, which fails without a response within probeInterval, and
+// schedules the next one.
 func (f *loadBalancer) probe(h *controllerHealth) {
 	f.env.after(probeInterval, func() { f.probe(h) })
 	over := false
@@ -121,6 +125,10 @@
 	}, func() { result(false) })
 }
 
+// probed updates the health of a controller by the result of a probe. It becomes unhealthy
+// after two consecutive failed probes or three of the last six. It becomes healthy with its
+// first successful probe, and later after two consecutive successful ones and a backoff, which
+// doubles with each removal within 120 s.
 func (f *loadBalancer) probed(h *controllerHealth, ok bool) {
 	now := f.env.now
 	h.recent = append(h.recent, ok)
@@ -148,8 +156,8 @@
 	}
 }
 
-// pick chooses controllers for a connection, at most three, the first being the
-// likeliest.
+// pick returns at most three healthy controllers to try for a connection, in random order.
+// Controllers that are warming up may come last.
 func (f *loadBalancer) pick() []*controllerHealth {
 	var up []*controllerHealth
 	for _, h := range f.controllers {
@@ -158,13 +166,15 @@
 		}
 	}
 	f.env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
-	// One that has just become healthy gets its share over 10 s.
+	// A controller that has just become healthy ramps up to its full share over 10 s.
 	slices.SortStableFunc(up, func(a, b *controllerHealth) int {
 		return f.warmingUp(a) - f.warmingUp(b)
 	})
 	return up[:min(len(up), 3)]
 }
 
+// warmingUp returns 1 if a controller that became healthy less than 10 s ago is to be tried
+// last, which is the less likely the longer it has been healthy, and 0 otherwise.
 func (f *loadBalancer) warmingUp(h *controllerHealth) int {
 	if age := f.env.now - h.since; age < 10*second && h.since > 0 && f.env.rng.Int64N(10*second) > age {
 		return 1
@@ -172,8 +182,8 @@
 	return 0
 }
 
-// exchange records a request about a job, or a sweep, sends it, and calls done with the answer,
-// which has status 0 if none comes in time.
+// exchange records a request about a job or a sweep, sends it, and calls done with the response,
+// which has status 0 if none arrives within the timeout.
 func (f *loadBalancer) exchange(op, job string, timeout int64, send func(finish func(AskAnswer)), done func(AskAnswer, wire.JobAnswer)) {
 	call := f.env.ExternalRequest(op, job)
 	over := false
@@ -205,7 +215,7 @@
 	}
 	cut := f.env.network.partitionBetween(usersHost, h.controller.name)
 	if !h.controller.up || cut != nil || h.controller.frozen && f.env.rng.IntN(2) == 0 {
-		f.env.after(second/2, refused) // it does not accept in time
+		f.env.after(second/2, refused) // connection timeout
 		return
 	}
 	f.env.network.send(usersHost, h.controller.name, func() {
@@ -216,12 +226,12 @@
 	}, refused)
 }
 
-// call makes a request about a job, or a sweep, over the load balancer.
+// call sends a request about a job or a sweep through the load balancer.
 func (f *loadBalancer) call(op, job string, request any, timeout int64, done func(AskAnswer, wire.JobAnswer)) {
 	f.exchange(op, job, timeout, func(finish func(AskAnswer)) { f.tryControllers(request, f.pick(), finish) }, done)
 }
 
-// call makes a user's request about its job.
+// call sends a user's request about the job, and tracks the final state that responses show.
 func (u *jobUser) call(op string, request any, most int64, done func(t AskAnswer, a wire.JobAnswer)) {
 	u.env.balancer.call(op, u.spec.ID, request, most, func(t AskAnswer, a wire.JobAnswer) {
 		if t.Status == 200 && (a.State == wire.Done || a.State == wire.Cancelled) && u.finalState != a.State {
@@ -232,14 +242,15 @@
 	})
 }
 
-// retry is when a request is made again.
+// retry calls f after 1 to 1.5 s, or after the response's Retry-After time if that is longer,
+// which counts up to maxRetryDelay.
 func (u *jobUser) retry(t AskAnswer, f func()) {
 	wait := second + u.env.rng.Int64N(second/2)
 	u.env.after(max(wait, min(int64(t.RetryAfter)*second, maxRetryDelay)), f)
 }
 
-// submit tries until it is accepted. Users give up after a minute; here they
-// begin again at once, as nobody would be left to ask.
+// submit submits the job until it is accepted or refused. Real users give up after a minute;
+// here they keep trying, as otherwise nobody would poll for the job.
 func (u *jobUser) submit() {
 	if !u.dependenciesAllow() {
 		u.env.after(second, u.submit)
@@ -262,8 +273,8 @@
 	})
 }
 
-// dependenciesAllow says whether the jobs that it depends on are accepted, or over if it is
-// submitted after them.
+// dependenciesAllow reports whether the job can be submitted: the jobs that it depends on are
+// accepted, or have ended if afterDependencies is set.
 func (u *jobUser) dependenciesAllow() bool {
 	for _, id := range u.spec.DependsOn {
 		if o := u.env.jobs[id]; o == nil || !o.accepted || u.afterDependencies && o.finalState == "" {
@@ -280,7 +291,7 @@
 		case u.finalState == "":
 			u.env.after(u.env.jitter(u.pollInterval, 0.9, 1.1), u.poll)
 		case u.polls%resubmitEvery == 0:
-			// A retry that was long on its way.
+			// A retry of the submission that was delayed for a long time.
 			u.env.after(u.env.rng.Int64N(30*second), func() {
 				spec := u.spec
 				u.call(history.Submit, &spec, submitTimeout, func(AskAnswer, wire.JobAnswer) {})
@@ -304,7 +315,7 @@
 	})
 }
 
-// askUnknownJob asks about a job that nobody submitted.
+// askUnknownJob polls for a job that was never submitted, and schedules the next such poll.
 func (f *loadBalancer) askUnknownJob() {
 	w := f.env
 	id := fmt.Sprintf("req-x%05d", w.rng.IntN(100_000))
@@ -312,7 +323,8 @@
 	w.after(int64(w.rng.ExpFloat64()/w.StrayRequestRate*1e6), f.askUnknownJob)
 }
 
-// sweepUser is one of a sweep's users; its answers are checked by those about the runs.
+// sweepUser is one of the users of a sweep. The responses to it are checked only through those
+// about the runs.
 type sweepUser struct {
 	Sweep
 	env      *Environment
@@ -336,7 +348,7 @@
 	return nil
 }
 
-// CancelSweep lets the users of a sweep cancel it now.
+// CancelSweep makes the users of a sweep cancel it now.
 func (env *Environment) CancelSweep(id string) {
 	for _, u := range env.sweeps {
 		if u.ID == id {
@@ -345,8 +357,8 @@
 	}
 }
 
-// call makes a request about the sweep. Its history is that of a job with the
-// sweep's name.
+// call sends a request about the sweep. It is recorded as that of a job with the name
+// history.SweepJob.
 func (u *sweepUser) call(op string, request any, done func(AskAnswer)) {
 	u.env.balancer.call(op, history.SweepJob(u.ID), request, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) { done(t) })
 }
@@ -363,10 +375,10 @@
 			u.accepted = true
 			u.env.after(pollInterval, u.poll)
 			for _, j := range u.Jobs {
-				// Whoever has thousands of runs asks about each now and then.
+				// Users with thousands of runs poll for each run less often.
 				r := u.env.jobs[j.ID]
 				if r.pollInterval != pollInterval {
-					continue // another user of the sweep does
+					continue // another user of the sweep polls for it
 				}
 				r.pollInterval = pollInterval + int64(len(u.Jobs))*20_000
 				u.env.after(u.env.jitter(r.pollInterval, 0.1, 1), r.poll)
@@ -391,7 +403,8 @@
 	})
 }
 
-// Unfinished are the jobs of whose end their users had no answer.
+// Unfinished returns the jobs, except services, whose users have got no response that shows
+// their end, sorted by ID.
 func (env *Environment) Unfinished() []string {
 	var l []string
 	for id, u := range env.jobs {
