--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -136,7 +136,7 @@
 		for _, name := range q.Machines {
 			if m := c.machines[name]; m != nil && !m.deleted {
 				m.deleted = true
-				m.end("released")
+				m.terminate("released")
 				c.setStatus(m, "")
 			}
 		}
@@ -249,7 +249,7 @@
 		c.env.recordOccurrence(history.OccurQuickBoot)
 	}
 	if boot >= 0 {
-		c.env.after(boot, m.begin)
+		c.env.after(boot, m.onBooted)
 	}
 	if s := c.env.Spot; spot && s.PerHour > 0 {
 		// Reclaims follow a Poisson process.
@@ -266,26 +266,26 @@
 		return
 	}
 	if s.Notice == 0 || c.env.rng.Float64() < s.Silent {
-		c.reclaimed(m)
+		c.finishReclaim(m)
 		return
 	}
 	m.reclaimAt = c.env.now + s.Notice
 	m.reportSoon()
-	c.env.after(c.env.jitter(s.Notice, 0.5, 1.5), func() { c.reclaimed(m) })
+	c.env.after(c.env.jitter(s.Notice, 0.5, 1.5), func() { c.finishReclaim(m) })
 }
 
-// reclaimed ends a reclaimed machine and removes it from the list.
-func (c *cloud) reclaimed(m *machine) {
+// finishReclaim ends a reclaimed machine and removes it from the list.
+func (c *cloud) finishReclaim(m *machine) {
 	if !m.gone {
-		m.end("taken")
+		m.terminate("taken")
 		c.setStatus(m, "")
 	}
 }
 
-// died stops a machine that fails by itself. It is still listed as running for
+// fail stops a machine that fails by itself. It is still listed as running for
 // deadListedFor, and then as failed until it is deleted.
-func (c *cloud) died(m *machine) {
-	m.end("died")
+func (c *cloud) fail(m *machine) {
+	m.terminate("died")
 	c.env.after(deadListedFor, func() {
 		if !m.deleted {
 			c.setStatus(m, "failed")
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -173,7 +173,7 @@
 	cloud       *cloud
 	balancer    *loadBalancer
 	gangs       map[gangKey]*gang
-	copies      duplicateReports
+	duplicates  duplicateReports
 	heldReports heldReports
 	jobs        map[string]*jobUser
 	sweeps      []*sweepUser
@@ -196,51 +196,51 @@
 
 // New returns an environment at time 0 that calls record with each event.
 func New(c Config, record func(history.Event)) (*Environment, error) {
-	w := newEnvironment(c, record)
-	w.state = newState(w)
-	w.balancer = newFront(w)
+	env := newEnvironment(c, record)
+	env.state = newStateService(env)
+	env.balancer = newLoadBalancer(env)
 	for _, m := range c.Machines {
-		t := w.cloud.machineType(m.Type)
+		t := env.cloud.machineType(m.Type)
 		if t == nil {
 			return nil, fmt.Errorf("machines: unknown type %q", m.Type)
 		}
 		for range m.Count {
-			w.cloud.createMachine(t, m.Zone, m.Spot, 0)
+			env.cloud.createMachine(t, m.Zone, m.Spot, 0)
 		}
 	}
 	for i := range c.Jobs {
-		if err := w.addJob(c.Jobs[i]); err != nil {
+		if err := env.addJob(c.Jobs[i]); err != nil {
 			return nil, err
 		}
 	}
 	for _, s := range c.Sweeps {
-		if err := w.addSweep(s); err != nil {
+		if err := env.addSweep(s); err != nil {
 			return nil, err
 		}
 	}
 	for i, f := range c.Faults {
-		if err := w.schedule(f); err != nil {
+		if err := env.schedule(f); err != nil {
 			return nil, fmt.Errorf("fault %d: %w", i, err)
 		}
 	}
-	return w, nil
+	return env, nil
 }
 
 // newEnvironment returns an environment with the network, the controllers and the cloud, but
 // without the state service, the load balancer, machines, jobs and faults.
 func newEnvironment(c Config, record func(history.Event)) *Environment {
-	w := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
-	w.network = newNetwork(w)
+	env := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
+	env.network = newNetwork(env)
 	for i := range c.Params.Size {
 		n := &controller{name: ControllerName(i), zone: c.Params.Zones[i%len(c.Params.Zones)]}
-		w.controllers = append(w.controllers, n)
-		w.network.addHost(n.name, n.zone, controllerHosts)
+		env.controllers = append(env.controllers, n)
+		env.network.addHost(n.name, n.zone, controllerHosts)
 	}
-	w.network.addHost(StateHost, "", serviceHosts)
-	w.network.addHost(CloudHost, "", serviceHosts)
-	w.network.addHost(usersHost, "", userHosts)
-	w.cloud = newCloud(w)
-	return w
+	env.network.addHost(StateHost, "", serviceHosts)
+	env.network.addHost(CloudHost, "", serviceHosts)
+	env.network.addHost(usersHost, "", userHosts)
+	env.cloud = newCloud(env)
+	return env
 }
 
 // Latency returns the delay between two zones without jitter. The zone "" is that of the
@@ -325,7 +325,7 @@
 			env.record(history.Event{Kind: history.ControllerChanged, Node: m.Controller, State: map[bool]string{true: "up", false: "down"}[m.Up]})
 		}
 	default:
-		env.worker(m)
+		env.handleWorkerMessage(m)
 	}
 	out := env.outbox
 	env.outbox = nil
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// forControllers returns a fault of the controllers in Hosts, or of all controllers if Hosts
+// controllerFault returns a fault of the controllers in Hosts, or of all controllers if Hosts
 // is empty or contains "all".
-func forControllers(prepare func(*Environment, Fault, []*controller) beginFault) prepareFault {
+func controllerFault(prepare func(*Environment, Fault, []*controller) beginFault) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		all := len(f.Hosts) == 0 || slices.Contains(f.Hosts, "all")
 		var chosen []*controller
--- a/internal/emulator/environment/held_reports.go
+++ b/internal/emulator/environment/held_reports.go
@@ -42,9 +42,9 @@
 	k.copies[r.Machine] = l
 }
 
-// noteLeaderToken handles the fencing token of a response. A token higher than all before
+// onLeaderToken handles the fencing token of a response. A token higher than all before
 // shows that another leader has started, so the held copies are delivered.
-func (env *Environment) noteLeaderToken(token uint64) {
+func (env *Environment) onLeaderToken(token uint64) {
 	if token > env.heldReports.token {
 		env.heldReports.token = token
 		env.DeliverHeldReports()
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -14,28 +14,28 @@
 
 // The delays and timeouts of a worker.
 const (
-	minReportGap     = second / 2 // between two reports
-	failoverDelay    = second     // before trying the next controller
-	reportTimeout    = 4 * second
-	failAfter        = 2 * second // run time of tasks on a faulty machine
-	maxRedirectDelay = second / 2 // before following a redirect to the leader
+	minReportGap       = second / 2 // between two reports
+	failoverDelay      = second     // before trying the next controller
+	reportTimeout      = 4 * second
+	faultyTaskDuration = 2 * second // run time of tasks on a faulty machine
+	maxRedirectDelay   = second / 2 // before following a redirect to the leader
 )
 
 // machine is a rented machine with its worker.
 type machine struct {
-	env         *Environment
-	name, zone  string
-	machineType *wire.MachineType
-	spot        bool
-	createdAt   int64
-	up, gone    bool
-	deleted     bool
-	hanging     bool
-	faulty      bool
-	mute        bool    // its reports reach no controller
-	reclaimAt   int64   // announced time of the spot reclaim, 0 if there is none
-	speed       float64 // relative speed of its tasks
-	clockRate   float64 // real time per time of its clock
+	env            *Environment
+	name, zone     string
+	machineType    *wire.MachineType
+	spot           bool
+	createdAt      int64
+	up, gone       bool
+	deleted        bool
+	hanging        bool
+	faulty         bool
+	reportsBlocked bool    // its reports reach no controller
+	reclaimAt      int64   // announced time of the spot reclaim, 0 if there is none
+	speed          float64 // relative speed of its tasks
+	clockRate      float64 // real time per time of its clock
 
 	session, seq, token uint64
 	// lastAnsweredAt is the time at which the last report with a valid response was sent.
@@ -58,7 +58,7 @@
 
 // duplicateReports is the share of reports that are delivered a second time, and the maximum
 // delay of the duplicate in leases.
-type duplicateReports struct{ share, leases float64 }
+type duplicateReports struct{ share, maxDelayLeases float64 }
 
 func newMachine(env *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
 	m := &machine{
@@ -72,8 +72,8 @@
 // workerTime returns the real duration, in microseconds, of a duration on the worker's clock.
 func (m *machine) workerTime(seconds float64) int64 { return int64(seconds * 1e6 * m.clockRate) }
 
-// begin marks a machine as running when it has booted, and starts its worker.
-func (m *machine) begin() {
+// onBooted marks a machine as running when it has booted, and starts its worker.
+func (m *machine) onBooted() {
 	if m.gone {
 		return
 	}
@@ -81,11 +81,11 @@
 	m.env.cloud.setStatus(m, "running")
 	m.env.record(history.Event{Kind: history.MachineUp, Machine: m.name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot})
 	m.env.emit(Machine{Name: m.name, Up: true, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot})
-	m.work()
+	m.startWorker()
 }
 
-// work starts the worker, unless it runs in another process.
-func (m *machine) work() {
+// startWorker starts the worker, unless it runs in another process.
+func (m *machine) startWorker() {
 	if m.env.RemoteWorkers {
 		return
 	}
@@ -93,8 +93,8 @@
 	m.send()
 }
 
-// end stops the machine with all its tasks, and records its cost.
-func (m *machine) end(why string) {
+// terminate stops the machine with all its tasks, and records its cost.
+func (m *machine) terminate(why string) {
 	if m.gone {
 		return
 	}
@@ -195,7 +195,7 @@
 	giveUp := func() { call.finish(next, failoverDelay) }
 	env.after(m.workerTime(float64(reportTimeout)/1e6), giveUp)
 	env.holdReportCopy(call.report)
-	if m.mute {
+	if m.reportsBlocked {
 		env.recordOccurrence(history.OccurMuteReport)
 		env.after(env.network.delay(m.name, call.to), giveUp)
 		return
@@ -213,7 +213,7 @@
 		return // the timeout has passed when it resumes, so the response is dropped
 	}
 	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
-	env.noteLeaderToken(heartbeat.Token)
+	env.onLeaderToken(heartbeat.Token)
 	switch {
 	case c.over || m.gone || m.incarnation != c.incarnation:
 	case answer.Status == http.StatusOK:
@@ -221,7 +221,7 @@
 		if heartbeat.Token < m.token || heartbeat.Token == 0 || m.session != c.session {
 			return
 		}
-		m.noteToken(heartbeat.Token)
+		m.updateToken(heartbeat.Token)
 		m.lastAnsweredAt = c.sentAt
 		m.executeOrders(heartbeat.Orders)
 	case answer.Status == http.StatusMisdirectedRequest && heartbeat.Leader != c.to && env.controller(heartbeat.Leader) != nil:
@@ -264,10 +264,10 @@
 // is distributed uniformly on a logarithmic scale.
 func (c *reportCall) duplicate() {
 	m, env := c.machine, c.machine.env
-	if env.copies.share <= 0 || env.rng.Float64() >= env.copies.share {
+	if env.duplicates.share <= 0 || env.rng.Float64() >= env.duplicates.share {
 		return
 	}
-	maxDelay := env.copies.leases * env.Params.Workers.LeaseS
+	maxDelay := env.duplicates.maxDelayLeases * env.Params.Workers.LeaseS
 	env.after(int64(0.5e6*math.Pow(max(2*maxDelay, 1), env.rng.Float64())), func() {
 		env.network.send(m.name, c.to, func() { env.ask(m.name, c.to, c.report, func(AskAnswer) {}) }, func() {})
 	})
@@ -300,9 +300,9 @@
 	})
 }
 
-// noteToken records a fencing token if it is higher than the current one. It then sends an
+// updateToken records a fencing token if it is higher than the current one. It then sends an
 // early report, at most once in half a lease.
-func (m *machine) noteToken(token uint64) {
+func (m *machine) updateToken(token uint64) {
 	if token > m.token {
 		m.token = token
 		if m.env.now-m.tokenReportedAt > m.workerTime(m.env.Params.Workers.LeaseS/2) || m.tokenReportedAt == 0 {
@@ -332,7 +332,7 @@
 		case *q.Token < m.token || *q.Session != m.session:
 			answer(409, m.report())
 		default:
-			m.noteToken(*q.Token)
+			m.updateToken(*q.Token)
 			m.executeOrders(q.Orders)
 			answer(200, m.report())
 		}
@@ -438,35 +438,35 @@
 			mem += t.job.spec.MemGB
 		}
 	}
-	const dust = 1e-6
-	return cpus <= m.machineType.CPUs+dust && gpus <= m.machineType.GPUs+dust && mem <= m.machineType.MemGB+dust
+	const tolerance = 1e-6
+	return cpus <= m.machineType.CPUs+tolerance && gpus <= m.machineType.GPUs+tolerance && mem <= m.machineType.MemGB+tolerance
 }
 
 // cache is the image cache of a machine. Concurrent fetches share the machine's fetch rate
 // equally.
 type cache struct {
 	machine  *machine
-	list     []*image // least recently used first
+	images   []*image // least recently used first
 	fetching []*image
-	// advancedAt is the time at which the progress of the fetches was last computed. plan
-	// is the version of the scheduled fetch completion, see afterUnlessReplanned.
-	advancedAt int64
-	plan       int
+	// advancedAt is the time at which the progress of the fetches was last computed.
+	// planVersion is the version of the scheduled fetch completion, see afterUnlessReplanned.
+	advancedAt  int64
+	planVersion int
 }
 
 type image struct {
-	name    string
-	sizeGB  float64
-	leftGB  float64 // remaining fetch time in seconds at the full rate
-	waiting []*task
+	name       string
+	sizeGB     float64
+	remainingS float64 // remaining fetch time in seconds at the full rate
+	waiting    []*task
 }
 
 // request provides an image to a task: from the cache, or by a fetch, which tasks with the
 // same image share.
 func (c *cache) request(name string, gb float64, t *task) {
-	if i := slices.IndexFunc(c.list, func(x *image) bool { return x.name == name }); i >= 0 {
-		x := c.list[i]
-		c.list = append(slices.Delete(c.list, i, i+1), x)
+	if i := slices.IndexFunc(c.images, func(x *image) bool { return x.name == name }); i >= 0 {
+		x := c.images[i]
+		c.images = append(slices.Delete(c.images, i, i+1), x)
 		c.machine.env.after(1000, t.ready)
 		return
 	}
@@ -474,7 +474,7 @@
 	i := slices.IndexFunc(c.fetching, func(x *image) bool { return x.name == name })
 	if i < 0 {
 		left := gb / c.machine.machineType.FetchRate * (0.75 + c.machine.env.rng.Float64()*0.58)
-		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, leftGB: left})
+		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, remainingS: left})
 		i = len(c.fetching) - 1
 	}
 	c.fetching[i].waiting = append(c.fetching[i].waiting, t)
@@ -485,7 +485,7 @@
 func (c *cache) advance() {
 	if n := float64(len(c.fetching)); n > 0 && !c.machine.hanging {
 		for _, x := range c.fetching {
-			x.leftGB -= float64(c.machine.env.now-c.advancedAt) / 1e6 / n
+			x.remainingS -= float64(c.machine.env.now-c.advancedAt) / 1e6 / n
 		}
 	}
 	c.advancedAt = c.machine.env.now
@@ -494,26 +494,26 @@
 // scheduleNext schedules the completion of the fetch that completes first.
 func (c *cache) scheduleNext() {
 	if len(c.fetching) == 0 || c.machine.hanging {
-		c.plan++
+		c.planVersion++
 		return
 	}
 	least := slices.MinFunc(c.fetching, func(a, b *image) int {
-		if a.leftGB < b.leftGB {
+		if a.remainingS < b.remainingS {
 			return -1
 		}
 		return 1
 	})
-	c.machine.env.afterUnlessReplanned(&c.plan, max(int64(least.leftGB*float64(len(c.fetching))*1e6), 0)+1000, func() {
+	c.machine.env.afterUnlessReplanned(&c.planVersion, max(int64(least.remainingS*float64(len(c.fetching))*1e6), 0)+1000, func() {
 		if c.machine.gone {
 			return
 		}
 		c.advance()
 		var done []*image
 		c.fetching = slices.DeleteFunc(c.fetching, func(x *image) bool {
-			if x.leftGB <= 1e-6 {
+			if x.remainingS <= 1e-6 {
 				done = append(done, x)
 			}
-			return x.leftGB <= 1e-6
+			return x.remainingS <= 1e-6
 		})
 		for _, x := range done {
 			c.add(x)
@@ -529,14 +529,14 @@
 // add adds an image to the cache and evicts the least recently used images until the cache
 // fits its size. The new image always stays.
 func (c *cache) add(x *image) {
-	c.list = append(c.list, x)
+	c.images = append(c.images, x)
 	size := 0.0
-	for _, o := range c.list {
+	for _, o := range c.images {
 		size += o.sizeGB
 	}
-	for size > c.machine.machineType.CacheGB && len(c.list) > 1 {
-		size -= c.list[0].sizeGB
-		c.list = c.list[1:]
+	for size > c.machine.machineType.CacheGB && len(c.images) > 1 {
+		size -= c.images[0].sizeGB
+		c.images = c.images[1:]
 	}
 }
 
--- a/internal/emulator/environment/machine_faults.go
+++ b/internal/emulator/environment/machine_faults.go
@@ -7,9 +7,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// forMachines returns a fault of machines, which are chosen when it begins. do begins the
+// machineFault returns a fault of machines, which are chosen when it begins. do begins the
 // fault on one machine and returns the function that ends it there, nil if it does not end.
-func forMachines(do func(*machine, Fault) (undo func())) prepareFault {
+func machineFault(do func(*machine, Fault) (undo func())) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		return func() func() {
 			var undos []func()
@@ -75,9 +75,9 @@
 	}, nil
 }
 
-// cutOrders partitions a machine from controllers in one direction: no response and no command
+// blockCommands partitions a machine from controllers in one direction: no response and no command
 // of a controller reaches it.
-func cutOrders(m *machine, f Fault) func() {
+func blockCommands(m *machine, f Fault) func() {
 	mode := f.PartitionMode
 	mode.OneWay = true
 	begin, err := m.env.partition([]string{"controllers"}, []string{m.name}, mode)
@@ -109,7 +109,7 @@
 		return nil, errFactorNotPositive
 	}
 	return func() func() {
-		env.copies = duplicateReports{f.Share, f.Factor}
-		return func() { env.copies = duplicateReports{} }
+		env.duplicates = duplicateReports{f.Share, f.Factor}
+		return func() { env.duplicates = duplicateReports{} }
 	}, nil
 }
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -9,23 +9,23 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// stage is an environment with two machines and one controller, whose responses the test case
+// testbed is an environment with two machines and one controller, whose responses the test case
 // sets.
-type stage struct {
+type testbed struct {
 	t      *testing.T
-	w      *Environment
+	env    *Environment
 	now    int64
 	events []history.Event
-	// The controller's responses to reports have the token, or status 503 if silent is set.
+	// The controller's responses to reports have the token, or status 503 if unavailable is set.
 	// orders are sent with the next response to each machine.
-	token  uint64
-	silent bool
-	orders map[string][]wire.Order
-	last   map[string]*wire.Report // last report by machine
-	direct []Answer                // responses to direct commands
+	token       uint64
+	unavailable bool
+	orders      map[string][]wire.Order
+	last        map[string]*wire.Report // last report by machine
+	direct      []Answer                // responses to direct commands
 }
 
-func newStage(t *testing.T) *stage {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
 	c := Config{
 		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
@@ -39,23 +39,23 @@
 		return Job{At: -1, Run: 30 * second, Spec: wire.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", ImageGB: 1, CheckpointS: 5, CheckpointCostS: 2}}
 	}
 	c.Jobs = []Job{job("a", wire.Array, 4, 2), job("wide", wire.Array, 1, 7), job("g", wire.Gang, 2, 2), job("unsent", wire.Array, 1, 1)}
-	s := &stage{t: t, token: 5, orders: map[string][]wire.Order{}, last: map[string]*wire.Report{}}
+	s := &testbed{t: t, token: 5, orders: map[string][]wire.Order{}, last: map[string]*wire.Report{}}
 	w, err := New(c, func(e history.Event) { s.events = append(s.events, e) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.w = w
+	s.env = w
 	for _, id := range []string{"a", "wide", "g"} {
 		w.jobs[id].submitted = true
 	}
 	s.step(ControllerUp{Controller: "node-0", Up: true})
-	s.run(5)
+	s.advance(5)
 	return s
 }
 
 // step sends a message to the environment and answers the requests to the controller.
-func (s *stage) step(msg any) {
-	for _, e := range s.w.Step(s.now, msg) {
+func (s *testbed) step(msg any) {
+	for _, e := range s.env.Step(s.now, msg) {
 		switch e := e.(type) {
 		case Answer:
 			s.direct = append(s.direct, e)
@@ -66,7 +66,7 @@
 				continue
 			}
 			s.last[r.Machine] = r
-			if s.silent {
+			if s.unavailable {
 				s.step(AskAnswer{ID: e.ID, Status: 503})
 				continue
 			}
@@ -77,11 +77,11 @@
 	}
 }
 
-// run advances the time by so many seconds.
-func (s *stage) run(seconds float64) {
+// advance advances the time by so many seconds.
+func (s *testbed) advance(seconds float64) {
 	end := s.now + config.MicrosOf(seconds)
 	for {
-		at, ok := s.w.Next()
+		at, ok := s.env.Next()
 		if !ok || at > end {
 			break
 		}
@@ -92,29 +92,29 @@
 	s.step(nil)
 }
 
-// do sends orders to a machine's own address and returns the response, or the zero Answer if there
-// was not exactly one.
-func (s *stage) do(machine string, token, session uint64, orders ...wire.Order) Answer {
+// sendOrders sends orders to a machine's own address and returns the response, or the zero Answer if
+// there was not exactly one.
+func (s *testbed) sendOrders(machine string, token, session uint64, orders ...wire.Order) Answer {
 	s.direct = nil
 	s.step(Call{ID: 1, From: "node-0", To: machine, Request: wire.WorkerOrders{Token: &token, Session: &session, Orders: orders}})
-	s.run(0.1)
+	s.advance(0.1)
 	if len(s.direct) != 1 {
 		return Answer{}
 	}
 	return s.direct[0]
 }
 
-func run(task string, attempt uint64) wire.Order {
+func runOrder(task string, attempt uint64) wire.Order {
 	return wire.Order{Op: "run", Task: task, Attempt: attempt}
 }
 
-func kill(task string, grace float64) wire.Order {
+func killOrder(task string, grace float64) wire.Order {
 	return wire.Order{Op: "kill", Task: task, Attempt: 1, GraceS: grace}
 }
 
-// task returns how a machine last reported an attempt: its state, its reason and "stored" if its
+// lastReported returns how a machine last reported an attempt: its state, its reason and "stored" if its
 // progress is saved, or "none" if it is not in the report.
-func (s *stage) task(machine, name string, attempt uint64) string {
+func (s *testbed) lastReported(machine, name string, attempt uint64) string {
 	r := s.last[machine]
 	for _, t := range r.Tasks {
 		if t.Name == name && t.Attempt == attempt {
@@ -131,10 +131,10 @@
 	return "none"
 }
 
-// is checks how a machine last reported an attempt, see task.
-func (s *stage) is(machine, name string, attempt uint64, want string) {
+// expectTask checks how a machine last reported an attempt, see task.
+func (s *testbed) expectTask(machine, name string, attempt uint64, want string) {
 	s.t.Helper()
-	if got := s.task(machine, name, attempt); got != want {
+	if got := s.lastReported(machine, name, attempt); got != want {
 		s.t.Errorf("at %.1f s: task %s, attempt %d on %s: got %q, want %q", float64(s.now)/1e6, name, attempt, machine, got, want)
 	}
 }
@@ -146,105 +146,105 @@
 
 // TestWorkers checks workers and gangs against the published protocol.
 func TestWorkers(t *testing.T) {
-	gang := func(s *stage) { // starts a gang on both machines
-		s.do(m0, 5, 1, run("g/0", 1))
-		s.do(m1, 5, 1, run("g/1", 1))
-		s.run(6)
-		s.is(m0, "g/0", 1, "running")
-		s.is(m1, "g/1", 1, "running")
+	gang := func(s *testbed) { // starts a gang on both machines
+		s.sendOrders(m0, 5, 1, runOrder("g/0", 1))
+		s.sendOrders(m1, 5, 1, runOrder("g/1", 1))
+		s.advance(6)
+		s.expectTask(m0, "g/0", 1, "running")
+		s.expectTask(m1, "g/1", 1, "running")
 	}
 	cases := []struct {
-		says string
-		play func(s *stage)
+		name string
+		run  func(s *testbed)
 	}{
-		{"task fetches its image, runs and completes", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(0.6)
-			s.is(m0, "a/0", 1, "fetching")
-			s.run(5)
-			s.is(m0, "a/0", 1, "running")
-			s.run(40)
-			s.is(m0, "a/0", 1, "ended done")
+		{"task fetches its image, runs and completes", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(0.6)
+			s.expectTask(m0, "a/0", 1, "fetching")
+			s.advance(5)
+			s.expectTask(m0, "a/0", 1, "running")
+			s.advance(40)
+			s.expectTask(m0, "a/0", 1, "ended done")
 		}},
-		{"new attempt of a completed task is done once it has its image", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(45)
-			s.do(m1, 5, 1, run("a/0", 2))
-			s.run(4)
-			s.is(m1, "a/0", 2, "ended done")
+		{"new attempt of a completed task is done once it has its image", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(45)
+			s.sendOrders(m1, 5, 1, runOrder("a/0", 2))
+			s.advance(4)
+			s.expectTask(m1, "a/0", 2, "ended done")
 		}},
-		{"refusals no_such, in_use and no_room", func(s *stage) {
-			s.do(m0, 5, 1, run("unsent/0", 1), run("a/9", 1), run("a/0", 1), run("a/0", 2), run("wide/0", 1))
-			s.run(1)
-			s.is(m0, "unsent/0", 1, "ended no_such")
-			s.is(m0, "a/9", 1, "ended no_such")
-			s.is(m0, "a/0", 2, "ended in_use")
-			s.is(m0, "wide/0", 1, "ended no_room")
+		{"refusals no_such, in_use and no_room", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("unsent/0", 1), runOrder("a/9", 1), runOrder("a/0", 1), runOrder("a/0", 2), runOrder("wide/0", 1))
+			s.advance(1)
+			s.expectTask(m0, "unsent/0", 1, "ended no_such")
+			s.expectTask(m0, "a/9", 1, "ended no_such")
+			s.expectTask(m0, "a/0", 2, "ended in_use")
+			s.expectTask(m0, "wide/0", 1, "ended no_room")
 		}},
-		{"run has no effect on a known attempt and restarts a forgotten one", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1), kill("a/0", 0), run("a/0", 1))
-			s.run(1)
-			s.is(m0, "a/0", 1, "ended stopped")
-			s.do(m0, 5, 1, wire.Order{Op: "forget", Task: "a/0", Attempt: 1}, run("a/0", 1))
-			s.run(1)
-			s.is(m0, "a/0", 1, "fetching")
+		{"run has no effect on a known attempt and restarts a forgotten one", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1), killOrder("a/0", 0), runOrder("a/0", 1))
+			s.advance(1)
+			s.expectTask(m0, "a/0", 1, "ended stopped")
+			s.sendOrders(m0, 5, 1, wire.Order{Op: "forget", Task: "a/0", Attempt: 1}, runOrder("a/0", 1))
+			s.advance(1)
+			s.expectTask(m0, "a/0", 1, "fetching")
 		}},
-		{"forget has no effect on a running task", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1), wire.Order{Op: "forget", Task: "a/0", Attempt: 1})
-			s.run(5)
-			s.is(m0, "a/0", 1, "running")
+		{"forget has no effect on a running task", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1), wire.Order{Op: "forget", Task: "a/0", Attempt: 1})
+			s.advance(5)
+			s.expectTask(m0, "a/0", 1, "running")
 		}},
-		{"killed task saves with enough grace, second kill ends it", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1), run("a/1", 1), run("a/2", 1))
-			s.run(9)
-			s.do(m0, 5, 1, kill("a/0", 2), kill("a/1", 1), kill("a/2", 5))
-			s.run(0.7)
-			s.is(m0, "a/0", 1, "saving")
-			s.is(m0, "a/1", 1, "ended stopped")
-			s.do(m0, 5, 1, kill("a/2", 0))
-			s.run(2.5)
-			s.is(m0, "a/0", 1, "ended stopped stored")
-			s.is(m0, "a/2", 1, "ended stopped")
-			if p := s.w.jobs["a"].progress; p[0] < 5*second || p[0]%(5*second) == 0 || p[1] != 5*second {
+		{"killed task saves with enough grace, second kill ends it", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1), runOrder("a/1", 1), runOrder("a/2", 1))
+			s.advance(9)
+			s.sendOrders(m0, 5, 1, killOrder("a/0", 2), killOrder("a/1", 1), killOrder("a/2", 5))
+			s.advance(0.7)
+			s.expectTask(m0, "a/0", 1, "saving")
+			s.expectTask(m0, "a/1", 1, "ended stopped")
+			s.sendOrders(m0, 5, 1, killOrder("a/2", 0))
+			s.advance(2.5)
+			s.expectTask(m0, "a/0", 1, "ended stopped stored")
+			s.expectTask(m0, "a/2", 1, "ended stopped")
+			if p := s.env.jobs["a"].progress; p[0] < 5*second || p[0]%(5*second) == 0 || p[1] != 5*second {
 				s.t.Errorf("got saved progress %v, want that of a/0 to be at least 5 s and no multiple of 5 s, and 5 s for a/1", p)
 			}
 		}},
-		{"lower token or other session gets status 409 and a report", func(s *stage) {
-			for _, a := range []Answer{s.do(m0, 4, 1, run("a/0", 1)), s.do(m0, 5, 2, run("a/0", 1))} {
+		{"lower token or other session gets status 409 and a report", func(s *testbed) {
+			for _, a := range []Answer{s.sendOrders(m0, 4, 1, runOrder("a/0", 1)), s.sendOrders(m0, 5, 2, runOrder("a/0", 1))} {
 				if r, ok := a.Body.(*wire.Report); a.Status != 409 || !ok || len(r.Tasks) != 0 {
 					s.t.Errorf("got status %d, body %+v, want 409 and a report without tasks", a.Status, a.Body)
 				}
 			}
 		}},
-		{"missing token gets status 400", func(s *stage) {
+		{"missing token gets status 400", func(s *testbed) {
 			s.direct = nil
 			s.step(Call{ID: 1, From: "node-0", To: m0, Request: wire.WorkerOrders{}})
-			s.run(0.1)
+			s.advance(0.1)
 			if len(s.direct) != 1 || s.direct[0].Status != 400 {
 				s.t.Errorf("got responses %+v, want one with status 400", s.direct)
 			}
 		}},
-		{"response with a lower token is dropped and does not renew the lease", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(5)
+		{"response with a lower token is dropped and does not renew the lease", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(5)
 			s.token = 4
-			s.orders[m0] = []wire.Order{kill("a/0", 0)}
-			s.run(10)
-			s.is(m0, "a/0", 1, "running")
-			s.run(12)
-			s.is(m0, "a/0", 1, "none")
+			s.orders[m0] = []wire.Order{killOrder("a/0", 0)}
+			s.advance(10)
+			s.expectTask(m0, "a/0", 1, "running")
+			s.advance(12)
+			s.expectTask(m0, "a/0", 1, "none")
 			if r := s.last[m0]; r.Session < 2 || r.Token != 5 {
 				s.t.Errorf("got session %d, token %d, want session 2 or later, token 5", r.Session, r.Token)
 			}
 		}},
-		{"lease expiry kills and forgets all tasks and starts a new session", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(5)
-			s.silent = true
-			s.run(19)
-			s.silent = false
-			s.run(3)
-			s.is(m0, "a/0", 1, "none")
+		{"lease expiry kills and forgets all tasks and starts a new session", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(5)
+			s.unavailable = true
+			s.advance(19)
+			s.unavailable = false
+			s.advance(3)
+			s.expectTask(m0, "a/0", 1, "none")
 			if s.last[m0].Session != 2 {
 				s.t.Errorf("got session %d, want 2", s.last[m0].Session)
 			}
@@ -252,126 +252,126 @@
 				s.t.Error("got no event of a task that left because of the lease, want one")
 			}
 		}},
-		{"direct commands do not renew the lease", func(s *stage) {
-			s.silent = true
+		{"direct commands do not renew the lease", func(s *testbed) {
+			s.unavailable = true
 			for range 20 {
-				s.do(m0, 5, 1)
-				s.run(1)
+				s.sendOrders(m0, 5, 1)
+				s.advance(1)
 			}
 			if s.last[m0].Session < 2 {
 				s.t.Errorf("got session %d, want 2 or later", s.last[m0].Session)
 			}
 		}},
-		{"gang waits for its last task and starts together", func(s *stage) {
-			s.do(m0, 5, 1, run("g/0", 1))
-			s.run(5)
-			s.is(m0, "g/0", 1, "waiting")
-			s.do(m1, 5, 1, run("g/1", 1))
-			s.run(5)
-			s.is(m0, "g/0", 1, "running")
-			s.run(40)
-			s.is(m0, "g/0", 1, "ended done")
-			s.is(m1, "g/1", 1, "ended done")
+		{"gang waits for its last task and starts together", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("g/0", 1))
+			s.advance(5)
+			s.expectTask(m0, "g/0", 1, "waiting")
+			s.sendOrders(m1, 5, 1, runOrder("g/1", 1))
+			s.advance(5)
+			s.expectTask(m0, "g/0", 1, "running")
+			s.advance(40)
+			s.expectTask(m0, "g/0", 1, "ended done")
+			s.expectTask(m1, "g/1", 1, "ended done")
 		}},
-		{"task of another attempt does not complete a gang", func(s *stage) {
-			s.do(m0, 5, 1, run("g/0", 1))
-			s.do(m1, 5, 1, run("g/1", 2))
-			s.run(10)
-			s.is(m0, "g/0", 1, "waiting")
-			s.run(17)
-			s.is(m0, "g/0", 1, "ended incomplete")
+		{"task of another attempt does not complete a gang", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("g/0", 1))
+			s.sendOrders(m1, 5, 1, runOrder("g/1", 2))
+			s.advance(10)
+			s.expectTask(m0, "g/0", 1, "waiting")
+			s.advance(17)
+			s.expectTask(m0, "g/0", 1, "ended incomplete")
 		}},
-		{"replacement task with the same attempt completes a gang before its start", func(s *stage) {
-			s.do(m0, 5, 1, run("g/0", 1))
-			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 0))
-			s.do(m1, 5, 1, run("g/1", 1))
-			s.run(5)
-			s.is(m1, "g/1", 1, "waiting")
-			s.do(m0, 5, 1, wire.Order{Op: "forget", Task: "g/0", Attempt: 1}, run("g/0", 1))
-			s.run(3)
-			s.is(m0, "g/0", 1, "running")
-			s.is(m1, "g/1", 1, "running")
+		{"replacement task with the same attempt completes a gang before its start", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("g/0", 1))
+			s.advance(5)
+			s.sendOrders(m0, 5, 1, killOrder("g/0", 0))
+			s.sendOrders(m1, 5, 1, runOrder("g/1", 1))
+			s.advance(5)
+			s.expectTask(m1, "g/1", 1, "waiting")
+			s.sendOrders(m0, 5, 1, wire.Order{Op: "forget", Task: "g/0", Attempt: 1}, runOrder("g/0", 1))
+			s.advance(3)
+			s.expectTask(m0, "g/0", 1, "running")
+			s.expectTask(m1, "g/1", 1, "running")
 		}},
-		{"gang tasks exit within gang_peer_s when a machine dies", func(s *stage) {
+		{"gang tasks exit within gang_peer_s when a machine dies", func(s *testbed) {
 			gang(s)
-			s.w.cloud.died(s.w.cloud.machine(m0))
-			s.run(5)
-			s.is(m1, "g/1", 1, "ended mates_gone")
+			s.env.cloud.fail(s.env.cloud.machine(m0))
+			s.advance(5)
+			s.expectTask(m1, "g/1", 1, "ended mates_gone")
 		}},
-		{"gang tasks exit within gang_peer_s when a machine hangs", func(s *stage) {
+		{"gang tasks exit within gang_peer_s when a machine hangs", func(s *testbed) {
 			gang(s)
-			s.w.cloud.machine(m0).hang()
-			s.run(5)
-			s.is(m1, "g/1", 1, "ended mates_gone")
-			s.w.cloud.machine(m0).resume()
-			s.run(2)
-			s.is(m0, "g/0", 1, "ended mates_gone")
+			s.env.cloud.machine(m0).hang()
+			s.advance(5)
+			s.expectTask(m1, "g/1", 1, "ended mates_gone")
+			s.env.cloud.machine(m0).resume()
+			s.advance(2)
+			s.expectTask(m0, "g/0", 1, "ended mates_gone")
 		}},
-		{"orderly stop saves all progress of a gang", func(s *stage) {
+		{"orderly stop saves all progress of a gang", func(s *testbed) {
 			gang(s)
-			s.do(m0, 5, 1, kill("g/0", 5))
-			s.do(m1, 5, 1, kill("g/1", 5))
-			s.run(4)
-			s.is(m0, "g/0", 1, "ended stopped stored")
-			s.is(m1, "g/1", 1, "ended stopped stored")
-			if p := s.w.jobs["g"].progress[0]; p < 2*second || p%(5*second) == 0 {
+			s.sendOrders(m0, 5, 1, killOrder("g/0", 5))
+			s.sendOrders(m1, 5, 1, killOrder("g/1", 5))
+			s.advance(4)
+			s.expectTask(m0, "g/0", 1, "ended stopped stored")
+			s.expectTask(m1, "g/1", 1, "ended stopped stored")
+			if p := s.env.jobs["g"].progress[0]; p < 2*second || p%(5*second) == 0 {
 				s.t.Errorf("got progress %d µs, want at least 2 s and no multiple of 5 s", p)
 			}
 		}},
-		{"gang tasks without a kill command exit and the save fails", func(s *stage) {
+		{"gang tasks without a kill command exit and the save fails", func(s *testbed) {
 			gang(s)
-			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 5))
-			s.run(9)
-			s.is(m1, "g/1", 1, "ended mates_gone")
-			if got := s.task(m0, "g/0", 1); got == "ended stopped stored" {
+			s.advance(5)
+			s.sendOrders(m0, 5, 1, killOrder("g/0", 5))
+			s.advance(9)
+			s.expectTask(m1, "g/1", 1, "ended mates_gone")
+			if got := s.lastReported(m0, "g/0", 1); got == "ended stopped stored" {
 				s.t.Errorf("got %q for g/0, want that its save is not stored as g/1 did not save", got)
 			}
-			if p := s.w.jobs["g"].progress[0]; p == 0 || p%(5*second) != 0 {
+			if p := s.env.jobs["g"].progress[0]; p == 0 || p%(5*second) != 0 {
 				s.t.Errorf("got progress %d µs, want that of the last checkpoint, a multiple of 5 s", p)
 			}
 		}},
-		{"gang with too little grace falls back to the last checkpoint", func(s *stage) {
+		{"gang with too little grace falls back to the last checkpoint", func(s *testbed) {
 			gang(s)
-			s.run(5)
-			s.do(m0, 5, 1, kill("g/0", 1))
-			s.run(5)
-			s.is(m0, "g/0", 1, "ended stopped")
-			s.is(m1, "g/1", 1, "ended mates_gone")
+			s.advance(5)
+			s.sendOrders(m0, 5, 1, killOrder("g/0", 1))
+			s.advance(5)
+			s.expectTask(m0, "g/0", 1, "ended stopped")
+			s.expectTask(m1, "g/1", 1, "ended mates_gone")
 		}},
-		{"machine that resumes within its lease executes deferred commands", func(s *stage) {
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(5)
-			m := s.w.cloud.machine(m0)
+		{"machine that resumes within its lease executes deferred commands", func(s *testbed) {
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(5)
+			m := s.env.cloud.machine(m0)
 			m.hang()
-			s.do(m0, 5, 1, kill("a/0", 0))
-			s.run(8)
+			s.sendOrders(m0, 5, 1, killOrder("a/0", 0))
+			s.advance(8)
 			m.resume()
-			s.run(1)
-			s.is(m0, "a/0", 1, "ended stopped")
+			s.advance(1)
+			s.expectTask(m0, "a/0", 1, "ended stopped")
 		}},
-		{"faulty machine fails every task", func(s *stage) {
-			s.w.cloud.machine(m0).faulty = true
-			s.do(m0, 5, 1, run("a/0", 1))
-			s.run(6)
-			s.is(m0, "a/0", 1, "ended error")
+		{"faulty machine fails every task", func(s *testbed) {
+			s.env.cloud.machine(m0).faulty = true
+			s.sendOrders(m0, 5, 1, runOrder("a/0", 1))
+			s.advance(6)
+			s.expectTask(m0, "a/0", 1, "ended error")
 		}},
-		{"spot notice is reported", func(s *stage) {
-			s.w.Spot = Spot{Notice: 10 * second}
-			s.w.cloud.reclaim(s.w.cloud.machine(m0))
-			s.run(1)
+		{"spot notice is reported", func(s *testbed) {
+			s.env.Spot = Spot{Notice: 10 * second}
+			s.env.cloud.reclaim(s.env.cloud.machine(m0))
+			s.advance(1)
 			if n := s.last[m0].NoticeS; n == nil || *n > 10 || *n < 8 {
 				s.t.Errorf("got notice %v, want 8 to 10 s", n)
 			}
-			s.run(16)
-			if !s.w.cloud.machine(m0).gone {
+			s.advance(16)
+			if !s.env.cloud.machine(m0).gone {
 				s.t.Error("machine still exists after the spot reclaim")
 			}
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.says, func(t *testing.T) { tc.play(newStage(t)) })
+		t.Run(tc.name, func(t *testing.T) { tc.run(newTestbed(t)) })
 	}
 }
 
--- a/internal/emulator/environment/network.go
+++ b/internal/emulator/environment/network.go
@@ -238,8 +238,8 @@
 }
 
 // beginPartition begins a partition and returns the function that ends it.
-func (n *network) beginPartition(a, b *bart.Lite, how PartitionMode) (end func()) {
-	c := &partition{from: a, to: b, mode: how}
+func (n *network) beginPartition(a, b *bart.Lite, mode PartitionMode) (end func()) {
+	c := &partition{from: a, to: b, mode: mode}
 	n.partitions = append(n.partitions, c)
 	return func() {
 		for i, o := range n.partitions {
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -52,30 +52,30 @@
 // messages.
 func NewWorkerEnvironment(c Config, record func(history.Event)) (*Environment, error) {
 	c.RemoteWorkers = false // the workers run in this environment
-	w := newEnvironment(c, record)
+	env := newEnvironment(c, record)
 	for _, j := range c.Jobs {
 		j.At, j.Cancel = -1, 0
-		if err := w.addJob(j); err != nil {
+		if err := env.addJob(j); err != nil {
 			return nil, err
 		}
-		w.jobs[j.Spec.ID].submitted = true
+		env.jobs[j.Spec.ID].submitted = true
 	}
 	for i, f := range c.Faults {
 		if f.Kind != FaultPartition {
 			continue
 		}
-		if err := w.schedule(f); err != nil {
+		if err := env.schedule(f); err != nil {
 			return nil, fmt.Errorf("fault %d: %w", i, err)
 		}
 	}
-	for _, n := range w.controllers {
+	for _, n := range env.controllers {
 		n.up = true
 	}
-	return w, nil
+	return env, nil
 }
 
-// worker handles a message to a worker.
-func (env *Environment) worker(msg any) {
+// handleWorkerMessage handles a message to a worker.
+func (env *Environment) handleWorkerMessage(msg any) {
 	switch m := msg.(type) {
 	case WorkerBegin:
 		env.beginWorker(m)
@@ -110,7 +110,7 @@
 	// a report interval.
 	env.after(env.rng.Int64N(second), func() {
 		x.up, x.lastAnsweredAt = true, env.now
-		x.work()
+		x.startWorker()
 	})
 }
 
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -92,7 +92,7 @@
 	Matched int
 }
 
-func newState(env *Environment) *stateService {
+func newStateService(env *Environment) *stateService {
 	l := env.Params.State.StateLimits
 	return &stateService{
 		env: env, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
@@ -112,11 +112,11 @@
 	if s.env.rng.IntN(500) == 0 {
 		d += s.env.rng.Int64N(300_000)
 	}
-	s.env.after(int64(float64(d)*s.slowFactor), func() { s.arrived(from, req, answer) })
+	s.env.after(int64(float64(d)*s.slowFactor), func() { s.handleRequest(from, req, answer) })
 }
 
-// arrived handles a request after the service time, with rate limits and injected losses.
-func (s *stateService) arrived(from string, req any, answer func(int, any)) {
+// handleRequest handles a request after the service time, with rate limits and injected losses.
+func (s *stateService) handleRequest(from string, req any, answer func(int, any)) {
 	if s.refuses(from) {
 		answer(503, wire.Error{Error: "trouble"})
 		return
@@ -131,18 +131,18 @@
 	}
 	execute := func() { answer(s.execute(req)) }
 	lost, late := s.env.loseAnswer()
-	if s.delays(req) {
+	if s.shouldDelay(req) {
 		lost, late = true, 2*second+s.env.rng.Int64N(10*second)
 		s.env.record(history.Event{Kind: history.RequestDelayed})
 	} else if _, ok := req.(wire.Transaction); ok && s.lostAnswerShare > 0 && s.env.rng.Float64() < s.lostAnswerShare {
 		lost = true
 		s.env.recordOccurrence(history.OccurLostAnswer)
 	}
-	if how := s.matchLoss(req); how != nil {
-		if how.Outcome == LostBefore {
+	if loss := s.matchLoss(req); loss != nil {
+		if loss.Outcome == LostBefore {
 			return
 		}
-		lost, late = true, how.Delay
+		lost, late = true, loss.Delay
 	}
 	if lost {
 		execute = func() { s.execute(req) }
@@ -158,8 +158,8 @@
 	execute()
 }
 
-// delays decides whether a request is executed late.
-func (s *stateService) delays(req any) bool {
+// shouldDelay decides whether a request is executed late.
+func (s *stateService) shouldDelay(req any) bool {
 	share := 0.0
 	switch req.(type) {
 	case wire.Transaction:
@@ -314,7 +314,7 @@
 
 // commit executes a transaction.
 func (s *stateService) commit(q wire.Transaction) (int, any) {
-	if fault := s.malformed(q); fault != "" {
+	if fault := s.invalidReason(q); fault != "" {
 		return http.StatusBadRequest, wire.Error{Error: fault}
 	}
 	if !s.writes.take(s.env.now, s.limits.WriteRPS, 1, float64(len(q.Writes))) {
@@ -344,8 +344,8 @@
 	return http.StatusOK, wire.TransactionAnswer{Revision: s.revision}
 }
 
-// malformed returns the reason for which a transaction is invalid, "" if it is valid.
-func (s *stateService) malformed(q wire.Transaction) string {
+// invalidReason returns the reason for which a transaction is invalid, "" if it is valid.
+func (s *stateService) invalidReason(q wire.Transaction) string {
 	size := 0
 	for _, write := range q.Writes {
 		size += len(write.Key()) + len(write.Value)
@@ -366,7 +366,7 @@
 
 // changesSince returns the changes of keys with a prefix after a revision; ok is false if some
 // of them have been compacted.
-func (s *stateService) changesSince(prefix string, after uint64) (news []wire.Change, ok bool) {
+func (s *stateService) changesSince(prefix string, after uint64) (changes []wire.Change, ok bool) {
 	if after < s.compactedRevision {
 		return nil, false
 	}
@@ -375,10 +375,10 @@
 	})
 	for _, c := range s.changes[i:] {
 		if strings.HasPrefix(c.Key(), prefix) {
-			news = append(news, c)
+			changes = append(changes, c)
 		}
 	}
-	return news, true
+	return changes, true
 }
 
 func (s *stateService) watch(x *watch) {
@@ -399,15 +399,15 @@
 		}
 		return
 	}
-	news, ok := s.changesSince(x.req.Prefix, x.req.After)
+	changes, ok := s.changesSince(x.req.Prefix, x.req.After)
 	switch {
 	case !ok:
 		x.answer(410, wire.Error{Error: "too old"})
-	case len(news) > 0 || over:
-		if news == nil {
-			news = []wire.Change{}
+	case len(changes) > 0 || over:
+		if changes == nil {
+			changes = []wire.Change{}
 		}
-		x.answer(200, wire.WatchAnswer{Revision: s.revision, Changes: news})
+		x.answer(200, wire.WatchAnswer{Revision: s.revision, Changes: changes})
 	default:
 		return
 	}
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -69,7 +69,7 @@
 	case t.machine.faulty:
 		t.state = wire.Running
 		t.machine.reportSoon()
-		t.schedule(failAfter, func() { t.exit("error") })
+		t.schedule(faultyTaskDuration, func() { t.exit("error") })
 	case u.spec.Kind == wire.Gang:
 		t.machine.reportSoon()
 		t.machine.env.join(t)
@@ -143,7 +143,7 @@
 			t.exit("stopped")
 			return
 		}
-		t.halt()
+		t.stopProgress()
 		t.schedule(save, func() {
 			t.job.progress[t.index] = t.startProgress
 			t.saved = true
@@ -166,8 +166,8 @@
 	return &t.job.spec
 }
 
-// halt stops the task's progress while it saves.
-func (t *task) halt() {
+// stopProgress stops the task's progress while it saves.
+func (t *task) stopProgress() {
 	t.storeCheckpoints()
 	t.startProgress = t.currentProgress()
 	t.startedAt = 0
@@ -283,13 +283,13 @@
 		return
 	}
 	t.schedule(int64(env.Params.Workers.GangWaitS*1e6), func() { t.exit("incomplete") })
-	g.begin()
+	g.start()
 }
 
 func (g *gang) peerTimeout() int64 { return int64(g.env.Params.Workers.GangPeerS * 1e6) }
 
-// begin starts all tasks of the gang if all have their image and none of their machines hangs.
-func (g *gang) begin() {
+// start starts all tasks of the gang if all have their image and none of their machines hangs.
+func (g *gang) start() {
 	have := map[int]bool{}
 	for _, t := range g.tasks {
 		if t.state == wire.Waiting && !t.machine.hanging {
@@ -334,8 +334,8 @@
 	g.job.progress[0] = max(g.job.progress[0], to)
 }
 
-// halt stops the gang's progress and records the progress at the last checkpoint.
-func (g *gang) halt() {
+// stopProgress stops the gang's progress and records the progress at the last checkpoint.
+func (g *gang) stopProgress() {
 	if step := int64(g.job.spec.CheckpointS * 1e6); step > 0 {
 		g.storeProgress(g.currentProgress() / step * step)
 	}
@@ -350,7 +350,7 @@
 		return
 	}
 	g.failed = true
-	g.halt()
+	g.stopProgress()
 	for _, t := range g.tasks {
 		t.saved = false
 		t.schedule(g.env.rng.Int64N(g.peerTimeout()+1), func() { t.exit("mates_gone") })
@@ -386,7 +386,7 @@
 		return
 	}
 	t.schedule(int64(g.env.Params.Workers.GangWaitS*1e6), func() { t.exit("incomplete") })
-	g.begin()
+	g.start()
 }
 
 // kill executes a kill command to one of the running tasks. With enough grace it begins or
@@ -399,7 +399,7 @@
 	}
 	if g.firstKillAt == 0 {
 		g.firstKillAt = g.env.now
-		g.halt()
+		g.stopProgress()
 		g.env.after(g.peerTimeout(), func() {
 			if g.killsReceived < g.job.spec.Tasks {
 				g.fail() // tasks that got no command exit, and the save fails
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -18,47 +18,47 @@
 const cancelOneIn = 8
 
 // askController sends a user's request to a controller directly, past the load balancer.
-func (f *loadBalancer) askController(n *controller, op, job string, request any) {
+func (b *loadBalancer) askController(n *controller, op, job string, request any) {
 	timeout := submitTimeout
 	if op == history.Poll {
 		timeout = pollTimeout
 	}
 	send := func(finish func(AskAnswer)) {
-		f.env.network.send(usersHost, n.name, func() { f.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
+		b.env.network.send(usersHost, n.name, func() { b.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
 	}
-	f.exchange(op, job, timeout, send, func(AskAnswer, wire.JobAnswer) {})
+	b.exchange(op, job, timeout, send, func(AskAnswer, wire.JobAnswer) {})
 }
 
 // probeControllers polls all controllers for a job and repeats its submission, right after its
 // user has got the response that the job is accepted or has ended. One in cancelOneIn jobs that
 // have not ended is then cancelled.
 func (u *jobUser) probeControllers() {
-	w := u.env
-	if !w.balancer.probeAfterAnswers {
+	env := u.env
+	if !env.balancer.probeAfterAnswers {
 		return
 	}
-	for _, n := range w.controllers {
+	for _, n := range env.controllers {
 		for i, d := range probeDelays {
-			w.after(d+w.rng.Int64N(2000), func() {
-				w.recordOccurrence(history.OccurProbe)
-				w.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
+			env.after(d+env.rng.Int64N(2000), func() {
+				env.recordOccurrence(history.OccurProbe)
+				env.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 				if i == 1 {
 					spec := u.spec
-					w.balancer.askController(n, history.Submit, u.spec.ID, &spec)
+					env.balancer.askController(n, history.Submit, u.spec.ID, &spec)
 				}
 			})
 		}
 	}
-	if u.finalState == "" && w.rng.IntN(cancelOneIn) == 0 {
-		w.after(w.rng.Int64N(5000), u.cancel)
+	if u.finalState == "" && env.rng.IntN(cancelOneIn) == 0 {
+		env.after(env.rng.Int64N(5000), u.cancel)
 	}
 }
 
 // onLastTaskDone is called when the last task of a job has completed. For the share
 // cancelAtEndShare of the jobs, it cancels, polls and resubmits the job several times.
 func (u *jobUser) onLastTaskDone() {
-	f := u.env.balancer
-	if f.cancelAtEndShare == 0 || u.env.rng.Float64() >= f.cancelAtEndShare {
+	balancer := u.env.balancer
+	if balancer.cancelAtEndShare == 0 || u.env.rng.Float64() >= balancer.cancelAtEndShare {
 		return
 	}
 	// The delays lie before, around and after the time at which controllers learn of the end.
@@ -66,10 +66,10 @@
 		n := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
 		u.env.recordOccurrence(history.OccurCancelAtEnd)
 		u.env.after(u.env.rng.Int64N(d+2000), func() {
-			f.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
-			f.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
+			balancer.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
+			balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 			spec := u.spec
-			f.askController(n, history.Submit, u.spec.ID, &spec)
+			balancer.askController(n, history.Submit, u.spec.ID, &spec)
 		})
 	}
 }
@@ -77,8 +77,8 @@
 const (
 	// minTimeLeft is the minimum remaining run time of a job to be cancelled.
 	minTimeLeft = 2 * second
-	// cancelWithin is the time within which all of the jobs are cancelled.
-	cancelWithin = second / 5
+	// cancelWindow is the time within which all of the jobs are cancelled.
+	cancelWindow = second / 5
 	// maxHungMachines is the maximum number of their machines that hang.
 	maxHungMachines = 8
 )
@@ -106,7 +106,7 @@
 	var hang []*machine
 	for _, u := range users[:min(count, len(users))] {
 		env.recordOccurrence(history.OccurCancel)
-		env.after(env.rng.Int64N(cancelWithin), u.cancel)
+		env.after(env.rng.Int64N(cancelWindow), u.cancel)
 		for _, m := range on[u] {
 			if hangs && len(hang) < maxHungMachines && !m.hanging {
 				env.recordOccurrence(history.OccurHungMachine)
@@ -126,16 +126,16 @@
 const invalidInterval = 300_000
 
 // sendInvalidRequests makes users send invalid requests until end is called.
-func (f *loadBalancer) sendInvalidRequests() (end func()) {
+func (b *loadBalancer) sendInvalidRequests() (end func()) {
 	over, turn := false, 0
 	var next func()
 	next = func() {
 		if over {
 			return
 		}
-		f.sendInvalid(turn)
+		b.sendInvalid(turn)
 		turn++
-		f.env.after(f.env.jitter(invalidInterval, 0.5, 1.5), next)
+		b.env.after(b.env.jitter(invalidInterval, 0.5, 1.5), next)
 	}
 	next()
 	return func() { over = true }
@@ -198,53 +198,53 @@
 
 // sendInvalid sends the next invalid request; turn counts the requests so far. Even turns send a
 // new submission that has to be refused, odd turns a request about an existing job.
-func (f *loadBalancer) sendInvalid(turn int) {
-	w := f.env
-	n := w.controllers[turn%len(w.controllers)]
+func (b *loadBalancer) sendInvalid(turn int) {
+	env := b.env
+	n := env.controllers[turn%len(env.controllers)]
 	if turn%2 == 0 {
-		if len(w.Jobs) == 0 {
+		if len(env.Jobs) == 0 {
 			return
 		}
-		odds := InvalidSubmissions(w.Jobs[0].Spec, w.Types)
-		o := odds[turn/2%len(odds)]
+		invalid := InvalidSubmissions(env.Jobs[0].Spec, env.Types)
+		o := invalid[turn/2%len(invalid)]
 		id := fmt.Sprintf("odd-%05d", turn)
 		var m map[string]any
 		if json.Unmarshal(o.Body, &m) != nil {
 			return
 		}
 		m["name_id"] = id
-		b, err := json.Marshal(m)
+		body, err := json.Marshal(m)
 		if err != nil {
 			panic(err)
 		}
-		call := w.ExternalRequest(history.Submit, id)
-		w.recordOccurrence(history.OccurInvalid)
-		w.record(history.Event{Kind: history.InvalidSubmission, Job: id, Call: call, Reason: o.Reason})
-		f.env.network.send(usersHost, n.name, func() {
-			f.env.ask(usersHost, n.name, wire.RawSubmission{Body: b}, func(t AskAnswer) { w.ExternalAnswer(call, history.Submit, id, t.Status, "") })
+		call := env.ExternalRequest(history.Submit, id)
+		env.recordOccurrence(history.OccurInvalid)
+		env.record(history.Event{Kind: history.InvalidSubmission, Job: id, Call: call, Reason: o.Reason})
+		b.env.network.send(usersHost, n.name, func() {
+			b.env.ask(usersHost, n.name, wire.RawSubmission{Body: body}, func(t AskAnswer) { env.ExternalAnswer(call, history.Submit, id, t.Status, "") })
 		}, func() {})
 		return
 	}
 	// For a job that exists: a repeated submission, unchanged or invalid, or, if the job is
 	// done, a cancellation.
 	var known []*jobUser
-	for i := range w.Jobs {
-		if u := w.jobs[w.Jobs[i].Spec.ID]; u.accepted {
+	for i := range env.Jobs {
+		if u := env.jobs[env.Jobs[i].Spec.ID]; u.accepted {
 			known = append(known, u)
 		}
 	}
 	if len(known) == 0 {
 		return
 	}
-	u := known[w.rng.IntN(len(known))]
+	u := known[env.rng.IntN(len(known))]
 	id := u.spec.ID
 	switch {
 	case u.finalState == wire.Done:
-		f.askController(n, history.Cancel, id, wire.Cancel{ID: id})
+		b.askController(n, history.Cancel, id, wire.Cancel{ID: id})
 	case turn%4 == 1:
 		spec := u.spec
-		f.askController(n, history.Submit, id, &spec)
+		b.askController(n, history.Submit, id, &spec)
 	default:
-		f.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))})
+		b.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))})
 	}
 }
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -95,42 +95,42 @@
 	maxBackoff    = 60 * second
 )
 
-func newFront(env *Environment) *loadBalancer {
-	f := &loadBalancer{env: env}
+func newLoadBalancer(env *Environment) *loadBalancer {
+	balancer := &loadBalancer{env: env}
 	for _, n := range env.controllers {
 		h := &controllerHealth{controller: n}
-		f.controllers = append(f.controllers, h)
-		env.timers.Add(env.rng.Int64N(probeInterval), func() { f.probe(h) })
+		balancer.controllers = append(balancer.controllers, h)
+		env.timers.Add(env.rng.Int64N(probeInterval), func() { balancer.probe(h) })
 	}
 	if env.StrayRequestRate > 0 {
-		env.after(second, f.askUnknownJob)
+		env.after(second, balancer.askUnknownJob)
 	}
-	return f
+	return balancer
 }
 
 // probe sends a readiness probe, which fails without a response within probeInterval, and
 // schedules the next one.
-func (f *loadBalancer) probe(h *controllerHealth) {
-	f.env.after(probeInterval, func() { f.probe(h) })
+func (b *loadBalancer) probe(h *controllerHealth) {
+	b.env.after(probeInterval, func() { b.probe(h) })
 	over := false
 	result := func(ok bool) {
 		if !over {
 			over = true
-			f.probed(h, ok)
+			b.onProbeResult(h, ok)
 		}
 	}
-	f.env.after(probeInterval, func() { result(false) })
-	f.env.network.send(usersHost, h.controller.name, func() {
-		f.env.ask(usersHost, h.controller.name, wire.ReadyProbe{}, func(t AskAnswer) { result(t.Status == 200) })
+	b.env.after(probeInterval, func() { result(false) })
+	b.env.network.send(usersHost, h.controller.name, func() {
+		b.env.ask(usersHost, h.controller.name, wire.ReadyProbe{}, func(t AskAnswer) { result(t.Status == 200) })
 	}, func() { result(false) })
 }
 
-// probed updates the health of a controller by the result of a probe. It becomes unhealthy
+// onProbeResult updates the health of a controller by the result of a probe. It becomes unhealthy
 // after two consecutive failed probes or three of the last six. It becomes healthy with its
 // first successful probe, and later after two consecutive successful ones and a backoff, which
 // doubles with each removal within 120 s.
-func (f *loadBalancer) probed(h *controllerHealth, ok bool) {
-	now := f.env.now
+func (b *loadBalancer) onProbeResult(h *controllerHealth, ok bool) {
+	now := b.env.now
 	h.recent = append(h.recent, ok)
 	if len(h.recent) > 6 {
 		h.recent = h.recent[1:]
@@ -158,25 +158,25 @@
 
 // pick returns at most three healthy controllers to try for a connection, in random order.
 // Controllers that are warming up may come last.
-func (f *loadBalancer) pick() []*controllerHealth {
+func (b *loadBalancer) pick() []*controllerHealth {
 	var up []*controllerHealth
-	for _, h := range f.controllers {
-		if h.healthy && f.env.now >= h.skipUntil {
+	for _, h := range b.controllers {
+		if h.healthy && b.env.now >= h.skipUntil {
 			up = append(up, h)
 		}
 	}
-	f.env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
+	b.env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
 	// A controller that has just become healthy ramps up to its full share over 10 s.
-	slices.SortStableFunc(up, func(a, b *controllerHealth) int {
-		return f.warmingUp(a) - f.warmingUp(b)
+	slices.SortStableFunc(up, func(x, y *controllerHealth) int {
+		return b.warmupRank(x) - b.warmupRank(y)
 	})
 	return up[:min(len(up), 3)]
 }
 
-// warmingUp returns 1 if a controller that became healthy less than 10 s ago is to be tried
+// warmupRank returns 1 if a controller that became healthy less than 10 s ago is to be tried
 // last, which is the less likely the longer it has been healthy, and 0 otherwise.
-func (f *loadBalancer) warmingUp(h *controllerHealth) int {
-	if age := f.env.now - h.since; age < 10*second && h.since > 0 && f.env.rng.Int64N(10*second) > age {
+func (b *loadBalancer) warmupRank(h *controllerHealth) int {
+	if age := b.env.now - h.since; age < 10*second && h.since > 0 && b.env.rng.Int64N(10*second) > age {
 		return 1
 	}
 	return 0
@@ -184,8 +184,8 @@
 
 // exchange records a request about a job or a sweep, sends it, and calls done with the response,
 // which has status 0 if none arrives within the timeout.
-func (f *loadBalancer) exchange(op, job string, timeout int64, send func(finish func(AskAnswer)), done func(AskAnswer, wire.JobAnswer)) {
-	call := f.env.ExternalRequest(op, job)
+func (b *loadBalancer) exchange(op, job string, timeout int64, send func(finish func(AskAnswer)), done func(AskAnswer, wire.JobAnswer)) {
+	call := b.env.ExternalRequest(op, job)
 	over := false
 	finish := func(answer AskAnswer) {
 		if over {
@@ -193,33 +193,33 @@
 		}
 		over = true
 		body, _ := answer.Body.(wire.JobAnswer)
-		f.env.ExternalAnswer(call, op, job, answer.Status, body.State)
+		b.env.ExternalAnswer(call, op, job, answer.Status, body.State)
 		done(answer, body)
 	}
-	f.env.after(timeout, func() { finish(AskAnswer{}) })
+	b.env.after(timeout, func() { finish(AskAnswer{}) })
 	send(finish)
 }
 
 // tryControllers sends a request on a new connection to the first controller that accepts it.
-func (f *loadBalancer) tryControllers(request any, nodes []*controllerHealth, finish func(AskAnswer)) {
-	if len(nodes) == 0 {
+func (b *loadBalancer) tryControllers(request any, controllers []*controllerHealth, finish func(AskAnswer)) {
+	if len(controllers) == 0 {
 		finish(AskAnswer{})
 		return
 	}
-	h, rest := nodes[0], nodes[1:]
+	h, rest := controllers[0], controllers[1:]
 	refused := func() {
 		if h.failures++; h.failures >= 3 {
-			h.failures, h.skipUntil = 0, f.env.now+3*second
+			h.failures, h.skipUntil = 0, b.env.now+3*second
 		}
-		f.tryControllers(request, rest, finish)
+		b.tryControllers(request, rest, finish)
 	}
-	cut := f.env.network.partitionBetween(usersHost, h.controller.name)
-	if !h.controller.up || cut != nil || h.controller.frozen && f.env.rng.IntN(2) == 0 {
-		f.env.after(second/2, refused) // connection timeout
+	partition := b.env.network.partitionBetween(usersHost, h.controller.name)
+	if !h.controller.up || partition != nil || h.controller.frozen && b.env.rng.IntN(2) == 0 {
+		b.env.after(second/2, refused) // connection timeout
 		return
 	}
-	f.env.network.send(usersHost, h.controller.name, func() {
-		f.env.ask(usersHost, h.controller.name, request, func(t AskAnswer) {
+	b.env.network.send(usersHost, h.controller.name, func() {
+		b.env.ask(usersHost, h.controller.name, request, func(t AskAnswer) {
 			h.failures = 0
 			finish(t)
 		})
@@ -227,13 +227,13 @@
 }
 
 // call sends a request about a job or a sweep through the load balancer.
-func (f *loadBalancer) call(op, job string, request any, timeout int64, done func(AskAnswer, wire.JobAnswer)) {
-	f.exchange(op, job, timeout, func(finish func(AskAnswer)) { f.tryControllers(request, f.pick(), finish) }, done)
+func (b *loadBalancer) call(op, job string, request any, timeout int64, done func(AskAnswer, wire.JobAnswer)) {
+	b.exchange(op, job, timeout, func(finish func(AskAnswer)) { b.tryControllers(request, b.pick(), finish) }, done)
 }
 
 // call sends a user's request about the job, and tracks the final state that responses show.
-func (u *jobUser) call(op string, request any, most int64, done func(t AskAnswer, a wire.JobAnswer)) {
-	u.env.balancer.call(op, u.spec.ID, request, most, func(t AskAnswer, a wire.JobAnswer) {
+func (u *jobUser) call(op string, request any, timeout int64, done func(t AskAnswer, a wire.JobAnswer)) {
+	u.env.balancer.call(op, u.spec.ID, request, timeout, func(t AskAnswer, a wire.JobAnswer) {
 		if t.Status == 200 && (a.State == wire.Done || a.State == wire.Cancelled) && u.finalState != a.State {
 			u.finalState = a.State
 			u.probeControllers()
@@ -316,11 +316,11 @@
 }
 
 // askUnknownJob polls for a job that was never submitted, and schedules the next such poll.
-func (f *loadBalancer) askUnknownJob() {
-	w := f.env
-	id := fmt.Sprintf("req-x%05d", w.rng.IntN(100_000))
-	f.call(history.Poll, id, wire.Poll{ID: id}, pollTimeout, func(AskAnswer, wire.JobAnswer) {})
-	w.after(int64(w.rng.ExpFloat64()/w.StrayRequestRate*1e6), f.askUnknownJob)
+func (b *loadBalancer) askUnknownJob() {
+	env := b.env
+	id := fmt.Sprintf("req-x%05d", env.rng.IntN(100_000))
+	b.call(history.Poll, id, wire.Poll{ID: id}, pollTimeout, func(AskAnswer, wire.JobAnswer) {})
+	env.after(int64(env.rng.ExpFloat64()/env.StrayRequestRate*1e6), b.askUnknownJob)
 }
 
 // sweepUser is one of the users of a sweep. The responses to it are checked only through those
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -147,6 +147,6 @@
 
 // CheckAll checks a history against all rules and for linearizability, and returns the
 // violations.
-func CheckAll(events []Event, terms Expectations) []Violation {
-	return append(CheckRules(events, terms), CheckLinearizability(events, terms)...)
+func CheckAll(events []Event, expected Expectations) []Violation {
+	return append(CheckRules(events, expected), CheckLinearizability(events, expected)...)
 }
--- a/internal/emulator/history/history_test.go
+++ b/internal/emulator/history/history_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestCatches adds a violation of each rule to a history without violations, and checks that it is
+// TestViolations adds a violation of each rule to a history without violations, and checks that it is
 // found.
-func TestCatches(t *testing.T) {
+func TestViolations(t *testing.T) {
 	const s = 1_000_000
 	b := "b"
 	terms := func() Expectations {
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -36,8 +36,8 @@
 // violation for each job for which this is impossible. A request without a response may take
 // effect at any later time. Jobs that depend on others, and sweeps with their runs, are left
 // out, as they also end when others do.
-func CheckLinearizability(events []Event, terms Expectations) (broken []Violation) {
-	for _, part := range byJob(operations(events, terms)) {
+func CheckLinearizability(events []Event, expected Expectations) (broken []Violation) {
+	for _, part := range byJob(operations(events, expected)) {
 		if !porcupine.CheckOperations(model(), pruneOperations(part)) {
 			last := part[len(part)-1]
 			broken = append(broken, Violation{last.Call, "not_linear", last.Input.(operationInput).job})
@@ -47,18 +47,18 @@
 }
 
 // operations returns all operations of a history on jobs that do not end with others.
-func operations(events []Event, terms Expectations) []porcupine.Operation {
+func operations(events []Event, expected Expectations) []porcupine.Operation {
 	b := operationBuilder{
-		expected: terms,
-		sent:     map[uint64]Event{},
-		left:     map[string]int{},
-		open:     map[operationInput]int{},
-		swept:    map[string]bool{},
+		expected:       expected,
+		sent:           map[uint64]Event{},
+		remainingTasks: map[string]int{},
+		unanswered:     map[operationInput]int{},
+		inSweep:        map[string]bool{},
 	}
-	for id, runs := range terms.Sweeps {
-		b.swept[id] = true
+	for id, runs := range expected.Sweeps {
+		b.inSweep[id] = true
 		for _, run := range runs {
-			b.swept[run] = true
+			b.inSweep[run] = true
 		}
 	}
 	for i := range events {
@@ -73,7 +73,7 @@
 	}
 	for i := range events { // requests without a response at the end
 		e := &events[i]
-		if _, ok := b.sent[e.Call]; ok && e.Kind == RequestSent && !b.isTied(e.Job) {
+		if _, ok := b.sent[e.Call]; ok && e.Kind == RequestSent && !b.endsWithOthers(e.Job) {
 			b.addUnknown(e.Op, e.Job, e.At)
 		}
 	}
@@ -82,23 +82,23 @@
 
 // operationBuilder collects the operations of a history.
 type operationBuilder struct {
-	expected   Expectations
-	operations []porcupine.Operation
-	sent       map[uint64]Event // requests that await their response, by call
-	left       map[string]int   // remaining tasks by job
-	// open has the index in operations of each request that never got a response. One
+	expected       Expectations
+	operations     []porcupine.Operation
+	sent           map[uint64]Event // requests that await their response, by call
+	remainingTasks map[string]int   // remaining tasks by job
+	// unanswered has the index in operations of each request that never got a response. One
 	// operation for each input, sent as early as the first such request, is enough: it can
 	// have any effect that a later one could have, and neither takes effect twice. With all
 	// of them the search would become too large.
-	open  map[operationInput]int
-	swept map[string]bool // sweeps and their runs, which end with the sweep
+	unanswered map[operationInput]int
+	inSweep    map[string]bool // sweeps and their runs, which end with the sweep
 }
 
-// isTied reports whether a job can end because others do: it depends on other jobs or belongs
-// to a sweep.
-func (b *operationBuilder) isTied(id string) bool {
+// endsWithOthers reports whether a job can end because others do: it depends on other jobs or
+// belongs to a sweep.
+func (b *operationBuilder) endsWithOthers(id string) bool {
 	spec := b.expected.Jobs[id]
-	return spec != nil && len(spec.DependsOn) > 0 || b.swept[id]
+	return spec != nil && len(spec.DependsOn) > 0 || b.inSweep[id]
 }
 
 // addUnknown adds a request for which it is unknown whether and when it took effect.
@@ -107,19 +107,19 @@
 	if op == Poll {
 		return
 	}
-	if i, isOpen := b.open[input]; isOpen {
+	if i, isOpen := b.unanswered[input]; isOpen {
 		// The request that timed out first is not always the one that was sent first.
 		b.operations[i].Call = min(b.operations[i].Call, at)
 		return
 	}
-	b.open[input] = len(b.operations)
+	b.unanswered[input] = len(b.operations)
 	b.operations = append(b.operations, porcupine.Operation{Input: input, Call: at, Output: operationOutput{}, Return: math.MaxInt64})
 }
 
 // onResponse adds the operation of a request with a response.
 func (b *operationBuilder) onResponse(e *Event) {
 	request, ok := b.sent[e.Call]
-	if !ok || b.isTied(e.Job) {
+	if !ok || b.endsWithOthers(e.Job) {
 		return
 	}
 	delete(b.sent, e.Call)
@@ -150,12 +150,12 @@
 
 // onCompleted adds the end of a job when its last task has completed.
 func (b *operationBuilder) onCompleted(e *Event) {
-	if n, ok := b.left[e.Job]; ok {
-		b.left[e.Job] = n - 1
+	if n, ok := b.remainingTasks[e.Job]; ok {
+		b.remainingTasks[e.Job] = n - 1
 	} else if spec := b.expected.Jobs[e.Job]; spec != nil {
-		b.left[e.Job] = spec.Tasks - 1
+		b.remainingTasks[e.Job] = spec.Tasks - 1
 	}
-	if b.left[e.Job] == 0 && !b.isTied(e.Job) {
+	if b.remainingTasks[e.Job] == 0 && !b.endsWithOthers(e.Job) {
 		b.operations = append(b.operations, porcupine.Operation{Input: operationInput{finishOp, e.Job}, Call: e.At, Output: operationOutput{}, Return: math.MaxInt64})
 	}
 }
@@ -165,7 +165,8 @@
 // to accepted to its end. So among all responses with the same state, the one requested last and
 // the one received first bound the time of that state. And a submission that was sent after a
 // response that shows the job accepted, or a cancellation sent after one that shows its end, had
-// no effect and counts as a poll. TestThin compares the verdicts with and without pruning.
+// no effect and counts as a poll. TestPruneOperations compares the verdicts with and without
+// pruning.
 func pruneOperations(ops []porcupine.Operation) (out []porcupine.Operation) {
 	// The latest possible times at which the job was accepted and ended.
 	in, ended := int64(math.MaxInt64), int64(math.MaxInt64)
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -32,9 +32,9 @@
 type jobTimeline struct {
 	firstSubmit, accepted, lastCompleted int64
 	starts                               map[int]int64 // first start by task
-	leftTasks                            int
+	remainingTasks                       int
 	cancelled                            bool
-	cancelToldAt                         int64 // first response that shows the job cancelled
+	cancelShownAt                        int64 // first response that shows the job cancelled
 }
 
 // timelines has the timelines of all jobs of a history, and the metrics collected from it.
@@ -42,73 +42,73 @@
 	jobs    map[string]*jobTimeline
 	order   []string // jobs in the order of their first events
 	end     int64
-	figures map[string]float64
+	metrics map[string]float64
 }
 
 // Metrics returns the metrics of a history by name. Times are in seconds. They are counted from a
 // job's first submission attempt, or, for a job that depends on others, from the time at which
 // the last of them is done if that is later. The shares leave out cancelled jobs and jobs whose
 // time is not over at the end of the history.
-func Metrics(events []Event, terms Expectations, objectives []Objective) map[string]float64 {
-	t := collectTimelines(events, terms)
-	served(t.figures, t.jobs, terms, objectives, t.end)
+func Metrics(events []Event, expected Expectations, objectives []Objective) map[string]float64 {
+	t := collectTimelines(events, expected)
+	addServedShares(t.metrics, t.jobs, expected, objectives, t.end)
 	t.countAccepted()
 	for _, objective := range objectives {
-		if r := t.measure(objective, terms); r.total > 0 {
-			t.figures[objective.Name()] = float64(r.met) / float64(r.total)
+		if r := t.measure(objective, expected); r.total > 0 {
+			t.metrics[objective.Name()] = float64(r.met) / float64(r.total)
 		}
 	}
-	return t.figures
+	return t.metrics
 }
 
 // collectTimelines returns the timelines of a history.
-func collectTimelines(events []Event, terms Expectations) *timelines {
-	t := &timelines{jobs: map[string]*jobTimeline{}, figures: map[string]float64{}}
+func collectTimelines(events []Event, expected Expectations) *timelines {
+	t := &timelines{jobs: map[string]*jobTimeline{}, metrics: map[string]float64{}}
 	if len(events) > 0 {
 		t.end = events[len(events)-1].At
 	}
 	for i := range events {
 		e := &events[i]
 		if e.Kind == CostRecorded {
-			t.figures["cost"] += e.Cost
+			t.metrics["cost"] += e.Cost
 		}
-		spec := terms.Jobs[e.Job]
+		spec := expected.Jobs[e.Job]
 		if spec == nil {
 			continue
 		}
 		job := t.jobs[e.Job]
 		if job == nil {
-			job = &jobTimeline{firstSubmit: e.At, starts: map[int]int64{}, leftTasks: spec.Tasks}
+			job = &jobTimeline{firstSubmit: e.At, starts: map[int]int64{}, remainingTasks: spec.Tasks}
 			t.jobs[e.Job] = job
 			t.order = append(t.order, e.Job)
 		}
-		t.note(e, job)
+		t.addEvent(e, job)
 	}
 	return t
 }
 
-// note adds an event to the timeline of its job.
-func (t *timelines) note(e *Event, job *jobTimeline) {
+// addEvent adds an event to the timeline of its job.
+func (t *timelines) addEvent(e *Event, job *jobTimeline) {
 	switch {
 	case e.Kind == RequestSent && e.Op == Cancel:
 		job.cancelled = true
 	case e.Kind == ResponseReceived && e.Op == Submit && job.accepted == 0 && isAccepted(e.Status):
 		job.accepted = e.At
-	case e.Kind == ResponseReceived && e.State == wire.Cancelled && job.cancelToldAt == 0:
-		job.cancelToldAt = e.At
-	case e.Kind == TaskEntered && job.cancelToldAt != 0:
-		t.figures[StartsAfter]++
+	case e.Kind == ResponseReceived && e.State == wire.Cancelled && job.cancelShownAt == 0:
+		job.cancelShownAt = e.At
+	case e.Kind == TaskEntered && job.cancelShownAt != 0:
+		t.metrics[StartsAfter]++
 	case e.Kind == TaskStarted:
 		if job.starts[e.Task] == 0 {
 			job.starts[e.Task] = e.At
 		}
 	case e.Kind == TaskCompleted:
-		if job.leftTasks--; job.leftTasks == 0 {
+		if job.remainingTasks--; job.remainingTasks == 0 {
 			job.lastCompleted = e.At
 		}
-		t.figures["tasks_done"]++
+		t.metrics["tasks_done"]++
 	case e.Kind == TaskLeft && !slices.Contains([]string{"done", "stopped"}, e.Reason):
-		t.figures["tasks_lost"]++
+		t.metrics["tasks_lost"]++
 	}
 }
 
@@ -123,22 +123,22 @@
 		job := t.jobs[id]
 		if job.accepted != 0 {
 			delays = append(delays, float64(job.accepted-job.firstSubmit)/1e6)
-			t.figures["jobs_accepted"]++
+			t.metrics["jobs_accepted"]++
 		}
 		if job.lastCompleted != 0 {
-			t.figures["jobs_done"]++
+			t.metrics["jobs_done"]++
 		}
 	}
 	slices.Sort(delays)
 	if len(delays) > 0 {
-		t.figures["accept_p50_s"], t.figures["accept_p99_s"] = Quantile(delays, 0.5), Quantile(delays, 0.99)
+		t.metrics["accept_p50_s"], t.metrics["accept_p99_s"] = Quantile(delays, 0.5), Quantile(delays, 0.99)
 	}
 }
 
 // measure returns how many of the jobs or task starts that an objective covers met it.
-func (t *timelines) measure(objective Objective, terms Expectations) (r ratio) {
+func (t *timelines) measure(objective Objective, expected Expectations) (r ratio) {
 	for _, id := range t.order {
-		job, spec := t.jobs[id], terms.Jobs[id]
+		job, spec := t.jobs[id], expected.Jobs[id]
 		if objective.Class != "" && spec.Class != objective.Class || job.cancelled {
 			continue
 		}
@@ -171,12 +171,12 @@
 // isWithin reports whether an event at time at, 0 for never, happened at most within after from.
 func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
 
-// served computes the share of jobs of each class and team that were served: done by their
+// addServedShares computes the share of jobs of each class and team that were addServedShares: done by their
 // deadline, or else within the longest completion objective of their class. Only jobs whose time
 // is over by the end count. A job with neither a deadline nor an objective has to be done by the
 // end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these shares;
 // LargestLeast is the lowest of the shares for the largest jobs of each class.
-func served(figures map[string]float64, jobs map[string]*jobTimeline, terms Expectations, objectives []Objective, end int64) {
+func addServedShares(metrics map[string]float64, jobs map[string]*jobTimeline, expected Expectations, objectives []Objective, end int64) {
 	longest := map[string]int64{}
 	for _, objective := range objectives {
 		if objective.Kind == objectiveComplete {
@@ -190,15 +190,15 @@
 		}
 		groups[name].add(met)
 	}
-	large := largestJobs(terms)
+	large := largestJobs(expected)
 	for id, job := range jobs {
-		spec := terms.Jobs[id]
+		spec := expected.Jobs[id]
 		if job.cancelled || spec.Kind == wire.Service {
 			continue
 		}
 		from := timeOrigin(jobs, spec, job)
 		if large[id] && from+largestWait <= end {
-			count("largest begun "+spec.Class, job.begun(spec) != 0 && job.begun(spec) <= from+largestWait)
+			count("largest begun "+spec.Class, job.startTime(spec) != 0 && job.startTime(spec) <= from+largestWait)
 		}
 		by := job.serveBy(spec, from, longest[spec.Class], end)
 		if by == 0 || by > end {
@@ -212,13 +212,13 @@
 		}
 	}
 	for name, group := range groups {
-		figures[name] = float64(group.met) / float64(group.total)
+		metrics[name] = float64(group.met) / float64(group.total)
 		of := ServedLeast
 		if strings.HasPrefix(name, "largest") {
 			of = LargestLeast
 		}
-		if least, ok := figures[of]; !ok || figures[name] < least {
-			figures[of] = figures[name]
+		if least, ok := metrics[of]; !ok || metrics[name] < least {
+			metrics[of] = metrics[name]
 		}
 	}
 }
@@ -262,9 +262,9 @@
 // largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
 const largestWait = 240_000_000
 
-// begun returns the time at which a job started, 0 for never: that of its last task for a gang,
+// startTime returns the time at which a job started, 0 for never: that of its last task for a gang,
 // that of its first task for an array.
-func (j *jobTimeline) begun(spec *wire.Job) (at int64) {
+func (j *jobTimeline) startTime(spec *wire.Job) (at int64) {
 	for i := range spec.Tasks {
 		t := j.starts[i]
 		switch {
@@ -281,15 +281,15 @@
 
 // largestJobs returns the largest jobs of each class: its gangs of the maximum size, and the
 // arrays in the top tenth by size. If all are of the same size, none of them counts as large.
-func largestJobs(terms Expectations) map[string]bool {
+func largestJobs(expected Expectations) map[string]bool {
 	sizes := map[string][]int{}
-	for _, s := range terms.Jobs {
+	for _, s := range expected.Jobs {
 		if s.Kind != wire.Service {
 			sizes[s.Class+" "+s.Kind] = append(sizes[s.Class+" "+s.Kind], s.Tasks)
 		}
 	}
 	out := map[string]bool{}
-	for id, s := range terms.Jobs {
+	for id, s := range expected.Jobs {
 		l := sizes[s.Class+" "+s.Kind]
 		if len(l) == 0 {
 			continue
--- a/internal/emulator/history/metrics_test.go
+++ b/internal/emulator/history/metrics_test.go
@@ -7,9 +7,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestMeasure checks that times are counted from the first submission attempt, or from the end of
+// TestMetrics checks that times are counted from the first submission attempt, or from the end of
 // a job's dependencies, and that shares cover only jobs whose time is over.
-func TestMeasure(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	const s = 1_000_000
 	due := 20.0
 	terms := Expectations{Jobs: map[string]*wire.Job{"a": {Class: "c", Tasks: 2}, "b": {Class: "c", Tasks: 1, DependsOn: []string{"a"}, DeadlineS: &due}, "late": {Class: "c", Tasks: 1}, "gone": {Class: "c", Tasks: 1}}}
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -18,15 +18,15 @@
 
 // CheckRules checks a history against the rules and returns the violations in the order of time.
 // Equal violations of the same rule are reported once.
-func CheckRules(events []Event, terms Expectations) []Violation {
-	k := &checker{expected: terms, jobs: map[string]*jobState{}, machines: map[string]Event{}, taskMachines: map[taskRef]map[string]bool{}, teamUse: map[string]Limits{}, reported: map[string]bool{}, calls: map[uint64]userCall{}, placed: newPlacements(), ends: newEndChecker(terms.Stored)}
+func CheckRules(events []Event, expected Expectations) []Violation {
+	k := &checker{expected: expected, jobs: map[string]*jobState{}, machines: map[string]Event{}, taskMachines: map[taskRef]map[string]bool{}, teamUse: map[string]Limits{}, reported: map[string]bool{}, calls: map[uint64]userCall{}, placed: newPlacements(), ends: newEndChecker(expected.Stored)}
 	for i := range events {
 		if e := &events[i]; e.Kind == FaultChanged || e.Kind == ControllerChanged {
 			k.quietSince = e.At
 		}
 	}
 	for i := range events {
-		if k.gang != nil && (events[i].Kind != TaskStarted || events[i].Job != k.gang.Job || events[i].Attempt != k.gang.Attempt) {
+		if k.startingGang != nil && (events[i].Kind != TaskStarted || events[i].Job != k.startingGang.Job || events[i].Attempt != k.startingGang.Attempt) {
 			k.checkGangStart()
 		}
 		k.checkDeadlines(events[i].At)
@@ -46,23 +46,23 @@
 	jobs     map[string]*jobState
 	machines map[string]Event
 	// taskMachines has the machines that a task is on.
-	taskMachines map[taskRef]map[string]bool
-	teamUse      map[string]Limits // by team
-	calls        map[uint64]userCall
-	anyResponse  bool
-	reported     map[string]bool
-	violations   []Violation
-	// due has the times by which cancellations have to take effect, in the order of time.
-	due []cancelDeadline
-	// gang is the first start event of a gang whose tasks are starting, nil if there is
-	// none. gangTasks are its tasks that have started.
-	gang      *Event
-	gangTasks map[int]bool
-	// answered is the time of the last response to any user. quietSince is the time of the
+	taskMachines   map[taskRef]map[string]bool
+	teamUse        map[string]Limits // by team
+	calls          map[uint64]userCall
+	anyTaskEntered bool
+	reported       map[string]bool
+	violations     []Violation
+	// cancelDeadlines has the times by which cancellations have to take effect, in the order of time.
+	cancelDeadlines []cancelDeadline
+	// startingGang is the first start event of a startingGang whose tasks are starting, nil if there is
+	// none. startedGangTasks are its tasks that have started.
+	startingGang     *Event
+	startedGangTasks map[int]bool
+	// lastResponseAt is the time of the last response to any user. quietSince is the time of the
 	// last begin or end of a fault, or start or exit of a controller, in the whole history.
-	answered, quietSince int64
-	placed               placements
-	ends                 endChecker
+	lastResponseAt, quietSince int64
+	placed                     placements
+	ends                       endChecker
 }
 
 type taskRef struct {
@@ -84,14 +84,14 @@
 
 // jobState is the state of a job according to responses, and its completed tasks.
 type jobState struct {
-	submitted, accepted, asked bool // asked: a cancellation was requested
-	state                      string
-	cancelledAt, finishedAt    int64 // first response that shows it
-	done                       map[int]bool
-	answered                   int64 // last response
-	polls                      int   // failed polls since then
-	acceptedAt                 int64 // first response that shows it
-	invalidReason              string
+	submitted, accepted, cancelRequested bool
+	state                                string
+	cancelledAt, finishedAt              int64 // first response that shows it
+	done                                 map[int]bool
+	lastResponseAt                       int64 // last response with status 200 or 201
+	failedPolls                          int   // since lastResponseAt
+	acceptedAt                           int64 // first response that shows it
+	invalidReason                        string
 }
 
 func (k *checker) addViolation(rule, format string, a ...any) {
@@ -114,9 +114,9 @@
 // checkDeadlines checks that no task of a cancelled job is still on a machine after the job's
 // deadline, for all deadlines before now. It is called before the events at now are handled.
 func (k *checker) checkDeadlines(now int64) {
-	for len(k.due) > 0 && k.due[0].at < now {
-		d := k.due[0]
-		k.due = k.due[1:]
+	for len(k.cancelDeadlines) > 0 && k.cancelDeadlines[0].at < now {
+		d := k.cancelDeadlines[0]
+		k.cancelDeadlines = k.cancelDeadlines[1:]
 		k.now = d.at
 		spec := k.expected.Jobs[d.job]
 		for i := range spec.Tasks {
@@ -138,16 +138,16 @@
 		for _, id := range append(k.expected.Sweeps[e.Job], e.Job) {
 			j := k.job(id)
 			j.submitted = j.submitted || e.Op == Submit
-			j.asked = j.asked || e.Op == Cancel
+			j.cancelRequested = j.cancelRequested || e.Op == Cancel
 		}
 	case InvalidSubmission:
-		k.noteInvalid(e)
+		k.recordInvalid(e)
 	case ResponseReceived:
 		k.onResponse(e)
 	case TaskPlaced:
-		k.placed.give(k.expected.Jobs[e.Job], taskRef{e.Job, e.Task}, e.Machine)
+		k.placed.place(k.expected.Jobs[e.Job], taskRef{e.Job, e.Task}, e.Machine)
 	case RoomFreed:
-		k.placed.free(k.expected.Jobs[e.Job], taskRef{e.Job, e.Task}, e.Machine)
+		k.placed.remove(k.expected.Jobs[e.Job], taskRef{e.Job, e.Task}, e.Machine)
 	case StateChanged:
 		k.ends.onStateChanged(e)
 	case CostRecorded: // the machine is gone or the run is over
@@ -160,7 +160,7 @@
 		k.job(e.Job).done[e.Task] = true
 	case TaskLeft:
 		r := taskRef{e.Job, e.Task}
-		k.placed.free(k.expected.Jobs[e.Job], r, e.Machine)
+		k.placed.remove(k.expected.Jobs[e.Job], r, e.Machine)
 		if spec := k.expected.Jobs[e.Job]; spec != nil && k.taskMachines[r][e.Machine] {
 			u := k.teamUse[spec.Team]
 			k.teamUse[spec.Team] = Limits{u.CPUs - spec.CPUs, u.GPUs - spec.GPUs}
@@ -175,7 +175,7 @@
 	delete(k.calls, e.Call)
 	j := k.job(e.Job)
 	if e.Status != 0 {
-		k.answered = e.At
+		k.lastResponseAt = e.At
 	}
 	k.checkRemembered(e, j, c)
 	if !isAccepted(e.Status) {
@@ -189,7 +189,7 @@
 	if !j.accepted {
 		j.acceptedAt = e.At
 	}
-	j.accepted, j.answered, j.polls = true, e.At, 0
+	j.accepted, j.lastResponseAt, j.failedPolls = true, e.At, 0
 	if e.State == "" {
 		return // a response without a state, such as that to a sweep
 	}
@@ -203,11 +203,11 @@
 // has been lost.
 func (k *checker) checkRemembered(e *Event, j *jobState, c userCall) {
 	if e.Op == Poll && e.Status != http.StatusOK && e.Status != http.StatusNotFound {
-		j.polls++
-		if j.accepted && !j.isOver() && j.polls > 3 && e.At-j.answered > maxSilence && e.At-k.answered < maxSilence/10 {
+		j.failedPolls++
+		if j.accepted && !j.isOver() && j.failedPolls > 3 && e.At-j.lastResponseAt > maxSilence && e.At-k.lastResponseAt < maxSilence/10 {
 			k.addViolation("forgotten", "no answer about %s for 90 s", e.Job)
 		}
-		if j.accepted && j.polls > 1 && e.At-max(j.answered, k.quietSince) > maxQuietSilence {
+		if j.accepted && j.failedPolls > 1 && e.At-max(j.lastResponseAt, k.quietSince) > maxQuietSilence {
 			k.addViolation("forgotten", "no answer about %s for 75 s after all troubles", e.Job)
 		}
 	}
@@ -230,13 +230,13 @@
 	if e.State == wire.Done && len(j.done) < k.tasks(e.Job) {
 		k.addViolation("not_done", "%s with %d of %d", e.Job, len(j.done), k.tasks(e.Job))
 	}
-	if e.State == wire.Cancelled && !j.asked && !k.dependencyCancelRequested(e.Job) && k.expected.Jobs[e.Job] != nil {
+	if e.State == wire.Cancelled && !j.cancelRequested && !k.dependencyCancelRequested(e.Job) && k.expected.Jobs[e.Job] != nil {
 		k.addViolation("went_back", "%s is cancelled by nobody", e.Job)
 	}
 	if e.State == wire.Cancelled && j.cancelledAt == 0 {
 		j.cancelledAt = e.At
 		if k.expected.Jobs[e.Job] != nil {
-			k.due = append(k.due, cancelDeadline{e.At + k.expected.CancelWithin, e.Job})
+			k.cancelDeadlines = append(k.cancelDeadlines, cancelDeadline{e.At + k.expected.CancelWithin, e.Job})
 		}
 	}
 }
@@ -292,14 +292,14 @@
 
 // dependencyCancelRequested reports whether the cancellation of a dependency of a job was
 // requested.
-func (k *checker) dependencyCancelRequested(id string) (asked bool) {
-	k.eachDependency(id, func(j *jobState) { asked = asked || j.asked })
-	return asked
+func (k *checker) dependencyCancelRequested(id string) (requested bool) {
+	k.eachDependency(id, func(j *jobState) { requested = requested || j.cancelRequested })
+	return requested
 }
 
 // onEntered checks a task that has its image and is on its machine.
 func (k *checker) onEntered(e *Event) {
-	k.anyResponse = true
+	k.anyTaskEntered = true
 	r := taskRef{e.Job, e.Task}
 	spec, j := k.expected.Jobs[e.Job], k.job(e.Job)
 	name := fmt.Sprintf("%s/%d", e.Job, e.Task)
@@ -328,7 +328,7 @@
 		k.teamUse[spec.Team] = Limits{u.CPUs + spec.CPUs, u.GPUs + spec.GPUs}
 	}
 	k.taskMachines[r][e.Machine] = true
-	k.placed.give(spec, r, e.Machine)
+	k.placed.place(spec, r, e.Machine)
 	k.checkPlacement(e, name, spec)
 	if l, u := k.expected.Teams[spec.Team], k.teamUse[spec.Team]; l.GPUs > 0 && u.GPUs > l.GPUs+roundingError || l.CPUs > 0 && u.CPUs > l.CPUs+roundingError {
 		k.addViolation("quota", "%s uses %.1f CPUs and %.1f GPUs", spec.Team, u.CPUs, u.GPUs)
@@ -359,30 +359,30 @@
 	if s := k.expected.Jobs[e.Job]; s == nil || s.Kind != wire.Gang {
 		return
 	}
-	if k.gang == nil {
-		k.gang, k.gangTasks = e, map[int]bool{}
+	if k.startingGang == nil {
+		k.startingGang, k.startedGangTasks = e, map[int]bool{}
 	}
-	k.gangTasks[e.Task] = true
+	k.startedGangTasks[e.Task] = true
 }
 
 // checkGangStart checks that all tasks of a gang have started together. Operators demand this
 // rule; the published rules do not contain it.
 func (k *checker) checkGangStart() {
-	if n := k.tasks(k.gang.Job); len(k.gangTasks) != n {
-		k.addViolation("part_of_gang", "%s begins with %d of %d tasks", k.gang.Job, len(k.gangTasks), n)
+	if n := k.tasks(k.startingGang.Job); len(k.startedGangTasks) != n {
+		k.addViolation("part_of_gang", "%s begins with %d of %d tasks", k.startingGang.Job, len(k.startedGangTasks), n)
 	}
-	k.gang = nil
+	k.startingGang = nil
 }
 
 // checkEnd checks the rules that can be checked only at the end of the history.
 func (k *checker) checkEnd() {
-	if k.gang != nil {
+	if k.startingGang != nil {
 		k.checkGangStart()
 	}
-	if !k.anyResponse {
+	if !k.anyTaskEntered {
 		k.addViolation("nothing_ran", "all day")
 	}
-	if len(k.due) > 0 {
+	if len(k.cancelDeadlines) > 0 {
 		k.checkDeadlines(k.now + 1)
 	}
 	k.checkEndsStored(k.now + 1)
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -21,46 +21,46 @@
 
 // placements tracks the tasks on machines, from their placement until they leave.
 type placements struct {
-	on    map[string]map[taskRef]bool // by machine
+	tasks map[string]map[taskRef]bool // by machine
 	where map[taskRef]string          // machine of the latest placement
 	use   map[string]Limits           // by team
-	// fits has the time since which there has been room for a waiting job.
-	fits map[string]int64
-	next int64 // time of the next check
+	// roomSince has the time since which there has been room for a waiting job.
+	roomSince   map[string]int64
+	nextCheckAt int64 // time of the next check
 }
 
 func newPlacements() placements {
-	return placements{on: map[string]map[taskRef]bool{}, where: map[taskRef]string{}, use: map[string]Limits{}, fits: map[string]int64{}}
+	return placements{tasks: map[string]map[taskRef]bool{}, where: map[taskRef]string{}, use: map[string]Limits{}, roomSince: map[string]int64{}}
 }
 
-// give records that a task has been placed on a machine. An earlier attempt may still be on another
+// place records that a task has been placed on a machine. An earlier attempt may still be on another
 // machine; where has only the latest placement.
-func (p *placements) give(spec *wire.Job, r taskRef, machine string) {
-	if spec == nil || p.on[machine][r] {
+func (p *placements) place(spec *wire.Job, r taskRef, machine string) {
+	if spec == nil || p.tasks[machine][r] {
 		return
 	}
-	if p.on[machine] == nil {
-		p.on[machine] = map[taskRef]bool{}
+	if p.tasks[machine] == nil {
+		p.tasks[machine] = map[taskRef]bool{}
 	}
-	p.on[machine][r] = true
+	p.tasks[machine][r] = true
 	p.where[r] = machine
-	p.count(spec, 1)
+	p.addUse(spec, 1)
 }
 
-// free records that a task has left a machine.
-func (p *placements) free(spec *wire.Job, r taskRef, machine string) {
-	if spec == nil || !p.on[machine][r] {
+// remove records that a task has left a machine.
+func (p *placements) remove(spec *wire.Job, r taskRef, machine string) {
+	if spec == nil || !p.tasks[machine][r] {
 		return
 	}
-	delete(p.on[machine], r)
+	delete(p.tasks[machine], r)
 	if p.where[r] == machine {
 		delete(p.where, r)
 	}
-	p.count(spec, -1)
+	p.addUse(spec, -1)
 }
 
-// count adds the resources of n tasks of a job to those that its team uses.
-func (p *placements) count(spec *wire.Job, n float64) {
+// addUse adds the resources of n tasks of a job to those that its team uses.
+func (p *placements) addUse(spec *wire.Job, n float64) {
 	u := p.use[spec.Team]
 	p.use[spec.Team] = Limits{u.CPUs + n*spec.CPUs, u.GPUs + n*spec.GPUs}
 }
@@ -69,7 +69,7 @@
 func (k *checker) freeRoom(m string) (cpus, gpus, mem float64) {
 	t := k.expected.Types[k.machines[m].Type]
 	cpus, gpus, mem = t.CPUs, t.GPUs, t.MemGB
-	for r := range k.placed.on[m] {
+	for r := range k.placed.tasks[m] {
 		s := k.expected.Jobs[r.job]
 		cpus, gpus, mem = cpus-s.CPUs, gpus-s.GPUs, mem-s.MemGB
 	}
@@ -79,19 +79,19 @@
 // checkWaiting checks all waiting jobs, once in waitCheckInterval.
 func (k *checker) checkWaiting(now int64) {
 	p := &k.placed
-	if now < p.next || k.expected.Types == nil || now < k.quietSince {
+	if now < p.nextCheckAt || k.expected.Types == nil || now < k.quietSince {
 		return
 	}
-	p.next = now + waitCheckInterval
+	p.nextCheckAt = now + waitCheckInterval
 	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
 		j, spec := k.jobs[id], k.expected.Jobs[id]
-		if spec == nil || !j.accepted || j.isOver() || j.asked || k.dependencyCancelRequested(id) || len(j.done) >= spec.Tasks || !k.hasRoom(spec, j) {
-			delete(p.fits, id)
+		if spec == nil || !j.accepted || j.isOver() || j.cancelRequested || k.dependencyCancelRequested(id) || len(j.done) >= spec.Tasks || !k.hasRoom(spec, j) {
+			delete(p.roomSince, id)
 			continue
 		}
-		if p.fits[id] == 0 {
-			p.fits[id] = now
-		} else if now-p.fits[id] >= maxWait {
+		if p.roomSince[id] == 0 {
+			p.roomSince[id] = now
+		} else if now-p.roomSince[id] >= maxWait {
 			k.addViolation("left_waiting", "%s waits for %d s though there is room", id, maxWait/1_000_000)
 		}
 	}
@@ -189,8 +189,8 @@
 	return usable
 }
 
-// noteInvalid records a submission that has to be refused.
-func (k *checker) noteInvalid(e *Event) { k.job(e.Job).invalidReason = e.Reason }
+// recordInvalid records a submission that has to be refused.
+func (k *checker) recordInvalid(e *Event) { k.job(e.Job).invalidReason = e.Reason }
 
 // checkNotAccepted checks that a submission that has to be refused is not accepted.
 func (k *checker) checkNotAccepted(e *Event, j *jobState) {
--- a/internal/emulator/history/thin_test.go
+++ b/internal/emulator/history/thin_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestThin compares the verdicts on pruned and complete histories of one job. The histories are
+// TestPruneOperations compares the verdicts on pruned and complete histories of one job. The histories are
 // random and linearizable, with overlapping requests; in about half of them a response or a time
 // is then changed.
-func TestThin(t *testing.T) {
+func TestPruneOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
 	good, bad := 0, 0
 	for range 20_000 {
