--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -92,6 +92,7 @@
 
 func (c *cloud) listLag() int64 { return int64(c.env.Params.Cloud.ListLagS * 1e6) }
 
+// call executes a request after the service time, with the rate limit and lost responses.
 func (c *cloud) call(req any, answer func(int, any)) {
 	c.env.after(c.env.jitter(c.env.CloudDelay, 0.5, 1.5), func() {
 		if c.down {
@@ -154,6 +155,7 @@
 	return t.SpotPrice * (1 + math.Sin(2*math.Pi*float64(c.env.now)/float64(900*second)+float64(len(t.Name)))/3)
 }
 
+// list returns a page of the machine list, as it was some time ago.
 func (c *cloud) list(q wire.Machines) wire.MachinesAnswer {
 	// The list shows the state of up to twice the lag ago, so it can be older than the
 	// previous response.
@@ -188,6 +190,8 @@
 	return out
 }
 
+// rent creates up to the requested number of machines. A repeated request ID returns the machines of
+// the first request.
 func (c *cloud) rent(q wire.Rent) (int, any) {
 	t := c.machineType(q.Type)
 	if t == nil || q.Request == "" || q.Count < 1 || q.Count > maxRentCount || !slices.Contains(t.Zones, q.Zone) {
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -40,13 +40,13 @@
 	}
 	c.Jobs = []Job{job("a", wire.Array, 4, 2), job("wide", wire.Array, 1, 7), job("g", wire.Gang, 2, 2), job("unsent", wire.Array, 1, 1)}
 	s := &testbed{t: t, token: 5, orders: map[string][]wire.Order{}, last: map[string]*wire.Report{}}
-	w, err := New(c, func(e history.Event) { s.events = append(s.events, e) })
+	env, err := New(c, func(e history.Event) { s.events = append(s.events, e) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.env = w
+	s.env = env
 	for _, id := range []string{"a", "wide", "g"} {
-		w.jobs[id].submitted = true
+		env.jobs[id].submitted = true
 	}
 	s.step(ControllerUp{Controller: "node-0", Up: true})
 	s.advance(5)
@@ -77,7 +77,7 @@
 	}
 }
 
-// advance advances the time by so many seconds.
+// advance runs the environment for the given number of seconds.
 func (s *testbed) advance(seconds float64) {
 	end := s.now + config.MicrosOf(seconds)
 	for {
@@ -394,15 +394,15 @@
 	}
 	c := Config{Network: n}
 	c.Params.Size, c.Params.Zones = 3, []string{"a", "b", "c"}
-	w, err := New(c, nil)
+	env, err := New(c, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := w.InjectFault(Fault{Kind: "cut", Hosts: []string{"region:north"}, To: []string{"all"}, Duration: second}); err != nil {
+	if err := env.InjectFault(Fault{Kind: "cut", Hosts: []string{"region:north"}, To: []string{"all"}, Duration: second}); err != nil {
 		t.Fatal(err)
 	}
 	for i, want := range []bool{true, true, false} {
-		if cut, _ := w.LinkState(ControllerName(i), StateHost); cut != want {
+		if cut, _ := env.LinkState(ControllerName(i), StateHost); cut != want {
 			t.Errorf("partition between %s and the state service: got %v, want %v", ControllerName(i), cut, want)
 		}
 	}
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -78,6 +78,7 @@
 	}
 }
 
+// start starts a task that is not part of a gang.
 func (t *task) start() {
 	t.state = wire.Running
 	t.startedAt, t.startProgress = t.machine.env.now, t.job.progress[t.index]
@@ -311,6 +312,7 @@
 	g.env.afterUnlessReplanned(&g.planVersion, int64(float64(g.job.run-g.startProgress)/g.speed), g.complete)
 }
 
+// complete ends all tasks of the gang when their work is done.
 func (g *gang) complete() {
 	g.storeProgress(g.job.run)
 	for _, t := range slices.Clone(g.tasks) {
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -14,7 +14,7 @@
 	pollTimeout   = 2 * second
 	pollInterval  = 5 * second
 	maxRetryDelay = 30 * second
-	resubmitEvery = 4 // one in so many users submits an ended job again
+	resubmitEvery = 4 // one in resubmitEvery users submits an ended job again
 )
 
 // jobUser is a job and the user who submits it.
--- a/internal/emulator/history/history_test.go
+++ b/internal/emulator/history/history_test.go
@@ -106,7 +106,7 @@
 	}
 	good := append([]Event{up("m0", "a"), up("m1", "b"), up("m2", "a")}, ask(1, Submit, "j", 201, wire.Pending)...)
 	good = append(good, on(TaskEntered, 2*s, "j", 0, "m0"), on(TaskLeft, 3*s, "j", 0, "m0"))
-	// wait returns the events of a job that is accepted and then waits for so many seconds;
+	// wait returns the events of a job that is accepted and then waits for the given seconds;
 	// passing are the events of each of these seconds.
 	wait := func(id string, seconds int64, passing ...Event) (l []Event) {
 		l = ask(4*s, Submit, id, 201, wire.Pending)
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -9,7 +9,7 @@
 )
 
 // maxSilence is how long users may get no answer about an accepted job while others get answers.
-// maxQuietSilence is how long they may get none once all faults are over, whether or not others
+// maxQuietSilence is how long that may last once all faults are over, whether or not others
 // get answers. Both are in microseconds.
 const (
 	maxSilence      = 90_000_000
@@ -241,6 +241,7 @@
 	}
 }
 
+// isOver reports whether a response has shown the end of the job.
 func (j *jobState) isOver() bool { return j.state == wire.Done || j.state == wire.Cancelled }
 
 // checkFinalState checks that later responses show the same final state.
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -135,7 +135,8 @@
 	return left, zones
 }
 
-// isUnderLimit reports whether the limits of a job's team allow so many more of its tasks.
+// isUnderLimit reports whether the limits of a job's team allow the given number of its tasks
+// in addition.
 func (k *checker) isUnderLimit(s *wire.Job, tasks int) bool {
 	limits, use := k.expected.Teams[s.Team], k.placed.use[s.Team]
 	n := float64(tasks)
