--- a/internal/emulator/environment/fault_kinds.go
+++ b/internal/emulator/environment/fault_kinds.go
@@ -42,21 +42,21 @@
 	FaultOddRequests   FaultKind = "odd_requests"
 )
 
-// faultType is what there is to a kind of fault.
+// faultType is the help text and the implementation of a kind of fault.
 type faultType struct {
 	help    string
 	prepare prepareFault
 }
 
-// faultTypes are all kinds of faults.
+// faultTypes has the implementation of each kind of fault.
 var faultTypes = map[FaultKind]faultType{
-	FaultCrash:         {help: "controllers end, and are started again, after For if that is given", prepare: forControllers(crashControllers)},
-	FaultRoll:          {help: "controllers are restarted one after the other, For apart", prepare: forControllers(restartInTurn)},
-	FaultFreeze:        {help: "controllers are suspended", prepare: forControllers(freezeControllers)},
+	FaultCrash:         {help: "controllers end, and are started again, after For if that is given", prepare: controllerFault(crashControllers)},
+	FaultRoll:          {help: "controllers are restarted one after the other, For apart", prepare: controllerFault(restartInTurn)},
+	FaultFreeze:        {help: "controllers are suspended", prepare: controllerFault(freezeControllers)},
 	FaultPartition:     {help: "no message passes between Hosts and To", prepare: preparePartition},
 	FaultStateOutage:   {help: "the state service answers nobody", prepare: stateOutage(false)},
 	FaultStateCold:     {help: "the state service answers nobody, and has compacted earlier changes when it is back", prepare: stateOutage(true)},
-	FaultStateRefuse:   {help: "the state service refuses controllers", prepare: forControllers(refuseControllers)},
+	FaultStateRefuse:   {help: "the state service refuses controllers", prepare: controllerFault(refuseControllers)},
 	FaultStateSlow:     {help: "the state service takes Factor times as long", prepare: slowdown(func(env *Environment) *float64 { return &env.state.slowFactor })},
 	FaultStateLimits:   {help: "the state service's limits fall to those announced", prepare: lowerStateLimits},
 	FaultStateLose:     {help: "a transaction is lost, or its answer", prepare: loseTransaction},
@@ -66,15 +66,15 @@
 	FaultCloudRefuse:   {help: "the cloud has no machine to give", prepare: toggle(func(env *Environment, on bool) { env.cloud.refusing = on })},
 	FaultCloudCapacity: {help: "the cloud has only Share of its capacity", prepare: limitCapacity},
 	FaultCloudSlow:     {help: "machines take Factor times as long to come up", prepare: slowdown(func(env *Environment) *float64 { return &env.cloud.bootFactor })},
-	FaultSpotWave:      {help: "Share of the spot machines are reclaimed", prepare: forMachines(func(m *machine, _ Fault) func() { m.env.cloud.reclaim(m); return nil })},
-	FaultMachineDie:    {help: "machines stop for good", prepare: forMachines(func(m *machine, _ Fault) func() { m.env.cloud.died(m); return nil })},
-	FaultMachineHang:   {help: "machines hang", prepare: forMachines(func(m *machine, _ Fault) func() { m.hang(); return m.resume })},
-	FaultMachineSilent: {help: "machines are partitioned from everybody", prepare: forMachines(isolateMachine)},
-	FaultMachineFaulty: {help: "machines fail every task", prepare: forMachines(func(m *machine, _ Fault) func() { m.faulty = true; return func() { m.faulty = false } })},
-	FaultMachineDeaf:   {help: "machines' reports arrive, and no answer or command reaches them", prepare: forMachines(cutOrders)},
+	FaultSpotWave:      {help: "Share of the spot machines are reclaimed", prepare: machineFault(func(m *machine, _ Fault) func() { m.env.cloud.reclaim(m); return nil })},
+	FaultMachineDie:    {help: "machines stop for good", prepare: machineFault(func(m *machine, _ Fault) func() { m.env.cloud.fail(m); return nil })},
+	FaultMachineHang:   {help: "machines hang", prepare: machineFault(func(m *machine, _ Fault) func() { m.hang(); return m.resume })},
+	FaultMachineSilent: {help: "machines are partitioned from everybody", prepare: machineFault(isolateMachine)},
+	FaultMachineFaulty: {help: "machines fail every task", prepare: machineFault(func(m *machine, _ Fault) func() { m.faulty = true; return func() { m.faulty = false } })},
+	FaultMachineDeaf:   {help: "machines' reports arrive, and no answer or command reaches them", prepare: machineFault(blockCommands)},
 	FaultMachineBack:   {help: "machines lose their tasks and are back after For; their reports' numbers go on", prepare: restartMachines},
 	FaultMachineAnew:   {help: "machines lose their tasks and are back after For; their reports' numbers begin anew", prepare: restartMachines},
-	FaultMachineMute:   {help: "machines reach no controller, while direct commands reach them", prepare: forMachines(func(m *machine, _ Fault) func() { m.mute = true; return func() { m.mute = false } })},
+	FaultMachineMute:   {help: "machines reach no controller, while direct commands reach them", prepare: machineFault(func(m *machine, _ Fault) func() { m.reportsBlocked = true; return func() { m.reportsBlocked = false } })},
 	FaultReportCopies:  {help: "copies of Share of the reports come again, up to Factor leases late, or to all controllers as the next leader begins", prepare: copyReports},
 	FaultCancelNow:     {help: "Count jobs that have long to go are cancelled within a fifth of a second; eight of their machines hang for For", prepare: cancelJobsNow},
 	FaultCancelAtEnd:   {help: "Share of the jobs that end are cancelled, asked about and submitted again at that moment", prepare: cancelJobsAtEnd},
@@ -82,11 +82,11 @@
 	FaultOddRequests:   {help: "users repeat submissions, cancel what is done, and send jobs that can't run or lack a field", prepare: sendInvalidRequests},
 }
 
-// FaultKinds are the names of all kinds of faults, in order.
+// FaultKinds returns all kinds of faults, sorted.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultTypes)) }
 
-// Known says whether there is such a kind of fault.
+// Known reports whether the kind of fault exists.
 func (k FaultKind) Known() bool { return faultTypes[k].prepare != nil }
 
-// Help says in a line what the fault does.
+// Help returns a one-line description of the fault.
 func (k FaultKind) Help() string { return faultTypes[k].help }
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -12,52 +12,53 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The pauses and timeouts of a worker.
+// The delays and timeouts of a worker.
 const (
-	minReportGap     = second / 2
-	failoverDelay    = second
-	reportTimeout    = 4 * second
-	failAfter        = 2 * second // a faulty machine's tasks fail after as long
-	maxRedirectDelay = second / 2
+	minReportGap       = second / 2 // between two reports
+	failoverDelay      = second     // before trying the next controller
+	reportTimeout      = 4 * second
+	faultyTaskDuration = 2 * second // run time of tasks on a faulty machine
+	maxRedirectDelay   = second / 2 // before following a redirect to the leader
 )
 
 // machine is a rented machine with its worker.
 type machine struct {
-	env         *Environment
-	name, zone  string
-	machineType *wire.MachineType
-	spot        bool
-	createdAt   int64
-	up, gone    bool
-	deleted     bool
-	hanging     bool
-	faulty      bool
-	mute        bool  // its reports reach no controller
-	reclaimAt   int64 // when the cloud takes it, 0 for never
-	speed       float64
-	clockRate   float64 // of its clock
+	env            *Environment
+	name, zone     string
+	machineType    *wire.MachineType
+	spot           bool
+	createdAt      int64
+	up, gone       bool
+	deleted        bool
+	hanging        bool
+	faulty         bool
+	reportsBlocked bool    // its reports reach no controller
+	reclaimAt      int64   // announced time of the spot reclaim, 0 if there is none
+	speed          float64 // relative speed of its tasks
+	clockRate      float64 // real time per time of its clock
 
 	session, seq, token uint64
-	// lastAnsweredAt is when the last answered report was sent.
+	// lastAnsweredAt is the time at which the last report with a valid response was sent.
 	lastAnsweredAt  int64
-	controllerIndex int // the controller that it reports to
+	controllerIndex int // controller that it reports to
 	sending         bool
 	reportAgain     bool
 	lastSentAt      int64
-	// tokenReportedAt is when a higher token was last counted as a change.
+	// tokenReportedAt is the time at which a higher token last triggered an early report.
 	tokenReportedAt int64
-	nextReportAt    int64   // when the next report is due
-	tasks           []*task // by name and attempt
+	nextReportAt    int64   // time of the next report
+	tasks           []*task // sorted by name and attempt
 	cache           cache
-	// deferred is what has come while it hangs.
+	// deferred are the requests that arrived while the machine hung.
 	deferred []func()
-	// incarnation counts its worker's starts: answers to an earlier one go nowhere.
+	// incarnation counts the starts of the worker. Responses to an earlier incarnation are
+	// dropped.
 	incarnation int
 }
 
-// duplicateReports says which share of the reports arrives once more, and how late that
-// may be, in leases.
-type duplicateReports struct{ share, leases float64 }
+// duplicateReports is the share of reports that are delivered a second time, and the maximum
+// delay of the duplicate in leases.
+type duplicateReports struct{ share, maxDelayLeases float64 }
 
 func newMachine(env *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
 	m := &machine{
@@ -68,10 +69,11 @@
 	return m
 }
 
-// workerTime is how long a duration of the worker's clock takes.
+// workerTime returns the real duration, in microseconds, of a duration on the worker's clock.
 func (m *machine) workerTime(seconds float64) int64 { return int64(seconds * 1e6 * m.clockRate) }
 
-func (m *machine) begin() {
+// onBooted marks a machine as running when it has booted, and starts its worker.
+func (m *machine) onBooted() {
 	if m.gone {
 		return
 	}
@@ -79,11 +81,11 @@
 	m.env.cloud.setStatus(m, "running")
 	m.env.record(history.Event{Kind: history.MachineUp, Machine: m.name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot})
 	m.env.emit(Machine{Name: m.name, Up: true, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot})
-	m.work()
+	m.startWorker()
 }
 
-// work starts the worker, unless that runs in another process.
-func (m *machine) work() {
+// startWorker starts the worker, unless it runs in another process.
+func (m *machine) startWorker() {
 	if m.env.RemoteWorkers {
 		return
 	}
@@ -91,8 +93,8 @@
 	m.send()
 }
 
-// end ends the machine and everything on it.
-func (m *machine) end(why string) {
+// terminate stops the machine with all its tasks, and records its cost.
+func (m *machine) terminate(why string) {
 	if m.gone {
 		return
 	}
@@ -111,8 +113,9 @@
 	}
 }
 
-// watchLease ends the session when the last answered report was sent too long ago. The tasks
-// of a machine that hangs end then too: it notices when it resumes.
+// watchLease ends the session and all tasks when the lease has expired, that is, when the last
+// report with a response was sent too long ago. The tasks of a hanging machine end at that time
+// too; such a machine detects the expiry when it resumes.
 func (m *machine) watchLease() {
 	until := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
 	if m.gone {
@@ -128,7 +131,7 @@
 	m.env.timers.Add(until+1, m.watchLease)
 }
 
-// reportSoon sends a report as soon as the gap between reports allows.
+// reportSoon schedules a report as soon as minReportGap allows.
 func (m *machine) reportSoon() {
 	if !m.reportAgain {
 		m.reportAgain = true
@@ -136,7 +139,7 @@
 	}
 }
 
-// scheduleReport sends a report at a time, unless one is sent before.
+// scheduleReport schedules a report at a time, unless an earlier one is scheduled.
 func (m *machine) scheduleReport(at int64) {
 	if m.nextReportAt != 0 && m.nextReportAt <= at {
 		return
@@ -162,10 +165,10 @@
 	return r
 }
 
-// reportCall is a report under way to a controller.
+// reportCall is a report that has been sent to a controller and awaits the response.
 type reportCall struct {
 	machine     *machine
-	to          string // the controller
+	to          string // controller name
 	report      *wire.Report
 	sentAt      int64
 	session     uint64
@@ -192,7 +195,7 @@
 	giveUp := func() { call.finish(next, failoverDelay) }
 	env.after(m.workerTime(float64(reportTimeout)/1e6), giveUp)
 	env.holdReportCopy(call.report)
-	if m.mute {
+	if m.reportsBlocked {
 		env.recordOccurrence(history.OccurMuteReport)
 		env.after(env.network.delay(m.name, call.to), giveUp)
 		return
@@ -203,14 +206,14 @@
 	call.duplicate()
 }
 
-// onAnswer takes the controller's answer; giveUp has the next controller asked.
+// onAnswer handles the controller's response; giveUp sends a report to the next controller.
 func (c *reportCall) onAnswer(answer AskAnswer, giveUp func()) {
 	m, env := c.machine, c.machine.env
 	if m.hanging {
-		return // it drops the answer once it resumes: it has waited too long
+		return // the timeout has passed when it resumes, so the response is dropped
 	}
 	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
-	env.noteLeaderToken(heartbeat.Token)
+	env.onLeaderToken(heartbeat.Token)
 	switch {
 	case c.over || m.gone || m.incarnation != c.incarnation:
 	case answer.Status == http.StatusOK:
@@ -218,7 +221,7 @@
 		if heartbeat.Token < m.token || heartbeat.Token == 0 || m.session != c.session {
 			return
 		}
-		m.noteToken(heartbeat.Token)
+		m.updateToken(heartbeat.Token)
 		m.lastAnsweredAt = c.sentAt
 		m.executeOrders(heartbeat.Orders)
 	case answer.Status == http.StatusMisdirectedRequest && heartbeat.Leader != c.to && env.controller(heartbeat.Leader) != nil:
@@ -228,8 +231,8 @@
 	}
 }
 
-// finish ends the call, and has the next report go to a controller: after a wait at once,
-// without one when it is due.
+// finish ends the call and sends further reports to the given controller. If wait is not 0,
+// the next report is sent after it; otherwise when it is due.
 func (c *reportCall) finish(controllerIndex int, wait int64) {
 	m := c.machine
 	if c.over || m.incarnation != c.incarnation {
@@ -246,7 +249,7 @@
 			return
 		}
 		switch {
-		case wait > 0: // it goes to another controller
+		case wait > 0: // retry at another controller
 			m.send()
 		case m.reportAgain:
 			m.nextReportAt = 0
@@ -257,20 +260,21 @@
 	})
 }
 
-// duplicate sends some reports once more, from half a second on, with each factor of delay
-// as likely as another.
+// duplicate sends a share of the reports a second time, after half a second or more. The delay
+// is distributed uniformly on a logarithmic scale.
 func (c *reportCall) duplicate() {
 	m, env := c.machine, c.machine.env
-	if env.copies.share <= 0 || env.rng.Float64() >= env.copies.share {
+	if env.duplicates.share <= 0 || env.rng.Float64() >= env.duplicates.share {
 		return
 	}
-	maxDelay := env.copies.leases * env.Params.Workers.LeaseS
+	maxDelay := env.duplicates.maxDelayLeases * env.Params.Workers.LeaseS
 	env.after(int64(0.5e6*math.Pow(max(2*maxDelay, 1), env.rng.Float64())), func() {
 		env.network.send(m.name, c.to, func() { env.ask(m.name, c.to, c.report, func(AskAnswer) {}) }, func() {})
 	})
 }
 
-// restart ends the worker with all its tasks, and begins it again after a time.
+// restart stops the worker with all its tasks, and starts it again after the time away. With
+// anew the new worker has lost its session, sequence number and token.
 func (m *machine) restart(away int64, anew bool) {
 	if m.env.RemoteWorkers {
 		kind := FaultMachineBack
@@ -296,8 +300,9 @@
 	})
 }
 
-// noteToken records a fencing token; a higher one is reported, though not too often.
-func (m *machine) noteToken(token uint64) {
+// updateToken records a fencing token if it is higher than the current one. It then sends an
+// early report, at most once in half a lease.
+func (m *machine) updateToken(token uint64) {
 	if token > m.token {
 		m.token = token
 		if m.env.now-m.tokenReportedAt > m.workerTime(m.env.Params.Workers.LeaseS/2) || m.tokenReportedAt == 0 {
@@ -307,7 +312,8 @@
 	}
 }
 
-// handleDirect takes a request to the worker's own address; false if nobody listens.
+// handleDirect handles a request to the worker's own address. It returns false if the worker
+// is not running.
 func (m *machine) handleDirect(req any, answer func(int, any)) bool {
 	if m.gone || !m.up {
 		return false
@@ -326,7 +332,7 @@
 		case *q.Token < m.token || *q.Session != m.session:
 			answer(409, m.report())
 		default:
-			m.noteToken(*q.Token)
+			m.updateToken(*q.Token)
 			m.executeOrders(q.Orders)
 			answer(200, m.report())
 		}
@@ -334,7 +340,7 @@
 	return true
 }
 
-// hang suspends a machine, resume lets it go on.
+// hang suspends a machine: its tasks make no progress and requests to it are deferred.
 func (m *machine) hang() {
 	if m.env.RemoteWorkers {
 		m.env.emit(WorkerFault{Name: m.name, Kind: FaultMachineHang})
@@ -346,6 +352,7 @@
 	}
 }
 
+// resume resumes a machine that hangs, and handles the deferred requests.
 func (m *machine) resume() {
 	if m.env.RemoteWorkers {
 		m.env.emit(WorkerFault{Name: m.name, Kind: workerResumes})
@@ -382,7 +389,8 @@
 	}
 }
 
-// find is where an attempt is, or would be, among the tasks.
+// find returns the index of an attempt in tasks, or the index at which to insert it, and
+// whether it was found.
 func (m *machine) find(name string, attempt uint64) (int, bool) {
 	return slices.BinarySearchFunc(m.tasks, attempt, func(t *task, a uint64) int {
 		return cmp.Or(strings.Compare(t.name, name), cmp.Compare(t.attempt, a))
@@ -395,7 +403,8 @@
 	m.reportSoon()
 }
 
-// run starts a task, or refuses to. Whether it may run here is for the rules to check.
+// run starts a task, or reports it as ended if the machine refuses it. The placement
+// constraints of the job are not checked here but by the rules of package history.
 func (m *machine) run(o wire.Order) {
 	id, number, _ := strings.Cut(o.Task, "/")
 	u := m.env.jobs[id]
@@ -419,7 +428,7 @@
 	m.cache.request(u.spec.Image, u.spec.ImageGB, t)
 }
 
-// fits says whether there is room for one more task.
+// fits reports whether there is room for one more task of a job.
 func (m *machine) fits(s *wire.Job) bool {
 	cpus, gpus, mem := s.CPUs, s.GPUs, s.MemGB
 	for _, t := range m.tasks {
@@ -429,33 +438,35 @@
 			mem += t.job.spec.MemGB
 		}
 	}
-	const dust = 1e-6
-	return cpus <= m.machineType.CPUs+dust && gpus <= m.machineType.GPUs+dust && mem <= m.machineType.MemGB+dust
+	const tolerance = 1e-6
+	return cpus <= m.machineType.CPUs+tolerance && gpus <= m.machineType.GPUs+tolerance && mem <= m.machineType.MemGB+tolerance
 }
 
-// cache has the images of a machine, the most recently used ones last. Fetches
-// share the machine's rate.
+// cache is the image cache of a machine. Concurrent fetches share the machine's fetch rate
+// equally.
 type cache struct {
 	machine  *machine
-	list     []*image
+	images   []*image // least recently used first
 	fetching []*image
-	// advancedAt is when the progress of the fetches was last computed; plan numbers the next event.
-	advancedAt int64
-	plan       int
+	// advancedAt is the time at which the progress of the fetches was last computed.
+	// planVersion is the version of the scheduled fetch completion, see afterUnlessReplanned.
+	advancedAt  int64
+	planVersion int
 }
 
 type image struct {
-	name    string
-	sizeGB  float64
-	leftGB  float64
-	waiting []*task
+	name       string
+	sizeGB     float64
+	remainingS float64 // remaining fetch time in seconds at the full rate
+	waiting    []*task
 }
 
-// request gets a task its image.
+// request provides an image to a task: from the cache, or by a fetch, which tasks with the
+// same image share.
 func (c *cache) request(name string, gb float64, t *task) {
-	if i := slices.IndexFunc(c.list, func(x *image) bool { return x.name == name }); i >= 0 {
-		x := c.list[i]
-		c.list = append(slices.Delete(c.list, i, i+1), x)
+	if i := slices.IndexFunc(c.images, func(x *image) bool { return x.name == name }); i >= 0 {
+		x := c.images[i]
+		c.images = append(slices.Delete(c.images, i, i+1), x)
 		c.machine.env.after(1000, t.ready)
 		return
 	}
@@ -463,46 +474,46 @@
 	i := slices.IndexFunc(c.fetching, func(x *image) bool { return x.name == name })
 	if i < 0 {
 		left := gb / c.machine.machineType.FetchRate * (0.75 + c.machine.env.rng.Float64()*0.58)
-		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, leftGB: left})
+		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, remainingS: left})
 		i = len(c.fetching) - 1
 	}
 	c.fetching[i].waiting = append(c.fetching[i].waiting, t)
 	c.scheduleNext()
 }
 
-// advance brings the fetches to the present.
+// advance updates the progress of the fetches to the current time.
 func (c *cache) advance() {
 	if n := float64(len(c.fetching)); n > 0 && !c.machine.hanging {
 		for _, x := range c.fetching {
-			x.leftGB -= float64(c.machine.env.now-c.advancedAt) / 1e6 / n
+			x.remainingS -= float64(c.machine.env.now-c.advancedAt) / 1e6 / n
 		}
 	}
 	c.advancedAt = c.machine.env.now
 }
 
-// scheduleNext schedules the end of the fetch that ends first.
+// scheduleNext schedules the completion of the fetch that completes first.
 func (c *cache) scheduleNext() {
 	if len(c.fetching) == 0 || c.machine.hanging {
-		c.plan++
+		c.planVersion++
 		return
 	}
 	least := slices.MinFunc(c.fetching, func(a, b *image) int {
-		if a.leftGB < b.leftGB {
+		if a.remainingS < b.remainingS {
 			return -1
 		}
 		return 1
 	})
-	c.machine.env.afterUnlessReplanned(&c.plan, max(int64(least.leftGB*float64(len(c.fetching))*1e6), 0)+1000, func() {
+	c.machine.env.afterUnlessReplanned(&c.planVersion, max(int64(least.remainingS*float64(len(c.fetching))*1e6), 0)+1000, func() {
 		if c.machine.gone {
 			return
 		}
 		c.advance()
 		var done []*image
 		c.fetching = slices.DeleteFunc(c.fetching, func(x *image) bool {
-			if x.leftGB <= 1e-6 {
+			if x.remainingS <= 1e-6 {
 				done = append(done, x)
 			}
-			return x.leftGB <= 1e-6
+			return x.remainingS <= 1e-6
 		})
 		for _, x := range done {
 			c.add(x)
@@ -515,20 +526,22 @@
 	})
 }
 
-// add puts an image into the cache and evicts the least recently used ones.
+// add adds an image to the cache and evicts the least recently used images until the cache
+// fits its size. The new image always stays.
 func (c *cache) add(x *image) {
-	c.list = append(c.list, x)
+	c.images = append(c.images, x)
 	size := 0.0
-	for _, o := range c.list {
+	for _, o := range c.images {
 		size += o.sizeGB
 	}
-	for size > c.machine.machineType.CacheGB && len(c.list) > 1 {
-		size -= c.list[0].sizeGB
-		c.list = c.list[1:]
+	for size > c.machine.machineType.CacheGB && len(c.images) > 1 {
+		size -= c.images[0].sizeGB
+		c.images = c.images[1:]
 	}
 }
 
-// cancelFetch takes a task from the fetch that it waits for.
+// cancelFetch removes a task from the fetch that it waits for, and cancels fetches that no
+// task waits for.
 func (c *cache) cancelFetch(t *task) {
 	c.advance()
 	c.fetching = slices.DeleteFunc(c.fetching, func(x *image) bool {
