--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -13,19 +13,19 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// maxJobs bounds what a scenario submits.
+// maxJobs is the maximum number of jobs in a scenario.
 const maxJobs = 200_000
 
 var kindNames = map[pb.Load_Kind]string{pb.Load_ARRAY: wire.Array, pb.Load_GANG: wire.Gang, pb.Load_SERVICE: wire.Service}
 
-// firstJobNumber is the number of the first job, so that whoever submits some by hand
-// has the lower ones.
+// firstJobNumber is the number of the first generated job. Lower numbers are left for jobs
+// that are submitted by hand.
 const firstJobNumber = 100_001
 
-// drawJobs draws the jobs of all loads and numbers them in the order of arrival.
+// drawJobs draws the jobs of all loads and numbers them in order of arrival.
 func (r *reader) drawJobs(m *pb.Scenario, s *Scenario) {
 	var jobs []environment.Job
-	after := map[int]int{} // of a job in a chain the one before, by their places in jobs
+	predecessors := map[int]int{} // index in jobs of a chained job -> index of its predecessor
 	for i, l := range m.Load {
 		field := fmt.Sprintf("load[%d]", i)
 		rng := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
@@ -35,7 +35,7 @@
 			job := source.draw(at)
 			for k := range max(1, l.GetChain()) {
 				if k > 0 {
-					after[len(jobs)] = len(jobs) - 1
+					predecessors[len(jobs)] = len(jobs) - 1
 				}
 				jobs = append(jobs, job)
 			}
@@ -45,10 +45,10 @@
 			}
 		}
 	}
-	s.Jobs = append(s.Jobs, numberJobs(jobs, after)...)
+	s.Jobs = append(s.Jobs, numberJobs(jobs, predecessors)...)
 }
 
-// checkLoad checks the names that a load refers to and returns those of its teams.
+// checkLoad checks the names that a load refers to and returns the names of its teams.
 func (r *reader) checkLoad(field string, l *pb.Load, s *Scenario) (teams []string) {
 	if l.GetClass() == "" {
 		r.addError(field+".class", "missing")
@@ -68,7 +68,7 @@
 	return teams
 }
 
-// jobSource draws the jobs of a load.
+// jobSource draws the jobs of one load.
 type jobSource struct {
 	reader        *reader
 	field         string
@@ -78,7 +78,7 @@
 	tasks, run    func(*rand.Rand) float64
 	imageSizes    []float64 // GB
 	estimateError float64
-	cancelled     float64 // share
+	cancelled     float64 // share of jobs
 }
 
 func (r *reader) newJobSource(field string, l *pb.Load, teams []string, rng *rand.Rand) *jobSource {
@@ -101,13 +101,13 @@
 	return source
 }
 
-// draw draws a job that is submitted at a time. The order of the draws is part of a seed's
-// meaning.
+// draw draws a job that is submitted at the given time. The order of the random draws must
+// not change, as it determines which jobs a seed gives.
 func (source *jobSource) draw(at int64) environment.Job {
 	r, field, l, rng := source.reader, source.field, source.load, source.rng
 	tasks := max(1, int(math.Round(source.tasks(rng))))
 	runS := max(0.1, source.run(rng))
-	image := int(float64(len(source.imageSizes)) * math.Pow(rng.Float64(), 2)) // the first ones are the most wanted
+	image := int(float64(len(source.imageSizes)) * math.Pow(rng.Float64(), 2)) // the lower the index, the more jobs use the image
 	job := environment.Job{At: at, Run: config.MicrosOf(runS), Spec: wire.Job{
 		Class:           l.GetClass(),
 		Team:            source.teams[rng.IntN(len(source.teams))],
@@ -140,8 +140,8 @@
 	return job
 }
 
-// numberJobs gives jobs their IDs and dependencies, and returns them in the order of arrival.
-func numberJobs(jobs []environment.Job, after map[int]int) []environment.Job {
+// numberJobs sets the IDs and dependencies of jobs and returns the jobs in order of arrival.
+func numberJobs(jobs []environment.Job, predecessors map[int]int) []environment.Job {
 	order := make([]int, len(jobs))
 	for i := range order {
 		order[i] = i
@@ -150,8 +150,8 @@
 	for n, i := range order {
 		jobs[i].Spec.ID = fmt.Sprintf("req-%06d", firstJobNumber+n)
 	}
-	for i, before := range after {
-		jobs[i].Spec.DependsOn = append(jobs[i].Spec.DependsOn, jobs[before].Spec.ID)
+	for i, predecessor := range predecessors {
+		jobs[i].Spec.DependsOn = append(jobs[i].Spec.DependsOn, jobs[predecessor].Spec.ID)
 	}
 	sorted := make([]environment.Job, 0, len(jobs))
 	for _, i := range order {
@@ -160,8 +160,8 @@
 	return sorted
 }
 
-// arrivals are the times at which a load's jobs are submitted: a Poisson
-// process, so many at the start, and more of them in a burst.
+// arrivals returns the times at which a load's jobs are submitted: the initial jobs within
+// the first second, then a Poisson process whose rate is multiplied during bursts.
 func (r *reader) arrivals(f string, l *pb.Load, length int64, rng *rand.Rand) (at []int64) {
 	from := r.seconds(f+".from_s", l.FromS, 1)
 	until := length
@@ -184,32 +184,33 @@
 		}
 		return v
 	}
-	most := 1.0
+	highest := 1.0
 	for i, b := range l.Burst {
-		most = max(most, r.number(fmt.Sprintf("%s.burst[%d].factor", f, i), b.Factor, 1, 0, 1000))
+		highest = max(highest, r.number(fmt.Sprintf("%s.burst[%d].factor", f, i), b.Factor, 1, 0, 1000))
 	}
-	// By thinning a process of the highest rate.
+	// Thin a Poisson process that has the highest rate.
 	for t := from; len(at) <= maxJobs; {
-		t += int64(rng.ExpFloat64()/(rate*most)) + 1
+		t += int64(rng.ExpFloat64()/(rate*highest)) + 1
 		if t >= until {
 			break
 		}
-		if rng.Float64()*most < factor(t) {
+		if rng.Float64()*highest < factor(t) {
 			at = append(at, t)
 		}
 	}
 	return at
 }
 
-// distribution draws from a distribution.
-func (r *reader) distribution(field string, a *pb.Amount, or float64) func(*rand.Rand) float64 {
+// distribution returns a function that draws from the distribution of an amount. Without an
+// amount it always returns the default value.
+func (r *reader) distribution(field string, a *pb.Amount, defaultValue float64) func(*rand.Rand) float64 {
 	if a == nil {
-		return func(*rand.Rand) float64 { return or }
+		return func(*rand.Rand) float64 { return defaultValue }
 	}
 	if len(a.Sizes) > 0 {
 		if len(a.Weights) != 0 && len(a.Weights) != len(a.Sizes) {
 			r.addError(field+".weights", "%d for %d sizes", len(a.Weights), len(a.Sizes))
-			return func(*rand.Rand) float64 { return or }
+			return func(*rand.Rand) float64 { return defaultValue }
 		}
 		return func(rng *rand.Rand) float64 {
 			if len(a.Weights) == 0 {
@@ -228,10 +229,10 @@
 			return a.Sizes[len(a.Sizes)-1]
 		}
 	}
-	median := r.number(field+".median", a.Median, or, 0.001, 1e6)
+	median := r.number(field+".median", a.Median, defaultValue, 0.001, 1e6)
 	p95 := r.number(field+".p95", a.P95, median, median, 1e6)
-	most := r.number(field+".max", a.Max, math.Inf(1), 0.001, 1e6)
+	highest := r.number(field+".max", a.Max, math.Inf(1), 0.001, 1e6)
 	const z95 = 1.6449
 	sigma := math.Log(p95/median) / z95
-	return func(rng *rand.Rand) float64 { return min(median*math.Exp(rng.NormFloat64()*sigma), most) }
+	return func(rng *rand.Rand) float64 { return min(median*math.Exp(rng.NormFloat64()*sigma), highest) }
 }
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads worlds for the emulator from protobuf text files and
-// names every field that can't be right.
+// Package scenario reads emulator scenarios from protobuf text files and reports every
+// invalid field by name.
 package scenario
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Scenario is an environment with a name and objectives.
+// Scenario is an environment configuration with a name and objectives.
 type Scenario struct {
 	Name string
 	environment.Config
 	Objectives []history.Objective
 }
 
-// Load reads a file. A seed other than 0 takes the place of the file's.
+// Load reads a scenario file. A seed other than 0 overrides the seed in the file.
 func Load(path string, seed uint64) (*Scenario, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -40,47 +40,48 @@
 	return s, nil
 }
 
-// reader collects what is wrong.
+// reader converts the fields of a scenario and collects the errors in them.
 type reader struct{ errs []error }
 
 func (r *reader) addError(field, format string, a ...any) {
 	r.errs = append(r.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
 }
 
-// number is a number within bounds, or its default.
-func (r *reader) number(field string, v *float64, or, lo, hi float64) float64 {
+// number returns a number, or its default if it is missing. A number out of bounds is an
+// error.
+func (r *reader) number(field string, v *float64, defaultValue, low, high float64) float64 {
 	if v == nil {
-		return or
+		return defaultValue
 	}
-	if !(*v >= lo && *v <= hi) {
-		r.addError(field, "%v is not within %v and %v", *v, lo, hi)
-		return or
+	if !(*v >= low && *v <= high) {
+		r.addError(field, "%v is not within %v and %v", *v, low, high)
+		return defaultValue
 	}
 	return *v
 }
 
-func (r *reader) seconds(field string, v *float64, or float64) int64 {
-	return config.MicrosOf(r.number(field, v, or, 0, 1e6))
+func (r *reader) seconds(field string, v *float64, defaultValue float64) int64 {
+	return config.MicrosOf(r.number(field, v, defaultValue, 0, 1e6))
 }
 
-func (r *reader) count(field string, v *int32, or, lo, hi int32) int {
+func (r *reader) count(field string, v *int32, defaultValue, low, high int32) int {
 	if v == nil {
-		return int(or)
+		return int(defaultValue)
 	}
-	if *v < lo || *v > hi {
-		r.addError(field, "%d is not within %d and %d", *v, lo, hi)
-		return int(or)
+	if *v < low || *v > high {
+		r.addError(field, "%d is not within %d and %d", *v, low, high)
+		return int(defaultValue)
 	}
 	return int(*v)
 }
 
-// Parse reads the text of a scenario.
+// Parse reads the text of a scenario. A seed other than 0 overrides the seed in the text.
 func Parse(text []byte, seed uint64) (*Scenario, error) {
 	var m pb.Scenario
 	if err := prototext.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	// What is not there has all its defaults.
+	// Missing messages get default values for all their fields.
 	for _, part := range []proto.Message{m.Controllers, m.Network, m.State, m.Cloud, m.Workers} {
 		if !part.ProtoReflect().IsValid() {
 			d := part.ProtoReflect().Descriptor().Name()
@@ -106,15 +107,15 @@
 			r.addError(f+".kind", "%q is none of wait, complete, deadline, accept and served", a.GetKind())
 		}
 		if a.GetTeam() != "" && (a.GetKind() != "served" || a.GetClass() != "") {
-			r.addError(f+".team", "only an aim of the kind served has a team, and no class beside")
+			r.addError(f+".team", "only allowed for kind served and without a class")
 		}
 		s.Objectives = append(s.Objectives, history.Objective{Kind: a.GetKind(), Class: a.GetClass(), Team: a.GetTeam(), Within: r.seconds(f+".within_s", a.WithinS, 0), Share: r.number(f+".share", a.Share, 0, 0, 1)})
 		if a.GetKind() == "served" {
-			continue // it is no objective of the platform's
+			continue // the platform has no such objective
 		}
 		s.Params.Objectives = append(s.Params.Objectives, config.Objective{Kind: a.GetKind(), Class: a.GetClass(), WithinS: a.GetWithinS()})
 	}
-	if len(r.errs) == 0 { // what follows needs the machines
+	if len(r.errs) == 0 { // the steps below need valid machines
 		r.drawJobs(&m, s)
 		r.faults(&m, s)
 	}
@@ -124,7 +125,7 @@
 	return s, nil
 }
 
-// platform reads what the controllers' settings contain too.
+// platform reads the fields that the controllers' settings contain as well.
 func (r *reader) platform(m *pb.Scenario, s *Scenario) {
 	r.controllers(m.GetControllers(), s)
 	r.network(m.GetNetwork(), s)
@@ -213,7 +214,7 @@
 	}
 }
 
-// regions are those of the zones, and how far they are apart.
+// regions reads which region each zone belongs to and the delay between regions.
 func (r *reader) regions(m *pb.Scenario, s *Scenario) {
 	n := &s.Network
 	n.Regions = map[string]string{}
@@ -273,7 +274,7 @@
 		if t < 0 {
 			r.addError(f+".type", "no type is called %q", x.GetType())
 		} else if !slices.Contains(s.Types[t].Zones, x.GetZone()) {
-			r.addError(f+".zone", "%q is no zone of that type", x.GetZone())
+			r.addError(f+".zone", "%q is not a zone of that type", x.GetZone())
 		}
 		up, spotUp := r.count(f+".up", x.Up, 0, 0, 10_000), r.count(f+".spot_up", x.SpotUp, 0, 0, 10_000)
 		s.Capacity = append(s.Capacity, environment.Capacity{Type: x.GetType(), Zone: x.GetZone(), Count: r.count(f+".count", x.Count, 0, 0, 10_000), Spot: r.count(f+".spot", x.Spot, 0, 0, 10_000)})
@@ -323,8 +324,8 @@
 	return w
 }
 
-// ParseFault reads a single fault, which may refer to anything of a world that
-// is under way.
+// ParseFault reads a single fault for a running environment. It does not check the names
+// that the fault refers to.
 func ParseFault(text []byte) (environment.Fault, error) {
 	var m pb.Fault
 	if err := prototext.Unmarshal(text, &m); err != nil {
--- a/internal/emulator/scenario/sweep.go
+++ b/internal/emulator/scenario/sweep.go
@@ -14,8 +14,8 @@
 	priorities = []string{jobstate.Idle: "idle", jobstate.Normal: "normal", jobstate.Urgent: "urgent", jobstate.Production: "production"}
 )
 
-// Expand fills in the id and the runs of a sweep from its text, as whoever
-// submits it uploads their descriptions.
+// Expand sets the ID, the runs and their parameter values of a sweep from its text. The
+// submitter of the sweep uploads the descriptions of its runs.
 func Expand(s environment.Sweep) (environment.Sweep, error) {
 	sub, err := api.DecodeSweep([]byte(s.Text))
 	if err != nil {
--- a/internal/emulator/sockets/balancer.go
+++ b/internal/emulator/sockets/balancer.go
@@ -13,65 +13,67 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// maxForwardedBytes bounds the answer to a user from outside.
+// maxForwardedBytes is the maximum size of a response that is forwarded to an external user.
 const maxForwardedBytes = 4 << 20
 
-// userRequest is a request of a user from outside.
+// userRequest is a request of an external user.
 type userRequest struct {
 	*http.Request
 	body []byte
-	// op and job are what the history records, "" for nothing.
+	// op and job are the operation and the job ID that the history records; op is "" if
+	// nothing is recorded.
 	op, job string
-	// jobs are what it submits.
+	// jobs are the jobs that the request submits.
 	jobs []wire.Job
 }
 
-// balance serves users from outside: it forwards their requests to a healthy controller,
-// records them in the history and has workers know their jobs. It also takes faults.
-func (d *Driver) balance(w http.ResponseWriter, r *http.Request) {
+// handleUserRequest is the load balancer for external users: it forwards a request to a
+// healthy controller, records it in the history and gives workers the descriptions of its
+// jobs. It also accepts faults to inject.
+func (d *Driver) handleUserRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
-		write(w, http.StatusRequestEntityTooLarge, wire.Error{Error: "body too large"})
+		writeJSON(w, http.StatusRequestEntityTooLarge, wire.Error{Error: "body too large"})
 		return
 	}
 	if r.URL.Path == "/emulator/fault" {
-		d.takeFault(w, body)
+		d.handleFaultRequest(w, body)
 		return
 	}
 	request := readUserRequest(r, body)
 	registered, ok := askActor(d, func() registration { return d.register(&request) })
 	if !ok {
-		drop(w)
+		closeConnection(w)
 		return
 	}
 	status, answer := d.forwardToHealthy(w.Header(), &request, registered.controllers)
 	if request.op != "" {
 		var a wire.JobAnswer
-		_ = json.Unmarshal(answer, &a) // an error's body may be anything
+		_ = json.Unmarshal(answer, &a) // the body of an error response may not be JSON
 		d.onActor(func() { d.env.ExternalAnswer(registered.call, request.op, request.job, status, a.State) })
 	}
 	if status == 0 {
-		write(w, http.StatusServiceUnavailable, wire.Error{Error: "no controller is healthy"})
+		writeJSON(w, http.StatusServiceUnavailable, wire.Error{Error: "no controller is healthy"})
 		return
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(answer) // the caller may be gone
+	_, _ = w.Write(answer) // the client may have disconnected
 }
 
-// takeFault injects a fault that somebody sends.
-func (d *Driver) takeFault(w http.ResponseWriter, body []byte) {
+// handleFaultRequest injects the fault in the body of a request.
+func (d *Driver) handleFaultRequest(w http.ResponseWriter, body []byte) {
 	fault, err := scenario.ParseFault(body)
 	if err == nil {
 		err = d.InjectFault(fault)
 	}
 	if err != nil {
-		write(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
+		writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
 	}
-	write(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// readUserRequest finds out what a request is about.
+// readUserRequest determines the operation and the jobs of a request from its path and body.
 func readUserRequest(r *http.Request, body []byte) userRequest {
 	request := userRequest{Request: r, body: body}
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
@@ -93,14 +95,15 @@
 	return request
 }
 
-// registration is what the environment knows of a request: the controllers that may get it,
-// and its number in the history.
+// registration holds the controllers to which a registered request may be forwarded, and its
+// number in the history.
 type registration struct {
 	controllers []string
 	call        uint64
 }
 
-// register gives workers the request's jobs and records it; the actor calls it.
+// register gives workers the jobs of a request and records the request. It must be called by
+// the actor.
 func (d *Driver) register(request *userRequest) registration {
 	d.addJobs(request.jobs...)
 	r := registration{controllers: d.env.HealthyControllers()}
@@ -110,8 +113,9 @@
 	return r
 }
 
-// forwardToHealthy sends a request to the first of the controllers that can be reached, and
-// returns its answer, status 0 if there is none. It sets some headers of the answer.
+// forwardToHealthy sends a request to the first controller that can be reached and returns
+// the response, or status 0 if there is none. It copies the Retry-After and Content-Type
+// headers of the response to header.
 func (d *Driver) forwardToHealthy(header http.Header, request *userRequest, controllers []string) (status int, answer []byte) {
 	for _, name := range controllers {
 		req, err := http.NewRequest(request.Method, "http://"+d.controller(name).publicAddr+request.URL.RequestURI(), bytes.NewReader(request.body))
@@ -125,7 +129,7 @@
 		answer, err = io.ReadAll(io.LimitReader(resp.Body, maxForwardedBytes))
 		_ = resp.Body.Close()
 		if err != nil {
-			return 0, answer // it may have been executed
+			return 0, answer // not retried: the request may have been executed
 		}
 		for _, name := range []string{"Retry-After", "Content-Type"} {
 			if value := resp.Header.Get(name); value != "" {
--- a/internal/emulator/sockets/callcontroller.go
+++ b/internal/emulator/sockets/callcontroller.go
@@ -11,18 +11,18 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// maxAnswerBytes bounds the answer of a controller.
+// maxAnswerBytes is the maximum size of a response of a controller.
 const maxAnswerBytes = 1 << 20
 
-// controllerRequest is a request to a controller over HTTP.
+// controllerRequest is an HTTP request to a controller.
 type controllerRequest struct {
 	client       *http.Client
 	method, path string
 	body         []byte
-	isHeartbeat  bool // what the answer is one to
+	isHeartbeat  bool // the response is a HeartbeatAnswer
 }
 
-// controllerRequest translates a request of the environment to a controller.
+// controllerRequest translates a request of the environment to an HTTP request to a controller.
 func (d *Driver) controllerRequest(request any) controllerRequest {
 	get := func(path string) controllerRequest {
 		return controllerRequest{client: d.userClient, method: http.MethodGet, path: path}
@@ -56,28 +56,29 @@
 	return get("")
 }
 
-// encode is a value as JSON.
+// encode returns a value as JSON.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs always encode
+		panic(err) // structs of plain fields can always be encoded
 	}
 	return b
 }
 
-// decodeAnswer reads the body of a controller's answer.
+// decodeAnswer decodes the body of a controller's response.
 func (r *controllerRequest) decodeAnswer(body []byte) any {
 	if r.isHeartbeat {
 		var answer wire.HeartbeatAnswer
-		_ = json.Unmarshal(body, &answer) // an error's body may be anything
+		_ = json.Unmarshal(body, &answer) // the body of an error response may not be JSON
 		return answer
 	}
 	var answer wire.JobAnswer
-	_ = json.Unmarshal(body, &answer) // an error's body may be anything
+	_ = json.Unmarshal(body, &answer) // the body of an error response may not be JSON
 	return answer
 }
 
-// sendToController sends a request of the environment to a controller.
+// sendToController sends a request of the environment to a controller in the background and
+// passes the answer to the environment.
 func (d *Driver) sendToController(n *controllerProcess, ask environment.Ask) {
 	request := d.controllerRequest(ask.Request)
 	d.stopped.Add(1)
@@ -85,13 +86,13 @@
 		defer d.stopped.Done()
 		answer := d.exchange(n, ask, &request)
 		d.onActor(func() {
-			d.noteToken(ask.Request, answer)
+			d.recordWorkerToken(ask.Request, answer)
 			d.step(answer)
 		})
 	}()
 }
 
-// exchange sends a request and returns the answer, one with status 0 if there is none.
+// exchange sends a request and returns the answer, with status 0 if no response was received.
 func (d *Driver) exchange(n *controllerProcess, ask environment.Ask, request *controllerRequest) environment.AskAnswer {
 	none := environment.AskAnswer{ID: ask.ID}
 	req, err := http.NewRequest(request.method, "http://"+n.publicAddr+request.path, bytes.NewReader(request.body))
--- a/internal/emulator/sockets/connection_owner.go
+++ b/internal/emulator/sockets/connection_owner.go
@@ -11,13 +11,14 @@
 	"strings"
 )
 
-// connectionOwner is the controller that a connection to a machine's address comes from,
-// "" if it is none that was started here. All of them share one address, so it
-// is found by which process has the socket at the other end: a partition between a
-// controller and machines holds its commands too.
+// connectionOwner returns the name of the controller that opened a connection to a machine's
+// address, or "" if it was no controller started by this driver. All controllers share the
+// loopback address, so the owner is the process that has the socket of the remote port open.
+// The owner is needed so that a partition between a controller and machines also holds back
+// the commands of the controller.
 func (d *Driver) connectionOwner(remote string) string {
 	if d.workersOnly {
-		return "" // the controllers are not processes of this one
+		return "" // another process started the controllers
 	}
 	_, port, err := net.SplitHostPort(remote)
 	if err != nil {
@@ -59,11 +60,12 @@
 	return ""
 }
 
-// socketInode is the number of the socket on loopback with a local port.
+// socketInode returns the inode of the socket with the given local port on 127.0.0.1, or "" if
+// there is none.
 func socketInode(port uint16) string {
 	b, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
-		return "" // not on this system; orders are nobody's then
+		return "" // this system has no /proc; the sender of commands is then unknown
 	}
 	local := fmt.Sprintf("0100007F:%04X", port)
 	for s := bufio.NewScanner(bytes.NewReader(b)); s.Scan(); {
@@ -74,6 +76,7 @@
 	return ""
 }
 
+// hasSocket reports whether a process has the socket with the given inode open.
 func hasSocket(pid int, inode string) bool {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	for _, f := range files {
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -19,19 +19,21 @@
 	"github.com/zinclb/zinclb/internal/emulator/meter"
 )
 
-// controllerProcess is a controller: its addresses, and its process if it has one here.
+// controllerProcess is a controller with its addresses, and its process if the driver started
+// one.
 type controllerProcess struct {
 	driver               *Driver
 	index                int
 	name                 string
 	publicAddr, peerAddr string
 	cmd                  *exec.Cmd
-	// incarnation numbers its processes, so that the end of one is not taken for that
-	// of the next.
+	// incarnation counts the processes started and killed, so that the exit of one is not
+	// taken for that of its successor.
 	incarnation int
 }
 
-// listen opens all addresses and writes the controllers' settings.
+// listen opens the addresses of the load balancer, the state service, the cloud and the links
+// between controllers, and writes the settings of the controllers.
 func (d *Driver) listen() error {
 	size := d.config.Params.Size
 	serve := func(addr string, h http.HandlerFunc, by meter.Key) (string, error) {
@@ -41,11 +43,11 @@
 		}
 		return e.addr, err
 	}
-	if _, err := serve(loopback(d.Port), d.balance, meter.Key{}); err != nil {
+	if _, err := serve(loopback(d.Port), d.handleUserRequest, meter.Key{}); err != nil {
 		return err
 	}
-	for i, front := range ControllerAddresses(d.Port, size) {
-		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: front, peerAddr: loopback(d.Port + 1 + size + i)})
+	for i, publicAddr := range ControllerAddresses(d.Port, size) {
+		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: publicAddr, peerAddr: loopback(d.Port + 1 + size + i)})
 	}
 	for i, n := range d.controllers {
 		state, err := serve("127.0.0.1:0", d.forward(n.name, environment.StateHost, readState, nil), meter.Key{Host: n.name, Kind: "state"})
@@ -80,7 +82,8 @@
 	return nil
 }
 
-// ControllerAddresses are the addresses of a driver's controllers for users and workers.
+// ControllerAddresses returns the addresses at which a driver's controllers serve users and
+// workers.
 func ControllerAddresses(port, size int) (addrs []string) {
 	for i := range size {
 		addrs = append(addrs, loopback(port+1+i))
@@ -88,8 +91,8 @@
 	return addrs
 }
 
-// Processes are the numbers of the controllers' processes, by name; 0 for one
-// that is not there.
+// Processes returns the process IDs of the controllers by controller name. The ID is 0 for a
+// controller that is not running.
 func (d *Driver) Processes() map[string]int {
 	ch := make(chan map[string]int, 1)
 	if !d.onActor(func() {
@@ -112,26 +115,26 @@
 	}
 }
 
-// begin starts the controller's process. One that ends by itself is started
-// again after the environment's restart time.
-func (n *controllerProcess) begin() {
+// start starts the controller's process. A process that exits without being killed by the
+// driver is started again after the environment's restart time.
+func (n *controllerProcess) start() {
 	d := n.driver
-	if len(d.Binaries) == 0 { // whoever started it keeps it running
+	if len(d.Binaries) == 0 { // controllers are started and kept running by hand
 		d.step(environment.ControllerUp{Controller: n.name, Up: true})
 		return
 	}
 	n.incarnation++
-	run := n.incarnation
+	incarnation := n.incarnation
 	out, err := os.OpenFile(filepath.Join(d.Dir, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		slog.Warn("the log of a controller cannot be opened", "controller", n.name, "error", err)
+		slog.Warn("cannot open controller log", "controller", n.name, "error", err)
 		return
 	}
 	cmd := exec.Command(d.Binaries[n.index%len(d.Binaries)], append(append([]string{}, d.Args...), "--config", d.SettingsPath(n.index))...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
-		slog.Warn("a controller cannot be started", "controller", n.name, "error", err)
+		slog.Warn("cannot start controller", "controller", n.name, "error", err)
 		_ = out.Close()
 		return
 	}
@@ -140,18 +143,18 @@
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
-		_ = cmd.Wait() // how it ended does not matter
+		_ = cmd.Wait() // an unexpected exit is logged below
 		_ = out.Close()
 		d.onActor(func() {
-			if n.incarnation != run {
+			if n.incarnation != incarnation {
 				return
 			}
-			slog.Warn("a controller has ended by itself", "controller", n.name, "reason", cmd.ProcessState.String())
+			slog.Warn("controller exited unexpectedly", "controller", n.name, "reason", cmd.ProcessState.String())
 			d.step(environment.ControllerUp{Controller: n.name})
 			time.AfterFunc(time.Duration(d.config.RestartTime)*time.Microsecond, func() {
 				d.onActor(func() {
-					if n.incarnation == run {
-						n.begin()
+					if n.incarnation == incarnation {
+						n.start()
 					}
 				})
 			})
@@ -159,34 +162,35 @@
 	}()
 }
 
-// kill ends its process, which the environment knows of.
+// kill kills the process on behalf of the environment, so that it is not restarted.
 func (n *controllerProcess) kill() {
 	n.incarnation++
 	if n.cmd != nil {
-		_ = n.cmd.Process.Kill() // it may have ended already
+		_ = n.cmd.Process.Kill() // it may have exited already
 		n.cmd = nil
 	}
 }
 
-// freeze suspends the process, or resumes it.
-func (n *controllerProcess) freeze(on bool) {
+// setSuspended suspends or resumes the process.
+func (n *controllerProcess) setSuspended(suspended bool) {
 	if n.cmd == nil {
 		return
 	}
-	s := syscall.SIGCONT
-	if on {
-		s = syscall.SIGSTOP
+	signal := syscall.SIGCONT
+	if suspended {
+		signal = syscall.SIGSTOP
 	}
-	if err := n.cmd.Process.Signal(s); err != nil {
-		slog.Warn("a controller cannot be suspended or resumed", "controller", n.name, "error", err)
+	if err := n.cmd.Process.Signal(signal); err != nil {
+		slog.Warn("cannot suspend or resume controller", "controller", n.name, "error", err)
 	}
 }
 
-// linkPollInterval is how often a held connection checks whether its partition is over.
+// linkPollInterval is the interval at which a connection held by a partition checks whether the
+// partition has ended.
 const linkPollInterval = 20 * time.Millisecond
 
-// listenBetween opens the address at which one controller reaches another, and proxies the
-// connections there unless the two are partitioned.
+// listenBetween opens the address at which one controller reaches another. Connections to it
+// are proxied unless the two controllers are partitioned.
 func (d *Driver) listenBetween(from, to *controllerProcess) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -207,7 +211,7 @@
 	return l.Addr().String(), nil
 }
 
-// proxy copies one connection in both directions.
+// proxy forwards one connection between two controllers in both directions.
 func (d *Driver) proxy(c net.Conn, from, to *controllerProcess) {
 	defer func() { _ = c.Close() }()
 	if !d.waitReachable(from, to) {
@@ -219,44 +223,44 @@
 	}
 	defer func() { _ = o.Close() }()
 	o = d.Meter.Conn(o, meter.Key{Host: from.name, Kind: "peer"}, meter.Key{Host: to.name, Kind: "peer"})
-	over := make(chan struct{}, 2)
+	finished := make(chan struct{}, 2)
 	copyTo := func(dst, src net.Conn) {
-		defer func() { over <- struct{}{} }()
+		defer func() { finished <- struct{}{} }()
 		d.copyDelayed(dst, src, from, to)
 	}
 	go copyTo(o, c)
 	go copyTo(c, o)
 	select {
-	case <-over:
+	case <-finished:
 	case <-d.stop:
 	}
 }
 
-// chunk is a piece of the data of a connection, delivered when it is due.
+// chunk is a piece of the data sent over a connection, with its delivery time.
 type chunk struct {
 	due   time.Time
 	bytes []byte
 }
 
-// maxChunksInFlight bounds what is on its way over a connection.
+// maxChunksInFlight is the maximum number of undelivered chunks per direction of a connection.
 const maxChunksInFlight = 256
 
-// copyDelayed copies one direction of a connection between two controllers, each piece with
-// the delay between their regions.
+// copyDelayed copies one direction of a connection between two controllers and delays each
+// chunk by the latency between them if the network has a delay between regions.
 func (d *Driver) copyDelayed(dst, src net.Conn, from, to *controllerProcess) {
 	var latency time.Duration
 	if d.config.Network.CrossRegion > 0 {
 		latency = time.Duration(d.env.Latency(d.config.ControllerZone(from.index), d.config.ControllerZone(to.index))) * time.Microsecond
 	}
-	way := make(chan chunk, maxChunksInFlight)
+	inFlight := make(chan chunk, maxChunksInFlight)
 	var delivery sync.WaitGroup
 	broken := make(chan struct{})
 	delivery.Go(func() {
 		defer func() {
 			close(broken)
-			_ = src.SetReadDeadline(time.Now()) // whoever still reads is to end
+			_ = src.SetReadDeadline(time.Now()) // unblocks the pending read
 		}()
-		for c := range way {
+		for c := range inFlight {
 			if wait := time.Until(c.due); latency > 0 && wait > 0 {
 				time.Sleep(wait)
 			}
@@ -269,13 +273,13 @@
 		}
 	})
 	defer delivery.Wait()
-	defer close(way)
+	defer close(inFlight)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
 			select {
-			case way <- chunk{time.Now().Add(latency), bytes.Clone(buf[:n])}:
+			case inFlight <- chunk{time.Now().Add(latency), bytes.Clone(buf[:n])}:
 			case <-broken:
 				return
 			}
@@ -286,8 +290,8 @@
 	}
 }
 
-// waitReachable waits until two controllers can reach each other; false if the
-// connection is to break.
+// waitReachable waits until two controllers can reach each other. It returns false if the
+// connection must be closed.
 func (d *Driver) waitReachable(a, b *controllerProcess) bool {
 	for {
 		type state struct{ cut, reset bool }
--- a/internal/emulator/sockets/cut_test.go
+++ b/internal/emulator/sockets/cut_test.go
@@ -15,12 +15,14 @@
 	"github.com/zinclb/zinclb/internal/emulator/scenario"
 )
 
-// TestCutLeader runs three real controllers on loopback while the leader keeps
-// the state service alone, and then while it keeps the workers alone. Another
-// leads, however long that takes, and no rule is broken.
+// TestCutLeader runs three real controllers on loopback. The leader is first cut off from the
+// workers and the other controllers, so that it reaches only the state service, and then from
+// the state service and the other controllers, so that it reaches only the workers. Each time
+// another controller must become leader, and the history must break no rule. How long the change
+// of leader takes is not checked beyond the limit of waitUntil.
 func TestCutLeader(t *testing.T) {
 	t.Parallel()
-	dir, binary := built(t)
+	dir, binary := buildController(t)
 	s, err := scenario.Load("../../../scenarios/quiet-day.txtpb", 6)
 	if err != nil {
 		t.Fatal(err)
@@ -32,13 +34,13 @@
 		t.Fatal(err)
 	}
 	var h []history.Event
-	end, over := make(chan struct{}), make(chan error, 1)
+	end, done := make(chan struct{}), make(chan error, 1)
 	go func() {
 		var err error
 		h, err = d.Run(end)
-		over <- err
+		done <- err
 	}()
-	// views are what the controllers say; one that does not answer is not there.
+	// views returns the operator views of the controllers that answer.
 	views := func() (l []core.OperatorView) {
 		for i := range s.Params.Size {
 			var v core.OperatorView
@@ -54,7 +56,7 @@
 		}
 		return l
 	}
-	until := func(what string, f func([]core.OperatorView) bool) {
+	waitUntil := func(what string, f func([]core.OperatorView) bool) {
 		t.Helper()
 		for range 1000 {
 			if f(views()) {
@@ -63,7 +65,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		b, _ := os.ReadFile(filepath.Join(dir, "node-0.log"))
-		t.Fatalf("never: %s; %+v\n%s", what, views(), b)
+		t.Fatalf("condition not met: want %s; got operator views %+v; log of node-0:\n%s", what, views(), b)
 	}
 	leading := func(l []core.OperatorView) (name string, token uint64) {
 		for _, v := range l {
@@ -74,36 +76,36 @@
 		return name, token
 	}
 	for _, to := range [][]string{{"workers", "controllers"}, {environment.StateHost, "controllers"}} {
-		until("all know what all reach", func(l []core.OperatorView) bool {
+		waitUntil("three controllers, one of them leading, each with a complete reachability matrix", func(l []core.OperatorView) bool {
 			for _, v := range l {
-				whole := 0
+				complete := 0
 				for _, row := range v.Reach.Matrix {
 					if len(row.Workers) == 2 && row.Workers["a"] == 8 && row.Workers["b"] == 8 && len(row.Peers) == 2 {
-						whole++
+						complete++
 					}
 				}
-				if whole != 3 {
+				if complete != 3 {
 					return false
 				}
 			}
 			name, _ := leading(l)
 			return len(l) == 3 && name != ""
 		})
-		was, token := leading(views())
-		if err := d.InjectFault(environment.Fault{Kind: "cut", Hosts: []string{was}, To: to, Duration: 40_000_000}); err != nil {
+		previousLeader, token := leading(views())
+		if err := d.InjectFault(environment.Fault{Kind: "cut", Hosts: []string{previousLeader}, To: to, Duration: 40_000_000}); err != nil {
 			t.Fatal(err)
 		}
-		until("another leads", func(l []core.OperatorView) bool {
-			name, now := leading(l)
-			return now > token && name != was
+		waitUntil("another controller leading with a higher token", func(l []core.OperatorView) bool {
+			name, newToken := leading(l)
+			return newToken > token && name != previousLeader
 		})
 	}
 	close(end)
-	if err := <-over; err != nil {
+	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	for _, b := range history.CheckAll(h, d.Expectations()) {
-		if b.Rule != "nothing_ran" { // on a machine that is too slow
+		if b.Rule != "nothing_ran" { // may happen if the test machine is too slow
 			t.Error(b)
 		}
 	}
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -1,6 +1,6 @@
-// Package sockets runs the emulated environment on loopback, for real controllers: it serves
+// Package sockets runs the emulated environment on loopback for real controllers: it serves
 // the state service, the cloud, every worker and the load balancer, proxies the connections
-// between controllers, and starts, suspends and ends them.
+// between controllers, and starts, suspends and kills the controllers.
 package sockets
 
 import (
@@ -22,50 +22,51 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Options say where and for which controllers an environment is served.
+// Options configure where an environment is served and for which controllers.
 type Options struct {
-	// Dir gets the controllers' settings and logs, Port is the balancer's;
-	// those of the controllers follow it.
+	// Dir is the directory for the settings and logs of the controllers. Port is the port
+	// of the load balancer; the ports of the controllers follow it.
 	Dir  string
 	Port int
-	// Binaries are the controllers' programs, given out in turn. Without any,
-	// controllers are started by hand.
+	// Binaries are the programs of the controllers, assigned round-robin. If there are
+	// none, the controllers are started by hand.
 	Binaries []string
-	// Args come before --config.
+	// Args are the arguments of the programs before --config.
 	Args []string
 	// OnProgress, if set, is called every ten seconds.
 	OnProgress func(Progress)
-	// Workers, if set, runs the machines' workers in other processes.
+	// Workers, if set, runs the workers of the machines in other processes.
 	Workers Workers
-	// Meter, if set, counts what controllers and workers send and get.
+	// Meter, if set, counts what controllers and workers send and receive.
 	Meter *meter.Meter
-	// OnEvent, if set, is called with each event; none is kept.
+	// OnEvent, if set, is called with each event instead of keeping the events.
 	OnEvent func(history.Event)
-	// OnTokenAccepted, if set, is called when a worker has taken an answer with a higher
-	// token than any before.
+	// OnTokenAccepted, if set, is called when a worker has accepted an answer with a higher
+	// fencing token than any before.
 	OnTokenAccepted func(token uint64, at int64)
 }
 
-// Workers runs machines' workers outside the driver's process. Its methods except
-// WaitEnded must not block.
+// Workers runs the workers of machines outside the driver's process. Its methods, except
+// WaitEnded, must not block.
 type Workers interface {
-	// Machine begins or ends a worker.
-	Machine(environment.Machine)
-	// Fault injects a fault into a worker.
-	Fault(environment.WorkerFault)
-	// Address is the address of a worker.
+	// UpdateMachine starts the worker of a machine that is up and stops that of one that is
+	// not.
+	UpdateMachine(environment.Machine)
+	// InjectFault injects a fault into a worker.
+	InjectFault(environment.WorkerFault)
+	// Address returns the address of a worker.
 	Address(machine string) string
-	// WaitEnded waits until the workers of machines that are gone have ended.
+	// WaitEnded waits until the workers of released machines have stopped.
 	WaitEnded(machines []string)
 }
 
-// Progress is how far a run is.
+// Progress is the progress of a run.
 type Progress struct {
 	Now, Length                      time.Duration
 	Events, Accepted, Done, Finished int
 }
 
-// Driver serves an environment, which only its actor touches.
+// Driver serves an environment, which only the driver's actor accesses.
 type Driver struct {
 	Options
 	config       environment.Config
@@ -79,16 +80,17 @@
 	expectations history.Expectations
 	progress     Progress
 
-	// lateness is how late the environment's timers ran, in microseconds.
+	// lateness is the histogram of the delays with which the environment's timers ran, in
+	// microseconds.
 	lateness *hdrhistogram.Histogram
-	// workersOnly: this process has some machines' workers and nothing else.
+	// workersOnly reports whether the driver serves only workers (see NewWorkerDriver).
 	workersOnly bool
-	// reportClients are the clients by which workers report, where each has its own, and
-	// workerTokens the highest fencing token that each has had in an answer.
+	// reportClients holds the HTTP client with which each worker reports, if each has its
+	// own. workerTokens holds the highest fencing token that each worker has received.
 	reportClients map[string]*http.Client
 	workerTokens  map[string]uint64
 
-	mu        sync.Mutex // guards what follows, which handlers read
+	mu        sync.Mutex // guards endpoints, which HTTP handlers read
 	endpoints map[string]endpoint
 
 	userClient, peerReportClient *http.Client
@@ -97,10 +99,10 @@
 	closers                      []func()
 }
 
-// inboxSize bounds the queue of the actor.
+// inboxSize is the maximum number of calls queued for the actor.
 const inboxSize = 8192
 
-// New makes a driver of an environment; nothing is served yet.
+// New returns a driver of an environment. It serves nothing before Run.
 func New(cfg environment.Config, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
 	w, err := environment.New(cfg, d.onEvent)
@@ -114,22 +116,22 @@
 func newDriver(cfg environment.Config, o Options) *Driver {
 	return &Driver{
 		Options: o, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
-		stop: make(chan struct{}), expectations: cfg.Expectations(), userClient: client(true), peerReportClient: client(false),
+		stop: make(chan struct{}), expectations: cfg.Expectations(), userClient: newClient(true), peerReportClient: newClient(false),
 		lateness: hdrhistogram.New(1, maxTrackedLateness, 3),
 	}
 }
 
-// maxTrackedLateness bounds the lateness that is recorded, in microseconds.
+// maxTrackedLateness is the highest lateness that can be recorded, in microseconds.
 const maxTrackedLateness = 600_000_000
 
-// onEvent records an event of the environment.
+// onEvent records an event of the environment and updates the progress.
 func (d *Driver) onEvent(e history.Event) {
 	if d.OnEvent != nil {
 		d.OnEvent(e)
 		return
 	}
 	if d.Workers != nil && e.Kind == history.StateChanged {
-		return // a large run stores a great deal, and no rule needs it
+		return // no rule needs these events, and large runs have very many
 	}
 	d.history = append(d.history, e)
 	switch {
@@ -142,7 +144,7 @@
 	}
 }
 
-// AddEvents adds events of workers in other processes.
+// AddEvents records events of workers in other processes.
 func (d *Driver) AddEvents(events []history.Event) {
 	d.onActor(func() {
 		for _, e := range events {
@@ -151,10 +153,10 @@
 	})
 }
 
-// Lateness is how late the timers of an environment ran, in microseconds.
+// Lateness summarizes how late an environment's timers ran, in microseconds.
 type Lateness struct{ Median, P99, Worst int64 }
 
-// Lateness asks the driver's actor how late its timers have run.
+// Lateness returns how late the timers have run since the start.
 func (d *Driver) Lateness() Lateness {
 	lateness, _ := askActor(d, func() Lateness {
 		return Lateness{d.lateness.ValueAtQuantile(50), d.lateness.ValueAtQuantile(99), d.lateness.Max()}
@@ -162,19 +164,19 @@
 	return lateness
 }
 
-// StoredValue asks for the value of a key of the state service, nil if it is not there.
+// StoredValue returns the value of a key in the state service, or nil if the key does not exist.
 func (d *Driver) StoredValue(key string) []byte {
 	value, _ := askActor(d, func() []byte { return d.env.StoredValue(key) })
 	return value
 }
 
-// Start is when the environment's time began.
+// Start returns the start time of the environment.
 func (d *Driver) Start() time.Time { return d.start }
 
-// now is the time since the start.
+// now returns the time since the start, in microseconds.
 func (d *Driver) now() int64 { return time.Since(d.start).Microseconds() }
 
-// onActor has the actor call f; false if the driver has stopped.
+// onActor queues f for the actor. It returns false if the driver has stopped.
 func (d *Driver) onActor(f func()) bool {
 	select {
 	case d.inbox <- f:
@@ -184,7 +186,7 @@
 	}
 }
 
-// askActor has the driver's actor call f and waits for the result; false if the driver has
+// askActor has the actor call f and returns the result. ok is false if the driver has
 // stopped.
 func askActor[T any](d *Driver, f func() T) (result T, ok bool) {
 	results := make(chan T, 1)
@@ -199,8 +201,8 @@
 	}
 }
 
-// Run serves the environment until its length is over or the channel is closed, and
-// returns its history.
+// Run serves the environment until its length has elapsed or end is closed, and returns its
+// history.
 func (d *Driver) Run(end <-chan struct{}) ([]history.Event, error) {
 	defer d.close()
 	if err := d.listen(); err != nil {
@@ -210,36 +212,36 @@
 		d.start = time.Now()
 	}
 	for _, n := range d.controllers {
-		n.begin()
+		n.start()
 	}
 	d.loop(end)
 	d.env.Close()
 	if d.Workers != nil {
-		// Events of other processes come a little later than the driver's own.
+		// Events of other processes arrive later than the driver's own.
 		slices.SortStableFunc(d.history, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
 	}
 	return d.history, nil
 }
 
-// SetStart sets when the environment's time begins, for several processes that share it.
+// SetStart sets the start time of the environment, for processes that share one environment.
 func (d *Driver) SetStart(t time.Time) { d.start = t }
 
-// loop is the actor; it runs until the environment's length is over or the channel is closed.
+// loop is the actor. It runs until the environment's length has elapsed or end is closed.
 func (d *Driver) loop(end <-chan struct{}) {
-	over := time.NewTimer(time.Duration(d.config.Length) * time.Microsecond)
-	defer over.Stop()
-	report := time.NewTicker(10 * time.Second)
-	defer report.Stop()
-	due := time.NewTimer(0)
-	defer due.Stop()
+	lengthTimer := time.NewTimer(time.Duration(d.config.Length) * time.Microsecond)
+	defer lengthTimer.Stop()
+	progressTicker := time.NewTicker(10 * time.Second)
+	defer progressTicker.Stop()
+	nextTimer := time.NewTimer(0)
+	defer nextTimer.Stop()
 	for {
 		if at, ok := d.env.Next(); ok {
-			due.Reset(max(time.Duration(at-d.now())*time.Microsecond, 0))
+			nextTimer.Reset(max(time.Duration(at-d.now())*time.Microsecond, 0))
 		}
 		select {
 		case f := <-d.inbox:
 			f()
-			for more := true; more; { // all that wait, before the next look at the clock
+			for more := true; more; { // run all queued calls before reading the clock again
 				select {
 				case f := <-d.inbox:
 					f()
@@ -247,17 +249,17 @@
 					more = false
 				}
 			}
-		case <-due.C:
+		case <-nextTimer.C:
 			if at, ok := d.env.Next(); ok && at <= d.now() {
-				_ = d.lateness.RecordValue(min(d.now()-at, maxTrackedLateness)) // within its bounds
+				_ = d.lateness.RecordValue(min(d.now()-at, maxTrackedLateness)) // cannot fail: the value is within the histogram's range
 			}
 			d.step(nil)
-		case <-report.C:
+		case <-progressTicker.C:
 			if d.OnProgress != nil {
 				d.progress.Now, d.progress.Length, d.progress.Events = time.Since(d.start), time.Duration(d.config.Length)*time.Microsecond, len(d.history)
 				d.OnProgress(d.progress)
 			}
-		case <-over.C:
+		case <-lengthTimer.C:
 			return
 		case <-end:
 			return
@@ -265,11 +267,11 @@
 	}
 }
 
-// Expectations are what the rules are checked against, with the jobs that came from
-// outside.
+// Expectations returns what the history is checked against, including the jobs that external
+// users submitted.
 func (d *Driver) Expectations() history.Expectations { return d.expectations }
 
-// step gives the environment a message and carries out the effects that it returns.
+// step passes a message to the environment and executes the effects that it returns.
 func (d *Driver) step(msg any) {
 	for _, e := range d.env.Step(d.now(), msg) {
 		switch e := e.(type) {
@@ -285,14 +287,14 @@
 		case environment.Kill:
 			d.controller(e.Controller).kill()
 		case environment.Start:
-			d.controller(e.Controller).begin()
+			d.controller(e.Controller).start()
 		case environment.Freeze:
-			d.controller(e.Controller).freeze(e.On)
+			d.controller(e.Controller).setSuspended(e.On)
 		case environment.Machine:
-			d.machine(e)
+			d.updateMachine(e)
 		case environment.WorkerFault:
 			if d.Workers != nil {
-				d.Workers.Fault(e)
+				d.Workers.InjectFault(e)
 			}
 		}
 	}
@@ -307,8 +309,8 @@
 	return nil
 }
 
-// call sends a controller's request into the environment and waits for the answer, or for
-// the caller to go away. Status 0 is a broken connection.
+// call passes a controller's request to the environment and waits for the answer or until the
+// caller disconnects. Status 0 stands for a broken connection.
 func (d *Driver) call(from, to string, request any, gone <-chan struct{}) (int, any, error) {
 	type answer struct {
 		status int
@@ -334,11 +336,11 @@
 }
 
 var (
-	errStopped    = errors.New("the emulator has stopped")
-	errCallerGone = errors.New("the caller has gone")
+	errStopped    = errors.New("emulator stopped")
+	errCallerGone = errors.New("caller disconnected")
 )
 
-// InjectFault begins a fault now.
+// InjectFault starts a fault immediately.
 func (d *Driver) InjectFault(f environment.Fault) error {
 	err, ok := askActor(d, func() error {
 		err := d.env.InjectFault(f)
@@ -367,7 +369,8 @@
 	d.stopped.Wait()
 }
 
-// addJobs gives workers the descriptions of jobs from outside; the actor calls it.
+// addJobs gives workers the descriptions of jobs of external users. It must be called by the
+// actor.
 func (d *Driver) addJobs(jobs ...wire.Job) {
 	for _, j := range jobs {
 		d.env.AddExternalJob(j)
@@ -377,7 +380,7 @@
 	}
 }
 
-// SettingsPath is where a controller's settings are.
+// SettingsPath returns the path of a controller's settings file.
 func (d *Driver) SettingsPath(i int) string {
 	return filepath.Join(d.Dir, environment.ControllerName(i)+".json")
 }
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -22,8 +22,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// bare is a world in which nobody does anything by themselves.
-func bare() environment.Config {
+// idleConfig returns an environment without machines, jobs or faults, in which nothing happens
+// until a request arrives.
+func idleConfig() environment.Config {
 	c := environment.Config{
 		Seed: 1, Length: 600_000_000, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 50, BootS: 5, Price: 1, Zones: []string{"a"}}},
 		Capacity: []environment.Capacity{{Type: "big", Zone: "a", Count: 3}},
@@ -37,71 +38,71 @@
 	return c
 }
 
-// running is a driver that serves a world until the test is over.
-func running(t *testing.T, c environment.Config, o Options) *Driver {
+// startDriver starts a driver that serves an environment until the test ends.
+func startDriver(t *testing.T, c environment.Config, o Options) *Driver {
 	t.Helper()
 	d, err := New(c, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	end, over := make(chan struct{}), make(chan struct{})
+	end, done := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		if _, err := d.Run(end); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { close(end); <-over })
+	t.Cleanup(func() { close(end); <-done })
 	return d
 }
 
-// protocol are sentences of the published protocol as requests and answers, in
-// their order: each goes on from what those before have left.
-var protocol = []struct {
-	says, to, method, target, body string
+// protocolCases are requests with the responses that the published protocol requires. They run
+// in order: each depends on the state that the previous ones left.
+var protocolCases = []struct {
+	name, to, method, target, body string
 	status                         int
-	has                            string
+	wantBody                       string
 }{
-	{"404 for a key that is not there", "state", "GET", "/kv/a/b", "", 404, `"ledger":0`},
-	{"a version of 0 is a key that does not exist", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":0}],"writes":[{"put":"a/b","data":{"x":1}},{"put":"a/c","data":2}]}`, 200, `"ledger":1`},
-	{"every change of a transaction has the same revision", "state", "GET", "/kv?starts=a/", "", 200, `"path":"a/c","data":2,"stamp":1`},
-	{"a condition that fails is named, and nothing is done", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":0}],"writes":[{"remove":"a/c"}]}`, 409, `"failed":["a/b"]`},
-	{"slashes in keys are not escaped", "state", "GET", "/kv/a/b", "", 200, `"data":{"x":1},"stamp":1`},
-	{"without writes it only compares", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":1}]}`, 200, `"ledger":1`},
-	{"lists start after a key", "state", "GET", "/kv?starts=a/&after=a/b&most=5", "", 200, `"rows":[{"path":"a/c"`},
-	{"a page that is not the last says so", "state", "GET", "/kv?starts=a/&most=1", "", 200, `"truncated":true`},
-	{"a value beyond the limit", "state", "POST", "/multi", `{"writes":[{"put":"big","data":"` + strings.Repeat("x", 3000) + `"}]}`, 400, "value too large"},
-	{"more changes than a transaction takes", "state", "POST", "/multi", `{"writes":[` + strings.TrimSuffix(strings.Repeat(`{"remove":"q"},`, 7), ",") + `]}`, 400, "too large"},
-	{"malformed", "state", "POST", "/multi", `{"writes":`, 400, ""},
-	{"a key with a space", "state", "POST", "/multi", `{"writes":[{"put":"a b","data":1}]}`, 400, "spaces"},
-	{"a lease's life has bounds", "state", "POST", "/leases", `{"life_ms":50}`, 400, ""},
-	{"a lease", "state", "POST", "/leases", `{"life_ms":60000}`, 200, `"tenure":1`},
-	{"a put with a lease", "state", "POST", "/multi", `{"writes":[{"put":"c/1","data":1,"tenure":1}]}`, 200, `"ledger":2`},
-	{"it is renewed", "state", "POST", "/leases/1/touch", `{}`, 200, ""},
-	{"a put with an expired lease, whatever the conditions", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":99}],"writes":[{"put":"c/2","data":1,"tenure":77}]}`, 400, "no such lease"},
-	{"a put without a lease detaches the key", "state", "POST", "/multi", `{"writes":[{"put":"c/1","data":2},{"put":"c/3","data":3,"tenure":1}]}`, 200, `"ledger":3`},
-	{"DELETE ends it at once", "state", "DELETE", "/leases/1", "", 200, ""},
-	{"and removes the keys attached to it", "state", "GET", "/kv/c/3", "", 404, ""},
-	{"but not the one that was detached", "state", "GET", "/kv/c/1", "", 200, `"data":2`},
-	{"a lease that has ended", "state", "POST", "/leases/1/touch", `{}`, 404, ""},
-	{"a watch tells all changes after a revision", "state", "GET", "/watch?starts=c/&after=2&wait_ms=1000", "", 200, `{"put":"c/3","data":3,"stamp":3},{"remove":"c/3","stamp":4}`},
-	{"without waiting it answers at once", "state", "GET", "/watch?starts=c/&after=4", "", 200, `"news":[]`},
-	{"the machine types", "cloud", "GET", "/machine_types", "", 200, `"label":"big"`},
-	{"a rental gives up to so many", "cloud", "POST", "/rentals", `{"hire":"r-1","breed":"big","paddock":"a","borrowed":false,"number":2}`, 200, `{"stokers":["host-000000","host-000001"]}`},
-	{"repeated, it gives the same answer and rents nothing", "cloud", "POST", "/rentals", `{"hire":"r-1","breed":"big","paddock":"a","borrowed":false,"number":2}`, 200, `{"stokers":["host-000000","host-000001"]}`},
-	{"only partly filled", "cloud", "POST", "/rentals", `{"hire":"r-2","breed":"big","paddock":"a","borrowed":false,"number":9}`, 200, `{"stokers":["host-000002"]}`},
-	{"none available", "cloud", "POST", "/rentals", `{"hire":"r-3","breed":"big","paddock":"a","borrowed":false,"number":1}`, 503, "no capacity"},
-	{"more than 50", "cloud", "POST", "/rentals", `{"hire":"r-4","breed":"big","paddock":"a","borrowed":false,"number":51}`, 400, ""},
-	{"a type that is not there", "cloud", "POST", "/rentals", `{"hire":"r-5","breed":"small","paddock":"a","borrowed":false,"number":1}`, 400, ""},
-	{"names that are unknown are ignored", "cloud", "POST", "/rentals/release", `{"stokers":["host-000002","host-999999"]}`, 200, ""},
-	{"the list is in the order of names", "cloud", "GET", "/rentals?after=host-000000&most=500", "", 200, `"name_id":"host-000001"`},
-	{"what was released can be rented again, under another name", "cloud", "POST", "/rentals", `{"hire":"r-6","breed":"big","paddock":"a","borrowed":false,"number":1}`, 200, `host-000003`},
+	{"missing key", "state", "GET", "/kv/a/b", "", 404, `"ledger":0`},
+	{"condition with stamp 0 on a missing key", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":0}],"writes":[{"put":"a/b","data":{"x":1}},{"put":"a/c","data":2}]}`, 200, `"ledger":1`},
+	{"same revision for all changes of a transaction", "state", "GET", "/kv?starts=a/", "", 200, `"path":"a/c","data":2,"stamp":1`},
+	{"failed condition is named and nothing is written", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":0}],"writes":[{"remove":"a/c"}]}`, 409, `"failed":["a/b"]`},
+	{"key with unescaped slashes", "state", "GET", "/kv/a/b", "", 200, `"data":{"x":1},"stamp":1`},
+	{"transaction without writes", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":1}]}`, 200, `"ledger":1`},
+	{"list that starts after a key", "state", "GET", "/kv?starts=a/&after=a/b&most=5", "", 200, `"rows":[{"path":"a/c"`},
+	{"truncated page", "state", "GET", "/kv?starts=a/&most=1", "", 200, `"truncated":true`},
+	{"value too large", "state", "POST", "/multi", `{"writes":[{"put":"big","data":"` + strings.Repeat("x", 3000) + `"}]}`, 400, "value too large"},
+	{"too many changes in a transaction", "state", "POST", "/multi", `{"writes":[` + strings.TrimSuffix(strings.Repeat(`{"remove":"q"},`, 7), ",") + `]}`, 400, "too large"},
+	{"malformed body", "state", "POST", "/multi", `{"writes":`, 400, ""},
+	{"key with a space", "state", "POST", "/multi", `{"writes":[{"put":"a b","data":1}]}`, 400, "spaces"},
+	{"lease duration out of bounds", "state", "POST", "/leases", `{"life_ms":50}`, 400, ""},
+	{"grant of a lease", "state", "POST", "/leases", `{"life_ms":60000}`, 200, `"tenure":1`},
+	{"put with a lease", "state", "POST", "/multi", `{"writes":[{"put":"c/1","data":1,"tenure":1}]}`, 200, `"ledger":2`},
+	{"renewal of a lease", "state", "POST", "/leases/1/touch", `{}`, 200, ""},
+	{"put with an unknown lease and a failing condition", "state", "POST", "/multi", `{"when":[{"path":"a/b","stamp":99}],"writes":[{"put":"c/2","data":1,"tenure":77}]}`, 400, "no such lease"},
+	{"put without a lease detaches the key", "state", "POST", "/multi", `{"writes":[{"put":"c/1","data":2},{"put":"c/3","data":3,"tenure":1}]}`, 200, `"ledger":3`},
+	{"revocation ends a lease at once", "state", "DELETE", "/leases/1", "", 200, ""},
+	{"key attached to a revoked lease", "state", "GET", "/kv/c/3", "", 404, ""},
+	{"key detached from a revoked lease", "state", "GET", "/kv/c/1", "", 200, `"data":2`},
+	{"renewal of a revoked lease", "state", "POST", "/leases/1/touch", `{}`, 404, ""},
+	{"watch returns all changes after a revision", "state", "GET", "/watch?starts=c/&after=2&wait_ms=1000", "", 200, `{"put":"c/3","data":3,"stamp":3},{"remove":"c/3","stamp":4}`},
+	{"watch without waiting", "state", "GET", "/watch?starts=c/&after=4", "", 200, `"news":[]`},
+	{"machine types", "cloud", "GET", "/machine_types", "", 200, `"label":"big"`},
+	{"rental of at most the requested number", "cloud", "POST", "/rentals", `{"hire":"r-1","breed":"big","paddock":"a","borrowed":false,"number":2}`, 200, `{"stokers":["host-000000","host-000001"]}`},
+	{"repeated rental gives the same answer and rents nothing", "cloud", "POST", "/rentals", `{"hire":"r-1","breed":"big","paddock":"a","borrowed":false,"number":2}`, 200, `{"stokers":["host-000000","host-000001"]}`},
+	{"partly filled rental", "cloud", "POST", "/rentals", `{"hire":"r-2","breed":"big","paddock":"a","borrowed":false,"number":9}`, 200, `{"stokers":["host-000002"]}`},
+	{"rental without capacity", "cloud", "POST", "/rentals", `{"hire":"r-3","breed":"big","paddock":"a","borrowed":false,"number":1}`, 503, "no capacity"},
+	{"rental of more than 50 machines", "cloud", "POST", "/rentals", `{"hire":"r-4","breed":"big","paddock":"a","borrowed":false,"number":51}`, 400, ""},
+	{"rental of an unknown type", "cloud", "POST", "/rentals", `{"hire":"r-5","breed":"small","paddock":"a","borrowed":false,"number":1}`, 400, ""},
+	{"release ignores unknown names", "cloud", "POST", "/rentals/release", `{"stokers":["host-000002","host-999999"]}`, 200, ""},
+	{"list in order of names", "cloud", "GET", "/rentals?after=host-000000&most=500", "", 200, `"name_id":"host-000001"`},
+	{"released capacity rented again under another name", "cloud", "POST", "/rentals", `{"hire":"r-6","breed":"big","paddock":"a","borrowed":false,"number":1}`, 200, `host-000003`},
 }
 
-// TestProtocol plays the same sentences against the model alone, in fake time,
-// and over sockets.
+// TestProtocol checks that the environment in fake time and the services over sockets both
+// answer as the published protocol requires.
 func TestProtocol(t *testing.T) {
-	w, err := environment.New(bare(), nil)
+	w, err := environment.New(idleConfig(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,9 +133,9 @@
 		}
 		return 0, "no answer"
 	}
-	d := running(t, bare(), Options{Dir: t.TempDir()})
+	d := startDriver(t, idleConfig(), Options{Dir: t.TempDir()})
 	var p config.Platform
-	for range 500 { // until it has written its settings
+	for range 500 { // until the driver has written the settings
 		if b, err := os.ReadFile(d.SettingsPath(0)); err == nil && json.Unmarshal(b, &p) == nil && p.Services.State != "" {
 			break
 		}
@@ -160,37 +161,38 @@
 		}
 		return resp.StatusCode, string(b)
 	}
-	for _, tc := range protocol {
+	for _, tc := range protocolCases {
 		for name, ask := range map[string]func(string, *http.Request) (int, string){"model": model, "sockets": socket} {
 			status, body := ask(tc.to, httptest.NewRequest(tc.method, tc.target, strings.NewReader(tc.body)))
-			if status != tc.status || !strings.Contains(body, tc.has) {
-				t.Errorf("%s: %s: %d %.300s, want %d with %s", name, tc.says, status, body, tc.status, tc.has)
+			if status != tc.status || !strings.Contains(body, tc.wantBody) {
+				t.Errorf("%s: %s: got status %d with body %.300s, want status %d with body containing %s", name, tc.name, status, body, tc.status, tc.wantBody)
 			}
 		}
 	}
 }
 
-// built is a directory for a test with controllers as they run, which takes half a
-// minute, and their program.
-func built(t *testing.T) (dir, binary string) {
+// buildController builds the controller program and returns its path and a temporary directory
+// for the test. It skips the test in short mode, as tests with real controllers take half a
+// minute.
+func buildController(t *testing.T) (dir, binary string) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("it takes half a minute")
+		t.Skip("tests with real controllers take half a minute")
 	}
 	dir = t.TempDir()
 	binary = filepath.Join(dir, "zinclb")
 	if b, err := exec.Command("go", "build", "-o", binary, "github.com/zinclb/zinclb/cmd/zinclb").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, b)
+		t.Fatalf("build controller: got error %v, want none; output:\n%s", err, b)
 	}
 	return dir, binary
 }
 
-// TestZoneOutage runs three real controllers on loopback through an outage of a
-// zone. What is judged is the history and nothing of time: no rule is broken and
-// no gang begins with only a part of its tasks.
+// TestZoneOutage runs three real controllers on loopback through the outage of a zone. It
+// checks only the history, not durations: no rule may be broken, and no gang may start with
+// only some of its tasks.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
-	dir, binary := built(t)
+	dir, binary := buildController(t)
 	s, err := scenario.Load("../../../scenarios/quiet-day.txtpb", 5)
 	if err != nil {
 		t.Fatal(err)
@@ -206,20 +208,20 @@
 		t.Fatal(err)
 	}
 	for _, b := range history.CheckAll(h, d.Expectations()) {
-		if b.Rule != "nothing_ran" { // on a machine that is too slow
+		if b.Rule != "nothing_ran" { // may happen if the test machine is too slow
 			t.Error(b)
 		}
 	}
-	t.Logf("%d events, %d of them starts", len(h), len(slices.DeleteFunc(slices.Clone(h), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
+	t.Logf("%d events, %d of them task starts", len(h), len(slices.DeleteFunc(slices.Clone(h), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
 }
 
-// BenchmarkFake is how many simulated seconds pass in a second, with 2,000
-// machines at work under three controllers.
+// BenchmarkFake measures the simulated seconds per second in fake time with three controllers
+// and 20, 200 and 2,000 busy machines.
 func BenchmarkFake(b *testing.B) {
 	for _, machines := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				c := bare()
+				c := idleConfig()
 				c.Params.Size, c.Length = 3, 120_000_000
 				c.Params.Teams[0].Name = "t"
 				c.Params.Workers.ReportS = 8
--- a/internal/emulator/sockets/requests.go
+++ b/internal/emulator/sockets/requests.go
@@ -9,13 +9,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// The limits of pages where a request names none.
+// Default page sizes of lists, in entries.
 const (
 	defaultListLimit     = 1000
 	defaultMachinesLimit = 500
 )
 
-// readState reads a request to the state service, nil if it is malformed.
+// readState parses a request to the state service. It returns nil if the request is malformed.
 func readState(r *http.Request) any {
 	path := r.URL.Path
 	switch {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// readBody reads a body of a type, nil if it is malformed.
+// readBody decodes a request body as a T. It returns nil if the body is malformed.
 func readBody[T any](r *http.Request) any {
 	var body T
 	if !decode(r, &body) {
@@ -42,10 +42,11 @@
 	return body
 }
 
-// readNumber reads a number of a query that may be missing.
-func readNumber(query url.Values, name string, missing uint64) (uint64, bool) {
+// readNumber parses a number in a query. It returns the default value if the number is missing,
+// and false if it is malformed.
+func readNumber(query url.Values, name string, defaultValue uint64) (uint64, bool) {
 	if query.Get(name) == "" {
-		return missing, true
+		return defaultValue, true
 	}
 	n, err := strconv.ParseUint(query.Get(name), 10, 63)
 	return n, err == nil
@@ -68,7 +69,7 @@
 	return wire.Watch{Prefix: query.Get("starts"), After: after, WaitMS: int64(wait)}
 }
 
-// readLease reads a request that grants, renews or revokes a lease.
+// readLease parses a request that grants, renews or revokes a lease.
 func readLease(r *http.Request) any {
 	path := r.URL.Path
 	if r.Method == http.MethodPost && path == "/leases" {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// readCloud reads a request to the cloud.
+// readCloud parses a request to the cloud. It returns nil if the request is malformed.
 func readCloud(r *http.Request) any {
 	switch r.Method + " " + r.URL.Path {
 	case "GET /machine_types":
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// readWorker reads a request to a worker.
+// readWorker parses a request to a worker. It returns nil if the request is malformed.
 func readWorker(r *http.Request) any {
 	switch r.Method + " " + r.URL.Path {
 	case "POST /do":
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -14,26 +14,27 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// maxBodyBytes is the largest request.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 64 << 10
 
-// client never follows a redirect; a user makes a new connection each time.
-func client(fresh bool) *http.Client {
+// newClient returns an HTTP client that does not follow redirects. If freshConnections is true,
+// it opens a new connection for each request, as users do.
+func newClient(freshConnections bool) *http.Client {
 	return &http.Client{
 		Timeout:       6 * time.Second,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		Transport:     &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second},
+		Transport:     &http.Transport{DisableKeepAlives: freshConnections, MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second},
 	}
 }
 
-// endpoint is an address that is served.
+// endpoint is an address on which the driver serves requests.
 type endpoint struct {
 	addr  string
 	close func()
 }
 
-// serve serves a handler on an address of loopback; by is the host whose messages
-// come there, the zero Key for many.
+// serve serves a handler on a loopback address. by is the host whose messages arrive there, or
+// the zero Key if several hosts use the address.
 func (d *Driver) serve(addr string, h http.HandlerFunc, by meter.Key) (endpoint, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -44,31 +45,32 @@
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
-		_ = s.Serve(l) // it ends with Close
+		_ = s.Serve(l) // returns when the server is closed
 	}()
 	return endpoint{l.Addr().String(), func() { _ = s.Close() }}, nil
 }
 
-// decode reads a body, strictly enough for a 400.
+// decode decodes the JSON body of a request into v. It returns false if the body is malformed or
+// too large, which the callers answer with status 400.
 func decode(r *http.Request, v any) bool {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	return err == nil && len(b) <= maxBodyBytes && json.Unmarshal(b, v) == nil
 }
 
-// write answers a request and returns the length of the body.
-func write(w http.ResponseWriter, status int, v any) int {
+// writeJSON answers a request with v as JSON and returns the length of the body.
+func writeJSON(w http.ResponseWriter, status int, v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs always encode
+		panic(err) // structs of plain fields can always be encoded
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(b) // the caller may be gone
+	_, _ = w.Write(b) // the client may have disconnected
 	return len(b)
 }
 
-// drop breaks the connection.
-func drop(w http.ResponseWriter) {
+// closeConnection closes the connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			_ = c.Close()
@@ -76,23 +78,25 @@
 	}
 }
 
-// forward makes a handler that reads a request, sends it to a host of the environment and
-// writes the answer; alter may change its body first.
-func (d *Driver) forward(known, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
+// forward returns a handler that parses a request with read, passes it to the host named by to
+// in the environment and writes the answer. sender is the controller that sends the requests,
+// or "" if the handler has to find it by the connection. If alter is not nil, it is applied to
+// the body of the answer first.
+func (d *Driver) forward(sender, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		q, from := read(r), known
+		q, from := read(r), sender
 		if q == nil {
-			write(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
-		// A server only sees that a client has gone once the body is read.
+		// The server notices that the client has disconnected only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		if from == "" {
 			from = d.connectionOwner(r.RemoteAddr)
 		}
 		status, body, err := d.call(from, to, q, r.Context().Done())
 		if err != nil || status == 0 {
-			drop(w)
+			closeConnection(w)
 			return
 		}
 		if r, ok := q.(wire.Release); ok && status == 200 && d.Workers != nil {
@@ -101,14 +105,15 @@
 		if alter != nil {
 			body = alter(body)
 		}
-		length := write(w, status, body)
+		length := writeJSON(w, status, body)
 		if from != "" && to != "" {
 			d.Meter.Add(meter.Key{Host: from, Kind: kindOf(q)}, requestCount(q, status, r.ContentLength, length))
 		}
 	}
 }
 
-// requestCount is what one request to a service counts for.
+// requestCount returns the counts of one request to a service; out and in are the lengths of
+// its body and of the body of the answer.
 func requestCount(request any, status int, out int64, in int) meter.Count {
 	c := meter.Count{Messages: 1, BytesOut: max(out, 0), BytesIn: int64(in)}
 	if status == http.StatusTooManyRequests {
@@ -120,7 +125,7 @@
 	return c
 }
 
-// kindOf names the kind of a request to a service.
+// kindOf returns the kind under which a request is counted.
 func kindOf(request any) string {
 	switch q := request.(type) {
 	case wire.Get:
@@ -151,7 +156,7 @@
 	return "other"
 }
 
-// endpoint is the address of a machine, which is opened when it is first needed.
+// endpoint returns the address of a machine and opens it on first use.
 func (d *Driver) endpoint(name string) string {
 	if d.Workers != nil {
 		return d.Workers.Address(name)
@@ -163,17 +168,17 @@
 	}
 	e, err := d.serve("127.0.0.1:0", d.forward("", name, readWorker, d.withAddresses), meter.Key{})
 	if err != nil {
-		slog.Warn("a worker has no address", "machine", name, "error", err)
+		slog.Warn("cannot open worker address", "machine", name, "error", err)
 		return "127.0.0.1:9"
 	}
 	d.endpoints[name] = e
 	return e.addr
 }
 
-// machine opens and closes a machine's address.
-func (d *Driver) machine(m environment.Machine) {
+// updateMachine opens or closes a machine's address, or passes the change to Workers if set.
+func (d *Driver) updateMachine(m environment.Machine) {
 	if d.Workers != nil {
-		d.Workers.Machine(m)
+		d.Workers.UpdateMachine(m)
 		return
 	}
 	if m.Up {
@@ -192,7 +197,7 @@
 	}
 }
 
-// withAddresses puts the addresses of machines into answers and reports that name them.
+// withAddresses sets the addresses of the machines in a list of machines or a report.
 func (d *Driver) withAddresses(body any) any {
 	switch b := body.(type) {
 	case wire.MachinesAnswer:
--- a/internal/emulator/sockets/workers.go
+++ b/internal/emulator/sockets/workers.go
@@ -11,10 +11,10 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// NewWorkerDriver makes a driver of an environment of workers alone, which report to
-// controllers at some addresses. Each worker has connections of its own, as
-// one on a machine of its own has.
-func NewWorkerDriver(cfg environment.Config, fronts []string, o Options) (*Driver, error) {
+// NewWorkerDriver returns a driver of an environment that consists of workers only, which
+// report to the controllers at the given addresses. Each worker has its own connections, as
+// it would have on its own machine.
+func NewWorkerDriver(cfg environment.Config, controllerAddresses []string, o Options) (*Driver, error) {
 	d := newDriver(cfg, o)
 	w, err := environment.NewWorkerEnvironment(cfg, d.onEvent)
 	if err != nil {
@@ -22,46 +22,47 @@
 	}
 	d.env, d.workersOnly = w, true
 	d.reportClients, d.workerTokens = map[string]*http.Client{}, map[string]uint64{}
-	for i, front := range fronts {
-		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: front})
+	for i, publicAddr := range controllerAddresses {
+		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: publicAddr})
 	}
 	return d, nil
 }
 
-// RunWorkers serves the workers until the channel is closed.
+// RunWorkers serves the workers until end is closed.
 func (d *Driver) RunWorkers(end <-chan struct{}) {
 	defer d.close()
 	d.loop(end)
 }
 
-// Tell gives the environment a message about a worker, and calls then, if it is not nil,
-// when that has taken effect.
-func (d *Driver) Tell(msg any, then func()) {
+// PostMessage queues a message about a worker for the environment. If done is not nil, it is
+// called once the message has taken effect.
+func (d *Driver) PostMessage(msg any, done func()) {
 	d.onActor(func() {
 		d.step(msg)
-		if then != nil {
-			then()
+		if done != nil {
+			done()
 		}
 	})
 }
 
-// Endpoint is the address of a worker.
+// Endpoint returns the address of a worker.
 func (d *Driver) Endpoint(machine string) string { return d.endpoint(machine) }
 
-// reportClient is the client by which a worker reports.
+// reportClient returns the HTTP client with which a worker reports. It must be called by the
+// actor.
 func (d *Driver) reportClient(machine string) *http.Client {
 	if !d.workersOnly {
 		return d.peerReportClient
 	}
 	if d.reportClients[machine] == nil {
-		d.reportClients[machine] = d.ownClient(machine)
+		d.reportClients[machine] = d.newReportClient(machine)
 	}
 	return d.reportClients[machine]
 }
 
-// ownClient makes a client whose connections are one worker's alone.
-func (d *Driver) ownClient(machine string) *http.Client {
-	c := client(false)
+// newReportClient returns an HTTP client whose connections are used by one worker only.
+func (d *Driver) newReportClient(machine string) *http.Client {
+	c := newClient(false)
 	names := map[string]string{}
 	for _, n := range d.controllers {
 		names[n.publicAddr] = n.name
@@ -80,8 +81,9 @@
 	return c
 }
 
-// noteToken records the fencing token of an answer that a worker got; the actor calls it.
-func (d *Driver) noteToken(request any, t environment.AskAnswer) {
+// recordWorkerToken records the fencing token of an answer to a worker if it is the highest
+// so far. It must be called by the actor.
+func (d *Driver) recordWorkerToken(request any, t environment.AskAnswer) {
 	report, isReport := request.(*wire.Report)
 	answer, isAnswer := t.Body.(wire.HeartbeatAnswer)
 	if d.OnTokenAccepted == nil || !isReport || !isAnswer || t.Status != http.StatusOK || answer.Token <= d.workerTokens[report.Machine] {
@@ -91,12 +93,13 @@
 	d.OnTokenAccepted(answer.Token, d.now())
 }
 
-// ReportKind is the kind under which reports are counted, for the worker and for the
-// controller.
+// ReportKind is the message kind under which reports are counted, both for the worker and for
+// the controller.
 const ReportKind = "report"
 
-// countRequest counts a request that a controller has answered.
-func (d *Driver) countRequest(node string, a environment.Ask, status int) {
+// countRequest counts a request that a controller has answered; a report counts for its worker
+// as well.
+func (d *Driver) countRequest(controller string, a environment.Ask, status int) {
 	kind := ""
 	switch q := a.Request.(type) {
 	case *wire.Report:
@@ -117,5 +120,5 @@
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		c.Refused = 1
 	}
-	d.Meter.Add(meter.Key{Host: node, Kind: kind}, c)
+	d.Meter.Add(meter.Key{Host: controller, Kind: kind}, c)
 }
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -1,11 +1,11 @@
-// Package wire has the protocols' requests and answers as the emulator sees
-// them from the outside: the names of the published protocol stand in its tags
-// and nowhere else in the emulator. Durations are seconds, as on the wire.
+// Package wire defines the requests and responses of the published protocols as the
+// emulator uses them. The field names of the published protocol appear in the JSON tags
+// of this package and nowhere else in the emulator. Durations are in seconds, as on the wire.
 package wire
 
 import "encoding/json"
 
-// Job is a submission.
+// Job is the body of a job submission.
 type Job struct {
 	ID              string   `json:"name_id"`
 	Class           string   `json:"herd"`
@@ -30,7 +30,7 @@
 	DependsOn       []string `json:"awaits,omitempty"`
 }
 
-// The kinds of jobs, the final states and the states between.
+// Kinds and states of jobs.
 const (
 	Array   = "sweep"
 	Gang    = "gang"
@@ -42,9 +42,9 @@
 	Cancelled = "withdrawn"
 )
 
-// Requests of users besides a Job, and their answer.
+// User requests other than a Job, and the response to them.
 type (
-	// RawSubmission is the body of a submission that need not be a Job.
+	// RawSubmission is a submission with an arbitrary body, which may be no valid Job.
 	RawSubmission struct{ Body []byte }
 	// Poll asks for the state of a job.
 	Poll struct{ ID string }
@@ -58,7 +58,7 @@
 	SweepPoll struct{ ID string }
 	// SweepCancel cancels a sweep.
 	SweepCancel struct{ ID string }
-	// JobAnswer answers all requests about a job or a sweep.
+	// JobAnswer is the response to every request about a job or a sweep.
 	JobAnswer struct {
 		ID      string `json:"name_id"`
 		State   string `json:"status"`
@@ -67,7 +67,7 @@
 	}
 )
 
-// Report is the heartbeat of a worker, with the state of its machine.
+// Report is a worker heartbeat that carries the state of its machine.
 type Report struct {
 	Machine string   `json:"stoker"`
 	Addr    string   `json:"endpoint"`
@@ -81,7 +81,7 @@
 	Tasks   []Task   `json:"hands"`
 }
 
-// Task is one task of a report.
+// Task is the state of one task in a Report.
 type Task struct {
 	Name    string `json:"hand"`
 	Attempt uint64 `json:"try"`
@@ -90,7 +90,7 @@
 	Saved   bool   `json:"stored,omitempty"`
 }
 
-// The states of a task on its machine.
+// States of a task on its machine.
 const (
 	Fetching = "fetching"
 	Waiting  = "waiting"
@@ -98,7 +98,7 @@
 	Ended    = "ended"
 )
 
-// Order is a command to a worker.
+// Order is a command that a controller sends to a worker.
 type Order struct {
 	Op      string  `json:"verb"`
 	Task    string  `json:"hand"`
@@ -106,7 +106,7 @@
 	GraceS  float64 `json:"wind_down_s,omitempty"`
 }
 
-// HeartbeatAnswer answers a report; Leader is in that with status 421.
+// HeartbeatAnswer is the response to a Report. Leader is set in responses with status 421.
 type HeartbeatAnswer struct {
 	Token  uint64  `json:"baton"`
 	Orders []Order `json:"orders"`
@@ -115,21 +115,21 @@
 
 // Requests to a worker.
 type (
-	// WorkerOrders are commands sent to a worker's own address.
+	// WorkerOrders carries commands that are sent to the worker's own address.
 	WorkerOrders struct {
 		Token   *uint64 `json:"baton"`
 		Session *uint64 `json:"shift"`
 		Orders  []Order `json:"orders"`
 	}
-	// Inspect asks a worker for its report.
+	// Inspect asks a worker for its current Report.
 	Inspect struct{}
 )
 
-// Requests to the cloud, and their answers.
+// Requests to the cloud, and the responses to them.
 type (
-	// Types asks for the types of machines.
+	// Types requests the list of machine types.
 	Types struct{}
-	// MachineType is a type of machines, also in the configuration of the emulator.
+	// MachineType describes a machine type. The emulator configuration uses it too.
 	MachineType struct {
 		Name      string   `json:"label"`
 		CPUs      float64  `json:"vcpus"`
@@ -142,11 +142,11 @@
 		BootS     float64  `json:"boot_s"`
 		Zones     []string `json:"paddocks"`
 	}
-	// TypesAnswer answers Types.
+	// TypesAnswer is the response to Types.
 	TypesAnswer struct {
 		Types []MachineType `json:"breeds"`
 	}
-	// Rent asks for machines; Request makes repetitions idempotent.
+	// Rent requests machines. Request is the idempotency key of repeated requests.
 	Rent struct {
 		Request string `json:"hire"`
 		Type    string `json:"breed"`
@@ -154,18 +154,18 @@
 		Spot    bool   `json:"borrowed"`
 		Count   int    `json:"number"`
 	}
-	// MachineNames answers Rent.
+	// MachineNames is the response to Rent.
 	MachineNames struct {
 		Machines []string `json:"stokers"`
 	}
 	// Release returns machines.
 	Release struct{ MachineNames }
-	// Machines asks for a page of the list of machines.
+	// Machines requests one page of the list of rented machines.
 	Machines struct {
 		After string
 		Limit int
 	}
-	// Listing is a machine in the list.
+	// Listing is an entry of the list of rented machines.
 	Listing struct {
 		Name   string  `json:"name_id"`
 		Addr   string  `json:"endpoint"`
@@ -175,22 +175,22 @@
 		Status string  `json:"status"`
 		AgeS   float64 `json:"held_s"`
 	}
-	// MachinesAnswer answers Machines.
+	// MachinesAnswer is the response to Machines.
 	MachinesAnswer struct {
 		Machines []Listing `json:"stokers"`
 		More     bool      `json:"truncated"`
 	}
-	// Error is the body of an answer that reports an error.
+	// Error is the body of an error response.
 	Error struct {
 		Error string `json:"error"`
 	}
 )
 
-// Requests to the state service, and their answers.
+// Requests to the state service, and the responses to them.
 type (
 	// Get reads a key.
 	Get struct{ Key string }
-	// List reads a page of the keys with a prefix.
+	// List reads one page of the keys that have a prefix.
 	List struct {
 		Prefix, After string
 		Limit         int
@@ -202,18 +202,19 @@
 		Stamp uint64          `json:"stamp"`
 		Lease uint64          `json:"tenure,omitempty"`
 	}
-	// Page answers List.
+	// Page is the response to List.
 	Page struct {
 		Rows     []Row  `json:"rows"`
 		More     bool   `json:"truncated"`
 		Revision uint64 `json:"ledger"`
 	}
-	// Cond is the condition that a key has a revision, 0 for a key that does not exist.
+	// Cond requires that a key has the given revision; revision 0 requires that the key does
+	// not exist.
 	Cond struct {
 		Key      string `json:"path"`
 		Revision uint64 `json:"stamp"`
 	}
-	// Write puts or removes a key.
+	// Write puts or removes one key.
 	Write struct {
 		Put    string          `json:"put,omitempty"`
 		Value  json.RawMessage `json:"data,omitempty"`
@@ -225,45 +226,47 @@
 		Conditions []Cond  `json:"when"`
 		Writes     []Write `json:"writes"`
 	}
-	// TransactionAnswer answers Transaction; Failed are the keys whose conditions did not hold.
+	// TransactionAnswer is the response to Transaction. Failed lists the keys whose
+	// conditions did not hold.
 	TransactionAnswer struct {
 		Revision uint64   `json:"ledger"`
 		Failed   []string `json:"failed,omitempty"`
 	}
-	// NewLease grants a lease.
+	// NewLease requests a lease.
 	NewLease struct {
 		DurationMS int64 `json:"life_ms"`
 	}
-	// Lease answers NewLease.
+	// Lease is the response to NewLease.
 	Lease struct {
 		Lease uint64 `json:"tenure"`
 	}
 	// RenewLease renews a lease.
 	RenewLease struct{ Lease uint64 }
-	// RevokeLease ends a lease and removes its keys.
+	// RevokeLease revokes a lease and removes the keys attached to it.
 	RevokeLease struct{ Lease uint64 }
-	// Watch asks for the changes of a prefix after a revision, and waits for the first.
+	// Watch requests the changes to keys with a prefix after a revision, and waits up to
+	// WaitMS for the first one.
 	Watch struct {
 		Prefix string
 		After  uint64
 		WaitMS int64
 	}
-	// Change is a key that was put or removed.
+	// Change is one key that was put or removed.
 	Change struct {
 		Put    string          `json:"put,omitempty"`
 		Value  json.RawMessage `json:"data,omitempty"`
 		Remove string          `json:"remove,omitempty"`
 		Stamp  uint64          `json:"stamp"`
 	}
-	// WatchAnswer answers Watch.
+	// WatchAnswer is the response to Watch.
 	WatchAnswer struct {
 		Revision uint64   `json:"ledger"`
 		Changes  []Change `json:"news"`
 	}
 )
 
-// Key is the key that a write is about.
+// Key returns the key that the write puts or removes.
 func (w Write) Key() string { return w.Put + w.Remove }
 
-// Key is the key that a change is about.
+// Key returns the key that was put or removed.
 func (c Change) Key() string { return c.Put + c.Remove }
--- a/internal/emulator/workerproc/messages.go
+++ b/internal/emulator/workerproc/messages.go
@@ -1,7 +1,7 @@
-// Package workerproc runs the workers of an emulated environment in other processes: some
-// hundreds of simulated workers in one process, or one worker in a process whose cost can
-// then be measured by itself. Both sides of the exchange are here; it goes over the standard
-// input and output of each process.
+// Package workerproc runs the workers of an emulated environment in separate processes:
+// either hundreds of simulated workers in one process, or a single worker in a process of its
+// own so that its cost can be measured. The package implements both sides of the protocol,
+// which uses the standard input and output of each process.
 package workerproc
 
 import (
@@ -11,47 +11,47 @@
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 )
 
-// Hello is the first message to a process.
+// Hello is the first message to a worker process.
 type Hello struct {
 	Config environment.Config
-	// ControllerAddresses are the controllers' addresses.
+	// ControllerAddresses are the addresses at which controllers serve workers.
 	ControllerAddresses []string
-	// Start is when the environment's time begins, in microseconds of the time of day.
+	// Start is the start time of the environment, in microseconds since the Unix epoch.
 	Start int64
 }
 
-// Command is a message to a process after that.
+// Command is any message to a worker process after Hello.
 type Command struct {
 	Begin     []environment.WorkerBegin
 	End       []environment.WorkerEnd
 	Faults    []environment.WorkerFault
 	Completed []environment.TaskCompleted
-	// Snapshot asks for one under this number; 0 does not.
+	// Snapshot requests a snapshot with this number; 0 requests none.
 	Snapshot int
 }
 
-// Update is a message from a process.
+// Update is a message from a worker process.
 type Update struct {
 	Events []history.Event
-	// Addresses are those of workers that have begun, Ended are workers that have
-	// ended.
+	// Addresses holds the addresses of workers that have started, by machine name. Ended
+	// lists the machines whose workers have stopped.
 	Addresses map[string]string
 	Ended     []string
 	Snapshot  *Snapshot
 }
 
-// Snapshot is what a process has counted since its start.
+// Snapshot holds the counters of a worker process since its start.
 type Snapshot struct {
 	Number int
 	Counts []meter.Row
-	// TokenTimes says for each token when each worker first took an answer with it.
+	// TokenTimes holds, for each token, when each worker first accepted an answer with it.
 	TokenTimes TokenTimes
 	Lateness   sockets.Lateness
 }
 
-// TokenTimes says for each fencing token when workers first had an answer with it, in
-// microseconds since the start.
+// TokenTimes maps each fencing token to the times at which workers first received an answer
+// with it, in microseconds since the start.
 type TokenTimes map[uint64][]int64
 
-// Add adds times of a token.
+// Add appends times to those of a token.
 func (t TokenTimes) Add(token uint64, at ...int64) { t[token] = append(t[token], at...) }
--- a/internal/emulator/workerproc/pool.go
+++ b/internal/emulator/workerproc/pool.go
@@ -16,30 +16,31 @@
 	"github.com/zinclb/zinclb/internal/emulator/history"
 )
 
-// Layout says which process has which worker.
+// Layout assigns workers to processes.
 type Layout struct {
-	// Dedicated are the machines whose workers have a process of their own; all others
-	// share one for each zone.
+	// Dedicated lists the machines whose workers each have a process of their own. All other
+	// workers share one process per zone.
 	Dedicated []string
 }
 
-// Process is a process with workers, as others see it.
+// Process describes a worker process.
 type Process struct {
 	Name string
 	PID  int
-	// Dedicated: it has one worker, of the machine of that name.
+	// Dedicated reports whether the process runs only the worker of the machine Name.
+	// Otherwise Name is a zone.
 	Dedicated bool
 }
 
-// Pool starts the processes and sends them commands.
+// Pool starts the worker processes and sends them commands.
 type Pool struct {
-	// OnEvents gets the events of the processes.
+	// OnEvents is called with the events that the processes report.
 	OnEvents func([]history.Event)
 
 	procs []*process
 
 	mu           sync.Mutex
-	byMachine    map[string]*process // by machine
+	byMachine    map[string]*process // keyed by machine name
 	addresses    map[string]string
 	ended        map[string]chan struct{}
 	snapshots    map[int]chan Snapshot
@@ -47,7 +48,7 @@
 	completed    map[environment.TaskCompleted]bool
 }
 
-// process is one of the processes. Commands are queued, so that no caller blocks.
+// process is a running worker process. Its commands are queued so that callers do not block.
 type process struct {
 	Process
 	cmd   *exec.Cmd
@@ -55,17 +56,18 @@
 	stdin io.WriteCloser
 }
 
-// queueSize bounds the commands that wait for a process.
+// queueSize is the maximum number of commands queued for one process.
 const queueSize = 1 << 14
 
-// noAddress is where nobody listens: a worker's until it has begun.
+// noAddress is an address on which nothing listens. It stands for a worker that has not
+// started yet.
 const noAddress = "127.0.0.1:9"
 
-// Start starts a process for each zone and for each dedicated worker.
-// Each is the given program with arguments by which it calls Serve.
-func Start(program string, args []string, cfg environment.Config, fronts []string, start time.Time, layout Layout) (*Pool, error) {
+// Start starts one process per zone and one per dedicated worker. Each runs the given program
+// with arguments that make it call Serve.
+func Start(program string, args []string, cfg environment.Config, controllerAddresses []string, start time.Time, layout Layout) (*Pool, error) {
 	p := &Pool{byMachine: map[string]*process{}, addresses: map[string]string{}, ended: map[string]chan struct{}{}, snapshots: map[int]chan Snapshot{}, completed: map[environment.TaskCompleted]bool{}}
-	hello := Hello{Config: cfg, ControllerAddresses: fronts, Start: start.UnixMicro()}
+	hello := Hello{Config: cfg, ControllerAddresses: controllerAddresses, Start: start.UnixMicro()}
 	for i, zone := range cfg.Params.Zones {
 		hello.Config.Seed = cfg.Seed + uint64(i) + 1
 		if err := p.start(program, args, zone, false, hello); err != nil {
@@ -83,60 +85,60 @@
 	return p, nil
 }
 
-func (p *Pool) start(program string, args []string, name string, alone bool, hello Hello) error {
+func (p *Pool) start(program string, args []string, name string, dedicated bool, hello Hello) error {
 	cmd := exec.Command(program, args...)
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	in, err := cmd.StdinPipe()
 	if err != nil {
-		return fmt.Errorf("workers of %s: %w", name, err)
+		return fmt.Errorf("start worker process %s: %w", name, err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		return fmt.Errorf("workers of %s: %w", name, err)
+		return fmt.Errorf("start worker process %s: %w", name, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("workers of %s: %w", name, err)
+		return fmt.Errorf("start worker process %s: %w", name, err)
 	}
-	x := &process{Process: Process{Name: name, PID: cmd.Process.Pid, Dedicated: alone}, cmd: cmd, queue: make(chan Command, queueSize), stdin: in}
-	p.procs = append(p.procs, x)
-	go x.writeCommands(hello)
-	go p.readUpdates(x, out)
+	proc := &process{Process: Process{Name: name, PID: cmd.Process.Pid, Dedicated: dedicated}, cmd: cmd, queue: make(chan Command, queueSize), stdin: in}
+	p.procs = append(p.procs, proc)
+	go proc.writeCommands(hello)
+	go p.readUpdates(proc, out)
 	return nil
 }
 
-// writeCommands sends what is queued, until the process has gone.
-func (x *process) writeCommands(hello Hello) {
-	enc := gob.NewEncoder(x.stdin)
+// writeCommands sends the queued commands until a write fails because the process has exited.
+func (proc *process) writeCommands(hello Hello) {
+	enc := gob.NewEncoder(proc.stdin)
 	if enc.Encode(hello) != nil {
 		return
 	}
-	for c := range x.queue {
+	for c := range proc.queue {
 		if enc.Encode(c) != nil {
 			return
 		}
 	}
-	_ = x.stdin.Close() // by which it ends
+	_ = proc.stdin.Close() // the process exits at the end of its input
 }
 
-// readUpdates applies the updates of a process until it ends.
-func (p *Pool) readUpdates(x *process, out io.Reader) {
+// readUpdates applies the updates of a process until its output ends.
+func (p *Pool) readUpdates(proc *process, out io.Reader) {
 	dec := gob.NewDecoder(out)
 	for {
 		var u Update
 		if dec.Decode(&u) != nil {
 			return
 		}
-		p.applyUpdate(x, u)
+		p.applyUpdate(proc, u)
 	}
 }
 
-func (p *Pool) applyUpdate(x *process, u Update) {
+func (p *Pool) applyUpdate(proc *process, u Update) {
 	if len(u.Events) > 0 {
 		p.OnEvents(u.Events)
 		p.broadcastCompleted(u.Events)
-		if x.Dedicated {
-			p.forwardCompleted(x, u.Events)
+		if proc.Dedicated {
+			p.forwardCompleted(proc, u.Events)
 		}
 	}
 	p.mu.Lock()
@@ -155,9 +157,9 @@
 	}
 }
 
-// broadcastCompleted sends the completed tasks to the processes with many workers: a result
-// is kept for whoever starts the task again. Those with one worker only get what they need,
-// as their cost is measured.
+// broadcastCompleted sends the completed tasks to all processes that are not dedicated,
+// because the result of a task is kept for any worker that starts the task again. A dedicated
+// process gets only the completions it needs (see forwardCompleted), as its cost is measured.
 func (p *Pool) broadcastCompleted(events []history.Event) {
 	var done []environment.TaskCompleted
 	p.mu.Lock()
@@ -172,16 +174,16 @@
 	if len(done) == 0 {
 		return
 	}
-	for _, x := range p.procs {
-		if !x.Dedicated {
-			x.enqueue(Command{Completed: done})
+	for _, proc := range p.procs {
+		if !proc.Dedicated {
+			proc.enqueue(Command{Completed: done})
 		}
 	}
 }
 
-// forwardCompleted sends a process with one worker those of its tasks that were completed
-// elsewhere.
-func (p *Pool) forwardCompleted(x *process, events []history.Event) {
+// forwardCompleted tells a dedicated process which of the tasks just placed on it have
+// already been completed elsewhere.
+func (p *Pool) forwardCompleted(proc *process, events []history.Event) {
 	var done []environment.TaskCompleted
 	p.mu.Lock()
 	for _, e := range events {
@@ -191,32 +193,32 @@
 	}
 	p.mu.Unlock()
 	if len(done) > 0 {
-		x.enqueue(Command{Completed: done})
+		proc.enqueue(Command{Completed: done})
 	}
 }
 
-func (x *process) enqueue(c Command) {
+func (proc *process) enqueue(c Command) {
 	select {
-	case x.queue <- c:
-	default: // it has ended, or is far behind; its workers stop reporting then
+	case proc.queue <- c:
+	default: // the process has exited or is far behind; its workers then stop reporting
 	}
 }
 
-// Machine begins or ends a worker.
-func (p *Pool) Machine(m environment.Machine) {
+// UpdateMachine starts the worker of a machine that is up and stops that of one that is not.
+func (p *Pool) UpdateMachine(m environment.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !m.Up {
-		if x := p.byMachine[m.Name]; x != nil {
+		if proc := p.byMachine[m.Name]; proc != nil {
 			p.ended[m.Name] = make(chan struct{})
-			x.enqueue(Command{End: []environment.WorkerEnd{{Name: m.Name, Reason: m.Reason}}})
+			proc.enqueue(Command{End: []environment.WorkerEnd{{Name: m.Name, Reason: m.Reason}}})
 			delete(p.byMachine, m.Name)
 		}
 		return
 	}
-	i := slices.IndexFunc(p.procs, func(x *process) bool { return x.Dedicated && x.Name == m.Name })
+	i := slices.IndexFunc(p.procs, func(proc *process) bool { return proc.Dedicated && proc.Name == m.Name })
 	if i < 0 {
-		i = slices.IndexFunc(p.procs, func(x *process) bool { return !x.Dedicated && x.Name == m.Zone })
+		i = slices.IndexFunc(p.procs, func(proc *process) bool { return !proc.Dedicated && proc.Name == m.Zone })
 	}
 	if i < 0 {
 		return
@@ -225,16 +227,16 @@
 	p.procs[i].enqueue(Command{Begin: []environment.WorkerBegin{{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}}})
 }
 
-// Fault injects a fault into a worker.
-func (p *Pool) Fault(f environment.WorkerFault) {
+// InjectFault injects a fault into a worker.
+func (p *Pool) InjectFault(f environment.WorkerFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if x := p.byMachine[f.Name]; x != nil {
-		x.enqueue(Command{Faults: []environment.WorkerFault{f}})
+	if proc := p.byMachine[f.Name]; proc != nil {
+		proc.enqueue(Command{Faults: []environment.WorkerFault{f}})
 	}
 }
 
-// Address is the address of a worker.
+// Address returns the address of a worker, or noAddress if it has not started yet.
 func (p *Pool) Address(machine string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,12 +246,12 @@
 	return noAddress
 }
 
-// endTimeout is how long an ending worker is waited for: its process may be gone.
+// endTimeout is the maximum time to wait for workers to stop, as their process may have exited.
 const endTimeout = 5 * time.Second
 
-// WaitEnded waits until the workers of machines that are gone have ended.
+// WaitEnded waits up to endTimeout until the workers of released machines have stopped.
 func (p *Pool) WaitEnded(machines []string) {
-	late := time.After(endTimeout)
+	timeout := time.After(endTimeout)
 	for _, m := range machines {
 		p.mu.Lock()
 		ch := p.ended[m]
@@ -259,34 +261,34 @@
 		}
 		select {
 		case <-ch:
-		case <-late:
+		case <-timeout:
 			return
 		}
 	}
 }
 
-// errNoSnapshot is returned if a process does not answer.
-var errNoSnapshot = errors.New("a process with workers does not answer")
+// errNoSnapshot is returned if a process does not send its snapshot in time.
+var errNoSnapshot = errors.New("worker process did not send a snapshot")
 
-// snapshotTimeout is how long processes may take to answer.
+// snapshotTimeout is the maximum time to wait for the snapshots of all processes.
 const snapshotTimeout = 10 * time.Second
 
-// Snapshot is what each process has counted, by its name.
+// Snapshot returns the counters of each process, by process name.
 func (p *Pool) Snapshot() (map[string]Snapshot, error) {
 	out := map[string]Snapshot{}
-	late := time.After(snapshotTimeout)
-	for _, x := range p.procs {
+	timeout := time.After(snapshotTimeout)
+	for _, proc := range p.procs {
 		ch := make(chan Snapshot, 1)
 		p.mu.Lock()
 		p.nextSnapshot++
 		number := p.nextSnapshot
 		p.snapshots[number] = ch
 		p.mu.Unlock()
-		x.enqueue(Command{Snapshot: number})
+		proc.enqueue(Command{Snapshot: number})
 		select {
-		case out[x.Name] = <-ch:
-		case <-late:
-			return nil, fmt.Errorf("%w: %s", errNoSnapshot, x.Name)
+		case out[proc.Name] = <-ch:
+		case <-timeout:
+			return nil, fmt.Errorf("%w: %s", errNoSnapshot, proc.Name)
 		}
 		p.mu.Lock()
 		delete(p.snapshots, number)
@@ -295,20 +297,20 @@
 	return out, nil
 }
 
-// Processes are the processes that were started.
+// Processes returns the processes that were started.
 func (p *Pool) Processes() (l []Process) {
-	for _, x := range p.procs {
-		l = append(l, x.Process)
+	for _, proc := range p.procs {
+		l = append(l, proc.Process)
 	}
 	return l
 }
 
-// Close ends all processes and waits until they have.
+// Close kills all processes and waits until they have exited.
 func (p *Pool) Close() {
-	for _, x := range p.procs {
-		_ = x.cmd.Process.Kill() // it may have ended
+	for _, proc := range p.procs {
+		_ = proc.cmd.Process.Kill() // it may have exited already
 	}
-	for _, x := range p.procs {
-		_ = x.cmd.Wait() // how it ended does not matter
+	for _, proc := range p.procs {
+		_ = proc.cmd.Wait() // the exit status does not matter
 	}
 }
--- a/internal/emulator/workerproc/serve.go
+++ b/internal/emulator/workerproc/serve.go
@@ -13,15 +13,16 @@
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 )
 
-// flushDelay is how long an event waits for others before it goes to the emulator.
+// flushDelay is how long events are collected before they are sent to the emulator in one
+// update.
 const flushDelay = 50 * time.Millisecond
 
-// Serve runs workers as the commands of the input say, until it ends.
+// Serve runs workers as directed by the commands from in, until in ends.
 func Serve(in io.Reader, out io.Writer) error {
 	dec := gob.NewDecoder(in)
 	var hello Hello
 	if err := dec.Decode(&hello); err != nil {
-		return fmt.Errorf("read what to run: %w", err)
+		return fmt.Errorf("read worker configuration: %w", err)
 	}
 	p := &server{out: gob.NewEncoder(out), meter: meter.New(), tokenTimes: TokenTimes{}}
 	d, err := sockets.NewWorkerDriver(hello.Config, hello.ControllerAddresses, sockets.Options{Meter: p.meter, OnEvent: p.onEvent, OnTokenAccepted: p.onTokenAccepted})
@@ -41,13 +42,13 @@
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
-			return fmt.Errorf("read a command: %w", err)
+			return fmt.Errorf("read command: %w", err)
 		}
 		p.apply(c)
 	}
 }
 
-// server is the side of the process with the workers.
+// server is the worker process's side of the protocol.
 type server struct {
 	driver *sockets.Driver
 	meter  *meter.Meter
@@ -60,7 +61,7 @@
 	tokenTimes TokenTimes
 }
 
-// onEvent and accepted are called by the driver's actor.
+// onEvent and onTokenAccepted are called by the driver's actor.
 func (p *server) onEvent(e history.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,10 +80,10 @@
 func (p *server) send(u Update) {
 	p.sending.Lock()
 	defer p.sending.Unlock()
-	_ = p.out.Encode(u) // whoever would read it has gone; the input ends too
+	_ = p.out.Encode(u) // on failure the emulator has exited, and the input ends too
 }
 
-// flush sends the events that have come.
+// flush sends the collected events.
 func (p *server) flush() {
 	p.mu.Lock()
 	events := p.events
@@ -95,21 +96,21 @@
 
 func (p *server) apply(c Command) {
 	for _, b := range c.Begin {
-		p.driver.Tell(b, func() {
+		p.driver.PostMessage(b, func() {
 			p.send(Update{Addresses: map[string]string{b.Name: p.driver.Endpoint(b.Name)}})
 		})
 	}
 	for _, e := range c.End {
-		p.driver.Tell(e, func() {
-			p.flush() // what ended with it comes before
+		p.driver.PostMessage(e, func() {
+			p.flush() // the worker's last events precede the notice that it has stopped
 			p.send(Update{Ended: []string{e.Name}})
 		})
 	}
 	for _, f := range c.Faults {
-		p.driver.Tell(f, nil)
+		p.driver.PostMessage(f, nil)
 	}
 	for _, t := range c.Completed {
-		p.driver.Tell(t, nil)
+		p.driver.PostMessage(t, nil)
 	}
 	if c.Snapshot != 0 {
 		go p.snapshot(c.Snapshot)
@@ -117,13 +118,13 @@
 }
 
 func (p *server) snapshot(number int) {
-	late := p.driver.Lateness()
+	lateness := p.driver.Lateness()
 	p.flush()
 	p.mu.Lock()
-	known := make(TokenTimes, len(p.tokenTimes))
+	tokenTimes := make(TokenTimes, len(p.tokenTimes))
 	for token, at := range p.tokenTimes {
-		known[token] = append([]int64(nil), at...)
+		tokenTimes[token] = append([]int64(nil), at...)
 	}
 	p.mu.Unlock()
-	p.send(Update{Snapshot: &Snapshot{Number: number, Counts: p.meter.Rows(), TokenTimes: known, Lateness: late}})
+	p.send(Update{Snapshot: &Snapshot{Number: number, Counts: p.meter.Rows(), TokenTimes: tokenTimes, Lateness: lateness}})
 }
