--- a/cmd/zinclb-emulator/capacity.go
+++ b/cmd/zinclb-emulator/capacity.go
@@ -9,13 +9,13 @@
 	"github.com/zinclb/zinclb/internal/emulator/capacity"
 )
 
-// capacityCommand remakes the tables of the capacity page from the runs that are kept.
+// capacityCommand regenerates the tables of the capacity page from stored figures of scale runs.
 func capacityCommand() *cobra.Command {
 	var page, figures string
 	var check bool
 	cmd := &cobra.Command{
 		Use:   "capacity",
-		Short: "Remakes the tables of docs/CAPACITY.md from the figures of scale runs",
+		Short: "Regenerates the tables of docs/CAPACITY.md from the figures of scale runs",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			changed, err := capacity.UpdatePage(page, figures, check)
@@ -23,17 +23,17 @@
 			case err != nil:
 				return err
 			case changed && check:
-				return errors.New("the page is not what the runs give: run zinclb-emulator capacity")
+				return errors.New("the tables of the page are out of date: run zinclb-emulator capacity")
 			case changed:
-				fmt.Println(page, "was remade")
+				fmt.Println(page, "was updated")
 			default:
-				fmt.Println(page, "is as the runs give it")
+				fmt.Println(page, "is up to date")
 			}
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page")
-	cmd.Flags().StringVar(&figures, "figures", "docs/capacity", "the directory with files of figures")
-	cmd.Flags().BoolVar(&check, "check", false, "only say whether the page would change")
+	cmd.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "page to update")
+	cmd.Flags().StringVar(&figures, "figures", "docs/capacity", "directory with the files of figures")
+	cmd.Flags().BoolVar(&check, "check", false, "fail if the page is out of date, without writing it")
 	return cmd
 }
--- a/cmd/zinclb-emulator/cases.go
+++ b/cmd/zinclb-emulator/cases.go
@@ -17,12 +17,13 @@
 // register adds the flags to a command.
 func (f *caseFlags) register(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.IntVar(&f.size, "controllers", 3, "how many controllers there are, 2 to 7")
-	flags.IntVar(&f.each, "each", 1, "play one case in so many")
-	flags.IntVar(&f.first, "first", 0, "the first one to play")
-	flags.IntVar(&f.jobs, "jobs", runtime.NumCPU(), "how many to play at once")
+	flags.IntVar(&f.size, "controllers", 3, "number of controllers, 2 to 7")
+	flags.IntVar(&f.each, "each", 1, "run every n-th case only")
+	flags.IntVar(&f.first, "first", 0, "index of the first case to run")
+	flags.IntVar(&f.jobs, "jobs", runtime.NumCPU(), "number of cases to run in parallel")
 }
 
+// check returns an error that names a flag with an invalid value.
 func (f *caseFlags) check() error {
 	switch {
 	case f.size < 2 || f.size > 7:
@@ -33,10 +34,11 @@
 	return nil
 }
 
-// caseCommand makes a command that runs enumerated cases and lists those that fall short.
-// note is called with each result, report prints what there is to say at the end.
+// caseCommand returns a command that runs enumerated cases and prints those that fall short of
+// their requirements. It calls onResult with each result, one at a time, and report with the
+// summary at the end.
 func caseCommand[C cases.Case, R cases.Result](
-	use, short string, all func(size int) []C, run func(C) (R, error), note func(R), report func(cases.Summary),
+	use, short string, all func(size int) []C, run func(C) (R, error), onResult func(R), report func(cases.Summary),
 ) *cobra.Command {
 	var flags caseFlags
 	cmd := &cobra.Command{
@@ -48,10 +50,10 @@
 				return err
 			}
 			selected := cases.EveryNth(all(flags.size), flags.first, flags.each)
-			summary := cases.RunAll(selected, flags.jobs, os.Stdout, run, note)
+			summary := cases.RunAll(selected, flags.jobs, os.Stdout, run, onResult)
 			report(summary)
 			if summary.Violating > 0 {
-				return fmt.Errorf("%d cases broke a rule", summary.Violating)
+				return fmt.Errorf("%d cases violated a rule", summary.Violating)
 			}
 			return nil
 		},
--- a/cmd/zinclb-emulator/fault_combinations.go
+++ b/cmd/zinclb-emulator/fault_combinations.go
@@ -10,20 +10,20 @@
 	"github.com/zinclb/zinclb/internal/emulator/faultcombos"
 )
 
-// faultCombosCommand runs combinations of faults.
+// faultCombosCommand returns the command that runs combinations of faults.
 func faultCombosCommand() *cobra.Command {
-	startsAfter, most := 0, 0
-	return caseCommand("troubles", "Plays days on which troubles meet in fake time, and lists what falls short",
+	startsAfter, maxStartsAfter := 0, 0
+	return caseCommand("troubles", "Runs combinations of faults in simulated time, and lists the cases that fall short",
 		faultcombos.AllCases,
 		func(c faultcombos.Case) (faultcombos.Result, error) {
 			return faultcombos.Run(c, config.Defaults(), nil)
 		},
 		func(r faultcombos.Result) {
 			startsAfter += r.StartsAfter
-			most = max(most, r.StartsAfter)
+			maxStartsAfter = max(maxStartsAfter, r.StartsAfter)
 		},
 		func(s cases.Summary) {
 			fmt.Printf("%d played, %d fell short, %d broke a rule; %d tasks entered a machine after their cancellation was confirmed, at most %d on a day\n",
-				s.Run, s.Short, s.Violating, startsAfter, most)
+				s.Run, s.Short, s.Violating, startsAfter, maxStartsAfter)
 		})
 }
--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -1,6 +1,6 @@
-// Command zinclb-emulator serves the environment of zinclb's controllers on loopback: the
-// state service, the cloud, workers, users and their load balancer, as a scenario describes
-// them, with faults. It ends by itself.
+// Command zinclb-emulator serves the environment of zinclb's controllers on loopback: the state
+// service, the cloud, workers, users and their load balancer, with faults, as a scenario describes
+// them. It exits when the time of the scenario is over.
 package main
 
 import (
@@ -37,13 +37,13 @@
 	o := sockets.Options{}
 	cmd := &cobra.Command{
 		Use:           "zinclb-emulator --scenario FILE",
-		Short:         "Serves an environment for zinclb on loopback, until its time is over",
+		Short:         "Serves an environment for zinclb on loopback for the length of a scenario",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if path == "" {
-				return fmt.Errorf("--scenario is missing; scenarios/ has some")
+				return fmt.Errorf("--scenario is missing; see scenarios/ for examples")
 			}
 			s, err := scenario.Load(path, seed)
 			if err != nil {
@@ -56,18 +56,20 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&path, "scenario", "", "the scenario, protobuf text format")
-	f.Uint64Var(&seed, "seed", 0, "a seed other than the scenario's")
-	f.DurationVar(&length, "length", 0, "a length other than the scenario's")
-	f.StringVar(&o.Dir, "dir", "target/emulator", "gets settings and logs of controllers")
-	f.IntVar(&o.Port, "port", 7100, "the balancer's port; those of controllers follow it")
-	f.StringSliceVar(&o.Binaries, "binary", nil, "controllers' programs, given out in turn; without any they are started by hand")
-	f.StringSliceVar(&o.Args, "arg", nil, "arguments of controllers before --config")
-	f.StringVar(&out, "history", "", "writes everything that happened here, as JSON lines")
+	f.StringVar(&path, "scenario", "", "scenario file, in protobuf text format")
+	f.Uint64Var(&seed, "seed", 0, "seed, in place of the scenario's")
+	f.DurationVar(&length, "length", 0, "length, in place of the scenario's")
+	f.StringVar(&o.Dir, "dir", "target/emulator", "directory for the settings and logs of controllers")
+	f.IntVar(&o.Port, "port", 7100, "port of the load balancer; the controllers use the ports after it")
+	f.StringSliceVar(&o.Binaries, "binary", nil, "controller programs, assigned in rotation; without any, controllers have to be started by hand")
+	f.StringSliceVar(&o.Args, "arg", nil, "arguments of the controller programs before --config")
+	f.StringVar(&out, "history", "", "file to write the history to, as JSON lines")
 	cmd.AddCommand(checkCommand(), faultCommand(), partitionsCommand(), faultCombosCommand(), outagesCommand(), soakCommand(), scaleCommand(), capacityCommand(), workersCommand())
 	return cmd
 }
 
+// serve runs a scenario, prints its results and writes its history to the file out unless that is
+// empty. It returns an error if a rule was violated.
 func serve(s *scenario.Scenario, o sockets.Options, out string) error {
 	o.OnProgress = func(p sockets.Progress) {
 		fmt.Printf("%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done)
@@ -130,7 +132,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Checks scenarios and names the fields that are wrong",
+		Short: "Checks scenarios and names invalid fields",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, a := range args {
@@ -149,8 +151,8 @@
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "fault 'kind: \"cut\" hosts: \"zone:a\" for_s: 30'",
-		Short: "Lets a fault happen now in an emulator that is running",
-		Long:  "Lets a fault happen now in an emulator that is running. Kinds:\n" + faultKindsHelp(),
+		Short: "Injects a fault into a running emulator",
+		Long:  "Injects a fault into a running emulator, effective immediately. Kinds:\n" + faultKindsHelp(),
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := scenario.ParseFault([]byte(args[0])); err != nil {
@@ -168,10 +170,11 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:7100", "the emulator's users' address")
+	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:7100", "address of the emulator for users")
 	return cmd
 }
 
+// faultKindsHelp lists the kinds of faults with their descriptions, one per line.
 func faultKindsHelp() string {
 	var b strings.Builder
 	for _, kind := range environment.FaultKinds() {
--- a/cmd/zinclb-emulator/outages.go
+++ b/cmd/zinclb-emulator/outages.go
@@ -10,11 +10,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/outages"
 )
 
-// outagesCommand runs cases in which the leader is refused, others confirm cancellations,
-// and then the state service is down for all.
+// outagesCommand returns the command that runs cases in which the state service refuses the leader,
+// other controllers confirm cancellations, and then the state service is down for all controllers.
 func outagesCommand() *cobra.Command {
 	killed, confirmed, lost := 0, 0, 0
-	return caseCommand("gaps", "Plays cancellations between a refused leader and a long outage in fake time, and lists what falls short",
+	return caseCommand("gaps", "Runs cancellations between refusals of the leader and a long outage of the state service in simulated time, and lists the cases that fall short",
 		outages.AllCases,
 		func(c outages.Case) (outages.Result, error) { return outages.Run(c, config.Defaults(), nil) },
 		func(r outages.Result) {
--- a/cmd/zinclb-emulator/partitions.go
+++ b/cmd/zinclb-emulator/partitions.go
@@ -10,12 +10,12 @@
 	"github.com/zinclb/zinclb/internal/emulator/partitions"
 )
 
-// partitionsCommand runs partial network partitions, and lists those that the service did
-// not get through as well as it could.
+// partitionsCommand returns the command that runs partial network partitions, and lists those that
+// the service did not handle as well as possible.
 func partitionsCommand() *cobra.Command {
 	ops := config.Defaults()
 	serviceable := 0
-	cmd := caseCommand("cuts", "Plays cuts that leave some links up in fake time, and lists what falls short",
+	cmd := caseCommand("cuts", "Runs partial network partitions in simulated time, and lists the cases that fall short",
 		partitions.AllCases,
 		func(c partitions.Case) (partitions.Result, error) { return partitions.Run(c, ops, nil) },
 		func(r partitions.Result) {
@@ -26,6 +26,6 @@
 		func(s cases.Summary) {
 			fmt.Printf("%d played, in %d of them the service could go on, %d fell short, %d broke a rule\n", s.Run, serviceable, s.Short, s.Violating)
 		})
-	cmd.Flags().BoolVar(&ops.Reach, "reach", true, "whether leadership follows what controllers reach")
+	cmd.Flags().BoolVar(&ops.Reach, "reach", true, "hand leadership over to the controller that reaches more")
 	return cmd
 }
--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -17,40 +17,41 @@
 	"github.com/zinclb/zinclb/internal/emulator/workerproc"
 )
 
-// workersCommandName is how this program is started as a process with workers.
+// workersCommandName is the command that runs this program as a worker process.
 const workersCommandName = "run-workers"
 
-// workersCommand runs the workers of a scale run; nobody calls it by hand.
+// workersCommand returns the command that runs the workers of a scale run. It is for internal use:
+// the scale command starts it.
 func workersCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workersCommandName,
-		Short:  "Runs workers for a scale run, as commands on standard input say",
+		Short:  "Runs workers for a scale run, controlled by commands on standard input",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE:   func(*cobra.Command, []string) error { return workerproc.Serve(os.Stdin, os.Stdout) },
 	}
 }
 
-// scaleFlags are those of the command that are no part of a plan.
+// scaleFlags are the flags of the scale command that are not part of a plan.
 type scaleFlags struct {
 	sizes   []int
 	figures string
 	name    string
-	// scenario is run in place of the plan's own load.
+	// scenario is the file of a scenario that replaces the plan's own environment and load.
 	scenario string
 }
 
-// scaleCommand plays a large deployment and measures what each role costs.
+// scaleCommand returns the command that runs a large deployment and measures the cost of each role.
 func scaleCommand() *cobra.Command {
 	plan := scale.Default(0)
 	o := scale.Options{}
 	fl := scaleFlags{}
 	cmd := &cobra.Command{
 		Use:   "scale --binary target/zinclb",
-		Short: "Plays a large deployment with hollow workers, and measures what each role costs",
-		Long: "Plays a large deployment on this machine: controllers as processes, hollow workers that share processes,\n" +
-			"and some workers in processes of their own. What is not given follows from --workers, as a share of the\n" +
-			"operators' plan. What may be lost once:\n" + failureKindsHelp(),
+		Short: "Runs a large deployment with simulated workers, and measures the cost of each role",
+		Long: "Runs a large deployment on this machine: controllers as processes, simulated workers that share processes,\n" +
+			"and some workers in processes of their own. Values that are not given are scaled by --workers from the\n" +
+			"operators' plan. Kinds of failure for --lose, each of which happens once:\n" + failureKindsHelp(),
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := scale.CheckPrograms(o.Binaries); err != nil {
@@ -60,38 +61,39 @@
 			if err != nil {
 				return err
 			}
-			return playScale(plans, o, fl)
+			return runPlans(plans, o, fl)
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&plan.Workers, "workers", 400, "workers, one on each machine")
-	f.IntSliceVar(&fl.sizes, "sizes", nil, "numbers of workers to play one after the other, in place of --workers")
-	f.IntVar(&plan.Accelerators, "accelerators", 0, "accelerators in all")
-	f.IntVar(&plan.Controllers, "controllers", plan.Controllers, "controllers")
-	f.IntVar(&plan.Zones, "zones", plan.Zones, "zones")
-	f.IntVar(&plan.Regions, "regions", plan.Regions, "regions that the zones belong to")
-	f.IntVar(&plan.Teams, "teams", plan.Teams, "teams with limits and guarantees")
-	f.IntVar(&plan.Running, "running", 0, "tasks that run at once")
-	f.IntVar(&plan.Starts, "starts", 0, "starts of tasks a second in the peak minute")
-	f.IntVar(&plan.LargestGang, "largest-gang", plan.LargestGang, "the most tasks of a gang")
-	f.IntVar(&plan.Dedicated, "alone", plan.Dedicated, "workers with a process of their own")
-	f.Float64Var(&plan.FaultSpeedup, "faults-times", 0, "machines die and restart at the plan's rates, this many times as often; 0: not at all")
-	f.StringSliceVar(&plan.Failures, "lose", nil, "what is lost once: leader, rack, region, zone")
-	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests a second that the state service takes")
-	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes a second that it takes")
-	f.Float64Var(&plan.RemoteMS, "remote-ms", plan.RemoteMS, "delay between two regions in ms, one way")
-	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "the seed of load, faults and delays")
-	f.DurationVar(&plan.Length, "length", plan.Length, "how long it plays")
-	f.StringVar(&o.Dir, "dir", "target/scale", "gets settings and logs of controllers")
-	f.IntVar(&o.Port, "port", 7600, "the balancer's port; those of controllers follow it")
-	f.StringSliceVar(&o.Binaries, "binary", nil, "controllers' programs, given out in turn")
-	f.StringSliceVar(&o.Args, "arg", nil, "arguments of controllers before --config")
-	f.StringVar(&fl.figures, "figures", "", "a directory that gets a file of figures for each run")
-	f.StringVar(&fl.scenario, "scenario", "", "a scenario to play in place of the operators' plan")
-	f.StringVar(&fl.name, "name", "", "the beginning of those files' names")
+	f.IntVar(&plan.Workers, "workers", 400, "number of workers, one on each machine")
+	f.IntSliceVar(&fl.sizes, "sizes", nil, "numbers of workers to run one after the other, in place of --workers")
+	f.IntVar(&plan.Accelerators, "accelerators", 0, "total number of accelerators")
+	f.IntVar(&plan.Controllers, "controllers", plan.Controllers, "number of controllers")
+	f.IntVar(&plan.Zones, "zones", plan.Zones, "number of zones")
+	f.IntVar(&plan.Regions, "regions", plan.Regions, "number of regions that the zones belong to")
+	f.IntVar(&plan.Teams, "teams", plan.Teams, "number of teams with limits and guarantees")
+	f.IntVar(&plan.Running, "running", 0, "number of tasks that run at the same time")
+	f.IntVar(&plan.Starts, "starts", 0, "task starts per second in the peak minute")
+	f.IntVar(&plan.LargestGang, "largest-gang", plan.LargestGang, "maximum number of tasks of a gang")
+	f.IntVar(&plan.Dedicated, "alone", plan.Dedicated, "number of workers with a process of their own")
+	f.Float64Var(&plan.FaultSpeedup, "faults-times", 0, "factor on the plan's rates of machine deaths and restarts; 0 disables them")
+	f.StringSliceVar(&plan.Failures, "lose", nil, "failures that happen once: leader, rack, region, zone")
+	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests per second that the state service accepts")
+	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes per second that the state service accepts")
+	f.Float64Var(&plan.RemoteMS, "remote-ms", plan.RemoteMS, "one-way delay between two regions in ms")
+	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "seed of load, faults and delays")
+	f.DurationVar(&plan.Length, "length", plan.Length, "length of the run")
+	f.StringVar(&o.Dir, "dir", "target/scale", "directory for the settings and logs of controllers")
+	f.IntVar(&o.Port, "port", 7600, "port of the load balancer; the controllers use the ports after it")
+	f.StringSliceVar(&o.Binaries, "binary", nil, "controller programs, assigned in rotation")
+	f.StringSliceVar(&o.Args, "arg", nil, "arguments of the controller programs before --config")
+	f.StringVar(&fl.figures, "figures", "", "directory to write a file of figures to for each run")
+	f.StringVar(&fl.scenario, "scenario", "", "scenario file to run in place of the operators' plan")
+	f.StringVar(&fl.name, "name", "", "prefix of the names of the files of figures")
 	return cmd
 }
 
+// failureKindsHelp lists the kinds of failure with their descriptions, one per line.
 func failureKindsHelp() string {
 	var b strings.Builder
 	for _, name := range scale.FailureNames() {
@@ -100,10 +102,11 @@
 	return b.String()
 }
 
-// buildPlans makes a plan for each size. What no flag sets follows from the size.
+// buildPlans returns a plan for each size. Values that no flag sets are those of the operators' plan
+// scaled to the size.
 func buildPlans(cmd *cobra.Command, given scale.Plan, fl scaleFlags) ([]scale.Plan, error) {
 	if fl.scenario != "" {
-		return planOfScenario(cmd, given, fl.scenario)
+		return planFromScenario(cmd, given, fl.scenario)
 	}
 	sizes := fl.sizes
 	if len(sizes) == 0 {
@@ -128,11 +131,12 @@
 	return plans, nil
 }
 
-// planOfScenario makes a plan of a scenario; flags of the plan's own load are refused.
-func planOfScenario(cmd *cobra.Command, given scale.Plan, path string) ([]scale.Plan, error) {
+// planFromScenario returns the plan that runs a scenario. It refuses flags that set what the scenario
+// defines.
+func planFromScenario(cmd *cobra.Command, given scale.Plan, path string) ([]scale.Plan, error) {
 	for _, flag := range []string{"workers", "sizes", "accelerators", "controllers", "zones", "regions", "teams", "running", "starts", "largest-gang", "faults-times", "lose", "state-rps", "state-writes", "remote-ms"} {
 		if cmd.Flags().Changed(flag) {
-			return nil, fmt.Errorf("%s: the scenario says that", flag)
+			return nil, fmt.Errorf("%s: defined by the scenario", flag)
 		}
 	}
 	seed := uint64(0)
@@ -153,9 +157,9 @@
 	return []scale.Plan{p}, err
 }
 
-// playScale plays the plans one after the other. All are checked before the first
-// begins.
-func playScale(plans []scale.Plan, o scale.Options, fl scaleFlags) error {
+// runPlans runs the plans one after the other. It checks the requirements of all plans before it
+// starts the first. It returns an error if a rule was violated.
+func runPlans(plans []scale.Plan, o scale.Options, fl scaleFlags) error {
 	limits, err := scale.MachineLimits()
 	if err != nil {
 		return err
@@ -169,7 +173,7 @@
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program: %w", err)
+		return fmt.Errorf("find the path of this program: %w", err)
 	}
 	o.Workers, o.Sources, o.Out = []string{program, workersCommandName}, commitName(), os.Stdout
 	stop := make(chan struct{})
@@ -204,7 +208,7 @@
 	return nil
 }
 
-// commitName names the commit of the working tree, "" if it is unknown.
+// commitName returns the name of the commit of the working tree, or "" if it is unknown.
 func commitName() string {
 	cmd := exec.Command("git", "describe", "--always", "--dirty")
 	cmd.Stderr = io.Discard
--- a/cmd/zinclb-emulator/soak.go
+++ b/cmd/zinclb-emulator/soak.go
@@ -14,20 +14,21 @@
 	"github.com/zinclb/zinclb/internal/emulator/soak"
 )
 
-// soakCommand plays drawn runs for as long as is asked for.
+// soakCommand returns the command that executes randomly generated runs for a given time or number
+// of seeds.
 func soakCommand() *cobra.Command {
 	var plan soak.Plan
 	var minutes float64
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Plays drawn runs with pipelines, restarts and refusals in fake time, and lists the seeds that fail",
+		Short: "Executes random runs with pipelines, restarts and refusals in simulated time, and lists the seeds that fail",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			switch {
 			case plan.Seeds < 1:
-				return errors.New("--seeds has to be positive")
+				return errors.New("--seeds must be positive")
 			case plan.Parallel < 1:
-				return errors.New("--jobs has to be positive")
+				return errors.New("--jobs must be positive")
 			case minutes < 0:
 				return errors.New("--minutes must not be negative")
 			}
@@ -43,9 +44,9 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&plan.First, "first", 1, "the first seed")
-	flags.Uint64Var(&plan.Seeds, "seeds", 1000, "how many seeds to play")
-	flags.Float64Var(&minutes, "minutes", 0, "stop after so many minutes; 0 plays all seeds")
-	flags.IntVar(&plan.Parallel, "jobs", runtime.NumCPU(), "how many to play at once")
+	flags.Uint64Var(&plan.First, "first", 1, "first seed")
+	flags.Uint64Var(&plan.Seeds, "seeds", 1000, "number of seeds to run")
+	flags.Float64Var(&minutes, "minutes", 0, "stop after this many minutes; 0 runs all seeds")
+	flags.IntVar(&plan.Parallel, "jobs", runtime.NumCPU(), "number of runs in parallel")
 	return cmd
 }
--- a/cmd/zinclb-experiment/main.go
+++ b/cmd/zinclb-experiment/main.go
@@ -1,5 +1,5 @@
-// Command zinclb-experiment runs a matrix of scenarios, seeds and versions, in
-// fake time or on sockets, and reports what differs.
+// Command zinclb-experiment runs a matrix of scenarios, seeds and versions, in simulated time or on
+// sockets, and reports the differences between the versions.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// matrix is what is to be run.
+// matrix has the flags of the command: the scenarios, seeds and versions to run, and how.
 type matrix struct {
 	scenarios, versions, plots []string
 	seeds                      uint64
@@ -37,8 +37,8 @@
 	var m matrix
 	cmd := &cobra.Command{
 		Use:           "zinclb-experiment --scenario FILE... [--seeds N] [--version COMMIT...]",
-		Short:         "Runs scenarios with seeds and versions and reports what differs",
-		Long:          "Runs scenarios with seeds and versions and reports what differs.\nThe versions are compared with the first one; head is the working tree.",
+		Short:         "Runs scenarios with several seeds and versions and reports the differences",
+		Long:          "Runs scenarios with several seeds and versions and reports the differences.\nThe versions are compared with the first one; head is the working tree.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -46,14 +46,14 @@
 	}
 	f := cmd.Flags()
 	f.StringSliceVar(&m.scenarios, "scenario", nil, "scenario files")
-	f.Uint64Var(&m.seeds, "seeds", 5, "how many seeds, from 1 on")
-	f.StringSliceVar(&m.versions, "version", []string{experiment.Head}, "commits, or head")
-	f.StringVar(&m.mode, "mode", "fake", "fake time, or sockets")
-	f.StringVar(&m.out, "out", "target/experiment", "gets results.jsonl, report.md and the pictures")
-	f.StringVar(&m.operators, "operators", "", "operators' settings of head's controllers, in fake time")
-	f.StringSliceVar(&m.plots, "plot", []string{"accept_p99_s", "tasks_lost"}, "figures to draw besides the aims")
-	f.IntVar(&m.parallel, "parallel", runtime.NumCPU(), "runs at once; on sockets they share this machine")
-	f.IntVar(&m.port, "port", 7200, "the first port, on sockets")
+	f.Uint64Var(&m.seeds, "seeds", 5, "number of seeds, starting at 1")
+	f.StringSliceVar(&m.versions, "version", []string{experiment.Head}, "commits, or head for the working tree")
+	f.StringVar(&m.mode, "mode", "fake", "fake for simulated time, or sockets")
+	f.StringVar(&m.out, "out", "target/experiment", "directory for results.jsonl, report.md and the plots")
+	f.StringVar(&m.operators, "operators", "", "file with operator settings for the controllers of head, in simulated time")
+	f.StringSliceVar(&m.plots, "plot", []string{"accept_p99_s", "tasks_lost"}, "figures to plot besides the objectives")
+	f.IntVar(&m.parallel, "parallel", runtime.NumCPU(), "number of runs in parallel; with sockets they share this machine")
+	f.IntVar(&m.port, "port", 7200, "first port, with sockets")
 	cmd.AddCommand(singleRunCommand())
 	return cmd
 }
@@ -62,21 +62,21 @@
 	var r experiment.Run
 	cmd := &cobra.Command{
 		Use:   "one --scenario FILE --seed N",
-		Short: "Runs one cell in fake time and prints its result",
+		Short: "Runs one scenario with one seed in simulated time and prints its result",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return json.NewEncoder(os.Stdout).Encode(experiment.RunInProcess(r, "", config.Defaults()))
 		},
 	}
 	r.Version, r.Mode = experiment.Head, "fake"
-	cmd.Flags().StringVar(&r.Scenario, "scenario", "", "a scenario file")
-	cmd.Flags().Uint64Var(&r.Seed, "seed", 1, "the seed")
+	cmd.Flags().StringVar(&r.Scenario, "scenario", "", "scenario file")
+	cmd.Flags().Uint64Var(&r.Seed, "seed", 1, "seed")
 	return cmd
 }
 
 func (m *matrix) run() error {
 	if len(m.scenarios) == 0 {
-		return fmt.Errorf("--scenario is missing; scenarios/ has some")
+		return fmt.Errorf("--scenario is missing; see scenarios/ for examples")
 	}
 	if m.mode != "fake" && m.mode != "sockets" {
 		return fmt.Errorf("--mode: %q is neither fake nor sockets", m.mode)
@@ -137,20 +137,21 @@
 	return m.report(results)
 }
 
-// report writes what came out; it fails if a run failed or broke a rule.
+// report writes the results, the plots and the report. It returns an error if a run failed or
+// violated a rule.
 func (m *matrix) report(results []experiment.Result) error {
 	var text strings.Builder
-	bad := 0
+	problems := 0
 	fmt.Fprintf(&text, "# Experiment\n\n%d scenarios, %d seeds, versions %s, %s. Figures are from emulated machines.\n\n", len(m.scenarios), m.seeds, strings.Join(m.versions, ", "), m.mode)
 	for _, r := range results {
 		for _, b := range append(r.Violations, r.FailureReason) {
 			if b != "" {
-				bad++
+				problems++
 				fmt.Fprintf(&text, "- **%s, seed %d, %s: %s**\n", r.Scenario, r.Seed, r.Version, b)
 			}
 		}
 	}
-	if bad == 0 {
+	if problems == 0 {
 		text.WriteString("No rule was broken.\n")
 	}
 	if len(m.versions) > 1 {
@@ -171,8 +172,8 @@
 		return err
 	}
 	fmt.Println("wrote", filepath.Join(m.out, "report.md"))
-	if bad > 0 {
-		return fmt.Errorf("%d runs failed or broke a rule; the report names them", bad)
+	if problems > 0 {
+		return fmt.Errorf("%d failures and rule violations; see the report", problems)
 	}
 	return nil
 }
--- a/cmd/zinclb-load/main.go
+++ b/cmd/zinclb-load/main.go
@@ -1,5 +1,5 @@
-// Command zinclb-load submits the loads of a scenario, or a recorded trace, to a
-// running zinclb at the times at which they are meant to come.
+// Command zinclb-load submits the jobs of a scenario, or a recorded trace, to a running zinclb at
+// their intended times.
 package main
 
 import (
@@ -34,9 +34,9 @@
 	o := load.Options{}
 	cmd := &cobra.Command{
 		Use:   "zinclb-load --addr HOST:PORT (--scenario FILE | --trace FILE)",
-		Short: "Submits a load in an open loop and reports how long it took",
-		Long: "Submits a load in an open loop and reports how long it took.\nLatencies count from the time at which a submission was meant to come.\n" +
-			"At the emulator's users' address its workers learn of the jobs.",
+		Short: "Submits a load in an open loop and reports the latencies",
+		Long: "Submits a load in an open loop and reports the latencies.\nLatencies are measured from the intended time of a submission.\n" +
+			"If the load goes to the emulator's address for users, its workers learn of the jobs.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -69,25 +69,26 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&o.Addr, "addr", "127.0.0.1:7100", "a controller's front, or the emulator's users' address")
-	f.StringVar(&path, "scenario", "", "a scenario whose loads are submitted")
-	f.StringVar(&trace, "trace", "", "a recorded trace, JSON lines")
-	f.StringVar(&record, "record", "", "writes the trace here instead of submitting it")
-	f.Uint64Var(&seed, "seed", 0, "a seed other than the scenario's")
-	f.IntVar(&first, "first-id", 500_001, "the number of a scenario's first job")
-	f.Float64Var(&speed, "speed", 1, "so many times as fast as it was meant")
-	f.IntVar(&most, "most", 10_000, "submissions at most")
-	f.IntVar(&o.MaxInFlight, "open", 200, "submissions under way at once, at most")
-	f.BoolVar(&o.Follow, "follow", false, "ask about jobs until they are over")
-	f.DurationVar(&o.Duration, "for", 10*time.Minute, "time at most")
+	f.StringVar(&o.Addr, "addr", "127.0.0.1:7100", "address for users of a controller, or of the emulator")
+	f.StringVar(&path, "scenario", "", "scenario file whose jobs are submitted")
+	f.StringVar(&trace, "trace", "", "file of a recorded trace, as JSON lines")
+	f.StringVar(&record, "record", "", "file to write the trace to instead of submitting it")
+	f.Uint64Var(&seed, "seed", 0, "seed, in place of the scenario's")
+	f.IntVar(&first, "first-id", 500_001, "number in the ID of a scenario's first job")
+	f.Float64Var(&speed, "speed", 1, "factor by which submissions are sped up")
+	f.IntVar(&most, "most", 10_000, "maximum number of submissions")
+	f.IntVar(&o.MaxInFlight, "open", 200, "maximum number of submissions in flight")
+	f.BoolVar(&o.Follow, "follow", false, "poll jobs until they have ended")
+	f.DurationVar(&o.Duration, "for", 10*time.Minute, "maximum duration of the run")
 	return cmd
 }
 
-// readTrace makes a trace of a scenario or reads a recorded one.
+// readTrace builds a trace from the jobs of a scenario, or reads a recorded trace. It returns the
+// entries sorted by time.
 func readTrace(path, trace string, seed uint64, first int) (entries []load.Entry, err error) {
 	switch {
 	case (path == "") == (trace == ""):
-		return nil, fmt.Errorf("one of --scenario and --trace is needed")
+		return nil, fmt.Errorf("exactly one of --scenario and --trace is required")
 	case path != "":
 		s, err := scenario.Load(path, seed)
 		if err != nil {
@@ -116,10 +117,10 @@
 		for n := 1; lines.Scan(); n++ {
 			var e load.Entry
 			if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-				return nil, fmt.Errorf("%s: line %d: no entry with at_us and job: %w", trace, n, err)
+				return nil, fmt.Errorf("%s: line %d: not an entry with at_us and job: %w", trace, n, err)
 			}
 			if e.Job.ID == "" || e.At < 0 {
-				return nil, fmt.Errorf("%s: line %d: no entry with at_us and job", trace, n)
+				return nil, fmt.Errorf("%s: line %d: not an entry with at_us and job", trace, n)
 			}
 			entries = append(entries, e)
 		}
--- a/internal/experiment/cancelledchains_test.go
+++ b/internal/experiment/cancelledchains_test.go
@@ -7,18 +7,19 @@
 	"github.com/zinclb/zinclb/internal/config"
 )
 
-// On some days of the scenario cancelled-chains the leader removed the keys of jobs that had
-// ended because another was cancelled, without storing their ends. Users who had been told that
-// such a job is cancelled were told 404, or that it is pending, by the next controller that
-// started. Of the seeds from 1 to 40 four lost an end:
+// With some seeds of the scenario cancelled-chains, the leader removed the keys of jobs that had
+// ended because another job was cancelled, without storing their ends. Users who had been told
+// that such a job is cancelled then got 404, or the state pending, from the next controller that
+// started. Four of the seeds from 1 to 40 lost an end:
 //
 //	at 75.504 s lost_end: JOB is removed and its end is not stored
 //	at 86.210 s forgotten: JOB is not found
 //	at 37.195 s went_back: JOB was withdrawn and is pending
 //
-// core.TestToldEndIsStored has the messages that led to it.
+// core.TestToldEndIsStored has the messages that led to this.
 
-// TestCancelledChains plays the days of the scenario that lost an end, and one that did not.
+// TestCancelledChains runs the scenario with the four seeds that lost an end, and with one that did
+// not.
 func TestCancelledChains(t *testing.T) {
 	for _, seed := range []uint64{1, 3, 16, 24, 35} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -13,28 +13,29 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// colors tell versions apart, also without seeing red and green apart.
+// colors are the colors of the versions. They can be told apart with red-green color blindness.
 var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{204, 121, 167, 255}}
 
-// The layout of a plot, in shares of the distance between two scenarios.
+// The layout of a plot, in fractions of the distance between two scenarios.
 const (
 	versionOffset = 0.2   // between the points of two versions
-	seedOffset    = 0.015 // between runs, many of which have the same figure
+	seedOffset    = 0.015 // between the points of two seeds, as many runs have the same value
 	seedColumns   = 8
 	seedStart     = 0.06
 )
 
-// Plot draws one picture for each figure that is a share of an objective or that names asks
-// for: a point for each run, by scenario, the versions side by side. It returns the files.
+// Plot draws one plot for each figure that is the share of an objective (its name contains a
+// space) or that is listed in names: a point for each run, by scenario, with the versions side by
+// side. It writes the plots to dir and returns the names of their files.
 func Plot(results []Result, dir string, names []string) ([]string, error) {
 	d := drawing{results: results}
 	figures := slices.Clone(names)
 	for _, r := range results {
-		d.scenarios = appendNew(d.scenarios, r.Scenario)
-		d.versions = appendNew(d.versions, r.Version)
+		d.scenarios = appendUnique(d.scenarios, r.Scenario)
+		d.versions = appendUnique(d.versions, r.Version)
 		for figure := range r.Figures {
 			if strings.Contains(figure, " ") {
-				figures = appendNew(figures, figure)
+				figures = appendUnique(figures, figure)
 			}
 		}
 	}
@@ -57,21 +58,21 @@
 	return files, nil
 }
 
-// appendNew appends an item that a list does not contain.
-func appendNew(list []string, item string) []string {
+// appendUnique appends an item to a list unless the list contains it.
+func appendUnique(list []string, item string) []string {
 	if slices.Contains(list, item) {
 		return list
 	}
 	return append(list, item)
 }
 
-// drawing is what all plots have in common.
+// drawing has the data that all plots share.
 type drawing struct {
 	results             []Result
 	scenarios, versions []string
 }
 
-// draw draws a figure, nil if no run has it.
+// draw draws the plot of a figure. It returns nil if no run has the figure.
 func (d *drawing) draw(figure string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = figure
@@ -108,7 +109,7 @@
 	return p, nil
 }
 
-// points are those of a version's runs.
+// points returns the points of a version's runs.
 func (d *drawing) points(figure string, version int) (points plotter.XYs) {
 	for _, r := range d.results {
 		y, ok := r.Figures[figure]
@@ -123,6 +124,7 @@
 	return points
 }
 
+// unit returns the label of the vertical axis for a figure.
 func unit(figure string) string {
 	switch {
 	case strings.HasSuffix(figure, "_s"):
--- a/internal/experiment/reach_test.go
+++ b/internal/experiment/reach_test.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	reachSeeds   = 20
-	cutBegins    = 20 * config.Second
-	cutLasts     = 40 * config.Second
-	reachableBy  = 100 * config.Second // after the cut has ended
-	viewInterval = config.Second
+	reachSeeds        = 20
+	partitionAt       = 20 * config.Second
+	partitionDuration = 40 * config.Second
+	reachableWithin   = 100 * config.Second // after the end of the partition
+	viewInterval      = config.Second
 )
 
-// TestReachAfterCut: a leader is cut off for a while, machines are scaled in and out, and then
-// nothing is cut off any more. At some moment in the 100 s that follow all controllers say that
-// all of them reach both zones as a whole, as TestCutLeader asks of real processes.
+// TestReachAfterPartition checks that the connectivity matrices recover from a partition. A leader
+// is partitioned for a while, and machines are scaled in and out. At some time in the 100 s after
+// the partition, all controllers have to report that all of them reach both zones completely.
+// TestCutLeader checks the same with real processes.
 //
-// What happened: in 121 of 200 runs with the leader cut off from the state service and the other
-// controllers they never did; some said for all of that time that they reach two eighths of a
-// zone, or none of it.
-// Why: machines that had been scaled in stayed in the samples (connectivity.TestMachinesThatAreGone),
-// and an advertisement that went with its lease was not stored again
-// (core.TestAdvertisementIsStoredAgain).
-// What showed it: the rows of the matrices. With the first mended 3 of 40 runs are left, in which
-// all rows are whole and one is missing; with both none of 400.
-func TestReachAfterCut(t *testing.T) {
+// In 121 of 200 runs with the leader partitioned from the state service and the other controllers,
+// this never happened; some controllers reported for all of that time that they reach two eighths
+// of a zone, or none of it. There were two causes: machines that had been scaled in stayed in the
+// samples (connectivity.TestMachinesThatAreGone), and an advertisement that was lost with its lease
+// was not stored again (core.TestAdvertisementIsStoredAgain). The rows of the matrices show both.
+// With the first fixed, 3 of 40 runs still failed, in which all rows were complete and one was
+// missing; with both fixed, none of 400.
+func TestReachAfterPartition(t *testing.T) {
 	for _, to := range [][]string{{"workers", "controllers"}, {environment.StateHost, "controllers"}} {
 		for seed := range uint64(reachSeeds) {
 			t.Run(fmt.Sprintf("%v/%d", to, seed+1), func(t *testing.T) {
 				t.Parallel()
-				whole, last := playCut(t, seed+1, to)
-				if !whole {
-					t.Errorf("in %d s after the cut never all of both zones; at the end %s", reachableBy/config.Second, last)
+				recovered, last := runPartition(t, seed+1, to)
+				if !recovered {
+					t.Errorf("within %d s after the partition: never got reach of both zones from all controllers, want it at least once; last matrices %s", reachableWithin/config.Second, last)
 				}
 			})
 		}
 	}
 }
 
-// playCut plays a quiet day on which the leader is cut off from hosts. It says whether after that
-// there was a moment at which all controllers reached all, and what they said last.
-func playCut(t *testing.T, seed uint64, to []string) (whole bool, last string) {
+// runPartition runs the scenario quiet-day with the leader partitioned from the hosts in to. It
+// reports whether at some time after the partition all controllers reached all hosts, and returns
+// the last matrices.
+func runPartition(t *testing.T, seed uint64, to []string) (recovered bool, last string) {
 	t.Helper()
 	s, err := scenario.Load("../../scenarios/quiet-day.txtpb", seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Faults = nil
-	s.Length = cutBegins + cutLasts + reachableBy + config.Second
+	s.Length = partitionAt + partitionDuration + reachableWithin + config.Second
 	onStart := func(cluster *faketime.Cluster) {
-		cluster.After(cutBegins, func() {
-			fault := environment.Fault{Kind: "cut", Hosts: cluster.LeaderFirst()[:1], To: to, Duration: cutLasts}
+		cluster.After(partitionAt, func() {
+			fault := environment.Fault{Kind: "cut", Hosts: cluster.LeaderFirst()[:1], To: to, Duration: partitionDuration}
 			if err := cluster.InjectFault(fault); err != nil {
 				t.Error(err)
 			}
 		})
-		for after := config.Micros(0); after <= reachableBy; after += viewInterval {
-			cluster.After(cutBegins+cutLasts+after, func() {
-				views := viewsOf(cluster)
+		for after := config.Micros(0); after <= reachableWithin; after += viewInterval {
+			cluster.After(partitionAt+partitionDuration+after, func() {
+				views := connectivityMatrices(cluster)
 				last = fmt.Sprint(views)
-				whole = whole || allReachAll(views, cluster.Config.Params.Size)
+				recovered = recovered || allReachAll(views, cluster.Config.Params.Size)
 			})
 		}
 	}
@@ -77,11 +78,11 @@
 	for _, violation := range cluster.Violations() {
 		t.Error(violation)
 	}
-	return whole, last
+	return recovered, last
 }
 
-// viewsOf has the matrix of each controller that is there.
-func viewsOf(cluster *faketime.Cluster) map[string]map[string]core.ConnectivityRowView {
+// connectivityMatrices returns the connectivity matrix of each controller that is running.
+func connectivityMatrices(cluster *faketime.Cluster) map[string]map[string]core.ConnectivityRowView {
 	views := map[string]map[string]core.ConnectivityRowView{}
 	for _, controller := range cluster.Controllers {
 		query := func(id uint64) any { return core.QueryOperatorView{RequestID: id} }
@@ -94,8 +95,8 @@
 	return views
 }
 
-// allReachAll says whether so many controllers all say of each other that they reach each other
-// and both zones as a whole.
+// allReachAll reports whether there are size matrices, each with a row for each of size
+// controllers, and each row reaches all other controllers and both zones completely.
 func allReachAll(views map[string]map[string]core.ConnectivityRowView, size int) bool {
 	for _, matrix := range views {
 		for _, row := range matrix {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,21 +20,21 @@
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
-// Head is the version that is running.
+// Head is the name of the version in the working tree, which this program is built from.
 const Head = "head"
 
-// Run is a cell of the matrix.
+// Run is a cell of the experiment matrix.
 type Run struct {
-	Scenario string // a file
+	Scenario string // file name
 	Seed     uint64
 	Version  string
-	Mode     string // fake or sockets
-	Port     int    // the first of its ports, on sockets
-	Dir      string
+	Mode     string // "fake" or "sockets"
+	Port     int    // first of its ports, with sockets
+	Dir      string // directory for settings and logs, with sockets
 }
 
-// RunInProcess runs a cell in this process: in fake time with the cores of this
-// program, on sockets with a controller's program.
+// RunInProcess runs a cell in this process: in simulated time with the controller cores
+// of this program, or on sockets with the controller program binary.
 func RunInProcess(r Run, binary string, ops config.Operators) Result {
 	out := Result{Seed: r.Seed, Version: r.Version, Mode: r.Mode, Violations: []string{}}
 	s, err := scenario.Load(r.Scenario, r.Seed)
@@ -44,7 +44,7 @@
 	}
 	out.Scenario = s.Name
 	var h []history.Event
-	var terms history.Expectations
+	var expectations history.Expectations
 	switch r.Mode {
 	case "fake":
 		c, err := faketime.Run(s.Config, faketime.Options{Operators: ops})
@@ -52,7 +52,7 @@
 			out.FailureReason = err.Error()
 			return out
 		}
-		h, terms = c.History, c.Expectations()
+		h, expectations = c.History, c.Expectations()
 	case "sockets":
 		d, err := sockets.New(s.Config, sockets.Options{Dir: r.Dir, Port: r.Port, Binaries: []string{binary}})
 		if err == nil {
@@ -62,13 +62,13 @@
 			out.FailureReason = err.Error()
 			return out
 		}
-		terms = d.Expectations()
+		expectations = d.Expectations()
 	default:
 		out.FailureReason = fmt.Sprintf("mode: %q is neither fake nor sockets", r.Mode)
 		return out
 	}
-	out.Figures = history.Metrics(h, terms, s.Objectives)
-	out.Violations = append(out.Violations, history.Lines(history.CheckAll(h, terms))...)
+	out.Figures = history.Metrics(h, expectations, s.Objectives)
+	out.Violations = append(out.Violations, history.Lines(history.CheckAll(h, expectations))...)
 	sum := blake3.New()
 	if err := jsonlines.Write(sum, h); err != nil {
 		out.FailureReason = err.Error()
@@ -78,8 +78,8 @@
 	return out
 }
 
-// Build builds a command of a commit of this repository's history and returns
-// where it is; Head is built of the working tree.
+// Build builds a command at a commit of this repository, or in the working tree for Head, and
+// returns the path of the program.
 func Build(commit, command, dir string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -94,7 +94,7 @@
 		}
 		defer func() {
 			if err := exec.Command("git", "worktree", "remove", "--force", tree).Run(); err != nil {
-				slog.Warn("a working tree is left", "dir", tree, "error", err)
+				slog.Warn("temporary worktree not removed", "dir", tree, "error", err)
 			}
 		}()
 	}
@@ -106,8 +106,8 @@
 	return out, nil
 }
 
-// RunProgram runs a cell in fake time in the program of another version, which
-// has to have the experiment command too.
+// RunProgram runs a cell in simulated time with the experiment program of another version, which
+// has to have the command one.
 func RunProgram(r Run, program string) Result {
 	out := Result{Seed: r.Seed, Version: r.Version, Mode: r.Mode, Violations: []string{}}
 	b, err := exec.Command(program, "one", "--scenario", r.Scenario, "--seed", fmt.Sprint(r.Seed)).Output()
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -1,6 +1,6 @@
-// Package experiment compares versions of zinclb over scenarios and seeds: it
-// runs a matrix of them, keeps the results as JSON lines, and makes a report
-// with pictures and differences.
+// Package experiment compares versions of zinclb over scenarios and seeds. It runs the cells of the
+// matrix of versions, scenarios and seeds, computes the differences between the versions, and
+// draws plots of the results.
 package experiment
 
 import (
@@ -13,36 +13,37 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Result is one run.
+// Result is the result of a run.
 type Result struct {
 	Scenario string             `json:"scenario"`
 	Seed     uint64             `json:"seed"`
 	Version  string             `json:"version"`
 	Mode     string             `json:"mode"`
 	Figures  map[string]float64 `json:"figures"`
-	// Digest is that of all that happened; in fake time it is the same for
-	// the same run.
+	// Digest is the digest of the history; in simulated time, the same run always has the
+	// same digest.
 	Digest     string   `json:"digest"`
 	Violations []string `json:"broken"`
-	// FailureReason says why there are no figures.
+	// FailureReason says why the run has no figures.
 	FailureReason string `json:"failed,omitempty"`
 }
 
-// Difference is how a figure changes from the first version to another, over
-// the seeds that both were run with.
+// Difference is the change of a figure from the base version to another version, over the seeds
+// that both were run with.
 type Difference struct {
 	Scenario, Figure, Version string
 	Pairs                     int
 	Base, Mean                float64
-	// Low and High are the bounds of the difference with 95% confidence, by
-	// Student's t over pairs of one seed; NaN for fewer than two pairs.
+	// Low and High are the bounds of the 95% confidence interval of the difference, by
+	// Student's t over the pairs with the same seed; NaN for fewer than two pairs.
 	Low, High float64
 }
 
-// Significant says whether the difference is more than chance.
+// Significant reports whether the confidence interval excludes zero.
 func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// Compare finds the differences of all figures of each scenario.
+// Compare computes the differences of all figures of each scenario between the version base and
+// each other version.
 func Compare(results []Result, base string) []Difference {
 	type key struct{ scenario, figure string }
 	at := map[key]map[string]map[uint64]float64{}
@@ -78,7 +79,7 @@
 			for seed := range at[k][base] {
 				seeds = append(seeds, seed)
 			}
-			slices.Sort(seeds) // sums are the same whatever the order of the map
+			slices.Sort(seeds) // makes sums independent of the map order
 			for _, seed := range seeds {
 				if y, ok := at[k][v][seed]; ok {
 					diff, from = append(diff, y-at[k][base][seed]), append(from, at[k][base][seed])
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Table is the differences in Markdown, the clear ones marked.
+// Table formats the differences as a Markdown table that marks the significant ones.
 func Table(ds []Difference, base string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| scenario | figure | %s | version | pairs | difference | 95%% confidence | |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", base)
--- a/internal/experiment/stats_test.go
+++ b/internal/experiment/stats_test.go
@@ -9,6 +9,8 @@
 	"github.com/zinclb/zinclb/internal/config"
 )
 
+// results returns one result for each value, of the versions old and new. Values at the same index
+// have the same seed.
 func results(base, other []float64) (l []Result) {
 	for i, v := range base {
 		l = append(l, Result{Scenario: "day", Seed: uint64(i), Version: "old", Figures: map[string]float64{"wait c 5 s": v}})
@@ -19,61 +21,63 @@
 	return l
 }
 
-// TestCompare has the bounds of Student's t from a table: 4.303 for two degrees
-// of freedom, 12.706 for one.
+// TestCompare checks the differences against bounds computed from a table of Student's t: 4.303
+// for two degrees of freedom, 12.706 for one.
 func TestCompare(t *testing.T) {
 	cases := []struct {
 		name            string
 		base, other     []float64
 		mean, low, high float64
-		clear           bool
+		significant     bool
 	}{
 		{"no difference", []float64{1, 2, 3}, []float64{1, 2, 3}, 0, 0, 0, false},
-		{"the same difference in each pair", []float64{1, 5, 9}, []float64{2, 6, 10}, 1, 1, 1, true},
+		{"same difference in each pair", []float64{1, 5, 9}, []float64{2, 6, 10}, 1, 1, 1, true},
 		{"noise", []float64{0, 0, 0}, []float64{1, 2, 3}, 2, 2 - 4.3027/math.Sqrt(3), 2 + 4.3027/math.Sqrt(3), false},
 		{"two pairs", []float64{0, 0}, []float64{1, 3}, 2, 2 - 12.7062, 2 + 12.7062, false},
-		{"seeds that only one has are left out", []float64{0, 0, 0, 50}, []float64{1, 2, 3}, 2, 2 - 4.3027/math.Sqrt(3), 2 + 4.3027/math.Sqrt(3), false},
-		{"one pair says nothing of chance", []float64{0}, []float64{1}, 1, math.NaN(), math.NaN(), false},
+		{"seed of one version only, left out", []float64{0, 0, 0, 50}, []float64{1, 2, 3}, 2, 2 - 4.3027/math.Sqrt(3), 2 + 4.3027/math.Sqrt(3), false},
+		{"one pair, no confidence interval", []float64{0}, []float64{1}, 1, math.NaN(), math.NaN(), false},
 	}
 	for _, tc := range cases {
 		ds := Compare(results(tc.base, tc.other), "old")
 		if len(ds) != 1 {
-			t.Fatalf("%s: %d differences", tc.name, len(ds))
+			t.Fatalf("%s: got %d differences, want 1", tc.name, len(ds))
 		}
 		near := func(a, b float64) bool { return math.Abs(a-b) < 1e-3 || math.IsNaN(a) && math.IsNaN(b) }
-		if d := ds[0]; !near(d.Mean, tc.mean) || !near(d.Low, tc.low) || !near(d.High, tc.high) || d.Significant() != tc.clear {
-			t.Errorf("%s: %+v", tc.name, d)
+		if d := ds[0]; !near(d.Mean, tc.mean) || !near(d.Low, tc.low) || !near(d.High, tc.high) || d.Significant() != tc.significant {
+			t.Errorf("%s: got %+v, significant %v; want mean %v, bounds %v and %v, significant %v", tc.name, d, d.Significant(), tc.mean, tc.low, tc.high, tc.significant)
 		}
 	}
 }
 
-// TestPlot draws a picture for each aim, and for what is named.
+// TestPlot checks that Plot draws the figures of objectives, and only those named figures that a
+// run has.
 func TestPlot(t *testing.T) {
 	dir := t.TempDir()
 	files, err := Plot(results([]float64{1, 0.9}, []float64{0.8, 0.7}), dir, []string{"never measured"})
 	if err != nil || len(files) != 2 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got files %v, error %v; want two files", files, err)
 	}
 	if s, err := os.Stat(filepath.Join(dir, "wait-c-5-s.png")); err != nil || s.Size() < 1000 {
-		t.Errorf("%v", err)
+		t.Errorf("plot wait-c-5-s.png: got error %v, want a file of at least 1000 bytes", err)
 	}
 }
 
-// TestHere: a cell run twice gives the same bytes, and faults are named.
-func TestHere(t *testing.T) {
+// TestRunInProcess checks that a cell that is run twice has the same digest, and that an invalid
+// mode and a missing scenario are reported.
+func TestRunInProcess(t *testing.T) {
 	r := Run{Scenario: "../../scenarios/roll.txtpb", Seed: 3, Version: Head, Mode: "fake"}
 	a, b := RunInProcess(r, "", ops()), RunInProcess(r, "", ops())
 	if a.Digest != b.Digest || a.Digest == "" || len(a.Violations) > 0 || a.Figures["jobs_done"] == 0 {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("two runs of a cell: got\n%+v\n%+v\nwant equal digests, no violations, jobs done", a, b)
 	}
 	if r.Seed++; RunInProcess(r, "", ops()).Digest == a.Digest {
-		t.Error("another seed gives the same bytes")
+		t.Error("another seed: got the same digest, want a different one")
 	}
 	if r.Mode = "luck"; RunInProcess(r, "", ops()).FailureReason == "" {
-		t.Error("a mode that is not there")
+		t.Error("unknown mode: got no failure reason, want one")
 	}
 	if r.Scenario = "nowhere"; RunInProcess(r, "", ops()).FailureReason == "" {
-		t.Error("a scenario that is not there")
+		t.Error("missing scenario: got no failure reason, want one")
 	}
 }
 
