--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -111,12 +111,12 @@
 			fmt.Printf("met       %s: %.3f, at least %g was aimed at\n", a.Name(), v, a.Share)
 		}
 	}
-	broken := history.CheckAll(h, d.Expectations())
-	for _, b := range broken {
+	violations := history.CheckAll(h, d.Expectations())
+	for _, b := range violations {
 		fmt.Println("broken", b)
 	}
-	if len(broken) > 0 {
-		return fmt.Errorf("%d breaches of the rules", len(broken))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d breaches of the rules", len(violations))
 	}
 	fmt.Printf("%d events, no rule broken\n", len(h))
 	return nil
--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -114,10 +114,10 @@
 	}
 	var plans []scale.Plan
 	for _, n := range sizes {
-		p, usual := given, scale.Default(n)
+		p, defaults := given, scale.Default(n)
 		p.Workers = n
 		for flag, v := range map[string]struct{ to, from *int }{
-			"accelerators": {&p.Accelerators, &usual.Accelerators}, "running": {&p.Running, &usual.Running}, "starts": {&p.Starts, &usual.Starts},
+			"accelerators": {&p.Accelerators, &defaults.Accelerators}, "running": {&p.Running, &defaults.Running}, "starts": {&p.Starts, &defaults.Starts},
 		} {
 			if !cmd.Flags().Changed(flag) {
 				*v.to = *v.from
@@ -184,7 +184,7 @@
 		close(stop)
 	}()
 	dir := o.Dir
-	broken := 0
+	violations := 0
 	for _, p := range plans {
 		o.Dir = filepath.Join(dir, fmt.Sprint(p.Workers))
 		f, err := scale.Run(p, o, stop)
@@ -194,7 +194,7 @@
 		if err := f.Write(os.Stdout); err != nil {
 			return err
 		}
-		broken += len(f.Violations)
+		violations += len(f.Violations)
 		if fl.figures != "" {
 			path := filepath.Join(fl.figures, fmt.Sprintf("%s%d-workers-%d-controllers-seed-%d.json", fl.name, p.Workers, p.Controllers, p.Seed))
 			if err := f.Save(path); err != nil {
@@ -202,8 +202,8 @@
 			}
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d breaches of the rules", broken)
+	if violations > 0 {
+		return fmt.Errorf("%d breaches of the rules", violations)
 	}
 	return nil
 }
--- a/internal/emulator/capacity/fit.go
+++ b/internal/emulator/capacity/fit.go
@@ -42,7 +42,7 @@
 // Model is a linear model of a cost: an intercept and a slope for each factor.
 type Model struct {
 	Intercept float64
-	Slopes    []float64 // in the order of factorNames; NaN for one that did not vary
+	Slopes    []float64 // in the order of factorNames; NaN for factors that do not vary
 	// Residual is the largest absolute difference between a measured cost and the model.
 	Residual float64
 	// R2 is the share of the variance that the model explains.
@@ -54,24 +54,24 @@
 // out: their cost is part of the intercept.
 func Fit(points []Point) (Model, error) {
 	m := Model{Slopes: make([]float64, len(factorNames)), Points: len(points)}
-	var vary []int
+	var varying []int
 	for k := range factorNames {
 		m.Slopes[k] = math.NaN()
 		for _, p := range points {
 			if p.Load.values()[k] != points[0].Load.values()[k] {
-				vary = append(vary, k)
+				varying = append(varying, k)
 				break
 			}
 		}
 	}
-	if len(points) <= len(vary)+1 {
-		return m, fmt.Errorf("%d points are not enough to fit %d slopes", len(points), len(vary))
+	if len(points) <= len(varying)+1 {
+		return m, fmt.Errorf("%d points are not enough to fit %d slopes", len(points), len(varying))
 	}
-	x := mat.NewDense(len(points), len(vary)+1, nil)
+	x := mat.NewDense(len(points), len(varying)+1, nil)
 	y := mat.NewVecDense(len(points), nil)
 	for i, p := range points {
 		x.Set(i, 0, 1)
-		for c, k := range vary {
+		for c, k := range varying {
 			x.Set(i, c+1, p.Load.values()[k])
 		}
 		y.SetVec(i, p.Value)
@@ -83,7 +83,7 @@
 		return m, fmt.Errorf("fit: %w", err)
 	}
 	m.Intercept = b.AtVec(0)
-	for c, k := range vary {
+	for c, k := range varying {
 		m.Slopes[k] = b.AtVec(c + 1)
 	}
 	estimates, values := make([]float64, len(points)), make([]float64, len(points))
--- a/internal/emulator/capacity/page.go
+++ b/internal/emulator/capacity/page.go
@@ -158,8 +158,8 @@
 // of workers.
 func planRuns(runs []Run) (l []Run) {
 	for _, r := range runs {
-		usual := scale.Default(r.Plan.Workers)
-		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 && r.Plan.Controllers == usual.Controllers && r.Plan.Teams == usual.Teams && r.Plan.Zones == usual.Zones && r.Plan.Running == usual.Running && r.Plan.Starts == usual.Starts {
+		plan := scale.Default(r.Plan.Workers)
+		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 && r.Plan.Controllers == plan.Controllers && r.Plan.Teams == plan.Teams && r.Plan.Zones == plan.Zones && r.Plan.Running == plan.Running && r.Plan.Starts == plan.Starts {
 			l = append(l, r)
 		}
 	}
@@ -342,14 +342,14 @@
 	if err != nil {
 		return false, fmt.Errorf("read the page: %w", err)
 	}
-	made, err := ReplaceTables(string(page), tables)
-	if err != nil || made == string(page) {
+	updated, err := ReplaceTables(string(page), tables)
+	if err != nil || updated == string(page) {
 		return false, err
 	}
 	if check {
 		return true, nil
 	}
-	if err := os.WriteFile(path, []byte(made), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(updated), 0o644); err != nil {
 		return false, fmt.Errorf("write the page: %w", err)
 	}
 	return true, nil
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -401,27 +401,27 @@
 	rng := rand.New(rand.NewPCG(p.Seed, 9))
 	day := 86_400e6 * planWorkers / float64(p.Workers)
 	for _, x := range []struct {
-		kind  environment.FaultKind
-		aDay  float64
-		lasts int64
+		kind     environment.FaultKind
+		perDay   float64
+		duration int64
 	}{{environment.FaultMachineDie, planDeathsPerDay, 0}, {environment.FaultMachineBack, planRestartsPerDay, 10 * config.Second}} {
 		if p.FaultSpeedup == 0 {
 			break
 		}
-		gap := day / x.aDay / p.FaultSpeedup
+		gap := day / x.perDay / p.FaultSpeedup
 		for at := float64(peakStart) + gap*rng.ExpFloat64(); at < float64(c.Length); at += gap * rng.ExpFloat64() {
-			c.Faults = append(c.Faults, environment.Fault{At: int64(at), Kind: x.kind, Duration: x.lasts, Count: 1})
+			c.Faults = append(c.Faults, environment.Fault{At: int64(at), Kind: x.kind, Duration: x.duration, Count: 1})
 		}
 	}
-	cut := func(hosts string, lasts int64) environment.Fault {
-		return environment.Fault{At: peakEnd + 30*config.Second, Duration: lasts, Kind: environment.FaultPartition, Hosts: []string{hosts}, To: []string{"all"}}
+	partition := func(hosts string, duration int64) environment.Fault {
+		return environment.Fault{At: peakEnd + 30*config.Second, Duration: duration, Kind: environment.FaultPartition, Hosts: []string{hosts}, To: []string{"all"}}
 	}
 	for _, l := range p.Failures {
 		switch l {
 		case FailureZone:
-			c.Faults = append(c.Faults, cut("zone:"+zoneName(partitionedZone%p.Zones), 20*config.Second))
+			c.Faults = append(c.Faults, partition("zone:"+zoneName(partitionedZone%p.Zones), 20*config.Second))
 		case FailureRegion:
-			c.Faults = append(c.Faults, cut("region:"+regionName(p.Regions-1), 60*config.Second))
+			c.Faults = append(c.Faults, partition("region:"+regionName(p.Regions-1), 60*config.Second))
 		case FailureRack:
 			names := machinesOfType(c, cpuType, zoneName(rackZone%p.Zones))
 			c.Faults = append(c.Faults, environment.Fault{At: peakEnd + 25*config.Second, Kind: environment.FaultMachineDie, Hosts: names[:min(rackMachines, len(names))]})
--- a/internal/emulator/scale/scale_test.go
+++ b/internal/emulator/scale/scale_test.go
@@ -118,7 +118,7 @@
 // refused.
 func TestFromScenario(t *testing.T) {
 	p := Default(30)
-	whole := p.Config()
+	valid := p.Config()
 	cases := []struct {
 		change func(*environment.Config)
 		wants  string
@@ -131,7 +131,7 @@
 		{func(c *environment.Config) { c.Sweeps = make([]environment.Sweep, 1) }, "sweep: "},
 	}
 	for _, tc := range cases {
-		c := whole
+		c := valid
 		tc.change(&c)
 		q, err := FromScenario("x", c, 2)
 		if tc.wants == "" && (err != nil || q.Workers != 30) || tc.wants != "" && (err == nil || !strings.Contains(err.Error(), tc.wants)) {
@@ -165,8 +165,8 @@
 	if starts, running := startRate(events, 1_000_000, 2_000_000); starts != 2 || running != 2 {
 		t.Errorf("startRate: got %v starts per second, %d tasks running; want 2, 2", starts, running)
 	}
-	known := map[uint64][]int64{4: {1_000_000}, 5: {7_000_000, 9_000_000}, 6: {20_000_000}}
-	if got := failoverOf(known, 5_000_000); got.Workers != 2 || got.Worst != 4 {
+	tokenTimes := map[uint64][]int64{4: {1_000_000}, 5: {7_000_000, 9_000_000}, 6: {20_000_000}}
+	if got := failoverOf(tokenTimes, 5_000_000); got.Workers != 2 || got.Worst != 4 {
 		t.Errorf("failoverOf: got %+v, want 2 workers, worst 4 s", got)
 	}
 	key := meter.Key{Host: "node-0", Kind: "state read"}
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -46,7 +46,7 @@
 // each other version.
 func Compare(results []Result, base string) []Difference {
 	type key struct{ scenario, figure string }
-	at := map[key]map[string]map[uint64]float64{}
+	values := map[key]map[string]map[uint64]float64{}
 	var keys []key
 	var versions []string
 	for _, r := range results {
@@ -55,14 +55,14 @@
 		}
 		for f, v := range r.Figures {
 			k := key{r.Scenario, f}
-			if at[k] == nil {
-				at[k] = map[string]map[uint64]float64{}
+			if values[k] == nil {
+				values[k] = map[string]map[uint64]float64{}
 				keys = append(keys, k)
 			}
-			if at[k][r.Version] == nil {
-				at[k][r.Version] = map[uint64]float64{}
+			if values[k][r.Version] == nil {
+				values[k][r.Version] = map[uint64]float64{}
 			}
-			at[k][r.Version][r.Seed] = v
+			values[k][r.Version][r.Seed] = v
 		}
 	}
 	slices.SortFunc(keys, func(a, b key) int {
@@ -74,24 +74,24 @@
 			if v == base {
 				continue
 			}
-			var diff, from []float64
-			seeds := make([]uint64, 0, len(at[k][base]))
-			for seed := range at[k][base] {
+			var differences, baseValues []float64
+			seeds := make([]uint64, 0, len(values[k][base]))
+			for seed := range values[k][base] {
 				seeds = append(seeds, seed)
 			}
 			slices.Sort(seeds) // makes sums independent of the map order
 			for _, seed := range seeds {
-				if y, ok := at[k][v][seed]; ok {
-					diff, from = append(diff, y-at[k][base][seed]), append(from, at[k][base][seed])
+				if y, ok := values[k][v][seed]; ok {
+					differences, baseValues = append(differences, y-values[k][base][seed]), append(baseValues, values[k][base][seed])
 				}
 			}
-			if len(diff) == 0 {
+			if len(differences) == 0 {
 				continue
 			}
-			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: v, Pairs: len(diff), Base: stat.Mean(from, nil), Low: math.NaN(), High: math.NaN()}
-			d.Mean = stat.Mean(diff, nil)
-			if n := float64(len(diff)); n > 1 {
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(diff, nil) / math.Sqrt(n)
+			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: v, Pairs: len(differences), Base: stat.Mean(baseValues, nil), Low: math.NaN(), High: math.NaN()}
+			d.Mean = stat.Mean(differences, nil)
+			if n := float64(len(differences)); n > 1 {
+				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differences, nil) / math.Sqrt(n)
 				d.Low, d.High = d.Mean-half, d.Mean+half
 			}
 			out = append(out, d)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -72,8 +72,8 @@
 		client: &http.Client{Timeout: submitTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	r.totals.Accept, r.totals.Complete = hdrhistogram.New(1, maxTrackedMicros, 3), hdrhistogram.New(1, maxTrackedMicros, 3)
-	over := time.AfterFunc(o.Duration, func() { close(r.stop) })
-	defer over.Stop()
+	endTimer := time.AfterFunc(o.Duration, func() { close(r.stop) })
+	defer endTimer.Stop()
 	if o.Progress != nil {
 		tick := time.NewTicker(10 * time.Second)
 		defer tick.Stop()
@@ -147,7 +147,7 @@
 		panic(err) // plain structs always encode
 	}
 	r.update(func(t *Totals) { t.Sent++ })
-	for first := time.Now(); ; {
+	for firstTry := time.Now(); ; {
 		status, wait := r.post(body)
 		switch status {
 		case 200, 201:
@@ -160,7 +160,7 @@
 			r.update(func(t *Totals) { t.Refused++ })
 			return false
 		}
-		if time.Since(first)+wait > submitDeadline || !r.sleep(wait) {
+		if time.Since(firstTry)+wait > submitDeadline || !r.sleep(wait) {
 			r.update(func(t *Totals) { t.GivenUp++ })
 			return false
 		}
