--- a/cmd/zinclb-experiment/main.go
+++ b/cmd/zinclb-experiment/main.go
@@ -1,5 +1,6 @@
 // Command zinclb-experiment runs a matrix of scenarios, seeds and versions, in simulated time or on
-// sockets, and reports the differences between the versions.
+// sockets. It writes the results as JSON lines, and a report with plots and the differences between
+// the versions.
 package main
 
 import (
