--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -1,6 +1,6 @@
-// Package experiment compares versions of zinclb over scenarios and seeds: it
-// runs a matrix of them, keeps the results as JSON lines, and makes a report
-// with pictures and differences.
+// Package experiment compares versions of zinclb over scenarios and seeds. It runs the cells of the
+// matrix of versions, scenarios and seeds, computes the differences between the versions, and
+// draws plots of the results.
 package experiment
 
 import (
@@ -13,39 +13,40 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Result is one run.
+// Result is the result of a run.
 type Result struct {
 	Scenario string             `json:"scenario"`
 	Seed     uint64             `json:"seed"`
 	Version  string             `json:"version"`
 	Mode     string             `json:"mode"`
 	Figures  map[string]float64 `json:"figures"`
-	// Digest is that of all that happened; in fake time it is the same for
-	// the same run.
+	// Digest is the digest of the history; in simulated time, the same run always has the
+	// same digest.
 	Digest     string   `json:"digest"`
 	Violations []string `json:"broken"`
-	// FailureReason says why there are no figures.
+	// FailureReason says why the run has no figures.
 	FailureReason string `json:"failed,omitempty"`
 }
 
-// Difference is how a figure changes from the first version to another, over
-// the seeds that both were run with.
+// Difference is the change of a figure from the base version to another version, over the seeds
+// that both were run with.
 type Difference struct {
 	Scenario, Figure, Version string
 	Pairs                     int
 	Base, Mean                float64
-	// Low and High are the bounds of the difference with 95% confidence, by
-	// Student's t over pairs of one seed; NaN for fewer than two pairs.
+	// Low and High are the bounds of the 95% confidence interval of the difference, by
+	// Student's t over the pairs with the same seed; NaN for fewer than two pairs.
 	Low, High float64
 }
 
-// Significant says whether the difference is more than chance.
+// Significant reports whether the confidence interval excludes zero.
 func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// Compare finds the differences of all figures of each scenario.
+// Compare computes the differences of all figures of each scenario between the version base and
+// each other version.
 func Compare(results []Result, base string) []Difference {
 	type key struct{ scenario, figure string }
-	at := map[key]map[string]map[uint64]float64{}
+	values := map[key]map[string]map[uint64]float64{}
 	var keys []key
 	var versions []string
 	for _, r := range results {
@@ -54,14 +55,14 @@
 		}
 		for f, v := range r.Figures {
 			k := key{r.Scenario, f}
-			if at[k] == nil {
-				at[k] = map[string]map[uint64]float64{}
+			if values[k] == nil {
+				values[k] = map[string]map[uint64]float64{}
 				keys = append(keys, k)
 			}
-			if at[k][r.Version] == nil {
-				at[k][r.Version] = map[uint64]float64{}
+			if values[k][r.Version] == nil {
+				values[k][r.Version] = map[uint64]float64{}
 			}
-			at[k][r.Version][r.Seed] = v
+			values[k][r.Version][r.Seed] = v
 		}
 	}
 	slices.SortFunc(keys, func(a, b key) int {
@@ -73,24 +74,24 @@
 			if v == base {
 				continue
 			}
-			var diff, from []float64
-			seeds := make([]uint64, 0, len(at[k][base]))
-			for seed := range at[k][base] {
+			var differences, baseValues []float64
+			seeds := make([]uint64, 0, len(values[k][base]))
+			for seed := range values[k][base] {
 				seeds = append(seeds, seed)
 			}
-			slices.Sort(seeds) // sums are the same whatever the order of the map
+			slices.Sort(seeds) // makes sums independent of the map order
 			for _, seed := range seeds {
-				if y, ok := at[k][v][seed]; ok {
-					diff, from = append(diff, y-at[k][base][seed]), append(from, at[k][base][seed])
+				if y, ok := values[k][v][seed]; ok {
+					differences, baseValues = append(differences, y-values[k][base][seed]), append(baseValues, values[k][base][seed])
 				}
 			}
-			if len(diff) == 0 {
+			if len(differences) == 0 {
 				continue
 			}
-			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: v, Pairs: len(diff), Base: stat.Mean(from, nil), Low: math.NaN(), High: math.NaN()}
-			d.Mean = stat.Mean(diff, nil)
-			if n := float64(len(diff)); n > 1 {
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(diff, nil) / math.Sqrt(n)
+			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: v, Pairs: len(differences), Base: stat.Mean(baseValues, nil), Low: math.NaN(), High: math.NaN()}
+			d.Mean = stat.Mean(differences, nil)
+			if n := float64(len(differences)); n > 1 {
+				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differences, nil) / math.Sqrt(n)
 				d.Low, d.High = d.Mean-half, d.Mean+half
 			}
 			out = append(out, d)
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Table is the differences in Markdown, the clear ones marked.
+// Table formats the differences as a Markdown table that marks the significant ones.
 func Table(ds []Difference, base string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| scenario | figure | %s | version | pairs | difference | 95%% confidence | |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", base)
