--- a/internal/api/replies.go
+++ b/internal/api/replies.go
@@ -16,7 +16,7 @@
 	Running int    `json:"running"`
 }
 
-// decommissionResponse tells whether a controller is decommissioned.
+// decommissionResponse says whether a controller is decommissioned.
 type decommissionResponse struct {
 	Name string `json:"controller"`
 	Gone bool   `json:"gone"`
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -198,7 +198,7 @@
 		return
 	}
 	feature, supporters := m.activation.NextFeature()
-	if feature == nil && !m.smallerChunksWanted() {
+	if feature == nil && !m.smallerChunksRequested() {
 		return
 	}
 	write, condition := m.activationWrite(feature)
@@ -242,11 +242,11 @@
 	return kv.RevisionIs(LeaderKey, m.elector.leadership.keyRevision)
 }
 
-// smallerChunksWanted reports whether the committer needs a smaller chunk size than the
+// smallerChunksRequested reports whether the committer needs a smaller chunk size than the
 // stored one because a chunk did not fit.
-func (m *membership) smallerChunksWanted() bool {
-	wanted := m.elector.leadership.commits.chunkTasksWanted
-	return m.logEnabled() && wanted != 0 && wanted < m.format.Tasks
+func (m *membership) smallerChunksRequested() bool {
+	requested := m.elector.leadership.commits.requestedChunkTasks
+	return m.logEnabled() && requested != 0 && requested < m.format.Tasks
 }
 
 // nextChunkTasks returns the chunk size of the next format record to be written.
@@ -254,8 +254,8 @@
 	switch {
 	case !m.logEnabled():
 		return m.chunkTasksForLimits()
-	case m.smallerChunksWanted():
-		return m.elector.leadership.commits.chunkTasksWanted
+	case m.smallerChunksRequested():
+		return m.elector.leadership.commits.requestedChunkTasks
 	default:
 		return m.format.Tasks
 	}
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -33,8 +33,9 @@
 	inFlightID uint64
 	conflicts  int
 	notBefore  int64
-	// chunkTasksWanted is a smaller number of tasks per chunk, requested after a value did not fit.
-	chunkTasksWanted int
+	// requestedChunkTasks is a smaller number of tasks per chunk, requested after a value did
+	// not fit; 0 if none is requested.
+	requestedChunkTasks int
 	// backoffUntil has the jobs whose writes were rejected or too large. singleJobWrites
 	// makes each transaction write one job only, to find the one that is rejected.
 	backoffUntil    map[*jobstate.Job]int64
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -117,10 +117,10 @@
 }
 
 // InheritPriorities sets the effective priority and deadline of every job. A job inherits the
-// highest priority of all jobs that depend on it. Its deadline is the latest end that leaves
-// time for the longest path of dependents, by their owners' estimates plus overhead
-// microseconds per job, 0 for none. It is repeated in each planning round, because
-// later stages arrive and are cancelled.
+// highest priority of all jobs that depend on it. Its effective deadline is the latest end that
+// leaves time for the longest path of dependents, by their owners' estimates plus overhead
+// microseconds per job; 0 means that there is no deadline. Each planning round calls this again,
+// because later stages arrive and are cancelled.
 func (g *DependencyGraph) InheritPriorities(jobs iter.Seq[*Job], overhead int64) {
 	g.round++
 	for j := range jobs {
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -135,7 +135,7 @@
 
 // EachPlaced calls f for every placed task.
 func (j *Job) EachPlaced(f func(i int, t *Task)) {
-	// A copy, and a check of each task, as f may remove placements.
+	// This iterates over a copy and checks each task, because f may remove placements.
 	for _, i := range j.placed.ToArray() {
 		if t := &j.tasks[i]; t.Machine != "" {
 			f(int(i), t)
--- a/internal/core/jobstate/progresslog.go
+++ b/internal/core/jobstate/progresslog.go
@@ -143,9 +143,9 @@
 }
 
 // ChangedEntries returns log entries for the tasks of chunk c that changed since its last write
-// began. whole reports that the chunk has to be written as a whole instead, as it has other
-// changes or too many changed tasks.
-func (j *Job) ChangedEntries(c int) (entries []LogEntry, whole bool) {
+// began. fullWrite reports that the complete chunk has to be written instead, because it has
+// other changes or too many changed tasks.
+func (j *Job) ChangedEntries(c int) (entries []LogEntry, fullWrite bool) {
 	ch := &j.chunks[c]
 	if ch.needsFullWrite || len(ch.changed) > j.chunkSize*3/4 {
 		return nil, true
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -16,7 +16,7 @@
 	writeOverheadBytes = 80
 	// maxEndDelay is the maximum time, in microseconds, for which writes of task ends are
 	// delayed while the write budget is low. Nothing depends on them: the worker keeps an
-	// exited task until it is told to forget it, and a new leader learns of it from there.
+	// exited task until it receives a forget command, and reports it to a new leader.
 	maxEndDelay = 4 * second
 )
 
@@ -93,12 +93,12 @@
 // remainingWrites returns the number of writes that can still be added.
 func (t *leaderTransaction) remainingWrites() int { return t.limit - len(t.writes) - t.pages.count() }
 
-// isTooLarge reports that no value can be added, as the transaction would be too large.
+// isTooLarge reports whether no value can be added because the transaction would be too large.
 func (t *leaderTransaction) isTooLarge() bool {
 	return t.size+t.pages.count()*t.committer.membership.valueLimit() > maxTxnBytes
 }
 
-// isFull reports that no job can be added. If no writes remain, jobs can still be added as long
+// isFull reports whether no job can be added. If no writes remain, jobs can still be added as long
 // as the transaction has a log page to which their changes can be appended.
 func (t *leaderTransaction) isFull() bool {
 	return t.remainingWrites() < 1 && t.pages.count() == 0 || t.isTooLarge() || t.term.commits.singleJobWrites && len(t.jobs) > 0
@@ -272,7 +272,7 @@
 	commits := &c.elector.leadership.commits
 	commits.backoffUntil[j] = c.now + splitBackoff
 	if j.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
-		commits.chunkTasksWanted = c.membership.chunkTasks / 2
+		commits.requestedChunkTasks = c.membership.chunkTasks / 2
 	}
 }
 
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -53,16 +53,16 @@
 	// capacity is the total of the resources of all usable machines.
 	capacity   jobstate.Resources
 	classSizes classSizes
-	// onDemandWantedAt is the time at which a job that needs on-demand machines could last
+	// onDemandNeededAt is the time at which a job that needs on-demand machines could last
 	// have used a machine type, by the type's name.
-	onDemandWantedAt map[string]int64
+	onDemandNeededAt map[string]int64
 }
 
 func newPlanState() planState {
 	return planState{
 		roundRequested:   true,
 		classSizes:       classSizes{},
-		onDemandWantedAt: map[string]int64{},
+		onDemandNeededAt: map[string]int64{},
 	}
 }
 
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -13,8 +13,9 @@
 // exits as done. So a completed task can be used to load its image on a machine without risk: it
 // does no work and can be stopped at any time.
 //
-// Only tasks that this leader itself has seen completed are used, each on one machine at a time,
-// only where their job allows it, and within their team's limit. Prefetches are not stored: to a
+// Only completed tasks are used: those that this leader itself has seen completed and, once the
+// previous leader's prefetches must have ended, those that it left. Each is used on one machine at
+// a time, only where its job allows it, and within its team's limit. Prefetches are not stored: to a
 // later leader they are tasks without a placement, which it stops.
 
 const (
@@ -30,9 +31,9 @@
 	sources map[string][]*prefetchSource // by image
 	demand  map[string]imageDemand       // by image
 	// usedByTeam is the usage of prefetches that counts against each team's limit.
-	usedByTeam map[string]teamUsage
-	serial     uint32
-	at         int64
+	usedByTeam  map[string]teamUsage
+	serial      uint32
+	lastRoundAt int64
 }
 
 func newPrefetchState() prefetchState {
@@ -74,10 +75,10 @@
 // prefetchTick starts prefetches of missing images on idle machines.
 func (p *prefetcher) prefetchTick() {
 	term := p.elector.leadership
-	if p.now-term.prefetch.at < prefetchInterval || !p.elector.mayStartTasks() {
+	if p.now-term.prefetch.lastRoundAt < prefetchInterval || !p.elector.mayStartTasks() {
 		return
 	}
-	term.prefetch.at = p.now
+	term.prefetch.lastRoundAt = p.now
 	term.heartbeats.requestRelease()
 	idle := p.idleMachines()
 	used := p.planner.usage()
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -144,7 +144,7 @@
 				c.prefetcher.addPrefetchSources(s)
 			}
 		}
-		c.elector.leadership.prefetch.at = 0
+		c.elector.leadership.prefetch.lastRoundAt = 0
 		c.prefetcher.prefetchTick()
 		n := map[string]int{}
 		for _, m := range c.elector.leadership.fleet.All() {
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -36,7 +36,7 @@
 }
 
 // maxLogBytes is the size up to which log pages are kept. Beyond it the oldest pages are
-// compacted: the chunks that their entries are about are written as values.
+// compacted: the chunks to which their entries belong are written as values.
 const maxLogBytes = 128 << 10
 
 // emptyPageBytes is an upper bound on the size of an encoded page without entries.
@@ -200,8 +200,8 @@
 	if !c.membership.logEnabled() {
 		return 0, false
 	}
-	entries, whole := j.ChangedEntries(index)
-	if whole {
+	entries, fullWrite := j.ChangedEntries(index)
+	if fullWrite {
 		return 0, false
 	}
 	ref, limit := chunkRef{j, index}, c.membership.valueLimit()
@@ -209,20 +209,20 @@
 	if page == nil {
 		page = c.newPage()
 	}
-	begun := len(w.pages) > 0 && w.pages[len(w.pages)-1] == page
-	if !begun && remainingWrites < 1 {
+	isIncluded := len(w.pages) > 0 && w.pages[len(w.pages)-1] == page
+	if !isIncluded && remainingWrites < 1 {
 		return 0, false
 	}
 	if !page.append(ref, entries, limit) {
 		if remainingWrites < 1 || len(page.Entries) == 0 {
 			return 0, false
 		}
-		page, begun = c.newPage(), false
+		page, isIncluded = c.newPage(), false
 		if !page.append(ref, entries, limit) {
 			return 0, false
 		}
 	}
-	if !begun {
+	if !isIncluded {
 		w.pages = append(w.pages, page)
 	}
 	c.elector.leadership.commits.nextLogEntry = page.NextSeq()
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -32,8 +32,8 @@
 	lateJobYieldFactor = 8
 )
 
-// queueOf returns the queue of a job by its estimate: equation (1) of the paper with the
-// cutoffs from the settings. Services never end and go to the long queue.
+// queueOf returns the queue of a job by its estimate: equation (1) of the paper that package
+// sched implements, with the cutoffs from the settings. Services never end and go to the long queue.
 func (p *planner) queueOf(spec *jobstate.Spec) int {
 	switch {
 	case spec.Kind == jobstate.Service:
@@ -191,19 +191,19 @@
 // spotPreferred returns the machine types whose on-demand machines are left to jobs that
 // may not use spot machines.
 func (p *planner) spotPreferred() map[string]bool {
-	wantedAt := p.elector.leadership.planning.onDemandWantedAt
+	neededAt := p.elector.leadership.planning.onDemandNeededAt
 	for _, job := range p.cache.jobs {
 		if job.Spot || job.Outcome() != "" || job.IsBlocked() {
 			continue
 		}
 		for i := range p.cache.machineTypes {
 			if t := &p.cache.machineTypes[i]; mayUseType(job.Spec, t) && (job.Need.GPU > 0 || t.Cap.GPU == 0) {
-				wantedAt[t.Name] = p.now
+				neededAt[t.Name] = p.now
 			}
 		}
 	}
 	preferred := map[string]bool{}
-	for name, at := range wantedAt {
+	for name, at := range neededAt {
 		preferred[name] = p.now-at < onDemandReserveTime
 	}
 	return preferred
--- a/internal/core/readlease/grantor.go
+++ b/internal/core/readlease/grantor.go
@@ -53,14 +53,14 @@
 	g.cancellations.record(id, revision)
 }
 
-// Grant answers a leader's request. mirrored says whether this incarnation has read all state
+// Grant answers a leader's request. synced reports whether this incarnation has read all state
 // that was stored when it started. The leader may hold the lease from now on.
-func (g *Grantor) Grant(from string, request GrantRequest, mirrored bool, now int64) CancellationPage {
+func (g *Grantor) Grant(from string, request GrantRequest, synced bool, now int64) CancellationPage {
 	if holder := g.holders[from]; holder != nil {
 		holder.grantedAt = now
 		holder.noteKnown(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision)
 	}
-	return g.pageAfter(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision, mirrored)
+	return g.pageAfter(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision, synced)
 }
 
 // ownNumber returns the number if it was assigned by this incarnation, and 0 otherwise.
@@ -73,9 +73,9 @@
 
 // pageAfter returns the page of the cancellations after a number, without those that a
 // controller with appliedRevision has already read from the stored state.
-func (g *Grantor) pageAfter(number, appliedRevision uint64, mirrored bool) CancellationPage {
+func (g *Grantor) pageAfter(number, appliedRevision uint64, synced bool) CancellationPage {
 	log := &g.cancellations
-	page := CancellationPage{Incarnation: g.incarnation, After: number, UpTo: number, Complete: mirrored}
+	page := CancellationPage{Incarnation: g.incarnation, After: number, UpTo: number, Complete: synced}
 	if number+1 < log.firstNumber {
 		page.UpTo = log.firstNumber - 1
 		if log.droppedUnknownTo(appliedRevision) {
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -15,15 +15,15 @@
 	incarnation int
 	grantor     *Grantor
 	holder      *Holder
-	// mirrored says that the grantor has read the stored state.
-	mirrored bool
+	// synced reports whether the grantor has read the stored state.
+	synced bool
 	// appliedRevision is the revision up to which the leader knows the stored state.
 	appliedRevision uint64
 	known           map[string]bool // the cancellations that the leader knows
 }
 
 func newPair() *pair {
-	p := &pair{now: second, mirrored: true, known: map[string]bool{}, holder: NewHolder([]string{"x"}, leaseDuration)}
+	p := &pair{now: second, synced: true, known: map[string]bool{}, holder: NewHolder([]string{"x"}, leaseDuration)}
 	p.restartGrantor()
 	return p
 }
@@ -36,7 +36,7 @@
 // request sends a request of the leader, and returns its send time and the answer.
 func (p *pair) request() (sentAt int64, page CancellationPage) {
 	request := p.holder.NextRequest("x", p.appliedRevision, p.now)
-	return p.now, p.grantor.Grant("l", request, p.mirrored, p.now)
+	return p.now, p.grantor.Grant("l", request, p.synced, p.now)
 }
 
 // receive delivers an answer to the leader.
@@ -102,16 +102,16 @@
 			p.holder.grants["x"].upTo = 500
 			p.receive(sentAt, page)
 		}, 0, 500},
-		{"grantor without the stored state", func(p *pair) { p.mirrored = false; p.exchange() }, 0, 0},
+		{"grantor without the stored state", func(p *pair) { p.synced = false; p.exchange() }, 0, 0},
 		{"grantor restarted, earlier lease valid", func(p *pair) {
 			p.exchange()
-			p.now, p.mirrored = 8*second, false
+			p.now, p.synced = 8*second, false
 			p.restartGrantor()
 			p.exchange()
 		}, 8 * second, 0},
 		{"grantor restarted, earlier lease expired", func(p *pair) {
 			p.exchange()
-			p.now, p.mirrored = 12*second, false
+			p.now, p.synced = 12*second, false
 			p.restartGrantor()
 			p.exchange()
 		}, second, 0},
@@ -146,7 +146,7 @@
 			p.exchange()
 			p.now += 11 * second
 			p.holder.Ack("x", 0, p.now)
-			p.mirrored = false
+			p.synced = false
 			p.exchange()
 		}, 0, 0},
 		{"acknowledged as held while the answer is in transit", func(p *pair) {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -15,10 +15,11 @@
 const second = 1_000_000
 
 const (
-	// refreshAfter is the age of a follower's mirror from which the follower asks the leader
+	// refreshAfter is the age of a follower's state cache from which the follower asks the leader
 	// even if no request waits.
 	refreshAfter = second
-	// followDuration is how long after an answer the mirror counts as fed by the leader.
+	// followDuration is how long after an answer the leader counts as the source of the
+	// follower's state cache.
 	followDuration = 5 * second / 2
 	// minRetryDelay and maxRetryDelay bound the backoff after a leader has failed to answer.
 	// The delay doubles with each consecutive failure.
@@ -87,14 +88,14 @@
 	return true
 }
 
-// IsFollowing reports whether the leader's answers keep the mirror up to date, so that only
-// the leadership has to be watched in the state service.
+// IsFollowing reports whether the leader's answers keep the state cache up to date, so that
+// only the leadership has to be watched in the state service.
 func (f *Follower) IsFollowing(now int64) bool {
 	return f.answeredAt != 0 && now-f.answeredAt < followDuration && f.Source(now) != ""
 }
 
-// RefreshDue reports whether the mirror should be refreshed from the leader even if no request
-// waits. age is the time since the last read began.
+// RefreshDue reports whether the state cache should be refreshed from the leader even if no
+// request waits. age is the time since the last read began.
 func (f *Follower) RefreshDue(now, age int64) bool {
 	return f.Source(now) != "" && age >= refreshAfter
 }
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -41,8 +41,8 @@
 	s.idle[pool] = append(s.idle[pool], m)
 }
 
-// scaleInTick returns silent, faulty, never-booting and long-idle machines to the cloud. The tasks on a
-// silent machine certainly end with its return.
+// scaleInTick returns silent, faulty, never-booting and long-idle machines to the cloud. The return
+// of a silent machine guarantees that its tasks have ended.
 func (s *scaler) scaleInTick(takeCall func() bool, targets []zoneTarget) {
 	if !s.elector.mayStartTasks() {
 		// This leader may have been replaced, and its successor may use the machines:
@@ -66,7 +66,7 @@
 		silence := s.now - max(m.LastHeartbeat, since)
 		// A machine that has sent no heartbeat to this leader counts as silent too if
 		// it is known to have work. Otherwise a leader that is elected while a zone is
-		// partitioned takes the zone's machines for a few dead ones and returns them all.
+		// partitioned would mistake the zone's machines for a few dead ones and return them all.
 		if silence > 2*interval && (len(m.Placed) > 0 || m.LastHeartbeat != 0 && silence < recentlySilent) {
 			survey.silent++
 		}
@@ -87,8 +87,8 @@
 	return survey
 }
 
-// isIdleForLong reports whether a machine has been idle for longer than a machine that is not
-// spare may be. A new leader waits, as it does not know how long machines have been idle.
+// isIdleForLong reports whether a machine has been idle for longer than is allowed for machines
+// that are not kept as spare machines. A new leader waits, as it does not know how long machines have been idle.
 func (s *scaler) isIdleForLong(m *fleet.Machine) bool {
 	return m.IdleSince != 0 && len(m.Placed) == 0 && s.now-m.IdleSince > s.idleReturnTime() &&
 		s.now-s.elector.leadership.since > s.settings.Ops.IdleReturn
@@ -124,11 +124,11 @@
 // partition.
 func (s *scaler) scaleInSilent(survey *machineSurvey) {
 	slices.SortFunc(survey.presumedDead, func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	areFew := survey.silent <= max(1, min(survey.live/8, 6+survey.live/64))
-	provenBefore := s.elector.leadership.scaling.listedAt - 2*config.MicrosOf(s.settings.Cloud.ListLagS)
+	fewSilent := survey.silent <= max(1, min(survey.live/8, 6+survey.live/64))
+	absenceProvenBefore := s.elector.leadership.scaling.listedAt - 2*config.MicrosOf(s.settings.Cloud.ListLagS)
 	for _, m := range survey.presumedDead {
 		last := max(m.LastHeartbeat, s.elector.leadership.since)
-		if areFew || !m.InCloudList && last < provenBefore {
+		if fewSilent || !m.InCloudList && last < absenceProvenBefore {
 			s.log.Info("scaling in a machine that sends no heartbeats", "machine", m.Name, "tasks", len(m.Placed))
 			s.queueScaleIn(m.Name)
 		}
--- a/internal/core/sched/imagepreempt.go
+++ b/internal/core/sched/imagepreempt.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// fastestZone returns the machines on which tasks many tasks would start soonest, and the
-// delay until then. The delay is never if no zone has enough machines.
+// fastestZone returns the machines on which the given number of tasks would start soonest, and
+// the delay until then. The delay is never if no zone has enough machines.
 func fastestZone(byZone map[string][]imageOption, tasks int) (best []imageOption, delay int64) {
 	delay = never
 	for _, options := range byZone {
--- a/internal/core/sched/job.go
+++ b/internal/core/sched/job.go
@@ -68,7 +68,7 @@
 }
 
 // compareJobs orders jobs as in figure 2 of the paper, by descending priority and then by
-// arrival, with these exceptions among jobs of equal priority, the first of which take precedence:
+// arrival, with these exceptions among jobs of equal priority, in order of precedence:
 //
 //   - A job within its team's guarantee goes first, as it must not wait for other teams.
 //   - Next go large jobs whose start is overdue.
@@ -173,9 +173,9 @@
 // durationOn returns how long a task is expected to occupy a machine, with the image fetch.
 func (j *Job) durationOn(m *Machine) int64 { return j.ExpectedDuration + j.fetchDelay(m) }
 
-// isDeadlineCritical reports whether the loss of one task with a spot machine is likely to miss
-// the deadline of urgent work, such as that of a pipeline, which depends on the slowest task of
-// each stage. Tasks with checkpoints are not critical.
+// isDeadlineCritical reports whether urgent work is likely to miss its deadline if one task is
+// lost with a spot machine. An example is a pipeline, whose stages each depend on their slowest
+// task. Tasks with checkpoints are not critical.
 func (j *Job) isDeadlineCritical() bool {
 	return j.EffectiveDeadline > 0 && j.EffectivePriority >= jobstate.Urgent && j.Checkpoint == 0
 }
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -124,8 +124,8 @@
 	return startAt
 }
 
-// freeSlots returns when the machines have room for up to tasks many tasks each. The result is
-// valid until the next call.
+// freeSlots returns when the machines have room for up to the given number of tasks each. The
+// result is valid until the next call.
 func (p *Planner) freeSlots(j *Job, tasks int) slotHeap {
 	slots := p.slotBuffer[:0]
 	for _, g := range p.Index.groups {
@@ -143,8 +143,9 @@
 	return slots
 }
 
-// freeTimes returns when m has room for the first, second and each further of up to tasks many
-// tasks, besides what is reserved for other jobs. The result is valid until the next call.
+// freeTimes returns when m has room for the first task, the second and so on, up to the given
+// number of tasks, besides what is reserved for other jobs. The result is valid until the next
+// call.
 func (p *Planner) freeTimes(m *Machine, j *Job, tasks int) []int64 {
 	p.resetForRound(m)
 	free, need := m.Free, j.Need
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minPreemptDelay is how far off a start may be, in microseconds, for preemption to be
+	// minPreemptDelay is the time until a start, in microseconds, up to which preemption is
 	// of no use.
 	minPreemptDelay = 2_000_000
 	// killCheckpointRatio is the largest ratio of the checkpoint interval to the time to
@@ -104,8 +104,8 @@
 	return option, true
 }
 
-// cheapestZone returns the machines for tasks many tasks with the least total loss, nil if no
-// zone has enough machines.
+// cheapestZone returns the machines for the given number of tasks with the least total loss, nil
+// if no zone has enough machines.
 func cheapestZone(byZone map[string][]preemptOption, tasks int) []preemptOption {
 	var best []preemptOption
 	var least int64
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -51,7 +51,8 @@
 	t.stopWithGang(job, index, jobstate.StopDrain, checkpointGrace(job))
 }
 
-// cancel stops all placed tasks of a job without a grace period, as they are no longer wanted.
+// cancel stops all placed tasks of a job without a grace period, as their results are no longer
+// needed.
 func (t *taskManager) cancel(job *jobstate.Job, reason jobstate.StopReason) {
 	job.EachPlaced(func(i int, task *jobstate.Task) {
 		if !task.StartSent {
@@ -63,10 +64,10 @@
 }
 
 // abandonGangAttempt stops the remaining tasks of a gang's attempt; the next attempt begins when
-// all of them are gone. If the attempt was only incomplete for too long, tasks that are still fetching
-// the image continue until they have it. If they were stopped, they would restart the fetch with
-// the next attempt, which would be incomplete as well, and so on endlessly if one machine fetches
-// slowly and the others have the image.
+// all of them are gone. If the attempt was only incomplete for too long, tasks that are still
+// fetching the image continue until they have it. If they were stopped, the next attempt would
+// restart the fetch and be incomplete as well, and this would repeat endlessly if one machine
+// fetches slowly and the others have the image.
 func (t *taskManager) abandonGangAttempt(job *jobstate.Job, incomplete bool) {
 	if job.NumDone == job.Tasks {
 		return
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -69,8 +69,8 @@
 	return a
 }
 
-// ClearStored discards the stored state of the controllers, before it is read again. Their answers
-// to pings are kept.
+// ClearStored discards the stored state of the controllers, before it is read again. Their
+// answers to pings are kept.
 func (a *Activation) ClearStored() {
 	for _, m := range a.members {
 		m.advertisement, m.revision, m.seenAt, m.decommissioned = Advertisement{}, 0, 0, false
--- a/internal/golden/exchange.go
+++ b/internal/golden/exchange.go
@@ -68,7 +68,7 @@
 	s.answers = answers
 }
 
-// AddNote adds a line to the recorded requests, so that the record tells what caused them.
+// AddNote adds a line to the recorded requests, so that the record shows what caused them.
 func (s *FakeServer) AddNote(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -119,7 +119,7 @@
 }
 
 // Ask forwards a request to the peer: a core.ForwardedSweep or one of the types that
-// Numbered supports.
+// WithRequestID supports.
 func (c *Client) Ask(request any, timeout time.Duration) (core.Reply, error) {
 	args, ok := wire.NewRequest(request)
 	if !ok {
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -204,7 +204,7 @@
 		{core.ForwardedSweep{ID: "a"}, nil},
 	} {
 		if got := WithRequestID(c.request, 7); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("Numbered(%+v): got %+v, want %+v", c.request, got, c.want)
+			t.Errorf("WithRequestID(%+v, 7): got %+v, want %+v", c.request, got, c.want)
 		}
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -33,7 +33,7 @@
 	// HandlePing answers a ping with the controller's status.
 	HandlePing(ping core.PingReceived) (core.Reply, error)
 	// HandleRequest answers a request that a peer forwards: a core.ForwardedSweep or one
-	// of the types that Numbered supports.
+	// of the types that WithRequestID supports.
 	HandleRequest(request any) (core.Reply, error)
 }
 
