--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -146,7 +146,7 @@
 			offer := machineOffer{listed.Type, listed.Zone, listed.Spot}
 			booting = bootingMachine{machineOffer: offer, since: s.now - listed.Age}
 		}
-		booting.up = booting.up || listed.Status == cloudMachineRunning
+		booting.listedRunning = booting.listedRunning || listed.Status == cloudMachineRunning
 		state.booting[listed.Name] = booting
 	}
 }
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -39,7 +39,7 @@
 // A silent machine stays in the sample, however long it is silent: a controller that is cut off
 // from a zone must not forget the zone's machines and then consider itself fully connected. A
 // machine is removed when it is known to be gone ([Sample.Forget]), or when a controller that
-// reaches more of its zone does not know it ([Sample.Learn]).
+// reaches more of its zone does not know it ([Sample.Merge]).
 type Sample struct {
 	zones           map[string][]*sampledMachine // sorted by hash
 	byName          map[string]*sampledMachine
@@ -187,9 +187,9 @@
 	return false
 }
 
-// Learn adopts the machines that another controller samples, given how many eighths of each zone
+// Merge adds the machines that another controller samples, given how many eighths of each zone
 // that controller reaches, and returns the names of the machines that are gone according to it.
-func (s *Sample) Learn(machines []Machine, eighths map[string]int, now int64) (gone []string) {
+func (s *Sample) Merge(machines []Machine, eighths map[string]int, now int64) (gone []string) {
 	s.expireForgotten(now)
 	listed := map[string][]Machine{}
 	for _, machine := range machines {
@@ -202,16 +202,16 @@
 			gone = append(gone, s.forgetUnknown(zone, listed[zone], now)...)
 		}
 		for _, machine := range listed[zone] {
-			s.learn(machine, reachesMore, now)
+			s.mergeMachine(machine, reachesMore, now)
 		}
 	}
 	return gone
 }
 
-// learn adds a machine that another controller samples. If that controller reaches more of the
+// mergeMachine adds a machine that another controller samples. If that controller reaches more of the
 // zone, the machine counts as unreachable until it answers: it may replace a machine that was
 // unreachable, and the zone would otherwise be unknown until then.
-func (s *Sample) learn(machine Machine, reachesMore bool, now int64) {
+func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
 		if known.link.down() {
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -74,7 +74,7 @@
 			if known {
 				advertised["a"] = eighths
 			}
-			r.own.Learn(r.peer.Machines(), advertised, r.now)
+			r.own.Merge(r.peer.Machines(), advertised, r.now)
 		}
 		if r.unreached {
 			r.requireEighths("cut off", 0)
@@ -215,7 +215,7 @@
 			for _, name := range tc.listed {
 				listed = append(listed, sampled(name))
 			}
-			gone := s.Learn(listed, tc.eighths, now)
+			gone := s.Merge(listed, tc.eighths, now)
 			if isGone := slices.Equal(gone, []string{"m1"}); isGone != tc.want || !tc.want && len(gone) > 0 {
 				t.Errorf("machines gone: %v, want [m1]: %v", gone, tc.want)
 			}
@@ -236,7 +236,7 @@
 	lower = slices.DeleteFunc(lower, func(machine Machine) bool { return machine == highest })[:machinesPerZone]
 	s.Add(highest, second)
 	s.RecordProbe(highest.Name, 60*second, 60*second, false)
-	if gone := s.Learn(lower, map[string]int{"a": 8}, 60*second); len(gone) > 0 {
+	if gone := s.Merge(lower, map[string]int{"a": 8}, 60*second); len(gone) > 0 {
 		t.Errorf("machines gone: %v, want none, since the peer would not sample the machine", gone)
 	}
 }
@@ -248,7 +248,7 @@
 	s.Add(sampled("m1"), second)
 	s.RecordProbe("m1", second, second, false)
 	now := 60 * second
-	s.Learn([]Machine{sampled("m2")}, map[string]int{"a": 8}, now)
+	s.Merge([]Machine{sampled("m2")}, map[string]int{"a": 8}, now)
 	if eighths, known := s.ReachableEighths("a"); !known || eighths != 0 {
 		t.Errorf("after the replacement: got %d eighths, known %v, want 0, known true", eighths, known)
 	}
@@ -269,7 +269,7 @@
 	s.Add(sampled("m2"), second)
 	s.Forget("m1", second)
 	isSampled := func() bool { return slices.Contains(s.Machines(), sampled("m1")) }
-	if s.Learn([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); isSampled() {
+	if s.Merge([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); isSampled() {
 		t.Error("a machine that is gone was added again because another controller lists it")
 	}
 	if s.RecordHeartbeat(sampled("m1"), 1, 1, 3*second); !isSampled() {
@@ -310,7 +310,7 @@
 		s := NewSample(2 * second)
 		s.Add(Machine{Name: "m", Addr: "new", Zone: "a"}, second)
 		s.RecordProbe("m", second, second, tc.answers)
-		s.Learn([]Machine{{Name: "m", Addr: "old", Zone: "a"}}, map[string]int{"a": 8}, 2*second)
+		s.Merge([]Machine{{Name: "m", Addr: "old", Zone: "a"}}, map[string]int{"a": 8}, 2*second)
 		if got := s.byName["m"].Addr; got != tc.want {
 			t.Errorf("machine answers %v: got the %s address, want %s", tc.answers, got, tc.want)
 		}
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -161,11 +161,11 @@
 // spendWrites takes the given number of written keys from the budget.
 func (h *stateHealth) spendWrites(keys float64) { h.writeBudget.Spend(keys) }
 
-// grantWrites takes up to the wanted number of writes from the budget for a follower, and
+// grantWrites takes up to the requested number of writes from the budget for a follower, and
 // returns how many it took. receiveWrites adds the writes that the leader has granted this
 // controller.
-func (h *stateHealth) grantWrites(wanted int) int {
-	return h.writeBudget.Withdraw(wanted, h.minUserBudget())
+func (h *stateHealth) grantWrites(requested int) int {
+	return h.writeBudget.Withdraw(requested, h.minUserBudget())
 }
 
 func (h *stateHealth) receiveWrites(granted int) { h.writeBudget.Deposit(granted) }
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -52,8 +52,8 @@
 // hintState is what an earlier leader has stored about cached images, and what this leader has written
 // for the next one.
 type hintState struct {
-	// known are the images of each machine according to the previous leader.
-	known map[string][]hintImage
+	// knownImages are the images of each machine according to the previous leader.
+	knownImages map[string][]hintImage
 	// inheritedSources are completed jobs that can be used as prefetch sources.
 	inheritedSources []*jobstate.Spec
 	written          map[string][]byte
@@ -62,7 +62,7 @@
 }
 
 func newHintState(now int64) hintState {
-	return hintState{known: map[string][]hintImage{}, written: map[string][]byte{}, writtenAt: now}
+	return hintState{knownImages: map[string][]hintImage{}, written: map[string][]byte{}, writtenAt: now}
 }
 
 // imageHintsTick writes the next value of hints when it is due.
@@ -187,7 +187,7 @@
 		p.applyHints(&hints)
 	}
 	for machine, images := range p.cache.imageHistory.machines {
-		state.known[machine] = append(state.known[machine], images...)
+		state.knownImages[machine] = append(state.knownImages[machine], images...)
 	}
 	for _, image := range sortedKeys(p.cache.imageHistory.done) {
 		for _, spec := range p.cache.imageHistory.done[image] {
@@ -207,7 +207,7 @@
 	for machine, bits := range hints.Machines {
 		for i, image := range hints.Images {
 			if bits&(1<<i) != 0 {
-				state.known[machine] = append(state.known[machine], image)
+				state.knownImages[machine] = append(state.knownImages[machine], image)
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 
 // restoreKnownImages records the images that a machine has according to the previous leader.
 func (p *prefetcher) restoreKnownImages(m *fleet.Machine) {
-	for _, image := range p.elector.leadership.hints.known[m.Name] {
+	for _, image := range p.elector.leadership.hints.knownImages[m.Name] {
 		m.RecordImageUse(image.Name, image.MB, p.now)
 	}
 }
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -238,15 +238,15 @@
 		queue.Pivot = pivot.job
 		queue.WaitsS = inSeconds(o.now - j.ReadyAt)
 		queue.Reason = o.waitReason(pivot)
-		if pivot.at > 0 {
-			queue.StartsS = inSeconds(max(0, pivot.at-o.now))
+		if pivot.startAt > 0 {
+			queue.StartsS = inSeconds(max(0, pivot.startAt-o.now))
 		}
 	}
 }
 
 // waitReason describes what a pivot waits for.
 func (o *operatorViewer) waitReason(pivot plannedPivot) string {
-	if pivot.at != 0 {
+	if pivot.startAt != 0 {
 		return "for running tasks to end"
 	}
 	j := o.cache.jobs[pivot.job]
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -47,7 +47,7 @@
 	// StateAge is the time since the state service last answered, 0 if the newest request
 	// did not fail.
 	StateAge int64
-	// Cancelled are jobs that users were recently told are cancelled, for a leader
+	// Cancelled are jobs whose cancellation was recently reported to users, for a leader
 	// that runs an older program; newer ones learn of them from read leases.
 	Cancelled []string
 	// ReadLease answers the request for a read lease. Ack says whether this controller
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -77,7 +77,7 @@
 }
 
 // pingUrgently pings all peers for read leases as soon as a request of the leader to the state
-// service fails. What a peer told users before it crashed is known only if the leader asked
+// service fails. What a peer reported to users before it crashed is known only if the leader asked
 // the peer before the crash.
 func (p *peerMonitor) pingUrgently() {
 	term := p.elector.leadership
@@ -128,7 +128,7 @@
 // onPeerPinged handles a peer's answer to a ping, or its absence.
 func (p *peerMonitor) onPeerPinged(m PeerPinged) {
 	p.connectivity.RecordPing(m.Peer, m.SentAt, p.now, m.OK, m.Status.Connectivity)
-	p.learnMachines(m.Peer, &m.Status)
+	p.mergeMachines(m.Peer, &m.Status)
 	if !m.OK || m.SentAt < p.peerStates[m.Peer].answeredAt {
 		return
 	}
@@ -152,14 +152,14 @@
 	p.readLeases.onGrant(m)
 }
 
-// learnMachines adds the machines in a peer's status to the sample of workers, and logs those
+// mergeMachines adds the machines in a peer's status to the sample of workers, and logs those
 // that the status shows to be gone.
-func (p *peerMonitor) learnMachines(peer string, status *PeerStatus) {
+func (p *peerMonitor) mergeMachines(peer string, status *PeerStatus) {
 	var eighths map[string]int
 	if status.Connectivity != nil {
 		eighths = status.Connectivity.ReachableEighths
 	}
-	for _, name := range p.connectivity.Workers.Learn(status.Machines, eighths, p.now) {
+	for _, name := range p.connectivity.Workers.Merge(status.Machines, eighths, p.now) {
 		p.log.Info("unreachable machine is gone according to a peer", "machine", name, "peer", peer)
 	}
 }
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -30,9 +30,9 @@
 
 // plannedPivot is a job at the head of its queue, with its expected start time.
 type plannedPivot struct {
-	queue int
-	job   string
-	at    int64
+	queue   int
+	job     string
+	startAt int64
 }
 
 // waitingJob is a job with tasks for which no machine was found. Scaling out is based on
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -32,7 +32,7 @@
 	demand  map[string]imageDemand       // by image
 	// usedByTeam is the usage of prefetches that counts against each team's limit.
 	usedByTeam  map[string]teamUsage
-	serial      uint32
+	lastSerial  uint32
 	lastRoundAt int64
 }
 
@@ -119,11 +119,11 @@
 func (p *prefetcher) startPrefetch(m *fleet.Machine, source *prefetchSource) {
 	term := p.elector.leadership
 	spec := source.spec
-	term.prefetch.serial++
+	term.prefetch.lastSerial++
 	source.start(m)
 	m.Prefetch = &fleet.Prefetch{
 		Task:    jobstate.TaskName(spec.ID, source.index),
-		Attempt: prefetchAttempt + term.prefetch.serial,
+		Attempt: prefetchAttempt + term.prefetch.lastSerial,
 		Image:   spec.Image,
 		ImageMB: spec.ImageMB,
 		Need:    spec.Need,
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -163,11 +163,11 @@
 	b.refilledAt = now
 }
 
-// Withdraw takes up to wanted tokens for another bucket, down to the level least, which may be
-// below 0, and returns how many were taken. A token is spent at most once: it is removed here
+// Withdraw takes up to requested tokens for another bucket, down to the level least, which may
+// be below 0, and returns how many were taken. A token is spent at most once: it is removed here
 // whether or not it arrives at the other bucket.
-func (b *TokenBucket) Withdraw(wanted int, least float64) int {
-	n := max(0, min(wanted, int(b.level-least)))
+func (b *TokenBucket) Withdraw(requested int, least float64) int {
+	n := max(0, min(requested, int(b.level-least)))
 	b.level -= float64(n)
 	return n
 }
--- a/internal/core/readlease/grantor.go
+++ b/internal/core/readlease/grantor.go
@@ -14,7 +14,7 @@
 	appliedRevision uint64
 }
 
-func (h *holderState) noteKnown(upTo, appliedRevision uint64) {
+func (h *holderState) recordKnown(upTo, appliedRevision uint64) {
 	h.upTo = max(h.upTo, upTo)
 	h.appliedRevision = max(h.appliedRevision, appliedRevision)
 }
@@ -58,7 +58,7 @@
 func (g *Grantor) Grant(from string, request GrantRequest, synced bool, now int64) CancellationPage {
 	if holder := g.holders[from]; holder != nil {
 		holder.grantedAt = now
-		holder.noteKnown(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision)
+		holder.recordKnown(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision)
 	}
 	return g.pageAfter(g.ownNumber(request.Incarnation, request.UpTo), request.AppliedRevision, synced)
 }
@@ -111,7 +111,7 @@
 		}
 		return
 	}
-	holder.noteKnown(g.ownNumber(ack.Incarnation, ack.UpTo), ack.AppliedRevision)
+	holder.recordKnown(g.ownNumber(ack.Incarnation, ack.UpTo), ack.AppliedRevision)
 }
 
 // mayHold reports whether a controller may hold a read lease of this grantor, granted by this
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestStateReadProof checks that renewing its lease does not count as proof that a leader knows
-// what users were told. If its watch delivers nothing the leader reads the stored state, and
+// what was reported to users. If its watch delivers nothing the leader reads the stored state, and
 // without an answer it stops answering workers after its authority time.
 func TestStateReadProof(t *testing.T) {
 	b := newPeerHarness(t, "n0")
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -151,7 +151,7 @@
 		// leader, and the list may lag: neither means that a machine never came up.
 		timeout := s.bootTimeout(machine.machineType)
 		leaderTimeout := timeout / 2
-		if machine.up {
+		if machine.listedRunning {
 			timeout, leaderTimeout = max(timeout, minBootTimeout), max(leaderTimeout, minBootTimeout)
 		}
 		if s.now-machine.since > timeout && s.now-s.elector.leadership.since > leaderTimeout {
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -83,7 +83,7 @@
 			r.now += 5000 * second
 			r.c.now, r.c.elector.leadership.since, r.c.elector.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
 			r.c.cache.machineTypes[0].Boot = 30 * second
-			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, up: tc.up}
+			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, listedRunning: tc.up}
 			if tc.live {
 				r.c.workers.getOrAddMachine("b").LastHeartbeat = r.now
 			}
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -48,8 +48,8 @@
 // bootingMachine is a rented machine that has sent no heartbeat yet.
 type bootingMachine struct {
 	machineOffer
-	since int64
-	up    bool // whether the cloud lists it as running
+	since         int64
+	listedRunning bool // whether the cloud lists it as running
 }
 
 // machineOffer is a combination of machine type, zone and kind in which machines can be rented.
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestObservedTransaction checks that a transaction without an answer completes once its changes
-// were read. Without this, other controllers tell users of the changes while the writer sends them
+// were read. Without this, other controllers report the changes to users while the writer sends them
 // again in vain, for two seconds at a time. The transaction counts as executed only if all of its
 // changes are read as they were sent, at one revision that is later than any in its conditions.
 func TestObservedTransaction(t *testing.T) {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -23,7 +23,7 @@
 // workerPool sends commands directly to workers' addresses, with a bounded number of
 // concurrent calls. Commands beyond the bound are delivered with the response to the
 // worker's next heartbeat. That can be too late to stop a gang in order, because all
-// its tasks must be told within gang_peer_s, so the bound has to allow for several
+// its tasks must be notified within gang_peer_s, so the bound has to allow for several
 // large gangs at once.
 type workerPool struct {
 	slots chan struct{}
