--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -208,9 +208,9 @@
 	return gone
 }
 
-// mergeMachine adds a machine that another controller samples. If that controller reaches more of the
-// zone, the machine counts as unreachable until it answers: it may replace a machine that was
-// unreachable, and the zone would otherwise be unknown until then.
+// mergeMachine adds a machine that another controller samples. If that controller reaches more
+// of the zone, the machine counts as unreachable until it answers: it may replace a machine that
+// was unreachable, and the zone would otherwise be unknown until then.
 func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -86,7 +86,7 @@
 
 // spareMachines returns how many idle machines of a pool are kept as spares: a share of the recent
 // peak of machines in use, and none once nothing has run for a while. If cost is an objective,
-// there are no more spares than a load of that size typically varies by.
+// the number of spares is at most the typical variation of a load of that size.
 func (s *scaler) spareMachines(pool machinePool) int {
 	busy := float64(s.elector.leadership.scaling.peaks[pool].busy)
 	spare := busy * s.settings.Ops.SpareShare
@@ -96,7 +96,8 @@
 	return int(math.Ceil(spare))
 }
 
-// idleReturnTime returns how long a machine that is not spare may be idle before it is returned:
+// idleReturnTime returns how long a machine that is not kept as a spare may be idle before it is
+// returned:
 // half of the configured time if cost is an objective.
 func (s *scaler) idleReturnTime() int64 {
 	if s.costAware {
--- a/internal/core/sched/placement.go
+++ b/internal/core/sched/placement.go
@@ -141,9 +141,9 @@
 }
 
 // serviceImageCost keeps room on machines for replicas whose images are there. A replica that
-// has to fetch its image anyway leaves the free resources of machines in use to such replicas,
-// and one service by preference fills at most half of a machine that was idle. Replicas are
-// long-lived, and their images get to a machine only with them.
+// has to fetch its image anyway leaves the free resources of machines in use to such replicas.
+// The replicas of one service preferably fill at most half of a machine that was idle. Replicas
+// are long-lived, and their images get to a machine only with them.
 func (p *Planner) serviceImageCost(j *Job, m *Machine) int64 {
 	if m.Free == m.Cap {
 		return 0
