--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -97,8 +97,7 @@
 }
 
 // idleReturnTime returns how long a machine that is not kept as a spare may be idle before it is
-// returned:
-// half of the configured time if cost is an objective.
+// returned: half of the configured time if cost is an objective.
 func (s *scaler) idleReturnTime() int64 {
 	if s.costAware {
 		return s.settings.Ops.IdleReturn / 2
