--- a/cmd/zinclb-emulator/fault_combinations.go
+++ b/cmd/zinclb-emulator/fault_combinations.go
@@ -19,11 +19,11 @@
 			return faultcombos.Run(c, config.Defaults(), nil)
 		},
 		func(r faultcombos.Result) {
-			startsAfter += r.StartsAfter
-			maxStartsAfter = max(maxStartsAfter, r.StartsAfter)
+			startsAfter += r.StartsAfterCancellation
+			maxStartsAfter = max(maxStartsAfter, r.StartsAfterCancellation)
 		},
 		func(s cases.Summary) {
 			fmt.Printf("%d played, %d fell short, %d broke a rule; %d tasks entered a machine after their cancellation was confirmed, at most %d on a day\n",
-				s.Run, s.Short, s.Violating, startsAfter, maxStartsAfter)
+				s.Run, s.WithShortfall, s.Violating, startsAfter, maxStartsAfter)
 		})
 }
--- a/cmd/zinclb-emulator/outages.go
+++ b/cmd/zinclb-emulator/outages.go
@@ -24,6 +24,6 @@
 		},
 		func(s cases.Summary) {
 			fmt.Printf("%d played, %d fell short, %d broke a rule; %d cancellations told within, %d writes lost, %d tasks that nobody cancelled ended with their lease\n",
-				s.Run, s.Short, s.Violating, confirmed, lost, killed)
+				s.Run, s.WithShortfall, s.Violating, confirmed, lost, killed)
 		})
 }
--- a/cmd/zinclb-emulator/partitions.go
+++ b/cmd/zinclb-emulator/partitions.go
@@ -24,7 +24,7 @@
 			}
 		},
 		func(s cases.Summary) {
-			fmt.Printf("%d played, in %d of them the service could go on, %d fell short, %d broke a rule\n", s.Run, serviceable, s.Short, s.Violating)
+			fmt.Printf("%d played, in %d of them the service could go on, %d fell short, %d broke a rule\n", s.Run, serviceable, s.WithShortfall, s.Violating)
 		})
 	cmd.Flags().BoolVar(&ops.Reach, "reach", true, "hand leadership over to the controller that reaches more")
 	return cmd
--- a/cmd/zinclb-emulator/soak.go
+++ b/cmd/zinclb-emulator/soak.go
@@ -36,7 +36,7 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			summary := plan.Run(ctx, os.Stdout)
-			fmt.Printf("%d played from seed %d on, %d failed: %v\n", summary.Played, plan.First, len(summary.Failed), summary.Failed)
+			fmt.Printf("%d played from seed %d on, %d failed: %v\n", summary.Completed, plan.First, len(summary.Failed), summary.Failed)
 			if len(summary.Failed) > 0 {
 				return fmt.Errorf("%d runs failed", len(summary.Failed))
 			}
--- a/internal/emulator/cases/cases.go
+++ b/internal/emulator/cases/cases.go
@@ -37,7 +37,7 @@
 
 // Summary counts the cases that were run, that had a shortfall or an error, and that
 // violated a rule.
-type Summary struct{ Run, Short, Violating int }
+type Summary struct{ Run, WithShortfall, Violating int }
 
 // progressInterval is the minimum time between two progress lines.
 const progressInterval = 10 * time.Second
@@ -64,7 +64,7 @@
 			onResult(result)
 		}
 		if shortfall != "" {
-			summary.Short++
+			summary.WithShortfall++
 			_, _ = fmt.Fprintf(out, "case %d, %s: %s\n", c.ID(), c, shortfall)
 		}
 		if time.Since(printed) > progressInterval {
--- a/internal/emulator/cases/deployment.go
+++ b/internal/emulator/cases/deployment.go
@@ -49,7 +49,7 @@
 	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = d.StateRPS, d.StateWriteRPS, 8, d.StateTxnOps
 	p.Cloud.RPS, p.Cloud.ListLagS = 3, d.ListLagS
 	for _, zone := range zones {
-		cfg.Machines = append(cfg.Machines, environment.Machines{Type: "m", Zone: zone, Count: d.MachinesPerZone})
+		cfg.Machines = append(cfg.Machines, environment.InitialMachines{Type: "m", Zone: zone, Count: d.MachinesPerZone})
 		cfg.Capacity = append(cfg.Capacity, environment.Capacity{Type: "m", Zone: zone, Count: d.CapacityPerZone})
 	}
 	return cfg
--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -169,7 +169,7 @@
 		}
 		return 1
 	})
-	out := wire.MachinesAnswer{Machines: []wire.Listing{}}
+	out := wire.MachinesAnswer{Machines: []wire.ListedMachine{}}
 	it := c.versions[max(i-1, 0)].list.Iterator()
 	it.Seek(q.After)
 	for !it.Done() {
@@ -182,7 +182,7 @@
 			break
 		}
 		m := l.machine
-		out.Machines = append(out.Machines, wire.Listing{
+		out.Machines = append(out.Machines, wire.ListedMachine{
 			Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: l.status,
 			AgeS: float64(max(at-m.createdAt, 0)) / 1e6,
 		})
@@ -269,7 +269,7 @@
 	if m.gone || m.reclaimAt != 0 {
 		return
 	}
-	if s.Notice == 0 || c.env.rng.Float64() < s.Silent {
+	if s.Notice == 0 || c.env.rng.Float64() < s.SilentShare {
 		c.finishReclaim(m)
 		return
 	}
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -26,7 +26,7 @@
 	Params   config.Deployment
 	Types    []wire.MachineType
 	Capacity []Capacity
-	Machines []Machines // running at the start
+	Machines []InitialMachines // running at the start
 	Jobs     []Job
 	Sweeps   []Sweep
 	Faults   []Fault
@@ -56,8 +56,8 @@
 	Count, Spot int
 }
 
-// Machines describes machines that are running at the start.
-type Machines struct {
+// InitialMachines describes machines that are running at the start.
+type InitialMachines struct {
 	Type, Zone string
 	Spot       bool
 	Count      int
@@ -96,8 +96,8 @@
 // Spot describes how spot machines are reclaimed: PerHour is the rate for each machine, Silent
 // the share of reclaims without notice, Notice the nominal time between notice and reclaim.
 type Spot struct {
-	PerHour, Silent float64
-	Notice          int64
+	PerHour, SilentShare float64
+	Notice               int64
 }
 
 // The messages from a driver to the environment, besides Fault.
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -24,10 +24,10 @@
 	// Factor is the factor by which something slows down. For FaultReportCopies it is the
 	// maximum delay of a copy, in leases.
 	Factor float64
-	// OnlyAnswers makes FaultLateWrites execute writes at once and lose only their
+	// LoseOnlyResponses makes FaultLateWrites execute writes at once and lose only their
 	// responses. UntilNextLeader makes FaultReportCopies hold copies until the next leader
 	// has started.
-	OnlyAnswers, UntilNextLeader bool
+	LoseOnlyResponses, UntilNextLeader bool
 	PartitionMode
 	// TransactionLoss describes the loss for FaultStateLose.
 	TransactionLoss *TransactionLoss
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -277,9 +277,9 @@
 // anew the new worker has lost its session, sequence number and token.
 func (m *machine) restart(away int64, anew bool) {
 	if m.env.RemoteWorkers {
-		kind := FaultMachineBack
+		kind := FaultWorkerRestart
 		if anew {
-			kind = FaultMachineAnew
+			kind = FaultWorkerReset
 		}
 		m.env.emit(WorkerFault{Name: m.name, Kind: kind, Duration: away})
 		return
--- a/internal/emulator/environment/machine_faults.go
+++ b/internal/emulator/environment/machine_faults.go
@@ -69,7 +69,7 @@
 func restartMachines(env *Environment, f Fault) (beginFault, error) {
 	return func() func() {
 		for _, m := range env.chooseMachines(f) {
-			m.restart(f.Duration, f.Kind == FaultMachineAnew)
+			m.restart(f.Duration, f.Kind == FaultWorkerReset)
 		}
 		return nil
 	}, nil
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	c := Config{
 		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
-		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}},
+		Machines: []InitialMachines{{Type: "big", Zone: "a", Count: 2}},
 	}
 	p := &c.Params
 	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -42,9 +42,9 @@
 
 // RemoteFaults lists the kinds of faults that an environment with RemoteWorkers supports.
 var RemoteFaults = []FaultKind{
-	FaultCrash, FaultRoll, FaultFreeze, FaultPartition, FaultStateOutage, FaultStateRefuse, FaultStateSlow,
+	FaultCrash, FaultRollingRestart, FaultFreeze, FaultPartition, FaultStateOutage, FaultStateRefuse, FaultStateSlow,
 	FaultCloudOutage, FaultCloudRefuse, FaultCloudCapacity, FaultCloudSlow,
-	FaultMachineDie, FaultMachineHang, FaultMachineBack, FaultMachineAnew,
+	FaultMachineDie, FaultMachineHang, FaultWorkerRestart, FaultWorkerReset,
 }
 
 // NewWorkerEnvironment returns an environment of workers, in which no machine is up yet. It
@@ -121,6 +121,6 @@
 	case workerResumes:
 		m.resume()
 	default:
-		m.restart(f.Duration, f.Kind == FaultMachineAnew)
+		m.restart(f.Duration, f.Kind == FaultWorkerReset)
 	}
 }
--- a/internal/emulator/environment/service_faults.go
+++ b/internal/emulator/environment/service_faults.go
@@ -50,11 +50,11 @@
 }
 
 // lateRequests returns a fault that sets the share of requests that are executed late, or, with
-// OnlyAnswers, the share of transactions of which only the response is lost.
+// LoseOnlyResponses, the share of transactions of which only the response is lost.
 func lateRequests(share func(*Environment) *float64) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
 		v := share(env)
-		if f.OnlyAnswers {
+		if f.LoseOnlyResponses {
 			v = &env.state.lostAnswerShare
 		}
 		return func() func() {
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -196,7 +196,7 @@
 		if !ok {
 			return 404, wire.TransactionAnswer{Revision: s.revision}
 		}
-		return 200, wire.Row{Key: q.Key, Value: v.value, Stamp: v.stamp, Lease: v.lease}
+		return 200, wire.Row{Key: q.Key, Value: v.value, Revision: v.stamp, Lease: v.lease}
 	case wire.List:
 		return 200, s.list(q)
 	case wire.Transaction:
@@ -269,7 +269,7 @@
 			delete(l.keys, key)
 		}
 	}
-	c := wire.Change{Put: x.Put, Remove: x.Remove, Value: x.Value, Stamp: s.revision}
+	c := wire.Change{Put: x.Put, Remove: x.Remove, Value: x.Value, Revision: s.revision}
 	if x.Remove != "" {
 		s.keys.Delete(key)
 	} else {
@@ -280,7 +280,7 @@
 	}
 	s.changes = append(s.changes, c)
 	if len(s.changes) > 2*retainedChanges {
-		s.compactedRevision = s.changes[len(s.changes)-retainedChanges-1].Stamp
+		s.compactedRevision = s.changes[len(s.changes)-retainedChanges-1].Revision
 		s.changes = slices.Clone(s.changes[len(s.changes)-retainedChanges:])
 	}
 	state := history.KeyPut
@@ -306,7 +306,7 @@
 			p.More = true
 			return false
 		}
-		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Stamp: v.stamp, Lease: v.lease})
+		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Revision: v.stamp, Lease: v.lease})
 		return true
 	})
 	return p
@@ -371,7 +371,7 @@
 		return nil, false
 	}
 	i, _ := slices.BinarySearchFunc(s.changes, after+1, func(c wire.Change, stamp uint64) int {
-		return int(int64(c.Stamp) - int64(stamp))
+		return int(int64(c.Revision) - int64(stamp))
 	})
 	for _, c := range s.changes[i:] {
 		if strings.HasPrefix(c.Key(), prefix) {
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -208,7 +208,7 @@
 
 // Violations returns the rule violations found in the history, one per line.
 func (c *Cluster) Violations() []string {
-	return history.Lines(history.CheckAll(c.History, c.Expectations()))
+	return history.FormatViolations(history.CheckAll(c.History, c.Expectations()))
 }
 
 // Expectations returns the expectations that the rules are checked against.
--- a/internal/emulator/faketime/day_test.go
+++ b/internal/emulator/faketime/faults_test.go
@@ -70,7 +70,7 @@
 func (d *testRun) setMachines(n int) {
 	d.Machines, d.Capacity = nil, nil
 	for i, z := range d.Params.Zones {
-		d.Machines = append(d.Machines, environment.Machines{Type: "big", Zone: z, Count: (n + i) / 2})
+		d.Machines = append(d.Machines, environment.InitialMachines{Type: "big", Zone: z, Count: (n + i) / 2})
 		d.Capacity = append(d.Capacity, environment.Capacity{Type: "big", Zone: z, Count: n, Spot: n / 2})
 	}
 }
@@ -216,7 +216,7 @@
 				t.Parallel()
 				d := newTestRun(uint64(i)*10 + seed + 1)
 				d.Faults, d.AnswerLoss = tc.faults, tc.loss
-				d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+				d.Spot = environment.Spot{PerHour: 2, SilentShare: 0.3, Notice: 8 * second}
 				d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 				d.runAndCheck(t)
 			})
--- a/internal/emulator/faketime/lose_test.go
+++ b/internal/emulator/faketime/lost_writes_test.go
@@ -95,7 +95,7 @@
 	}
 	d.Length = 500 * second
 	d.Faults, d.AnswerLoss = sharedFaultCases[i].faults, sharedFaultCases[i].loss
-	d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+	d.Spot = environment.Spot{PerHour: 2, SilentShare: 0.3, Notice: 8 * second}
 	d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 	return d
 }
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -170,7 +170,7 @@
 func wireTransaction(e core.CommitTransaction) wire.Transaction {
 	var transaction wire.Transaction
 	for _, condition := range e.Conditions {
-		transaction.Conditions = append(transaction.Conditions, wire.Cond(condition))
+		transaction.Conditions = append(transaction.Conditions, wire.Condition(condition))
 	}
 	for _, write := range e.Writes {
 		if write.Value == nil {
--- a/internal/emulator/faketime/nothing_test.go
+++ b/internal/emulator/faketime/no_machines_test.go
@@ -41,7 +41,7 @@
 			d.Params.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 			d.Params.State.TxnOps = 20
 			d.Machines = nil
-			d.Spot = environment.Spot{PerHour: 2, Silent: 0.3, Notice: 8 * second}
+			d.Spot = environment.Spot{PerHour: 2, SilentShare: 0.3, Notice: 8 * second}
 			d.Boot = environment.Boot{Slow: 0.1, Never: 0.05}
 			for k := range 3 {
 				d.Jobs = append(d.Jobs, job{At: second, Cancel: int64(200+20*k) * second, Spec: wire.Job{
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -61,5 +61,5 @@
 	if m["accept_p99_s"] > 8 {
 		t.Errorf("99th percentile of the time to acceptance is %.1f s, want at most 8 s", m["accept_p99_s"])
 	}
-	t.Log(m["complete tiny 20 s"], m["accept_p50_s"], m["accept_p99_s"], m[history.StartsAfter])
+	t.Log(m["complete tiny 20 s"], m["accept_p50_s"], m["accept_p99_s"], m[history.StartsAfterCancellation])
 }
--- a/internal/emulator/faketime/state.go
+++ b/internal/emulator/faketime/state.go
@@ -52,7 +52,7 @@
 		read := core.KeyRead{ID: e.ID, Key: e.Key}
 		switch answer := body.(type) {
 		case wire.Row:
-			read.Value, read.Revision = answer.Value, answer.Stamp
+			read.Value, read.Revision = answer.Value, answer.Revision
 		case wire.TransactionAnswer:
 			read.AbsentAt = answer.Revision
 		}
@@ -106,7 +106,7 @@
 			listed.Revision = page.Revision
 		}
 		for _, row := range page.Rows {
-			listed.Changes = append(listed.Changes, core.Change{Key: row.Key, Value: row.Value, Revision: row.Stamp})
+			listed.Changes = append(listed.Changes, core.Change{Key: row.Key, Value: row.Value, Revision: row.Revision})
 			after = row.Key
 		}
 		if page.More {
@@ -125,7 +125,7 @@
 		if answer, ok := body.(wire.WatchAnswer); ok {
 			read.Revision = answer.Revision
 			for _, change := range answer.Changes {
-				read.Changes = append(read.Changes, core.Change{Key: change.Key(), Value: change.Value, Revision: change.Stamp, Removed: change.Put == ""})
+				read.Changes = append(read.Changes, core.Change{Key: change.Key(), Value: change.Value, Revision: change.Revision, Removed: change.Put == ""})
 			}
 		} else if !read.Compacted {
 			read.Err = statusError(status)
--- a/internal/emulator/faultcombos/more_faults.go
+++ b/internal/emulator/faultcombos/more_faults.go
@@ -14,10 +14,10 @@
 // faults each represents.
 var moreScripts = []faultScript{
 	{name: "users ask everywhere at once", mustOccur: history.OccurProbe, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultCloseLooks, Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultProbes, Duration: faultDuration}}
 	}},
 	{name: "only answers of writes are lost", mustOccur: history.OccurLostAnswer, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultLateWrites, Share: 0.4, OnlyAnswers: true, Duration: faultDuration}, {Kind: environment.FaultCloseLooks, Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultLateWrites, Share: 0.4, LoseOnlyResponses: true, Duration: faultDuration}, {Kind: environment.FaultProbes, Duration: faultDuration}}
 	}},
 	{name: "copies of reports wait for the next leader", mustOccur: history.OccurHeldCopy, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
@@ -29,14 +29,14 @@
 		}
 	}},
 	{name: "a third of the machines is mute", mustOccur: history.OccurMuteReport, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineMute, Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: environment.FaultCancelNow, Count: 4}}
+		return []environment.Fault{{Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
 	{name: "a third of the machines is mute for a moment, and the leader ends", mustOccur: history.OccurMuteReport, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
-			{Kind: environment.FaultMachineMute, Share: 0.34, Duration: 9 * second},
+			{Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: 9 * second},
 			{At: second, Kind: environment.FaultCrash, Hosts: n[:1]},
 			{At: 2 * second, Kind: environment.FaultCancelNow, Count: 3},
-			{At: 22 * second, Kind: environment.FaultMachineMute, Share: 0.34, Duration: 13 * second},
+			{At: 22 * second, Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: 13 * second},
 			{At: 23 * second, Kind: environment.FaultCancelNow, Count: 3},
 			{At: 24 * second, Kind: environment.FaultCrash, Hosts: n[:2]},
 		}
@@ -49,7 +49,7 @@
 		return []environment.Fault{{Kind: environment.FaultCancelAtEnd, Share: 0.6, Duration: faultDuration}}
 	}},
 	{name: "users send what they should not", mustOccur: history.OccurInvalid, begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultOddRequests, Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultInvalidRequests, Duration: faultDuration}}
 	}},
 	{name: "machines are up at once, and leaders end", mustOccur: history.OccurQuickBoot, begin: func(n []string) []environment.Fault {
 		return []environment.Fault{
--- a/internal/emulator/faultcombos/pipeline_faults.go
+++ b/internal/emulator/faultcombos/pipeline_faults.go
@@ -34,7 +34,7 @@
 		repeats: 10, interval: 4 * second,
 		repeat: func(nodes []string, i int) []environment.Fault {
 			faults := []environment.Fault{
-				{Kind: environment.FaultCloseLooks, Duration: 4 * second},
+				{Kind: environment.FaultProbes, Duration: 4 * second},
 				{At: second, Kind: environment.FaultStateRefuse, Hosts: nodes[:1], Duration: 1500 * second / 1000},
 			}
 			if i%3 == 0 {
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -41,9 +41,9 @@
 	// late. Occurrences counts the events that the faults are meant to cause.
 	DelayedRequests int
 	Occurrences     map[string]int
-	// StartsAfter is the number of tasks that entered a machine after a user was told
+	// StartsAfterCancellation is the number of tasks that entered a machine after a user was told
 	// that their job is cancelled.
-	StartsAfter int
+	StartsAfterCancellation int
 	overloaded  bool
 	required    map[string]int
 }
@@ -113,8 +113,8 @@
 			r.MinServed = v
 		case name == history.LargestLeast:
 			r.MinLargestServed = v
-		case name == history.StartsAfter:
-			r.StartsAfter = int(v)
+		case name == history.StartsAfterCancellation:
+			r.StartsAfterCancellation = int(v)
 		case math.IsNaN(v):
 			r.Violations = append(r.Violations, name+" is no number")
 		}
--- a/internal/emulator/faultcombos/scripts.go
+++ b/internal/emulator/faultcombos/scripts.go
@@ -48,10 +48,10 @@
 
 var baseScripts = []faultScript{
 	{name: "a third of the machines is deaf, orders held", begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineDeaf, Share: 0.34, Duration: faultDuration}}
+		return []environment.Fault{{Kind: environment.FaultMachineCommandsBlocked, Share: 0.34, Duration: faultDuration}}
 	}},
 	{name: "a third of the machines is deaf, orders broken", begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineDeaf, Share: 0.34, Duration: faultDuration, PartitionMode: environment.PartitionMode{Reset: true}}}
+		return []environment.Fault{{Kind: environment.FaultMachineCommandsBlocked, Share: 0.34, Duration: faultDuration, PartitionMode: environment.PartitionMode{Reset: true}}}
 	}},
 	{name: "a third of the machines is deaf to the leader", begin: func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Duration: faultDuration, Hosts: n[:1], To: []string{"workers:a"}, PartitionMode: environment.PartitionMode{OneWay: true}}}
@@ -62,10 +62,10 @@
 	{name: "the leader has only its workers", begin: func(n []string) []environment.Fault { return isolate(n[0], environment.PartitionMode{}) }},
 	{name: "another has only its workers", begin: func(n []string) []environment.Fault { return isolate(n[1], environment.PartitionMode{Reset: true}) }},
 	{name: "machines are back at once", begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineBack, Share: 0.25, Duration: 200_000}, {At: 9 * second, Kind: environment.FaultMachineBack, Share: 0.25, Duration: 50_000}}
+		return []environment.Fault{{Kind: environment.FaultWorkerRestart, Share: 0.25, Duration: 200_000}, {At: 9 * second, Kind: environment.FaultWorkerRestart, Share: 0.25, Duration: 50_000}}
 	}},
 	{name: "machines are back at once and count anew", begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineAnew, Share: 0.25, Duration: 200_000}, {At: 9 * second, Kind: environment.FaultMachineAnew, Share: 0.25, Duration: second}}
+		return []environment.Fault{{Kind: environment.FaultWorkerReset, Share: 0.25, Duration: 200_000}, {At: 9 * second, Kind: environment.FaultWorkerReset, Share: 0.25, Duration: second}}
 	}},
 	{name: "the leader is back at once", begin: func(n []string) []environment.Fault { return repeatedCrashes(1, n[0]) }},
 	{name: "the leader is back at once, five times", begin: func(n []string) []environment.Fault { return repeatedCrashes(5, n[0]) }},
@@ -97,7 +97,7 @@
 		}
 	}},
 	{name: "a third of the machines is deaf, and the leader ends", begin: func(n []string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineDeaf, Share: 0.34, Duration: faultDuration}, {At: second, Kind: environment.FaultCrash, Hosts: n[:1]}}
+		return []environment.Fault{{Kind: environment.FaultMachineCommandsBlocked, Share: 0.34, Duration: faultDuration}, {At: second, Kind: environment.FaultCrash, Hosts: n[:1]}}
 	}},
 	{name: "leading is handed over and back", begin: func(n []string) (l []environment.Fault) {
 		for i := range int64(4) {
@@ -133,6 +133,6 @@
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: []string{environment.StateHost}, Duration: 20 * second}}
 	}},
 	{name: "a roll", begin: func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultRoll, Duration: 5 * second}}
+		return []environment.Fault{{Kind: environment.FaultRollingRestart, Duration: 5 * second}}
 	}},
 }
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -137,8 +137,8 @@
 	return fmt.Sprintf("at %.3f s %s: %s", float64(v.At)/1e6, v.Rule, v.Detail)
 }
 
-// Lines formats violations as one line of text each.
-func Lines(violations []Violation) (lines []string) {
+// FormatViolations formats violations as one line of text each.
+func FormatViolations(violations []Violation) (lines []string) {
 	for _, v := range violations {
 		lines = append(lines, v.String())
 	}
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -97,7 +97,7 @@
 	case e.Kind == ResponseReceived && e.State == wire.Cancelled && job.cancelShownAt == 0:
 		job.cancelShownAt = e.At
 	case e.Kind == TaskEntered && job.cancelShownAt != 0:
-		t.metrics[StartsAfter]++
+		t.metrics[StartsAfterCancellation]++
 	case e.Kind == TaskStarted:
 		if job.starts[e.Task] == 0 {
 			job.starts[e.Task] = e.At
@@ -255,9 +255,9 @@
 	LargestLeast = "largest_least"
 )
 
-// StartsAfter is the number of tasks that entered a machine after a user got a response that their
+// StartsAfterCancellation is the number of tasks that entered a machine after a user got a response that their
 // job is cancelled.
-const StartsAfter = "starts_after_cancellation"
+const StartsAfterCancellation = "starts_after_cancellation"
 
 // largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
 const largestWait = 240_000_000
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -88,10 +88,10 @@
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 14 * second, Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
 	}, true},
 	{"a roll begins", second, func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultRoll, Duration: 6 * second}}
+		return []environment.Fault{{Kind: environment.FaultRollingRestart, Duration: 6 * second}}
 	}, true},
 	{"a third of the machines is deaf", second, func([]string) []environment.Fault {
-		return []environment.Fault{{Kind: environment.FaultMachineDeaf, Share: 0.34, Duration: 40 * second}}
+		return []environment.Fault{{Kind: environment.FaultMachineCommandsBlocked, Share: 0.34, Duration: 40 * second}}
 	}, true},
 	{"the leader is back at once", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: 200_000}}
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -257,7 +257,7 @@
 				n++
 			}
 			if n > 0 {
-				c.Machines = append(c.Machines, environment.Machines{Type: x.name, Zone: zone, Count: n})
+				c.Machines = append(c.Machines, environment.InitialMachines{Type: x.name, Zone: zone, Count: n})
 			}
 			c.Capacity = append(c.Capacity, environment.Capacity{Type: x.name, Zone: zone, Count: int(math.Ceil(float64(n) * spareCapacity))})
 		}
@@ -404,7 +404,7 @@
 		kind     environment.FaultKind
 		perDay   float64
 		duration int64
-	}{{environment.FaultMachineDie, planDeathsPerDay, 0}, {environment.FaultMachineBack, planRestartsPerDay, 10 * config.Second}} {
+	}{{environment.FaultMachineDie, planDeathsPerDay, 0}, {environment.FaultWorkerRestart, planRestartsPerDay, 10 * config.Second}} {
 		if p.FaultSpeedup == 0 {
 			break
 		}
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -290,7 +290,7 @@
 	if r.leaderLostAt > 0 {
 		f.Failovers = append(f.Failovers, failoverOf(r.tokenTimes, r.leaderLostAt))
 	}
-	f.Violations = history.Lines(history.CheckAll(events, expectations))
+	f.Violations = history.FormatViolations(history.CheckAll(events, expectations))
 	return f
 }
 
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -180,7 +180,7 @@
 	p.Cloud.ListLagS = r.number("cloud.list_lag_s", c.ListLagS, 2, 0, 600)
 	s.CloudDelay = int64(1000 * r.number("cloud.latency_ms", c.LatencyMs, 100, 0, 1e4))
 	s.Boot = environment.Boot{Slow: r.number("cloud.slow_boots", c.SlowBoots, 0, 0, 1), Never: r.number("cloud.failed_boots", c.FailedBoots, 0, 0, 1)}
-	s.Spot = environment.Spot{PerHour: r.number("cloud.taken_per_hour", c.TakenPerHour, 0, 0, 1e4), Notice: r.seconds("cloud.notice_s", c.NoticeS, 10), Silent: r.number("cloud.silent", c.Silent, 0, 0, 1)}
+	s.Spot = environment.Spot{PerHour: r.number("cloud.taken_per_hour", c.TakenPerHour, 0, 0, 1e4), Notice: r.seconds("cloud.notice_s", c.NoticeS, 10), SilentShare: r.number("cloud.silent", c.Silent, 0, 0, 1)}
 }
 
 func (r *reader) workers(w *pb.Workers, s *Scenario) {
@@ -278,7 +278,7 @@
 		}
 		up, spotUp := r.count(f+".up", x.Up, 0, 0, 10_000), r.count(f+".spot_up", x.SpotUp, 0, 0, 10_000)
 		s.Capacity = append(s.Capacity, environment.Capacity{Type: x.GetType(), Zone: x.GetZone(), Count: r.count(f+".count", x.Count, 0, 0, 10_000), Spot: r.count(f+".spot", x.Spot, 0, 0, 10_000)})
-		for _, k := range []environment.Machines{{Type: x.GetType(), Zone: x.GetZone(), Count: up}, {Type: x.GetType(), Zone: x.GetZone(), Spot: true, Count: spotUp}} {
+		for _, k := range []environment.InitialMachines{{Type: x.GetType(), Zone: x.GetZone(), Count: up}, {Type: x.GetType(), Zone: x.GetZone(), Spot: true, Count: spotUp}} {
 			if k.Count > 0 {
 				s.Machines = append(s.Machines, k)
 			}
@@ -316,7 +316,7 @@
 	}
 	w := environment.Fault{
 		At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: kind, Hosts: x.Hosts, To: x.To,
-		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), OnlyAnswers: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()},
+		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), LoseOnlyResponses: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()},
 	}
 	if l := x.GetLose(); l != nil {
 		w.TransactionLoss = &environment.TransactionLoss{Prefix: l.GetPrefix(), Skip: r.count(f+".lose.skip", l.Skip, 0, 0, 1e6), Outcome: environment.LossOutcome(l.GetHow()), Delay: r.seconds(f+".lose.late_s", l.LateS, 0)}
--- a/internal/emulator/soak/draw.go
+++ b/internal/emulator/soak/random_config.go
@@ -129,7 +129,7 @@
 
 // addFaults adds successive faults, some of which overlap.
 func (p *configBuilder) addFaults() {
-	p.Faults = append(p.Faults, environment.Fault{At: 4 * second, Kind: environment.FaultCloseLooks, Duration: lastFault})
+	p.Faults = append(p.Faults, environment.Fault{At: 4 * second, Kind: environment.FaultProbes, Duration: lastFault})
 	for at := firstFault; at < lastFault; at += p.between(2*second, 10*second) {
 		fault := p.fault()
 		fault.At = at
@@ -154,7 +154,7 @@
 	case 10:
 		return environment.Fault{Kind: environment.FaultStateSlow, Factor: 30, Duration: p.between(3*second, 10*second)}
 	case 11:
-		return environment.Fault{Kind: environment.FaultLateWrites, Share: 0.2, OnlyAnswers: p.chance(0.5), Duration: p.between(3*second, 10*second)}
+		return environment.Fault{Kind: environment.FaultLateWrites, Share: 0.2, LoseOnlyResponses: p.chance(0.5), Duration: p.between(3*second, 10*second)}
 	case 12:
 		to := [][]string{{"controllers"}, {environment.StateHost}, {"controllers", environment.StateHost}}[p.rng.IntN(3)]
 		return environment.Fault{Kind: environment.FaultPartition, Hosts: one, To: to, Duration: p.between(2*second, 9*second)}
--- a/internal/emulator/soak/soak.go
+++ b/internal/emulator/soak/soak.go
@@ -54,8 +54,8 @@
 
 // Summary is the result of a soak.
 type Summary struct {
-	Played uint64
-	Failed []uint64 // seeds of the failed runs, in ascending order
+	Completed uint64
+	Failed    []uint64 // seeds of the failed runs, in ascending order
 }
 
 // Run runs a soak. It prints each failed run when it ends, and a progress line at most once
@@ -103,13 +103,13 @@
 func (p *progress) add(result Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.summary.Played++
+	p.summary.Completed++
 	if result.Failed() {
 		p.summary.Failed = append(p.summary.Failed, result.Seed)
 		_, _ = fmt.Fprintln(p.out, &result)
 	}
 	if time.Since(p.printedAt) >= progressInterval {
 		p.printedAt = time.Now()
-		_, _ = fmt.Fprintf(p.out, "%d of %d runs completed, %d failed\n", p.summary.Played, p.total, len(p.summary.Failed))
+		_, _ = fmt.Fprintf(p.out, "%d of %d runs completed, %d failed\n", p.summary.Completed, p.total, len(p.summary.Failed))
 	}
 }
--- a/internal/emulator/soak/soak_test.go
+++ b/internal/emulator/soak/soak_test.go
@@ -16,8 +16,8 @@
 func TestSoak(t *testing.T) {
 	var out strings.Builder
 	summary := Plan{First: 1, Seeds: soakSeeds, Parallel: runtime.NumCPU()}.Run(context.Background(), &out)
-	if summary.Played != soakSeeds || len(summary.Failed) > 0 {
-		t.Errorf("%d runs completed, want %d; %d failed, want 0:\n%s", summary.Played, soakSeeds, len(summary.Failed), out.String())
+	if summary.Completed != soakSeeds || len(summary.Failed) > 0 {
+		t.Errorf("%d runs completed, want %d; %d failed, want 0:\n%s", summary.Completed, soakSeeds, len(summary.Failed), out.String())
 	}
 }
 
@@ -67,10 +67,10 @@
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	var out strings.Builder
-	if summary := (Plan{First: 1, Seeds: 1000, Parallel: 1}).Run(cancelled, &out); summary.Played > 2 {
-		t.Errorf("%d runs after the context was cancelled, want at most 2", summary.Played)
+	if summary := (Plan{First: 1, Seeds: 1000, Parallel: 1}).Run(cancelled, &out); summary.Completed > 2 {
+		t.Errorf("%d runs after the context was cancelled, want at most 2", summary.Completed)
 	}
-	if summary := (Plan{First: 3, Seeds: 2, Parallel: 2}).Run(context.Background(), &out); summary.Played != 2 {
-		t.Errorf("got %d runs of 2 seeds, want 2", summary.Played)
+	if summary := (Plan{First: 3, Seeds: 2, Parallel: 2}).Run(context.Background(), &out); summary.Completed != 2 {
+		t.Errorf("got %d runs of 2 seeds, want 2", summary.Completed)
 	}
 }
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -215,9 +215,9 @@
 	t.Logf("%d events, %d of them task starts", len(h), len(slices.DeleteFunc(slices.Clone(h), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
 }
 
-// BenchmarkFake measures the simulated seconds per second in fake time with three controllers
+// BenchmarkFakeTime measures the simulated seconds per second in fake time with three controllers
 // and 20, 200 and 2,000 busy machines.
-func BenchmarkFake(b *testing.B) {
+func BenchmarkFakeTime(b *testing.B) {
 	for _, machines := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
@@ -225,7 +225,7 @@
 				c.Params.Size, c.Length = 3, 120_000_000
 				c.Params.Teams[0].Name = "t"
 				c.Params.Workers.ReportS = 8
-				c.Capacity, c.Machines = nil, []environment.Machines{{Type: "big", Zone: "a", Count: machines}}
+				c.Capacity, c.Machines = nil, []environment.InitialMachines{{Type: "big", Zone: "a", Count: machines}}
 				for i := range machines / 2 {
 					c.Jobs = append(c.Jobs, environment.Job{At: int64(5_000_000 + i*100_000_000/machines*2), Run: 20_000_000, Spec: wire.Job{
 						ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "t", Kind: wire.Array,
--- a/internal/emulator/sockets/worker_test.go
+++ b/internal/emulator/sockets/worker_test.go
@@ -18,7 +18,7 @@
 // the answers to reports.
 func TestWorkersOverSockets(t *testing.T) {
 	c := idleConfig()
-	c.Machines = []environment.Machines{{Type: "big", Zone: "a", Count: 1}}
+	c.Machines = []environment.InitialMachines{{Type: "big", Zone: "a", Count: 1}}
 	c.Params.Workers.ReportS = 0.6
 	var mu sync.Mutex
 	var last wire.Report
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -165,8 +165,8 @@
 		After string
 		Limit int
 	}
-	// Listing is an entry of the list of rented machines.
-	Listing struct {
+	// ListedMachine is an entry of the list of rented machines.
+	ListedMachine struct {
 		Name   string  `json:"name_id"`
 		Addr   string  `json:"endpoint"`
 		Type   string  `json:"breed"`
@@ -177,8 +177,8 @@
 	}
 	// MachinesAnswer is the response to Machines.
 	MachinesAnswer struct {
-		Machines []Listing `json:"stokers"`
-		More     bool      `json:"truncated"`
+		Machines []ListedMachine `json:"stokers"`
+		More     bool            `json:"truncated"`
 	}
 	// Error is the body of an error response.
 	Error struct {
@@ -197,10 +197,10 @@
 	}
 	// Row is a key with its value and revision.
 	Row struct {
-		Key   string          `json:"path"`
-		Value json.RawMessage `json:"data"`
-		Stamp uint64          `json:"stamp"`
-		Lease uint64          `json:"tenure,omitempty"`
+		Key      string          `json:"path"`
+		Value    json.RawMessage `json:"data"`
+		Revision uint64          `json:"stamp"`
+		Lease    uint64          `json:"tenure,omitempty"`
 	}
 	// Page is the response to List.
 	Page struct {
@@ -208,9 +208,9 @@
 		More     bool   `json:"truncated"`
 		Revision uint64 `json:"ledger"`
 	}
-	// Cond requires that a key has the given revision; revision 0 requires that the key does
+	// Condition requires that a key has the given revision; revision 0 requires that the key does
 	// not exist.
-	Cond struct {
+	Condition struct {
 		Key      string `json:"path"`
 		Revision uint64 `json:"stamp"`
 	}
@@ -223,8 +223,8 @@
 	}
 	// Transaction is a compare-and-swap: its writes are executed if all conditions hold.
 	Transaction struct {
-		Conditions []Cond  `json:"when"`
-		Writes     []Write `json:"writes"`
+		Conditions []Condition `json:"when"`
+		Writes     []Write     `json:"writes"`
 	}
 	// TransactionAnswer is the response to Transaction. Failed lists the keys whose
 	// conditions did not hold.
@@ -253,10 +253,10 @@
 	}
 	// Change is one key that was put or removed.
 	Change struct {
-		Put    string          `json:"put,omitempty"`
-		Value  json.RawMessage `json:"data,omitempty"`
-		Remove string          `json:"remove,omitempty"`
-		Stamp  uint64          `json:"stamp"`
+		Put      string          `json:"put,omitempty"`
+		Value    json.RawMessage `json:"data,omitempty"`
+		Remove   string          `json:"remove,omitempty"`
+		Revision uint64          `json:"stamp"`
 	}
 	// WatchAnswer is the response to Watch.
 	WatchAnswer struct {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -68,7 +68,7 @@
 		return out
 	}
 	out.Figures = history.Metrics(h, expectations, s.Objectives)
-	out.Violations = append(out.Violations, history.Lines(history.CheckAll(h, expectations))...)
+	out.Violations = append(out.Violations, history.FormatViolations(history.CheckAll(h, expectations))...)
 	sum := blake3.New()
 	if err := jsonlines.Write(sum, h); err != nil {
 		out.FailureReason = err.Error()
