--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -93,8 +93,9 @@
 	Slow, Never float64
 }
 
-// Spot describes how spot machines are reclaimed: PerHour is the rate for each machine, Silent
-// the share of reclaims without notice, Notice the nominal time between notice and reclaim.
+// Spot describes how spot machines are reclaimed: PerHour is the rate for each machine,
+// SilentShare the share of reclaims without notice, and Notice the nominal time between notice
+// and reclaim.
 type Spot struct {
 	PerHour, SilentShare float64
 	Notice               int64
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -64,7 +64,8 @@
 	})
 }
 
-// prepareFault checks a fault and returns the function that begins it.
+// prepareFault is the implementation of a kind of fault: it checks a fault and returns the
+// function that begins it.
 type prepareFault func(*Environment, Fault) (beginFault, error)
 
 // beginFault begins a fault and returns the function that ends it, nil if it does not end.
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -402,8 +402,8 @@
 		t.Fatal(err)
 	}
 	for i, want := range []bool{true, true, false} {
-		if cut, _ := env.LinkState(ControllerName(i), StateHost); cut != want {
-			t.Errorf("partition between %s and the state service: got %v, want %v", ControllerName(i), cut, want)
+		if partitioned, _ := env.LinkState(ControllerName(i), StateHost); partitioned != want {
+			t.Errorf("partition between %s and the state service: got %v, want %v", ControllerName(i), partitioned, want)
 		}
 	}
 }
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -22,8 +22,8 @@
 // tickInterval is the time between two ticks of a controller's core, in microseconds.
 const tickInterval = 50_000
 
-// startOfDay is the wall-clock time at which a run begins, in microseconds.
-const startOfDay = 1_000_000 * second
+// startTime is the wall-clock time at which a run begins, in microseconds.
+const startTime = 1_000_000 * second
 
 // Options contains the settings of a run that are not part of the environment's configuration.
 type Options struct {
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if !n.frozen {
-		n.step(core.Tick{TimeOfDay: n.cluster.now + startOfDay + n.clockOffset})
+		n.step(core.Tick{TimeOfDay: n.cluster.now + startTime + n.clockOffset})
 	}
 	n.cluster.After(tickInterval, func() { n.tick(epoch) })
 }
--- a/internal/emulator/faketime/no_machines_test.go
+++ b/internal/emulator/faketime/no_machines_test.go
@@ -13,7 +13,7 @@
 // has a guarantee, so that costs are weighed, with services spread over zones. The faults are
 // those that have caused failures in such deployments.
 func TestStartWithoutMachines(t *testing.T) {
-	cut := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
+	partition := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
 		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: how}
 	}
 	nodes := []string{"controllers"}
@@ -26,12 +26,12 @@
 		{"rolling restart with a wave of spot preemptions and a crash", []fault{faultAt(65, "roll", 9), wave, faultAt(110, "crash", 0, "node-1")}},
 		{"slow state service, a zone is partitioned, two zones are partitioned from each other", []fault{
 			{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
-			cut(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), cut(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
+			partition(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), partition(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
 		}},
 		{"all controllers crash in a state outage, and machines die", []fault{faultAt(80, "state_outage", 10), faultAt(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
 		{"controllers are refused and partitioned, also from each other", []fault{
-			faultAt(60, "state_refuse", 30, "node-0"), cut(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
-			cut(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), faultAt(135, "cut", 20, "node-2"),
+			faultAt(60, "state_refuse", 30, "node-0"), partition(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
+			partition(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), faultAt(135, "cut", 20, "node-2"),
 		}},
 	}
 	for i, tc := range cases {
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -44,8 +44,8 @@
 	// StartsAfterCancellation is the number of tasks that entered a machine after a user was told
 	// that their job is cancelled.
 	StartsAfterCancellation int
-	overloaded  bool
-	required    map[string]int
+	overloaded              bool
+	required                map[string]int
 }
 
 // HasViolations reports whether the history violates a rule.
@@ -100,8 +100,8 @@
 	return r
 }
 
-// addMetrics adds the metrics of the history: the shares that were served, and StartsAfter.
-// A metric that is not a number counts as a violation.
+// addMetrics adds the metrics of the history: the shares that were served, and
+// StartsAfterCancellation. A metric that is not a number counts as a violation.
 func (r *Result) addMetrics(cl *faketime.Cluster) {
 	var objectives []history.Objective
 	for _, class := range []string{"gang", "array", "stage"} {
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -36,14 +36,14 @@
 // violation for each job for which this is impossible. A request without a response may take
 // effect at any later time. Jobs that depend on others, and sweeps with their runs, are left
 // out, as they also end when others do.
-func CheckLinearizability(events []Event, expected Expectations) (broken []Violation) {
+func CheckLinearizability(events []Event, expected Expectations) (violations []Violation) {
 	for _, part := range byJob(operations(events, expected)) {
 		if !porcupine.CheckOperations(model(), pruneOperations(part)) {
 			last := part[len(part)-1]
-			broken = append(broken, Violation{last.Call, "not_linear", last.Input.(operationInput).job})
+			violations = append(violations, Violation{last.Call, "not_linear", last.Input.(operationInput).job})
 		}
 	}
-	return broken
+	return violations
 }
 
 // operations returns all operations of a history on jobs that do not end with others.
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -171,11 +171,11 @@
 // isWithin reports whether an event at time at, 0 for never, happened at most within after from.
 func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
 
-// addServedShares computes the share of jobs of each class and team that were addServedShares: done by their
-// deadline, or else within the longest completion objective of their class. Only jobs whose time
-// is over by the end count. A job with neither a deadline nor an objective has to be done by the
-// end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these shares;
-// LargestLeast is the lowest of the shares for the largest jobs of each class.
+// addServedShares computes the share of jobs of each class and team that were served: done by
+// their deadline, or else within the longest completion objective of their class. Only jobs whose
+// time is over by the end count. A job with neither a deadline nor an objective has to be done by
+// the end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these
+// shares; LargestLeast is the lowest of the shares for the largest jobs of each class.
 func addServedShares(metrics map[string]float64, jobs map[string]*jobTimeline, expected Expectations, objectives []Objective, end int64) {
 	longest := map[string]int64{}
 	for _, objective := range objectives {
@@ -255,8 +255,8 @@
 	LargestLeast = "largest_least"
 )
 
-// StartsAfterCancellation is the number of tasks that entered a machine after a user got a response that their
-// job is cancelled.
+// StartsAfterCancellation is the number of tasks that entered a machine after a user got a
+// response that their job is cancelled.
 const StartsAfterCancellation = "starts_after_cancellation"
 
 // largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -52,10 +52,10 @@
 	anyTaskEntered bool
 	reported       map[string]bool
 	violations     []Violation
-	// cancelDeadlines has the times by which cancellations have to take effect, in the order of time.
+	// cancelDeadlines has the times by which cancellations have to take effect, earliest first.
 	cancelDeadlines []cancelDeadline
-	// startingGang is the first start event of a startingGang whose tasks are starting, nil if there is
-	// none. startedGangTasks are its tasks that have started.
+	// startingGang is the first start event of the gang whose tasks are starting, nil if there
+	// is none. startedGangTasks are the tasks of this gang that have started.
 	startingGang     *Event
 	startedGangTasks map[int]bool
 	// lastResponseAt is the time of the last response to any user. quietSince is the time of the
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -144,8 +144,8 @@
 		(limits.GPUs <= 0 || use.GPUs+n*s.GPUs <= limits.GPUs+roundingError)
 }
 
-// roomByZone returns for how many tasks of a job the machines in each zone have room, with at most
-// most tasks on each machine.
+// roomByZone returns for how many tasks of a job the machines in each zone have room, if each
+// machine gets no more than most of them.
 func (k *checker) roomByZone(s *wire.Job, most int) map[string]int {
 	room := map[string]int{}
 	for name, m := range k.machines {
--- a/internal/emulator/history/unanswered_test.go
+++ b/internal/emulator/history/unanswered_test.go
@@ -24,9 +24,9 @@
 	poll := []Event{request(4, Poll, 5*s), response(4, Poll, 6*s, 200, wire.Cancelled)}
 	late := []Event{request(3, Cancel, 7*s), response(3, Cancel, 8*s, 503, "")}
 	cases := []struct {
-		name   string
-		events [][]Event
-		broken bool
+		name     string
+		events   [][]Event
+		violated bool
 	}{
 		{"the later request times out first", [][]Event{accepted, {request(2, Cancel, 4*s)}, poll, late, {response(2, Cancel, 9*s, 0, "")}}, false},
 		{"the earlier request is pending at the end", [][]Event{accepted, {request(2, Cancel, 4*s)}, poll, late}, false},
@@ -40,8 +40,8 @@
 			for _, some := range tc.events {
 				events = append(events, some...)
 			}
-			if found := CheckLinearizability(events, expected); (len(found) > 0) != tc.broken {
-				t.Errorf("got violations %v, want any: %v", found, tc.broken)
+			if found := CheckLinearizability(events, expected); (len(found) > 0) != tc.violated {
+				t.Errorf("got violations %v, want any: %v", found, tc.violated)
 			}
 		})
 	}
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -107,7 +107,7 @@
 // extraFaults lists all extra faults.
 var extraFaults = []string{extraNone, extraFailover, extraFreeze, extraCrash}
 
-// pairLinks are the sets of links that are cut when two controllers are partitioned.
+// pairLinks are the sets of links that are down when two controllers are partitioned.
 var pairLinks = [][]string{{"state"}, {"peers"}, {"zone:a"}, {"zone:a", "zone:b"}, {"state", "peers"}, {"zone:a", "zone:b", "peers"}, {"state", "zone:a", "zone:b"}}
 
 // AllCases returns all cases with the given number of controllers: single partitions, pairs
@@ -394,10 +394,10 @@
 // lead and reach all workers through at most two others. A link that is down in one direction
 // counts as down, and a controller that crashes or is suspended during the case as gone.
 func serviceable(c Case, hosts []string, gone string) bool {
-	cut := map[[2]string]bool{}
+	down := map[[2]string]bool{}
 	for i, x := range c.Partitions {
 		for _, o := range farSide(x, hosts[i], c.Size) {
-			cut[[2]string{hosts[i], o}], cut[[2]string{o, hosts[i]}] = true, true
+			down[[2]string{hosts[i], o}], down[[2]string{o, hosts[i]}] = true, true
 		}
 	}
 	var names []string
@@ -407,19 +407,19 @@
 		}
 	}
 	return slices.ContainsFunc(names, func(lead string) bool {
-		if cut[[2]string{lead, environment.StateHost}] {
+		if down[[2]string{lead, environment.StateHost}] {
 			return false
 		}
 		near := []string{lead}
 		for range 2 {
 			for _, n := range names {
-				if !slices.Contains(near, n) && slices.ContainsFunc(near, func(x string) bool { return !cut[[2]string{x, n}] }) {
+				if !slices.Contains(near, n) && slices.ContainsFunc(near, func(x string) bool { return !down[[2]string{x, n}] }) {
 					near = append(near, n)
 				}
 			}
 		}
 		for _, z := range cases.Zones() {
-			if !slices.ContainsFunc(near, func(x string) bool { return !cut[[2]string{x, "zone:" + z}] }) {
+			if !slices.ContainsFunc(near, func(x string) bool { return !down[[2]string{x, "zone:" + z}] }) {
 				return false
 			}
 		}
--- a/internal/emulator/sockets/controller_request.go
+++ b/internal/emulator/sockets/controller_request.go
@@ -22,7 +22,7 @@
 	isHeartbeat  bool // the response is a HeartbeatAnswer
 }
 
-// controllerRequest translates a request of the environment to an HTTP request to a controller.
+// controllerRequest returns the HTTP request for a request of the environment to a controller.
 func (d *Driver) controllerRequest(request any) controllerRequest {
 	get := func(path string) controllerRequest {
 		return controllerRequest{client: d.userClient, method: http.MethodGet, path: path}
