--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -53,9 +53,9 @@
 }
 
 type storedValue struct {
-	value json.RawMessage
-	stamp uint64
-	lease uint64
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
 type lease struct {
@@ -196,7 +196,7 @@
 		if !ok {
 			return 404, wire.TransactionAnswer{Revision: s.revision}
 		}
-		return 200, wire.Row{Key: q.Key, Value: v.value, Revision: v.stamp, Lease: v.lease}
+		return 200, wire.Row{Key: q.Key, Value: v.value, Revision: v.revision, Lease: v.lease}
 	case wire.List:
 		return 200, s.list(q)
 	case wire.Transaction:
@@ -306,7 +306,7 @@
 			p.More = true
 			return false
 		}
-		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Revision: v.stamp, Lease: v.lease})
+		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Revision: v.revision, Lease: v.lease})
 		return true
 	})
 	return p
@@ -327,7 +327,7 @@
 	}
 	var failed []string
 	for _, condition := range q.Conditions {
-		if v, _ := s.keys.Get(condition.Key); v.stamp != condition.Revision {
+		if v, _ := s.keys.Get(condition.Key); v.revision != condition.Revision {
 			failed = append(failed, condition.Key)
 		}
 	}
@@ -370,8 +370,8 @@
 	if after < s.compactedRevision {
 		return nil, false
 	}
-	i, _ := slices.BinarySearchFunc(s.changes, after+1, func(c wire.Change, stamp uint64) int {
-		return int(int64(c.Revision) - int64(stamp))
+	i, _ := slices.BinarySearchFunc(s.changes, after+1, func(c wire.Change, revision uint64) int {
+		return int(int64(c.Revision) - int64(revision))
 	})
 	for _, c := range s.changes[i:] {
 		if strings.HasPrefix(c.Key(), prefix) {
--- a/internal/emulator/faketime/write_conditions_test.go
+++ b/internal/emulator/faketime/write_conditions_test.go
@@ -62,7 +62,7 @@
 			}
 			k := writeKinds[i]
 			written[k.keyPrefix]++
-			stamp, own := on[x.Key]
+			revision, own := on[x.Key]
 			_, leads := on[core.Prefix+"leader"]
 			beside := k.guardPrefix != "" && slices.ContainsFunc(e.Writes, func(o core.Write) bool {
 				_, ok := on[o.Key]
@@ -71,8 +71,8 @@
 			switch {
 			case !own && !beside:
 				t.Errorf("write of %s has conditions %v, want one on the revision that it follows", x.Key, e.Conditions)
-			case k.once && own && stamp != 0:
-				t.Errorf("write of %s is conditional on revision %d, want 0, as the key is only ever created", x.Key, stamp)
+			case k.once && own && revision != 0:
+				t.Errorf("write of %s is conditional on revision %d, want 0, as the key is only ever created", x.Key, revision)
 			case k.leader && !leads:
 				t.Errorf("write of %s has conditions %v, want one on the leadership", x.Key, e.Conditions)
 			case k.lease != (x.Lease != 0):
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -65,35 +65,35 @@
 	{"another crashes", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:2]}}
 	}, false},
-	{"another is back at once", second, func(n []string) []environment.Fault {
+	{"another restarts immediately", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, false},
 	{"another crashes late, and once more", 14 * second, func(n []string) []environment.Fault {
 		last := n[len(n)-1:]
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: last}, {At: 6 * second, Kind: environment.FaultCrash, Hosts: last, Duration: 200_000}}
 	}, false},
-	{"all others are back at once, as the outage begins", 20_000, func(n []string) []environment.Fault {
+	{"all others restart immediately, as the outage begins", 20_000, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
 	}, true}, // nobody can have granted them a read lease before the outage
-	{"another crashes while it is cut from the leader", 4 * second, func(n []string) []environment.Fault {
+	{"another crashes while it is partitioned from the leader", 4 * second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, true},
-	{"the leader is cut from another", second, func(n []string) []environment.Fault {
+	{"the leader is partitioned from another", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 60 * second}}
 	}, true},
-	{"the leader is deaf to another", second, func(n []string) []environment.Fault {
+	{"the leader gets no messages of another", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[1:2], To: n[:1], Duration: 60 * second, PartitionMode: environment.PartitionMode{OneWay: true}}}
 	}, true},
-	{"the others were cut from the leader before, and crash", -outageDelay - second, func(n []string) []environment.Fault {
+	{"the others were partitioned from the leader before, and crash", -outageDelay - second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 14 * second, Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
 	}, true},
-	{"a roll begins", second, func([]string) []environment.Fault {
+	{"a rolling restart begins", second, func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultRollingRestart, Duration: 6 * second}}
 	}, true},
-	{"a third of the machines is deaf", second, func([]string) []environment.Fault {
+	{"a third of the machines gets no responses or commands", second, func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultMachineCommandsBlocked, Share: 0.34, Duration: 40 * second}}
 	}, true},
-	{"the leader is back at once", second, func(n []string) []environment.Fault {
+	{"the leader restarts immediately", second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: 200_000}}
 	}, true}, // no controller can become leader during an outage
 }
--- a/internal/emulator/sockets/partition_test.go
+++ b/internal/emulator/sockets/partition_test.go
@@ -15,11 +15,11 @@
 	"github.com/zinclb/zinclb/internal/emulator/scenario"
 )
 
-// TestCutLeader runs three real controllers on loopback. The leader is first cut off from the
-// workers and the other controllers, so that it reaches only the state service, and then from
-// the state service and the other controllers, so that it reaches only the workers. Each time
-// another controller must become leader, and the history must break no rule. How long the change
-// of leader takes is not checked beyond the limit of waitUntil.
+// TestCutLeader runs three real controllers on loopback. The leader is first partitioned from
+// the workers and the other controllers, so that it reaches only the state service, and then
+// from the state service and the other controllers, so that it reaches only the workers. Each
+// time another controller must become leader, and the history must not violate any rule. How long
+// the change of leader takes is not checked beyond the limit of waitUntil.
 func TestCutLeader(t *testing.T) {
 	t.Parallel()
 	dir, binary := buildController(t)
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -188,7 +188,7 @@
 }
 
 // TestZoneOutage runs three real controllers on loopback through the outage of a zone. It
-// checks only the history, not durations: no rule may be broken, and no gang may start with
+// checks only the history, not durations: no rule may be violated, and no gang may start with
 // only some of its tasks.
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
