--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -92,8 +92,8 @@
 	s.step(nil)
 }
 
-// sendOrders sends orders to a machine's own address and returns the response, or the zero Answer if
-// there was not exactly one.
+// sendOrders sends orders to a machine's own address and returns the response, or the zero Answer
+// if there was not exactly one.
 func (s *testbed) sendOrders(machine string, token, session uint64, orders ...wire.Order) Answer {
 	s.direct = nil
 	s.step(Call{ID: 1, From: "node-0", To: machine, Request: wire.WorkerOrders{Token: &token, Session: &session, Orders: orders}})
@@ -112,8 +112,8 @@
 	return wire.Order{Op: "kill", Task: task, Attempt: 1, GraceS: grace}
 }
 
-// lastReported returns how a machine last reported an attempt: its state, its reason and "stored" if its
-// progress is saved, or "none" if it is not in the report.
+// lastReported returns how a machine last reported an attempt: its state, its reason and "stored"
+// if its progress is saved, or "none" if it is not in the report.
 func (s *testbed) lastReported(machine, name string, attempt uint64) string {
 	r := s.last[machine]
 	for _, t := range r.Tasks {
@@ -131,7 +131,7 @@
 	return "none"
 }
 
-// expectTask checks how a machine last reported an attempt, see task.
+// expectTask checks how a machine last reported an attempt, see lastReported.
 func (s *testbed) expectTask(machine, name string, attempt uint64, want string) {
 	s.t.Helper()
 	if got := s.lastReported(machine, name, attempt); got != want {
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -48,7 +48,7 @@
 }
 
 // checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
-// controller lists. It returns the final state of the last sweep that users were told.
+// controller lists. It returns the final state of the last sweep that was reported to users.
 func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (finalState string) {
 	t.Helper()
 	var listed [][]core.SweepRun
--- a/internal/emulator/history/prune_test.go
+++ b/internal/emulator/history/prune_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// TestPruneOperations compares the verdicts on pruned and complete histories of one job. The histories are
-// random and linearizable, with overlapping requests; in about half of them a response or a time
-// is then changed.
+// TestPruneOperations compares the verdicts on pruned and complete histories of one job. The
+// histories are random and linearizable, with overlapping requests; in about half of them a
+// response or a time is then changed.
 func TestPruneOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
 	good, bad := 0, 0
