--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	c := Config{
 		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
-		Machines: []Machines{{Type: "big", Zone: "a", Count: 2}},
+		Machines: []InitialMachines{{Type: "big", Zone: "a", Count: 2}},
 	}
 	p := &c.Params
 	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
@@ -92,8 +92,8 @@
 	s.step(nil)
 }
 
-// sendOrders sends orders to a machine's own address and returns the response, or the zero Answer if
-// there was not exactly one.
+// sendOrders sends orders to a machine's own address and returns the response, or the zero Answer
+// if there was not exactly one.
 func (s *testbed) sendOrders(machine string, token, session uint64, orders ...wire.Order) Answer {
 	s.direct = nil
 	s.step(Call{ID: 1, From: "node-0", To: machine, Request: wire.WorkerOrders{Token: &token, Session: &session, Orders: orders}})
@@ -112,8 +112,8 @@
 	return wire.Order{Op: "kill", Task: task, Attempt: 1, GraceS: grace}
 }
 
-// lastReported returns how a machine last reported an attempt: its state, its reason and "stored" if its
-// progress is saved, or "none" if it is not in the report.
+// lastReported returns how a machine last reported an attempt: its state, its reason and "stored"
+// if its progress is saved, or "none" if it is not in the report.
 func (s *testbed) lastReported(machine, name string, attempt uint64) string {
 	r := s.last[machine]
 	for _, t := range r.Tasks {
@@ -131,7 +131,7 @@
 	return "none"
 }
 
-// expectTask checks how a machine last reported an attempt, see task.
+// expectTask checks how a machine last reported an attempt, see lastReported.
 func (s *testbed) expectTask(machine, name string, attempt uint64, want string) {
 	s.t.Helper()
 	if got := s.lastReported(machine, name, attempt); got != want {
@@ -402,8 +402,8 @@
 		t.Fatal(err)
 	}
 	for i, want := range []bool{true, true, false} {
-		if cut, _ := env.LinkState(ControllerName(i), StateHost); cut != want {
-			t.Errorf("partition between %s and the state service: got %v, want %v", ControllerName(i), cut, want)
+		if partitioned, _ := env.LinkState(ControllerName(i), StateHost); partitioned != want {
+			t.Errorf("partition between %s and the state service: got %v, want %v", ControllerName(i), partitioned, want)
 		}
 	}
 }
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -22,8 +22,8 @@
 // tickInterval is the time between two ticks of a controller's core, in microseconds.
 const tickInterval = 50_000
 
-// startOfDay is the wall-clock time at which a run begins, in microseconds.
-const startOfDay = 1_000_000 * second
+// startTime is the wall-clock time at which a run begins, in microseconds.
+const startTime = 1_000_000 * second
 
 // Options contains the settings of a run that are not part of the environment's configuration.
 type Options struct {
@@ -208,7 +208,7 @@
 
 // Violations returns the rule violations found in the history, one per line.
 func (c *Cluster) Violations() []string {
-	return history.Lines(history.CheckAll(c.History, c.Expectations()))
+	return history.FormatViolations(history.CheckAll(c.History, c.Expectations()))
 }
 
 // Expectations returns the expectations that the rules are checked against.
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -41,11 +41,11 @@
 	// late. Occurrences counts the events that the faults are meant to cause.
 	DelayedRequests int
 	Occurrences     map[string]int
-	// StartsAfter is the number of tasks that entered a machine after a user was told
+	// StartsAfterCancellation is the number of tasks that entered a machine after a user was told
 	// that their job is cancelled.
-	StartsAfter int
-	overloaded  bool
-	required    map[string]int
+	StartsAfterCancellation int
+	overloaded              bool
+	required                map[string]int
 }
 
 // HasViolations reports whether the history violates a rule.
@@ -100,8 +100,8 @@
 	return r
 }
 
-// addMetrics adds the metrics of the history: the shares that were served, and StartsAfter.
-// A metric that is not a number counts as a violation.
+// addMetrics adds the metrics of the history: the shares that were served, and
+// StartsAfterCancellation. A metric that is not a number counts as a violation.
 func (r *Result) addMetrics(cl *faketime.Cluster) {
 	var objectives []history.Objective
 	for _, class := range []string{"gang", "array", "stage"} {
@@ -113,8 +113,8 @@
 			r.MinServed = v
 		case name == history.LargestLeast:
 			r.MinLargestServed = v
-		case name == history.StartsAfter:
-			r.StartsAfter = int(v)
+		case name == history.StartsAfterCancellation:
+			r.StartsAfterCancellation = int(v)
 		case math.IsNaN(v):
 			r.Violations = append(r.Violations, name+" is no number")
 		}
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -97,7 +97,7 @@
 	case e.Kind == ResponseReceived && e.State == wire.Cancelled && job.cancelShownAt == 0:
 		job.cancelShownAt = e.At
 	case e.Kind == TaskEntered && job.cancelShownAt != 0:
-		t.metrics[StartsAfter]++
+		t.metrics[StartsAfterCancellation]++
 	case e.Kind == TaskStarted:
 		if job.starts[e.Task] == 0 {
 			job.starts[e.Task] = e.At
@@ -171,11 +171,11 @@
 // isWithin reports whether an event at time at, 0 for never, happened at most within after from.
 func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
 
-// addServedShares computes the share of jobs of each class and team that were addServedShares: done by their
-// deadline, or else within the longest completion objective of their class. Only jobs whose time
-// is over by the end count. A job with neither a deadline nor an objective has to be done by the
-// end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these shares;
-// LargestLeast is the lowest of the shares for the largest jobs of each class.
+// addServedShares computes the share of jobs of each class and team that were served: done by
+// their deadline, or else within the longest completion objective of their class. Only jobs whose
+// time is over by the end count. A job with neither a deadline nor an objective has to be done by
+// the end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these
+// shares; LargestLeast is the lowest of the shares for the largest jobs of each class.
 func addServedShares(metrics map[string]float64, jobs map[string]*jobTimeline, expected Expectations, objectives []Objective, end int64) {
 	longest := map[string]int64{}
 	for _, objective := range objectives {
@@ -255,9 +255,9 @@
 	LargestLeast = "largest_least"
 )
 
-// StartsAfter is the number of tasks that entered a machine after a user got a response that their
-// job is cancelled.
-const StartsAfter = "starts_after_cancellation"
+// StartsAfterCancellation is the number of tasks that entered a machine after a user got a
+// response that their job is cancelled.
+const StartsAfterCancellation = "starts_after_cancellation"
 
 // largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
 const largestWait = 240_000_000
