--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -13,8 +13,8 @@
 
 const sweepJob = `job { herd: "h" steward: "t" shape: "sweep" urgency: "idle" hands: 2 vcpus: 1 mem_gb: 1 seedstock: "im" expect_s: 5 } `
 
-// TestSweepRoutes checks the messages for requests about sweeps, and the errors for invalid
-// ones.
+// TestSweepRoutes checks to which messages requests about sweeps are converted, and the errors
+// for invalid requests.
 func TestSweepRoutes(t *testing.T) {
 	validSweep := `id: "s" ` + sweepJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } }`
 	cases := []struct {
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -13,8 +13,8 @@
 const (
 	// activationInterval is the minimum time between two writes of features or format.
 	activationInterval = second
-	// conditionsPerOp is the number of conditions that a transaction may have for each
-	// write that the state service allows in a transaction.
+	// conditionsPerOp is the ratio of the maximum number of conditions in a transaction to
+	// the maximum number of writes in it.
 	conditionsPerOp = 4
 )
 
@@ -203,8 +203,8 @@
 	}
 	write, condition := m.activationWrite(feature)
 	conditions := []Cond{m.leaderCondition(), condition}
-	// The write is conditional on each supporter's advertisement being unchanged, so that a
-	// controller which is meanwhile replaced by an older program is not overlooked.
+	// The write is conditional on each supporter's advertisement being unchanged, so that it
+	// fails if an older program has meanwhile replaced one of these controllers.
 	if len(conditions)+len(supporters) > conditionsPerOp*m.limits().TxnOps {
 		return // too many controllers to prove their support in one transaction
 	}
--- a/internal/core/connectivity/handover.go
+++ b/internal/core/connectivity/handover.go
@@ -19,7 +19,8 @@
 	// writeFailureTimeout is how long writes have to fail, while reads are answered, before
 	// a leader hands over to any other controller.
 	writeFailureTimeout = 5 * second
-	// readFreshness is the maximum age of an answered read that counts as evidence for that.
+	// readFreshness is the maximum age of an answered read that still counts as evidence that
+	// reads are answered.
 	readFreshness = 2 * second
 )
 
@@ -48,7 +49,7 @@
 // LastHandover returns the last handover by this controller, with At 0 if there was none.
 func (l *Links) LastHandover() Handover { return l.handover.last }
 
-// delay returns how long a better leader has to be known before a handover now.
+// delay returns how long a better leader has to be known for a handover at the time now.
 func (h *handoverState) delay(now int64) int64 {
 	delay := int64(baseHandoverDelay)
 	for i, at := range h.changes {
@@ -89,8 +90,9 @@
 	if len(l.matrix) < 2 || !writesFail {
 		return "", ""
 	}
-	// Advertisements do not say who can write. This controller can't, and as its reads are
-	// still answered after writeFailureTimeout, the state service is not down.
+	// Advertisements do not say which controllers can write, so the first other one by name is
+	// taken. The state service is not down: it still answers this controller's reads after its
+	// writes have failed for writeFailureTimeout.
 	names := slices.Sorted(maps.Keys(l.matrix))
 	if names[0] == l.self {
 		return names[1], "writes are refused here alone"
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -3,9 +3,9 @@
 // Keys of the state service.
 const (
 	Prefix = "zinclb/"
-	// A job's record is under jobPrefix until it is removed after the end of the job, its
-	// progress in chunks under runPrefix and in the log under logPrefix, and its end under
-	// endPrefix.
+	// A job has a record under jobPrefix, which is removed after the job has ended. Its
+	// progress is stored in chunks under runPrefix and in the log under logPrefix, and its
+	// end under endPrefix.
 	jobPrefix = Prefix + "job/"
 	runPrefix = Prefix + "run/"
 	endPrefix = Prefix + "end/"
@@ -26,12 +26,13 @@
 	// operators have declared as not coming back.
 	featuresKey          = Prefix + "features"
 	decommissionedPrefix = Prefix + "gone/"
-	// connectivityPrefix is for what each controller can reach, attached to its lease.
+	// connectivityPrefix is for the records of what each controller can reach; each is
+	// attached to the lease of its controller.
 	connectivityPrefix = Prefix + "reach/"
 )
 
-// StartPrefixes are the prefixes listed at startup. Ends are not among them: they are kept
-// forever, and read one by one.
+// StartPrefixes are the prefixes listed at startup. endPrefix is not among them, because the
+// ends of jobs are kept forever, and read one by one.
 var StartPrefixes = []string{
 	jobPrefix,
 	runPrefix,
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -8,7 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// queueCount is the number of queues and of partitions, as in the paper.
+// queueCount is the number of queues and of partitions, as in the paper that package sched
+// implements.
 const queueCount = 3
 
 const (
@@ -18,11 +19,11 @@
 	replanInterval = 2 * second
 	// maxPlannedTasks is the maximum number of tasks that one round places.
 	maxPlannedTasks = 400
-	// machinesPerUrgentJob is the number of machines in the fleet per additional waiting
-	// urgent job that gets a reservation.
+	// For every machinesPerUrgentJob machines in the fleet, machines are reserved for one
+	// more waiting urgent job.
 	machinesPerUrgentJob = 64
-	// minSpareMachines is the minimum number of idle on-demand machines at which services
-	// may spread over more machines than they fill. With fewer, machines are in demand.
+	// Services may spread over more machines than they fill only if at least minSpareMachines
+	// on-demand machines are idle. With fewer, machines are in demand.
 	minSpareMachines = 16
 	// serviceDuration is the expected duration of services, which never end.
 	serviceDuration = int64(1) << 50
@@ -53,8 +54,8 @@
 	// capacity is the total of the resources of all usable machines.
 	capacity   jobstate.Resources
 	classSizes classSizes
-	// onDemandNeededAt is the time at which a job that needs on-demand machines could last
-	// have used a machine type, by the type's name.
+	// onDemandNeededAt maps the name of a machine type to the last time at which a job that
+	// needs on-demand machines could have used that type.
 	onDemandNeededAt map[string]int64
 }
 
@@ -178,8 +179,8 @@
 	}
 }
 
-// recordWaiting stores the pivots and waiting jobs of a round, which scaling out, image
-// prefetching and the operators' view use.
+// recordWaiting stores the pivots and waiting jobs of a round. They are used for scaling out,
+// image prefetching and the operators' view.
 func (p *planner) recordWaiting(plan *sched.Plan) {
 	planning := &p.elector.leadership.planning
 	planning.pivots = planning.pivots[:0]
@@ -192,12 +193,12 @@
 	}
 }
 
-// claim is a job's claim on a machine that is being freed for it. It is kept until it is
-// used, its job has ended or has no tasks left to place, or the time until has passed: by
-// then the machine should long have become free.
+// claim is a job's claim on a machine that is being freed for it. It is removed when it has
+// been used, when its job has ended or has no tasks left to place, and when it expires: by then
+// the machine should long have become free.
 type claim struct {
 	sched.Claim
-	until int64
+	until int64 // time of expiry
 }
 
 // claimTimeout is the time allowed for stopping tasks with a checkpoint, in addition to
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -25,9 +25,9 @@
 	machine string // the machine on which it runs, empty if none
 }
 
-// prefetchJob is a completed job whose tasks are prefetch sources: how many of them run, and in which
-// zone. The sources of a job that sets one_zone stay in one zone, as the rule also applies to tasks
-// that are started again.
+// prefetchJob is the state that the prefetch sources of one completed job share: how many of them run,
+// and the zone in which the last one was started. If the job sets one_zone, its sources may only run in
+// one zone at a time, because one_zone also applies to tasks that are started again.
 type prefetchJob struct {
 	running int
 	zone    string
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -125,7 +125,7 @@
 		w.now-task.PlacedAt <= abandonedFetchFactor*job.FetchTime(machine.FetchRate)
 }
 
-// phaseOf returns the phase for the state that a worker reports of an attempt.
+// phaseOf converts the state of an attempt in a heartbeat to a phase.
 func phaseOf(state TaskState) jobstate.Phase {
 	switch state {
 	case TaskWaiting:
@@ -162,7 +162,8 @@
 type missingTasks struct {
 	// toStart are stored placements that were not started yet, or whose start was lost.
 	toStart []fleet.TaskRef
-	// lost tasks were on the machine, neverStarted ones never were; neither is there now.
+	// lost are placements whose tasks were on the machine and are gone; neverStarted are
+	// placements whose tasks have never been on it.
 	lost, neverStarted []fleet.TaskRef
 }
 
@@ -204,9 +205,10 @@
 		}
 		switch {
 		case machine.SeqRestarted() && (task.Confirmed || task.IsStopping() && task.StartSent):
-			// The heartbeat may be a late copy, so the machine is probed; see needsProbe.
+			// The heartbeat may be a copy from before the restart, so the machine is
+			// probed; see needsProbe.
 		case task.Confirmed && machine.HasCurrentToken:
-			// It was on the machine and is gone: the worker ended it with its last epoch.
+			// It was on the machine and is gone: it ended with the worker's previous epoch.
 			missing.lost = append(missing.lost, ref)
 		case task.IsStopping() && (machine.HasCurrentToken || !task.StartSent):
 			// The start was lost or never sent: if the worker had received it, this
--- a/internal/core/workermessages.go
+++ b/internal/core/workermessages.go
@@ -6,8 +6,8 @@
 	Heartbeat Heartbeat
 	// From is the controller that relayed the heartbeat, "" if it came from the worker itself.
 	From string
-	// ViaPeer is set if that controller does not reach the leader and this one should
-	// relay the heartbeat to it.
+	// ViaPeer is set if the controller named in From does not reach the leader, so that this
+	// controller should relay the heartbeat to the leader.
 	ViaPeer bool
 }
 
@@ -56,8 +56,8 @@
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
-	// Epoch counts the worker's incarnations, and Seq its heartbeats within one.
-	// FencingToken is the highest token that it has accepted.
+	// Epoch counts the worker's incarnations, and Seq the heartbeats within an epoch.
+	// FencingToken is the highest token that the worker has accepted.
 	Epoch, Seq, FencingToken uint64
 	// PreemptionNotice is the time in microseconds until the cloud reclaims the machine, or
 	// NoPreemptionNotice.
@@ -65,8 +65,8 @@
 	Tasks            []TaskStatus
 }
 
-// NoPreemptionNotice is the PreemptionNotice of a machine that the cloud has not announced to
-// reclaim.
+// NoPreemptionNotice is the PreemptionNotice of a machine for which the cloud has not announced
+// a preemption.
 const NoPreemptionNotice = -1
 
 // TaskStatus is the status of one task attempt in a heartbeat.
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -111,7 +111,7 @@
 		}
 		s.Objectives = append(s.Objectives, history.Objective{Kind: a.GetKind(), Class: a.GetClass(), Team: a.GetTeam(), Within: r.seconds(f+".within_s", a.WithinS, 0), Share: r.number(f+".share", a.Share, 0, 0, 1)})
 		if a.GetKind() == "served" {
-			continue // the platform has no such objective
+			continue // the controllers' settings have no such objective
 		}
 		s.Params.Objectives = append(s.Params.Objectives, config.Objective{Kind: a.GetKind(), Class: a.GetClass(), WithinS: a.GetWithinS()})
 	}
@@ -286,6 +286,8 @@
 	}
 }
 
+// faults reads the sweeps and the faults, and checks that an environment can be created from the
+// scenario.
 func (r *reader) faults(m *pb.Scenario, s *Scenario) {
 	for i, x := range m.Sweep {
 		f := fmt.Sprintf("sweep[%d]", i)
