--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -13,8 +13,8 @@
 //
 // The controller compared what it reaches with what it had last stored, and learned of the
 // loss only from the removal of the key, but a list contains no removals. So it never stored
-// the advertisement again while what it reached stayed the same. TestReachAfterCut (package
-// experiment) showed this with seeds 3, 6 and 17 and the leader cut off from the state service
+// the advertisement again while what it reached stayed the same. TestReachAfterPartition
+// (package experiment) showed this with seeds 3, 6 and 17 and the leader cut off from the state service
 // and the other controllers: for 100 s node-0 reported that all reach all, while the matrix of
 // the other controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -26,8 +26,8 @@
 	// doubtTimeout is the time without any success after which the other controllers are asked
 	// for machines, and after which their information that a machine is gone is accepted.
 	doubtTimeout = 5 * second
-	// forgottenRetention is how long a machine that is gone is not added again because another
-	// controller samples it: that controller may not know yet that the machine is gone.
+	// forgottenRetention is the time during which a machine that is gone is not added again if
+	// another controller samples it: that controller may not know yet that the machine is gone.
 	forgottenRetention = 900 * second
 )
 
@@ -45,7 +45,7 @@
 	byName          map[string]*sampledMachine
 	forgottenAt     map[string]int64 // removal times of machines that are gone
 	refreshInterval int64            // age from which evidence is renewed
-	probedAt        int64            // time of the last probe, or use of heartbeats, to renew evidence
+	probedAt        int64            // time at which evidence was last renewed, by a probe or heartbeats
 }
 
 type sampledMachine struct {
@@ -117,9 +117,9 @@
 	return true
 }
 
-// makeRoom reports whether a zone has room for a machine with a hash. If the zone is full, it
-// removes a machine with a higher hash, or one that is down and had no success for longer than
-// staleTimeout, if there is one.
+// makeRoom reports whether a zone has room for a machine with the given hash. If the zone is full,
+// it first removes a machine with a higher hash or, if there is none, one that is down and had no
+// success for longer than staleTimeout.
 func (s *Sample) makeRoom(zone string, hash uint64, now int64) bool {
 	machines := s.zones[zone]
 	if len(machines) < machinesPerZone {
@@ -209,8 +209,8 @@
 }
 
 // mergeMachine adds a machine that another controller samples. If that controller reaches more
-// of the zone, the machine counts as unreachable until it answers: it may replace a machine that
-// was unreachable, and the zone would otherwise be unknown until then.
+// of the zone, the machine counts as unreachable until it answers: it may have replaced
+// an unreachable machine, and otherwise the reach of the zone could be unknown until then.
 func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
@@ -299,8 +299,8 @@
 	return append(due, oldest.probe(now))
 }
 
-// newestFailure returns the send time of the newest failed request to a machine of a zone that is
-// down, 0 if none is down.
+// newestFailure returns the send time of the newest failed request to those machines of a zone that
+// are down, 0 if none is down.
 func (s *Sample) newestFailure(zone string) (sentAt int64) {
 	for _, m := range s.zones[zone] {
 		if m.link.down() {
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -102,7 +102,7 @@
 // It guards against a follower that, after a network cut, permanently advertised that it reached two
 // eighths of a zone: a gone machine was replaced only by one that sent heartbeats, a follower without
 // a partition receives none, and it did not ask the others for machines while it had four. This was
-// seen in TestReachAfterCut (experiment), where three of four sampled machines had been scaled in.
+// seen in experiment.TestReachAfterPartition, where three of four sampled machines had been scaled in.
 func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
--- a/internal/core/readlease/holder.go
+++ b/internal/core/readlease/holder.go
@@ -2,8 +2,8 @@
 
 // grant is what a leader knows about its read lease of one grantor.
 type grant struct {
-	// upTo is the number up to which the leader knows the cancellations of the grantor's
-	// incarnation.
+	// incarnation is the grantor's incarnation whose cancellations the leader knows up to
+	// the number upTo.
 	incarnation string
 	upTo        uint64
 	// grantedAt is the send time of the newest request whose answer granted the lease, 0 if
--- a/internal/core/readlease/readlease.go
+++ b/internal/core/readlease/readlease.go
@@ -71,8 +71,8 @@
 type HolderAck struct {
 	// Holds says that the controller holds, or may still obtain, a read lease of the grantor.
 	Holds bool
-	// UpTo is the number up to which the controller knows the cancellations of the grantor's
-	// Incarnation.
+	// Incarnation is the grantor's incarnation whose cancellations the controller knows up
+	// to the number UpTo.
 	Incarnation string
 	UpTo        uint64
 	// AppliedRevision is the revision up to which the controller knows the stored state.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -212,7 +212,7 @@
 	h.beginRead(source)
 }
 
-// beginRead starts a read for all waiting requests, of which there may be none.
+// beginRead starts a read for all waiting requests, also if there are none.
 func (h *requestHandler) beginRead(source string) {
 	h.queues.stateReads.Begin(h.now)
 	if source == "" {
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -13,7 +13,7 @@
 const second = int64(1_000_000)
 
 // testMachine returns a machine of 8 CPUs in partition part. runs are pairs of the CPUs and the
-// end, in seconds, of a running task of the team other.
+// end, in seconds, of a running task of the team "other".
 func testMachine(name string, part int, runs ...int64) *Machine {
 	m := &Machine{Name: name, Type: "t", Zone: "a", Partition: part, Cap: jobstate.Resources{CPU: 8000}, Free: jobstate.Resources{CPU: 8000}, FetchRate: 1000, Images: map[string]fleet.Image{}}
 	for i := 0; i+1 < len(runs); i += 2 {
@@ -24,7 +24,7 @@
 	return m
 }
 
-// testJob returns a job of the team mine without limits. cpus is per task, length in seconds.
+// testJob returns a job of the team "mine" without limits. cpus is per task, length in seconds.
 func testJob(id string, queue, prio int, kind jobstate.Kind, tasks int, cpus, length int64) *Job {
 	j := jobstate.NewJob(&jobstate.Spec{ID: id, Kind: kind, Tasks: tasks, Priority: prio, Need: jobstate.Resources{CPU: cpus * 1000}, Estimate: length * second, Team: "mine"})
 	return &Job{Job: j, Queue: queue, ExpectedDuration: length * second, Headroom: &Headroom{CPU: Unlimited, GPU: Unlimited}}
@@ -145,8 +145,8 @@
 			jobs:   []*Job{withArrival(1, testJob("n1", 0, 1, jobstate.Array, 1, 8, 10)), withArrival(2, testJob("n2", 0, 1, jobstate.Array, 1, 8, 10))},
 			pivots: "n1:400", preempts: 1,
 		},
-		// u1 is the pivot, and u2 may preempt work of the team other. Half of m1 is
-		// already free, which the next job of the team other must not use.
+		// u1 is the pivot, and u2 may preempt work of the team "other". Half of m1 is
+		// already free; u3, the next job of the team "other", must not use it.
 		{
 			name: "a reservation behind the pivot blocks jobs that could be preempted for it", ahead: 1, machines: []*Machine{testMachine("m0", 0, 8, 40), testMachine("m1", 0, 4, 50)},
 			jobs:   []*Job{guaranteed(withArrival(1, testJob("u1", 0, 2, jobstate.Array, 1, 8, 10))), guaranteed(withArrival(2, testJob("u2", 0, 2, jobstate.Array, 1, 8, 10))), ofTeamOther(withArrival(3, testJob("u3", 0, 2, jobstate.Array, 1, 4, 100)))},
@@ -308,8 +308,9 @@
 	}
 }
 
-// TestServiceImageCost checks that a service leaves room on machines that lack its image, for the
-// services whose images are there: images of services get to a machine only with replicas.
+// TestServiceImageCost checks that a service leaves room on machines that lack its image. The room
+// is for services whose images are there: a service's image gets to a machine only when a replica
+// is placed there.
 func TestServiceImageCost(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -242,8 +242,8 @@
 	})
 }
 
-// retry calls f after 1 to 1.5 s, or after the response's Retry-After time if that is longer,
-// which counts up to maxRetryDelay.
+// retry calls f after 1 to 1.5 s, or after the response's Retry-After time, capped at
+// maxRetryDelay, if that is longer.
 func (u *jobUser) retry(t AskAnswer, f func()) {
 	wait := second + u.env.rng.Int64N(second/2)
 	u.env.after(max(wait, min(int64(t.RetryAfter)*second, maxRetryDelay)), f)
--- a/internal/emulator/faultcombos/faultcombos_test.go
+++ b/internal/emulator/faultcombos/faultcombos_test.go
@@ -14,11 +14,11 @@
 // them.
 const sampleInterval = 13
 
-// TestTroubles runs a sample of the combinations of faults; zinclb-emulator troubles runs all
-// of them.
+// TestTroubles runs a sample of the combinations of faults; the command "zinclb-emulator troubles"
+// runs all of them.
 func TestTroubles(t *testing.T) {
 	selected := append(cases.EveryNth(AllCases(3), 0, sampleInterval), cases.EveryNth(AllCases(5), 6, 4*sampleInterval+1)...)
-	for _, c := range append(AllCases(3), AllCases(5)...) { // alone, these scripts have to cause their mustOccur
+	for _, c := range append(AllCases(3), AllCases(5)...) { // alone, each of these scripts has to cause its mustOccur event
 		if c.isSingle() {
 			selected = append(selected, c)
 		}
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -37,7 +37,7 @@
 	TaskLeft      Kind = "left"
 	// StateChanged is a change of a key of the state service.
 	StateChanged Kind = "stored"
-	// FaultChanged is the begin or end of a fault, ControllerChanged the start or exit of a
+	// FaultChanged is the start or end of a fault, ControllerChanged the start or exit of a
 	// controller.
 	FaultChanged      Kind = "fault"
 	ControllerChanged Kind = "node"
--- a/internal/experiment/cancelledchains_test.go
+++ b/internal/experiment/cancelledchains_test.go
@@ -16,7 +16,7 @@
 //	at 86.210 s forgotten: JOB is not found
 //	at 37.195 s went_back: JOB was withdrawn and is pending
 //
-// core.TestToldEndIsStored has the messages that led to this.
+// core.TestReportedEndIsStored has the messages that led to this.
 
 // TestCancelledChains runs the scenario with the four seeds that lost an end, and with one that did
 // not.
--- a/internal/experiment/reach_test.go
+++ b/internal/experiment/reach_test.go
@@ -27,7 +27,7 @@
 // In 121 of 200 runs with the leader partitioned from the state service and the other controllers,
 // this never happened; some controllers reported for all of that time that they reach two eighths
 // of a zone, or none of it. There were two causes: machines that had been scaled in stayed in the
-// samples (connectivity.TestMachinesThatAreGone), and an advertisement that was lost with its lease
+// samples (connectivity.TestGoneMachinesRemoved), and an advertisement that was lost with its lease
 // was not stored again (core.TestAdvertisementIsStoredAgain). The rows of the matrices show both.
 // With the first fixed, 3 of 40 runs still failed, in which all rows were complete and one was
 // missing; with both fixed, none of 400.
