--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -210,7 +210,7 @@
 
 // mergeMachine adds a machine that another controller samples. If that controller reaches more
 // of the zone, the machine counts as unreachable until it answers: it may have replaced
-// an unreachable machine, and otherwise the reach of the zone could be unknown until then.
+// an unreachable machine, and otherwise the reach of the zone would be unknown until then.
 func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -224,7 +224,7 @@
 }
 
 // serveBy returns the time by which a job has to be done to count as served, 0 if there is none.
-// The job's time counts from from; within is the longest completion objective of its class, 0 if
+// The job's time counts from the time from; within is the longest completion objective of its class, 0 if
 // it has none; the run ends at end.
 func (j *jobTimeline) serveBy(spec *wire.Job, from, within, end int64) int64 {
 	switch {
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// parseAndExpand parses and expands the text of a sweep. files maps the names of the files
-// that it can refer to to their contents.
+// parseAndExpand parses and expands the text of a sweep. files has the contents of
+// the files that it can refer to, by name.
 func parseAndExpand(text string, files map[string]string) (*Expansion, error) {
 	s, err := Parse([]byte(text))
 	if err != nil {
