--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// activationInterval is the minimum time between two writes of features or format.
+	// activationInterval is the minimum time between two writes of commitActivation.
 	activationInterval = second
 	// conditionsPerOp is the ratio of the maximum number of conditions in a transaction to
 	// the maximum number of writes in it.
@@ -19,7 +19,8 @@
 )
 
 // Sizes in bytes that determine how many tasks fit in a stored chunk: the chunk without its
-// tasks, a task without the name of its machine, and the shortest machine name to assume.
+// tasks, a task without the name of its machine, and the minimum length to assume for the names
+// of machines.
 const (
 	chunkFrameBytes    = 160
 	chunkBytesPerTask  = 15
@@ -42,7 +43,7 @@
 
 // activationState is the state that membership keeps while this controller leads.
 type activationState struct {
-	writing   bool  // a write of features or format is in flight
+	writing   bool  // a write of commitActivation is in flight
 	notBefore int64 // earliest time of the next such write
 }
 
@@ -77,9 +78,9 @@
 }
 
 // applyFormat applies a change of the stored format.
-func (m *membership) applyFormat(ch Change, reportInvalid func(error)) {
+func (m *membership) applyFormat(change Change, reportInvalid func(error)) {
 	var format formatRecord
-	if err := json.Unmarshal(ch.Value, &format); err != nil {
+	if err := json.Unmarshal(change.Value, &format); err != nil {
 		reportInvalid(err)
 		return
 	}
@@ -90,7 +91,7 @@
 	if format != m.format {
 		m.log.Info("stored format changed", "version", format.Version, "chunk_tasks", format.Tasks)
 	}
-	m.format, m.formatRevision = format, ch.Revision
+	m.format, m.formatRevision = format, change.Revision
 	m.activation.SetFormat(format.Version)
 	if !m.elector.isLeader() {
 		m.changeChunkSize()
@@ -113,48 +114,48 @@
 }
 
 // applyActivation applies a stored change of members, decommissioned controllers or features.
-func (m *membership) applyActivation(ch Change, reportInvalid func(error)) {
-	if name, ok := strings.CutPrefix(ch.Key, decommissionedPrefix); ok {
-		m.applyDecommissioned(name, ch)
+func (m *membership) applyActivation(change Change, reportInvalid func(error)) {
+	if name, ok := strings.CutPrefix(change.Key, decommissionedPrefix); ok {
+		m.applyDecommissioned(name, change)
 		return
 	}
-	if name, ok := strings.CutPrefix(ch.Key, memberPrefix); ok {
-		m.applyAdvertisement(name, ch, reportInvalid)
+	if name, ok := strings.CutPrefix(change.Key, memberPrefix); ok {
+		m.applyAdvertisement(name, change, reportInvalid)
 		return
 	}
-	if !ch.Removed {
-		m.applyFeatures(ch, reportInvalid)
+	if !change.Removed {
+		m.applyFeatures(change, reportInvalid)
 	}
 }
 
-func (m *membership) applyDecommissioned(name string, ch Change) {
-	m.decommissionedRevisions[name] = ch.Revision
-	if ch.Removed {
+func (m *membership) applyDecommissioned(name string, change Change) {
+	m.decommissionedRevisions[name] = change.Revision
+	if change.Removed {
 		m.decommissionedRevisions[name] = 0
 	}
-	m.activation.SetDecommissioned(name, !ch.Removed)
+	m.activation.SetDecommissioned(name, !change.Removed)
 }
 
-func (m *membership) applyAdvertisement(name string, ch Change, reportInvalid func(error)) {
-	if ch.Removed {
+func (m *membership) applyAdvertisement(name string, change Change, reportInvalid func(error)) {
+	if change.Removed {
 		m.activation.RemoveAdvertisement(name)
 		return
 	}
 	var advertisement upgrade.Advertisement
-	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
+	if err := json.Unmarshal(change.Value, &advertisement); err != nil {
 		reportInvalid(err)
 		return
 	}
-	m.activation.SetAdvertisement(name, advertisement, ch.Revision, m.now)
+	m.activation.SetAdvertisement(name, advertisement, change.Revision, m.now)
 }
 
-func (m *membership) applyFeatures(ch Change, reportInvalid func(error)) {
+func (m *membership) applyFeatures(change Change, reportInvalid func(error)) {
 	var features featuresRecord
-	if err := json.Unmarshal(ch.Value, &features); err != nil {
+	if err := json.Unmarshal(change.Value, &features); err != nil {
 		reportInvalid(err)
 		return
 	}
-	m.featuresRevision = ch.Revision
+	m.featuresRevision = change.Revision
 	m.activation.SetEnabled(features.On)
 	m.log.Info("active features changed", "features", features.On)
 }
--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -11,18 +11,18 @@
 const (
 	// alertInterval is the time between two checks by the leader.
 	alertInterval = 10 * second
-	// stuckAfter is the waiting time after which a pivot is reported as stuck, and the
-	// minimum time between two log lines about the same job.
+	// stuckAfter is the waiting time after which a pivot, the job at the head of its queue,
+	// is reported as stuck, and the minimum time between two log lines about the same job.
 	stuckAfter = 60 * second
 	// maxLatePipelines is the maximum number of pipelines reported at once.
 	maxLatePipelines = 5
 )
 
-// alertState has the leader's alerts to operators about queues and pipelines.
+// alertState holds the leader's alerts to operators about queues and pipelines.
 type alertState struct {
 	checkedAt int64
 	current   []string
-	loggedAt  map[string]int64 // by job id
+	loggedAt  map[string]int64 // by job ID
 }
 
 func newAlertState() alertState { return alertState{loggedAt: map[string]int64{}} }
--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -8,9 +8,10 @@
 	"github.com/zinclb/zinclb/internal/core/fleet"
 )
 
-// Once listed, a machine remains listed until it is gone. A list without it proves that it is gone
-// only if this list describes a later time than a list that contained it: lists lag, one may be
-// older than the one before, and each page is a list of its own. The time that a list describes is
+// Once the cloud has listed a machine, it lists the machine until the machine is gone. A list
+// without the machine proves that the machine is gone, but only if this list describes a later time
+// than a list with the machine: lists lag, a list may describe an earlier time than the list before
+// it, and the pages of one list may describe different times. The time that a list describes is
 // known within bounds: it is no later than the answer, and no earlier than twice the lag before the
 // request. A machine's ages in two lists give the exact time between them, so the bounds get
 // narrower with each list.
@@ -22,17 +23,17 @@
 )
 
 const (
-	// listingMargin is how much later a list without a machine must be than the last list
-	// with it, as ages are given in fractions of a second.
+	// listingMargin is the minimum time from the last list with a machine to a list without
+	// it that proves the machine to be gone, as ages are given in fractions of a second.
 	listingMargin = second
 	// clockDriftDivisor divides a duration to give the maximum drift between the cloud's
 	// clock and the local clock over that duration.
 	clockDriftDivisor = 1000
-	// scaledInRetention is how long a returned machine may still be listed.
+	// scaledInRetention is the maximum time for which a returned machine may still be listed.
 	scaledInRetention = 120 * second
-	// unlistedBootTimeout, plus four times the list lag, is how long after it was rented a
-	// booting machine may be missing from the list. unlistedTimeout is how long an unlisted
-	// machine without work must be silent before it is removed.
+	// unlistedBootTimeout, plus four times the list lag, is the time after its rental for
+	// which a booting machine may be missing from the list. unlistedTimeout is the time
+	// without a heartbeat after which an unlisted machine without work is removed.
 	unlistedBootTimeout = 60 * second
 	unlistedTimeout     = 90 * second
 )
@@ -161,11 +162,11 @@
 			delete(term.scaling.booting, name)
 		}
 	}
-	isForgotten := func(m *fleet.Machine) bool {
+	shouldForget := func(m *fleet.Machine) bool {
 		return !m.InCloudList && len(m.Placed) == 0 && s.now-max(m.LastHeartbeat, term.since) > unlistedTimeout
 	}
 	for _, m := range slices.Clone(term.fleet.All()) {
-		if isForgotten(m) {
+		if shouldForget(m) {
 			s.forgetMachine(m)
 		}
 	}
--- a/internal/core/cloudmessages.go
+++ b/internal/core/cloudmessages.go
@@ -2,8 +2,8 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// Only the leader calls the cloud. FencingToken is the fencing token of the term in which a call was
-// made; a later term ignores its result.
+// The cloud is called only by the leader, or by a peer for the leader. FencingToken is the fencing
+// token of the term in which a call was made; a later term ignores its result.
 
 // ListPage is the number of machines on a page of the cloud's list.
 const ListPage = 500
--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -134,8 +134,8 @@
 	return c.peers.connectivity.CloudProxy(c.now)
 }
 
-// cloudCallEnded records the outcome of a call for the link to the cloud, unless a peer made the
-// call.
+// cloudCallEnded records the outcome of a call as evidence about the link to the cloud, unless a
+// peer made the call.
 func (c *cloudCaller) cloudCallEnded(peer string, err error) {
 	if peer != "" {
 		return
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -10,8 +10,8 @@
 const (
 	// connectivityInterval is the interval at which the links are evaluated.
 	connectivityInterval = 200_000
-	// maxPause is the longest time between two evaluations after which the evidence on
-	// links still counts. After a longer one this controller was suspended, and the
+	// maxPause is the maximum time between two evaluations for which the evidence on links
+	// remains valid. A longer pause means that this process was suspended, so that the
 	// evidence is outdated.
 	maxPause = 2 * second
 )
@@ -51,7 +51,7 @@
 }
 
 // publishConnectivity advertises in the state service what this controller reaches, so that
-// controllers which its pings do not reach learn of it too.
+// controllers that its pings do not reach can learn this too.
 func (p *peerMonitor) publishConnectivity() {
 	advertisement, pending := p.connectivity.PendingAdvertisement(p.now)
 	if !pending || !p.membership.featureEnabled(upgrade.Connectivity) || p.health.unavailable() || p.health.writesLeft() < 1 {
@@ -69,8 +69,8 @@
 }
 
 // applyConnectivity applies a change of a controller's stored connectivity advertisement.
-func (p *peerMonitor) applyConnectivity(name string, ch Change, reportInvalid func(error)) {
-	if ch.Removed {
+func (p *peerMonitor) applyConnectivity(name string, change Change, reportInvalid func(error)) {
+	if change.Removed {
 		delete(p.connectivityRevisions, name)
 		p.connectivity.SetStored(name, nil)
 		if name == p.settings.Name {
@@ -79,10 +79,10 @@
 		return
 	}
 	var advertisement connectivity.Advertisement
-	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
+	if err := json.Unmarshal(change.Value, &advertisement); err != nil {
 		reportInvalid(err)
 		return
 	}
-	p.connectivityRevisions[name] = ch.Revision
+	p.connectivityRevisions[name] = change.Revision
 	p.connectivity.SetStored(name, &advertisement)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,8 +14,8 @@
 // A Core consists of parts, each a type with a file of its name, which share an engine
 // (clock, settings, log, effects):
 //
-//   - the stored state: stateCache is the local copy of it, stateReader keeps that up to
-//     date by watches and reads, committer writes what the leader decides, stateHealth tracks
+//   - the stored state: stateCache is the local copy, stateReader keeps this copy up to date
+//     by watches and reads, committer writes what the leader decides, stateHealth tracks
 //     whether the state service answers and how many requests may be sent;
 //   - the controllers: elector campaigns and leads, membership tracks which programs and
 //     features are present, peerMonitor pings the others and forwards requests to them,
@@ -66,8 +66,8 @@
 	operators        *operatorViewer
 }
 
-// connect gives each part the parts that it uses. They use each other, so it is called after
-// all of them have been created.
+// connect gives each part the parts that it uses. The parts use each other, so connect is
+// called after all of them have been created.
 func (c *Core) connect() {
 	c.connectState()
 	c.connectControllers()
@@ -490,7 +490,8 @@
 // machines.
 const machineScanInterval = second / 4
 
-// leadStep plans tasks, writes state and answers heartbeats as the last message allows.
+// leadStep does the work of the leader that the last message may have made possible: it plans
+// tasks, writes state and answers held heartbeats.
 func (c *Core) leadStep() {
 	if term := c.elector.leadership; term.planning.roundRequested && c.now-term.planning.plannedAt >= planInterval {
 		c.planner.plan()
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -15,8 +15,8 @@
 // do not receive answers.
 const maxDeliveryProbes = 8
 
-// answerLifetime is how long, in microseconds, an answer to a heartbeat can still be accepted:
-// the worker stops waiting for it after 4 s.
+// answerLifetime is the time, in microseconds, after which an answer to a heartbeat can no
+// longer be accepted: the worker stops waiting for it after 4 s.
 const answerLifetime = 4_200_000
 
 // updateDelivery determines from a new heartbeat whether its machine receives answers.
@@ -49,8 +49,8 @@
 	return machine.Epoch != 0 && heartbeat.Epoch > machine.Epoch && w.now-machine.LastAnswer < lease*3/4
 }
 
-// abandonUnacknowledged requests the stop of those attempts on a machine that no heartbeat has
-// listed, as the machine does not receive answers. Like any stopping attempt they are cleared
+// abandonUnacknowledged requests the stop of the attempts on a machine that no heartbeat has
+// listed, as the machine does not receive answers. Like all stopping attempts, they are cleared
 // when a later heartbeat does not list them either. Attempts that were listed stay on the
 // machine until its lease has expired.
 func (w *workerManager) abandonUnacknowledged(machine *fleet.Machine) {
@@ -64,21 +64,21 @@
 	for _, ref := range refs {
 		w.tasks.requestStop(ref.Job, ref.Index, jobstate.StopNotReceiving, 0)
 		if ref.Job.Kind == jobstate.Gang && ref.Job.Outcome() == "" {
-			w.tasks.abandonGangAttempt(ref.Job, false) // the gang would wait for this task in vain
+			w.tasks.abandonGangAttempt(ref.Job, false) // the gang would wait for this task forever
 		}
 	}
 }
 
-// deliveryRestored makes a machine usable again that receives answers, or that is due for
-// another try.
+// deliveryRestored makes a machine usable again after it was found to receive answers, or after
+// its retry delay.
 func (w *workerManager) deliveryRestored(machine *fleet.Machine) {
 	w.log.Info("machine receives answers again", "machine", machine.Name)
 	machine.MarkChanged()
 	w.elector.leadership.planning.requestRound()
 }
 
-// probeNotReceiving probes machines that do not receive answers, and makes those usable again
-// that are due for another try, as not every machine can be probed.
+// probeNotReceiving probes machines that do not receive answers. As not every machine can be
+// probed, it makes a machine usable again when its retry delay is over.
 func (w *workerManager) probeNotReceiving() {
 	probed := 0
 	for _, machine := range w.elector.leadership.fleet.All() {
@@ -115,12 +115,12 @@
 }
 
 // needsProbe reports whether a heartbeat must be refused until the machine has answered a
-// probe: the machine has restarted its sequence numbers, and the heartbeat lacks an unconfirmed
-// stopping task whose start was sent. Such a heartbeat may be a copy from before the restart and
-// proves nothing. The machine is then given no answers until none of those sent to it can still
-// be accepted, and is probed after that, so that its answer proves what it does not have. If
-// only confirmed tasks are missing, the machine is probed immediately and the heartbeat is
-// handled.
+// probe. This is the case if the machine has restarted its sequence numbers and the heartbeat
+// does not list an unconfirmed stopping task whose start was sent. Such a heartbeat may be a copy
+// from before the restart, so it does not prove that the task is absent. The machine then gets
+// no answers until none of the earlier ones can still be accepted. Only after that is it probed,
+// so that its reply proves which tasks it does not have. If only confirmed tasks are missing, the
+// machine is probed immediately and the heartbeat is handled.
 func (w *workerManager) needsProbe(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	if !machine.SeqRestarted() {
 		return false
@@ -171,7 +171,7 @@
 	w.stopListedTasks(machine, heartbeat)
 	if machine.ApplyProbe(m.SentAt, heartbeat.Epoch, heartbeat.Seq) {
 		// It is not known when the sequence numbers restarted; tasks that were started
-		// after that are still there.
+		// after the restart are still on the machine.
 		w.log.Info("machine restarted its heartbeat sequence numbers", "machine", machine.Name, "tasks", len(machine.Placed))
 		machine.LastHeartbeat, machine.HasCurrentToken = w.now, false
 		machine.MarkChanged()
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -2,8 +2,8 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// departedRetention is how long a departed machine is remembered. Copies of heartbeats can
-// arrive late by much more than a lease.
+// departedRetention is the time for which a departed machine is remembered. Copies of
+// heartbeats can arrive late by much more than a lease.
 const departedRetention = 900 * second
 
 // departedMachines records the machines that a leader has removed from the fleet. Late copies
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -23,11 +23,11 @@
 	// revokeInterval is the interval at which the revocation of an earlier incarnation's
 	// lease is repeated.
 	revokeInterval = second
-	// silentLeaseMargin is how long after the expiry of its lease a leader that gets no
-	// answers waits before it tries to renew the lease again.
+	// silentLeaseMargin is the time for which a leader that gets no answers from the state
+	// service waits after the expiry of its lease before it tries to renew the lease again.
 	silentLeaseMargin = second / 2
-	// leadershipSeenWithin is how long the other controllers may take to learn that a
-	// controller leads.
+	// leadershipSeenWithin is the maximum time that the other controllers take to learn that
+	// a controller leads.
 	leadershipSeenWithin = 300_000
 )
 
@@ -41,19 +41,19 @@
 	renewedAt       int64  // when the lease was granted or its renewal last sent
 	campaigning     bool   // the transaction that creates the key is in flight
 	notBefore       int64  // earliest time of the next attempt
-	backoffChosen   bool   // the backoff was chosen since the leader was lost
+	backoffChosen   bool   // a backoff has been chosen since the leader was lost
 }
 
 // elector campaigns for the leadership of the controllers and holds the state of the term
-// while this controller leads. Only it changes candidacy and leadership; other parts ask it
-// whether this controller leads and may act, and report to it the events that affect that.
+// while this controller leads. Only the elector changes candidacy and leadership; other parts
+// query it whether this controller leads and may act, and report events that affect this.
 //
 // The leader is the controller whose name is in the leadership key. The key is bound to
 // the controller's lease, so it disappears when the lease expires. A candidate creates it
-// in a transaction that raises the stored fencing token by one on the condition that
-// there is no leadership key and that the token is the one that the candidate knows. Its
-// term begins when its state cache contains the key, and therefore everything that was written
-// before the key.
+// in a transaction that raises the stored fencing token by one, on the condition that
+// there is no leadership key and that the token is the one that the candidate knows. The
+// candidate's term begins when its state cache contains the key, and therefore everything that
+// was written before the key.
 //
 // A leader steps down when the key is no longer its own, when its lease expires, and
 // when a peer knows of a higher fencing token. It resigns, which means that it also revokes
@@ -93,13 +93,14 @@
 
 // leadsWithToken reports whether this controller leads in the term of the given fencing token.
 // A result that belongs to an earlier term of this controller says nothing about the calls
-// of the current one, because another controller has led in between.
+// of the current one, because another controller may have led in between.
 func (e *elector) leadsWithToken(fencingToken uint64) bool {
 	return e.isLeader() && e.fencingToken() == fencingToken
 }
 
 // mayAnswerWorkers reports whether heartbeats may be answered. An answer keeps the tasks on
-// the machine running, so it needs recent proof that every cancellation is known here.
+// the machine running, so it requires recent proof that this controller knows every
+// cancellation.
 func (e *elector) mayAnswerWorkers() bool {
 	return e.isLeader() && e.now-e.leadership.authorityProvenAt() < e.settings.LeaderAuthorityTime()
 }
@@ -149,16 +150,16 @@
 
 // renewLease sends a renewal of the lease if one is due, well before the lease expires.
 func (e *elector) renewLease() {
-	c := &e.candidacy
-	if !e.hasLease() || e.now-c.renewedAt < e.renewalInterval() {
+	candidacy := &e.candidacy
+	if !e.hasLease() || e.now-candidacy.renewedAt < e.renewalInterval() {
 		return
 	}
-	if c.pendingRenewals > 0 && !e.mayRepeatRenewal() {
+	if candidacy.pendingRenewals > 0 && !e.mayRepeatRenewal() {
 		return
 	}
-	c.pendingRenewals++
-	c.renewedAt = e.now
-	e.emit(RenewLease{Lease: c.lease})
+	candidacy.pendingRenewals++
+	candidacy.renewedAt = e.now
+	e.emit(RenewLease{Lease: candidacy.lease})
 }
 
 // renewalInterval returns the time from one renewal of the lease to the next.
@@ -180,8 +181,8 @@
 
 // mayRepeatRenewal reports whether a renewal may be sent while an earlier one is in flight.
 // A lost answer is detected only at the request's deadline, a third of a lease later, so a
-// leader that waited for it would have only two tries before another is elected. Repetition
-// stops before a whole lease has passed without any answer; see retryRenewal.
+// leader that waited for the deadline would have only two tries before another is elected.
+// Repetition stops before a whole lease has passed without any answer; see retryRenewal.
 func (e *elector) mayRepeatRenewal() bool {
 	return e.isLeader() && e.now-e.stateAnsweredAt() <= e.settings.Ops.LeaderLease*3/4
 }
@@ -199,13 +200,13 @@
 
 // campaignTick takes the next step towards leadership: random backoff, lease, leadership key.
 func (e *elector) campaignTick() {
-	c := &e.candidacy
-	if !c.backoffChosen {
-		c.backoffChosen = true
-		c.notBefore = e.now + e.electionBackoff()
+	candidacy := &e.candidacy
+	if !candidacy.backoffChosen {
+		candidacy.backoffChosen = true
+		candidacy.notBefore = e.now + e.electionBackoff()
 	}
 	switch {
-	case e.now < c.notBefore || c.campaigning:
+	case e.now < candidacy.notBefore || candidacy.campaigning:
 	case !e.hasLease():
 		e.requestLease()
 	default:
@@ -230,9 +231,9 @@
 // requestLease asks the state service for a lease, unless a request is in flight or the
 // retry delay has not passed.
 func (e *elector) requestLease() {
-	c := &e.candidacy
-	if !c.requestingLease && e.now >= c.notBefore {
-		c.requestingLease = true
+	candidacy := &e.candidacy
+	if !candidacy.requestingLease && e.now >= candidacy.notBefore {
+		candidacy.requestingLease = true
 		e.emit(GrantLease{TTL: e.settings.Ops.LeaderLease})
 	}
 }
@@ -240,19 +241,19 @@
 // campaign tries to create the leadership key and to raise the fencing token in one
 // transaction.
 func (e *elector) campaign() {
-	c := &e.candidacy
-	c.campaigning = true
+	candidacy := &e.candidacy
+	candidacy.campaigning = true
 	leader := leaderRecord{
 		Name:        e.settings.Name,
 		Incarnation: e.settings.Incarnation,
 		Token:       e.cache.token.Token + 1,
-		Lease:       c.lease,
+		Lease:       candidacy.lease,
 	}
 	e.commitTransaction([]Cond{
 		kv.RevisionIs(LeaderKey, 0),
 		kv.RevisionIs(tokenKey, e.cache.tokenRevision),
 	}, []Write{
-		{Key: LeaderKey, Value: encodeJSON(leader), Lease: c.lease},
+		{Key: LeaderKey, Value: encodeJSON(leader), Lease: candidacy.lease},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{leader.Token})},
 	}, e.onCampaignEnded)
 }
@@ -260,68 +261,68 @@
 // onCampaignEnded requests a read of the state after a campaign, even after a lost one:
 // leadership begins when the state cache contains the key.
 func (e *elector) onCampaignEnded(m TransactionResult) {
-	c := &e.candidacy
-	c.campaigning = false
-	c.notBefore = e.now + campaignRetryDelay + e.rng.Int64N(campaignRetryDelay)
+	candidacy := &e.candidacy
+	candidacy.campaigning = false
+	candidacy.notBefore = e.now + campaignRetryDelay + e.rng.Int64N(campaignRetryDelay)
 	switch m.Outcome {
 	case kv.Malformed: // the lease has expired
-		c.lease = 0
+		candidacy.lease = 0
 	case kv.Committed, kv.Conflict, kv.Unknown:
 		e.emit(ReadState{AfterRevision: e.cache.appliedRevision})
 	}
 }
 
 func (e *elector) onLeaseGranted(m LeaseGranted) {
-	c := &e.candidacy
-	c.requestingLease = false
+	candidacy := &e.candidacy
+	candidacy.requestingLease = false
 	if m.Err != nil {
-		c.notBefore = e.now + leaseRetryDelay
+		candidacy.notBefore = e.now + leaseRetryDelay
 		return
 	}
-	c.lease, c.leaseProvenAt, c.renewedAt, c.pendingRenewals = m.Lease, m.SentAt, e.now, 0
+	candidacy.lease, candidacy.leaseProvenAt, candidacy.renewedAt, candidacy.pendingRenewals = m.Lease, m.SentAt, e.now, 0
 }
 
 func (e *elector) onLeaseRenewed(m LeaseRenewed) {
-	c := &e.candidacy
-	if m.Lease != c.lease {
+	candidacy := &e.candidacy
+	if m.Lease != candidacy.lease {
 		return
 	}
-	c.pendingRenewals = max(c.pendingRenewals-1, 0)
-	if m.Err != nil && m.SentAt < c.leaseProvenAt {
+	candidacy.pendingRenewals = max(candidacy.pendingRenewals-1, 0)
+	if m.Err != nil && m.SentAt < candidacy.leaseProvenAt {
 		return // a later request has already proved the lease
 	}
 	e.health.recordResult(&e.peers.connectivity.Lease, m.Err)
 	switch {
 	case m.Expired:
-		c.lease = 0
+		candidacy.lease = 0
 		if e.isLeader() {
 			e.stepDown("lease expired")
 		}
 	case m.Err == nil:
-		c.pendingRenewals = 0
-		c.leaseProvenAt = max(c.leaseProvenAt, m.SentAt)
+		candidacy.pendingRenewals = 0
+		candidacy.leaseProvenAt = max(candidacy.leaseProvenAt, m.SentAt)
 		if e.isLeader() {
 			e.tokenProven(m.SentAt)
 		}
-	case c.pendingRenewals == 0:
+	case candidacy.pendingRenewals == 0:
 		e.retryRenewal(m.Err)
 	}
 }
 
 // retryRenewal sets when the lease is renewed again after a renewal has failed.
 func (e *elector) retryRenewal(err error) {
-	c := &e.candidacy
+	candidacy := &e.candidacy
 	ttl := e.settings.Ops.LeaderLease
-	c.renewedAt = e.now - e.renewalRetryDelay() // the retry is due soon
+	candidacy.renewedAt = e.now - e.renewalRetryDelay() // the retry is due soon
 	if e.settings.Ops.Reach && e.now-e.stateAnsweredAt() > ttl && failureOf(err) == connectivity.NoResponse {
 		// The state service may execute the renewals although no answer arrives.
 		// The leader would then keep its lease alive and prevent every other
 		// controller from leading, so it lets the lease expire before it tries
 		// again. The age of the newest successful renewal is no criterion: after
 		// an outage it is old although answers arrive.
-		c.renewedAt = e.now + ttl + silentLeaseMargin
-		e.log.Info("letting the lease expire because the state service does not answer", "lease", c.lease,
-			"answer_age_s", inSeconds(e.now-e.stateAnsweredAt()), "renewal_age_s", inSeconds(e.now-c.leaseProvenAt))
+		candidacy.renewedAt = e.now + ttl + silentLeaseMargin
+		e.log.Info("letting the lease expire because the state service does not answer", "lease", candidacy.lease,
+			"answer_age_s", inSeconds(e.now-e.stateAnsweredAt()), "renewal_age_s", inSeconds(e.now-candidacy.leaseProvenAt))
 	}
 }
 
@@ -346,7 +347,8 @@
 	e.leadership.tokenProvenAt = max(e.leadership.tokenProvenAt, sentAt)
 }
 
-// cacheRefreshed records that everything that was stored at the given time is known here.
+// cacheRefreshed records that this controller knows everything that was stored at the given
+// time.
 func (e *elector) cacheRefreshed(at int64) {
 	if e.isLeader() {
 		e.leadership.cacheFreshAt = max(e.leadership.cacheFreshAt, at)
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -10,9 +10,9 @@
 
 // A request about a job that is not among the unfinished ones costs a read of its end, and
 // most such requests are about jobs that ended long ago or were never accepted. So ends are
-// looked up in batches: one transaction that only compares finds out which of many ends are
-// absent, and the others are read. Lookups that the state service refuses because of its
-// rate limit are retried within the time that users wait.
+// looked up in batches: one transaction without writes determines by its conditions which of
+// many ends are absent, and the others are read. Lookups that fail, for example because of the
+// state service's rate limit, are retried within the time that users wait.
 
 // maxEndsPerLookup is the maximum number of ends that are looked up at once.
 const maxEndsPerLookup = 64
@@ -84,12 +84,12 @@
 }
 
 // answerNoEnd answers requests about a job that is neither unfinished nor ended.
-func (h *requestHandler) answerNoEnd(requests []*request, by endLookup) {
+func (h *requestHandler) answerNoEnd(requests []*request, lookup endLookup) {
 	for _, r := range requests {
 		reply := r.refusal
 		if reply.Status == 0 {
 			reply = Reply{Status: ReplyNotFound, Error: "no such job"}
-			h.endMonitor.recordNotFound(r.targetID, by)
+			h.endMonitor.recordNotFound(r.targetID, lookup)
 		}
 		reply.RequestID = r.id
 		h.emit(reply)
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// endLookup is how the end of a job was looked up.
+// endLookup describes the lookup that found the end of a job to be absent.
 type endLookup struct {
 	compared bool   // in one transaction with other ends; otherwise the end was read alone
 	revision uint64 // at which the end was absent
@@ -121,14 +121,14 @@
 }
 
 // recordNotFound records a reply that a job is not known, after its end was looked up.
-func (m *endMonitor) recordNotFound(job string, by endLookup) {
-	if by.compared {
+func (m *endMonitor) recordNotFound(job string, lookup endLookup) {
+	if lookup.compared {
 		m.counts.NotFoundCompared++
 	} else {
 		m.counts.NotFoundRead++
 	}
 	if omitted, ok := m.notFoundLogs.allow(m.now); ok {
-		m.log.Info("job is not known", "job", job, "lookup", by.String(), "lookup_revision", by.revision,
+		m.log.Info("job is not known", "job", job, "lookup", lookup.String(), "lookup_revision", lookup.revision,
 			"revision", m.cache.appliedRevision, "reads_from", m.reader.readSource(), "omitted", omitted)
 	}
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -26,7 +26,7 @@
 	failedAt   int64 // when the newest request failed
 
 	// announcedRevision is the newest revision that an answer of the state service
-	// contained; announcedAt is since when the watch has failed to deliver it.
+	// contained; announcedAt is the time since which the watch has failed to deliver it.
 	announcedRevision uint64
 	announcedAt       int64
 
@@ -162,12 +162,12 @@
 func (h *stateHealth) spendWrites(keys float64) { h.writeBudget.Spend(keys) }
 
 // grantWrites takes up to the requested number of writes from the budget for a follower, and
-// returns how many it took. receiveWrites adds the writes that the leader has granted this
-// controller.
+// returns how many it took.
 func (h *stateHealth) grantWrites(requested int) int {
 	return h.writeBudget.Withdraw(requested, h.minUserBudget())
 }
 
+// receiveWrites adds to the budget the writes that the leader has granted this controller.
 func (h *stateHealth) receiveWrites(granted int) { h.writeBudget.Deposit(granted) }
 
 // leaderOverdraft is the fraction of one second's writes by which a leader may overdraw its
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -56,12 +56,13 @@
 	}
 	machine := fleet.NewMachine(name, w.now)
 	if w.now == term.since {
-		// A previous leader may continue to answer it until its authority expires.
+		// A previous leader may continue to answer the machine until that leader's
+		// authority expires.
 		machine.LastAnswer = w.now + w.settings.LeaderAuthorityTime()
 	}
 	if departure, ok := term.heartbeats.departed.byName[name]; ok {
-		// Late copies of its heartbeats may still arrive; with the last epoch and
-		// sequence number they are recognized as outdated.
+		// Late copies of the machine's heartbeats may still arrive; the last epoch and
+		// sequence number make them recognizable as outdated.
 		machine.Epoch, machine.Seq = departure.epoch, departure.seq
 	}
 	w.prefetcher.restoreKnownImages(machine)
@@ -175,8 +176,8 @@
 	w.tasks.drainMachine(machine, notice)
 }
 
-// answerHeartbeat sends commands in the answer to a heartbeat, and records those whose effect
-// in the next heartbeat shows whether the machine receives answers.
+// answerHeartbeat sends commands in the answer to a heartbeat. It records those whose effect the
+// next heartbeat shows if the machine receives answers.
 func (w *workerManager) answerHeartbeat(machine *fleet.Machine, requestID uint64, commands []Command) {
 	delivery := &machine.Delivery
 	delivery.SentCommands = delivery.SentCommands[:0]
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -111,9 +111,9 @@
 }
 
 // routeWithoutLeader handles a heartbeat that came directly from its worker and that this
-// controller can't relay to the leader. The worker is redirected to a controller that can, or
-// to the leader itself if it reaches the worker's zone. A worker that returns can reach
-// neither, so its heartbeat is relayed through another controller.
+// controller can't relay to the leader. The worker is redirected to a controller that can relay
+// it, or to the leader itself if the leader reaches the worker's zone. A worker that returns
+// can reach neither, so its heartbeat is relayed through another controller.
 func (r *heartbeatRouter) routeWithoutLeader(m HeartbeatReceived, leader string) {
 	if !r.settings.Ops.Reach || leader == "" || leader == r.settings.Name {
 		r.refuse(m.RequestID, "no leader known")
@@ -152,7 +152,7 @@
 }
 
 // recordServedHere records that a heartbeat is accepted here, if it came directly from the
-// worker (from is empty).
+// worker, which means that from is empty.
 func (r *heartbeatRouter) recordServedHere(machine, from string) {
 	if from == "" {
 		entry := r.redirects[machine]
@@ -161,8 +161,8 @@
 	}
 }
 
-// mayRedirect reports whether a worker is to be redirected, and records the redirect or, if the
-// worker has returned, until when it is kept here.
+// mayRedirect reports whether a worker is to be redirected. It records either the redirect, or
+// the time until which the worker is kept here.
 func (r *heartbeatRouter) mayRedirect(heartbeat *Heartbeat, token uint64) bool {
 	entry := r.redirects[heartbeat.Machine]
 	if r.now < entry.keepUntil {
@@ -209,6 +209,6 @@
 
 // refuse answers a heartbeat that can't be handled here; the worker then tries another
 // controller.
-func (r *heartbeatRouter) refuse(requestID uint64, why string) {
-	r.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: why})
+func (r *heartbeatRouter) refuse(requestID uint64, reason string) {
+	r.emit(Reply{RequestID: requestID, Status: ReplyUnavailable, Error: reason})
 }
--- a/internal/core/imagedemand.go
+++ b/internal/core/imagedemand.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// machinesNeeded estimates how many machines a job needs, from 1 to maxMachinesCounted: an image whose
-// jobs have many tasks is wanted on more machines.
+// machinesNeeded estimates how many machines a job needs, from 1 to maxMachinesCounted: an image
+// whose jobs have many tasks is wanted on more machines.
 func (p *prefetcher) machinesNeeded(spec *jobstate.Spec) float64 {
 	machines := float64(maxMachinesCounted)
 	for i := range p.cache.machineTypes {
@@ -70,9 +70,9 @@
 	return max(machines, 1)
 }
 
-// imageWorth divides allImagesWorth among the images in proportion to their demand. Otherwise, if few
-// machines are idle, those with the images of urgent jobs would be used up by jobs that must fetch
-// their image on any machine.
+// imageWorth divides allImagesWorth among the images in proportion to their demand. Without these
+// values, if few machines are idle, those with the images of urgent jobs would be used up by jobs
+// that must fetch their image on any machine.
 func (p *prefetcher) imageWorth() map[string]int64 {
 	demand := p.elector.leadership.prefetch.demand
 	var total float64
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -13,10 +13,10 @@
 )
 
 // hintsRecord is one stored value of the hints about images that a leader leaves to the next one:
-// which machine has which images, and completed jobs whose tasks can be used to prefetch them.
-// The hints are spread over as many values as the size of the fleet requires. The values are written
-// in turn, with what is left of the write budget. Nothing depends on the hints being correct or
-// present.
+// which machine has which images, and completed jobs whose tasks can be used to prefetch images.
+// The hints are spread over as many values as the size of the fleet requires. The values are
+// written in turn, with what is left of the write budget. Nothing depends on the hints being
+// correct or present.
 type hintsRecord struct {
 	// Of is the total number of values.
 	Of     int         `json:"of"`
@@ -49,8 +49,8 @@
 	imageBytes   = 40
 )
 
-// hintState is what an earlier leader has stored about cached images, and what this leader has written
-// for the next one.
+// hintState holds the hints that the previous leader has stored about images, and those that this
+// leader has written for the next one.
 type hintState struct {
 	// knownImages are the images of each machine according to the previous leader.
 	knownImages map[string][]hintImage
@@ -173,9 +173,9 @@
 	}
 }
 
-// loadImageHints loads the previous leader's hints; it is called when this controller begins to lead.
-// The sources are used only when the lease of any machine that prefetched for the previous leader has
-// expired, as each task must be on one machine at a time.
+// loadImageHints loads the previous leader's hints; it is called when this controller begins to
+// lead. The sources are used only after the leases of all machines that prefetched for the previous
+// leader have expired, as a task must not be on two machines at a time.
 func (p *prefetcher) loadImageHints() {
 	state := &p.elector.leadership.hints
 	for _, key := range sortedKeys(p.cache.imageHints) {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -9,7 +9,7 @@
 	jobPrefix = Prefix + "job/"
 	runPrefix = Prefix + "run/"
 	endPrefix = Prefix + "end/"
-	// LeaderKey names the leader and is attached to its lease.
+	// LeaderKey names the leader and is bound to the leader's lease.
 	LeaderKey     = Prefix + "leader"
 	tokenKey      = Prefix + "token"
 	typesKey      = Prefix + "types"
@@ -22,17 +22,17 @@
 	hintsPartPrefix = hintsKey + "/"
 	// memberPrefix is for the advertisements of the controllers: version, format and features.
 	memberPrefix = Prefix + "member/"
-	// featuresKey holds the enabled features. decommissionedPrefix is for controllers that
-	// operators have declared as not coming back.
+	// featuresKey holds the active features. decommissionedPrefix is for controllers that
+	// operators have declared permanently gone.
 	featuresKey          = Prefix + "features"
 	decommissionedPrefix = Prefix + "gone/"
-	// connectivityPrefix is for the records of what each controller can reach; each is
-	// attached to the lease of its controller.
+	// connectivityPrefix is for the advertisements of what each controller can reach; each is
+	// bound to the lease of its controller.
 	connectivityPrefix = Prefix + "reach/"
 )
 
 // StartPrefixes are the prefixes listed at startup. endPrefix is not among them, because the
-// ends of jobs are kept forever, and read one by one.
+// ends of jobs are kept forever; they are looked up when they are needed.
 var StartPrefixes = []string{
 	jobPrefix,
 	runPrefix,
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -18,12 +18,12 @@
 	since       int64 // when the term began
 
 	// tokenProvenAt is the send time of the newest request whose answer proved that no
-	// higher fencing token had been stored. Everything that was stored up to
-	// cacheFreshAt is known here.
+	// higher fencing token had been stored. The state cache contains everything that was
+	// stored up to cacheFreshAt.
 	tokenProvenAt, cacheFreshAt int64
-	// cacheRefreshReadAt is when the stored state was last read only to refresh the
-	// state cache; urgentPingAt is when the peers were last pinged outside the regular
-	// interval.
+	// cacheRefreshReadAt is the time of the last read of the stored state that served only
+	// to refresh the state cache; urgentPingAt is the time of the last ping of the peers
+	// outside the regular interval.
 	cacheRefreshReadAt, urgentPingAt int64
 	// readLeases are the read leases that the other controllers have granted, for use
 	// during an outage of the state service.
@@ -53,8 +53,8 @@
 // the state cache may lag behind.
 func (l *leadership) stateProofAt() int64 { return min(l.tokenProvenAt, l.cacheFreshAt) }
 
-// authorityProvenAt returns the time up to which it is proven that no other controller led
-// and that every end reported to users is known here. Read leases from all other controllers
+// authorityProvenAt returns the time up to which it is proven that no other controller led and
+// that this controller knows every end reported to users. Read leases from all other controllers
 // prove both: only a failover raises the fencing token, and a peer that knows of a newer
 // leader reports it.
 func (l *leadership) authorityProvenAt() int64 {
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -11,8 +11,8 @@
 const (
 	// maxTxnBytes is the maximum estimated size of a transaction, below the service's 64 KiB.
 	maxTxnBytes = 44 << 10
-	// writeOverheadBytes is the approximate size of a write and its condition without the
-	// value and the key, which appears in both.
+	// writeOverheadBytes is the approximate size of a write and its condition, not counting
+	// the value and the two copies of the key.
 	writeOverheadBytes = 80
 	// maxEndDelay is the maximum time, in microseconds, for which writes of task ends are
 	// delayed while the write budget is low. Nothing depends on them: the worker keeps an
@@ -20,9 +20,9 @@
 	maxEndDelay = 4 * second
 )
 
-// leaderTransaction is a transaction of the leader, first while it is built and then while it is
-// in progress. It contains changes of jobs, pages of the progress log, and removals of keys that
-// are not needed any more.
+// leaderTransaction is a transaction of the leader, either under construction or in progress. It
+// contains changes of jobs, pages of the progress log, and removals of keys that are not needed
+// any more.
 type leaderTransaction struct {
 	committer *committer
 	term      *leadership
@@ -52,7 +52,7 @@
 	end           jobstate.End
 	writesRecord  bool     // writes the job's key
 	removesJob    bool     // deletes the job's key
-	proof         endProof // why the keys may be removed
+	proof         endProof // that the job's end is stored, so that its keys may be removed
 	removedChunks []jobstate.ChunkRef
 }
 
@@ -93,7 +93,7 @@
 // remainingWrites returns the number of writes that can still be added.
 func (t *leaderTransaction) remainingWrites() int { return t.limit - len(t.writes) - t.pages.count() }
 
-// isTooLarge reports whether no value can be added because the transaction would be too large.
+// isTooLarge reports whether the transaction is so large that no value can be added.
 func (t *leaderTransaction) isTooLarge() bool {
 	return t.size+t.pages.count()*t.committer.membership.valueLimit() > maxTxnBytes
 }
@@ -158,9 +158,9 @@
 		if t.remainingWrites() < 2 {
 			return
 		}
-		// An end that a peer reported is not necessarily stored. A leader that assumed so
-		// removed jobs without storing an end, and every controller that started later
-		// treated them as never accepted.
+		// An end that a peer reported is not necessarily stored. If the job's keys were
+		// removed without storing its end, every controller that starts later would treat
+		// the job as never accepted.
 		proof = t.addEnd(written, j.Outcome())
 	}
 	if t.remainingWrites() < 1 {
@@ -170,7 +170,7 @@
 }
 
 // endProof shows that a job's keys may be removed: its end is stored at a revision, or written by
-// the same transaction. It comes from storedEndOf or addEnd.
+// the same transaction. Only storedEndOf and addEnd create such proofs.
 type endProof struct {
 	revision  uint64
 	writtenBy *leaderTransaction
@@ -201,7 +201,7 @@
 }
 
 // requireOpenSweep makes the transaction conditional on the sweep of a run not having an end:
-// once users may have been told that the sweep is cancelled, no run of it may become done.
+// once a reply may have reported the sweep as cancelled, none of its runs may become done.
 func (t *leaderTransaction) requireOpenSweep(j *jobstate.Job) {
 	if j.Sweep != "" && !t.openSweeps[j.Sweep] {
 		t.openSweeps[j.Sweep] = true
@@ -209,11 +209,11 @@
 	}
 }
 
-// addRemoval deletes a job's keys, the job's own key last. If there are more keys than remaining
-// writes, the others are deleted first.
+// addRemoval deletes a job's keys: first its chunks, and the job's own key together with the last
+// of them. If there are more keys than remaining writes, this takes several transactions.
 //
-// From the second stored format on, the job's own key is deleted at once, and the others when
-// writes remain, as chunks without their job have no meaning.
+// From the second stored format on, it deletes the job's own key immediately. The chunks have no
+// meaning without their job, so addOrphanedChunks deletes them later when writes remain.
 func (t *leaderTransaction) addRemoval(written *jobWrite, proof endProof) {
 	j := written.job
 	written.proof = proof
@@ -285,8 +285,8 @@
 
 // abort reverts the bookkeeping of writes that are not known to have been executed: the
 // transaction was refused, or its outcome is unknown. In both cases the same keys are written
-// again under the same revisions. If the first write was or will be executed after all, one of
-// the two fails, and no reply has been sent based on it.
+// again on the condition of the same revisions. If the first write was or will be executed after
+// all, one of the two fails, and no reply has been sent based on the first.
 func (t *leaderTransaction) abort() {
 	for i := range t.jobs {
 		for _, chunk := range t.jobs[i].chunks {
@@ -342,7 +342,7 @@
 	}
 }
 
-// garbageRemoved drops the keys that a transaction removed.
+// garbageRemoved removes from the state cache the keys that a transaction removed.
 func (c *committer) garbageRemoved(removed *garbageRemoval) {
 	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, removed.pages)
 	c.elector.leadership.commits.removablePages -= removed.pages
--- a/internal/core/machineloss.go
+++ b/internal/core/machineloss.go
@@ -2,13 +2,12 @@
 
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
-// expireMachineLeases clears the placements of machines whose lease must have expired: the
-// leader's authority time plus the lease time has passed since the last answer that any
-// controller can have given.
+// expireMachineLeases clears the placements of machines whose lease must have expired: the epoch
+// timeout has passed since the latest time at which any controller can have answered them.
 func (p *planner) expireMachineLeases() {
-	lease := p.settings.EpochTimeout()
+	timeout := p.settings.EpochTimeout()
 	for _, m := range p.elector.leadership.fleet.All() {
-		if len(m.Placed) == 0 || p.now-m.LastAnswer < lease {
+		if len(m.Placed) == 0 || p.now-m.LastAnswer < timeout {
 			continue
 		}
 		p.machineGone(m, "its lease has expired")
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -66,8 +66,8 @@
 }
 
 // useLowerLimits reports whether written data has to fit the announced limits too. While
-// version 1 of the format is in use, it does not have to until they are in force, because a
-// controller of version 1 could not read a value that has to be split.
+// version 1 of the format is in use, it has to fit them only once they are in force, because a
+// controller of version 1 could not read a value that is split to fit them.
 func (m *membership) useLowerLimits() bool { return m.logEnabled() || m.limitsLowered }
 
 // limits returns the limits of the state service that apply now. The current rates apply
@@ -105,9 +105,9 @@
 	}
 }
 
-// putOnLease stores an advertisement of this controller under a key on its lease, so that it
-// exists only while the controller is alive and reaches the state service. It calls done with
-// whether the advertisement was stored.
+// putOnLease stores an advertisement of this controller under a key that is bound to its lease, so
+// that the key exists only while the controller is alive and reaches the state service. It calls
+// done with whether the advertisement was stored.
 func (m *membership) putOnLease(key string, revision uint64, value any, done func(ok bool)) {
 	if !m.elector.hasLease() {
 		m.elector.requestLease()
