--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -46,7 +46,7 @@
 
 // elector campaigns for the leadership of the controllers and holds the state of the term
 // while this controller leads. Only the elector changes candidacy and leadership; other parts
-// query it whether this controller leads and may act, and report events that affect this.
+// ask it whether this controller leads and may act, and report to it the events that affect this.
 //
 // The leader is the controller whose name is in the leadership key. The key is bound to
 // the controller's lease, so it disappears when the lease expires. A candidate creates it
