--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -12,15 +12,15 @@
 	// partitionCheckGap between two checks whether they must be written.
 	partitionWriteGap = second
 	partitionCheckGap = second / 4
-	// maxHeartbeatGap plus two heartbeat intervals is how long after its last heartbeat a
-	// machine is included in the division into partitions.
+	// A machine is included in the division into partitions until maxHeartbeatGap plus two
+	// heartbeat intervals after its last heartbeat.
 	maxHeartbeatGap = 10 * second
-	// holderEvidence is the minimum number of machines in a holder's partition, and the
+	// minMachinesForExclusion is the minimum number of machines in a holder's partition, and the
 	// minimum number of machines that still send heartbeats, for the leader to conclude
 	// that workers can't reach the holder.
-	holderEvidence = 2
-	// knownMachineTimeout is how long after its last heartbeat a machine is counted in its
-	// partition when the leader checks whether workers reach the holder.
+	minMachinesForExclusion = 2
+	// When the leader checks whether workers reach a holder, it ignores the machines whose
+	// last heartbeat was more than knownMachineTimeout ago.
 	knownMachineTimeout = 60 * second
 )
 
@@ -33,11 +33,11 @@
 	// machineHashes are the hashes of the machines that send heartbeats; the slice is kept
 	// for reuse.
 	machineHashes []uint32
-	// lastHeartbeatVia is the time of the last heartbeat that came directly from a worker
-	// to a controller.
+	// lastHeartbeatVia is, by controller, the time of the last heartbeat that the controller
+	// received directly from a worker.
 	lastHeartbeatVia map[string]int64
-	// excludedUntil is the time until which a controller gets no partition because it
-	// received no heartbeats.
+	// excludedUntil is, by controller, the time until which the controller gets no partition
+	// because it received no heartbeats.
 	excludedUntil map[string]int64
 }
 
@@ -81,7 +81,7 @@
 	p.writePartitions(partitions)
 }
 
-// newPartitions returns the partitions and holders that there should be now.
+// newPartitions returns the partitions and their holders as they should be now.
 func (p *partitionManager) newPartitions() fleet.Partitions {
 	term := p.elector.leadership
 	hashes := p.liveMachineHashes()
@@ -127,12 +127,12 @@
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
 	term.partitions.seq++
 	p.cache.assignPartitions(partitions)
-	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m TransactionResult) {
+	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(result TransactionResult) {
 		if p.elector.leadership != term {
 			return
 		}
 		term.partitions.writing = false
-		if m.Outcome != kv.Committed {
+		if result.Outcome != kv.Committed {
 			term.partitions.writtenAt = p.now - p.settings.Ops.Term/2
 		}
 	})
@@ -168,18 +168,18 @@
 		return false
 	}
 	held, live := 0, 0
-	for _, m := range term.fleet.All() {
-		if m.LastHeartbeat == 0 || p.now-m.LastHeartbeat > knownMachineTimeout {
+	for _, machine := range term.fleet.All() {
+		if machine.LastHeartbeat == 0 || p.now-machine.LastHeartbeat > knownMachineTimeout {
 			continue
 		}
-		if partitions.Holder(m.Name) == controller {
+		if partitions.Holder(machine.Name) == controller {
 			held++
 		}
-		if p.now-m.LastHeartbeat < silenceTimeout {
+		if p.now-machine.LastHeartbeat < silenceTimeout {
 			live++
 		}
 	}
-	return held >= holderEvidence && live >= holderEvidence
+	return held >= minMachinesForExclusion && live >= minMachinesForExclusion
 }
 
 // partitionsUnbalanced reports whether the sizes of the partitions differ too much.
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -6,7 +6,7 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// PingPeer pings a peer. The peer receives PingReceived, and PeerPinged is its answer.
+// PingPeer pings a peer, which receives PingReceived. PeerPinged is the peer's answer.
 type PingPeer struct {
 	Peer             string
 	NeedMachines     bool
@@ -50,8 +50,9 @@
 	// Cancelled are jobs whose cancellation was recently reported to users, for a leader
 	// that runs an older program; newer ones learn of them from read leases.
 	Cancelled []string
-	// ReadLease answers the request for a read lease. Ack says whether this controller
-	// holds one that the other has granted. Older programs send neither.
+	// ReadLease answers the request for a read lease. Ack reports whether the controller that
+	// sends this status holds a read lease from the one that receives it. Older programs send
+	// neither.
 	ReadLease *readlease.CancellationPage
 	Ack       *readlease.HolderAck
 	// Version is the newest stored format that the controller can write, 0 if its program
@@ -90,7 +91,7 @@
 type ReadFromLeader struct {
 	To            string
 	AfterRevision uint64
-	// Number identifies the answer.
+	// Number identifies the read; LeaderReadDone has the same number.
 	Number       uint64
 	WritesNeeded int
 }
@@ -100,7 +101,8 @@
 type FollowerRead struct {
 	RequestID     uint64
 	AfterRevision uint64
-	// WritesNeeded is how many writes the follower lacks for the requests of its users.
+	// WritesNeeded is the number of writes that the follower's budget lacks for the requests
+	// of its users.
 	WritesNeeded int
 }
 
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// pingInterval is how often the peers are pinged.
+	// pingInterval is the time between two regular rounds of pings.
 	pingInterval = second
 	// urgentPingInterval is the minimum time between two rounds of pings that are sent
 	// outside the regular interval.
 	urgentPingInterval = second / 2
-	// maxForwardStateAge is the maximum time since the state service last answered a peer
-	// for requests to be forwarded to that peer.
+	// maxForwardStateAge limits forwarding: a request is forwarded to a peer only if the state
+	// service has answered that peer within this time.
 	maxForwardStateAge = 3 * second
 )
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// reset discards what was read about links, before the state is listed again.
+// reset discards the stored advertisements, before those of a new list are applied.
 func (p *peerMonitor) reset() {
 	p.connectivityRevisions = map[string]uint64{}
 	p.connectivity.ClearStored()
@@ -76,9 +76,9 @@
 	}
 }
 
-// pingUrgently pings all peers for read leases as soon as a request of the leader to the state
-// service fails. What a peer reported to users before it crashed is known only if the leader asked
-// the peer before the crash.
+// pingUrgently pings all peers at once when a request to the state service has failed and this
+// controller leads. The pings request read leases, which list the cancellations that a peer has
+// reported to users. If the peer crashes, the leader knows them only if it pinged before.
 func (p *peerMonitor) pingUrgently() {
 	term := p.elector.leadership
 	if term == nil || p.now-term.urgentPingAt < urgentPingInterval {
@@ -88,9 +88,9 @@
 	p.pingAll()
 }
 
-// ping asks a peer for its status. A leader without answers from the state service also
-// requests a read lease. A peer that holds a read lease is also informed of the cancellations
-// that it must know before users are answered.
+// ping asks a peer for its status. A leader that the state service does not answer also requests
+// a read lease. A peer that holds a read lease is also informed of the cancellations that it must
+// know before users are answered.
 func (p *peerMonitor) ping(peer string) {
 	ping := PingPeer{
 		Peer:         peer,
@@ -155,17 +155,17 @@
 // mergeMachines adds the machines in a peer's status to the sample of workers, and logs those
 // that the status shows to be gone.
 func (p *peerMonitor) mergeMachines(peer string, status *PeerStatus) {
-	var eighths map[string]int
+	var reachableEighths map[string]int
 	if status.Connectivity != nil {
-		eighths = status.Connectivity.ReachableEighths
+		reachableEighths = status.Connectivity.ReachableEighths
 	}
-	for _, name := range p.connectivity.Workers.Merge(status.Machines, eighths, p.now) {
+	for _, name := range p.connectivity.Workers.Merge(status.Machines, reachableEighths, p.now) {
 		p.log.Info("unreachable machine is gone according to a peer", "machine", name, "peer", peer)
 	}
 }
 
-// Refusal is an error with which the other side may have answered. If Refused reports true,
-// the other side did answer, so it is up.
+// Refusal is implemented by errors that may be the answer of another service. Refused reports
+// whether the service has answered, and is therefore up.
 type Refusal interface{ Refused() bool }
 
 // failureOf distinguishes a refusal from a missing response.
@@ -177,8 +177,8 @@
 	return connectivity.NoResponse
 }
 
-// forwardToPeer forwards a request to a peer that the state service answers, and reports
-// whether it did. A forwarded request is not forwarded again.
+// forwardToPeer forwards a request to a peer that the state service answers. It returns false if
+// there is no such peer, or if the request was forwarded to this controller.
 func (p *peerMonitor) forwardToPeer(req *request) bool {
 	if req.forwarded {
 		return false
@@ -191,8 +191,8 @@
 	return true
 }
 
-// forwardTarget returns the reachable peer with the most recent answer from the state service,
-// "" if none had an answer within maxForwardStateAge.
+// forwardTarget returns the reachable peer with the most recent answer from the state service, or
+// "" if no reachable peer had one within maxForwardStateAge.
 func (p *peerMonitor) forwardTarget() string {
 	target := ""
 	for _, peer := range p.settings.Peers {
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -71,8 +71,8 @@
 }
 
 // usable reports whether tasks may be placed on a machine now: its worker has accepted this
-// leader, receives responses and sends heartbeats in time, and the machine is not being
-// drained, returned or reclaimed.
+// leader, receives responses and sends heartbeats in time, and the machine has a known capacity
+// and is not being drained, returned or reclaimed.
 func (p *planner) usable(machine *fleet.Machine) bool {
 	return machine.HasCurrentToken &&
 		!machine.Delivery.CannotReceive &&
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -87,20 +87,20 @@
 func (s *stateCache) applyEntries(page *jobstate.LogPage, from int) {
 	for k := from; k < len(page.Entries); k++ {
 		entry := &page.Entries[k]
-		if j := s.jobs[entry.Job]; j != nil {
-			j.ApplyLogEntry(entry, page.FirstSeq+uint64(k), s.now)
-			s.imageHistory.recordPlacement(entry.Machine, j)
+		if job := s.jobs[entry.Job]; job != nil {
+			job.ApplyLogEntry(entry, page.FirstSeq+uint64(k), s.now)
+			s.imageHistory.recordPlacement(entry.Machine, job)
 		}
 	}
 }
 
 // replayLog applies the log's entries for a job again, after older state of the job was read
 // later than the log.
-func (s *stateCache) replayLog(j *jobstate.Job) {
+func (s *stateCache) replayLog(job *jobstate.Job) {
 	for _, p := range s.progressLog {
 		for k := range p.Entries {
-			if p.Entries[k].Job == j.ID {
-				j.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), s.now)
+			if p.Entries[k].Job == job.ID {
+				job.ApplyLogEntry(&p.Entries[k], p.FirstSeq+uint64(k), s.now)
 			}
 		}
 	}
@@ -114,15 +114,15 @@
 		page.uncompactedChunks = map[chunkRef]struct{}{}
 		for k := range page.Entries {
 			entry := &page.Entries[k]
-			if j := c.cache.jobs[entry.Job]; j != nil && j.Task(entry.Task) != nil {
-				page.uncompactedChunks[chunkRef{j, entry.Task / j.ChunkSize()}] = struct{}{}
+			if job := c.cache.jobs[entry.Job]; job != nil && job.Task(entry.Task) != nil {
+				page.uncompactedChunks[chunkRef{job, entry.Task / job.ChunkSize()}] = struct{}{}
 			}
 		}
 		commits.nextLogEntry = max(commits.nextLogEntry, page.NextSeq())
 	}
-	for _, j := range c.cache.jobs {
-		for n := range j.NumChunks() {
-			commits.nextLogEntry = max(commits.nextLogEntry, j.FirstUnstoredSeq(n))
+	for _, job := range c.cache.jobs {
+		for n := range job.NumChunks() {
+			commits.nextLogEntry = max(commits.nextLogEntry, job.FirstUnstoredSeq(n))
 		}
 	}
 }
@@ -150,22 +150,22 @@
 
 // append appends the changed entries of a chunk and reports whether they fit; if they do not, it
 // appends none. An entry that was sent once stays in the page, as the write may have been
-// executed, or may still be.
+// executed, or may be executed later.
 func (p *logPage) append(ref chunkRef, entries []jobstate.LogEntry, limit int) bool {
 	previousLen := len(p.Entries)
-	for _, e := range entries {
-		if k, ok := p.newest[taskRef{e.Job, e.Task}]; ok && p.Entries[k] == e {
+	for _, entry := range entries {
+		if k, ok := p.newest[taskRef{entry.Job, entry.Task}]; ok && p.Entries[k] == entry {
 			continue // already appended for a write that failed
 		}
 		// This is an upper bound: names that are not in the page yet count in full, and
-		// numbers other than the attempt with the most digits that they can have.
-		p.size += len("9999,99999,,9999,") + len(strconv.FormatUint(uint64(e.Attempt)*2+1, 10))
-		for _, n := range []string{e.Machine, e.Job} {
-			if _, ok := p.names[n]; !ok {
-				p.size += len(n) + 3
+		// numbers other than the attempt count as the most digits that they can have.
+		p.size += len("9999,99999,,9999,") + len(strconv.FormatUint(uint64(entry.Attempt)*2+1, 10))
+		for _, name := range []string{entry.Machine, entry.Job} {
+			if _, ok := p.names[name]; !ok {
+				p.size += len(name) + 3
 			}
 		}
-		p.Entries = append(p.Entries, e)
+		p.Entries = append(p.Entries, entry)
 	}
 	if p.size > limit {
 		// The encoded size is smaller than the estimate, as names share prefixes.
@@ -176,9 +176,9 @@
 		}
 	}
 	for k := previousLen; k < len(p.Entries); k++ {
-		e := &p.Entries[k]
-		p.newest[taskRef{e.Job, e.Task}] = k
-		p.names[e.Machine], p.names[e.Job] = struct{}{}, struct{}{}
+		entry := &p.Entries[k]
+		p.newest[taskRef{entry.Job, entry.Task}] = k
+		p.names[entry.Machine], p.names[entry.Job] = struct{}{}, struct{}{}
 	}
 	p.uncompactedChunks[ref] = struct{}{}
 	return true
@@ -195,16 +195,16 @@
 
 // append appends the changes of a chunk to the log, if that is possible with the given number of
 // remaining writes.
-func (w *pageWrites) append(j *jobstate.Job, index, remainingWrites int) (version uint64, ok bool) {
+func (w *pageWrites) append(job *jobstate.Job, index, remainingWrites int) (version uint64, ok bool) {
 	c := w.committer
 	if !c.membership.logEnabled() {
 		return 0, false
 	}
-	entries, fullWrite := j.ChangedEntries(index)
+	entries, fullWrite := job.ChangedEntries(index)
 	if fullWrite {
 		return 0, false
 	}
-	ref, limit := chunkRef{j, index}, c.membership.valueLimit()
+	ref, limit := chunkRef{job, index}, c.membership.valueLimit()
 	page := c.elector.leadership.commits.logTail
 	if page == nil {
 		page = c.newPage()
@@ -226,7 +226,7 @@
 		w.pages = append(w.pages, page)
 	}
 	c.elector.leadership.commits.nextLogEntry = page.NextSeq()
-	return j.BeginLogWrite(index), true
+	return job.BeginLogWrite(index), true
 }
 
 // committed records the revision at which the pages were written.
@@ -245,8 +245,8 @@
 	}
 }
 
-// setOrphanedRevision sets the revision of a chunk whose job is not known, if the job has any; 0
-// removes the chunk.
+// setOrphanedRevision sets the revision of an orphaned chunk, or removes the chunk if revision is
+// 0. It does nothing if the job has no orphaned chunks.
 func (c *committer) setOrphanedRevision(id string, ref jobstate.ChunkRef, revision uint64) {
 	chunks := c.cache.orphanedChunks[id]
 	if chunks == nil {
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -15,12 +15,12 @@
 	// maxCacheAge is the age of the state cache above which a leader reads the stored state.
 	maxCacheAge = second
 	// maxHeldReply is the longest time for which a user's answer is held back until a
-	// leader knows of a cancellation. It is shorter than users wait for an answer to a
-	// poll.
-	maxHeldReply = 1_200_000
+	// leader knows of a cancellation. It is shorter than the time that users wait for the
+	// answer to a query.
+	maxHeldReply = 1_200_000 // µs
 	// informInterval is the minimum time between two pings that inform a leader of
 	// cancellations while answers are held back.
-	informInterval = 100_000
+	informInterval = 100_000 // µs
 )
 
 // heldReply is an answer with cancellations that some holder of a read lease from this
@@ -47,7 +47,7 @@
 
 	grantor     *readlease.Grantor
 	heldReplies []heldReply
-	informedAt  map[string]int64 // when a controller was last informed of cancellations
+	informedAt  map[string]int64 // time at which each controller was last informed of cancellations
 }
 
 func newReadLeaseManager(shared *engine) *readLeaseManager {
@@ -76,7 +76,7 @@
 // addToStatus adds to the answer to a ping the read lease that the ping requests, and whether
 // this controller holds a read lease from the peer that sent the ping.
 func (r *readLeaseManager) addToStatus(m PingReceived, status *PeerStatus) {
-	if m.Incarnation == "" { // a program without read leases
+	if m.Incarnation == "" { // the peer's program does not support read leases
 		status.Cancelled = r.grantor.RecentCancellations()
 		return
 	}
@@ -164,8 +164,8 @@
 }
 
 // replyCancelled sends a user an answer with cancellations once every holder of a read lease
-// from this controller knows of them. If that takes too long the user is asked to retry: such
-// a holder is cut off, and its read lease will expire.
+// from this controller knows of them. If that takes too long, the user is asked to retry: a
+// holder that can't be informed is unreachable, and its read lease will expire.
 func (r *readLeaseManager) replyCancelled(reply Reply, ids ...string) {
 	ids = r.cancellationsToReport(ids)
 	for _, id := range ids {
@@ -223,7 +223,8 @@
 	r.heldReplies = kept
 }
 
-// informHolders pings the holders of read leases on whose account answers are held back.
+// informHolders pings the holders of read leases that do not know of a cancellation in an answer
+// that is held back.
 func (r *readLeaseManager) informHolders() {
 	var ids []string
 	for _, held := range r.heldReplies {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -5,8 +5,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// abandonedFetchFactor limits how long an image fetch may continue after its gang attempt was
-// abandoned, as a multiple of the expected fetch time.
+// abandonedFetchFactor limits the image fetch of a task whose gang attempt was abandoned: the
+// maximum time since the task's placement, as a multiple of the expected fetch time.
 const abandonedFetchFactor = 4
 
 // reconcile compares a heartbeat with the placements on its machine. It returns the commands
@@ -193,14 +193,14 @@
 
 // findMissing groups the placements that a heartbeat does not list by how they are handled.
 func (w *workerManager) findMissing(machine *fleet.Machine, heartbeat *Heartbeat) (missing missingTasks) {
-	listed := make(map[string]uint64, len(heartbeat.Tasks))
+	listedAttempts := make(map[string]uint64, len(heartbeat.Tasks))
 	for k := range heartbeat.Tasks {
-		listed[heartbeat.Tasks[k].Name] = heartbeat.Tasks[k].Attempt
+		listedAttempts[heartbeat.Tasks[k].Name] = heartbeat.Tasks[k].Attempt
 	}
 	for ref := range machine.Placed {
 		job, task := ref.Job, ref.Job.Task(ref.Index)
 		name := jobstate.TaskName(job.ID, ref.Index)
-		if attempt, ok := listed[name]; ok && attempt == uint64(task.Attempt) {
+		if attempt, ok := listedAttempts[name]; ok && attempt == uint64(task.Attempt) {
 			continue
 		}
 		switch {
@@ -208,7 +208,8 @@
 			// The heartbeat may be a copy from before the restart, so the machine is
 			// probed; see needsProbe.
 		case task.Confirmed && machine.HasCurrentToken:
-			// It was on the machine and is gone: it ended with the worker's previous epoch.
+			// The task was on the machine and is gone: it ended with the worker's previous
+			// epoch.
 			missing.lost = append(missing.lost, ref)
 		case task.IsStopping() && (machine.HasCurrentToken || !task.StartSent):
 			// The start was lost or never sent: if the worker had received it, this
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -29,8 +29,8 @@
 	forwarded bool
 	tries     int
 
-	// spec is the submitted job. For a submitted sweep it has the sweep's id and the
-	// dependencies of all its runs.
+	// spec is the submitted job. For a submitted sweep it has the sweep's id and the jobs
+	// outside the sweep that its runs depend on.
 	spec *jobstate.Spec
 	// dependenciesChecked is the number of dependencies that are known to be accepted.
 	dependenciesChecked int
@@ -74,7 +74,7 @@
 // isAboutSweep reports whether a request is about a sweep and not about a job.
 func (k requestKind) isAboutSweep() bool { return k >= requestSweepSubmit }
 
-// maxWait returns how long a request may wait for the lookup of a job's end.
+// maxWait returns the maximum time that a request may wait for the lookup of a job's end.
 func (r *request) maxWait() int64 {
 	if r.kind == requestStatus {
 		return maxReadWait
@@ -212,7 +212,7 @@
 	h.beginRead(source)
 }
 
-// beginRead starts a read for all waiting requests, also if there are none.
+// beginRead starts a read for all waiting requests, even if there are none.
 func (h *requestHandler) beginRead(source string) {
 	h.queues.stateReads.Begin(h.now)
 	if source == "" {
@@ -277,20 +277,20 @@
 		h.answerEnd(r.id, r.targetID, end.End)
 		return
 	}
-	j := h.cache.jobs[r.targetID]
+	job := h.cache.jobs[r.targetID]
 	switch {
-	case j == nil && r.kind == requestSubmit && r.refusal.Status == 0:
+	case job == nil && r.kind == requestSubmit && r.refusal.Status == 0:
 		h.queueWrite(r)
-	case j == nil:
+	case job == nil:
 		h.lookUpEnd(r)
-	case j.Outcome() != "":
-		h.answerEnd(r.id, r.targetID, j.End().End)
+	case job.Outcome() != "":
+		h.answerEnd(r.id, r.targetID, job.End().End)
 	case r.kind == requestCancel:
 		h.queueWrite(r)
-	case !h.dependencies.dependenciesKnown(j):
+	case !h.dependencies.dependenciesKnown(job):
 		h.emit(retryLaterReply(r.id, 1, "an end that the job's state depends on is being read"))
 	default:
-		h.emit(Reply{RequestID: r.id, Status: ReplyOK, Job: stateOf(j)})
+		h.emit(Reply{RequestID: r.id, Status: ReplyOK, Job: stateOf(job)})
 	}
 }
 
--- a/internal/core/sizestats.go
+++ b/internal/core/sizestats.go
@@ -15,8 +15,8 @@
 const (
 	maxSizedClasses = 200     // pairs of class and kind
 	maxTasksCounted = 100_000 // tasks of a job; larger jobs count as this size
-	// largestArrayPercentile is the percentile of the sizes of its class from which on an
-	// array is one of the largest.
+	// An array is one of the largest of its class if its size is at or above this percentile
+	// of the sizes of the class.
 	largestArrayPercentile = 90
 )
 
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -29,8 +29,9 @@
 	Token uint64 `json:"t"`
 }
 
-// stateCache is the local copy of the keys of the state service. It applies the results of lists, watches
-// and reads in the order of their revisions, and notifies the other components of what changed.
+// stateCache is the local copy of the keys of the state service. It applies the results of lists,
+// watches and reads in the order of their revisions, and notifies the other components of what
+// changed.
 type stateCache struct {
 	*engine
 
@@ -47,8 +48,8 @@
 	tasks        *taskManager
 
 	// synced reports whether the cache reflects the stored state up to appliedRevision.
-	// freshAt is the earliest time at which it did. listingState reports whether a
-	// list is in progress.
+	// freshAt is the send time of the newest read that was applied; changes that were stored
+	// before that time are in the cache. listingState reports whether a list is in progress.
 	synced          bool
 	listingState    bool
 	appliedRevision uint64
@@ -131,11 +132,11 @@
 // startupRequestReserve is the number of requests that a startup needs besides the list.
 const startupRequestReserve = 5
 
-// newListState returns a request to read all keys, paced so that all controllers can list at
-// once within the rate limit of the state service.
-func newListState(l config.StateLimits, controllers int) ListState {
-	each := l.RPS / float64(controllers)
-	return ListState{AtOnce: max(1, int(each)-startupRequestReserve), Gap: ratelimit.Interval(each / 2)}
+// newListState returns a request to read all keys, paced so that all controllers can list at the
+// same time within the rate limit of the state service.
+func newListState(limits config.StateLimits, controllers int) ListState {
+	requestRate := limits.RPS / float64(controllers)
+	return ListState{AtOnce: max(1, int(requestRate)-startupRequestReserve), Gap: ratelimit.Interval(requestRate / 2)}
 }
 
 // onStateListed replaces the contents of the cache with the listed state.
@@ -145,7 +146,8 @@
 	if m.Err != nil {
 		s.log.Debug("listing the state failed", "error", m.Err)
 		s.listingState = true
-		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1)) // the store spaces out retries
+		// Retries are spaced out, because the result of a failed list is delivered with a delay.
+		s.emit(newListState(s.membership.limits(), len(s.settings.Peers)+1))
 		return
 	}
 	s.reset()
@@ -163,12 +165,13 @@
 	s.log.Info("state read", "jobs", len(s.jobs), "revision", m.Revision)
 	s.reader.watchState()
 	s.membership.changeChunkSize()
-	// The pages of the list were read one after the other, so changes made meanwhile may be
-	// missing. This read brings them, and the controller may lead only after it.
+	// The pages of the list were read one after the other, so changes made in the meantime may
+	// be missing. This read returns them, and the controller may lead only after it.
 	s.emit(ReadState{AfterRevision: s.appliedRevision})
 }
 
-// reset drops everything that was read from the state service.
+// reset drops the contents that a list replaces as a whole. The known ends, machine types,
+// partitions and image hints are kept.
 func (s *stateCache) reset() {
 	s.jobs = map[string]*jobstate.Job{}
 	s.orphanedChunks = map[string]map[jobstate.ChunkRef]Change{}
@@ -368,16 +371,16 @@
 
 // applyJob applies a job's record, or its removal.
 func (s *stateCache) applyJob(id string, change Change, reportInvalid func(error)) {
-	j := s.jobs[id]
+	job := s.jobs[id]
 	if change.Removed {
-		if j != nil && change.Revision > j.Revision {
+		if job != nil && change.Revision > job.Revision {
 			delete(s.jobs, id)
-			s.tasks.jobRemoved(j)
-			s.orphanChunks(j)
+			s.tasks.jobRemoved(job)
+			s.orphanChunks(job)
 		}
 		return
 	}
-	if j != nil && change.Revision <= j.Revision {
+	if job != nil && change.Revision <= job.Revision {
 		return
 	}
 	var record jobstate.Record
@@ -385,19 +388,19 @@
 		reportInvalid(err)
 		return
 	}
-	if j == nil {
-		j = s.addJob(id, &record, change.Revision, reportInvalid)
+	if job == nil {
+		job = s.addJob(id, &record, change.Revision, reportInvalid)
 	}
-	j.Revision = change.Revision
+	job.Revision = change.Revision
 	if record.Outcome == "" {
 		return
 	}
 	// The transaction that stores a job's end also sets the outcome in its record.
-	end := jobstate.EndStoredAt(jobstate.End{Outcome: record.Outcome, Tasks: j.Tasks}, change.Revision)
-	hasJustEnded := j.RecordEnd(end)
+	end := jobstate.EndStoredAt(jobstate.End{Outcome: record.Outcome, Tasks: job.Tasks}, change.Revision)
+	hasJustEnded := job.RecordEnd(end)
 	s.recordEnd(id, end)
 	if hasJustEnded {
-		s.tasks.jobEnded(j)
+		s.tasks.jobEnded(job)
 	}
 }
 
@@ -408,41 +411,41 @@
 
 // addJob adds a job that was not known, with the progress that was read before its record.
 func (s *stateCache) addJob(id string, record *jobstate.Record, revision uint64, reportInvalid func(error)) *jobstate.Job {
-	j := jobstate.NewJob(record.Spec)
-	j.SplitChunks(s.membership.chunkTasks)
-	j.Arrival, j.SubmittedWall, j.Truncated = record.Arrival, record.SubmittedWall, record.Truncated
-	j.SubmittedAt = s.monotonicTime(record.SubmittedWall)
-	j.ReadyAt = j.SubmittedAt
-	if j.Arrival == 0 {
-		j.Arrival = revision
-	}
-	s.jobs[id] = j
-	s.loadOrphanedChunks(j, reportInvalid)
-	s.replayLog(j)
+	job := jobstate.NewJob(record.Spec)
+	job.SplitChunks(s.membership.chunkTasks)
+	job.Arrival, job.SubmittedWall, job.Truncated = record.Arrival, record.SubmittedWall, record.Truncated
+	job.SubmittedAt = s.monotonicTime(record.SubmittedWall)
+	job.ReadyAt = job.SubmittedAt
+	if job.Arrival == 0 {
+		job.Arrival = revision
+	}
+	s.jobs[id] = job
+	s.loadOrphanedChunks(job, reportInvalid)
+	s.replayLog(job)
 	if end, ended := s.ends.Get(id); ended && record.Outcome == "" {
 		// The end was reported by a peer, or derived, perhaps before the state was listed
 		// again.
-		j.RecordEnd(end)
-		s.tasks.jobEnded(j)
+		job.RecordEnd(end)
+		s.tasks.jobEnded(job)
 	} else if record.Outcome == "" {
-		s.dependencies.addJob(j)
-		s.sweepManager.recordRun(j)
+		s.dependencies.addJob(job)
+		s.sweepManager.recordRun(job)
 	}
-	s.tasks.jobArrived(j)
-	return j
+	s.tasks.jobArrived(job)
+	return job
 }
 
 // loadOrphanedChunks loads the chunks of a job that were read before its record.
-func (s *stateCache) loadOrphanedChunks(j *jobstate.Job, reportInvalid func(error)) {
-	for ref, stored := range s.orphanedChunks[j.ID] {
+func (s *stateCache) loadOrphanedChunks(job *jobstate.Job, reportInvalid func(error)) {
+	for ref, stored := range s.orphanedChunks[job.ID] {
 		if stored.Value == nil {
 			continue
 		}
-		if err := j.LoadChunk(ref, stored.Value, stored.Revision, s.now); err != nil {
+		if err := job.LoadChunk(ref, stored.Value, stored.Revision, s.now); err != nil {
 			reportInvalid(err)
 		}
 	}
-	delete(s.orphanedChunks, j.ID)
+	delete(s.orphanedChunks, job.ID)
 }
 
 // applyChunk applies a chunk of a job's progress; name is its key without the prefix.
@@ -455,37 +458,37 @@
 	if s.elector.isLeader() {
 		return // only the leader writes chunks
 	}
-	j := s.jobs[id]
+	job := s.jobs[id]
 	if change.Removed {
 		s.committer.setOrphanedRevision(id, ref, 0)
-		if j != nil {
-			j.SetChunkRevision(ref, 0)
+		if job != nil {
+			job.SetChunkRevision(ref, 0)
 		}
 		return
 	}
-	if j == nil {
+	if job == nil {
 		// A job's chunks may be read before its record.
 		s.putOrphanedChunk(id, ref, change)
 		return
 	}
-	if j.ChunkRevision(ref) >= change.Revision {
+	if job.ChunkRevision(ref) >= change.Revision {
 		return
 	}
-	if err := j.LoadChunk(ref, change.Value, change.Revision, s.now); err != nil {
+	if err := job.LoadChunk(ref, change.Value, change.Revision, s.now); err != nil {
 		reportInvalid(err)
 	}
-	s.replayLog(j)
-	for i := ref.Index * ref.ChunkSize; i < min((ref.Index+1)*ref.ChunkSize, j.Tasks); i++ {
-		s.imageHistory.recordPlacement(j.Task(i).Machine, j)
+	s.replayLog(job)
+	for i := ref.Index * ref.ChunkSize; i < min((ref.Index+1)*ref.ChunkSize, job.Tasks); i++ {
+		s.imageHistory.recordPlacement(job.Task(i).Machine, job)
 	}
 }
 
 // orphanChunks records the chunks that a removed job leaves behind, which the leader removes
 // when it has writes to spare.
-func (s *stateCache) orphanChunks(j *jobstate.Job) {
-	refs, revisions := j.StoredChunks()
+func (s *stateCache) orphanChunks(job *jobstate.Job) {
+	refs, revisions := job.StoredChunks()
 	for i, ref := range refs {
-		s.putOrphanedChunk(j.ID, ref, Change{Revision: revisions[i]})
+		s.putOrphanedChunk(job.ID, ref, Change{Revision: revisions[i]})
 	}
 }
 
@@ -501,24 +504,24 @@
 	if end, ok := s.ends.Get(id); ok {
 		return end, true
 	}
-	if j := s.jobs[id]; j != nil && j.Outcome() != "" {
-		return j.End(), true
+	if job := s.jobs[id]; job != nil && job.Outcome() != "" {
+		return job.End(), true
 	}
 	return jobstate.KnownEnd{}, false
 }
 
-// recordEnd records how a job has ended. Every end that is reported to users passes through here, so
+// recordEnd records how a job has ended. Every end that is reported to users is recorded here, so
 // this is where the controller records a cancellation for its read leases.
 func (s *stateCache) recordEnd(id string, end jobstate.KnownEnd) {
 	known, isNew := s.ends.Record(id, end)
 	if known.Outcome == jobstate.Cancelled {
 		s.readLeases.recordJobCancellation(id, known)
 	}
-	if j := s.jobs[id]; j != nil && j.RecordEnd(known) {
+	if job := s.jobs[id]; job != nil && job.RecordEnd(known) {
 		if known.Outcome == jobstate.Done {
-			s.imageHistory.recordDoneJob(j)
+			s.imageHistory.recordDoneJob(job)
 		}
-		s.tasks.jobEnded(j)
+		s.tasks.jobEnded(job)
 	}
 	if isNew {
 		s.dependencies.resolveDependents(id, known)
@@ -540,8 +543,8 @@
 		s.machineTypes, s.typesRevision, s.typesKeyRevision = types, change.Revision, change.Revision
 		return
 	}
-	// The part was written before all types fitted in one value again; a list may bring it
-	// after that value.
+	// The types have fitted into one value again since this part was written, but a list may
+	// return the part after that value.
 	if change.Revision < s.typesKeyRevision {
 		return
 	}
@@ -573,15 +576,15 @@
 
 // parseChunkKey parses a key made by chunkKey, without its prefix.
 func parseChunkKey(name string) (id string, ref jobstate.ChunkRef, err error) {
-	id, number, _ := strings.Cut(name, "/")
+	id, chunk, _ := strings.Cut(name, "/")
 	ref.ChunkSize = jobstate.DefaultChunkSize
-	if size, index, ok := strings.Cut(number, "-"); ok {
-		number = index
+	if size, index, ok := strings.Cut(chunk, "-"); ok {
+		chunk = index
 		if ref.ChunkSize, err = strconv.Atoi(size); err != nil {
 			return id, ref, fmt.Errorf("chunk size: %w", err)
 		}
 	}
-	if ref.Index, err = strconv.Atoi(number); err != nil {
+	if ref.Index, err = strconv.Atoi(chunk); err != nil {
 		return id, ref, fmt.Errorf("chunk index: %w", err)
 	}
 	return id, ref, nil
--- a/internal/core/statemessages.go
+++ b/internal/core/statemessages.go
@@ -74,7 +74,7 @@
 	Writes     []Write
 }
 
-// TransactionResult is the outcome of a transaction, which may be that no answer came.
+// TransactionResult is the outcome of a transaction, which is unknown if no answer came.
 type TransactionResult = kv.TransactionResult
 
 // ReadKey reads a key; KeyRead answers it.
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -6,8 +6,8 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// This file decides how a controller learns the stored state; package replica has the part of a
-// controller that reads it from the leader.
+// This file decides from where a controller reads the stored state; package replica has the
+// bookkeeping of reads from the leader.
 
 const (
 	// leaderReadGap is the minimum time between two reads from the leader, in microseconds.
@@ -37,9 +37,9 @@
 }
 
 // readSource returns the name of the controller from which to read the stored state, or "" for
-// the state service itself. The latter is the case for a leader, while there is no leader, and
-// after a failed request to the state service, as this controller must then find out whether
-// the service still fails.
+// the state service itself. A controller reads from the state service if it leads, if it can't
+// read from a leader, and after a failed request to the state service, because it must then find
+// out whether the service still fails.
 func (r *stateReader) readSource() string {
 	if r.elector.isLeader() || !r.cache.synced || r.cache.leaderRevision == 0 || r.health.lastRequestFailed() ||
 		!r.membership.featureEnabled(upgrade.SharedReads) || !r.peers.connectivity.PeerUp(r.cache.leader.Name, r.now) {
@@ -51,21 +51,21 @@
 
 // answerFollower answers another controller's read of the stored state, which was refreshed after
 // the request arrived.
-func (r *stateReader) answerFollower(asked *request) {
-	changes, ok := r.recentChanges.Since(asked.followerRead.revision)
+func (r *stateReader) answerFollower(req *request) {
+	changes, ok := r.recentChanges.Since(req.followerRead.revision)
 	if !r.elector.isLeader() || !ok {
-		r.emit(retryLaterReply(asked.id, 1, "this controller does not lead, or has forgotten the revision"))
+		r.emit(retryLaterReply(req.id, 1, "this controller does not lead, or has forgotten the revision"))
 		return
 	}
-	granted := r.health.grantWrites(asked.followerRead.writesNeeded)
-	r.emit(Reply{RequestID: asked.id, Status: ReplyOK, View: &replica.View{Revision: r.cache.appliedRevision, Changes: changes, Granted: granted}})
+	granted := r.health.grantWrites(req.followerRead.writesNeeded)
+	r.emit(Reply{RequestID: req.id, Status: ReplyOK, View: &replica.View{Revision: r.cache.appliedRevision, Changes: changes, Granted: granted}})
 }
 
-// onLeaderReadDone handles the leader's answer. If there is no usable one, it reads from the
-// state service instead, for the same requests.
+// onLeaderReadDone handles the leader's answer. Without a usable answer, the state is read from
+// the state service instead, for the same requests.
 func (r *stateReader) onLeaderReadDone(m LeaderReadDone) {
-	v := m.Answer.View
-	ok := m.Err == nil && m.Answer.Status == ReplyOK && v != nil && v.Revision >= m.AfterRevision
+	view := m.Answer.View
+	ok := m.Err == nil && m.Answer.Status == ReplyOK && view != nil && view.Revision >= m.AfterRevision
 	if !r.follower.EndRequest(m.Number, ok, r.now) {
 		return // late or duplicate: the writes it grants may have been used
 	}
@@ -73,8 +73,8 @@
 		r.emit(ReadState{AfterRevision: r.cache.appliedRevision, ForRequests: true})
 		return
 	}
-	r.health.receiveWrites(v.Granted)
-	r.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: v.Revision, SentAt: m.SentAt, Changes: v.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
+	r.health.receiveWrites(view.Granted)
+	r.cache.onStateRead(StateRead{AfterRevision: m.AfterRevision, Revision: view.Revision, SentAt: m.SentAt, Changes: view.Changes, Immediate: true, ForRequests: true, ViaLeader: true})
 	r.requests.writeQueued()
 }
 
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -15,7 +15,7 @@
 // Limits of the work on sweeps.
 const (
 	sweepInterval     = 200_000    // µs between two rounds
-	sweepCountDelay   = 5 * second // maximum wait of counted runs before a write of their own
+	sweepCountDelay   = 5 * second // after this time counted runs are stored even without other writes
 	sweepRetry        = second     // delay before a sweep is advanced again after a failed read
 	sweepWriteReserve = 0.4        // share of the leader's writes per second kept for other uses
 
@@ -60,13 +60,13 @@
 	for it := s.openRuns().Iterator(); it.HasNext(); {
 		i := int(it.Next())
 		id := s.plan.Specs[i].ID
-		j := m.cache.jobs[id]
+		job := m.cache.jobs[id]
 		end, ended := m.cache.knownEnd(id)
 		switch {
 		case ended && end.IsStored():
 			s.countRun(i, end.Outcome, m.now)
 			continue
-		case j == nil && reads < maxEndReads && m.dependencies.mayReadRunEnd(id):
+		case job == nil && reads < maxEndReads && m.dependencies.mayReadRunEnd(id):
 			reads++
 			m.dependencies.readRunEnd(id)
 		}
@@ -76,10 +76,10 @@
 }
 
 // countRun counts a run whose end is stored.
-func (s *sweep) countRun(i int, outcome string, now int64) {
-	s.ended.AddInt(i)
+func (s *sweep) countRun(number int, outcome string, now int64) {
+	s.ended.AddInt(number)
 	if outcome != jobstate.Done {
-		s.cancelled.AddInt(i)
+		s.cancelled.AddInt(number)
 	}
 	if s.countPendingSince == 0 {
 		s.countPendingSince = now
@@ -220,7 +220,8 @@
 			}
 		case strings.HasPrefix(key, jobPrefix), strings.HasPrefix(key, endPrefix):
 			// This step may have been executed before without a response; then the
-			// condition on the position failed too. If not, another job has the id.
+			// condition on the position failed too. If that condition holds, another
+			// job has the id.
 			if !slices.Contains(failed, sweepPositionPrefix+s.id) {
 				s.stoppedReason = "a job has the id of a run: " + key
 				m.log.Error("id of sweep run in use by another job", "sweep", s.id, "key", key)
@@ -231,8 +232,8 @@
 }
 
 // rereadSweep reads the stored position and end of a sweep after a write that failed or
-// whose outcome is unknown. If that write is still executed later, it fails because of its
-// condition on the old position.
+// whose outcome is unknown. If that write is executed only after the read, it is executed or the
+// next step is, but not both: both are conditional on the same position.
 func (m *sweepManager) rereadSweep(s *sweep) {
 	retryLater := func() {
 		s.notBefore = m.now + sweepRetry
--- a/internal/core/sweepmessages.go
+++ b/internal/core/sweepmessages.go
@@ -64,7 +64,7 @@
 	}
 )
 
-// Effects of sweeps.
+// Effects about sweeps.
 type (
 	// ExpandSweep asks for the plan of a stored description.
 	ExpandSweep struct{ ID, Stored string }
--- a/internal/core/sweepplan.go
+++ b/internal/core/sweepplan.go
@@ -29,8 +29,8 @@
 	m.emit(ExpandSweep{ID: s.id, Stored: description.String()})
 }
 
-// missingPart returns the first part of the description that is not in memory, such as the
-// parts of a closed sweep.
+// missingPart returns the first part of the description that is not in memory. The parts of a
+// closed sweep are not kept.
 func (s *sweep) missingPart() (part int, ok bool) {
 	for i := range s.head.Parts {
 		if _, ok := s.parts[i]; !ok {
@@ -63,7 +63,7 @@
 	s.planRequests = nil
 }
 
-// onExpanded stores the plan of a sweep and answers the requests that wait for it.
+// onExpanded sets the plan of a sweep and answers the requests that wait for it.
 func (m *sweepManager) onExpanded(expanded SweepExpanded) {
 	s := m.knownSweep(expanded.ID)
 	if s == nil {
--- a/internal/core/sweeprequests.go
+++ b/internal/core/sweeprequests.go
@@ -60,14 +60,14 @@
 // checkRuns returns the jobs outside the sweep that its runs depend on, or a refusal if the
 // runs can't be accepted.
 func (m *sweepManager) checkRuns(plan *SweepPlan) (dependencies []string, refusal Reply) {
-	own := make(map[string]bool, len(plan.Specs))
+	runIDs := make(map[string]bool, len(plan.Specs))
 	for i, spec := range plan.Specs {
 		if err := m.requests.checkFeasible(spec); err != nil {
 			return nil, Reply{Status: ReplyUnacceptable, Error: fmt.Sprintf("run %s: %s", plan.Values[i], err)}
 		}
-		own[spec.ID] = true
+		runIDs[spec.ID] = true
 		for _, id := range spec.Dependencies {
-			if !own[id] && !slices.Contains(dependencies, id) {
+			if !runIDs[id] && !slices.Contains(dependencies, id) {
 				dependencies = append(dependencies, id)
 			}
 		}
@@ -291,22 +291,22 @@
 }
 
 // runState returns the state of a run as users see it.
-func (m *sweepManager) runState(s *sweep, i int) string {
-	id := s.plan.Specs[i].ID
-	j := m.cache.jobs[id]
+func (m *sweepManager) runState(s *sweep, number int) string {
+	id := s.plan.Specs[number].ID
+	job := m.cache.jobs[id]
 	end, ended := m.cache.knownEnd(id)
 	switch {
 	case ended:
 		return end.Outcome
-	case s.cancelled.ContainsInt(i):
+	case s.cancelled.ContainsInt(number):
 		return jobstate.Cancelled
-	case s.ended.ContainsInt(i):
+	case s.ended.ContainsInt(number):
 		return jobstate.Done
-	case j != nil:
-		return stateOf(j).State
-	case i >= s.next && s.outcome == jobstate.Cancelled:
+	case job != nil:
+		return stateOf(job).State
+	case number >= s.next && s.outcome == jobstate.Cancelled:
 		return jobstate.Cancelled
-	case i >= s.next:
+	case number >= s.next:
 		return RunStatePlanned
 	}
 	return RunStateEnded
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -96,11 +96,11 @@
 }
 
 // mayStart reports whether a job's sweep, if any, allows its tasks to start.
-func (m *sweepManager) mayStart(j *jobstate.Job) bool {
-	if j.Sweep == "" {
+func (m *sweepManager) mayStart(job *jobstate.Job) bool {
+	if job.Sweep == "" {
 		return true
 	}
-	s := m.sweeps[j.Sweep]
+	s := m.sweeps[job.Sweep]
 	return s == nil || !s.cancelConfirmed
 }
 
@@ -134,7 +134,7 @@
 	return runs
 }
 
-// close releases what only an unfinished sweep needs.
+// close marks the sweep as closed and releases what only an unfinished sweep needs.
 func (s *sweep) close() {
 	s.closed = true
 	s.forgetPlan()
@@ -147,8 +147,8 @@
 
 // recordRun records that an unfinished job, which is new to this controller, may be a run of a
 // cancelled sweep.
-func (m *sweepManager) recordRun(j *jobstate.Job) {
-	if j.Sweep != "" {
+func (m *sweepManager) recordRun(job *jobstate.Job) {
+	if job.Sweep != "" {
 		m.mayHaveOpenRuns = true
 	}
 }
@@ -182,9 +182,9 @@
 	m.mayHaveOpenRuns = false
 	sweepEnd := jobstate.EndStoredAt(jobstate.End{Outcome: jobstate.Cancelled}, m.cache.appliedRevision)
 	for _, id := range sortedKeys(m.cache.jobs) {
-		j := m.cache.jobs[id]
-		if j.Sweep != "" && j.Outcome() == "" && m.isCancelled(j.Sweep) {
-			m.dependencies.deriveEnd(j, j.Sweep, sweepEnd)
+		job := m.cache.jobs[id]
+		if job.Sweep != "" && job.Outcome() == "" && m.isCancelled(job.Sweep) {
+			m.dependencies.deriveEnd(job, job.Sweep, sweepEnd)
 		}
 	}
 }
@@ -201,14 +201,15 @@
 	if !m.elector.isLeader() {
 		return
 	}
-	for _, j := range m.cache.jobs {
-		if j.Sweep == id && j.Outcome() == "" {
-			m.tasks.cancel(j, jobstate.StopSweep)
+	for _, job := range m.cache.jobs {
+		if job.Sweep == id && job.Outcome() == "" {
+			m.tasks.cancel(job, jobstate.StopSweep)
 		}
 	}
 }
 
-// reset is called before the stored state is read again from the start.
+// reset drops all sweeps, before those of a new list are applied, and refuses the requests that
+// wait for their plans.
 func (m *sweepManager) reset() {
 	for _, id := range sortedKeys(m.sweeps) {
 		for _, r := range m.sweeps[id].planRequests {
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -85,20 +85,20 @@
 	if change.Removed {
 		return // keys of sweeps are never removed
 	}
-	k := parseSweepKey(key)
-	s := m.getOrAddSweep(k.id)
+	parsed := parseSweepKey(key)
+	s := m.getOrAddSweep(parsed.id)
 	var err error
 	switch {
-	case k.kind == sweepKeyDescription && k.hasSuffix:
-		err = s.applyPart(k.suffix, change.Value)
-	case k.kind == sweepKeyDescription:
+	case parsed.kind == sweepKeyDescription && parsed.hasSuffix:
+		err = s.applyPart(parsed.suffix, change.Value)
+	case parsed.kind == sweepKeyDescription:
 		err = s.applyHead(change)
-	case k.kind == sweepKeyPosition && k.hasSuffix:
+	case parsed.kind == sweepKeyPosition && parsed.hasSuffix:
 		err = s.applyCancelledRuns(change.Value)
-	case k.kind == sweepKeyPosition:
+	case parsed.kind == sweepKeyPosition:
 		err = s.applyPosition(change)
-	case k.kind == sweepKeyEnd:
-		err = m.applySweepEnd(k.id, change)
+	case parsed.kind == sweepKeyEnd:
+		err = m.applySweepEnd(parsed.id, change)
 	}
 	if err != nil {
 		reportInvalid(err)
--- a/internal/core/zonetarget.go
+++ b/internal/core/zonetarget.go
@@ -9,8 +9,8 @@
 
 // zoneTarget is a waiting job whose tasks must be in one zone, and the zone in which machines are
 // gathered for it. No zone has enough machines for it, busy or idle, so waiting alone does not
-// help. Without this, machines are rented in random zones and returned as idle before one zone has
-// enough: in the emulator a gang of three waited for 220 s on an empty fleet.
+// help. Without zone targets, machines are rented in random zones and returned as idle before one
+// zone has enough: in the emulator a gang of three waited for 220 s on an empty fleet.
 type zoneTarget struct {
 	spec *jobstate.Spec
 	zone string
@@ -59,8 +59,8 @@
 // zoneOption is a zone in which machines could be gathered for a job.
 type zoneOption struct {
 	zone string
-	// usableTasks is how many of the job's tasks fit on the usable machines together, and
-	// tasks how many fit on the usable and booting machines.
+	// usableTasks is the number of the job's tasks for which the usable machines have room
+	// together, and tasks the number for which the usable and booting machines have room.
 	usableTasks, tasks int64
 	open               bool // more machines can be rented there
 }
@@ -110,10 +110,10 @@
 	return option
 }
 
-// isKeptForTarget reports whether an idle machine is kept for one of the jobs for which machines are
-// gathered.
+// isKeptForTarget reports whether an idle machine is kept for one of the jobs for which machines
+// are gathered.
 func isKeptForTarget(targets []zoneTarget, m *fleet.Machine) bool {
-	return slices.ContainsFunc(targets, func(g zoneTarget) bool {
-		return g.zone == m.Zone && g.spec.Allows(m.Type, m.Zone, m.Spot, m.Cap)
+	return slices.ContainsFunc(targets, func(target zoneTarget) bool {
+		return target.zone == m.Zone && target.spec.Allows(m.Type, m.Zone, m.Spot, m.Cap)
 	})
 }
