--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -19,7 +19,7 @@
 	replanInterval = 2 * second
 	// maxPlannedTasks is the maximum number of tasks that one round places.
 	maxPlannedTasks = 400
-	// For every machinesPerUrgentJob machines in the fleet, machines are reserved for one
+	// For every machinesPerUrgentJob usable machines, each queue may reserve machines for one
 	// more waiting urgent job.
 	machinesPerUrgentJob = 64
 	// Services may spread over more machines than they fill only if at least minSpareMachines
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -11,7 +11,8 @@
 	maxWriteWait      = 3_500_000 // µs, of the 5 s that users wait for a submission
 	maxQueuedRequests = 2000
 
-	// maxWriteTries is the maximum number of retries of a failed write.
+	// maxWriteTries is the maximum number of retries of a request with a write. Retries of the
+	// lookup of an end count as well.
 	maxWriteTries = 4
 )
 
@@ -27,7 +28,8 @@
 	receivedAt int64
 	// forwarded is set if a peer has forwarded the request; it is not forwarded again.
 	forwarded bool
-	tries     int
+	// tries is the number of writes and lookups of this request that had to be repeated.
+	tries int
 
 	// spec is the submitted job. For a submitted sweep it has the sweep's id and the jobs
 	// outside the sweep that its runs depend on.
--- a/internal/core/sizestats.go
+++ b/internal/core/sizestats.go
@@ -62,8 +62,8 @@
 	return tasks > sizes.Min() && (tasks >= top || sizes.ValuesAreEquivalent(tasks, top))
 }
 
-// startIsOverdue reports whether a job is one of the largest of its class and should have
-// started. An array starts with its first task, a gang with all of its tasks.
+// startIsOverdue reports whether a job is one of the largest of its class and has waited for a
+// quarter of startDeadline without starting. An array starts with its first task, a gang with all of its tasks.
 func (p *planner) startIsOverdue(job *jobstate.Job) bool {
 	return job.NumPlaced == 0 && job.NumDone == 0 && p.now-job.ReadyAt >= startDeadline/4 &&
 		p.elector.leadership.planning.classSizes.isAmongLargest(job.Spec)
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -56,8 +56,8 @@
 	freshAt         int64
 
 	// jobs are the unfinished jobs and those whose keys have yet to be removed, by ID.
-	// progressLog are the pages of the log of their progress, by number. orphanedChunks
-	// are the chunks whose job is not known, by job ID.
+	// progressLog has the pages of the log of their progress, ordered by number.
+	// orphanedChunks are the chunks whose job is not known, by job ID.
 	jobs           map[string]*jobstate.Job
 	progressLog    []*logPage
 	orphanedChunks map[string]map[jobstate.ChunkRef]Change
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -13,8 +13,8 @@
 	// leaderReadGap is the minimum time between two reads from the leader, in microseconds.
 	// Requests that arrive in between share the next read.
 	leaderReadGap = 10_000
-	// expectedChangeGap is the interval between reads, in microseconds, while a change is
-	// known to be stored, or is expected, that the state cache lacks.
+	// expectedChangeGap is the interval between reads, in microseconds, while the state cache
+	// lacks a change that is known to be stored or is expected.
 	expectedChangeGap = 150_000
 )
 
--- a/internal/core/sweeps.go
+++ b/internal/core/sweeps.go
@@ -41,7 +41,7 @@
 
 	stoppedReason string // why no more runs are created
 	writing       bool
-	notBefore     int64
+	notBefore     int64 // time before which the sweep is not advanced and its plan not loaded
 }
 
 // sweepManager expands sweeps into jobs and tracks how these end.
@@ -174,7 +174,7 @@
 //
 // It may be called only when the cache has everything that was stored up to some revision.
 // A run whose end was stored before its sweep was cancelled is done, and the cache could
-// miss that after a list, the read of a single key or a message of another controller.
+// miss that after a list, the read of a single key or a message from another controller.
 func (m *sweepManager) endCancelledRuns() {
 	if !m.mayHaveOpenRuns {
 		return
