--- a/internal/core/sizestats.go
+++ b/internal/core/sizestats.go
@@ -15,8 +15,8 @@
 const (
 	maxSizedClasses = 200     // pairs of class and kind
 	maxTasksCounted = 100_000 // tasks of a job; larger jobs count as this size
-	// largestArrayPercentile is the percentile of the sizes of its class from which on an
-	// array is one of the largest.
+	// An array is one of the largest of its class if its size is at or above this percentile
+	// of the sizes of the class.
 	largestArrayPercentile = 90
 )
 
@@ -62,8 +62,8 @@
 	return tasks > sizes.Min() && (tasks >= top || sizes.ValuesAreEquivalent(tasks, top))
 }
 
-// startIsOverdue reports whether a job is one of the largest of its class and should have
-// started. An array starts with its first task, a gang with all of its tasks.
+// startIsOverdue reports whether a job is one of the largest of its class and has waited for a
+// quarter of startDeadline without starting. An array starts with its first task, a gang with all of its tasks.
 func (p *planner) startIsOverdue(job *jobstate.Job) bool {
 	return job.NumPlaced == 0 && job.NumDone == 0 && p.now-job.ReadyAt >= startDeadline/4 &&
 		p.elector.leadership.planning.classSizes.isAmongLargest(job.Spec)
