--- a/internal/core/jobstate/chunks.go
+++ b/internal/core/jobstate/chunks.go
@@ -55,7 +55,7 @@
 }
 
 // part returns one part of a chunk that is split. The contents of a write in flight are not
-// known to be stored, so then every part is written again.
+// known to be stored, so if there is one, every part is written again.
 func (c *Chunk) part() Chunk {
 	dirty := c.dirty || c.inFlight
 	return Chunk{
@@ -72,10 +72,10 @@
 // StoredChunks returns the chunks that the state service has, with their revisions. All of
 // them are removed when the job's keys are removed.
 func (j *Job) StoredChunks() (refs []ChunkRef, revisions []uint64) {
-	for _, l := range j.olderLayers {
-		for n, revision := range l.revisions {
+	for _, layer := range j.olderLayers {
+		for n, revision := range layer.revisions {
 			if revision != 0 {
-				refs, revisions = append(refs, ChunkRef{ChunkSize: l.chunkSize, Index: n}), append(revisions, revision)
+				refs, revisions = append(refs, ChunkRef{ChunkSize: layer.chunkSize, Index: n}), append(revisions, revision)
 			}
 		}
 	}
@@ -97,8 +97,8 @@
 		return &j.chunks[ref.Index].Revision
 	}
 	for i := range j.olderLayers {
-		if l := &j.olderLayers[i]; l.chunkSize == ref.ChunkSize && ref.Index < len(l.revisions) {
-			return &l.revisions[ref.Index]
+		if layer := &j.olderLayers[i]; layer.chunkSize == ref.ChunkSize && ref.Index < len(layer.revisions) {
+			return &layer.revisions[ref.Index]
 		}
 	}
 	return nil
@@ -106,16 +106,16 @@
 
 // ChunkRevision returns the revision of a stored chunk, 0 if it is absent.
 func (j *Job) ChunkRevision(ref ChunkRef) uint64 {
-	if s := j.chunkRevisionPointer(ref); s != nil {
-		return *s
+	if revision := j.chunkRevisionPointer(ref); revision != nil {
+		return *revision
 	}
 	return 0
 }
 
 // SetChunkRevision sets the revision of a stored chunk, 0 for its removal.
 func (j *Job) SetChunkRevision(ref ChunkRef, revision uint64) {
-	if s := j.chunkRevisionPointer(ref); s != nil {
-		*s = revision
+	if stored := j.chunkRevisionPointer(ref); stored != nil {
+		*stored = revision
 	}
 }
 
@@ -125,7 +125,7 @@
 		return true
 	}
 	for k := range j.olderLayers {
-		if l := &j.olderLayers[k]; l.chunkSize < size && l.revisions[i/l.chunkSize] != 0 {
+		if layer := &j.olderLayers[k]; layer.chunkSize < size && layer.revisions[i/layer.chunkSize] != 0 {
 			return true
 		}
 	}
@@ -139,7 +139,7 @@
 	errPlacedTwice = errors.New("task is placed twice")
 )
 
-// LoadChunk replaces the state of a chunk's tasks by that of its stored value.
+// LoadChunk replaces the state of a chunk's tasks by the state in the chunk's stored value.
 func (j *Job) LoadChunk(ref ChunkRef, value []byte, revision uint64, now int64) error {
 	if err := j.loadChunk(ref, value, revision, now); err != nil {
 		return fmt.Errorf("job %s: chunk %d of %d tasks: %w", j.ID, ref.Index, ref.ChunkSize, err)
--- a/internal/core/jobstate/chunkwrite.go
+++ b/internal/core/jobstate/chunkwrite.go
@@ -17,11 +17,11 @@
 	attempt      uint32
 	DirtySince   int64 // when it became dirty
 	// seq is the sequence number of the first log entry that the stored value does not
-	// include; inFlightSeq is the same for the value in flight.
+	// include, inFlightSeq that of the first one that the value in flight does not include.
 	seq, inFlightSeq uint64
-	// changed are the tasks that changed since the last write began, inFlightChanges those
-	// of the write in flight. needsFullWrite reports whether the chunk has changes that
-	// changed does not list.
+	// changed lists the tasks that have changed since the last write began, inFlightChanges
+	// the changed tasks that the write in flight includes. needsFullWrite reports whether
+	// the chunk has changes that are not listed in changed.
 	changed, inFlightChanges     []int32
 	needsFullWrite, inFlightFull bool // inFlightFull: whole chunk in flight
 }
@@ -50,18 +50,18 @@
 
 // DirtyChunks returns the indices of the chunks that need a write.
 func (j *Job) DirtyChunks() []int {
-	var l []int
+	var indices []int
 	for i := range j.chunks {
 		if c := &j.chunks[i]; c.needsWrite() {
-			l = append(l, i)
+			indices = append(indices, i)
 		}
 	}
-	return l
+	return indices
 }
 
-// HasPlacementToWrite reports whether a placement of chunk c waits to be written. Otherwise
-// any changes that wait are only ends of tasks.
-func (j *Job) HasPlacementToWrite(c int) bool { return j.chunks[c].hasPlacement }
+// HasPlacementToWrite reports whether a placement of the chunk with an index waits to be
+// written. If not, all changes that wait are ends of tasks.
+func (j *Job) HasPlacementToWrite(index int) bool { return j.chunks[index].hasPlacement }
 
 // HasAnyPlacementToWrite reports whether a placement of any chunk that needs a write waits to
 // be written.
@@ -74,76 +74,77 @@
 	return false
 }
 
-// DirtySince returns when the oldest change that waits to be written was made, 0 if there is
+// DirtySince returns the time of the oldest change that waits to be written, 0 if there is
 // none.
 func (j *Job) DirtySince() int64 {
-	var at int64
+	var oldest int64
 	for i := range j.chunks {
-		if c := &j.chunks[i]; c.needsWrite() && (at == 0 || c.DirtySince < at) {
-			at = c.DirtySince
+		if c := &j.chunks[i]; c.needsWrite() && (oldest == 0 || c.DirtySince < oldest) {
+			oldest = c.DirtySince
 		}
 	}
-	return at
+	return oldest
 }
 
-// BeginChunkWrite encodes chunk c for a write that is about to be sent. seq is the sequence
+// BeginChunkWrite encodes a chunk for a write that is about to be sent. seq is the sequence
 // number of the next log entry.
-func (j *Job) BeginChunkWrite(c int, seq uint64) (value []byte, version uint64) {
-	ch := &j.chunks[c]
-	ch.beginWrite()
-	ch.needsFullWrite, ch.inFlightFull, ch.inFlightSeq = false, true, seq
-	return j.encodeChunk(c), ch.version
+func (j *Job) BeginChunkWrite(index int, seq uint64) (value []byte, version uint64) {
+	chunk := &j.chunks[index]
+	chunk.beginWrite()
+	chunk.needsFullWrite, chunk.inFlightFull, chunk.inFlightSeq = false, true, seq
+	return j.encodeChunk(index), chunk.version
 }
 
-// CommitChunkWrite records that the write of a version of chunk c is committed.
-func (j *Job) CommitChunkWrite(c int, version, revision uint64) {
-	ch := &j.chunks[c]
-	if ch.inFlightFull {
-		ch.seq, ch.inFlightFull = ch.inFlightSeq, false
+// CommitChunkWrite records that the write of a version of a chunk is committed.
+func (j *Job) CommitChunkWrite(index int, version, revision uint64) {
+	chunk := &j.chunks[index]
+	if chunk.inFlightFull {
+		chunk.seq, chunk.inFlightFull = chunk.inFlightSeq, false
 	}
-	ch.inFlight, ch.Revision, ch.inFlightChanges = false, revision, nil
-	lo, hi := j.taskRange(c)
-	for i := lo; i < hi; i++ {
+	chunk.inFlight, chunk.Revision, chunk.inFlightChanges = false, revision, nil
+	first, end := j.taskRange(index)
+	for i := first; i < end; i++ {
 		if t := &j.tasks[i]; t.Machine != "" && t.version <= version {
 			t.Stored = true
 		}
 	}
 }
 
-// AbortChunkWrite records that the write of chunk c failed or that its outcome is unknown. The
+// AbortChunkWrite records that the write of a chunk failed or that its outcome is unknown. The
 // chunk has to be written again, conditional on the revision that is known by then.
-func (j *Job) AbortChunkWrite(c int) {
-	ch := &j.chunks[c]
-	ch.inFlight, ch.dirty, ch.hasPlacement = false, true, true
-	ch.needsFullWrite, ch.inFlightFull = ch.needsFullWrite || ch.inFlightFull, false
-	ch.changed, ch.inFlightChanges = append(ch.inFlightChanges, ch.changed...), nil
+func (j *Job) AbortChunkWrite(index int) {
+	chunk := &j.chunks[index]
+	chunk.inFlight, chunk.dirty, chunk.hasPlacement = false, true, true
+	chunk.needsFullWrite, chunk.inFlightFull = chunk.needsFullWrite || chunk.inFlightFull, false
+	chunk.changed, chunk.inFlightChanges = append(chunk.inFlightChanges, chunk.changed...), nil
 }
 
-func (j *Job) taskRange(c int) (lo, hi int) {
-	lo = c * j.chunkSize
-	return lo, min(lo+j.chunkSize, len(j.tasks))
+// taskRange returns the range of tasks of a chunk of the current size, from first to before end.
+func (j *Job) taskRange(index int) (first, end int) {
+	first = index * j.chunkSize
+	return first, min(first+j.chunkSize, len(j.tasks))
 }
 
-func (j *Job) encodeChunk(c int) []byte {
-	lo, hi := j.taskRange(c)
-	s := storedChunk{Attempt: j.chunks[c].attempt, TrialDone: j.TrialDone && c == 0, Seq: j.chunks[c].inFlightSeq}
-	bits := make([]byte, (hi-lo+7)/8)
+func (j *Job) encodeChunk(index int) []byte {
+	first, end := j.taskRange(index)
+	stored := storedChunk{Attempt: j.chunks[index].attempt, TrialDone: j.TrialDone && index == 0, Seq: j.chunks[index].inFlightSeq}
+	bits := make([]byte, (end-first+7)/8)
 	anyDone := false
-	for i := lo; i < hi; i++ {
+	for i := first; i < end; i++ {
 		t := &j.tasks[i]
 		if t.Done {
-			bits[(i-lo)/8] |= 1 << ((i - lo) % 8)
+			bits[(i-first)/8] |= 1 << ((i - first) % 8)
 			anyDone = true
 		}
 		if t.Machine != "" {
-			if s.Placed == nil {
-				s.Placed = make(map[string][]uint32)
+			if stored.Placed == nil {
+				stored.Placed = make(map[string][]uint32)
 			}
-			s.Placed[t.Machine] = append(s.Placed[t.Machine], uint32(i), t.Attempt)
+			stored.Placed[t.Machine] = append(stored.Placed[t.Machine], uint32(i), t.Attempt)
 		}
 	}
 	if anyDone {
-		s.Done = hex.EncodeToString(bits)
+		stored.Done = hex.EncodeToString(bits)
 	}
-	return Encode(s)
+	return Encode(stored)
 }
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -120,7 +120,7 @@
 // highest priority of all jobs that depend on it. Its effective deadline is the latest end that
 // leaves time for the longest path of dependents, by their owners' estimates plus overhead
 // microseconds per job; 0 means that there is no deadline. Each planning round calls this again,
-// because later stages arrive and are cancelled.
+// because dependents are submitted and cancelled between rounds.
 func (g *DependencyGraph) InheritPriorities(jobs iter.Seq[*Job], overhead int64) {
 	g.round++
 	for j := range jobs {
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -17,20 +17,22 @@
 	Revision uint64
 	Arrival  uint64
 	tasks    []Task
-	// end is how the job has ended, the zero value while it is unfinished.
+	// end is the end of the job, the zero value while the job is unfinished.
 	end KnownEnd
 	// unplaced are the tasks that are neither done nor placed, placed those that are
-	// placed. They save a planning round a scan of 100,000 tasks to find a few.
+	// placed. With them a planning round finds a few tasks of a job without a scan of up
+	// to 100,000.
 	unplaced, placed *roaring.Bitmap
 	// chunks have chunkSize tasks each. olderLayers are the stored chunks of larger sizes,
 	// which are valid for tasks of which no smaller chunk has been stored.
 	chunkSize   int
 	chunks      []Chunk
 	olderLayers []chunkLayer
-	// NumDone, NumPlaced and NumRunning are numbers of tasks, updated with every change.
+	// NumDone, NumPlaced and NumRunning are the numbers of tasks in these states, updated
+	// with every change.
 	NumDone, NumPlaced, NumRunning int
 	// doneAndPlaced is the number of tasks that are done and still have a placement. It is
-	// maintained, as counting on demand would need a scan of all tasks.
+	// updated with every change, as counting on demand would need a scan of all tasks.
 	doneAndPlaced int
 	// TrialDone reports whether the job has used its trial run.
 	TrialDone bool
@@ -53,11 +55,13 @@
 	EffectiveDeadline int64
 	// DependenciesEndedWall is the time of day of the latest end of a dependency.
 	DependenciesEndedWall int64
-	// visitedRound is the last traversal of the DependencyGraph that visited the job.
+	// visitedRound is the number of the last traversal of the DependencyGraph that visited
+	// the job.
 	visitedRound int
 	// EndPending reports whether the leader is writing the job's end.
 	EndPending bool
-	// NotBefore is the earliest next start after failures, Failures their number.
+	// NotBefore is the earliest time of the next start after failures of tasks, Failures
+	// the number of these failures.
 	NotBefore int64
 	Failures  int
 	// FailedOn are the machines on which tasks of the job failed.
@@ -79,7 +83,7 @@
 	return j
 }
 
-// Outcome returns how the job has ended, "" while it is unfinished.
+// Outcome returns the outcome of the job, "" while it is unfinished.
 func (j *Job) Outcome() string { return j.end.Outcome }
 
 // End returns the end of the job, with an outcome of "" while it is unfinished.
@@ -146,11 +150,11 @@
 // reindex updates the membership of task i in the bitmaps of placed and unplaced tasks.
 func (j *Job) reindex(i int) {
 	t := &j.tasks[i]
-	setMember := func(b *roaring.Bitmap, in bool) {
-		if in {
-			b.Add(uint32(i))
+	setMember := func(set *roaring.Bitmap, isMember bool) {
+		if isMember {
+			set.Add(uint32(i))
 		} else {
-			b.Remove(uint32(i))
+			set.Remove(uint32(i))
 		}
 	}
 	setMember(j.placed, t.Machine != "")
@@ -159,14 +163,15 @@
 
 // NextAttempt returns an attempt number higher than those of all earlier attempts of any task.
 func (j *Job) NextAttempt() uint32 {
-	var a uint32
+	var highest uint32
 	for i := range j.chunks {
-		a = max(a, j.chunks[i].attempt)
+		highest = max(highest, j.chunks[i].attempt)
 	}
-	return a + 1
+	return highest + 1
 }
 
-// PlaceTask places an attempt of task i on a machine. It may start once its chunk is stored.
+// PlaceTask places an attempt of task i on a machine. The attempt may start once the task's
+// chunk is stored.
 func (j *Job) PlaceTask(i int, machine string, attempt uint32, now int64) {
 	t, c := &j.tasks[i], &j.chunks[i/j.chunkSize]
 	j.markTaskDirty(i, now)
--- a/internal/core/jobstate/job_test.go
+++ b/internal/core/jobstate/job_test.go
@@ -19,20 +19,20 @@
 			}
 		}
 		j.SetTrialDone(1)
-		k := NewJob(j.Spec)
+		loaded := NewJob(j.Spec)
 		for _, c := range j.DirtyChunks() {
 			v, version := j.BeginChunkWrite(c, 0)
 			if len(v) > 8192 {
 				t.Errorf("%d tasks: chunk %d has %d bytes, want at most 8192", n, c, len(v))
 			}
 			j.CommitChunkWrite(c, version, 5)
-			if err := k.LoadChunk(ChunkRef{DefaultChunkSize, c}, v, 5, 1); err != nil {
-				t.Fatal(err)
+			if err := loaded.LoadChunk(ChunkRef{DefaultChunkSize, c}, v, 5, 1); err != nil {
+				t.Fatalf("%d tasks: LoadChunk(chunk %d) = %v, want no error", n, c, err)
 			}
 		}
-		if len(j.DirtyChunks()) != 0 || k.NumDone != j.NumDone || k.NumPlaced != j.NumPlaced || !k.TrialDone || k.NextAttempt() != j.NextAttempt() || k.Unplaced() != j.Unplaced() {
+		if len(j.DirtyChunks()) != 0 || loaded.NumDone != j.NumDone || loaded.NumPlaced != j.NumPlaced || !loaded.TrialDone || loaded.NextAttempt() != j.NextAttempt() || loaded.Unplaced() != j.Unplaced() {
 			t.Errorf("%d tasks loaded: got %d done, %d placed, %d unplaced, trial done %v, next attempt %d, want %d, %d, %d, true, %d; %d chunks still dirty, want 0",
-				n, k.NumDone, k.NumPlaced, k.Unplaced(), k.TrialDone, k.NextAttempt(), j.NumDone, j.NumPlaced, j.Unplaced(), j.NextAttempt(), len(j.DirtyChunks()))
+				n, loaded.NumDone, loaded.NumPlaced, loaded.Unplaced(), loaded.TrialDone, loaded.NextAttempt(), j.NumDone, j.NumPlaced, j.Unplaced(), j.NextAttempt(), len(j.DirtyChunks()))
 		}
 	}
 }
--- a/internal/core/jobstate/knownend.go
+++ b/internal/core/jobstate/knownend.go
@@ -28,9 +28,9 @@
 	return "stored"
 }
 
-// KnownEnd is how a job has ended, and the source of that knowledge. An end from any source may
-// be reported to users, as all of them are final. A job's keys may be removed only if its end
-// is stored.
+// KnownEnd is the end of a job and the source from which it is known. An end from any source
+// may be reported to users, as all of them are final. A job's keys may be removed only if its
+// end is stored.
 type KnownEnd struct {
 	End
 	source EndSource
@@ -58,8 +58,8 @@
 // IsStored reports whether the state service is known to have the end.
 func (e KnownEnd) IsStored() bool { return e.source == EndStored }
 
-// preferStored returns the more informative of two descriptions of the same end: other if only that
-// one is stored, else e.
+// preferStored returns the more informative of two descriptions of the same end: other if only
+// other is stored, else e.
 func (e KnownEnd) preferStored(other KnownEnd) KnownEnd {
 	if !e.IsStored() && other.IsStored() {
 		return other
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -39,7 +39,7 @@
 			}
 			end := job.End()
 			if end.Source() != tc.source || end.Revision() != tc.revision || end.IsStored() != (tc.source == EndStored) {
-				t.Errorf("source and revision: got %s, %d, want %s, %d; stored: %v", end.Source(), end.Revision(), tc.source, tc.revision, end.IsStored())
+				t.Errorf("source, revision, stored: got %s, %d, %v, want %s, %d, %v", end.Source(), end.Revision(), end.IsStored(), tc.source, tc.revision, tc.source == EndStored)
 			}
 			if job.Outcome() != Cancelled {
 				t.Errorf("outcome: got %q, want %q", job.Outcome(), Cancelled)
--- a/internal/core/jobstate/progresslog.go
+++ b/internal/core/jobstate/progresslog.go
@@ -17,10 +17,11 @@
 	Attempt uint32
 }
 
-// LogPage is one stored value of the progress log. Changes of many jobs cost a single write in
-// the log, whereas chunks cost at least one write per job. Sequence numbers of entries continue
-// from page to page, and a page only ever grows. The entry of a task with the highest sequence
-// number is the valid one, unless the task's chunk was stored later (Chunk.seq).
+// LogPage is one stored value of the progress log. One write of a page can record changes of
+// many jobs, whereas chunks need at least one write per job. Sequence numbers of entries
+// continue from page to page, and entries are only added to a page, never removed from it. The
+// entry of a task with the highest sequence number is the valid one, unless the task's chunk
+// was stored later (Chunk.seq).
 type LogPage struct {
 	// FirstSeq is the sequence number of the first entry.
 	FirstSeq uint64
@@ -44,60 +45,61 @@
 
 // Encode returns the stored value of the page.
 func (p *LogPage) Encode() []byte {
-	s := storedLogPage{FirstSeq: p.FirstSeq, Entries: make([]uint32, 0, 4*len(p.Entries))}
-	jobs, machines := map[string]uint32{}, map[string]uint32{}
-	index := func(in map[string]uint32, list *[]string, name string) uint32 {
-		i, ok := in[name]
+	stored := storedLogPage{FirstSeq: p.FirstSeq, Entries: make([]uint32, 0, 4*len(p.Entries))}
+	jobIndices, machineIndices := map[string]uint32{}, map[string]uint32{}
+	// indexOf returns the index of a name in a list, and appends the name if it is missing.
+	indexOf := func(indices map[string]uint32, list *[]string, name string) uint32 {
+		i, ok := indices[name]
 		if !ok {
 			i = uint32(len(*list))
-			in[name], *list = i, append(*list, name)
+			indices[name], *list = i, append(*list, name)
 		}
 		return i
 	}
 	for _, e := range p.Entries {
-		var m uint32
+		var machine uint32
 		if e.Machine != "" {
-			m = index(machines, &s.Machines, e.Machine) + 1
+			machine = indexOf(machineIndices, &stored.Machines, e.Machine) + 1
 		}
-		a := e.Attempt * 2
+		attemptAndDone := e.Attempt * 2
 		if e.Done {
-			a++
+			attemptAndDone++
 		}
-		s.Entries = append(s.Entries, index(jobs, &s.Jobs, e.Job), uint32(e.Task), a, m)
+		stored.Entries = append(stored.Entries, indexOf(jobIndices, &stored.Jobs, e.Job), uint32(e.Task), attemptAndDone, machine)
 	}
-	if len(s.Machines) > 0 {
-		s.Prefix = s.Machines[0]
-		for _, n := range s.Machines {
-			for !strings.HasPrefix(n, s.Prefix) {
-				s.Prefix = s.Prefix[:len(s.Prefix)-1]
+	if len(stored.Machines) > 0 {
+		stored.Prefix = stored.Machines[0]
+		for _, name := range stored.Machines {
+			for !strings.HasPrefix(name, stored.Prefix) {
+				stored.Prefix = stored.Prefix[:len(stored.Prefix)-1]
 			}
 		}
-		for i := range s.Machines {
-			s.Machines[i] = s.Machines[i][len(s.Prefix):]
+		for i := range stored.Machines {
+			stored.Machines[i] = stored.Machines[i][len(stored.Prefix):]
 		}
 	}
-	return Encode(s)
+	return Encode(stored)
 }
 
 // DecodeLogPage decodes the stored value of a page.
 func DecodeLogPage(value []byte) (LogPage, error) {
-	var s storedLogPage
-	if err := json.Unmarshal(value, &s); err != nil {
+	var stored storedLogPage
+	if err := json.Unmarshal(value, &stored); err != nil {
 		return LogPage{}, fmt.Errorf("progress log page: %w", err)
 	}
-	p := LogPage{FirstSeq: s.FirstSeq, Entries: make([]LogEntry, 0, len(s.Entries)/4)}
-	for k := 0; k+3 < len(s.Entries); k += 4 {
-		j, i, a, m := s.Entries[k], s.Entries[k+1], s.Entries[k+2], s.Entries[k+3]
-		if int(j) >= len(s.Jobs) || int(m) > len(s.Machines) || i >= MaxTasks {
+	page := LogPage{FirstSeq: stored.FirstSeq, Entries: make([]LogEntry, 0, len(stored.Entries)/4)}
+	for k := 0; k+3 < len(stored.Entries); k += 4 {
+		job, task, attemptAndDone, machine := stored.Entries[k], stored.Entries[k+1], stored.Entries[k+2], stored.Entries[k+3]
+		if int(job) >= len(stored.Jobs) || int(machine) > len(stored.Machines) || task >= MaxTasks {
 			return LogPage{}, errors.New("progress log page: invalid job, task or machine in an entry")
 		}
-		e := LogEntry{Job: s.Jobs[j], Task: int(i), Attempt: a / 2, Done: a%2 == 1}
-		if m > 0 {
-			e.Machine = s.Prefix + s.Machines[m-1]
+		e := LogEntry{Job: stored.Jobs[job], Task: int(task), Attempt: attemptAndDone / 2, Done: attemptAndDone%2 == 1}
+		if machine > 0 {
+			e.Machine = stored.Prefix + stored.Machines[machine-1]
 		}
-		p.Entries = append(p.Entries, e)
+		page.Entries = append(page.Entries, e)
 	}
-	return p, nil
+	return page, nil
 }
 
 // ApplyLogEntry applies the entry with sequence number seq, unless the task's chunk was stored
@@ -116,7 +118,7 @@
 }
 
 // restoreTask replaces the state of task i by the stored state.
-func (j *Job) restoreTask(i int, to Task, now int64) {
+func (j *Job) restoreTask(i int, stored Task, now int64) {
 	t := &j.tasks[i]
 	if t.Machine != "" {
 		j.SetPhase(t, Unconfirmed)
@@ -128,7 +130,7 @@
 	if t.Done {
 		j.NumDone--
 	}
-	*t = to
+	*t = stored
 	if t.Done {
 		j.NumDone++
 	}
@@ -142,16 +144,16 @@
 	j.reindex(i)
 }
 
-// ChangedEntries returns log entries for the tasks of chunk c that changed since its last write
-// began. fullWrite reports that the complete chunk has to be written instead, because it has
-// other changes or too many changed tasks.
-func (j *Job) ChangedEntries(c int) (entries []LogEntry, fullWrite bool) {
-	ch := &j.chunks[c]
-	if ch.needsFullWrite || len(ch.changed) > j.chunkSize*3/4 {
+// ChangedEntries returns log entries for the tasks of a chunk that changed since the chunk's
+// last write began. fullWrite reports that the complete chunk has to be written instead,
+// because it has other changes or too many changed tasks.
+func (j *Job) ChangedEntries(index int) (entries []LogEntry, fullWrite bool) {
+	chunk := &j.chunks[index]
+	if chunk.needsFullWrite || len(chunk.changed) > j.chunkSize*3/4 {
 		return nil, true
 	}
-	seen := make(map[int32]struct{}, len(ch.changed))
-	for _, i := range ch.changed {
+	seen := make(map[int32]struct{}, len(chunk.changed))
+	for _, i := range chunk.changed {
 		if _, twice := seen[i]; twice {
 			continue
 		}
@@ -162,12 +164,12 @@
 	return entries, false
 }
 
-// BeginLogWrite records that the changes of chunk c are about to be written to the log, and
+// BeginLogWrite records that the changes of a chunk are about to be written to the log, and
 // returns the version that is written.
-func (j *Job) BeginLogWrite(c int) (version uint64) {
-	ch := &j.chunks[c]
-	ch.beginWrite()
-	return ch.version
+func (j *Job) BeginLogWrite(index int) (version uint64) {
+	chunk := &j.chunks[index]
+	chunk.beginWrite()
+	return chunk.version
 }
 
 func (c *Chunk) beginWrite() {
@@ -175,21 +177,21 @@
 	c.inFlightChanges, c.changed = c.changed, nil
 }
 
-// CommitLogWrite records that a version of chunk c is stored in the log.
-func (j *Job) CommitLogWrite(c int, version uint64) {
-	j.CommitChunkWrite(c, version, j.chunks[c].Revision)
+// CommitLogWrite records that a version of a chunk is stored in the log.
+func (j *Job) CommitLogWrite(index int, version uint64) {
+	j.CommitChunkWrite(index, version, j.chunks[index].Revision)
 }
 
 // FirstUnstoredSeq returns the sequence number of the first log entry that the stored value of
-// chunk c does not include.
-func (j *Job) FirstUnstoredSeq(c int) uint64 { return j.chunks[c].seq }
+// a chunk does not include.
+func (j *Job) FirstUnstoredSeq(index int) uint64 { return j.chunks[index].seq }
 
-// CompactChunk requests that chunk c is written as a whole, so that its log entries are no
+// CompactChunk requests that a chunk is written as a whole, so that its log entries are no
 // longer needed.
-func (j *Job) CompactChunk(c int, now int64) {
-	ch := &j.chunks[c]
-	if !ch.needsFullWrite && !ch.inFlightFull {
-		ch.needsFullWrite = true
-		j.markDirty(ch, now)
+func (j *Job) CompactChunk(index int, now int64) {
+	chunk := &j.chunks[index]
+	if !chunk.needsFullWrite && !chunk.inFlightFull {
+		chunk.needsFullWrite = true
+		j.markDirty(chunk, now)
 	}
 }
--- a/internal/core/jobstate/record.go
+++ b/internal/core/jobstate/record.go
@@ -18,7 +18,7 @@
 	// bound in the settings. It is used only for deadlines.
 	SubmittedWall int64 `json:"t,omitempty"`
 	// Truncated reports whether the specification of an ended job has only the fields that
-	// are still needed, as the whole did not fit.
+	// are still needed, because the complete one did not fit into the record.
 	Truncated bool `json:"b,omitempty"`
 }
 
@@ -51,7 +51,7 @@
 	Outcome string `json:"o"`
 	Tasks   int    `json:"n"`
 	// At is the time of day of the end in microseconds, from which the waiting times of
-	// dependent jobs count. The first format does not have it.
+	// dependent jobs are measured. It is absent in the first format.
 	At int64 `json:"t,omitempty"`
 }
 
--- a/internal/core/jobstate/task.go
+++ b/internal/core/jobstate/task.go
@@ -36,10 +36,11 @@
 	Phase   Phase
 	// Trial reports whether the attempt is the job's trial run.
 	Trial bool
-	// PlacedAt is when the attempt was placed, StartedAt when it was first seen running,
-	// both on the leader's monotonic clock.
+	// PlacedAt is the time at which the attempt was placed, StartedAt the time at which it
+	// was first reported as running, both on the leader's monotonic clock.
 	PlacedAt, StartedAt int64
-	// StopReason is why the attempt is to be stopped, StopRequestedAt when that was decided.
+	// StopReason is the reason for which the attempt is to be stopped, StopRequestedAt the
+	// time of that decision.
 	StopReason      StopReason
 	Grace           int64
 	StopRequestedAt int64
