--- a/internal/core/connectivity/cloudproxy.go
+++ b/internal/core/connectivity/cloudproxy.go
@@ -1,10 +1,12 @@
 package connectivity
 
 const (
-	// cloudFailureTimeout is how long cloud calls have to fail before a peer makes them.
+	// cloudFailureTimeout is the time for which cloud calls have to fail before a peer makes
+	// them.
 	cloudFailureTimeout = 3 * second
-	// cloudProxyDuration is how long a peer makes the cloud calls before this controller
-	// tries them itself again, and how long a peer that failed is not asked.
+	// cloudProxyDuration is the time for which a peer makes the cloud calls before this
+	// controller tries to make them itself again, and the time for which a peer that failed
+	// is not asked.
 	cloudProxyDuration = 30 * second
 )
 
--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -16,7 +16,7 @@
 	cases := []struct {
 		name   string
 		events []func(*Link)
-		now    int64 // in tenths of a second, as the times of the events
+		now    int64 // in tenths of a second, like the times of the events
 		want   LinkState
 	}{
 		{"no request yet", nil, 10, Unknown},
@@ -48,81 +48,81 @@
 	machine := func(i int) Machine {
 		return Machine{Name: fmt.Sprintf("host-%03d", i), Addr: "x", Zone: "a"}
 	}
-	a, b := NewSample(2*second), NewSample(2*second)
+	sample, other := NewSample(2*second), NewSample(2*second)
 	for i := range 40 {
-		a.Add(machine(i), 1)
-		b.Add(machine(39-i), 1)
+		sample.Add(machine(i), 1)
+		other.Add(machine(39-i), 1)
 	}
-	if x, y := fmt.Sprint(a.Machines()), fmt.Sprint(b.Machines()); x != y || len(a.Machines()) != machinesPerZone {
-		t.Fatalf("two controllers that know the same machines sample %s and %s, want the same %d", x, y, machinesPerZone)
+	if got, otherGot := fmt.Sprint(sample.Machines()), fmt.Sprint(other.Machines()); got != otherGot || len(sample.Machines()) != machinesPerZone {
+		t.Fatalf("two controllers that know the same machines sample %s and %s, want the same %d", got, otherGot, machinesPerZone)
 	}
-	if _, known := a.ReachableEighths("a"); known {
+	if _, known := sample.ReachableEighths("a"); known {
 		t.Error("the reach of a zone is known before any probe, want unknown")
 	}
 	// All machines are probed, one after the other, until there is evidence for each.
 	now := second
 	answer := func(s *Sample, ok func(name string) bool) (probed int) {
-		for _, x := range s.DueProbes(now) {
+		for _, due := range s.DueProbes(now) {
 			probed++
-			s.RecordProbe(x.Name, now, now, ok(x.Name))
+			s.RecordProbe(due.Name, now, now, ok(due.Name))
 		}
 		now += probeInterval
 		return probed
 	}
 	all := func(string) bool { return true }
 	for range 2 * machinesPerZone {
-		if n := answer(&a, all); n > 1 {
+		if n := answer(&sample, all); n > 1 {
 			t.Errorf("%d machines probed at once while none has failed, want at most 1", n)
 		}
 	}
-	if n, known := a.ReachableEighths("a"); !known || n != wholeZone {
-		t.Errorf("all machines have answered: got %d eighths, known %v, want %d, known true", n, known, wholeZone)
+	if eighths, known := sample.ReachableEighths("a"); !known || eighths != wholeZone {
+		t.Errorf("all machines have answered: got %d eighths, known %v, want %d, known true", eighths, known, wholeZone)
 	}
 	// One machine fails: the rest of its zone is probed at once.
-	dead := a.Machines()[0].Name
+	dead := sample.Machines()[0].Name
 	allButOne := func(name string) bool { return name != dead }
-	now += a.refreshInterval
+	now += sample.refreshInterval
 	for range 2 * machinesPerZone {
-		answer(&a, allButOne)
+		answer(&sample, allButOne)
 	}
-	if n, _ := a.ReachableEighths("a"); n != wholeZone*(machinesPerZone-1)/machinesPerZone {
-		t.Errorf("one of %d machines does not answer: got %d eighths, want %d", machinesPerZone, n, wholeZone*(machinesPerZone-1)/machinesPerZone)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != wholeZone*(machinesPerZone-1)/machinesPerZone {
+		t.Errorf("one of %d machines does not answer: got %d eighths, want %d", machinesPerZone, eighths, wholeZone*(machinesPerZone-1)/machinesPerZone)
 	}
 	none := func(string) bool { return false }
-	now += a.refreshInterval
+	now += sample.refreshInterval
 	most := 0
 	for range 2 * machinesPerZone {
-		most = max(most, answer(&a, none))
+		most = max(most, answer(&sample, none))
 	}
-	if n, _ := a.ReachableEighths("a"); n != 0 || most < machinesPerZone-2 {
-		t.Errorf("no machine answers: got %d eighths and %d probed at once, want 0 and at least %d", n, most, machinesPerZone-2)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 || most < machinesPerZone-2 {
+		t.Errorf("no machine answers: got %d eighths and %d probed at once, want 0 and at least %d", eighths, most, machinesPerZone-2)
 	}
 	// A machine that sends heartbeats replaces one without any success for staleTimeout.
 	now += staleTimeout
 	spare := machine(39)
-	for i := 0; a.byName[spare.Name] != nil; i++ {
+	for i := 0; sample.byName[spare.Name] != nil; i++ {
 		spare = machine(i)
 	}
-	if !a.Add(spare, now) || a.byName[dead] != nil && len(a.Machines()) != machinesPerZone {
-		t.Error("a machine that sends heartbeats did not replace a dead one")
+	if !sample.Add(spare, now) || sample.byName[dead] != nil && len(sample.Machines()) != machinesPerZone {
+		t.Errorf("after a heartbeat of %s: sampled %v, want %s among them in place of the dead %s", spare.Name, sample.Machines(), spare.Name, dead)
 	}
 	// Two heartbeats with consecutive sequence numbers prove that a machine is reached. A
 	// single one does not, nor do two with a gap.
-	a.RecordHeartbeat(spare, 1, 7, now)
-	if n, _ := a.ReachableEighths("a"); n != 0 {
-		t.Errorf("after a single heartbeat: got %d eighths, want 0", n)
+	sample.RecordHeartbeat(spare, 1, 7, now)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 {
+		t.Errorf("after a single heartbeat: got %d eighths, want 0", eighths)
 	}
-	a.RecordHeartbeat(spare, 1, 9, now)
-	if n, _ := a.ReachableEighths("a"); n != 0 {
-		t.Errorf("after heartbeats with a gap: got %d eighths, want 0", n)
+	sample.RecordHeartbeat(spare, 1, 9, now)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 {
+		t.Errorf("after heartbeats with a gap: got %d eighths, want 0", eighths)
 	}
-	a.RecordHeartbeat(spare, 1, 10, now)
-	if n, _ := a.ReachableEighths("a"); n != wholeZone/machinesPerZone {
-		t.Errorf("after two consecutive heartbeats: got %d eighths, want %d", n, wholeZone/machinesPerZone)
+	sample.RecordHeartbeat(spare, 1, 10, now)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != wholeZone/machinesPerZone {
+		t.Errorf("after two consecutive heartbeats: got %d eighths, want %d", eighths, wholeZone/machinesPerZone)
 	}
-	a.Invalidate(now + second)
-	if n, _ := a.ReachableEighths("a"); n != 0 || len(a.DueProbes(now+second)) != machinesPerZone {
-		t.Errorf("after Invalidate: got %d eighths, want 0 and %d machines to probe", n, machinesPerZone)
+	sample.Invalidate(now + second)
+	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 || len(sample.DueProbes(now+second)) != machinesPerZone {
+		t.Errorf("after Invalidate: got %d eighths, want 0; number of machines to probe: want %d, got another if the eighths are right", eighths, machinesPerZone)
 	}
 }
 
@@ -250,11 +250,11 @@
 	}
 	l.Refresh(now + second)
 	if _, pending := l.PendingAdvertisement(now + 100*second); pending {
-		t.Error("an unchanged advertisement is pending")
+		t.Error("an unchanged advertisement: got pending true, want false")
 	}
 	l.ClearAdvertised()
 	if _, pending := l.PendingAdvertisement(now + 100*second); !pending {
-		t.Error("the advertisement is not pending after its lease has expired")
+		t.Error("after the lease of the advertisement has expired: got pending false, want true")
 	}
 }
 
@@ -284,19 +284,19 @@
 		}
 		l.Reads.RecordSuccess(4*second, 4*second)
 		if l.Isolated(4*second + 1) {
-			t.Errorf("%s: isolated after the state service has answered", tc.name)
+			t.Errorf("%s: after the state service has answered: Isolated() = true, want false", tc.name)
 		}
 	}
 }
 
-// TestRelays checks by which controller a heartbeat reaches a leader, and which zones a controller
-// can't reach.
+// TestRelays checks through which controller a heartbeat reaches a leader, and which zones a
+// controller can't reach.
 func TestRelays(t *testing.T) {
 	l := NewLinks("n0", "b", []string{"n1", "n2"}, 2*second)
 	now := 10 * second
-	advertise := func(name string, v Advertisement) {
-		l.RecordPing(name, now, now, true, &v)
-		l.SetStored(name, &v)
+	advertise := func(name string, advertisement Advertisement) {
+		l.RecordPing(name, now, now, true, &advertisement)
+		l.SetStored(name, &advertisement)
 		l.RecordInbound(name, now)
 	}
 	advertise("n1", reaching(8, 0, "n0", "n2"))
@@ -306,15 +306,16 @@
 		t.Errorf("got relay %q to n2 and %q to n1, want n1 and none", l.RelayTo("n2"), l.RelayTo("n1"))
 	}
 	if l.CannotReachZone("n1", "a") || !l.CannotReachZone("n1", "b") || l.CannotReachZone("n2", "b") || !l.CannotReachMostZones("n1") || l.CannotReachMostZones("n2") {
-		t.Error("want that only n1 can't reach zone b, and that this is most of its zones")
+		t.Errorf("CannotReachZone: got %v for n1 and zone a, %v for n1 and zone b, %v for n2 and zone b, want false, true, false; CannotReachMostZones: got %v for n1, %v for n2, want true, false",
+			l.CannotReachZone("n1", "a"), l.CannotReachZone("n1", "b"), l.CannotReachZone("n2", "b"), l.CannotReachMostZones("n1"), l.CannotReachMostZones("n2"))
 	}
 	advertise("n2", reaching(8, 0, "n0"))
 	l.Refresh(now)
 	if l.CannotReachZone("n1", "b") {
-		t.Error("n1 counts as cut off from zone b, which no controller reaches")
+		t.Error("zone b, which no controller reaches: CannotReachZone(n1, b) = true, want false")
 	}
 	l.Refresh(now + 4*second)
 	if l.RelayTo("n2") != "" {
-		t.Error("got a relay through a peer whose last answer is too old")
+		t.Errorf("4 s after the last answers of the peers: got relay %q to n2, want none", l.RelayTo("n2"))
 	}
 }
--- a/internal/core/connectivity/handover.go
+++ b/internal/core/connectivity/handover.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// baseHandoverDelay is how long a better leader has to be known before a leader steps
-	// down, in microseconds. It doubles with each change of leadership within handoverWindow,
-	// up to maxHandovers recorded changes, so that flapping links do not cause repeated
-	// handovers.
+	// baseHandoverDelay is the time for which a better leader has to be known before a leader
+	// steps down, in microseconds. The delay doubles with each change of leadership within
+	// handoverWindow, up to maxHandovers recorded changes, so that flapping links do not
+	// cause repeated handovers.
 	baseHandoverDelay = 1_500_000
 	handoverWindow    = 60 * second
 	maxHandovers      = 4
-	// candidateDelay is how much longer a candidate waits if it knows a better one, in
-	// microseconds.
+	// candidateDelay is the additional time for which a candidate waits if it knows a better
+	// one, in microseconds.
 	candidateDelay = 1_200_000
-	// writeFailureTimeout is how long writes have to fail, while reads are answered, before
-	// a leader hands over to any other controller.
+	// writeFailureTimeout is the time for which writes have to fail, while reads are
+	// answered, before a leader hands over to any other controller.
 	writeFailureTimeout = 5 * second
 	// readFreshness is the maximum age of an answered read that still counts as evidence that
 	// reads are answered.
@@ -49,7 +49,8 @@
 // LastHandover returns the last handover by this controller, with At 0 if there was none.
 func (l *Links) LastHandover() Handover { return l.handover.last }
 
-// delay returns how long a better leader has to be known for a handover at the time now.
+// delay returns the time for which a better leader has to be known for a handover at the time
+// now.
 func (h *handoverState) delay(now int64) int64 {
 	delay := int64(baseHandoverDelay)
 	for i, at := range h.changes {
@@ -91,8 +92,8 @@
 		return "", ""
 	}
 	// Advertisements do not say which controllers can write, so the first other one by name is
-	// taken. The state service is not down: it still answers this controller's reads after its
-	// writes have failed for writeFailureTimeout.
+	// taken. The state service is not down: it still answers this controller's reads after this
+	// controller's writes have failed for writeFailureTimeout.
 	names := slices.Sorted(maps.Keys(l.matrix))
 	if names[0] == l.self {
 		return names[1], "writes are refused here alone"
--- a/internal/core/connectivity/link.go
+++ b/internal/core/connectivity/link.go
@@ -64,7 +64,7 @@
 	answeredAt                   int64   // time of the last answer, including refusals
 	failure                      Failure // how the newest failed request failed
 	smoothedRTT                  int64
-	flapTimes                    [flapThreshold]int64 // ring buffer, flapCount%flapThreshold is the oldest entry
+	flapTimes                    [flapThreshold]int64 // ring buffer with its oldest entry at flapCount%flapThreshold
 	flapCount                    int
 }
 
--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// pingFreshness is how long the answer to a ping, which is sent once per second, proves
-	// that a peer can be reached, in microseconds.
+	// pingFreshness is the time for which the answer to a ping proves that a peer can be
+	// reached, in microseconds. Pings are sent once per second.
 	pingFreshness = 2_500_000
-	// inboundFreshness is how long a peer's request proves that the peer reaches this
-	// controller, in microseconds.
+	// inboundFreshness is the time for which a peer's request proves that the peer reaches
+	// this controller, in microseconds.
 	inboundFreshness = 3_500_000
-	// isolationTimeout is how long the state service has to leave a controller without an
-	// answer before the controller counts as isolated, in microseconds.
+	// isolationTimeout is the time without an answer from the state service after which a
+	// controller counts as isolated, in microseconds.
 	isolationTimeout = 1_500_000
-	// minAdvertiseInterval is the minimum time between two stored advertisements. It doubles
-	// up to maxAdvertiseInterval while the advertisement keeps changing.
+	// minAdvertiseInterval is the minimum time between two stored advertisements. The interval
+	// doubles up to maxAdvertiseInterval while the advertisement keeps changing.
 	minAdvertiseInterval = second
 	maxAdvertiseInterval = 16 * second
 )
@@ -71,7 +71,7 @@
 	return l
 }
 
-// RecordPing records the result of a ping to a peer, and the peer's advertisement, nil if its
+// RecordPing records the result of a ping to a peer, and the peer's advertisement, nil if the
 // answer had none.
 func (l *Links) RecordPing(peer string, sentAt, now int64, ok bool, advertisement *Advertisement) {
 	link := l.outbound[peer]
@@ -116,8 +116,9 @@
 // ClearStored discards the stored advertisements, before they are read again.
 func (l *Links) ClearStored() { clear(l.stored) }
 
-// StateListed records that SetStored was called for all stored advertisements. If that of this
-// controller is not among them, it disappeared with its lease, and its removal will not be read.
+// StateListed records that SetStored was called for all stored advertisements. If this
+// controller's own is not among them, it disappeared with its lease before the listing, so no
+// event will report its removal.
 func (l *Links) StateListed() {
 	if _, stored := l.stored[l.self]; !stored {
 		l.ClearAdvertised()
@@ -161,8 +162,8 @@
 		if received, ok := l.received[name]; ok && now-received.at < pingFreshness {
 			advertisement = received.Advertisement
 		}
-		// The advertisement may be as old as its last change. It counts as reaching this
-		// controller only if a recent request from it confirms that.
+		// The advertisement may be as old as its last change. The other controller counts as
+		// reaching this one only if a recent request from it confirms that.
 		if inbound.succeededAt == 0 || now-inbound.succeededAt >= inboundFreshness {
 			advertisement.Peers = slices.DeleteFunc(slices.Clone(advertisement.Peers), func(peer string) bool { return peer == l.self })
 		}
--- a/internal/core/connectivity/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -7,8 +7,9 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Advertisement is what a controller tells the others about its links, with its answers to pings
-// and on its lease in the state service. A missing field gives no information.
+// Advertisement is a controller's summary of its links for the other controllers. It is sent with
+// the answers to pings and stored in the state service on the controller's lease. A missing field
+// gives no information.
 type Advertisement struct {
 	Incarnation string `json:"b,omitempty"`
 	// ReachableEighths is the number of eighths of each zone's machines that are reached.
@@ -54,9 +55,8 @@
 // maxRelays is the maximum number of controllers that relay a heartbeat on its way to the leader.
 const maxRelays = 2
 
-// Coverage returns how many eighths of each zone a controller would serve if it led: those that it
-// reaches itself, and those reached by the controllers that reach it through at most maxRelays
-// hops.
+// Coverage returns the number of eighths of each zone that a controller would serve if it led: the
+// maximum over the controller itself and the controllers that reach it in at most maxRelays hops.
 func (m Matrix) Coverage(leader string) map[string]int {
 	names := slices.Sorted(maps.Keys(m))
 	at, ok := slices.BinarySearch(names, leader)
@@ -125,8 +125,8 @@
 // unknown in own does not count, since it may have no machines.
 func handoverGain(own, other map[string]int) (gain int) {
 	for zone, eighths := range other {
-		if mine, known := own[zone]; known {
-			gain += eighths - mine
+		if ownEighths, known := own[zone]; known {
+			gain += eighths - ownEighths
 		}
 	}
 	return gain
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -15,9 +15,9 @@
 const machinesPerZone = 4
 
 const (
-	// probeInterval is the minimum time between probes while no link has failed, in
-	// microseconds; probeRetryInterval is that between probes of a machine that did not
-	// answer.
+	// probeInterval is the minimum time between two probes of any machines while no link has
+	// failed, in microseconds; probeRetryInterval is the minimum time between two probes of
+	// the same machine while it does not answer.
 	probeInterval      = 400_000
 	probeRetryInterval = 2 * second
 	// staleTimeout is the time without any success after which a machine may be replaced by
@@ -26,7 +26,7 @@
 	// doubtTimeout is the time without any success after which the other controllers are asked
 	// for machines, and after which their information that a machine is gone is accepted.
 	doubtTimeout = 5 * second
-	// forgottenRetention is the time during which a machine that is gone is not added again if
+	// forgottenRetention is the time for which a machine that is gone is not added again if
 	// another controller samples it: that controller may not know yet that the machine is gone.
 	forgottenRetention = 900 * second
 )
@@ -125,16 +125,16 @@
 	if len(machines) < machinesPerZone {
 		return true
 	}
-	out := machinesPerZone - 1
-	if machines[out].hash <= hash {
-		out = slices.IndexFunc(machines, func(m *sampledMachine) bool {
+	replaced := machinesPerZone - 1
+	if machines[replaced].hash <= hash {
+		replaced = slices.IndexFunc(machines, func(m *sampledMachine) bool {
 			return now-max(m.link.succeededAt, m.addedAt) > staleTimeout && m.link.down()
 		})
 	}
-	if out < 0 {
+	if replaced < 0 {
 		return false
 	}
-	s.remove(machines[out])
+	s.remove(machines[replaced])
 	return true
 }
 
@@ -155,8 +155,8 @@
 	}
 }
 
-// ForgetUnlisted removes the doubted machines that are not in the cloud's list and have had no
-// success since completeSince, the time from which the list is complete.
+// ForgetUnlisted removes the machines that may be gone (isDoubted), are not in the cloud's list
+// and have had no success since completeSince, the time from which the list is complete.
 func (s *Sample) ForgetUnlisted(isListed func(name string) bool, completeSince, now int64) {
 	for _, machine := range s.Machines() {
 		m := s.byName[machine.Name]
@@ -227,8 +227,9 @@
 	}
 }
 
-// forgetUnknown removes the doubted machines of a zone that another controller, which reaches more
-// of the zone, does not list although it would sample them if it knew them.
+// forgetUnknown removes the machines of a zone that may be gone (isDoubted) and that another
+// controller, which reaches more of the zone, does not list although it would sample them if it
+// knew them.
 func (s *Sample) forgetUnknown(zone string, listed []Machine, now int64) (gone []string) {
 	highest := uint64(0)
 	names := map[string]bool{}
@@ -310,7 +311,8 @@
 	return sentAt
 }
 
-// lastKnown returns the send time of the request that gave, or will give, the newest evidence.
+// lastKnown returns the send time of the newest request that was answered or of the last probe,
+// whichever is later.
 func (m *sampledMachine) lastKnown() int64 { return max(m.link.successSentAt, m.probedAt) }
 
 // needsProbe reports whether a machine should be probed without delay. A machine that is down is
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -18,8 +18,8 @@
 	// and its peer reach them.
 	alive                   map[string]bool
 	ownReaches, peerReaches bool
-	// unreached says that the zone counts as unreachable, which has to stay so until the test
-	// clears it.
+	// unreached reports whether the zone counts as unreachable. Once set, the zone has to stay
+	// unreachable until the test clears the field.
 	unreached bool
 }
 
@@ -171,7 +171,7 @@
 			tc.do(r)
 			r.advance(10 * second) // the probes have failed by then
 			if !r.unreached {
-				t.Error("the zone does not count as unreachable 10 s after the cut")
+				t.Error("10 s after the cut: the zone counts as reachable, want unreachable")
 			}
 			for end := r.now + longest; r.now < end && !t.Failed(); {
 				r.advance(second)
@@ -184,8 +184,9 @@
 	}
 }
 
-// TestGoneAccordingToPeer checks that a machine that does not answer is taken as gone only if another
-// controller reaches more of its zone and does not list it although it would sample it if it knew it.
+// TestGoneAccordingToPeer checks that a machine that does not answer counts as gone only if another
+// controller reaches more of the machine's zone and does not list the machine, although that
+// controller would sample the machine if it knew it.
 func TestGoneAccordingToPeer(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -270,10 +271,10 @@
 	s.Forget("m1", second)
 	isSampled := func() bool { return slices.Contains(s.Machines(), sampled("m1")) }
 	if s.Merge([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); isSampled() {
-		t.Error("a machine that is gone was added again because another controller lists it")
+		t.Errorf("after a merge with a controller that lists the machine that is gone: sampled %v, want m1 not among them", s.Machines())
 	}
 	if s.RecordHeartbeat(sampled("m1"), 1, 1, 3*second); !isSampled() {
-		t.Error("a machine that sends heartbeats is not sampled")
+		t.Errorf("after a heartbeat of the machine: sampled %v, want m1 among them", s.Machines())
 	}
 }
 
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -1,14 +1,15 @@
 // Package ratelimit divides the request and change rates that the state service allows among
 // the controllers, so that all controllers together stay within the limits.
 //
-// Each configured controller has a fixed share, half of an even share, which it may use as
-// soon as it starts, whatever it knows of the others. The other halves are divided among the
-// members: the controllers that have a key on their lease. A controller uses its part of them
-// only while its own membership is proven and its view of the members is fresh, and a new
-// member waits until all others must have seen it. The shares therefore never add up to more
-// than the limits, whichever controllers start, stop or are cut off. Users come in bursts at
-// single controllers, so the leader grants changes from its own budget to controllers that
-// run short. The package does no I/O.
+// Each configured controller has a fixed share, which it may use as soon as it starts, whatever
+// it knows of the others. The fixed share is half of what the controller would have if all
+// controllers were members. The other halves are divided among the members: the controllers
+// that have a key on their lease. A controller uses its part of the other halves only while its
+// own membership is proven and its view of the members is fresh, and a new member waits until
+// all others must have seen it. The shares therefore never add up to more than the limits,
+// whichever controllers start, stop or are cut off. Users come in bursts at single controllers,
+// so the leader grants changes from its own budget to controllers that run short. The package
+// does no I/O.
 package ratelimit
 
 const second = 1_000_000
@@ -16,15 +17,15 @@
 // Limits are the rates that the state service allows, per second.
 type Limits struct{ Requests, Changes float64 }
 
-// SettleTime is how long a controller has to be a member before it uses the shares of absent
-// controllers, and MaxViewAge the maximum age of its view of the members; both in
+// SettleTime is the time for which a controller has to be a member before it uses the shares of
+// absent controllers, and MaxViewAge the maximum age of its view of the members; both in
 // microseconds. SettleTime has to exceed MaxViewAge by more than any two clocks differ.
 const (
 	SettleTime = 3 * second
 	MaxViewAge = 2 * second
 )
 
-// Members is what a controller knows about all controllers.
+// Members is the knowledge of a controller about all controllers.
 type Members struct {
 	// Configured is the number of controllers in the settings.
 	Configured int
@@ -74,47 +75,48 @@
 	maxLegacyShare = 0.5
 )
 
-// ShareFor returns the share of a controller that knows m.
-func ShareFor(l Limits, m Members) Share {
-	if !m.SharingEnabled || m.Configured < 2 {
-		return unsharedShare(l, m)
+// ShareFor returns the share of a controller that has the given knowledge of the members.
+func ShareFor(limits Limits, members Members) Share {
+	if !members.SharingEnabled || members.Configured < 2 {
+		return unsharedShare(limits, members)
 	}
-	others := float64(m.Configured - 1)
-	changes := l.Changes * (1 - leaderChanges)
-	reads := readBudget(l, m, changes)
-	if !m.HasLeader {
-		// No controller uses the leader's share, and all notice at once when one starts to.
-		even := 1 / float64(m.Configured)
-		s := Share{Reads: readBudget(l, m, l.Changes) * even, Changes: l.Changes * even}
-		s.Views = min(viewShare*l.Requests, s.Reads)
-		return s
+	others := float64(members.Configured - 1)
+	changes := limits.Changes * (1 - leaderChanges)
+	reads := readBudget(limits, members, changes)
+	if !members.HasLeader {
+		// No controller uses the leader's share, and as soon as a controller becomes leader
+		// all others notice it.
+		even := 1 / float64(members.Configured)
+		share := Share{Reads: readBudget(limits, members, limits.Changes) * even, Changes: limits.Changes * even}
+		share.Views = min(viewShare*limits.Requests, share.Reads)
+		return share
 	}
-	if m.IsLeader {
-		return Share{Views: min(viewShare*(1+others), leaderViewShare) * l.Requests, Reads: leaderReads * reads, Changes: l.Changes * leaderChanges}
+	if members.IsLeader {
+		return Share{Views: min(viewShare*(1+others), leaderViewShare) * limits.Requests, Reads: leaderReads * reads, Changes: limits.Changes * leaderChanges}
 	}
 	reads *= 1 - leaderReads
-	left := 1 - min(legacyShare*float64(m.Legacy), maxLegacyShare)
-	s := Share{Reads: memberShare(reads*left, others, m), Changes: memberShare(changes*left, others, m)}
-	s.Views = min(viewShare*l.Requests, s.Reads)
-	return s
+	left := 1 - min(legacyShare*float64(members.Legacy), maxLegacyShare)
+	share := Share{Reads: memberShare(reads*left, others, members), Changes: memberShare(changes*left, others, members)}
+	share.Views = min(viewShare*limits.Requests, share.Reads)
+	return share
 }
 
 // readBudget returns the request rate that remains for reads after the leases, the leader's
 // transactions, and the changes of other controllers, each of which may be a transaction of
 // its own.
-func readBudget(l Limits, m Members, changes float64) float64 {
-	return max(l.Requests-leaseRequests*float64(m.Configured)-leaderWrites-changes, minReadShare*l.Requests)
+func readBudget(limits Limits, members Members, changes float64) float64 {
+	return max(limits.Requests-leaseRequests*float64(members.Configured)-leaderWrites-changes, minReadShare*limits.Requests)
 }
 
-// memberShare returns a controller's share of a pool that is divided among all controllers when
-// all of them are members.
-func memberShare(pool, all float64, m Members) float64 {
-	own := pool / all / 2
-	if !m.Confirmed {
-		return own
+// memberShare returns a controller's share of a budget that is divided among a number of
+// followers when all of them are members.
+func memberShare(budget, followers float64, members Members) float64 {
+	fixed := budget / followers / 2
+	if !members.Confirmed {
+		return fixed
 	}
-	present := min(max(float64(m.Present), 1), all)
-	return own + pool/2/present
+	present := min(max(float64(members.Present), 1), followers)
+	return fixed + budget/2/present
 }
 
 // maxUnsharedWriters is the number of controllers besides the leader up to which, while the
@@ -125,14 +127,14 @@
 // of the reads. Users come in bursts at single controllers, and on average make far fewer
 // changes than the limit allows, so each controller may use all changes that are not reserved
 // for the leader, unless there are more than maxUnsharedWriters.
-func unsharedShare(l Limits, m Members) Share {
-	few := min(1, maxUnsharedWriters/float64(max(m.Configured-1, 1)))
-	s := Share{Views: viewShare * l.Requests, Changes: l.Changes * (1 - leaderChanges) * few}
-	s.Reads = readBudget(l, m, s.Changes) / float64(max(m.Configured, 1))
-	if m.IsLeader {
-		s.Changes = l.Changes * leaderChanges
+func unsharedShare(limits Limits, members Members) Share {
+	fraction := min(1, maxUnsharedWriters/float64(max(members.Configured-1, 1)))
+	share := Share{Views: viewShare * limits.Requests, Changes: limits.Changes * (1 - leaderChanges) * fraction}
+	share.Reads = readBudget(limits, members, share.Changes) / float64(max(members.Configured, 1))
+	if members.IsLeader {
+		share.Changes = limits.Changes * leaderChanges
 	}
-	return s
+	return share
 }
 
 // Interval returns the time between two operations at a rate per second, in microseconds.
@@ -175,7 +177,8 @@
 // Deposit adds tokens that were withdrawn from another bucket.
 func (b *TokenBucket) Deposit(n int) { b.level += float64(n) }
 
-// Level returns the number of tokens. It is below 0 after more were spent than there were.
+// Level returns the number of tokens. It is below 0 after Spend has removed more tokens than the
+// bucket had, or Withdraw was allowed to.
 func (b *TokenBucket) Level() float64 { return b.level }
 
 // Spend removes n tokens, even if there are fewer.
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -16,41 +16,42 @@
 	leads           bool
 }
 
-// totalUsage returns what all controllers together may use per second, given what each of them knows.
-func totalUsage(l Limits, all []member, now int64, shareFor func(Limits, Members) Share) (requests, changes float64) {
+// totalUsage returns the requests and changes that all controllers together may use per second,
+// given what each of them knows.
+func totalUsage(limits Limits, all []member, now int64, shareFor func(Limits, Members) Share) (requests, changes float64) {
 	requests = leaseRequests * float64(len(all))
 	for i, m := range all {
 		if !m.running || m.legacy {
 			continue
 		}
-		k := Members{Configured: len(all), SharingEnabled: true, HasLeader: true, IsLeader: m.leads}
-		for j, s := range m.seen {
+		known := Members{Configured: len(all), SharingEnabled: true, HasLeader: true, IsLeader: m.leads}
+		for j, isSeen := range m.seen {
 			switch {
-			case !s:
+			case !isSeen:
 			case all[j].legacy:
-				k.Legacy++
+				known.Legacy++
 			case !all[j].leads:
-				k.Present++
+				known.Present++
 			}
 		}
-		k.Confirmed = m.since > 0 && now-m.since > SettleTime && now-m.viewedAt < MaxViewAge && m.seen[i]
-		s := shareFor(l, k)
-		requests += s.Reads
-		changes += s.Changes
+		known.Confirmed = m.since > 0 && now-m.since > SettleTime && now-m.viewedAt < MaxViewAge && m.seen[i]
+		share := shareFor(limits, known)
+		requests += share.Reads
+		changes += share.Changes
 		if m.leads {
 			requests += leaderWrites
 		} else {
-			requests += s.Changes
+			requests += share.Changes
 		}
 	}
 	return requests, changes
 }
 
 // maxExcess runs a random history of members that start, stop, are cut off and are seen late,
-// and returns by how much the limits were exceeded at most.
+// and returns the maximum amount by which the limits were exceeded.
 func maxExcess(t *rapid.T, shareFor func(Limits, Members) Share) (excess float64) {
 	n := rapid.IntRange(2, 12).Draw(t, "controllers")
-	l := Limits{Requests: float64(rapid.SampledFrom([]int{80, 200, 250}).Draw(t, "requests")), Changes: float64(rapid.SampledFrom([]int{25, 60, 90}).Draw(t, "changes"))}
+	limits := Limits{Requests: float64(rapid.SampledFrom([]int{80, 200, 250}).Draw(t, "requests")), Changes: float64(rapid.SampledFrom([]int{25, 60, 90}).Draw(t, "changes"))}
 	all := make([]member, n)
 	for i := range all {
 		all[i] = member{seen: make([]bool, n)}
@@ -75,8 +76,8 @@
 			}
 		}
 		// A controller that has not read for MaxViewAge knows that its view is outdated.
-		requests, changes := totalUsage(l, all, now, shareFor)
-		excess = max(excess, requests-l.Requests, changes-l.Changes)
+		requests, changes := totalUsage(limits, all, now, shareFor)
+		excess = max(excess, requests-limits.Requests, changes-limits.Changes)
 	}
 	return excess
 }
@@ -96,9 +97,9 @@
 // planted fault: a new member uses the shares of absent controllers before the others can have
 // seen it.
 func TestExcessiveSharesFound(t *testing.T) {
-	withoutSettling := func(l Limits, m Members) Share {
-		m.Confirmed = true
-		return ShareFor(l, m)
+	withoutSettling := func(limits Limits, members Members) Share {
+		members.Confirmed = true
+		return ShareFor(limits, members)
 	}
 	worst := 0.0
 	rapid.Check(t, func(t *rapid.T) { worst = max(worst, maxExcess(t, withoutSettling)) })
--- a/internal/core/readlease/grantor.go
+++ b/internal/core/readlease/grantor.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// holderState is what a grantor knows about a controller that may hold its read lease.
+// holderState is the knowledge of a grantor about a controller that may hold its read lease.
 type holderState struct {
 	grantedAt int64 // time of the last grant, 0 if there was none
-	// cleared is set once the holder has said that it holds no lease of an earlier
+	// cleared is set once the holder has answered that it holds no lease of an earlier
 	// incarnation of the grantor.
 	cleared bool
 	// upTo is the number up to which the holder knows the cancellations of this
-	// incarnation, appliedRevision the revision up to which it knows the stored state.
+	// incarnation, appliedRevision the revision up to which the holder knows the stored
+	// state.
 	upTo            uint64
 	appliedRevision uint64
 }
@@ -24,15 +25,15 @@
 type Grantor struct {
 	incarnation string
 	startedAt   int64
-	// leaseDuration is how long a leader may hold a lease after it was granted, with the
-	// margin for clock drift and transit time.
+	// leaseDuration is the maximum time for which a leader may hold a lease after the
+	// grant, including the margin for clock drift and transit time.
 	leaseDuration int64
 	cancellations cancellationLog
 	holders       map[string]*holderState
 }
 
-// NewGrantor returns the grantor of a controller that has just started. leaseDuration is how
-// long a leader uses a read lease, measured by the leader's own clock.
+// NewGrantor returns the grantor of a controller that has just started. leaseDuration is the
+// time for which a leader uses a read lease, measured by the leader's own clock.
 func NewGrantor(incarnation string, peers []string, leaseDuration, now int64) *Grantor {
 	g := &Grantor{
 		incarnation:   incarnation,
@@ -78,7 +79,7 @@
 	page := CancellationPage{Incarnation: g.incarnation, After: number, UpTo: number, Complete: synced}
 	if number+1 < log.firstNumber {
 		page.UpTo = log.firstNumber - 1
-		if log.droppedUnknownTo(appliedRevision) {
+		if log.mayLackDropped(appliedRevision) {
 			page.Complete, page.Incarnation = false, "" // dropped entries can't be sent
 			return page
 		}
--- a/internal/core/readlease/holder.go
+++ b/internal/core/readlease/holder.go
@@ -1,6 +1,6 @@
 package readlease
 
-// grant is what a leader knows about its read lease of one grantor.
+// grant is the knowledge of a leader about its read lease of one grantor.
 type grant struct {
 	// incarnation is the grantor's incarnation whose cancellations the leader knows up to
 	// the number upTo.
@@ -11,7 +11,7 @@
 	grantedAt int64
 	// requestedAt is the send time of the last request; its answer may be in transit.
 	requestedAt int64
-	// runningIncarnation is the incarnation of the grantor that runs now, "" if not known.
+	// runningIncarnation is the present incarnation of the grantor, "" if not known.
 	runningIncarnation string
 }
 
@@ -45,8 +45,8 @@
 	return GrantRequest{Incarnation: grant.incarnation, UpTo: grant.upTo, AppliedRevision: appliedRevision}
 }
 
-// ApplyPage records a page of cancellations, and reports whether it continues what the leader
-// knows of its grantor without a gap.
+// ApplyPage records a page of cancellations, and reports whether the page continues the
+// cancellations of the grantor that the leader knows without a gap.
 func (h *Holder) ApplyPage(peer string, page CancellationPage) bool {
 	grant := h.grants[peer]
 	if grant == nil || page.Incarnation == "" {
@@ -75,16 +75,16 @@
 		return
 	}
 	grant := h.grants[peer]
-	// A grantor that has just restarted knows only what its present incarnation confirmed.
-	// The leader knows what the earlier one confirmed while the lease of that one is valid:
-	// while the leader could hold the lease, the grantor confirmed no cancellation that this
-	// leader was not informed of.
+	// A grantor that has just restarted knows only the cancellations that its present
+	// incarnation has confirmed. If the leader's lease of the earlier incarnation is still
+	// valid, the leader knows the earlier ones too: while a leader may hold the lease, the
+	// grantor confirms no cancellation of which it has not informed that leader.
 	if page.Complete || grant.valid(now, h.leaseDuration) {
 		grant.grantedAt = max(grant.grantedAt, sentAt)
 	}
 }
 
-// SetIncarnation records which incarnation of a controller runs. Answers of another
+// SetIncarnation records the incarnation of a controller that runs now. Answers of another
 // incarnation were delayed in transit and are ignored.
 func (h *Holder) SetIncarnation(peer, incarnation string) {
 	if grant := h.grants[peer]; grant != nil && incarnation != "" {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Ack returns the answer to a controller that has sent cancellations. Once the answer says
-// that the lease is not held, the lease has ended for good and has to be granted again.
+// Ack returns the answer to a controller that has sent cancellations. It discards an expired
+// lease, so after an answer that the lease is not held, the lease has to be granted again.
 func (h *Holder) Ack(peer string, appliedRevision uint64, now int64) HolderAck {
 	grant := h.grants[peer]
 	if grant == nil {
--- a/internal/core/readlease/log.go
+++ b/internal/core/readlease/log.go
@@ -13,10 +13,10 @@
 	entries     []cancellation
 	firstNumber uint64 // the number of the oldest entry
 	numberByID  map[string]uint64
-	// droppedRevision is the highest revision of the dropped entries; droppedUnknown is set
+	// droppedRevision is the highest revision of the dropped entries; droppedWithoutRevision is set
 	// if the revision of one of them was not known.
-	droppedRevision uint64
-	droppedUnknown  bool
+	droppedRevision        uint64
+	droppedWithoutRevision bool
 }
 
 func (l *cancellationLog) lastNumber() uint64 { return l.firstNumber + uint64(len(l.entries)) - 1 }
@@ -44,20 +44,20 @@
 	l.firstNumber++
 	delete(l.numberByID, oldest.id)
 	l.droppedRevision = max(l.droppedRevision, oldest.revision)
-	l.droppedUnknown = l.droppedUnknown || oldest.revision == 0
+	l.droppedWithoutRevision = l.droppedWithoutRevision || oldest.revision == 0
 }
 
-// droppedUnknownTo reports whether a controller that knows the stored state up to
+// mayLackDropped reports whether a controller that knows the stored state up to
 // appliedRevision may lack a dropped entry.
-func (l *cancellationLog) droppedUnknownTo(appliedRevision uint64) bool {
-	return l.droppedUnknown || l.droppedRevision > appliedRevision
+func (l *cancellationLog) mayLackDropped(appliedRevision uint64) bool {
+	return l.droppedWithoutRevision || l.droppedRevision > appliedRevision
 }
 
 // knownTo reports whether a holder is certain to know a cancellation.
 func (l *cancellationLog) knownTo(h *holderState, id string) bool {
 	number, kept := l.numberByID[id]
 	if !kept {
-		return !l.droppedUnknown && l.droppedRevision != 0 && h.appliedRevision >= l.droppedRevision
+		return !l.droppedWithoutRevision && l.droppedRevision != 0 && h.appliedRevision >= l.droppedRevision
 	}
 	if h.upTo >= number {
 		return true
--- a/internal/core/readlease/readlease.go
+++ b/internal/core/readlease/readlease.go
@@ -1,11 +1,11 @@
 // Package readlease implements the protocol by which the other controllers allow a leader to
 // answer workers while the state service does not answer the leader. It does no I/O.
 //
-// A user who was told that a job is cancelled may rely on its tasks being gone within
-// cancel_s. A leader that answers a heartbeat keeps the tasks on the machine alive for another
-// worker lease, so it may do so only while it knows every cancellation that was confirmed to
-// any user, except for the newest. A read of the state service proves that. While the state
-// service can't be read, each other controller has to grant the leader a read lease:
+// Once a cancellation is confirmed to a user, the user may rely on the job's tasks being gone
+// within cancel_s. A leader that answers a heartbeat keeps the tasks on the machine alive for
+// another worker lease. It may therefore answer only while it knows every cancellation that was
+// confirmed to any user, except for the newest. A read of the state service proves that. While
+// the state service can't be read, each other controller has to grant the leader a read lease:
 //
 //   - The leader (the [Holder]) sends a [GrantRequest] with its pings.
 //   - The other controller (the [Grantor]) answers with the cancellations that it knows, in
@@ -19,7 +19,8 @@
 //
 // A controller that has restarted no longer knows to whom it granted a read lease and which
 // cancellations it confirmed. It therefore treats every controller as a holder until the
-// leases of its earlier incarnation have expired or the controller says that it holds none.
+// leases of its earlier incarnation have expired or the other controller answers that it holds
+// none.
 // Its grants are valid once it has read the stored state, which contains the confirmed
 // cancellations, or if the leader's lease of the earlier incarnation has not expired, because
 // then the leader was informed of them.
@@ -32,9 +33,9 @@
 	maxPageEntries = 500
 	// maxLogEntries is the maximum number of cancellations that a grantor keeps.
 	maxLogEntries = 20_000
-	// maxAnswerDelay is the time after a request from which its answer is ignored. Until
-	// then a leader that has sent a request may still obtain the lease, and reports that it
-	// holds it.
+	// maxAnswerDelay is the time after a request from which the answer to it is ignored.
+	// Until then a leader that has sent a request may still obtain the lease, and reports
+	// that it holds the lease.
 	maxAnswerDelay = 2 * second
 	// A grantor considers a lease valid for longer than its holder does, by grantMargin plus
 	// the fraction 1/clockDriftShare of the duration. This allows for clock drift and for
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -151,12 +151,12 @@
 		}, 0, 0},
 		{"acknowledged as held while the answer is in transit", func(p *pair) {
 			sentAt, page := p.request()
-			if a := p.holder.Ack("x", 0, p.now); !a.Holds {
+			if ack := p.holder.Ack("x", 0, p.now); !ack.Holds {
 				return
 			}
 			p.receive(sentAt, page)
 			p.now += 3 * second
-			if a := p.holder.Ack("x", 0, p.now); !a.Holds {
+			if ack := p.holder.Ack("x", 0, p.now); !ack.Holds {
 				p.holder.grants["x"].grantedAt = 0
 			}
 		}, second, 0},
@@ -188,7 +188,7 @@
 	cases := []struct {
 		name string
 		do   func(p *pair)
-		// mayConfirm says that no controller has to be informed first.
+		// mayConfirm reports whether no controller has to be informed first.
 		mayConfirm bool
 	}{
 		{"grantor just started", func(*pair) {}, false},
@@ -224,8 +224,8 @@
 			if !p.holder.ApplyPage("x", page) || !slices.Contains(page.Cancelled, "next") {
 				p.incarnation = -1
 			}
-			a := p.holder.Ack("x", 0, p.now)
-			p.grantor.HandleAck("l", p.now, &a)
+			ack := p.holder.Ack("x", 0, p.now)
+			p.grantor.HandleAck("l", p.now, &ack)
 		}, true},
 	}
 	for _, tc := range cases {
