--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -122,7 +122,7 @@
 	}
 	sample.Invalidate(now + second)
 	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 || len(sample.DueProbes(now+second)) != machinesPerZone {
-		t.Errorf("after Invalidate: got %d eighths, want 0; number of machines to probe: want %d, got another if the eighths are right", eighths, machinesPerZone)
+		t.Errorf("after Invalidate: got %d eighths, want 0; or got another number of machines to probe at once than the wanted %d", eighths, machinesPerZone)
 	}
 }
 
--- a/internal/core/sched/gang.go
+++ b/internal/core/sched/gang.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// unboundedStarts is the smallest remaining Planner.MaxStarts with which a gang is placed
-// although it has more tasks than that.
+// unboundedStarts is the remaining value of Planner.MaxStarts from which on a gang may have more
+// tasks than MaxStarts. Below this value, such a gang is not placed.
 const unboundedStarts = 1000
 
 // placeGang places all tasks of a gang or none. With one_zone it tries one zone after the
@@ -53,7 +53,7 @@
 
 // zoneChoices returns the zones to try for the remaining tasks of a gang, best first; nil
 // stands for any zone. A gang starts when the last of its tasks does, so the cost of a zone is
-// that of the most expensive machine that would be used there.
+// the cost of the most expensive machine that would be used there.
 func (p *Planner) zoneChoices(j *Job, tasks int) []*string {
 	if !j.OneZone {
 		return []*string{nil}
--- a/internal/core/sched/imagepreempt.go
+++ b/internal/core/sched/imagepreempt.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// imagePreemptDelay is how long a preemption for an image takes besides saving a
-	// checkpoint, minImagePreemptGain the minimum time that it has to save over a fetch.
-	// Both are in microseconds.
+	// imagePreemptDelay is the time that a preemption for an image takes besides saving a
+	// checkpoint. minImagePreemptGain is the minimum time by which a gang has to start earlier
+	// with the preemption than with a fetch. Both are in microseconds.
 	imagePreemptDelay   = 1_500_000
 	minImagePreemptGain = 4_000_000
 	// maxLostPerFetch is the maximum work lost by a preemption, as a multiple of the work
@@ -18,7 +18,7 @@
 	maxLostPerFetch = 2
 )
 
-// imageOption is a machine that a task of a gang could use, how long the task takes to start
+// imageOption is a machine that a task of a gang could use, the time until the task would start
 // there, and the tasks that have to be stopped for it.
 type imageOption struct {
 	m       *Machine
@@ -116,8 +116,8 @@
 	return best, delay
 }
 
-// imageVictims returns the tasks to stop on the busy machine m for one task of a gang, and how
-// long that takes. There are none if work on m is already being stopped for j.
+// imageVictims returns the tasks to stop on the busy machine m for one task of a gang, and the
+// time that this takes. No tasks are returned if work on m is already being stopped for j.
 func (p *Planner) imageVictims(j *Job, m *Machine) (victims []RunningTask, delay int64, ok bool) {
 	if m.FetchRate <= 0 || !m.willHaveImage(j.Image) || m.claimedAhead(j) {
 		return nil, 0, false
--- a/internal/core/sched/imagepreempt_test.go
+++ b/internal/core/sched/imagepreempt_test.go
@@ -44,7 +44,7 @@
 		job      *Job
 		claims   []string
 		want     []string // starts
-		preempts string   // machines, with ! if stopped without a checkpoint
+		preempts string   // machines, with ! if work is stopped without saving a checkpoint
 	}{
 		{
 			name: "lower-priority work is preempted on the machine with the image", job: urgent(1, 12_000),
@@ -106,30 +106,30 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), MaxStarts: 100, PreemptDelay: 60 * second}
-			for _, m := range tc.claims {
-				p.Claims = append(p.Claims, Claim{tc.job.Job, m})
+			for _, machine := range tc.claims {
+				p.Claims = append(p.Claims, Claim{tc.job.Job, machine})
 			}
 			plan := p.Plan([]*Job{tc.job})
 			var got []string
-			for _, st := range plan.Starts {
-				got = append(got, st.Machine.Name)
+			for _, start := range plan.Starts {
+				got = append(got, start.Machine.Name)
 			}
 			if !slices.Equal(got, tc.want) {
 				t.Errorf("starts on machines: got %v, want %v", got, tc.want)
 			}
 			preempts := ""
-			for _, st := range plan.Preemptions {
+			for _, preemption := range plan.Preemptions {
 				i := slices.IndexFunc(tc.machines, func(m *Machine) bool {
-					return slices.ContainsFunc(m.RunningTasks, func(r RunningTask) bool { return r.Job == st.Job })
+					return slices.ContainsFunc(m.RunningTasks, func(run RunningTask) bool { return run.Job == preemption.Job })
 				})
-				preempts += tc.machines[i].Name + map[bool]string{true: "!"}[st.Kill] + " "
+				preempts += tc.machines[i].Name + map[bool]string{true: "!"}[preemption.Kill] + " "
 			}
 			if preempts != tc.preempts {
 				t.Errorf("preemptions on machines: got %q, want %q", preempts, tc.preempts)
 			}
-			for _, st := range plan.Preemptions {
-				if !slices.ContainsFunc(plan.Claims, func(c Claim) bool { return c.Job == st.For.Job }) {
-					t.Error(fmt.Sprint("preemption for ", st.For.ID, ": got no claim of that job in the plan, want one"))
+			for _, preemption := range plan.Preemptions {
+				if !slices.ContainsFunc(plan.Claims, func(c Claim) bool { return c.Job == preemption.For.Job }) {
+					t.Error(fmt.Sprint("preemption for ", preemption.For.ID, ": got no claim of that job in the plan, want one"))
 				}
 			}
 		})
--- a/internal/core/sched/job.go
+++ b/internal/core/sched/job.go
@@ -17,19 +17,19 @@
 type Job struct {
 	*jobstate.Job
 	Queue int
-	// ExpectedDuration is how long a task is expected to occupy its machine, without the
-	// image fetch.
+	// ExpectedDuration is the time for which a task is expected to occupy its machine,
+	// without the image fetch.
 	ExpectedDuration int64
 	// Headroom is what remains of the team's limit, shared by the team's jobs.
 	Headroom *Headroom
 	// Guaranteed reports whether the job, together with its team's earlier jobs, is within
 	// the team's guarantee.
 	Guaranteed bool
-	// DeadlineLost reports whether the job's deadline can no longer be met, so that
-	// otherwise equal jobs go first.
+	// DeadlineLost reports whether the job's deadline can no longer be met. Otherwise equal
+	// jobs then go before the job.
 	DeadlineLost bool
-	// StartOverdue reports whether the job is among the largest of its class and has waited
-	// so long that it goes before otherwise equal jobs.
+	// StartOverdue reports whether the job is among the largest jobs of its class and has
+	// waited so long that it goes before otherwise equal jobs.
 	StartOverdue bool
 	// NeedsGPUMachine reports whether the job needs no GPU, but fits only on machines with
 	// GPUs.
@@ -39,15 +39,15 @@
 	QueueOrder int64
 	// TasksByZone is the number of the job's placed tasks per zone.
 	TasksByZone map[string]int
-	// StartBy is when the job needs free machines to start in time, 0 if it has no
-	// objective for its start.
+	// StartBy is the time by which machines have to be free for the job to start in time, 0
+	// if the job has no objective for its start.
 	StartBy int64
 
-	// deferred reports whether better machines than the free ones are being freed for the
-	// job, so that it waits for them.
+	// deferred reports whether the job waits for machines that are being freed for it,
+	// because they are better than the free ones.
 	deferred bool
-	// nextTask is the index at which the search for unplaced tasks continues, planned the
-	// number of tasks placed in this round.
+	// nextTask is the index at which the search for unplaced tasks continues, planned is the
+	// number of the job's tasks placed in this round.
 	nextTask, planned int
 }
 
@@ -161,8 +161,8 @@
 	return true
 }
 
-// fetchDelay returns how long a machine takes to fetch the job's image, 0 if it has the image
-// or will have it.
+// fetchDelay returns the time that a machine needs to fetch the job's image, 0 if the machine has
+// the image or will have it.
 func (j *Job) fetchDelay(m *Machine) int64 {
 	if j.Image == "" || m.willHaveImage(j.Image) {
 		return 0
@@ -170,7 +170,8 @@
 	return j.FetchTime(m.FetchRate)
 }
 
-// durationOn returns how long a task is expected to occupy a machine, with the image fetch.
+// durationOn returns the time for which a task is expected to occupy a machine, with the image
+// fetch.
 func (j *Job) durationOn(m *Machine) int64 { return j.ExpectedDuration + j.fetchDelay(m) }
 
 // isDeadlineCritical reports whether urgent work is likely to miss its deadline if one task is
--- a/internal/core/sched/machine.go
+++ b/internal/core/sched/machine.go
@@ -38,9 +38,9 @@
 	Spot             bool
 	Partition        int
 	Cap, Free        jobstate.Resources
-	// NextContact is when commands can next be sent to the machine: with the response to
-	// its worker's next heartbeat, or immediately if a heartbeat's response is held back
-	// for commands.
+	// NextContact is the next time at which commands can be sent to the machine: with the
+	// response to its worker's next heartbeat, or immediately if the response to a heartbeat
+	// is held back for commands.
 	NextContact int64
 	// FetchRate is the rate of image fetches in MB per second.
 	FetchRate int64
@@ -48,7 +48,8 @@
 	// them, and adds the images that it plans to fetch to plannedImages.
 	Images map[string]fleet.Image
 	// RunningTasks are the tasks that occupy the machine, in the order of their estimated
-	// ends. With Planner.LoadRunningTasks they are valid once that was called in the round.
+	// ends. If Planner.LoadRunningTasks is set, they are valid only after its call for the
+	// machine in the current round.
 	RunningTasks []RunningTask
 
 	group  *machineGroup
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -11,8 +11,8 @@
 // queueHead is the progress of the pivot placement in one queue.
 type queueHead struct {
 	jobs []*Job
-	// next is the index of the first job that was not considered yet, reserved the number
-	// of jobs before it for which machines are reserved.
+	// next is the index of the first job that was not considered yet, reserved is the number
+	// of jobs before that one for which machines are reserved.
 	next, reserved int
 }
 
@@ -124,8 +124,8 @@
 	return startAt
 }
 
-// freeSlots returns when the machines have room for up to the given number of tasks each. The
-// result is valid until the next call.
+// freeSlots returns room for tasks of a job, at most the given number on each machine, with the
+// time from which there is room for each. The result is valid until the next call.
 func (p *Planner) freeSlots(j *Job, tasks int) slotHeap {
 	slots := p.slotBuffer[:0]
 	for _, g := range p.Index.groups {
@@ -143,9 +143,9 @@
 	return slots
 }
 
-// freeTimes returns when m has room for the first task, the second and so on, up to the given
-// number of tasks, besides what is reserved for other jobs. The result is valid until the next
-// call.
+// freeTimes returns the times from which m has room for one task, two tasks and so on, up to the
+// given number of tasks, besides what is reserved for other jobs. The result is valid until the
+// next call.
 func (p *Planner) freeTimes(m *Machine, j *Job, tasks int) []int64 {
 	p.resetForRound(m)
 	free, need := m.Free, j.Need
--- a/internal/core/sched/planner.go
+++ b/internal/core/sched/planner.go
@@ -66,18 +66,18 @@
 	ReserveAhead int
 	// LargestGPUTask is the need of the largest task with GPUs.
 	LargestGPUTask jobstate.Resources
-	// PreemptDelay is how far off a pivot's start may be, in microseconds, before work of
-	// lower priority is preempted for it.
+	// PreemptDelay is the time until a pivot's start, in microseconds, above which work of
+	// lower priority is preempted for the pivot.
 	PreemptDelay int64
-	// HasSpareMachines reports whether enough machines are idle for services to use more of
-	// them than they fill.
+	// HasSpareMachines reports whether so many machines are idle that the replicas of a
+	// service may be spread over more machines than they would fill.
 	HasSpareMachines bool
 	// PreferSpot are the machine types whose on-demand machines are needed by jobs that may
 	// not use spot machines. Of other types on-demand machines are preferred, as the cloud
 	// does not reclaim them.
 	PreferSpot map[string]bool
-	// BeyondGuarantee reports whether stopping work with a need takes from a team only what
-	// it has beyond its guarantee.
+	// BeyondGuarantee reports whether a team keeps its guarantee if its work with the given
+	// need is stopped.
 	BeyondGuarantee func(team string, need jobstate.Resources) bool
 	// Claims are the claims of earlier rounds.
 	Claims []Claim
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -12,10 +12,10 @@
 
 const second = int64(1_000_000)
 
-// testMachine returns a machine of 8 CPUs in partition part. runs are pairs of the CPUs and the
-// end, in seconds, of a running task of the team "other".
-func testMachine(name string, part int, runs ...int64) *Machine {
-	m := &Machine{Name: name, Type: "t", Zone: "a", Partition: part, Cap: jobstate.Resources{CPU: 8000}, Free: jobstate.Resources{CPU: 8000}, FetchRate: 1000, Images: map[string]fleet.Image{}}
+// testMachine returns a machine of 8 CPUs in a partition. runs has two numbers for each running
+// task of the team "other": its CPUs and its end in seconds.
+func testMachine(name string, partition int, runs ...int64) *Machine {
+	m := &Machine{Name: name, Type: "t", Zone: "a", Partition: partition, Cap: jobstate.Resources{CPU: 8000}, Free: jobstate.Resources{CPU: 8000}, FetchRate: 1000, Images: map[string]fleet.Image{}}
 	for i := 0; i+1 < len(runs); i += 2 {
 		need := jobstate.Resources{CPU: runs[i] * 1000}
 		m.Free = m.Free.Sub(need)
@@ -24,10 +24,11 @@
 	return m
 }
 
-// testJob returns a job of the team "mine" without limits. cpus is per task, length in seconds.
-func testJob(id string, queue, prio int, kind jobstate.Kind, tasks int, cpus, length int64) *Job {
-	j := jobstate.NewJob(&jobstate.Spec{ID: id, Kind: kind, Tasks: tasks, Priority: prio, Need: jobstate.Resources{CPU: cpus * 1000}, Estimate: length * second, Team: "mine"})
-	return &Job{Job: j, Queue: queue, ExpectedDuration: length * second, Headroom: &Headroom{CPU: Unlimited, GPU: Unlimited}}
+// testJob returns a job of the team "mine" without limits. cpus is the number of CPUs per task,
+// seconds the estimated run time.
+func testJob(id string, queue, priority int, kind jobstate.Kind, tasks int, cpus, seconds int64) *Job {
+	j := jobstate.NewJob(&jobstate.Spec{ID: id, Kind: kind, Tasks: tasks, Priority: priority, Need: jobstate.Resources{CPU: cpus * 1000}, Estimate: seconds * second, Team: "mine"})
+	return &Job{Job: j, Queue: queue, ExpectedDuration: seconds * second, Headroom: &Headroom{CPU: Unlimited, GPU: Unlimited}}
 }
 
 // TestPlan has cases for each rule of the paper's figure 2 and for the differences from it.
@@ -222,8 +223,8 @@
 				}
 			}
 			p := Planner{Queues: 3, Index: NewIndex(tc.machines...), MaxStarts: 100, PreemptDelay: 60 * second, ReserveAhead: tc.ahead, BeyondGuarantee: func(string, jobstate.Resources) bool { return true }}
-			for _, c := range tc.claims {
-				id, machine, _ := strings.Cut(c, "@")
+			for _, claim := range tc.claims {
+				id, machine, _ := strings.Cut(claim, "@")
 				for _, j := range tc.jobs {
 					if j.ID == id {
 						p.Claims = append(p.Claims, Claim{j.Job, machine})
@@ -232,15 +233,15 @@
 			}
 			plan := p.Plan(tc.jobs)
 			var got []string
-			for _, st := range plan.Starts {
-				got = append(got, st.Job.ID+"@"+st.Machine.Name)
+			for _, start := range plan.Starts {
+				got = append(got, start.Job.ID+"@"+start.Machine.Name)
 			}
 			if !slices.Equal(got, tc.want) {
 				t.Errorf("starts: got %v, want %v", got, tc.want)
 			}
 			pivots := ""
-			for _, pv := range plan.Pivots {
-				pivots += fmt.Sprintf("%s:%d", pv.Job.ID, pv.StartAt/second)
+			for _, pivot := range plan.Pivots {
+				pivots += fmt.Sprintf("%s:%d", pivot.Job.ID, pivot.StartAt/second)
 			}
 			if pivots != tc.pivots {
 				t.Errorf("pivots: got %q, want %q", pivots, tc.pivots)
@@ -309,14 +310,14 @@
 }
 
 // TestServiceImageCost checks that a service leaves room on machines that lack its image. The room
-// is for services whose images are there: a service's image gets to a machine only when a replica
-// is placed there.
+// is kept for services whose images those machines have: a machine fetches a service's image only
+// when a replica is placed on it.
 func TestServiceImageCost(t *testing.T) {
 	cases := []struct {
 		name  string
 		spare bool
 		tasks int
-		has   string // the machine in use that has the image
+		has   string // the machine that has the image, "" if none has it
 		want  string
 	}{
 		{"with spare machines, half of each idle machine", true, 3, "", "idle-0 idle-0 idle-1"},
@@ -337,8 +338,8 @@
 			j.Image, j.ImageMB = "im", 7000
 			p := Planner{Queues: 3, Index: NewIndex(machines...), MaxStarts: 100, PreemptDelay: 60 * second, HasSpareMachines: tc.spare}
 			var got []string
-			for _, st := range p.Plan([]*Job{j}).Starts {
-				got = append(got, st.Machine.Name)
+			for _, start := range p.Plan([]*Job{j}).Starts {
+				got = append(got, start.Machine.Name)
 			}
 			slices.Sort(got)
 			want := strings.Split(tc.want, " ")
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minPreemptDelay is the time until a start, in microseconds, up to which preemption is
-	// of no use.
+	// minPreemptDelay is the time until a pivot's start, in microseconds, up to which a
+	// preemption would not let the pivot start earlier.
 	minPreemptDelay = 2_000_000
 	// killCheckpointRatio is the largest ratio of the checkpoint interval to the time to
 	// save a checkpoint at which work is killed for an urgent job.
@@ -32,11 +32,11 @@
 	Guaranteed bool
 }
 
-// preemptOption is a machine that a task of a pivot could use, and the cost of that.
+// preemptOption is a machine that a task of a pivot could use, and the cost of using it.
 type preemptOption struct {
 	m *Machine
 	// preempts reports whether work has to be stopped on the machine. lost is the work lost
-	// by that and by the image fetch.
+	// by stopping it and by the image fetch.
 	preempts bool
 	lost     int64
 }
@@ -127,10 +127,10 @@
 	return best
 }
 
-// preemptDelay returns how far off a pivot's start may be before lower-priority work is preempted
-// for it. The delay must not make the job start too late. The time already waited counts, because
-// tasks past their estimates are repeatedly expected to end soon: among many machines with such tasks,
-// some always seem about to become free.
+// preemptDelay returns the time until a pivot's start above which lower-priority work is preempted
+// for the pivot. The delay must not make the job start too late. It is reduced by the time that the
+// job has already waited, because tasks past their estimates are repeatedly expected to end soon:
+// among many machines with such tasks, some always seem about to become free.
 func (p *Planner) preemptDelay(j *Job) int64 {
 	if j.EffectivePriority < jobstate.Urgent && !j.Guaranteed {
 		return p.PreemptDelay
@@ -160,13 +160,13 @@
 	slices.SortStableFunc(candidates, func(a, b RunningTask) int {
 		return cmp.Or(cmp.Compare(a.Job.EffectivePriority, b.Job.EffectivePriority), cmp.Compare(a.LostWork, b.LostWork))
 	})
-	free, n := m.Free, 0
-	for n < len(candidates) && !j.Need.Fits(free) {
-		free = free.Add(candidates[n].Job.Need)
-		lost += candidates[n].LostWork
-		n++
+	free, count := m.Free, 0
+	for count < len(candidates) && !j.Need.Fits(free) {
+		free = free.Add(candidates[count].Job.Need)
+		lost += candidates[count].LostWork
+		count++
 	}
-	return candidates[:n], lost, n > 0
+	return candidates[:count], lost, count > 0
 }
 
 // overGuarantee reports whether j is within its team's guarantee, and run belongs to another
--- a/internal/core/sched/recorded_test.go
+++ b/internal/core/sched/recorded_test.go
@@ -25,8 +25,8 @@
 		PreferSpot: map[string]bool{"g": r.IntN(2) == 0}, LargestGPUTask: jobstate.Resources{CPU: 10000, GPU: 2000, Mem: 38000},
 	}
 	teams := []string{"red", "blue", "green"}
-	over := map[string]bool{"red": r.IntN(2) == 0, "blue": r.IntN(2) == 0}
-	p.BeyondGuarantee = func(team string, _ jobstate.Resources) bool { return over[team] }
+	beyond := map[string]bool{"red": r.IntN(2) == 0, "blue": r.IntN(2) == 0}
+	p.BeyondGuarantee = func(team string, _ jobstate.Resources) bool { return beyond[team] }
 	caps := map[string]jobstate.Resources{"v": {CPU: 8000, Mem: 16000}, "m": {CPU: 16000, Mem: 64000}, "g": {CPU: 12000, GPU: 2000, Mem: 48000}}
 	spec := func(id string) *jobstate.Spec {
 		sp := &jobstate.Spec{
@@ -54,9 +54,9 @@
 		return sp
 	}
 	var machines []*Machine
-	n := []int{3, 30, 200}[r.IntN(3)]
-	busy := r.IntN(4)
-	for i := range n {
+	numMachines := []int{3, 30, 200}[r.IntN(3)]
+	busyQuarters := r.IntN(4)
+	for i := range numMachines {
 		typ := pick("v", "m", "g")
 		m := &Machine{
 			Name: fmt.Sprintf("host-%04d", i), Type: typ, Zone: pick("a", "b", "c"), Spot: r.IntN(3) == 0, Partition: r.IntN(3), Cap: caps[typ], Free: caps[typ],
@@ -68,7 +68,7 @@
 		}
 		for k := range 4 {
 			sp := spec(fmt.Sprintf("run-%d-%d", i, k))
-			if r.IntN(4) < busy && sp.Need.Fits(m.Free) {
+			if r.IntN(4) < busyQuarters && sp.Need.Fits(m.Free) {
 				j := jobstate.NewJob(sp)
 				j.EffectivePriority, j.NumPlaced = sp.Priority, 1+r.IntN(2)
 				m.Free = m.Free.Sub(sp.Need)
@@ -78,19 +78,19 @@
 		slices.SortFunc(m.RunningTasks, func(a, b RunningTask) int { return int(a.End - b.End) })
 		machines = append(machines, m)
 	}
-	rooms := map[string]*Headroom{"red": {CPU: Unlimited, GPU: Unlimited}, "blue": {CPU: int64(r.IntN(200)) * 1000, GPU: Unlimited}, "green": {CPU: Unlimited, GPU: int64(r.IntN(30)) * 1000}}
+	headrooms := map[string]*Headroom{"red": {CPU: Unlimited, GPU: Unlimited}, "blue": {CPU: int64(r.IntN(200)) * 1000, GPU: Unlimited}, "green": {CPU: Unlimited, GPU: int64(r.IntN(30)) * 1000}}
 	var jobs []*Job
 	for i := range 1 + r.IntN(40) {
 		sp := spec(fmt.Sprintf("job-%02d", i))
 		j := jobstate.NewJob(sp)
-		j.ReadyAt = p.Now // no waiting time yet, as the recording planner ignored it
+		j.ReadyAt = p.Now // no waiting time yet, as the planner that made the recording ignored it
 		j.EffectivePriority, j.Arrival = min(sp.Priority+r.IntN(2), 3), uint64(i)
 		if r.IntN(4) == 0 {
 			j.EffectiveDeadline = p.Now + int64(r.IntN(500))*second
 		}
-		jobs = append(jobs, &Job{Job: j, Queue: r.IntN(3), ExpectedDuration: sp.Estimate, Headroom: rooms[sp.Team], Guaranteed: r.IntN(3) == 0, DeadlineLost: r.IntN(6) == 0, QueueOrder: int64(r.IntN(9)) * second, NeedsGPUMachine: sp.Need.GPU == 0 && r.IntN(4) == 0})
+		jobs = append(jobs, &Job{Job: j, Queue: r.IntN(3), ExpectedDuration: sp.Estimate, Headroom: headrooms[sp.Team], Guaranteed: r.IntN(3) == 0, DeadlineLost: r.IntN(6) == 0, QueueOrder: int64(r.IntN(9)) * second, NeedsGPUMachine: sp.Need.GPU == 0 && r.IntN(4) == 0})
 		for range r.IntN(3) {
-			p.Claims = append(p.Claims, Claim{Job: j, Machine: machines[r.IntN(n)].Name})
+			p.Claims = append(p.Claims, Claim{Job: j, Machine: machines[r.IntN(numMachines)].Name})
 		}
 	}
 	return machines, jobs, p
@@ -99,20 +99,20 @@
 // digest returns the numbers of a plan's entries and a hash of all its contents.
 func digest(plan Plan) string {
 	var b strings.Builder
-	for _, x := range plan.Starts {
-		fmt.Fprintf(&b, "start %s/%d %s\n", x.Job.ID, x.Index, x.Machine.Name)
+	for _, start := range plan.Starts {
+		fmt.Fprintf(&b, "start %s/%d %s\n", start.Job.ID, start.Index, start.Machine.Name)
 	}
-	for _, x := range plan.Pivots {
-		fmt.Fprintf(&b, "pivot %d %s %d\n", x.Queue, x.Job.ID, x.StartAt)
+	for _, pivot := range plan.Pivots {
+		fmt.Fprintf(&b, "pivot %d %s %d\n", pivot.Queue, pivot.Job.ID, pivot.StartAt)
 	}
-	for _, x := range plan.Preemptions {
-		fmt.Fprintf(&b, "stop %s/%d for %s %v\n", x.Job.ID, x.Index, x.For.ID, x.Kill)
+	for _, preemption := range plan.Preemptions {
+		fmt.Fprintf(&b, "stop %s/%d for %s %v\n", preemption.Job.ID, preemption.Index, preemption.For.ID, preemption.Kill)
 	}
-	for _, x := range plan.Claims {
-		fmt.Fprintf(&b, "claim %s %s\n", x.Job.ID, x.Machine)
+	for _, claim := range plan.Claims {
+		fmt.Fprintf(&b, "claim %s %s\n", claim.Job.ID, claim.Machine)
 	}
-	for _, x := range plan.Waiting {
-		fmt.Fprintf(&b, "waits %s\n", x.ID)
+	for _, job := range plan.Waiting {
+		fmt.Fprintf(&b, "waits %s\n", job.ID)
 	}
 	return fmt.Sprintf("%d %d %d %d %016x", len(plan.Starts), len(plan.Pivots), len(plan.Preemptions), len(plan.Claims), xxhash.Sum64String(b.String()))
 }
--- a/internal/core/sched/reservation.go
+++ b/internal/core/sched/reservation.go
@@ -4,8 +4,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// reservation is an amount of a machine that is reserved for a job from a time on. The job is a
-// pivot, one of the urgent jobs behind it, or a job for which work is stopped on the machine.
+// reservation is an amount of a machine's resources that is reserved for a job from a time on.
+// The job is a pivot, one of the urgent jobs behind a pivot, or a job for which work is stopped
+// on the machine.
 type reservation struct {
 	from int64
 	need jobstate.Resources
@@ -36,10 +37,9 @@
 	return true
 }
 
-// Claim reserves a machine for one task of a job, as work was or is to be stopped on it for that
-// task. Until the job starts, jobs ordered after it must not use what becomes free. As a machine
-// becomes free in steps, the stopped work would otherwise return in the next round and be stopped
-// again.
+// Claim reserves a machine on which work is stopped for one task of a job. Until the job starts,
+// jobs ordered after it must not use what becomes free on the machine. As a machine becomes free
+// in steps, the stopped work would otherwise return in the next round and be stopped again.
 type Claim struct {
 	Job     *jobstate.Job
 	Machine string
--- a/internal/core/sched/search.go
+++ b/internal/core/sched/search.go
@@ -60,7 +60,7 @@
 	})
 }
 
-// candidate is a machine on which a task could be placed, and the cost of that.
+// candidate is a machine on which a task could be placed, and the cost of placing it there.
 type candidate struct {
 	cost int64
 	m    *Machine
@@ -132,8 +132,8 @@
 func (s *machineSearch) Len() int { return len(s.heap) }
 
 func (s *machineSearch) Less(a, b int) bool {
-	x, y := &s.heap[a], &s.heap[b]
-	return x.cost < y.cost || x.cost == y.cost && x.m.Name < y.m.Name
+	first, second := &s.heap[a], &s.heap[b]
+	return first.cost < second.cost || first.cost == second.cost && first.m.Name < second.m.Name
 }
 
 func (s *machineSearch) Swap(a, b int) { s.heap[a], s.heap[b] = s.heap[b], s.heap[a] }
