--- a/internal/core/fleet/delivery.go
+++ b/internal/core/fleet/delivery.go
@@ -1,9 +1,9 @@
 package fleet
 
-// Delivery tracks whether a machine receives the answers to its heartbeats. Heartbeats
-// show only that the machine can send; that it also receives is shown by commands that
-// have taken effect by its next heartbeat. The machine sends that heartbeat after it has
-// received the answer or given up waiting for it.
+// Delivery tracks whether a machine receives the answers to its heartbeats. A heartbeat
+// shows only that the machine can send. The machine also receives if the commands of an
+// answer have taken effect by its next heartbeat, which it sends after the answer has
+// arrived or the wait for the answer has timed out.
 type Delivery struct {
 	// SentCommands are the commands of the last answer whose effect is visible in the
 	// next heartbeat.
@@ -11,8 +11,8 @@
 	// missedAnswers is the number of consecutive answers of which no command took effect.
 	missedAnswers int
 	// CannotReceive reports whether the machine gets no tasks because it does not receive
-	// answers, as in a one-way partition. It has held since cannotReceiveSince and lasts
-	// for at least retryDelay, both in microseconds.
+	// answers, as in a one-way partition. It was set at cannotReceiveSince and stays set
+	// until an answer is received or retryDelay is over, both in microseconds.
 	CannotReceive      bool
 	cannotReceiveSince int64
 	retryDelay         int64
@@ -70,9 +70,9 @@
 func (d *Delivery) RecordReceived() { d.missedAnswers, d.CannotReceive = 0, false }
 
 // RetryDue reports whether the retry delay of a machine that did not receive answers is
-// over, and if so makes the machine usable again until the next missed answer. Otherwise a
-// controller that cannot probe the machine would never learn that it receives the answers
-// of another controller.
+// over, and if so makes the machine usable again until the next missed answer. Without the
+// retry, a controller that cannot probe the machine would never learn that the machine
+// receives the answers of another controller.
 func (d *Delivery) RetryDue(now int64) bool {
 	if !d.CannotReceive || now-d.cannotReceiveSince < d.retryDelay {
 		return false
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -43,10 +43,10 @@
 	// HasCurrentToken reports whether the worker knew the current fencing token when it
 	// sent the newest heartbeat.
 	HasCurrentToken bool
-	// LastHeartbeat is when the newest heartbeat arrived. LastAnswer is the latest time at
-	// which an answer that renews the worker's lease may have been given.
+	// LastHeartbeat is the arrival time of the newest heartbeat. LastAnswer is the latest
+	// time at which an answer that renews the worker's lease may have been given.
 	LastHeartbeat, LastAnswer int64
-	// ReclaimAt is when the cloud reclaims the machine, 0 for never.
+	// ReclaimAt is the time at which the cloud reclaims the machine, 0 for never.
 	ReclaimAt int64
 	// InCloudList reports whether the cloud's newest list contains the machine.
 	InCloudList bool
@@ -59,20 +59,23 @@
 	// OrphanUsage is the amount still occupied by tasks that the machine lists but that
 	// have no placement.
 	OrphanUsage jobstate.Resources
-	// Images are the images that attempts on the machine have fetched or are fetching, as
-	// far as they can still be in its cache. RecordImageUse and RecordImageFetch add to it.
+	// Images are the images that attempts on the machine have fetched or are fetching,
+	// without those that the cache must have evicted. RecordImageUse and RecordImageFetch
+	// add images.
 	Images map[string]Image
 	// Prefetch is a finished task that is started again here to fetch its image, nil for
 	// none.
 	Prefetch *Prefetch
-	// IdleSince is when the last placement was removed, 0 while there are any.
+	// IdleSince is the time at which the last placement was removed, 0 while the machine
+	// has placements.
 	IdleSince int64
 	// Releasing reports whether the machine's return to the cloud was requested and
 	// the answer is pending.
 	Releasing bool
 	// Draining reports whether the machine gets no more tasks because it looks faulty.
 	Draining bool
-	// FailedJobs are the jobs that failed on the machine since the last success.
+	// FailedJobs are the IDs of the jobs of which a task has failed on the machine since the
+	// last success.
 	FailedJobs map[string]bool
 	// Delivery tracks whether the machine receives answers.
 	Delivery Delivery
@@ -80,7 +83,8 @@
 	// numbers.
 	seqRestarted bool
 
-	// set is the set that contains the machine, index its position in the set's list.
+	// set is the set that contains the machine, index is its position in the set's list,
+	// and changed reports whether the set's list of changed machines contains it.
 	set     *MachineSet
 	index   int
 	changed bool
@@ -156,13 +160,13 @@
 // Hash returns the hash of a machine name that assigns it to a partition. It spreads
 // machines evenly whatever naming scheme they follow.
 func Hash(name string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(name))
+	fnvHash := fnv.New32a()
+	fnvHash.Write([]byte(name))
 	// FNV gives names that differ only in the last digits hashes close to each other.
-	x := h.Sum32()
-	x ^= x >> 16
-	x *= 0x7feb352d
-	x ^= x >> 15
-	x *= 0x846ca68b
-	return x ^ x>>16
+	hash := fnvHash.Sum32()
+	hash ^= hash >> 16
+	hash *= 0x7feb352d
+	hash ^= hash >> 15
+	hash *= 0x846ca68b
+	return hash ^ hash>>16
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	}
 	cases := []struct {
 		name  string
-		cache int64
+		cache int64 // size in MB
 		uses  []use
 		want  []string
 	}{
@@ -29,12 +29,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := NewMachine("m", 0)
 			m.CacheMB = tc.cache
-			for _, u := range tc.uses {
-				m.RecordImageUse(u.image, u.mb, u.at)
+			for _, use := range tc.uses {
+				m.RecordImageUse(use.image, use.mb, use.at)
 			}
 			var got []string
-			for im := range m.Images {
-				got = append(got, im)
+			for image := range m.Images {
+				got = append(got, image)
 			}
 			slices.Sort(got)
 			if !slices.Equal(got, tc.want) {
--- a/internal/core/fleet/types.go
+++ b/internal/core/fleet/types.go
@@ -10,7 +10,7 @@
 type Type struct {
 	Name      string             `json:"n"`
 	Cap       jobstate.Resources `json:"v"`
-	FetchRate int64              `json:"f"` // MB a second
+	FetchRate int64              `json:"f"` // MB per second
 	CacheMB   int64              `json:"l"`
 	Price     float64            `json:"p"`
 	SpotPrice float64            `json:"sp"`
@@ -19,16 +19,16 @@
 }
 
 // fits reports whether an empty machine of the type can run a task of a job.
-func (t *Type) fits(s *jobstate.Spec) bool {
-	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) &&
-		s.Need.Fits(t.Cap) &&
-		(s.Zone == "" || slices.Contains(t.Zones, s.Zone))
+func (t *Type) fits(spec *jobstate.Spec) bool {
+	return (len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name)) &&
+		spec.Need.Fits(t.Cap) &&
+		(spec.Zone == "" || slices.Contains(t.Zones, spec.Zone))
 }
 
 // FitsAnyType reports whether at least one of the types can run a task of a job.
-func FitsAnyType(types []Type, s *jobstate.Spec) bool {
+func FitsAnyType(types []Type, spec *jobstate.Spec) bool {
 	for i := range types {
-		if types[i].fits(s) {
+		if types[i].fits(spec) {
 			return true
 		}
 	}
@@ -37,9 +37,9 @@
 
 // FitsWithoutGPUs reports whether at least one of the types without GPUs can run a task of a
 // job.
-func FitsWithoutGPUs(types []Type, s *jobstate.Spec) bool {
+func FitsWithoutGPUs(types []Type, spec *jobstate.Spec) bool {
 	for i := range types {
-		if types[i].Cap.GPU == 0 && types[i].fits(s) {
+		if types[i].Cap.GPU == 0 && types[i].fits(spec) {
 			return true
 		}
 	}
@@ -47,17 +47,17 @@
 }
 
 // FitsSpread reports whether the tasks of a job can all run at once in as many zones as they
-// need. With Spread, at most half of them may be in one zone.
-func FitsSpread(types []Type, s *jobstate.Spec) bool {
-	if !s.Spread || s.Kind == jobstate.Array || s.Tasks == 1 {
+// need. If the job requires spreading, at most half of them may be in one zone.
+func FitsSpread(types []Type, spec *jobstate.Spec) bool {
+	if !spec.Spread || spec.Kind == jobstate.Array || spec.Tasks == 1 {
 		return true // an array's tasks may run one after the other
 	}
-	if s.Zone != "" || s.OneZone {
+	if spec.Zone != "" || spec.OneZone {
 		return false
 	}
 	zones := map[string]bool{}
 	for i := range types {
-		if !types[i].fits(s) {
+		if !types[i].fits(spec) {
 			continue
 		}
 		for _, zone := range types[i].Zones {
--- a/internal/core/sched/planner.go
+++ b/internal/core/sched/planner.go
@@ -76,8 +76,8 @@
 	// not use spot machines. Of other types on-demand machines are preferred, as the cloud
 	// does not reclaim them.
 	PreferSpot map[string]bool
-	// BeyondGuarantee reports whether a team keeps its guarantee if its work with the given
-	// need is stopped.
+	// BeyondGuarantee reports whether a team still uses all of its guarantee after work with
+	// the given need is stopped.
 	BeyondGuarantee func(team string, need jobstate.Resources) bool
 	// Claims are the claims of earlier rounds.
 	Claims []Claim
--- a/internal/core/sched/search.go
+++ b/internal/core/sched/search.go
@@ -132,8 +132,8 @@
 func (s *machineSearch) Len() int { return len(s.heap) }
 
 func (s *machineSearch) Less(a, b int) bool {
-	first, second := &s.heap[a], &s.heap[b]
-	return first.cost < second.cost || first.cost == second.cost && first.m.Name < second.m.Name
+	one, other := &s.heap[a], &s.heap[b]
+	return one.cost < other.cost || one.cost == other.cost && one.m.Name < other.m.Name
 }
 
 func (s *machineSearch) Swap(a, b int) { s.heap[a], s.heap[b] = s.heap[b], s.heap[a] }
--- a/internal/core/sharedread/sharedread.go
+++ b/internal/core/sharedread/sharedread.go
@@ -64,39 +64,39 @@
 }
 
 // Add adds a request that waits for the stored value of a key.
-func (l *KeyBatch[T]) Add(key string, request T) {
-	l.waiting = append(l.waiting, keyedRequest[T]{key, request})
+func (b *KeyBatch[T]) Add(key string, request T) {
+	b.waiting = append(b.waiting, keyedRequest[T]{key, request})
 }
 
 // Waiting returns the number of requests that wait for a later lookup.
-func (l *KeyBatch[T]) Waiting() int { return len(l.waiting) }
+func (b *KeyBatch[T]) Waiting() int { return len(b.waiting) }
 
 // Due reports whether a lookup should begin now: none is in flight, the last one began at least
 // gap ago, and a request waits.
-func (l *KeyBatch[T]) Due(now, gap int64) bool {
-	return !l.inFlight && len(l.waiting) > 0 && (l.startedAt == 0 || now-l.startedAt >= gap)
+func (b *KeyBatch[T]) Due(now, gap int64) bool {
+	return !b.inFlight && len(b.waiting) > 0 && (b.startedAt == 0 || now-b.startedAt >= gap)
 }
 
 // Begin records the start of a lookup of at most maxKeys keys, and returns the keys in the order
 // in which they were first requested, with the requests for each.
-func (l *KeyBatch[T]) Begin(now int64, maxKeys int) (keys []string, requests map[string][]T) {
+func (b *KeyBatch[T]) Begin(now int64, maxKeys int) (keys []string, requests map[string][]T) {
 	requests = map[string][]T{}
 	var rest []keyedRequest[T]
-	for _, p := range l.waiting {
-		_, known := requests[p.key]
+	for _, waiting := range b.waiting {
+		_, known := requests[waiting.key]
 		switch {
 		case known:
-			requests[p.key] = append(requests[p.key], p.request)
+			requests[waiting.key] = append(requests[waiting.key], waiting.request)
 		case len(keys) < maxKeys:
-			keys = append(keys, p.key)
-			requests[p.key] = []T{p.request}
+			keys = append(keys, waiting.key)
+			requests[waiting.key] = []T{waiting.request}
 		default:
-			rest = append(rest, p)
+			rest = append(rest, waiting)
 		}
 	}
-	l.waiting, l.inFlight, l.startedAt = rest, true, now
+	b.waiting, b.inFlight, b.startedAt = rest, true, now
 	return keys, requests
 }
 
 // End records the end of the lookup in flight.
-func (l *KeyBatch[T]) End() { l.inFlight = false }
+func (b *KeyBatch[T]) End() { b.inFlight = false }
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -1,11 +1,12 @@
 // Package txn tracks the transactions that a controller has in progress.
 //
 // The answer to a transaction may be lost although the transaction was executed. Other
-// controllers then read its changes and answer users accordingly, while its writer waits for the
-// answer, gives up and writes the changes again, in vain. So a writer also uses what it reads: if
-// its state cache shows all changes of a transaction at one revision, the transaction was executed,
-// either this one or an earlier one with the same changes. That proves what is stored, but not
-// when it was written: see kv.TransactionResult.Observed.
+// controllers then read its changes and answer users accordingly, while the writer waits for the
+// answer until a timeout and then writes the changes again, without effect. The writer therefore
+// also looks for the changes in its state cache. If the cache shows all changes of a transaction
+// at one revision, the transaction was executed, either this one or an earlier one with the same
+// changes. That proves what is stored, but not when it was written: see
+// kv.TransactionResult.Observed.
 package txn
 
 import (
@@ -15,8 +16,8 @@
 	"github.com/zinclb/zinclb/internal/core/kv"
 )
 
-// AnswerTimeout is the time, in microseconds, to wait for the answer to a transaction after its
-// changes were observed. Answers and changes arrive on different connections.
+// AnswerTimeout is the time, in microseconds, for which the answer to a transaction is awaited
+// after its changes were observed. Answers and changes arrive on different connections.
 const AnswerTimeout = 80_000
 
 // Table holds the transactions in progress. Its zero value is not usable; see New.
@@ -33,11 +34,11 @@
 	writes    []kv.Write
 	startedAt int64
 	// minRevision is the newest revision in the conditions. Changes up to this revision were
-	// made by something earlier, even if they are equal.
+	// made by earlier transactions, even if they are equal.
 	minRevision uint64
 	complete    func(kv.TransactionResult)
-	// storedRevision is the revision at which the changes were observed, or 0 if they have
-	// not been, and seenAt the time of the observation.
+	// storedRevision is the revision at which the changes were observed, 0 if they were not
+	// observed yet, and seenAt the time of the observation.
 	storedRevision uint64
 	seenAt         int64
 }
@@ -49,24 +50,24 @@
 
 // Begin adds a transaction that is sent now; done is called with its result.
 func (t *Table) Begin(id uint64, conditions []kv.Condition, writes []kv.Write, now int64, done func(kv.TransactionResult)) {
-	x := &transaction{writes: writes, startedAt: now, complete: done}
+	tx := &transaction{writes: writes, startedAt: now, complete: done}
 	for _, condition := range conditions {
-		x.minRevision = max(x.minRevision, condition.Revision)
+		tx.minRevision = max(tx.minRevision, condition.Revision)
 	}
-	t.pending[id] = x
+	t.pending[id] = tx
 }
 
 // IsConditionOnly reports whether a transaction is in progress and has no writes.
 func (t *Table) IsConditionOnly(id uint64) bool {
-	x := t.pending[id]
-	return x != nil && len(x.writes) == 0
+	tx := t.pending[id]
+	return tx != nil && len(tx.writes) == 0
 }
 
 // HasUnansweredWrite reports whether a transaction with writes has been in progress for longer
-// than since microseconds.
-func (t *Table) HasUnansweredWrite(now, since int64) bool {
-	for _, x := range t.pending {
-		if len(x.writes) > 0 && now-x.startedAt > since {
+// than minAge microseconds.
+func (t *Table) HasUnansweredWrite(now, minAge int64) bool {
+	for _, tx := range t.pending {
+		if len(tx.writes) > 0 && now-tx.startedAt > minAge {
 			return true
 		}
 	}
@@ -82,21 +83,21 @@
 	for _, change := range changes {
 		changesOf[change.Key] = append(changesOf[change.Key], change)
 	}
-	for _, x := range t.pending {
-		if x.storedRevision != 0 || len(x.writes) == 0 {
+	for _, tx := range t.pending {
+		if tx.storedRevision != 0 || len(tx.writes) == 0 {
 			continue
 		}
-		for _, change := range changesOf[x.writes[0].Key] {
-			if change.Revision > x.minRevision && x.isStoredAt(change.Revision, changesOf) {
-				x.storedRevision, x.seenAt = change.Revision, now
+		for _, change := range changesOf[tx.writes[0].Key] {
+			if change.Revision > tx.minRevision && tx.isStoredAt(change.Revision, changesOf) {
+				tx.storedRevision, tx.seenAt = change.Revision, now
 			}
 		}
 	}
 }
 
 // isStoredAt reports whether all writes of a transaction are among the changes of a revision.
-func (x *transaction) isStoredAt(revision uint64, changesOf map[string][]kv.Change) bool {
-	for _, write := range x.writes {
+func (tx *transaction) isStoredAt(revision uint64, changesOf map[string][]kv.Change) bool {
+	for _, write := range tx.writes {
 		stored := slices.ContainsFunc(changesOf[write.Key], func(change kv.Change) bool {
 			return change.Revision == revision &&
 				change.Removed == (write.Value == nil) &&
@@ -114,8 +115,8 @@
 // in progress.
 func (t *Table) Overdue(now int64) (results []kv.TransactionResult) {
 	var ids []uint64
-	for id, x := range t.pending {
-		if x.storedRevision != 0 && now-x.seenAt >= AnswerTimeout {
+	for id, tx := range t.pending {
+		if tx.storedRevision != 0 && now-tx.seenAt >= AnswerTimeout {
 			ids = append(ids, id)
 		}
 	}
@@ -131,18 +132,19 @@
 	return results
 }
 
-// Complete ends a transaction with its result, which may be that there is no answer, and passes
-// the result to the callback given to Begin.
-func (t *Table) Complete(m kv.TransactionResult) {
-	x := t.pending[m.ID]
-	if x == nil {
+// Complete ends a transaction with its result and passes the result to the callback given to
+// Begin. If the outcome is unknown but the changes were observed, the result is a commit at the
+// observed revision.
+func (t *Table) Complete(result kv.TransactionResult) {
+	tx := t.pending[result.ID]
+	if tx == nil {
 		return
 	}
-	if m.Outcome == kv.Unknown && x.storedRevision != 0 {
-		m.Outcome, m.Revision, m.Observed = kv.Committed, x.storedRevision, true
+	if result.Outcome == kv.Unknown && tx.storedRevision != 0 {
+		result.Outcome, result.Revision, result.Observed = kv.Committed, tx.storedRevision, true
 	}
-	delete(t.pending, m.ID)
-	x.complete(m)
+	delete(t.pending, result.ID)
+	tx.complete(result)
 }
 
 // RecordAnswer records the response time of a transaction for [Table.IsOverdue]. It is called
@@ -150,8 +152,8 @@
 func (t *Table) RecordAnswer(id uint64, outcome kv.Outcome, now int64) {
 	startedAt, abandoned := t.abandoned[id]
 	delete(t.abandoned, id)
-	if x := t.pending[id]; x != nil {
-		startedAt = x.startedAt
+	if tx := t.pending[id]; tx != nil {
+		startedAt = tx.startedAt
 	} else if !abandoned {
 		return
 	}
@@ -163,18 +165,18 @@
 // IsOverdue reports whether a transaction has been in progress for clearly longer than answers
 // take.
 func (t *Table) IsOverdue(id uint64, now int64) bool {
-	x := t.pending[id]
-	return x != nil && now-x.startedAt >= t.response.timeout()
+	tx := t.pending[id]
+	return tx != nil && now-tx.startedAt >= t.response.timeout()
 }
 
-// Abandon stops waiting for the answer to a transaction and ends it with the outcome kv.Unknown.
-// The transaction may still be executed, so it must be repeated under the same conditions only.
+// Abandon stops waiting for the answer to a transaction and ends the transaction with the outcome
+// kv.Unknown. It may still be executed, so it must be repeated under the same conditions only.
 func (t *Table) Abandon(id uint64) {
-	x := t.pending[id]
-	if x == nil {
+	tx := t.pending[id]
+	if tx == nil {
 		return
 	}
-	t.abandoned[id] = x.startedAt
+	t.abandoned[id] = tx.startedAt
 	t.response.backOff()
 	t.Complete(kv.TransactionResult{ID: id, Outcome: kv.Unknown})
 }
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -19,7 +19,7 @@
 	Revision uint64
 }
 
-// member is what is known about a controller.
+// member is the knowledge of this controller about one controller.
 type member struct {
 	advertisement Advertisement
 	revision      uint64 // of the advertisement, 0 if there is none
@@ -35,8 +35,8 @@
 	decommissioned bool
 }
 
-// Activation is what one controller knows about the features of all controllers, and about the
-// active features.
+// Activation is the knowledge of one controller about the features of all controllers, and about
+// the active features.
 type Activation struct {
 	program Program
 	self    string
@@ -50,8 +50,8 @@
 	unknownFeatures []StoredFeature
 }
 
-// NewActivation returns the activation of a controller. optedIn are the features that its
-// operators have opted in to, withheld those that they withhold.
+// NewActivation returns the activation of a controller. optedIn are the features that the
+// controller's operators have opted in to, withheld are those that the operators withhold.
 func NewActivation(program Program, self, incarnation string, peers []string, optedIn, withheld []FeatureName) *Activation {
 	a := &Activation{
 		program: program,
@@ -154,8 +154,8 @@
 	}
 }
 
-// Incompatibility returns why this program must not continue, "" if it may: the stored state
-// needs a format or feature that the program does not have.
+// Incompatibility returns the reason for which this program must not continue, "" if it may: the
+// stored state needs a format or feature that the program does not have.
 func (a *Activation) Incompatibility() string {
 	if newest := a.program.Format(); a.format > newest {
 		return fmt.Sprintf("the stored format is %d, and this program reads up to %d: start a newer one", a.format, newest)
@@ -226,9 +226,9 @@
 	return ""
 }
 
-// answersWithout reports whether a controller's answer to a ping lacks a feature, where the ping
-// was sent after its advertisement was read: it may have been replaced by an older program
-// before its lease expired. A missing answer proves nothing.
+// answersWithout reports whether the controller's answer to a ping that was sent after its
+// advertisement was read lacks a feature. An older program may have replaced the one that stored
+// the advertisement, before the lease expired. A missing answer proves nothing.
 func (m *member) answersWithout(feature *Feature) bool {
 	if m.answeredAt <= m.seenAt {
 		return false
@@ -291,8 +291,8 @@
 	return with, without
 }
 
-// MemberFor returns how long this controller has known its own advertisement to be stored, 0 if it
-// is not stored.
+// MemberFor returns the time since this controller read its own stored advertisement, 0 if it is
+// not stored.
 func (a *Activation) MemberFor(now int64) int64 {
 	m := a.members[a.self]
 	if m.revision == 0 {
--- a/internal/core/upgrade/activation_test.go
+++ b/internal/core/upgrade/activation_test.go
@@ -81,9 +81,9 @@
 			}
 		}
 		blockers := ""
-		for _, s := range a.FeatureStates() {
-			if s.Name == Connectivity {
-				blockers = strings.Join(s.Blockers, "; ")
+		for _, state := range a.FeatureStates() {
+			if state.Name == Connectivity {
+				blockers = strings.Join(state.Blockers, "; ")
 			}
 		}
 		if got != tc.want || !strings.Contains(blockers, tc.blocker) || tc.blocker == "" && blockers != "" {
@@ -144,14 +144,14 @@
 			t.Errorf("FeatureOfKey(%q) = %q, want %q", key, got, want)
 		}
 	}
-	for i, f := range program.Features {
-		for _, n := range f.Requires {
-			if !slices.ContainsFunc(program.Features[:i], func(o Feature) bool { return o.Name == n }) {
-				t.Errorf("%s requires %s, which is not listed before it", f.Name, n)
+	for i, feature := range program.Features {
+		for _, required := range feature.Requires {
+			if !slices.ContainsFunc(program.Features[:i], func(earlier Feature) bool { return earlier.Name == required }) {
+				t.Errorf("%s requires %s: got no entry of %s before it, want one", feature.Name, required, required)
 			}
 		}
-		if f.SinceVersion > program.Version || (len(f.KeyPrefixes) == 0) != f.MessagesOnly {
-			t.Errorf("%s: since version %d with key prefixes %v, want at most version %d and key prefixes unless MessagesOnly (%v)", f.Name, f.SinceVersion, f.KeyPrefixes, program.Version, f.MessagesOnly)
+		if feature.SinceVersion > program.Version || (len(feature.KeyPrefixes) == 0) != feature.MessagesOnly {
+			t.Errorf("%s: got since version %d with key prefixes %v, want at most version %d and key prefixes unless MessagesOnly (%v)", feature.Name, feature.SinceVersion, feature.KeyPrefixes, program.Version, feature.MessagesOnly)
 		}
 	}
 }
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -6,10 +6,10 @@
 )
 
 // The model has two members and a leader that activates features, with the state service between
-// them. A member runs this program or an older one, stores its advertisement on its lease, can be
-// restarted with either program at any moment, and its old lease expires at any time after that.
-// The leader reads an advertisement at any time and decides by NextFeature; its write is executed
-// later, if its conditions hold then.
+// them. A member runs this program or an older one and stores its advertisement on its lease. It
+// can be restarted with either program at any moment, and the lease of the earlier process expires
+// at any time after that. The leader reads an advertisement at any time and decides by
+// NextFeature; its write is executed later, if the conditions of the write hold then.
 const (
 	modelMembers = 2
 	modelDepth   = 12
@@ -31,9 +31,9 @@
 		advertisesCurrent, advertised bool
 		revision                      uint64
 	}
-	revision uint64 // the newest
-	// writing says that the transaction is in transit, with conditions on the revisions of
-	// the advertisements.
+	revision uint64 // of the newest advertisement
+	// writing reports whether the transaction is in transit, with conditions on the revisions
+	// of the advertisements.
 	writing    bool
 	conditions [modelMembers]uint64
 	active     bool
@@ -77,61 +77,62 @@
 }
 
 // steps returns the states that may follow.
-func (s model) steps(fault plantedFault) (out []model) {
+func (s model) steps(fault plantedFault) (following []model) {
 	for i := range s.members {
 		for _, current := range []bool{true, false} { // restarted with this program or the older one
-			n := s
-			n.members[i].current, n.members[i].own = current, false
-			out = append(out, n)
+			next := s
+			next.members[i].current, next.members[i].own = current, false
+			following = append(following, next)
 		}
 		if !s.members[i].own { // it advertises, or the lease of the previous process expires
-			n := s
-			n.revision++
-			n.members[i].advertised, n.members[i].advertisesCurrent, n.members[i].revision, n.members[i].own = true, s.members[i].current, n.revision, true
-			n.members[i].expired = false
-			out = append(out, n)
+			next := s
+			next.revision++
+			next.members[i].advertised, next.members[i].advertisesCurrent, next.members[i].revision, next.members[i].own = true, s.members[i].current, next.revision, true
+			next.members[i].expired = false
+			following = append(following, next)
 			if s.members[i].advertised {
-				n = s
-				if n.members[i].expired = fault == advertisementOutlivesLease; !n.members[i].expired {
-					n.members[i].advertised, n.members[i].revision = false, 0
+				next = s
+				if next.members[i].expired = fault == advertisementOutlivesLease; !next.members[i].expired {
+					next.members[i].advertised, next.members[i].revision = false, 0
 				}
-				out = append(out, n)
+				following = append(following, next)
 			}
 		}
-		n := s // the leader reads its advertisement
-		n.read[i].advertised, n.read[i].advertisesCurrent, n.read[i].revision = s.members[i].advertised, s.members[i].advertisesCurrent, s.members[i].revision
-		out = append(out, n)
+		next := s // the leader reads the advertisement of the member
+		next.read[i].advertised, next.read[i].advertisesCurrent, next.read[i].revision = s.members[i].advertised, s.members[i].advertisesCurrent, s.members[i].revision
+		following = append(following, next)
 	}
 	if !s.writing && !s.active {
-		if n := s; n.decide(fault) {
-			n.writing = true
-			out = append(out, n)
+		if next := s; next.decide(fault) {
+			next.writing = true
+			following = append(following, next)
 		}
 	}
 	if s.writing { // the transaction is executed, or lost
-		n := s
-		n.writing = false
-		out = append(out, n)
+		next := s
+		next.writing = false
+		following = append(following, next)
 		holds := true
 		for i := range s.members {
-			at := uint64(0)
+			revision := uint64(0)
 			if s.members[i].advertised {
-				at = s.members[i].revision
+				revision = s.members[i].revision
 			}
-			holds = holds && at == s.conditions[i]
+			holds = holds && revision == s.conditions[i]
 		}
 		if holds || fault == unconditionalWrite || fault == pingsAsAdvertisements {
-			n.active = true
-			out = append(out, n)
+			next.active = true
+			following = append(following, next)
 		}
 	}
-	return out
+	return following
 }
 
-// violates reports whether the feature has just been activated while a member runs that does not
-// have it and whose advertisement did not claim it. The one exception is a process that was
-// replaced before its lease expired: its advertisement stays until the new process advertises or
-// the lease expires, and the new process reads which features are active before it does anything.
+// violates reports whether the feature has just been activated although a running member lacks it
+// and no valid advertisement claimed it for that member. A member whose earlier process was
+// replaced before the lease expired is excepted: the advertisement of the earlier process stays
+// until the new process advertises or the lease expires, and the new process reads which features
+// are active before it does anything.
 func (s *model) violates(before *model) bool {
 	if !s.active || before.active {
 		return false
@@ -157,12 +158,12 @@
 		if left == 0 {
 			return
 		}
-		for _, n := range s.steps(fault) {
-			if n.violates(&s) {
+		for _, next := range s.steps(fault) {
+			if next.violates(&s) {
 				found = true
 				return
 			}
-			walk(n, left-1)
+			walk(next, left-1)
 		}
 	}
 	walk(model{}, depth)
