--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,10 +12,10 @@
 	"github.com/zinclb/zinclb/internal/peer/internal/wire"
 )
 
-// Client makes calls to one peer. As net/rpc has no deadlines, the client itself gives
-// up a call after its timeout. It then drops the connection only if no other call has
-// been answered on it since the call started: hundreds of relayed heartbeats may wait
-// on one connection, and a single late response must not make them all fail.
+// Client makes calls to one peer. As net/rpc has no deadlines, the client itself ends a
+// call after the call's timeout. The client then drops the connection only if no other
+// call has been answered on it since the call started: hundreds of relayed heartbeats may
+// wait on one connection, and a single late response must not make them all fail.
 type Client struct {
 	addr string
 	// slots has one element for each call in progress.
@@ -25,7 +25,8 @@
 	closed bool
 	// rpcClient is nil while there is no connection.
 	rpcClient *rpc.Client
-	// answeredAt is the time of the last response on the connection.
+	// answeredAt is the time of the last response on the connection, or the time at which
+	// the connection was established if there was none.
 	answeredAt time.Time
 }
 
@@ -96,8 +97,8 @@
 	}
 }
 
-// PingAnswer is the response to a ping: the name and status of the controller that
-// answered.
+// PingAnswer is the response to a ping: the name and status of the controller that sent
+// the response.
 type PingAnswer struct {
 	Name   string
 	Status core.PeerStatus
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -22,8 +22,8 @@
 	received chan any
 	answer   core.Reply
 	err      error
-	// entered, if set, is sent a value for each call before its message is sent to
-	// received.
+	// entered, if set, receives a value for each call before the call's message is sent
+	// to received.
 	entered chan struct{}
 }
 
@@ -49,30 +49,30 @@
 
 // startServer starts a server for a handler and returns its address. At the end of the
 // test it stops the server.
-func startServer(t *testing.T, h Handler) string {
+func startServer(t *testing.T, handler Handler) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	result := make(chan error, 1)
-	go func() { result <- serve(ctx, l, "node-1", h, 4) }()
+	go func() { result <- serve(ctx, listener, "node-1", handler, 4) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-result; !errors.Is(err, context.Canceled) {
 			t.Errorf("serve: got error %v, want %v", err, context.Canceled)
 		}
-		if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
+		if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 			closeLogged(conn)
-			t.Error("server still accepts connections after it was stopped")
+			t.Error("connection to the stopped server: got no error, want one")
 		}
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// TestCalls checks that each message, with all fields set, arrives as it was sent, and
-// that its reply does too.
+// TestCalls checks that each message, with all fields set, and its reply arrive as they
+// were sent.
 func TestCalls(t *testing.T) {
 	h := &recordingHandler{received: make(chan any, 1)}
 	client := NewClient(startServer(t, h), 1)
@@ -107,7 +107,7 @@
 			answered, err = client.Ask(m, callTimeout)
 		}
 		if err != nil {
-			t.Fatalf("%s: call failed: %v", name, err)
+			t.Fatalf("%s: call: got error %v, want none", name, err)
 		}
 		if received := <-h.received; !reflect.DeepEqual(received, want) {
 			t.Errorf("%s: received %+v, want %+v", name, received, want)
@@ -192,7 +192,7 @@
 // and is otherwise unchanged.
 func TestNumbered(t *testing.T) {
 	spec := completeSpec()
-	for _, c := range []struct{ request, want any }{
+	for _, tc := range []struct{ request, want any }{
 		{core.SubmitJob{RequestID: 1, Forwarded: true, Spec: spec}, core.SubmitJob{RequestID: 7, Forwarded: true, Spec: spec}},
 		{core.CancelJob{RequestID: 1, ID: "a"}, core.CancelJob{RequestID: 7, ID: "a"}},
 		{core.QueryJob{RequestID: 1, ID: "a"}, core.QueryJob{RequestID: 7, ID: "a"}},
@@ -203,8 +203,8 @@
 		{core.CancelSweep{RequestID: 1, ID: "a"}, core.CancelSweep{RequestID: 7, ID: "a"}},
 		{core.ForwardedSweep{ID: "a"}, nil},
 	} {
-		if got := WithRequestID(c.request, 7); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("WithRequestID(%+v, 7): got %+v, want %+v", c.request, got, c.want)
+		if got := WithRequestID(tc.request, 7); !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("WithRequestID(%+v, 7): got %+v, want %+v", tc.request, got, tc.want)
 		}
 	}
 }
--- a/internal/peer/complete_test.go
+++ b/internal/peer/complete_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// neverSent are the fields that are in no message between controllers: request IDs,
-// which each core assigns itself, and the operators' view, for which requests are not
+// neverSent are the fields that no message between controllers has: request IDs, which
+// each core assigns itself, and the operators' view, because requests for it are not
 // forwarded.
 var neverSent = map[string]bool{"PingReceived.RequestID": true, "HeartbeatReceived.RequestID": true, "Reply.Ops": true}
 
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -13,12 +13,12 @@
 	// ErrEmptyRequest is returned for a message without a request, or with one that the
 	// receiver's version does not know.
 	ErrEmptyRequest = errors.New("empty request")
-	// ErrNoAnswer is returned if the peer's core did not reply to the peer.
+	// ErrNoAnswer is returned if the core of the peer did not answer the call.
 	ErrNoAnswer = errors.New("no answer from the core")
 )
 
-// sentinels returns the errors with which a peer answers. net/rpc transmits only their
-// texts, so these must be the same in all versions.
+// sentinels returns the errors with which a peer answers. net/rpc transmits only the texts
+// of errors, so the texts must be the same in all versions.
 func sentinels() []error {
 	return []error{ErrEmptyRequest, ErrNoAnswer}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,11 +45,11 @@
 
 // Ping answers a ping with the controller's name and status.
 func (s *service) Ping(args wire.PingArgs, reply *wire.PingReply) error {
-	r, err := s.handler.HandlePing(args.Core())
-	if err != nil || r.PeerStatus == nil {
+	answer, err := s.handler.HandlePing(args.Core())
+	if err != nil || answer.PeerStatus == nil {
 		return ErrNoAnswer
 	}
-	*reply = wire.NewPingReply(s.name, *r.PeerStatus)
+	*reply = wire.NewPingReply(s.name, *answer.PeerStatus)
 	return nil
 }
 
@@ -60,35 +60,35 @@
 	if !ok {
 		return ErrEmptyRequest
 	}
-	r, err := s.handler.HandleRequest(request)
-	*reply = wire.NewReply(r)
+	answer, err := s.handler.HandleRequest(request)
+	*reply = wire.NewReply(answer)
 	return err
 }
 
 // Beat answers a worker's heartbeat that a peer relays.
 func (s *service) Beat(args wire.BeatArgs, reply *wire.Reply) error {
-	r, err := s.handler.HandleRelayedHeartbeat(args.Core())
-	*reply = wire.NewReply(r)
+	answer, err := s.handler.HandleRelayedHeartbeat(args.Core())
+	*reply = wire.NewReply(answer)
 	return err
 }
 
 // Serve serves peers on addr until the context ends, and returns the context's error. It
 // returns earlier only if it can't listen.
-func Serve(ctx context.Context, addr, name string, h Handler, maxConns int) error {
+func Serve(ctx context.Context, addr, name string, handler Handler, maxConns int) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, listener, name, h, maxConns)
+	return serve(ctx, listener, name, handler, maxConns)
 }
 
 // serve serves peers on a listener. When the context ends, it closes the listener and
 // all connections, and waits for the calls in progress.
-func serve(ctx context.Context, listener net.Listener, name string, h Handler, maxConns int) error {
+func serve(ctx context.Context, listener net.Listener, name string, handler Handler, maxConns int) error {
 	stop := context.AfterFunc(ctx, func() { closeLogged(listener) })
 	defer stop()
 	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &service{name, h}); err != nil {
+	if err := server.RegisterName(serviceName, &service{name, handler}); err != nil {
 		return err
 	}
 	slots := make(chan struct{}, maxConns)
@@ -119,10 +119,10 @@
 }
 
 // closeLogged closes a listener or connection that is no longer used. An error is only
-// logged, because the caller can't act on it; errors for one that is already closed, by
-// the peer or by another call, are ignored.
-func closeLogged(c io.Closer) {
-	err := c.Close()
+// logged, because the caller can't act on it. The error that the listener or connection is
+// already closed, by the peer or by another call, is ignored.
+func closeLogged(closer io.Closer) {
+	err := closer.Close()
 	if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, rpc.ErrShutdown) {
 		slog.Debug("closing a connection failed", "error", err)
 	}
--- a/internal/peer/ping_bench_test.go
+++ b/internal/peer/ping_bench_test.go
@@ -17,14 +17,14 @@
 func BenchmarkPing(b *testing.B) {
 	const others, outstanding, second = 4, 3000, 1_000_000 // second is in microseconds
 	var buffer bytes.Buffer
-	enc, dec := gob.NewEncoder(&buffer), gob.NewDecoder(&buffer)
-	total := 0
+	encoder, decoder := gob.NewEncoder(&buffer), gob.NewDecoder(&buffer)
+	totalBytes := 0
 	send := func(in, out any) {
-		if err := enc.Encode(in); err != nil {
+		if err := encoder.Encode(in); err != nil {
 			b.Fatal(err)
 		}
-		total += buffer.Len()
-		if err := dec.Decode(out); err != nil {
+		totalBytes += buffer.Len()
+		if err := decoder.Decode(out); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -37,55 +37,55 @@
 		}
 	}
 	round := func(holder *readlease.Holder, now int64) {
-		for i, p := range peers {
+		for i, peer := range peers {
 			for more := true; more; {
 				ping := core.PingReceived{From: "n0", Incarnation: "b"}
 				if holder != nil {
-					q := holder.NextRequest(p, 7, now)
-					ping.ReadLeaseRequest = &q
+					request := holder.NextRequest(peer, 7, now)
+					ping.ReadLeaseRequest = &request
 				}
 				var received wire.PingArgs
 				args := wire.NewPing(ping)
 				send(&args, &received)
-				asked := received.Core()
+				receivedPing := received.Core()
 				status := core.PeerStatus{FencingToken: 3, Leader: "n0", Ack: &readlease.HolderAck{}}
-				if asked.ReadLeaseRequest != nil {
-					page := grantors[i].Grant("n0", *asked.ReadLeaseRequest, true, now)
+				if receivedPing.ReadLeaseRequest != nil {
+					page := grantors[i].Grant("n0", *receivedPing.ReadLeaseRequest, true, now)
 					status.ReadLease = &page
 				}
 				var answered wire.PingReply
-				answer := wire.NewPingReply(p, status)
+				answer := wire.NewPingReply(peer, status)
 				send(&answer, &answered)
 				reply := answered.Core()
 				more = false
 				if holder != nil {
-					holder.HandleGrant(p, now, now, *reply.ReadLease)
+					holder.HandleGrant(peer, now, now, *reply.ReadLease)
 					more = reply.ReadLease.More
 				}
 			}
 		}
 	}
 	b.Run("no grants", func(b *testing.B) {
-		total = 0
+		totalBytes = 0
 		for b.Loop() {
 			round(nil, 0)
 		}
-		b.ReportMetric(float64(total)/float64(b.N), "B/round")
+		b.ReportMetric(float64(totalBytes)/float64(b.N), "B/round")
 	})
 	b.Run("first grants", func(b *testing.B) {
-		total = 0
+		totalBytes = 0
 		for b.Loop() {
 			round(readlease.NewHolder(peers, 10*second), 0)
 		}
-		b.ReportMetric(float64(total)/float64(b.N), "B/round")
+		b.ReportMetric(float64(totalBytes)/float64(b.N), "B/round")
 	})
 	b.Run("later grants", func(b *testing.B) {
 		holder := readlease.NewHolder(peers, 10*second)
 		round(holder, 0)
-		total = 0
+		totalBytes = 0
 		for b.Loop() {
 			round(holder, 0)
 		}
-		b.ReportMetric(float64(total)/float64(b.N), "B/round")
+		b.ReportMetric(float64(totalBytes)/float64(b.N), "B/round")
 	})
 }
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -22,8 +22,8 @@
 
 var record = flag.Bool("record", false, "record the messages that have no recording yet")
 
-// baseRecording has each message with all fields set, as encoded by the last version
-// that sent the core's own types.
+// baseRecording is the name of the recording that has each message with all fields set,
+// as encoded by the last version that sent the core's own types.
 const baseRecording = "wire_63ef244"
 
 // messagesVersion4 returns the requests and responses of each call as sent by version 4.
@@ -60,8 +60,8 @@
 }
 
 // messagesReadLease returns the messages that changed when controllers began to grant
-// read leases on what they tell users. The version number stayed the same, because no
-// stored data depends on the change.
+// read leases on the cancellations that they confirm to users. The version number stayed
+// the same, because no stored data depends on the change.
 func messagesReadLease() map[string]any {
 	return map[string]any{
 		"PingArgs": core.PingReceived{From: "node-1", Incarnation: "b1", ReadLeaseRequest: &readlease.GrantRequest{Incarnation: "b2", UpTo: 3, AppliedRevision: 9}, Cancellations: &readlease.CancellationPage{Incarnation: "b1", After: 1, UpTo: 2, Cancelled: []string{"job-02"}}},
@@ -212,7 +212,7 @@
 }
 
 // testRecorded checks that each recorded message is decoded as the wire message that this
-// version sends, and that its conversion to the core's type is as expected.
+// version sends, and that its conversion to the core's type gives the expected message.
 func testRecorded(t *testing.T, raws map[string][]byte, messages map[string]any) {
 	t.Helper()
 	if len(raws) != len(messages) {
@@ -220,7 +220,7 @@
 	}
 	for name, want := range messages {
 		if len(raws[name]) == 0 {
-			t.Fatalf("%s: message is not recorded", name)
+			t.Fatalf("%s: got no recorded message, want one", name)
 		}
 		sent := toWire(t, want)
 		got := decoded(t, raws[name], reflect.TypeOf(sent))
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -3,7 +3,7 @@
 import "github.com/zinclb/zinclb/internal/core"
 
 // WithRequestID returns a forwarded request as a message to the core, with the given request
-// ID, which the reply will have too. It returns nil for any other type, also for a
+// ID. The core's reply will have the same ID. The result is nil for any other type, also for a
 // core.ForwardedSweep, which has to be expanded first.
 func WithRequestID(request any, requestID uint64) any {
 	switch r := request.(type) {
--- a/internal/peer/shape_test.go
+++ b/internal/peer/shape_test.go
@@ -58,7 +58,7 @@
 	5: reflect.TypeFor[[]byte](), 6: reflect.TypeFor[string](),
 }
 
-// unusedFields are fields of earlier versions that these never set.
+// unusedFields are fields that earlier versions described but never set.
 var unusedFields = []string{"Ops"}
 
 // shapeOf returns a type like the one of the program that encoded a message, built from
@@ -73,7 +73,7 @@
 		raw = rest[length:]
 		id, definition := gobInt(body)
 		if id >= 0 {
-			return shape(t, descriptions, id)
+			return shapeOfID(t, descriptions, id)
 		}
 		message := append(gobEncodedUint(uint64(len(definition)+1)), 2*wireTypeID)
 		var description wireType
@@ -86,24 +86,24 @@
 	return nil
 }
 
-// shape returns the type with the given gob type ID, built from the descriptions.
-func shape(t *testing.T, descriptions map[int32]wireType, id int32) reflect.Type {
+// shapeOfID returns the type with the given gob type ID, built from the descriptions.
+func shapeOfID(t *testing.T, descriptions map[int32]wireType, id int32) reflect.Type {
 	t.Helper()
 	if basic, ok := basicTypes[id]; ok {
 		return basic
 	}
 	switch description := descriptions[id]; {
 	case description.SliceT != nil:
-		return reflect.SliceOf(shape(t, descriptions, description.SliceT.Elem))
+		return reflect.SliceOf(shapeOfID(t, descriptions, description.SliceT.Elem))
 	case description.MapT != nil:
-		return reflect.MapOf(shape(t, descriptions, description.MapT.Key), shape(t, descriptions, description.MapT.Elem))
+		return reflect.MapOf(shapeOfID(t, descriptions, description.MapT.Key), shapeOfID(t, descriptions, description.MapT.Elem))
 	case description.StructT != nil:
 		var fields []reflect.StructField
 		for _, field := range description.StructT.Field {
 			if slices.Contains(unusedFields, field.Name) {
 				continue
 			}
-			fieldShape := shape(t, descriptions, field.Id)
+			fieldShape := shapeOfID(t, descriptions, field.Id)
 			if fieldShape.Kind() == reflect.Struct {
 				fieldShape = reflect.PointerTo(fieldShape)
 			}
@@ -116,7 +116,8 @@
 }
 
 // gobUint decodes an unsigned number and returns the remaining bytes. A number below
-// 0x80 is a single byte; a larger one is preceded by the negated count of its bytes.
+// 0x80 is a single byte. The bytes of a larger number follow a byte with their negated
+// count.
 func gobUint(b []byte) (uint64, []byte) {
 	if b[0] < 0x80 {
 		return uint64(b[0]), b[1:]
@@ -140,8 +141,8 @@
 	return append([]byte{byte(-len(digits))}, digits...)
 }
 
-// gobInt decodes a signed number and returns the remaining bytes. If the lowest bit is
-// set, the other bits are inverted.
+// gobInt decodes a signed number and returns the remaining bytes. The lowest bit reports
+// whether the other bits, which are the number, are inverted.
 func gobInt(b []byte) (int32, []byte) {
 	n, rest := gobUint(b)
 	if n&1 != 0 {
@@ -159,10 +160,10 @@
 		base := shapeOf(t, raws[name])
 		sent := encoded(t, toWire(t, message))
 		if now := shapeOf(t, sent); now != base {
-			t.Errorf("%s: got type description %v, want that of the base version %v", name, now, base)
+			t.Errorf("%s: got type description %v, want %v as in the base version", name, now, base)
 		}
 		if got, want := decoded(t, sent, base), decoded(t, raws[name], base); !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: got %+v, want as the base version sent it %+v", name, got, want)
+			t.Errorf("%s: got %+v, want %+v as sent by the base version", name, got, want)
 		}
 	}
 }
