--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -48,10 +48,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m, err := DecodeSubmission([]byte(strings.Replace(validSubmission, tc.old, tc.new, 1)))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("DecodeSubmission: got error %v, want none", err)
 			}
 			if m.Spec.ID != "req-1" || (m.Invalid != "") != (tc.wantField != "") || !strings.Contains(m.Invalid, tc.wantField) {
-				t.Errorf("got id %q and error %q, want id \"req-1\" and an error with %q", m.Spec.ID, m.Invalid, tc.wantField)
+				t.Errorf("got id %q and error %q, want id \"req-1\" and an error with %q, or none if that is empty", m.Spec.ID, m.Invalid, tc.wantField)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 	m, err := DecodeSubmission([]byte(validSubmission))
 	if err != nil || m.Spec.Kind != jobstate.Gang || m.Spec.Priority != 2 || m.Spec.Need != (jobstate.Resources{CPU: 8000, GPU: 1000, Mem: 64000}) ||
 		m.Spec.Estimate != 240_000_000 || m.Spec.ImageMB != 6200 || !m.Spec.Spot || !m.Spec.OneZone || m.Spec.Spread {
-		t.Errorf("valid submission: got %+v, error %v", m.Spec, err)
+		t.Errorf("valid submission: got %+v, error %v, want the fields of %s", m.Spec, err, validSubmission)
 	}
 }
 
@@ -115,8 +115,8 @@
 // TestEncodeReply checks the JSON of replies, including the names of the fields.
 func TestEncodeReply(t *testing.T) {
 	cases := []struct {
-		r    core.Reply
-		want string
+		reply core.Reply
+		want  string
 	}{
 		{core.Reply{Status: 201, Job: &core.JobState{ID: "a", State: core.Queued}}, `{"name_id":"a","status":"pending","done":0,"running":0}`},
 		{core.Reply{Status: 200, Job: &core.JobState{ID: "a", State: jobstate.Cancelled}}, `{"name_id":"a","status":"withdrawn","done":0,"running":0}`},
@@ -130,8 +130,8 @@
 		{core.Reply{Status: 503, Error: "why"}, `{"error":"why"}`},
 	}
 	for _, tc := range cases {
-		if got := string(EncodeReply(tc.r)); got != tc.want {
-			t.Errorf("%+v: got %s, want %s", tc.r, got, tc.want)
+		if got := string(EncodeReply(tc.reply)); got != tc.want {
+			t.Errorf("%+v: got %s, want %s", tc.reply, got, tc.want)
 		}
 	}
 }
@@ -141,9 +141,9 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"stoker":"m","shift":1,"hands":[{"hand":"a/1","try":1,"status":"ended","cause":"done"}]}`))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		_, _ = DecodeHeartbeat(in)
-		m, err := DecodeSubmission(in)
+	f.Fuzz(func(t *testing.T, body []byte) {
+		_, _ = DecodeHeartbeat(body)
+		m, err := DecodeSubmission(body)
 		if err != nil || m.Invalid != "" {
 			return
 		}
@@ -151,9 +151,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s jobstate.Spec
-		if err := json.Unmarshal(b, &s); err != nil || s.ID != m.Spec.ID || s.Need != m.Spec.Need {
-			t.Fatalf("stored submission: got %+v, error %v, want %+v", s, err, m.Spec)
+		var stored jobstate.Spec
+		if err := json.Unmarshal(b, &stored); err != nil || stored.ID != m.Spec.ID || stored.Need != m.Spec.Need {
+			t.Fatalf("stored submission: got %+v, error %v, want %+v", stored, err, m.Spec)
 		}
 	})
 }
--- a/internal/api/fieldchecker.go
+++ b/internal/api/fieldchecker.go
@@ -9,8 +9,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// roundingError is the largest excess over a whole number, in the core's units, that
-// amount treats as a floating-point rounding error instead of rounding up.
+// roundingError is the largest excess over a whole number, in the core's units, that the
+// method amount ignores as a floating-point error. It rounds up larger ones.
 const roundingError = 1e-6
 
 var errMissing = errors.New("missing")
@@ -46,14 +46,14 @@
 	return *value
 }
 
-// amount converts an amount from the wire's unit to the core's, of which scale make one
-// wire unit, and rounds it up. A value outside 0 to most is an error.
-func (c *fieldChecker) amount(field string, value *float64, scale, most float64) int64 {
+// amount converts an amount from the wire's unit to the core's unit and rounds it up. scale
+// is the number of core units per wire unit. A value outside 0 to limit is an error.
+func (c *fieldChecker) amount(field string, value *float64, scale, limit float64) int64 {
 	switch {
 	case value == nil:
 		c.fail(field, errMissing)
 		return 0
-	case math.IsNaN(*value) || *value < 0 || *value > most:
+	case math.IsNaN(*value) || *value < 0 || *value > limit:
 		c.fail(field, errors.New("out of range"))
 		return 0
 	}
@@ -65,8 +65,8 @@
 	return c.amount(field, value, microsPerSecond, maxSeconds)
 }
 
-// optionalSeconds converts a duration in seconds to microseconds, or returns 0 if it is
-// missing.
+// optionalSeconds converts an optional duration in seconds to microseconds. It returns 0 for
+// a missing one.
 func (c *fieldChecker) optionalSeconds(field string, value *float64) int64 {
 	if value == nil {
 		return 0
--- a/internal/api/recorded_test.go
+++ b/internal/api/recorded_test.go
@@ -107,13 +107,13 @@
 func TestRecordedOps(t *testing.T) {
 	view := operatorViewWithAllFields()
 	if paths := golden.Unset(view); len(paths) > 0 {
-		t.Errorf("fields are not set in this test: %s", paths)
+		t.Errorf("fields of the view that are not set: got %s, want none", paths)
 	}
 	body := EncodeReply(core.Reply{Status: 200, Ops: view})
 	golden.Compare(t, "testdata/ops.json", string(body))
-	var back core.OperatorView
-	if err := json.Unmarshal(body, &back); err != nil || !reflect.DeepEqual(&back, view) {
-		t.Errorf("decoded view: got %+v, error %v, want %+v", back, err, view)
+	var decoded core.OperatorView
+	if err := json.Unmarshal(body, &decoded); err != nil || !reflect.DeepEqual(&decoded, view) {
+		t.Errorf("decoded view: got %+v, error %v, want %+v", decoded, err, view)
 	}
 	golden.Compare(t, "testdata/ops_empty.json", string(EncodeReply(core.Reply{Status: 200, Ops: &core.OperatorView{}})))
 }
@@ -311,7 +311,7 @@
 func TestRecordedSweep(t *testing.T) {
 	m, err := DecodeSweep([]byte(`id: "s" pending: 3 duplicates: MERGE ` + sweepJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } value { real: 1 } value { real: 0.5 } }`))
 	if err != nil || m.Invalid != "" {
-		t.Fatal(err, m.Invalid)
+		t.Fatalf("DecodeSweep: got error %v, invalid %q, want none", err, m.Invalid)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %d at once, digest %s, longest %d\n", m.Plan.ID, m.Plan.MaxUnfinished, m.Plan.Digest, m.Plan.Longest)
--- a/internal/api/replies.go
+++ b/internal/api/replies.go
@@ -16,13 +16,14 @@
 	Running int    `json:"running"`
 }
 
-// decommissionResponse says whether a controller is decommissioned.
+// decommissionResponse reports whether a controller is decommissioned.
 type decommissionResponse struct {
 	Name string `json:"controller"`
 	Gone bool   `json:"gone"`
 }
 
-// misdirectedResponse names the controller that handles such requests, if it is known.
+// misdirectedResponse is the answer to a heartbeat that was sent to the wrong controller. It
+// has the name of the controller that handles the heartbeat, if that is known.
 type misdirectedResponse struct {
 	Leader string `json:"foreman,omitempty"`
 }
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -15,7 +15,7 @@
 const MaxBodyBytes = 64 << 10
 
 // Paths of the API. The path of a call about one job, sweep or controller is a prefix,
-// followed by its name and for some calls by a verb.
+// followed by the id or name and for some calls by a verb.
 const (
 	readyPath     = "/ready"
 	statusPath    = "/ops/status"
@@ -33,7 +33,7 @@
 	MetricsPath = "/ops/metrics"
 )
 
-// defaultRunsPage is the number of a sweep's runs that are listed if the request sets no
+// defaultRunsPage is the number of runs in a page of a sweep's runs if the request sets no
 // limit.
 const defaultRunsPage = 100
 
@@ -41,8 +41,8 @@
 // requestID.
 type Build func(requestID uint64) any
 
-// requestError is the reason why a request is refused, and the status of the answer. allow
-// is the method to use instead if the request has the wrong method.
+// requestError is the reason for which a request is refused, and the status of the answer.
+// If the request has the wrong method, allow is the method to use instead.
 type requestError struct {
 	status int
 	allow  string
@@ -74,7 +74,8 @@
 	return &requestError{status: http.StatusMethodNotAllowed, allow: method, reason: "use " + method}
 }
 
-// IsSlow reports whether Route may take long for a request: it expands a submitted sweep.
+// IsSlow reports whether Route may take a long time for a request, because it expands a
+// submitted sweep.
 func IsSlow(m *httpwire.Message) bool {
 	return m.Method == http.MethodPost && m.Target == sweepsPath
 }
@@ -235,8 +236,8 @@
 	return nil, notFound("no such path")
 }
 
-// parseRunsQuery parses the parameters that select runs of a sweep: after, and most for the
-// limit. It ignores all others.
+// parseRunsQuery parses the query parameters that select runs of a sweep: "after", and "most",
+// which is the limit. It ignores all other parameters.
 func parseRunsQuery(query string) (after, limit int, err error) {
 	limit = defaultRunsPage
 	for parameter := range strings.SplitSeq(query, "&") {
--- a/internal/api/stored_test.go
+++ b/internal/api/stored_test.go
@@ -12,8 +12,8 @@
 	"github.com/zinclb/zinclb/internal/golden"
 )
 
-// storedSweep is the file with the form in which commit 63ef244 stored sweepText, and
-// storedPlan the file with the plan that it expands to.
+// storedSweep is the file with sweepText in the form in which commit 63ef244 stored it, and
+// storedPlan the file with the plan to which it expands.
 const (
 	storedSweep = "testdata/sweep_63ef244.txt"
 	storedPlan  = "testdata/sweep_63ef244.json"
@@ -30,7 +30,7 @@
 
 // TestStoredSweep unpacks a sweep's description as commit 63ef244 stored it, and one that
 // this program packed. Both must expand to the same plan. The stored bytes are not compared:
-// the spaces of the protobuf text format differ from program to program on purpose.
+// the protobuf library intentionally varies the spaces of the text format between programs.
 func TestStoredSweep(t *testing.T) {
 	stored, err := os.ReadFile(storedSweep)
 	if err != nil {
@@ -45,8 +45,8 @@
 	if err != nil || !reflect.DeepEqual(m.Plan, plan) {
 		t.Fatalf("plan of the submission: got %+v, error %v, want %+v", m.Plan, err, plan)
 	}
-	if again, err := UnpackSweep(m.Stored); err != nil || !reflect.DeepEqual(again, plan) {
-		t.Errorf("plan of the repacked sweep: got %+v, error %v, want %+v", again, err, plan)
+	if repacked, err := UnpackSweep(m.Stored); err != nil || !reflect.DeepEqual(repacked, plan) {
+		t.Errorf("plan of the repacked sweep: got %+v, error %v, want %+v", repacked, err, plan)
 	}
 }
 
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -40,7 +40,7 @@
 }
 
 // MaxIDLength is the maximum length of a job id in bytes. It ensures that every key that
-// contains an id fits the state store.
+// contains an id fits into the limits of the state service.
 const MaxIDLength = 128
 
 const (
@@ -82,25 +82,25 @@
 	return true
 }
 
-// DecodeSubmission decodes a submission. If its id is valid and another field is not, it
+// DecodeSubmission decodes a submission. If the id is valid and another field is not, it
 // returns a message with the error in Invalid instead of an error, because a job with this
 // id may already exist.
 func DecodeSubmission(body []byte) (core.SubmitJob, error) {
-	var w submission
-	if err := json.Unmarshal(body, &w); err != nil {
-		var head struct {
+	var submitted submission
+	if err := json.Unmarshal(body, &submitted); err != nil {
+		var onlyID struct {
 			ID string `json:"name_id"`
 		}
-		if json.Unmarshal(body, &head) == nil && ValidID(head.ID) {
-			return invalidSubmission(head.ID, err), nil
+		if json.Unmarshal(body, &onlyID) == nil && ValidID(onlyID.ID) {
+			return invalidSubmission(onlyID.ID, err), nil
 		}
 		return core.SubmitJob{}, fmt.Errorf("not a job: %w", err)
 	}
-	if w.ID == nil || !ValidID(*w.ID) {
+	if submitted.ID == nil || !ValidID(*submitted.ID) {
 		return core.SubmitJob{}, errors.New("name_id: missing or invalid")
 	}
 	var check fieldChecker
-	spec := w.spec(&check)
+	spec := submitted.spec(&check)
 	return check.submission(spec), nil
 }
 
@@ -117,8 +117,8 @@
 	return core.SubmitJob{Spec: &jobstate.Spec{ID: id}, Invalid: err.Error()}
 }
 
-// spec checks and converts the fields. The order of the calls decides which of several
-// invalid fields the error names.
+// spec checks and converts the fields. If several fields are invalid, the error is that of
+// the first one in the order of the calls.
 func (w *submission) spec(check *fieldChecker) *jobstate.Spec {
 	return &jobstate.Spec{
 		ID:       *w.ID,
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -17,7 +17,7 @@
 
 const (
 	// storedJobOverhead is the maximum number of bytes that a stored job has in addition
-	// to its submission: its times and how it ended.
+	// to its specification, for its times and its outcome.
 	storedJobOverhead = 100
 	// maxDescriptionBytes is the maximum size of an unpacked description.
 	maxDescriptionBytes = 4 << 20
@@ -25,9 +25,9 @@
 	packWindowBytes = 256 << 10
 )
 
-// ExpandSweep expands a description into a plan and checks each run as a submission is
-// checked. If it fails, the plan is incomplete and has at least the description's id,
-// which may be invalid.
+// ExpandSweep expands a description into a plan and checks each run in the same way as a
+// submission. If it returns an error, the plan is incomplete and has at least the
+// description's id, which may be invalid.
 func ExpandSweep(description *sweeppb.Sweep) (*core.SweepPlan, error) {
 	expansion, err := sweep.Expand(description)
 	if err != nil {
@@ -119,8 +119,8 @@
 }
 
 // DecodeSweep decodes a sweep's submission, which is a sweep file without references to
-// other files. If only its id is valid, it returns a message with the error in Invalid
-// instead of an error. It takes long for a large sweep.
+// other files. If the sweep's id is valid and the rest is not, it returns a message with the
+// error in Invalid instead of an error. It takes a long time for a large sweep.
 func DecodeSweep(body []byte) (core.SubmitSweep, error) {
 	description, err := sweep.Parse(body)
 	if err != nil {
--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -43,9 +43,9 @@
 		build, answer := Route(&httpwire.Message{Method: tc.method, Target: tc.target, Body: []byte(tc.body)})
 		got := ""
 		if answer != nil {
-			var e struct{ Error string }
-			_ = json.Unmarshal(answer.Body, &e)
-			got = fmt.Sprint(answer.Status, " ", e.Error)
+			var body struct{ Error string }
+			_ = json.Unmarshal(answer.Body, &body)
+			got = fmt.Sprint(answer.Status, " ", body.Error)
 		} else {
 			switch m := build(7).(type) {
 			case core.SubmitSweep:
@@ -69,20 +69,20 @@
 func TestPackSweep(t *testing.T) {
 	m, err := DecodeSweep([]byte(`id: "s" duplicates: MERGE ` + sweepJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } value { real: 1 } value { real: 0.5 } }`))
 	if err != nil || m.Invalid != "" {
-		t.Fatal(err, m.Invalid)
+		t.Fatalf("DecodeSweep: got error %v, invalid %q, want none", err, m.Invalid)
 	}
-	p, err := UnpackSweep(m.Stored)
+	plan, err := UnpackSweep(m.Stored)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("UnpackSweep: got error %v, want none", err)
 	}
-	if p.Digest != m.Plan.Digest || len(p.Specs) != 3 || p.Specs[1].Sweep != "s" || p.Specs[1].Run != 1 {
-		t.Errorf("unpacked plan: got %+v, want 3 runs with digest %s", p, m.Plan.Digest)
+	if plan.Digest != m.Plan.Digest || len(plan.Specs) != 3 || plan.Specs[1].Sweep != "s" || plan.Specs[1].Run != 1 {
+		t.Errorf("unpacked plan: got %+v, want 3 runs with digest %s, the second being run 1 of sweep s", plan, m.Plan.Digest)
 	}
 	answer := string(EncodeReply(core.Reply{Status: 200, Runs: &core.SweepPage{Next: 2, Runs: []core.SweepRun{
-		{Number: 0, ID: p.Specs[0].ID, State: core.Running, Values: p.Values[0], Sets: p.Sets[0]},
-		{Number: 1, ID: "x", State: core.RunStatePlanned, Values: p.Values[1], Sets: p.Sets[1]},
+		{Number: 0, ID: plan.Specs[0].ID, State: core.Running, Values: plan.Values[0], Sets: plan.Sets[0]},
+		{Number: 1, ID: "x", State: core.RunStatePlanned, Values: plan.Values[1], Sets: plan.Sets[1]},
 	}}}))
-	want := `{"runs":[{"run":0,"name_id":"` + p.Specs[0].ID + `","status":"running","values":{"a":1},"sets":[0,2]},{"run":1,"name_id":"x","status":"planned","values":{"a":"x\"y"}}],"next":2}`
+	want := `{"runs":[{"run":0,"name_id":"` + plan.Specs[0].ID + `","status":"running","values":{"a":1},"sets":[0,2]},{"run":1,"name_id":"x","status":"planned","values":{"a":"x\"y"}}],"next":2}`
 	if answer != want {
 		t.Errorf("page of runs:\ngot  %s\nwant %s", answer, want)
 	}
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -59,30 +59,30 @@
 
 // DecodeHeartbeat decodes a worker's heartbeat.
 func DecodeHeartbeat(body []byte) (core.Heartbeat, error) {
-	var w reportWire
-	if err := json.Unmarshal(body, &w); err != nil {
+	var report reportWire
+	if err := json.Unmarshal(body, &report); err != nil {
 		return core.Heartbeat{}, fmt.Errorf("report: %w", err)
 	}
-	if w.Machine == "" || len(w.Machine) > MaxIDLength || w.Epoch == 0 {
+	if report.Machine == "" || len(report.Machine) > MaxIDLength || report.Epoch == 0 {
 		return core.Heartbeat{}, errMissingWorkerID
 	}
 	heartbeat := core.Heartbeat{
-		Machine:          w.Machine,
-		Addr:             w.Addr,
-		Type:             w.Type,
-		Zone:             w.Zone,
-		Spot:             w.Spot,
-		Epoch:            w.Epoch,
-		Seq:              w.Seq,
-		FencingToken:     w.FencingToken,
+		Machine:          report.Machine,
+		Addr:             report.Addr,
+		Type:             report.Type,
+		Zone:             report.Zone,
+		Spot:             report.Spot,
+		Epoch:            report.Epoch,
+		Seq:              report.Seq,
+		FencingToken:     report.FencingToken,
 		PreemptionNotice: noPreemptionNotice,
 	}
-	if w.ReclaimIn != nil {
-		heartbeat.PreemptionNotice = max(0, int64(*w.ReclaimIn*microsPerSecond))
+	if report.ReclaimIn != nil {
+		heartbeat.PreemptionNotice = max(0, int64(*report.ReclaimIn*microsPerSecond))
 	}
-	heartbeat.Tasks = make([]core.TaskStatus, len(w.Tasks))
-	for i, t := range w.Tasks {
-		heartbeat.Tasks[i] = NewTaskStatus(t.Name, t.Attempt, t.State, t.Reason, t.Checkpointed)
+	heartbeat.Tasks = make([]core.TaskStatus, len(report.Tasks))
+	for i, task := range report.Tasks {
+		heartbeat.Tasks[i] = NewTaskStatus(task.Name, task.Attempt, task.State, task.Reason, task.Checkpointed)
 	}
 	return heartbeat, nil
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// taskState converts a task's state from its wire name to the core's.
+// taskState converts a task's state from its wire name to the core's state.
 func taskState(state string) core.TaskState {
 	if state == "ended" {
 		return core.TaskExited
@@ -107,8 +107,8 @@
 	return core.TaskState(state)
 }
 
-// exitReason converts the reason why a task has ended from its wire name to the core's.
-// It returns an unknown reason unchanged.
+// exitReason converts the reason for a task's end from its wire name to the core's reason. It
+// returns an unknown reason unchanged.
 func exitReason(reason string) core.ExitReason {
 	switch reason {
 	case "done":
@@ -150,10 +150,10 @@
 // encoded as [] and not as null, if there are none.
 func newCommands(commands []core.Command) []commandWire {
 	out := make([]commandWire, len(commands))
-	for i, c := range commands {
-		out[i] = commandWire{Verb: CommandVerb(c), Task: c.Task, Attempt: c.Attempt}
-		if c.Kind == core.CommandStop {
-			grace := float64(c.Grace) / microsPerSecond
+	for i, command := range commands {
+		out[i] = commandWire{Verb: CommandVerb(command), Task: command.Task, Attempt: command.Attempt}
+		if command.Kind == core.CommandStop {
+			grace := float64(command.Grace) / microsPerSecond
 			out[i].Grace = &grace
 		}
 	}
@@ -162,10 +162,10 @@
 
 // EncodeCommands encodes the body of the request that sends commands to a worker's own
 // address.
-func EncodeCommands(e core.SendCommands) []byte {
+func EncodeCommands(send core.SendCommands) []byte {
 	return encode(commandsRequest{
-		FencingToken: e.FencingToken,
-		Epoch:        e.Epoch,
-		Commands:     newCommands(e.Commands),
+		FencingToken: send.FencingToken,
+		Epoch:        send.Epoch,
+		Commands:     newCommands(send.Commands),
 	})
 }
--- a/internal/peer/internal/wire/wire.go
+++ b/internal/peer/internal/wire/wire.go
@@ -44,7 +44,7 @@
 }
 
 // AskArgs is a forwarded request. Exactly one field is set. A version that does not know
-// the request decodes an empty one and answers with peer.ErrEmptyRequest.
+// the request decodes an empty AskArgs and answers with peer.ErrEmptyRequest.
 type AskArgs struct {
 	Submit *Submit
 	Status *Status
@@ -60,8 +60,8 @@
 
 // Reply is the response to a BeatArgs or an AskArgs.
 //
-// Versions before this type sent the core's reply, which also has a field Ops. No
-// forwarded request is answered with that field, and its name must stay unused here.
+// Versions without this type sent the core's reply, which also has a field Ops. No answer
+// to a forwarded request sets that field, and no field here may have the name Ops.
 type Reply struct {
 	Req    uint64
 	Status int
@@ -108,7 +108,7 @@
 
 // Ack is the response to a Page, see readlease.HolderAck.
 type Ack struct {
-	// Holds means that the sender holds, or may come to hold, a read lease of the
+	// Holds means that the sender holds, or may still obtain, a read lease of the
 	// grantor.
 	Holds bool
 	// Boot is the incarnation of the grantor whose cancellations are known up to Upto.
@@ -131,8 +131,8 @@
 	// Tell.
 	Vouch *Page
 	Ack   *Ack
-	// Version is the storage format that the controller can write, and Features are the
-	// features that it supports.
+	// Version is the newest stored format that the controller can write, and Features are
+	// the features that the controller supports.
 	Version  int
 	Features []string
 	// Lowered means that the limits of the state service have been lowered.
@@ -147,7 +147,7 @@
 type Reach struct {
 	// Boot is the incarnation of the controller.
 	Boot string
-	// Workers is the share of reachable machines of each zone, in eighths.
+	// Workers is the fraction of reachable machines of each zone, in eighths.
 	Workers map[string]int
 	// Peers are the reachable controllers.
 	Peers []string
