--- a/internal/api/stored_test.go
+++ b/internal/api/stored_test.go
@@ -38,7 +38,7 @@
 	}
 	plan, err := UnpackSweep(strings.TrimSpace(string(stored)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("UnpackSweep of %s: got error %v, want none", storedSweep, err)
 	}
 	golden.Compare(t, storedPlan, planText(t, plan))
 	m, err := DecodeSweep([]byte(sweepText))
--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -57,7 +57,7 @@
 		t.Fatalf("two controllers that know the same machines sample %s and %s, want the same %d", got, otherGot, machinesPerZone)
 	}
 	if _, known := sample.ReachableEighths("a"); known {
-		t.Error("the reach of a zone is known before any probe, want unknown")
+		t.Error("before any probe: got a known reach of the zone, want unknown")
 	}
 	// All machines are probed, one after the other, until there is evidence for each.
 	now := second
@@ -166,7 +166,8 @@
 }
 
 // handovers simulates the links of a leader n0 with a peer n1 that reaches all workers, while n0
-// reaches them only when reaches says so, and returns the times at which n0 hands over.
+// reaches them only while the function reaches returns true. It returns the times at which n0 hands
+// over.
 func handovers(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (handedOver []int64) {
 	t.Helper()
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
--- a/internal/core/connectivity/handover.go
+++ b/internal/core/connectivity/handover.go
@@ -101,8 +101,8 @@
 	return names[0], "writes are refused here alone"
 }
 
-// CandidateDelay returns how much longer this candidate waits before it campaigns: candidateDelay
-// if another controller could serve more workers, otherwise 0.
+// CandidateDelay returns the additional time for which this candidate waits before it campaigns:
+// candidateDelay if another controller could serve more workers, otherwise 0.
 func (l *Links) CandidateDelay() int64 {
 	if l.matrix.BetterLeader(l.self) != "" {
 		return candidateDelay
--- a/internal/core/connectivity/link.go
+++ b/internal/core/connectivity/link.go
@@ -10,7 +10,7 @@
 // controller that could serve clearly more workers, and to route messages around a broken link.
 package connectivity
 
-// Failure is how a request over a link failed.
+// Failure is the way in which a request over a link failed.
 type Failure uint8
 
 // The ways in which requests fail. A refusal proves that the other side is reachable; a missing
@@ -97,7 +97,8 @@
 	l.flapCount++
 }
 
-// AnsweredAt returns when the other side last answered, including refusals, 0 if it never has.
+// AnsweredAt returns the time of the last answer of the other side, including refusals, 0 if there
+// was none.
 func (l *Link) AnsweredAt() int64 { return l.answeredAt }
 
 func (l *Link) down() bool { return l.failureSentAt > l.successSentAt }
--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -175,9 +175,9 @@
 // Matrix returns the matrix as of the last [Links.Refresh].
 func (l *Links) Matrix() Matrix { return l.matrix }
 
-// PendingAdvertisement returns this controller's advertisement; pending says that it has to be
-// stored now, since it differs from the last stored one. Stores are rate limited, at a rate that
-// decreases while links keep changing.
+// PendingAdvertisement returns this controller's advertisement; pending reports whether it has to
+// be stored now, since it differs from the last stored one. The rate of stores is limited, and the
+// limit decreases while links keep changing.
 func (l *Links) PendingAdvertisement(now int64) (local Advertisement, pending bool) {
 	local = l.matrix[l.self]
 	due := l.advertisedAt == 0 || now-l.advertisedAt >= l.advertiseInterval
--- a/internal/core/connectivity/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -16,9 +16,9 @@
 	ReachableEighths map[string]int `json:"w,omitempty"`
 	// Peers are the controllers that answer this one, sorted.
 	Peers []string `json:"p,omitempty"`
-	// Cloud says that the cloud answers this controller.
+	// Cloud reports whether the cloud answers this controller.
 	Cloud bool `json:"c,omitempty"`
-	// Flapping says that the controller's lease requests, or its links to at least half of the
+	// Flapping reports whether the controller's lease requests, or its links to at least half of the
 	// sampled machines, keep changing between up and down.
 	Flapping bool `json:"f,omitempty"`
 }
@@ -121,8 +121,8 @@
 	return best
 }
 
-// handoverGain returns how many eighths more the coverage other has than own. A zone that is
-// unknown in own does not count, since it may have no machines.
+// handoverGain returns the number of eighths that the coverage other has in addition to own. A
+// zone that is unknown in own does not count, since it may have no machines.
 func handoverGain(own, other map[string]int) (gain int) {
 	for zone, eighths := range other {
 		if ownEighths, known := own[zone]; known {
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -86,8 +86,8 @@
 	m.epoch, m.seq = epoch, seq
 }
 
-// Invalidate treats all evidence as outdated, for example after this controller was suspended,
-// since anything may have changed meanwhile. All machines are probed at once.
+// Invalidate marks all evidence as outdated, for example after this controller was suspended, since
+// anything may have changed in that time. All machines are probed at once.
 func (s *Sample) Invalidate(now int64) {
 	for _, m := range s.byName {
 		m.link.RecordFailure(now, now, NoResponse)
@@ -351,8 +351,8 @@
 	}
 }
 
-// ReachableEighths returns how many eighths of a zone's sampled machines are reached. known is
-// false as long as no request to any of them has been answered or has failed.
+// ReachableEighths returns the number of eighths of a zone's sampled machines that are reached.
+// known is false as long as no request to any of them has been answered or has failed.
 func (s *Sample) ReachableEighths(zone string) (eighths int, known bool) {
 	tried, reached := 0, 0
 	for _, m := range s.zones[zone] {
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -14,8 +14,8 @@
 	t         *testing.T
 	own, peer Sample
 	now       int64
-	// alive are the running machines. ownReaches and peerReaches say whether the controller
-	// and its peer reach them.
+	// alive are the running machines. ownReaches and peerReaches report whether the
+	// controller and its peer reach them.
 	alive                   map[string]bool
 	ownReaches, peerReaches bool
 	// unreached reports whether the zone counts as unreachable. Once set, the zone has to stay
@@ -96,13 +96,14 @@
 	}
 }
 
-// TestGoneMachinesRemoved checks that machines that are gone leave the sample once another controller
-// knows that they are gone.
+// TestGoneMachinesRemoved checks that machines that are gone leave the sample once another
+// controller knows that they are gone.
 //
-// It guards against a follower that, after a network cut, permanently advertised that it reached two
-// eighths of a zone: a gone machine was replaced only by one that sent heartbeats, a follower without
-// a partition receives none, and it did not ask the others for machines while it had four. This was
-// seen in experiment.TestReachAfterPartition, where three of four sampled machines had been scaled in.
+// It guards against a follower that, after a network cut, permanently advertised that it reached
+// two eighths of a zone. A gone machine was replaced only by one that sent heartbeats. A follower
+// without a partition receives no heartbeats, and did not ask the others for machines while it had
+// four. This was seen in experiment.TestReachAfterPartition, where three of four sampled machines
+// had been scaled in.
 func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
@@ -243,7 +244,7 @@
 }
 
 // TestReplacementsUnreachableUntilAnswer checks that machines that replace unreachable ones count as
-// unreachable until they answer, so that the reach of the zone is not unknown meanwhile.
+// unreachable until they answer, so that the reach of the zone is not unknown until then.
 func TestReplacementsUnreachableUntilAnswer(t *testing.T) {
 	s := NewSample(2 * second)
 	s.Add(sampled("m1"), second)
--- a/internal/core/fleet/probe.go
+++ b/internal/core/fleet/probe.go
@@ -4,7 +4,7 @@
 type probe struct {
 	sentAt  int64
 	pending bool // no answer yet
-	// epoch and seq are the highest numbers known when the probe was sent.
+	// epoch and seq are the highest numbers that were known when the probe was sent.
 	epoch, seq uint64
 }
 
@@ -34,10 +34,10 @@
 
 // ApplyProbe applies the answer to a probe sent at sentAt, and reports whether it shows that
 // the machine has restarted its heartbeat sequence numbers. The heartbeat in the answer was made
-// after the probe was sent. If its number is no higher than the highest known at that time,
-// the sequence has restarted. From then on a heartbeat from before the restart looks like
-// the newest, so only answers to probes are proof: they give the current number and show
-// whether the sequence has restarted once more.
+// after the probe was sent. If its number is no higher than the highest number known at that
+// time, the sequence has restarted. From then on a heartbeat from before the restart looks
+// like the newest, so only answers to probes are proof: they give the current number and show
+// whether the sequence has restarted again.
 func (m *Machine) ApplyProbe(sentAt int64, epoch, seq uint64) (restarted bool) {
 	p := &m.Delivery.probe
 	if !p.pending || sentAt < p.sentAt {
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -191,6 +191,6 @@
 	}
 }
 
-// latestStart returns when a job has to start, by its owner's estimate, to meet its effective
-// deadline.
+// latestStart returns the latest start with which a job meets its effective deadline, by its
+// owner's estimate.
 func (j *Job) latestStart() int64 { return j.EffectiveDeadline - j.Estimate }
--- a/internal/core/jobstate/job_test.go
+++ b/internal/core/jobstate/job_test.go
@@ -46,7 +46,7 @@
 	_, version := j.BeginChunkWrite(0, 0)
 	j.PlaceTask(1, "b", 1, 1)
 	if j.Task(0).Stored || j.IsTaskStored(0) {
-		t.Error("task 0: stored before the write was committed")
+		t.Errorf("before the write was committed: task 0 stored %v, chunk clean %v, want both false", j.Task(0).Stored, j.IsTaskStored(0))
 	}
 	j.CommitChunkWrite(0, version, 3)
 	if !j.Task(0).Stored || j.Task(1).Stored || j.IsTaskStored(0) {
--- a/internal/core/jobstate/spec.go
+++ b/internal/core/jobstate/spec.go
@@ -77,8 +77,8 @@
 	Run   int    `json:"sn,omitempty"`
 }
 
-// FetchTime returns how long a machine that lacks the job's image takes to fetch it at rate MB
-// per second, in microseconds; 0 if the rate is not positive.
+// FetchTime returns the time that a machine needs to fetch the job's image at rate MB per second,
+// in microseconds; 0 if the rate is not positive.
 func (s *Spec) FetchTime(rate int64) int64 {
 	if rate <= 0 {
 		return 0
--- a/internal/core/jobstate/task.go
+++ b/internal/core/jobstate/task.go
@@ -39,8 +39,8 @@
 	// PlacedAt is the time at which the attempt was placed, StartedAt the time at which it
 	// was first reported as running, both on the leader's monotonic clock.
 	PlacedAt, StartedAt int64
-	// StopReason is the reason for which the attempt is to be stopped, StopRequestedAt the
-	// time of that decision.
+	// StopReason is the reason for which the attempt is to be stopped, Grace the grace period
+	// of the stop in microseconds, and StopRequestedAt the time of the decision to stop.
 	StopReason      StopReason
 	Grace           int64
 	StopRequestedAt int64
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -33,13 +33,13 @@
 	Present int
 	// Legacy is the number of members whose program does not share the limits.
 	Legacy int
-	// Confirmed says that this controller's own membership is proven and older than
-	// SettleTime, and that its view of the members is fresh.
+	// Confirmed reports whether this controller's own membership is proven and older than
+	// SettleTime, and its view of the members is fresh.
 	Confirmed bool
-	// HasLeader says that some controller leads. IsLeader says that this controller leads,
-	// and that all others have had the time to see it.
+	// HasLeader reports whether some controller leads. IsLeader reports whether this
+	// controller leads and all others have had the time to see it.
 	HasLeader, IsLeader bool
-	// SharingEnabled says that all controllers share the limits. Otherwise each controller
+	// SharingEnabled reports whether all controllers share the limits. If not, each controller
 	// uses a share that does not depend on the members.
 	SharingEnabled bool
 }
@@ -166,8 +166,8 @@
 }
 
 // Withdraw takes up to requested tokens for another bucket, down to the level least, which may
-// be below 0, and returns how many were taken. A token is spent at most once: it is removed here
-// whether or not it arrives at the other bucket.
+// be below 0, and returns the number of tokens taken. A token is spent at most once: it is removed
+// here whether or not it arrives at the other bucket.
 func (b *TokenBucket) Withdraw(requested int, least float64) int {
 	n := max(0, min(requested, int(b.level-least)))
 	b.level -= float64(n)
--- a/internal/core/readlease/readlease.go
+++ b/internal/core/readlease/readlease.go
@@ -60,17 +60,18 @@
 	Incarnation string
 	After, UpTo uint64
 	Cancelled   []string
-	// More says that there are further pages.
+	// More reports whether there are further pages.
 	More bool
-	// Complete says that with the last page the leader knows all cancellations that this
-	// incarnation and the earlier ones have confirmed. If it is not set, the leader knows
-	// only those that this incarnation has confirmed.
+	// Complete reports whether the leader, after the last page, knows all cancellations that
+	// this incarnation and the earlier ones have confirmed. If not, the leader knows only
+	// those that this incarnation has confirmed.
 	Complete bool
 }
 
 // HolderAck is the answer of a controller that was informed of cancellations.
 type HolderAck struct {
-	// Holds says that the controller holds, or may still obtain, a read lease of the grantor.
+	// Holds reports whether the controller holds, or may still obtain, a read lease of the
+	// grantor.
 	Holds bool
 	// Incarnation is the grantor's incarnation whose cancellations the controller knows up
 	// to the number UpTo.
--- a/internal/core/sched/index_test.go
+++ b/internal/core/sched/index_test.go
@@ -38,10 +38,10 @@
 			}
 		}
 	}) {
-		var on []string
-		x.eachWithImage(name, func(m *Machine) { on = append(on, m.Name) })
-		slices.Sort(on)
-		out += fmt.Sprint(" ", name, on)
+		var holders []string
+		x.eachWithImage(name, func(m *Machine) { holders = append(holders, m.Name) })
+		slices.Sort(holders)
+		out += fmt.Sprint(" ", name, holders)
 	}
 	return out
 }
@@ -50,14 +50,14 @@
 // scratch, and that a search in it returns the same machines as a scan of all machines.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(n int, of string) int { return rapid.IntRange(0, n-1).Draw(t, of) }
-		x := NewIndex()
+		draw := func(n int, label string) int { return rapid.IntRange(0, n-1).Draw(t, label) }
+		index := NewIndex()
 		current := map[string]*Machine{}
 		for range 40 {
 			name := fmt.Sprint("m", draw(9, "machine"))
 			m := current[name]
 			if m != nil && draw(5, "remove") == 0 {
-				x.Remove(m)
+				index.Remove(m)
 				delete(current, name)
 				continue
 			}
@@ -68,31 +68,31 @@
 			m.Type, m.Zone, m.Spot, m.Partition = fmt.Sprint("t", draw(2, "type")), fmt.Sprint("z", draw(2, "zone")), draw(2, "spot") == 0, draw(2, "part")
 			m.Cap = jobstate.Resources{CPU: 8000, GPU: int64(draw(2, "gpus")) * 2000, Mem: 9000}
 			m.Free = jobstate.Resources{CPU: int64(draw(10, "cpu")-1) * 1000, GPU: min(m.Cap.GPU, int64(draw(3, "gpu"))*1000), Mem: int64(draw(10, "mem")) * 1000}
-			if im := fmt.Sprint("im", draw(4, "image")); draw(2, "gain") == 0 {
-				m.Images[im] = fleet.Image{}
+			if image := fmt.Sprint("im", draw(4, "image")); draw(2, "gain") == 0 {
+				m.Images[image] = fleet.Image{}
 			} else {
-				delete(m.Images, im)
+				delete(m.Images, image)
 			}
-			x.Put(m)
+			index.Put(m)
 		}
 		var copies []*Machine
 		for _, m := range current {
 			copies = append(copies, &Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Cap: m.Cap, Free: m.Free, Images: m.Images})
 		}
 		slices.SortFunc(copies, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
-		y := NewIndex(copies...)
-		if got, want := indexContents(x), indexContents(y); got != want {
+		rebuilt := NewIndex(copies...)
+		if got, want := indexContents(index), indexContents(rebuilt); got != want {
 			t.Fatalf("index contents:\ngot  %s\nwant %s", got, want)
 		}
 
 		j := testJob("j", 0, 0, jobstate.Array, 9, 1+int64(draw(3, "need")), 10)
 		j.Need.GPU, j.Image, j.ImageMB = int64(draw(2, "need gpu"))*1000, "im1", 5000
-		p := Planner{Queues: 3, Index: x, MaxStarts: 9, ImageWorth: map[string]int64{"im2": 7}}
-		x.beginRound(p.ImageWorth)
-		y.beginRound(p.ImageWorth)
+		p := Planner{Queues: 3, Index: index, MaxStarts: 9, ImageWorth: map[string]int64{"im2": 7}}
+		index.beginRound(p.ImageWorth)
+		rebuilt.beginRound(p.ImageWorth)
 		partition := draw(3, "in part") - 1
-		c := p.search(j, partition, nil, map[string]int{})
-		for got := c.next(); ; got = c.next() {
+		search := p.search(j, partition, nil, map[string]int{})
+		for got := search.next(); ; got = search.next() {
 			want := cheapestByScan(&p, j, partition, copies)
 			if got == nil || want == nil {
 				if (got == nil) != (want == nil) {
@@ -105,7 +105,7 @@
 			}
 			p.allocate(j, got, 0)
 			want.Free = want.Free.Sub(j.Need)
-			c.reinsert(got)
+			search.reinsert(got)
 		}
 	})
 }
--- a/internal/core/sched/job.go
+++ b/internal/core/sched/job.go
@@ -20,7 +20,7 @@
 	// ExpectedDuration is the time for which a task is expected to occupy its machine,
 	// without the image fetch.
 	ExpectedDuration int64
-	// Headroom is what remains of the team's limit, shared by the team's jobs.
+	// Headroom is the unused part of the team's limit, shared by the team's jobs.
 	Headroom *Headroom
 	// Guaranteed reports whether the job, together with its team's earlier jobs, is within
 	// the team's guarantee.
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -108,7 +108,8 @@
 	return 0, false
 }
 
-// reserveSlots reserves machines for a job's tasks and returns when the last of them is free.
+// reserveSlots reserves machines for a job's tasks and returns the time at which the last of the
+// machines is free.
 func (p *Planner) reserveSlots(j *Job, kind reservationKind, slots []freeSlot) (startAt int64) {
 	for _, slot := range slots {
 		startAt = max(startAt, slot.at)
--- a/internal/core/sched/placement.go
+++ b/internal/core/sched/placement.go
@@ -103,8 +103,8 @@
 // cost returns the cost of placing a task on a machine, as a delay in microseconds. It includes
 // the image fetch, the wait for the next contact, the value of the machine's images to other
 // jobs, the use of an idle machine that a gang could use as a whole, GPUs left without CPUs and
-// memory, the choice between spot and on-demand machines, room for services beside their
-// images, lending between partitions, and best fit.
+// memory, the choice between spot and on-demand machines, room for replicas of services whose
+// images the machine has, lending between partitions, and best fit.
 func (p *Planner) cost(j *Job, m *Machine) int64 {
 	cost := j.fetchDelay(m) + p.contactDelay(m) + p.resetForRound(m).imageWorth
 	isSmall := j.Need.Scale(2).Fits(m.Cap)
@@ -140,10 +140,11 @@
 	return cost
 }
 
-// serviceImageCost keeps room on machines for replicas whose images are there. A replica that
-// has to fetch its image anyway leaves the free resources of machines in use to such replicas.
-// The replicas of one service preferably fill at most half of a machine that was idle. Replicas
-// are long-lived, and their images get to a machine only with them.
+// serviceImageCost returns a cost that keeps room on machines for replicas whose images are there.
+// A replica that has to fetch its image anyway leaves the free resources of machines in use to
+// such replicas. The replicas of one service preferably fill at most half of a machine that was
+// idle. Replicas are long-lived, and a machine fetches their image only when a replica is placed
+// on it.
 func (p *Planner) serviceImageCost(j *Job, m *Machine) int64 {
 	if m.Free == m.Cap {
 		return 0
--- a/internal/core/sharedread/sharedread.go
+++ b/internal/core/sharedread/sharedread.go
@@ -3,7 +3,7 @@
 package sharedread
 
 // Batch holds the requests that wait for a read that begins after they arrived. At most one
-// read is in flight; requests that arrive meanwhile wait for the next one, since the state
+// read is in flight. Requests that arrive during a read wait for the next one, since the state
 // service may have executed the read in flight before they arrived.
 type Batch[T any] struct {
 	waiting, served []T
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -31,7 +31,7 @@
 	format     int
 	features   []FeatureName
 
-	// decommissioned says that operators have declared that the controller will not return.
+	// decommissioned reports whether operators have declared that the controller will not return.
 	decommissioned bool
 }
 
@@ -78,7 +78,7 @@
 }
 
 // LocalAdvertisement returns this controller's advertisement and the revision of its stored
-// advertisement. pending says that the stored one differs or is missing.
+// advertisement. pending reports whether the stored one differs or is missing.
 func (a *Activation) LocalAdvertisement() (local Advertisement, revision uint64, pending bool) {
 	m := a.members[a.self]
 	return a.local, m.revision, m.revision == 0 || !m.advertisement.equal(&a.local)
--- a/internal/core/upgrade/advertisement.go
+++ b/internal/core/upgrade/advertisement.go
@@ -43,8 +43,8 @@
 	return local
 }
 
-// supports reports whether the controller may run while a feature is active. For a program that
-// advertises no features, the format tells which features it has.
+// supports reports whether the controller may run while a feature is active. The features of a
+// program that advertises none follow from its format.
 func (a *Advertisement) supports(feature *Feature) bool {
 	if a.Program == 0 {
 		return feature.Format != 0 && a.Format >= feature.Format
--- a/internal/core/upgrade/feature.go
+++ b/internal/core/upgrade/feature.go
@@ -45,13 +45,13 @@
 	// KeyPrefixes are the prefixes of the keys that only this feature writes, without the
 	// common prefix of all keys.
 	KeyPrefixes []string
-	// MessagesOnly says that the feature stores nothing, and only changes the messages between
+	// MessagesOnly reports whether the feature stores nothing, and only changes the messages between
 	// controllers.
 	MessagesOnly bool
-	// Ignorable says that a program without the feature ignores its keys, and may run and
+	// Ignorable reports whether a program without the feature ignores its keys, and may run and
 	// start while the feature is active. Any other feature is required once it is active.
 	Ignorable bool
-	// OptIn says that the feature is activated only if the operators have opted in on every
+	// OptIn reports whether the feature is activated only if the operators have opted in on every
 	// controller.
 	OptIn bool
 }
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -26,7 +26,7 @@
 
 type model struct {
 	members [modelMembers]modelMember
-	// read is what the leader has read of each advertisement.
+	// read is the leader's last read of each advertisement.
 	read [modelMembers]struct {
 		advertisesCurrent, advertised bool
 		revision                      uint64
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -152,7 +152,7 @@
 	t.Helper()
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(message); err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode %+v: got error %v, want none", message, err)
 	}
 	return b.Bytes()
 }
@@ -162,7 +162,7 @@
 	t.Helper()
 	got := reflect.New(as)
 	if err := gob.NewDecoder(bytes.NewReader(raw)).DecodeValue(got); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode a message as %v: got error %v, want none", as, err)
 	}
 	return got.Elem().Interface()
 }
@@ -185,7 +185,7 @@
 	}
 	args, ok := wire.NewRequest(message)
 	if !ok {
-		t.Fatalf("type %T can't be forwarded", message)
+		t.Fatalf("NewRequest of type %T: got no forwarded request, want one", message)
 	}
 	return args
 }
--- a/internal/peer/shape_test.go
+++ b/internal/peer/shape_test.go
@@ -82,7 +82,7 @@
 		}
 		descriptions[-id] = description
 	}
-	t.Fatal("message has no value")
+	t.Fatal("got a message without a value, want one with a value")
 	return nil
 }
 
@@ -111,7 +111,7 @@
 		}
 		return reflect.StructOf(fields)
 	}
-	t.Fatalf("no supported description of type %d", id)
+	t.Fatalf("description of type %d: got %+v, want one of a slice, map or struct", id, descriptions[id])
 	return nil
 }
 
