--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -14,12 +14,12 @@
 	t         *testing.T
 	own, peer Sample
 	now       int64
-	// alive are the running machines. ownReaches and peerReaches say whether the controller
-	// and its peer reach them.
+	// alive are the running machines. ownReaches and peerReaches report whether the
+	// controller and its peer reach them.
 	alive                   map[string]bool
 	ownReaches, peerReaches bool
-	// unreached says that the zone counts as unreachable, which has to stay so until the test
-	// clears it.
+	// unreached reports whether the zone counts as unreachable. Once set, the zone has to stay
+	// unreachable until the test clears the field.
 	unreached bool
 }
 
@@ -96,13 +96,14 @@
 	}
 }
 
-// TestGoneMachinesRemoved checks that machines that are gone leave the sample once another controller
-// knows that they are gone.
+// TestGoneMachinesRemoved checks that machines that are gone leave the sample once another
+// controller knows that they are gone.
 //
-// It guards against a follower that, after a network cut, permanently advertised that it reached two
-// eighths of a zone: a gone machine was replaced only by one that sent heartbeats, a follower without
-// a partition receives none, and it did not ask the others for machines while it had four. This was
-// seen in experiment.TestReachAfterPartition, where three of four sampled machines had been scaled in.
+// It guards against a follower that, after a network cut, permanently advertised that it reached
+// two eighths of a zone. A gone machine was replaced only by one that sent heartbeats. A follower
+// without a partition receives no heartbeats, and did not ask the others for machines while it had
+// four. This was seen in experiment.TestReachAfterPartition, where three of four sampled machines
+// had been scaled in.
 func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
@@ -171,7 +172,7 @@
 			tc.do(r)
 			r.advance(10 * second) // the probes have failed by then
 			if !r.unreached {
-				t.Error("the zone does not count as unreachable 10 s after the cut")
+				t.Error("10 s after the cut: the zone counts as reachable, want unreachable")
 			}
 			for end := r.now + longest; r.now < end && !t.Failed(); {
 				r.advance(second)
@@ -184,8 +185,9 @@
 	}
 }
 
-// TestGoneAccordingToPeer checks that a machine that does not answer is taken as gone only if another
-// controller reaches more of its zone and does not list it although it would sample it if it knew it.
+// TestGoneAccordingToPeer checks that a machine that does not answer counts as gone only if another
+// controller reaches more of the machine's zone and does not list the machine, although that
+// controller would sample the machine if it knew it.
 func TestGoneAccordingToPeer(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -242,7 +244,7 @@
 }
 
 // TestReplacementsUnreachableUntilAnswer checks that machines that replace unreachable ones count as
-// unreachable until they answer, so that the reach of the zone is not unknown meanwhile.
+// unreachable until they answer, so that the reach of the zone is not unknown until then.
 func TestReplacementsUnreachableUntilAnswer(t *testing.T) {
 	s := NewSample(2 * second)
 	s.Add(sampled("m1"), second)
@@ -270,10 +272,10 @@
 	s.Forget("m1", second)
 	isSampled := func() bool { return slices.Contains(s.Machines(), sampled("m1")) }
 	if s.Merge([]Machine{sampled("m1"), sampled("m2")}, map[string]int{"a": 4}, 2*second); isSampled() {
-		t.Error("a machine that is gone was added again because another controller lists it")
+		t.Errorf("after a merge with a controller that lists the machine that is gone: sampled %v, want m1 not among them", s.Machines())
 	}
 	if s.RecordHeartbeat(sampled("m1"), 1, 1, 3*second); !isSampled() {
-		t.Error("a machine that sends heartbeats is not sampled")
+		t.Errorf("after a heartbeat of the machine: sampled %v, want m1 among them", s.Machines())
 	}
 }
 
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -120,7 +120,7 @@
 // highest priority of all jobs that depend on it. Its effective deadline is the latest end that
 // leaves time for the longest path of dependents, by their owners' estimates plus overhead
 // microseconds per job; 0 means that there is no deadline. Each planning round calls this again,
-// because later stages arrive and are cancelled.
+// because dependents are submitted and cancelled between rounds.
 func (g *DependencyGraph) InheritPriorities(jobs iter.Seq[*Job], overhead int64) {
 	g.round++
 	for j := range jobs {
@@ -191,6 +191,6 @@
 	}
 }
 
-// latestStart returns when a job has to start, by its owner's estimate, to meet its effective
-// deadline.
+// latestStart returns the latest start with which a job meets its effective deadline, by its
+// owner's estimate.
 func (j *Job) latestStart() int64 { return j.EffectiveDeadline - j.Estimate }
