--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -18,20 +18,20 @@
 // and the other controllers: for 100 s node-0 reported that all reach all, while the matrix of
 // the other controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
-	b := newPeerHarness(t, "n1")
-	b.advance(5 * second)
-	if b.c.peers.connectivityRevisions["n0"] == 0 {
+	h := newPeerHarness(t, "n1")
+	h.advance(5 * second)
+	if h.core.peers.connectivityRevisions["n0"] == 0 {
 		t.Fatal("before the loss: got no stored advertisement of n0, want one")
 	}
-	b.revision++
-	b.step(StateListed{Revision: b.revision, Changes: []Change{
+	h.revision++
+	h.step(StateListed{Revision: h.revision, Changes: []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
 		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5},
 		{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n1", Incarnation: "x", Token: 5, Lease: 8}), Revision: 6},
 	}})
-	b.advance(20 * second)
-	if b.c.peers.connectivityRevisions["n0"] == 0 {
+	h.advance(20 * second)
+	if h.core.peers.connectivityRevisions["n0"] == 0 {
 		t.Error("20 s after the loss: got no stored advertisement of n0, want it stored again")
 	}
 }
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -12,26 +12,26 @@
 // machines. It guards against a return that was queued, for example until the call budget allowed
 // it, and then sent although the leadership may have been lost since.
 func TestScaleInFenced(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	ttl := b.c.settings.Ops.LeaderLease
-	b.stateSilent = true
-	b.advance(ttl + second)
-	if b.c.elector.mayStartTasks() {
+	h := newPeerHarness(t, "n0")
+	ttl := h.core.settings.Ops.LeaderLease
+	h.stateSilent = true
+	h.advance(ttl + second)
+	if h.core.elector.mayStartTasks() {
 		t.Fatal("mayStartTasks: got true without proof of leadership, want false")
 	}
-	b.c.scaler.queueScaleIn("m")
-	b.effects = nil
-	b.advance(3 * second)
-	if r := takeEffects[ScaleIn](b); len(r) != 0 {
+	h.core.scaler.queueScaleIn("m")
+	h.effects = nil
+	h.advance(3 * second)
+	if r := takeEffects[ScaleIn](h); len(r) != 0 {
 		t.Errorf("scale-ins by a leader that may have been replaced: got %+v, want none", r)
 	}
-	b.c.workers.getOrAddMachine("came up").LastHeartbeat = b.now
-	b.c.elector.leadership.scaling.toScaleIn = append(b.c.elector.leadership.scaling.toScaleIn, "came up")
-	b.stateSilent = false
-	b.advance(2 * second)
-	r := takeEffects[ScaleIn](b)
-	if len(r) == 0 || len(r[0].Names) != 1 || r[0].Names[0] != "m" || r[0].NotAfter <= b.now-2*second || r[0].NotAfter > b.now+ttl {
-		t.Errorf("scale-ins after leadership was proven again, at %d us: got %+v, want m with NotAfter within the leader lease", b.now, r)
+	h.core.workers.getOrAddMachine("came up").LastHeartbeat = h.now
+	h.core.elector.leadership.scaling.toScaleIn = append(h.core.elector.leadership.scaling.toScaleIn, "came up")
+	h.stateSilent = false
+	h.advance(2 * second)
+	r := takeEffects[ScaleIn](h)
+	if len(r) == 0 || len(r[0].Names) != 1 || r[0].Names[0] != "m" || r[0].NotAfter <= h.now-2*second || r[0].NotAfter > h.now+ttl {
+		t.Errorf("scale-ins after leadership was proven again, at %d us: got %+v, want m with NotAfter within the leader lease", h.now, r)
 	}
 }
 
@@ -54,45 +54,45 @@
 		{"no peer answers", noAnswer, nil, "", ""},
 	}
 	for _, tc := range cases {
-		b := newPeerHarness(t, "n0")
-		b.step(MachineTypesListed{FencingToken: b.c.elector.leadership.fencingToken})
-		b.advance(5 * second)
+		h := newPeerHarness(t, "n0")
+		h.step(MachineTypesListed{FencingToken: h.core.elector.leadership.fencingToken})
+		h.advance(5 * second)
 		for range 3 {
-			b.step(MachinesListed{Err: tc.err, FencingToken: b.c.elector.leadership.fencingToken})
+			h.step(MachinesListed{Err: tc.err, FencingToken: h.core.elector.leadership.fencingToken})
 		}
 		for i, v := range tc.ads {
-			b.peerAnswers([]string{"n1", "n2"}[i], v)
-			b.storeAdvertisement([]string{"n1", "n2"}[i], v)
+			h.peerAnswers([]string{"n1", "n2"}[i], v)
+			h.storeAdvertisement([]string{"n1", "n2"}[i], v)
 		}
-		b.advance(250_000)
+		h.advance(250_000)
 		if tc.fail != "" {
-			b.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
+			h.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
 		}
-		if got := b.c.cloud.cloudPeer(); got != tc.want {
+		if got := h.core.cloud.cloudPeer(); got != tc.want {
 			t.Errorf("%s: cloud peer: got %q, want %q", tc.name, got, tc.want)
 		}
-		b.effects = nil
-		b.c.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
-		b.step(Tick{})
-		out := b.effects
-		by := takeEffects[CallCloudViaPeer](b)
-		b.effects = out
-		direct := takeEffects[ScaleIn](b)
-		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != b.c.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
+		h.effects = nil
+		h.core.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
+		h.step(Tick{})
+		out := h.effects
+		by := takeEffects[CallCloudViaPeer](h)
+		h.effects = out
+		direct := takeEffects[ScaleIn](h)
+		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != h.core.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
 			t.Errorf("%s: scale-in through peer %q: got %+v through peers and %+v directly", tc.name, tc.want, by, direct)
 		}
 	}
 	// A peer makes no calls for a leader that was replaced.
-	b := newPeerHarness(t, "n1")
+	h := newPeerHarness(t, "n1")
 	for token, want := range map[uint64]int{4: 0, 5: 1, 6: 1} {
-		b.effects = nil
-		b.step(CloudCallRequested{RequestID: 1, FencingToken: token, Call: CloudCall{ScaleIn: []string{"m"}}})
-		if got := takeEffects[CallCloudForPeer](b); len(got) != want {
+		h.effects = nil
+		h.step(CloudCallRequested{RequestID: 1, FencingToken: token, Call: CloudCall{ScaleIn: []string{"m"}}})
+		if got := takeEffects[CallCloudForPeer](h); len(got) != want {
 			t.Errorf("calls for a leader with token %d, newest token 5: got %+v, want %d", token, got, want)
 		}
 	}
-	b.step(CloudCalledForPeer{RequestID: 1, Answer: CloudResult{Status: 200}})
-	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
+	h.step(CloudCalledForPeer{RequestID: 1, Answer: CloudResult{Status: 200}})
+	if r := takeEffects[Reply](h); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
 		t.Errorf("reply to the leader: got %+v, want one with cloud status 200", r)
 	}
 }
--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -24,16 +24,16 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			c := r.c
-			clear(c.elector.leadership.commits.dirty)
+			h := newLeaderHarness(t)
+			core := h.core
+			clear(core.elector.leadership.commits.dirty)
 			add := func(id string, priority int) *jobstate.Job {
 				j := jobstate.NewJob(&jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 2, Priority: priority, Need: jobstate.Resources{CPU: 1000}, Estimate: 10 * second})
-				c.cache.jobs[id] = j
-				c.committer.markDirty(j)
+				core.cache.jobs[id] = j
+				core.committer.markDirty(j)
 				return j
 			}
-			then := c.now - tc.age
+			then := core.now - tc.age
 			end := add("end", jobstate.Urgent) // last although it has the highest priority
 			end.PlaceTask(0, "x0", 1, then)
 			end.PlaceTask(1, "x1", 1, then)
@@ -45,11 +45,11 @@
 			done := add("done", jobstate.Idle)
 			done.SetDone(0, then)
 			done.SetDone(1, then)
-			c.health.writeBudget = ratelimit.NewTokenBucket(c.now, tc.level)
-			c.elector.leadership.commits.inFlight, c.elector.leadership.commits.notBefore = false, 0
-			c.committer.commitNow()
+			core.health.writeBudget = ratelimit.NewTokenBucket(core.now, tc.level)
+			core.elector.leadership.commits.inFlight, core.elector.leadership.commits.notBefore = false, 0
+			core.committer.commitNow()
 			got := ""
-			for _, e := range c.effects {
+			for _, e := range core.effects {
 				m, ok := e.(CommitTransaction)
 				if !ok {
 					continue
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -16,7 +16,7 @@
 // peerHarness is one of three controllers. Tests send it messages; the harness answers its
 // requests to the state service and keeps its other effects.
 type peerHarness struct {
-	c        *Core
+	core        *Core
 	now      int64
 	revision uint64
 	effects  []any
@@ -37,8 +37,8 @@
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	b := &peerHarness{now: second, revision: 20}
-	b.c = New(set, b.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	h := &peerHarness{now: second, revision: 20}
+	h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	rows := []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
@@ -48,80 +48,80 @@
 	if leader != "n0" {
 		rows = append(rows, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
-	b.step(StateListed{Revision: 20, Changes: rows})
-	b.advance(2 * second)
-	if (b.c.elector.leadership != nil) != (leader == "n0") {
-		t.Fatalf("got n0 leading %v, want leader %s", b.c.elector.leadership != nil, leader)
+	h.step(StateListed{Revision: 20, Changes: rows})
+	h.advance(2 * second)
+	if (h.core.elector.leadership != nil) != (leader == "n0") {
+		t.Fatalf("got n0 leading %v, want leader %s", h.core.elector.leadership != nil, leader)
 	}
-	b.effects = nil
-	return b
+	h.effects = nil
+	return h
 }
 
-func (b *peerHarness) advance(d int64) {
-	for end := b.now + d; b.now < end; {
-		b.now += 50_000
-		b.step(Tick{TimeOfDay: b.now + 1_000_000*second})
+func (h *peerHarness) advance(d int64) {
+	for end := h.now + d; h.now < end; {
+		h.now += 50_000
+		h.step(Tick{TimeOfDay: h.now + 1_000_000*second})
 	}
 }
 
 // step sends a message, answers the requests to the state service and keeps the other effects.
-func (b *peerHarness) step(msg any) {
-	for _, e := range b.c.Step(b.now, msg) {
+func (h *peerHarness) step(msg any) {
+	for _, e := range h.core.Step(h.now, msg) {
 		err := errors.New("no answer")
-		if !b.stateSilent {
+		if !h.stateSilent {
 			err = nil
 		}
 		switch e := e.(type) {
 		case GrantLease:
-			b.step(LeaseGranted{Lease: 9, SentAt: b.now, Err: err})
+			h.step(LeaseGranted{Lease: 9, SentAt: h.now, Err: err})
 		case RenewLease:
-			b.renewals++
-			if b.onRenewal != nil {
-				b.onRenewal(e)
+			h.renewals++
+			if h.onRenewal != nil {
+				h.onRenewal(e)
 				continue
 			}
-			b.step(LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: err})
+			h.step(LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: err})
 		case CommitTransaction:
-			if b.stateSilent {
-				b.step(TransactionResult{ID: e.ID})
+			if h.stateSilent {
+				h.step(TransactionResult{ID: e.ID})
 				continue
 			}
-			b.revision++
-			w := StateRead{AfterRevision: b.revision - 1, Revision: b.revision, SentAt: b.now}
+			h.revision++
+			w := StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now}
 			for _, x := range e.Writes {
-				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: b.revision, Removed: x.Value == nil})
+				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: h.revision, Removed: x.Value == nil})
 			}
-			if !b.watchHung {
-				b.step(w)
+			if !h.watchHung {
+				h.step(w)
 			}
-			b.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: b.revision})
+			h.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: h.revision})
 		case PingPeer, ProbeMachine:
 		default:
-			b.effects = append(b.effects, e)
+			h.effects = append(h.effects, e)
 		}
 	}
 }
 
 // peerAnswers makes a peer answer a ping with its advertisement, and send a ping.
-func (b *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
-	b.step(PeerPinged{Peer: name, SentAt: b.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
-	b.step(PingReceived{From: name})
+func (h *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
+	h.step(PeerPinged{Peer: name, SentAt: h.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
+	h.step(PingReceived{From: name})
 }
 
 // storeAdvertisement makes a peer store its advertisement.
-func (b *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
-	b.revision++
-	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.revision}}})
+func (h *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
+	h.revision++
+	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: h.revision}}})
 }
 
 // takeEffects returns the kept effects of one type, and discards all kept effects.
-func takeEffects[T any](b *peerHarness) (out []T) {
-	for _, e := range b.effects {
+func takeEffects[T any](h *peerHarness) (out []T) {
+	for _, e := range h.effects {
 		if x, ok := e.(T); ok {
 			out = append(out, x)
 		}
 	}
-	b.effects = nil
+	h.effects = nil
 	return out
 }
 
@@ -136,18 +136,18 @@
 // another purpose may miss a job that another controller accepted in between, and that job was
 // then reported as unknown.
 func TestReadForRequests(t *testing.T) {
-	b := newPeerHarness(t, "n1")
-	b.step(QueryJob{RequestID: 7, ID: "j"})
-	asked := takeEffects[ReadState](b)
+	h := newPeerHarness(t, "n1")
+	h.step(QueryJob{RequestID: 7, ID: "j"})
+	asked := takeEffects[ReadState](h)
 	if len(asked) != 1 || !asked[0].ForRequests {
 		t.Fatalf("got reads of the state %+v, want one for requests", asked)
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true})
-	if got := takeEffects[ReadKey](b); len(got) != 0 {
+	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.revision, Immediate: true})
+	if got := takeEffects[ReadKey](h); len(got) != 0 {
 		t.Errorf("after a read that may be older than the request: got %d reads of keys, want 0", len(got))
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true, ForRequests: true})
-	if got := takeEffects[ReadKey](b); len(got) != 1 {
+	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.revision, Immediate: true, ForRequests: true})
+	if got := takeEffects[ReadKey](h); len(got) != 1 {
 		t.Errorf("after the read for the request: got %d reads of keys, want 1", len(got))
 	}
 }
@@ -156,24 +156,24 @@
 // revision that an answer contained. Otherwise a leader would learn of new jobs only when the
 // watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	b.c.elector.leadership.cacheFreshAt = b.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
-	b.revision += 3                                           // writes of others that the watch does not deliver
-	id := b.c.newID()
-	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
-	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.revision})
-	b.advance(maxWatchDelay - 100_000)
-	if v := takeEffects[ReadState](b); len(v) != 0 {
+	h := newPeerHarness(t, "n0")
+	h.core.elector.leadership.cacheFreshAt = h.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
+	h.revision += 3                                           // writes of others that the watch does not deliver
+	id := h.core.newID()
+	h.core.transactions.Begin(id, nil, nil, h.now, func(TransactionResult) {})
+	h.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: h.revision})
+	h.advance(maxWatchDelay - 100_000)
+	if v := takeEffects[ReadState](h); len(v) != 0 {
 		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", v)
 	}
-	b.advance(300_000)
-	v := takeEffects[ReadState](b)
+	h.advance(300_000)
+	v := takeEffects[ReadState](h)
 	if len(v) != 1 || v[0].ForRequests {
 		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", v)
 	}
-	b.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: b.revision, Immediate: true})
-	b.advance(5 * second)
-	if v = takeEffects[ReadState](b); len(v) != 0 {
+	h.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: h.revision, Immediate: true})
+	h.advance(5 * second)
+	if v = takeEffects[ReadState](h); len(v) != 0 {
 		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(v))
 	}
 }
@@ -186,45 +186,45 @@
 	}
 	cases := []struct {
 		name    string
-		prepare func(b *peerHarness)
+		prepare func(h *peerHarness)
 		first   ReplyCode // status of the first answer
 		to      string    // controller named in the first answer
 		relayTo string    // receiver of the relayed second heartbeat, "" if it is not relayed
 	}{
 		{"no controller reaches the leader", func(*peerHarness) {}, 503, "", ""},
-		{"the leader answers pings", func(b *peerHarness) { b.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
-		{"another peer reaches the leader", func(b *peerHarness) {
+		{"the leader answers pings", func(h *peerHarness) { h.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
+		{"another peer reaches the leader", func(h *peerHarness) {
 			v := reachAdvertisement(8, 8, "n0", "n1")
-			b.peerAnswers("n2", v)
-			b.storeAdvertisement("n2", v)
+			h.peerAnswers("n2", v)
+			h.storeAdvertisement("n2", v)
 		}, 421, "n2", "n2"},
-		{"the leader advertises that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
-		{"the leader advertises that it does not reach the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
-		{"the leader's advertisement may be outdated", func(b *peerHarness) {
-			b.storeAdvertisement("n1", reachAdvertisement(8, 8))
-			b.stateSilent = true
-			b.advance(3 * second)
+		{"the leader advertises that it reaches the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
+		{"the leader advertises that it does not reach the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
+		{"the leader's advertisement may be outdated", func(h *peerHarness) {
+			h.storeAdvertisement("n1", reachAdvertisement(8, 8))
+			h.stateSilent = true
+			h.advance(3 * second)
 		}, 503, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newPeerHarness(t, "n1")
-			tc.prepare(b)
-			b.advance(250_000)
-			b.effects = nil
-			b.step(report(1))
-			if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
+			h := newPeerHarness(t, "n1")
+			tc.prepare(h)
+			h.advance(250_000)
+			h.effects = nil
+			h.step(report(1))
+			if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
 				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", r, tc.first, tc.to)
 			}
-			b.advance(second)
-			b.effects = nil
-			b.step(report(2))
-			out := b.effects
-			if r := takeEffects[RelayHeartbeat](b); tc.relayTo != "" && (len(r) != 1 || r[0].To != tc.relayTo || r[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(r) != 0 {
+			h.advance(second)
+			h.effects = nil
+			h.step(report(2))
+			out := h.effects
+			if r := takeEffects[RelayHeartbeat](h); tc.relayTo != "" && (len(r) != 1 || r[0].To != tc.relayTo || r[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(r) != 0 {
 				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", r, tc.relayTo)
 			}
-			b.effects = out
-			if r := takeEffects[Reply](b); tc.relayTo == "" && (len(r) != 1 || r[0].Status != 503) {
+			h.effects = out
+			if r := takeEffects[Reply](h); tc.relayTo == "" && (len(r) != 1 || r[0].Status != 503) {
 				t.Errorf("second heartbeat: got replies %+v, want one with status 503", r)
 			}
 		})
@@ -240,19 +240,19 @@
 		viaPeer bool // the sender asks to relay it to the leader
 		relays  int
 	}{{"the leader answers", true, true, 1}, {"the leader does not answer", false, true, 0}, {"from an older controller", true, false, 0}} {
-		b := newPeerHarness(t, "n1")
+		h := newPeerHarness(t, "n1")
 		if tc.leader {
-			b.peerAnswers("n1", reachAdvertisement(8, 8))
+			h.peerAnswers("n1", reachAdvertisement(8, 8))
 		}
-		b.effects = nil
-		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
-		out := b.effects
-		r := takeEffects[RelayHeartbeat](b)
-		b.effects = out
+		h.effects = nil
+		h.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
+		out := h.effects
+		r := takeEffects[RelayHeartbeat](h)
+		h.effects = out
 		if len(r) != tc.relays || tc.relays == 1 && (r[0].To != "n1" || r[0].ViaPeer) {
 			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, r, tc.relays)
 		}
-		if a := takeEffects[Reply](b); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
+		if a := takeEffects[Reply](h); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
 			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, a)
 		}
 	}
@@ -263,34 +263,34 @@
 // to. With the reach setting off it continues to lead.
 func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b := newPeerHarness(t, "n0")
-		b.c.settings.Ops.Reach = on
-		b.storeAdvertisement("n1", reachAdvertisement(8, 8))
-		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
-		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
+		h := newPeerHarness(t, "n0")
+		h.core.settings.Ops.Reach = on
+		h.storeAdvertisement("n1", reachAdvertisement(8, 8))
+		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, h.now)
+		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, h.now)
 		for _, m := range []string{"m", "m2"} {
-			b.step(MachineProbed{Machine: m, SentAt: b.now, OK: false})
+			h.step(MachineProbed{Machine: m, SentAt: h.now, OK: false})
 		}
-		b.advance(3 * second)
-		if (b.c.elector.leadership == nil) != on {
-			t.Fatalf("reach setting %v: got leader %v, want %v", on, b.c.elector.leadership != nil, !on)
+		h.advance(3 * second)
+		if (h.core.elector.leadership == nil) != on {
+			t.Fatalf("reach setting %v: got leader %v, want %v", on, h.core.elector.leadership != nil, !on)
 		}
 		if !on {
 			continue
 		}
-		if d := takeEffects[RevokeLease](b); len(d) != 1 {
+		if d := takeEffects[RevokeLease](h); len(d) != 1 {
 			t.Errorf("got revocations of leases %+v, want one", d)
 		}
 		// The key is gone, and the state is listed again; the other controller may campaign
 		// first.
-		b.revision++
+		h.revision++
 		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
-		b.step(StateListed{Revision: b.revision, Changes: rows})
-		begun := b.now
-		for b.c.elector.leadership == nil && b.now < begun+10*second {
-			b.advance(50_000)
+		h.step(StateListed{Revision: h.revision, Changes: rows})
+		begun := h.now
+		for h.core.elector.leadership == nil && h.now < begun+10*second {
+			h.advance(50_000)
 		}
-		if d := b.now - begun; d < second || d > 3*second {
+		if d := h.now - begun; d < second || d > 3*second {
 			t.Errorf("got leader again after %d us, want after 1 to 3 s", d)
 		}
 	}
@@ -299,22 +299,22 @@
 // TestReady checks that a controller which can neither answer users nor forward their requests
 // is not ready.
 func TestReady(t *testing.T) {
-	ask := func(b *peerHarness) ReplyCode {
-		b.effects = nil
-		b.step(CheckReady{RequestID: 1})
-		return takeEffects[Reply](b)[0].Status
+	ask := func(h *peerHarness) ReplyCode {
+		h.effects = nil
+		h.step(CheckReady{RequestID: 1})
+		return takeEffects[Reply](h)[0].Status
 	}
-	b := newPeerHarness(t, "n1")
-	if s := ask(b); s != 200 {
+	h := newPeerHarness(t, "n1")
+	if s := ask(h); s != 200 {
 		t.Errorf("state service answers: got status %d, want 200", s)
 	}
-	b.stateSilent = true
-	b.advance(4 * second)
-	if s := ask(b); s != 503 {
+	h.stateSilent = true
+	h.advance(4 * second)
+	if s := ask(h); s != 503 {
 		t.Errorf("neither state service nor peers answer: got status %d, want 503", s)
 	}
-	b.peerAnswers("n2", reachAdvertisement(8, 8))
-	if s := ask(b); s != 200 {
+	h.peerAnswers("n2", reachAdvertisement(8, 8))
+	if s := ask(h); s != 200 {
 		t.Errorf("only a peer answers: got status %d, want 200", s)
 	}
 }
@@ -323,17 +323,17 @@
 // state service may execute renewals although no answer arrives, and then no other controller
 // could lead for as long as the one-way partition lasts.
 func TestSilentRenewals(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	ttl := b.c.settings.Ops.LeaderLease
-	b.stateSilent = true
-	b.advance(2 * ttl)
-	b.renewals = 0
-	b.advance(ttl)
-	first := b.renewals
-	b.renewals = 0
-	b.advance(ttl)
-	if first+b.renewals > 2 || first > 1 && b.renewals > 0 {
-		t.Errorf("got %d and %d renewals in two successive lease times without answers, want at most 2 in total and none in the second if the first had more than 1", first, b.renewals)
+	h := newPeerHarness(t, "n0")
+	ttl := h.core.settings.Ops.LeaderLease
+	h.stateSilent = true
+	h.advance(2 * ttl)
+	h.renewals = 0
+	h.advance(ttl)
+	first := h.renewals
+	h.renewals = 0
+	h.advance(ttl)
+	if first+h.renewals > 2 || first > 1 && h.renewals > 0 {
+		t.Errorf("got %d and %d renewals in two successive lease times without answers, want at most 2 in total and none in the second if the first had more than 1", first, h.renewals)
 	}
 }
 
@@ -356,23 +356,23 @@
 			return SubmitSweep{RequestID: 1, Plan: &SweepPlan{ID: "x"}, Stored: "packed", Invalid: "bad", Forwarded: forwarded}
 		}, ForwardedSweep{ID: "x", Stored: "packed", Invalid: "bad"}},
 	} {
-		b := newPeerHarness(t, "n1")
-		b.c.settings.Ops.Sweeps = true
-		b.stateSilent = true
-		b.advance(3 * second)
-		b.peerAnswers("n2", reachAdvertisement(8, 8))
-		b.effects = nil
-		b.step(tc.request(false))
-		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
+		h := newPeerHarness(t, "n1")
+		h.core.settings.Ops.Sweeps = true
+		h.stateSilent = true
+		h.advance(3 * second)
+		h.peerAnswers("n2", reachAdvertisement(8, 8))
+		h.effects = nil
+		h.step(tc.request(false))
+		if f := takeEffects[ForwardRequest](h); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
 			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, f, tc.want)
 		}
-		b.step(tc.request(true))
-		out := b.effects
-		if f := takeEffects[ForwardRequest](b); len(f) != 0 {
+		h.step(tc.request(true))
+		out := h.effects
+		if f := takeEffects[ForwardRequest](h); len(f) != 0 {
 			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, f)
 		}
-		b.effects = out
-		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
+		h.effects = out
+		if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, r)
 		}
 	}
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -25,16 +25,16 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
+			h := newLeaderHarness(t)
 			jobs := map[int]*jobstate.Job{}
 			for _, f := range tc.fails {
 				if jobs[f.job] == nil {
 					jobs[f.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", f.job), Tasks: 1})
 				}
-				r.c.tasks.suspectMachine(r.c.workers.getOrAddMachine(fmt.Sprint("m", f.machine)), jobs[f.job])
+				h.core.tasks.suspectMachine(h.core.workers.getOrAddMachine(fmt.Sprint("m", f.machine)), jobs[f.job])
 			}
 			drained := 0
-			for _, m := range r.c.elector.leadership.fleet.All() {
+			for _, m := range h.core.elector.leadership.fleet.All() {
 				if m.Draining {
 					drained++
 				}
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -21,20 +21,20 @@
 // other, and its lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected
 // after the faults began, and 83 with the fix.
 func TestRenewalAfterOutage(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	ttl := b.c.settings.Ops.LeaderLease
-	b.onRenewal = func(e RenewLease) { b.step(LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: refusal{}}) }
-	b.advance(2 * ttl)
+	h := newPeerHarness(t, "n0")
+	ttl := h.core.settings.Ops.LeaderLease
+	h.onRenewal = func(e RenewLease) { h.step(LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: refusal{}}) }
+	h.advance(2 * ttl)
 	var lost []LeaseRenewed
-	b.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: errLost}) }
+	h.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: errLost}) }
 	for len(lost) == 0 {
-		b.advance(tickInterval)
+		h.advance(tickInterval)
 	}
-	b.advance(second) // the request's deadline
-	b.step(lost[0])
-	b.renewals = 0
-	b.advance(ttl / 2)
-	if b.renewals == 0 {
+	h.advance(second) // the request's deadline
+	h.step(lost[0])
+	h.renewals = 0
+	h.advance(ttl / 2)
+	if h.renewals == 0 {
 		t.Errorf("got no renewal in half a lease (%d us) after one lost answer, want at least one", ttl/2)
 	}
 }
@@ -52,19 +52,19 @@
 // 83 leaders were elected after the faults began, and none with the fix.
 func TestUnansweredRenewal(t *testing.T) {
 	const deadline, wanted = second, 4
-	b := newPeerHarness(t, "n0")
-	ttl := b.c.settings.Ops.LeaderLease
-	for b.renewals = 0; b.renewals == 0; {
-		b.advance(tickInterval)
+	h := newPeerHarness(t, "n0")
+	ttl := h.core.settings.Ops.LeaderLease
+	for h.renewals = 0; h.renewals == 0; {
+		h.advance(tickInterval)
 	}
-	provenAt := b.now
+	provenAt := h.now
 	var lost []LeaseRenewed
-	b.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: errLost}) }
+	h.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: errLost}) }
 	answered := 0
-	for b.now < provenAt+ttl {
-		b.advance(tickInterval)
-		for answered < len(lost) && b.now >= lost[answered].SentAt+deadline {
-			b.step(lost[answered])
+	for h.now < provenAt+ttl {
+		h.advance(tickInterval)
+		for answered < len(lost) && h.now >= lost[answered].SentAt+deadline {
+			h.step(lost[answered])
 			answered++
 		}
 	}
@@ -76,17 +76,17 @@
 // TestLateRenewalFailure checks that the failure of an earlier renewal is ignored once a later
 // one was answered.
 func TestLateRenewalFailure(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	for b.renewals = 0; b.renewals == 0; {
-		b.advance(tickInterval)
+	h := newPeerHarness(t, "n0")
+	for h.renewals = 0; h.renewals == 0; {
+		h.advance(tickInterval)
 	}
-	proven := b.c.elector.candidacy.leaseProvenAt
-	b.step(LeaseRenewed{Lease: b.c.elector.lease(), SentAt: proven - second, Err: errLost})
-	b.step(LeaseRenewed{Lease: b.c.elector.lease(), SentAt: proven - second})
-	if got := b.c.elector.candidacy.leaseProvenAt; got != proven {
+	proven := h.core.elector.candidacy.leaseProvenAt
+	h.step(LeaseRenewed{Lease: h.core.elector.lease(), SentAt: proven - second, Err: errLost})
+	h.step(LeaseRenewed{Lease: h.core.elector.lease(), SentAt: proven - second})
+	if got := h.core.elector.candidacy.leaseProvenAt; got != proven {
 		t.Errorf("got lease proven at %d us after late results of earlier renewals, want %d us", got, proven)
 	}
-	if b.c.peers.connectivity.Lease.DownFor(b.now) != 0 {
+	if h.core.peers.connectivity.Lease.DownFor(h.now) != 0 {
 		t.Error("got lease link down after the failure of a request sent before its last answer, want up")
 	}
 }
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -18,38 +18,38 @@
 	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
 	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
 	set.Cloud.RPS = 1
-	r := &leaderHarness{t: t, now: second, revision: 10, token: 5, lease: 9}
-	r.c = New(set, r.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	r.c.elector.candidacy.lease, r.c.elector.candidacy.leaseProvenAt = 9, r.now
-	r.step(StateListed{Revision: 10, Changes: []Change{
+	h := &leaderHarness{t: t, now: second, revision: 10, token: 5, lease: 9}
+	h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	h.core.elector.candidacy.lease, h.core.elector.candidacy.leaseProvenAt = 9, h.now
+	h.step(StateListed{Revision: 10, Changes: []Change{
 		{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n0", Incarnation: "old", Token: 5, Lease: 9}), Revision: 4},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 	}})
-	r.step(StateRead{AfterRevision: 10, Revision: 10})
-	if r.c.elector.leadership != nil {
+	h.step(StateRead{AfterRevision: 10, Revision: 10})
+	if h.core.elector.leadership != nil {
 		t.Fatal("got leader because of the earlier incarnation's key, want follower")
 	}
 	revoked := false
 	for range 30 {
-		r.now += 100_000
-		for _, e := range r.c.Step(r.now, Tick{}) {
+		h.now += 100_000
+		for _, e := range h.core.Step(h.now, Tick{}) {
 			if d, ok := e.(RevokeLease); ok && d.Lease == 9 {
 				revoked = true
 			}
 		}
-		if r.c.elector.leadership != nil {
+		if h.core.elector.leadership != nil {
 			t.Fatal("got leader while the earlier incarnation's key exists, want follower")
 		}
 	}
 	if !revoked {
 		t.Error("got no revocation of the earlier incarnation's lease, want one")
 	}
-	r.revision++
-	r.step(StateRead{AfterRevision: 10, Revision: r.revision, Changes: []Change{{Key: LeaderKey, Revision: r.revision, Removed: true}}})
-	for i := 0; r.c.elector.leadership == nil && i < 100; i++ {
-		r.tick(100_000)
+	h.revision++
+	h.step(StateRead{AfterRevision: 10, Revision: h.revision, Changes: []Change{{Key: LeaderKey, Revision: h.revision, Removed: true}}})
+	for i := 0; h.core.elector.leadership == nil && i < 100; i++ {
+		h.tick(100_000)
 	}
-	if r.c.elector.leadership == nil || r.c.elector.leadership.fencingToken != 6 {
+	if h.core.elector.leadership == nil || h.core.elector.leadership.fencingToken != 6 {
 		t.Error("after the earlier incarnation's key was removed: got no leadership with fencing token 6, want one")
 	}
 }
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -10,21 +10,21 @@
 // received after another leader had placed tasks on the machine, had the machine scaled in all
 // the same, and answers to calls of the earlier term were counted for calls still in flight.
 func TestEarlierTerm(t *testing.T) {
-	r := newLeaderHarness(t)
-	s := &r.c.elector.leadership.scaling
+	h := newLeaderHarness(t)
+	s := &h.core.elector.leadership.scaling
 	s.callsRunning, s.listing = 3, true
-	before := r.token - 2
-	r.step(ScaledIn{Names: []string{"m"}, FencingToken: before})
-	r.step(ScaledOut{Request: ScaleOut{Name: "x", Type: "c", Zone: "a", Count: 1, FencingToken: before}})
-	r.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: before})
-	r.step(MachineTypesListed{FencingToken: before})
+	before := h.token - 2
+	h.step(ScaledIn{Names: []string{"m"}, FencingToken: before})
+	h.step(ScaledOut{Request: ScaleOut{Name: "x", Type: "c", Zone: "a", Count: 1, FencingToken: before}})
+	h.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: before})
+	h.step(MachineTypesListed{FencingToken: before})
 	if slices.Contains(s.toScaleIn, "m") || slices.Contains(s.toScaleIn, "y") || len(s.unanswered) > 0 {
 		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m, y nor any", s.toScaleIn, s.unanswered)
 	}
 	if s.callsRunning != 3 || !s.listing {
 		t.Errorf("after results of an earlier term: got %d calls in flight and listing %v, want 3 and true", s.callsRunning, s.listing)
 	}
-	r.step(ScaledIn{Names: []string{"m"}, FencingToken: r.token})
+	h.step(ScaledIn{Names: []string{"m"}, FencingToken: h.token})
 	if s.callsRunning != 2 || !slices.Contains(s.toScaleIn, "m") {
 		t.Errorf("after a failed scale-in of this term: got %d calls in flight and machines to scale in %v, want 2 and m among them", s.callsRunning, s.toScaleIn)
 	}
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -31,28 +31,28 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.heartbeat(r.token, 1, running(3))
-			commits := &r.c.elector.leadership.commits
+			h := newLeaderHarness(t)
+			h.heartbeat(h.token, 1, running(3))
+			commits := &h.core.elector.leadership.commits
 			commits.inFlight = true
-			r.placeUnstored("k", "m")
-			r.seq++
-			r.replies = nil
-			r.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{
-				Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: 1, Seq: r.seq,
-				FencingToken: r.token, PreemptionNotice: NoPreemptionNotice, Tasks: []TaskStatus{running(3)},
+			h.placeUnstored("k", "m")
+			h.seq++
+			h.replies = nil
+			h.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{
+				Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: 1, Seq: h.seq,
+				FencingToken: h.token, PreemptionNotice: NoPreemptionNotice, Tasks: []TaskStatus{running(3)},
 			}})
-			sentAt := r.now
-			for len(r.replies) == 0 && r.now < sentAt+reportInterval {
-				if r.now-sentAt >= tc.storedIn {
+			sentAt := h.now
+			for len(h.replies) == 0 && h.now < sentAt+reportInterval {
+				if h.now-sentAt >= tc.storedIn {
 					commits.inFlight = false
 				}
-				r.tick(tickInterval)
+				h.tick(tickInterval)
 			}
-			if len(r.replies) != 1 || r.now-sentAt > tc.answeredBy {
-				t.Fatalf("answers: got %d after %d us, want 1 within %d us", len(r.replies), r.now-sentAt, tc.answeredBy)
+			if len(h.replies) != 1 || h.now-sentAt > tc.answeredBy {
+				t.Fatalf("answers: got %d after %d us, want 1 within %d us", len(h.replies), h.now-sentAt, tc.answeredBy)
 			}
-			commands := r.replies[0].Commands
+			commands := h.replies[0].Commands
 			if started := len(commands) == 1 && commands[0].Task == "k/0"; started != tc.wantStart {
 				t.Errorf("start of k/0 sent: got %v, want %v; commands %+v", started, tc.wantStart, commands)
 			}
@@ -62,11 +62,11 @@
 
 // placeUnstored places the task of a new job on a machine, as a planning round does; the placement is
 // not stored yet.
-func (r *leaderHarness) placeUnstored(id, machine string) {
+func (h *leaderHarness) placeUnstored(id, machine string) {
 	spec := &jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second}
 	placed := jobstate.NewJob(spec)
-	r.c.cache.jobs[id] = placed
-	placed.PlaceTask(0, machine, placed.NextAttempt(), r.now)
-	r.c.elector.leadership.fleet.Get(machine).AddPlacement(fleet.TaskRef{Job: placed, Index: 0})
-	r.c.committer.markDirty(placed)
+	h.core.cache.jobs[id] = placed
+	placed.PlaceTask(0, machine, placed.NextAttempt(), h.now)
+	h.core.elector.leadership.fleet.Get(machine).AddPlacement(fleet.TaskRef{Job: placed, Index: 0})
+	h.core.committer.markDirty(placed)
 }
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -41,33 +41,33 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.tick(6 * second)
-			r.c.settings.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
-			r.c.settings.Ops.WeighMoney = tc.costs
-			r.c.scaler.costAware = r.c.settings.WeighsCost(&r.c.settings.Ops)
-			r.c.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
-			r.c.elector.leadership.planning.waitingJobs = tc.waiting
+			h := newLeaderHarness(t)
+			h.tick(6 * second)
+			h.core.settings.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
+			h.core.settings.Ops.WeighMoney = tc.costs
+			h.core.scaler.costAware = h.core.settings.WeighsCost(&h.core.settings.Ops)
+			h.core.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
+			h.core.elector.leadership.planning.waitingJobs = tc.waiting
 			j := jobstate.NewJob(&jobstate.Spec{ID: "busy", Team: "t", Tasks: 100})
 			for kind, n := range tc.busy {
 				for i := range n {
-					m := r.c.workers.getOrAddMachine(fmt.Sprintf("m-%d-%d", kind, i))
-					m.Type, m.Spot, m.LastHeartbeat = "c", kind == 1, r.now
+					m := h.core.workers.getOrAddMachine(fmt.Sprintf("m-%d-%d", kind, i))
+					m.Type, m.Spot, m.LastHeartbeat = "c", kind == 1, h.now
 					m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 				}
 			}
-			s := &r.c.elector.leadership.scaling
+			s := &h.core.elector.leadership.scaling
 			s.scalingOut, s.unanswered = map[machineOffer]bool{}, nil
 			if tc.refused {
-				s.refusedUntil[machineOffer{"c", "a", true}] = r.now + second
+				s.refusedUntil[machineOffer{"c", "a", true}] = h.now + second
 			}
 			if tc.soldOut {
-				s.refusedUntil[machineOffer{"c", "a", false}] = r.now + second
+				s.refusedUntil[machineOffer{"c", "a", false}] = h.now + second
 			}
-			r.c.effects = nil
-			r.c.scaler.scaleOutTick(func() bool { return true }, nil)
+			h.core.effects = nil
+			h.core.scaler.scaleOutTick(func() bool { return true }, nil)
 			var got []string
-			for _, e := range r.c.effects {
+			for _, e := range h.core.effects {
 				if x, ok := e.(ScaleOut); ok {
 					got = append(got, fmt.Sprintf("%d %s", x.Count, map[bool]string{false: "on-demand", true: "spot"}[x.Spot]))
 				}
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -14,72 +14,72 @@
 // format. The format is never lowered again, so a controller that does not support it must not
 // be overlooked.
 func TestFormatActivation(t *testing.T) {
-	reportVersion := func(s *harness, peer string, version int) {
-		s.step(PeerPinged{Peer: peer, SentAt: s.now, OK: true, Status: PeerStatus{Version: version}})
+	reportVersion := func(h *harness, peer string, version int) {
+		h.step(PeerPinged{Peer: peer, SentAt: h.now, OK: true, Status: PeerStatus{Version: version}})
 	}
-	advertise := func(s *harness, peer string) {
-		s.store(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
-		s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
+	advertise := func(h *harness, peer string) {
+		h.store(memberPrefix+peer, upgrade.Advertisement{Format: 2, Incarnation: "x"})
+		h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision, Immediate: true})
 	}
 	cases := []struct {
 		name string
-		do   func(s *harness)
+		do   func(h *harness)
 		want bool
 	}{
 		{"no peer known", func(*harness) {}, false},
-		{"one of two peers advertises it", func(s *harness) { advertise(s, "n1") }, false},
-		{"both peers advertise it", func(s *harness) { advertise(s, "n1"); advertise(s, "n2") }, true},
-		{"both peers advertise it, one does not answer pings", func(s *harness) {
-			advertise(s, "n1")
-			advertise(s, "n2")
-			s.step(PeerPinged{Peer: "n2", SentAt: s.now})
+		{"one of two peers advertises it", func(h *harness) { advertise(h, "n1") }, false},
+		{"both peers advertise it", func(h *harness) { advertise(h, "n1"); advertise(h, "n2") }, true},
+		{"both peers advertise it, one does not answer pings", func(h *harness) {
+			advertise(h, "n1")
+			advertise(h, "n2")
+			h.step(PeerPinged{Peer: "n2", SentAt: h.now})
 		}, true},
-		{"one peer reports an old version after its advertisement", func(s *harness) {
-			advertise(s, "n1")
-			s.now += 1000
-			reportVersion(s, "n1", 0)
-			advertise(s, "n2")
+		{"one peer reports an old version after its advertisement", func(h *harness) {
+			advertise(h, "n1")
+			h.now += 1000
+			reportVersion(h, "n1", 0)
+			advertise(h, "n2")
 		}, false},
-		{"one peer reported an old version before its advertisement", func(s *harness) {
-			reportVersion(s, "n1", 0)
-			s.now += 1000
-			advertise(s, "n1")
-			advertise(s, "n2")
+		{"one peer reported an old version before its advertisement", func(h *harness) {
+			reportVersion(h, "n1", 0)
+			h.now += 1000
+			advertise(h, "n1")
+			advertise(h, "n2")
 		}, true},
-		{"peers report it without an advertisement", func(s *harness) { reportVersion(s, "n1", 2); reportVersion(s, "n2", 2) }, false},
-		{"one peer's lease expires before the format is written", func(s *harness) {
-			advertise(s, "n1")
-			s.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the state cache lacks this
-			advertise(s, "n2")
+		{"peers report it without an advertisement", func(h *harness) { reportVersion(h, "n1", 2); reportVersion(h, "n2", 2) }, false},
+		{"one peer's lease expires before the format is written", func(h *harness) {
+			advertise(h, "n1")
+			h.keys[memberPrefix+"n1"] = Change{Key: memberPrefix + "n1", Revision: 999} // the state cache lacks this
+			advertise(h, "n2")
 		}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newHarness(t, nil)
-			set := s.core.settings
+			h := newHarness(t, nil)
+			set := h.core.settings
 			set.Peers, set.Size = []string{"n1", "n2"}, 3
 			kb := 2.0
 			set.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
 			begin := func() {
-				s.core = New(set, s.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-				s.listState()
+				h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+				h.listState()
 			}
 			begin()
-			s.advance(2 * second)
-			if s.core.elector.leadership == nil || s.core.membership.activation.Advertisements()["n0"].Format != 2 {
+			h.advance(2 * second)
+			if h.core.elector.leadership == nil || h.core.membership.activation.Advertisements()["n0"].Format != 2 {
 				t.Fatalf("got leader %v and own advertisement %+v, want leader with format 2",
-					s.core.elector.leadership != nil, s.core.membership.activation.Advertisements()["n0"])
+					h.core.elector.leadership != nil, h.core.membership.activation.Advertisements()["n0"])
 			}
-			tc.do(s)
-			s.advance(3 * second)
-			if _, stored := s.keys[formatKey]; stored != tc.want || s.core.membership.logEnabled() != tc.want {
-				t.Fatalf("got format stored %v and active %v, want both %v", stored, s.core.membership.logEnabled(), tc.want)
+			tc.do(h)
+			h.advance(3 * second)
+			if _, stored := h.keys[formatKey]; stored != tc.want || h.core.membership.logEnabled() != tc.want {
+				t.Fatalf("got format stored %v and active %v, want both %v", stored, h.core.membership.logEnabled(), tc.want)
 			}
 			begin() // a restarted controller reads the stored format
-			s.advance(100_000)
-			if s.core.membership.logEnabled() != tc.want || tc.want && (s.core.membership.chunkTasks != 64 || s.core.membership.format.Tasks != 64) {
+			h.advance(100_000)
+			if h.core.membership.logEnabled() != tc.want || tc.want && (h.core.membership.chunkTasks != 64 || h.core.membership.format.Tasks != 64) {
 				t.Errorf("after a restart: got format %+v and %d tasks per chunk, want newer format %v, then with 64 tasks per chunk",
-					s.core.membership.format, s.core.membership.chunkTasks, tc.want)
+					h.core.membership.format, h.core.membership.chunkTasks, tc.want)
 			}
 		})
 	}
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -27,33 +27,33 @@
 		{jobstate.Gang, 600 * second, true, 2, true},
 		{jobstate.Service, 0, true, 2, false},
 	}
-	r := newLeaderHarness(t)
+	h := newLeaderHarness(t)
 	for _, tc := range cases {
 		s := &jobstate.Spec{Kind: tc.kind, Estimate: tc.estimate, Tasks: 1}
 		if tc.saves {
 			s.Checkpoint = second
 		}
 		j := jobstate.NewJob(s)
-		if q := r.c.planner.queueOf(s); q != tc.queue || r.c.planner.wantsTrial(j) != tc.trial {
+		if q := h.core.planner.queueOf(s); q != tc.queue || h.core.planner.wantsTrial(j) != tc.trial {
 			t.Errorf("%s with estimate %d s: got queue %d, trial %v, want queue %d, trial %v",
-				tc.kind, tc.estimate/second, q, r.c.planner.wantsTrial(j), tc.queue, tc.trial)
+				tc.kind, tc.estimate/second, q, h.core.planner.wantsTrial(j), tc.queue, tc.trial)
 		}
 		j.TrialDone = true
-		if r.c.planner.wantsTrial(j) {
+		if h.core.planner.wantsTrial(j) {
 			t.Errorf("%s with estimate %d s: got a second trial, want none", tc.kind, tc.estimate/second)
 		}
 	}
 }
 
 // placeRunning places each task of a job on a machine of its own, as stored and running.
-func (r *leaderHarness) placeRunning(j *jobstate.Job, trial bool) {
-	r.c.cache.jobs[j.ID] = j
+func (h *leaderHarness) placeRunning(j *jobstate.Job, trial bool) {
+	h.core.cache.jobs[j.ID] = j
 	for i := range j.Tasks {
-		m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i))
-		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, r.now, true, "a"
-		j.PlaceTask(i, m.Name, 1, r.now)
+		m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i))
+		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, h.now, true, "a"
+		j.PlaceTask(i, m.Name, 1, h.now)
 		t := j.Task(i)
-		t.Stored, t.StartSent, t.Confirmed, t.StartedAt, t.Trial = true, true, true, r.now, trial
+		t.Stored, t.StartSent, t.Confirmed, t.StartedAt, t.Trial = true, true, true, h.now, trial
 		j.SetPhase(t, jobstate.Running)
 		m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 	}
@@ -77,26 +77,26 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
+			h := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
-			r.placeRunning(j, true)
-			r.now += tc.after
+			h.placeRunning(j, true)
+			h.now += tc.after
 			if tc.waiting {
 				w := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
-				w.Arrival, w.ReadyAt = 99, r.now
+				w.Arrival, w.ReadyAt = 99, h.now
 				if tc.early {
 					w.ReadyAt = -second
 				}
-				r.c.cache.jobs["waits"] = w
+				h.core.cache.jobs["waits"] = w
 			} else {
-				delete(r.c.cache.jobs, "j")
+				delete(h.core.cache.jobs, "j")
 			}
-			m := r.c.elector.leadership.fleet.Get("x0")
-			m.LastHeartbeat = r.now
+			m := h.core.elector.leadership.fleet.Get("x0")
+			m.LastHeartbeat = h.now
 			m.MarkChanged()
-			r.c.now = r.now
-			r.c.elector.leadership.cacheFreshAt, r.c.elector.leadership.tokenProvenAt = r.now, r.now
-			r.c.planner.plan()
+			h.core.now = h.now
+			h.core.elector.leadership.cacheFreshAt, h.core.elector.leadership.tokenProvenAt = h.now, h.now
+			h.core.planner.plan()
 			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
 				t.Errorf("got stop reason %q with grace %d s, want %q with at least 4 s if stopped", got.StopReason, got.Grace/second, tc.stop)
 			}
@@ -123,13 +123,13 @@
 		{"no objectives", "ends", nil, false, 10 * second, true},
 	}
 	for _, tc := range cases {
-		r := newLeaderHarness(t)
-		r.c.settings.Objectives = tc.objectives
+		h := newLeaderHarness(t)
+		h.core.settings.Objectives = tc.objectives
 		j := jobstate.NewJob(&jobstate.Spec{ID: "young", Class: tc.class, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{GPU: 1}, Estimate: 100 * second})
-		r.placeRunning(j, true)
-		j.Task(0).StartedAt = r.now
-		r.c.now = r.now + tc.ran
-		got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
+		h.placeRunning(j, true)
+		j.Task(0).StartedAt = h.now
+		h.core.now = h.now + tc.ran
+		got := h.core.planner.runningTask(h.core.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
 		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
 			t.Errorf("%s: preemption after %d s costs %d s, guaranteed %v; want extra cost %v, guaranteed %v",
 				tc.name, tc.ran/second, got.LostWork/second, got.Guaranteed, tc.spared, tc.guaranteed)
@@ -144,12 +144,12 @@
 		kind jobstate.Kind
 		n    int64
 	}{{jobstate.Array, 1}, {jobstate.Gang, 3}} {
-		r := newLeaderHarness(t)
+		h := newLeaderHarness(t)
 		j := jobstate.NewJob(&jobstate.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: jobstate.Resources{GPU: 1}, Estimate: 900 * second})
-		r.placeRunning(j, true)
-		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = r.now })
-		r.c.now = r.now + 60*second
-		if got := r.c.planner.runningTask(r.c.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
+		h.placeRunning(j, true)
+		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = h.now })
+		h.core.now = h.now + 60*second
+		if got := h.core.planner.runningTask(h.core.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
 			t.Errorf("kind %v: got lost work %d s, want %d s", tc.kind, got/second, tc.n*60)
 		}
 	}
@@ -158,9 +158,9 @@
 // TestStartBy checks that machines are needed early enough for the image to be fetched before
 // the start objective.
 func TestStartBy(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.c.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
-	r.c.cache.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
+	h := newLeaderHarness(t)
+	h.core.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
+	h.core.cache.machineTypes = []fleet.Type{{Name: "slow", Cap: jobstate.Resources{CPU: 1000}, FetchRate: 400}, {Name: "fast", Cap: jobstate.Resources{CPU: 8000}, FetchRate: 1000}}
 	for _, tc := range []struct {
 		class string
 		cpu   int64
@@ -168,7 +168,7 @@
 	}{{"fit", 1000, 100 + 25 - 3 - 10}, {"fit", 2000, 100 + 25 - 3 - 4}, {"other", 1000, 0}} {
 		j := jobstate.NewJob(&jobstate.Spec{ID: "x", Class: tc.class, Need: jobstate.Resources{CPU: tc.cpu}, Image: "im", ImageMB: 4000, Tasks: 1})
 		j.ReadyAt = 100 * second
-		if got := r.c.planner.startBy(j, false); got != tc.want*second {
+		if got := h.core.planner.startBy(j, false); got != tc.want*second {
 			t.Errorf("class %s with %d milli-CPUs: got start by %d s, want %d s", tc.class, tc.cpu, got/second, tc.want)
 		}
 	}
@@ -178,8 +178,8 @@
 // penalty for the delay it causes other jobs, and a job without one by the time it became
 // ready.
 func TestQueueOrder(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.c.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
+	h := newLeaderHarness(t)
+	h.core.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
 	cases := []struct {
 		name           string
 		tasks, done    int
@@ -205,7 +205,7 @@
 		for i := range tc.done {
 			j.SetDone(i, 1)
 		}
-		if got := r.c.planner.queueOrder(j); got != tc.want*second {
+		if got := h.core.planner.queueOrder(j); got != tc.want*second {
 			t.Errorf("%s: got queue order %d s, want %d s", tc.name, got/second, tc.want)
 		}
 	}
@@ -223,71 +223,71 @@
 	}
 	cases := []struct {
 		name string
-		do   func(r *leaderHarness, j *jobstate.Job)
+		do   func(h *leaderHarness, j *jobstate.Job)
 		want string
 	}{
-		{"one task lost", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
-		{"one task lost its peers", func(r *leaderHarness, j *jobstate.Job) {
-			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
+		{"one task lost", func(h *leaderHarness, j *jobstate.Job) { h.core.tasks.taskLost(j, 0) }, "1:gang 2:gang "},
+		{"one task lost its peers", func(h *leaderHarness, j *jobstate.Job) {
+			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x1"), j, 1, &TaskStatus{Name: "g/1", Attempt: 1, State: TaskExited, Reason: ExitPeersLost})
 		}, "0:gang 2:gang "},
 		// x1 fetches slowly, while x0 and x2 have the image. If x1 were stopped, it would
 		// fetch the image again in the next attempt, which would be incomplete as well.
-		{"gang incomplete, fetching task continues", func(r *leaderHarness, j *jobstate.Job) {
-			x1 := r.c.workers.getOrAddMachine("x1")
+		{"gang incomplete, fetching task continues", func(h *leaderHarness, j *jobstate.Job) {
+			x1 := h.core.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			h.core.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
+			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 		}, "1: 2:gang "},
-		{"gang incomplete, fetching task stops after the fetch", func(r *leaderHarness, j *jobstate.Job) {
-			x1 := r.c.workers.getOrAddMachine("x1")
+		{"gang incomplete, fetching task stops after the fetch", func(h *leaderHarness, j *jobstate.Job) {
+			x1 := h.core.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
-			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
+			h.core.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
+			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			h.core.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
-				r.t.Error("image is not recorded as present after the fetch")
+				h.t.Error("image is not recorded as present after the fetch")
 			}
 		}, "1:gang 2:gang "},
-		{"gang incomplete, fetching task stops after a timeout", func(r *leaderHarness, j *jobstate.Job) {
-			x1 := r.c.workers.getOrAddMachine("x1")
+		{"gang incomplete, fetching task stops after a timeout", func(h *leaderHarness, j *jobstate.Job) {
+			x1 := h.core.workers.getOrAddMachine("x1")
 			x1.FetchRate = 100
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
-			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
-			r.c.now += 41 * second
-			r.c.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
+			h.core.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
+			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
+			h.core.now += 41 * second
+			h.core.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskFetching}}})
 		}, "1:gang 2:gang "},
-		{"one task lost during its image fetch", func(r *leaderHarness, j *jobstate.Job) {
-			x1 := r.c.workers.getOrAddMachine("x1")
+		{"one task lost during its image fetch", func(h *leaderHarness, j *jobstate.Job) {
+			x1 := h.core.workers.getOrAddMachine("x1")
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
-			r.c.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
+			h.core.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
-				r.t.Error("image is not recorded as being fetched")
+				h.t.Error("image is not recorded as being fetched")
 			}
-			r.c.tasks.taskLost(j, 1)
+			h.core.tasks.taskLost(j, 1)
 			if len(x1.Images) > 0 {
-				r.t.Error("image of an aborted fetch is recorded as present")
+				h.t.Error("image of an aborted fetch is recorded as present")
 			}
 		}, "0:gang 2:gang "},
-		{"one task preempted", func(r *leaderHarness, j *jobstate.Job) { r.c.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
-		{"one task done", func(r *leaderHarness, j *jobstate.Job) {
-			r.c.tasks.taskDone(j, 0)
-			r.c.tasks.taskExited(r.c.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
+		{"one task preempted", func(h *leaderHarness, j *jobstate.Job) { h.core.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
+		{"one task done", func(h *leaderHarness, j *jobstate.Job) {
+			h.core.tasks.taskDone(j, 0)
+			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitDone})
 		}, "1: 2: "},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
+			h := newLeaderHarness(t)
 			j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: n, Need: jobstate.Resources{CPU: 1000}, Estimate: 50 * second, Checkpoint: second, Save: config.Second, Image: "im", ImageMB: 1000})
-			r.placeRunning(j, false)
-			r.c.now = r.now
-			tc.do(r, j)
+			h.placeRunning(j, false)
+			h.core.now = h.now
+			tc.do(h, j)
 			if got := stops(j); got != tc.want {
 				t.Errorf("got stop reasons %q, want %q", got, tc.want)
 			}
-			all := r.c.planner.unfinished()
-			used, in := r.c.planner.usage(), r.c.planner.jobsWithinGuarantee(all)
-			for _, s := range r.c.planner.schedJobs(all, used, in) {
+			all := h.core.planner.unfinished()
+			used, in := h.core.planner.usage(), h.core.planner.jobsWithinGuarantee(all)
+			for _, s := range h.core.planner.schedJobs(all, used, in) {
 				if s.ID == "g" {
 					t.Error("gang is planned again before all tasks of its last attempt have stopped")
 				}
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -13,26 +13,26 @@
 // task has its image and is about to exit, as its usage adds to what the new leader starts. This was
 // seen in TestPipelines, seed 261, under the third leader.
 func TestPrefetchQuota(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.c.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
+	h := newLeaderHarness(t)
+	h.core.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
 	used := map[string]teamUsage{"t": {gpu: 12_000}}
-	headroom := func() int64 { return r.c.planner.quotaHeadroom(map[string]*sched.Headroom{}, used, "t").GPU }
+	headroom := func() int64 { return h.core.planner.quotaHeadroom(map[string]*sched.Headroom{}, used, "t").GPU }
 	mayPrefetch := func() bool {
-		return r.c.prefetcher.withinLimit("t", teamUsage{gpu: 1000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000})
+		return h.core.prefetcher.withinLimit("t", teamUsage{gpu: 1000}, h.core.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000})
 	}
 	if got := headroom(); got != 2000 || mayPrefetch() {
 		t.Errorf("new leader: got headroom %d and prefetch allowed %v, want 2000 and false", got, mayPrefetch())
 	}
-	r.c.elector.leadership.fencingToken = 1
+	h.core.elector.leadership.fencingToken = 1
 	if got := headroom(); got != 4000 || !mayPrefetch() {
 		t.Errorf("first leader of the cluster: got headroom %d and prefetch allowed %v, want 4000 and true", got, mayPrefetch())
 	}
-	r.c.elector.leadership.fencingToken = 6
-	r.tick(r.c.settings.FailoverEpochTimeout())
+	h.core.elector.leadership.fencingToken = 6
+	h.tick(h.core.settings.FailoverEpochTimeout())
 	if got := headroom(); got != 4000 || !mayPrefetch() {
 		t.Errorf("after the inherited prefetches have expired: got headroom %d and prefetch allowed %v, want 4000 and true", got, mayPrefetch())
 	}
-	if r.c.prefetcher.withinLimit("t", teamUsage{gpu: 2000}, r.c.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000}) {
+	if h.core.prefetcher.withinLimit("t", teamUsage{gpu: 2000}, h.core.prefetcher.quotaShareForPrefetch(), jobstate.Resources{GPU: 1000}) {
 		t.Error("withinLimit beyond the share for prefetches: got true, want false")
 	}
 }
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -25,10 +25,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
+			h := newLeaderHarness(t)
+			h.core.prefetcher.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
 			got := ""
-			for i, s := range r.c.elector.leadership.prefetch.sources["im"] {
+			for i, s := range h.core.elector.leadership.prefetch.sources["im"] {
 				m := &fleet.Machine{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%2))}
 				may := s.mayRunIn(m.Zone)
 				got += fmt.Sprintf("%s:%v ", m.Zone, may)
@@ -42,12 +42,12 @@
 			if got != tc.want {
 				t.Errorf("mayRunIn by zone: got %q, want %q", got, tc.want)
 			}
-			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
+			for _, s := range h.core.elector.leadership.prefetch.sources["im"] {
 				if s.machine != "" {
 					s.end()
 				}
 			}
-			for _, s := range r.c.elector.leadership.prefetch.sources["im"] {
+			for _, s := range h.core.elector.leadership.prefetch.sources["im"] {
 				if !s.mayRunIn("b") {
 					t.Error("mayRunIn in zone b after all prefetches have ended: got false, want true")
 				}
@@ -62,13 +62,13 @@
 func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.c.settings.State.ValueKB = 8
+			h := newLeaderHarness(t)
+			h.core.settings.State.ValueKB = 8
 			for k := range 20 {
-				r.c.prefetcher.addImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
+				h.core.prefetcher.addImageDemand(&jobstate.Spec{Image: fmt.Sprint("im-", k), Tasks: 1})
 			}
 			for i := range machines {
-				m := r.c.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
+				m := h.core.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
 				for k := range 20 {
 					if (i+k)%3 == 0 {
 						m.RecordImageUse(fmt.Sprint("im-", k), 5000, 1)
@@ -76,32 +76,32 @@
 				}
 			}
 			for k := range 20 {
-				r.c.prefetcher.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
+				h.core.prefetcher.addPrefetchSources(&jobstate.Spec{ID: fmt.Sprint("job-", k), Image: fmt.Sprint("im-", k), Kind: jobstate.Array, Tasks: 2})
 			}
-			images := r.c.prefetcher.mostWantedImages()
+			images := h.core.prefetcher.mostWantedImages()
 			parts := 1 + machines*machineBytes/6000
 			next := newLeaderHarness(t)
 			for part := range parts {
-				v := r.c.prefetcher.encodeImageHints(images, part, parts)
+				v := h.core.prefetcher.encodeImageHints(images, part, parts)
 				if len(v) > 8000 {
 					t.Fatalf("hints value: got %d bytes, want at most 8000", len(v))
 				}
-				next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
+				next.core.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
 			}
 			// A value that an earlier leader wrote beyond the last part.
-			next.c.cache.imageHints[fmt.Sprint(hintsKey, "/", parts)] = next.c.cache.imageHints[hintsKey+"/0"]
-			next.c.prefetcher.loadImageHints()
-			next.c.prefetcher.loadImageHints()
+			next.core.cache.imageHints[fmt.Sprint(hintsKey, "/", parts)] = next.core.cache.imageHints[hintsKey+"/0"]
+			next.core.prefetcher.loadImageHints()
+			next.core.prefetcher.loadImageHints()
 			for i := range machines {
-				m := next.c.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
-				next.c.prefetcher.restoreKnownImages(m)
+				m := next.core.workers.getOrAddMachine(fmt.Sprintf("host-%06d", i))
+				next.core.prefetcher.restoreKnownImages(m)
 				for k := range 20 {
 					if _, has := m.Images[fmt.Sprint("im-", k)]; has != ((i+k)%3 == 0) {
 						t.Fatalf("%s has im-%d: got %v, want %v", m.Name, k, has, (i+k)%3 == 0)
 					}
 				}
 			}
-			if n := len(next.c.elector.leadership.hints.inheritedSources); n > 20 || machines < 1000 && n < 10 {
+			if n := len(next.core.elector.leadership.hints.inheritedSources); n > 20 || machines < 1000 && n < 10 {
 				t.Errorf("inherited jobs: got %d, want at most 20, and at least 10 in fleets of fewer than 1000 machines", n)
 			}
 		})
@@ -121,33 +121,33 @@
 		{0, 3, "0 2"},
 	}
 	for _, tc := range cases {
-		r := newLeaderHarness(t)
-		c := r.c
-		c.cache.machineTypes = []fleet.Type{
+		h := newLeaderHarness(t)
+		core := h.core
+		core.cache.machineTypes = []fleet.Type{
 			{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 		}
 		add := func(n int, typ string) {
 			for i := range n {
-				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), c.now)
-				m.Type, m.Zone, m.HasCurrentToken, m.LastHeartbeat = typ, "a", true, c.now
-				m.SetType(c.cache.machineTypes)
-				c.elector.leadership.fleet.Add(m)
+				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), core.now)
+				m.Type, m.Zone, m.HasCurrentToken, m.LastHeartbeat = typ, "a", true, core.now
+				m.SetType(core.cache.machineTypes)
+				core.elector.leadership.fleet.Add(m)
 			}
 		}
 		add(tc.small, "c")
 		add(tc.large, "g")
 		for i, need := range []jobstate.Resources{{CPU: 1000}, {CPU: 1000, GPU: 1000}} {
 			s := &jobstate.Spec{ID: fmt.Sprint("done-", i), Team: "t", Image: fmt.Sprint("im-", i), ImageMB: 1000, Kind: jobstate.Array, Tasks: 40, Need: need}
-			c.prefetcher.addImageDemand(s)
+			core.prefetcher.addImageDemand(s)
 			for range 3 {
-				c.prefetcher.addPrefetchSources(s)
+				core.prefetcher.addPrefetchSources(s)
 			}
 		}
-		c.elector.leadership.prefetch.lastRoundAt = 0
-		c.prefetcher.prefetchTick()
+		core.elector.leadership.prefetch.lastRoundAt = 0
+		core.prefetcher.prefetchTick()
 		n := map[string]int{}
-		for _, m := range c.elector.leadership.fleet.All() {
+		for _, m := range core.elector.leadership.fleet.All() {
 			if m.Prefetch != nil {
 				n[m.Type]++
 			}
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -14,25 +14,25 @@
 // what was reported to users. If its watch delivers nothing the leader reads the stored state, and
 // without an answer it stops answering workers after its authority time.
 func TestStateReadProof(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	b.watchHung = true
-	before := b.c.elector.leadership.authorityProvenAt()
-	b.advance(3 * second)
-	if v := takeEffects[ReadState](b); len(v) < 2 || v[0].ForRequests {
+	h := newPeerHarness(t, "n0")
+	h.watchHung = true
+	before := h.core.elector.leadership.authorityProvenAt()
+	h.advance(3 * second)
+	if v := takeEffects[ReadState](h); len(v) < 2 || v[0].ForRequests {
 		t.Errorf("hung watch: got reads of the state %+v, want at least 2, the first not for requests", v)
 	}
-	if at := b.c.elector.leadership.tokenProvenAt; at <= before {
+	if at := h.core.elector.leadership.tokenProvenAt; at <= before {
 		t.Fatalf("got fencing token proven at %d us, want later than %d us by a renewal of the lease", at, before)
 	}
-	if at := b.c.elector.leadership.authorityProvenAt(); at != before {
+	if at := h.core.elector.leadership.authorityProvenAt(); at != before {
 		t.Errorf("after renewals only: got authority proven at %d us, want %d us as before", at, before)
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.c.cache.appliedRevision, SentAt: b.now - second/2, Immediate: true})
-	if at := b.c.elector.leadership.authorityProvenAt(); at != b.now-second/2 {
-		t.Errorf("after a read: got authority proven at %d us, want %d us as sent", at, b.now-second/2)
+	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.core.cache.appliedRevision, SentAt: h.now - second/2, Immediate: true})
+	if at := h.core.elector.leadership.authorityProvenAt(); at != h.now-second/2 {
+		t.Errorf("after a read: got authority proven at %d us, want %d us as sent", at, h.now-second/2)
 	}
-	b.advance(b.c.settings.LeaderAuthorityTime() + second)
-	if b.c.elector.mayAnswerWorkers() {
+	h.advance(h.core.settings.LeaderAuthorityTime() + second)
+	if h.core.elector.mayAnswerWorkers() {
 		t.Error("got workers answered after the authority time without a read of the state, want no answers")
 	}
 }
@@ -40,46 +40,46 @@
 // TestInformHolder checks that a leader which holds a controller's read lease is informed of a
 // cancellation before any user is told, whichever request the user sent.
 func TestInformHolder(t *testing.T) {
-	s := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
-	s.core.settings.Peers = []string{"n1"}
-	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
+	h := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
+	h.core.settings.Peers = []string{"n1"}
+	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
 	// ask sends a request and returns its number and the answer after half a second, if any.
 	ask := func(build func(req uint64) any) (uint64, Reply) {
-		s.lastRequest++
-		s.step(build(s.lastRequest))
-		s.advance(second / 2)
-		return s.lastRequest, s.replies[s.lastRequest]
+		h.lastRequest++
+		h.step(build(h.lastRequest))
+		h.advance(second / 2)
+		return h.lastRequest, h.replies[h.lastRequest]
 	}
 	cancel := func(id string) func(uint64) any {
 		return func(req uint64) any { return CancelJob{RequestID: req, ID: id} }
 	}
 	poll := func(req uint64) any { return QueryJob{RequestID: req, ID: "a"} }
 	ack := func(a *readlease.HolderAck) {
-		s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: a}})
+		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: a}})
 	}
-	s.advance(second)
+	h.advance(second)
 	ack(&readlease.HolderAck{})
-	s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
-	if p := s.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
+	h.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
+	if p := h.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
 		t.Fatalf("got read lease %+v, want a complete one without cancellations", p)
 	}
 	// The cancellation itself, another user's poll and a repeated submission.
 	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
 		n, r := ask(build)
-		if s.keys[endPrefix+"a"].Revision == 0 {
+		if h.keys[endPrefix+"a"].Revision == 0 {
 			t.Fatal("got no stored end of job a, want its cancellation stored")
 		}
 		if r.Status != 0 {
 			t.Errorf("%T: got status %d before the leader knew of the cancellation, want no answer", build(0), r.Status)
 		}
-		s.advance(maxHeldReply)
-		if r := s.replies[n]; r.Status != 503 || r.RetryAfter != 1 {
+		h.advance(maxHeldReply)
+		if r := h.replies[n]; r.Status != 503 || r.RetryAfter != 1 {
 			t.Errorf("%T: got reply %+v after maxHeldReply, want status 503 and retry after 1 s", build(0), r)
 		}
 	}
 	n, _ := ask(poll)
 	ack(&readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: 1})
-	if r := s.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
+	if r := h.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
 		t.Errorf("once the leader knows: got reply %+v, want status 200 and the job cancelled", r)
 	}
 	// The leader never learns of the next cancellation: the answer is held back until its
@@ -87,7 +87,7 @@
 	if _, r := ask(cancel("c")); r.Status != 0 {
 		t.Errorf("leader not informed: got status %d, want no answer", r.Status)
 	}
-	s.advance(s.core.settings.LeaderAuthorityTime() + 2*second)
+	h.advance(h.core.settings.LeaderAuthorityTime() + 2*second)
 	if _, r := ask(cancel("c")); r.Status != 200 {
 		t.Errorf("after the read lease expired: got reply %+v, want status 200", r)
 	}
@@ -96,12 +96,12 @@
 // TestReadLeaseConditions checks that operators see for how long a leader may continue to answer
 // workers in an outage of the state service, and which peers have granted no read lease.
 func TestReadLeaseConditions(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.c.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, r.c.settings.LeaderAuthorityTime())
+	h := newLeaderHarness(t)
+	h.core.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, h.core.settings.LeaderAuthorityTime())
 	view := func() *OperatorView {
-		r.replies = nil
-		r.step(QueryOperatorView{RequestID: 5})
-		return r.replies[0].Ops
+		h.replies = nil
+		h.step(QueryOperatorView{RequestID: 5})
+		return h.replies[0].Ops
 	}
 	missingReadLeases := func(v *OperatorView) (n int) {
 		for _, s := range v.Conditions {
@@ -114,19 +114,19 @@
 	if v := view(); missingReadLeases(v) != 0 || v.AnswersForS < 1 {
 		t.Errorf("no outage: got conditions %v and answers for %.1f s, want no missing read lease and at least 1 s", v.Conditions, v.AnswersForS)
 	}
-	r.stateSilent = true
+	h.stateSilent = true
 	for range 30 {
-		r.tick(second / 10)
+		h.tick(second / 10)
 	}
 	if v := view(); missingReadLeases(v) != 2 {
 		t.Errorf("no read lease granted: got conditions %v, want 2 missing read leases", v.Conditions)
 	}
-	r.step(PeerPinged{Peer: "n1", SentAt: r.now, OK: true, Status: PeerStatus{FencingToken: r.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
+	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{FencingToken: h.token, ReadLease: &readlease.CancellationPage{Incarnation: "x", Complete: true}}})
 	if v := view(); missingReadLeases(v) != 1 {
 		t.Errorf("one read lease granted: got conditions %v, want 1 missing read lease", v.Conditions)
 	}
 	for range 200 {
-		r.tick(second / 10)
+		h.tick(second / 10)
 	}
 	if v := view(); v.AnswersForS >= 0 || missingReadLeases(v) != 2 {
 		t.Errorf("read lease expired: got conditions %v and answers for %.1f s, want 2 missing read leases and less than 0 s", v.Conditions, v.AnswersForS)
@@ -136,22 +136,22 @@
 // TestInformHolderOfSweep checks that a leader which holds a controller's read lease is informed
 // of a cancelled sweep before any user who asks about the sweep or one of its runs.
 func TestInformHolderOfSweep(t *testing.T) {
-	s := newSweepHarness(t, true)
-	s.submitSweep(sweepOf(2, 1000))
+	h := newSweepHarness(t, true)
+	h.submitSweep(sweepOf(2, 1000))
 	for i, spec := range sweepOf(2, 1000).Plan.Specs {
-		s.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
+		h.store(jobPrefix+fmt.Sprint("sweep.s.", i), jobstate.Record{Spec: spec, SubmittedWall: 1})
 	}
-	s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision, Immediate: true})
-	s.core.sweepManager.getOrAddSweep("s").plan = sweepOf(2, 1000).Plan
-	if s.core.cache.jobs["sweep.s.1"] == nil {
+	h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision, Immediate: true})
+	h.core.sweepManager.getOrAddSweep("s").plan = sweepOf(2, 1000).Plan
+	if h.core.cache.jobs["sweep.s.1"] == nil {
 		t.Fatal("got no run sweep.s.1 in the state cache, want it there")
 	}
-	s.core.settings.Peers = []string{"n1"}
-	s.core.readLeases.grantor = readlease.NewGrantor("b", s.core.settings.Peers, s.core.settings.LeaderAuthorityTime(), s.now)
-	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
+	h.core.settings.Peers = []string{"n1"}
+	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
+	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 	ask := func() *readlease.CancellationPage {
-		s.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
-		return s.replies[900].PeerStatus.ReadLease
+		h.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
+		return h.replies[900].PeerStatus.ReadLease
 	}
 	ask()
 	builds := []func(req uint64) any{
@@ -161,21 +161,21 @@
 		func(req uint64) any { return QueryJob{RequestID: req, ID: "sweep.s.1"} },
 	}
 	for _, build := range builds {
-		if r := s.requestSweep(build); r.Status == 200 {
+		if r := h.requestSweep(build); r.Status == 200 {
 			t.Errorf("%T: got reply %+v before the leader knew of the cancellation, want a status other than 200", build(0), r)
 		}
 	}
-	if s.keys[sweepEndPrefix+"s"].Revision == 0 {
+	if h.keys[sweepEndPrefix+"s"].Revision == 0 {
 		t.Fatal("got no stored end of sweep s, want its cancellation stored")
 	}
 	p := ask()
 	if !slices.Contains(p.Cancelled, cancelledSweepPrefix+"s") {
 		t.Errorf("got read lease with cancellations %v, want sweep s among them", p.Cancelled)
 	}
-	s.step(PeerPinged{Peer: "n1", SentAt: s.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
+	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
 	builds = slices.Delete(builds, 2, 3) // the plan of an ended sweep is not available at once
 	for _, build := range builds {
-		if r := s.requestSweep(build); r.Status != 200 {
+		if r := h.requestSweep(build); r.Status != 200 {
 			t.Errorf("%T: got reply %+v once the leader knew of the cancellation, want status 200", build(0), r)
 		}
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -20,7 +20,7 @@
 // workerFleet simulates a leader with a fleet of workers and a stream of jobs, in one loop with
 // fake time, so that the cost of running it is that of the core at this size.
 type workerFleet struct {
-	c               *Core
+	core               *Core
 	now             int64
 	revision        uint64
 	rng             *rand.Rand
@@ -70,7 +70,7 @@
 	w.settings.State.RPS, w.settings.State.WriteRPS, w.settings.State.ValueKB, w.settings.State.TxnOps = 250, 100, 8, 48
 	w.settings.Cloud.RPS = 1.5
 	w.settings.Limits.CoreShare = 1
-	w.c = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	w.core = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 48000, GPU: 8000, Mem: 288000}, FetchRate: 600, CacheMB: 150_000, Zones: w.settings.Zones}}
 	w.store(tokenKey, encodeJSON(tokenRecord{5}))
 	w.store(typesKey, encodeJSON(types))
@@ -78,14 +78,14 @@
 	for i := range machines {
 		w.workers = append(w.workers, &worker{name: fmt.Sprintf("host-%06d", i), zone: w.settings.Zones[i%3], heartbeatDueAt: w.now + w.rng.Int64N(8*second), tasks: map[string]*workerTask{}})
 	}
-	for w.c.elector.leadership == nil {
+	for w.core.elector.leadership == nil {
 		w.tick()
 	}
 	return w
 }
 
 func (w *workerFleet) step(msg any) {
-	for _, e := range w.c.Step(w.now, msg) {
+	for _, e := range w.core.Step(w.now, msg) {
 		switch e := e.(type) {
 		case Reply:
 			if h := w.awaitingReply[e.RequestID]; h != nil {
@@ -136,12 +136,12 @@
 	rows := slices.SortedFunc(maps.Values(w.stored), func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
 	w.pendingMessages, w.awaitingReply = nil, map[uint64]*worker{}
 	w.settings.Incarnation += "b"
-	w.c = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	w.core = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	for _, h := range w.workers {
 		h.awaitsReply, h.heartbeatDueAt = false, w.now+w.rng.Int64N(8*second)
 	}
 	w.step(StateListed{Revision: w.revision, Changes: rows})
-	for w.c.elector.leadership == nil {
+	for w.core.elector.leadership == nil {
 		w.tick()
 	}
 }
@@ -289,7 +289,7 @@
 	w.failOver()
 	w.run(20, 0)
 	known := 0
-	for _, m := range w.c.elector.leadership.fleet.All() {
+	for _, m := range w.core.elector.leadership.fleet.All() {
 		if m.HasCurrentToken {
 			known++
 		}
@@ -307,7 +307,7 @@
 	var mem runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&mem)
-	t.Logf("heap including the simulated workers: %d MiB, held replies: %d", mem.HeapAlloc>>20, len(w.c.elector.leadership.heartbeats.held.byName))
+	t.Logf("heap including the simulated workers: %d MiB, held replies: %d", mem.HeapAlloc>>20, len(w.core.elector.leadership.heartbeats.held.byName))
 	if mem.HeapAlloc > 200<<20 {
 		t.Errorf("got a heap of %d MiB, want at most 200", mem.HeapAlloc>>20)
 	}
@@ -322,8 +322,8 @@
 		machines, sockets = 800, 300
 	}
 	w := newWorkerFleet(machines)
-	w.c.settings.Limits.Sockets = sockets
-	held := &w.c.elector.leadership.heartbeats.held
+	w.core.settings.Limits.Sockets = sockets
+	held := &w.core.elector.leadership.heartbeats.held
 	most := 0
 	for range 30 * 20 {
 		w.tick()
@@ -354,33 +354,33 @@
 			case 0:
 				h.dead = !h.dead
 			case 1:
-				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
-					w.c.scaler.queueScaleIn(h.name)
+				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil {
+					w.core.scaler.queueScaleIn(h.name)
 				}
 			case 2:
-				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.c.elector.leadership.fencingToken})
+				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.core.elector.leadership.fencingToken})
 			case 3:
-				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
+				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
 					h.hasPreemptionNotice = true
 				}
 			case 4:
-				if m := w.c.elector.leadership.fleet.Get(h.name); m != nil {
-					w.c.planner.machineGone(m, "removed by the test")
+				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil {
+					w.core.planner.machineGone(m, "removed by the test")
 				}
 			case 5:
-				w.c.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
-				w.step(MachineTypesListed{Types: w.c.cache.machineTypes, FencingToken: w.c.elector.leadership.fencingToken})
+				w.core.cache.machineTypes[0].Cap.CPU = 40000 + w.rng.Int64N(9)*1000
+				w.step(MachineTypesListed{Types: w.core.cache.machineTypes, FencingToken: w.core.elector.leadership.fencingToken})
 			case 6:
-				w.c.cache.partitions.Boundaries = fleet.PartitionBoundaries([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
+				w.core.cache.partitions.Boundaries = fleet.PartitionBoundaries([]uint32{w.rng.Uint32(), w.rng.Uint32(), w.rng.Uint32()}, queueCount)
 			case 7, 8, 9:
 				w.submit()
 			}
 			w.tick()
-			w.c.planner.refreshIndex()
-			l, n := w.c.elector.leadership, 0
+			w.core.planner.refreshIndex()
+			l, n := w.core.elector.leadership, 0
 			for _, m := range l.fleet.All() {
 				v := l.plannerIndex.indexed[m]
-				if !w.c.planner.usable(m) {
+				if !w.core.planner.usable(m) {
 					if v != nil {
 						t.Fatalf("machine %s: got an index entry for an unusable machine, want none", m.Name)
 					}
@@ -388,7 +388,7 @@
 				}
 				n++
 				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
-				if want := []any{m.Type, m.Zone, m.Spot, w.c.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.c.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.plannerIndex.index.Find(m.Name) != &v.Machine {
+				if want := []any{m.Type, m.Zone, m.Spot, w.core.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.core.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.plannerIndex.index.Find(m.Name) != &v.Machine {
 					t.Fatalf("machine %s: got index entry %v, want %v", m.Name, got, want)
 				}
 			}
@@ -418,7 +418,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(w.writes)/float64(b.N), "writes/op")
-			b.ReportMetric(float64(len(w.c.elector.leadership.planning.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.core.elector.leadership.planning.waitingJobs)), "waiting")
 		})
 	}
 }
@@ -439,7 +439,7 @@
 			}
 			b.ReportMetric(float64(w.started)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(w.started), "us/start")
-			b.ReportMetric(float64(len(w.c.elector.leadership.planning.waitingJobs)), "waiting")
+			b.ReportMetric(float64(len(w.core.elector.leadership.planning.waitingJobs)), "waiting")
 		})
 	}
 }
@@ -455,7 +455,7 @@
 			}
 			add(tokenKey, encodeJSON(tokenRecord{5}))
 			w := newWorkerFleet(n)
-			add(typesKey, encodeJSON(w.c.cache.machineTypes))
+			add(typesKey, encodeJSON(w.core.cache.machineTypes))
 			for k := range n / 25 {
 				s := &jobstate.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: jobstate.Array, Tasks: 100, Need: jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
 				j := jobstate.NewJob(s)
@@ -471,9 +471,9 @@
 				for _, h := range next.workers {
 					h.awaitsReply, h.heartbeatDueAt, h.token = false, second, 0
 				}
-				next.c = New(w.settings, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+				next.core = New(w.settings, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 				next.step(StateListed{Revision: next.revision, Changes: rows})
-				for next.c.elector.leadership == nil {
+				for next.core.elector.leadership == nil {
 					next.tick()
 				}
 				next.run(2, 0)
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -33,28 +33,28 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.now += 100 * second
-			r.c.now, r.c.elector.leadership.since = r.now, r.now
+			h := newLeaderHarness(t)
+			h.now += 100 * second
+			h.core.now, h.core.elector.leadership.since = h.now, h.now
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.live, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
-			r.placeRunning(j, false)
+			h.placeRunning(j, false)
 			for i := range tc.silent {
-				if m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
+				if m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
 					m.LastHeartbeat = 0
 				}
 			}
-			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
-			r.now += tc.after * second
-			r.c.now = r.now
+			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
+			h.now += tc.after * second
+			h.core.now = h.now
 			for i := range tc.live {
-				r.c.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
+				h.core.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = h.now
 			}
-			r.c.elector.leadership.tokenProvenAt = r.now
+			h.core.elector.leadership.tokenProvenAt = h.now
 			if tc.unproved {
-				r.c.elector.leadership.tokenProvenAt = r.now - 10*second
+				h.core.elector.leadership.tokenProvenAt = h.now - 10*second
 			}
-			r.c.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.elector.leadership.scaling.toScaleIn); got != tc.releases {
+			h.core.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn); got != tc.releases {
 				t.Errorf("machines to return: got %d, want %d", got, tc.releases)
 			}
 		})
@@ -79,17 +79,17 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.now += 5000 * second
-			r.c.now, r.c.elector.leadership.since, r.c.elector.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
-			r.c.cache.machineTypes[0].Boot = 30 * second
-			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, listedRunning: tc.up}
+			h := newLeaderHarness(t)
+			h.now += 5000 * second
+			h.core.now, h.core.elector.leadership.since, h.core.elector.leadership.tokenProvenAt = h.now, h.now-tc.led*second, h.now
+			h.core.cache.machineTypes[0].Boot = 30 * second
+			h.core.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: h.now - tc.since*second, listedRunning: tc.up}
 			if tc.live {
-				r.c.workers.getOrAddMachine("b").LastHeartbeat = r.now
+				h.core.workers.getOrAddMachine("b").LastHeartbeat = h.now
 			}
-			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
-			r.c.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
+			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
+			h.core.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
 				t.Errorf("machine returned: got %v, want %v", got, tc.released)
 			}
 		})
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -264,10 +264,10 @@
 // their contents in its state.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).c.settings
+	set := newLeaderHarness(t).core.settings
 	set.Peers = []string{"n1", "n2", "n3"}
 	set.Ops.Sweeps = true
-	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	core := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
 	rows, raws := readStoredFile(t)
 	l := StateListed{Revision: 100}
 	for i, r := range rows {
@@ -276,26 +276,26 @@
 		}
 		l.Changes = append(l.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
 	}
-	c.Step(second, l)
-	if logged.Len() > 0 || !c.cache.synced {
-		t.Fatalf("got synced %v, logged errors %q, want true and no errors", c.cache.synced, logged.String())
+	core.Step(second, l)
+	if logged.Len() > 0 || !core.cache.synced {
+		t.Fatalf("got synced %v, logged errors %q, want true and no errors", core.cache.synced, logged.String())
 	}
-	done, _ := c.cache.ends.Get("e-done")
-	ended, _ := c.cache.ends.Get("e-ended")
+	done, _ := core.cache.ends.Get("e-done")
+	ended, _ := core.cache.ends.Get("e-ended")
 	for key, got := range map[string]any{
-		LeaderKey: c.cache.leader, tokenKey: c.cache.token, partitionsKey: c.cache.partitions, formatKey: c.membership.format,
-		endPrefix + "e-done": done, endPrefix + "e-ended": ended, sweepPrefix + "s": c.sweepManager.sweeps["s"].head,
-		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"]),
+		LeaderKey: core.cache.leader, tokenKey: core.cache.token, partitionsKey: core.cache.partitions, formatKey: core.membership.format,
+		endPrefix + "e-done": done, endPrefix + "e-ended": ended, sweepPrefix + "s": core.sweepManager.sweeps["s"].head,
+		memberPrefix + "n1": core.membership.activation.Advertisements()["n1"], memberPrefix + "n2": core.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(core.cache.imageHints[hintsKey+"/0"]),
 	} {
 		if !bytes.Equal(raws[key], encodeJSON(got)) {
 			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), raws[key])
 		}
 	}
-	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.enabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
-		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
+	if len(core.cache.machineTypes) != 2 || core.cache.machineTypes[1].Cap.CPU != 8000 || len(core.cache.progressLog) != 2 || core.membership.chunkTasks != 64 || !core.sweepManager.enabled() || !core.membership.activation.Enabled(upgrade.SharedReads) {
+		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", core.cache.machineTypes, len(core.cache.progressLog), core.membership.chunkTasks, core.membership.activation.FeatureStates())
 	}
 	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
-		j := c.cache.jobs[id]
+		j := core.cache.jobs[id]
 		if j == nil || j.Outcome() != over || j.Truncated != (id == "j-brief") {
 			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, over, id == "j-brief")
 			continue
@@ -323,7 +323,7 @@
 		{"j-full", 299, "host-000012", 9, false},
 		{"j-full", 298, "", 8, true},
 	} {
-		if k := c.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
+		if k := core.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
 			t.Errorf("task %s/%d: got %+v, want %+v", x.job, x.task, k, x)
 		}
 	}
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -36,16 +36,16 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
+			h := newLeaderHarness(t)
 			var got []TransactionResult
-			r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
-			r.c.effects = nil // nobody answers
-			r.c.transactions.Observe(tc.changes, r.c.now)
-			r.tick(txn.AnswerTimeout - 50_000)
+			h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
+			h.core.effects = nil // nobody answers
+			h.core.transactions.Observe(tc.changes, h.core.now)
+			h.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
 				t.Fatalf("got results %+v before the answer timeout, want none", got)
 			}
-			r.tick(100_000)
+			h.tick(100_000)
 			if ok := len(got) == 1 && got[0].Outcome == kv.Committed && got[0].Revision == observedRevision && got[0].Observed; ok != tc.want || len(got) > 1 {
 				t.Errorf("got results %+v, want one observed commit at revision %d: %v", got, observedRevision, tc.want)
 			}
@@ -60,13 +60,13 @@
 		answer, want kv.Outcome
 		observed     bool
 	}{{kv.Committed, kv.Committed, false}, {kv.Conflict, kv.Conflict, false}, {kv.Unavailable, kv.Unavailable, false}, {kv.Unknown, kv.Committed, true}} {
-		r := newLeaderHarness(t)
+		h := newLeaderHarness(t)
 		var got []TransactionResult
-		r.c.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m TransactionResult) { got = append(got, m) })
-		r.c.effects = nil // nobody answers
-		r.c.transactions.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, r.c.now)
-		r.c.transactions.Complete(TransactionResult{ID: r.c.lastID, Outcome: tc.answer, Revision: 9})
-		r.tick(second)
+		h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m TransactionResult) { got = append(got, m) })
+		h.core.effects = nil // nobody answers
+		h.core.transactions.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, h.core.now)
+		h.core.transactions.Complete(TransactionResult{ID: h.core.lastID, Outcome: tc.answer, Revision: 9})
+		h.tick(second)
 		if len(got) != 1 || got[0].Outcome != tc.want || got[0].Observed != tc.observed {
 			t.Errorf("answer %d: got results %+v, want one with outcome %d, observed %v", tc.answer, got, tc.want, tc.observed)
 		}
@@ -77,24 +77,24 @@
 // the state service is lost, the user is answered within half a second, and not only when the
 // writer stops waiting for the answer.
 func TestAnswerLost(t *testing.T) {
-	s := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
-	s.advance(200_000)
-	s.losesAnswers = true
+	h := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
+	h.advance(200_000)
+	h.losesAnswers = true
 	for _, tc := range []struct {
 		msg  any
 		want string
 	}{{SubmitJob{Spec: job("new").Spec}, Queued}, {CancelJob{ID: "open"}, "cancelled"}, {CancelJob{ID: "new"}, "cancelled"}} {
-		at := s.now
-		r := s.request(tc.msg)
+		at := h.now
+		r := h.request(tc.msg)
 		if r.Job == nil || r.Job.State != tc.want {
 			t.Fatalf("%T: got reply %+v, want job state %s", tc.msg, r, tc.want)
 		}
-		if s.now-at > second/2 {
-			t.Errorf("%T: got reply after %d us, want at most %d us", tc.msg, s.now-at, second/2)
+		if h.now-at > second/2 {
+			t.Errorf("%T: got reply after %d us, want at most %d us", tc.msg, h.now-at, second/2)
 		}
 	}
 	for _, id := range []string{"new", "open"} {
-		if s.keys[endPrefix+id].Value == nil {
+		if h.keys[endPrefix+id].Value == nil {
 			t.Errorf("job %s: got no stored end, want one", id)
 		}
 	}
@@ -104,8 +104,8 @@
 // being written causes no further writes: the writes per second are limited, and placements need
 // them.
 func TestRepeatedRequestsWriteOnce(t *testing.T) {
-	s := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
-	s.advance(200_000)
+	h := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
+	h.advance(200_000)
 	for _, tc := range []struct {
 		id, want string
 		msg      func(req uint64) any
@@ -114,32 +114,32 @@
 		{"open", "cancelled", func(req uint64) any { return CancelJob{RequestID: req, ID: "open"} }},
 	} {
 		var reqs []uint64
-		s.delaysCommits = true
+		h.delaysCommits = true
 		for range 5 {
 			for range 6 {
-				s.lastRequest++
-				reqs = append(reqs, s.lastRequest)
-				s.step(tc.msg(s.lastRequest))
+				h.lastRequest++
+				reqs = append(reqs, h.lastRequest)
+				h.step(tc.msg(h.lastRequest))
 			}
-			s.advance(100_000)
+			h.advance(100_000)
 		}
 		n := 0
-		for _, e := range s.delayedCommits {
+		for _, e := range h.delayedCommits {
 			for _, w := range e.Writes {
 				if w.Key == jobPrefix+tc.id {
 					n++
 				}
 			}
 		}
-		s.delaysCommits = false
-		for len(s.delayedCommits) > 0 {
-			e := s.delayedCommits[0]
-			s.delayedCommits = s.delayedCommits[1:]
-			s.commit(e)
+		h.delaysCommits = false
+		for len(h.delayedCommits) > 0 {
+			e := h.delayedCommits[0]
+			h.delayedCommits = h.delayedCommits[1:]
+			h.commit(e)
 		}
-		s.advance(second)
+		h.advance(second)
 		for _, r := range reqs {
-			if a := s.replies[r]; a.Job == nil || a.Job.State != tc.want {
+			if a := h.replies[r]; a.Job == nil || a.Job.State != tc.want {
 				t.Errorf("job %s: got reply %+v, want job state %s", tc.id, a, tc.want)
 			}
 		}
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -15,7 +15,7 @@
 	cases := []struct {
 		name  string
 		over  string
-		do    func(r *leaderHarness)
+		do    func(h *leaderHarness)
 		tasks []TaskStatus
 		want  string
 	}{
@@ -24,28 +24,28 @@
 		{"the answer lists another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
 		{"the task has exited", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"no task to stop", "", nil, []TaskStatus{running(3)}, ""},
-		{"heartbeats arrive", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted, no heartbeat would show the freed room", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
-		{"preempted, without proof of leadership", "", func(r *leaderHarness) {
-			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
-			r.stateSilent = true
-			r.tick(4 * second)
+		{"heartbeats arrive", jobstate.Cancelled, func(h *leaderHarness) { h.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
+		{"preempted, no heartbeat would show the freed room", "", func(h *leaderHarness) { h.core.tasks.requestStop(h.core.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted, without proof of leadership", "", func(h *leaderHarness) {
+			h.core.tasks.requestStop(h.core.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
+			h.stateSilent = true
+			h.tick(4 * second)
 		}, []TaskStatus{running(3)}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarnessWithOutcome(t, tc.over)
-			r.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: r.token})
+			h := newLeaderHarnessWithOutcome(t, tc.over)
+			h.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: h.token})
 			if tc.do != nil {
-				tc.do(r)
+				tc.do(h)
 			}
 			probed, got := false, ""
 			for range 20 {
-				r.now += 100_000
-				for _, e := range r.c.Step(r.now, Tick{}) {
+				h.now += 100_000
+				for _, e := range h.core.Step(h.now, Tick{}) {
 					if p, ok := e.(ProbeMachine); ok && p.Machine == "m" && !probed {
 						probed = true
-						for _, e := range r.c.Step(r.now, MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
+						for _, e := range h.core.Step(h.now, MachineProbed{Machine: "m", SentAt: h.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
 							if d, ok := e.(SendCommands); ok {
 								for _, o := range d.Commands {
 									got += fmt.Sprintf("%s %s.%d in %d;", o.Kind, o.Task, o.Attempt, d.Epoch)
@@ -58,7 +58,7 @@
 			if got != tc.want {
 				t.Errorf("direct commands: got %q, want %q (machine probed: %v)", got, tc.want, probed)
 			}
-			if p := r.placed(); p != "m.3" {
+			if p := h.placed(); p != "m.3" {
 				t.Errorf("placement (machine.attempt): got %s, want m.3", p)
 			}
 		})
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -22,24 +22,24 @@
 		{"unknown required feature while leading", nil, map[string]any{featuresKey: needed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newHarness(t, tc.keys)
-			s.advance(2 * second)
-			if led := s.core.elector.leadership != nil; led != (tc.then != nil) {
+			h := newHarness(t, tc.keys)
+			h.advance(2 * second)
+			if led := h.core.elector.leadership != nil; led != (tc.then != nil) {
 				t.Fatalf("before the later change: got leader %v, want %v", led, tc.then != nil)
 			}
 			for k, v := range tc.then {
-				s.store(k, v)
+				h.store(k, v)
 			}
-			s.readState(StateRead{AfterRevision: s.core.cache.appliedRevision})
-			before := s.revision
-			s.advance(10 * second)
-			if s.revision != before || s.core.elector.leadership != nil {
-				t.Errorf("incompatible program: got leader %v and %d writes, want no leader and no write", s.core.elector.leadership != nil, s.revision-before)
+			h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision})
+			before := h.revision
+			h.advance(10 * second)
+			if h.revision != before || h.core.elector.leadership != nil {
+				t.Errorf("incompatible program: got leader %v and %d writes, want no leader and no write", h.core.elector.leadership != nil, h.revision-before)
 			}
-			s.step(CheckReady{RequestID: 1})
-			s.step(QueryJob{RequestID: 2, ID: "x"})
-			if s.replies[1].Status != 503 || s.replies[2].Status != 503 || !strings.Contains(s.replies[1].Error, "start a newer one") {
-				t.Errorf("got replies %+v to CheckReady and %+v to QueryJob, want status 503 for both and \"start a newer one\" in the first", s.replies[1], s.replies[2])
+			h.step(CheckReady{RequestID: 1})
+			h.step(QueryJob{RequestID: 2, ID: "x"})
+			if h.replies[1].Status != 503 || h.replies[2].Status != 503 || !strings.Contains(h.replies[1].Error, "start a newer one") {
+				t.Errorf("got replies %+v to CheckReady and %+v to QueryJob, want status 503 for both and \"start a newer one\" in the first", h.replies[1], h.replies[2])
 			}
 		})
 	}
@@ -48,15 +48,15 @@
 // TestQuit checks that an incompatible program quits once, and only at its start.
 func TestQuit(t *testing.T) {
 	quits := func(starting bool) (n int) {
-		b := newPeerHarness(t, "n1")
-		b.c.cache.appliedRevision = 0
+		h := newPeerHarness(t, "n1")
+		h.core.cache.appliedRevision = 0
 		if !starting {
-			b.c.cache.appliedRevision = 7
+			h.core.cache.appliedRevision = 7
 		}
 		for range 2 {
-			b.step(StateListed{Revision: 30, Changes: []Change{{Key: formatKey, Value: encodeJSON(formatRecord{9, 64}), Revision: 9}}})
+			h.step(StateListed{Revision: 30, Changes: []Change{{Key: formatKey, Value: encodeJSON(formatRecord{9, 64}), Revision: 9}}})
 		}
-		return len(takeEffects[Quit](b))
+		return len(takeEffects[Quit](h))
 	}
 	if quits(true) != 1 || quits(false) != 0 {
 		t.Errorf("got %d Quit effects at the start and %d later, want 1 and 0", quits(true), quits(false))
@@ -66,36 +66,36 @@
 // TestSetDecommissioned checks which controllers operators may declare gone, and that the
 // record is removed when the controller comes back.
 func TestSetDecommissioned(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	b.revision++
-	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n1", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
+	h := newPeerHarness(t, "n0")
+	h.revision++
+	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: memberPrefix + "n1", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: h.revision}}})
 	for _, tc := range []struct {
 		name   string
 		gone   bool
 		status ReplyCode
 	}{{"n0", true, 404}, {"other", true, 404}, {"n1", true, 409}, {"n2", false, 200}, {"n2", true, 200}, {"n2", true, 200}, {"n2", false, 200}} {
-		b.effects = nil
-		b.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
-		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
+		h.effects = nil
+		h.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
+		if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
 			t.Errorf("setting %s decommissioned to %v: got replies %+v, want one with status %d", tc.name, tc.gone, r, tc.status)
 		}
-		if stored := b.c.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
+		if stored := h.core.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
 			t.Errorf("setting %s decommissioned to %v: got %v stored", tc.name, tc.gone, stored)
 		}
 	}
 	// The controller comes back, and its record is removed.
-	b.step(SetDecommissioned{RequestID: 2, Name: "n2", Decommissioned: true})
-	b.revision++
-	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: b.revision}}})
-	b.advance(3 * second)
-	if b.c.membership.isDecommissioned("n2") {
+	h.step(SetDecommissioned{RequestID: 2, Name: "n2", Decommissioned: true})
+	h.revision++
+	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: memberPrefix + "n2", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: h.revision}}})
+	h.advance(3 * second)
+	if h.core.membership.isDecommissioned("n2") {
 		t.Error("n2 came back: got it still decommissioned, want its record removed")
 	}
-	b.stateSilent = true
-	b.advance(4 * second)
-	b.effects = nil
-	b.step(SetDecommissioned{RequestID: 3, Name: "n2", Decommissioned: true})
-	if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
+	h.stateSilent = true
+	h.advance(4 * second)
+	h.effects = nil
+	h.step(SetDecommissioned{RequestID: 3, Name: "n2", Decommissioned: true})
+	if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 		t.Errorf("without the state service: got replies %+v, want one with status 503 and a retry time", r)
 	}
 }
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -37,8 +37,8 @@
 // back unchanged. It guards against a renamed stored field.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).c.settings
-	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	set := newLeaderHarness(t).core.settings
+	core := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
 	var l StateListed
 	want := map[string]json.RawMessage{}
 	for i, k := range readVersion1Fixture(t).Keys {
@@ -46,12 +46,12 @@
 		want[k.Key] = k.Value
 	}
 	l.Revision = 100
-	c.Step(second, l)
+	core.Step(second, l)
 	if logged.Len() > 0 {
 		t.Fatalf("got logged errors %q, want none", logged.String())
 	}
-	if c.membership.logEnabled() || c.membership.chunkTasks != jobstate.DefaultChunkSize {
-		t.Errorf("got log enabled %v, %d tasks per chunk, want false and %d, as in the first format", c.membership.logEnabled(), c.membership.chunkTasks, jobstate.DefaultChunkSize)
+	if core.membership.logEnabled() || core.membership.chunkTasks != jobstate.DefaultChunkSize {
+		t.Errorf("got log enabled %v, %d tasks per chunk, want false and %d, as in the first format", core.membership.logEnabled(), core.membership.chunkTasks, jobstate.DefaultChunkSize)
 	}
 	same := func(key string, got []byte) {
 		t.Helper()
@@ -61,7 +61,7 @@
 		}
 		delete(want, key)
 	}
-	for id, j := range c.cache.jobs {
+	for id, j := range core.cache.jobs {
 		same(jobPrefix+id, jobstate.Record{Spec: j.Spec, SubmittedWall: j.SubmittedWall}.Encode(8000))
 		for n := range j.NumChunks() {
 			if j.Chunk(n).Revision != 0 {
@@ -70,14 +70,14 @@
 			}
 		}
 	}
-	for id, e := range c.cache.ends.All() {
+	for id, e := range core.cache.ends.All() {
 		same(endPrefix+id, encodeJSON(e))
 	}
-	same(LeaderKey, encodeJSON(c.cache.leader))
-	same(tokenKey, encodeJSON(c.cache.token))
-	same(partitionsKey, encodeJSON(c.cache.partitions))
-	same(typesKey, encodeJSON(c.cache.machineTypes))
-	for key, v := range c.cache.imageHints {
+	same(LeaderKey, encodeJSON(core.cache.leader))
+	same(tokenKey, encodeJSON(core.cache.token))
+	same(partitionsKey, encodeJSON(core.cache.partitions))
+	same(typesKey, encodeJSON(core.cache.machineTypes))
+	for key, v := range core.cache.imageHints {
 		var h hintsRecord
 		if err := json.Unmarshal(v, &h); err != nil {
 			t.Error(err)
@@ -215,22 +215,22 @@
 	}
 	for _, tc := range cases {
 		for _, order := range []string{"job first", "job last"} {
-			c := New(newLeaderHarness(t).c.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			core := New(newLeaderHarness(t).core.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 			job := Change{Key: jobPrefix + "j", Value: record, Revision: 1}
 			var rows []Change
 			if order == "job first" {
 				rows = []Change{job}
 			}
-			c.Step(second, StateListed{Changes: rows, Revision: 1})
+			core.Step(second, StateListed{Changes: rows, Revision: 1})
 			for _, ch := range tc.changes {
-				c.cache.apply(ch)
+				core.cache.apply(ch)
 			}
 			if order == "job last" {
-				c.cache.apply(job)
+				core.cache.apply(job)
 			}
 			got := ""
 			for i := range 4 {
-				switch x := c.cache.jobs["j"].Task(i); {
+				switch x := core.cache.jobs["j"].Task(i); {
 				case x.Done:
 					got += "d"
 				case x.Machine != "":
