--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -70,29 +70,29 @@
 			}
 			var list []CloudMachine
 			names := make([]string, 0, len(lifetimes))
-			for n := range lifetimes {
-				names = append(names, n)
+			for name := range lifetimes {
+				names = append(names, name)
 			}
 			slices.Sort(names)
 			moment := int64(0)
-			for i, n := range names {
+			for i, name := range names {
 				if i%7 == 0 { // a new page
 					moment = now - rng.Int64N(8*second)
 				}
-				if x := lifetimes[n]; x.listed <= moment && moment < x.gone {
-					list = append(list, CloudMachine{Name: n, Age: moment - x.made})
+				if life := lifetimes[name]; life.listed <= moment && moment < life.gone {
+					list = append(list, CloudMachine{Name: name, Age: moment - life.made})
 				}
 			}
-			for _, n := range listings.read(now-8*second, now, list) {
-				proven[n] = true
-				if lifetimes[n].gone > now {
-					t.Fatalf("%s is reported as gone %d ms before it is gone", n, (lifetimes[n].gone-now)/1000)
+			for _, name := range listings.read(now-8*second, now, list) {
+				proven[name] = true
+				if lifetimes[name].gone > now {
+					t.Fatalf("%s is reported as gone %d ms before it is gone", name, (lifetimes[name].gone-now)/1000)
 				}
 			}
 		}
-		for n, x := range lifetimes {
-			if x.gone < 340*second && x.gone-x.made > 40*second {
-				if proven[n] {
+		for name, life := range lifetimes {
+			if life.gone < 340*second && life.gone-life.made > 40*second {
+				if proven[name] {
 					found++
 				} else {
 					missed++
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -22,16 +22,16 @@
 	h.core.scaler.queueScaleIn("m")
 	h.effects = nil
 	h.advance(3 * second)
-	if r := takeEffects[ScaleIn](h); len(r) != 0 {
-		t.Errorf("scale-ins by a leader that may have been replaced: got %+v, want none", r)
+	if scaleIns := takeEffects[ScaleIn](h); len(scaleIns) != 0 {
+		t.Errorf("scale-ins by a leader that may have been replaced: got %+v, want none", scaleIns)
 	}
 	h.core.workers.getOrAddMachine("came up").LastHeartbeat = h.now
 	h.core.elector.leadership.scaling.toScaleIn = append(h.core.elector.leadership.scaling.toScaleIn, "came up")
 	h.stateSilent = false
 	h.advance(2 * second)
-	r := takeEffects[ScaleIn](h)
-	if len(r) == 0 || len(r[0].Names) != 1 || r[0].Names[0] != "m" || r[0].NotAfter <= h.now-2*second || r[0].NotAfter > h.now+ttl {
-		t.Errorf("scale-ins after leadership was proven again, at %d us: got %+v, want m with NotAfter within the leader lease", h.now, r)
+	scaleIns := takeEffects[ScaleIn](h)
+	if len(scaleIns) == 0 || len(scaleIns[0].Names) != 1 || scaleIns[0].Names[0] != "m" || scaleIns[0].NotAfter <= h.now-2*second || scaleIns[0].NotAfter > h.now+ttl {
+		t.Errorf("scale-ins after leadership was proven again, at %d us: got %+v, want m with NotAfter within the leader lease", h.now, scaleIns)
 	}
 }
 
@@ -40,11 +40,11 @@
 func TestCloudViaPeer(t *testing.T) {
 	noAnswer, refused := errors.New("no answer"), refusal{}
 	cases := []struct {
-		name string
-		err  error                        // result of the leader's own calls
-		ads  []connectivity.Advertisement // advertisements of n1 and n2
-		fail string                       // a peer through which a call failed
-		want string
+		name           string
+		err            error                        // result of the leader's own calls
+		advertisements []connectivity.Advertisement // advertisements of n1 and n2
+		failedPeer     string                       // a peer through which a call failed
+		want           string
 	}{
 		{"the cloud answers the leader", nil, []connectivity.Advertisement{{Cloud: true}, {Cloud: true}}, "", ""},
 		{"the cloud answers only n2", noAnswer, []connectivity.Advertisement{{}, {Cloud: true}}, "", "n2"},
@@ -60,13 +60,13 @@
 		for range 3 {
 			h.step(MachinesListed{Err: tc.err, FencingToken: h.core.elector.leadership.fencingToken})
 		}
-		for i, v := range tc.ads {
-			h.peerAnswers([]string{"n1", "n2"}[i], v)
-			h.storeAdvertisement([]string{"n1", "n2"}[i], v)
+		for i, advertisement := range tc.advertisements {
+			h.peerAnswers([]string{"n1", "n2"}[i], advertisement)
+			h.storeAdvertisement([]string{"n1", "n2"}[i], advertisement)
 		}
 		h.advance(250_000)
-		if tc.fail != "" {
-			h.step(PeerCloudCallEnded{Peer: tc.fail, Err: noAnswer})
+		if tc.failedPeer != "" {
+			h.step(PeerCloudCallEnded{Peer: tc.failedPeer, Err: noAnswer})
 		}
 		if got := h.core.cloud.cloudPeer(); got != tc.want {
 			t.Errorf("%s: cloud peer: got %q, want %q", tc.name, got, tc.want)
@@ -74,12 +74,12 @@
 		h.effects = nil
 		h.core.cloud.callCloud(CloudCall{ScaleIn: []string{"m"}})
 		h.step(Tick{})
-		out := h.effects
-		by := takeEffects[CallCloudViaPeer](h)
-		h.effects = out
+		kept := h.effects
+		viaPeer := takeEffects[CallCloudViaPeer](h)
+		h.effects = kept
 		direct := takeEffects[ScaleIn](h)
-		if tc.want != "" && (len(by) != 1 || by[0].To != tc.want || by[0].FencingToken != h.core.elector.leadership.fencingToken || by[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
-			t.Errorf("%s: scale-in through peer %q: got %+v through peers and %+v directly", tc.name, tc.want, by, direct)
+		if tc.want != "" && (len(viaPeer) != 1 || viaPeer[0].To != tc.want || viaPeer[0].FencingToken != h.core.elector.leadership.fencingToken || viaPeer[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
+			t.Errorf("%s: scale-in through peer %q: got %+v through peers and %+v directly", tc.name, tc.want, viaPeer, direct)
 		}
 	}
 	// A peer makes no calls for a leader that was replaced.
@@ -92,8 +92,8 @@
 		}
 	}
 	h.step(CloudCalledForPeer{RequestID: 1, Answer: CloudResult{Status: 200}})
-	if r := takeEffects[Reply](h); len(r) != 1 || r[0].Cloud == nil || r[0].Cloud.Status != 200 {
-		t.Errorf("reply to the leader: got %+v, want one with cloud status 200", r)
+	if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Cloud == nil || replies[0].Cloud.Status != 200 {
+		t.Errorf("reply to the leader: got %+v, want one with cloud status 200", replies)
 	}
 }
 
--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -33,28 +33,28 @@
 				core.committer.markDirty(j)
 				return j
 			}
-			then := core.now - tc.age
+			changedAt := core.now - tc.age
 			end := add("end", jobstate.Urgent) // last although it has the highest priority
-			end.PlaceTask(0, "x0", 1, then)
-			end.PlaceTask(1, "x1", 1, then)
+			end.PlaceTask(0, "x0", 1, changedAt)
+			end.PlaceTask(1, "x1", 1, changedAt)
 			_, version := end.BeginChunkWrite(0, 0)
 			end.CommitChunkWrite(0, version, 1)
-			end.SetDone(0, then)
-			end.UnplaceTask(0, then)
-			add("place", jobstate.Normal).PlaceTask(0, "x2", 1, then)
+			end.SetDone(0, changedAt)
+			end.UnplaceTask(0, changedAt)
+			add("place", jobstate.Normal).PlaceTask(0, "x2", 1, changedAt)
 			done := add("done", jobstate.Idle)
-			done.SetDone(0, then)
-			done.SetDone(1, then)
+			done.SetDone(0, changedAt)
+			done.SetDone(1, changedAt)
 			core.health.writeBudget = ratelimit.NewTokenBucket(core.now, tc.level)
 			core.elector.leadership.commits.inFlight, core.elector.leadership.commits.notBefore = false, 0
 			core.committer.commitNow()
 			got := ""
-			for _, e := range core.effects {
-				m, ok := e.(CommitTransaction)
+			for _, effect := range core.effects {
+				transaction, ok := effect.(CommitTransaction)
 				if !ok {
 					continue
 				}
-				for _, w := range m.Writes {
+				for _, w := range transaction.Writes {
 					if strings.HasPrefix(w.Key, runPrefix) && w.Value != nil || strings.HasPrefix(w.Key, endPrefix) {
 						id, _, _ := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(w.Key, runPrefix), endPrefix), "/")
 						got += id + " "
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -16,7 +16,7 @@
 // peerHarness is one of three controllers. Tests send it messages; the harness answers its
 // requests to the state service and keeps its other effects.
 type peerHarness struct {
-	core        *Core
+	core     *Core
 	now      int64
 	revision uint64
 	effects  []any
@@ -32,23 +32,23 @@
 // controller leads. If that is n0, it has been elected.
 func newPeerHarness(t *testing.T, leader string) *peerHarness {
 	t.Helper()
-	set := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
-	set.Size, set.Zones, set.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
-	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
-	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
-	set.Cloud.RPS = 1
+	settings := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
+	settings.Size, settings.Zones, settings.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
+	settings.Workers.ReportS, settings.Workers.LeaseS, settings.Workers.CancelS = 2, 16, 36
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = 100, 100, 8, 12
+	settings.Cloud.RPS = 1
 	h := &peerHarness{now: second, revision: 20}
-	h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	rows := []Change{
+	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	changes := []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
 		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5},
 		{Key: typesKey, Value: encodeJSON([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Revision: 5},
 	}
 	if leader != "n0" {
-		rows = append(rows, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
+		changes = append(changes, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
-	h.step(StateListed{Revision: 20, Changes: rows})
+	h.step(StateListed{Revision: 20, Changes: changes})
 	h.advance(2 * second)
 	if (h.core.elector.leadership != nil) != (leader == "n0") {
 		t.Fatalf("got n0 leading %v, want leader %s", h.core.elector.leadership != nil, leader)
@@ -66,12 +66,12 @@
 
 // step sends a message, answers the requests to the state service and keeps the other effects.
 func (h *peerHarness) step(msg any) {
-	for _, e := range h.core.Step(h.now, msg) {
+	for _, effect := range h.core.Step(h.now, msg) {
 		err := errors.New("no answer")
 		if !h.stateSilent {
 			err = nil
 		}
-		switch e := e.(type) {
+		switch e := effect.(type) {
 		case GrantLease:
 			h.step(LeaseGranted{Lease: 9, SentAt: h.now, Err: err})
 		case RenewLease:
@@ -87,12 +87,12 @@
 				continue
 			}
 			h.revision++
-			w := StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now}
-			for _, x := range e.Writes {
-				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: h.revision, Removed: x.Value == nil})
+			read := StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now}
+			for _, write := range e.Writes {
+				read.Changes = append(read.Changes, Change{Key: write.Key, Value: write.Value, Revision: h.revision, Removed: write.Value == nil})
 			}
 			if !h.watchHung {
-				h.step(w)
+				h.step(read)
 			}
 			h.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: h.revision})
 		case PingPeer, ProbeMachine:
@@ -103,26 +103,26 @@
 }
 
 // peerAnswers makes a peer answer a ping with its advertisement, and send a ping.
-func (h *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
-	h.step(PeerPinged{Peer: name, SentAt: h.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
+func (h *peerHarness) peerAnswers(name string, advertisement connectivity.Advertisement) {
+	h.step(PeerPinged{Peer: name, SentAt: h.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &advertisement}})
 	h.step(PingReceived{From: name})
 }
 
 // storeAdvertisement makes a peer store its advertisement.
-func (h *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
+func (h *peerHarness) storeAdvertisement(name string, advertisement connectivity.Advertisement) {
 	h.revision++
-	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: h.revision}}})
+	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(advertisement), Revision: h.revision}}})
 }
 
 // takeEffects returns the kept effects of one type, and discards all kept effects.
-func takeEffects[T any](h *peerHarness) (out []T) {
-	for _, e := range h.effects {
-		if x, ok := e.(T); ok {
-			out = append(out, x)
+func takeEffects[T any](h *peerHarness) (taken []T) {
+	for _, effect := range h.effects {
+		if typed, ok := effect.(T); ok {
+			taken = append(taken, typed)
 		}
 	}
 	h.effects = nil
-	return out
+	return taken
 }
 
 // reachAdvertisement returns the advertisement of a controller that reaches the given eighths of the
@@ -138,9 +138,9 @@
 func TestReadForRequests(t *testing.T) {
 	h := newPeerHarness(t, "n1")
 	h.step(QueryJob{RequestID: 7, ID: "j"})
-	asked := takeEffects[ReadState](h)
-	if len(asked) != 1 || !asked[0].ForRequests {
-		t.Fatalf("got reads of the state %+v, want one for requests", asked)
+	reads := takeEffects[ReadState](h)
+	if len(reads) != 1 || !reads[0].ForRequests {
+		t.Fatalf("got reads of the state %+v, want one for requests", reads)
 	}
 	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.revision, Immediate: true})
 	if got := takeEffects[ReadKey](h); len(got) != 0 {
@@ -158,31 +158,31 @@
 func TestStuckWatch(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	h.core.elector.leadership.cacheFreshAt = h.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
-	h.revision += 3                                           // writes of others that the watch does not deliver
+	h.revision += 3                                              // writes of others that the watch does not deliver
 	id := h.core.newID()
 	h.core.transactions.Begin(id, nil, nil, h.now, func(TransactionResult) {})
 	h.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: h.revision})
 	h.advance(maxWatchDelay - 100_000)
-	if v := takeEffects[ReadState](h); len(v) != 0 {
-		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", v)
+	if reads := takeEffects[ReadState](h); len(reads) != 0 {
+		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", reads)
 	}
 	h.advance(300_000)
-	v := takeEffects[ReadState](h)
-	if len(v) != 1 || v[0].ForRequests {
-		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", v)
+	reads := takeEffects[ReadState](h)
+	if len(reads) != 1 || reads[0].ForRequests {
+		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", reads)
 	}
-	h.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: h.revision, Immediate: true})
+	h.step(StateRead{AfterRevision: reads[0].AfterRevision, Revision: h.revision, Immediate: true})
 	h.advance(5 * second)
-	if v = takeEffects[ReadState](h); len(v) != 0 {
-		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(v))
+	if reads = takeEffects[ReadState](h); len(reads) != 0 {
+		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(reads))
 	}
 }
 
 // TestHeartbeatWithoutLeader checks how a follower handles a heartbeat, and the next one of the
 // same worker, depending on whether it or a peer reaches the leader n1.
 func TestHeartbeatWithoutLeader(t *testing.T) {
-	report := func(n uint64) HeartbeatReceived {
-		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
+	heartbeat := func(seq uint64) HeartbeatReceived {
+		return HeartbeatReceived{RequestID: seq, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: seq, PreemptionNotice: NoPreemptionNotice}}
 	}
 	cases := []struct {
 		name    string
@@ -194,9 +194,9 @@
 		{"no controller reaches the leader", func(*peerHarness) {}, 503, "", ""},
 		{"the leader answers pings", func(h *peerHarness) { h.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
 		{"another peer reaches the leader", func(h *peerHarness) {
-			v := reachAdvertisement(8, 8, "n0", "n1")
-			h.peerAnswers("n2", v)
-			h.storeAdvertisement("n2", v)
+			advertisement := reachAdvertisement(8, 8, "n0", "n1")
+			h.peerAnswers("n2", advertisement)
+			h.storeAdvertisement("n2", advertisement)
 		}, 421, "n2", "n2"},
 		{"the leader advertises that it reaches the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
 		{"the leader advertises that it does not reach the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
@@ -212,20 +212,20 @@
 			tc.prepare(h)
 			h.advance(250_000)
 			h.effects = nil
-			h.step(report(1))
-			if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
-				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", r, tc.first, tc.to)
+			h.step(heartbeat(1))
+			if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != tc.first || replies[0].Leader != tc.to {
+				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", replies, tc.first, tc.to)
 			}
 			h.advance(second)
 			h.effects = nil
-			h.step(report(2))
-			out := h.effects
-			if r := takeEffects[RelayHeartbeat](h); tc.relayTo != "" && (len(r) != 1 || r[0].To != tc.relayTo || r[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(r) != 0 {
-				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", r, tc.relayTo)
+			h.step(heartbeat(2))
+			kept := h.effects
+			if relays := takeEffects[RelayHeartbeat](h); tc.relayTo != "" && (len(relays) != 1 || relays[0].To != tc.relayTo || relays[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(relays) != 0 {
+				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", relays, tc.relayTo)
 			}
-			h.effects = out
-			if r := takeEffects[Reply](h); tc.relayTo == "" && (len(r) != 1 || r[0].Status != 503) {
-				t.Errorf("second heartbeat: got replies %+v, want one with status 503", r)
+			h.effects = kept
+			if replies := takeEffects[Reply](h); tc.relayTo == "" && (len(replies) != 1 || replies[0].Status != 503) {
+				t.Errorf("second heartbeat: got replies %+v, want one with status 503", replies)
 			}
 		})
 	}
@@ -246,14 +246,14 @@
 		}
 		h.effects = nil
 		h.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
-		out := h.effects
-		r := takeEffects[RelayHeartbeat](h)
-		h.effects = out
-		if len(r) != tc.relays || tc.relays == 1 && (r[0].To != "n1" || r[0].ViaPeer) {
-			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, r, tc.relays)
+		kept := h.effects
+		relays := takeEffects[RelayHeartbeat](h)
+		h.effects = kept
+		if len(relays) != tc.relays || tc.relays == 1 && (relays[0].To != "n1" || relays[0].ViaPeer) {
+			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, relays, tc.relays)
 		}
-		if a := takeEffects[Reply](h); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
-			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, a)
+		if replies := takeEffects[Reply](h); tc.relays == 0 && (len(replies) != 1 || replies[0].Status != 503) {
+			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, replies)
 		}
 	}
 }
@@ -268,8 +268,8 @@
 		h.storeAdvertisement("n1", reachAdvertisement(8, 8))
 		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, h.now)
 		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, h.now)
-		for _, m := range []string{"m", "m2"} {
-			h.step(MachineProbed{Machine: m, SentAt: h.now, OK: false})
+		for _, machine := range []string{"m", "m2"} {
+			h.step(MachineProbed{Machine: machine, SentAt: h.now, OK: false})
 		}
 		h.advance(3 * second)
 		if (h.core.elector.leadership == nil) != on {
@@ -278,20 +278,20 @@
 		if !on {
 			continue
 		}
-		if d := takeEffects[RevokeLease](h); len(d) != 1 {
-			t.Errorf("got revocations of leases %+v, want one", d)
+		if revoked := takeEffects[RevokeLease](h); len(revoked) != 1 {
+			t.Errorf("got revocations of leases %+v, want one", revoked)
 		}
 		// The key is gone, and the state is listed again; the other controller may campaign
 		// first.
 		h.revision++
-		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
-		h.step(StateListed{Revision: h.revision, Changes: rows})
-		begun := h.now
-		for h.core.elector.leadership == nil && h.now < begun+10*second {
+		changes := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
+		h.step(StateListed{Revision: h.revision, Changes: changes})
+		listedAt := h.now
+		for h.core.elector.leadership == nil && h.now < listedAt+10*second {
 			h.advance(50_000)
 		}
-		if d := h.now - begun; d < second || d > 3*second {
-			t.Errorf("got leader again after %d us, want after 1 to 3 s", d)
+		if elapsed := h.now - listedAt; elapsed < second || elapsed > 3*second {
+			t.Errorf("got leader again after %d us, want after 1 to 3 s", elapsed)
 		}
 	}
 }
@@ -299,23 +299,23 @@
 // TestReady checks that a controller which can neither answer users nor forward their requests
 // is not ready.
 func TestReady(t *testing.T) {
-	ask := func(h *peerHarness) ReplyCode {
+	checkReady := func(h *peerHarness) ReplyCode {
 		h.effects = nil
 		h.step(CheckReady{RequestID: 1})
 		return takeEffects[Reply](h)[0].Status
 	}
 	h := newPeerHarness(t, "n1")
-	if s := ask(h); s != 200 {
-		t.Errorf("state service answers: got status %d, want 200", s)
+	if status := checkReady(h); status != 200 {
+		t.Errorf("state service answers: got status %d, want 200", status)
 	}
 	h.stateSilent = true
 	h.advance(4 * second)
-	if s := ask(h); s != 503 {
-		t.Errorf("neither state service nor peers answer: got status %d, want 503", s)
+	if status := checkReady(h); status != 503 {
+		t.Errorf("neither state service nor peers answer: got status %d, want 503", status)
 	}
 	h.peerAnswers("n2", reachAdvertisement(8, 8))
-	if s := ask(h); s != 200 {
-		t.Errorf("only a peer answers: got status %d, want 200", s)
+	if status := checkReady(h); status != 200 {
+		t.Errorf("only a peer answers: got status %d, want 200", status)
 	}
 }
 
@@ -342,8 +342,8 @@
 // not forwarded again.
 func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
-		request func(forwarded bool) any
-		want    any
+		build func(forwarded bool) any
+		want  any
 	}{
 		{func(forwarded bool) any { return QueryJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, QueryJob{ID: "x", Forwarded: true}},
 		{func(forwarded bool) any { return CancelJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, CancelJob{ID: "x", Forwarded: true}},
@@ -362,18 +362,18 @@
 		h.advance(3 * second)
 		h.peerAnswers("n2", reachAdvertisement(8, 8))
 		h.effects = nil
-		h.step(tc.request(false))
-		if f := takeEffects[ForwardRequest](h); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
-			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, f, tc.want)
+		h.step(tc.build(false))
+		if forwards := takeEffects[ForwardRequest](h); len(forwards) != 1 || forwards[0].To != "n2" || forwards[0].Request != tc.want {
+			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, forwards, tc.want)
 		}
-		h.step(tc.request(true))
-		out := h.effects
-		if f := takeEffects[ForwardRequest](h); len(f) != 0 {
-			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, f)
+		h.step(tc.build(true))
+		kept := h.effects
+		if forwards := takeEffects[ForwardRequest](h); len(forwards) != 0 {
+			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, forwards)
 		}
-		h.effects = out
-		if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
-			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, r)
+		h.effects = kept
+		if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != 503 || replies[0].RetryAfter == 0 {
+			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, replies)
 		}
 	}
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -12,13 +12,13 @@
 func TestSubmitWithDependencies(t *testing.T) {
 	service := job("service")
 	service.Spec.Kind = jobstate.Service
-	keys := map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open"), endPrefix + "done": endDone, endPrefix + "cancelled": cancelled, jobPrefix + "service": service}
+	keys := map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open"), endPrefix + "done": endDone, endPrefix + "cancelled": endCancelled, jobPrefix + "service": service}
 	cases := []struct {
-		name   string
-		awaits []string
-		do     func(h *harness)
-		want   ReplyCode
-		reason string
+		name         string
+		dependencies []string
+		do           func(h *harness)
+		want         ReplyCode
+		reason       string
 	}{
 		{"unfinished job", []string{"open"}, nil, 201, ""},
 		{"done job, only its end is stored", []string{"done"}, nil, 201, ""},
@@ -41,9 +41,9 @@
 			if tc.do != nil {
 				tc.do(h)
 			}
-			r := h.request(SubmitJob{Spec: job("new", tc.awaits...).Spec})
-			if r.Status != tc.want || !strings.Contains(r.Error, tc.reason) {
-				t.Errorf("got status %d, error %q, want status %d, error with %q", r.Status, r.Error, tc.want, tc.reason)
+			reply := h.request(SubmitJob{Spec: job("new", tc.dependencies...).Spec})
+			if reply.Status != tc.want || !strings.Contains(reply.Error, tc.reason) {
+				t.Errorf("got status %d, error %q, want status %d, error with %q", reply.Status, reply.Error, tc.want, tc.reason)
 			}
 			if _, stored := h.keys[jobPrefix+"new"]; stored != (tc.want < 300) {
 				t.Errorf("job stored: got %v, want %v", stored, tc.want < 300)
@@ -57,29 +57,29 @@
 func TestBlockedJobs(t *testing.T) {
 	chain := map[string]any{formatKey: progressLogFormat, jobPrefix + "a": job("a"), jobPrefix + "b": job("b", "a"), jobPrefix + "c": job("c", "b"), jobPrefix + "d": job("d", "b", "c")}
 	with := func(key string, v any) map[string]any {
-		m := map[string]any{}
+		copied := map[string]any{}
 		for k, v := range chain {
-			m[k] = v
+			copied[k] = v
 		}
 		if key == endPrefix+"a" {
-			delete(m, jobPrefix+"a")
+			delete(copied, jobPrefix+"a")
 		}
-		m[key] = v
-		return m
+		copied[key] = v
+		return copied
 	}
 	cases := []struct {
 		name    string
 		keys    map[string]any
 		do      func(h *harness)
 		want    string // states of b, c, d
-		waiting string // jobs that are still blocked
+		blocked string // jobs that are still blocked
 	}{
 		{"no job has ended", chain, nil, "queued queued queued", "bcd"},
 		{"first job done, only its end is stored", with(endPrefix+"a", endDone), nil, "queued queued queued", "cd"},
-		{"first job cancelled, only its end is stored", with(endPrefix+"a", cancelled), nil, "cancelled cancelled cancelled", ""},
+		{"first job cancelled, only its end is stored", with(endPrefix+"a", endCancelled), nil, "cancelled cancelled cancelled", ""},
 		{"first job cancelled by its user", chain, func(h *harness) { h.request(CancelJob{ID: "a"}) }, "cancelled cancelled cancelled", ""},
 		{"middle job cancelled by its user", chain, func(h *harness) { h.request(CancelJob{ID: "c"}) }, "queued cancelled cancelled", "b"},
-		{"unreadable end of the first job: no dependent is reported as unfinished", with(endPrefix+"a", cancelled), func(h *harness) { h.unreachable[endPrefix+"a"] = true }, "", ""},
+		{"unreadable end of the first job: no dependent is reported as unfinished", with(endPrefix+"a", endCancelled), func(h *harness) { h.unreachable[endPrefix+"a"] = true }, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -98,14 +98,14 @@
 			if got := h.jobState("b") + " " + h.jobState("c") + " " + h.jobState("d"); got != tc.want {
 				t.Errorf("states of b, c and d: got %s, want %s", got, tc.want)
 			}
-			waiting := ""
+			blocked := ""
 			for _, id := range []string{"b", "c", "d"} {
 				if j := h.core.cache.jobs[id]; j != nil && j.IsBlocked() {
-					waiting += id
+					blocked += id
 				}
 			}
-			if waiting != tc.waiting {
-				t.Errorf("blocked jobs: got %q, want %q", waiting, tc.waiting)
+			if blocked != tc.blocked {
+				t.Errorf("blocked jobs: got %q, want %q", blocked, tc.blocked)
 			}
 			// A controller that starts from the stored state has to find the same.
 			h.restart()
@@ -127,11 +127,11 @@
 		"wide": func(int) []string { return []string{id(0)} },
 		"both": func(i int) []string { return []string{id(i / 2), id(i / 3)} },
 	}
-	for name, awaits := range shapes {
+	for name, dependencies := range shapes {
 		t.Run(name, func(t *testing.T) {
 			keys := map[string]any{formatKey: progressLogFormat, jobPrefix + id(0): job(id(0))}
 			for i := 1; i < n; i++ {
-				keys[jobPrefix+id(i)] = job(id(i), awaits(i)...)
+				keys[jobPrefix+id(i)] = job(id(i), dependencies(i)...)
 			}
 			h := newHarness(t, keys)
 			h.advance(3 * second)
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -12,9 +12,9 @@
 func TestFaultyMachines(t *testing.T) {
 	type failure struct{ machine, job int }
 	cases := []struct {
-		name    string
-		fails   []failure
-		drained int
+		name     string
+		failures []failure
+		drained  int
 	}{
 		{"one failure", []failure{{0, 0}}, 0},
 		{"repeated failures of one job", []failure{{0, 0}, {0, 0}, {0, 0}}, 0},
@@ -27,11 +27,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newLeaderHarness(t)
 			jobs := map[int]*jobstate.Job{}
-			for _, f := range tc.fails {
-				if jobs[f.job] == nil {
-					jobs[f.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", f.job), Tasks: 1})
+			for _, failed := range tc.failures {
+				if jobs[failed.job] == nil {
+					jobs[failed.job] = jobstate.NewJob(&jobstate.Spec{ID: fmt.Sprint("job", failed.job), Tasks: 1})
 				}
-				h.core.tasks.suspectMachine(h.core.workers.getOrAddMachine(fmt.Sprint("m", f.machine)), jobs[f.job])
+				h.core.tasks.suspectMachine(h.core.workers.getOrAddMachine(fmt.Sprint("m", failed.machine)), jobs[failed.job])
 			}
 			drained := 0
 			for _, m := range h.core.elector.leadership.fleet.All() {
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -23,10 +23,12 @@
 func TestRenewalAfterOutage(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	ttl := h.core.settings.Ops.LeaderLease
-	h.onRenewal = func(e RenewLease) { h.step(LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: refusal{}}) }
+	h.onRenewal = func(renewal RenewLease) { h.step(LeaseRenewed{Lease: renewal.Lease, SentAt: h.now, Err: refusal{}}) }
 	h.advance(2 * ttl)
 	var lost []LeaseRenewed
-	h.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: errLost}) }
+	h.onRenewal = func(renewal RenewLease) {
+		lost = append(lost, LeaseRenewed{Lease: renewal.Lease, SentAt: h.now, Err: errLost})
+	}
 	for len(lost) == 0 {
 		h.advance(tickInterval)
 	}
@@ -51,7 +53,7 @@
 // renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97 seeds of that case,
 // 83 leaders were elected after the faults began, and none with the fix.
 func TestUnansweredRenewal(t *testing.T) {
-	const deadline, wanted = second, 4
+	const deadline, minRenewals = second, 4
 	h := newPeerHarness(t, "n0")
 	ttl := h.core.settings.Ops.LeaderLease
 	for h.renewals = 0; h.renewals == 0; {
@@ -59,7 +61,9 @@
 	}
 	provenAt := h.now
 	var lost []LeaseRenewed
-	h.onRenewal = func(e RenewLease) { lost = append(lost, LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: errLost}) }
+	h.onRenewal = func(renewal RenewLease) {
+		lost = append(lost, LeaseRenewed{Lease: renewal.Lease, SentAt: h.now, Err: errLost})
+	}
 	answered := 0
 	for h.now < provenAt+ttl {
 		h.advance(tickInterval)
@@ -68,8 +72,8 @@
 			answered++
 		}
 	}
-	if len(lost) < wanted {
-		t.Errorf("got %d renewals during one lease without answers, want at least %d", len(lost), wanted)
+	if len(lost) < minRenewals {
+		t.Errorf("got %d renewals during one lease without answers, want at least %d", len(lost), minRenewals)
 	}
 }
 
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -13,7 +13,7 @@
 func TestEndLookup(t *testing.T) {
 	cases := []struct {
 		name     string
-		refuse   int
+		refused  int
 		maxReads int
 	}{
 		{"no read refused", 0, 30},
@@ -30,21 +30,21 @@
 				case 3:
 					keys[endPrefix+id], want[id] = endDone, "done"
 				case 7:
-					keys[endPrefix+id], want[id] = cancelled, "cancelled"
+					keys[endPrefix+id], want[id] = endCancelled, "cancelled"
 				}
 			}
 			h := newHarness(t, keys)
 			h.advance(200_000)
-			h.reads, h.readsToRefuse = 0, tc.refuse
-			asked := map[uint64]string{}
+			h.reads, h.readsToRefuse = 0, tc.refused
+			requestedJobs := map[uint64]string{}
 			for i := range 200 { // two requests for each job
 				h.lastRequest++
 				id := fmt.Sprintf("job-%03d", i%100)
-				asked[h.lastRequest] = id
+				requestedJobs[h.lastRequest] = id
 				h.step(QueryJob{RequestID: h.lastRequest, ID: id})
 			}
 			h.advance(maxReadWait + second/2)
-			for requestID, id := range asked {
+			for requestID, id := range requestedJobs {
 				reply, ok := h.replies[requestID]
 				got := fmt.Sprint(reply.Status)
 				if reply.Job != nil {
--- a/internal/core/endmonitor_test.go
+++ b/internal/core/endmonitor_test.go
@@ -10,9 +10,9 @@
 
 // captureLogs redirects the log of the harness's core to the returned builder.
 func (h *harness) captureLogs() *strings.Builder {
-	text := &strings.Builder{}
-	h.core.log = slog.New(slog.NewTextHandler(text, nil))
-	return text
+	logged := &strings.Builder{}
+	h.core.log = slog.New(slog.NewTextHandler(logged, nil))
+	return logged
 }
 
 // TestEndLogging checks that the log shows how the controller learned of an end, which stored end
@@ -21,18 +21,18 @@
 func TestEndLogging(t *testing.T) {
 	h := newHarness(t, map[string]any{
 		formatKey:            progressLogFormat,
-		endPrefix + "first":  cancelled,
+		endPrefix + "first":  endCancelled,
 		jobPrefix + "second": job("second", "first"),
 		jobPrefix + "third":  job("third", "second"),
 	})
 	h.unreachable[endPrefix+"first"] = true
-	text := h.captureLogs()
+	logged := h.captureLogs()
 	h.advance(3 * second)
 	h.delaysCommits = true
 	page := readlease.CancellationPage{Incarnation: "x", UpTo: 1, Complete: true, Cancelled: []string{"second"}}
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{ReadLease: &page}})
-	if n := h.core.endMonitor.countUnstoredEnds(); n != 2 {
-		t.Errorf("got %d unstored ends, want 2: of the cancelled job and of its dependent", n)
+	if unstored := h.core.endMonitor.countUnstoredEnds(); unstored != 2 {
+		t.Errorf("got %d unstored ends, want 2: of the cancelled job and of its dependent", unstored)
 	}
 	h.unreachable = map[string]bool{}
 	h.delaysCommits = false
@@ -53,7 +53,7 @@
 		`msg="cancelled job removed" job=third end_revision=`,
 		`msg="job is not known" job=unheard-of lookup=read`,
 	} {
-		if !strings.Contains(text.String(), want) {
+		if !strings.Contains(logged.String(), want) {
 			t.Errorf("log has no line with %s", want)
 		}
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("got counts %+v, want failed reads, 1 reported, 1 derived, 1 not found by a read and 0 by comparison", counts)
 	}
 	if t.Failed() {
-		t.Log(text)
+		t.Log(logged)
 	}
 }
 
@@ -76,17 +76,17 @@
 	const unknown = 100
 	h := newHarness(t, map[string]any{formatKey: progressLogFormat})
 	h.advance(2 * second)
-	text := h.captureLogs()
+	logged := h.captureLogs()
 	for range unknown {
 		h.core.endMonitor.recordNotFound("j", endLookup{compared: true, revision: 7})
 	}
-	first := strings.Count(text.String(), "job is not known")
+	first := strings.Count(logged.String(), "job is not known")
 	if first < 1 || first > endLogsPerSecond {
 		t.Errorf("got %d log lines for %d unknown jobs, want 1 to %d", first, unknown, endLogsPerSecond)
 	}
 	h.advance(second)
 	h.core.endMonitor.recordNotFound("j", endLookup{})
-	if lines := strings.TrimSpace(text.String()); !strings.HasSuffix(lines, "omitted=95") || h.core.endMonitor.counts.NotFoundCompared != unknown {
+	if lines := strings.TrimSpace(logged.String()); !strings.HasSuffix(lines, "omitted=95") || h.core.endMonitor.counts.NotFoundCompared != unknown {
 		t.Errorf("got counts %+v, want %d not found by comparison; last line has to end with omitted=95, got lines:\n%s", h.core.endMonitor.counts, unknown, lines)
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -172,13 +172,13 @@
 	return h.readsToRefuse >= 0
 }
 
-func (h *harness) readKey(e ReadKey) {
-	if h.refusesRead() || h.unavailable || h.unreachable[e.Key] {
-		h.step(KeyRead{ID: e.ID, Key: e.Key, Err: errors.New("no answer")})
+func (h *harness) readKey(read ReadKey) {
+	if h.refusesRead() || h.unavailable || h.unreachable[read.Key] {
+		h.step(KeyRead{ID: read.ID, Key: read.Key, Err: errors.New("no answer")})
 		return
 	}
-	stored := h.keys[e.Key]
-	h.step(KeyRead{ID: e.ID, Key: e.Key, Value: stored.Value, Revision: stored.Revision})
+	stored := h.keys[read.Key]
+	h.step(KeyRead{ID: read.ID, Key: read.Key, Value: stored.Value, Revision: stored.Revision})
 }
 
 // readState answers a watch or a read with all changes after its revision.
@@ -201,18 +201,18 @@
 }
 
 // commit executes a transaction and answers it.
-func (h *harness) commit(e CommitTransaction) {
+func (h *harness) commit(transaction CommitTransaction) {
 	if h.delaysCommits {
-		h.delayedCommits = append(h.delayedCommits, e)
+		h.delayedCommits = append(h.delayedCommits, transaction)
 		return
 	}
-	if len(e.Writes) > 0 {
+	if len(transaction.Writes) > 0 {
 		h.commits++
 	}
-	result := h.check(e)
+	result := h.check(transaction)
 	var changes []Change
 	if result.Outcome == kv.Committed {
-		changes = h.write(e.Writes)
+		changes = h.write(transaction.Writes)
 		result.Revision = h.revision
 	}
 	if !h.losesAnswers {
@@ -224,15 +224,15 @@
 }
 
 // check returns the result of a transaction without applying its writes.
-func (h *harness) check(e CommitTransaction) TransactionResult {
-	result := TransactionResult{ID: e.ID, Outcome: kv.Committed}
-	for _, condition := range e.Conditions {
+func (h *harness) check(transaction CommitTransaction) TransactionResult {
+	result := TransactionResult{ID: transaction.ID, Outcome: kv.Committed}
+	for _, condition := range transaction.Conditions {
 		if h.keys[condition.Key].Revision != condition.Revision {
 			result.Failed, result.Outcome = append(result.Failed, condition.Key), kv.Conflict
 		}
 	}
-	for _, write := range e.Writes {
-		if len(write.Value) > h.maxValue || len(e.Writes) > h.maxOps {
+	for _, write := range transaction.Writes {
+		if len(write.Value) > h.maxValue || len(transaction.Writes) > h.maxOps {
 			result.Outcome = kv.Malformed
 		}
 	}
@@ -242,7 +242,7 @@
 	if h.unavailable {
 		result.Outcome = kv.Unavailable
 	}
-	if len(e.Writes) == 0 && h.refusesRead() {
+	if len(transaction.Writes) == 0 && h.refusesRead() {
 		result.Outcome, result.Failed = kv.RateLimited, nil
 	}
 	return result
@@ -320,5 +320,5 @@
 var (
 	progressLogFormat = formatRecord{Version: 2, Tasks: 64}
 	endDone           = jobstate.End{Outcome: jobstate.Done, Tasks: 1}
-	cancelled         = jobstate.End{Outcome: jobstate.Cancelled, Tasks: 1}
+	endCancelled      = jobstate.End{Outcome: jobstate.Cancelled, Tasks: 1}
 )
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -20,12 +20,12 @@
 			return err
 		}
 		files++
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
 			return err
 		}
-		for _, i := range f.Imports {
-			if name := strings.Trim(i.Path.Value, `"`); slices.Contains(banned, name) {
+		for _, imported := range file.Imports {
+			if name := strings.Trim(imported.Path.Value, `"`); slices.Contains(banned, name) {
 				t.Errorf("%s imports %s, want no import of it", path, name)
 			}
 		}
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -13,13 +13,13 @@
 // even if its new lease has the same ID. It revokes the old lease, and leads with a new
 // fencing token once the old key is gone.
 func TestIncarnation(t *testing.T) {
-	set := Settings{Name: "n0", Incarnation: "new", Ops: config.Defaults()}
-	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
-	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
-	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
-	set.Cloud.RPS = 1
+	settings := Settings{Name: "n0", Incarnation: "new", Ops: config.Defaults()}
+	settings.Size, settings.Zones, settings.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
+	settings.Workers.ReportS, settings.Workers.LeaseS, settings.Workers.CancelS = 2, 16, 36
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = 100, 100, 8, 12
+	settings.Cloud.RPS = 1
 	h := &leaderHarness{t: t, now: second, revision: 10, token: 5, lease: 9}
-	h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	h.core.elector.candidacy.lease, h.core.elector.candidacy.leaseProvenAt = 9, h.now
 	h.step(StateListed{Revision: 10, Changes: []Change{
 		{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n0", Incarnation: "old", Token: 5, Lease: 9}), Revision: 4},
@@ -33,7 +33,7 @@
 	for range 30 {
 		h.now += 100_000
 		for _, e := range h.core.Step(h.now, Tick{}) {
-			if d, ok := e.(RevokeLease); ok && d.Lease == 9 {
+			if revocation, ok := e.(RevokeLease); ok && revocation.Lease == 9 {
 				revoked = true
 			}
 		}
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -11,21 +11,21 @@
 // the same, and answers to calls of the earlier term were counted for calls still in flight.
 func TestEarlierTerm(t *testing.T) {
 	h := newLeaderHarness(t)
-	s := &h.core.elector.leadership.scaling
-	s.callsRunning, s.listing = 3, true
-	before := h.token - 2
-	h.step(ScaledIn{Names: []string{"m"}, FencingToken: before})
-	h.step(ScaledOut{Request: ScaleOut{Name: "x", Type: "c", Zone: "a", Count: 1, FencingToken: before}})
-	h.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: before})
-	h.step(MachineTypesListed{FencingToken: before})
-	if slices.Contains(s.toScaleIn, "m") || slices.Contains(s.toScaleIn, "y") || len(s.unanswered) > 0 {
-		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m, y nor any", s.toScaleIn, s.unanswered)
+	scaling := &h.core.elector.leadership.scaling
+	scaling.callsRunning, scaling.listing = 3, true
+	earlierToken := h.token - 2
+	h.step(ScaledIn{Names: []string{"m"}, FencingToken: earlierToken})
+	h.step(ScaledOut{Request: ScaleOut{Name: "x", Type: "c", Zone: "a", Count: 1, FencingToken: earlierToken}})
+	h.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: earlierToken})
+	h.step(MachineTypesListed{FencingToken: earlierToken})
+	if slices.Contains(scaling.toScaleIn, "m") || slices.Contains(scaling.toScaleIn, "y") || len(scaling.unanswered) > 0 {
+		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m, y nor any", scaling.toScaleIn, scaling.unanswered)
 	}
-	if s.callsRunning != 3 || !s.listing {
-		t.Errorf("after results of an earlier term: got %d calls in flight and listing %v, want 3 and true", s.callsRunning, s.listing)
+	if scaling.callsRunning != 3 || !scaling.listing {
+		t.Errorf("after results of an earlier term: got %d calls in flight and listing %v, want 3 and true", scaling.callsRunning, scaling.listing)
 	}
 	h.step(ScaledIn{Names: []string{"m"}, FencingToken: h.token})
-	if s.callsRunning != 2 || !slices.Contains(s.toScaleIn, "m") {
-		t.Errorf("after a failed scale-in of this term: got %d calls in flight and machines to scale in %v, want 2 and m among them", s.callsRunning, s.toScaleIn)
+	if scaling.callsRunning != 2 || !slices.Contains(scaling.toScaleIn, "m") {
+		t.Errorf("after a failed scale-in of this term: got %d calls in flight and machines to scale in %v, want 2 and m among them", scaling.callsRunning, scaling.toScaleIn)
 	}
 }
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -21,10 +21,10 @@
 func TestHeartbeatWhileStartIsWritten(t *testing.T) {
 	const reportInterval = 2 * second
 	cases := []struct {
-		name       string
-		storedIn   int64 // duration of the write, in microseconds
-		wantStart  bool
-		answeredBy int64
+		name          string
+		writeTime     int64 // duration of the write, in microseconds
+		wantStart     bool
+		maxAnswerTime int64
 	}{
 		{"short write", 100_000, true, 200_000},
 		{"long write", reportInterval, false, reportInterval / 2},
@@ -44,13 +44,13 @@
 			}})
 			sentAt := h.now
 			for len(h.replies) == 0 && h.now < sentAt+reportInterval {
-				if h.now-sentAt >= tc.storedIn {
+				if h.now-sentAt >= tc.writeTime {
 					commits.inFlight = false
 				}
 				h.tick(tickInterval)
 			}
-			if len(h.replies) != 1 || h.now-sentAt > tc.answeredBy {
-				t.Fatalf("answers: got %d after %d us, want 1 within %d us", len(h.replies), h.now-sentAt, tc.answeredBy)
+			if len(h.replies) != 1 || h.now-sentAt > tc.maxAnswerTime {
+				t.Fatalf("answers: got %d after %d us, want 1 within %d us", len(h.replies), h.now-sentAt, tc.maxAnswerTime)
 			}
 			commands := h.replies[0].Commands
 			if started := len(commands) == 1 && commands[0].Task == "k/0"; started != tc.wantStart {
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -18,25 +18,25 @@
 	yes, no := true, false
 	spot, onDemand := waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 1000}}, tasks: 3}
 	cases := []struct {
-		name      string
-		guarantee float64
-		costs     *bool
-		price     float64 // price of spot machines; on-demand machines cost 1
-		waiting   []waitingJob
-		busy      [2]int // numbers of busy on-demand and spot machines
-		refused   bool   // no spot machines are available
-		soldOut   bool   // no on-demand machines are available
-		want      string
+		name                string
+		guarantee           float64
+		weighsCost          *bool
+		price               float64 // price of spot machines; on-demand machines cost 1
+		waiting             []waitingJob
+		busy                [2]int // numbers of busy on-demand and spot machines
+		spotUnavailable     bool   // no spot machines are available
+		onDemandUnavailable bool   // no on-demand machines are available
+		want                string
 	}{
 		{name: "both kinds of jobs, no guarantee", price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
 		{name: "guarantee", guarantee: 1, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
-		{name: "guarantee, cost is an objective", guarantee: 1, costs: &yes, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
-		{name: "cost is not an objective", costs: &no, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
+		{name: "guarantee, cost is an objective", guarantee: 1, weighsCost: &yes, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "3 on-demand, 4 spot"},
+		{name: "cost is not an objective", weighsCost: &no, price: 0.4, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
 		{name: "spot is not cheaper", price: 1, waiting: []waitingJob{spot, onDemand}, want: "7 on-demand"},
-		{name: "spot is not cheaper, no on-demand machines available", price: 1, waiting: []waitingJob{spot}, soldOut: true, want: "4 spot"},
-		{name: "no spot machines available", price: 0.4, waiting: []waitingJob{spot}, refused: true, want: "4 on-demand"},
+		{name: "spot is not cheaper, no on-demand machines available", price: 1, waiting: []waitingJob{spot}, onDemandUnavailable: true, want: "4 spot"},
+		{name: "no spot machines available", price: 0.4, waiting: []waitingJob{spot}, spotUnavailable: true, want: "4 on-demand"},
 		{name: "spares by the square root", price: 0.4, busy: [2]int{36, 9}, want: "6 on-demand, 3 spot"},
-		{name: "no on-demand spares in place of unavailable spot machines", price: 0.4, busy: [2]int{0, 9}, refused: true, want: ""},
+		{name: "no on-demand spares in place of unavailable spot machines", price: 0.4, busy: [2]int{0, 9}, spotUnavailable: true, want: ""},
 		{name: "spares by the configured share", guarantee: 1, price: 0.4, busy: [2]int{20, 9}, want: "29 on-demand"},
 	}
 	for _, tc := range cases {
@@ -44,7 +44,7 @@
 			h := newLeaderHarness(t)
 			h.tick(6 * second)
 			h.core.settings.Teams = []config.Team{{Name: "t", CPUs: tc.guarantee}}
-			h.core.settings.Ops.WeighMoney = tc.costs
+			h.core.settings.Ops.WeighMoney = tc.weighsCost
 			h.core.scaler.costAware = h.core.settings.WeighsCost(&h.core.settings.Ops)
 			h.core.cache.machineTypes = []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}, Price: 1, SpotPrice: tc.price}}
 			h.core.elector.leadership.planning.waitingJobs = tc.waiting
@@ -56,20 +56,20 @@
 					m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 				}
 			}
-			s := &h.core.elector.leadership.scaling
-			s.scalingOut, s.unanswered = map[machineOffer]bool{}, nil
-			if tc.refused {
-				s.refusedUntil[machineOffer{"c", "a", true}] = h.now + second
+			scaling := &h.core.elector.leadership.scaling
+			scaling.scalingOut, scaling.unanswered = map[machineOffer]bool{}, nil
+			if tc.spotUnavailable {
+				scaling.refusedUntil[machineOffer{"c", "a", true}] = h.now + second
 			}
-			if tc.soldOut {
-				s.refusedUntil[machineOffer{"c", "a", false}] = h.now + second
+			if tc.onDemandUnavailable {
+				scaling.refusedUntil[machineOffer{"c", "a", false}] = h.now + second
 			}
 			h.core.effects = nil
 			h.core.scaler.scaleOutTick(func() bool { return true }, nil)
 			var got []string
 			for _, e := range h.core.effects {
-				if x, ok := e.(ScaleOut); ok {
-					got = append(got, fmt.Sprintf("%d %s", x.Count, map[bool]string{false: "on-demand", true: "spot"}[x.Spot]))
+				if request, ok := e.(ScaleOut); ok {
+					got = append(got, fmt.Sprintf("%d %s", request.Count, map[bool]string{false: "on-demand", true: "spot"}[request.Spot]))
 				}
 			}
 			if s := strings.Join(got, ", "); s != tc.want {
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -56,15 +56,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, nil)
-			set := h.core.settings
-			set.Peers, set.Size = []string{"n1", "n2"}, 3
+			settings := h.core.settings
+			settings.Peers, settings.Size = []string{"n1", "n2"}, 3
 			kb := 2.0
-			set.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
-			begin := func() {
-				h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
+			startCore := func() {
+				h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 				h.listState()
 			}
-			begin()
+			startCore()
 			h.advance(2 * second)
 			if h.core.elector.leadership == nil || h.core.membership.activation.Advertisements()["n0"].Format != 2 {
 				t.Fatalf("got leader %v and own advertisement %+v, want leader with format 2",
@@ -75,7 +75,7 @@
 			if _, stored := h.keys[formatKey]; stored != tc.want || h.core.membership.logEnabled() != tc.want {
 				t.Fatalf("got format stored %v and active %v, want both %v", stored, h.core.membership.logEnabled(), tc.want)
 			}
-			begin() // a restarted controller reads the stored format
+			startCore() // a restarted controller reads the stored format
 			h.advance(100_000)
 			if h.core.membership.logEnabled() != tc.want || tc.want && (h.core.membership.chunkTasks != 64 || h.core.membership.format.Tasks != 64) {
 				t.Errorf("after a restart: got format %+v and %d tasks per chunk, want newer format %v, then with 64 tasks per chunk",
@@ -87,7 +87,7 @@
 
 // TestChunkKeys checks that chunk keys of both formats are written as expected and parsed back.
 func TestChunkKeys(t *testing.T) {
-	for key, v := range map[string]jobstate.ChunkRef{"run/req-1/7": {ChunkSize: jobstate.DefaultChunkSize, Index: 7}, "run/req-1/64-7": {ChunkSize: 64, Index: 7}, "run/a-1/1-390": {ChunkSize: 1, Index: 390}} {
+	for key, ref := range map[string]jobstate.ChunkRef{"run/req-1/7": {ChunkSize: jobstate.DefaultChunkSize, Index: 7}, "run/req-1/64-7": {ChunkSize: 64, Index: 7}, "run/a-1/1-390": {ChunkSize: 1, Index: 390}} {
 		id := key[len("run/"):]
 		for i := range id {
 			if id[i] == '/' {
@@ -95,11 +95,11 @@
 				break
 			}
 		}
-		if got := chunkKey(id, v); got != Prefix+key {
-			t.Errorf("chunkKey(%q, %+v): got %s, want %s", id, v, got, Prefix+key)
+		if got := chunkKey(id, ref); got != Prefix+key {
+			t.Errorf("chunkKey(%q, %+v): got %s, want %s", id, ref, got, Prefix+key)
 		}
-		if gotID, got, err := parseChunkKey((Prefix + key)[len(runPrefix):]); err != nil || got != v || gotID != id {
-			t.Errorf("parseChunkKey of %s: got %s, %+v, error %v, want %s, %+v", key, gotID, got, err, id, v)
+		if gotID, got, err := parseChunkKey((Prefix + key)[len(runPrefix):]); err != nil || got != ref || gotID != id {
+			t.Errorf("parseChunkKey of %s: got %s, %+v, error %v, want %s, %+v", key, gotID, got, err, id, ref)
 		}
 	}
 }
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -13,11 +13,11 @@
 // of the settings, and which jobs have a trial.
 func TestQueueAssignment(t *testing.T) {
 	cases := []struct {
-		kind     jobstate.Kind
-		estimate int64
-		saves    bool
-		queue    int
-		trial    bool
+		kind          jobstate.Kind
+		estimate      int64
+		hasCheckpoint bool
+		queue         int
+		trial         bool
 	}{
 		{jobstate.Array, 0, true, 0, false},
 		{jobstate.Array, 60*second - 1, true, 0, false},
@@ -30,7 +30,7 @@
 	h := newLeaderHarness(t)
 	for _, tc := range cases {
 		s := &jobstate.Spec{Kind: tc.kind, Estimate: tc.estimate, Tasks: 1}
-		if tc.saves {
+		if tc.hasCheckpoint {
 			s.Checkpoint = second
 		}
 		j := jobstate.NewJob(s)
@@ -82,12 +82,12 @@
 			h.placeRunning(j, true)
 			h.now += tc.after
 			if tc.waiting {
-				w := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
-				w.Arrival, w.ReadyAt = 99, h.now
+				waiting := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
+				waiting.Arrival, waiting.ReadyAt = 99, h.now
 				if tc.early {
-					w.ReadyAt = -second
+					waiting.ReadyAt = -second
 				}
-				h.core.cache.jobs["waits"] = w
+				h.core.cache.jobs["waits"] = waiting
 			} else {
 				delete(h.core.cache.jobs, "j")
 			}
@@ -114,7 +114,7 @@
 		objectives []config.Objective
 		guaranteed bool
 		ran        int64
-		spared     bool
+		costsExtra bool
 	}{
 		{"start objective for the class", "starts", objectives, false, 10 * second, true},
 		{"start objective, no longer recent", "starts", objectives, false, 31 * second, false},
@@ -130,9 +130,9 @@
 		j.Task(0).StartedAt = h.now
 		h.core.now = h.now + tc.ran
 		got := h.core.planner.runningTask(h.core.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, tc.guaranteed)
-		if spared := got.LostWork > tc.ran; spared != tc.spared || got.Guaranteed != tc.guaranteed {
+		if costsExtra := got.LostWork > tc.ran; costsExtra != tc.costsExtra || got.Guaranteed != tc.guaranteed {
 			t.Errorf("%s: preemption after %d s costs %d s, guaranteed %v; want extra cost %v, guaranteed %v",
-				tc.name, tc.ran/second, got.LostWork/second, got.Guaranteed, tc.spared, tc.guaranteed)
+				tc.name, tc.ran/second, got.LostWork/second, got.Guaranteed, tc.costsExtra, tc.guaranteed)
 		}
 	}
 }
@@ -141,16 +141,16 @@
 // gang, because all of its tasks stop.
 func TestLostWorkOfGangs(t *testing.T) {
 	for _, tc := range []struct {
-		kind jobstate.Kind
-		n    int64
+		kind         jobstate.Kind
+		stoppedTasks int64
 	}{{jobstate.Array, 1}, {jobstate.Gang, 3}} {
 		h := newLeaderHarness(t)
 		j := jobstate.NewJob(&jobstate.Spec{ID: "j3", Team: "t", Kind: tc.kind, Tasks: 3, Need: jobstate.Resources{GPU: 1}, Estimate: 900 * second})
 		h.placeRunning(j, true)
 		j.EachPlaced(func(_ int, t *jobstate.Task) { t.StartedAt = h.now })
 		h.core.now = h.now + 60*second
-		if got := h.core.planner.runningTask(h.core.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.n*60*second {
-			t.Errorf("kind %v: got lost work %d s, want %d s", tc.kind, got/second, tc.n*60)
+		if got := h.core.planner.runningTask(h.core.elector.leadership.fleet.Get("x0"), fleet.TaskRef{Job: j, Index: 0}, false).LostWork; got != tc.stoppedTasks*60*second {
+			t.Errorf("kind %v: got lost work %d s, want %d s", tc.kind, got/second, tc.stoppedTasks*60)
 		}
 	}
 }
@@ -286,9 +286,9 @@
 				t.Errorf("got stop reasons %q, want %q", got, tc.want)
 			}
 			all := h.core.planner.unfinished()
-			used, in := h.core.planner.usage(), h.core.planner.jobsWithinGuarantee(all)
-			for _, s := range h.core.planner.schedJobs(all, used, in) {
-				if s.ID == "g" {
+			used, withinGuarantee := h.core.planner.usage(), h.core.planner.jobsWithinGuarantee(all)
+			for _, planned := range h.core.planner.schedJobs(all, used, withinGuarantee) {
+				if planned.ID == "g" {
 					t.Error("gang is planned again before all tasks of its last attempt have stopped")
 				}
 			}
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -28,13 +28,13 @@
 			h := newLeaderHarness(t)
 			h.core.prefetcher.addPrefetchSources(&jobstate.Spec{ID: "g", Image: "im", Kind: tc.kind, Tasks: 4, OneZone: tc.oneZone, Spread: tc.spread})
 			got := ""
-			for i, s := range h.core.elector.leadership.prefetch.sources["im"] {
+			for i, source := range h.core.elector.leadership.prefetch.sources["im"] {
 				m := &fleet.Machine{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%2))}
-				may := s.mayRunIn(m.Zone)
+				may := source.mayRunIn(m.Zone)
 				got += fmt.Sprintf("%s:%v ", m.Zone, may)
 				if may {
-					s.start(m)
-					if s.mayRunIn(m.Zone) {
+					source.start(m)
+					if source.mayRunIn(m.Zone) {
 						t.Error("mayRunIn of a running source: got true, want false")
 					}
 				}
@@ -42,13 +42,13 @@
 			if got != tc.want {
 				t.Errorf("mayRunIn by zone: got %q, want %q", got, tc.want)
 			}
-			for _, s := range h.core.elector.leadership.prefetch.sources["im"] {
-				if s.machine != "" {
-					s.end()
+			for _, source := range h.core.elector.leadership.prefetch.sources["im"] {
+				if source.machine != "" {
+					source.end()
 				}
 			}
-			for _, s := range h.core.elector.leadership.prefetch.sources["im"] {
-				if !s.mayRunIn("b") {
+			for _, source := range h.core.elector.leadership.prefetch.sources["im"] {
+				if !source.mayRunIn("b") {
 					t.Error("mayRunIn in zone b after all prefetches have ended: got false, want true")
 				}
 			}
@@ -82,11 +82,11 @@
 			parts := 1 + machines*machineBytes/6000
 			next := newLeaderHarness(t)
 			for part := range parts {
-				v := h.core.prefetcher.encodeImageHints(images, part, parts)
-				if len(v) > 8000 {
-					t.Fatalf("hints value: got %d bytes, want at most 8000", len(v))
+				value := h.core.prefetcher.encodeImageHints(images, part, parts)
+				if len(value) > 8000 {
+					t.Fatalf("hints value: got %d bytes, want at most 8000", len(value))
 				}
-				next.core.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = v
+				next.core.cache.imageHints[fmt.Sprint(hintsKey, "/", part)] = value
 			}
 			// A value that an earlier leader wrote beyond the last part.
 			next.core.cache.imageHints[fmt.Sprint(hintsKey, "/", parts)] = next.core.cache.imageHints[hintsKey+"/0"]
@@ -101,8 +101,8 @@
 					}
 				}
 			}
-			if n := len(next.core.elector.leadership.hints.inheritedSources); n > 20 || machines < 1000 && n < 10 {
-				t.Errorf("inherited jobs: got %d, want at most 20, and at least 10 in fleets of fewer than 1000 machines", n)
+			if inherited := len(next.core.elector.leadership.hints.inheritedSources); inherited > 20 || machines < 1000 && inherited < 10 {
+				t.Errorf("inherited jobs: got %d, want at most 20, and at least 10 in fleets of fewer than 1000 machines", inherited)
 			}
 		})
 	}
@@ -127,8 +127,8 @@
 			{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 		}
-		add := func(n int, typ string) {
-			for i := range n {
+		add := func(prefetches int, typ string) {
+			for i := range prefetches {
 				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), core.now)
 				m.Type, m.Zone, m.HasCurrentToken, m.LastHeartbeat = typ, "a", true, core.now
 				m.SetType(core.cache.machineTypes)
@@ -138,21 +138,21 @@
 		add(tc.small, "c")
 		add(tc.large, "g")
 		for i, need := range []jobstate.Resources{{CPU: 1000}, {CPU: 1000, GPU: 1000}} {
-			s := &jobstate.Spec{ID: fmt.Sprint("done-", i), Team: "t", Image: fmt.Sprint("im-", i), ImageMB: 1000, Kind: jobstate.Array, Tasks: 40, Need: need}
-			core.prefetcher.addImageDemand(s)
+			spec := &jobstate.Spec{ID: fmt.Sprint("done-", i), Team: "t", Image: fmt.Sprint("im-", i), ImageMB: 1000, Kind: jobstate.Array, Tasks: 40, Need: need}
+			core.prefetcher.addImageDemand(spec)
 			for range 3 {
-				core.prefetcher.addPrefetchSources(s)
+				core.prefetcher.addPrefetchSources(spec)
 			}
 		}
 		core.elector.leadership.prefetch.lastRoundAt = 0
 		core.prefetcher.prefetchTick()
-		n := map[string]int{}
+		prefetches := map[string]int{}
 		for _, m := range core.elector.leadership.fleet.All() {
 			if m.Prefetch != nil {
-				n[m.Type]++
+				prefetches[m.Type]++
 			}
 		}
-		if got := fmt.Sprint(n["c"], n["g"]); got != tc.want {
+		if got := fmt.Sprint(prefetches["c"], prefetches["g"]); got != tc.want {
 			t.Errorf("prefetches by type with %d small and %d large idle machines: got %s, want %s", tc.small, tc.large, got, tc.want)
 		}
 	}
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -16,7 +16,7 @@
 // leaderHarness is the only core of a cluster, as its leader, with a simulated state service.
 type leaderHarness struct {
 	t           *testing.T
-	core           *Core
+	core        *Core
 	now         int64
 	revision    uint64
 	token       uint64
@@ -36,20 +36,20 @@
 // for a job that has not ended.
 func newLeaderHarnessWithOutcome(t *testing.T, outcome string) *leaderHarness {
 	t.Helper()
-	set := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
-	set.Size, set.Zones, set.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
-	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
-	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
-	set.Cloud.RPS = 1
+	settings := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
+	settings.Size, settings.Zones, settings.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
+	settings.Workers.ReportS, settings.Workers.LeaseS, settings.Workers.CancelS = 2, 16, 36
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = 100, 100, 8, 12
+	settings.Cloud.RPS = 1
 	h := &leaderHarness{t: t, now: second, revision: 10, token: 5}
-	h.core = New(set, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	j := jobstate.NewJob(&jobstate.Spec{ID: "j", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
 	j.PlaceTask(0, "m", 3, 1)
-	v, _ := j.BeginChunkWrite(0, 0)
+	chunk, _ := j.BeginChunkWrite(0, 0)
 	types := []fleet.Type{{Name: "c", Cap: jobstate.Resources{CPU: 1000, Mem: 1000}, Zones: []string{"a"}}}
 	h.step(StateListed{Revision: 10, Changes: []Change{
 		{Key: jobPrefix + "j", Value: encodeJSON(jobstate.Record{Spec: j.Spec, Outcome: outcome}), Revision: 1},
-		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: v, Revision: 2},
+		{Key: chunkKey("j", jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), Value: chunk, Revision: 2},
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{h.token}), Revision: 3},
 		{Key: typesKey, Value: encodeJSON(types), Revision: 4},
 	}})
@@ -70,8 +70,8 @@
 
 // step sends the core a message and answers the effects at once.
 func (h *leaderHarness) step(msg any) {
-	for _, e := range h.core.Step(h.now, msg) {
-		switch e := e.(type) {
+	for _, effect := range h.core.Step(h.now, msg) {
+		switch e := effect.(type) {
 		case Reply:
 			h.replies = append(h.replies, e)
 		case GrantLease:
@@ -90,13 +90,13 @@
 			}
 			h.revision++
 			h.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: h.revision})
-			var news []Change
+			var changes []Change
 			for _, w := range e.Writes {
 				if w.Key == LeaderKey || w.Key == tokenKey {
-					news = append(news, Change{Key: w.Key, Value: w.Value, Revision: h.revision})
+					changes = append(changes, Change{Key: w.Key, Value: w.Value, Revision: h.revision})
 				}
 			}
-			h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now, Changes: news})
+			h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now, Changes: changes})
 		case ReadState:
 			if !h.stateSilent {
 				h.step(StateRead{AfterRevision: e.AfterRevision, Revision: e.AfterRevision, SentAt: h.now, Immediate: true, ForRequests: e.ForRequests})
@@ -116,11 +116,11 @@
 	if len(h.replies) == 0 {
 		h.t.Fatal("got no answer to a heartbeat within 5 s, want one")
 	}
-	s := ""
-	for _, o := range h.replies[0].Commands {
-		s += fmt.Sprintf("%s %s.%d;", o.Kind, o.Task, o.Attempt)
+	commands := ""
+	for _, command := range h.replies[0].Commands {
+		commands += fmt.Sprintf("%s %s.%d;", command.Kind, command.Task, command.Attempt)
 	}
-	return h.replies[0].Status, s
+	return h.replies[0].Status, commands
 }
 
 // placed returns where task 0 is placed and as which attempt, or "over" if the job has ended.
@@ -165,14 +165,14 @@
 		{"no heartbeat for less than authority time plus worker lease", func(h *leaderHarness) { h.tick(authorityTime + 15*second) }, "m.3"},
 		{"no heartbeat for more than authority time plus worker lease", func(h *leaderHarness) { h.tick(authorityTime + 18*second) }, ".3"},
 		{"absent in a heartbeat with an older token: start command is repeated", func(h *leaderHarness) {
-			if _, o := h.heartbeat(5, 1); o != "start j/0.3;" {
-				h.t.Errorf("absent with an older token: got commands %q, want %q", o, "start j/0.3;")
+			if _, commands := h.heartbeat(5, 1); commands != "start j/0.3;" {
+				h.t.Errorf("absent with an older token: got commands %q, want %q", commands, "start j/0.3;")
 			}
 		}, "m.3"},
 		{"absent again after a lost start command: start command is repeated", func(h *leaderHarness) {
 			h.heartbeat(5, 1)
-			if _, o := h.heartbeat(h.token, 1); o != "start j/0.3;" {
-				h.t.Errorf("absent with the current token: got commands %q, want %q", o, "start j/0.3;")
+			if _, commands := h.heartbeat(h.token, 1); commands != "start j/0.3;" {
+				h.t.Errorf("absent with the current token: got commands %q, want %q", commands, "start j/0.3;")
 			}
 		}, "m.3"},
 		{"reported, then absent in a new worker epoch: placed again", func(h *leaderHarness) {
@@ -184,20 +184,20 @@
 		{"an older heartbeat is refused and proves nothing", func(h *leaderHarness) {
 			h.heartbeat(5, 1, running(3))
 			h.seq--
-			if s, _ := h.heartbeat(h.token, 1); s != 503 {
-				h.t.Errorf("older heartbeat: got status %d, want 503", s)
+			if status, _ := h.heartbeat(h.token, 1); status != 503 {
+				h.t.Errorf("older heartbeat: got status %d, want 503", status)
 			}
 		}, "m.3"},
 		{"an exit is proof, and forgotten by the worker only once it is stored", func(h *leaderHarness) {
 			h.heartbeat(5, 1, running(3))
 			h.stateSilent = true
-			if _, o := h.heartbeat(h.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); o != "" {
-				h.t.Errorf("got commands %q before the exit is stored, want none", o)
+			if _, commands := h.heartbeat(h.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); commands != "" {
+				h.t.Errorf("got commands %q before the exit is stored, want none", commands)
 			}
 		}, "m.4"}, // planned again, which is not stored either
 		{"another attempt is stopped and proves nothing", func(h *leaderHarness) {
-			if _, o := h.heartbeat(5, 1, running(2)); o != "stop j/0.2;start j/0.3;" {
-				h.t.Errorf("another attempt running: got commands %q, want %q", o, "stop j/0.2;start j/0.3;")
+			if _, commands := h.heartbeat(5, 1, running(2)); commands != "stop j/0.2;start j/0.3;" {
+				h.t.Errorf("another attempt running: got commands %q, want %q", commands, "stop j/0.2;start j/0.3;")
 			}
 		}, "m.3"},
 		{"successful scale-in", func(h *leaderHarness) { h.step(ScaledIn{Names: []string{"m"}, OK: true, FencingToken: h.token}) }, ".3"},
@@ -225,8 +225,8 @@
 // cancelled under an earlier leader, and then removes the job's keys.
 func TestCancelledEarlier(t *testing.T) {
 	h := newLeaderHarnessWithOutcome(t, jobstate.Cancelled)
-	if _, o := h.heartbeat(5, 1, running(3)); o != "stop j/0.3;" {
-		t.Errorf("got commands %q for the cancelled job's task, want %q", o, "stop j/0.3;")
+	if _, commands := h.heartbeat(5, 1, running(3)); commands != "stop j/0.3;" {
+		t.Errorf("got commands %q for the cancelled job's task, want %q", commands, "stop j/0.3;")
 	}
 	h.heartbeat(h.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped})
 	h.tick(second)
@@ -244,8 +244,8 @@
 	h.stateSilent = true
 	start := h.core.elector.leadership.authorityProvenAt()
 	for h.now-start < h.core.settings.LeaderAuthorityTime()-second {
-		if s, _ := h.heartbeat(h.token, 1, running(3)); s != 200 {
-			t.Fatalf("got status %d for a heartbeat after %d ms of authority time, want 200", s, (h.now-start)/1000)
+		if status, _ := h.heartbeat(h.token, 1, running(3)); status != 200 {
+			t.Fatalf("got status %d for a heartbeat after %d ms of authority time, want 200", status, (h.now-start)/1000)
 		}
 		h.tick(second / 2)
 	}
@@ -253,8 +253,8 @@
 		t.Error("got attempts allowed after the lease expired, want none")
 	}
 	h.tick(2 * second)
-	if s, _ := h.heartbeat(h.token, 1, running(3)); s != 503 {
-		t.Errorf("got status %d for a heartbeat after the authority time, want 503", s)
+	if status, _ := h.heartbeat(h.token, 1, running(3)); status != 503 {
+		t.Errorf("got status %d for a heartbeat after the authority time, want 503", status)
 	}
 	if cancel := config.MicrosOf(h.core.settings.Workers.CancelS); h.core.settings.LeaderAuthorityTime()+h.core.settings.EpochTimeout() >= cancel {
 		t.Errorf("got authority time %d us plus epoch timeout %d us, want less than cancel_s, %d us",
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -18,8 +18,8 @@
 	h.watchHung = true
 	before := h.core.elector.leadership.authorityProvenAt()
 	h.advance(3 * second)
-	if v := takeEffects[ReadState](h); len(v) < 2 || v[0].ForRequests {
-		t.Errorf("hung watch: got reads of the state %+v, want at least 2, the first not for requests", v)
+	if reads := takeEffects[ReadState](h); len(reads) < 2 || reads[0].ForRequests {
+		t.Errorf("hung watch: got reads of the state %+v, want at least 2, the first not for requests", reads)
 	}
 	if at := h.core.elector.leadership.tokenProvenAt; at <= before {
 		t.Fatalf("got fencing token proven at %d us, want later than %d us by a renewal of the lease", at, before)
@@ -44,7 +44,7 @@
 	h.core.settings.Peers = []string{"n1"}
 	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
 	// ask sends a request and returns its number and the answer after half a second, if any.
-	ask := func(build func(req uint64) any) (uint64, Reply) {
+	send := func(build func(req uint64) any) (uint64, Reply) {
 		h.lastRequest++
 		h.step(build(h.lastRequest))
 		h.advance(second / 2)
@@ -54,42 +54,42 @@
 		return func(req uint64) any { return CancelJob{RequestID: req, ID: id} }
 	}
 	poll := func(req uint64) any { return QueryJob{RequestID: req, ID: "a"} }
-	ack := func(a *readlease.HolderAck) {
-		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: a}})
+	ack := func(holderAck *readlease.HolderAck) {
+		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: holderAck}})
 	}
 	h.advance(second)
 	ack(&readlease.HolderAck{})
 	h.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
-	if p := h.replies[900].PeerStatus.ReadLease; p == nil || !p.Complete || len(p.Cancelled) != 0 {
-		t.Fatalf("got read lease %+v, want a complete one without cancellations", p)
+	if granted := h.replies[900].PeerStatus.ReadLease; granted == nil || !granted.Complete || len(granted.Cancelled) != 0 {
+		t.Fatalf("got read lease %+v, want a complete one without cancellations", granted)
 	}
 	// The cancellation itself, another user's poll and a repeated submission.
 	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
-		n, r := ask(build)
+		requestID, reply := send(build)
 		if h.keys[endPrefix+"a"].Revision == 0 {
 			t.Fatal("got no stored end of job a, want its cancellation stored")
 		}
-		if r.Status != 0 {
-			t.Errorf("%T: got status %d before the leader knew of the cancellation, want no answer", build(0), r.Status)
+		if reply.Status != 0 {
+			t.Errorf("%T: got status %d before the leader knew of the cancellation, want no answer", build(0), reply.Status)
 		}
 		h.advance(maxHeldReply)
-		if r := h.replies[n]; r.Status != 503 || r.RetryAfter != 1 {
-			t.Errorf("%T: got reply %+v after maxHeldReply, want status 503 and retry after 1 s", build(0), r)
+		if reply := h.replies[requestID]; reply.Status != 503 || reply.RetryAfter != 1 {
+			t.Errorf("%T: got reply %+v after maxHeldReply, want status 503 and retry after 1 s", build(0), reply)
 		}
 	}
-	n, _ := ask(poll)
+	requestID, _ := send(poll)
 	ack(&readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: 1})
-	if r := h.replies[n]; r.Status != 200 || r.Job.State != jobstate.Cancelled {
-		t.Errorf("once the leader knows: got reply %+v, want status 200 and the job cancelled", r)
+	if reply := h.replies[requestID]; reply.Status != 200 || reply.Job.State != jobstate.Cancelled {
+		t.Errorf("once the leader knows: got reply %+v, want status 200 and the job cancelled", reply)
 	}
 	// The leader never learns of the next cancellation: the answer is held back until its
 	// read lease has expired, and no longer.
-	if _, r := ask(cancel("c")); r.Status != 0 {
-		t.Errorf("leader not informed: got status %d, want no answer", r.Status)
+	if _, reply := send(cancel("c")); reply.Status != 0 {
+		t.Errorf("leader not informed: got status %d, want no answer", reply.Status)
 	}
 	h.advance(h.core.settings.LeaderAuthorityTime() + 2*second)
-	if _, r := ask(cancel("c")); r.Status != 200 {
-		t.Errorf("after the read lease expired: got reply %+v, want status 200", r)
+	if _, reply := send(cancel("c")); reply.Status != 200 {
+		t.Errorf("after the read lease expired: got reply %+v, want status 200", reply)
 	}
 }
 
@@ -104,8 +104,8 @@
 		return h.replies[0].Ops
 	}
 	missingReadLeases := func(v *OperatorView) (n int) {
-		for _, s := range v.Conditions {
-			if strings.Contains(s, "has not vouched") {
+		for _, condition := range v.Conditions {
+			if strings.Contains(condition, "has not vouched") {
 				n++
 			}
 		}
@@ -149,11 +149,11 @@
 	h.core.settings.Peers = []string{"n1"}
 	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
-	ask := func() *readlease.CancellationPage {
+	requestReadLease := func() *readlease.CancellationPage {
 		h.step(PingReceived{RequestID: 900, From: "n1", Incarnation: "x", ReadLeaseRequest: &readlease.GrantRequest{}})
 		return h.replies[900].PeerStatus.ReadLease
 	}
-	ask()
+	requestReadLease()
 	builds := []func(req uint64) any{
 		func(req uint64) any { return CancelSweep{RequestID: req, ID: "s"} },
 		func(req uint64) any { return QuerySweep{RequestID: req, ID: "s"} },
@@ -161,22 +161,22 @@
 		func(req uint64) any { return QueryJob{RequestID: req, ID: "sweep.s.1"} },
 	}
 	for _, build := range builds {
-		if r := h.requestSweep(build); r.Status == 200 {
-			t.Errorf("%T: got reply %+v before the leader knew of the cancellation, want a status other than 200", build(0), r)
+		if reply := h.requestSweep(build); reply.Status == 200 {
+			t.Errorf("%T: got reply %+v before the leader knew of the cancellation, want a status other than 200", build(0), reply)
 		}
 	}
 	if h.keys[sweepEndPrefix+"s"].Revision == 0 {
 		t.Fatal("got no stored end of sweep s, want its cancellation stored")
 	}
-	p := ask()
-	if !slices.Contains(p.Cancelled, cancelledSweepPrefix+"s") {
-		t.Errorf("got read lease with cancellations %v, want sweep s among them", p.Cancelled)
+	granted := requestReadLease()
+	if !slices.Contains(granted.Cancelled, cancelledSweepPrefix+"s") {
+		t.Errorf("got read lease with cancellations %v, want sweep s among them", granted.Cancelled)
 	}
-	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: p.UpTo}}})
+	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: granted.UpTo}}})
 	builds = slices.Delete(builds, 2, 3) // the plan of an ended sweep is not available at once
 	for _, build := range builds {
-		if r := h.requestSweep(build); r.Status != 200 {
-			t.Errorf("%T: got reply %+v once the leader knew of the cancellation, want status 200", build(0), r)
+		if reply := h.requestSweep(build); reply.Status != 200 {
+			t.Errorf("%T: got reply %+v once the leader knew of the cancellation, want status 200", build(0), reply)
 		}
 	}
 }
--- a/internal/core/repeatedsubmission_test.go
+++ b/internal/core/repeatedsubmission_test.go
@@ -29,9 +29,9 @@
 		want         string
 	}{
 		{"done job", endDone, nil, 0, jobstate.Done},
-		{"cancelled job", cancelled, nil, 0, jobstate.Cancelled},
+		{"cancelled job", endCancelled, nil, 0, jobstate.Cancelled},
 		{"job and its dependency ended", endDone, []string{"before"}, 0, jobstate.Done},
-		{"reads refused by rate limit", cancelled, nil, 2, jobstate.Cancelled},
+		{"reads refused by rate limit", endCancelled, nil, 2, jobstate.Cancelled},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/reportedend_test.go
+++ b/internal/core/reportedend_test.go
@@ -65,28 +65,28 @@
 // knows by then, and in whether it leads.
 func reportedEndCases() []reportedEndCase {
 	type events = []func(h *harness, reportCancelled func(ids ...string))
-	tellOf := func(ids ...string) func(*harness, func(...string)) {
+	reportEnds := func(ids ...string) func(*harness, func(...string)) {
 		return func(_ *harness, reportCancelled func(...string)) { reportCancelled(ids...) }
 	}
 	wait := func(h *harness, _ func(...string)) { h.advance(3 * second) }
-	reveal := func(h *harness, _ func(...string)) { h.unreachable = map[string]bool{} }
-	lead := func(h *harness, _ func(...string)) { h.remove(LeaderKey) }
-	deposed := func(h *harness, _ func(...string)) { h.remove(LeaderKey); h.listState() }
-	submit := func(h *harness, _ func(...string)) {
+	makeReadable := func(h *harness, _ func(...string)) { h.unreachable = map[string]bool{} }
+	becomeLeader := func(h *harness, _ func(...string)) { h.remove(LeaderKey) }
+	loseLeadership := func(h *harness, _ func(...string)) { h.remove(LeaderKey); h.listState() }
+	submitThird := func(h *harness, _ func(...string)) {
 		h.store(jobPrefix+"third", job("third", "second"))
 		h.refresh()
 	}
 	return []reportedEndCase{
-		{"leader before it reads the first job's end", false, true, events{wait, tellOf("second"), wait, reveal, wait}},
-		{"leader that never reads the first job's end", false, true, events{wait, tellOf("second"), wait}},
-		{"leader, both jobs reported, the dependent one first", false, true, events{wait, tellOf("second", "first"), wait, reveal, wait}},
-		{"leader, both jobs reported, the dependent one last", false, true, events{wait, tellOf("first", "second"), wait, reveal, wait}},
-		{"leader that has derived the end itself", false, false, events{wait, tellOf("second"), wait}},
-		{"controller that has just started", false, true, events{tellOf("second"), wait, reveal, wait}},
-		{"follower that becomes leader later", true, true, events{wait, tellOf("second"), wait, lead, wait, reveal, wait}},
-		{"follower that becomes leader immediately", true, true, events{wait, tellOf("second"), lead, tellOf("second"), wait, reveal, wait}},
-		{"leader whose term ends before it writes", false, true, events{wait, tellOf("second"), deposed, wait, reveal, wait}},
-		{"leader with a job that depends on the dependent one", false, true, events{wait, submit, wait, tellOf("second"), wait, reveal, wait}},
+		{"leader before it reads the first job's end", false, true, events{wait, reportEnds("second"), wait, makeReadable, wait}},
+		{"leader that never reads the first job's end", false, true, events{wait, reportEnds("second"), wait}},
+		{"leader, both jobs reported, the dependent one first", false, true, events{wait, reportEnds("second", "first"), wait, makeReadable, wait}},
+		{"leader, both jobs reported, the dependent one last", false, true, events{wait, reportEnds("first", "second"), wait, makeReadable, wait}},
+		{"leader that has derived the end itself", false, false, events{wait, reportEnds("second"), wait}},
+		{"controller that has just started", false, true, events{reportEnds("second"), wait, makeReadable, wait}},
+		{"follower that becomes leader later", true, true, events{wait, reportEnds("second"), wait, becomeLeader, wait, makeReadable, wait}},
+		{"follower that becomes leader immediately", true, true, events{wait, reportEnds("second"), becomeLeader, reportEnds("second"), wait, makeReadable, wait}},
+		{"leader whose term ends before it writes", false, true, events{wait, reportEnds("second"), loseLeadership, wait, makeReadable, wait}},
+		{"leader with a job that depends on the dependent one", false, true, events{wait, submitThird, wait, reportEnds("second"), wait, makeReadable, wait}},
 	}
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	stored := map[string]any{
 		formatKey:            format,
-		endPrefix + "first":  cancelled,
+		endPrefix + "first":  endCancelled,
 		jobPrefix + "second": job("second", "first"),
 	}
 	if tc.startsAsFollower {
@@ -133,11 +133,11 @@
 		t.Fatal("got no report of a cancellation in the events, want at least one")
 	}
 	h.unreachable = map[string]bool{}
-	for _, asked := range []string{"running controller", "restarted controller"} {
+	for _, controller := range []string{"running controller", "restarted controller"} {
 		// The peer holds no read lease, so no answer is held back because of it.
 		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{}}})
 		if got := h.jobState("second"); got != jobstate.Cancelled {
-			t.Errorf("%s: got job state %s, want %s", asked, got, jobstate.Cancelled)
+			t.Errorf("%s: got job state %s, want %s", controller, got, jobstate.Cancelled)
 		}
 		delete(h.keys, LeaderKey)
 		h.restart()
@@ -159,7 +159,7 @@
 				record := job("a")
 				record.Outcome = jobstate.Cancelled
 				h.store(jobPrefix+"a", record)
-				h.store(endPrefix+"a", cancelled)
+				h.store(endPrefix+"a", endCancelled)
 				want := h.keys[endPrefix+"a"].Revision
 				h.step(source.message(h, "a"))
 				h.advance(3 * second)
@@ -184,7 +184,7 @@
 	h := newHarness(t, map[string]any{
 		formatKey:            progressLogFormat,
 		LeaderKey:            leaderRecord{Name: "n1", Incarnation: "x", Token: 1, Lease: 1},
-		endPrefix + "first":  cancelled,
+		endPrefix + "first":  endCancelled,
 		jobPrefix + "second": job("second", "first"),
 	})
 	h.core.settings.Peers = []string{"n1"}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -20,7 +20,7 @@
 // workerFleet simulates a leader with a fleet of workers and a stream of jobs, in one loop with
 // fake time, so that the cost of running it is that of the core at this size.
 type workerFleet struct {
-	core               *Core
+	core            *Core
 	now             int64
 	revision        uint64
 	rng             *rand.Rand
@@ -85,14 +85,14 @@
 }
 
 func (w *workerFleet) step(msg any) {
-	for _, e := range w.core.Step(w.now, msg) {
-		switch e := e.(type) {
+	for _, effect := range w.core.Step(w.now, msg) {
+		switch e := effect.(type) {
 		case Reply:
-			if h := w.awaitingReply[e.RequestID]; h != nil {
+			if worker := w.awaitingReply[e.RequestID]; worker != nil {
 				delete(w.awaitingReply, e.RequestID)
-				h.awaitsReply = false
+				worker.awaitsReply = false
 				if e.Status == 200 {
-					w.execute(h, e)
+					w.execute(worker, e)
 				}
 			}
 		case GrantLease:
@@ -104,11 +104,11 @@
 		case CommitTransaction:
 			w.revision++
 			var changes []Change
-			for _, x := range e.Writes {
+			for _, write := range e.Writes {
 				w.writes++
-				w.store(x.Key, x.Value)
-				if !strings.HasPrefix(x.Key, runPrefix) && !strings.HasPrefix(x.Key, logPrefix) {
-					changes = append(changes, Change{Key: x.Key, Value: x.Value, Revision: w.revision})
+				w.store(write.Key, write.Value)
+				if !strings.HasPrefix(write.Key, runPrefix) && !strings.HasPrefix(write.Key, logPrefix) {
+					changes = append(changes, Change{Key: write.Key, Value: write.Value, Revision: w.revision})
 				}
 			}
 			w.pendingMessages = append(w.pendingMessages, TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: w.revision}, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, SentAt: w.now, Changes: changes})
@@ -133,41 +133,41 @@
 func (w *workerFleet) failOver() {
 	delete(w.stored, LeaderKey)
 	w.revision++
-	rows := slices.SortedFunc(maps.Values(w.stored), func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
+	changes := slices.SortedFunc(maps.Values(w.stored), func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
 	w.pendingMessages, w.awaitingReply = nil, map[uint64]*worker{}
 	w.settings.Incarnation += "b"
 	w.core = New(w.settings, w.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	for _, h := range w.workers {
-		h.awaitsReply, h.heartbeatDueAt = false, w.now+w.rng.Int64N(8*second)
+	for _, worker := range w.workers {
+		worker.awaitsReply, worker.heartbeatDueAt = false, w.now+w.rng.Int64N(8*second)
 	}
-	w.step(StateListed{Revision: w.revision, Changes: rows})
+	w.step(StateListed{Revision: w.revision, Changes: changes})
 	for w.core.elector.leadership == nil {
 		w.tick()
 	}
 }
 
 // execute executes the commands in a reply.
-func (w *workerFleet) execute(h *worker, r Reply) {
-	if r.FencingToken > h.token {
-		h.token, h.changed = r.FencingToken, true
+func (w *workerFleet) execute(worker *worker, reply Reply) {
+	if reply.FencingToken > worker.token {
+		worker.token, worker.changed = reply.FencingToken, true
 	}
-	for _, o := range r.Commands {
-		t := h.tasks[o.Task]
-		switch o.Kind {
+	for _, command := range reply.Commands {
+		task := worker.tasks[command.Task]
+		switch command.Kind {
 		case CommandStart:
-			if t != nil {
+			if task != nil {
 				continue
 			}
-			h.tasks[o.Task] = &workerTask{name: o.Task, attempt: o.Attempt, state: TaskFetching, readyAt: w.now + 3*second, runTime: 10*second + w.rng.Int64N(60*second)}
-			h.taskOrder = append(h.taskOrder, h.tasks[o.Task])
-			h.changed = true
+			worker.tasks[command.Task] = &workerTask{name: command.Task, attempt: command.Attempt, state: TaskFetching, readyAt: w.now + 3*second, runTime: 10*second + w.rng.Int64N(60*second)}
+			worker.taskOrder = append(worker.taskOrder, worker.tasks[command.Task])
+			worker.changed = true
 		case CommandStop:
-			if t != nil && t.state != TaskExited {
-				t.state, t.reason, h.changed = TaskExited, ExitStopped, true
+			if task != nil && task.state != TaskExited {
+				task.state, task.reason, worker.changed = TaskExited, ExitStopped, true
 			}
 		case CommandForget:
-			delete(h.tasks, o.Task)
-			h.taskOrder = slices.DeleteFunc(h.taskOrder, func(t *workerTask) bool { return t.name == o.Task })
+			delete(worker.tasks, command.Task)
+			worker.taskOrder = slices.DeleteFunc(worker.taskOrder, func(task *workerTask) bool { return task.name == command.Task })
 		}
 	}
 }
@@ -177,65 +177,65 @@
 	w.now += 50_000
 	messages := w.pendingMessages
 	w.pendingMessages = nil
-	for _, m := range messages {
-		w.step(m)
+	for _, message := range messages {
+		w.step(message)
 	}
 	w.step(Tick{TimeOfDay: w.now + 1_000_000*second})
-	for _, h := range w.workers {
-		if h.dead {
+	for _, worker := range w.workers {
+		if worker.dead {
 			continue
 		}
-		for _, t := range h.taskOrder {
-			if t.state == TaskFetching && w.now >= t.readyAt {
-				t.state, h.changed = TaskRunning, true
+		for _, task := range worker.taskOrder {
+			if task.state == TaskFetching && w.now >= task.readyAt {
+				task.state, worker.changed = TaskRunning, true
 				w.started++
 			}
-			if t.state == TaskRunning && w.now >= t.readyAt+t.runTime && !w.endless {
-				t.state, t.reason, h.changed = TaskExited, ExitDone, true
+			if task.state == TaskRunning && w.now >= task.readyAt+task.runTime && !w.endless {
+				task.state, task.reason, worker.changed = TaskExited, ExitDone, true
 				w.done++
 			}
 		}
-		if h.changed {
-			h.heartbeatDueAt = min(h.heartbeatDueAt, w.now)
+		if worker.changed {
+			worker.heartbeatDueAt = min(worker.heartbeatDueAt, w.now)
 		}
-		if h.awaitsReply || w.now < h.heartbeatDueAt {
+		if worker.awaitsReply || w.now < worker.heartbeatDueAt {
 			continue
 		}
-		h.heartbeatDueAt, h.awaitsReply, h.changed = w.now+6*second+w.rng.Int64N(4*second), true, false
-		h.seq++
+		worker.heartbeatDueAt, worker.awaitsReply, worker.changed = w.now+6*second+w.rng.Int64N(4*second), true, false
+		worker.seq++
 		w.lastRequestID++
-		r := Heartbeat{Machine: h.name, Addr: "a", Type: "c", Zone: h.zone, Epoch: 1, Seq: h.seq, FencingToken: h.token, PreemptionNotice: NoPreemptionNotice}
-		if h.hasPreemptionNotice {
-			r.PreemptionNotice = 20 * second
+		heartbeat := Heartbeat{Machine: worker.name, Addr: "a", Type: "c", Zone: worker.zone, Epoch: 1, Seq: worker.seq, FencingToken: worker.token, PreemptionNotice: NoPreemptionNotice}
+		if worker.hasPreemptionNotice {
+			heartbeat.PreemptionNotice = 20 * second
 		}
-		for _, t := range h.taskOrder {
-			r.Tasks = append(r.Tasks, TaskStatus{Name: t.name, Attempt: uint64(t.attempt), State: t.state, Reason: t.reason})
+		for _, task := range worker.taskOrder {
+			heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Name: task.name, Attempt: uint64(task.attempt), State: task.state, Reason: task.reason})
 		}
-		w.awaitingReply[w.lastRequestID] = h
-		w.step(HeartbeatReceived{RequestID: w.lastRequestID, Heartbeat: r})
+		w.awaitingReply[w.lastRequestID] = worker
+		w.step(HeartbeatReceived{RequestID: w.lastRequestID, Heartbeat: heartbeat})
 	}
 }
 
 // submit adds a job of one of three random kinds: two of gangs, one of arrays.
 func (w *workerFleet) submit() {
 	w.jobs++
-	s := &jobstate.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
+	spec := &jobstate.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
 	switch w.rng.IntN(3) {
 	case 0:
-		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Checkpoint = jobstate.Gang, 1<<w.rng.IntN(5), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 1, 20*second
+		spec.Kind, spec.Tasks, spec.Need, spec.OneZone, spec.Priority, spec.Checkpoint = jobstate.Gang, 1<<w.rng.IntN(5), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 1, 20*second
 	case 1:
-		s.Kind, s.Tasks, s.Need, s.OneZone, s.Priority, s.Team = jobstate.Gang, 1<<w.rng.IntN(3), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 2, "blue"
+		spec.Kind, spec.Tasks, spec.Need, spec.OneZone, spec.Priority, spec.Team = jobstate.Gang, 1<<w.rng.IntN(3), jobstate.Resources{CPU: 43000, GPU: 8000, Mem: 230000}, true, 2, "blue"
 	default:
-		s.Kind, s.Tasks, s.Need = jobstate.Array, 30+w.rng.IntN(200), jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}
+		spec.Kind, spec.Tasks, spec.Need = jobstate.Array, 30+w.rng.IntN(200), jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}
 	}
-	w.add(s)
+	w.add(spec)
 }
 
 // add stores a job as accepted and has the leader read it in the next tick.
-func (w *workerFleet) add(s *jobstate.Spec) {
+func (w *workerFleet) add(spec *jobstate.Spec) {
 	w.revision++
-	w.store(jobPrefix+s.ID, encodeJSON(jobstate.Record{Spec: s}))
-	w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, Changes: []Change{w.stored[jobPrefix+s.ID]}})
+	w.store(jobPrefix+spec.ID, encodeJSON(jobstate.Record{Spec: spec}))
+	w.pendingMessages = append(w.pendingMessages, StateRead{AfterRevision: w.revision - 1, Revision: w.revision, Changes: []Change{w.stored[jobPrefix+spec.ID]}})
 }
 
 // run simulates a number of seconds, with rate jobs submitted per second.
@@ -253,26 +253,26 @@
 // on two of them.
 func (w *workerFleet) running(tb testing.TB) int {
 	tb.Helper()
-	on := map[string]string{}
-	for _, h := range w.workers {
-		for name, task := range h.tasks {
-			if h.dead || task.state == TaskExited {
+	machineOf := map[string]string{}
+	for _, worker := range w.workers {
+		for name, task := range worker.tasks {
+			if worker.dead || task.state == TaskExited {
 				continue
 			}
-			if o := on[name]; o != "" {
-				tb.Fatalf("task %s: got machines %s and %s, want one", name, o, h.name)
+			if other := machineOf[name]; other != "" {
+				tb.Fatalf("task %s: got machines %s and %s, want one", name, other, worker.name)
 			}
-			on[name] = h.name
+			machineOf[name] = worker.name
 		}
 	}
-	return len(on)
+	return len(machineOf)
 }
 
 // TestLargeFleet runs 100,000 tasks on 10,000 machines, stops the leader, and then a third of the
 // machines at once. It checks that running tasks continue, and that lost ones start elsewhere once
 // the leases of their machines have expired, each on one machine only.
 func TestLargeFleet(t *testing.T) {
-	machines, jobs, each := 10_000, 50, 2000
+	machines, jobs, tasksPerJob := 10_000, 50, 2000
 	if raceEnabled || testing.Short() {
 		machines, jobs = 1000, 5 // the same code is ten times as slow with the race detector
 	}
@@ -280,29 +280,29 @@
 	w.endless = true
 	w.run(10, 0)
 	for k := range jobs {
-		w.add(&jobstate.Spec{ID: fmt.Sprintf("big-%02d", k), Class: "c", Team: "red", Kind: jobstate.Array, Tasks: each, Spot: true, Need: jobstate.Resources{CPU: 4000, Mem: 20000}, Estimate: 600 * second, Priority: k % 2})
+		w.add(&jobstate.Spec{ID: fmt.Sprintf("big-%02d", k), Class: "c", Team: "red", Kind: jobstate.Array, Tasks: tasksPerJob, Spot: true, Need: jobstate.Resources{CPU: 4000, Mem: 20000}, Estimate: 600 * second, Priority: k % 2})
 	}
 	w.run(60, 0)
-	if n := w.running(t); n != jobs*each {
-		t.Fatalf("got %d running tasks, want %d", n, jobs*each)
+	if running := w.running(t); running != jobs*tasksPerJob {
+		t.Fatalf("got %d running tasks, want %d", running, jobs*tasksPerJob)
 	}
 	w.failOver()
 	w.run(20, 0)
-	known := 0
+	haveToken := 0
 	for _, m := range w.core.elector.leadership.fleet.All() {
 		if m.HasCurrentToken {
-			known++
+			haveToken++
 		}
 	}
-	if n := w.running(t); n != jobs*each || known != machines {
-		t.Fatalf("after the failover: got %d running tasks, %d known machines, want %d and %d", n, known, jobs*each, machines)
+	if running := w.running(t); running != jobs*tasksPerJob || haveToken != machines {
+		t.Fatalf("after the failover: got %d running tasks, %d known machines, want %d and %d", running, haveToken, jobs*tasksPerJob, machines)
 	}
-	for i, h := range w.workers {
-		h.dead = i%3 == 0
+	for i, worker := range w.workers {
+		worker.dead = i%3 == 0
 	}
 	w.run(120, 0)
-	if n, most := w.running(t), machines*2/3*12; n < min(jobs*each, most)*99/100 {
-		t.Fatalf("after the loss of a third of the machines: got %d running tasks, want at least 99 %% of %d", n, min(jobs*each, most))
+	if running, capacity := w.running(t), machines*2/3*12; running < min(jobs*tasksPerJob, capacity)*99/100 {
+		t.Fatalf("after the loss of a third of the machines: got %d running tasks, want at least 99 %% of %d", running, min(jobs*tasksPerJob, capacity))
 	}
 	var mem runtime.MemStats
 	runtime.GC()
@@ -324,22 +324,22 @@
 	w := newWorkerFleet(machines)
 	w.core.settings.Limits.Sockets = sockets
 	held := &w.core.elector.leadership.heartbeats.held
-	most := 0
+	maxHeld := 0
 	for range 30 * 20 {
 		w.tick()
-		most = max(most, len(held.byName))
+		maxHeld = max(maxHeld, len(held.byName))
 		if len(held.byName) != held.countVia[""] {
 			t.Fatalf("got a count of %d held replies, want %d", held.countVia[""], len(held.byName))
 		}
 	}
-	if most != sockets/2 {
-		t.Errorf("got a maximum of %d replies held at once, want %d", most, sockets/2)
+	if maxHeld != sockets/2 {
+		t.Errorf("got a maximum of %d replies held at once, want %d", maxHeld, sockets/2)
 	}
 	w.add(&jobstate.Spec{ID: "wide", Class: "c", Team: "red", Kind: jobstate.Array, Tasks: machines, Need: jobstate.Resources{CPU: 40000}, Estimate: 600 * second})
 	w.endless = true
 	w.run(40, 0)
-	if n := w.running(t); n != machines {
-		t.Errorf("got %d running tasks, want %d, one on each machine", n, machines)
+	if running := w.running(t); running != machines {
+		t.Errorf("got %d running tasks, want %d, one on each machine", running, machines)
 	}
 }
 
@@ -350,21 +350,21 @@
 		w := newWorkerFleet(40)
 		w.rng = rand.New(rand.NewPCG(seed, 5))
 		for range 1500 {
-			switch h := w.workers[w.rng.IntN(len(w.workers))]; w.rng.IntN(60) {
+			switch worker := w.workers[w.rng.IntN(len(w.workers))]; w.rng.IntN(60) {
 			case 0:
-				h.dead = !h.dead
+				worker.dead = !worker.dead
 			case 1:
-				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil {
-					w.core.scaler.queueScaleIn(h.name)
+				if m := w.core.elector.leadership.fleet.Get(worker.name); m != nil {
+					w.core.scaler.queueScaleIn(worker.name)
 				}
 			case 2:
-				w.step(ScaledIn{Names: []string{h.name}, OK: true, FencingToken: w.core.elector.leadership.fencingToken})
+				w.step(ScaledIn{Names: []string{worker.name}, OK: true, FencingToken: w.core.elector.leadership.fencingToken})
 			case 3:
-				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil && m.HasCurrentToken {
-					h.hasPreemptionNotice = true
+				if m := w.core.elector.leadership.fleet.Get(worker.name); m != nil && m.HasCurrentToken {
+					worker.hasPreemptionNotice = true
 				}
 			case 4:
-				if m := w.core.elector.leadership.fleet.Get(h.name); m != nil {
+				if m := w.core.elector.leadership.fleet.Get(worker.name); m != nil {
 					w.core.planner.machineGone(m, "removed by the test")
 				}
 			case 5:
@@ -377,27 +377,27 @@
 			}
 			w.tick()
 			w.core.planner.refreshIndex()
-			l, n := w.core.elector.leadership, 0
-			for _, m := range l.fleet.All() {
-				v := l.plannerIndex.indexed[m]
+			term, usable := w.core.elector.leadership, 0
+			for _, m := range term.fleet.All() {
+				entry := term.plannerIndex.indexed[m]
 				if !w.core.planner.usable(m) {
-					if v != nil {
+					if entry != nil {
 						t.Fatalf("machine %s: got an index entry for an unusable machine, want none", m.Name)
 					}
 					continue
 				}
-				n++
-				got := []any{v.Type, v.Zone, v.Spot, v.Partition, v.Cap, v.Free, v.NextContact, v.FetchRate, len(v.Images)}
-				if want := []any{m.Type, m.Zone, m.Spot, w.core.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.core.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || l.plannerIndex.index.Find(m.Name) != &v.Machine {
+				usable++
+				got := []any{entry.Type, entry.Zone, entry.Spot, entry.Partition, entry.Cap, entry.Free, entry.NextContact, entry.FetchRate, len(entry.Images)}
+				if want := []any{m.Type, m.Zone, m.Spot, w.core.cache.partitions.PartitionOfHash(m.Hash), m.Cap, m.Free(), w.core.planner.nextHeartbeatAt(m), m.FetchRate, len(m.Images)}; !slices.Equal(got, want) || term.plannerIndex.index.Find(m.Name) != &entry.Machine {
 					t.Fatalf("machine %s: got index entry %v, want %v", m.Name, got, want)
 				}
 			}
-			if n != l.plannerIndex.index.Len() || n != l.plannerIndex.byLastHeartbeat.Len() || n != len(l.plannerIndex.indexed) {
-				t.Fatalf("got %d machines in the index, %d by last heartbeat, %d indexed, want %d usable ones in each", l.plannerIndex.index.Len(), l.plannerIndex.byLastHeartbeat.Len(), len(l.plannerIndex.indexed), n)
+			if usable != term.plannerIndex.index.Len() || usable != term.plannerIndex.byLastHeartbeat.Len() || usable != len(term.plannerIndex.indexed) {
+				t.Fatalf("got %d machines in the index, %d by last heartbeat, %d indexed, want %d usable ones in each", term.plannerIndex.index.Len(), term.plannerIndex.byLastHeartbeat.Len(), len(term.plannerIndex.indexed), usable)
 			}
-			for name, p := range l.heartbeats.held.byName {
-				_, likely := l.heartbeats.held.maybeReady[name]
-				if m := l.fleet.Get(name); m != nil && hasCommands(m) && !likely && p.until > w.now {
+			for name, reply := range term.heartbeats.held.byName {
+				_, marked := term.heartbeats.held.maybeReady[name]
+				if m := term.fleet.Get(name); m != nil && hasCommands(m) && !marked && reply.until > w.now {
 					t.Fatalf("machine %s: got a held reply while commands are pending, want it marked as maybe ready", name)
 				}
 			}
@@ -449,30 +449,30 @@
 func BenchmarkTakeOver(b *testing.B) {
 	for _, n := range []int{50, 400, 1600, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var rows []Change
+			var changes []Change
 			add := func(key string, value []byte) {
-				rows = append(rows, Change{Key: key, Value: value, Revision: uint64(len(rows) + 1)})
+				changes = append(changes, Change{Key: key, Value: value, Revision: uint64(len(changes) + 1)})
 			}
 			add(tokenKey, encodeJSON(tokenRecord{5}))
 			w := newWorkerFleet(n)
 			add(typesKey, encodeJSON(w.core.cache.machineTypes))
 			for k := range n / 25 {
-				s := &jobstate.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: jobstate.Array, Tasks: 100, Need: jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
-				j := jobstate.NewJob(s)
-				for i := range s.Tasks {
+				spec := &jobstate.Spec{ID: fmt.Sprint("job-", k), Team: "red", Kind: jobstate.Array, Tasks: 100, Need: jobstate.Resources{CPU: 5000, GPU: 1000, Mem: 27000}, Estimate: 30 * second}
+				j := jobstate.NewJob(spec)
+				for i := range spec.Tasks {
 					j.PlaceTask(i, w.workers[(k*25+i/4)%n].name, 1, 1)
 				}
-				v, _ := j.BeginChunkWrite(0, 0)
-				add(jobPrefix+s.ID, encodeJSON(jobstate.Record{Spec: s}))
-				add(chunkKey(s.ID, jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), v)
+				chunk, _ := j.BeginChunkWrite(0, 0)
+				add(jobPrefix+spec.ID, encodeJSON(jobstate.Record{Spec: spec}))
+				add(chunkKey(spec.ID, jobstate.ChunkRef{ChunkSize: jobstate.DefaultChunkSize}), chunk)
 			}
 			for b.Loop() {
-				next := &workerFleet{now: second, revision: uint64(len(rows) + 1), rng: w.rng, awaitingReply: map[uint64]*worker{}, workers: w.workers, stored: map[string]Change{}}
-				for _, h := range next.workers {
-					h.awaitsReply, h.heartbeatDueAt, h.token = false, second, 0
+				next := &workerFleet{now: second, revision: uint64(len(changes) + 1), rng: w.rng, awaitingReply: map[uint64]*worker{}, workers: w.workers, stored: map[string]Change{}}
+				for _, worker := range next.workers {
+					worker.awaitsReply, worker.heartbeatDueAt, worker.token = false, second, 0
 				}
 				next.core = New(w.settings, next.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-				next.step(StateListed{Revision: next.revision, Changes: rows})
+				next.step(StateListed{Revision: next.revision, Changes: changes})
 				for next.core.elector.leadership == nil {
 					next.tick()
 				}
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -13,12 +13,12 @@
 // zone is partitioned returns every machine of the zone.
 func TestScaleInSilentMachines(t *testing.T) {
 	cases := []struct {
-		name         string
-		silent, live int
-		ever         bool // this leader has received heartbeats of the silent machines
-		releases     int
-		after        int64 // time since the last heartbeat, in seconds
-		unproved     bool  // the state service has not confirmed the token recently
+		name           string
+		silent, live   int
+		heartbeatsSeen bool // this leader has received heartbeats of the silent machines
+		returned       int
+		silentS        int64 // time since the last heartbeat, in seconds
+		tokenUnproven  bool  // the state service has not confirmed the token recently
 	}{
 		{"one machine of 20", 1, 19, true, 1, 12, false},
 		{"one zone of three", 10, 20, true, 0, 12, false},
@@ -39,23 +39,23 @@
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.live, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
 			h.placeRunning(j, false)
 			for i := range tc.silent {
-				if m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
+				if m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.heartbeatsSeen {
 					m.LastHeartbeat = 0
 				}
 			}
 			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
-			h.now += tc.after * second
+			h.now += tc.silentS * second
 			h.core.now = h.now
 			for i := range tc.live {
 				h.core.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = h.now
 			}
 			h.core.elector.leadership.tokenProvenAt = h.now
-			if tc.unproved {
+			if tc.tokenUnproven {
 				h.core.elector.leadership.tokenProvenAt = h.now - 10*second
 			}
 			h.core.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(h.core.elector.leadership.scaling.toScaleIn); got != tc.releases {
-				t.Errorf("machines to return: got %d, want %d", got, tc.releases)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn); got != tc.returned {
+				t.Errorf("machines to return: got %d, want %d", got, tc.returned)
 			}
 		})
 	}
@@ -66,10 +66,10 @@
 // old it is: after a partition during which the leader was elected this would be a whole zone.
 func TestScaleInNeverBooted(t *testing.T) {
 	cases := []struct {
-		name       string
-		up, live   bool
-		led, since int64 // time as the leader and time since the rental, in seconds
-		released   bool
+		name                         string
+		listedRunning, heartbeatSeen bool
+		leadingS, rentedS            int64 // time as the leader and time since the rental, in seconds
+		returned                     bool
 	}{
 		{"booting for a long time", false, false, 500, 400, true},
 		{"booting", false, false, 500, 30, false},
@@ -81,16 +81,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newLeaderHarness(t)
 			h.now += 5000 * second
-			h.core.now, h.core.elector.leadership.since, h.core.elector.leadership.tokenProvenAt = h.now, h.now-tc.led*second, h.now
+			h.core.now, h.core.elector.leadership.since, h.core.elector.leadership.tokenProvenAt = h.now, h.now-tc.leadingS*second, h.now
 			h.core.cache.machineTypes[0].Boot = 30 * second
-			h.core.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: h.now - tc.since*second, listedRunning: tc.up}
-			if tc.live {
+			h.core.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: h.now - tc.rentedS*second, listedRunning: tc.listedRunning}
+			if tc.heartbeatSeen {
 				h.core.workers.getOrAddMachine("b").LastHeartbeat = h.now
 			}
 			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
 			h.core.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(h.core.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
-				t.Errorf("machine returned: got %v, want %v", got, tc.released)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn) == 1; got != tc.returned {
+				t.Errorf("machine returned: got %v, want %v", got, tc.returned)
 			}
 		})
 	}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -185,14 +185,14 @@
 // written with the same bytes under the same key.
 func TestStored(t *testing.T) {
 	golden.Compare(t, storedFile, encodeStoredFile())
-	_, raws := readStoredFile(t)
+	_, rawValues := readStoredFile(t)
 	take := func(key string) []byte {
 		t.Helper()
-		if raws[key] == nil {
+		if rawValues[key] == nil {
 			t.Fatalf("%s: got no recorded value, want one", key)
 		}
-		defer delete(raws, key)
-		return raws[key]
+		defer delete(rawValues, key)
+		return rawValues[key]
 	}
 	same := func(key string, raw, got []byte) {
 		t.Helper()
@@ -244,7 +244,7 @@
 		}
 		same(key, raw, got.Encode())
 	}
-	for key := range raws {
+	for key := range rawValues {
 		t.Errorf("%s: got a recorded value that this test does not read", key)
 	}
 }
@@ -264,19 +264,19 @@
 // their contents in its state.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).core.settings
-	set.Peers = []string{"n1", "n2", "n3"}
-	set.Ops.Sweeps = true
-	core := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
-	rows, raws := readStoredFile(t)
-	l := StateListed{Revision: 100}
+	settings := newLeaderHarness(t).core.settings
+	settings.Peers = []string{"n1", "n2", "n3"}
+	settings.Ops.Sweeps = true
+	core := New(settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	rows, rawValues := readStoredFile(t)
+	list := StateListed{Revision: 100}
 	for i, r := range rows {
 		if !slices.ContainsFunc(StartPrefixes, func(p string) bool { return strings.HasPrefix(r.Key, p) }) && !strings.HasPrefix(r.Key, endPrefix) {
 			t.Errorf("%s: got a key that is not listed at startup, want it under one of StartPrefixes", r.Key)
 		}
-		l.Changes = append(l.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
+		list.Changes = append(list.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
 	}
-	core.Step(second, l)
+	core.Step(second, list)
 	if logged.Len() > 0 || !core.cache.synced {
 		t.Fatalf("got synced %v, logged errors %q, want true and no errors", core.cache.synced, logged.String())
 	}
@@ -287,28 +287,28 @@
 		endPrefix + "e-done": done, endPrefix + "e-ended": ended, sweepPrefix + "s": core.sweepManager.sweeps["s"].head,
 		memberPrefix + "n1": core.membership.activation.Advertisements()["n1"], memberPrefix + "n2": core.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(core.cache.imageHints[hintsKey+"/0"]),
 	} {
-		if !bytes.Equal(raws[key], encodeJSON(got)) {
-			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), raws[key])
+		if !bytes.Equal(rawValues[key], encodeJSON(got)) {
+			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), rawValues[key])
 		}
 	}
 	if len(core.cache.machineTypes) != 2 || core.cache.machineTypes[1].Cap.CPU != 8000 || len(core.cache.progressLog) != 2 || core.membership.chunkTasks != 64 || !core.sweepManager.enabled() || !core.membership.activation.Enabled(upgrade.SharedReads) {
 		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", core.cache.machineTypes, len(core.cache.progressLog), core.membership.chunkTasks, core.membership.activation.FeatureStates())
 	}
-	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
+	for id, outcome := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
 		j := core.cache.jobs[id]
-		if j == nil || j.Outcome() != over || j.Truncated != (id == "j-brief") {
-			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, over, id == "j-brief")
+		if j == nil || j.Outcome() != outcome || j.Truncated != (id == "j-brief") {
+			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, outcome, id == "j-brief")
 			continue
 		}
-		again := jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: j.Outcome(), SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}
+		record := jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: j.Outcome(), SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}
 		if id == "j-least" {
-			again.Arrival = 0 // not stored; defaults to the revision of the value
+			record.Arrival = 0 // not stored; defaults to the revision of the value
 		}
-		if key := jobPrefix + id; !bytes.Equal(raws[key], encodeJSON(again)) {
-			t.Errorf("%s: got record %s, want %s", key, encodeJSON(again), raws[key])
+		if key := jobPrefix + id; !bytes.Equal(rawValues[key], encodeJSON(record)) {
+			t.Errorf("%s: got record %s, want %s", key, encodeJSON(record), rawValues[key])
 		}
 	}
-	for _, x := range []struct {
+	for _, want := range []struct {
 		job     string
 		task    int
 		machine string
@@ -323,8 +323,8 @@
 		{"j-full", 299, "host-000012", 9, false},
 		{"j-full", 298, "", 8, true},
 	} {
-		if k := core.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
-			t.Errorf("task %s/%d: got %+v, want %+v", x.job, x.task, k, x)
+		if got := core.cache.jobs[want.job].Task(want.task); got.Machine != want.machine || got.Attempt != want.attempt || got.Done != want.done {
+			t.Errorf("task %s/%d: got %+v, want %+v", want.job, want.task, got, want)
 		}
 	}
 }
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -82,7 +82,7 @@
 	own.Plan.Specs[1].Dependencies = []string{runID(0)}
 	cases := []struct {
 		name       string
-		off        bool
+		disabled   bool
 		submission SubmitSweep
 		status     ReplyCode
 		reason     string
@@ -98,7 +98,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newSweepHarness(t, !tc.off)
+			h := newSweepHarness(t, !tc.disabled)
 			reply := h.submitSweep(tc.submission)
 			if reply.Status != tc.status || !strings.Contains(reply.Error, tc.reason) {
 				t.Errorf("got status %d, error %q, want status %d, error with %q", reply.Status, reply.Error, tc.status, tc.reason)
@@ -109,14 +109,14 @@
 			if tc.status != 201 {
 				return
 			}
-			if r := h.submitSweep(tc.submission); r.Status != 200 || r.Sweep == nil || r.Sweep.Runs != len(tc.submission.Plan.Specs) {
-				t.Errorf("repeated submission: got %+v, want status 200 with the state of the sweep", r)
+			if reply := h.submitSweep(tc.submission); reply.Status != 200 || reply.Sweep == nil || reply.Sweep.Runs != len(tc.submission.Plan.Specs) {
+				t.Errorf("repeated submission: got %+v, want status 200 with the state of the sweep", reply)
 			}
-			if r := h.submitSweep(sweepOf(9, 1000)); r.Status != 409 {
-				t.Errorf("other sweep with the same id: got status %d, want 409", r.Status)
+			if reply := h.submitSweep(sweepOf(9, 1000)); reply.Status != 409 {
+				t.Errorf("other sweep with the same id: got status %d, want 409", reply.Status)
 			}
-			if r := h.submitSweep(bad); r.Status != 200 {
-				t.Errorf("malformed sweep with the id of the accepted one: got status %d, want 200", r.Status)
+			if reply := h.submitSweep(bad); reply.Status != 200 {
+				t.Errorf("malformed sweep with the id of the accepted one: got status %d, want 200", reply.Status)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 func TestSweepActivation(t *testing.T) {
 	cases := []struct {
 		name     string
-		on       bool
+		enabled  bool
 		versions []int // of the other controllers
 		want     int
 	}{
@@ -139,7 +139,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
 			settings := h.core.settings
-			settings.Peers, settings.Size, settings.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.on
+			settings.Peers, settings.Size, settings.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.enabled
 			h.start(settings)
 			h.advance(2 * second)
 			for i, version := range tc.versions {
@@ -147,11 +147,11 @@
 			}
 			h.refresh()
 			h.advance(3 * second)
-			if f := h.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
-				t.Errorf("got format %+v, want version %d, tasks 32", f, tc.want)
+			if format := h.core.membership.format; format.Version != tc.want || format.Tasks != 32 {
+				t.Errorf("got format %+v, want version %d, tasks 32", format, tc.want)
 			}
-			if r := h.submitSweep(sweepOf(1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
-				t.Errorf("sweep submission: got status %d, error %q, want accepted: %v", r.Status, r.Error, tc.want == 3)
+			if reply := h.submitSweep(sweepOf(1, 1000)); tc.enabled && (reply.Status == 201) != (tc.want == 3) {
+				t.Errorf("sweep submission: got status %d, error %q, want accepted: %v", reply.Status, reply.Error, tc.want == 3)
 			}
 		})
 	}
@@ -196,24 +196,24 @@
 func TestSweepPositionSize(t *testing.T) {
 	const runs, maxBytes = 10_000, 2000
 	random := rand.New(rand.NewPCG(1, 2))
-	open, gone := roaring.New(), roaring.New()
+	open, cancelledSet := roaring.New(), roaring.New()
 	for i := range runs {
 		if random.IntN(2) == 0 {
-			gone.AddInt(i)
+			cancelledSet.AddInt(i)
 		} else if random.IntN(5) == 0 {
 			open.AddInt(i)
 		}
 	}
-	position := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
-	cancelled := encodeJSON(cancelledRuns{Runs: encodeRunSet(gone)})
-	if len(position) > maxBytes || len(cancelled) > maxBytes {
-		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(position), len(cancelled), maxBytes)
+	positionValue := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
+	cancelledValue := encodeJSON(cancelledRuns{Runs: encodeRunSet(cancelledSet)})
+	if len(positionValue) > maxBytes || len(cancelledValue) > maxBytes {
+		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(positionValue), len(cancelledValue), maxBytes)
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
 	reportInvalid := func(err error) { t.Error(err) }
-	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, reportInvalid)
-	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, reportInvalid)
-	if s := manager.getOrAddSweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
+	manager.apply("sweepat/s", Change{Value: positionValue, Revision: 5}, reportInvalid)
+	manager.apply("sweepat/s/gone", Change{Value: cancelledValue, Revision: 5}, reportInvalid)
+	if sweep := manager.getOrAddSweep(sweepID); !sweep.openRuns().Equals(open) || !sweep.cancelled.Equals(cancelledSet) || sweep.next != runs {
 		t.Error("decoded position or cancelled runs differ from the encoded ones")
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -38,7 +38,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newLeaderHarness(t)
 			var got []TransactionResult
-			h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(m TransactionResult) { got = append(got, m) })
+			h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(result TransactionResult) { got = append(got, result) })
 			h.core.effects = nil // nobody answers
 			h.core.transactions.Observe(tc.changes, h.core.now)
 			h.tick(txn.AnswerTimeout - 50_000)
@@ -62,7 +62,7 @@
 	}{{kv.Committed, kv.Committed, false}, {kv.Conflict, kv.Conflict, false}, {kv.Unavailable, kv.Unavailable, false}, {kv.Unknown, kv.Committed, true}} {
 		h := newLeaderHarness(t)
 		var got []TransactionResult
-		h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(m TransactionResult) { got = append(got, m) })
+		h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(result TransactionResult) { got = append(got, result) })
 		h.core.effects = nil // nobody answers
 		h.core.transactions.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, h.core.now)
 		h.core.transactions.Complete(TransactionResult{ID: h.core.lastID, Outcome: tc.answer, Revision: 9})
@@ -81,16 +81,16 @@
 	h.advance(200_000)
 	h.losesAnswers = true
 	for _, tc := range []struct {
-		msg  any
-		want string
+		request any
+		want    string
 	}{{SubmitJob{Spec: job("new").Spec}, Queued}, {CancelJob{ID: "open"}, "cancelled"}, {CancelJob{ID: "new"}, "cancelled"}} {
-		at := h.now
-		r := h.request(tc.msg)
-		if r.Job == nil || r.Job.State != tc.want {
-			t.Fatalf("%T: got reply %+v, want job state %s", tc.msg, r, tc.want)
+		sentAt := h.now
+		reply := h.request(tc.request)
+		if reply.Job == nil || reply.Job.State != tc.want {
+			t.Fatalf("%T: got reply %+v, want job state %s", tc.request, reply, tc.want)
 		}
-		if h.now-at > second/2 {
-			t.Errorf("%T: got reply after %d us, want at most %d us", tc.msg, h.now-at, second/2)
+		if h.now-sentAt > second/2 {
+			t.Errorf("%T: got reply after %d us, want at most %d us", tc.request, h.now-sentAt, second/2)
 		}
 	}
 	for _, id := range []string{"new", "open"} {
@@ -108,43 +108,43 @@
 	h.advance(200_000)
 	for _, tc := range []struct {
 		id, want string
-		msg      func(req uint64) any
+		build    func(req uint64) any
 	}{
 		{"new", Queued, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("new").Spec} }},
 		{"open", "cancelled", func(req uint64) any { return CancelJob{RequestID: req, ID: "open"} }},
 	} {
-		var reqs []uint64
+		var requestIDs []uint64
 		h.delaysCommits = true
 		for range 5 {
 			for range 6 {
 				h.lastRequest++
-				reqs = append(reqs, h.lastRequest)
-				h.step(tc.msg(h.lastRequest))
+				requestIDs = append(requestIDs, h.lastRequest)
+				h.step(tc.build(h.lastRequest))
 			}
 			h.advance(100_000)
 		}
-		n := 0
-		for _, e := range h.delayedCommits {
-			for _, w := range e.Writes {
-				if w.Key == jobPrefix+tc.id {
-					n++
+		transactions := 0
+		for _, transaction := range h.delayedCommits {
+			for _, write := range transaction.Writes {
+				if write.Key == jobPrefix+tc.id {
+					transactions++
 				}
 			}
 		}
 		h.delaysCommits = false
 		for len(h.delayedCommits) > 0 {
-			e := h.delayedCommits[0]
+			transaction := h.delayedCommits[0]
 			h.delayedCommits = h.delayedCommits[1:]
-			h.commit(e)
+			h.commit(transaction)
 		}
 		h.advance(second)
-		for _, r := range reqs {
-			if a := h.replies[r]; a.Job == nil || a.Job.State != tc.want {
-				t.Errorf("job %s: got reply %+v, want job state %s", tc.id, a, tc.want)
+		for _, requestID := range requestIDs {
+			if reply := h.replies[requestID]; reply.Job == nil || reply.Job.State != tc.want {
+				t.Errorf("job %s: got reply %+v, want job state %s", tc.id, reply, tc.want)
 			}
 		}
-		if n != 1 {
-			t.Errorf("job %s: got %d transactions for %d requests, want 1", tc.id, n, len(reqs))
+		if transactions != 1 {
+			t.Errorf("job %s: got %d transactions for %d requests, want 1", tc.id, transactions, len(requestIDs))
 		}
 	}
 }
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -7,10 +7,10 @@
 
 // startWrites returns the delayed transactions that write placements.
 func (h *harness) startWrites() (writes []CommitTransaction) {
-	for _, e := range h.delayedCommits {
-		for _, w := range e.Writes {
-			if strings.HasPrefix(w.Key, runPrefix) || strings.HasPrefix(w.Key, logPrefix) {
-				writes = append(writes, e)
+	for _, transaction := range h.delayedCommits {
+		for _, write := range transaction.Writes {
+			if strings.HasPrefix(write.Key, runPrefix) || strings.HasPrefix(write.Key, logPrefix) {
+				writes = append(writes, transaction)
 				break
 			}
 		}
@@ -50,8 +50,8 @@
 func TestUnansweredStart(t *testing.T) {
 	h := newPlacementHarness(t)
 	h.advance(second)
-	if n := len(h.startWrites()); n < 2 {
-		t.Errorf("got %d writes of an unanswered start within a second, want at least 2", n)
+	if writes := len(h.startWrites()); writes < 2 {
+		t.Errorf("got %d writes of an unanswered start within a second, want at least 2", writes)
 	}
 }
 
@@ -88,8 +88,8 @@
 			repeated++
 		}
 		h.delaysCommits = false
-		for _, e := range h.delayedCommits {
-			h.commit(e)
+		for _, transaction := range h.delayedCommits {
+			h.commit(transaction)
 		}
 		h.delayedCommits = nil
 		h.advance(second / 2)
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -13,11 +13,11 @@
 // continue until the machine's lease has expired. The answer does not prove that a task is absent.
 func TestStopOnUnreachableMachine(t *testing.T) {
 	cases := []struct {
-		name  string
-		over  string
-		do    func(h *leaderHarness)
-		tasks []TaskStatus
-		want  string
+		name    string
+		outcome string
+		do      func(h *leaderHarness)
+		tasks   []TaskStatus
+		want    string
 	}{
 		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskStatus{running(3)}, "stop j/0.3 in 4;"},
 		{"the answer does not list the task", jobstate.Cancelled, nil, nil, ""},
@@ -34,7 +34,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newLeaderHarnessWithOutcome(t, tc.over)
+			h := newLeaderHarnessWithOutcome(t, tc.outcome)
 			h.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: h.token})
 			if tc.do != nil {
 				tc.do(h)
@@ -42,13 +42,13 @@
 			probed, got := false, ""
 			for range 20 {
 				h.now += 100_000
-				for _, e := range h.core.Step(h.now, Tick{}) {
-					if p, ok := e.(ProbeMachine); ok && p.Machine == "m" && !probed {
+				for _, effect := range h.core.Step(h.now, Tick{}) {
+					if probe, ok := effect.(ProbeMachine); ok && probe.Machine == "m" && !probed {
 						probed = true
-						for _, e := range h.core.Step(h.now, MachineProbed{Machine: "m", SentAt: h.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
-							if d, ok := e.(SendCommands); ok {
-								for _, o := range d.Commands {
-									got += fmt.Sprintf("%s %s.%d in %d;", o.Kind, o.Task, o.Attempt, d.Epoch)
+						for _, effect := range h.core.Step(h.now, MachineProbed{Machine: "m", SentAt: h.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
+							if direct, ok := effect.(SendCommands); ok {
+								for _, command := range direct.Commands {
+									got += fmt.Sprintf("%s %s.%d in %d;", command.Kind, command.Task, command.Attempt, direct.Epoch)
 								}
 							}
 						}
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -13,9 +13,9 @@
 func TestIncompatible(t *testing.T) {
 	needed := featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}, {Name: "tomorrow", Required: true}}}
 	for _, tc := range []struct {
-		name string
-		keys map[string]any
-		then map[string]any
+		name      string
+		keys      map[string]any
+		laterKeys map[string]any
 	}{
 		{"unknown required feature at the start", map[string]any{featuresKey: needed}, nil},
 		{"newer format at the start", map[string]any{formatKey: formatRecord{9, 32}}, nil},
@@ -24,11 +24,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, tc.keys)
 			h.advance(2 * second)
-			if led := h.core.elector.leadership != nil; led != (tc.then != nil) {
-				t.Fatalf("before the later change: got leader %v, want %v", led, tc.then != nil)
+			if leads := h.core.elector.leadership != nil; leads != (tc.laterKeys != nil) {
+				t.Fatalf("before the later change: got leader %v, want %v", leads, tc.laterKeys != nil)
 			}
-			for k, v := range tc.then {
-				h.store(k, v)
+			for key, value := range tc.laterKeys {
+				h.store(key, value)
 			}
 			h.readState(StateRead{AfterRevision: h.core.cache.appliedRevision})
 			before := h.revision
@@ -70,17 +70,17 @@
 	h.revision++
 	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: memberPrefix + "n1", Value: encodeJSON(upgrade.Advertisement{Format: 2, Incarnation: "x"}), Revision: h.revision}}})
 	for _, tc := range []struct {
-		name   string
-		gone   bool
-		status ReplyCode
+		name           string
+		decommissioned bool
+		status         ReplyCode
 	}{{"n0", true, 404}, {"other", true, 404}, {"n1", true, 409}, {"n2", false, 200}, {"n2", true, 200}, {"n2", true, 200}, {"n2", false, 200}} {
 		h.effects = nil
-		h.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.gone})
-		if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != tc.status || tc.status == 200 && r[0].Decommission.Decommissioned != tc.gone || tc.status != 200 && r[0].Error == "" {
-			t.Errorf("setting %s decommissioned to %v: got replies %+v, want one with status %d", tc.name, tc.gone, r, tc.status)
+		h.step(SetDecommissioned{RequestID: 1, Name: tc.name, Decommissioned: tc.decommissioned})
+		if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != tc.status || tc.status == 200 && replies[0].Decommission.Decommissioned != tc.decommissioned || tc.status != 200 && replies[0].Error == "" {
+			t.Errorf("setting %s decommissioned to %v: got replies %+v, want one with status %d", tc.name, tc.decommissioned, replies, tc.status)
 		}
-		if stored := h.core.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.gone {
-			t.Errorf("setting %s decommissioned to %v: got %v stored", tc.name, tc.gone, stored)
+		if stored := h.core.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.decommissioned {
+			t.Errorf("setting %s decommissioned to %v: got %v stored", tc.name, tc.decommissioned, stored)
 		}
 	}
 	// The controller comes back, and its record is removed.
@@ -95,7 +95,7 @@
 	h.advance(4 * second)
 	h.effects = nil
 	h.step(SetDecommissioned{RequestID: 3, Name: "n2", Decommissioned: true})
-	if r := takeEffects[Reply](h); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
-		t.Errorf("without the state service: got replies %+v, want one with status 503 and a retry time", r)
+	if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != 503 || replies[0].RetryAfter == 0 {
+		t.Errorf("without the state service: got replies %+v, want one with status 503 and a retry time", replies)
 	}
 }
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -70,12 +70,12 @@
 // TestTypesInParts checks that machine types read after a change of the limits are those of the
 // latest writes, and not of obsolete parts that are still stored.
 func TestTypesInParts(t *testing.T) {
-	whole := func(cpu int64, names ...string) []fleet.Type {
-		var l []fleet.Type
+	typesOf := func(cpu int64, names ...string) []fleet.Type {
+		var types []fleet.Type
 		for _, n := range names {
-			l = append(l, fleet.Type{Name: n, Cap: jobstate.Resources{CPU: cpu}})
+			types = append(types, fleet.Type{Name: n, Cap: jobstate.Resources{CPU: cpu}})
 		}
-		return l
+		return types
 	}
 	type write struct {
 		key   string
@@ -86,11 +86,11 @@
 		writes []write
 		want   string
 	}{
-		{"one value", []write{{"", whole(1, "a", "b")}}, "a1 b1"},
-		{"one value, then parts", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}, {"/1", whole(2, "b")}}, "a2 b2"},
-		{"only the first of two parts written", []write{{"", whole(1, "a", "b")}, {"/0", whole(2, "a")}}, "a2 b1"},
-		{"new type in a part", []write{{"", whole(1, "a")}, {"/0", whole(1, "a")}, {"/1", whole(1, "b")}}, "a1 b1"},
-		{"parts, then one value", []write{{"/0", whole(1, "a")}, {"/1", whole(1, "b")}, {"", whole(2, "a", "c")}}, "a2 c2"},
+		{"one value", []write{{"", typesOf(1, "a", "b")}}, "a1 b1"},
+		{"one value, then parts", []write{{"", typesOf(1, "a", "b")}, {"/0", typesOf(2, "a")}, {"/1", typesOf(2, "b")}}, "a2 b2"},
+		{"only the first of two parts written", []write{{"", typesOf(1, "a", "b")}, {"/0", typesOf(2, "a")}}, "a2 b1"},
+		{"new type in a part", []write{{"", typesOf(1, "a")}, {"/0", typesOf(1, "a")}, {"/1", typesOf(1, "b")}}, "a1 b1"},
+		{"parts, then one value", []write{{"/0", typesOf(1, "a")}, {"/1", typesOf(1, "b")}, {"", typesOf(2, "a", "c")}}, "a2 c2"},
 	}
 	for _, tc := range cases {
 		h := newHarness(t, nil)
@@ -99,11 +99,11 @@
 		}
 		h.restart()
 		var got []string
-		for _, x := range h.core.cache.machineTypes {
-			got = append(got, fmt.Sprint(x.Name, x.Cap.CPU))
+		for _, machineType := range h.core.cache.machineTypes {
+			got = append(got, fmt.Sprint(machineType.Name, machineType.Cap.CPU))
 		}
-		if g := strings.Join(got, " "); g != tc.want {
-			t.Errorf("%s: got machine types %s, want %s", tc.name, g, tc.want)
+		if joined := strings.Join(got, " "); joined != tc.want {
+			t.Errorf("%s: got machine types %s, want %s", tc.name, joined, tc.want)
 		}
 	}
 }
@@ -120,8 +120,8 @@
 	h.core.settings.State.Next = &config.UpcomingStateLimits{ValueKB: &kb}
 	h.maxValue = 2048
 	h.advance(3 * second)
-	if r := h.request(CancelJob{ID: "long"}); r.Status != 200 || h.rejected > 0 {
-		t.Errorf("cancelling a job stored before the limits: got status %d, %d rejected writes, want 200 and none", r.Status, h.rejected)
+	if reply := h.request(CancelJob{ID: "long"}); reply.Status != 200 || h.rejected > 0 {
+		t.Errorf("cancelling a job stored before the limits: got status %d, %d rejected writes, want 200 and none", reply.Status, h.rejected)
 	}
 	var types []fleet.Type
 	for i := range 30 {
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -21,32 +21,32 @@
 	Gob map[string]string `json:"gob"`
 }
 
-func readVersion1Fixture(t *testing.T) (r version1Fixture) {
+func readVersion1Fixture(t *testing.T) (fixture version1Fixture) {
 	t.Helper()
 	b, err := os.ReadFile("testdata/version1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(b, &r); err != nil {
+	if err := json.Unmarshal(b, &fixture); err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return fixture
 }
 
 // TestVersion1 checks that values stored by the version without pipelines are read and written
 // back unchanged. It guards against a renamed stored field.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).core.settings
-	core := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
-	var l StateListed
+	settings := newLeaderHarness(t).core.settings
+	core := New(settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	var list StateListed
 	want := map[string]json.RawMessage{}
 	for i, k := range readVersion1Fixture(t).Keys {
-		l.Changes = append(l.Changes, Change{Key: k.Key, Value: k.Value, Revision: uint64(i + 1)})
+		list.Changes = append(list.Changes, Change{Key: k.Key, Value: k.Value, Revision: uint64(i + 1)})
 		want[k.Key] = k.Value
 	}
-	l.Revision = 100
-	core.Step(second, l)
+	list.Revision = 100
+	core.Step(second, list)
 	if logged.Len() > 0 {
 		t.Fatalf("got logged errors %q, want none", logged.String())
 	}
@@ -149,26 +149,26 @@
 	}
 	whole := state(j)
 	// Reading the values in the order of the writes and in reverse must give the same state.
-	for cut := 2; cut <= len(values); cut++ {
+	for written := 2; written <= len(values); written++ {
 		read := func(order func(i int) int) *jobstate.Job {
-			k := jobstate.NewJob(spec)
-			for i := range cut {
-				v := values[order(i)]
-				if err := k.LoadChunk(v.key, v.bytes, v.revision, 1); err != nil {
+			loaded := jobstate.NewJob(spec)
+			for i := range written {
+				stored := values[order(i)]
+				if err := loaded.LoadChunk(stored.key, stored.bytes, stored.revision, 1); err != nil {
 					t.Fatal(err)
 				}
 			}
-			return k
+			return loaded
 		}
-		a, b := read(func(i int) int { return i }), read(func(i int) int { return cut - 1 - i })
-		if state(a) != state(b) || a.NumPlaced != b.NumPlaced || a.NumDone != b.NumDone || a.NextAttempt() != b.NextAttempt() {
-			t.Errorf("after %d writes: got state %s read in order, %s read in reverse, want the same", cut, state(a), state(b))
+		inOrder, reversed := read(func(i int) int { return i }), read(func(i int) int { return written - 1 - i })
+		if state(inOrder) != state(reversed) || inOrder.NumPlaced != reversed.NumPlaced || inOrder.NumDone != reversed.NumDone || inOrder.NextAttempt() != reversed.NextAttempt() {
+			t.Errorf("after %d writes: got state %s read in order, %s read in reverse, want the same", written, state(inOrder), state(reversed))
 		}
-		if strings.Contains(state(a)[:50], ".") {
-			t.Errorf("after %d writes: got state %s, want none of the first 50 tasks lost", cut, state(a))
+		if strings.Contains(state(inOrder)[:50], ".") {
+			t.Errorf("after %d writes: got state %s, want none of the first 50 tasks lost", written, state(inOrder))
 		}
-		if cut == len(values) && state(a) != whole {
-			t.Errorf("after all writes: got state %s, want %s", state(a), whole)
+		if written == len(values) && state(inOrder) != whole {
+			t.Errorf("after all writes: got state %s, want %s", state(inOrder), whole)
 		}
 	}
 }
@@ -222,19 +222,19 @@
 				rows = []Change{job}
 			}
 			core.Step(second, StateListed{Changes: rows, Revision: 1})
-			for _, ch := range tc.changes {
-				core.cache.apply(ch)
+			for _, change := range tc.changes {
+				core.cache.apply(change)
 			}
 			if order == "job last" {
 				core.cache.apply(job)
 			}
 			got := ""
 			for i := range 4 {
-				switch x := core.cache.jobs["j"].Task(i); {
-				case x.Done:
+				switch task := core.cache.jobs["j"].Task(i); {
+				case task.Done:
 					got += "d"
-				case x.Machine != "":
-					got += x.Machine
+				case task.Machine != "":
+					got += task.Machine
 				default:
 					got += "."
 				}
@@ -259,27 +259,27 @@
 	}
 	for range 200 {
 		limit := 500 + rng.IntN(8000)
-		p := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, uncompactedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
-		long := 1 + rng.IntN(60)
-		full := 0
-		for full < 5 {
+		page := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, uncompactedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+		maxNameLength := 1 + rng.IntN(60)
+		rejected := 0
+		for rejected < 5 {
 			var entries []jobstate.LogEntry
 			for range 1 + rng.IntN(40) {
-				e := jobstate.LogEntry{Job: name(long), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
+				e := jobstate.LogEntry{Job: name(maxNameLength), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
 				if rng.IntN(3) > 0 {
-					e.Machine = "host-" + name(long)
+					e.Machine = "host-" + name(maxNameLength)
 				}
 				entries = append(entries, e)
 			}
-			if !p.append(chunkRef{}, entries, limit) {
-				full++
+			if !page.append(chunkRef{}, entries, limit) {
+				rejected++
 			}
-			if n := len(p.Encode()); n > limit {
-				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", n, len(p.Entries), limit)
+			if n := len(page.Encode()); n > limit {
+				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", n, len(page.Entries), limit)
 			}
 		}
-		q, err := jobstate.DecodeLogPage(p.Encode())
-		if err != nil || q.FirstSeq != p.FirstSeq || !slices.Equal(q.Entries, p.Entries) {
+		decoded, err := jobstate.DecodeLogPage(page.Encode())
+		if err != nil || decoded.FirstSeq != page.FirstSeq || !slices.Equal(decoded.Entries, page.Entries) {
 			t.Fatalf("got a decoded page different from the encoded one, or error %v, want the same page", err)
 		}
 	}
--- a/internal/core/zonetarget_test.go
+++ b/internal/core/zonetarget_test.go
@@ -42,8 +42,8 @@
 			cache:   &stateCache{machineTypes: []fleet.Type{{Name: "big", Cap: jobstate.Resources{CPU: 12_000, GPU: 2000}, Zones: []string{"a", "b"}}}},
 			elector: &elector{leadership: term},
 		}
-		for _, m := range tc.refused {
-			term.scaling.refusedUntil[m] = now + second
+		for _, offer := range tc.refused {
+			term.scaling.refusedUntil[offer] = now + second
 		}
 		tc.spec.Spot = tc.spot
 		if got := s.targetZone(tc.spec, tc.usable, tc.booting); got != tc.want {
