--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -9,14 +9,14 @@
 // TestAdvertisementIsStoredAgain checks that a controller which was cut off from the state
 // service stores its connectivity advertisement again when a list of the state shows that its
 // lease has expired and the advertisement is gone. Otherwise the other controllers do not know
-// what it reaches, and no leader hands over to it.
+// which machines and controllers it reaches, and no leader hands over to it.
 //
-// The controller compared what it reaches with what it had last stored, and learned of the
-// loss only from the removal of the key, but a list contains no removals. So it never stored
-// the advertisement again while what it reached stayed the same. TestReachAfterPartition
-// (package experiment) showed this with seeds 3, 6 and 17 and the leader cut off from the state service
-// and the other controllers: for 100 s node-0 reported that all reach all, while the matrix of
-// the other controllers had no row for node-0.
+// It guards against learning of the loss only from the removal of the key, as a list of the
+// state contains no removals. The controller then stored the advertisement again only when its
+// contents changed. TestReachAfterPartition (package experiment) showed this with seeds 3, 6 and
+// 17 and the leader cut off from the state service and the other controllers: for 100 s node-0
+// reported that all controllers reach each other, while the connectivity matrix of the other
+// controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
 	h := newPeerHarness(t, "n1")
 	h.advance(5 * second)
--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCloudListings checks that a list without a machine proves that the machine is gone only
-// if it describes a later time than a list that contained it.
+// TestCloudListings checks that a list that lacks a machine proves that the machine is gone only
+// if the list describes a later time than a list that contained the machine.
 func TestCloudListings(t *testing.T) {
 	const lag = 8 * second // twice the nominal lag
 	type read struct {
@@ -44,8 +44,8 @@
 	}
 }
 
-// listedAt returns a list that describes the given time; the machines were rented one second apart, in
-// the order of names.
+// listedAt returns a list that describes the given time; the machines were rented one second
+// apart, in the order of names.
 func listedAt(names string, at int64) (list []CloudMachine) {
 	for i, n := range strings.Split(names, "") {
 		list = append(list, CloudMachine{Name: n, Age: at - int64(i)*second})
@@ -86,7 +86,7 @@
 			for _, name := range listings.read(now-8*second, now, list) {
 				proven[name] = true
 				if lifetimes[name].gone > now {
-					t.Fatalf("%s is reported as gone %d ms before it is gone", name, (lifetimes[name].gone-now)/1000)
+					t.Fatalf("machine %s: got it reported as gone %d ms early, want it reported only once it is gone", name, (lifetimes[name].gone-now)/1000)
 				}
 			}
 		}
--- a/internal/core/cloudviapeer_test.go
+++ b/internal/core/cloudviapeer_test.go
@@ -7,10 +7,10 @@
 	"github.com/zinclb/zinclb/internal/core/connectivity"
 )
 
-// TestScaleInFenced checks that machines are returned only while no other controller can lead, and that
-// the call contains the time until which this holds; the same rule applies to renting
-// machines. It guards against a return that was queued, for example until the call budget allowed
-// it, and then sent although the leadership may have been lost since.
+// TestScaleInFenced checks that machines are returned only while no other controller can lead,
+// and that the call contains the time until which this holds; the same rule applies to renting
+// machines. It guards against a scale-in that was queued, for example until the call budget
+// allowed it, and then sent although the leadership might have been lost in the meantime.
 func TestScaleInFenced(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	ttl := h.core.settings.Ops.LeaderLease
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestCloudViaPeer checks through which peer, if any, a leader makes its calls to the cloud, and that a
-// peer makes no calls for a leader that was replaced.
+// TestCloudViaPeer checks through which peer, if any, a leader makes its calls to the cloud, and
+// that a peer makes no calls for a leader that was replaced.
 func TestCloudViaPeer(t *testing.T) {
 	noAnswer, refused := errors.New("no answer"), refusal{}
 	cases := []struct {
@@ -79,7 +79,7 @@
 		h.effects = kept
 		direct := takeEffects[ScaleIn](h)
 		if tc.want != "" && (len(viaPeer) != 1 || viaPeer[0].To != tc.want || viaPeer[0].FencingToken != h.core.elector.leadership.fencingToken || viaPeer[0].NotAfter == 0) || tc.want == "" && len(direct) != 1 {
-			t.Errorf("%s: scale-in through peer %q: got %+v through peers and %+v directly", tc.name, tc.want, viaPeer, direct)
+			t.Errorf("%s: scale-in: got %+v through peers and %+v directly, want one through peer %q (\"\" for directly)", tc.name, viaPeer, direct, tc.want)
 		}
 	}
 	// A peer makes no calls for a leader that was replaced.
@@ -97,6 +97,7 @@
 	}
 }
 
+// refusal is the error of a request that a service has refused, unlike errLost.
 type refusal struct{}
 
 func (refusal) Error() string { return "refused" }
--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -14,8 +14,8 @@
 func TestCommitOrder(t *testing.T) {
 	cases := []struct {
 		name  string
-		level float64
-		age   int64
+		level float64 // tokens in the write budget
+		age   int64   // time since the changes, in microseconds
 		want  string
 	}{
 		{"sufficient budget", 70, second, "place done end "},
@@ -34,7 +34,7 @@
 				return j
 			}
 			changedAt := core.now - tc.age
-			end := add("end", jobstate.Urgent) // last although it has the highest priority
+			end := add("end", jobstate.Urgent) // written last although it has the highest priority
 			end.PlaceTask(0, "x0", 1, changedAt)
 			end.PlaceTask(1, "x1", 1, changedAt)
 			_, version := end.BeginChunkWrite(0, 0)
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -13,14 +13,14 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// peerHarness is one of three controllers. Tests send it messages; the harness answers its
-// requests to the state service and keeps its other effects.
+// peerHarness is the core of one of three controllers. Tests send messages to the core; the
+// harness answers the core's requests to the state service and keeps the other effects.
 type peerHarness struct {
 	core     *Core
 	now      int64
 	revision uint64
 	effects  []any
-	// stateSilent is set while the state service answers no request.
+	// stateSilent makes requests to the state service fail without an answer.
 	stateSilent bool
 	renewals    int
 	// onRenewal, if set, is called with each lease renewal, which then gets no answer.
@@ -125,16 +125,16 @@
 	return taken
 }
 
-// reachAdvertisement returns the advertisement of a controller that reaches the given eighths of the
-// machines of zones a and b, and the given peers.
+// reachAdvertisement returns the advertisement of a controller that reaches the given eighths of
+// the machines in zones a and b, and the given peers.
 func reachAdvertisement(a, b int, peers ...string) connectivity.Advertisement {
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
 // TestReadForRequests checks that a waiting request is answered only after a read of the state
-// that was sent for requests after the request arrived. A read that was sent earlier for
-// another purpose may miss a job that another controller accepted in between, and that job was
-// then reported as unknown.
+// that was sent for requests after the request arrived. It guards against using a read that was
+// sent earlier for another purpose: such a read may miss a job that another controller accepted
+// in between, and the job was then reported as unknown.
 func TestReadForRequests(t *testing.T) {
 	h := newPeerHarness(t, "n1")
 	h.step(QueryJob{RequestID: 7, ID: "j"})
@@ -153,8 +153,8 @@
 }
 
 // TestStuckWatch checks that a controller reads the state if the watch does not deliver a
-// revision that an answer contained. Otherwise a leader would learn of new jobs only when the
-// watch's connection breaks.
+// revision that the answer to a transaction contained. Otherwise a leader would learn of new
+// jobs only when the watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	h.core.elector.leadership.cacheFreshAt = h.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
@@ -221,7 +221,7 @@
 			h.step(heartbeat(2))
 			kept := h.effects
 			if relays := takeEffects[RelayHeartbeat](h); tc.relayTo != "" && (len(relays) != 1 || relays[0].To != tc.relayTo || relays[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(relays) != 0 {
-				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", relays, tc.relayTo)
+				t.Errorf("second heartbeat: got relays %+v, want a relay to %q (\"\" for none)", relays, tc.relayTo)
 			}
 			h.effects = kept
 			if replies := takeEffects[Reply](h); tc.relayTo == "" && (len(replies) != 1 || replies[0].Status != 503) {
@@ -259,8 +259,8 @@
 }
 
 // TestHandover checks that a leader which reaches no worker hands over to a controller that
-// does: it revokes its lease at once, and campaigns only after the other controller had time
-// to. With the reach setting off it continues to lead.
+// does: the leader revokes its lease at once, and campaigns again only after the other
+// controller has had time to campaign. With the reach setting off the leader continues to lead.
 func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		h := newPeerHarness(t, "n0")
@@ -281,8 +281,8 @@
 		if revoked := takeEffects[RevokeLease](h); len(revoked) != 1 {
 			t.Errorf("got revocations of leases %+v, want one", revoked)
 		}
-		// The key is gone, and the state is listed again; the other controller may campaign
-		// first.
+		// The leadership key is gone, and the state is listed again; the other controller may
+		// campaign first.
 		h.revision++
 		changes := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
 		h.step(StateListed{Revision: h.revision, Changes: changes})
--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// sendHeartbeat sends a heartbeat of machine m with the given epoch and sequence number, which may be
-// those of a late copy, and returns the status of its answer.
+// sendHeartbeat sends a heartbeat of machine m with the given epoch and sequence number, which
+// may be those of a late copy, and returns the status of the answer.
 func (h *leaderHarness) sendHeartbeat(epoch, seq, token uint64, tasks ...TaskStatus) ReplyCode {
 	h.replies = nil
 	h.step(HeartbeatReceived{RequestID: 1, Heartbeat: Heartbeat{Machine: "m", Addr: "a", Type: "c", Zone: "a", Epoch: epoch, Seq: seq, FencingToken: token, PreemptionNotice: NoPreemptionNotice, Tasks: tasks}})
@@ -31,8 +31,9 @@
 
 // TestMachineNotReceivingAnswers checks that a machine that sends heartbeats but does not receive
 // the answers gets no work. If commands have no effect twice in succession, nothing more is placed
-// on the machine. The tasks that it should have started are placed elsewhere once a later heartbeat does not list them
-// either. The machine is used again when it receives an answer or a probe.
+// on the machine. The tasks that it should have started are placed elsewhere once a later
+// heartbeat does not list them either. The machine is used again when it has received an answer
+// or a probe.
 func TestMachineNotReceivingAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -92,9 +93,10 @@
 	}
 }
 
-// TestLateHeartbeatCopies checks that a late copy of a heartbeat has no effect: it does not add a
-// machine again that is gone, and does not prove that a task is absent. A machine that has restarted its sequence
-// numbers is accepted after its answer to a probe, and copies from before the restart are refused.
+// TestLateHeartbeatCopies checks that a late copy of a heartbeat has no effect: it does not add
+// again a machine that is gone, and it does not prove that a task is absent. A machine that has
+// restarted its sequence numbers is accepted after its answer to a probe, and copies from before
+// the restart are refused.
 func TestLateHeartbeatCopies(t *testing.T) {
 	restarted := func(h *leaderHarness) {
 		h.sendHeartbeat(1, 90, h.token, running(3))
@@ -211,8 +213,8 @@
 	}
 }
 
-// TestGangStopsAfterUnreceivedStart checks that a gang attempt is stopped if the machine of one of its
-// tasks does not receive the start, so that the other tasks do not wait for it.
+// TestGangStopsAfterUnreceivedStart checks that a gang attempt is stopped if the machine of one
+// of its tasks does not receive the start command, so that the other tasks do not wait for it.
 func TestGangStopsAfterUnreceivedStart(t *testing.T) {
 	h := newLeaderHarness(t)
 	j := jobstate.NewJob(&jobstate.Spec{ID: "g", Team: "t", Kind: jobstate.Gang, Tasks: 2, Need: jobstate.Resources{CPU: 1}, Estimate: second})
@@ -228,7 +230,7 @@
 	}
 }
 
-// place places a task on a machine as if the placement had been stored and its start sent.
+// place places a task on a machine as if the placement had been stored and the start command sent.
 func (t *taskManager) place(j *jobstate.Job, i int, machine string) {
 	j.PlaceTask(i, machine, 1, t.now)
 	j.Task(i).Stored, j.Task(i).StartSent = true, true
--- a/internal/core/departed_test.go
+++ b/internal/core/departed_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLateCopyOfReturnedMachine checks that a copy of a heartbeat that arrives after its machine was
-// returned does not add the machine again to the sample by which the leader assesses its link to the
-// workers.
+// TestLateCopyOfReturnedMachine checks that a copy of a heartbeat that arrives after the machine
+// was returned does not add the machine again to the sample by which the leader assesses its
+// link to the workers.
 func TestLateCopyOfReturnedMachine(t *testing.T) {
 	for _, from := range []string{"", "n1"} {
 		h := newLeaderHarness(t)
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,7 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestSubmitWithDependencies checks which jobs a submission may depend on, and the replies.
+// TestSubmitWithDependencies checks which jobs a submitted job may depend on, and the replies to
+// submissions.
 func TestSubmitWithDependencies(t *testing.T) {
 	service := job("service")
 	service.Spec.Kind = jobstate.Service
@@ -52,7 +53,7 @@
 	}
 }
 
-// TestBlockedJobs checks the states of dependent jobs after the ends of their dependencies, also
+// TestBlockedJobs checks the states of dependent jobs after their dependencies have ended, also
 // after a restart.
 func TestBlockedJobs(t *testing.T) {
 	chain := map[string]any{formatKey: progressLogFormat, jobPrefix + "a": job("a"), jobPrefix + "b": job("b", "a"), jobPrefix + "c": job("c", "b"), jobPrefix + "d": job("d", "b", "c")}
@@ -107,7 +108,7 @@
 			if blocked != tc.blocked {
 				t.Errorf("blocked jobs: got %q, want %q", blocked, tc.blocked)
 			}
-			// A controller that starts from the stored state has to find the same.
+			// A controller that starts from the stored state has to report the same states.
 			h.restart()
 			h.advance(second)
 			if got := h.jobState("b") + " " + h.jobState("c") + " " + h.jobState("d"); got != tc.want {
@@ -136,7 +137,7 @@
 			h := newHarness(t, keys)
 			h.advance(3 * second)
 			if !h.core.elector.isLeader() {
-				t.Fatal("controller does not lead")
+				t.Fatal("got a follower after 3 s, want the leader")
 			}
 			h.request(CancelJob{ID: id(0)})
 			for i := range n {
@@ -151,10 +152,10 @@
 			h.advance(40 * second)
 			for i := range n {
 				if _, ok := h.keys[endPrefix+id(i)]; !ok {
-					t.Fatalf("end of %s is not stored", id(i))
+					t.Fatalf("job %s: got no stored end, want one", id(i))
 				}
 				if _, ok := h.keys[jobPrefix+id(i)]; ok {
-					t.Fatalf("key of ended job %s is not removed", id(i))
+					t.Fatalf("ended job %s: got its key still stored, want it removed", id(i))
 				}
 			}
 		})
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -7,8 +7,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestFaultyMachines checks that faulty machines are drained, and that machines on which a faulty job
-// fails are not.
+// TestFaultyMachines checks that faulty machines are drained, and that machines on which only
+// faulty jobs fail are not.
 func TestFaultyMachines(t *testing.T) {
 	type failure struct{ machine, job int }
 	cases := []struct {
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -12,14 +12,15 @@
 // service refuses its renewals for longer than the lease, recovers, and then the answer to one
 // renewal is lost.
 //
-// A leader that judged the silence of the state service by the age of the newest successful
-// renewal let the lease expire after that one lost answer, and another controller was elected:
-// after an outage that renewal is older than a lease although every request was answered. In
-// the case of TestTroubles "renewals and dropped leases are executed late and the leader is
-// refused, and then all", the state service refused until 82.0 s, committed a
-// transaction of node-0 at 82.07 s and left the renewal of 82.30 s unanswered; node-0 sent no
-// other, and its lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected
-// after the faults began, and 83 with the fix.
+// It guards against measuring the silence of the state service by the age of the newest
+// successful renewal. After such an outage that renewal is older than a lease although every
+// request was answered with a refusal. The leader therefore sent no more renewals after the one
+// lost answer, its lease expired, and another controller was elected. In the case of
+// TestTroubles "renewals and dropped leases are executed late and the leader is refused, and
+// then all", the state service refused until 82.0 s, committed a transaction of node-0 at
+// 82.07 s and left the renewal of 82.30 s unanswered; node-0 sent no further renewal, and its
+// lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected after the
+// faults began without the fix, and 83 with it.
 func TestRenewalAfterOutage(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	ttl := h.core.settings.Ops.LeaderLease
@@ -45,13 +46,14 @@
 // deadline, so that it sends four renewals per lease. With three of ten answers lost, one of
 // the four has to succeed.
 //
-// When a renewal waited for the one in flight to end, each lost answer cost the request's
-// deadline, a third of the lease: a leader sent two renewals per lease, and another controller
-// was elected each time that both answers were lost. In the case of TestTroubles "renewals
-// and dropped leases are executed late and the leader is refused, and then all", node-0
-// renewed at 82.30 s and 83.70 s without an answer and its lease expired at 85.02 s; node-1
-// renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97 seeds of that case,
-// 83 leaders were elected after the faults began, and none with the fix.
+// It guards against sending a renewal only after the one in flight has ended. Each lost answer
+// then took as long as the request's deadline, a third of the lease: a leader sent two renewals
+// per lease, and whenever both answers were lost another controller was elected. In the case of
+// TestTroubles "renewals and dropped leases are executed late and the leader is refused, and
+// then all", node-0 renewed at 82.30 s and 83.70 s without an answer and its lease expired at
+// 85.02 s; node-1 renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97
+// seeds of that case, 83 leaders were elected after the faults began without the fix, and none
+// with it.
 func TestUnansweredRenewal(t *testing.T) {
 	const deadline, minRenewals = second, 4
 	h := newPeerHarness(t, "n0")
@@ -77,8 +79,8 @@
 	}
 }
 
-// TestLateRenewalFailure checks that the failure of an earlier renewal is ignored once a later
-// one was answered.
+// TestLateRenewalFailure checks that late results of earlier renewals are ignored once a later
+// renewal has been answered.
 func TestLateRenewalFailure(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	for h.renewals = 0; h.renewals == 0; {
--- a/internal/core/endlookup_test.go
+++ b/internal/core/endlookup_test.go
@@ -7,8 +7,8 @@
 
 // TestEndLookup checks that many requests about jobs that ended long ago or were never submitted
 // cost a few reads instead of one each, and that reads refused by the state service's rate limit
-// are retried before users time out. Without this, under the tightest limits users were refused
-// so often that a run queried every 200 s counted as lost (faketime.TestLargestSweep at
+// are retried before the requests time out. Otherwise, under the tightest limits, requests were
+// refused so often that a run queried every 200 s counted as lost (faketime.TestLargestSweep at
 // full size).
 func TestEndLookup(t *testing.T) {
 	cases := []struct {
--- a/internal/core/endmonitor_test.go
+++ b/internal/core/endmonitor_test.go
@@ -16,8 +16,8 @@
 }
 
 // TestEndLogging checks that the log shows how the controller learned of an end, which stored end
-// allowed the removal of a job's key, and which lookup found that a job is not known, and that
-// the counts agree.
+// allowed the removal of a job's key, and which lookup found that a job is not known. The counts
+// in the operator view have to agree with the log.
 func TestEndLogging(t *testing.T) {
 	h := newHarness(t, map[string]any{
 		formatKey:            progressLogFormat,
@@ -54,7 +54,7 @@
 		`msg="job is not known" job=unheard-of lookup=read`,
 	} {
 		if !strings.Contains(logged.String(), want) {
-			t.Errorf("log has no line with %s", want)
+			t.Errorf("got no log line with %s, want one", want)
 		}
 	}
 	view := h.core.operators.view()
@@ -71,7 +71,7 @@
 }
 
 // TestEndLoggingRateLimit checks that log lines above the rate limit are omitted, and that the
-// next line has the number of omitted ones.
+// next line contains the number of omitted lines.
 func TestEndLoggingRateLimit(t *testing.T) {
 	const unknown = 100
 	h := newHarness(t, map[string]any{formatKey: progressLogFormat})
@@ -82,11 +82,11 @@
 	}
 	first := strings.Count(logged.String(), "job is not known")
 	if first < 1 || first > endLogsPerSecond {
-		t.Errorf("got %d log lines for %d unknown jobs, want 1 to %d", first, unknown, endLogsPerSecond)
+		t.Errorf("got %d log lines for %d lookups of an unknown job, want 1 to %d", first, unknown, endLogsPerSecond)
 	}
 	h.advance(second)
 	h.core.endMonitor.recordNotFound("j", endLookup{})
 	if lines := strings.TrimSpace(logged.String()); !strings.HasSuffix(lines, "omitted=95") || h.core.endMonitor.counts.NotFoundCompared != unknown {
-		t.Errorf("got counts %+v, want %d not found by comparison; last line has to end with omitted=95, got lines:\n%s", h.core.endMonitor.counts, unknown, lines)
+		t.Errorf("got counts %+v, want %d not found by comparison; want the last line to end with omitted=95, got lines:\n%s", h.core.endMonitor.counts, unknown, lines)
 	}
 }
--- a/internal/core/leadership_terms_test.go
+++ b/internal/core/leadership_terms_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// TestEarlierTerm checks that a controller which leads again ignores results of calls from its
-// earlier term, except for those that remain true. Otherwise the answer to a failed scale-in,
-// received after another leader had placed tasks on the machine, had the machine scaled in all
-// the same, and answers to calls of the earlier term were counted for calls still in flight.
+// TestEarlierTerm checks that a controller which leads again ignores results of cloud calls from
+// its earlier term, except for those that remain true, such as a successful scale-in. It guards
+// against two faults: after a failed scale-in of the earlier term, the call was repeated although
+// another leader had placed tasks on the machine since, and each result of the earlier term was
+// subtracted from the calls in flight.
 func TestEarlierTerm(t *testing.T) {
 	h := newLeaderHarness(t)
 	scaling := &h.core.elector.leadership.scaling
@@ -19,7 +20,7 @@
 	h.step(MachinesListed{List: []CloudMachine{{Name: "y", Type: "c", Zone: "a", Status: "failed"}}, FencingToken: earlierToken})
 	h.step(MachineTypesListed{FencingToken: earlierToken})
 	if slices.Contains(scaling.toScaleIn, "m") || slices.Contains(scaling.toScaleIn, "y") || len(scaling.unanswered) > 0 {
-		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m, y nor any", scaling.toScaleIn, scaling.unanswered)
+		t.Errorf("after results of an earlier term: got machines to scale in %v and unanswered scale-outs %v, want neither m nor y, and no unanswered scale-outs", scaling.toScaleIn, scaling.unanswered)
 	}
 	if scaling.callsRunning != 3 || !scaling.listing {
 		t.Errorf("after results of an earlier term: got %d calls in flight and listing %v, want 3 and true", scaling.callsRunning, scaling.listing)
--- a/internal/core/longpoll_test.go
+++ b/internal/core/longpoll_test.go
@@ -7,17 +7,17 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestHeartbeatWhileStartIsWritten checks that the answer to a heartbeat is held while a start for its
-// machine is being written, as starts are sent in answers and the next heartbeat is an interval away.
-// If the write takes long, the answer is sent without the start.
+// TestHeartbeatWhileStartIsWritten checks that the answer to a heartbeat is held while a task
+// start for the machine is being written, because starts are sent in answers and the next
+// heartbeat is an interval away. If the write takes long, the answer is sent without the start.
 //
-// It guards against holding answers only for machines without placements: a placement counts from its
-// planning on, so the heartbeat was answered immediately without commands, and the start was sent only
-// in the answer to the next one. This was seen in the case of TestTroubles "renewals and dropped leases
-// are executed late and the leader is refused, and then all": the heartbeat of host-000002 at 82.535 s was
-// answered without commands, although its three placements were stored at 82.754 s. The next one, at
-// 85.474 s, was answered with the last start of a gang of four, whose other tasks had received
-// theirs at 82.755 s.
+// It guards against holding answers only for machines without placements. A placement counts as
+// soon as it is planned, so the heartbeat was answered immediately without commands, and the
+// start was sent only in the answer to the next heartbeat. This was seen in the case of
+// TestTroubles "renewals and dropped leases are executed late and the leader is refused, and then
+// all": the heartbeat of host-000002 at 82.535 s was answered without commands, although its three
+// placements were stored at 82.754 s. The answer to the next heartbeat, at 85.474 s, contained
+// the last start of a gang of four, whose other tasks had received theirs at 82.755 s.
 func TestHeartbeatWhileStartIsWritten(t *testing.T) {
 	const reportInterval = 2 * second
 	cases := []struct {
@@ -60,8 +60,8 @@
 	}
 }
 
-// placeUnstored places the task of a new job on a machine, as a planning round does; the placement is
-// not stored yet.
+// placeUnstored places the task of a new job on a machine, as a planning round does; the
+// placement is not stored yet.
 func (h *leaderHarness) placeUnstored(id, machine string) {
 	spec := &jobstate.Spec{ID: id, Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second}
 	placed := jobstate.NewJob(spec)
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -10,10 +10,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestMachinePools checks the number and kind of rented machines. If cost is an objective, spot machines
-// are rented for jobs that may use them and on-demand machines for the others, and the number of spares
-// follows the variation of the load. Otherwise on-demand machines are rented first, and there are as
-// many spares as machines in use.
+// TestMachinePools checks the number and kind of rented machines. If cost is an objective, spot
+// machines are rented for jobs that may use them and on-demand machines for the others, and the
+// number of spare machines follows the variation of the load. Otherwise on-demand machines are
+// rented first, and there are as many spare machines as machines in use.
 func TestMachinePools(t *testing.T) {
 	yes, no := true, false
 	spot, onDemand := waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 1000}}, tasks: 3}
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -9,8 +9,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestQueueAssignment checks the queue of a job by equation (1) of the paper with the cutoffs
-// of the settings, and which jobs have a trial.
+// TestQueueAssignment checks the queue of a job, which follows from equation (1) of the paper
+// that package sched implements and from the cutoffs in the settings, and which jobs have a
+// trial.
 func TestQueueAssignment(t *testing.T) {
 	cases := []struct {
 		kind          jobstate.Kind
@@ -245,7 +246,7 @@
 			h.core.tasks.taskExited(h.core.workers.getOrAddMachine("x0"), j, 0, &TaskStatus{Name: "g/0", Attempt: 1, State: TaskExited, Reason: ExitGangIncomplete})
 			h.core.workers.reconcileListed(x1, &Heartbeat{Machine: "x1", Tasks: []TaskStatus{{Name: "g/1", Attempt: 1, State: TaskWaiting}}})
 			if im := x1.Images["im"]; im.LastUsed == 0 || im.Fetching {
-				h.t.Error("image is not recorded as present after the fetch")
+				h.t.Errorf("after the fetch: got image %+v, want it recorded as present", im)
 			}
 		}, "1:gang 2:gang "},
 		{"gang incomplete, fetching task stops after a timeout", func(h *leaderHarness, j *jobstate.Job) {
@@ -262,11 +263,11 @@
 			j.SetPhase(j.Task(1), jobstate.Unconfirmed)
 			h.core.workers.recordTaskPhase(x1, j, j.Task(1), TaskFetching)
 			if !x1.Images["im"].Fetching {
-				h.t.Error("image is not recorded as being fetched")
+				h.t.Errorf("during the fetch: got image %+v, want it recorded as being fetched", x1.Images["im"])
 			}
 			h.core.tasks.taskLost(j, 1)
 			if len(x1.Images) > 0 {
-				h.t.Error("image of an aborted fetch is recorded as present")
+				h.t.Errorf("after an aborted fetch: got images %v, want none", x1.Images)
 			}
 		}, "0:gang 2:gang "},
 		{"one task preempted", func(h *leaderHarness, j *jobstate.Job) { h.core.tasks.preempt(j, 2, checkpointGrace(j)) }, "0:preempt 1:preempt 2:preempt "},
@@ -289,7 +290,7 @@
 			used, withinGuarantee := h.core.planner.usage(), h.core.planner.jobsWithinGuarantee(all)
 			for _, planned := range h.core.planner.schedJobs(all, used, withinGuarantee) {
 				if planned.ID == "g" {
-					t.Error("gang is planned again before all tasks of its last attempt have stopped")
+					t.Error("got the gang planned again, want it not planned before all tasks of its last attempt have stopped")
 				}
 			}
 		})
--- a/internal/core/prefetch_quota_test.go
+++ b/internal/core/prefetch_quota_test.go
@@ -8,10 +8,11 @@
 	"github.com/zinclb/zinclb/internal/core/sched"
 )
 
-// TestPrefetchQuota checks that a new leader leaves headroom in a team's limit for the prefetches of the
-// previous leader, which are not stored. Without it, a team at its limit exceeds the limit while such a
-// task has its image and is about to exit, as its usage adds to what the new leader starts. This was
-// seen in TestPipelines, seed 261, under the third leader.
+// TestPrefetchQuota checks that a new leader leaves headroom in a team's limit for the prefetches
+// of the previous leader, which are not stored. Without headroom, a team at its limit exceeds the
+// limit while such a prefetch has fetched its image and is about to exit, because its usage adds
+// to that of the tasks which the new leader starts. This was seen in TestPipelines, seed 261,
+// under the third leader.
 func TestPrefetchQuota(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.settings.Teams = []config.Team{{Name: "t", GPUsMax: 16}}
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestPrefetchSources checks that the tasks of a completed gang that sets one_zone are prefetch sources
-// in one zone at a time, as the rule applies to them as to any start.
+// TestPrefetchSources checks that the tasks of a completed gang that sets one_zone are prefetch
+// sources in one zone at a time, because prefetches have to follow one_zone as any start does.
 func TestPrefetchSources(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestImageHints checks that the image hints for the next leader fit the state service's value size for
-// any size of fleet, and that a completed job is inherited once even if two values list it, as otherwise
-// a task could be started on two machines.
+// TestImageHints checks that the image hints for the next leader fit the state service's value
+// limit for any size of fleet, and that a completed job is inherited once even if two values list
+// it, because otherwise a task could be started on two machines.
 func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestPrefetchByType checks that half of the idle machines of each type stay free. It guards against
-// counting over all types, with which the many small machines used up the prefetches of the few
-// machines with GPUs.
+// TestPrefetchByType checks that half of the idle machines of each type stay free. It guards
+// against one limit for all types together, with which the many small machines used up the
+// prefetches of the few machines with GPUs.
 func TestPrefetchByType(t *testing.T) {
 	cases := []struct {
 		small, large int
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -32,8 +32,8 @@
 	return newLeaderHarnessWithOutcome(t, "")
 }
 
-// newLeaderHarnessWithOutcome is newLeaderHarness with the given stored outcome of the job, ""
-// for a job that has not ended.
+// newLeaderHarnessWithOutcome is like newLeaderHarness, with the given stored outcome of the job,
+// which is empty for an unfinished job.
 func newLeaderHarnessWithOutcome(t *testing.T, outcome string) *leaderHarness {
 	t.Helper()
 	settings := Settings{Name: "n0", Incarnation: "b", Ops: config.Defaults()}
@@ -105,7 +105,8 @@
 	}
 }
 
-// heartbeat sends a heartbeat, and returns the commands in its answer as text.
+// heartbeat sends the next heartbeat of machine m, and returns the status of the answer and the
+// commands in it as text.
 func (h *leaderHarness) heartbeat(token uint64, epoch uint64, tasks ...TaskStatus) (ReplyCode, string) {
 	h.seq++
 	h.replies = nil
@@ -133,6 +134,7 @@
 	return fmt.Sprintf("%s.%d", t.Machine, t.Attempt)
 }
 
+// running returns the status of the running task of job j.
 func running(attempt uint64) TaskStatus {
 	return TaskStatus{Name: "j/0", Attempt: attempt, State: TaskRunning}
 }
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// TestStateReadProof checks that renewing its lease does not count as proof that a leader knows
-// what was reported to users. If its watch delivers nothing the leader reads the stored state, and
-// without an answer it stops answering workers after its authority time.
+// TestStateReadProof checks that a renewal of the lease does not prove that the leader knows
+// what was reported to users. If the watch delivers nothing, the leader reads the stored state,
+// and without an answer to that read it stops answering workers after its authority time.
 func TestStateReadProof(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	h.watchHung = true
@@ -38,12 +38,12 @@
 }
 
 // TestInformHolder checks that a leader which holds a controller's read lease is informed of a
-// cancellation before any user is told, whichever request the user sent.
+// cancellation before any user learns of it, whichever request the user sent.
 func TestInformHolder(t *testing.T) {
 	h := newHarness(t, map[string]any{jobPrefix + "a": job("a"), jobPrefix + "c": job("c")})
 	h.core.settings.Peers = []string{"n1"}
 	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
-	// ask sends a request and returns its number and the answer after half a second, if any.
+	// send sends a request and returns its ID and the answer after half a second, if any.
 	send := func(build func(req uint64) any) (uint64, Reply) {
 		h.lastRequest++
 		h.step(build(h.lastRequest))
@@ -63,7 +63,7 @@
 	if granted := h.replies[900].PeerStatus.ReadLease; granted == nil || !granted.Complete || len(granted.Cancelled) != 0 {
 		t.Fatalf("got read lease %+v, want a complete one without cancellations", granted)
 	}
-	// The cancellation itself, another user's poll and a repeated submission.
+	// The cancellation itself, another user's query and a repeated submission.
 	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
 		requestID, reply := send(build)
 		if h.keys[endPrefix+"a"].Revision == 0 {
@@ -82,8 +82,8 @@
 	if reply := h.replies[requestID]; reply.Status != 200 || reply.Job.State != jobstate.Cancelled {
 		t.Errorf("once the leader knows: got reply %+v, want status 200 and the job cancelled", reply)
 	}
-	// The leader never learns of the next cancellation: the answer is held back until its
-	// read lease has expired, and no longer.
+	// The leader does not learn of the next cancellation: the answer is held back until the
+	// leader's read lease has expired, and no longer.
 	if _, reply := send(cancel("c")); reply.Status != 0 {
 		t.Errorf("leader not informed: got status %d, want no answer", reply.Status)
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestReadLeaseConditions checks that operators see for how long a leader may continue to answer
-// workers in an outage of the state service, and which peers have granted no read lease.
+// TestReadLeaseConditions checks that the operator view shows for how long a leader may continue
+// to answer workers in an outage of the state service, and which peers have granted no read lease.
 func TestReadLeaseConditions(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.elector.leadership.readLeases = readlease.NewHolder([]string{"n1", "n2"}, h.core.settings.LeaderAuthorityTime())
@@ -134,7 +134,7 @@
 }
 
 // TestInformHolderOfSweep checks that a leader which holds a controller's read lease is informed
-// of a cancelled sweep before any user who asks about the sweep or one of its runs.
+// of a cancelled sweep before any user who queries the sweep or one of its runs.
 func TestInformHolderOfSweep(t *testing.T) {
 	h := newSweepHarness(t, true)
 	h.submitSweep(sweepOf(2, 1000))
--- a/internal/core/repeatedsubmission_test.go
+++ b/internal/core/repeatedsubmission_test.go
@@ -11,11 +11,11 @@
 // started.
 //
 // It guards against repeated 503 replies after a restart. The controller did not have the job's
-// end in memory and took the job for new. Its write failed because of the stored end, it read the
-// state, which does not list ends, and wrote again until the request timed out. Queries about the
-// same job were answered, because they look up the end. In a run in fake time one job's submission
-// was refused 25 times in the 125 s after the last fault, and the records of a deployment have 13
-// such writes within 2.1 s:
+// end in memory and treated the job as new. The write failed because of the stored end, a read of
+// the state did not show the end, because ends are not listed, and the controller repeated the
+// write until the request timed out. Queries about the same job were answered, because they look
+// up the end. In a run in fake time one job's submission was refused 25 times in the 125 s after
+// the last fault, and the records of a deployment have 13 such writes within 2.1 s:
 //
 //	204.13 stoker-1 POST /multi put zinclb/job/JOB, if zinclb/job/JOB@0,
 //	if zinclb/end/JOB@0 (3 keys): 409 revision 1440 failed [zinclb/end/JOB];
@@ -51,7 +51,7 @@
 				t.Errorf("got %d writes, want at most 1", h.commits)
 			}
 			if _, isStored := h.keys[jobPrefix+"again"]; isStored {
-				t.Error("ended job is stored as unfinished")
+				t.Error("got the ended job stored as unfinished, want no key of the job")
 			}
 		})
 	}
--- a/internal/core/reportedend_test.go
+++ b/internal/core/reportedend_test.go
@@ -9,15 +9,16 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// These tests guard against the loss of a job whose cancellation was reported to users. The controller
-// that had started last answered 404 for the job, while the others continued to report it as
-// cancelled until they were restarted. It came about as follows:
+// These tests guard against the loss of a job whose cancellation was reported to users. The
+// controller that had started last answered 404 for the job, while the others continued to report
+// it as cancelled until they were restarted. The sequence of events was:
 //
 // The job depended on another one that had been cancelled before the leader's term began. The
 // other controllers knew that end, derived the end of the dependent job from it, and reported the
 // cancellation to the leader with a page of their read leases. The leader had not read the end of
-// the first job yet, as the state service had just limited its rate. It treated the reported
-// cancellation as stored, and removed the job's key without ever storing an end.
+// the first job yet, because the state service had just limited the leader's request rate. The
+// leader treated the reported cancellation as stored, and removed the key of the dependent job
+// without ever storing an end.
 //
 // The recorded log lines and requests, with the seconds of the day:
 //
@@ -91,7 +92,7 @@
 }
 
 // TestReportedEndIsStored checks that a job's key is removed only if its end is stored, whichever
-// message reports the cancellation, so that controllers that start later know the job too.
+// message reports the cancellation, so that controllers that start later also know the job.
 func TestReportedEndIsStored(t *testing.T) {
 	for _, format := range []formatRecord{{Version: 2, Tasks: 64}, {Version: 3, Tasks: 64}} {
 		for _, source := range cancellationSources {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -30,10 +30,10 @@
 	lastRequestID   uint64
 	jobs            int
 	pendingMessages []any // delivered in the next tick
-	// stored are the keys of the state service, which the next leader lists.
+	// stored is the stored state by key, which the next leader lists.
 	stored map[string]Change
-	// started and done count tasks that began to run and that completed, writes the stored
-	// changes.
+	// started is the number of tasks that began to run, done the number of tasks that
+	// completed, and writes the number of writes to the state service.
 	started, done, writes int
 	// endless makes tasks run without end.
 	endless bool
@@ -216,7 +216,7 @@
 	}
 }
 
-// submit adds a job of one of three random kinds: two of gangs, one of arrays.
+// submit adds a random job: a gang of one of two priorities, or an array.
 func (w *workerFleet) submit() {
 	w.jobs++
 	spec := &jobstate.Spec{ID: fmt.Sprintf("job-%06d", w.jobs), Class: "c", Team: "red", Image: fmt.Sprint("im-", w.rng.IntN(12)), ImageMB: 5000, Spot: true, Estimate: 20*second + w.rng.Int64N(100*second)}
@@ -295,7 +295,7 @@
 		}
 	}
 	if running := w.running(t); running != jobs*tasksPerJob || haveToken != machines {
-		t.Fatalf("after the failover: got %d running tasks, %d known machines, want %d and %d", running, haveToken, jobs*tasksPerJob, machines)
+		t.Fatalf("after the failover: got %d running tasks, %d machines with the current token, want %d and %d", running, haveToken, jobs*tasksPerJob, machines)
 	}
 	for i, worker := range w.workers {
 		worker.dead = i%3 == 0
@@ -343,8 +343,8 @@
 	}
 }
 
-// TestPlannerIndex checks that after random events of machines the planner's index contains the
-// same as an index built from all machines would.
+// TestPlannerIndex checks that after random machine events the planner's index has the same
+// contents as an index built from all machines would have.
 func TestPlannerIndex(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newWorkerFleet(40)
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -7,10 +7,11 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestScaleInSilentMachines checks that a few silent machines are returned, as their tasks are then
-// certainly gone, and that many silent machines are not, as the network is more likely at fault. This must also hold for a
-// new leader that has received no heartbeat of any of them: otherwise a leader that is elected while a
-// zone is partitioned returns every machine of the zone.
+// TestScaleInSilentMachines checks that a few silent machines are returned, because their tasks
+// are then certainly gone, and that many silent machines are not, because the network is more
+// likely at fault. This must also hold for a new leader that has received no heartbeat from any
+// of them: otherwise a leader that is elected while a zone is partitioned returns every machine
+// of the zone.
 func TestScaleInSilentMachines(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -62,8 +63,9 @@
 }
 
 // TestScaleInNeverBooted checks that a machine that does not send a first heartbeat in time is
-// returned. A machine that a leader found listed as running, and that has sent a heartbeat since, is not returned however
-// old it is: after a partition during which the leader was elected this would be a whole zone.
+// returned. A machine that the cloud lists as running and that has sent a heartbeat since is not
+// returned, however long ago it was rented: after a partition during which the leader was
+// elected, such machines may be a whole zone.
 func TestScaleInNeverBooted(t *testing.T) {
 	cases := []struct {
 		name                         string
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -43,15 +43,15 @@
 	return few, many
 }
 
-// storedValues returns the stored values that are encoded structures, by key. They are of all
-// kinds, and each field of a kind is set in at least one of its values.
+// storedValues returns the stored values that are encoded structures, by key. Each kind of
+// structure occurs, and each of its fields is set in at least one value.
 func storedValues() map[string]any {
 	few, many := storedRunSets()
 	long := fullSpec("j-brief", jobstate.Service, jobstate.Production)
 	long.Image = strings.Repeat("x", 900)
 	var brief jobstate.Record
 	if err := json.Unmarshal((jobstate.Record{Spec: long, Arrival: 6, Outcome: jobstate.Cancelled, SubmittedWall: 1_700_000_000_000_006}).Encode(800), &brief); err != nil {
-		panic(err) // it was encoded just now
+		panic(err) // impossible for a value encoded above
 	}
 	values := map[string]any{
 		jobPrefix + "j-least": jobstate.Record{Spec: &jobstate.Spec{ID: "j-least", Class: "c", Team: "t", Kind: jobstate.Array, Tasks: 300, Need: jobstate.Resources{CPU: 1}}},
@@ -103,9 +103,9 @@
 
 func storedChunks() []storedChunk {
 	return []storedChunk{
-		// In this order: the first format, without the sequence number of a log entry; the
-		// last chunk of a job, which has fewer tasks; a chunk with a sequence number; and
-		// smaller chunks with one.
+		// In this order: a chunk of the first format, without the sequence number of a log
+		// entry; the last chunk of a job, which has fewer tasks; a chunk with a sequence
+		// number; and smaller chunks with a sequence number.
 		{"j-least", jobstate.ChunkRef{ChunkSize: 256, Index: 0}, 0, func(j *jobstate.Job) {
 			j.SetTrialDone(1)
 			j.PlaceTask(0, "host-000001", 3, 1)
@@ -261,7 +261,7 @@
 }
 
 // TestStoredAreRead checks that a controller that lists all stored values logs no error and has
-// their contents in its state.
+// their contents in its state cache.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
 	settings := newLeaderHarness(t).core.settings
@@ -361,7 +361,7 @@
 	}
 	for name, recorded := range seen {
 		if !recorded {
-			t.Errorf("field %s: got only zero values recorded, want another", name)
+			t.Errorf("field %s: got only zero values recorded, want at least one other value", name)
 		}
 	}
 	if len(seen) < 60 {
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -13,10 +13,10 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// sweepID is the id of the sweep in these tests.
+// sweepID is the ID of the sweep in these tests.
 const sweepID = "s"
 
-// runID returns the id of a run of that sweep.
+// runID returns the ID of a run of that sweep.
 func runID(i int) string { return fmt.Sprintf("%s%s.%d", RunPrefix, sweepID, i) }
 
 // sweepFormat is the first stored format with sweeps.
@@ -46,12 +46,12 @@
 	h.start(settings)
 	h.advance(2 * second)
 	if !h.core.elector.isLeader() {
-		t.Fatal("controller does not lead")
+		t.Fatal("got a follower after 2 s, want the leader")
 	}
 	return h
 }
 
-// requestSweep sends a request with the next id and returns the reply to it.
+// requestSweep sends a request with the next request ID and returns the reply to it.
 func (h *harness) requestSweep(build func(requestID uint64) any) Reply {
 	h.lastRequest++
 	id := h.lastRequest
@@ -158,9 +158,10 @@
 }
 
 // TestSweepCancelledAtPeer checks that a controller that learns of a cancelled sweep from a peer
-// stops its tasks at once, but reports its runs as cancelled only when it has everything that was
-// stored before the cancellation, because some of them may be done. It guards against a fault in an
-// outage right after a cancellation: runs whose end was stored as done were reported as cancelled.
+// stops the sweep's tasks at once, but reports its runs as cancelled only when the controller has
+// everything that was stored before the cancellation, because some of the runs may be done. It
+// guards against a fault in an outage right after a cancellation: runs whose end was stored as
+// done were reported as cancelled.
 func TestSweepCancelledAtPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
@@ -175,10 +176,10 @@
 	run := cache.jobs[runID(1)]
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + sweepID}}})
 	if _, isOver := cache.ends.Get(runID(1)); run == nil || run.Outcome() != "" || isOver {
-		t.Fatal("run is missing or reported as ended, although its end may be stored as done")
+		t.Fatalf("run %s: got %+v, reported as ended %v, want an unfinished run, as its end may be stored as done", runID(1), run, isOver)
 	}
 	if h.core.sweepManager.mayStart(run) {
-		t.Error("tasks of the cancelled sweep may still be started")
+		t.Error("mayStart of a run of the cancelled sweep: got true, want false")
 	}
 	// Run 0 is stored as done before the cancellation is stored.
 	h.store(endPrefix+runID(0), jobstate.End{Outcome: jobstate.Done, Tasks: 1})
@@ -192,7 +193,7 @@
 }
 
 // TestSweepPositionSize checks that the position and the cancelled runs of the largest sweep fit
-// into the smallest value limit, whichever of its runs have ended, and that they are decoded again.
+// into the smallest value limit, whichever of its runs have ended, and are decoded correctly.
 func TestSweepPositionSize(t *testing.T) {
 	const runs, maxBytes = 10_000, 2000
 	random := rand.New(rand.NewPCG(1, 2))
@@ -224,8 +225,8 @@
 }
 
 // TestRunCancellationFromPeer checks that a run that a peer reports as cancelled is counted as
-// ended only once its end is stored, because a counted run in the sweep's position is not looked
-// up any more.
+// ended only once its end is stored, because the end of a run that the sweep's position counts as
+// ended is not looked up any more.
 func TestRunCancellationFromPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
@@ -235,7 +236,7 @@
 	h.advance(2 * second)
 	id := runID(0)
 	if h.core.cache.jobs[id] == nil {
-		t.Fatal("run is not created")
+		t.Fatalf("got no run %s, want one", id)
 	}
 	h.delaysCommits = true
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{id}}})
@@ -244,7 +245,7 @@
 		t.Fatalf("got end %+v (known: %v), want a known end that is not stored", end, ok)
 	}
 	if sweep.ended.Contains(0) {
-		t.Error("run is counted before its end is stored")
+		t.Error("before its end is stored: got the run counted as ended, want it not counted")
 	}
 	h.delaysCommits = false
 	for _, delayed := range h.delayedCommits {
@@ -252,9 +253,9 @@
 	}
 	h.advance(3 * second)
 	if h.keys[endPrefix+id].Revision == 0 {
-		t.Error("end of the run is not stored")
+		t.Error("got no stored end of the run, want one")
 	}
 	if !sweep.ended.Contains(0) || !sweep.cancelled.Contains(0) {
-		t.Error("run is not counted as ended and cancelled although its end is stored")
+		t.Errorf("after its end is stored: got the run counted as ended %v, as cancelled %v, want both", sweep.ended.Contains(0), sweep.cancelled.Contains(0))
 	}
 }
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -4,14 +4,14 @@
 	"testing"
 
 	"github.com/zinclb/zinclb/internal/core/kv"
-
 	"github.com/zinclb/zinclb/internal/core/txn"
 )
 
 // TestObservedTransaction checks that a transaction without an answer completes once its changes
-// were read. Without this, other controllers report the changes to users while the writer sends them
-// again in vain, for two seconds at a time. The transaction counts as executed only if all of its
-// changes are read as they were sent, at one revision that is later than any in its conditions.
+// were read. Otherwise other controllers report the changes to users while the writer repeats the
+// transaction in vain, waiting two seconds each time. The transaction counts as executed only if
+// all of its changes are read as they were sent, at one revision that is later than any in its
+// conditions.
 func TestObservedTransaction(t *testing.T) {
 	const observedRevision = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
@@ -39,7 +39,7 @@
 			h := newLeaderHarness(t)
 			var got []TransactionResult
 			h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x/a", observedRevision-10), kv.RevisionIs("zinclb/x/b", 0)}, writes, func(result TransactionResult) { got = append(got, result) })
-			h.core.effects = nil // nobody answers
+			h.core.effects = nil // the transaction gets no answer
 			h.core.transactions.Observe(tc.changes, h.core.now)
 			h.tick(txn.AnswerTimeout - 50_000)
 			if len(got) != 0 {
@@ -53,8 +53,9 @@
 	}
 }
 
-// TestAnswerPrecedesObservation checks that an answer is used as it is, even if the changes were
-// read before, and that without an answer the outcome follows from the changes read.
+// TestAnswerPrecedesObservation checks that the outcome in an answer is used even if the changes
+// were read before it, and that if the answer has an unknown outcome, the outcome follows from
+// the changes read.
 func TestAnswerPrecedesObservation(t *testing.T) {
 	for _, tc := range []struct {
 		answer, want kv.Outcome
@@ -74,8 +75,8 @@
 }
 
 // TestAnswerLost checks that if a submission or cancellation is executed and only the answer of
-// the state service is lost, the user is answered within half a second, and not only when the
-// writer stops waiting for the answer.
+// the state service is lost, the user is answered within half a second, and not only once the
+// transaction has timed out.
 func TestAnswerLost(t *testing.T) {
 	h := newHarness(t, map[string]any{formatKey: progressLogFormat, jobPrefix + "open": job("open")})
 	h.advance(200_000)
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// startWrites returns the delayed transactions that write placements.
+// startWrites returns the delayed transactions that store placements.
 func (h *harness) startWrites() (writes []CommitTransaction) {
 	for _, transaction := range h.delayedCommits {
 		for _, write := range transaction.Writes {
@@ -37,16 +37,16 @@
 }
 
 // TestUnansweredStart checks that a write of a task start that gets no answer, where answers
-// normally take milliseconds, is sent again within a second, so that one lost answer does not make
-// the start late.
+// normally take milliseconds, is repeated within a second, so that one lost answer does not delay
+// the start.
 //
-// The leader has one transaction in progress at a time. It used to wait for each until its
-// deadline of two seconds, in which nothing was written and no task started. The state service's
-// log of the case of TestTroubles "renewals and dropped leases are executed late and the leader is
-// refused, and then all" showed it: the write of a gang of four at 82.203 s got no
-// answer, the next one was stored at 84.354 s, and the gang was done at 94.33 s instead of by
-// 93.0 s. With this and related fixes, the write was stored at 82.753 s, the gang started at
-// 82.755 s and was done at 90.95 s.
+// It guards against waiting for the answer to each transaction until its deadline of two seconds.
+// The leader has one transaction in progress at a time, so nothing else was written and no task
+// started in this time. The state service's log of the case of TestTroubles "renewals and dropped
+// leases are executed late and the leader is refused, and then all" showed this: the write of a
+// gang of four at 82.203 s got no answer, the next write was stored at 84.354 s, and the gang was
+// done at 94.33 s instead of by 93.0 s. With this and related fixes, the write was stored at
+// 82.753 s, the gang started at 82.755 s and was done at 90.95 s.
 func TestUnansweredStart(t *testing.T) {
 	h := newPlacementHarness(t)
 	h.advance(second)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestUnansweredStartExecuted checks that of two writes of the same start one takes effect and the
-// start is known to be stored, whichever is executed first.
+// TestUnansweredStartExecuted checks that one of two writes of the same start takes effect and that
+// the start is then known to be stored, whichever write is executed first.
 func TestUnansweredStartExecuted(t *testing.T) {
 	for _, order := range [][2]int{{0, 1}, {1, 0}} {
 		h := newPlacementHarness(t)
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -8,9 +8,10 @@
 )
 
 // TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not
-// arrive are stopped by direct commands, also by a leader that has received no heartbeat of the machine: the address comes
-// from the cloud's list and the epoch from the machine's answer to a probe. Otherwise such tasks
-// continue until the machine's lease has expired. The answer does not prove that a task is absent.
+// arrive are stopped by direct commands, also by a leader that has received no heartbeat from the
+// machine: the address comes from the cloud's list and the epoch from the machine's answer to a
+// probe. Otherwise such tasks continue until the machine's lease has expired. The answer to the
+// probe does not prove that a task is absent.
 func TestStopOnUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestIncompatible checks that a controller whose program is too old for the stored state does
-// not lead, or resigns if it learns of it while it leads, and that from then on it writes
-// nothing and is not ready. TestQuit checks that the process ends.
+// not lead, or resigns if the state becomes incompatible while it leads, and that from then on
+// the controller writes nothing and is not ready. TestQuit checks that the process ends.
 func TestIncompatible(t *testing.T) {
 	needed := featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}, {Name: "tomorrow", Required: true}}}
 	for _, tc := range []struct {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestSetDecommissioned checks which controllers operators may declare gone, and that the
-// record is removed when the controller comes back.
+// TestSetDecommissioned checks which controllers operators may declare decommissioned, and that
+// the record is removed when the controller comes back.
 func TestSetDecommissioned(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	h.revision++
@@ -80,7 +80,7 @@
 			t.Errorf("setting %s decommissioned to %v: got replies %+v, want one with status %d", tc.name, tc.decommissioned, replies, tc.status)
 		}
 		if stored := h.core.membership.isDecommissioned("n2"); tc.name == "n2" && stored != tc.decommissioned {
-			t.Errorf("setting %s decommissioned to %v: got %v stored", tc.name, tc.decommissioned, stored)
+			t.Errorf("setting %s decommissioned to %v: got %v stored, want %v", tc.name, tc.decommissioned, stored, tc.decommissioned)
 		}
 	}
 	// The controller comes back, and its record is removed.
--- a/internal/core/valuelimits_test.go
+++ b/internal/core/valuelimits_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestRefusedWrites checks that limits that fall before the stored format allows smaller values,
-// or further than the settings announce, do not block the writes that fit, and that rejected
-// writes are not repeated forever.
+// TestRefusedWrites checks that limits that are lowered before the stored format allows smaller
+// values, or without an announcement in the settings, do not block the writes that fit, and that
+// rejected writes are not repeated forever.
 func TestRefusedWrites(t *testing.T) {
 	cases := []struct {
 		name        string
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -33,7 +33,7 @@
 	return fixture
 }
 
-// TestVersion1 checks that values stored by the version without pipelines are read and written
+// TestVersion1 checks that values stored by version 1, which had no pipelines, are read and written
 // back unchanged. It guards against a renamed stored field.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops after
-// each single write. What is then read must be the progress with that write or without it.
+// TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops
+// after each single write. What is then read must be the progress with that write or without it,
+// in whichever order the values are read.
 func TestInterruptedChunkSplit(t *testing.T) {
 	spec := &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 300}
 	state := func(j *jobstate.Job) string {
@@ -280,7 +281,7 @@
 		}
 		decoded, err := jobstate.DecodeLogPage(page.Encode())
 		if err != nil || decoded.FirstSeq != page.FirstSeq || !slices.Equal(decoded.Entries, page.Entries) {
-			t.Fatalf("got a decoded page different from the encoded one, or error %v, want the same page", err)
+			t.Fatalf("got decoded page %+v, error %v, want %+v", decoded, err, page.LogPage)
 		}
 	}
 }
--- a/internal/core/zonetarget_test.go
+++ b/internal/core/zonetarget_test.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestTargetZone checks that machines are gathered in one zone only while no zone has enough, and in
-// which zone.
+// TestTargetZone checks in which zone machines are gathered for a job whose tasks must be in one
+// zone, and that none is chosen once a zone has enough machines.
 func TestTargetZone(t *testing.T) {
 	const now = 100 * second
 	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
