--- a/internal/core/committer_test.go
+++ b/internal/core/committer_test.go
@@ -54,9 +54,9 @@
 				if !ok {
 					continue
 				}
-				for _, w := range transaction.Writes {
-					if strings.HasPrefix(w.Key, runPrefix) && w.Value != nil || strings.HasPrefix(w.Key, endPrefix) {
-						id, _, _ := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(w.Key, runPrefix), endPrefix), "/")
+				for _, write := range transaction.Writes {
+					if strings.HasPrefix(write.Key, runPrefix) && write.Value != nil || strings.HasPrefix(write.Key, endPrefix) {
+						id, _, _ := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(write.Key, runPrefix), endPrefix), "/")
 						got += id + " "
 					}
 				}
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -57,8 +57,8 @@
 	return h
 }
 
-func (h *peerHarness) advance(d int64) {
-	for end := h.now + d; h.now < end; {
+func (h *peerHarness) advance(duration int64) {
+	for end := h.now + duration; h.now < end; {
 		h.now += 50_000
 		h.step(Tick{TimeOfDay: h.now + 1_000_000*second})
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -50,7 +50,7 @@
 	unavailable bool
 	// unreachable are the keys that can't be read.
 	unreachable map[string]bool
-	// watchLags keeps changes from the core, as with a watch that lags.
+	// watchLags withholds changes from the core, as a watch that lags does.
 	watchLags bool
 	// losesAnswers makes the state service execute transactions without answering them.
 	losesAnswers bool
@@ -119,7 +119,7 @@
 	_, unfinished := h.keys[jobPrefix+id]
 	_, ended := h.keys[endPrefix+id]
 	if !unfinished && !ended {
-		h.t.Fatalf("neither the key of job %q nor its end is stored", id)
+		h.t.Fatalf("job %q: got neither its key nor its end stored, want at least one", id)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// step sends the core a message and carries out the resulting effects.
+// step sends the core a message and executes the resulting effects.
 func (h *harness) step(message any) {
 	for _, effect := range h.core.Step(h.now, message) {
 		switch e := effect.(type) {
@@ -285,7 +285,7 @@
 		}
 		h.advance(tickInterval)
 	}
-	h.t.Fatalf("got no answer to %T within %d ticks", message, maxRequestTicks)
+	h.t.Fatalf("got no answer to %T within %d ticks, want one", message, maxRequestTicks)
 	return Reply{}
 }
 
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -53,9 +53,9 @@
 		m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i))
 		m.Type, m.Zone, m.Cap, m.LastHeartbeat, m.HasCurrentToken, m.Addr = "c", "a", jobstate.Resources{CPU: 1000, Mem: 1000}, h.now, true, "a"
 		j.PlaceTask(i, m.Name, 1, h.now)
-		t := j.Task(i)
-		t.Stored, t.StartSent, t.Confirmed, t.StartedAt, t.Trial = true, true, true, h.now, trial
-		j.SetPhase(t, jobstate.Running)
+		task := j.Task(i)
+		task.Stored, task.StartSent, task.Confirmed, task.StartedAt, task.Trial = true, true, true, h.now, trial
+		j.SetPhase(task, jobstate.Running)
 		m.AddPlacement(fleet.TaskRef{Job: j, Index: i})
 	}
 }
@@ -79,8 +79,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newLeaderHarness(t)
-			j := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
-			h.placeRunning(j, true)
+			long := jobstate.NewJob(&jobstate.Spec{ID: "long", Team: "t", Kind: jobstate.Gang, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 1000 * second, Checkpoint: second, Save: 4 * second})
+			h.placeRunning(long, true)
 			h.now += tc.after
 			if tc.waiting {
 				waiting := jobstate.NewJob(&jobstate.Spec{ID: "waits", Team: "t", Kind: jobstate.Array, Tasks: 1, Need: jobstate.Resources{CPU: 1000}, Estimate: 100 * second})
@@ -98,7 +98,7 @@
 			h.core.now = h.now
 			h.core.elector.leadership.cacheFreshAt, h.core.elector.leadership.tokenProvenAt = h.now, h.now
 			h.core.planner.plan()
-			if got := j.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
+			if got := long.Task(0); got.StopReason != tc.stop || tc.stop != "" && got.Grace < 4*second {
 				t.Errorf("got stop reason %q with grace %d s, want %q with at least 4 s if stopped", got.StopReason, got.Grace/second, tc.stop)
 			}
 		})
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -63,8 +63,8 @@
 	return h
 }
 
-func (h *leaderHarness) tick(d int64) {
-	h.now += d
+func (h *leaderHarness) tick(duration int64) {
+	h.now += duration
 	h.step(Tick{})
 }
 
@@ -130,8 +130,8 @@
 	if j == nil {
 		return "over"
 	}
-	t := j.Task(0)
-	return fmt.Sprintf("%s.%d", t.Machine, t.Attempt)
+	task := j.Task(0)
+	return fmt.Sprintf("%s.%d", task.Machine, task.Attempt)
 }
 
 // running returns the status of the running task of job j.
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -44,16 +44,16 @@
 	h.core.settings.Peers = []string{"n1"}
 	h.core.readLeases.grantor = readlease.NewGrantor("b", h.core.settings.Peers, h.core.settings.LeaderAuthorityTime(), h.now)
 	// send sends a request and returns its ID and the answer after half a second, if any.
-	send := func(build func(req uint64) any) (uint64, Reply) {
+	send := func(build func(requestID uint64) any) (uint64, Reply) {
 		h.lastRequest++
 		h.step(build(h.lastRequest))
 		h.advance(second / 2)
 		return h.lastRequest, h.replies[h.lastRequest]
 	}
 	cancel := func(id string) func(uint64) any {
-		return func(req uint64) any { return CancelJob{RequestID: req, ID: id} }
+		return func(requestID uint64) any { return CancelJob{RequestID: requestID, ID: id} }
 	}
-	poll := func(req uint64) any { return QueryJob{RequestID: req, ID: "a"} }
+	poll := func(requestID uint64) any { return QueryJob{RequestID: requestID, ID: "a"} }
 	ack := func(holderAck *readlease.HolderAck) {
 		h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: holderAck}})
 	}
@@ -64,7 +64,7 @@
 		t.Fatalf("got read lease %+v, want a complete one without cancellations", granted)
 	}
 	// The cancellation itself, another user's query and a repeated submission.
-	for _, build := range []func(uint64) any{cancel("a"), poll, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("a").Spec} }} {
+	for _, build := range []func(uint64) any{cancel("a"), poll, func(requestID uint64) any { return SubmitJob{RequestID: requestID, Spec: job("a").Spec} }} {
 		requestID, reply := send(build)
 		if h.keys[endPrefix+"a"].Revision == 0 {
 			t.Fatal("got no stored end of job a, want its cancellation stored")
@@ -154,11 +154,11 @@
 		return h.replies[900].PeerStatus.ReadLease
 	}
 	requestReadLease()
-	builds := []func(req uint64) any{
-		func(req uint64) any { return CancelSweep{RequestID: req, ID: "s"} },
-		func(req uint64) any { return QuerySweep{RequestID: req, ID: "s"} },
-		func(req uint64) any { return ListSweepRuns{RequestID: req, ID: "s", Limit: 2} },
-		func(req uint64) any { return QueryJob{RequestID: req, ID: "sweep.s.1"} },
+	builds := []func(requestID uint64) any{
+		func(requestID uint64) any { return CancelSweep{RequestID: requestID, ID: "s"} },
+		func(requestID uint64) any { return QuerySweep{RequestID: requestID, ID: "s"} },
+		func(requestID uint64) any { return ListSweepRuns{RequestID: requestID, ID: "s", Limit: 2} },
+		func(requestID uint64) any { return QueryJob{RequestID: requestID, ID: "sweep.s.1"} },
 	}
 	for _, build := range builds {
 		if reply := h.requestSweep(build); reply.Status == 200 {
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -23,6 +23,7 @@
 // storedFile contains the values as commit 63ef244 stores them.
 const storedFile = "testdata/stored_63ef244.json"
 
+// storedRow is an entry of storedFile.
 type storedRow struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
@@ -37,6 +38,7 @@
 	}
 }
 
+// storedRunSets returns a set of runs that is encoded as bits and one that is encoded as ranges.
 func storedRunSets() (few, many *roaring.Bitmap) {
 	few, many = roaring.BitmapOf(1, 3, 17), roaring.New()
 	many.AddRange(20, 9000)
@@ -101,6 +103,7 @@
 	apply func(j *jobstate.Job)
 }
 
+// storedChunks returns a stored chunk of each form.
 func storedChunks() []storedChunk {
 	return []storedChunk{
 		// In this order: a chunk of the first format, without the sequence number of a log
@@ -131,6 +134,7 @@
 	return j
 }
 
+// storedPages returns the stored pages of the progress log, by key.
 func storedPages() map[string]jobstate.LogPage {
 	return map[string]jobstate.LogPage{
 		pageKey(12): {FirstSeq: 41, Entries: []jobstate.LogEntry{
@@ -165,6 +169,7 @@
 	return "[\n" + strings.Join(lines, ",\n") + "\n]\n"
 }
 
+// readStoredFile returns the entries of storedFile in their order, and their values by key.
 func readStoredFile(t *testing.T) (rows []storedRow, values map[string][]byte) {
 	t.Helper()
 	b, err := os.ReadFile(storedFile)
@@ -245,7 +250,7 @@
 		same(key, raw, got.Encode())
 	}
 	for key := range rawValues {
-		t.Errorf("%s: got a recorded value that this test does not read", key)
+		t.Errorf("%s: got a recorded value that this test does not read, want none", key)
 	}
 }
 
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -215,11 +215,11 @@
 	manager.apply("sweepat/s", Change{Value: positionValue, Revision: 5}, reportInvalid)
 	manager.apply("sweepat/s/gone", Change{Value: cancelledValue, Revision: 5}, reportInvalid)
 	if sweep := manager.getOrAddSweep(sweepID); !sweep.openRuns().Equals(open) || !sweep.cancelled.Equals(cancelledSet) || sweep.next != runs {
-		t.Error("decoded position or cancelled runs differ from the encoded ones")
+		t.Errorf("got decoded open runs %v, cancelled runs %v, next run %d, want %v, %v, %d", sweep.openRuns(), sweep.cancelled, sweep.next, open, cancelledSet, runs)
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
 		if _, err := decodeRunSet(text); err == nil {
-			t.Errorf("decodeRunSet(%q): got no error for an invalid set", text)
+			t.Errorf("decodeRunSet(%q): got no error for an invalid set, want one", text)
 		}
 	}
 }
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -54,8 +54,8 @@
 }
 
 // TestAnswerPrecedesObservation checks that the outcome in an answer is used even if the changes
-// were read before it, and that if the answer has an unknown outcome, the outcome follows from
-// the changes read.
+// were read before it, and that without a readable answer the outcome follows from the changes
+// read.
 func TestAnswerPrecedesObservation(t *testing.T) {
 	for _, tc := range []struct {
 		answer, want kv.Outcome
@@ -64,7 +64,7 @@
 		h := newLeaderHarness(t)
 		var got []TransactionResult
 		h.core.commitTransaction([]Cond{kv.RevisionIs("zinclb/x", 0)}, []Write{{Key: "zinclb/x", Value: []byte("1")}}, func(result TransactionResult) { got = append(got, result) })
-		h.core.effects = nil // nobody answers
+		h.core.effects = nil // the transaction gets no answer
 		h.core.transactions.Observe([]Change{{Key: "zinclb/x", Value: []byte("1"), Revision: 7}}, h.core.now)
 		h.core.transactions.Complete(TransactionResult{ID: h.core.lastID, Outcome: tc.answer, Revision: 9})
 		h.tick(second)
@@ -109,10 +109,10 @@
 	h.advance(200_000)
 	for _, tc := range []struct {
 		id, want string
-		build    func(req uint64) any
+		build    func(requestID uint64) any
 	}{
-		{"new", Queued, func(req uint64) any { return SubmitJob{RequestID: req, Spec: job("new").Spec} }},
-		{"open", "cancelled", func(req uint64) any { return CancelJob{RequestID: req, ID: "open"} }},
+		{"new", Queued, func(requestID uint64) any { return SubmitJob{RequestID: requestID, Spec: job("new").Spec} }},
+		{"open", "cancelled", func(requestID uint64) any { return CancelJob{RequestID: requestID, ID: "open"} }},
 	} {
 		var requestIDs []uint64
 		h.delaysCommits = true
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -13,6 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
+// version1Fixture holds the values that version 1 stored, and messages that it encoded with gob.
 type version1Fixture struct {
 	Keys []struct {
 		Key   string          `json:"key"`
@@ -97,12 +98,12 @@
 	state := func(j *jobstate.Job) string {
 		var b strings.Builder
 		for i := range j.Tasks {
-			t := j.Task(i)
+			task := j.Task(i)
 			switch {
-			case t.Done:
+			case task.Done:
 				b.WriteByte('d')
-			case t.Machine != "":
-				b.WriteString(t.Machine)
+			case task.Machine != "":
+				b.WriteString(task.Machine)
 			default:
 				b.WriteByte('.')
 			}
@@ -248,7 +249,7 @@
 }
 
 // TestLogPageSizeLimit checks that pages filled with entries of all lengths stay within the limit.
-// A page above it would be rejected again and again, and block all writes.
+// A page above the limit would be rejected each time that it is written, and block all writes.
 func TestLogPageSizeLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	name := func(n int) string {
