--- a/internal/core/delivery_test.go
+++ b/internal/core/delivery_test.go
@@ -101,8 +101,8 @@
 	restarted := func(h *leaderHarness) {
 		h.sendHeartbeat(1, 90, h.token, running(3))
 		h.tick(2 * second)
-		if s := h.sendHeartbeat(1, 1, 0); s != 503 {
-			h.t.Errorf("status of a heartbeat with an older sequence number: got %d, want 503", s)
+		if status := h.sendHeartbeat(1, 1, 0); status != 503 {
+			h.t.Errorf("status of a heartbeat with an older sequence number: got %d, want 503", status)
 		}
 		h.answerProbe(1, 2, 0)
 		h.sendHeartbeat(1, 3, 0)
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -19,8 +19,8 @@
 // TestTroubles "renewals and dropped leases are executed late and the leader is refused, and
 // then all", the state service refused until 82.0 s, committed a transaction of node-0 at
 // 82.07 s and left the renewal of 82.30 s unanswered; node-0 sent no further renewal, and its
-// lease expired at 85.02 s. Over 97 seeds of that case, 122 leaders were elected after the
-// faults began without the fix, and 83 with it.
+// lease expired at 85.02 s. Over 97 seeds of that case, the number of leaders elected after the
+// faults began was 122 without the fix, and 83 with it.
 func TestRenewalAfterOutage(t *testing.T) {
 	h := newPeerHarness(t, "n0")
 	ttl := h.core.settings.Ops.LeaderLease
@@ -52,8 +52,8 @@
 // TestTroubles "renewals and dropped leases are executed late and the leader is refused, and
 // then all", node-0 renewed at 82.30 s and 83.70 s without an answer and its lease expired at
 // 85.02 s; node-1 renewed at 85.25 s and 86.65 s and its lease expired at 87.36 s. Over 97
-// seeds of that case, 83 leaders were elected after the faults began without the fix, and none
-// with it.
+// seeds of that case, the number of leaders elected after the faults began was 83 without the
+// fix, and 0 with it.
 func TestUnansweredRenewal(t *testing.T) {
 	const deadline, minRenewals = second, 4
 	h := newPeerHarness(t, "n0")
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -67,8 +67,8 @@
 			h.core.effects = nil
 			h.core.scaler.scaleOutTick(func() bool { return true }, nil)
 			var got []string
-			for _, e := range h.core.effects {
-				if request, ok := e.(ScaleOut); ok {
+			for _, effect := range h.core.effects {
+				if request, ok := effect.(ScaleOut); ok {
 					got = append(got, fmt.Sprintf("%d %s", request.Count, map[bool]string{false: "on-demand", true: "spot"}[request.Spot]))
 				}
 			}
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -91,9 +91,9 @@
 			h.revision++
 			h.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: h.revision})
 			var changes []Change
-			for _, w := range e.Writes {
-				if w.Key == LeaderKey || w.Key == tokenKey {
-					changes = append(changes, Change{Key: w.Key, Value: w.Value, Revision: h.revision})
+			for _, write := range e.Writes {
+				if write.Key == LeaderKey || write.Key == tokenKey {
+					changes = append(changes, Change{Key: write.Key, Value: write.Value, Revision: h.revision})
 				}
 			}
 			h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now, Changes: changes})
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -151,16 +151,16 @@
 // encodeStoredFile returns the contents of storedFile as the current code encodes them.
 func encodeStoredFile() string {
 	all := map[string][]byte{}
-	for key, v := range storedValues() {
-		all[key] = encodeJSON(v)
+	for key, value := range storedValues() {
+		all[key] = encodeJSON(value)
 	}
-	for _, s := range storedChunks() {
-		j := s.chunk()
-		s.apply(j)
-		all[s.key()], _ = j.BeginChunkWrite(s.ref.Index, s.seq)
+	for _, stored := range storedChunks() {
+		j := stored.chunk()
+		stored.apply(j)
+		all[stored.key()], _ = j.BeginChunkWrite(stored.ref.Index, stored.seq)
 	}
-	for key, p := range storedPages() {
-		all[key] = p.Encode()
+	for key, page := range storedPages() {
+		all[key] = page.Encode()
 	}
 	var lines []string
 	for _, key := range sortedKeys(all) {
@@ -216,29 +216,29 @@
 		same(key, raw, encodeJSON(got.Elem().Interface()))
 		same(key, raw, encodeJSON(want))
 	}
-	for _, s := range storedChunks() {
-		raw := take(s.key())
-		got, want := s.chunk(), s.chunk()
-		s.apply(want)
-		if err := got.LoadChunk(s.ref, raw, 5, 1); err != nil {
-			t.Errorf("%s: got error %v from loading the chunk, want none", s.key(), err)
+	for _, stored := range storedChunks() {
+		raw := take(stored.key())
+		got, want := stored.chunk(), stored.chunk()
+		stored.apply(want)
+		if err := got.LoadChunk(stored.ref, raw, 5, 1); err != nil {
+			t.Errorf("%s: got error %v from loading the chunk, want none", stored.key(), err)
 		}
 		for i := range want.Tasks {
 			// The attempt of a task that has no machine is not stored.
-			g, w := got.Task(i), want.Task(i)
-			if g.Machine != w.Machine || g.Done != w.Done || g.Machine != "" && g.Attempt != w.Attempt {
-				t.Errorf("%s: got task %d %+v, want %+v", s.key(), i, g, w)
+			gotTask, wantTask := got.Task(i), want.Task(i)
+			if gotTask.Machine != wantTask.Machine || gotTask.Done != wantTask.Done || gotTask.Machine != "" && gotTask.Attempt != wantTask.Attempt {
+				t.Errorf("%s: got task %d %+v, want %+v", stored.key(), i, gotTask, wantTask)
 			}
 		}
-		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(s.ref.Index) != s.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(s.ref) != 5 {
-			t.Errorf("%s: got trial done %v, first unstored sequence number %d, next attempt %d, want %v, %d, %d, and revision 5", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.ref.Index), got.NextAttempt(), want.TrialDone, s.seq, want.NextAttempt())
+		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(stored.ref.Index) != stored.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(stored.ref) != 5 {
+			t.Errorf("%s: got trial done %v, first unstored sequence number %d, next attempt %d, revision %d, want %v, %d, %d, 5", stored.key(), got.TrialDone, got.FirstUnstoredSeq(stored.ref.Index), got.NextAttempt(), got.ChunkRevision(stored.ref), want.TrialDone, stored.seq, want.NextAttempt())
 		}
 		for _, j := range []*jobstate.Job{got, want} {
-			value, _ := j.BeginChunkWrite(s.ref.Index, s.seq)
-			same(s.key(), raw, value)
+			value, _ := j.BeginChunkWrite(stored.ref.Index, stored.seq)
+			same(stored.key(), raw, value)
 		}
-		if id, v, err := parseChunkKey(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.ref || err != nil {
-			t.Errorf("%s: got parsed key %s %+v, error %v, want %s %+v", s.key(), id, v, err, s.job, s.ref)
+		if id, ref, err := parseChunkKey(strings.TrimPrefix(stored.key(), runPrefix)); id != stored.job || ref != stored.ref || err != nil {
+			t.Errorf("%s: got parsed key %s %+v, error %v, want %s %+v", stored.key(), id, ref, err, stored.job, stored.ref)
 		}
 	}
 	for key, want := range storedPages() {
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -59,8 +59,8 @@
 			if got != tc.want {
 				t.Errorf("direct commands: got %q, want %q (machine probed: %v)", got, tc.want, probed)
 			}
-			if p := h.placed(); p != "m.3" {
-				t.Errorf("placement (machine.attempt): got %s, want m.3", p)
+			if placed := h.placed(); placed != "m.3" {
+				t.Errorf("placement (machine.attempt): got %s, want m.3", placed)
 			}
 		})
 	}
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -66,24 +66,24 @@
 		same(jobPrefix+id, jobstate.Record{Spec: j.Spec, SubmittedWall: j.SubmittedWall}.Encode(8000))
 		for n := range j.NumChunks() {
 			if j.Chunk(n).Revision != 0 {
-				v, _ := j.BeginChunkWrite(n, 0)
-				same(chunkKey(id, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}), v)
+				value, _ := j.BeginChunkWrite(n, 0)
+				same(chunkKey(id, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}), value)
 			}
 		}
 	}
-	for id, e := range core.cache.ends.All() {
-		same(endPrefix+id, encodeJSON(e))
+	for id, end := range core.cache.ends.All() {
+		same(endPrefix+id, encodeJSON(end))
 	}
 	same(LeaderKey, encodeJSON(core.cache.leader))
 	same(tokenKey, encodeJSON(core.cache.token))
 	same(partitionsKey, encodeJSON(core.cache.partitions))
 	same(typesKey, encodeJSON(core.cache.machineTypes))
-	for key, v := range core.cache.imageHints {
-		var h hintsRecord
-		if err := json.Unmarshal(v, &h); err != nil {
+	for key, value := range core.cache.imageHints {
+		var hints hintsRecord
+		if err := json.Unmarshal(value, &hints); err != nil {
 			t.Error(err)
 		}
-		same(key, encodeJSON(h))
+		same(key, encodeJSON(hints))
 	}
 	if len(want) > 0 {
 		t.Errorf("got values that were not read: %v, want none", want)
@@ -181,8 +181,8 @@
 	entry := func(i int, done bool, machine string) jobstate.LogEntry {
 		return jobstate.LogEntry{Job: "j", Task: i, Done: done, Machine: machine, Attempt: 1}
 	}
-	page := func(base uint64, e ...jobstate.LogEntry) []byte {
-		p := jobstate.LogPage{FirstSeq: base, Entries: e}
+	page := func(base uint64, entries ...jobstate.LogEntry) []byte {
+		p := jobstate.LogPage{FirstSeq: base, Entries: entries}
 		return p.Encode()
 	}
 	record := jobstate.Record{Spec: &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 4}}.Encode(8000)
@@ -194,8 +194,8 @@
 		for i, m := range place {
 			j.PlaceTask(i, m, 1, 1)
 		}
-		v, _ := j.BeginChunkWrite(0, seq)
-		return v
+		value, _ := j.BeginChunkWrite(0, seq)
+		return value
 	}
 	run, p1, p2 := runPrefix+"j/0", pageKey(1), pageKey(2)
 	cases := []struct {
@@ -252,8 +252,8 @@
 // A page above the limit would be rejected each time that it is written, and block all writes.
 func TestLogPageSizeLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	name := func(n int) string {
-		b := make([]byte, 1+rng.IntN(n))
+	name := func(size int) string {
+		b := make([]byte, 1+rng.IntN(size))
 		for i := range b {
 			b[i] = byte('a' + rng.IntN(26))
 		}
@@ -267,17 +267,17 @@
 		for rejected < 5 {
 			var entries []jobstate.LogEntry
 			for range 1 + rng.IntN(40) {
-				e := jobstate.LogEntry{Job: name(maxNameLength), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
+				entry := jobstate.LogEntry{Job: name(maxNameLength), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
 				if rng.IntN(3) > 0 {
-					e.Machine = "host-" + name(maxNameLength)
+					entry.Machine = "host-" + name(maxNameLength)
 				}
-				entries = append(entries, e)
+				entries = append(entries, entry)
 			}
 			if !page.append(chunkRef{}, entries, limit) {
 				rejected++
 			}
-			if n := len(page.Encode()); n > limit {
-				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", n, len(page.Entries), limit)
+			if size := len(page.Encode()); size > limit {
+				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", size, len(page.Entries), limit)
 			}
 		}
 		decoded, err := jobstate.DecodeLogPage(page.Encode())
