--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -9,29 +9,29 @@
 // TestAdvertisementIsStoredAgain checks that a controller which was cut off from the state
 // service stores its connectivity advertisement again when a list of the state shows that its
 // lease has expired and the advertisement is gone. Otherwise the other controllers do not know
-// what it reaches, and no leader hands over to it.
+// which machines and controllers it reaches, and no leader hands over to it.
 //
-// The controller compared what it reaches with what it had last stored, and learned of the
-// loss only from the removal of the key, but a list contains no removals. So it never stored
-// the advertisement again while what it reached stayed the same. TestReachAfterPartition
-// (package experiment) showed this with seeds 3, 6 and 17 and the leader cut off from the state service
-// and the other controllers: for 100 s node-0 reported that all reach all, while the matrix of
-// the other controllers had no row for node-0.
+// It guards against learning of the loss only from the removal of the key, as a list of the
+// state contains no removals. The controller then stored the advertisement again only when its
+// contents changed. TestReachAfterPartition (package experiment) showed this with seeds 3, 6 and
+// 17 and the leader cut off from the state service and the other controllers: for 100 s node-0
+// reported that all controllers reach each other, while the connectivity matrix of the other
+// controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
-	b := newPeerHarness(t, "n1")
-	b.advance(5 * second)
-	if b.c.peers.connectivityRevisions["n0"] == 0 {
+	h := newPeerHarness(t, "n1")
+	h.advance(5 * second)
+	if h.core.peers.connectivityRevisions["n0"] == 0 {
 		t.Fatal("before the loss: got no stored advertisement of n0, want one")
 	}
-	b.revision++
-	b.step(StateListed{Revision: b.revision, Changes: []Change{
+	h.revision++
+	h.step(StateListed{Revision: h.revision, Changes: []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
 		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5},
 		{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: "n1", Incarnation: "x", Token: 5, Lease: 8}), Revision: 6},
 	}})
-	b.advance(20 * second)
-	if b.c.peers.connectivityRevisions["n0"] == 0 {
+	h.advance(20 * second)
+	if h.core.peers.connectivityRevisions["n0"] == 0 {
 		t.Error("20 s after the loss: got no stored advertisement of n0, want it stored again")
 	}
 }
--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCloudListings checks that a list without a machine proves that the machine is gone only
-// if it describes a later time than a list that contained it.
+// TestCloudListings checks that a list that lacks a machine proves that the machine is gone only
+// if the list describes a later time than a list that contained the machine.
 func TestCloudListings(t *testing.T) {
 	const lag = 8 * second // twice the nominal lag
 	type read struct {
@@ -44,8 +44,8 @@
 	}
 }
 
-// listedAt returns a list that describes the given time; the machines were rented one second apart, in
-// the order of names.
+// listedAt returns a list that describes the given time; the machines were rented one second
+// apart, in the order of names.
 func listedAt(names string, at int64) (list []CloudMachine) {
 	for i, n := range strings.Split(names, "") {
 		list = append(list, CloudMachine{Name: n, Age: at - int64(i)*second})
@@ -70,29 +70,29 @@
 			}
 			var list []CloudMachine
 			names := make([]string, 0, len(lifetimes))
-			for n := range lifetimes {
-				names = append(names, n)
+			for name := range lifetimes {
+				names = append(names, name)
 			}
 			slices.Sort(names)
 			moment := int64(0)
-			for i, n := range names {
+			for i, name := range names {
 				if i%7 == 0 { // a new page
 					moment = now - rng.Int64N(8*second)
 				}
-				if x := lifetimes[n]; x.listed <= moment && moment < x.gone {
-					list = append(list, CloudMachine{Name: n, Age: moment - x.made})
+				if life := lifetimes[name]; life.listed <= moment && moment < life.gone {
+					list = append(list, CloudMachine{Name: name, Age: moment - life.made})
 				}
 			}
-			for _, n := range listings.read(now-8*second, now, list) {
-				proven[n] = true
-				if lifetimes[n].gone > now {
-					t.Fatalf("%s is reported as gone %d ms before it is gone", n, (lifetimes[n].gone-now)/1000)
+			for _, name := range listings.read(now-8*second, now, list) {
+				proven[name] = true
+				if lifetimes[name].gone > now {
+					t.Fatalf("machine %s: got it reported as gone %d ms early, want it reported only once it is gone", name, (lifetimes[name].gone-now)/1000)
 				}
 			}
 		}
-		for n, x := range lifetimes {
-			if x.gone < 340*second && x.gone-x.made > 40*second {
-				if proven[n] {
+		for name, life := range lifetimes {
+			if life.gone < 340*second && life.gone-life.made > 40*second {
+				if proven[name] {
 					found++
 				} else {
 					missed++
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -13,14 +13,14 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// peerHarness is one of three controllers. Tests send it messages; the harness answers its
-// requests to the state service and keeps its other effects.
+// peerHarness is the core of one of three controllers. Tests send messages to the core; the
+// harness answers the core's requests to the state service and keeps the other effects.
 type peerHarness struct {
-	c        *Core
+	core     *Core
 	now      int64
 	revision uint64
 	effects  []any
-	// stateSilent is set while the state service answers no request.
+	// stateSilent makes requests to the state service fail without an answer.
 	stateSilent bool
 	renewals    int
 	// onRenewal, if set, is called with each lease renewal, which then gets no answer.
@@ -32,200 +32,200 @@
 // controller leads. If that is n0, it has been elected.
 func newPeerHarness(t *testing.T, leader string) *peerHarness {
 	t.Helper()
-	set := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
-	set.Size, set.Zones, set.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
-	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.CancelS = 2, 16, 36
-	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 100, 100, 8, 12
-	set.Cloud.RPS = 1
-	b := &peerHarness{now: second, revision: 20}
-	b.c = New(set, b.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
-	rows := []Change{
+	settings := Settings{Name: "n0", Incarnation: "b", Peers: []string{"n1", "n2"}, Ops: config.Defaults()}
+	settings.Size, settings.Zones, settings.Teams = 3, []string{"a", "b"}, []config.Team{{Name: "t"}}
+	settings.Workers.ReportS, settings.Workers.LeaseS, settings.Workers.CancelS = 2, 16, 36
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = 100, 100, 8, 12
+	settings.Cloud.RPS = 1
+	h := &peerHarness{now: second, revision: 20}
+	h.core = New(settings, h.now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	changes := []Change{
 		{Key: tokenKey, Value: encodeJSON(tokenRecord{5}), Revision: 3},
 		{Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4},
 		{Key: featuresKey, Value: encodeJSON(featuresRecord{[]upgrade.StoredFeature{{Name: upgrade.Connectivity}}}), Revision: 5},
 		{Key: typesKey, Value: encodeJSON([]fleet.Type{{Name: "c", Zones: []string{"a"}}}), Revision: 5},
 	}
 	if leader != "n0" {
-		rows = append(rows, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
+		changes = append(changes, Change{Key: LeaderKey, Value: encodeJSON(leaderRecord{Name: leader, Incarnation: "x", Token: 5, Lease: 8}), Revision: 6})
 	}
-	b.step(StateListed{Revision: 20, Changes: rows})
-	b.advance(2 * second)
-	if (b.c.elector.leadership != nil) != (leader == "n0") {
-		t.Fatalf("got n0 leading %v, want leader %s", b.c.elector.leadership != nil, leader)
+	h.step(StateListed{Revision: 20, Changes: changes})
+	h.advance(2 * second)
+	if (h.core.elector.leadership != nil) != (leader == "n0") {
+		t.Fatalf("got n0 leading %v, want leader %s", h.core.elector.leadership != nil, leader)
 	}
-	b.effects = nil
-	return b
+	h.effects = nil
+	return h
 }
 
-func (b *peerHarness) advance(d int64) {
-	for end := b.now + d; b.now < end; {
-		b.now += 50_000
-		b.step(Tick{TimeOfDay: b.now + 1_000_000*second})
+func (h *peerHarness) advance(duration int64) {
+	for end := h.now + duration; h.now < end; {
+		h.now += 50_000
+		h.step(Tick{TimeOfDay: h.now + 1_000_000*second})
 	}
 }
 
 // step sends a message, answers the requests to the state service and keeps the other effects.
-func (b *peerHarness) step(msg any) {
-	for _, e := range b.c.Step(b.now, msg) {
+func (h *peerHarness) step(msg any) {
+	for _, effect := range h.core.Step(h.now, msg) {
 		err := errors.New("no answer")
-		if !b.stateSilent {
+		if !h.stateSilent {
 			err = nil
 		}
-		switch e := e.(type) {
+		switch e := effect.(type) {
 		case GrantLease:
-			b.step(LeaseGranted{Lease: 9, SentAt: b.now, Err: err})
+			h.step(LeaseGranted{Lease: 9, SentAt: h.now, Err: err})
 		case RenewLease:
-			b.renewals++
-			if b.onRenewal != nil {
-				b.onRenewal(e)
+			h.renewals++
+			if h.onRenewal != nil {
+				h.onRenewal(e)
 				continue
 			}
-			b.step(LeaseRenewed{Lease: e.Lease, SentAt: b.now, Err: err})
+			h.step(LeaseRenewed{Lease: e.Lease, SentAt: h.now, Err: err})
 		case CommitTransaction:
-			if b.stateSilent {
-				b.step(TransactionResult{ID: e.ID})
+			if h.stateSilent {
+				h.step(TransactionResult{ID: e.ID})
 				continue
 			}
-			b.revision++
-			w := StateRead{AfterRevision: b.revision - 1, Revision: b.revision, SentAt: b.now}
-			for _, x := range e.Writes {
-				w.Changes = append(w.Changes, Change{Key: x.Key, Value: x.Value, Revision: b.revision, Removed: x.Value == nil})
+			h.revision++
+			read := StateRead{AfterRevision: h.revision - 1, Revision: h.revision, SentAt: h.now}
+			for _, write := range e.Writes {
+				read.Changes = append(read.Changes, Change{Key: write.Key, Value: write.Value, Revision: h.revision, Removed: write.Value == nil})
 			}
-			if !b.watchHung {
-				b.step(w)
+			if !h.watchHung {
+				h.step(read)
 			}
-			b.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: b.revision})
+			h.step(TransactionResult{ID: e.ID, Outcome: kv.Committed, Revision: h.revision})
 		case PingPeer, ProbeMachine:
 		default:
-			b.effects = append(b.effects, e)
+			h.effects = append(h.effects, e)
 		}
 	}
 }
 
 // peerAnswers makes a peer answer a ping with its advertisement, and send a ping.
-func (b *peerHarness) peerAnswers(name string, v connectivity.Advertisement) {
-	b.step(PeerPinged{Peer: name, SentAt: b.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &v}})
-	b.step(PingReceived{From: name})
+func (h *peerHarness) peerAnswers(name string, advertisement connectivity.Advertisement) {
+	h.step(PeerPinged{Peer: name, SentAt: h.now, OK: true, Status: PeerStatus{FencingToken: 5, Leader: "n1", Connectivity: &advertisement}})
+	h.step(PingReceived{From: name})
 }
 
 // storeAdvertisement makes a peer store its advertisement.
-func (b *peerHarness) storeAdvertisement(name string, v connectivity.Advertisement) {
-	b.revision++
-	b.step(StateRead{AfterRevision: b.revision - 1, Revision: b.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(v), Revision: b.revision}}})
+func (h *peerHarness) storeAdvertisement(name string, advertisement connectivity.Advertisement) {
+	h.revision++
+	h.step(StateRead{AfterRevision: h.revision - 1, Revision: h.revision, Changes: []Change{{Key: connectivityPrefix + name, Value: encodeJSON(advertisement), Revision: h.revision}}})
 }
 
 // takeEffects returns the kept effects of one type, and discards all kept effects.
-func takeEffects[T any](b *peerHarness) (out []T) {
-	for _, e := range b.effects {
-		if x, ok := e.(T); ok {
-			out = append(out, x)
+func takeEffects[T any](h *peerHarness) (taken []T) {
+	for _, effect := range h.effects {
+		if typed, ok := effect.(T); ok {
+			taken = append(taken, typed)
 		}
 	}
-	b.effects = nil
-	return out
+	h.effects = nil
+	return taken
 }
 
-// reachAdvertisement returns the advertisement of a controller that reaches the given eighths of the
-// machines of zones a and b, and the given peers.
+// reachAdvertisement returns the advertisement of a controller that reaches the given eighths of
+// the machines in zones a and b, and the given peers.
 func reachAdvertisement(a, b int, peers ...string) connectivity.Advertisement {
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
 // TestReadForRequests checks that a waiting request is answered only after a read of the state
-// that was sent for requests after the request arrived. A read that was sent earlier for
-// another purpose may miss a job that another controller accepted in between, and that job was
-// then reported as unknown.
+// that was sent for requests after the request arrived. It guards against using a read that was
+// sent earlier for another purpose: such a read may miss a job that another controller accepted
+// in between, and the job was then reported as unknown.
 func TestReadForRequests(t *testing.T) {
-	b := newPeerHarness(t, "n1")
-	b.step(QueryJob{RequestID: 7, ID: "j"})
-	asked := takeEffects[ReadState](b)
-	if len(asked) != 1 || !asked[0].ForRequests {
-		t.Fatalf("got reads of the state %+v, want one for requests", asked)
+	h := newPeerHarness(t, "n1")
+	h.step(QueryJob{RequestID: 7, ID: "j"})
+	reads := takeEffects[ReadState](h)
+	if len(reads) != 1 || !reads[0].ForRequests {
+		t.Fatalf("got reads of the state %+v, want one for requests", reads)
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true})
-	if got := takeEffects[ReadKey](b); len(got) != 0 {
+	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.revision, Immediate: true})
+	if got := takeEffects[ReadKey](h); len(got) != 0 {
 		t.Errorf("after a read that may be older than the request: got %d reads of keys, want 0", len(got))
 	}
-	b.step(StateRead{AfterRevision: b.c.cache.appliedRevision, Revision: b.revision, Immediate: true, ForRequests: true})
-	if got := takeEffects[ReadKey](b); len(got) != 1 {
+	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.revision, Immediate: true, ForRequests: true})
+	if got := takeEffects[ReadKey](h); len(got) != 1 {
 		t.Errorf("after the read for the request: got %d reads of keys, want 1", len(got))
 	}
 }
 
 // TestStuckWatch checks that a controller reads the state if the watch does not deliver a
-// revision that an answer contained. Otherwise a leader would learn of new jobs only when the
-// watch's connection breaks.
+// revision that the answer to a transaction contained. Otherwise a leader would learn of new
+// jobs only when the watch's connection breaks.
 func TestStuckWatch(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	b.c.elector.leadership.cacheFreshAt = b.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
-	b.revision += 3                                           // writes of others that the watch does not deliver
-	id := b.c.newID()
-	b.c.transactions.Begin(id, nil, nil, b.now, func(TransactionResult) {})
-	b.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: b.revision})
-	b.advance(maxWatchDelay - 100_000)
-	if v := takeEffects[ReadState](b); len(v) != 0 {
-		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", v)
+	h := newPeerHarness(t, "n0")
+	h.core.elector.leadership.cacheFreshAt = h.now + 3600*second // prevents the leader's reads that TestStateReadProof covers
+	h.revision += 3                                              // writes of others that the watch does not deliver
+	id := h.core.newID()
+	h.core.transactions.Begin(id, nil, nil, h.now, func(TransactionResult) {})
+	h.step(TransactionResult{ID: id, Outcome: kv.Conflict, Revision: h.revision})
+	h.advance(maxWatchDelay - 100_000)
+	if reads := takeEffects[ReadState](h); len(reads) != 0 {
+		t.Errorf("before maxWatchDelay: got reads of the state %+v, want none", reads)
 	}
-	b.advance(300_000)
-	v := takeEffects[ReadState](b)
-	if len(v) != 1 || v[0].ForRequests {
-		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", v)
+	h.advance(300_000)
+	reads := takeEffects[ReadState](h)
+	if len(reads) != 1 || reads[0].ForRequests {
+		t.Fatalf("after maxWatchDelay: got reads of the state %+v, want one that is not for requests", reads)
 	}
-	b.step(StateRead{AfterRevision: v[0].AfterRevision, Revision: b.revision, Immediate: true})
-	b.advance(5 * second)
-	if v = takeEffects[ReadState](b); len(v) != 0 {
-		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(v))
+	h.step(StateRead{AfterRevision: reads[0].AfterRevision, Revision: h.revision, Immediate: true})
+	h.advance(5 * second)
+	if reads = takeEffects[ReadState](h); len(reads) != 0 {
+		t.Errorf("after the read caught up: got %d more reads of the state, want 0", len(reads))
 	}
 }
 
 // TestHeartbeatWithoutLeader checks how a follower handles a heartbeat, and the next one of the
 // same worker, depending on whether it or a peer reaches the leader n1.
 func TestHeartbeatWithoutLeader(t *testing.T) {
-	report := func(n uint64) HeartbeatReceived {
-		return HeartbeatReceived{RequestID: n, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: n, PreemptionNotice: NoPreemptionNotice}}
+	heartbeat := func(seq uint64) HeartbeatReceived {
+		return HeartbeatReceived{RequestID: seq, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: seq, PreemptionNotice: NoPreemptionNotice}}
 	}
 	cases := []struct {
 		name    string
-		prepare func(b *peerHarness)
+		prepare func(h *peerHarness)
 		first   ReplyCode // status of the first answer
 		to      string    // controller named in the first answer
 		relayTo string    // receiver of the relayed second heartbeat, "" if it is not relayed
 	}{
 		{"no controller reaches the leader", func(*peerHarness) {}, 503, "", ""},
-		{"the leader answers pings", func(b *peerHarness) { b.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
-		{"another peer reaches the leader", func(b *peerHarness) {
-			v := reachAdvertisement(8, 8, "n0", "n1")
-			b.peerAnswers("n2", v)
-			b.storeAdvertisement("n2", v)
+		{"the leader answers pings", func(h *peerHarness) { h.peerAnswers("n1", reachAdvertisement(8, 8)) }, 421, "n1", "n1"},
+		{"another peer reaches the leader", func(h *peerHarness) {
+			advertisement := reachAdvertisement(8, 8, "n0", "n1")
+			h.peerAnswers("n2", advertisement)
+			h.storeAdvertisement("n2", advertisement)
 		}, 421, "n2", "n2"},
-		{"the leader advertises that it reaches the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
-		{"the leader advertises that it does not reach the zone", func(b *peerHarness) { b.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
-		{"the leader's advertisement may be outdated", func(b *peerHarness) {
-			b.storeAdvertisement("n1", reachAdvertisement(8, 8))
-			b.stateSilent = true
-			b.advance(3 * second)
+		{"the leader advertises that it reaches the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(8, 0)) }, 421, "n1", ""},
+		{"the leader advertises that it does not reach the zone", func(h *peerHarness) { h.storeAdvertisement("n1", reachAdvertisement(0, 8)) }, 503, "", ""},
+		{"the leader's advertisement may be outdated", func(h *peerHarness) {
+			h.storeAdvertisement("n1", reachAdvertisement(8, 8))
+			h.stateSilent = true
+			h.advance(3 * second)
 		}, 503, "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newPeerHarness(t, "n1")
-			tc.prepare(b)
-			b.advance(250_000)
-			b.effects = nil
-			b.step(report(1))
-			if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != tc.first || r[0].Leader != tc.to {
-				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", r, tc.first, tc.to)
+			h := newPeerHarness(t, "n1")
+			tc.prepare(h)
+			h.advance(250_000)
+			h.effects = nil
+			h.step(heartbeat(1))
+			if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != tc.first || replies[0].Leader != tc.to {
+				t.Errorf("first heartbeat: got replies %+v, want one with status %d and leader %q", replies, tc.first, tc.to)
 			}
-			b.advance(second)
-			b.effects = nil
-			b.step(report(2))
-			out := b.effects
-			if r := takeEffects[RelayHeartbeat](b); tc.relayTo != "" && (len(r) != 1 || r[0].To != tc.relayTo || r[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(r) != 0 {
-				t.Errorf("second heartbeat: got relays %+v, want relay to %q (\"\" for none)", r, tc.relayTo)
+			h.advance(second)
+			h.effects = nil
+			h.step(heartbeat(2))
+			kept := h.effects
+			if relays := takeEffects[RelayHeartbeat](h); tc.relayTo != "" && (len(relays) != 1 || relays[0].To != tc.relayTo || relays[0].ViaPeer != (tc.relayTo != "n1")) || tc.relayTo == "" && len(relays) != 0 {
+				t.Errorf("second heartbeat: got relays %+v, want a relay to %q (\"\" for none)", relays, tc.relayTo)
 			}
-			b.effects = out
-			if r := takeEffects[Reply](b); tc.relayTo == "" && (len(r) != 1 || r[0].Status != 503) {
-				t.Errorf("second heartbeat: got replies %+v, want one with status 503", r)
+			h.effects = kept
+			if replies := takeEffects[Reply](h); tc.relayTo == "" && (len(replies) != 1 || replies[0].Status != 503) {
+				t.Errorf("second heartbeat: got replies %+v, want one with status 503", replies)
 			}
 		})
 	}
@@ -240,58 +240,58 @@
 		viaPeer bool // the sender asks to relay it to the leader
 		relays  int
 	}{{"the leader answers", true, true, 1}, {"the leader does not answer", false, true, 0}, {"from an older controller", true, false, 0}} {
-		b := newPeerHarness(t, "n1")
+		h := newPeerHarness(t, "n1")
 		if tc.leader {
-			b.peerAnswers("n1", reachAdvertisement(8, 8))
+			h.peerAnswers("n1", reachAdvertisement(8, 8))
 		}
-		b.effects = nil
-		b.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
-		out := b.effects
-		r := takeEffects[RelayHeartbeat](b)
-		b.effects = out
-		if len(r) != tc.relays || tc.relays == 1 && (r[0].To != "n1" || r[0].ViaPeer) {
-			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, r, tc.relays)
+		h.effects = nil
+		h.step(HeartbeatReceived{RequestID: 3, From: "n2", ViaPeer: tc.viaPeer, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", PreemptionNotice: NoPreemptionNotice}})
+		kept := h.effects
+		relays := takeEffects[RelayHeartbeat](h)
+		h.effects = kept
+		if len(relays) != tc.relays || tc.relays == 1 && (relays[0].To != "n1" || relays[0].ViaPeer) {
+			t.Errorf("%s: got relays %+v, want %d, to n1 without ViaPeer", tc.name, relays, tc.relays)
 		}
-		if a := takeEffects[Reply](b); tc.relays == 0 && (len(a) != 1 || a[0].Status != 503) {
-			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, a)
+		if replies := takeEffects[Reply](h); tc.relays == 0 && (len(replies) != 1 || replies[0].Status != 503) {
+			t.Errorf("%s: got replies %+v, want one with status 503", tc.name, replies)
 		}
 	}
 }
 
 // TestHandover checks that a leader which reaches no worker hands over to a controller that
-// does: it revokes its lease at once, and campaigns only after the other controller had time
-// to. With the reach setting off it continues to lead.
+// does: the leader revokes its lease at once, and campaigns again only after the other
+// controller has had time to campaign. With the reach setting off the leader continues to lead.
 func TestHandover(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b := newPeerHarness(t, "n0")
-		b.c.settings.Ops.Reach = on
-		b.storeAdvertisement("n1", reachAdvertisement(8, 8))
-		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, b.now)
-		b.c.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, b.now)
-		for _, m := range []string{"m", "m2"} {
-			b.step(MachineProbed{Machine: m, SentAt: b.now, OK: false})
+		h := newPeerHarness(t, "n0")
+		h.core.settings.Ops.Reach = on
+		h.storeAdvertisement("n1", reachAdvertisement(8, 8))
+		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m", Addr: "x", Zone: "a"}, h.now)
+		h.core.peers.connectivity.Workers.Add(connectivity.Machine{Name: "m2", Addr: "x", Zone: "b"}, h.now)
+		for _, machine := range []string{"m", "m2"} {
+			h.step(MachineProbed{Machine: machine, SentAt: h.now, OK: false})
 		}
-		b.advance(3 * second)
-		if (b.c.elector.leadership == nil) != on {
-			t.Fatalf("reach setting %v: got leader %v, want %v", on, b.c.elector.leadership != nil, !on)
+		h.advance(3 * second)
+		if (h.core.elector.leadership == nil) != on {
+			t.Fatalf("reach setting %v: got leader %v, want %v", on, h.core.elector.leadership != nil, !on)
 		}
 		if !on {
 			continue
 		}
-		if d := takeEffects[RevokeLease](b); len(d) != 1 {
-			t.Errorf("got revocations of leases %+v, want one", d)
+		if revoked := takeEffects[RevokeLease](h); len(revoked) != 1 {
+			t.Errorf("got revocations of leases %+v, want one", revoked)
 		}
-		// The key is gone, and the state is listed again; the other controller may campaign
-		// first.
-		b.revision++
-		rows := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
-		b.step(StateListed{Revision: b.revision, Changes: rows})
-		begun := b.now
-		for b.c.elector.leadership == nil && b.now < begun+10*second {
-			b.advance(50_000)
+		// The leadership key is gone, and the state is listed again; the other controller may
+		// campaign first.
+		h.revision++
+		changes := []Change{{Key: tokenKey, Value: encodeJSON(tokenRecord{6}), Revision: 3}, {Key: formatKey, Value: encodeJSON(formatRecord{2, 64}), Revision: 4}, {Key: connectivityPrefix + "n1", Value: encodeJSON(reachAdvertisement(8, 8)), Revision: 7}}
+		h.step(StateListed{Revision: h.revision, Changes: changes})
+		listedAt := h.now
+		for h.core.elector.leadership == nil && h.now < listedAt+10*second {
+			h.advance(50_000)
 		}
-		if d := b.now - begun; d < second || d > 3*second {
-			t.Errorf("got leader again after %d us, want after 1 to 3 s", d)
+		if elapsed := h.now - listedAt; elapsed < second || elapsed > 3*second {
+			t.Errorf("got leader again after %d us, want after 1 to 3 s", elapsed)
 		}
 	}
 }
@@ -299,23 +299,23 @@
 // TestReady checks that a controller which can neither answer users nor forward their requests
 // is not ready.
 func TestReady(t *testing.T) {
-	ask := func(b *peerHarness) ReplyCode {
-		b.effects = nil
-		b.step(CheckReady{RequestID: 1})
-		return takeEffects[Reply](b)[0].Status
+	checkReady := func(h *peerHarness) ReplyCode {
+		h.effects = nil
+		h.step(CheckReady{RequestID: 1})
+		return takeEffects[Reply](h)[0].Status
 	}
-	b := newPeerHarness(t, "n1")
-	if s := ask(b); s != 200 {
-		t.Errorf("state service answers: got status %d, want 200", s)
+	h := newPeerHarness(t, "n1")
+	if status := checkReady(h); status != 200 {
+		t.Errorf("state service answers: got status %d, want 200", status)
 	}
-	b.stateSilent = true
-	b.advance(4 * second)
-	if s := ask(b); s != 503 {
-		t.Errorf("neither state service nor peers answer: got status %d, want 503", s)
+	h.stateSilent = true
+	h.advance(4 * second)
+	if status := checkReady(h); status != 503 {
+		t.Errorf("neither state service nor peers answer: got status %d, want 503", status)
 	}
-	b.peerAnswers("n2", reachAdvertisement(8, 8))
-	if s := ask(b); s != 200 {
-		t.Errorf("only a peer answers: got status %d, want 200", s)
+	h.peerAnswers("n2", reachAdvertisement(8, 8))
+	if status := checkReady(h); status != 200 {
+		t.Errorf("only a peer answers: got status %d, want 200", status)
 	}
 }
 
@@ -323,17 +323,17 @@
 // state service may execute renewals although no answer arrives, and then no other controller
 // could lead for as long as the one-way partition lasts.
 func TestSilentRenewals(t *testing.T) {
-	b := newPeerHarness(t, "n0")
-	ttl := b.c.settings.Ops.LeaderLease
-	b.stateSilent = true
-	b.advance(2 * ttl)
-	b.renewals = 0
-	b.advance(ttl)
-	first := b.renewals
-	b.renewals = 0
-	b.advance(ttl)
-	if first+b.renewals > 2 || first > 1 && b.renewals > 0 {
-		t.Errorf("got %d and %d renewals in two successive lease times without answers, want at most 2 in total and none in the second if the first had more than 1", first, b.renewals)
+	h := newPeerHarness(t, "n0")
+	ttl := h.core.settings.Ops.LeaderLease
+	h.stateSilent = true
+	h.advance(2 * ttl)
+	h.renewals = 0
+	h.advance(ttl)
+	first := h.renewals
+	h.renewals = 0
+	h.advance(ttl)
+	if first+h.renewals > 2 || first > 1 && h.renewals > 0 {
+		t.Errorf("got %d and %d renewals in two successive lease times without answers, want at most 2 in total and none in the second if the first had more than 1", first, h.renewals)
 	}
 }
 
@@ -342,8 +342,8 @@
 // not forwarded again.
 func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
-		request func(forwarded bool) any
-		want    any
+		build func(forwarded bool) any
+		want  any
 	}{
 		{func(forwarded bool) any { return QueryJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, QueryJob{ID: "x", Forwarded: true}},
 		{func(forwarded bool) any { return CancelJob{RequestID: 1, ID: "x", Forwarded: forwarded} }, CancelJob{ID: "x", Forwarded: true}},
@@ -356,24 +356,24 @@
 			return SubmitSweep{RequestID: 1, Plan: &SweepPlan{ID: "x"}, Stored: "packed", Invalid: "bad", Forwarded: forwarded}
 		}, ForwardedSweep{ID: "x", Stored: "packed", Invalid: "bad"}},
 	} {
-		b := newPeerHarness(t, "n1")
-		b.c.settings.Ops.Sweeps = true
-		b.stateSilent = true
-		b.advance(3 * second)
-		b.peerAnswers("n2", reachAdvertisement(8, 8))
-		b.effects = nil
-		b.step(tc.request(false))
-		if f := takeEffects[ForwardRequest](b); len(f) != 1 || f[0].To != "n2" || f[0].Request != tc.want {
-			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, f, tc.want)
+		h := newPeerHarness(t, "n1")
+		h.core.settings.Ops.Sweeps = true
+		h.stateSilent = true
+		h.advance(3 * second)
+		h.peerAnswers("n2", reachAdvertisement(8, 8))
+		h.effects = nil
+		h.step(tc.build(false))
+		if forwards := takeEffects[ForwardRequest](h); len(forwards) != 1 || forwards[0].To != "n2" || forwards[0].Request != tc.want {
+			t.Errorf("%T: got forwarded requests %+v, want %+v to n2", tc.want, forwards, tc.want)
 		}
-		b.step(tc.request(true))
-		out := b.effects
-		if f := takeEffects[ForwardRequest](b); len(f) != 0 {
-			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, f)
+		h.step(tc.build(true))
+		kept := h.effects
+		if forwards := takeEffects[ForwardRequest](h); len(forwards) != 0 {
+			t.Errorf("%T: got forwarded request forwarded again as %+v, want it refused", tc.want, forwards)
 		}
-		b.effects = out
-		if r := takeEffects[Reply](b); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
-			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, r)
+		h.effects = kept
+		if replies := takeEffects[Reply](h); len(replies) != 1 || replies[0].Status != 503 || replies[0].RetryAfter == 0 {
+			t.Errorf("%T: got replies %+v to the forwarded request, want one with status 503 and a retry time", tc.want, replies)
 		}
 	}
 }
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -7,18 +7,19 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestScaleInSilentMachines checks that a few silent machines are returned, as their tasks are then
-// certainly gone, and that many silent machines are not, as the network is more likely at fault. This must also hold for a
-// new leader that has received no heartbeat of any of them: otherwise a leader that is elected while a
-// zone is partitioned returns every machine of the zone.
+// TestScaleInSilentMachines checks that a few silent machines are returned, because their tasks
+// are then certainly gone, and that many silent machines are not, because the network is more
+// likely at fault. This must also hold for a new leader that has received no heartbeat from any
+// of them: otherwise a leader that is elected while a zone is partitioned returns every machine
+// of the zone.
 func TestScaleInSilentMachines(t *testing.T) {
 	cases := []struct {
-		name         string
-		silent, live int
-		ever         bool // this leader has received heartbeats of the silent machines
-		releases     int
-		after        int64 // time since the last heartbeat, in seconds
-		unproved     bool  // the state service has not confirmed the token recently
+		name           string
+		silent, live   int
+		heartbeatsSeen bool // this leader has received heartbeats of the silent machines
+		returned       int
+		silentS        int64 // time since the last heartbeat, in seconds
+		tokenUnproven  bool  // the state service has not confirmed the token recently
 	}{
 		{"one machine of 20", 1, 19, true, 1, 12, false},
 		{"one zone of three", 10, 20, true, 0, 12, false},
@@ -33,43 +34,44 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.now += 100 * second
-			r.c.now, r.c.elector.leadership.since = r.now, r.now
+			h := newLeaderHarness(t)
+			h.now += 100 * second
+			h.core.now, h.core.elector.leadership.since = h.now, h.now
 			j := jobstate.NewJob(&jobstate.Spec{ID: "wide", Team: "t", Kind: jobstate.Array, Tasks: tc.silent + tc.live, Need: jobstate.Resources{CPU: 1000}, Estimate: 900 * second})
-			r.placeRunning(j, false)
+			h.placeRunning(j, false)
 			for i := range tc.silent {
-				if m := r.c.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.ever {
+				if m := h.core.workers.getOrAddMachine(fmt.Sprint("x", i)); !tc.heartbeatsSeen {
 					m.LastHeartbeat = 0
 				}
 			}
-			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
-			r.now += tc.after * second
-			r.c.now = r.now
+			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
+			h.now += tc.silentS * second
+			h.core.now = h.now
 			for i := range tc.live {
-				r.c.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = r.now
+				h.core.workers.getOrAddMachine(fmt.Sprint("x", tc.silent+i)).LastHeartbeat = h.now
 			}
-			r.c.elector.leadership.tokenProvenAt = r.now
-			if tc.unproved {
-				r.c.elector.leadership.tokenProvenAt = r.now - 10*second
+			h.core.elector.leadership.tokenProvenAt = h.now
+			if tc.tokenUnproven {
+				h.core.elector.leadership.tokenProvenAt = h.now - 10*second
 			}
-			r.c.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.elector.leadership.scaling.toScaleIn); got != tc.releases {
-				t.Errorf("machines to return: got %d, want %d", got, tc.releases)
+			h.core.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn); got != tc.returned {
+				t.Errorf("machines to return: got %d, want %d", got, tc.returned)
 			}
 		})
 	}
 }
 
 // TestScaleInNeverBooted checks that a machine that does not send a first heartbeat in time is
-// returned. A machine that a leader found listed as running, and that has sent a heartbeat since, is not returned however
-// old it is: after a partition during which the leader was elected this would be a whole zone.
+// returned. A machine that the cloud lists as running and that has sent a heartbeat since is not
+// returned, however long ago it was rented: after a partition during which the leader was
+// elected, such machines may be a whole zone.
 func TestScaleInNeverBooted(t *testing.T) {
 	cases := []struct {
-		name       string
-		up, live   bool
-		led, since int64 // time as the leader and time since the rental, in seconds
-		released   bool
+		name                         string
+		listedRunning, heartbeatSeen bool
+		leadingS, rentedS            int64 // time as the leader and time since the rental, in seconds
+		returned                     bool
 	}{
 		{"booting for a long time", false, false, 500, 400, true},
 		{"booting", false, false, 500, 30, false},
@@ -79,18 +81,18 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.now += 5000 * second
-			r.c.now, r.c.elector.leadership.since, r.c.elector.leadership.tokenProvenAt = r.now, r.now-tc.led*second, r.now
-			r.c.cache.machineTypes[0].Boot = 30 * second
-			r.c.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: r.now - tc.since*second, listedRunning: tc.up}
-			if tc.live {
-				r.c.workers.getOrAddMachine("b").LastHeartbeat = r.now
+			h := newLeaderHarness(t)
+			h.now += 5000 * second
+			h.core.now, h.core.elector.leadership.since, h.core.elector.leadership.tokenProvenAt = h.now, h.now-tc.leadingS*second, h.now
+			h.core.cache.machineTypes[0].Boot = 30 * second
+			h.core.elector.leadership.scaling.booting["b"] = bootingMachine{machineOffer: machineOffer{machineType: "c"}, since: h.now - tc.rentedS*second, listedRunning: tc.listedRunning}
+			if tc.heartbeatSeen {
+				h.core.workers.getOrAddMachine("b").LastHeartbeat = h.now
 			}
-			r.c.elector.leadership.fleet.Remove(r.c.elector.leadership.fleet.Get("m"))
-			r.c.scaler.scaleInTick(func() bool { return false }, nil)
-			if got := len(r.c.elector.leadership.scaling.toScaleIn) == 1; got != tc.released {
-				t.Errorf("machine returned: got %v, want %v", got, tc.released)
+			h.core.elector.leadership.fleet.Remove(h.core.elector.leadership.fleet.Get("m"))
+			h.core.scaler.scaleInTick(func() bool { return false }, nil)
+			if got := len(h.core.elector.leadership.scaling.toScaleIn) == 1; got != tc.returned {
+				t.Errorf("machine returned: got %v, want %v", got, tc.returned)
 			}
 		})
 	}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -23,6 +23,7 @@
 // storedFile contains the values as commit 63ef244 stores them.
 const storedFile = "testdata/stored_63ef244.json"
 
+// storedRow is an entry of storedFile.
 type storedRow struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
@@ -37,21 +38,22 @@
 	}
 }
 
+// storedRunSets returns a set of runs that is encoded as bits and one that is encoded as ranges.
 func storedRunSets() (few, many *roaring.Bitmap) {
 	few, many = roaring.BitmapOf(1, 3, 17), roaring.New()
 	many.AddRange(20, 9000)
 	return few, many
 }
 
-// storedValues returns the stored values that are encoded structures, by key. They are of all
-// kinds, and each field of a kind is set in at least one of its values.
+// storedValues returns the stored values that are encoded structures, by key. Each kind of
+// structure occurs, and each of its fields is set in at least one value.
 func storedValues() map[string]any {
 	few, many := storedRunSets()
 	long := fullSpec("j-brief", jobstate.Service, jobstate.Production)
 	long.Image = strings.Repeat("x", 900)
 	var brief jobstate.Record
 	if err := json.Unmarshal((jobstate.Record{Spec: long, Arrival: 6, Outcome: jobstate.Cancelled, SubmittedWall: 1_700_000_000_000_006}).Encode(800), &brief); err != nil {
-		panic(err) // it was encoded just now
+		panic(err) // impossible for a value encoded above
 	}
 	values := map[string]any{
 		jobPrefix + "j-least": jobstate.Record{Spec: &jobstate.Spec{ID: "j-least", Class: "c", Team: "t", Kind: jobstate.Array, Tasks: 300, Need: jobstate.Resources{CPU: 1}}},
@@ -101,11 +103,12 @@
 	apply func(j *jobstate.Job)
 }
 
+// storedChunks returns a stored chunk of each form.
 func storedChunks() []storedChunk {
 	return []storedChunk{
-		// In this order: the first format, without the sequence number of a log entry; the
-		// last chunk of a job, which has fewer tasks; a chunk with a sequence number; and
-		// smaller chunks with one.
+		// In this order: a chunk of the first format, without the sequence number of a log
+		// entry; the last chunk of a job, which has fewer tasks; a chunk with a sequence
+		// number; and smaller chunks with a sequence number.
 		{"j-least", jobstate.ChunkRef{ChunkSize: 256, Index: 0}, 0, func(j *jobstate.Job) {
 			j.SetTrialDone(1)
 			j.PlaceTask(0, "host-000001", 3, 1)
@@ -131,6 +134,7 @@
 	return j
 }
 
+// storedPages returns the stored pages of the progress log, by key.
 func storedPages() map[string]jobstate.LogPage {
 	return map[string]jobstate.LogPage{
 		pageKey(12): {FirstSeq: 41, Entries: []jobstate.LogEntry{
@@ -147,16 +151,16 @@
 // encodeStoredFile returns the contents of storedFile as the current code encodes them.
 func encodeStoredFile() string {
 	all := map[string][]byte{}
-	for key, v := range storedValues() {
-		all[key] = encodeJSON(v)
+	for key, value := range storedValues() {
+		all[key] = encodeJSON(value)
 	}
-	for _, s := range storedChunks() {
-		j := s.chunk()
-		s.apply(j)
-		all[s.key()], _ = j.BeginChunkWrite(s.ref.Index, s.seq)
+	for _, stored := range storedChunks() {
+		j := stored.chunk()
+		stored.apply(j)
+		all[stored.key()], _ = j.BeginChunkWrite(stored.ref.Index, stored.seq)
 	}
-	for key, p := range storedPages() {
-		all[key] = p.Encode()
+	for key, page := range storedPages() {
+		all[key] = page.Encode()
 	}
 	var lines []string
 	for _, key := range sortedKeys(all) {
@@ -165,6 +169,7 @@
 	return "[\n" + strings.Join(lines, ",\n") + "\n]\n"
 }
 
+// readStoredFile returns the entries of storedFile in their order, and their values by key.
 func readStoredFile(t *testing.T) (rows []storedRow, values map[string][]byte) {
 	t.Helper()
 	b, err := os.ReadFile(storedFile)
@@ -185,14 +190,14 @@
 // written with the same bytes under the same key.
 func TestStored(t *testing.T) {
 	golden.Compare(t, storedFile, encodeStoredFile())
-	_, raws := readStoredFile(t)
+	_, rawValues := readStoredFile(t)
 	take := func(key string) []byte {
 		t.Helper()
-		if raws[key] == nil {
+		if rawValues[key] == nil {
 			t.Fatalf("%s: got no recorded value, want one", key)
 		}
-		defer delete(raws, key)
-		return raws[key]
+		defer delete(rawValues, key)
+		return rawValues[key]
 	}
 	same := func(key string, raw, got []byte) {
 		t.Helper()
@@ -211,29 +216,29 @@
 		same(key, raw, encodeJSON(got.Elem().Interface()))
 		same(key, raw, encodeJSON(want))
 	}
-	for _, s := range storedChunks() {
-		raw := take(s.key())
-		got, want := s.chunk(), s.chunk()
-		s.apply(want)
-		if err := got.LoadChunk(s.ref, raw, 5, 1); err != nil {
-			t.Errorf("%s: got error %v from loading the chunk, want none", s.key(), err)
+	for _, stored := range storedChunks() {
+		raw := take(stored.key())
+		got, want := stored.chunk(), stored.chunk()
+		stored.apply(want)
+		if err := got.LoadChunk(stored.ref, raw, 5, 1); err != nil {
+			t.Errorf("%s: got error %v from loading the chunk, want none", stored.key(), err)
 		}
 		for i := range want.Tasks {
 			// The attempt of a task that has no machine is not stored.
-			g, w := got.Task(i), want.Task(i)
-			if g.Machine != w.Machine || g.Done != w.Done || g.Machine != "" && g.Attempt != w.Attempt {
-				t.Errorf("%s: got task %d %+v, want %+v", s.key(), i, g, w)
+			gotTask, wantTask := got.Task(i), want.Task(i)
+			if gotTask.Machine != wantTask.Machine || gotTask.Done != wantTask.Done || gotTask.Machine != "" && gotTask.Attempt != wantTask.Attempt {
+				t.Errorf("%s: got task %d %+v, want %+v", stored.key(), i, gotTask, wantTask)
 			}
 		}
-		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(s.ref.Index) != s.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(s.ref) != 5 {
-			t.Errorf("%s: got trial done %v, first unstored sequence number %d, next attempt %d, want %v, %d, %d, and revision 5", s.key(), got.TrialDone, got.FirstUnstoredSeq(s.ref.Index), got.NextAttempt(), want.TrialDone, s.seq, want.NextAttempt())
+		if got.TrialDone != want.TrialDone || got.FirstUnstoredSeq(stored.ref.Index) != stored.seq || got.NextAttempt() != want.NextAttempt() || got.ChunkRevision(stored.ref) != 5 {
+			t.Errorf("%s: got trial done %v, first unstored sequence number %d, next attempt %d, revision %d, want %v, %d, %d, 5", stored.key(), got.TrialDone, got.FirstUnstoredSeq(stored.ref.Index), got.NextAttempt(), got.ChunkRevision(stored.ref), want.TrialDone, stored.seq, want.NextAttempt())
 		}
 		for _, j := range []*jobstate.Job{got, want} {
-			value, _ := j.BeginChunkWrite(s.ref.Index, s.seq)
-			same(s.key(), raw, value)
+			value, _ := j.BeginChunkWrite(stored.ref.Index, stored.seq)
+			same(stored.key(), raw, value)
 		}
-		if id, v, err := parseChunkKey(strings.TrimPrefix(s.key(), runPrefix)); id != s.job || v != s.ref || err != nil {
-			t.Errorf("%s: got parsed key %s %+v, error %v, want %s %+v", s.key(), id, v, err, s.job, s.ref)
+		if id, ref, err := parseChunkKey(strings.TrimPrefix(stored.key(), runPrefix)); id != stored.job || ref != stored.ref || err != nil {
+			t.Errorf("%s: got parsed key %s %+v, error %v, want %s %+v", stored.key(), id, ref, err, stored.job, stored.ref)
 		}
 	}
 	for key, want := range storedPages() {
@@ -244,8 +249,8 @@
 		}
 		same(key, raw, got.Encode())
 	}
-	for key := range raws {
-		t.Errorf("%s: got a recorded value that this test does not read", key)
+	for key := range rawValues {
+		t.Errorf("%s: got a recorded value that this test does not read, want none", key)
 	}
 }
 
@@ -261,54 +266,54 @@
 }
 
 // TestStoredAreRead checks that a controller that lists all stored values logs no error and has
-// their contents in its state.
+// their contents in its state cache.
 func TestStoredAreRead(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).c.settings
-	set.Peers = []string{"n1", "n2", "n3"}
-	set.Ops.Sweeps = true
-	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
-	rows, raws := readStoredFile(t)
-	l := StateListed{Revision: 100}
+	settings := newLeaderHarness(t).core.settings
+	settings.Peers = []string{"n1", "n2", "n3"}
+	settings.Ops.Sweeps = true
+	core := New(settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	rows, rawValues := readStoredFile(t)
+	list := StateListed{Revision: 100}
 	for i, r := range rows {
 		if !slices.ContainsFunc(StartPrefixes, func(p string) bool { return strings.HasPrefix(r.Key, p) }) && !strings.HasPrefix(r.Key, endPrefix) {
 			t.Errorf("%s: got a key that is not listed at startup, want it under one of StartPrefixes", r.Key)
 		}
-		l.Changes = append(l.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
+		list.Changes = append(list.Changes, Change{Key: r.Key, Value: r.Value, Revision: uint64(i + 1)})
 	}
-	c.Step(second, l)
-	if logged.Len() > 0 || !c.cache.synced {
-		t.Fatalf("got synced %v, logged errors %q, want true and no errors", c.cache.synced, logged.String())
+	core.Step(second, list)
+	if logged.Len() > 0 || !core.cache.synced {
+		t.Fatalf("got synced %v, logged errors %q, want true and no errors", core.cache.synced, logged.String())
 	}
-	done, _ := c.cache.ends.Get("e-done")
-	ended, _ := c.cache.ends.Get("e-ended")
+	done, _ := core.cache.ends.Get("e-done")
+	ended, _ := core.cache.ends.Get("e-ended")
 	for key, got := range map[string]any{
-		LeaderKey: c.cache.leader, tokenKey: c.cache.token, partitionsKey: c.cache.partitions, formatKey: c.membership.format,
-		endPrefix + "e-done": done, endPrefix + "e-ended": ended, sweepPrefix + "s": c.sweepManager.sweeps["s"].head,
-		memberPrefix + "n1": c.membership.activation.Advertisements()["n1"], memberPrefix + "n2": c.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(c.cache.imageHints[hintsKey+"/0"]),
+		LeaderKey: core.cache.leader, tokenKey: core.cache.token, partitionsKey: core.cache.partitions, formatKey: core.membership.format,
+		endPrefix + "e-done": done, endPrefix + "e-ended": ended, sweepPrefix + "s": core.sweepManager.sweeps["s"].head,
+		memberPrefix + "n1": core.membership.activation.Advertisements()["n1"], memberPrefix + "n2": core.membership.activation.Advertisements()["n2"], hintsKey + "/0": json.RawMessage(core.cache.imageHints[hintsKey+"/0"]),
 	} {
-		if !bytes.Equal(raws[key], encodeJSON(got)) {
-			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), raws[key])
+		if !bytes.Equal(rawValues[key], encodeJSON(got)) {
+			t.Errorf("%s: got value %s, want %s", key, encodeJSON(got), rawValues[key])
 		}
 	}
-	if len(c.cache.machineTypes) != 2 || c.cache.machineTypes[1].Cap.CPU != 8000 || len(c.cache.progressLog) != 2 || c.membership.chunkTasks != 64 || !c.sweepManager.enabled() || !c.membership.activation.Enabled(upgrade.SharedReads) {
-		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", c.cache.machineTypes, len(c.cache.progressLog), c.membership.chunkTasks, c.membership.activation.FeatureStates())
+	if len(core.cache.machineTypes) != 2 || core.cache.machineTypes[1].Cap.CPU != 8000 || len(core.cache.progressLog) != 2 || core.membership.chunkTasks != 64 || !core.sweepManager.enabled() || !core.membership.activation.Enabled(upgrade.SharedReads) {
+		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", core.cache.machineTypes, len(core.cache.progressLog), core.membership.chunkTasks, core.membership.activation.FeatureStates())
 	}
-	for id, over := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
-		j := c.cache.jobs[id]
-		if j == nil || j.Outcome() != over || j.Truncated != (id == "j-brief") {
-			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, over, id == "j-brief")
+	for id, outcome := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
+		j := core.cache.jobs[id]
+		if j == nil || j.Outcome() != outcome || j.Truncated != (id == "j-brief") {
+			t.Errorf("job %s: got %+v, want outcome %q, truncated %v", id, j, outcome, id == "j-brief")
 			continue
 		}
-		again := jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: j.Outcome(), SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}
+		record := jobstate.Record{Spec: j.Spec, Arrival: j.Arrival, Outcome: j.Outcome(), SubmittedWall: j.SubmittedWall, Truncated: j.Truncated}
 		if id == "j-least" {
-			again.Arrival = 0 // not stored; defaults to the revision of the value
+			record.Arrival = 0 // not stored; defaults to the revision of the value
 		}
-		if key := jobPrefix + id; !bytes.Equal(raws[key], encodeJSON(again)) {
-			t.Errorf("%s: got record %s, want %s", key, encodeJSON(again), raws[key])
+		if key := jobPrefix + id; !bytes.Equal(rawValues[key], encodeJSON(record)) {
+			t.Errorf("%s: got record %s, want %s", key, encodeJSON(record), rawValues[key])
 		}
 	}
-	for _, x := range []struct {
+	for _, want := range []struct {
 		job     string
 		task    int
 		machine string
@@ -323,8 +328,8 @@
 		{"j-full", 299, "host-000012", 9, false},
 		{"j-full", 298, "", 8, true},
 	} {
-		if k := c.cache.jobs[x.job].Task(x.task); k.Machine != x.machine || k.Attempt != x.attempt || k.Done != x.done {
-			t.Errorf("task %s/%d: got %+v, want %+v", x.job, x.task, k, x)
+		if got := core.cache.jobs[want.job].Task(want.task); got.Machine != want.machine || got.Attempt != want.attempt || got.Done != want.done {
+			t.Errorf("task %s/%d: got %+v, want %+v", want.job, want.task, got, want)
 		}
 	}
 }
@@ -361,7 +366,7 @@
 	}
 	for name, recorded := range seen {
 		if !recorded {
-			t.Errorf("field %s: got only zero values recorded, want another", name)
+			t.Errorf("field %s: got only zero values recorded, want at least one other value", name)
 		}
 	}
 	if len(seen) < 60 {
--- a/internal/core/sweeps_test.go
+++ b/internal/core/sweeps_test.go
@@ -13,10 +13,10 @@
 	"github.com/zinclb/zinclb/internal/core/upgrade"
 )
 
-// sweepID is the id of the sweep in these tests.
+// sweepID is the ID of the sweep in these tests.
 const sweepID = "s"
 
-// runID returns the id of a run of that sweep.
+// runID returns the ID of a run of that sweep.
 func runID(i int) string { return fmt.Sprintf("%s%s.%d", RunPrefix, sweepID, i) }
 
 // sweepFormat is the first stored format with sweeps.
@@ -46,12 +46,12 @@
 	h.start(settings)
 	h.advance(2 * second)
 	if !h.core.elector.isLeader() {
-		t.Fatal("controller does not lead")
+		t.Fatal("got a follower after 2 s, want the leader")
 	}
 	return h
 }
 
-// requestSweep sends a request with the next id and returns the reply to it.
+// requestSweep sends a request with the next request ID and returns the reply to it.
 func (h *harness) requestSweep(build func(requestID uint64) any) Reply {
 	h.lastRequest++
 	id := h.lastRequest
@@ -82,7 +82,7 @@
 	own.Plan.Specs[1].Dependencies = []string{runID(0)}
 	cases := []struct {
 		name       string
-		off        bool
+		disabled   bool
 		submission SubmitSweep
 		status     ReplyCode
 		reason     string
@@ -98,7 +98,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newSweepHarness(t, !tc.off)
+			h := newSweepHarness(t, !tc.disabled)
 			reply := h.submitSweep(tc.submission)
 			if reply.Status != tc.status || !strings.Contains(reply.Error, tc.reason) {
 				t.Errorf("got status %d, error %q, want status %d, error with %q", reply.Status, reply.Error, tc.status, tc.reason)
@@ -109,14 +109,14 @@
 			if tc.status != 201 {
 				return
 			}
-			if r := h.submitSweep(tc.submission); r.Status != 200 || r.Sweep == nil || r.Sweep.Runs != len(tc.submission.Plan.Specs) {
-				t.Errorf("repeated submission: got %+v, want status 200 with the state of the sweep", r)
+			if reply := h.submitSweep(tc.submission); reply.Status != 200 || reply.Sweep == nil || reply.Sweep.Runs != len(tc.submission.Plan.Specs) {
+				t.Errorf("repeated submission: got %+v, want status 200 with the state of the sweep", reply)
 			}
-			if r := h.submitSweep(sweepOf(9, 1000)); r.Status != 409 {
-				t.Errorf("other sweep with the same id: got status %d, want 409", r.Status)
+			if reply := h.submitSweep(sweepOf(9, 1000)); reply.Status != 409 {
+				t.Errorf("other sweep with the same id: got status %d, want 409", reply.Status)
 			}
-			if r := h.submitSweep(bad); r.Status != 200 {
-				t.Errorf("malformed sweep with the id of the accepted one: got status %d, want 200", r.Status)
+			if reply := h.submitSweep(bad); reply.Status != 200 {
+				t.Errorf("malformed sweep with the id of the accepted one: got status %d, want 200", reply.Status)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 func TestSweepActivation(t *testing.T) {
 	cases := []struct {
 		name     string
-		on       bool
+		enabled  bool
 		versions []int // of the other controllers
 		want     int
 	}{
@@ -139,7 +139,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, map[string]any{formatKey: formatRecord{Version: 2, Tasks: 32}})
 			settings := h.core.settings
-			settings.Peers, settings.Size, settings.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.on
+			settings.Peers, settings.Size, settings.Ops.Sweeps = []string{"n1", "n2"}, 3, tc.enabled
 			h.start(settings)
 			h.advance(2 * second)
 			for i, version := range tc.versions {
@@ -147,20 +147,21 @@
 			}
 			h.refresh()
 			h.advance(3 * second)
-			if f := h.core.membership.format; f.Version != tc.want || f.Tasks != 32 {
-				t.Errorf("got format %+v, want version %d, tasks 32", f, tc.want)
+			if format := h.core.membership.format; format.Version != tc.want || format.Tasks != 32 {
+				t.Errorf("got format %+v, want version %d, tasks 32", format, tc.want)
 			}
-			if r := h.submitSweep(sweepOf(1, 1000)); tc.on && (r.Status == 201) != (tc.want == 3) {
-				t.Errorf("sweep submission: got status %d, error %q, want accepted: %v", r.Status, r.Error, tc.want == 3)
+			if reply := h.submitSweep(sweepOf(1, 1000)); tc.enabled && (reply.Status == 201) != (tc.want == 3) {
+				t.Errorf("sweep submission: got status %d, error %q, want accepted: %v", reply.Status, reply.Error, tc.want == 3)
 			}
 		})
 	}
 }
 
 // TestSweepCancelledAtPeer checks that a controller that learns of a cancelled sweep from a peer
-// stops its tasks at once, but reports its runs as cancelled only when it has everything that was
-// stored before the cancellation, because some of them may be done. It guards against a fault in an
-// outage right after a cancellation: runs whose end was stored as done were reported as cancelled.
+// stops the sweep's tasks at once, but reports its runs as cancelled only when the controller has
+// everything that was stored before the cancellation, because some of the runs may be done. It
+// guards against a fault in an outage right after a cancellation: runs whose end was stored as
+// done were reported as cancelled.
 func TestSweepCancelledAtPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
@@ -175,10 +176,10 @@
 	run := cache.jobs[runID(1)]
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{cancelledSweepPrefix + sweepID}}})
 	if _, isOver := cache.ends.Get(runID(1)); run == nil || run.Outcome() != "" || isOver {
-		t.Fatal("run is missing or reported as ended, although its end may be stored as done")
+		t.Fatalf("run %s: got %+v, reported as ended %v, want an unfinished run, as its end may be stored as done", runID(1), run, isOver)
 	}
 	if h.core.sweepManager.mayStart(run) {
-		t.Error("tasks of the cancelled sweep may still be started")
+		t.Error("mayStart of a run of the cancelled sweep: got true, want false")
 	}
 	// Run 0 is stored as done before the cancellation is stored.
 	h.store(endPrefix+runID(0), jobstate.End{Outcome: jobstate.Done, Tasks: 1})
@@ -192,40 +193,40 @@
 }
 
 // TestSweepPositionSize checks that the position and the cancelled runs of the largest sweep fit
-// into the smallest value limit, whichever of its runs have ended, and that they are decoded again.
+// into the smallest value limit, whichever of its runs have ended, and are decoded correctly.
 func TestSweepPositionSize(t *testing.T) {
 	const runs, maxBytes = 10_000, 2000
 	random := rand.New(rand.NewPCG(1, 2))
-	open, gone := roaring.New(), roaring.New()
+	open, cancelledSet := roaring.New(), roaring.New()
 	for i := range runs {
 		if random.IntN(2) == 0 {
-			gone.AddInt(i)
+			cancelledSet.AddInt(i)
 		} else if random.IntN(5) == 0 {
 			open.AddInt(i)
 		}
 	}
-	position := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
-	cancelled := encodeJSON(cancelledRuns{Runs: encodeRunSet(gone)})
-	if len(position) > maxBytes || len(cancelled) > maxBytes {
-		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(position), len(cancelled), maxBytes)
+	positionValue := encodeJSON(sweepPosition{Next: runs, Open: encodeRunSet(open)})
+	cancelledValue := encodeJSON(cancelledRuns{Runs: encodeRunSet(cancelledSet)})
+	if len(positionValue) > maxBytes || len(cancelledValue) > maxBytes {
+		t.Errorf("got %d bytes for the position and %d for the cancelled runs, want at most %d", len(positionValue), len(cancelledValue), maxBytes)
 	}
 	manager := newSweepHarness(t, true).core.sweepManager
 	reportInvalid := func(err error) { t.Error(err) }
-	manager.apply("sweepat/s", Change{Value: position, Revision: 5}, reportInvalid)
-	manager.apply("sweepat/s/gone", Change{Value: cancelled, Revision: 5}, reportInvalid)
-	if s := manager.getOrAddSweep(sweepID); !s.openRuns().Equals(open) || !s.cancelled.Equals(gone) || s.next != runs {
-		t.Error("decoded position or cancelled runs differ from the encoded ones")
+	manager.apply("sweepat/s", Change{Value: positionValue, Revision: 5}, reportInvalid)
+	manager.apply("sweepat/s/gone", Change{Value: cancelledValue, Revision: 5}, reportInvalid)
+	if sweep := manager.getOrAddSweep(sweepID); !sweep.openRuns().Equals(open) || !sweep.cancelled.Equals(cancelledSet) || sweep.next != runs {
+		t.Errorf("got decoded open runs %v, cancelled runs %v, next run %d, want %v, %v, %d", sweep.openRuns(), sweep.cancelled, sweep.next, open, cancelledSet, runs)
 	}
 	for _, text := range []string{"x", "b!", "r!", "rAAAA"} {
 		if _, err := decodeRunSet(text); err == nil {
-			t.Errorf("decodeRunSet(%q): got no error for an invalid set", text)
+			t.Errorf("decodeRunSet(%q): got no error for an invalid set, want one", text)
 		}
 	}
 }
 
 // TestRunCancellationFromPeer checks that a run that a peer reports as cancelled is counted as
-// ended only once its end is stored, because a counted run in the sweep's position is not looked
-// up any more.
+// ended only once its end is stored, because the end of a run that the sweep's position counts as
+// ended is not looked up any more.
 func TestRunCancellationFromPeer(t *testing.T) {
 	h := newSweepHarness(t, true)
 	submission := sweepOf(2, 1000)
@@ -235,7 +236,7 @@
 	h.advance(2 * second)
 	id := runID(0)
 	if h.core.cache.jobs[id] == nil {
-		t.Fatal("run is not created")
+		t.Fatalf("got no run %s, want one", id)
 	}
 	h.delaysCommits = true
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Cancelled: []string{id}}})
@@ -244,7 +245,7 @@
 		t.Fatalf("got end %+v (known: %v), want a known end that is not stored", end, ok)
 	}
 	if sweep.ended.Contains(0) {
-		t.Error("run is counted before its end is stored")
+		t.Error("before its end is stored: got the run counted as ended, want it not counted")
 	}
 	h.delaysCommits = false
 	for _, delayed := range h.delayedCommits {
@@ -252,9 +253,9 @@
 	}
 	h.advance(3 * second)
 	if h.keys[endPrefix+id].Revision == 0 {
-		t.Error("end of the run is not stored")
+		t.Error("got no stored end of the run, want one")
 	}
 	if !sweep.ended.Contains(0) || !sweep.cancelled.Contains(0) {
-		t.Error("run is not counted as ended and cancelled although its end is stored")
+		t.Errorf("after its end is stored: got the run counted as ended %v, as cancelled %v, want both", sweep.ended.Contains(0), sweep.cancelled.Contains(0))
 	}
 }
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -8,47 +8,48 @@
 )
 
 // TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not
-// arrive are stopped by direct commands, also by a leader that has received no heartbeat of the machine: the address comes
-// from the cloud's list and the epoch from the machine's answer to a probe. Otherwise such tasks
-// continue until the machine's lease has expired. The answer does not prove that a task is absent.
+// arrive are stopped by direct commands, also by a leader that has received no heartbeat from the
+// machine: the address comes from the cloud's list and the epoch from the machine's answer to a
+// probe. Otherwise such tasks continue until the machine's lease has expired. The answer to the
+// probe does not prove that a task is absent.
 func TestStopOnUnreachableMachine(t *testing.T) {
 	cases := []struct {
-		name  string
-		over  string
-		do    func(r *leaderHarness)
-		tasks []TaskStatus
-		want  string
+		name    string
+		outcome string
+		do      func(h *leaderHarness)
+		tasks   []TaskStatus
+		want    string
 	}{
 		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskStatus{running(3)}, "stop j/0.3 in 4;"},
 		{"the answer does not list the task", jobstate.Cancelled, nil, nil, ""},
 		{"the answer lists another attempt", jobstate.Cancelled, nil, []TaskStatus{running(2)}, ""},
 		{"the task has exited", jobstate.Cancelled, nil, []TaskStatus{{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}}, ""},
 		{"no task to stop", "", nil, []TaskStatus{running(3)}, ""},
-		{"heartbeats arrive", jobstate.Cancelled, func(r *leaderHarness) { r.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
-		{"preempted, no heartbeat would show the freed room", "", func(r *leaderHarness) { r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
-		{"preempted, without proof of leadership", "", func(r *leaderHarness) {
-			r.c.tasks.requestStop(r.c.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
-			r.stateSilent = true
-			r.tick(4 * second)
+		{"heartbeats arrive", jobstate.Cancelled, func(h *leaderHarness) { h.heartbeat(5, 1, running(3)) }, []TaskStatus{running(3)}, ""},
+		{"preempted, no heartbeat would show the freed room", "", func(h *leaderHarness) { h.core.tasks.requestStop(h.core.cache.jobs["j"], 0, jobstate.StopPreempt, 0) }, []TaskStatus{running(3)}, ""},
+		{"preempted, without proof of leadership", "", func(h *leaderHarness) {
+			h.core.tasks.requestStop(h.core.cache.jobs["j"], 0, jobstate.StopPreempt, 0)
+			h.stateSilent = true
+			h.tick(4 * second)
 		}, []TaskStatus{running(3)}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newLeaderHarnessWithOutcome(t, tc.over)
-			r.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: r.token})
+			h := newLeaderHarnessWithOutcome(t, tc.outcome)
+			h.step(MachinesListed{List: []CloudMachine{{Name: "m", Addr: "addr-m", Type: "c", Zone: "a", Status: "running", Age: 100 * second}}, FencingToken: h.token})
 			if tc.do != nil {
-				tc.do(r)
+				tc.do(h)
 			}
 			probed, got := false, ""
 			for range 20 {
-				r.now += 100_000
-				for _, e := range r.c.Step(r.now, Tick{}) {
-					if p, ok := e.(ProbeMachine); ok && p.Machine == "m" && !probed {
+				h.now += 100_000
+				for _, effect := range h.core.Step(h.now, Tick{}) {
+					if probe, ok := effect.(ProbeMachine); ok && probe.Machine == "m" && !probed {
 						probed = true
-						for _, e := range r.c.Step(r.now, MachineProbed{Machine: "m", SentAt: r.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
-							if d, ok := e.(SendCommands); ok {
-								for _, o := range d.Commands {
-									got += fmt.Sprintf("%s %s.%d in %d;", o.Kind, o.Task, o.Attempt, d.Epoch)
+						for _, effect := range h.core.Step(h.now, MachineProbed{Machine: "m", SentAt: h.now, OK: true, Heartbeat: &Heartbeat{Machine: "m", Epoch: 4, Seq: 7, FencingToken: 5, Tasks: tc.tasks}}) {
+							if direct, ok := effect.(SendCommands); ok {
+								for _, command := range direct.Commands {
+									got += fmt.Sprintf("%s %s.%d in %d;", command.Kind, command.Task, command.Attempt, direct.Epoch)
 								}
 							}
 						}
@@ -58,8 +59,8 @@
 			if got != tc.want {
 				t.Errorf("direct commands: got %q, want %q (machine probed: %v)", got, tc.want, probed)
 			}
-			if p := r.placed(); p != "m.3" {
-				t.Errorf("placement (machine.attempt): got %s, want m.3", p)
+			if placed := h.placed(); placed != "m.3" {
+				t.Errorf("placement (machine.attempt): got %s, want m.3", placed)
 			}
 		})
 	}
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -13,6 +13,7 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
+// version1Fixture holds the values that version 1 stored, and messages that it encoded with gob.
 type version1Fixture struct {
 	Keys []struct {
 		Key   string          `json:"key"`
@@ -21,37 +22,37 @@
 	Gob map[string]string `json:"gob"`
 }
 
-func readVersion1Fixture(t *testing.T) (r version1Fixture) {
+func readVersion1Fixture(t *testing.T) (fixture version1Fixture) {
 	t.Helper()
 	b, err := os.ReadFile("testdata/version1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(b, &r); err != nil {
+	if err := json.Unmarshal(b, &fixture); err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return fixture
 }
 
-// TestVersion1 checks that values stored by the version without pipelines are read and written
+// TestVersion1 checks that values stored by version 1, which had no pipelines, are read and written
 // back unchanged. It guards against a renamed stored field.
 func TestVersion1(t *testing.T) {
 	var logged bytes.Buffer
-	set := newLeaderHarness(t).c.settings
-	c := New(set, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
-	var l StateListed
+	settings := newLeaderHarness(t).core.settings
+	core := New(settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelError})))
+	var list StateListed
 	want := map[string]json.RawMessage{}
 	for i, k := range readVersion1Fixture(t).Keys {
-		l.Changes = append(l.Changes, Change{Key: k.Key, Value: k.Value, Revision: uint64(i + 1)})
+		list.Changes = append(list.Changes, Change{Key: k.Key, Value: k.Value, Revision: uint64(i + 1)})
 		want[k.Key] = k.Value
 	}
-	l.Revision = 100
-	c.Step(second, l)
+	list.Revision = 100
+	core.Step(second, list)
 	if logged.Len() > 0 {
 		t.Fatalf("got logged errors %q, want none", logged.String())
 	}
-	if c.membership.logEnabled() || c.membership.chunkTasks != jobstate.DefaultChunkSize {
-		t.Errorf("got log enabled %v, %d tasks per chunk, want false and %d, as in the first format", c.membership.logEnabled(), c.membership.chunkTasks, jobstate.DefaultChunkSize)
+	if core.membership.logEnabled() || core.membership.chunkTasks != jobstate.DefaultChunkSize {
+		t.Errorf("got log enabled %v, %d tasks per chunk, want false and %d, as in the first format", core.membership.logEnabled(), core.membership.chunkTasks, jobstate.DefaultChunkSize)
 	}
 	same := func(key string, got []byte) {
 		t.Helper()
@@ -61,47 +62,48 @@
 		}
 		delete(want, key)
 	}
-	for id, j := range c.cache.jobs {
+	for id, j := range core.cache.jobs {
 		same(jobPrefix+id, jobstate.Record{Spec: j.Spec, SubmittedWall: j.SubmittedWall}.Encode(8000))
 		for n := range j.NumChunks() {
 			if j.Chunk(n).Revision != 0 {
-				v, _ := j.BeginChunkWrite(n, 0)
-				same(chunkKey(id, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}), v)
+				value, _ := j.BeginChunkWrite(n, 0)
+				same(chunkKey(id, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: n}), value)
 			}
 		}
 	}
-	for id, e := range c.cache.ends.All() {
-		same(endPrefix+id, encodeJSON(e))
+	for id, end := range core.cache.ends.All() {
+		same(endPrefix+id, encodeJSON(end))
 	}
-	same(LeaderKey, encodeJSON(c.cache.leader))
-	same(tokenKey, encodeJSON(c.cache.token))
-	same(partitionsKey, encodeJSON(c.cache.partitions))
-	same(typesKey, encodeJSON(c.cache.machineTypes))
-	for key, v := range c.cache.imageHints {
-		var h hintsRecord
-		if err := json.Unmarshal(v, &h); err != nil {
+	same(LeaderKey, encodeJSON(core.cache.leader))
+	same(tokenKey, encodeJSON(core.cache.token))
+	same(partitionsKey, encodeJSON(core.cache.partitions))
+	same(typesKey, encodeJSON(core.cache.machineTypes))
+	for key, value := range core.cache.imageHints {
+		var hints hintsRecord
+		if err := json.Unmarshal(value, &hints); err != nil {
 			t.Error(err)
 		}
-		same(key, encodeJSON(h))
+		same(key, encodeJSON(hints))
 	}
 	if len(want) > 0 {
 		t.Errorf("got values that were not read: %v, want none", want)
 	}
 }
 
-// TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops after
-// each single write. What is then read must be the progress with that write or without it.
+// TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops
+// after each single write. What is then read must be the progress with that write or without it,
+// in whichever order the values are read.
 func TestInterruptedChunkSplit(t *testing.T) {
 	spec := &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 300}
 	state := func(j *jobstate.Job) string {
 		var b strings.Builder
 		for i := range j.Tasks {
-			t := j.Task(i)
+			task := j.Task(i)
 			switch {
-			case t.Done:
+			case task.Done:
 				b.WriteByte('d')
-			case t.Machine != "":
-				b.WriteString(t.Machine)
+			case task.Machine != "":
+				b.WriteString(task.Machine)
 			default:
 				b.WriteByte('.')
 			}
@@ -149,26 +151,26 @@
 	}
 	whole := state(j)
 	// Reading the values in the order of the writes and in reverse must give the same state.
-	for cut := 2; cut <= len(values); cut++ {
+	for written := 2; written <= len(values); written++ {
 		read := func(order func(i int) int) *jobstate.Job {
-			k := jobstate.NewJob(spec)
-			for i := range cut {
-				v := values[order(i)]
-				if err := k.LoadChunk(v.key, v.bytes, v.revision, 1); err != nil {
+			loaded := jobstate.NewJob(spec)
+			for i := range written {
+				stored := values[order(i)]
+				if err := loaded.LoadChunk(stored.key, stored.bytes, stored.revision, 1); err != nil {
 					t.Fatal(err)
 				}
 			}
-			return k
+			return loaded
 		}
-		a, b := read(func(i int) int { return i }), read(func(i int) int { return cut - 1 - i })
-		if state(a) != state(b) || a.NumPlaced != b.NumPlaced || a.NumDone != b.NumDone || a.NextAttempt() != b.NextAttempt() {
-			t.Errorf("after %d writes: got state %s read in order, %s read in reverse, want the same", cut, state(a), state(b))
+		inOrder, reversed := read(func(i int) int { return i }), read(func(i int) int { return written - 1 - i })
+		if state(inOrder) != state(reversed) || inOrder.NumPlaced != reversed.NumPlaced || inOrder.NumDone != reversed.NumDone || inOrder.NextAttempt() != reversed.NextAttempt() {
+			t.Errorf("after %d writes: got state %s read in order, %s read in reverse, want the same", written, state(inOrder), state(reversed))
 		}
-		if strings.Contains(state(a)[:50], ".") {
-			t.Errorf("after %d writes: got state %s, want none of the first 50 tasks lost", cut, state(a))
+		if strings.Contains(state(inOrder)[:50], ".") {
+			t.Errorf("after %d writes: got state %s, want none of the first 50 tasks lost", written, state(inOrder))
 		}
-		if cut == len(values) && state(a) != whole {
-			t.Errorf("after all writes: got state %s, want %s", state(a), whole)
+		if written == len(values) && state(inOrder) != whole {
+			t.Errorf("after all writes: got state %s, want %s", state(inOrder), whole)
 		}
 	}
 }
@@ -179,8 +181,8 @@
 	entry := func(i int, done bool, machine string) jobstate.LogEntry {
 		return jobstate.LogEntry{Job: "j", Task: i, Done: done, Machine: machine, Attempt: 1}
 	}
-	page := func(base uint64, e ...jobstate.LogEntry) []byte {
-		p := jobstate.LogPage{FirstSeq: base, Entries: e}
+	page := func(base uint64, entries ...jobstate.LogEntry) []byte {
+		p := jobstate.LogPage{FirstSeq: base, Entries: entries}
 		return p.Encode()
 	}
 	record := jobstate.Record{Spec: &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 4}}.Encode(8000)
@@ -192,8 +194,8 @@
 		for i, m := range place {
 			j.PlaceTask(i, m, 1, 1)
 		}
-		v, _ := j.BeginChunkWrite(0, seq)
-		return v
+		value, _ := j.BeginChunkWrite(0, seq)
+		return value
 	}
 	run, p1, p2 := runPrefix+"j/0", pageKey(1), pageKey(2)
 	cases := []struct {
@@ -215,26 +217,26 @@
 	}
 	for _, tc := range cases {
 		for _, order := range []string{"job first", "job last"} {
-			c := New(newLeaderHarness(t).c.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+			core := New(newLeaderHarness(t).core.settings, second, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 			job := Change{Key: jobPrefix + "j", Value: record, Revision: 1}
 			var rows []Change
 			if order == "job first" {
 				rows = []Change{job}
 			}
-			c.Step(second, StateListed{Changes: rows, Revision: 1})
-			for _, ch := range tc.changes {
-				c.cache.apply(ch)
+			core.Step(second, StateListed{Changes: rows, Revision: 1})
+			for _, change := range tc.changes {
+				core.cache.apply(change)
 			}
 			if order == "job last" {
-				c.cache.apply(job)
+				core.cache.apply(job)
 			}
 			got := ""
 			for i := range 4 {
-				switch x := c.cache.jobs["j"].Task(i); {
-				case x.Done:
+				switch task := core.cache.jobs["j"].Task(i); {
+				case task.Done:
 					got += "d"
-				case x.Machine != "":
-					got += x.Machine
+				case task.Machine != "":
+					got += task.Machine
 				default:
 					got += "."
 				}
@@ -247,11 +249,11 @@
 }
 
 // TestLogPageSizeLimit checks that pages filled with entries of all lengths stay within the limit.
-// A page above it would be rejected again and again, and block all writes.
+// A page above the limit would be rejected each time that it is written, and block all writes.
 func TestLogPageSizeLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	name := func(n int) string {
-		b := make([]byte, 1+rng.IntN(n))
+	name := func(size int) string {
+		b := make([]byte, 1+rng.IntN(size))
 		for i := range b {
 			b[i] = byte('a' + rng.IntN(26))
 		}
@@ -259,28 +261,28 @@
 	}
 	for range 200 {
 		limit := 500 + rng.IntN(8000)
-		p := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, uncompactedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
-		long := 1 + rng.IntN(60)
-		full := 0
-		for full < 5 {
+		page := &logPage{LogPage: jobstate.LogPage{FirstSeq: rng.Uint64()}, uncompactedChunks: map[chunkRef]struct{}{}, newest: map[taskRef]int{}, names: map[string]struct{}{}, size: 80}
+		maxNameLength := 1 + rng.IntN(60)
+		rejected := 0
+		for rejected < 5 {
 			var entries []jobstate.LogEntry
 			for range 1 + rng.IntN(40) {
-				e := jobstate.LogEntry{Job: name(long), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
+				entry := jobstate.LogEntry{Job: name(maxNameLength), Task: rng.IntN(jobstate.MaxTasks), Done: rng.IntN(2) == 0, Attempt: rng.Uint32() >> (1 + rng.IntN(31))}
 				if rng.IntN(3) > 0 {
-					e.Machine = "host-" + name(long)
+					entry.Machine = "host-" + name(maxNameLength)
 				}
-				entries = append(entries, e)
+				entries = append(entries, entry)
 			}
-			if !p.append(chunkRef{}, entries, limit) {
-				full++
+			if !page.append(chunkRef{}, entries, limit) {
+				rejected++
 			}
-			if n := len(p.Encode()); n > limit {
-				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", n, len(p.Entries), limit)
+			if size := len(page.Encode()); size > limit {
+				t.Fatalf("got a page of %d bytes with %d entries, want at most %d bytes", size, len(page.Entries), limit)
 			}
 		}
-		q, err := jobstate.DecodeLogPage(p.Encode())
-		if err != nil || q.FirstSeq != p.FirstSeq || !slices.Equal(q.Entries, p.Entries) {
-			t.Fatalf("got a decoded page different from the encoded one, or error %v, want the same page", err)
+		decoded, err := jobstate.DecodeLogPage(page.Encode())
+		if err != nil || decoded.FirstSeq != page.FirstSeq || !slices.Equal(decoded.Entries, page.Entries) {
+			t.Fatalf("got decoded page %+v, error %v, want %+v", decoded, err, page.LogPage)
 		}
 	}
 }
