--- a/internal/cloud/recorded_test.go
+++ b/internal/cloud/recorded_test.go
@@ -29,11 +29,11 @@
 	service := golden.NewFakeServer(t)
 	client := New(service.Addr)
 	defer client.Close()
-	rent := core.ScaleOut{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 3, NotAfter: 99, FencingToken: 7}
+	request := core.ScaleOut{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 3, NotAfter: 99, FencingToken: 7}
 	types := func() any { return client.ListTypes() }
 	list := func() any { return client.ListMachines(time.Microsecond) }
-	renting := func() any { return client.ScaleOut(rent) }
-	release := func() any { return client.ScaleIn([]string{"host-1", "host-2"}) }
+	scaleOut := func() any { return client.ScaleOut(request) }
+	scaleIn := func() any { return client.ScaleIn([]string{"host-1", "host-2"}) }
 	listing := core.CloudMachine{Name: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Status: "up", Spot: true, Age: 61_500_000}
 	for _, tc := range []struct {
 		name    string
@@ -53,11 +53,11 @@
 		},
 		{"list, nothing", list, []httpwire.Response{answered(200, `{"stokers":[]}`)}, core.MachinesListed{}},
 		{"list, refused", list, []httpwire.Response{answered(429, `{}`)}, core.MachinesListed{Err: StatusError{429, `{}`}}},
-		{"rent", renting, []httpwire.Response{answered(200, `{"stokers":["host-1","host-2"]}`)}, core.ScaledOut{Request: rent, Names: []string{"host-1", "host-2"}, Status: 200}},
-		{"rent, refused", renting, []httpwire.Response{answered(409, `{"error":"none left"}`)}, core.ScaledOut{Request: rent, Status: 409}},
-		{"rent, unreadable", renting, []httpwire.Response{answered(200, `{`)}, core.ScaledOut{Request: rent}},
-		{"release", release, []httpwire.Response{answered(200, `{}`)}, core.ScaledIn{Names: []string{"host-1", "host-2"}, OK: true}},
-		{"release, refused", release, []httpwire.Response{answered(429, `{}`)}, core.ScaledIn{Names: []string{"host-1", "host-2"}}},
+		{"rent", scaleOut, []httpwire.Response{answered(200, `{"stokers":["host-1","host-2"]}`)}, core.ScaledOut{Request: request, Names: []string{"host-1", "host-2"}, Status: 200}},
+		{"rent, refused", scaleOut, []httpwire.Response{answered(409, `{"error":"none left"}`)}, core.ScaledOut{Request: request, Status: 409}},
+		{"rent, unreadable", scaleOut, []httpwire.Response{answered(200, `{`)}, core.ScaledOut{Request: request}},
+		{"release", scaleIn, []httpwire.Response{answered(200, `{}`)}, core.ScaledIn{Names: []string{"host-1", "host-2"}, OK: true}},
+		{"release, refused", scaleIn, []httpwire.Response{answered(429, `{}`)}, core.ScaledIn{Names: []string{"host-1", "host-2"}}},
 	} {
 		service.AddNote("%s:", tc.name)
 		service.SetAnswers(tc.answers...)
--- a/internal/golden/exchange.go
+++ b/internal/golden/exchange.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// requestTimeout is the maximum time that a Service waits for the next bytes of a
-	// request.
+	// requestTimeout is the maximum time that a FakeServer waits for the next bytes of
+	// a request.
 	requestTimeout = 5 * time.Second
 	// maxBody is the maximum size of a request's body in bytes.
 	maxBody = 1 << 20
@@ -24,7 +24,7 @@
 // FakeServer is a fake HTTP service on the loopback interface. It records the exact bytes of
 // each request and returns the prepared answers in order.
 type FakeServer struct {
-	// Addr is the address on which the service listens.
+	// Addr is the address on which the server listens.
 	Addr string
 
 	mu       sync.Mutex
@@ -32,7 +32,7 @@
 	requests strings.Builder
 }
 
-// NewFakeServer starts a service that is stopped when the test ends.
+// NewFakeServer starts a server that is stopped when the test ends.
 func NewFakeServer(tb testing.TB) *FakeServer {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 	fmt.Fprintf(&s.requests, format+"\n", args...)
 }
 
-// Requests returns the recorded requests, one per line, with the service's address replaced
+// Requests returns the recorded requests, one per line, with the server's address replaced
 // by HOST.
 func (s *FakeServer) Requests() string {
 	s.mu.Lock()
--- a/internal/httpwire/message_test.go
+++ b/internal/httpwire/message_test.go
@@ -40,7 +40,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m, n, err := ParseRequest([]byte(tc.in), 100)
 			if !errors.Is(err, tc.err) {
-				t.Fatalf("error %v, want %v", err, tc.err)
+				t.Fatalf("got error %v, want %v", err, tc.err)
 			}
 			if (n > 0) != tc.complete {
 				t.Fatalf("got length %d, want complete %v", n, tc.complete)
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -22,11 +22,11 @@
 	Handle  Handler
 	MaxBody int
 	// MaxConns is the maximum number of connections. Connections beyond it are closed
-	// without a response. When the number is close to it, each response closes its
-	// connection, see nearlyFull.
+	// without a response. While the number of connections is close to it, each response
+	// closes its connection; see nearlyFull.
 	MaxConns int
 	// ReadTimeout is the time after which a connection with an incomplete request is
-	// closed, and IdleTimeout that for a connection without a request.
+	// closed. IdleTimeout is the time after which a connection without a request is closed.
 	ReadTimeout, IdleTimeout time.Duration
 	// Serving, if set, is called when the server starts to accept connections.
 	Serving func()
@@ -49,8 +49,8 @@
 	timeoutCheckInterval = time.Second
 	// restartPause is the pause before a failed listener is reopened.
 	restartPause = time.Second
-	// tickerEndPause is how long evio's ticker sleeps before it detects that its event
-	// loop has ended.
+	// tickerEndPause is the time that evio's ticker sleeps before it detects that its
+	// event loop has ended.
 	tickerEndPause = 50 * time.Millisecond
 )
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -22,7 +22,7 @@
 		sentAt := n.now()
 		n.goroutines.Go(func() { n.probeMachine(e, sentAt) })
 	default:
-		// Each of these reports whether the effect was of its kind.
+		// Each method reports whether the effect is of a kind that it executes.
 		_ = n.executeStateEffect(effect) || n.executePeerEffect(effect) || n.executeCloudEffect(effect)
 	}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestScaledLimits checks that the inbox size and the number of connections from peers
-// grow with the settings and never fall below their former fixed values.
+// grow with the settings and never fall below their minimum values.
 func TestScaledLimits(t *testing.T) {
 	cases := []struct{ sockets, inbox int }{{32, 4096}, {1000, 4096}, {1500, 6000}, {4000, 16_000}, {1_000_000, 65_536}}
 	for _, tc := range cases {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,15 +11,15 @@
 	"github.com/zinclb/zinclb/internal/peer"
 )
 
-// Timeouts of calls between controllers. Each is shorter than the time after which the
-// calling peer or the waiting user gives up.
+// Timeouts of calls between controllers. Each is shorter than the timeout of the caller:
+// a peer, a worker or a user.
 const (
 	pingTimeout = time.Second
-	// relayTimeout is the timeout of a relayed heartbeat: the worker gives up after
+	// relayTimeout is the timeout of a relayed heartbeat: the worker's own timeout is
 	// 4 s, and the leader may delay its response for up to 3 s.
 	relayTimeout = 3700 * time.Millisecond
 	// forwardTimeout is the timeout of a forwarded user request, and
-	// forwardQueryTimeout that of a forwarded read-only request.
+	// forwardQueryTimeout is that of a forwarded read-only request.
 	forwardTimeout      = 3500 * time.Millisecond
 	forwardQueryTimeout = 1500 * time.Millisecond
 	// forwardedTimeout is the timeout of a request that a peer has forwarded to this
@@ -30,7 +30,7 @@
 // errUnknownPeer is returned for a controller that is not one of this controller's peers.
 var errUnknownPeer = errors.New("controller is not a peer")
 
-// HandleRelayedHeartbeat passes a heartbeat that a peer relayed to the core and waits
+// HandleRelayedHeartbeat sends the core a heartbeat that a peer has relayed, and waits
 // for the reply.
 func (n *Node) HandleRelayedHeartbeat(heartbeat core.HeartbeatReceived) (core.Reply, error) {
 	build := func(requestID uint64) any {
@@ -40,7 +40,7 @@
 	return n.requestAndWait(build, relayTimeout)
 }
 
-// HandlePing passes a peer's ping to the core and waits for the reply.
+// HandlePing sends the core a peer's ping and waits for the reply.
 func (n *Node) HandlePing(ping core.PingReceived) (core.Reply, error) {
 	build := func(requestID uint64) any {
 		ping.RequestID = requestID
@@ -49,7 +49,7 @@
 	return n.requestAndWait(build, pingTimeout)
 }
 
-// HandleRequest passes a request that a peer forwarded to the core and waits for the
+// HandleRequest sends the core a request that a peer has forwarded, and waits for the
 // reply.
 func (n *Node) HandleRequest(request any) (core.Reply, error) {
 	if sweep, ok := request.(core.ForwardedSweep); ok {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -10,10 +10,10 @@
 const (
 	// commitTimeout is the timeout of a transaction.
 	commitTimeout = 2 * time.Second
-	// watchTimeout is how long a watch waits for a change.
+	// watchTimeout is the maximum time that a watch waits for a change.
 	watchTimeout = 10 * time.Second
-	// stateRetryPause is how long the result of a failed read is delayed, so that the
-	// core's retries do not overload a failing state service.
+	// stateRetryPause is the delay before the core receives the result of a failed
+	// read, so that its retries do not overload a failing state service.
 	stateRetryPause = 300 * time.Millisecond
 )
 
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// commandTimeout is how long a worker may take to accept commands.
+	// commandTimeout is the timeout of a call that delivers commands to a worker.
 	commandTimeout = 2 * time.Second
-	// probeTimeout is how long a probed machine may take to answer.
+	// probeTimeout is the timeout of a probe of a machine.
 	probeTimeout = time.Second
-	// maxWorkerAnswer bounds a worker's answer, in bytes.
+	// maxWorkerAnswer is the maximum size of a worker's answer, in bytes.
 	maxWorkerAnswer = 1 << 20
 )
 
 // workerPool sends commands directly to workers' addresses, with a bounded number of
 // concurrent calls. Commands beyond the bound are delivered with the response to the
-// worker's next heartbeat. That can be too late to stop a gang in order, because all
-// its tasks must be notified within gang_peer_s, so the bound has to allow for several
+// worker's next heartbeat. That can be too late for a gang, because all its tasks must
+// be notified within gang_peer_s to stop in order. The bound has to allow for several
 // large gangs at once.
 type workerPool struct {
 	slots chan struct{}
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -15,8 +15,8 @@
 const (
 	listTimeout = 5 * time.Second
 	getTimeout  = 1500 * time.Millisecond
-	// watchGrace is how much longer than its requested wait a watch may take before it
-	// times out.
+	// watchGrace is the time that is added to the requested wait of a watch to get the
+	// timeout of the call.
 	watchGrace = 1500 * time.Millisecond
 	// listPageSize is the maximum number of keys in a page of a list.
 	listPageSize = 500
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -106,12 +106,12 @@
 // change.
 func TestRunID(t *testing.T) {
 	const wantID = "sweep.s.57f18a6cfe5a6cf3077249d5"
-	a := RunID("s", []string{"a", "b"}, []Value{int64(1), "x"})
-	if a != wantID {
-		t.Errorf("run id: got %s, want %s", a, wantID)
+	id := RunID("s", []string{"a", "b"}, []Value{int64(1), "x"})
+	if id != wantID {
+		t.Errorf("run id: got %s, want %s", id, wantID)
 	}
-	if b := RunID("s", []string{"b", "a"}, []Value{"x", int64(1)}); a != b {
-		t.Errorf("run id with the parameters in another order: got %s, want %s", b, a)
+	if reordered := RunID("s", []string{"b", "a"}, []Value{"x", int64(1)}); id != reordered {
+		t.Errorf("run id with the parameters in another order: got %s, want %s", reordered, id)
 	}
 	for _, other := range []string{
 		RunID("t", []string{"a", "b"}, []Value{int64(1), "x"}),
@@ -121,8 +121,8 @@
 		RunID("s", []string{"a", "c"}, []Value{int64(1), "x"}),
 		RunID("s", []string{"a"}, []Value{"1nx"}),
 	} {
-		if other == a {
-			t.Errorf("run id of a different run: got %s again, want a different id", a)
+		if other == id {
+			t.Errorf("run id of a different run: got %s again, want a different id", id)
 		}
 	}
 	x, err := parseAndExpand(`id: "s" job { herd: "h" hands: 2 } set { field: "hands" is: "1" } parameter { name: "a" value { int: 1 } }`, nil)
@@ -212,7 +212,7 @@
 func TestLargestSweep(t *testing.T) {
 	text := `id: "s" job { herd: "h" } set { field: "hands" is: "a % 7 + 1" } parameter { name: "a" range { from: 1 to: 100 } } parameter { name: "b" range { from: 1 to: 100 } }`
 	x, err := parseAndExpand(text, nil)
-	y, err2 := parseAndExpand(text, nil)
+	again, err2 := parseAndExpand(text, nil)
 	if err = errors.Join(err, err2); err != nil {
 		t.Fatal(err)
 	}
@@ -220,10 +220,10 @@
 	for i := range x.Runs {
 		ids[x.Runs[i].ID] = true
 	}
-	if len(ids) != MaxRuns || x.Digest != y.Digest {
-		t.Errorf("got %d ids, digests %s and %s, want %d ids and equal digests", len(ids), x.Digest, y.Digest, MaxRuns)
+	if len(ids) != MaxRuns || x.Digest != again.Digest {
+		t.Errorf("got %d ids, digests %s and %s, want %d ids and equal digests", len(ids), x.Digest, again.Digest, MaxRuns)
 	}
-	if z, _ := parseAndExpand(strings.Replace(text, "% 7", "% 6", 1), nil); z.Digest == x.Digest {
+	if modified, _ := parseAndExpand(strings.Replace(text, "% 7", "% 6", 1), nil); modified.Digest == x.Digest {
 		t.Error("digest with a different job: got the same digest, want a different one")
 	}
 }
