--- a/internal/emulator/capacity/capacity_test.go
+++ b/internal/emulator/capacity/capacity_test.go
@@ -13,13 +13,13 @@
 // TestFit checks that a fit finds the slopes that the points were computed from, and leaves out
 // factors that do not vary.
 func TestFit(t *testing.T) {
-	of := func(l Load) float64 { return 2 + 0.01*l.Workers + 0.5*l.Starts + 3*l.Controllers }
+	costOf := func(l Load) float64 { return 2 + 0.01*l.Workers + 0.5*l.Starts + 3*l.Controllers }
 	var points []Point
 	for _, workers := range []float64{400, 800, 1600} {
 		for _, starts := range []float64{10, 100} {
 			for _, controllers := range []float64{3, 12} {
 				l := Load{Workers: workers, Running: 100, Starts: starts * workers / 400, Teams: 380, Zones: 15, Controllers: controllers}
-				points = append(points, Point{l, of(l)})
+				points = append(points, Point{l, costOf(l)})
 			}
 		}
 	}
@@ -32,8 +32,8 @@
 			t.Errorf("slope per %s: got %v, want %v", factorNames[k], got, want)
 		}
 	}
-	if m.Residual > 1e-9 || m.R2 < 0.999 || math.Abs(m.At(PlanLoad)-of(PlanLoad)) > 1e-6 {
-		t.Errorf("got %+v with a cost of %v at the plan's load; want residual 0, R2 1, cost %v", m, m.At(PlanLoad), of(PlanLoad))
+	if m.Residual > 1e-9 || m.R2 < 0.999 || math.Abs(m.At(PlanLoad)-costOf(PlanLoad)) > 1e-6 {
+		t.Errorf("got %+v with a cost of %v at the plan's load; want residual 0, R2 1, cost %v", m, m.At(PlanLoad), costOf(PlanLoad))
 	}
 	points[0].Value += 5
 	if m, _ := Fit(points); m.Residual < 1 {
@@ -71,7 +71,7 @@
 		{"<!-- table x -->", map[string]string{"x": ""}, "has no end marker"},
 	} {
 		if _, err := ReplaceTables(tc.page, tc.tables); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("page %q: got error %v, want %q", tc.page, err, tc.want)
+			t.Errorf("page %q: got error %v, want one with %q", tc.page, err, tc.want)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func TestUpdatePage(t *testing.T) {
 	changed, err := UpdatePage("../../../docs/CAPACITY.md", "../../../docs/capacity", true)
 	if err != nil || changed {
-		t.Errorf("got changed %v, error %v; want an unchanged page: run zinclb-emulator capacity", changed, err)
+		t.Errorf("UpdatePage: got changed %v, error %v; want an unchanged page: run zinclb-emulator capacity", changed, err)
 	}
 }
 
@@ -96,15 +96,15 @@
 	}
 	runs, err := LoadRuns(dir, CurrentPrefix)
 	if err != nil || len(runs) != 2 || runs[0].Name != "after-a" {
-		t.Errorf("got %v, error %v; want two runs, after-a first", runs, err)
+		t.Errorf("LoadRuns: got runs %v, error %v; want two runs, after-a first", runs, err)
 	}
 	if _, err := LoadRuns(dir, BaselinePrefix); err == nil || !strings.Contains(err.Error(), "before-*.json") {
-		t.Errorf("got error %v, want one with before-*.json", err)
+		t.Errorf("LoadRuns without baseline runs: got error %v, want one with before-*.json", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "after-d.json"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadRuns(dir, CurrentPrefix); err == nil || !strings.Contains(err.Error(), "after-d.json") {
-		t.Errorf("got error %v, want one with after-d.json", err)
+		t.Errorf("LoadRuns with an invalid file: got error %v, want one with after-d.json", err)
 	}
 }
--- a/internal/emulator/capacity/fit.go
+++ b/internal/emulator/capacity/fit.go
@@ -71,20 +71,20 @@
 	y := mat.NewVecDense(len(points), nil)
 	for i, p := range points {
 		x.Set(i, 0, 1)
-		for c, k := range varying {
-			x.Set(i, c+1, p.Load.values()[k])
+		for column, k := range varying {
+			x.Set(i, column+1, p.Load.values()[k])
 		}
 		y.SetVec(i, p.Value)
 	}
 	var qr mat.QR
 	qr.Factorize(x)
-	var b mat.VecDense
-	if err := qr.SolveVecTo(&b, false, y); err != nil {
+	var solution mat.VecDense
+	if err := qr.SolveVecTo(&solution, false, y); err != nil {
 		return m, fmt.Errorf("fit: %w", err)
 	}
-	m.Intercept = b.AtVec(0)
-	for c, k := range varying {
-		m.Slopes[k] = b.AtVec(c + 1)
+	m.Intercept = solution.AtVec(0)
+	for column, k := range varying {
+		m.Slopes[k] = solution.AtVec(column + 1)
 	}
 	estimates, values := make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -97,13 +97,13 @@
 
 // At returns the estimated cost under a load.
 func (m *Model) At(l Load) float64 {
-	v := m.Intercept
-	for k, x := range l.values() {
+	cost := m.Intercept
+	for k, value := range l.values() {
 		if !math.IsNaN(m.Slopes[k]) {
-			v += m.Slopes[k] * x
+			cost += m.Slopes[k] * value
 		}
 	}
-	return v
+	return cost
 }
 
 // Line is a linear model of a cost that depends on the number of workers only.
@@ -115,8 +115,8 @@
 	for i, p := range points {
 		x[i], y[i] = p.Load.Workers, p.Value
 	}
-	a, b := stat.LinearRegression(x, y, nil, false)
-	return Line{a, b}
+	intercept, slope := stat.LinearRegression(x, y, nil, false)
+	return Line{intercept, slope}
 }
 
 // At returns the estimated cost for a number of workers.
--- a/internal/emulator/capacity/page.go
+++ b/internal/emulator/capacity/page.go
@@ -87,14 +87,14 @@
 
 // peerKB returns the traffic with other controllers, in both directions, in KB/s.
 func peerKB(r scale.Role) float64 {
-	p := r.Kinds["peer"]
-	return (p.BytesIn + p.BytesOut) / 1000
+	peer := r.Kinds["peer"]
+	return (peer.BytesIn + peer.BytesOut) / 1000
 }
 
 // workerBytes returns the traffic of worker reports, in both directions, in bytes/s.
 func workerBytes(r scale.Role) float64 {
-	p := r.Kinds["report"]
-	return p.BytesIn + p.BytesOut
+	report := r.Kinds["report"]
+	return report.BytesIn + report.BytesOut
 }
 
 // points returns the cost in the named windows of the runs. Windows that a run lacks, or that lack
@@ -156,33 +156,33 @@
 
 // planRuns returns the runs without failures that have the operators' plan scaled to their number
 // of workers.
-func planRuns(runs []Run) (l []Run) {
+func planRuns(runs []Run) (matching []Run) {
 	for _, r := range runs {
 		plan := scale.Default(r.Plan.Workers)
 		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 && r.Plan.Controllers == plan.Controllers && r.Plan.Teams == plan.Teams && r.Plan.Zones == plan.Zones && r.Plan.Running == plan.Running && r.Plan.Starts == plan.Starts {
-			l = append(l, r)
+			matching = append(matching, r)
 		}
 	}
-	return l
+	return matching
 }
 
 // sizesTable returns the table of each cost at each size, with the value that the smaller sizes
 // predict for the largest.
 func sizesTable(runs []Run, window string) (string, error) {
-	l := planRuns(runs)
-	if len(l) < 3 {
+	matching := planRuns(runs)
+	if len(matching) < 3 {
 		return "", errors.New("fewer than three sizes were measured")
 	}
-	largest := l[len(l)-1]
+	largest := matching[len(matching)-1]
 	var b strings.Builder
 	fmt.Fprintf(&b, "| cost, %s | unit |", window)
-	for _, r := range l {
+	for _, r := range matching {
 		fmt.Fprintf(&b, " %d workers |", r.Plan.Workers)
 	}
-	fmt.Fprintf(&b, " predicted for %d | measured less predicted |\n|%s\n", largest.Plan.Workers, strings.Repeat(" --- |", 4+len(l)))
+	fmt.Fprintf(&b, " predicted for %d | measured less predicted |\n|%s\n", largest.Plan.Workers, strings.Repeat(" --- |", 4+len(matching)))
 	for _, c := range costs {
-		points := c.points(l, window)
-		if len(points) != len(l) {
+		points := c.points(matching, window)
+		if len(points) != len(matching) {
 			continue
 		}
 		last := points[len(points)-1]
@@ -210,18 +210,18 @@
 	return b.String()
 }
 
-// kindsTable returns the table of the state service's requests by kind, before and after, each at
-// the largest size of the plan that was measured.
+// kindsTable returns the table of the state service's requests by kind, for the baseline version and
+// the current version, each at the largest size of the plan that was measured.
 func kindsTable(before, after []Run) (string, error) {
-	x, y := planRuns(before), planRuns(after)
-	if len(x) == 0 || len(y) == 0 {
+	baselineRuns, currentRuns := planRuns(before), planRuns(after)
+	if len(baselineRuns) == 0 || len(currentRuns) == 0 {
 		return "", errors.New("no run has the operators' plan scaled to its number of workers")
 	}
-	old, now := x[len(x)-1], y[len(y)-1]
+	baseline, current := baselineRuns[len(baselineRuns)-1], currentRuns[len(currentRuns)-1]
 	var b strings.Builder
-	fmt.Fprintf(&b, "| requests/s at the peak, %d and %d workers | leader before | leader after | each stand-by before | each stand-by after | all before | all after | refused before | refused after |\n|%s\n", old.Plan.Workers, now.Plan.Workers, strings.Repeat(" --- |", 9))
+	fmt.Fprintf(&b, "| requests/s at the peak, %d and %d workers | leader before | leader after | each stand-by before | each stand-by after | all before | all after | refused before | refused after |\n|%s\n", baseline.Plan.Workers, current.Plan.Workers, strings.Repeat(" --- |", 9))
 	kinds := map[string]bool{}
-	for _, r := range []Run{old, now} {
+	for _, r := range []Run{baseline, current} {
 		for kind := range r.Windows[scale.WindowPeak].Roles[scale.RoleState].Kinds {
 			kinds[kind] = true
 		}
@@ -237,9 +237,9 @@
 	for _, kind := range names {
 		fmt.Fprintf(&b, "| %s |", strings.TrimPrefix(kind, "state "))
 		for _, role := range []string{scale.RoleLeader, scale.RoleStandBy, scale.RoleState} {
-			fmt.Fprintf(&b, " %s | %s |", formatNumber(rate(old, role, kind).Messages), formatNumber(rate(now, role, kind).Messages))
+			fmt.Fprintf(&b, " %s | %s |", formatNumber(rate(baseline, role, kind).Messages), formatNumber(rate(current, role, kind).Messages))
 		}
-		fmt.Fprintf(&b, " %s | %s |\n", formatNumber(rate(old, scale.RoleState, kind).Refused), formatNumber(rate(now, scale.RoleState, kind).Refused))
+		fmt.Fprintf(&b, " %s | %s |\n", formatNumber(rate(baseline, scale.RoleState, kind).Refused), formatNumber(rate(current, scale.RoleState, kind).Refused))
 	}
 	return b.String(), nil
 }
@@ -252,11 +252,11 @@
 		if len(r.Plan.Failures) == 0 && r.Plan.FaultSpeedup == 0 {
 			continue
 		}
-		t := scale.Failover{}
+		failover := scale.Failover{}
 		if len(r.Failovers) > 0 {
-			t = r.Failovers[0]
+			failover = r.Failovers[0]
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s | %s | %.3f | %d |\n", r.Name, strings.Join(r.Plan.Failures, ", "), formatNumber(r.Plan.FaultSpeedup), t.Workers, formatNumber(t.Median), formatNumber(t.P99), formatNumber(t.Worst), r.Urgent.Share, len(r.Violations))
+		fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s | %s | %.3f | %d |\n", r.Name, strings.Join(r.Plan.Failures, ", "), formatNumber(r.Plan.FaultSpeedup), failover.Workers, formatNumber(failover.Median), formatNumber(failover.P99), formatNumber(failover.Worst), r.Urgent.Share, len(r.Violations))
 	}
 	return b.String()
 }
@@ -272,14 +272,14 @@
 		return nil, err
 	}
 	out := map[string]string{"runs before": runsTable(before), "runs": runsTable(after), "losses": lossesTable(after)}
-	for name, f := range map[string]func() (string, error){
+	for name, build := range map[string]func() (string, error){
 		"slopes":       func() (string, error) { return slopesTable(steadyRuns(after)) },
 		"sizes peak":   func() (string, error) { return sizesTable(after, scale.WindowPeak) },
 		"sizes steady": func() (string, error) { return sizesTable(after, scale.WindowSteady) },
 		"sizes before": func() (string, error) { return sizesTable(before, scale.WindowPeak) },
 		"kinds":        func() (string, error) { return kindsTable(before, after) },
 	} {
-		if out[name], err = f(); err != nil {
+		if out[name], err = build(); err != nil {
 			return nil, fmt.Errorf("table %q: %w", name, err)
 		}
 	}
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -19,18 +19,18 @@
 	BytesIn, BytesOut          int64
 }
 
-// Add adds o to c.
-func (c *Count) Add(o Count) {
-	c.Messages += o.Messages
-	c.Refused += o.Refused
-	c.Changes += o.Changes
-	c.BytesIn += o.BytesIn
-	c.BytesOut += o.BytesOut
+// Add adds other to c.
+func (c *Count) Add(other Count) {
+	c.Messages += other.Messages
+	c.Refused += other.Refused
+	c.Changes += other.Changes
+	c.BytesIn += other.BytesIn
+	c.BytesOut += other.BytesOut
 }
 
-// Sub returns the difference between c and o, an earlier count.
-func (c Count) Sub(o Count) Count {
-	return Count{c.Messages - o.Messages, c.Refused - o.Refused, c.Changes - o.Changes, c.BytesIn - o.BytesIn, c.BytesOut - o.BytesOut}
+// Sub returns the difference between c and earlier, a previous count of the same key.
+func (c Count) Sub(earlier Count) Count {
+	return Count{c.Messages - earlier.Messages, c.Refused - earlier.Refused, c.Changes - earlier.Changes, c.BytesIn - earlier.BytesIn, c.BytesOut - earlier.BytesOut}
 }
 
 // Row is a count with its key.
@@ -116,7 +116,7 @@
 	return n, err
 }
 
-// Listener returns a listener that counts the bytes of all connections that it accepts, for far,
+// Listener returns a listener that counts the bytes of all connections that it accepts under far,
 // the key of the remote host.
 func (m *Meter) Listener(l net.Listener, far Key) net.Listener {
 	if m == nil || far == (Key{}) {
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -26,7 +26,7 @@
 	refusalDuration = 14 * second
 	outageDelay     = 2 * second // from the refusal to the outage, shorter than the leader's lease
 	longOutageDelay = 7 * second // long enough for another controller to become the leader before the outage
-	cancelS         = 26         // three times this is less than how long users wait for an answer
+	cancelS         = 26         // three times this is less than the time that users wait for an answer
 	leaseS          = 11
 	taskDuration    = 200 * second // extends past the end of the longest outage
 )
@@ -74,7 +74,7 @@
 	}, false},
 	{"all others restart immediately, as the outage begins", 20_000, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[1:], Duration: 200_000}}
-	}, true}, // nobody can have granted them a read lease before the outage
+	}, true}, // no controller can have granted them a read lease before the outage
 	{"another crashes while it is partitioned from the leader", 4 * second, func(n []string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: n[:1], To: n[1:2], Duration: 16 * second, PartitionMode: environment.PartitionMode{Reset: true}}, {At: 15 * second, Kind: environment.FaultCrash, Hosts: n[1:2], Duration: 200_000}}
 	}, true},
@@ -137,12 +137,12 @@
 
 // AllCases returns all cases with the given number of controllers.
 func AllCases(size int) (out []Case) {
-	for _, e := range controllerEvents {
-		for _, m := range cancelTimings {
-			for _, f := range writeLosses {
-				for _, l := range []int{2, 4, 6, 12} {
-					for _, taken := range []bool{false, true} {
-						out = append(out, Case{Size: size, Number: len(out), timing: m, writeLoss: f, event: e, outageQuarters: l, newLeader: taken, Jobs: defaultJobs})
+	for _, event := range controllerEvents {
+		for _, timing := range cancelTimings {
+			for _, loss := range writeLosses {
+				for _, quarters := range []int{2, 4, 6, 12} {
+					for _, newLeader := range []bool{false, true} {
+						out = append(out, Case{Size: size, Number: len(out), timing: timing, writeLoss: loss, event: event, outageQuarters: quarters, newLeader: newLeader, Jobs: defaultJobs})
 					}
 				}
 			}
@@ -183,17 +183,17 @@
 	cfg.Params.Teams = []config.Team{{Name: "red"}}
 	cfg.Length = c.outageStart() + c.outageDuration() + taskDuration + 60*second + int64(c.Jobs)*second/30
 	for i := range c.Jobs {
-		j := environment.Job{At: 2*second + int64(i)*min(200_000, 10*second/int64(c.Jobs)), Run: taskDuration, Spec: wire.Job{
+		job := environment.Job{At: 2*second + int64(i)*min(200_000, 10*second/int64(c.Jobs)), Run: taskDuration, Spec: wire.Job{
 			ID: fmt.Sprintf("job-%02d", i), Class: "long", Team: "red", Kind: wire.Array, Tasks: 2, CPUs: 1, MemGB: 1,
 			Priority: "normal", Image: "im", ImageGB: 1, EstimateS: float64(taskDuration) / 1e6,
 		}}
 		if i%4 == 1 {
-			j.Spec.Kind = wire.Gang
+			job.Spec.Kind = wire.Gang
 		}
 		if i%3 != 0 {
-			j.Cancel = c.outageStart() - c.timing.beforeOutage + int64(i)*c.timing.interval
+			job.Cancel = c.outageStart() - c.timing.beforeOutage + int64(i)*c.timing.interval
 		}
-		cfg.Jobs = append(cfg.Jobs, j)
+		cfg.Jobs = append(cfg.Jobs, job)
 	}
 	return cfg
 }
@@ -202,10 +202,10 @@
 type Result struct {
 	Violations []string
 	Unfinished []string
-	// Killed is the number of tasks that nobody cancelled and that ended because the lease
-	// of their machine expired. Confirmed is the number of jobs that users were told are
-	// cancelled between the start of the refusal and the end of the outage. LostWrites is
-	// the number of writes that were lost.
+	// Killed is the number of tasks that were not cancelled and that ended because the lease
+	// of their machine expired. Confirmed is the number of jobs whose cancellation was
+	// confirmed to a user between the start of the refusal and the end of the outage.
+	// LostWrites is the number of writes that were lost.
 	Killed, Confirmed, LostWrites int
 	mayLoseTasks                  bool
 }
@@ -230,11 +230,11 @@
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
 	run := caseRun{Case: c, losses: c.losses()}
 	options := faketime.Options{Operators: ops, Log: log, Legacy: c.isLegacy, OnStart: run.schedule}
-	cl, err := faketime.Run(c.deployment(), options)
+	cluster, err := faketime.Run(c.deployment(), options)
 	if err = cmp.Or(err, run.failed); err != nil {
 		return Result{}, fmt.Errorf("%s: %w", c, err)
 	}
-	return run.evaluate(cl), nil
+	return run.evaluate(cluster), nil
 }
 
 // losses returns the losses to inject for the writes of cancellations.
@@ -258,36 +258,36 @@
 }
 
 // schedule schedules the faults of the case.
-func (r *caseRun) schedule(cl *faketime.Cluster) {
-	cl.After(refusalStart-2*second, func() {
+func (r *caseRun) schedule(cluster *faketime.Cluster) {
+	cluster.After(refusalStart-2*second, func() {
 		for _, loss := range r.losses {
-			cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateLose, TransactionLoss: loss})
+			cluster.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateLose, TransactionLoss: loss})
 		}
 	})
-	cl.After(refusalStart, func() {
-		cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: cl.LeaderFirst()[:1], Duration: refusalDuration})
+	cluster.After(refusalStart, func() {
+		cluster.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: cluster.LeaderFirst()[:1], Duration: refusalDuration})
 	})
-	cl.After(r.outageStart(), func() {
-		cl.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateOutage, Duration: r.outageDuration()})
+	cluster.After(r.outageStart(), func() {
+		cluster.ScheduleFaults(&r.failed, environment.Fault{Kind: environment.FaultStateOutage, Duration: r.outageDuration()})
 	})
-	cl.After(r.outageStart()+r.event.at, func() { cl.ScheduleFaults(&r.failed, r.event.faults(cl.LeaderFirst())...) })
+	cluster.After(r.outageStart()+r.event.at, func() { cluster.ScheduleFaults(&r.failed, r.event.faults(cluster.LeaderFirst())...) })
 }
 
-func (r *caseRun) evaluate(cl *faketime.Cluster) Result {
+func (r *caseRun) evaluate(cluster *faketime.Cluster) Result {
 	result := Result{
-		Violations:   cl.Violations(),
-		Unfinished:   cl.Environment.Unfinished(),
+		Violations:   cluster.Violations(),
+		Unfinished:   cluster.Environment.Unfinished(),
 		mayLoseTasks: r.event.mayLoseTasks,
 	}
 	for _, loss := range r.losses {
 		result.LostWrites += loss.Matched
 	}
 	cancelled, confirmed := map[string]bool{}, map[string]bool{}
-	for _, j := range cl.Config.Jobs {
+	for _, j := range cluster.Config.Jobs {
 		cancelled[j.Spec.ID] = j.Cancel > 0
 	}
-	for i := range cl.History {
-		switch e := &cl.History[i]; {
+	for i := range cluster.History {
+		switch e := &cluster.History[i]; {
 		case e.Kind == history.ResponseReceived && e.State == wire.Cancelled && e.At >= refusalStart && e.At < r.outageStart()+r.outageDuration():
 			confirmed[e.Job] = true
 		case e.Kind == history.TaskLeft && e.Reason == "lease" && !cancelled[e.Job]:
--- a/internal/emulator/outages/outages_test.go
+++ b/internal/emulator/outages/outages_test.go
@@ -40,9 +40,9 @@
 // cancelled in the second before an outage of two cancel_s; if unanswered is set, the answers
 // to the writes of the cancellations are lost.
 func manyJobs(size, jobs int, unanswered bool) Case {
-	m := cancelTimings[1]
-	m.interval = outageDelay / 2 / int64(jobs)
-	c := Case{Size: size, Number: jobs, timing: m, event: controllerEvents[0], outageQuarters: 8, Jobs: jobs}
+	timing := cancelTimings[1]
+	timing.interval = outageDelay / 2 / int64(jobs)
+	c := Case{Size: size, Number: jobs, timing: timing, event: controllerEvents[0], outageQuarters: 8, Jobs: jobs}
 	if unanswered {
 		c.writeLoss = &environment.TransactionLoss{Outcome: environment.LostAfter}
 	}
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -69,8 +69,8 @@
 
 func (c Case) String() string {
 	s := fmt.Sprintf("%d controllers", c.Size)
-	for _, x := range c.Partitions {
-		s += fmt.Sprintf(", %s without %s (%s, %s, %d s)", x.Role, strings.Join(x.Links, "+"), x.Direction, x.Mode, x.Duration/second)
+	for _, partition := range c.Partitions {
+		s += fmt.Sprintf(", %s without %s (%s, %s, %d s)", partition.Role, strings.Join(partition.Links, "+"), partition.Direction, partition.Mode, partition.Duration/second)
 	}
 	if c.Extra != "" {
 		s += ", with " + c.Extra
@@ -232,9 +232,9 @@
 	long.At = 2 * second
 	cfg.Jobs = append(cfg.Jobs, long)
 	for i := int64(0); 10*second+i*jobInterval < cfg.Length-serveWithin; i++ {
-		j := spec(fmt.Sprintf("job-%03d", i), "short", 2, 2*second)
-		j.At = 10*second + i*jobInterval
-		cfg.Jobs = append(cfg.Jobs, j)
+		job := spec(fmt.Sprintf("job-%03d", i), "short", 2, 2*second)
+		job.At = 10*second + i*jobInterval
+		cfg.Jobs = append(cfg.Jobs, job)
 	}
 	return cfg
 }
@@ -243,11 +243,11 @@
 // records of the controllers.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
 	run := caseRun{Case: c}
-	cl, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnStart: run.schedule})
+	cluster, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnStart: run.schedule})
 	if err = cmp.Or(err, run.failed); err != nil {
 		return Result{}, fmt.Errorf("%s: %w", c, err)
 	}
-	return evaluate(cl, c, run.serviceable), nil
+	return evaluate(cluster, c, run.serviceable), nil
 }
 
 // caseRun is the state of a running case.
@@ -259,34 +259,34 @@
 }
 
 // schedule schedules the faults of the case.
-func (r *caseRun) schedule(cl *faketime.Cluster) {
-	cl.After(partitionStart, func() {
-		r.hosts = affectedControllers(cl, r.Case)
+func (r *caseRun) schedule(cluster *faketime.Cluster) {
+	cluster.After(partitionStart, func() {
+		r.hosts = affectedControllers(cluster, r.Case)
 		for i, p := range r.Partitions {
-			r.failed = cmp.Or(r.failed, beginPartition(cl, p, r.hosts[i]))
+			r.failed = cmp.Or(r.failed, beginPartition(cluster, p, r.hosts[i]))
 		}
 	})
-	cl.After(partitionStart+3*second, func() {
-		gone := ""
+	cluster.After(partitionStart+3*second, func() {
+		unavailable := ""
 		if r.Extra != extraNone {
-			gone = r.injectExtra(cl)
+			unavailable = r.injectExtra(cluster)
 		}
-		r.serviceable = serviceable(r.Case, r.hosts, gone)
+		r.serviceable = serviceable(r.Case, r.hosts, unavailable)
 	})
 }
 
 // injectExtra injects the extra fault and returns the controller that it affects.
-func (r *caseRun) injectExtra(cl *faketime.Cluster) string {
-	gone := r.hosts[0]
-	if leaders := cl.Leaders(); len(leaders) > 0 && r.Extra != extraCrash {
-		gone = leaders[len(leaders)-1]
+func (r *caseRun) injectExtra(cluster *faketime.Cluster) string {
+	affected := r.hosts[0]
+	if leaders := cluster.Leaders(); len(leaders) > 0 && r.Extra != extraCrash {
+		affected = leaders[len(leaders)-1]
 	}
-	fault := environment.Fault{Kind: environment.FaultCrash, Hosts: []string{gone}}
+	fault := environment.Fault{Kind: environment.FaultCrash, Hosts: []string{affected}}
 	if r.Extra == extraFreeze {
 		fault.Kind, fault.Duration = environment.FaultFreeze, 8*second
 	}
-	r.failed = cmp.Or(r.failed, cl.InjectFault(fault))
-	return gone
+	r.failed = cmp.Or(r.failed, cluster.InjectFault(fault))
+	return affected
 }
 
 // longest returns the duration of the longest partition of the case.
@@ -297,18 +297,18 @@
 	return longest
 }
 
-func evaluate(cl *faketime.Cluster, c Case, serviceable bool) Result {
-	r := Result{Serviceable: serviceable, Violations: cl.Violations()}
+func evaluate(cluster *faketime.Cluster, c Case, serviceable bool) Result {
+	r := Result{Serviceable: serviceable, Violations: cluster.Violations()}
 	from, to := partitionStart+settleTime, partitionStart+max(c.longest(), settleTime)+20*second
 	var deadlines []cases.Deadline
-	for _, j := range cl.Config.Jobs {
+	for _, j := range cluster.Config.Jobs {
 		if j.Spec.Class == "short" && j.At >= from && j.At < to {
 			deadlines = append(deadlines, cases.Deadline{Job: j.Spec.ID, Tasks: j.Spec.Tasks, By: j.At + serveWithin})
 		}
 	}
-	r.Served = cases.ServedShare(cl.History, deadlines)
-	for i := range cl.History {
-		if e := &cl.History[i]; e.Kind == history.TaskLeft && e.Reason == "lease" {
+	r.Served = cases.ServedShare(cluster.History, deadlines)
+	for i := range cluster.History {
+		if e := &cluster.History[i]; e.Kind == history.TaskLeft && e.Reason == "lease" {
 			r.Killed++
 		}
 	}
@@ -317,18 +317,18 @@
 
 // affectedControllers returns the controller of each partition of a case: the leader for the
 // role Leader, the other controllers in the order of their numbers for the role Follower.
-func affectedControllers(cl *faketime.Cluster, c Case) (out []string) {
-	lead := cl.Leaders()
-	if len(lead) == 0 {
-		lead = []string{environment.ControllerName(0)}
+func affectedControllers(cluster *faketime.Cluster, c Case) (out []string) {
+	leaders := cluster.Leaders()
+	if len(leaders) == 0 {
+		leaders = []string{environment.ControllerName(0)}
 	}
 	next := 0
-	for _, x := range c.Partitions {
-		if x.Role == Leader {
-			out = append(out, lead[0])
+	for _, partition := range c.Partitions {
+		if partition.Role == Leader {
+			out = append(out, leaders[0])
 			continue
 		}
-		for environment.ControllerName(next) == lead[0] {
+		for environment.ControllerName(next) == leaders[0] {
 			next++
 		}
 		out = append(out, environment.ControllerName(next))
@@ -338,52 +338,52 @@
 }
 
 // farSide returns the hosts at the far side of a partition's links.
-func farSide(x Partition, host string, size int) (out []string) {
+func farSide(partition Partition, host string, size int) (out []string) {
 	peers := []string{}
 	for i := range size {
-		if n := environment.ControllerName(i); n != host {
-			peers = append(peers, n)
+		if name := environment.ControllerName(i); name != host {
+			peers = append(peers, name)
 		}
 	}
-	for _, l := range x.Links {
-		var n int
-		switch _, err := fmt.Sscanf(l, "peer-%d", &n); {
+	for _, link := range partition.Links {
+		var number int
+		switch _, err := fmt.Sscanf(link, "peer-%d", &number); {
 		case err == nil:
-			out = append(out, peers[n-1])
-		case l == "peers":
+			out = append(out, peers[number-1])
+		case link == "peers":
 			out = append(out, peers...)
-		case l == "state":
+		case link == "state":
 			out = append(out, environment.StateHost)
-		case l == "cloud":
+		case link == "cloud":
 			out = append(out, environment.CloudHost)
 		default:
-			out = append(out, l)
+			out = append(out, link)
 		}
 	}
 	return out
 }
 
-func beginPartition(cl *faketime.Cluster, x Partition, host string) error {
-	f := environment.Fault{
+func beginPartition(cluster *faketime.Cluster, partition Partition, host string) error {
+	fault := environment.Fault{
 		Kind:     environment.FaultPartition,
-		Duration: x.Duration,
+		Duration: partition.Duration,
 		PartitionMode: environment.PartitionMode{
-			Reset:  x.Mode == modeReset,
-			Refuse: x.Mode == modeRefuse,
-			OneWay: x.Direction != bothWays,
+			Reset:  partition.Mode == modeReset,
+			Refuse: partition.Mode == modeRefuse,
+			OneWay: partition.Direction != bothWays,
 		},
 	}
-	for _, o := range farSide(x, host, cl.Config.Params.Size) {
+	for _, farHost := range farSide(partition, host, cluster.Config.Params.Size) {
 		// The link to a zone consists of its workers alone, not of its controllers.
-		to := []string{o}
-		if z, ok := strings.CutPrefix(o, "zone:"); ok {
-			to = []string{"workers:" + z}
+		to := []string{farHost}
+		if zone, ok := strings.CutPrefix(farHost, "zone:"); ok {
+			to = []string{"workers:" + zone}
 		}
-		f.Hosts, f.To = []string{host}, to
-		if x.Direction == inward {
-			f.Hosts, f.To = to, []string{host}
+		fault.Hosts, fault.To = []string{host}, to
+		if partition.Direction == inward {
+			fault.Hosts, fault.To = to, []string{host}
 		}
-		if err := cl.InjectFault(f); err != nil {
+		if err := cluster.InjectFault(fault); err != nil {
 			return err
 		}
 	}
@@ -392,34 +392,34 @@
 
 // serviceable is the oracle for Result.Serviceable: it reports whether some controller could
 // lead and reach all workers through at most two others. A link that is down in one direction
-// counts as down, and a controller that crashes or is suspended during the case as gone.
-func serviceable(c Case, hosts []string, gone string) bool {
+// counts as down. unavailable is a controller that crashes or is suspended during the case, or "".
+func serviceable(c Case, hosts []string, unavailable string) bool {
 	down := map[[2]string]bool{}
-	for i, x := range c.Partitions {
-		for _, o := range farSide(x, hosts[i], c.Size) {
-			down[[2]string{hosts[i], o}], down[[2]string{o, hosts[i]}] = true, true
+	for i, partition := range c.Partitions {
+		for _, farHost := range farSide(partition, hosts[i], c.Size) {
+			down[[2]string{hosts[i], farHost}], down[[2]string{farHost, hosts[i]}] = true, true
 		}
 	}
 	var names []string
 	for i := range c.Size {
-		if n := environment.ControllerName(i); n != gone {
-			names = append(names, n)
+		if name := environment.ControllerName(i); name != unavailable {
+			names = append(names, name)
 		}
 	}
-	return slices.ContainsFunc(names, func(lead string) bool {
-		if down[[2]string{lead, environment.StateHost}] {
+	return slices.ContainsFunc(names, func(candidate string) bool {
+		if down[[2]string{candidate, environment.StateHost}] {
 			return false
 		}
-		near := []string{lead}
+		reachable := []string{candidate}
 		for range 2 {
-			for _, n := range names {
-				if !slices.Contains(near, n) && slices.ContainsFunc(near, func(x string) bool { return !down[[2]string{x, n}] }) {
-					near = append(near, n)
+			for _, name := range names {
+				if !slices.Contains(reachable, name) && slices.ContainsFunc(reachable, func(via string) bool { return !down[[2]string{via, name}] }) {
+					reachable = append(reachable, name)
 				}
 			}
 		}
-		for _, z := range cases.Zones() {
-			if !slices.ContainsFunc(near, func(x string) bool { return !down[[2]string{x, "zone:" + z}] }) {
+		for _, zone := range cases.Zones() {
+			if !slices.ContainsFunc(reachable, func(via string) bool { return !down[[2]string{via, "zone:" + zone}] }) {
 				return false
 			}
 		}
--- a/internal/emulator/partitions/partitions_test.go
+++ b/internal/emulator/partitions/partitions_test.go
@@ -28,16 +28,16 @@
 // that reaches neither peers nor workers does not step down, and must not expect service
 // where no controller could provide it.
 func TestPartitionChecks(t *testing.T) {
-	off := config.Defaults()
-	off.Reach = false
-	alone := Case{Size: 3, Seed: 5, Partitions: []Partition{{Leader, []string{"peers", "zone:a", "zone:b"}, bothWays, modeHold, 90 * second}}}
-	r, err := Run(alone, off, nil)
+	noReachCheck := config.Defaults()
+	noReachCheck.Reach = false
+	isolated := Case{Size: 3, Seed: 5, Partitions: []Partition{{Leader, []string{"peers", "zone:a", "zone:b"}, bothWays, modeHold, 90 * second}}}
+	r, err := Run(isolated, noReachCheck, nil)
 	if err != nil || !r.Serviceable || r.Killed == 0 || r.Shortfall() == "" {
 		t.Errorf("isolated leader that stays leader: got %+v, error %v, want a serviceable case with killed tasks and a shortfall", r, err)
 	}
-	nobody := alone
-	nobody.Partitions = append(nobody.Partitions, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second}, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second})
-	if r, err = Run(nobody, config.Defaults(), nil); err != nil || r.Serviceable || len(r.Violations) > 0 {
+	noCandidate := isolated
+	noCandidate.Partitions = append(noCandidate.Partitions, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second}, Partition{Follower, []string{"state"}, bothWays, modeHold, 90 * second})
+	if r, err = Run(noCandidate, config.Defaults(), nil); err != nil || r.Serviceable || len(r.Violations) > 0 {
 		t.Errorf("no controller can serve: got %+v, error %v, want a case that is not serviceable, without violations", r, err)
 	}
 }
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -238,21 +238,21 @@
 
 // mean returns the average of several processes, or workers, of a role. Peak is the maximum
 // rather than the average.
-func mean(l []Role) Role {
-	out := Role{Count: len(l), Kinds: map[string]Rate{}}
-	n := float64(len(l))
-	for _, r := range l {
+func mean(roles []Role) Role {
+	out := Role{Count: len(roles), Kinds: map[string]Rate{}}
+	n := float64(len(roles))
+	for _, r := range roles {
 		out.CPU += r.CPU / n
 		out.Memory += r.Memory / n
 		out.Peak = max(out.Peak, r.Peak)
-		for kind, x := range r.Kinds {
-			y := out.Kinds[kind]
-			y.Messages += x.Messages / n
-			y.Refused += x.Refused / n
-			y.Changes += x.Changes / n
-			y.BytesIn += x.BytesIn / n
-			y.BytesOut += x.BytesOut / n
-			out.Kinds[kind] = y
+		for kind, rate := range r.Kinds {
+			sum := out.Kinds[kind]
+			sum.Messages += rate.Messages / n
+			sum.Refused += rate.Refused / n
+			sum.Changes += rate.Changes / n
+			sum.BytesIn += rate.BytesIn / n
+			sum.BytesOut += rate.BytesOut / n
+			out.Kinds[kind] = sum
 		}
 	}
 	return out
@@ -263,26 +263,26 @@
 func serviceRole(byHost map[string]map[string]Rate, controllers []string, prefix string) Role {
 	out := Role{Count: 1, Kinds: map[string]Rate{}}
 	for _, name := range controllers {
-		for kind, x := range byHost[name] {
+		for kind, rate := range byHost[name] {
 			if len(kind) < len(prefix) || kind[:len(prefix)] != prefix {
 				continue
 			}
-			y := out.Kinds[kind]
-			y.Messages += x.Messages
-			y.Refused += x.Refused
-			y.Changes += x.Changes
-			y.BytesIn += x.BytesOut
-			y.BytesOut += x.BytesIn
-			out.Kinds[kind] = y
+			sum := out.Kinds[kind]
+			sum.Messages += rate.Messages
+			sum.Refused += rate.Refused
+			sum.Changes += rate.Changes
+			sum.BytesIn += rate.BytesOut
+			sum.BytesOut += rate.BytesIn
+			out.Kinds[kind] = sum
 		}
 	}
 	return out
 }
 
-// startWaits returns how long the jobs of a class waited from their first submission until all
-// their tasks had started, in seconds. It leaves out cancelled jobs and jobs that were submitted
-// less than within seconds before the end of the run. A job that has not fully started by the
-// end counts as having waited until then, and as late.
+// startWaits returns the distribution of the waiting times of a class's jobs, in seconds: from
+// the first submission of a job until all its tasks had started. It leaves out cancelled jobs and
+// jobs that were submitted less than within seconds before the end of the run. A job that has not
+// fully started by the end counts as having waited until then, and as late.
 func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
 	type jobStarts struct {
 		first, last int64
@@ -349,10 +349,10 @@
 	return summarize(values)
 }
 
-// startRate returns how many tasks per second were placed on a machine between from and to,
-// and how many tasks were on a machine at the end of that time.
+// startRate returns the number of tasks per second that were placed on a machine between from
+// and to, and the number of tasks that were on a machine at the end of that time.
 func startRate(events []history.Event, from, to int64) (starts float64, running int) {
-	n := 0
+	started := 0
 	for _, e := range events {
 		if e.At >= to {
 			break
@@ -361,11 +361,11 @@
 		case history.TaskEntered:
 			running++
 			if e.At >= from {
-				n++
+				started++
 			}
 		case history.TaskLeft:
 			running--
 		}
 	}
-	return float64(n) / (float64(to-from) / 1e6), running
+	return float64(started) / (float64(to-from) / 1e6), running
 }
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -50,12 +50,12 @@
 	givenConfig *environment.Config // environment of the scenario, nil without one
 }
 
-// FromScenario returns a plan that runs a given environment. alone is the number of workers
+// FromScenario returns a plan that runs a given environment. dedicated is the number of workers
 // that get a process of their own.
-func FromScenario(name string, c environment.Config, alone int) (Plan, error) {
+func FromScenario(name string, c environment.Config, dedicated int) (Plan, error) {
 	p := Plan{
 		Scenario: name, givenConfig: &c, Controllers: c.Params.Size, Zones: len(c.Params.Zones), Regions: 1, Teams: len(c.Params.Teams), Running: 1, Starts: 1, LargestGang: 1,
-		Dedicated: alone, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.CrossRegion)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond,
+		Dedicated: dedicated, StateRPS: c.Params.State.RPS, StateWrites: c.Params.State.WriteRPS, RemoteMS: max(0.1, float64(c.Network.CrossRegion)/1000), Seed: c.Seed, Length: time.Duration(c.Length) * time.Microsecond,
 	}
 	var errs []error
 	for _, m := range c.Machines {
@@ -153,9 +153,9 @@
 	within("state-writes", p.StateWrites, 1, 1e6)
 	within("remote-ms", p.RemoteMS, 0.1, 1000)
 	within("length", p.Length.Seconds(), 5, 3600)
-	for _, l := range p.Failures {
-		if FailureKinds[l] == "" {
-			errs = append(errs, fmt.Errorf("lose: %q is not one of leader, rack, region and zone", l))
+	for _, failure := range p.Failures {
+		if FailureKinds[failure] == "" {
+			errs = append(errs, fmt.Errorf("lose: %q is not one of leader, rack, region and zone", failure))
 		}
 	}
 	return errors.Join(errs...)
@@ -266,11 +266,11 @@
 
 // machinesOfType returns the names of the machines of a type that are up at the start, in the
 // order in which the cloud names them. If zone is not empty, it returns those of the zone only.
-func machinesOfType(c *environment.Config, typ, zone string) (names []string) {
+func machinesOfType(c *environment.Config, machineType, zone string) (names []string) {
 	n := 0
 	for _, m := range c.Machines {
 		for range m.Count {
-			if m.Type == typ && (zone == "" || m.Zone == zone) {
+			if m.Type == machineType && (zone == "" || m.Zone == zone) {
 				names = append(names, environment.MachineName(n))
 			}
 			n++
@@ -355,19 +355,19 @@
 	short := float64(p.Running) / float64(p.Starts)
 	longFrom := float64(peakEnd) - short*1e6
 	end := float64(c.Length)
-	for _, l := range p.jobClasses() {
+	for _, class := range p.jobClasses() {
 		mean := 0
-		for _, n := range l.sizes {
+		for _, n := range class.sizes {
 			mean += n
 		}
-		gap := float64(mean) / float64(len(l.sizes)) / (float64(p.Starts) * l.share) * 1e6
+		gap := float64(mean) / float64(len(class.sizes)) / (float64(p.Starts) * class.share) * 1e6
 		for at := float64(peakStart); at < end; {
 			run := short
 			if at >= longFrom {
 				run *= 10
 			}
-			size := l.sizes[rng.IntN(len(l.sizes))]
-			p.addJob(c, rng, l, int64(at), size, run*(0.6+0.8*rng.Float64()))
+			size := class.sizes[rng.IntN(len(class.sizes))]
+			p.addJob(c, rng, class, int64(at), size, run*(0.6+0.8*rng.Float64()))
 			step := gap * rng.ExpFloat64()
 			if at >= float64(peakEnd) {
 				step /= afterPeakShare
@@ -382,14 +382,14 @@
 	slices.SortStableFunc(c.Jobs, func(a, b environment.Job) int { return int(a.At - b.At) })
 }
 
-func (p *Plan) addJob(c *environment.Config, rng *rand.Rand, l jobClass, at int64, tasks int, run float64) {
+func (p *Plan) addJob(c *environment.Config, rng *rand.Rand, class jobClass, at int64, tasks int, run float64) {
 	spec := wire.Job{
-		ID: fmt.Sprintf("req-%06d", len(c.Jobs)+1), Class: l.class, Team: teamName(rng.IntN(p.Teams)), Kind: l.kind, Priority: l.priority, Tasks: tasks,
-		CPUs: l.cpus, GPUs: l.gpus, MemGB: l.mem, Image: fmt.Sprintf("%s-%02d", l.class, rng.IntN(l.images)), ImageGB: l.imageGB, OneZone: l.kind == wire.Gang,
+		ID: fmt.Sprintf("req-%06d", len(c.Jobs)+1), Class: class.class, Team: teamName(rng.IntN(p.Teams)), Kind: class.kind, Priority: class.priority, Tasks: tasks,
+		CPUs: class.cpus, GPUs: class.gpus, MemGB: class.mem, Image: fmt.Sprintf("%s-%02d", class.class, rng.IntN(class.images)), ImageGB: class.imageGB, OneZone: class.kind == wire.Gang,
 		EstimateS: run * (1 + maxEstimateError*(2*rng.Float64()-1)),
 	}
 	j := environment.Job{At: at, Run: int64(run * 1e6), Spec: spec}
-	if l.class != classUrgent && rng.Float64() < cancelledShare {
+	if class.class != classUrgent && rng.Float64() < cancelledShare {
 		j.Cancel = at + 5*config.Second + rng.Int64N(20*config.Second)
 	}
 	c.Jobs = append(c.Jobs, j)
@@ -399,7 +399,7 @@
 // that happen once, except for the loss of the leader, which the run causes by itself.
 func (p *Plan) addFaults(c *environment.Config) {
 	rng := rand.New(rand.NewPCG(p.Seed, 9))
-	day := 86_400e6 * planWorkers / float64(p.Workers)
+	scaledDay := 86_400e6 * planWorkers / float64(p.Workers)
 	for _, x := range []struct {
 		kind     environment.FaultKind
 		perDay   float64
@@ -408,7 +408,7 @@
 		if p.FaultSpeedup == 0 {
 			break
 		}
-		gap := day / x.perDay / p.FaultSpeedup
+		gap := scaledDay / x.perDay / p.FaultSpeedup
 		for at := float64(peakStart) + gap*rng.ExpFloat64(); at < float64(c.Length); at += gap * rng.ExpFloat64() {
 			c.Faults = append(c.Faults, environment.Fault{At: int64(at), Kind: x.kind, Duration: x.duration, Count: 1})
 		}
@@ -416,8 +416,8 @@
 	partition := func(hosts string, duration int64) environment.Fault {
 		return environment.Fault{At: peakEnd + 30*config.Second, Duration: duration, Kind: environment.FaultPartition, Hosts: []string{hosts}, To: []string{"all"}}
 	}
-	for _, l := range p.Failures {
-		switch l {
+	for _, failure := range p.Failures {
+		switch failure {
 		case FailureZone:
 			c.Faults = append(c.Faults, partition("zone:"+zoneName(partitionedZone%p.Zones), 20*config.Second))
 		case FailureRegion:
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -83,7 +83,7 @@
 	pool         *workerproc.Pool
 	dedicated    map[string]bool
 	measurements map[string]measurement
-	peakMemoryMB atomic.Int64 // the most memory that all processes held, in MB
+	peakMemoryMB atomic.Int64 // peak memory of all processes together, in MB
 	// leaderLostAt is the time at which the leader's process was killed, in microseconds since
 	// the start; 0 if it was not.
 	leaderLostAt int64
@@ -97,12 +97,12 @@
 		return nil, fmt.Errorf("read process information: %w", err)
 	}
 	r := &execution{Plan: p, Options: o, limits: limits, config: p.Config(), procFS: fs, meter: meter.New(), dedicated: map[string]bool{}, measurements: map[string]measurement{}, tokenTimes: workerproc.TokenTimes{}}
-	alone := p.dedicatedMachines(&r.config)
-	for _, name := range alone {
+	dedicated := p.dedicatedMachines(&r.config)
+	for _, name := range dedicated {
 		r.dedicated[name] = true
 	}
 	start := time.Now()
-	r.pool, err = workerproc.Start(o.Workers[0], o.Workers[1:], r.config, sockets.ControllerAddresses(o.Port, p.Controllers), start, workerproc.Layout{Dedicated: alone})
+	r.pool, err = workerproc.Start(o.Workers[0], o.Workers[1:], r.config, sockets.ControllerAddresses(o.Port, p.Controllers), start, workerproc.Layout{Dedicated: dedicated})
 	if err != nil {
 		return nil, err
 	}
@@ -152,19 +152,19 @@
 // leader, in the order of their times.
 func (r *execution) scheduledActions() []scheduledAction {
 	end := r.Length.Microseconds()
-	take := func(name string) func() error { return func() error { return r.measure(name) } }
-	var l []scheduledAction
+	measureAs := func(name string) func() error { return func() error { return r.measure(name) } }
+	var actions []scheduledAction
 	if end >= minLength {
 		// The rate of starts takes some seconds to reach its peak value, and to fall after
 		// the peak.
-		l = append(l, scheduledAction{peakStart + 10*config.Second, take("peak from")}, scheduledAction{peakEnd, take("peak to")}, scheduledAction{steadyStart, take("steady from")})
+		actions = append(actions, scheduledAction{peakStart + 10*config.Second, measureAs("peak from")}, scheduledAction{peakEnd, measureAs("peak to")}, scheduledAction{steadyStart, measureAs("steady from")})
 	}
 	if slices.Contains(r.Failures, FailureLeader) {
-		l = append(l, scheduledAction{peakEnd + 20*config.Second, r.loseLeader})
+		actions = append(actions, scheduledAction{peakEnd + 20*config.Second, r.loseLeader})
 	}
-	l = append(l, scheduledAction{end - 2*config.Second, take("steady to")})
-	slices.SortStableFunc(l, func(a, b scheduledAction) int { return int(a.at - b.at) })
-	return l
+	actions = append(actions, scheduledAction{end - 2*config.Second, measureAs("steady to")})
+	slices.SortStableFunc(actions, func(a, b scheduledAction) int { return int(a.at - b.at) })
+	return actions
 }
 
 // watch samples the processes, enforces the memory limit and executes the scheduled actions
@@ -294,18 +294,19 @@
 	return f
 }
 
-// failoverOf computes the failover after the loss of a leader: how long it took until workers
-// received their first response with the lowest token that no worker had seen before the loss.
-func failoverOf(known workerproc.TokenTimes, lost int64) Failover {
+// failoverOf computes the failover after the loss of a leader from the times at which workers
+// first received a response of the next leader. Its token is the lowest one that no worker had
+// received before the loss.
+func failoverOf(tokenTimes workerproc.TokenTimes, lostAt int64) Failover {
 	var token uint64
-	for t, at := range known {
-		if slices.Min(at) > lost && (token == 0 || t < token) {
+	for t, at := range tokenTimes {
+		if slices.Min(at) > lostAt && (token == 0 || t < token) {
 			token = t
 		}
 	}
 	var values []float64
-	for _, at := range known[token] {
-		values = append(values, float64(at-lost)/1e6)
+	for _, at := range tokenTimes[token] {
+		values = append(values, float64(at-lostAt)/1e6)
 	}
 	return Failover{Latency: summarize(values), Workers: len(values)}
 }
--- a/internal/emulator/scale/scale_test.go
+++ b/internal/emulator/scale/scale_test.go
@@ -50,7 +50,7 @@
 		tc.change(&p)
 		err := p.Check()
 		if tc.wants == "" && err != nil || tc.wants != "" && (err == nil || !strings.Contains(err.Error(), tc.wants)) {
-			t.Errorf("Check() = %v, want an error with %q", err, tc.wants)
+			t.Errorf("Check: got error %v, want one with %q (\"\": none)", err, tc.wants)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 func TestRequirements(t *testing.T) {
 	limits := Limits{Processes: maxProcesses, MemoryMB: 12_000}
 	cases := []struct {
-		workers, alone int
-		wants          string
+		workers, dedicated int
+		wants              string
 	}{
 		{3200, 3, ""},
 		{10_000, 3, ""},
@@ -69,10 +69,10 @@
 	}
 	for _, tc := range cases {
 		p := Default(tc.workers)
-		p.Dedicated = tc.alone
+		p.Dedicated = tc.dedicated
 		err := p.Requirements().Fits(limits)
 		if tc.wants == "" && err != nil || tc.wants != "" && (err == nil || !strings.Contains(err.Error(), tc.wants)) {
-			t.Errorf("%d workers: Fits() = %v, want an error with %q", tc.workers, err, tc.wants)
+			t.Errorf("%d workers: Fits: got error %v, want one with %q (\"\": none)", tc.workers, err, tc.wants)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	for _, name := range p.dedicatedMachines(&c) {
 		if name != environment.MachineName(0) && name != environment.MachineName(1) && name != environment.MachineName(2) {
-			t.Errorf("dedicatedMachines() has %s, want only the first three machines", name)
+			t.Errorf("dedicatedMachines: got %s, want only the first three machines", name)
 		}
 	}
 }
@@ -133,9 +133,9 @@
 	for _, tc := range cases {
 		c := valid
 		tc.change(&c)
-		q, err := FromScenario("x", c, 2)
-		if tc.wants == "" && (err != nil || q.Workers != 30) || tc.wants != "" && (err == nil || !strings.Contains(err.Error(), tc.wants)) {
-			t.Errorf("FromScenario() = %d workers, error %v; want 30 workers, or an error with %q", q.Workers, err, tc.wants)
+		plan, err := FromScenario("x", c, 2)
+		if tc.wants == "" && (err != nil || plan.Workers != 30) || tc.wants != "" && (err == nil || !strings.Contains(err.Error(), tc.wants)) {
+			t.Errorf("FromScenario: got %d workers and error %v, want 30 workers and no error, or an error with %q", plan.Workers, err, tc.wants)
 		}
 	}
 }
@@ -186,8 +186,8 @@
 	}
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "zinclb")
-	if b, err := exec.Command("go", "build", "-o", binary, "github.com/zinclb/zinclb/cmd/zinclb").CombinedOutput(); err != nil {
-		t.Fatalf("build zinclb: %v: %s", err, b)
+	if output, err := exec.Command("go", "build", "-o", binary, "github.com/zinclb/zinclb/cmd/zinclb").CombinedOutput(); err != nil {
+		t.Fatalf("build zinclb: %v: %s", err, output)
 	}
 	t.Setenv(runWorkersEnv, "1")
 	p := Default(150)
@@ -196,17 +196,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range f.Violations {
-		if !strings.Contains(b, "nothing_ran") { // happens on a machine that is too slow
-			t.Error(b)
+	for _, violation := range f.Violations {
+		if !strings.Contains(violation, "nothing_ran") { // happens on a machine that is too slow
+			t.Error(violation)
 		}
 	}
 	path := filepath.Join(dir, "figures.json")
 	if err := f.Save(path); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := Load(path); err != nil || g.Events != f.Events || g.Events == 0 {
-		t.Errorf("Load after Save: got %+v, error %v; want %d events, more than 0", g, err, f.Events)
+	if loaded, err := Load(path); err != nil || loaded.Events != f.Events || loaded.Events == 0 {
+		t.Errorf("Load after Save: got %+v, error %v; want %d events, more than 0", loaded, err, f.Events)
 	}
 	if err := f.Write(io.Discard); err != nil {
 		t.Error(err)
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -162,23 +162,23 @@
 
 // arrivals returns the times at which a load's jobs are submitted: the initial jobs within
 // the first second, then a Poisson process whose rate is multiplied during bursts.
-func (r *reader) arrivals(f string, l *pb.Load, length int64, rng *rand.Rand) (at []int64) {
-	from := r.seconds(f+".from_s", l.FromS, 1)
+func (r *reader) arrivals(field string, l *pb.Load, length int64, rng *rand.Rand) (at []int64) {
+	from := r.seconds(field+".from_s", l.FromS, 1)
 	until := length
-	if d := r.seconds(f+".for_s", l.ForS, 0); d > 0 {
+	if d := r.seconds(field+".for_s", l.ForS, 0); d > 0 {
 		until = min(length, from+d)
 	}
-	for range r.count(f+".initial", l.Initial, 0, 0, 100_000) {
+	for range r.count(field+".initial", l.Initial, 0, 0, 100_000) {
 		at = append(at, from+rng.Int64N(1_000_000))
 	}
-	rate := r.number(f+".per_minute", l.PerMinute, 0, 0, 1e6) / 60e6 // per microsecond
+	rate := r.number(field+".per_minute", l.PerMinute, 0, 0, 1e6) / 60e6 // per microsecond
 	if rate == 0 {
 		return at
 	}
 	factor := func(t int64) float64 {
 		v := 1.0
 		for _, b := range l.Burst {
-			if b0 := config.MicrosOf(b.GetAtS()); t >= b0 && t < b0+config.MicrosOf(b.GetForS()) {
+			if burstStart := config.MicrosOf(b.GetAtS()); t >= burstStart && t < burstStart+config.MicrosOf(b.GetForS()) {
 				v *= b.GetFactor()
 			}
 		}
@@ -186,7 +186,7 @@
 	}
 	highest := 1.0
 	for i, b := range l.Burst {
-		highest = max(highest, r.number(fmt.Sprintf("%s.burst[%d].factor", f, i), b.Factor, 1, 0, 1000))
+		highest = max(highest, r.number(fmt.Sprintf("%s.burst[%d].factor", field, i), b.Factor, 1, 0, 1000))
 	}
 	// Thin a Poisson process that has the highest rate.
 	for t := from; len(at) <= maxJobs; {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -43,36 +43,36 @@
 // reader converts the fields of a scenario and collects the errors in them.
 type reader struct{ errs []error }
 
-func (r *reader) addError(field, format string, a ...any) {
-	r.errs = append(r.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
+func (r *reader) addError(field, format string, args ...any) {
+	r.errs = append(r.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
 }
 
 // number returns a number, or its default if it is missing. A number out of bounds is an
 // error.
-func (r *reader) number(field string, v *float64, defaultValue, low, high float64) float64 {
-	if v == nil {
+func (r *reader) number(field string, value *float64, defaultValue, low, high float64) float64 {
+	if value == nil {
 		return defaultValue
 	}
-	if !(*v >= low && *v <= high) {
-		r.addError(field, "%v is not within %v and %v", *v, low, high)
+	if !(*value >= low && *value <= high) {
+		r.addError(field, "%v is not within %v and %v", *value, low, high)
 		return defaultValue
 	}
-	return *v
+	return *value
 }
 
-func (r *reader) seconds(field string, v *float64, defaultValue float64) int64 {
-	return config.MicrosOf(r.number(field, v, defaultValue, 0, 1e6))
+func (r *reader) seconds(field string, value *float64, defaultValue float64) int64 {
+	return config.MicrosOf(r.number(field, value, defaultValue, 0, 1e6))
 }
 
-func (r *reader) count(field string, v *int32, defaultValue, low, high int32) int {
-	if v == nil {
+func (r *reader) count(field string, value *int32, defaultValue, low, high int32) int {
+	if value == nil {
 		return int(defaultValue)
 	}
-	if *v < low || *v > high {
-		r.addError(field, "%d is not within %d and %d", *v, low, high)
+	if *value < low || *value > high {
+		r.addError(field, "%d is not within %d and %d", *value, low, high)
 		return int(defaultValue)
 	}
-	return int(*v)
+	return int(*value)
 }
 
 // Parse reads the text of a scenario. A seed other than 0 overrides the seed in the text.
@@ -84,9 +84,9 @@
 	// Missing messages get default values for all their fields.
 	for _, part := range []proto.Message{m.Controllers, m.Network, m.State, m.Cloud, m.Workers} {
 		if !part.ProtoReflect().IsValid() {
-			d := part.ProtoReflect().Descriptor().Name()
-			f := m.ProtoReflect().Descriptor().Fields().ByName(protoreflect.Name(strings.ToLower(string(d))))
-			m.ProtoReflect().Mutable(f)
+			descriptor := part.ProtoReflect().Descriptor().Name()
+			field := m.ProtoReflect().Descriptor().Fields().ByName(protoreflect.Name(strings.ToLower(string(descriptor))))
+			m.ProtoReflect().Mutable(field)
 		}
 	}
 	r := &reader{}
@@ -101,19 +101,19 @@
 	}
 	r.platform(&m, s)
 	r.machines(&m, s)
-	for i, a := range m.Aim {
-		f := fmt.Sprintf("aim[%d]", i)
-		if !slices.Contains([]string{"wait", "complete", "deadline", "accept", "served"}, a.GetKind()) {
-			r.addError(f+".kind", "%q is none of wait, complete, deadline, accept and served", a.GetKind())
+	for i, aim := range m.Aim {
+		field := fmt.Sprintf("aim[%d]", i)
+		if !slices.Contains([]string{"wait", "complete", "deadline", "accept", "served"}, aim.GetKind()) {
+			r.addError(field+".kind", "%q is none of wait, complete, deadline, accept and served", aim.GetKind())
 		}
-		if a.GetTeam() != "" && (a.GetKind() != "served" || a.GetClass() != "") {
-			r.addError(f+".team", "only allowed for kind served and without a class")
+		if aim.GetTeam() != "" && (aim.GetKind() != "served" || aim.GetClass() != "") {
+			r.addError(field+".team", "only allowed for kind served and without a class")
 		}
-		s.Objectives = append(s.Objectives, history.Objective{Kind: a.GetKind(), Class: a.GetClass(), Team: a.GetTeam(), Within: r.seconds(f+".within_s", a.WithinS, 0), Share: r.number(f+".share", a.Share, 0, 0, 1)})
-		if a.GetKind() == "served" {
+		s.Objectives = append(s.Objectives, history.Objective{Kind: aim.GetKind(), Class: aim.GetClass(), Team: aim.GetTeam(), Within: r.seconds(field+".within_s", aim.WithinS, 0), Share: r.number(field+".share", aim.Share, 0, 0, 1)})
+		if aim.GetKind() == "served" {
 			continue // the controllers' settings have no such objective
 		}
-		s.Params.Objectives = append(s.Params.Objectives, config.Objective{Kind: a.GetKind(), Class: a.GetClass(), WithinS: a.GetWithinS()})
+		s.Params.Objectives = append(s.Params.Objectives, config.Objective{Kind: aim.GetKind(), Class: aim.GetClass(), WithinS: aim.GetWithinS()})
 	}
 	if len(r.errs) == 0 { // the steps below need valid machines
 		r.drawJobs(&m, s)
@@ -157,18 +157,18 @@
 	}
 }
 
-func (r *reader) stateService(t *pb.State, s *Scenario) {
+func (r *reader) stateService(service *pb.State, s *Scenario) {
 	p := &s.Params
-	p.State.RPS = r.number("state.rps", t.Rps, 200, 1, 1e6)
-	p.State.WriteRPS = r.number("state.write_rps", t.WriteRps, 100, 1, 1e6)
-	p.State.ValueKB = r.number("state.value_kb", t.ValueKb, 8, 1, 64)
-	p.State.TxnOps = r.count("state.txn_ops", t.TxnOps, 48, 4, 10_000)
-	s.StateDelay = int64(1000 * r.number("state.latency_ms", t.LatencyMs, 3, 0, 1e4))
-	s.AnswerLoss = r.number("state.lost_answers", t.LostAnswers, 0, 0, 0.5)
-	if x := t.GetNext(); x != nil {
-		p.State.Next = &config.UpcomingStateLimits{RPS: x.Rps, WriteRPS: x.WriteRps, ValueKB: x.ValueKb}
-		if x.TxnOps != nil {
-			ops := r.count("state.next.txn_ops", x.TxnOps, 4, 4, 10_000)
+	p.State.RPS = r.number("state.rps", service.Rps, 200, 1, 1e6)
+	p.State.WriteRPS = r.number("state.write_rps", service.WriteRps, 100, 1, 1e6)
+	p.State.ValueKB = r.number("state.value_kb", service.ValueKb, 8, 1, 64)
+	p.State.TxnOps = r.count("state.txn_ops", service.TxnOps, 48, 4, 10_000)
+	s.StateDelay = int64(1000 * r.number("state.latency_ms", service.LatencyMs, 3, 0, 1e4))
+	s.AnswerLoss = r.number("state.lost_answers", service.LostAnswers, 0, 0, 0.5)
+	if next := service.GetNext(); next != nil {
+		p.State.Next = &config.UpcomingStateLimits{RPS: next.Rps, WriteRPS: next.WriteRps, ValueKB: next.ValueKb}
+		if next.TxnOps != nil {
+			ops := r.count("state.next.txn_ops", next.TxnOps, 4, 4, 10_000)
 			p.State.Next.TxnOps = &ops
 		}
 	}
@@ -198,15 +198,15 @@
 func (r *reader) teams(teams []*pb.Team, s *Scenario) {
 	p := &s.Params
 	seen := map[string]bool{}
-	for i, x := range teams {
-		f := fmt.Sprintf("team[%d]", i)
-		if x.GetName() == "" || seen[x.GetName()] {
-			r.addError(f+".name", "missing or used twice")
+	for i, team := range teams {
+		field := fmt.Sprintf("team[%d]", i)
+		if team.GetName() == "" || seen[team.GetName()] {
+			r.addError(field+".name", "missing or used twice")
 		}
-		seen[x.GetName()] = true
+		seen[team.GetName()] = true
 		p.Teams = append(p.Teams, config.Team{
-			Name: x.GetName(), CPUs: r.number(f+".cpus", x.Cpus, 0, 0, 1e7), CPUsMax: r.number(f+".cpus_max", x.CpusMax, 0, 0, 1e7),
-			GPUs: r.number(f+".gpus", x.Gpus, 0, 0, 1e7), GPUsMax: r.number(f+".gpus_max", x.GpusMax, 0, 0, 1e7),
+			Name: team.GetName(), CPUs: r.number(field+".cpus", team.Cpus, 0, 0, 1e7), CPUsMax: r.number(field+".cpus_max", team.CpusMax, 0, 0, 1e7),
+			GPUs: r.number(field+".gpus", team.Gpus, 0, 0, 1e7), GPUsMax: r.number(field+".gpus_max", team.GpusMax, 0, 0, 1e7),
 		})
 	}
 	if len(p.Teams) == 0 {
@@ -216,48 +216,48 @@
 
 // regions reads which region each zone belongs to and the delay between regions.
 func (r *reader) regions(m *pb.Scenario, s *Scenario) {
-	n := &s.Network
-	n.Regions = map[string]string{}
+	network := &s.Network
+	network.Regions = map[string]string{}
 	names := map[string]bool{}
-	for i, x := range m.Region {
-		f := fmt.Sprintf("region[%d]", i)
-		if x.GetName() == "" || names[x.GetName()] {
-			r.addError(f+".name", "missing or used twice")
+	for i, region := range m.Region {
+		field := fmt.Sprintf("region[%d]", i)
+		if region.GetName() == "" || names[region.GetName()] {
+			r.addError(field+".name", "missing or used twice")
 		}
-		names[x.GetName()] = true
-		for _, z := range x.Zones {
+		names[region.GetName()] = true
+		for _, zone := range region.Zones {
 			switch {
-			case !slices.Contains(s.Params.Zones, z):
-				r.addError(f+".zones", "no zone is called %q", z)
-			case n.Regions[z] != "":
-				r.addError(f+".zones", "%q is in %q already", z, n.Regions[z])
+			case !slices.Contains(s.Params.Zones, zone):
+				r.addError(field+".zones", "no zone is called %q", zone)
+			case network.Regions[zone] != "":
+				r.addError(field+".zones", "%q is in %q already", zone, network.Regions[zone])
 			}
-			n.Regions[z] = x.GetName()
+			network.Regions[zone] = region.GetName()
 		}
 	}
 	if remote := m.GetNetwork().RemoteMs; remote != nil {
-		n.CrossRegion = int64(1000 * r.number("network.remote_ms", remote, 0, 0.001, 1e4))
+		network.CrossRegion = int64(1000 * r.number("network.remote_ms", remote, 0, 0.001, 1e4))
 	}
-	if n.HomeRegion = m.GetNetwork().GetHome(); n.HomeRegion != "" && !names[n.HomeRegion] {
-		r.addError("network.home", "no region is called %q", n.HomeRegion)
+	if network.HomeRegion = m.GetNetwork().GetHome(); network.HomeRegion != "" && !names[network.HomeRegion] {
+		r.addError("network.home", "no region is called %q", network.HomeRegion)
 	}
 }
 
 func (r *reader) machines(m *pb.Scenario, s *Scenario) {
 	for i, t := range m.MachineType {
-		f := fmt.Sprintf("machine_type[%d]", i)
-		if t.GetName() == "" || slices.ContainsFunc(s.Types, func(o wire.MachineType) bool { return o.Name == t.GetName() }) {
-			r.addError(f+".name", "missing or used twice")
+		field := fmt.Sprintf("machine_type[%d]", i)
+		if t.GetName() == "" || slices.ContainsFunc(s.Types, func(other wire.MachineType) bool { return other.Name == t.GetName() }) {
+			r.addError(field+".name", "missing or used twice")
 		}
 		x := wire.MachineType{
-			Name: t.GetName(), CPUs: r.number(f+".cpus", t.Cpus, 8, 0.1, 1e4), GPUs: r.number(f+".gpus", t.Gpus, 0, 0, 1e3), MemGB: r.number(f+".memory_gb", t.MemoryGb, 32, 0.1, 1e5),
-			CacheGB: r.number(f+".cache_gb", t.CacheGb, 50, 0, 1e5), FetchRate: r.number(f+".fetch_gb_per_s", t.FetchGbPerS, 0.5, 0.001, 1e3),
-			Price: r.number(f+".price", t.Price, 1, 0, 1e5), BootS: r.number(f+".boot_s", t.BootS, 20, 0, 3600), Zones: t.Zones,
+			Name: t.GetName(), CPUs: r.number(field+".cpus", t.Cpus, 8, 0.1, 1e4), GPUs: r.number(field+".gpus", t.Gpus, 0, 0, 1e3), MemGB: r.number(field+".memory_gb", t.MemoryGb, 32, 0.1, 1e5),
+			CacheGB: r.number(field+".cache_gb", t.CacheGb, 50, 0, 1e5), FetchRate: r.number(field+".fetch_gb_per_s", t.FetchGbPerS, 0.5, 0.001, 1e3),
+			Price: r.number(field+".price", t.Price, 1, 0, 1e5), BootS: r.number(field+".boot_s", t.BootS, 20, 0, 3600), Zones: t.Zones,
 		}
-		x.SpotPrice = r.number(f+".spot_price", t.SpotPrice, x.Price*0.4, 0, 1e5)
-		for _, z := range t.Zones {
-			if !slices.Contains(s.Params.Zones, z) {
-				r.addError(f+".zones", "no zone is called %q", z)
+		x.SpotPrice = r.number(field+".spot_price", t.SpotPrice, x.Price*0.4, 0, 1e5)
+		for _, zone := range t.Zones {
+			if !slices.Contains(s.Params.Zones, zone) {
+				r.addError(field+".zones", "no zone is called %q", zone)
 			}
 		}
 		if len(x.Zones) == 0 {
@@ -269,18 +269,18 @@
 		r.addError("machine_type", "at least one is needed")
 	}
 	for i, x := range m.Machines {
-		f := fmt.Sprintf("machines[%d]", i)
-		t := slices.IndexFunc(s.Types, func(o wire.MachineType) bool { return o.Name == x.GetType() })
+		field := fmt.Sprintf("machines[%d]", i)
+		t := slices.IndexFunc(s.Types, func(other wire.MachineType) bool { return other.Name == x.GetType() })
 		if t < 0 {
-			r.addError(f+".type", "no type is called %q", x.GetType())
+			r.addError(field+".type", "no type is called %q", x.GetType())
 		} else if !slices.Contains(s.Types[t].Zones, x.GetZone()) {
-			r.addError(f+".zone", "%q is not a zone of that type", x.GetZone())
+			r.addError(field+".zone", "%q is not a zone of that type", x.GetZone())
 		}
-		up, spotUp := r.count(f+".up", x.Up, 0, 0, 10_000), r.count(f+".spot_up", x.SpotUp, 0, 0, 10_000)
-		s.Capacity = append(s.Capacity, environment.Capacity{Type: x.GetType(), Zone: x.GetZone(), Count: r.count(f+".count", x.Count, 0, 0, 10_000), Spot: r.count(f+".spot", x.Spot, 0, 0, 10_000)})
-		for _, k := range []environment.InitialMachines{{Type: x.GetType(), Zone: x.GetZone(), Count: up}, {Type: x.GetType(), Zone: x.GetZone(), Spot: true, Count: spotUp}} {
-			if k.Count > 0 {
-				s.Machines = append(s.Machines, k)
+		up, spotUp := r.count(field+".up", x.Up, 0, 0, 10_000), r.count(field+".spot_up", x.SpotUp, 0, 0, 10_000)
+		s.Capacity = append(s.Capacity, environment.Capacity{Type: x.GetType(), Zone: x.GetZone(), Count: r.count(field+".count", x.Count, 0, 0, 10_000), Spot: r.count(field+".spot", x.Spot, 0, 0, 10_000)})
+		for _, initial := range []environment.InitialMachines{{Type: x.GetType(), Zone: x.GetZone(), Count: up}, {Type: x.GetType(), Zone: x.GetZone(), Spot: true, Count: spotUp}} {
+			if initial.Count > 0 {
+				s.Machines = append(s.Machines, initial)
 			}
 		}
 	}
@@ -290,19 +290,19 @@
 // scenario.
 func (r *reader) faults(m *pb.Scenario, s *Scenario) {
 	for i, x := range m.Sweep {
-		f := fmt.Sprintf("sweep[%d]", i)
-		w, err := Expand(environment.Sweep{
-			At: r.seconds(f+".at_s", x.AtS, 1), Cancel: r.seconds(f+".cancel_s", x.CancelS, 0), Run: r.seconds(f+".run_s", x.RunS, 5),
-			Times: r.count(f+".times", x.Times, 1, 1, 1000), Text: x.GetText(),
+		field := fmt.Sprintf("sweep[%d]", i)
+		sweep, err := Expand(environment.Sweep{
+			At: r.seconds(field+".at_s", x.AtS, 1), Cancel: r.seconds(field+".cancel_s", x.CancelS, 0), Run: r.seconds(field+".run_s", x.RunS, 5),
+			Times: r.count(field+".times", x.Times, 1, 1, 1000), Text: x.GetText(),
 		})
 		if err != nil {
-			r.addError(f+".text", "%v", err)
+			r.addError(field+".text", "%v", err)
 		}
-		s.Sweeps = append(s.Sweeps, w)
+		s.Sweeps = append(s.Sweeps, sweep)
 	}
 	for i, x := range m.Fault {
-		f := fmt.Sprintf("fault[%d]", i)
-		s.Faults = append(s.Faults, r.fault(f, x))
+		field := fmt.Sprintf("fault[%d]", i)
+		s.Faults = append(s.Faults, r.fault(field, x))
 	}
 	if len(r.errs) == 0 {
 		if _, err := environment.New(s.Config, nil); err != nil {
@@ -311,19 +311,19 @@
 	}
 }
 
-func (r *reader) fault(f string, x *pb.Fault) environment.Fault {
-	kind := environment.FaultKind(x.GetKind())
+func (r *reader) fault(field string, message *pb.Fault) environment.Fault {
+	kind := environment.FaultKind(message.GetKind())
 	if !kind.Known() {
-		r.addError(f+".kind", "%q is none of %v", kind, environment.FaultKinds())
+		r.addError(field+".kind", "%q is none of %v", kind, environment.FaultKinds())
 	}
-	w := environment.Fault{
-		At: r.seconds(f+".at_s", x.AtS, 0), Duration: r.seconds(f+".for_s", x.ForS, 0), Kind: kind, Hosts: x.Hosts, To: x.To,
-		Count: r.count(f+".count", x.Count, 0, 0, 100_000), Share: r.number(f+".share", x.Share, 0, 0, 1), Factor: r.number(f+".factor", x.Factor, 0, 0, 1e4), Class: x.GetClass(), LoseOnlyResponses: x.GetAtOnce(), UntilNextLeader: x.GetForNext(), PartitionMode: environment.PartitionMode{Reset: x.GetResets(), Refuse: x.GetRefuses(), OneWay: x.GetOneWay()},
+	fault := environment.Fault{
+		At: r.seconds(field+".at_s", message.AtS, 0), Duration: r.seconds(field+".for_s", message.ForS, 0), Kind: kind, Hosts: message.Hosts, To: message.To,
+		Count: r.count(field+".count", message.Count, 0, 0, 100_000), Share: r.number(field+".share", message.Share, 0, 0, 1), Factor: r.number(field+".factor", message.Factor, 0, 0, 1e4), Class: message.GetClass(), LoseOnlyResponses: message.GetAtOnce(), UntilNextLeader: message.GetForNext(), PartitionMode: environment.PartitionMode{Reset: message.GetResets(), Refuse: message.GetRefuses(), OneWay: message.GetOneWay()},
 	}
-	if l := x.GetLose(); l != nil {
-		w.TransactionLoss = &environment.TransactionLoss{Prefix: l.GetPrefix(), Skip: r.count(f+".lose.skip", l.Skip, 0, 0, 1e6), Outcome: environment.LossOutcome(l.GetHow()), Delay: r.seconds(f+".lose.late_s", l.LateS, 0)}
+	if loss := message.GetLose(); loss != nil {
+		fault.TransactionLoss = &environment.TransactionLoss{Prefix: loss.GetPrefix(), Skip: r.count(field+".lose.skip", loss.Skip, 0, 0, 1e6), Outcome: environment.LossOutcome(loss.GetHow()), Delay: r.seconds(field+".lose.late_s", loss.LateS, 0)}
 	}
-	return w
+	return fault
 }
 
 // ParseFault reads a single fault for a running environment. It does not check the names
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -49,7 +49,7 @@
 	for _, tc := range cases {
 		_, err := Parse([]byte(tc.text), 0)
 		if tc.wantError == "" && err != nil || tc.wantError != "" && (err == nil || !strings.Contains(err.Error(), tc.wantError)) {
-			t.Errorf("Parse(%s): got error %v, want %q", strings.TrimPrefix(tc.text, minimalScenario), err, tc.wantError)
+			t.Errorf("Parse(%s): got error %v, want one with %q (\"\": none)", strings.TrimPrefix(tc.text, minimalScenario), err, tc.wantError)
 		}
 	}
 }
--- a/internal/emulator/soak/soak_test.go
+++ b/internal/emulator/soak/soak_test.go
@@ -17,7 +17,7 @@
 	var out strings.Builder
 	summary := Plan{First: 1, Seeds: soakSeeds, Parallel: runtime.NumCPU()}.Run(context.Background(), &out)
 	if summary.Completed != soakSeeds || len(summary.Failed) > 0 {
-		t.Errorf("%d runs completed, want %d; %d failed, want 0:\n%s", summary.Completed, soakSeeds, len(summary.Failed), out.String())
+		t.Errorf("got %d completed runs, want %d; got %d failed runs, want 0:\n%s", summary.Completed, soakSeeds, len(summary.Failed), out.String())
 	}
 }
 
@@ -32,10 +32,10 @@
 }
 
 // TestRandomConfig checks that a seed always gives the same configuration, that another seed
-// gives another, and that 30 seeds give every kind of fault and job that the soak is for.
+// gives a different one, and that 30 seeds give every kind of fault and job that a soak covers.
 func TestRandomConfig(t *testing.T) {
 	if !reflect.DeepEqual(RandomConfig(7), RandomConfig(7)) || reflect.DeepEqual(RandomConfig(7), RandomConfig(8)) {
-		t.Error("configuration is not determined by the seed, or is the same for seeds 7 and 8")
+		t.Error("got different configurations for seed 7, or equal ones for seeds 7 and 8; want equal ones for equal seeds only")
 	}
 	drawn := map[string]int{}
 	for seed := range uint64(30) {
@@ -68,7 +68,7 @@
 	cancel()
 	var out strings.Builder
 	if summary := (Plan{First: 1, Seeds: 1000, Parallel: 1}).Run(cancelled, &out); summary.Completed > 2 {
-		t.Errorf("%d runs after the context was cancelled, want at most 2", summary.Completed)
+		t.Errorf("got %d runs after the context was cancelled, want at most 2", summary.Completed)
 	}
 	if summary := (Plan{First: 3, Seeds: 2, Parallel: 2}).Run(context.Background(), &out); summary.Completed != 2 {
 		t.Errorf("got %d runs of 2 seeds, want 2", summary.Completed)
--- a/internal/emulator/workerproc/messages.go
+++ b/internal/emulator/workerproc/messages.go
@@ -44,7 +44,8 @@
 type Snapshot struct {
 	Number int
 	Counts []meter.Row
-	// TokenTimes holds, for each token, when each worker first accepted an answer with it.
+	// TokenTimes holds, for each token, the times at which workers first accepted an answer
+	// with it.
 	TokenTimes TokenTimes
 	Lateness   sockets.Lateness
 }
--- a/internal/emulator/workerproc/pool.go
+++ b/internal/emulator/workerproc/pool.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// forwardCompleted tells a dedicated process which of the tasks just placed on it have
+// forwardCompleted sends a dedicated process those of the tasks just placed on it that have
 // already been completed elsewhere.
 func (p *Pool) forwardCompleted(proc *process, events []history.Event) {
 	var done []environment.TaskCompleted
--- a/internal/emulator/workerproc/serve.go
+++ b/internal/emulator/workerproc/serve.go
@@ -13,8 +13,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 )
 
-// flushDelay is how long events are collected before they are sent to the emulator in one
-// update.
+// flushDelay is the time for which events are collected before they are sent to the emulator
+// in one update.
 const flushDelay = 50 * time.Millisecond
 
 // Serve runs workers as directed by the commands from in, until in ends.
