--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -31,8 +31,9 @@
 	taskDuration    = 200 * second // extends past the end of the longest outage
 )
 
-// cancelTiming describes when users cancel: the first cancellation is sent beforeOutage
-// before the outage (after its start if negative), the others at the given interval.
+// cancelTiming describes when users cancel jobs. The first cancellation is sent beforeOutage
+// before the start of the outage, or after it if beforeOutage is negative. The others follow
+// at the given interval.
 type cancelTiming struct {
 	name         string
 	beforeOutage int64
@@ -46,7 +47,8 @@
 	{"in the outage", -5 * second, 500_000},
 }
 
-// writeLosses are the ways in which the writes of cancellations are lost; nil means not at all.
+// writeLosses are the ways in which the writes of cancellations are lost; nil means that none
+// are lost.
 var writeLosses = []*environment.TransactionLoss{nil, {Outcome: environment.LostAfter}, {Outcome: environment.LostLate, Delay: second}}
 
 // controllerEvent is a set of faults that happen to controllers or machines around the outage.
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -173,10 +173,10 @@
 	// Serviceable is set if, while the partitions last, some controller reaches the state
 	// service and, directly or through at most two others, all workers.
 	Serviceable bool
-	// Served is the share of jobs that were done in time, of those submitted from 15 s
-	// after the partition began until 20 s after it ended, or until 35 s after it began
-	// if that is later. Killed is the number of tasks that ended because the lease of
-	// their worker expired.
+	// Served is the share of jobs that were done in time. It counts the jobs submitted from
+	// 15 s after the partition began until 20 s after it ended, or until 35 s after it began
+	// if that is later. Killed is the number of tasks that ended because the lease of their
+	// worker expired.
 	Served     float64
 	Killed     int
 	Violations []string
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -22,7 +22,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/workerproc"
 )
 
-// Options say how a run is carried out.
+// Options configure a run.
 type Options struct {
 	// Dir is the directory for settings and logs, Port is the port of the load balancer.
 	Dir  string
--- a/internal/emulator/scenario/sweep.go
+++ b/internal/emulator/scenario/sweep.go
@@ -14,8 +14,8 @@
 	priorities = []string{jobstate.Idle: "idle", jobstate.Normal: "normal", jobstate.Urgent: "urgent", jobstate.Production: "production"}
 )
 
-// Expand sets the ID, the runs and their parameter values of a sweep from its text. The
-// submitter of the sweep uploads the descriptions of its runs.
+// Expand sets the ID, the runs and their parameter values of a sweep from its text. An
+// environment submits only the text; it needs the runs to poll for them and to check the history.
 func Expand(s environment.Sweep) (environment.Sweep, error) {
 	sub, err := api.DecodeSweep([]byte(s.Text))
 	if err != nil {
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -44,7 +44,7 @@
 
 // User requests other than a Job, and the response to them.
 type (
-	// RawSubmission is a submission with an arbitrary body, which may be no valid Job.
+	// RawSubmission is a submission with an arbitrary body, which need not be a valid Job.
 	RawSubmission struct{ Body []byte }
 	// Poll asks for the state of a job.
 	Poll struct{ ID string }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// colors are the colors of the versions. They can be told apart with red-green color blindness.
+// colors are the colors of the versions. People with red-green color blindness can distinguish them.
 var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{204, 121, 167, 255}}
 
 // The layout of a plot, in fractions of the distance between two scenarios.
--- a/internal/sweep/expand.go
+++ b/internal/sweep/expand.go
@@ -14,7 +14,7 @@
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
 
-// digestBytes is the number of bytes of the hash of all runs that a digest keeps.
+// digestBytes is the length of a digest in bytes. A digest is a prefix of the hash of all runs.
 const digestBytes = 16
 
 // Run is one job of a sweep.
--- a/internal/sweep/runid.go
+++ b/internal/sweep/runid.go
@@ -15,7 +15,7 @@
 // Prefix is the prefix of the ids of all runs. The id of another job must not begin with it.
 const Prefix = "sweep."
 
-// runHashBytes is the number of bytes of the hash of its values in a run's id.
+// runHashBytes is the length of the hash in a run's id, in bytes.
 const runHashBytes = 12
 
 // Kinds of hashed fields. They make equal bytes of different types hash differently.
