--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -18,7 +18,7 @@
 	maxListPage     = 500
 	// minBilledTime is the minimum time that a machine is billed for, in microseconds.
 	minBilledTime = 60 * second
-	// deadListedFor is how long a machine that has died is still listed as running, in microseconds.
+	// deadListedFor is the time for which a dead machine is still listed as running, in microseconds.
 	deadListedFor = 30 * second
 )
 
@@ -67,11 +67,11 @@
 // capacityKey returns the key under which cloud.used counts the machines of a type, zone and
 // billing model. Its Spot is 1 for spot machines; the key has no Count.
 func capacityKey(typ, zone string, spot bool) Capacity {
-	s := Capacity{Type: typ, Zone: zone}
+	key := Capacity{Type: typ, Zone: zone}
 	if spot {
-		s.Spot = 1
+		key.Spot = 1
 	}
-	return s
+	return key
 }
 
 // setStatus sets the listed status of a machine in a new version of the list; an empty
@@ -84,8 +84,8 @@
 		list = list.Set(m.name, listedMachine{m, status})
 	}
 	c.versions = append(c.versions, listVersion{c.env.now, list})
-	old := c.env.now - c.listLag()*2 - second
-	for len(c.versions) > 1 && c.versions[1].at < old {
+	oldest := c.env.now - c.listLag()*2 - second
+	for len(c.versions) > 1 && c.versions[1].at < oldest {
 		c.versions = c.versions[1:]
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // list returns a page of the machine list, as it was some time ago.
-func (c *cloud) list(q wire.Machines) wire.MachinesAnswer {
+func (c *cloud) list(request wire.Machines) wire.MachinesAnswer {
 	// The list shows the state of up to twice the lag ago, so it can be older than the
 	// previous response.
 	at := c.env.now - c.listLag()
@@ -169,69 +169,69 @@
 		}
 		return 1
 	})
-	out := wire.MachinesAnswer{Machines: []wire.ListedMachine{}}
-	it := c.versions[max(i-1, 0)].list.Iterator()
-	it.Seek(q.After)
-	for !it.Done() {
-		name, l, _ := it.Next()
-		if name <= q.After {
+	answer := wire.MachinesAnswer{Machines: []wire.ListedMachine{}}
+	iterator := c.versions[max(i-1, 0)].list.Iterator()
+	iterator.Seek(request.After)
+	for !iterator.Done() {
+		name, listed, _ := iterator.Next()
+		if name <= request.After {
 			continue
 		}
-		if len(out.Machines) == min(max(q.Limit, 1), maxListPage) {
-			out.More = true
+		if len(answer.Machines) == min(max(request.Limit, 1), maxListPage) {
+			answer.More = true
 			break
 		}
-		m := l.machine
-		out.Machines = append(out.Machines, wire.ListedMachine{
-			Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: l.status,
+		m := listed.machine
+		answer.Machines = append(answer.Machines, wire.ListedMachine{
+			Name: name, Addr: name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Status: listed.status,
 			AgeS: float64(max(at-m.createdAt, 0)) / 1e6,
 		})
 	}
-	return out
+	return answer
 }
 
-// rent creates up to the requested number of machines. A repeated request ID returns the machines of
-// the first request.
-func (c *cloud) rent(q wire.Rent) (int, any) {
-	t := c.machineType(q.Type)
-	if t == nil || q.Request == "" || q.Count < 1 || q.Count > maxRentCount || !slices.Contains(t.Zones, q.Zone) {
+// rent creates up to the requested number of machines. A repeated request ID returns the machines
+// of the first request.
+func (c *cloud) rent(request wire.Rent) (int, any) {
+	machineType := c.machineType(request.Type)
+	if machineType == nil || request.Request == "" || request.Count < 1 || request.Count > maxRentCount || !slices.Contains(machineType.Zones, request.Zone) {
 		return 400, wire.Error{Error: "malformed"}
 	}
-	if names, ok := c.rentRequests[q.Request]; ok {
+	if names, ok := c.rentRequests[request.Request]; ok {
 		return 200, wire.MachineNames{Machines: names}
 	}
-	n := min(c.available(q.Type, q.Zone, q.Spot), q.Count)
-	if n <= 0 || c.refusing {
+	count := min(c.available(request.Type, request.Zone, request.Spot), request.Count)
+	if count <= 0 || c.refusing {
 		return 503, wire.Error{Error: "no capacity"}
 	}
-	names := make([]string, n)
+	names := make([]string, count)
 	for i := range names {
-		boot := c.env.jitter(int64(t.BootS*1e6*c.bootFactor), 0.6, 1.5)
-		switch r := c.env.rng.Float64(); {
-		case r < c.env.Boot.Never:
+		boot := c.env.jitter(int64(machineType.BootS*1e6*c.bootFactor), 0.6, 1.5)
+		switch chance := c.env.rng.Float64(); {
+		case chance < c.env.Boot.Never:
 			boot = -1
-		case r < c.env.Boot.Never+c.env.Boot.Slow:
+		case chance < c.env.Boot.Never+c.env.Boot.Slow:
 			boot *= 5
 		}
-		names[i] = c.createMachine(t, q.Zone, q.Spot, boot).name
+		names[i] = c.createMachine(machineType, request.Zone, request.Spot, boot).name
 	}
-	c.rentRequests[q.Request] = names
+	c.rentRequests[request.Request] = names
 	return 200, wire.MachineNames{Machines: names}
 }
 
-// available returns how many more machines of a type can be rented in a zone. If no capacity
-// is configured, there is no limit.
+// available returns the number of machines of a type that can still be rented in a zone. If no
+// capacity is configured, there is no limit.
 func (c *cloud) available(typ, zone string, spot bool) int {
 	if len(c.env.Capacity) == 0 {
 		return maxRentCount
 	}
 	for _, k := range c.env.Capacity {
 		if k.Type == typ && k.Zone == zone {
-			n := k.Count
+			count := k.Count
 			if spot {
-				n = k.Spot
+				count = k.Spot
 			}
-			return int(float64(n)*c.capacityShare) - c.used[capacityKey(typ, zone, spot)]
+			return int(float64(count)*c.capacityShare) - c.used[capacityKey(typ, zone, spot)]
 		}
 	}
 	return 0
@@ -299,8 +299,8 @@
 
 // recordCost records the total cost of a machine.
 func (c *cloud) recordCost(m *machine) {
-	t := float64(max(c.env.now-m.createdAt, minBilledTime)) / 3600e6
-	c.env.record(history.Event{Kind: history.CostRecorded, Machine: m.name, Type: m.machineType.Name, Spot: m.spot, Cost: t * c.price(m.machineType, m.spot)})
+	hours := float64(max(c.env.now-m.createdAt, minBilledTime)) / 3600e6
+	c.env.record(history.Event{Kind: history.CostRecorded, Machine: m.name, Type: m.machineType.Name, Spot: m.spot, Cost: hours * c.price(m.machineType, m.spot)})
 }
 
 // Close records the cost of the machines that are still rented.
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -233,9 +233,9 @@
 	env := &Environment{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), pendingAsks: map[uint64]*pendingAsk{}, gangs: map[gangKey]*gang{}, jobs: map[string]*jobUser{}, Record: record}
 	env.network = newNetwork(env)
 	for i := range c.Params.Size {
-		n := &controller{name: ControllerName(i), zone: c.Params.Zones[i%len(c.Params.Zones)]}
-		env.controllers = append(env.controllers, n)
-		env.network.addHost(n.name, n.zone, controllerHosts)
+		added := &controller{name: ControllerName(i), zone: c.Params.Zones[i%len(c.Params.Zones)]}
+		env.controllers = append(env.controllers, added)
+		env.network.addHost(added.name, added.zone, controllerHosts)
 	}
 	env.network.addHost(StateHost, "", serviceHosts)
 	env.network.addHost(CloudHost, "", serviceHosts)
@@ -270,7 +270,7 @@
 // Expectations returns the jobs, sweeps, limits and machine types that the rules are checked
 // against.
 func (c *Config) Expectations() history.Expectations {
-	t := history.Expectations{
+	expected := history.Expectations{
 		Jobs:         map[string]*wire.Job{},
 		Sweeps:       map[string][]string{},
 		Teams:        map[string]history.Limits{},
@@ -278,22 +278,22 @@
 		CancelWithin: config.MicrosOf(c.Params.Workers.CancelS),
 	}
 	for i := range c.Jobs {
-		t.Jobs[c.Jobs[i].Spec.ID] = &c.Jobs[i].Spec
+		expected.Jobs[c.Jobs[i].Spec.ID] = &c.Jobs[i].Spec
 	}
 	for _, s := range c.Sweeps {
 		for i := range s.Jobs {
-			t.Jobs[s.Jobs[i].ID] = &s.Jobs[i]
-			t.Sweeps[history.SweepJob(s.ID)] = append(t.Sweeps[history.SweepJob(s.ID)], s.Jobs[i].ID)
+			expected.Jobs[s.Jobs[i].ID] = &s.Jobs[i]
+			expected.Sweeps[history.SweepJob(s.ID)] = append(expected.Sweeps[history.SweepJob(s.ID)], s.Jobs[i].ID)
 		}
 	}
-	t.Types = map[string]wire.MachineType{}
-	for _, x := range c.Types {
-		t.Types[x.Name] = x
+	expected.Types = map[string]wire.MachineType{}
+	for _, machineType := range c.Types {
+		expected.Types[machineType.Name] = machineType
 	}
-	for _, m := range c.Params.Teams {
-		t.Teams[m.Name] = history.Limits{CPUs: m.CPUsMax, GPUs: m.GPUsMax}
+	for _, team := range c.Params.Teams {
+		expected.Teams[team.Name] = history.Limits{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 	}
-	return t
+	return expected
 }
 
 // Next returns the time of the next timer, and whether there is one.
@@ -337,13 +337,13 @@
 
 func (env *Environment) after(d int64, f func()) { env.timers.Add(env.now+d, f) }
 
-// afterUnlessReplanned calls f after d, unless *plan has been incremented by then: code that
-// replaces or cancels the scheduled call increments it.
-func (env *Environment) afterUnlessReplanned(plan *int, d int64, f func()) {
+// afterUnlessReplanned calls f after delay, unless *plan has been incremented by then: code that
+// replaces or cancels the scheduled call increments *plan.
+func (env *Environment) afterUnlessReplanned(plan *int, delay int64, f func()) {
 	*plan++
-	made := *plan
-	env.after(max(d, 0), func() {
-		if *plan == made {
+	scheduled := *plan
+	env.after(max(delay, 0), func() {
+		if *plan == scheduled {
 			f()
 		}
 	})
@@ -394,15 +394,15 @@
 	}, broken)
 }
 
-// ask delivers a request to a controller without delay. It calls f with the response, if there
-// is one, after the network delay; a controller that is down gives an empty response.
-func (env *Environment) ask(from, to string, request any, f func(AskAnswer)) {
+// ask delivers a request to a controller without delay. It calls done with the response, if there
+// is one, after the network delay; for a controller that is down the response is empty.
+func (env *Environment) ask(from, to string, request any, done func(AskAnswer)) {
 	if n := env.controller(to); n == nil || !n.up {
-		env.after(env.network.delay(to, from), func() { f(AskAnswer{}) })
+		env.after(env.network.delay(to, from), func() { done(AskAnswer{}) })
 		return
 	}
 	env.nextID++
-	env.pendingAsks[env.nextID] = &pendingAsk{from, to, f}
+	env.pendingAsks[env.nextID] = &pendingAsk{from, to, done}
 	env.emit(Ask{env.nextID, from, to, request})
 }
 
--- a/internal/emulator/environment/external.go
+++ b/internal/emulator/environment/external.go
@@ -45,8 +45,8 @@
 // LinkState reports whether a partition separates two hosts, and whether it breaks
 // connections.
 func (env *Environment) LinkState(a, b string) (cut, reset bool) {
-	if c := env.network.partitionBetween(a, b); c != nil {
-		return true, c.mode.Reset || c.mode.Refuse
+	if separating := env.network.partitionBetween(a, b); separating != nil {
+		return true, separating.mode.Reset || separating.mode.Refuse
 	}
 	return false, false
 }
--- a/internal/emulator/environment/fault_kinds.go
+++ b/internal/emulator/environment/fault_kinds.go
@@ -42,7 +42,7 @@
 	FaultInvalidRequests        FaultKind = "odd_requests"
 )
 
-// faultType is the help text and the implementation of a kind of fault.
+// faultType has the help text and the implementation of a kind of fault.
 type faultType struct {
 	help    string
 	prepare prepareFault
@@ -85,8 +85,8 @@
 // FaultKinds returns all kinds of faults, sorted.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultTypes)) }
 
-// Known reports whether the kind of fault exists.
+// Known reports whether k is an existing kind of fault.
 func (k FaultKind) Known() bool { return faultTypes[k].prepare != nil }
 
-// Help returns a one-line description of the fault.
+// Help returns a one-line description of the kind of fault.
 func (k FaultKind) Help() string { return faultTypes[k].help }
--- a/internal/emulator/environment/faults.go
+++ b/internal/emulator/environment/faults.go
@@ -80,7 +80,7 @@
 	return prepare(env, f)
 }
 
-// toggle returns a fault that calls set with on when it begins, and with off when it ends.
+// toggle returns a fault that calls set with true when it begins and with false when it ends.
 func toggle(set func(env *Environment, on bool)) prepareFault {
 	return func(env *Environment, _ Fault) (beginFault, error) {
 		return func() func() {
@@ -96,9 +96,9 @@
 	return func(env *Environment, f Fault) (beginFault, error) {
 		all := len(f.Hosts) == 0 || slices.Contains(f.Hosts, "all")
 		var chosen []*controller
-		for _, n := range env.controllers {
-			if all || slices.Contains(f.Hosts, n.name) {
-				chosen = append(chosen, n)
+		for _, candidate := range env.controllers {
+			if all || slices.Contains(f.Hosts, candidate.name) {
+				chosen = append(chosen, candidate)
 			}
 		}
 		for _, host := range f.Hosts {
@@ -112,8 +112,8 @@
 
 func crashControllers(env *Environment, f Fault, controllers []*controller) beginFault {
 	return func() func() {
-		for _, n := range controllers {
-			env.crash(n, f.Duration)
+		for _, target := range controllers {
+			env.crash(target, f.Duration)
 		}
 		return nil
 	}
@@ -121,8 +121,8 @@
 
 func restartInTurn(env *Environment, f Fault, controllers []*controller) beginFault {
 	return func() func() {
-		for i, n := range controllers {
-			env.after(int64(i)*f.Duration, func() { env.crash(n, 0) })
+		for i, target := range controllers {
+			env.after(int64(i)*f.Duration, func() { env.crash(target, 0) })
 		}
 		return nil
 	}
@@ -130,9 +130,9 @@
 
 func freezeControllers(env *Environment, _ Fault, controllers []*controller) beginFault {
 	set := func(on bool) {
-		for _, n := range controllers {
-			n.frozen = on
-			env.emit(Freeze{n.name, on})
+		for _, target := range controllers {
+			target.frozen = on
+			env.emit(Freeze{target.name, on})
 		}
 	}
 	return func() func() {
@@ -143,8 +143,8 @@
 
 func refuseControllers(env *Environment, _ Fault, controllers []*controller) beginFault {
 	set := func(on bool) {
-		for _, n := range controllers {
-			n.refused = on
+		for _, target := range controllers {
+			target.refused = on
 		}
 		env.state.wakeWatches()
 	}
@@ -154,20 +154,20 @@
 	}
 }
 
-// crash kills a controller and starts it again after the time away, or after RestartTime if
-// away is 0.
-func (env *Environment) crash(n *controller, away int64) {
-	if !n.up {
+// crash kills a controller and starts it again after downtime, or after RestartTime if downtime
+// is 0.
+func (env *Environment) crash(target *controller, downtime int64) {
+	if !target.up {
 		return
 	}
-	n.up = false
-	env.network.forgetConnections(n.name)
-	env.emit(Kill{n.name})
-	env.record(history.Event{Kind: history.ControllerChanged, Node: n.name, State: "killed"})
-	if away == 0 {
-		away = env.RestartTime
+	target.up = false
+	env.network.forgetConnections(target.name)
+	env.emit(Kill{target.name})
+	env.record(history.Event{Kind: history.ControllerChanged, Node: target.name, State: "killed"})
+	if downtime == 0 {
+		downtime = env.RestartTime
 	}
-	env.after(away, func() { env.emit(Start{n.name}) })
+	env.after(downtime, func() { env.emit(Start{target.name}) })
 }
 
 func preparePartition(env *Environment, f Fault) (beginFault, error) {
@@ -186,12 +186,12 @@
 		return nil, err
 	}
 	return func() func() {
-		// Both sets were valid above; they are read again as hosts may have been added.
-		x, errA := env.network.hostSet(a)
-		y, errB := env.network.hostSet(b)
+		// Both sets were valid above. They are parsed again as hosts may have been added since.
+		hostsA, errA := env.network.hostSet(a)
+		hostsB, errB := env.network.hostSet(b)
 		if errA != nil || errB != nil {
 			return nil
 		}
-		return env.network.beginPartition(x, y, mode)
+		return env.network.beginPartition(hostsA, hostsB, mode)
 	}, nil
 }
--- a/internal/emulator/environment/held_reports.go
+++ b/internal/emulator/environment/held_reports.go
@@ -22,24 +22,24 @@
 
 // holdReportCopy keeps a copy of a report with the probability share. If maxHeldCopies of the
 // machine are held already, it replaces a random one.
-func (env *Environment) holdReportCopy(r *wire.Report) {
-	k := &env.heldReports
-	if k.share == 0 || env.rng.Float64() >= k.share {
+func (env *Environment) holdReportCopy(report *wire.Report) {
+	held := &env.heldReports
+	if held.share == 0 || env.rng.Float64() >= held.share {
 		return
 	}
-	if k.copies == nil {
-		k.copies = map[string][]*wire.Report{}
+	if held.copies == nil {
+		held.copies = map[string][]*wire.Report{}
 	}
-	l := k.copies[r.Machine]
-	if len(l) == 0 {
-		k.names = append(k.names, r.Machine)
+	copies := held.copies[report.Machine]
+	if len(copies) == 0 {
+		held.names = append(held.names, report.Machine)
 	}
-	if len(l) < maxHeldCopies {
-		l = append(l, r)
+	if len(copies) < maxHeldCopies {
+		copies = append(copies, report)
 	} else {
-		l[env.rng.IntN(maxHeldCopies)] = r
+		copies[env.rng.IntN(maxHeldCopies)] = report
 	}
-	k.copies[r.Machine] = l
+	held.copies[report.Machine] = copies
 }
 
 // onLeaderToken handles the fencing token of a response. A token higher than all before
@@ -54,16 +54,16 @@
 // DeliverHeldReports sends the held copies to all controllers, those of each machine in random
 // order.
 func (env *Environment) DeliverHeldReports() {
-	k := &env.heldReports
-	for _, name := range k.names {
-		l := k.copies[name]
-		env.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-		for _, r := range l {
+	held := &env.heldReports
+	for _, name := range held.names {
+		copies := held.copies[name]
+		env.rng.Shuffle(len(copies), func(i, j int) { copies[i], copies[j] = copies[j], copies[i] })
+		for _, report := range copies {
 			env.recordOccurrence(history.OccurHeldCopy)
-			for _, n := range env.controllers {
-				env.network.send(r.Machine, n.name, func() { env.ask(r.Machine, n.name, r, func(AskAnswer) {}) }, func() {})
+			for _, target := range env.controllers {
+				env.network.send(report.Machine, target.name, func() { env.ask(report.Machine, target.name, report, func(AskAnswer) {}) }, func() {})
 			}
 		}
 	}
-	k.copies, k.names = nil, nil
+	held.copies, held.names = nil, nil
 }
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -60,9 +60,9 @@
 // delay of the duplicate in leases.
 type duplicateReports struct{ share, maxDelayLeases float64 }
 
-func newMachine(env *Environment, name string, t *wire.MachineType, zone string, spot bool) *machine {
+func newMachine(env *Environment, name string, machineType *wire.MachineType, zone string, spot bool) *machine {
 	m := &machine{
-		env: env, name: name, machineType: t, zone: zone, spot: spot, createdAt: env.now, session: 1,
+		env: env, name: name, machineType: machineType, zone: zone, spot: spot, createdAt: env.now, session: 1,
 		speed: 0.95 + env.rng.Float64()*0.1, clockRate: 1 + (env.rng.Float64()*2-1)*env.ClockDrift, controllerIndex: env.rng.IntN(env.Params.Size),
 	}
 	m.cache.machine = m
@@ -93,23 +93,23 @@
 	m.send()
 }
 
-// terminate stops the machine with all its tasks, and records its cost.
-func (m *machine) terminate(why string) {
+// terminate stops the machine and all its tasks, and records its cost.
+func (m *machine) terminate(reason string) {
 	if m.gone {
 		return
 	}
 	m.gone = true
-	m.killAll(why)
+	m.killAll(reason)
 	m.env.cloud.used[capacityKey(m.machineType.Name, m.zone, m.spot)]--
 	m.env.cloud.recordCost(m)
 	if m.up {
-		m.env.emit(Machine{Name: m.name, Reason: why})
+		m.env.emit(Machine{Name: m.name, Reason: reason})
 	}
 }
 
-func (m *machine) killAll(why string) {
+func (m *machine) killAll(reason string) {
 	for _, t := range slices.Clone(m.tasks) {
-		t.drop(why)
+		t.drop(reason)
 	}
 }
 
@@ -117,18 +117,18 @@
 // report with a response was sent too long ago. The tasks of a hanging machine end at that time
 // too; such a machine detects the expiry when it resumes.
 func (m *machine) watchLease() {
-	until := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
+	expiresAt := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
 	if m.gone {
 		return
 	}
-	if m.env.now > until {
+	if m.env.now > expiresAt {
 		m.killAll("lease")
 		m.session++
 		m.lastAnsweredAt = m.env.now
-		until = m.env.now + m.workerTime(m.env.Params.Workers.LeaseS)
+		expiresAt = m.env.now + m.workerTime(m.env.Params.Workers.LeaseS)
 		m.reportSoon()
 	}
-	m.env.timers.Add(until+1, m.watchLease)
+	m.env.timers.Add(expiresAt+1, m.watchLease)
 }
 
 // reportSoon schedules a report as soon as minReportGap allows.
@@ -154,15 +154,15 @@
 
 func (m *machine) report() *wire.Report {
 	m.seq++
-	r := &wire.Report{Machine: m.name, Addr: m.name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq, Token: m.token, Tasks: make([]wire.Task, len(m.tasks))}
+	report := &wire.Report{Machine: m.name, Addr: m.name, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq, Token: m.token, Tasks: make([]wire.Task, len(m.tasks))}
 	if m.reclaimAt != 0 {
-		s := float64(max(m.reclaimAt-m.env.now, 0)) / 1e6
-		r.NoticeS = &s
+		notice := float64(max(m.reclaimAt-m.env.now, 0)) / 1e6
+		report.NoticeS = &notice
 	}
 	for i, t := range m.tasks {
-		r.Tasks[i] = t.report()
+		report.Tasks[i] = t.report()
 	}
-	return r
+	return report
 }
 
 // reportCall is a report that has been sent to a controller and awaits the response.
@@ -173,7 +173,7 @@
 	sentAt      int64
 	session     uint64
 	incarnation int
-	over        bool
+	over        bool // answered, failed or timed out
 }
 
 // send sends a report to the machine's controller.
@@ -192,25 +192,25 @@
 		incarnation: m.incarnation,
 	}
 	next := (m.controllerIndex + 1) % len(env.controllers)
-	giveUp := func() { call.finish(next, failoverDelay) }
-	env.after(m.workerTime(float64(reportTimeout)/1e6), giveUp)
+	tryNext := func() { call.finish(next, failoverDelay) }
+	env.after(m.workerTime(float64(reportTimeout)/1e6), tryNext)
 	env.holdReportCopy(call.report)
 	if m.reportsBlocked {
 		env.recordOccurrence(history.OccurMuteReport)
-		env.after(env.network.delay(m.name, call.to), giveUp)
+		env.after(env.network.delay(m.name, call.to), tryNext)
 		return
 	}
 	env.network.send(m.name, call.to, func() {
-		env.ask(m.name, call.to, call.report, func(answer AskAnswer) { call.onAnswer(answer, giveUp) })
-	}, giveUp)
+		env.ask(m.name, call.to, call.report, func(answer AskAnswer) { call.onAnswer(answer, tryNext) })
+	}, tryNext)
 	call.duplicate()
 }
 
-// onAnswer handles the controller's response; giveUp sends a report to the next controller.
-func (c *reportCall) onAnswer(answer AskAnswer, giveUp func()) {
+// onAnswer handles the controller's response; tryNext sends a report to the next controller.
+func (c *reportCall) onAnswer(answer AskAnswer, tryNext func()) {
 	m, env := c.machine, c.machine.env
 	if m.hanging {
-		return // the timeout has passed when it resumes, so the response is dropped
+		return // the response is dropped, as if the timeout had passed while the machine hung
 	}
 	heartbeat, _ := answer.Body.(wire.HeartbeatAnswer)
 	env.onLeaderToken(heartbeat.Token)
@@ -227,12 +227,12 @@
 	case answer.Status == http.StatusMisdirectedRequest && heartbeat.Leader != c.to && env.controller(heartbeat.Leader) != nil:
 		c.finish(slices.Index(env.controllers, env.controller(heartbeat.Leader)), 1+env.rng.Int64N(maxRedirectDelay))
 	default:
-		giveUp()
+		tryNext()
 	}
 }
 
-// finish ends the call and sends further reports to the given controller. If wait is not 0,
-// the next report is sent after it; otherwise when it is due.
+// finish ends the call; later reports go to the given controller. The next report is sent after
+// wait or, if wait is 0, when it is due.
 func (c *reportCall) finish(controllerIndex int, wait int64) {
 	m := c.machine
 	if c.over || m.incarnation != c.incarnation {
@@ -273,27 +273,27 @@
 	})
 }
 
-// restart stops the worker with all its tasks, and starts it again after the time away. With
-// anew the new worker has lost its session, sequence number and token.
-func (m *machine) restart(away int64, anew bool) {
+// restart stops the worker with all its tasks, and starts it again after downtime. With reset,
+// the worker loses its session, sequence number and token.
+func (m *machine) restart(downtime int64, reset bool) {
 	if m.env.RemoteWorkers {
 		kind := FaultWorkerRestart
-		if anew {
+		if reset {
 			kind = FaultWorkerReset
 		}
-		m.env.emit(WorkerFault{Name: m.name, Kind: kind, Duration: away})
+		m.env.emit(WorkerFault{Name: m.name, Kind: kind, Duration: downtime})
 		return
 	}
 	m.killAll("restarted")
 	m.up, m.sending, m.reportAgain, m.nextReportAt = false, false, false, 0
 	m.incarnation++
-	life := m.incarnation
-	m.env.after(max(away, 1), func() {
-		if m.gone || m.incarnation != life {
+	incarnation := m.incarnation
+	m.env.after(max(downtime, 1), func() {
+		if m.gone || m.incarnation != incarnation {
 			return
 		}
 		m.up, m.lastAnsweredAt = true, m.env.now
-		if anew {
+		if reset {
 			m.session, m.seq, m.token, m.tokenReportedAt = 1, 0, 0, 0
 		}
 		m.send()
@@ -322,18 +322,18 @@
 		m.deferred = append(m.deferred, func() { m.handleDirect(req, answer) })
 		return true
 	}
-	switch q := req.(type) {
+	switch request := req.(type) {
 	case wire.Inspect:
 		answer(200, m.report())
 	case wire.WorkerOrders:
 		switch {
-		case q.Token == nil || q.Session == nil:
+		case request.Token == nil || request.Session == nil:
 			answer(400, wire.Error{Error: "baton or shift is missing"})
-		case *q.Token < m.token || *q.Session != m.session:
+		case *request.Token < m.token || *request.Session != m.session:
 			answer(409, m.report())
 		default:
-			m.updateToken(*q.Token)
-			m.executeOrders(q.Orders)
+			m.updateToken(*request.Token)
+			m.executeOrders(request.Orders)
 			answer(200, m.report())
 		}
 	}
@@ -367,23 +367,23 @@
 	}
 	m.cache.advancedAt = m.env.now
 	m.cache.scheduleNext()
-	late := m.deferred
+	deferred := m.deferred
 	m.deferred = nil
-	for _, f := range late {
-		f()
+	for _, handle := range deferred {
+		handle()
 	}
 	m.send()
 }
 
 func (m *machine) executeOrders(orders []wire.Order) {
-	for _, o := range orders {
-		i, there := m.find(o.Task, o.Attempt)
+	for _, order := range orders {
+		i, found := m.find(order.Task, order.Attempt)
 		switch {
-		case o.Op == "run" && !there:
-			m.run(o)
-		case o.Op == "kill" && there:
-			m.tasks[i].kill(int64(o.GraceS * 1e6))
-		case o.Op == "forget" && there && m.tasks[i].state == wire.Ended:
+		case order.Op == "run" && !found:
+			m.run(order)
+		case order.Op == "kill" && found:
+			m.tasks[i].kill(int64(order.GraceS * 1e6))
+		case order.Op == "forget" && found && m.tasks[i].state == wire.Ended:
 			m.tasks = slices.Delete(m.tasks, i, i+1)
 		}
 	}
@@ -405,32 +405,32 @@
 
 // run starts a task, or reports it as ended if the machine refuses it. The placement
 // constraints of the job are not checked here but by the rules of package history.
-func (m *machine) run(o wire.Order) {
-	id, number, _ := strings.Cut(o.Task, "/")
-	u := m.env.jobs[id]
-	i, err := strconv.Atoi(number)
-	why := ""
+func (m *machine) run(order wire.Order) {
+	id, number, _ := strings.Cut(order.Task, "/")
+	user := m.env.jobs[id]
+	index, err := strconv.Atoi(number)
+	refusal := ""
 	switch {
-	case u == nil || err != nil || i < 0 || i >= u.spec.Tasks || !u.submitted:
-		why = "no_such"
-	case slices.ContainsFunc(m.tasks, func(t *task) bool { return t.name == o.Task && t.state != wire.Ended }):
-		why = "in_use"
-	case !m.fits(&u.spec):
-		why = "no_room"
-	}
-	if why != "" {
-		m.add(&task{machine: m, name: o.Task, attempt: o.Attempt, state: wire.Ended, reason: why})
+	case user == nil || err != nil || index < 0 || index >= user.spec.Tasks || !user.submitted:
+		refusal = "no_such"
+	case slices.ContainsFunc(m.tasks, func(t *task) bool { return t.name == order.Task && t.state != wire.Ended }):
+		refusal = "in_use"
+	case !m.fits(&user.spec):
+		refusal = "no_room"
+	}
+	if refusal != "" {
+		m.add(&task{machine: m, name: order.Task, attempt: order.Attempt, state: wire.Ended, reason: refusal})
 		return
 	}
-	t := &task{machine: m, name: o.Task, job: u, index: i, attempt: o.Attempt, state: wire.Fetching}
+	t := &task{machine: m, name: order.Task, job: user, index: index, attempt: order.Attempt, state: wire.Fetching}
 	t.record(history.TaskPlaced, "")
 	m.add(t)
-	m.cache.request(u.spec.Image, u.spec.ImageGB, t)
+	m.cache.request(user.spec.Image, user.spec.ImageGB, t)
 }
 
 // fits reports whether there is room for one more task of a job.
-func (m *machine) fits(s *wire.Job) bool {
-	cpus, gpus, mem := s.CPUs, s.GPUs, s.MemGB
+func (m *machine) fits(spec *wire.Job) bool {
+	cpus, gpus, mem := spec.CPUs, spec.GPUs, spec.MemGB
 	for _, t := range m.tasks {
 		if t.state != wire.Ended {
 			cpus += t.job.spec.CPUs
@@ -461,8 +461,8 @@
 	waiting    []*task
 }
 
-// request provides an image to a task: from the cache, or by a fetch, which tasks with the
-// same image share.
+// request provides an image to a task, from the cache or by a fetch. Tasks with the same image
+// share a fetch.
 func (c *cache) request(name string, gb float64, t *task) {
 	if i := slices.IndexFunc(c.images, func(x *image) bool { return x.name == name }); i >= 0 {
 		x := c.images[i]
@@ -473,8 +473,8 @@
 	c.advance()
 	i := slices.IndexFunc(c.fetching, func(x *image) bool { return x.name == name })
 	if i < 0 {
-		left := gb / c.machine.machineType.FetchRate * (0.75 + c.machine.env.rng.Float64()*0.58)
-		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, remainingS: left})
+		remaining := gb / c.machine.machineType.FetchRate * (0.75 + c.machine.env.rng.Float64()*0.58)
+		c.fetching = append(c.fetching, &image{name: name, sizeGB: gb, remainingS: remaining})
 		i = len(c.fetching) - 1
 	}
 	c.fetching[i].waiting = append(c.fetching[i].waiting, t)
@@ -497,13 +497,13 @@
 		c.planVersion++
 		return
 	}
-	least := slices.MinFunc(c.fetching, func(a, b *image) int {
+	next := slices.MinFunc(c.fetching, func(a, b *image) int {
 		if a.remainingS < b.remainingS {
 			return -1
 		}
 		return 1
 	})
-	c.machine.env.afterUnlessReplanned(&c.planVersion, max(int64(least.remainingS*float64(len(c.fetching))*1e6), 0)+1000, func() {
+	c.machine.env.afterUnlessReplanned(&c.planVersion, max(int64(next.remainingS*float64(len(c.fetching))*1e6), 0)+1000, func() {
 		if c.machine.gone {
 			return
 		}
@@ -526,8 +526,8 @@
 	})
 }
 
-// add adds an image to the cache and evicts the least recently used images until the cache
-// fits its size. The new image always stays.
+// add adds an image to the cache and evicts the least recently used images until their total
+// size is at most the cache size. The new image is never evicted.
 func (c *cache) add(x *image) {
 	c.images = append(c.images, x)
 	size := 0.0
@@ -540,12 +540,12 @@
 	}
 }
 
-// cancelFetch removes a task from the fetch that it waits for, and cancels fetches that no
-// task waits for.
+// cancelFetch removes a task from the fetch that it waits for, and cancels the fetch if no other
+// task waits for it.
 func (c *cache) cancelFetch(t *task) {
 	c.advance()
 	c.fetching = slices.DeleteFunc(c.fetching, func(x *image) bool {
-		x.waiting = slices.DeleteFunc(x.waiting, func(o *task) bool { return o == t })
+		x.waiting = slices.DeleteFunc(x.waiting, func(other *task) bool { return other == t })
 		return len(x.waiting) == 0
 	})
 	c.scheduleNext()
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -31,10 +31,10 @@
 		Seed: 4, RestartTime: 4 * second, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 4, BootS: 1, Zones: []string{"a"}}},
 		Machines: []InitialMachines{{Type: "big", Zone: "a", Count: 2}},
 	}
-	p := &c.Params
-	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2, 16, 20, 4, 36
-	p.State.RPS, p.State.WriteRPS, p.State.TxnOps = 100, 100, 10
+	params := &c.Params
+	params.Size, params.Zones, params.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
+	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.GangWaitS, params.Workers.GangPeerS, params.Workers.CancelS = 2, 16, 20, 4, 36
+	params.State.RPS, params.State.WriteRPS, params.State.TxnOps = 100, 100, 10
 	job := func(id, kind string, tasks int, cpus float64) Job {
 		return Job{At: -1, Run: 30 * second, Spec: wire.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", ImageGB: 1, CheckpointS: 5, CheckpointCostS: 2}}
 	}
@@ -112,8 +112,8 @@
 	return wire.Order{Op: "kill", Task: task, Attempt: 1, GraceS: grace}
 }
 
-// lastReported returns how a machine last reported an attempt: its state, its reason and "stored"
-// if its progress is saved, or "none" if it is not in the report.
+// lastReported returns the state of an attempt in the machine's last report, with the reason if
+// there is one and "stored" if the progress is saved, or "none" if the attempt is not in it.
 func (s *testbed) lastReported(machine, name string, attempt uint64) string {
 	r := s.last[machine]
 	for _, t := range r.Tasks {
@@ -131,7 +131,7 @@
 	return "none"
 }
 
-// expectTask checks how a machine last reported an attempt, see lastReported.
+// expectTask checks the state of an attempt in a machine's last report, see lastReported.
 func (s *testbed) expectTask(machine, name string, attempt uint64, want string) {
 	s.t.Helper()
 	if got := s.lastReported(machine, name, attempt); got != want {
--- a/internal/emulator/environment/network.go
+++ b/internal/emulator/environment/network.go
@@ -33,10 +33,10 @@
 		}
 		return n.Regions[zone]
 	}
-	switch x, y := region(a), region(b); {
+	switch regionA, regionB := region(a), region(b); {
 	case a == b:
 		return n.SameZone
-	case n.CrossRegion > 0 && x != "" && y != "" && x != y:
+	case n.CrossRegion > 0 && regionA != "" && regionB != "" && regionA != regionB:
 		return n.CrossRegion
 	default:
 		return n.CrossZone
@@ -70,7 +70,7 @@
 type partition struct {
 	from, to *bart.Lite
 	mode     PartitionMode
-	// held are the messages that are delivered when the partition ends, in order.
+	// held has the messages that are delivered when the partition ends, in order.
 	held []func()
 }
 
@@ -104,64 +104,64 @@
 // "zone:NAME", "region:NAME", "workers:ZONE", "controllers", "workers", "services", "users",
 // "all" or an address prefix.
 func (n *network) hostSet(list []string) (*bart.Lite, error) {
-	s := &bart.Lite{}
+	set := &bart.Lite{}
 	zones := len(n.env.Params.Zones)
-	inZone := func(z int) {
+	addWorkers := func(z int) {
 		for k := workerHosts; k < 256; k++ {
-			s.Insert(netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(z), byte(k), 0}), 24))
+			set.Insert(netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(z), byte(k), 0}), 24))
 		}
 	}
 	kinds := map[string]int{"services": serviceHosts, "users": userHosts, "controllers": controllerHosts}
-	for _, h := range list {
-		zone, isZone := strings.CutPrefix(h, "zone:")
-		region, isRegion := strings.CutPrefix(h, "region:")
-		part, isPart := strings.CutPrefix(h, "workers:")
-		kind, isKind := kinds[h]
+	for _, host := range list {
+		zone, isZone := strings.CutPrefix(host, "zone:")
+		region, isRegion := strings.CutPrefix(host, "region:")
+		workerZone, isWorkerZone := strings.CutPrefix(host, "workers:")
+		kind, isKind := kinds[host]
 		switch {
-		case h == "all":
-			s.Insert(netip.MustParsePrefix("10.0.0.0/8"))
+		case host == "all":
+			set.Insert(netip.MustParsePrefix("10.0.0.0/8"))
 		case isZone:
 			z := n.zone(zone)
 			if z == 0 {
 				return nil, fmt.Errorf("unknown zone %q", zone)
 			}
-			s.Insert(zonePrefix(z))
+			set.Insert(zonePrefix(z))
 		case isRegion:
 			known := false
 			for i, z := range n.env.Params.Zones {
 				if n.env.Network.Regions[z] == region {
-					s.Insert(zonePrefix(i + 1))
+					set.Insert(zonePrefix(i + 1))
 					known = true
 				}
 			}
 			if !known {
 				return nil, fmt.Errorf("unknown region %q", region)
 			}
-		case isPart:
-			z := n.zone(part)
+		case isWorkerZone:
+			z := n.zone(workerZone)
 			if z == 0 {
-				return nil, fmt.Errorf("unknown zone %q", part)
+				return nil, fmt.Errorf("unknown zone %q", workerZone)
 			}
-			inZone(z)
+			addWorkers(z)
 		case isKind:
 			for z := range zones + 1 {
-				s.Insert(netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(z), byte(kind), 0}), 24))
+				set.Insert(netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(z), byte(kind), 0}), 24))
 			}
-		case h == "workers":
+		case host == "workers":
 			for z := 1; z <= zones; z++ {
-				inZone(z)
+				addWorkers(z)
 			}
-		case n.addrs[h].IsValid():
-			s.Insert(netip.PrefixFrom(n.addrs[h], 32))
+		case n.addrs[host].IsValid():
+			set.Insert(netip.PrefixFrom(n.addrs[host], 32))
 		default:
-			p, err := netip.ParsePrefix(h)
+			prefix, err := netip.ParsePrefix(host)
 			if err != nil {
-				return nil, fmt.Errorf("%q is not a host, zone, kind of host or address prefix", h)
+				return nil, fmt.Errorf("%q is not a host, zone, kind of host or address prefix", host)
 			}
-			s.Insert(p)
+			set.Insert(prefix)
 		}
 	}
-	return s, nil
+	return set, nil
 }
 
 // zonePrefix returns the address range of a zone.
@@ -169,8 +169,8 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(zone), 0, 0}), 16)
 }
 
-// PartitionMode says how a partition treats messages across it. By default they are held until
-// it ends.
+// PartitionMode says how a partition treats messages between its two sides. By default they are
+// held until the partition ends.
 type PartitionMode struct {
 	// Reset breaks connections instead of holding their messages. Refuse breaks only new
 	// connections; existing ones keep working.
@@ -179,15 +179,16 @@
 	OneWay bool
 }
 
-// partitionBetween returns the partition that separates two hosts, nil if there is none.
+// partitionBetween returns a partition that affects messages from one host to another, nil if
+// there is none.
 func (n *network) partitionBetween(from, to string) *partition {
 	if len(n.partitions) == 0 {
 		return nil
 	}
-	f, t := n.addrs[from], n.addrs[to]
-	for _, c := range n.partitions {
-		if c.from.Contains(f) && c.to.Contains(t) || !c.mode.OneWay && c.from.Contains(t) && c.to.Contains(f) {
-			return c
+	fromAddr, toAddr := n.addrs[from], n.addrs[to]
+	for _, p := range n.partitions {
+		if p.from.Contains(fromAddr) && p.to.Contains(toAddr) || !p.mode.OneWay && p.from.Contains(toAddr) && p.to.Contains(fromAddr) {
+			return p
 		}
 	}
 	return nil
@@ -195,35 +196,35 @@
 
 // delay returns a random delay for a message between two hosts, with jitter and loss.
 func (n *network) delay(from, to string) int64 {
-	c := &n.env.Network
-	d := c.CrossZone
-	a, known := n.zones[from]
-	b, alsoKnown := n.zones[to]
-	if known && alsoKnown {
-		d = c.latency(a, b)
+	config := &n.env.Network
+	latency := config.CrossZone
+	fromZone, fromKnown := n.zones[from]
+	toZone, toKnown := n.zones[to]
+	if fromKnown && toKnown {
+		latency = config.latency(fromZone, toZone)
 	}
-	d = n.env.jitter(d, 1-c.Jitter, 1+c.Jitter)
-	if c.Loss > 0 && n.env.rng.Float64() < c.Loss {
-		d += retransmitDelay
+	latency = n.env.jitter(latency, 1-config.Jitter, 1+config.Jitter)
+	if config.Loss > 0 && n.env.rng.Float64() < config.Loss {
+		latency += retransmitDelay
 	}
-	return d
+	return latency
 }
 
-// send delivers a message after the network delay. A partition that holds messages delivers it
-// when it ends, provided that the two hosts had a connection before; otherwise no connection is
-// established and the message is lost. A partition with Reset breaks the connection, and one
-// with Refuse breaks it if it is new: send then calls broken.
+// send delivers a message after the network delay. A partition that holds messages delivers the
+// message when the partition ends, provided that the two hosts had a connection before;
+// otherwise no connection is established and the message is lost. A partition with Reset breaks
+// the connection, and one with Refuse breaks it if it is new: send then calls broken.
 func (n *network) send(from, to string, deliver, broken func()) {
 	n.env.after(n.delay(from, to), func() {
 		pair := [2]string{min(from, to), max(from, to)}
-		switch c := n.partitionBetween(from, to); {
-		case c == nil, c.mode.Refuse && n.connections[pair]:
+		switch p := n.partitionBetween(from, to); {
+		case p == nil, p.mode.Refuse && n.connections[pair]:
 			n.connections[pair] = true
 			deliver()
-		case c.mode.Reset, c.mode.Refuse:
+		case p.mode.Reset, p.mode.Refuse:
 			broken()
 		case n.connections[pair]:
-			c.held = append(c.held, deliver)
+			p.held = append(p.held, deliver)
 		}
 	})
 }
@@ -239,18 +240,18 @@
 
 // beginPartition begins a partition and returns the function that ends it.
 func (n *network) beginPartition(a, b *bart.Lite, mode PartitionMode) (end func()) {
-	c := &partition{from: a, to: b, mode: mode}
-	n.partitions = append(n.partitions, c)
+	p := &partition{from: a, to: b, mode: mode}
+	n.partitions = append(n.partitions, p)
 	return func() {
-		for i, o := range n.partitions {
-			if o == c {
+		for i, other := range n.partitions {
+			if other == p {
 				n.partitions = append(n.partitions[:i], n.partitions[i+1:]...)
 				break
 			}
 		}
-		for i, f := range c.held {
-			n.env.after(int64(i), f)
+		for i, deliver := range p.held {
+			n.env.after(int64(i), deliver)
 		}
-		c.held = nil
+		p.held = nil
 	}
 }
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -13,8 +13,7 @@
 // only. The environment with the cloud decides what happens to a machine and sends it to the
 // environment with the machine's worker.
 
-// The messages to an environment of workers. WorkerFault is also a message from the environment
-// with the cloud.
+// The messages to an environment of workers. The environment with the cloud emits WorkerFault itself.
 type (
 	// WorkerBegin starts the worker of a machine that is up.
 	WorkerBegin struct {
@@ -97,20 +96,20 @@
 	}
 }
 
-func (env *Environment) beginWorker(m WorkerBegin) {
-	i := slices.IndexFunc(env.Types, func(t wire.MachineType) bool { return t.Name == m.Type })
-	if i < 0 || env.cloud.machines[m.Name] != nil {
+func (env *Environment) beginWorker(begin WorkerBegin) {
+	i := slices.IndexFunc(env.Types, func(t wire.MachineType) bool { return t.Name == begin.Type })
+	if i < 0 || env.cloud.machines[begin.Name] != nil {
 		return
 	}
-	x := newMachine(env, m.Name, &env.Types[i], m.Zone, m.Spot)
-	env.cloud.machines[m.Name] = x
-	env.network.addHost(m.Name, m.Zone, workerHosts)
-	env.emit(Machine{Name: m.Name, Up: true, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+	m := newMachine(env, begin.Name, &env.Types[i], begin.Zone, begin.Spot)
+	env.cloud.machines[begin.Name] = m
+	env.network.addHost(begin.Name, begin.Zone, workerHosts)
+	env.emit(Machine{Name: begin.Name, Up: true, Type: begin.Type, Zone: begin.Zone, Spot: begin.Spot})
 	// Start after a random part of a second, as if the machine had come up at some point of
 	// a report interval.
 	env.after(env.rng.Int64N(second), func() {
-		x.up, x.lastAnsweredAt = true, env.now
-		x.startWorker()
+		m.up, m.lastAnsweredAt = true, env.now
+		m.startWorker()
 	})
 }
 
--- a/internal/emulator/environment/service_faults.go
+++ b/internal/emulator/environment/service_faults.go
@@ -24,10 +24,10 @@
 		if f.Factor <= 0 {
 			return nil, errFactorNotPositive
 		}
-		v := factor(env)
+		setting := factor(env)
 		return func() func() {
-			*v = f.Factor
-			return func() { *v = 1 }
+			*setting = f.Factor
+			return func() { *setting = 1 }
 		}, nil
 	}
 }
@@ -50,16 +50,17 @@
 }
 
 // lateRequests returns a fault that sets the share of requests that are executed late, or, with
-// LoseOnlyResponses, the share of transactions of which only the response is lost.
+// LoseOnlyResponses, the share of transactions that are executed at once but whose response is
+// lost.
 func lateRequests(share func(*Environment) *float64) prepareFault {
 	return func(env *Environment, f Fault) (beginFault, error) {
-		v := share(env)
+		setting := share(env)
 		if f.LoseOnlyResponses {
-			v = &env.state.lostAnswerShare
+			setting = &env.state.lostAnswerShare
 		}
 		return func() func() {
-			*v = f.Share
-			return func() { *v = 0 }
+			*setting = f.Share
+			return func() { *setting = 0 }
 		}, nil
 	}
 }
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -17,7 +17,7 @@
 const (
 	maxPageRows         = 1000
 	maxPageBytes        = 512 << 10
-	retainedChanges     = 10_000 // at least, before compaction
+	retainedChanges     = 10_000 // changes that compaction keeps
 	maxTransactionBytes = 64 << 10
 	maxKeyBytes         = 200
 	maxLeaseDelay       = 100_000 // µs from the end of a lease to its removal
@@ -47,8 +47,8 @@
 	// delayedWriteShare and delayedLeaseShare are the shares of transactions, and of lease
 	// requests, that get no response and are executed late.
 	delayedWriteShare, delayedLeaseShare float64
-	// lostAnswerShare is the share of transactions that are executed at once and of which
-	// only the response is lost.
+	// lostAnswerShare is the share of transactions that are executed at once but whose
+	// response is lost.
 	lostAnswerShare float64
 }
 
@@ -93,26 +93,26 @@
 }
 
 func newStateService(env *Environment) *stateService {
-	l := env.Params.State.StateLimits
+	limits := env.Params.State.StateLimits
 	return &stateService{
-		env: env, leases: map[uint64]*lease{}, limits: l, slowFactor: 1,
-		calls: bucket{level: l.RPS}, writes: bucket{level: l.WriteRPS},
+		env: env, leases: map[uint64]*lease{}, limits: limits, slowFactor: 1,
+		calls: bucket{level: limits.RPS}, writes: bucket{level: limits.WriteRPS},
 	}
 }
 
 // refuses reports whether requests of a host are answered with status 503.
 func (s *stateService) refuses(from string) bool {
-	n := s.env.controller(from)
-	return s.down || n != nil && n.refused
+	caller := s.env.controller(from)
+	return s.down || caller != nil && caller.refused
 }
 
 func (s *stateService) call(from string, req any, answer func(int, any)) {
 	// One request in 500 takes up to 300 ms longer.
-	d := s.env.jitter(s.env.StateDelay, 0.5, 1.5)
+	delay := s.env.jitter(s.env.StateDelay, 0.5, 1.5)
 	if s.env.rng.IntN(500) == 0 {
-		d += s.env.rng.Int64N(300_000)
+		delay += s.env.rng.Int64N(300_000)
 	}
-	s.env.after(int64(float64(d)*s.slowFactor), func() { s.handleRequest(from, req, answer) })
+	s.env.after(int64(float64(delay)*s.slowFactor), func() { s.handleRequest(from, req, answer) })
 }
 
 // handleRequest handles a request after the service time, with rate limits and injected losses.
@@ -125,14 +125,14 @@
 		answer(429, wire.Error{Error: "too many requests"})
 		return
 	}
-	if q, ok := req.(wire.Watch); ok {
-		s.watch(&watch{from: from, req: q, answer: answer})
+	if request, ok := req.(wire.Watch); ok {
+		s.watch(&watch{from: from, req: request, answer: answer})
 		return
 	}
 	execute := func() { answer(s.execute(req)) }
-	lost, late := s.env.loseAnswer()
+	lost, delay := s.env.loseAnswer()
 	if s.shouldDelay(req) {
-		lost, late = true, 2*second+s.env.rng.Int64N(10*second)
+		lost, delay = true, 2*second+s.env.rng.Int64N(10*second)
 		s.env.record(history.Event{Kind: history.RequestDelayed})
 	} else if _, ok := req.(wire.Transaction); ok && s.lostAnswerShare > 0 && s.env.rng.Float64() < s.lostAnswerShare {
 		lost = true
@@ -142,13 +142,13 @@
 		if loss.Outcome == LostBefore {
 			return
 		}
-		lost, late = true, loss.Delay
+		lost, delay = true, loss.Delay
 	}
 	if lost {
 		execute = func() { s.execute(req) }
 	}
-	if late > 0 {
-		s.env.after(late, func() {
+	if delay > 0 {
+		s.env.after(delay, func() {
 			if !s.down {
 				execute()
 			}
@@ -173,16 +173,16 @@
 // matchLoss returns the loss that applies to a request and removes it from the pending losses,
 // or returns nil if there is none.
 func (s *stateService) matchLoss(req any) *TransactionLoss {
-	m, ok := req.(wire.Transaction)
+	transaction, ok := req.(wire.Transaction)
 	if !ok {
 		return nil
 	}
-	for i, l := range s.transactionLosses {
-		if slices.ContainsFunc(m.Writes, func(x wire.Write) bool { return strings.HasPrefix(x.Key(), l.Prefix) }) {
-			l.Matched++
-			if l.Matched > l.Skip {
+	for i, loss := range s.transactionLosses {
+		if slices.ContainsFunc(transaction.Writes, func(write wire.Write) bool { return strings.HasPrefix(write.Key(), loss.Prefix) }) {
+			loss.Matched++
+			if loss.Matched > loss.Skip {
 				s.transactionLosses = slices.Delete(s.transactionLosses, i, i+1)
-				return l
+				return loss
 			}
 		}
 	}
@@ -262,71 +262,71 @@
 
 // apply executes a write at the current revision. It compacts the changes down to the newest
 // retainedChanges once there are more than twice as many.
-func (s *stateService) apply(x wire.Write) {
-	key := x.Key()
+func (s *stateService) apply(write wire.Write) {
+	key := write.Key()
 	if old, ok := s.keys.Get(key); ok && old.lease != 0 {
 		if l := s.leases[old.lease]; l != nil {
 			delete(l.keys, key)
 		}
 	}
-	c := wire.Change{Put: x.Put, Remove: x.Remove, Value: x.Value, Revision: s.revision}
-	if x.Remove != "" {
+	change := wire.Change{Put: write.Put, Remove: write.Remove, Value: write.Value, Revision: s.revision}
+	if write.Remove != "" {
 		s.keys.Delete(key)
 	} else {
-		s.keys.Set(key, storedValue{x.Value, s.revision, x.Lease})
-		if x.Lease != 0 {
-			s.leases[x.Lease].keys[key] = true
+		s.keys.Set(key, storedValue{write.Value, s.revision, write.Lease})
+		if write.Lease != 0 {
+			s.leases[write.Lease].keys[key] = true
 		}
 	}
-	s.changes = append(s.changes, c)
+	s.changes = append(s.changes, change)
 	if len(s.changes) > 2*retainedChanges {
 		s.compactedRevision = s.changes[len(s.changes)-retainedChanges-1].Revision
 		s.changes = slices.Clone(s.changes[len(s.changes)-retainedChanges:])
 	}
 	state := history.KeyPut
-	if x.Remove != "" {
+	if write.Remove != "" {
 		state = history.KeyRemoved
 	}
-	s.env.record(history.Event{Kind: history.StateChanged, Key: key, Value: string(x.Value), State: state})
+	s.env.record(history.Event{Kind: history.StateChanged, Key: key, Value: string(write.Value), State: state})
 }
 
-func (s *stateService) list(q wire.List) wire.Page {
-	p := wire.Page{Revision: s.revision, Rows: []wire.Row{}}
-	most := min(max(q.Limit, 1), maxPageRows)
+func (s *stateService) list(request wire.List) wire.Page {
+	page := wire.Page{Revision: s.revision, Rows: []wire.Row{}}
+	limit := min(max(request.Limit, 1), maxPageRows)
 	size := 0
-	s.keys.Ascend(max(q.Prefix, q.After), func(k string, v storedValue) bool {
-		if !strings.HasPrefix(k, q.Prefix) {
+	s.keys.Ascend(max(request.Prefix, request.After), func(k string, v storedValue) bool {
+		if !strings.HasPrefix(k, request.Prefix) {
 			return false
 		}
-		if q.After != "" && k <= q.After {
+		if request.After != "" && k <= request.After {
 			return true
 		}
 		size += len(k) + len(v.value) + 60
-		if len(p.Rows) == most || size > maxPageBytes && len(p.Rows) > 0 {
-			p.More = true
+		if len(page.Rows) == limit || size > maxPageBytes && len(page.Rows) > 0 {
+			page.More = true
 			return false
 		}
-		p.Rows = append(p.Rows, wire.Row{Key: k, Value: v.value, Revision: v.revision, Lease: v.lease})
+		page.Rows = append(page.Rows, wire.Row{Key: k, Value: v.value, Revision: v.revision, Lease: v.lease})
 		return true
 	})
-	return p
+	return page
 }
 
 // commit executes a transaction.
-func (s *stateService) commit(q wire.Transaction) (int, any) {
-	if fault := s.invalidReason(q); fault != "" {
+func (s *stateService) commit(transaction wire.Transaction) (int, any) {
+	if fault := s.invalidReason(transaction); fault != "" {
 		return http.StatusBadRequest, wire.Error{Error: fault}
 	}
-	if !s.writes.take(s.env.now, s.limits.WriteRPS, 1, float64(len(q.Writes))) {
+	if !s.writes.take(s.env.now, s.limits.WriteRPS, 1, float64(len(transaction.Writes))) {
 		return http.StatusTooManyRequests, wire.Error{Error: "too many changes"}
 	}
-	for _, write := range q.Writes {
+	for _, write := range transaction.Writes {
 		if write.Lease != 0 && s.leases[write.Lease] == nil {
 			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 		}
 	}
 	var failed []string
-	for _, condition := range q.Conditions {
+	for _, condition := range transaction.Conditions {
 		if v, _ := s.keys.Get(condition.Key); v.revision != condition.Revision {
 			failed = append(failed, condition.Key)
 		}
@@ -334,9 +334,9 @@
 	if failed != nil {
 		return http.StatusConflict, wire.TransactionAnswer{Revision: s.revision, Failed: failed}
 	}
-	if len(q.Writes) > 0 {
+	if len(transaction.Writes) > 0 {
 		s.revision++
-		for _, write := range q.Writes {
+		for _, write := range transaction.Writes {
 			s.apply(write)
 		}
 		s.wakeWatches()
@@ -345,9 +345,9 @@
 }
 
 // invalidReason returns the reason for which a transaction is invalid, "" if it is valid.
-func (s *stateService) invalidReason(q wire.Transaction) string {
+func (s *stateService) invalidReason(transaction wire.Transaction) string {
 	size := 0
-	for _, write := range q.Writes {
+	for _, write := range transaction.Writes {
 		size += len(write.Key()) + len(write.Value)
 		switch {
 		case (write.Put == "") == (write.Remove == "") || len(write.Key()) > maxKeyBytes || strings.Contains(write.Key(), " "):
@@ -358,7 +358,7 @@
 			return "data: value too large"
 		}
 	}
-	if len(q.Writes) > s.limits.TxnOps || len(q.Conditions) > 4*s.limits.TxnOps || size > maxTransactionBytes {
+	if len(transaction.Writes) > s.limits.TxnOps || len(transaction.Conditions) > 4*s.limits.TxnOps || size > maxTransactionBytes {
 		return "transaction too large"
 	}
 	return ""
@@ -381,37 +381,37 @@
 	return changes, true
 }
 
-func (s *stateService) watch(x *watch) {
-	s.watches = append(s.watches, x)
-	s.answerWatch(x, false)
-	s.env.after(min(x.req.WaitMS, maxWatchWaitMS)*1000, func() { s.answerWatch(x, true) })
+func (s *stateService) watch(w *watch) {
+	s.watches = append(s.watches, w)
+	s.answerWatch(w, false)
+	s.env.after(min(w.req.WaitMS, maxWatchWaitMS)*1000, func() { s.answerWatch(w, true) })
 }
 
-// answerWatch answers a watch if there are changes or its wait time is over. It stays open while
-// the service refuses requests of the caller.
-func (s *stateService) answerWatch(x *watch, over bool) {
-	if x.done {
+// answerWatch answers a watch if there are changes or its wait time is over. The watch stays open
+// while the service refuses requests of the caller.
+func (s *stateService) answerWatch(w *watch, timedOut bool) {
+	if w.done {
 		return
 	}
-	if s.refuses(x.from) {
-		if over {
-			s.env.after(second/2, func() { s.answerWatch(x, true) })
+	if s.refuses(w.from) {
+		if timedOut {
+			s.env.after(second/2, func() { s.answerWatch(w, true) })
 		}
 		return
 	}
-	changes, ok := s.changesSince(x.req.Prefix, x.req.After)
+	changes, ok := s.changesSince(w.req.Prefix, w.req.After)
 	switch {
 	case !ok:
-		x.answer(410, wire.Error{Error: "too old"})
-	case len(changes) > 0 || over:
+		w.answer(410, wire.Error{Error: "too old"})
+	case len(changes) > 0 || timedOut:
 		if changes == nil {
 			changes = []wire.Change{}
 		}
-		x.answer(200, wire.WatchAnswer{Revision: s.revision, Changes: changes})
+		w.answer(200, wire.WatchAnswer{Revision: s.revision, Changes: changes})
 	default:
 		return
 	}
-	x.done = true
+	w.done = true
 }
 
 // wakeWatches answers the watches that have changes.
@@ -419,10 +419,10 @@
 	if s.down {
 		return
 	}
-	for _, x := range s.watches {
-		s.answerWatch(x, false)
+	for _, w := range s.watches {
+		s.answerWatch(w, false)
 	}
-	s.watches = slices.DeleteFunc(s.watches, func(x *watch) bool { return x.done })
+	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return w.done })
 }
 
 // recover ends an outage. Every lease is renewed for its full duration.
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -37,14 +37,14 @@
 	return wire.Task{Name: t.name, Attempt: t.attempt, State: state, Reason: t.reason, Saved: t.saved}
 }
 
-func (t *task) record(k history.Kind, why string) {
-	t.machine.env.record(history.Event{Kind: k, Job: t.job.spec.ID, Task: t.index, Attempt: t.attempt, Machine: t.machine.name, Reason: why})
+func (t *task) record(kind history.Kind, reason string) {
+	t.machine.env.record(history.Event{Kind: kind, Job: t.job.spec.ID, Task: t.index, Attempt: t.attempt, Machine: t.machine.name, Reason: reason})
 }
 
-// schedule calls f after d, unless another step is scheduled first or the task has ended or its
-// machine hangs by then.
-func (t *task) schedule(d int64, f func()) {
-	t.machine.env.afterUnlessReplanned(&t.planVersion, d, func() {
+// schedule calls f after delay, unless another step is scheduled before then, or the task has
+// ended or its machine hangs at that time.
+func (t *task) schedule(delay int64, f func()) {
+	t.machine.env.afterUnlessReplanned(&t.planVersion, delay, func() {
 		if t.state != wire.Ended && !t.machine.hanging {
 			f()
 		}
@@ -87,7 +87,7 @@
 	t.planEnd()
 }
 
-// remainingTime returns how long the remaining work takes on this machine.
+// remainingTime returns the duration of the remaining work on this machine.
 func (t *task) remainingTime() int64 {
 	return int64(float64(t.totalTime()-t.startProgress) / t.machine.speed)
 }
@@ -131,21 +131,21 @@
 
 // kill executes a kill command. With enough grace the task saves its progress and then exits.
 func (t *task) kill(grace int64) {
-	save := int64(t.spec().CheckpointCostS * 1e6)
-	saves := t.spec().CheckpointS > 0
+	saveTime := int64(t.spec().CheckpointCostS * 1e6)
+	canSave := t.spec().CheckpointS > 0
 	switch t.state {
 	case wire.Ended:
 	case wire.Running:
 		if t.gang != nil {
-			t.gang.kill(t, grace, save, saves)
+			t.gang.kill(t, grace, saveTime, canSave)
 			return
 		}
-		if !saves || grace < save || t.machine.faulty {
+		if !canSave || grace < saveTime || t.machine.faulty {
 			t.exit("stopped")
 			return
 		}
 		t.stopProgress()
-		t.schedule(save, func() {
+		t.schedule(saveTime, func() {
 			t.job.progress[t.index] = t.startProgress
 			t.saved = true
 			t.exit("stopped")
@@ -177,35 +177,35 @@
 }
 
 // exit ends the task and keeps it in the machine's reports.
-func (t *task) exit(why string) {
-	t.remove(why)
-	t.reason = why
+func (t *task) exit(reason string) {
+	t.remove(reason)
+	t.reason = reason
 	t.machine.reportSoon()
 }
 
 // remove ends the task and frees its resources.
-func (t *task) remove(why string) {
+func (t *task) remove(reason string) {
 	if t.state == wire.Ended {
 		return
 	}
 	if t.state == wire.Fetching {
 		t.machine.cache.cancelFetch(t)
-		t.record(history.RoomFreed, why)
+		t.record(history.RoomFreed, reason)
 	} else {
 		t.storeCheckpoints()
-		t.record(history.TaskLeft, why)
+		t.record(history.TaskLeft, reason)
 	}
 	t.state = wire.Ended
 	t.planVersion++
 	if g := t.gang; g != nil {
-		g.taskLost(t, why)
+		g.taskLost(t, reason)
 	}
 }
 
 // drop ends the task and removes it from the machine's reports, as the session or the machine
 // ends.
-func (t *task) drop(why string) {
-	t.remove(why)
+func (t *task) drop(reason string) {
+	t.remove(reason)
 	if i, ok := t.machine.find(t.name, t.attempt); ok {
 		t.machine.tasks = slices.Delete(t.machine.tasks, i, i+1)
 	}
@@ -248,7 +248,7 @@
 	attempt uint64
 }
 
-// gang is an attempt of a gang, with those of its tasks that have their image.
+// gang is an attempt of a gang. Its tasks are those whose image is on their machine.
 type gang struct {
 	env     *Environment
 	key     gangKey
@@ -291,13 +291,13 @@
 
 // start starts all tasks of the gang if all have their image and none of their machines hangs.
 func (g *gang) start() {
-	have := map[int]bool{}
+	ready := map[int]bool{}
 	for _, t := range g.tasks {
 		if t.state == wire.Waiting && !t.machine.hanging {
-			have[t.index] = true
+			ready[t.index] = true
 		}
 	}
-	if len(have) < g.job.spec.Tasks || g.running {
+	if len(ready) < g.job.spec.Tasks || g.running {
 		return
 	}
 	g.running, g.startedAt, g.startProgress = true, g.env.now, g.job.progress[0]
@@ -332,8 +332,8 @@
 }
 
 // storeProgress records the progress of the gang, which is kept under task 0.
-func (g *gang) storeProgress(to int64) {
-	g.job.progress[0] = max(g.job.progress[0], to)
+func (g *gang) storeProgress(progress int64) {
+	g.job.progress[0] = max(g.job.progress[0], progress)
 }
 
 // stopProgress stops the gang's progress and records the progress at the last checkpoint.
@@ -361,10 +361,10 @@
 
 // taskLost is called when a task has left its machine. The gang fails unless the task was done
 // or stopped after saving.
-func (g *gang) taskLost(t *task, why string) {
+func (g *gang) taskLost(t *task, reason string) {
 	t.gang = nil
-	g.tasks = slices.DeleteFunc(g.tasks, func(o *task) bool { return o == t })
-	if why != "done" && (why != "stopped" || !t.saved) {
+	g.tasks = slices.DeleteFunc(g.tasks, func(other *task) bool { return other == t })
+	if reason != "done" && (reason != "stopped" || !t.saved) {
 		g.fail()
 	}
 	if len(g.tasks) == 0 {
@@ -373,8 +373,8 @@
 	}
 }
 
-// machineHung is called when a machine of the gang hangs. A running gang fails, as the other
-// tasks detect it within the peer timeout.
+// machineHung is called when a machine of the gang hangs. A running gang fails, as its other
+// tasks detect the hang within the peer timeout.
 func (g *gang) machineHung() {
 	if g.running {
 		g.fail()
@@ -391,11 +391,11 @@
 	g.start()
 }
 
-// kill executes a kill command to one of the running tasks. With enough grace it begins or
-// continues an orderly stop, in which all tasks have to get the command within gang_peer_s of
-// the first.
-func (g *gang) kill(t *task, grace, save int64, saves bool) {
-	if !saves || grace < save || g.failed {
+// kill executes a kill command for one of the running tasks. With enough grace it begins or
+// continues an orderly stop, in which all tasks have to receive the command within gang_peer_s
+// of the first.
+func (g *gang) kill(t *task, grace, saveTime int64, canSave bool) {
+	if !canSave || grace < saveTime || g.failed {
 		t.exit("stopped")
 		return
 	}
@@ -404,7 +404,7 @@
 		g.stopProgress()
 		g.env.after(g.peerTimeout(), func() {
 			if g.killsReceived < g.job.spec.Tasks {
-				g.fail() // tasks that got no command exit, and the save fails
+				g.fail() // tasks that received no command exit, and the save fails
 			}
 			g.exitSaved()
 		})
@@ -412,20 +412,21 @@
 	t.state = wire.Saving
 	t.machine.reportSoon()
 	g.killsReceived++
-	t.schedule(save, func() {
+	t.schedule(saveTime, func() {
 		t.saved = true
 		g.exitSaved()
 	})
 }
 
-// exitSaved makes the tasks that have saved exit, once all tasks have got the command, and all
-// have saved or the peer timeout is over. The progress is stored when the first one exits.
+// exitSaved ends the tasks that have saved. It does so once all tasks have received the kill
+// command, and either all have saved or the peer timeout is over. The progress is stored when
+// the first one exits.
 func (g *gang) exitSaved() {
 	if g.failed || g.killsReceived < g.job.spec.Tasks {
 		return
 	}
-	busy := slices.ContainsFunc(g.tasks, func(t *task) bool { return !t.saved })
-	if busy && g.env.now < g.firstKillAt+g.peerTimeout() {
+	anyUnsaved := slices.ContainsFunc(g.tasks, func(t *task) bool { return !t.saved })
+	if anyUnsaved && g.env.now < g.firstKillAt+g.peerTimeout() {
 		return
 	}
 	for _, t := range slices.Clone(g.tasks) {
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -10,41 +10,41 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// probeDelays are the delays, in microseconds, after which the controllers are polled once a
-// user has got a response. The submission is repeated after the second delay.
+// probeDelays are the delays, in microseconds, from the response to a user until the controllers
+// are polled. The submission is repeated after the second delay.
 var probeDelays = []int64{0, 4_000, 25_000, 120_000}
 
-// cancelOneIn is the average number of probed acceptances for each job that is cancelled.
+// cancelOneIn is the average number of accepted jobs that are probed for each one cancelled.
 const cancelOneIn = 8
 
 // askController sends a user's request to a controller directly, past the load balancer.
-func (b *loadBalancer) askController(n *controller, op, job string, request any) {
+func (b *loadBalancer) askController(target *controller, op, job string, request any) {
 	timeout := submitTimeout
 	if op == history.Poll {
 		timeout = pollTimeout
 	}
 	send := func(finish func(AskAnswer)) {
-		b.env.network.send(usersHost, n.name, func() { b.env.ask(usersHost, n.name, request, finish) }, func() { finish(AskAnswer{}) })
+		b.env.network.send(usersHost, target.name, func() { b.env.ask(usersHost, target.name, request, finish) }, func() { finish(AskAnswer{}) })
 	}
 	b.exchange(op, job, timeout, send, func(AskAnswer, wire.JobAnswer) {})
 }
 
-// probeControllers polls all controllers for a job and repeats its submission, right after its
-// user has got the response that the job is accepted or has ended. One in cancelOneIn jobs that
-// have not ended is then cancelled.
+// probeControllers polls all controllers for a job and repeats its submission, right after the
+// user has received the response that the job is accepted or has ended. On average one in
+// cancelOneIn jobs that have not ended is then cancelled.
 func (u *jobUser) probeControllers() {
 	env := u.env
 	if !env.balancer.probeAfterAnswers {
 		return
 	}
-	for _, n := range env.controllers {
-		for i, d := range probeDelays {
-			env.after(d+env.rng.Int64N(2000), func() {
+	for _, target := range env.controllers {
+		for i, delay := range probeDelays {
+			env.after(delay+env.rng.Int64N(2000), func() {
 				env.recordOccurrence(history.OccurProbe)
-				env.balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
+				env.balancer.askController(target, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 				if i == 1 {
 					spec := u.spec
-					env.balancer.askController(n, history.Submit, u.spec.ID, &spec)
+					env.balancer.askController(target, history.Submit, u.spec.ID, &spec)
 				}
 			})
 		}
@@ -54,22 +54,22 @@
 	}
 }
 
-// onLastTaskDone is called when the last task of a job has completed. For the share
-// cancelAtEndShare of the jobs, it cancels, polls and resubmits the job several times.
+// onLastTaskDone is called when the last task of a job has completed. It cancels, polls and
+// resubmits the share cancelAtEndShare of the jobs several times.
 func (u *jobUser) onLastTaskDone() {
 	balancer := u.env.balancer
 	if balancer.cancelAtEndShare == 0 || u.env.rng.Float64() >= balancer.cancelAtEndShare {
 		return
 	}
 	// The delays lie before, around and after the time at which controllers learn of the end.
-	for _, d := range []int64{0, 40_000, 300_000, 900_000} {
-		n := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
+	for _, delay := range []int64{0, 40_000, 300_000, 900_000} {
+		target := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
 		u.env.recordOccurrence(history.OccurCancelAtEnd)
-		u.env.after(u.env.rng.Int64N(d+2000), func() {
-			balancer.askController(n, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
-			balancer.askController(n, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
+		u.env.after(u.env.rng.Int64N(delay+2000), func() {
+			balancer.askController(target, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
+			balancer.askController(target, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 			spec := u.spec
-			balancer.askController(n, history.Submit, u.spec.ID, &spec)
+			balancer.askController(target, history.Submit, u.spec.ID, &spec)
 		})
 	}
 }
@@ -79,14 +79,14 @@
 	minTimeLeft = 2 * second
 	// cancelWindow is the time within which all of the jobs are cancelled.
 	cancelWindow = second / 5
-	// maxHungMachines is the maximum number of their machines that hang.
+	// maxHungMachines is the maximum number of machines of these jobs that hang.
 	maxHungMachines = 8
 )
 
 // cancelNow makes the users of count running jobs cancel them. With hangs, some machines of
 // these jobs hang; end resumes them.
 func (env *Environment) cancelNow(count int, hangs bool) (end func()) {
-	on := map[*jobUser][]*machine{}
+	machinesOf := map[*jobUser][]*machine{}
 	var users []*jobUser
 	for _, m := range env.cloud.order {
 		for _, t := range m.tasks {
@@ -94,29 +94,29 @@
 			if m.gone || u == nil || t.state != wire.Running || u.spec.Kind == wire.Service || u.cancelRequested || t.totalTime()-t.currentProgress() < minTimeLeft {
 				continue
 			}
-			if on[u] == nil {
+			if machinesOf[u] == nil {
 				users = append(users, u)
 			}
-			if !slices.Contains(on[u], m) {
-				on[u] = append(on[u], m)
+			if !slices.Contains(machinesOf[u], m) {
+				machinesOf[u] = append(machinesOf[u], m)
 			}
 		}
 	}
 	env.rng.Shuffle(len(users), func(i, k int) { users[i], users[k] = users[k], users[i] })
-	var hang []*machine
+	var hung []*machine
 	for _, u := range users[:min(count, len(users))] {
 		env.recordOccurrence(history.OccurCancel)
 		env.after(env.rng.Int64N(cancelWindow), u.cancel)
-		for _, m := range on[u] {
-			if hangs && len(hang) < maxHungMachines && !m.hanging {
+		for _, m := range machinesOf[u] {
+			if hangs && len(hung) < maxHungMachines && !m.hanging {
 				env.recordOccurrence(history.OccurHungMachine)
-				hang = append(hang, m)
+				hung = append(hung, m)
 				m.hang()
 			}
 		}
 	}
 	return func() {
-		for _, m := range hang {
+		for _, m := range hung {
 			m.resume()
 		}
 	}
@@ -152,27 +152,27 @@
 
 // InvalidSubmissions returns all kinds of submissions that have to be refused, derived from a
 // valid job: with each field invalid or missing, and with demands that nothing fits.
-func InvalidSubmissions(good wire.Job, types []wire.MachineType) (l []InvalidSubmission) {
+func InvalidSubmissions(valid wire.Job, types []wire.MachineType) (submissions []InvalidSubmission) {
 	var fields map[string]any
-	b, err := json.Marshal(good)
+	b, err := json.Marshal(valid)
 	if err == nil {
 		err = json.Unmarshal(b, &fields)
 	}
 	if err != nil {
 		panic(err) // plain structs always encode
 	}
-	add := func(status int, field, why string, change func(map[string]any)) {
+	add := func(status int, field, reason string, change func(map[string]any)) {
 		m := maps.Clone(fields)
 		change(m)
 		b, err := json.Marshal(m)
 		if err != nil {
 			panic(err)
 		}
-		l = append(l, InvalidSubmission{why, field, status, b})
+		submissions = append(submissions, InvalidSubmission{reason, field, status, b})
 	}
-	for _, k := range []string{"herd", "steward", "shape", "urgency", "hands", "vcpus", "gpus", "mem_gb", "seedstock", "pull_gb", "one_zone", "scatter", "borrowed", "expect_s", "bank_s", "bank_cost_s"} {
-		add(400, k, k+" is missing", func(m map[string]any) { delete(m, k) })
-		add(400, k, k+" is of the wrong kind", func(m map[string]any) { m[k] = []int{1} })
+	for _, name := range []string{"herd", "steward", "shape", "urgency", "hands", "vcpus", "gpus", "mem_gb", "seedstock", "pull_gb", "one_zone", "scatter", "borrowed", "expect_s", "bank_s", "bank_cost_s"} {
+		add(400, name, name+" is missing", func(m map[string]any) { delete(m, name) })
+		add(400, name, name+" is of the wrong kind", func(m map[string]any) { m[name] = []int{1} })
 	}
 	for _, x := range []struct {
 		field string
@@ -193,35 +193,35 @@
 			m["shape"], m["hands"], m["one_zone"], m["paddock"], m["scatter"] = kind, 3, false, types[0].Zones[0], true
 		})
 	}
-	return l
+	return submissions
 }
 
-// sendInvalid sends the next invalid request; turn counts the requests so far. Even turns send a
-// new submission that has to be refused, odd turns a request about an existing job.
+// sendInvalid sends the next invalid request; turn is the number of requests so far. Even turns
+// send a new submission that has to be refused, odd turns a request about an existing job.
 func (b *loadBalancer) sendInvalid(turn int) {
 	env := b.env
-	n := env.controllers[turn%len(env.controllers)]
+	target := env.controllers[turn%len(env.controllers)]
 	if turn%2 == 0 {
 		if len(env.Jobs) == 0 {
 			return
 		}
 		invalid := InvalidSubmissions(env.Jobs[0].Spec, env.Types)
-		o := invalid[turn/2%len(invalid)]
+		submission := invalid[turn/2%len(invalid)]
 		id := fmt.Sprintf("odd-%05d", turn)
-		var m map[string]any
-		if json.Unmarshal(o.Body, &m) != nil {
+		var fields map[string]any
+		if json.Unmarshal(submission.Body, &fields) != nil {
 			return
 		}
-		m["name_id"] = id
-		body, err := json.Marshal(m)
+		fields["name_id"] = id
+		body, err := json.Marshal(fields)
 		if err != nil {
 			panic(err)
 		}
 		call := env.ExternalRequest(history.Submit, id)
 		env.recordOccurrence(history.OccurInvalid)
-		env.record(history.Event{Kind: history.InvalidSubmission, Job: id, Call: call, Reason: o.Reason})
-		b.env.network.send(usersHost, n.name, func() {
-			b.env.ask(usersHost, n.name, wire.RawSubmission{Body: body}, func(t AskAnswer) { env.ExternalAnswer(call, history.Submit, id, t.Status, "") })
+		env.record(history.Event{Kind: history.InvalidSubmission, Job: id, Call: call, Reason: submission.Reason})
+		b.env.network.send(usersHost, target.name, func() {
+			b.env.ask(usersHost, target.name, wire.RawSubmission{Body: body}, func(answer AskAnswer) { env.ExternalAnswer(call, history.Submit, id, answer.Status, "") })
 		}, func() {})
 		return
 	}
@@ -240,11 +240,11 @@
 	id := u.spec.ID
 	switch {
 	case u.finalState == wire.Done:
-		b.askController(n, history.Cancel, id, wire.Cancel{ID: id})
+		b.askController(target, history.Cancel, id, wire.Cancel{ID: id})
 	case turn%4 == 1:
 		spec := u.spec
-		b.askController(n, history.Submit, id, &spec)
+		b.askController(target, history.Submit, id, &spec)
 	default:
-		b.askController(n, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))})
+		b.askController(target, history.Submit, id, wire.RawSubmission{Body: []byte(fmt.Sprintf(`{"name_id":%q,"hands":-1}`, id))})
 	}
 }
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -55,10 +55,10 @@
 }
 
 // complete records that a task of the job is done.
-func (u *jobUser) complete(t *task) {
-	if !u.done[t.index] {
-		u.done[t.index] = true
-		t.record(history.TaskCompleted, "")
+func (u *jobUser) complete(finished *task) {
+	if !u.done[finished.index] {
+		u.done[finished.index] = true
+		finished.record(history.TaskCompleted, "")
 		if len(u.done) == u.spec.Tasks && u.env.balancer != nil {
 			u.onLastTaskDone()
 		}
@@ -85,7 +85,7 @@
 	since                            int64  // time of the last change of healthy
 	backoff                          int64
 	failures                         int     // consecutive refused connections
-	skipUntil                        int64   // end of the time without connections
+	skipUntil                        int64   // no new connections before this time
 	removals                         []int64 // times at which it became unhealthy, last 120 s
 }
 
@@ -97,10 +97,10 @@
 
 func newLoadBalancer(env *Environment) *loadBalancer {
 	balancer := &loadBalancer{env: env}
-	for _, n := range env.controllers {
-		h := &controllerHealth{controller: n}
-		balancer.controllers = append(balancer.controllers, h)
-		env.timers.Add(env.rng.Int64N(probeInterval), func() { balancer.probe(h) })
+	for _, target := range env.controllers {
+		health := &controllerHealth{controller: target}
+		balancer.controllers = append(balancer.controllers, health)
+		env.timers.Add(env.rng.Int64N(probeInterval), func() { balancer.probe(health) })
 	}
 	if env.StrayRequestRate > 0 {
 		env.after(second, balancer.askUnknownJob)
@@ -110,73 +110,74 @@
 
 // probe sends a readiness probe, which fails without a response within probeInterval, and
 // schedules the next one.
-func (b *loadBalancer) probe(h *controllerHealth) {
-	b.env.after(probeInterval, func() { b.probe(h) })
+func (b *loadBalancer) probe(health *controllerHealth) {
+	b.env.after(probeInterval, func() { b.probe(health) })
 	over := false
 	result := func(ok bool) {
 		if !over {
 			over = true
-			b.onProbeResult(h, ok)
+			b.onProbeResult(health, ok)
 		}
 	}
 	b.env.after(probeInterval, func() { result(false) })
-	b.env.network.send(usersHost, h.controller.name, func() {
-		b.env.ask(usersHost, h.controller.name, wire.ReadyProbe{}, func(t AskAnswer) { result(t.Status == 200) })
+	b.env.network.send(usersHost, health.controller.name, func() {
+		b.env.ask(usersHost, health.controller.name, wire.ReadyProbe{}, func(answer AskAnswer) { result(answer.Status == 200) })
 	}, func() { result(false) })
 }
 
-// onProbeResult updates the health of a controller by the result of a probe. It becomes unhealthy
-// after two consecutive failed probes or three of the last six. It becomes healthy with its
-// first successful probe, and later after two consecutive successful ones and a backoff, which
-// doubles with each removal within 120 s.
-func (b *loadBalancer) onProbeResult(h *controllerHealth, ok bool) {
+// onProbeResult updates the health of a controller by the result of a probe. A controller becomes
+// unhealthy after two consecutive failed probes or three of the last six. It becomes healthy with
+// its first successful probe, and later after two consecutive successful ones and a backoff,
+// which doubles with each removal within 120 s.
+func (b *loadBalancer) onProbeResult(health *controllerHealth, ok bool) {
 	now := b.env.now
-	h.recent = append(h.recent, ok)
-	if len(h.recent) > 6 {
-		h.recent = h.recent[1:]
+	health.recent = append(health.recent, ok)
+	if len(health.recent) > 6 {
+		health.recent = health.recent[1:]
 	}
 	failed := 0
-	for _, r := range h.recent {
-		if !r {
+	for _, succeeded := range health.recent {
+		if !succeeded {
 			failed++
 		}
 	}
 	if ok {
-		h.consecutiveOK, h.consecutiveFailed = h.consecutiveOK+1, 0
+		health.consecutiveOK, health.consecutiveFailed = health.consecutiveOK+1, 0
 	} else {
-		h.consecutiveOK, h.consecutiveFailed = 0, h.consecutiveFailed+1
+		health.consecutiveOK, health.consecutiveFailed = 0, health.consecutiveFailed+1
 	}
 	switch {
-	case h.healthy && (h.consecutiveFailed >= 2 || failed >= 3):
-		h.healthy, h.since, h.recent = false, now, nil
-		h.removals = slices.DeleteFunc(append(h.removals, now), func(t int64) bool { return t < now-120*second })
-		h.backoff = min(minBackoff<<(len(h.removals)-1), maxBackoff)
-	case !h.healthy && (!h.everHealthy && ok || h.consecutiveOK >= 2 && now-h.since >= h.backoff):
-		h.healthy, h.everHealthy, h.since, h.recent = true, true, now, nil
+	case health.healthy && (health.consecutiveFailed >= 2 || failed >= 3):
+		health.healthy, health.since, health.recent = false, now, nil
+		health.removals = slices.DeleteFunc(append(health.removals, now), func(removedAt int64) bool { return removedAt < now-120*second })
+		health.backoff = min(minBackoff<<(len(health.removals)-1), maxBackoff)
+	case !health.healthy && (!health.everHealthy && ok || health.consecutiveOK >= 2 && now-health.since >= health.backoff):
+		health.healthy, health.everHealthy, health.since, health.recent = true, true, now, nil
 	}
 }
 
 // pick returns at most three healthy controllers to try for a connection, in random order.
 // Controllers that are warming up may come last.
 func (b *loadBalancer) pick() []*controllerHealth {
-	var up []*controllerHealth
-	for _, h := range b.controllers {
-		if h.healthy && b.env.now >= h.skipUntil {
-			up = append(up, h)
+	var healthy []*controllerHealth
+	for _, health := range b.controllers {
+		if health.healthy && b.env.now >= health.skipUntil {
+			healthy = append(healthy, health)
 		}
 	}
-	b.env.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
+	b.env.rng.Shuffle(len(healthy), func(i, k int) { healthy[i], healthy[k] = healthy[k], healthy[i] })
 	// A controller that has just become healthy ramps up to its full share over 10 s.
-	slices.SortStableFunc(up, func(x, y *controllerHealth) int {
+	slices.SortStableFunc(healthy, func(x, y *controllerHealth) int {
 		return b.warmupRank(x) - b.warmupRank(y)
 	})
-	return up[:min(len(up), 3)]
+	return healthy[:min(len(healthy), 3)]
 }
 
-// warmupRank returns 1 if a controller that became healthy less than 10 s ago is to be tried
-// last, which is the less likely the longer it has been healthy, and 0 otherwise.
-func (b *loadBalancer) warmupRank(h *controllerHealth) int {
-	if age := b.env.now - h.since; age < 10*second && h.since > 0 && b.env.rng.Int64N(10*second) > age {
+// warmupRank returns 1 if a controller is to be tried last, and 0 otherwise. This happens only to
+// controllers that became healthy less than 10 s ago, with a probability that falls from 1 to 0
+// over these 10 s.
+func (b *loadBalancer) warmupRank(health *controllerHealth) int {
+	if age := b.env.now - health.since; age < 10*second && health.since > 0 && b.env.rng.Int64N(10*second) > age {
 		return 1
 	}
 	return 0
@@ -206,22 +207,22 @@
 		finish(AskAnswer{})
 		return
 	}
-	h, rest := controllers[0], controllers[1:]
+	health, rest := controllers[0], controllers[1:]
 	refused := func() {
-		if h.failures++; h.failures >= 3 {
-			h.failures, h.skipUntil = 0, b.env.now+3*second
+		if health.failures++; health.failures >= 3 {
+			health.failures, health.skipUntil = 0, b.env.now+3*second
 		}
 		b.tryControllers(request, rest, finish)
 	}
-	partition := b.env.network.partitionBetween(usersHost, h.controller.name)
-	if !h.controller.up || partition != nil || h.controller.frozen && b.env.rng.IntN(2) == 0 {
+	partition := b.env.network.partitionBetween(usersHost, health.controller.name)
+	if !health.controller.up || partition != nil || health.controller.frozen && b.env.rng.IntN(2) == 0 {
 		b.env.after(second/2, refused) // connection timeout
 		return
 	}
-	b.env.network.send(usersHost, h.controller.name, func() {
-		b.env.ask(usersHost, h.controller.name, request, func(t AskAnswer) {
-			h.failures = 0
-			finish(t)
+	b.env.network.send(usersHost, health.controller.name, func() {
+		b.env.ask(usersHost, health.controller.name, request, func(answer AskAnswer) {
+			health.failures = 0
+			finish(answer)
 		})
 	}, refused)
 }
@@ -231,26 +232,26 @@
 	b.exchange(op, job, timeout, func(finish func(AskAnswer)) { b.tryControllers(request, b.pick(), finish) }, done)
 }
 
-// call sends a user's request about the job, and tracks the final state that responses show.
-func (u *jobUser) call(op string, request any, timeout int64, done func(t AskAnswer, a wire.JobAnswer)) {
-	u.env.balancer.call(op, u.spec.ID, request, timeout, func(t AskAnswer, a wire.JobAnswer) {
-		if t.Status == 200 && (a.State == wire.Done || a.State == wire.Cancelled) && u.finalState != a.State {
-			u.finalState = a.State
+// call sends a user's request about the job, and records the final state once a response shows it.
+func (u *jobUser) call(op string, request any, timeout int64, done func(answer AskAnswer, body wire.JobAnswer)) {
+	u.env.balancer.call(op, u.spec.ID, request, timeout, func(answer AskAnswer, body wire.JobAnswer) {
+		if answer.Status == 200 && (body.State == wire.Done || body.State == wire.Cancelled) && u.finalState != body.State {
+			u.finalState = body.State
 			u.probeControllers()
 		}
-		done(t, a)
+		done(answer, body)
 	})
 }
 
-// retry calls f after 1 to 1.5 s, or after the response's Retry-After time, capped at
+// retry calls again after 1 to 1.5 s, or after the response's Retry-After time, capped at
 // maxRetryDelay, if that is longer.
-func (u *jobUser) retry(t AskAnswer, f func()) {
+func (u *jobUser) retry(answer AskAnswer, again func()) {
 	wait := second + u.env.rng.Int64N(second/2)
-	u.env.after(max(wait, min(int64(t.RetryAfter)*second, maxRetryDelay)), f)
+	u.env.after(max(wait, min(int64(answer.RetryAfter)*second, maxRetryDelay)), again)
 }
 
-// submit submits the job until it is accepted or refused. Real users give up after a minute;
-// here they keep trying, as otherwise nobody would poll for the job.
+// submit submits the job until it is accepted or refused. Real users stop retrying after a
+// minute; here they continue, as otherwise nobody would poll for the job.
 func (u *jobUser) submit() {
 	if !u.dependenciesAllow() {
 		u.env.after(second, u.submit)
@@ -258,8 +259,8 @@
 	}
 	u.submitted = true
 	spec := u.spec
-	u.call(history.Submit, &spec, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) {
-		switch t.Status {
+	u.call(history.Submit, &spec, submitTimeout, func(answer AskAnswer, _ wire.JobAnswer) {
+		switch answer.Status {
 		case 200, 201:
 			if !u.accepted {
 				u.accepted = true
@@ -268,7 +269,7 @@
 			}
 		case 400, 422:
 		default:
-			u.retry(t, u.submit)
+			u.retry(answer, u.submit)
 		}
 	})
 }
@@ -277,8 +278,8 @@
 // accepted, or have ended if afterDependencies is set.
 func (u *jobUser) dependenciesAllow() bool {
 	for _, id := range u.spec.DependsOn {
-		if o := u.env.jobs[id]; o == nil || !o.accepted || u.afterDependencies && o.finalState == "" {
-			return o == nil
+		if dependency := u.env.jobs[id]; dependency == nil || !dependency.accepted || u.afterDependencies && dependency.finalState == "" {
+			return dependency == nil
 		}
 	}
 	return true
@@ -291,7 +292,7 @@
 		case u.finalState == "":
 			u.env.after(u.env.jitter(u.pollInterval, 0.9, 1.1), u.poll)
 		case u.polls%resubmitEvery == 0:
-			// A retry of the submission that was delayed for a long time.
+			// Send a late retry of the submission.
 			u.env.after(u.env.rng.Int64N(30*second), func() {
 				spec := u.spec
 				u.call(history.Submit, &spec, submitTimeout, func(AskAnswer, wire.JobAnswer) {})
@@ -308,9 +309,9 @@
 		u.env.after(second, u.cancel)
 		return
 	}
-	u.call(history.Cancel, wire.Cancel{ID: u.spec.ID}, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) {
-		if t.Status != 200 {
-			u.retry(t, u.cancel)
+	u.call(history.Cancel, wire.Cancel{ID: u.spec.ID}, submitTimeout, func(answer AskAnswer, _ wire.JobAnswer) {
+		if answer.Status != 200 {
+			u.retry(answer, u.cancel)
 		}
 	})
 }
@@ -323,8 +324,8 @@
 	env.after(int64(env.rng.ExpFloat64()/env.StrayRequestRate*1e6), b.askUnknownJob)
 }
 
-// sweepUser is one of the users of a sweep. The responses to it are checked only through those
-// about the runs.
+// sweepUser is one of the users of a sweep. The rules check the progress of a sweep only in the
+// responses about its runs.
 type sweepUser struct {
 	Sweep
 	env      *Environment
@@ -357,31 +358,31 @@
 	}
 }
 
-// call sends a request about the sweep. It is recorded as that of a job with the name
-// history.SweepJob.
+// call sends a request about the sweep. The request is recorded under the job name that
+// history.SweepJob returns.
 func (u *sweepUser) call(op string, request any, done func(AskAnswer)) {
-	u.env.balancer.call(op, history.SweepJob(u.ID), request, submitTimeout, func(t AskAnswer, _ wire.JobAnswer) { done(t) })
+	u.env.balancer.call(op, history.SweepJob(u.ID), request, submitTimeout, func(answer AskAnswer, _ wire.JobAnswer) { done(answer) })
 }
 
 func (u *sweepUser) submit() {
-	for _, j := range u.Jobs {
-		u.env.jobs[j.ID].submitted = true
+	for _, run := range u.Jobs {
+		u.env.jobs[run.ID].submitted = true
 	}
-	u.call(history.Submit, wire.Sweep{Text: u.Text}, func(t AskAnswer) {
+	u.call(history.Submit, wire.Sweep{Text: u.Text}, func(answer AskAnswer) {
 		switch {
-		case t.Status != 200 && t.Status != 201:
+		case answer.Status != 200 && answer.Status != 201:
 			u.env.after(second, u.submit)
 		case !u.accepted:
 			u.accepted = true
 			u.env.after(pollInterval, u.poll)
 			for _, j := range u.Jobs {
 				// Users with thousands of runs poll for each run less often.
-				r := u.env.jobs[j.ID]
-				if r.pollInterval != pollInterval {
+				user := u.env.jobs[j.ID]
+				if user.pollInterval != pollInterval {
 					continue // another user of the sweep polls for it
 				}
-				r.pollInterval = pollInterval + int64(len(u.Jobs))*20_000
-				u.env.after(u.env.jitter(r.pollInterval, 0.1, 1), r.poll)
+				user.pollInterval = pollInterval + int64(len(u.Jobs))*20_000
+				u.env.after(u.env.jitter(user.pollInterval, 0.1, 1), user.poll)
 			}
 		}
 	})
@@ -396,22 +397,22 @@
 		u.env.after(second, u.cancel)
 		return
 	}
-	u.call(history.Cancel, wire.SweepCancel{ID: u.ID}, func(t AskAnswer) {
-		if t.Status != 200 {
+	u.call(history.Cancel, wire.SweepCancel{ID: u.ID}, func(answer AskAnswer) {
+		if answer.Status != 200 {
 			u.env.after(second, u.cancel)
 		}
 	})
 }
 
-// Unfinished returns the jobs, except services, whose users have got no response that shows
-// their end, sorted by ID.
+// Unfinished returns the IDs of the jobs, except services, whose users have not received a
+// response that shows the job's end. They are sorted.
 func (env *Environment) Unfinished() []string {
-	var l []string
+	var unfinished []string
 	for id, u := range env.jobs {
 		if u.finalState == "" && u.spec.Kind != wire.Service {
-			l = append(l, id)
+			unfinished = append(unfinished, id)
 		}
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(unfinished)
+	return unfinished
 }
