--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -105,8 +105,8 @@
 	// Stored says under which keys controllers store jobs and their ends. With the zero
 	// value, the rule LostEnd is not checked.
 	Stored StoredKeys
-	// CancelWithin is how long tasks of a cancelled job may stay on machines, in
-	// microseconds.
+	// CancelWithin is the maximum time for which tasks of a cancelled job may stay on
+	// machines, in microseconds.
 	CancelWithin int64
 }
 
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -88,8 +88,8 @@
 	remainingTasks map[string]int   // remaining tasks by job
 	// unanswered has the index in operations of each request that never got a response. One
 	// operation for each input, sent as early as the first such request, is enough: it can
-	// have any effect that a later one could have, and neither takes effect twice. With all
-	// of them the search would become too large.
+	// have any effect that a later request could have, and only the first of equal requests
+	// changes the state. With an operation for each request the search would become too large.
 	unanswered map[operationInput]int
 	inSweep    map[string]bool // sweeps and their runs, which end with the sweep
 }
@@ -101,7 +101,7 @@
 	return spec != nil && len(spec.DependsOn) > 0 || b.inSweep[id]
 }
 
-// addUnknown adds a request for which it is unknown whether and when it took effect.
+// addUnknown adds a request of which it is unknown whether and when it took effect.
 func (b *operationBuilder) addUnknown(op, job string, at int64) {
 	input := operationInput{op, job}
 	if op == Poll {
@@ -169,40 +169,40 @@
 // pruning.
 func pruneOperations(ops []porcupine.Operation) (out []porcupine.Operation) {
 	// The latest possible times at which the job was accepted and ended.
-	in, ended := int64(math.MaxInt64), int64(math.MaxInt64)
+	acceptedBy, endedBy := int64(math.MaxInt64), int64(math.MaxInt64)
 	for _, o := range ops {
-		a := o.Output.(operationOutput)
+		output := o.Output.(operationOutput)
 		switch {
-		case a.state == wire.Done || a.state == wire.Cancelled:
-			in, ended = min(in, o.Return), min(ended, o.Return)
-		case o.Input.(operationInput).op == Submit || a.state == wire.Pending || a.state == wire.Running:
-			in = min(in, o.Return)
+		case output.state == wire.Done || output.state == wire.Cancelled:
+			acceptedBy, endedBy = min(acceptedBy, o.Return), min(endedBy, o.Return)
+		case o.Input.(operationInput).op == Submit || output.state == wire.Pending || output.state == wire.Running:
+			acceptedBy = min(acceptedBy, o.Return)
 		}
 	}
 	bounds := map[int][2]int{} // by state: indices of the last requested and the first answered
 	for i, o := range ops {
-		q, a := o.Input.(operationInput), o.Output.(operationOutput)
-		question := q.op == Poll || q.op == Submit && o.Call > in || q.op == Cancel && o.Call > ended
-		switch s := reportedState(a); {
-		case !question:
+		input, output := o.Input.(operationInput), o.Output.(operationOutput)
+		isQuery := input.op == Poll || input.op == Submit && o.Call > acceptedBy || input.op == Cancel && o.Call > endedBy
+		switch state := reportedState(output); {
+		case !isQuery:
 			out = append(out, o)
-		case s != stateUnknown:
-			b, ok := bounds[s]
+		case state != stateUnknown:
+			bound, ok := bounds[state]
 			if !ok {
-				b = [2]int{i, i}
+				bound = [2]int{i, i}
 			}
-			if o.Call > ops[b[0]].Call {
-				b[0] = i
+			if o.Call > ops[bound[0]].Call {
+				bound[0] = i
 			}
-			if o.Return < ops[b[1]].Return {
-				b[1] = i
+			if o.Return < ops[bound[1]].Return {
+				bound[1] = i
 			}
-			bounds[s] = b
+			bounds[state] = bound
 		}
 	}
-	for s := range stateUnknown {
-		if b, ok := bounds[s]; ok {
-			for _, i := range slices.Compact(b[:]) {
+	for state := range stateUnknown {
+		if bound, ok := bounds[state]; ok {
+			for _, i := range slices.Compact(bound[:]) {
 				o := ops[i]
 				o.Input = operationInput{Poll, o.Input.(operationInput).job}
 				out = append(out, o)
@@ -235,21 +235,21 @@
 		Init:  func() any { return jobAbsent },
 		Equal: func(a, b any) bool { return a == b },
 		Step: func(state, in, out any) (bool, any) {
-			s, q, a := state.(int), in.(operationInput), out.(operationOutput)
-			switch q.op {
+			current, input, output := state.(int), in.(operationInput), out.(operationOutput)
+			switch input.op {
 			case finishOp:
-				if s == jobAccepted {
-					s = jobDone
+				if current == jobAccepted {
+					current = jobDone
 				}
-				return true, s
+				return true, current
 			case Submit:
-				s = max(s, jobAccepted)
+				current = max(current, jobAccepted)
 			case Cancel:
-				if s == jobAccepted {
-					s = jobCancelled
+				if current == jobAccepted {
+					current = jobCancelled
 				}
 			}
-			return matchesState(s, a), s
+			return matchesState(current, output), current
 		},
 	}
 }
@@ -258,14 +258,14 @@
 const stateUnknown = jobCancelled + 1
 
 // reportedState returns the state that a response shows.
-func reportedState(a operationOutput) int {
-	switch a.status {
+func reportedState(output operationOutput) int {
+	switch output.status {
 	case http.StatusNotFound:
 		return jobAbsent
 	case 0:
 		return stateUnknown
 	}
-	switch a.state {
+	switch output.state {
 	case wire.Done:
 		return jobDone
 	case wire.Cancelled:
@@ -278,7 +278,7 @@
 
 // matchesState reports whether a response is possible in a state. A response without a status was
 // never received and is possible in any state.
-func matchesState(s int, a operationOutput) bool {
-	t := reportedState(a)
-	return t == stateUnknown || t == s
+func matchesState(state int, output operationOutput) bool {
+	reported := reportedState(output)
+	return reported == stateUnknown || reported == state
 }
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -48,7 +48,7 @@
 // Metrics returns the metrics of a history by name. Times are in seconds. They are counted from a
 // job's first submission attempt, or, for a job that depends on others, from the time at which
 // the last of them is done if that is later. The shares leave out cancelled jobs and jobs whose
-// time is not over at the end of the history.
+// time limit has not been reached by the end of the history.
 func Metrics(events []Event, expected Expectations, objectives []Objective) map[string]float64 {
 	t := collectTimelines(events, expected)
 	addServedShares(t.metrics, t.jobs, expected, objectives, t.end)
@@ -135,8 +135,8 @@
 	}
 }
 
-// measure returns how many of the jobs or task starts that an objective covers met it.
-func (t *timelines) measure(objective Objective, expected Expectations) (r ratio) {
+// measure returns the ratio of the jobs or task starts covered by an objective that met it.
+func (t *timelines) measure(objective Objective, expected Expectations) (result ratio) {
 	for _, id := range t.order {
 		job, spec := t.jobs[id], expected.Jobs[id]
 		if objective.Class != "" && spec.Class != objective.Class || job.cancelled {
@@ -148,34 +148,35 @@
 			within = int64(*spec.DeadlineS * 1e6)
 		}
 		if from+within > t.end {
-			continue // its time is not over
+			continue // its time limit has not been reached
 		}
 		switch objective.Kind {
 		case objectiveAccept:
-			r.add(isWithin(job.accepted, job.firstSubmit, within))
+			result.add(isWithin(job.accepted, job.firstSubmit, within))
 		case objectiveWait:
 			for i := range spec.Tasks {
-				r.add(isWithin(job.starts[i], from, within))
+				result.add(isWithin(job.starts[i], from, within))
 			}
 		case objectiveComplete:
-			r.add(isWithin(job.lastCompleted, from, within))
+			result.add(isWithin(job.lastCompleted, from, within))
 		case objectiveDeadline:
 			if spec.DeadlineS != nil {
-				r.add(isWithin(job.lastCompleted, job.firstSubmit, within))
+				result.add(isWithin(job.lastCompleted, job.firstSubmit, within))
 			}
 		}
 	}
-	return r
+	return result
 }
 
 // isWithin reports whether an event at time at, 0 for never, happened at most within after from.
 func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
 
 // addServedShares computes the share of jobs of each class and team that were served: done by
-// their deadline, or else within the longest completion objective of their class. Only jobs whose
-// time is over by the end count. A job with neither a deadline nor an objective has to be done by
-// the end if it was submitted early enough, see serveBy. ServedLeast is the lowest of these
-// shares; LargestLeast is the lowest of the shares for the largest jobs of each class.
+// their deadline or, if they have none, within the longest completion objective of their class.
+// Jobs whose time limit is after the end of the run are left out. A job with neither a deadline
+// nor an objective has to be done by the end if it was submitted early enough, see serveBy.
+// ServedLeast is the lowest of these shares; LargestLeast is the lowest of the shares for the
+// largest jobs of each class.
 func addServedShares(metrics map[string]float64, jobs map[string]*jobTimeline, expected Expectations, objectives []Objective, end int64) {
 	longest := map[string]int64{}
 	for _, objective := range objectives {
@@ -200,11 +201,11 @@
 		if large[id] && from+largestWait <= end {
 			count("largest begun "+spec.Class, job.startTime(spec) != 0 && job.startTime(spec) <= from+largestWait)
 		}
-		by := job.serveBy(spec, from, longest[spec.Class], end)
-		if by == 0 || by > end {
-			continue // its time is not over
+		deadline := job.serveBy(spec, from, longest[spec.Class], end)
+		if deadline == 0 || deadline > end {
+			continue // its time limit has not been reached
 		}
-		met := job.lastCompleted != 0 && job.lastCompleted <= by
+		met := job.lastCompleted != 0 && job.lastCompleted <= deadline
 		count("served class "+spec.Class, met)
 		count("served team "+spec.Team, met)
 		if large[id] {
@@ -213,19 +214,19 @@
 	}
 	for name, group := range groups {
 		metrics[name] = float64(group.met) / float64(group.total)
-		of := ServedLeast
+		leastName := ServedLeast
 		if strings.HasPrefix(name, "largest") {
-			of = LargestLeast
+			leastName = LargestLeast
 		}
-		if least, ok := metrics[of]; !ok || metrics[name] < least {
-			metrics[of] = metrics[name]
+		if least, ok := metrics[leastName]; !ok || metrics[name] < least {
+			metrics[leastName] = metrics[name]
 		}
 	}
 }
 
 // serveBy returns the time by which a job has to be done to count as served, 0 if there is none.
-// The job's time counts from the time from; within is the longest completion objective of its class, 0 if
-// it has none; the run ends at end.
+// from is the job's time origin, see timeOrigin; within is the longest completion objective of its
+// class, 0 if it has none; end is the end of the run.
 func (j *jobTimeline) serveBy(spec *wire.Job, from, within, end int64) int64 {
 	switch {
 	case spec.DeadlineS != nil:
@@ -262,8 +263,8 @@
 // largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
 const largestWait = 240_000_000
 
-// startTime returns the time at which a job started, 0 for never: that of its last task for a gang,
-// that of its first task for an array.
+// startTime returns the time at which a job started, 0 for never: the first start of its last task
+// for a gang, and of its first task for an array.
 func (j *jobTimeline) startTime(spec *wire.Job) (at int64) {
 	for i := range spec.Tasks {
 		t := j.starts[i]
@@ -283,65 +284,65 @@
 // arrays in the top tenth by size. If all are of the same size, none of them counts as large.
 func largestJobs(expected Expectations) map[string]bool {
 	sizes := map[string][]int{}
-	for _, s := range expected.Jobs {
-		if s.Kind != wire.Service {
-			sizes[s.Class+" "+s.Kind] = append(sizes[s.Class+" "+s.Kind], s.Tasks)
+	for _, spec := range expected.Jobs {
+		if spec.Kind != wire.Service {
+			sizes[spec.Class+" "+spec.Kind] = append(sizes[spec.Class+" "+spec.Kind], spec.Tasks)
 		}
 	}
-	out := map[string]bool{}
-	for id, s := range expected.Jobs {
-		l := sizes[s.Class+" "+s.Kind]
-		if len(l) == 0 {
+	largest := map[string]bool{}
+	for id, spec := range expected.Jobs {
+		sorted := sizes[spec.Class+" "+spec.Kind]
+		if len(sorted) == 0 {
 			continue
 		}
-		slices.Sort(l)
-		from := l[len(l)-1]
-		if s.Kind == wire.Array {
-			from = l[len(l)*9/10]
+		slices.Sort(sorted)
+		minSize := sorted[len(sorted)-1]
+		if spec.Kind == wire.Array {
+			minSize = sorted[len(sorted)*9/10]
 		}
-		out[id] = s.Tasks >= from && from > l[0]
+		largest[id] = spec.Tasks >= minSize && minSize > sorted[0]
 	}
-	return out
+	return largest
 }
 
-// A job without a deadline and an objective has to be done by the end of the run if more than
-// defaultDeadlineFactor times its estimate plus minDefaultDeadline is left by then.
+// A job with neither a deadline nor an objective has to be done by the end of the run if, at its
+// time origin, more than defaultDeadlineFactor times its estimate plus minDefaultDeadline is left.
 const (
 	defaultDeadlineFactor = 10
 	minDefaultDeadline    = 60_000_000 // microseconds
 )
 
 // Name returns the name of the objective's metric.
-func (a Objective) Name() string {
+func (o Objective) Name() string {
 	switch {
-	case a.Kind != objectiveServed:
-	case a.Class != "":
-		return "served class " + a.Class
-	case a.Team != "":
-		return "served team " + a.Team
+	case o.Kind != objectiveServed:
+	case o.Class != "":
+		return "served class " + o.Class
+	case o.Team != "":
+		return "served team " + o.Team
 	default:
 		return ServedLeast
 	}
-	name := a.Kind
-	if a.Class != "" {
-		name += " " + a.Class
+	name := o.Kind
+	if o.Class != "" {
+		name += " " + o.Class
 	}
-	if a.Within > 0 {
-		name += fmt.Sprintf(" %g s", float64(a.Within)/1e6)
+	if o.Within > 0 {
+		name += fmt.Sprintf(" %g s", float64(o.Within)/1e6)
 	}
 	return name
 }
 
 // timeOrigin returns the time from which the times of a job are counted: its first submission, or
 // the completion of the last of its dependencies if that is later.
-func timeOrigin(jobs map[string]*jobTimeline, spec *wire.Job, j *jobTimeline) int64 {
-	t := j.firstSubmit
+func timeOrigin(jobs map[string]*jobTimeline, spec *wire.Job, job *jobTimeline) int64 {
+	origin := job.firstSubmit
 	for _, id := range spec.DependsOn {
-		if o := jobs[id]; o != nil {
-			t = max(t, o.lastCompleted)
+		if dependency := jobs[id]; dependency != nil {
+			origin = max(origin, dependency.lastCompleted)
 		}
 	}
-	return t
+	return origin
 }
 
 // Quantile returns the q-quantile of sorted values, of which there has to be at least one.
--- a/internal/emulator/history/prune_test.go
+++ b/internal/emulator/history/prune_test.go
@@ -15,50 +15,50 @@
 // response or a time is then changed.
 func TestPruneOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
-	good, bad := 0, 0
+	linearizable, others := 0, 0
 	for range 20_000 {
 		// The times at which the job is accepted and at which it completes or is cancelled.
-		in, end := 10+rng.Int64N(10), 25+rng.Int64N(20)
-		last := []string{wire.Done, wire.Cancelled}[rng.IntN(2)]
-		at := func(when int64) operationOutput {
+		acceptedAt, endedAt := 10+rng.Int64N(10), 25+rng.Int64N(20)
+		finalState := []string{wire.Done, wire.Cancelled}[rng.IntN(2)]
+		responseAt := func(when int64) operationOutput {
 			switch {
-			case when < in:
+			case when < acceptedAt:
 				return operationOutput{404, ""}
-			case when < end:
+			case when < endedAt:
 				return operationOutput{200, wire.Pending}
 			}
-			return operationOutput{200, last}
+			return operationOutput{200, finalState}
 		}
 		var ops []porcupine.Operation
-		add := func(op string, from, to int64, a operationOutput) {
-			ops = append(ops, porcupine.Operation{Input: operationInput{op, "j"}, Call: from, Return: to, Output: a})
+		add := func(op string, from, to int64, output operationOutput) {
+			ops = append(ops, porcupine.Operation{Input: operationInput{op, "j"}, Call: from, Return: to, Output: output})
 		}
-		around := func(op string, when int64) {
+		addAround := func(op string, when int64) {
 			from, to := when-rng.Int64N(6), when+1+rng.Int64N(6)
 			if op == Submit {
 				add(op, from, to, operationOutput{})
 				op = Poll
 			}
-			add(op, from, to, at(when))
+			add(op, from, to, responseAt(when))
 		}
-		around(Submit, in)
-		if last == wire.Cancelled {
+		addAround(Submit, acceptedAt)
+		if finalState == wire.Cancelled {
 			if rng.IntN(3) == 0 {
-				add(Cancel, end-1, math.MaxInt64, operationOutput{})
+				add(Cancel, endedAt-1, math.MaxInt64, operationOutput{})
 			} else {
-				around(Cancel, end)
+				addAround(Cancel, endedAt)
 			}
 		} else {
-			add(finishOp, end-rng.Int64N(3), math.MaxInt64, operationOutput{})
+			add(finishOp, endedAt-rng.Int64N(3), math.MaxInt64, operationOutput{})
 		}
 		for range rng.IntN(7) {
-			around(Poll, rng.Int64N(55))
+			addAround(Poll, rng.Int64N(55))
 		}
 		for range rng.IntN(3) {
-			around(Submit, in+rng.Int64N(40))
+			addAround(Submit, acceptedAt+rng.Int64N(40))
 		}
 		if rng.IntN(3) == 0 {
-			around(Cancel, end+rng.Int64N(8))
+			addAround(Cancel, endedAt+rng.Int64N(8))
 		}
 		if rng.IntN(2) == 0 { // a change that may make the history impossible
 			o := &ops[rng.IntN(len(ops))]
@@ -73,17 +73,17 @@
 				}
 			}
 		}
-		whole := porcupine.CheckOperations(model(), ops)
-		if got := porcupine.CheckOperations(model(), pruneOperations(ops)); got != whole {
-			t.Fatalf("got verdict %v for the pruned history, want %v as for the complete one: %+v", got, whole, ops)
+		want := porcupine.CheckOperations(model(), ops)
+		if got := porcupine.CheckOperations(model(), pruneOperations(ops)); got != want {
+			t.Fatalf("got verdict %v for the pruned history, want %v as for the complete one: %+v", got, want, ops)
 		}
-		if whole {
-			good++
+		if want {
+			linearizable++
 		} else {
-			bad++
+			others++
 		}
 	}
-	if good < 5000 || bad < 500 {
-		t.Errorf("got %d linearizable histories and %d others, want at least 5000 and 500", good, bad)
+	if linearizable < 5000 || others < 500 {
+		t.Errorf("got %d linearizable histories and %d others, want at least 5000 and 500", linearizable, others)
 	}
 }
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -8,9 +8,9 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// maxSilence is how long users may get no answer about an accepted job while others get answers.
-// maxQuietSilence is how long that may last once all faults are over, whether or not others
-// get answers. Both are in microseconds.
+// maxSilence is the maximum time for which users may get no answer about an accepted job while
+// there are answers about other jobs. maxQuietSilence is the maximum time without an answer once
+// all faults are over, whether or not there are others. Both are in microseconds.
 const (
 	maxSilence      = 90_000_000
 	maxQuietSilence = 75_000_000
@@ -50,7 +50,7 @@
 	teamUse        map[string]Limits // by team
 	calls          map[uint64]userCall
 	anyTaskEntered bool
-	reported       map[string]bool
+	reported       map[string]bool // by rule and detail
 	violations     []Violation
 	// cancelDeadlines has the times by which cancellations have to take effect, earliest first.
 	cancelDeadlines []cancelDeadline
@@ -94,11 +94,11 @@
 	invalidReason                        string
 }
 
-func (k *checker) addViolation(rule, format string, a ...any) {
-	what := fmt.Sprintf(format, a...)
-	if !k.reported[rule+what] {
-		k.reported[rule+what] = true
-		k.violations = append(k.violations, Violation{k.now, rule, what})
+func (k *checker) addViolation(rule, format string, args ...any) {
+	detail := fmt.Sprintf(format, args...)
+	if !k.reported[rule+detail] {
+		k.reported[rule+detail] = true
+		k.violations = append(k.violations, Violation{k.now, rule, detail})
 	}
 }
 
@@ -115,13 +115,13 @@
 // deadline, for all deadlines before now. It is called before the events at now are handled.
 func (k *checker) checkDeadlines(now int64) {
 	for len(k.cancelDeadlines) > 0 && k.cancelDeadlines[0].at < now {
-		d := k.cancelDeadlines[0]
+		deadline := k.cancelDeadlines[0]
 		k.cancelDeadlines = k.cancelDeadlines[1:]
-		k.now = d.at
-		spec := k.expected.Jobs[d.job]
+		k.now = deadline.at
+		spec := k.expected.Jobs[deadline.job]
 		for i := range spec.Tasks {
-			for m := range k.taskMachines[taskRef{d.job, i}] {
-				k.addViolation("ran_cancelled", "%s/%d is still on %s", d.job, i, m)
+			for m := range k.taskMachines[taskRef{deadline.job, i}] {
+				k.addViolation("ran_cancelled", "%s/%d is still on %s", deadline.job, i, m)
 			}
 		}
 	}
@@ -159,25 +159,25 @@
 	case TaskCompleted:
 		k.job(e.Job).done[e.Task] = true
 	case TaskLeft:
-		r := taskRef{e.Job, e.Task}
-		k.placed.remove(k.expected.Jobs[e.Job], r, e.Machine)
-		if spec := k.expected.Jobs[e.Job]; spec != nil && k.taskMachines[r][e.Machine] {
+		ref := taskRef{e.Job, e.Task}
+		k.placed.remove(k.expected.Jobs[e.Job], ref, e.Machine)
+		if spec := k.expected.Jobs[e.Job]; spec != nil && k.taskMachines[ref][e.Machine] {
 			u := k.teamUse[spec.Team]
 			k.teamUse[spec.Team] = Limits{u.CPUs - spec.CPUs, u.GPUs - spec.GPUs}
 		}
-		delete(k.taskMachines[r], e.Machine)
+		delete(k.taskMachines[ref], e.Machine)
 	}
 }
 
 // onResponse handles a response to a user.
 func (k *checker) onResponse(e *Event) {
-	c := k.calls[e.Call]
+	call := k.calls[e.Call]
 	delete(k.calls, e.Call)
 	j := k.job(e.Job)
 	if e.Status != 0 {
 		k.lastResponseAt = e.At
 	}
-	k.checkRemembered(e, j, c)
+	k.checkRemembered(e, j, call)
 	if !isAccepted(e.Status) {
 		return
 	}
@@ -194,14 +194,14 @@
 		return // a response without a state, such as that to a sweep
 	}
 	if k.expected.Sweeps[e.Job] == nil {
-		k.checkState(e, j, c)
+		k.checkState(e, j, call)
 	}
-	k.checkFinalState(e, j, c)
+	k.checkFinalState(e, j, call)
 }
 
-// checkRemembered checks that no response, and no lack of responses, shows that an accepted job
-// has been lost.
-func (k *checker) checkRemembered(e *Event, j *jobState, c userCall) {
+// checkRemembered reports an accepted job as forgotten if a response shows that the job has been
+// lost, or if users get no answer about the job for too long.
+func (k *checker) checkRemembered(e *Event, j *jobState, call userCall) {
 	if e.Op == Poll && e.Status != http.StatusOK && e.Status != http.StatusNotFound {
 		j.failedPolls++
 		if j.accepted && !j.isOver() && j.failedPolls > 3 && e.At-j.lastResponseAt > maxSilence && e.At-k.lastResponseAt < maxSilence/10 {
@@ -211,20 +211,20 @@
 			k.addViolation("forgotten", "no answer about %s for 75 s after all troubles", e.Job)
 		}
 	}
-	if e.Status == http.StatusNotFound && c.known {
+	if e.Status == http.StatusNotFound && call.known {
 		k.addViolation("forgotten", "%s is not found", e.Job)
 	}
-	if e.Op == Submit && (e.Status == http.StatusBadRequest || e.Status == http.StatusUnprocessableEntity) && c.known {
+	if e.Op == Submit && (e.Status == http.StatusBadRequest || e.Status == http.StatusUnprocessableEntity) && call.known {
 		k.addViolation("forgotten", "%s is refused with %d", e.Job, e.Status)
 	}
 }
 
 // checkState checks the state of a job in a response against the job's completed tasks and the
 // requested cancellations.
-func (k *checker) checkState(e *Event, j *jobState, c userCall) {
+func (k *checker) checkState(e *Event, j *jobState, call userCall) {
 	// A job that is submitted after one of its dependencies has been cancelled is still
 	// accepted, and has to end within CancelWithin of its acceptance.
-	if before := k.dependencyCancelledAt(e.Job); before != 0 && c.sent > max(before, j.acceptedAt)+k.expected.CancelWithin && (e.State == wire.Pending || e.State == wire.Running) {
+	if dependencyCancelledAt := k.dependencyCancelledAt(e.Job); dependencyCancelledAt != 0 && call.sent > max(dependencyCancelledAt, j.acceptedAt)+k.expected.CancelWithin && (e.State == wire.Pending || e.State == wire.Running) {
 		k.addViolation("orphaned", "%s is %s though one before it is cancelled", e.Job, e.State)
 	}
 	if e.State == wire.Done && len(j.done) < k.tasks(e.Job) {
@@ -245,8 +245,8 @@
 func (j *jobState) isOver() bool { return j.state == wire.Done || j.state == wire.Cancelled }
 
 // checkFinalState checks that later responses show the same final state.
-func (k *checker) checkFinalState(e *Event, j *jobState, c userCall) {
-	if j.isOver() && e.State != j.state && c.sent >= j.finishedAt {
+func (k *checker) checkFinalState(e *Event, j *jobState, call userCall) {
+	if j.isOver() && e.State != j.state && call.sent >= j.finishedAt {
 		k.addViolation("went_back", "%s was %s and is %s", e.Job, j.state, e.State)
 	}
 	if !j.isOver() {
@@ -263,18 +263,18 @@
 
 // eachDependency calls f for every job that a job depends on, directly or through others.
 func (k *checker) eachDependency(id string, f func(*jobState)) {
-	todo, met := []string{id}, map[string]bool{}
-	for len(todo) > 0 {
-		id, todo = todo[0], todo[1:]
+	queue, visited := []string{id}, map[string]bool{}
+	for len(queue) > 0 {
+		id, queue = queue[0], queue[1:]
 		spec := k.expected.Jobs[id]
 		if spec == nil {
 			continue
 		}
-		for _, a := range spec.DependsOn {
-			if j := k.jobs[a]; j != nil && !met[a] {
-				met[a] = true
+		for _, dependency := range spec.DependsOn {
+			if j := k.jobs[dependency]; j != nil && !visited[dependency] {
+				visited[dependency] = true
 				f(j)
-				todo = append(todo, a)
+				queue = append(queue, dependency)
 			}
 		}
 	}
@@ -298,63 +298,63 @@
 	return requested
 }
 
-// onEntered checks a task that has its image and is on its machine.
+// onEntered checks a task whose image has arrived on its machine.
 func (k *checker) onEntered(e *Event) {
 	k.anyTaskEntered = true
-	r := taskRef{e.Job, e.Task}
+	ref := taskRef{e.Job, e.Task}
 	spec, j := k.expected.Jobs[e.Job], k.job(e.Job)
 	name := fmt.Sprintf("%s/%d", e.Job, e.Task)
 	if spec == nil {
 		k.addViolation("invented", "%s starts", name)
 		return
 	}
-	for m := range k.taskMachines[r] {
+	for m := range k.taskMachines[ref] {
 		if m != e.Machine {
 			k.addViolation("ran_twice", "%s on %s and %s", name, m, e.Machine)
 		}
 	}
-	for _, a := range spec.DependsOn {
-		if n := k.jobs[a]; n != nil && len(n.done) < k.tasks(a) {
-			k.addViolation("too_early", "%s starts before %s is done", name, a)
+	for _, id := range spec.DependsOn {
+		if dependency := k.jobs[id]; dependency != nil && len(dependency.done) < k.tasks(id) {
+			k.addViolation("too_early", "%s starts before %s is done", name, id)
 		}
 	}
 	if j.cancelledAt > 0 && e.At > j.cancelledAt+k.expected.CancelWithin {
 		k.addViolation("ran_cancelled", "%s starts", name)
 	}
-	if k.taskMachines[r] == nil {
-		k.taskMachines[r] = map[string]bool{}
+	if k.taskMachines[ref] == nil {
+		k.taskMachines[ref] = map[string]bool{}
 	}
-	if !k.taskMachines[r][e.Machine] {
+	if !k.taskMachines[ref][e.Machine] {
 		u := k.teamUse[spec.Team]
 		k.teamUse[spec.Team] = Limits{u.CPUs + spec.CPUs, u.GPUs + spec.GPUs}
 	}
-	k.taskMachines[r][e.Machine] = true
-	k.placed.place(spec, r, e.Machine)
+	k.taskMachines[ref][e.Machine] = true
+	k.placed.place(spec, ref, e.Machine)
 	k.checkPlacement(e, name, spec)
-	if l, u := k.expected.Teams[spec.Team], k.teamUse[spec.Team]; l.GPUs > 0 && u.GPUs > l.GPUs+roundingError || l.CPUs > 0 && u.CPUs > l.CPUs+roundingError {
-		k.addViolation("quota", "%s uses %.1f CPUs and %.1f GPUs", spec.Team, u.CPUs, u.GPUs)
+	if limits, use := k.expected.Teams[spec.Team], k.teamUse[spec.Team]; limits.GPUs > 0 && use.GPUs > limits.GPUs+roundingError || limits.CPUs > 0 && use.CPUs > limits.CPUs+roundingError {
+		k.addViolation("quota", "%s uses %.1f CPUs and %.1f GPUs", spec.Team, use.CPUs, use.GPUs)
 	}
 }
 
 // checkPlacement checks a task's machine against the constraints of its job.
-func (k *checker) checkPlacement(e *Event, name string, s *wire.Job) {
-	m := k.machines[e.Machine]
-	bad := !isAllowedOn(s, m)
-	if s.OneZone || s.Spread {
+func (k *checker) checkPlacement(e *Event, name string, spec *wire.Job) {
+	machine := k.machines[e.Machine]
+	violated := !isAllowedOn(spec, machine)
+	if spec.OneZone || spec.Spread {
 		zones := map[string]int{}
-		for i := range s.Tasks {
-			for o := range k.taskMachines[taskRef{s.ID, i}] {
-				zones[k.machines[o].Zone]++
+		for i := range spec.Tasks {
+			for other := range k.taskMachines[taskRef{spec.ID, i}] {
+				zones[k.machines[other].Zone]++
 			}
 		}
-		bad = bad || s.OneZone && len(zones) > 1 || s.Spread && zones[m.Zone] > (s.Tasks+1)/2
+		violated = violated || spec.OneZone && len(zones) > 1 || spec.Spread && zones[machine.Zone] > (spec.Tasks+1)/2
 	}
-	if bad {
+	if violated {
 		k.addViolation("wrong_place", "%s on %s", name, e.Machine)
 	}
 }
 
-// onStarted collects the started tasks of a gang, whose start events have to follow each other
+// onStarted collects the started tasks of a gang. Their start events have to follow each other
 // without other events in between.
 func (k *checker) onStarted(e *Event) {
 	if s := k.expected.Jobs[e.Job]; s == nil || s.Kind != wire.Gang {
@@ -369,8 +369,8 @@
 // checkGangStart checks that all tasks of a gang have started together. Operators demand this
 // rule; the published rules do not contain it.
 func (k *checker) checkGangStart() {
-	if n := k.tasks(k.startingGang.Job); len(k.startedGangTasks) != n {
-		k.addViolation("part_of_gang", "%s begins with %d of %d tasks", k.startingGang.Job, len(k.startedGangTasks), n)
+	if tasks := k.tasks(k.startingGang.Job); len(k.startedGangTasks) != tasks {
+		k.addViolation("part_of_gang", "%s begins with %d of %d tasks", k.startingGang.Job, len(k.startedGangTasks), tasks)
 	}
 	k.startingGang = nil
 }
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -8,13 +8,13 @@
 )
 
 // This file checks that the scheduler is work-conserving: once all faults are over, no job waits
-// for long while a machine that suits it has room and its team is under its limit. The time
-// starts again after any check that finds no room, so machines that fill and empty in turn as
-// images are fetched and tasks end are no violation.
+// for long while a machine that suits it has room and its team is under its limit. The waiting
+// time starts again after any check that finds no room, so machines that fill and empty in turn,
+// as images are fetched and tasks end, cause no violation.
 
 const (
-	// maxWait is how long a job may wait while there is room, and waitCheckInterval the
-	// time between two checks, in microseconds.
+	// maxWait is the maximum time that a job may wait while there is room, and
+	// waitCheckInterval the time between two checks, in microseconds.
 	maxWait           = 90_000_000
 	waitCheckInterval = 1_000_000
 )
@@ -24,7 +24,8 @@
 	tasks map[string]map[taskRef]bool // by machine
 	where map[taskRef]string          // machine of the latest placement
 	use   map[string]Limits           // by team
-	// roomSince has the time since which there has been room for a waiting job.
+	// roomSince has, for each waiting job for which there is room, the time since which there
+	// has been room.
 	roomSince   map[string]int64
 	nextCheckAt int64 // time of the next check
 }
@@ -33,28 +34,28 @@
 	return placements{tasks: map[string]map[taskRef]bool{}, where: map[taskRef]string{}, use: map[string]Limits{}, roomSince: map[string]int64{}}
 }
 
-// place records that a task has been placed on a machine. An earlier attempt may still be on another
-// machine; where has only the latest placement.
-func (p *placements) place(spec *wire.Job, r taskRef, machine string) {
-	if spec == nil || p.tasks[machine][r] {
+// place records that a task has been placed on a machine. An earlier attempt may still be on
+// another machine; where has only the latest placement.
+func (p *placements) place(spec *wire.Job, ref taskRef, machine string) {
+	if spec == nil || p.tasks[machine][ref] {
 		return
 	}
 	if p.tasks[machine] == nil {
 		p.tasks[machine] = map[taskRef]bool{}
 	}
-	p.tasks[machine][r] = true
-	p.where[r] = machine
+	p.tasks[machine][ref] = true
+	p.where[ref] = machine
 	p.addUse(spec, 1)
 }
 
 // remove records that a task has left a machine.
-func (p *placements) remove(spec *wire.Job, r taskRef, machine string) {
-	if spec == nil || !p.tasks[machine][r] {
+func (p *placements) remove(spec *wire.Job, ref taskRef, machine string) {
+	if spec == nil || !p.tasks[machine][ref] {
 		return
 	}
-	delete(p.tasks[machine], r)
-	if p.where[r] == machine {
-		delete(p.where, r)
+	delete(p.tasks[machine], ref)
+	if p.where[ref] == machine {
+		delete(p.where, ref)
 	}
 	p.addUse(spec, -1)
 }
@@ -66,12 +67,12 @@
 }
 
 // freeRoom returns the free resources of a machine.
-func (k *checker) freeRoom(m string) (cpus, gpus, mem float64) {
-	t := k.expected.Types[k.machines[m].Type]
-	cpus, gpus, mem = t.CPUs, t.GPUs, t.MemGB
-	for r := range k.placed.tasks[m] {
-		s := k.expected.Jobs[r.job]
-		cpus, gpus, mem = cpus-s.CPUs, gpus-s.GPUs, mem-s.MemGB
+func (k *checker) freeRoom(machine string) (cpus, gpus, mem float64) {
+	machineType := k.expected.Types[k.machines[machine].Type]
+	cpus, gpus, mem = machineType.CPUs, machineType.GPUs, machineType.MemGB
+	for ref := range k.placed.tasks[machine] {
+		spec := k.expected.Jobs[ref.job]
+		cpus, gpus, mem = cpus-spec.CPUs, gpus-spec.GPUs, mem-spec.MemGB
 	}
 	return cpus, gpus, mem
 }
@@ -99,23 +100,23 @@
 
 // hasRoom reports whether a task of a job that is not on a machine could be placed now, or, for a
 // gang, all of its tasks.
-func (k *checker) hasRoom(s *wire.Job, j *jobState) bool {
-	for _, a := range s.DependsOn {
-		if n := k.jobs[a]; n == nil || len(n.done) < k.tasks(a) {
+func (k *checker) hasRoom(spec *wire.Job, j *jobState) bool {
+	for _, id := range spec.DependsOn {
+		if dependency := k.jobs[id]; dependency == nil || len(dependency.done) < k.tasks(id) {
 			return false
 		}
 	}
-	left, zones := k.unplaced(s, j)
+	remaining, zones := k.unplaced(spec, j)
 	want := 1
-	if s.Kind == wire.Gang {
-		if want = left; left < s.Tasks {
+	if spec.Kind == wire.Gang {
+		if want = remaining; remaining < spec.Tasks {
 			return false // an attempt is in progress or about to end
 		}
 	}
-	if left == 0 || !k.isUnderLimit(s, want) {
+	if remaining == 0 || !k.isUnderLimit(spec, want) {
 		return false
 	}
-	return usableRoom(s, k.roomByZone(s, want), zones) >= want
+	return usableRoom(spec, k.roomByZone(spec, want), zones) >= want
 }
 
 // roundingError is the tolerance for sums of CPUs, GPUs and memory.
@@ -123,40 +124,40 @@
 
 // unplaced returns the number of tasks of a job that are neither done nor on a machine, and the
 // number of tasks on machines in each zone.
-func (k *checker) unplaced(s *wire.Job, j *jobState) (left int, zones map[string]int) {
+func (k *checker) unplaced(spec *wire.Job, j *jobState) (remaining int, zones map[string]int) {
 	zones = map[string]int{}
-	for i := range s.Tasks {
-		if m, ok := k.placed.where[taskRef{s.ID, i}]; ok {
-			zones[k.machines[m].Zone]++
+	for i := range spec.Tasks {
+		if machine, ok := k.placed.where[taskRef{spec.ID, i}]; ok {
+			zones[k.machines[machine].Zone]++
 		} else if !j.done[i] {
-			left++
+			remaining++
 		}
 	}
-	return left, zones
+	return remaining, zones
 }
 
-// isUnderLimit reports whether the limits of a job's team allow the given number of its tasks
-// in addition.
-func (k *checker) isUnderLimit(s *wire.Job, tasks int) bool {
-	limits, use := k.expected.Teams[s.Team], k.placed.use[s.Team]
+// isUnderLimit reports whether the limits of a job's team allow the given number of additional
+// tasks of the job.
+func (k *checker) isUnderLimit(spec *wire.Job, tasks int) bool {
+	limits, use := k.expected.Teams[spec.Team], k.placed.use[spec.Team]
 	n := float64(tasks)
-	return (limits.CPUs <= 0 || use.CPUs+n*s.CPUs <= limits.CPUs+roundingError) &&
-		(limits.GPUs <= 0 || use.GPUs+n*s.GPUs <= limits.GPUs+roundingError)
+	return (limits.CPUs <= 0 || use.CPUs+n*spec.CPUs <= limits.CPUs+roundingError) &&
+		(limits.GPUs <= 0 || use.GPUs+n*spec.GPUs <= limits.GPUs+roundingError)
 }
 
-// roomByZone returns for how many tasks of a job the machines in each zone have room, if each
-// machine gets no more than most of them.
-func (k *checker) roomByZone(s *wire.Job, most int) map[string]int {
+// roomByZone returns the number of tasks of a job for which the machines in each zone have room,
+// counting at most maxPerMachine tasks for each machine.
+func (k *checker) roomByZone(spec *wire.Job, maxPerMachine int) map[string]int {
 	room := map[string]int{}
 	for name, m := range k.machines {
-		if !isAllowedOn(s, m) {
+		if !isAllowedOn(spec, m) {
 			continue
 		}
 		cpus, gpus, mem := k.freeRoom(name)
-		fit := most
-		for _, x := range []struct{ free, wanted float64 }{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
-			if x.wanted > 0 {
-				fit = min(fit, int((x.free+roundingError)/x.wanted))
+		fit := maxPerMachine
+		for _, resource := range []struct{ free, wanted float64 }{{cpus, spec.CPUs}, {gpus, spec.GPUs}, {mem, spec.MemGB}} {
+			if resource.wanted > 0 {
+				fit = min(fit, int((resource.free+roundingError)/resource.wanted))
 			}
 		}
 		room[m.Zone] += max(fit, 0)
@@ -165,20 +166,21 @@
 }
 
 // isAllowedOn reports whether a job's constraints on zone, type and spot allow a machine.
-func isAllowedOn(s *wire.Job, machine Event) bool {
-	return (s.Zone == nil || *s.Zone == machine.Zone) && (s.Spot || !machine.Spot) &&
-		(len(s.Types) == 0 || slices.Contains(s.Types, machine.Type))
+func isAllowedOn(spec *wire.Job, machine Event) bool {
+	return (spec.Zone == nil || *spec.Zone == machine.Zone) && (spec.Spot || !machine.Spot) &&
+		(len(spec.Types) == 0 || slices.Contains(spec.Types, machine.Type))
 }
 
-// usableRoom returns how many of the tasks for which the zones have room a job can place at once
-// under its zone constraints, given the zones of its placed tasks.
-func usableRoom(s *wire.Job, room, placed map[string]int) int {
+// usableRoom returns the number of tasks that a job can place at once under its zone constraints.
+// room is the number of tasks for which each zone has room, and placed the number of the job's
+// tasks that are on machines in each zone.
+func usableRoom(spec *wire.Job, room, placed map[string]int) int {
 	usable := 0
 	for zone, n := range room {
-		if s.Spread {
-			n = min(n, (s.Tasks+1)/2-placed[zone])
+		if spec.Spread {
+			n = min(n, (spec.Tasks+1)/2-placed[zone])
 		}
-		if !s.OneZone {
+		if !spec.OneZone {
 			usable += max(n, 0)
 			continue
 		}
