--- a/internal/emulator/faketime/cloud_via_peer_test.go
+++ b/internal/emulator/faketime/cloud_via_peer_test.go
@@ -14,12 +14,12 @@
 // through a controller that can, sending each request once.
 func TestCloudViaPeer(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		to   []string // hosts that are partitioned from the cloud in addition to the leader
-		on   bool
-		// least and most bound the number of machines that come up during the partition;
-		// without a partition it is 16 to 20.
-		least, most int
+		name  string
+		to    []string // hosts partitioned from the cloud, in addition to the leader
+		reach bool
+		// minMachines and maxMachines bound the number of machines that come up during
+		// the partition. Without a partition, 16 to 20 come up.
+		minMachines, maxMachines int
 	}{
 		{"through a peer", nil, true, 14, 21},
 		{"feature switched off", nil, false, 0, 0},
@@ -29,7 +29,7 @@
 			t.Parallel()
 			d := newTestRun(71)
 			d.ops = config.Defaults()
-			d.ops.Reach = tc.on
+			d.ops.Reach = tc.reach
 			d.setMachines(8)
 			d.Length = 500 * second
 			d.Jobs = []job{
@@ -45,17 +45,17 @@
 					}
 				})
 			})
-			if l := c.Violations(); len(l) > 0 {
-				t.Error(strings.Join(l, "\n"))
+			if violations := c.Violations(); len(violations) > 0 {
+				t.Error(strings.Join(violations, "\n"))
 			}
-			came := 0
+			machinesUp := 0
 			for _, e := range c.History {
 				if e.Kind == history.MachineUp && e.At > from+30*second && e.At < until {
-					came++
+					machinesUp++
 				}
 			}
-			if came < tc.least || came > tc.most {
-				t.Errorf("%d machines came up during the partition, want %d to %d", came, tc.least, tc.most)
+			if machinesUp < tc.minMachines || machinesUp > tc.maxMachines {
+				t.Errorf("got %d machines that came up during the partition, want %d to %d", machinesUp, tc.minMachines, tc.maxMachines)
 			}
 		})
 	}
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -28,7 +28,7 @@
 // Options contains the settings of a run that are not part of the environment's configuration.
 type Options struct {
 	Operators config.Operators
-	// OneMissing adds a peer to each controller's settings that never starts.
+	// OneMissing adds to each controller's settings a peer that never starts.
 	OneMissing bool
 	// Programs, if set, returns the program version that a controller runs from the start
 	// of the given epoch. A controller's epoch increases at each start and each end.
@@ -43,7 +43,7 @@
 	// OnTransaction, if set, is called with each transaction that a controller sends.
 	OnTransaction func(core.CommitTransaction)
 	// OnQuery, if set, is called with each read that a follower sends to the leader.
-	// OnQueryEnd, if set, is called with its result, which it may change.
+	// OnQueryEnd, if set, is called with the result of the read and may change it.
 	OnQuery    func(node string, query core.ReadFromLeader)
 	OnQueryEnd func(node string, result *core.LeaderReadDone)
 	// OnProgress, if set, is called every simulated minute.
@@ -96,12 +96,12 @@
 func (c *Cluster) startControllers() {
 	maxClockError := int64(c.Config.Params.ClockErrorMS * 1000)
 	for i := range c.Config.Params.Size {
-		n := &Controller{cluster: c, name: environment.ControllerName(i), index: i}
+		controller := &Controller{cluster: c, name: environment.ControllerName(i), index: i}
 		if maxClockError > 0 {
-			n.clockOffset = c.rng.Int64N(maxClockError+1) - maxClockError/2
+			controller.clockOffset = c.rng.Int64N(maxClockError+1) - maxClockError/2
 		}
-		c.Controllers = append(c.Controllers, n)
-		c.Start(n)
+		c.Controllers = append(c.Controllers, controller)
+		c.Start(controller)
 	}
 }
 
@@ -110,21 +110,21 @@
 func (c *Cluster) runTimers() {
 	for minute := int64(0); ; {
 		at, ok := c.timers.Next()
-		own := ok
+		isClusterTimer := ok
 		if envAt, envOK := c.Environment.Next(); envOK && (!ok || envAt <= at) {
-			at, ok, own = envAt, true, false
+			at, ok, isClusterTimer = envAt, true, false
 		}
 		if !ok || at > c.Config.Length {
 			return
 		}
 		c.now = max(c.now, at)
-		if own {
+		if isClusterTimer {
 			c.timers.Take()()
 		} else {
 			c.step(nil)
 		}
-		if m := c.now / (60 * second); m > minute && c.OnProgress != nil {
-			minute = m
+		if elapsed := c.now / (60 * second); elapsed > minute && c.OnProgress != nil {
+			minute = elapsed
 			c.OnProgress(c.now)
 		}
 	}
@@ -137,29 +137,29 @@
 	cluster *Cluster
 }
 
-func (h simulatedTimeHandler) Handle(ctx context.Context, r slog.Record) error {
-	r.Time = time.UnixMicro(h.cluster.now).UTC()
-	return h.Handler.Handle(ctx, r)
+func (h simulatedTimeHandler) Handle(ctx context.Context, record slog.Record) error {
+	record.Time = time.UnixMicro(h.cluster.now).UTC()
+	return h.Handler.Handle(ctx, record)
 }
 
-func (h simulatedTimeHandler) WithAttrs(a []slog.Attr) slog.Handler {
-	return simulatedTimeHandler{h.Handler.WithAttrs(a), h.cluster}
+func (h simulatedTimeHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return simulatedTimeHandler{h.Handler.WithAttrs(attrs), h.cluster}
 }
 
 // Now returns the simulated time in microseconds.
 func (c *Cluster) Now() int64 { return c.now }
 
-// After calls f when the duration d has passed.
-func (c *Cluster) After(d int64, f func()) { c.timers.Add(c.now+d, f) }
+// After calls f after delay.
+func (c *Cluster) After(delay int64, f func()) { c.timers.Add(c.now+delay, f) }
 
 // Leaders returns the controllers that consider themselves the leader, in ascending order of
 // their fencing tokens.
 func (c *Cluster) Leaders() (leaders []string) {
 	tokens := map[string]uint64{}
-	for _, n := range c.Controllers {
-		n.Request(func(req uint64) any { return core.QueryOperatorView{RequestID: req} }, func(r core.Reply) {
-			if r.Ops != nil && r.Ops.Leading {
-				leaders, tokens[n.name] = append(leaders, n.name), r.Ops.FencingToken
+	for _, controller := range c.Controllers {
+		controller.Request(func(req uint64) any { return core.QueryOperatorView{RequestID: req} }, func(reply core.Reply) {
+			if reply.Ops != nil && reply.Ops.Leading {
+				leaders, tokens[controller.name] = append(leaders, controller.name), reply.Ops.FencingToken
 			}
 		})
 	}
@@ -194,8 +194,8 @@
 	return names
 }
 
-// ScheduleFaults injects each fault when its At has passed from now, and stores the first
-// error in failed.
+// ScheduleFaults injects each fault at its time At, counted from now, and stores the first error
+// in failed.
 func (c *Cluster) ScheduleFaults(failed *error, faults ...environment.Fault) {
 	for _, f := range faults {
 		c.After(f.At, func() {
@@ -233,9 +233,9 @@
 }
 
 func (c *Cluster) controller(name string) *Controller {
-	for _, n := range c.Controllers {
-		if n.name == name {
-			return n
+	for _, candidate := range c.Controllers {
+		if candidate.name == name {
+			return candidate
 		}
 	}
 	return nil
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -16,7 +16,7 @@
 	core        *core.Core
 	up          bool
 	frozen      bool
-	deferred    []func() // calls that arrived while it was frozen
+	deferred    []func() // calls that arrived while the process was frozen
 	epoch       int      // number of starts and ends, so that timers of an earlier process are ignored
 	clockOffset int64    // error of its wall clock, in microseconds
 	replies     map[uint64]func(core.Reply)
@@ -25,30 +25,30 @@
 }
 
 // Start starts the process of a controller.
-func (c *Cluster) Start(n *Controller) {
-	n.up, n.frozen, n.deferred = true, false, nil
-	n.epoch++
-	n.replies, n.calls = map[uint64]func(core.Reply){}, map[uint64]func(int, any){}
-	n.core = core.New(c.settings(n), c.now+1, rand.New(rand.NewPCG(c.Config.Seed, uint64(n.index*1000+n.epoch))), c.Log.With("node", n.name))
-	c.step(environment.ControllerUp{Controller: n.name, Up: true})
-	n.tick(n.epoch)
+func (c *Cluster) Start(controller *Controller) {
+	controller.up, controller.frozen, controller.deferred = true, false, nil
+	controller.epoch++
+	controller.replies, controller.calls = map[uint64]func(core.Reply){}, map[uint64]func(int, any){}
+	controller.core = core.New(c.settings(controller), c.now+1, rand.New(rand.NewPCG(c.Config.Seed, uint64(controller.index*1000+controller.epoch))), c.Log.With("node", controller.name))
+	c.step(environment.ControllerUp{Controller: controller.name, Up: true})
+	controller.tick(controller.epoch)
 }
 
 // settings returns the settings that a controller starts with.
-func (c *Cluster) settings(n *Controller) core.Settings {
+func (c *Cluster) settings(controller *Controller) core.Settings {
 	settings := core.Settings{
-		Name:        n.name,
+		Name:        controller.name,
 		Deployment:  c.Config.Params,
 		Ops:         c.Operators,
-		Incarnation: fmt.Sprintf("%s-%d", n.name, n.epoch),
+		Incarnation: fmt.Sprintf("%s-%d", controller.name, controller.epoch),
 	}
 	for i := range c.Config.Params.Size {
-		if i != n.index {
+		if i != controller.index {
 			settings.Peers = append(settings.Peers, environment.ControllerName(i))
 		}
 	}
 	if c.Programs != nil {
-		program := c.Programs(n.index, n.epoch)
+		program := c.Programs(controller.index, controller.epoch)
 		settings.Program = &program
 	}
 	if c.OneMissing {
@@ -58,10 +58,10 @@
 }
 
 // Kill ends the process of a controller.
-func (c *Cluster) Kill(n *Controller) {
-	n.up = false
-	n.epoch++
-	c.step(environment.ControllerUp{Controller: n.name})
+func (c *Cluster) Kill(controller *Controller) {
+	controller.up = false
+	controller.epoch++
+	c.step(environment.ControllerUp{Controller: controller.name})
 }
 
 func (n *Controller) tick(epoch int) {
@@ -77,9 +77,9 @@
 func (n *Controller) freeze(on bool) {
 	n.frozen = on
 	if !on {
-		held := n.deferred
+		deferred := n.deferred
 		n.deferred = nil
-		for _, f := range held {
+		for _, f := range deferred {
 			f()
 		}
 	}
@@ -131,28 +131,28 @@
 	}
 }
 
-func (n *Controller) onAnswer(a environment.Answer) {
-	n.runUnlessEnded(n.epoch, func() { n.finishCall(a.ID, a.Status, a.Body) })
+func (n *Controller) onAnswer(answer environment.Answer) {
+	n.runUnlessEnded(n.epoch, func() { n.finishCall(answer.ID, answer.Status, answer.Body) })
 }
 
 // onRequest passes a request that has reached the controller to its core.
-func (n *Controller) onRequest(a environment.Ask) {
+func (n *Controller) onRequest(ask environment.Ask) {
 	if !n.up {
-		n.cluster.step(environment.AskAnswer{ID: a.ID})
+		n.cluster.step(environment.AskAnswer{ID: ask.ID})
 		return
 	}
 	n.runUnlessEnded(n.epoch, func() {
-		if q, ok := a.Request.(pingRequest); ok && n.isLegacy() {
-			q.Incarnation, q.ReadLeaseRequest, q.Cancellations = "", nil, nil
-			a.Request = q
+		if ping, ok := ask.Request.(pingRequest); ok && n.isLegacy() {
+			ping.Incarnation, ping.ReadLeaseRequest, ping.Cancellations = "", nil, nil
+			ask.Request = ping
 		}
-		build, bad := toCoreMessage(a.Request)
-		if bad != nil {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: int(bad.Status), RetryAfter: bad.RetryAfter})
+		build, rejection := toCoreMessage(ask.Request)
+		if rejection != nil {
+			n.cluster.step(environment.AskAnswer{ID: ask.ID, Status: int(rejection.Status), RetryAfter: rejection.RetryAfter})
 			return
 		}
-		n.Request(build, func(r core.Reply) {
-			n.cluster.step(environment.AskAnswer{ID: a.ID, Status: int(r.Status), RetryAfter: r.RetryAfter, Body: responseBody(a.Request, r)})
+		n.Request(build, func(reply core.Reply) {
+			n.cluster.step(environment.AskAnswer{ID: ask.ID, Status: int(reply.Status), RetryAfter: reply.RetryAfter, Body: responseBody(ask.Request, reply)})
 		})
 	})
 }
--- a/internal/emulator/faketime/faults_test.go
+++ b/internal/emulator/faketime/faults_test.go
@@ -27,14 +27,14 @@
 // newTestRun returns a small deployment with tight limits and random jobs.
 func newTestRun(seed uint64) *testRun {
 	d := &testRun{ops: config.Defaults()}
-	set := &d.Params
-	set.Size = 3
-	set.Zones = []string{"a", "b"}
-	set.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: 12}, {Name: "blue", GPUs: 4, GPUsMax: 10}}
-	set.Workers.ReportS, set.Workers.LeaseS, set.Workers.GangWaitS, set.Workers.GangPeerS, set.Workers.CancelS = 2.5, 16, 30, 4, 36
-	set.State.RPS, set.State.WriteRPS, set.State.ValueKB, set.State.TxnOps = 80, 25, 8, 12
-	set.Cloud.RPS, set.Cloud.ListLagS = 3, 8
-	set.ClockErrorMS = 500
+	params := &d.Params
+	params.Size = 3
+	params.Zones = []string{"a", "b"}
+	params.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: 12}, {Name: "blue", GPUs: 4, GPUsMax: 10}}
+	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.GangWaitS, params.Workers.GangPeerS, params.Workers.CancelS = 2.5, 16, 30, 4, 36
+	params.State.RPS, params.State.WriteRPS, params.State.ValueKB, params.State.TxnOps = 80, 25, 8, 12
+	params.Cloud.RPS, params.Cloud.ListLagS = 3, 8
+	params.ClockErrorMS = 500
 	d.Seed, d.Length = seed, 400*second
 	d.RestartTime, d.StateDelay, d.CloudDelay, d.ClockDrift, d.StrayRequestRate = 4*second, 3000, 50_000, 0.0005, 0.1
 	d.Types = []wire.MachineType{{Name: "big", CPUs: 12, GPUs: 2, MemGB: 48, FetchRate: 0.5, CacheGB: 50, BootS: 20, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}}
@@ -42,20 +42,20 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range 30 {
 		j := job{At: second + rng.Int64N(180*second), Run: 4*second + rng.Int64N(30*second)}
-		s := &j.Spec
-		*s = wire.Job{
+		spec := &j.Spec
+		*spec = wire.Job{
 			ID: fmt.Sprintf("job-%02d", i), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Priority: []string{"idle", "normal", "urgent"}[rng.IntN(3)],
 			Image: fmt.Sprintf("im-%d", rng.IntN(2)), ImageGB: 2, EstimateS: float64(5 + rng.IntN(100)), Spot: rng.IntN(2) == 0,
 		}
 		switch rng.IntN(3) {
 		case 0:
-			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Gang, 1+rng.IntN(3), 10, 2, 30
-			s.OneZone, s.CheckpointS, s.CheckpointCostS = rng.IntN(2) == 0, 10, 2
+			spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemGB = wire.Gang, 1+rng.IntN(3), 10, 2, 30
+			spec.OneZone, spec.CheckpointS, spec.CheckpointCostS = rng.IntN(2) == 0, 10, 2
 		case 1:
-			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Array, 1+rng.IntN(12), 4, 1, 9
-			s.Spread = rng.IntN(3) == 0
+			spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemGB = wire.Array, 1+rng.IntN(12), 4, 1, 9
+			spec.Spread = rng.IntN(3) == 0
 		default:
-			s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemGB = wire.Array, 1+rng.IntN(8), 2, 0.5, 3
+			spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemGB = wire.Array, 1+rng.IntN(8), 2, 0.5, 3
 		}
 		if rng.IntN(5) == 0 {
 			j.Cancel = j.At + rng.Int64N(60*second)
@@ -69,9 +69,9 @@
 // and n/2 spot machines can be rented in each zone.
 func (d *testRun) setMachines(n int) {
 	d.Machines, d.Capacity = nil, nil
-	for i, z := range d.Params.Zones {
-		d.Machines = append(d.Machines, environment.InitialMachines{Type: "big", Zone: z, Count: (n + i) / 2})
-		d.Capacity = append(d.Capacity, environment.Capacity{Type: "big", Zone: z, Count: n, Spot: n / 2})
+	for i, zone := range d.Params.Zones {
+		d.Machines = append(d.Machines, environment.InitialMachines{Type: "big", Zone: zone, Count: (n + i) / 2})
+		d.Capacity = append(d.Capacity, environment.Capacity{Type: "big", Zone: zone, Count: n, Spot: n / 2})
 	}
 }
 
@@ -81,13 +81,13 @@
 func (d *testRun) addPipelines(n int) {
 	rng := rand.New(rand.NewPCG(d.Seed, 10))
 	for i := range n {
-		id := func(k int) string { return fmt.Sprintf("pipe-%02d-%d", i, k) }
+		id := func(stage int) string { return fmt.Sprintf("pipe-%02d-%d", i, stage) }
 		at := 20*second + rng.Int64N(150*second)
-		add := func(k int, kind string, tasks int, awaits ...string) *job {
+		add := func(stage int, kind string, tasks int, dependencies ...string) *job {
 			j := job{At: at, Run: 3*second + rng.Int64N(8*second)}
 			j.Spec = wire.Job{
-				ID: id(k), Class: "p", Team: "blue", Kind: kind, Tasks: tasks, CPUs: 1, MemGB: 0.5,
-				Priority: []string{"idle", "normal"}[k/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, DependsOn: awaits, OneZone: kind == wire.Gang,
+				ID: id(stage), Class: "p", Team: "blue", Kind: kind, Tasks: tasks, CPUs: 1, MemGB: 0.5,
+				Priority: []string{"idle", "normal"}[stage/2], Image: "im-p", ImageGB: 0.5, EstimateS: float64(j.Run) / 1e6, DependsOn: dependencies, OneZone: kind == wire.Gang,
 			}
 			d.Jobs = append(d.Jobs, j)
 			return &d.Jobs[len(d.Jobs)-1]
@@ -116,9 +116,9 @@
 }
 
 // run runs the configuration and fails the test if it cannot be run.
-func (d *testRun) run(tb testing.TB, begin func(*Cluster)) *Cluster {
+func (d *testRun) run(tb testing.TB, onStart func(*Cluster)) *Cluster {
 	tb.Helper()
-	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.oneMissing, OnStart: begin})
+	c, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.oneMissing, OnStart: onStart})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -136,16 +136,17 @@
 // checkRun fails the test if the run violated a rule or an accepted job did not end.
 func checkRun(tb testing.TB, c *Cluster) {
 	tb.Helper()
-	for _, b := range c.Violations() {
-		tb.Error(b)
+	for _, violation := range c.Violations() {
+		tb.Error(violation)
 	}
-	if l := c.Environment.Unfinished(); len(l) > 0 {
-		tb.Errorf("jobs unfinished at the end: %v, want none", l)
+	if unfinished := c.Environment.Unfinished(); len(unfinished) > 0 {
+		tb.Errorf("jobs unfinished at the end: %v, want none", unfinished)
 	}
 }
 
-func faultAt(s int64, kind environment.FaultKind, forS int64, hosts ...string) fault {
-	return fault{At: s * second, Duration: forS * second, Kind: kind, Hosts: hosts}
+// faultAt returns a fault that begins after atS seconds and ends durationS seconds later.
+func faultAt(atS int64, kind environment.FaultKind, durationS int64, hosts ...string) fault {
+	return fault{At: atS * second, Duration: durationS * second, Kind: kind, Hosts: hosts}
 }
 
 // seedCount returns the number of seeds that each case is run with, fewer under the race
@@ -157,12 +158,13 @@
 	return 3
 }
 
-// faultPerController returns one fault per controller, at intervals of each from 50 s on.
-func faultPerController(kind environment.FaultKind, each, forS int64) (l []fault) {
+// faultPerController returns one fault per controller, at intervals of intervalS seconds from 50 s
+// on.
+func faultPerController(kind environment.FaultKind, intervalS, durationS int64) (faults []fault) {
 	for i := range int64(3) {
-		l = append(l, faultAt(50+i*each, kind, forS, environment.ControllerName(int(i))))
+		faults = append(faults, faultAt(50+i*intervalS, kind, durationS, environment.ControllerName(int(i))))
 	}
-	return l
+	return faults
 }
 
 // sharedFaultCases are the fault cases that runs with each kind of load have to pass.
@@ -257,15 +259,15 @@
 	}
 }
 
-// TestLargeArrays runs array jobs of many chunks, up to the largest that is allowed, to their
-// end through a crash of all controllers, within the memory of a small one.
+// TestLargeArrays runs array jobs of many chunks, up to the largest job that is allowed, to their
+// end through a crash of all controllers. It logs the heap memory.
 func TestLargeArrays(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name                  string
-		tasks, machines       int
-		cpus, gpus, mem       float64
-		crash, length, limits int64
+		name                      string
+		tasks, machines           int
+		cpus, gpus, mem           float64
+		crashAt, length, limitsAt int64
 	}{
 		{"large", 3000, 8, 0.5, 0.1, 0.1, 40, 400, 0},
 		{"limits fall while it runs", 3000, 8, 0.5, 0.1, 0.1, 40, 400, 25},
@@ -283,17 +285,17 @@
 				Tasks: tc.tasks, CPUs: tc.cpus, GPUs: tc.gpus, MemGB: tc.mem, EstimateS: 2,
 			}}}
 			d.Jobs[0].Spec.ID = strings.ReplaceAll(tc.name, " ", "-")
-			d.Faults = []fault{faultAt(tc.crash, "crash", 0)}
-			if tc.limits != 0 {
+			d.Faults = []fault{faultAt(tc.crashAt, "crash", 0)}
+			if tc.limitsAt != 0 {
 				d.announceLowerLimits()
-				d.Faults = append(d.Faults, faultAt(tc.limits, "state_limits", 0))
+				d.Faults = append(d.Faults, faultAt(tc.limitsAt, "state_limits", 0))
 			}
 			d.runAndCheck(t)
-			// The memory of the heap for all tests so far. Each run holds three
-			// controllers, the state service, all workers and the history.
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			t.Logf("heap memory obtained so far: %d MB", m.HeapSys>>20)
+			// Log the heap memory of all tests so far. Each run holds three controllers,
+			// the state service, all workers and the history.
+			var stats runtime.MemStats
+			runtime.ReadMemStats(&stats)
+			t.Logf("heap memory obtained so far: %d MB", stats.HeapSys>>20)
 		})
 	}
 }
--- a/internal/emulator/faketime/first_format_test.go
+++ b/internal/emulator/faketime/first_format_test.go
@@ -72,45 +72,45 @@
 	d := newTestRun(5)
 	d.oneMissing = true
 	d.addPipelines(2)
-	awaits := 0
+	dependentJobs := 0
 	for _, j := range d.Jobs {
 		if len(j.Spec.DependsOn) > 0 {
-			awaits++
+			dependentJobs++
 		}
 	}
 	c := d.run(t, nil)
-	if l, left := c.Violations(), c.Environment.Unfinished(); len(l) > 0 || len(left) != awaits {
-		t.Errorf("got %d unfinished jobs %v, want %d, those with dependencies; got violations %v, want none", len(left), left, awaits, l)
+	if violations, unfinished := c.Violations(), c.Environment.Unfinished(); len(violations) > 0 || len(unfinished) != dependentJobs {
+		t.Errorf("got %d unfinished jobs %v, want %d, those with dependencies; got violations %v, want none", len(unfinished), unfinished, dependentJobs, violations)
 	}
-	shapes := map[string]func() any{
+	formats := map[string]func() any{
 		"job": func() any { return &oldRecord{} }, "run": func() any { return &oldChunk{} }, "end": func() any { return &oldEnd{} },
 		"leader": func() any { return &oldLeader{} }, "token": func() any { return &oldToken{} }, "bounds": func() any { return &oldBounds{} },
 		"types": func() any { return &[]oldType{} }, "hints": func() any { return &oldHints{} },
 	}
 	seen := map[string]int{}
-	for _, ch := range c.History {
-		if ch.Kind != history.StateChanged {
+	for _, e := range c.History {
+		if e.Kind != history.StateChanged {
 			continue
 		}
-		kind, rest, _ := strings.Cut(strings.TrimPrefix(ch.Key, "zinclb/"), "/")
+		kind, rest, _ := strings.Cut(strings.TrimPrefix(e.Key, "zinclb/"), "/")
 		seen[kind]++
-		if kind == "member" || ch.State == "removed" {
+		if kind == "member" || e.State == "removed" {
 			continue // the old version ignores keys that it does not know
 		}
-		shape := shapes[kind]
-		if shape == nil {
-			t.Fatalf("key %s was stored, want only kinds that the old version knows", ch.Key)
+		newValue := formats[kind]
+		if newValue == nil {
+			t.Fatalf("key %s was stored, want only kinds that the old version knows", e.Key)
 		}
 		if strings.Contains(rest, "-") && kind == "run" && strings.Contains(rest[strings.Index(rest, "/"):], "-") {
-			t.Errorf("key %s has a chunk number that the old version can't parse", ch.Key)
+			t.Errorf("key %s has a chunk number that the old version can't parse", e.Key)
 		}
-		dec := json.NewDecoder(strings.NewReader(ch.Value))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(shape()); err != nil {
-			t.Errorf("key %s: decode %s: %v", ch.Key, ch.Value, err)
+		decoder := json.NewDecoder(strings.NewReader(e.Value))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(newValue()); err != nil {
+			t.Errorf("key %s: decode %s: %v", e.Key, e.Value, err)
 		}
 	}
-	for kind := range shapes {
+	for kind := range formats {
 		if seen[kind] == 0 {
 			t.Errorf("no key of kind %s was stored, want at least one", kind)
 		}
--- a/internal/emulator/faketime/follower_reads_test.go
+++ b/internal/emulator/faketime/follower_reads_test.go
@@ -37,37 +37,37 @@
 	onRead func(c *Cluster, node, leader string)
 }
 
-// runWithFollowers runs the configuration and counts reads in f. It calls injectFaults at the
-// given interval from 20 s to 170 s.
-func (d *testRun) runWithFollowers(t *testing.T, f *followerReads, interval int64, injectFaults func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
+// runWithFollowers runs the configuration and counts the reads. It calls injectFaults at the given
+// interval from 20 s to 170 s.
+func (d *testRun) runWithFollowers(t *testing.T, reads *followerReads, interval int64, injectFaults func(c *Cluster, inject func(environment.Fault), i int), programs func(node, epoch int) upgrade.Program) *Cluster {
 	t.Helper()
 	var cluster *Cluster
-	o := Options{
+	options := Options{
 		Operators: d.ops, Programs: programs,
-		OnQuery: func(node string, q core.ReadFromLeader) {
-			f.sent++
-			if f.onRead != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
-				f.onRead(cluster, node, q.To)
+		OnQuery: func(node string, read core.ReadFromLeader) {
+			reads.sent++
+			if reads.onRead != nil && cluster.Now() > 20*second && cluster.Now() < 170*second {
+				reads.onRead(cluster, node, read.To)
 			}
 		},
-		OnQueryEnd: func(_ string, s *core.LeaderReadDone) {
-			if s.Answer.View != nil {
-				f.answered++
+		OnQueryEnd: func(_ string, done *core.LeaderReadDone) {
+			if done.Answer.View != nil {
+				reads.answered++
 			} else {
-				f.failed++
+				reads.failed++
 			}
 		},
 		OnStart: func(c *Cluster) {
 			cluster = c
-			inject := func(x environment.Fault) { c.ScheduleFaults(&f.err, x) }
+			inject := func(f environment.Fault) { c.ScheduleFaults(&reads.err, f) }
 			for i := range int(150 * second / interval) {
 				c.After(20*second+int64(i)*interval, func() { injectFaults(c, inject, i) })
 			}
 		},
 	}
-	c, err := Run(d.Config, o)
-	if err != nil || f.err != nil {
-		t.Fatal(err, f.err)
+	c, err := Run(d.Config, options)
+	if err != nil || reads.err != nil {
+		t.Fatal(err, reads.err)
 	}
 	return c
 }
@@ -79,14 +79,14 @@
 	nothing := func(*Cluster, func(environment.Fault), int) {}
 	// atRead injects a fault into the leader at every nth read, with a delay of 0 to
 	// 900 µs, while the read is on its way.
-	atRead := func(nth int, x environment.Fault) func(f *followerReads) {
-		return func(f *followerReads) {
+	atRead := func(nth int, f environment.Fault) func(reads *followerReads) {
+		return func(reads *followerReads) {
 			n := 0
-			f.onRead = func(c *Cluster, _, leader string) {
+			reads.onRead = func(c *Cluster, _, leader string) {
 				if n++; n%nth == 0 {
-					x.Hosts = []string{leader}
-					x.At = int64(n/nth%4) * 300
-					c.ScheduleFaults(&f.err, x)
+					f.Hosts = []string{leader}
+					f.At = int64(n/nth%4) * 300
+					c.ScheduleFaults(&reads.err, f)
 				}
 			}
 		}
@@ -95,40 +95,40 @@
 		name         string
 		interval     int64
 		injectFaults func(c *Cluster, inject func(environment.Fault), i int)
-		setup        func(f *followerReads)
-		// fails is set if some reads have to fail.
-		fails bool
+		setup        func(reads *followerReads)
+		// wantFailures is set if some reads have to fail.
+		wantFailures bool
 	}
 	faultCases := []faultCase{
 		{name: "no faults", interval: 150 * second, injectFaults: nothing},
-		{name: "the leader crashes", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), fails: true},
-		{name: "the leader restarts immediately", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), fails: true},
-		{name: "the leader is frozen for longer than its lease", interval: 150 * second, injectFaults: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), fails: true},
-		{name: "answers are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "the leader crashes", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash"}), wantFailures: true},
+		{name: "the leader restarts immediately", interval: 150 * second, injectFaults: nothing, setup: atRead(150, environment.Fault{Kind: "crash", Duration: 200_000}), wantFailures: true},
+		{name: "the leader is frozen for longer than its lease", interval: 150 * second, injectFaults: nothing, setup: atRead(200, environment.Fault{Kind: "freeze", Duration: 5 * second}), wantFailures: true},
+		{name: "answers are lost one way", interval: 20 * second, wantFailures: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:2], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "reads are lost one way", interval: 20 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
+		{name: "reads are lost one way", interval: 20 * second, wantFailures: true, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[1:2], To: n[:1], Duration: 8 * second, PartitionMode: environment.PartitionMode{OneWay: true}})
 		}},
-		{name: "answers are delayed", interval: 1500_000, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "answers are delayed", interval: 1500_000, wantFailures: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			n := c.LeaderFirst()
 			inject(environment.Fault{Kind: "cut", Hosts: n[:1], To: n[1:], Duration: 150_000 + int64(i%5)*100_000})
 		}},
-		{name: "ten leaders in two minutes", interval: 13 * second, fails: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
+		{name: "ten leaders in two minutes", interval: 13 * second, wantFailures: true, injectFaults: func(c *Cluster, inject func(environment.Fault), i int) {
 			inject(environment.Fault{Kind: "crash", Hosts: c.LeaderFirst()[:1], Duration: int64(1+i%2*3) * second})
 		}},
 		{name: "the leader is refused by the state service", interval: 30 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
 			inject(environment.Fault{Kind: "state_refuse", Hosts: c.LeaderFirst()[:1], Duration: 6 * second})
-		}, fails: true},
+		}, wantFailures: true},
 	}
 	links := []string{environment.StateHost, "controllers", "workers"}
 	for subset := 1; subset < 1<<len(links); subset++ {
 		var to []string
-		for i, l := range links {
+		for i, link := range links {
 			if subset>>i&1 == 1 {
-				to = append(to, l)
+				to = append(to, link)
 			}
 		}
 		faultCases = append(faultCases, faultCase{name: "a follower partitioned from " + strings.Join(to, ", "), interval: 25 * second, injectFaults: func(c *Cluster, inject func(environment.Fault), _ int) {
@@ -136,21 +136,21 @@
 		}})
 	}
 	for k, size := range []int{3, 5, 12} {
-		for i, x := range faultCases {
+		for i, tc := range faultCases {
 			if raceEnabled && (i+k)%4 != 0 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%d controllers/%s", size, x.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d controllers/%s", size, tc.name), func(t *testing.T) {
 				t.Parallel()
-				f := &followerReads{}
-				if x.setup != nil {
-					x.setup(f)
+				reads := &followerReads{}
+				if tc.setup != nil {
+					tc.setup(reads)
 				}
 				d := newFollowerRun(uint64(900+20*k+i), size)
-				c := d.runWithFollowers(t, f, x.interval, x.injectFaults, nil)
+				c := d.runWithFollowers(t, reads, tc.interval, tc.injectFaults, nil)
 				checkRun(t, c)
-				if f.answered < 100 || x.fails && f.failed == 0 {
-					t.Errorf("%d reads, %d answered, want at least 100; %d failed, want some: %v", f.sent, f.answered, f.failed, x.fails)
+				if reads.answered < 100 || tc.wantFailures && reads.failed == 0 {
+					t.Errorf("got %d reads, %d of them answered, want at least 100 answered; got %d failed reads, want at least one: %v", reads.sent, reads.answered, reads.failed, tc.wantFailures)
 				}
 			})
 		}
@@ -158,25 +158,25 @@
 }
 
 // TestFollowerReadsMixedVersions checks that no follower reads from the leader while one
-// controller runs an older program without that feature, and that a controller which goes back
-// to the older program after the feature was activated does no harm.
+// controller runs an older program without that feature, and that no rule is violated if a
+// controller goes back to the older program after the feature has been activated.
 func TestFollowerReadsMixedVersions(t *testing.T) {
-	this := upgrade.CurrentProgram()
-	before := this
-	before.Version, before.Features = 4, this.Features[:len(this.Features)-1]
+	current := upgrade.CurrentProgram()
+	older := current
+	older.Version, older.Features = 4, current.Features[:len(current.Features)-1]
 	cases := []struct {
-		name     string
-		programs func(node, epoch int) upgrade.Program
-		asks     bool
+		name      string
+		programs  func(node, epoch int) upgrade.Program
+		wantReads bool
 	}{
 		{"one controller is older", func(node, _ int) upgrade.Program {
-			return map[bool]upgrade.Program{true: before, false: this}[node == 1]
+			return map[bool]upgrade.Program{true: older, false: current}[node == 1]
 		}, false},
 		{"all controllers are older at first", func(_, epoch int) upgrade.Program {
-			return map[bool]upgrade.Program{true: before, false: this}[epoch == 1]
+			return map[bool]upgrade.Program{true: older, false: current}[epoch == 1]
 		}, true},
 		{"one controller goes back to the older program", func(node, epoch int) upgrade.Program {
-			return map[bool]upgrade.Program{true: before, false: this}[node == 1 && epoch > 1]
+			return map[bool]upgrade.Program{true: older, false: current}[node == 1 && epoch > 1]
 		}, true},
 	}
 	for k, size := range []int{3, 5, 12} {
@@ -186,14 +186,14 @@
 			}
 			t.Run(fmt.Sprintf("%d controllers/%s", size, tc.name), func(t *testing.T) {
 				t.Parallel()
-				f := &followerReads{}
+				reads := &followerReads{}
 				d := newFollowerRun(uint64(970+3*k+i), size)
-				c := d.runWithFollowers(t, f, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
+				c := d.runWithFollowers(t, reads, 6*second, func(_ *Cluster, inject func(environment.Fault), i int) {
 					inject(environment.Fault{Kind: "crash", Hosts: []string{environment.ControllerName(i % size)}})
 				}, tc.programs)
 				checkRun(t, c)
-				if tc.asks != (f.sent > 0) {
-					t.Errorf("%d reads from the leader, want some: %v", f.sent, tc.asks)
+				if tc.wantReads != (reads.sent > 0) {
+					t.Errorf("got %d reads from the leader, want any: %v", reads.sent, tc.wantReads)
 				}
 			})
 		}
@@ -204,20 +204,20 @@
 // it read before the request arrived, or that keeps answering from its state after another
 // controller became the leader.
 func TestStaleFollowerReads(t *testing.T) {
-	stale := func(s *core.LeaderReadDone) {
-		s.Err, s.Answer = nil, core.Reply{Status: 200, View: &replica.View{Revision: s.AfterRevision}}
+	stale := func(read *core.LeaderReadDone) {
+		read.Err, read.Answer = nil, core.Reply{Status: 200, View: &replica.View{Revision: read.AfterRevision}}
 	}
 	cases := []struct {
 		name string
 		// tamper changes an answer; since is the time since the current leader was elected.
-		tamper func(s *core.LeaderReadDone, since int64)
+		tamper func(read *core.LeaderReadDone, since int64)
 		want   bool
 	}{
 		{"answers are unchanged", func(*core.LeaderReadDone, int64) {}, false},
-		{"the answer is older than the request", func(s *core.LeaderReadDone, _ int64) { stale(s) }, true},
-		{"the answer is older than the change of leader", func(s *core.LeaderReadDone, since int64) {
+		{"the answer is older than the request", func(read *core.LeaderReadDone, _ int64) { stale(read) }, true},
+		{"the answer is older than the change of leader", func(read *core.LeaderReadDone, since int64) {
 			if since < 10*second {
-				stale(s)
+				stale(read)
 			}
 		}, true},
 	}
@@ -226,16 +226,16 @@
 			t.Parallel()
 			d := newFollowerRun(uint64(990+i), 3)
 			var cluster *Cluster
-			led := int64(0)
+			electedAt := int64(0)
 			var failed error
 			c, err := Run(d.Config, Options{
 				Operators: d.ops,
 				OnEvent: func(e history.Event) {
 					if e.Kind == history.StateChanged && e.Key == core.LeaderKey && e.State == "put" {
-						led = e.At
+						electedAt = e.At
 					}
 				},
-				OnQueryEnd: func(_ string, s *core.LeaderReadDone) { tc.tamper(s, cluster.Now()-led) },
+				OnQueryEnd: func(_ string, read *core.LeaderReadDone) { tc.tamper(read, cluster.Now()-electedAt) },
 				OnStart: func(c *Cluster) {
 					cluster = c
 					for i := range 8 {
@@ -249,7 +249,7 @@
 				t.Fatal(err, failed)
 			}
 			if found := c.Violations(); (len(found) > 0) != tc.want {
-				t.Errorf("violations %v, want some: %v", found, tc.want)
+				t.Errorf("got violations %v, want any: %v", found, tc.want)
 			}
 		})
 	}
--- a/internal/emulator/faketime/lost_end_test.go
+++ b/internal/emulator/faketime/lost_end_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestLostEndDetected checks that the rule on lost ends detects a missing end. The rule looks at
-// the keys that controllers write. If its configured prefixes differed from theirs, it would
-// match no key and never find a violation.
+// the keys that controllers write. If the prefixes configured for the rule differed from those of
+// the controllers, it would match no key and never find a violation.
 func TestLostEndDetected(t *testing.T) {
 	t.Parallel()
 	c := newTestRun(5).runAndCheck(t)
@@ -22,8 +22,8 @@
 	if first < 0 {
 		t.Fatal("the history has no write of an end, want at least one")
 	}
-	planted := slices.Delete(slices.Clone(c.History), first, first+1)
-	found := history.CheckRules(planted, expected)
+	withoutEnd := slices.Delete(slices.Clone(c.History), first, first+1)
+	found := history.CheckRules(withoutEnd, expected)
 	if len(found) != 1 || found[0].Rule != history.LostEnd {
 		t.Errorf("history without the write of an end: got violations %v, want one of %s", found, history.LostEnd)
 	}
--- a/internal/emulator/faketime/lost_writes_test.go
+++ b/internal/emulator/faketime/lost_writes_test.go
@@ -24,14 +24,14 @@
 // the second or the fifth write of each kind is lost.
 func TestEveryWriteLost(t *testing.T) {
 	t.Parallel()
-	day := func() *testRun {
+	newRun := func() *testRun {
 		d := newTestRun(31)
 		d.Length = 300 * second
 		d.addPipelines(2)
 		d.announceLowerLimits()
 		return d
 	}
-	for _, e := range day().run(t, nil).History {
+	for _, e := range newRun().run(t, nil).History {
 		if e.Kind == history.StateChanged && !slices.ContainsFunc(keyKinds, func(k string) bool { return strings.HasPrefix(e.Key, core.Prefix+k) }) {
 			t.Fatalf("write of key %s, whose kind is not in keyKinds", e.Key)
 		}
@@ -40,21 +40,21 @@
 	lostCases := map[string]int{}
 	t.Run("each", func(t *testing.T) {
 		for _, kind := range keyKinds {
-			for _, how := range []string{"before", "after", "soon", "late"} {
+			for _, outcome := range []string{"before", "after", "soon", "late"} {
 				for _, skip := range []int{0, 1, 4} {
-					t.Run(fmt.Sprintf("%s/%s/%d", strings.Trim(kind, "/"), how, skip), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s/%s/%d", strings.Trim(kind, "/"), outcome, skip), func(t *testing.T) {
 						t.Parallel()
-						d := day()
-						l := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: environment.LossOutcome(how)}
-						switch how {
+						d := newRun()
+						loss := &environment.TransactionLoss{Prefix: core.Prefix + kind, Skip: skip, Outcome: environment.LossOutcome(outcome)}
+						switch outcome {
 						case "soon":
-							l.Outcome, l.Delay = environment.LostLate, 5*second // executed after newer writes of the same leader
+							loss.Outcome, loss.Delay = environment.LostLate, 5*second // executed after newer writes of the same leader
 						case "late":
-							l.Delay = 60 * second
+							loss.Delay = 60 * second
 						}
 						crash := faultAt(60, "crash", 0)
 						// Meanwhile users query all controllers for the affected jobs.
-						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: l}, crash, faultAt(40, "close_looks", 60)}
+						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: loss}, crash, faultAt(40, "close_looks", 60)}
 						switch kind {
 						case "types", "format", "member/", "features":
 							d.Faults[0].At = 0 // these keys are written once, at the start
@@ -64,7 +64,7 @@
 							d.oneMissing, d.Jobs = true, newTestRun(31).Jobs
 						}
 						d.runAndCheck(t)
-						if l.Matched > skip {
+						if loss.Matched > skip {
 							mu.Lock()
 							lostCases[kind]++
 							mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// mixedLoadRun returns a run of the shared fault case i; its kind of load is jobs alone, jobs
-// and pipelines, or a sweep, chosen by i modulo 3.
+// mixedLoadRun returns a run of the shared fault case i. Its load is jobs alone, jobs and
+// pipelines, or jobs and a sweep, chosen by i modulo 3.
 func mixedLoadRun(tb testing.TB, i int, seed uint64) *testRun {
 	tb.Helper()
 	d := newTestRun(seed)
@@ -101,15 +101,15 @@
 }
 
 // TestDeterministicHistory checks that two runs of the same seed give the same history byte
-// for byte, and that another seed gives another. It guards against decisions that depend on
-// the iteration order of a map, which once made runs differ.
+// for byte, and that another seed gives a different one. It guards against decisions that depend
+// on the iteration order of a map, which once made runs differ.
 func TestDeterministicHistory(t *testing.T) {
 	digest := func(i int, seed uint64) uint64 {
-		h := xxhash.New()
-		if err := jsonlines.Write(h, mixedLoadRun(t, i, seed).run(t, nil).History); err != nil {
+		hash := xxhash.New()
+		if err := jsonlines.Write(hash, mixedLoadRun(t, i, seed).run(t, nil).History); err != nil {
 			t.Fatal(err)
 		}
-		return h.Sum64()
+		return hash.Sum64()
 	}
 	for i, tc := range sharedFaultCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestGangInOneZone guards against a gang that has to run in one zone waiting until the end of
-// the run: machines were rented in random zones, and returned before there were enough in one.
+// TestGangInOneZone guards against a gang that has to run in one zone and never starts: machines
+// were rented in random zones, and returned before there were enough of them in one zone.
 func TestGangInOneZone(t *testing.T) {
 	t.Parallel()
 	d := mixedLoadRun(t, 2, 20681)
@@ -156,25 +156,25 @@
 	t.Parallel()
 	d := newTestRun(8)
 	for i := range d.Jobs {
-		if s := &d.Jobs[i].Spec; s.Kind == "gang" {
-			s.Tasks, s.OneZone = 3, false // so that its tasks are in both zones
+		if spec := &d.Jobs[i].Spec; spec.Kind == "gang" {
+			spec.Tasks, spec.OneZone = 3, false // so that its tasks are in both zones
 		}
 	}
 	d.Faults = []fault{faultAt(40, "cut", 60, "zone:b"), faultAt(130, "cut", 45, "zone:a")}
 	c := d.runAndCheck(t)
-	gangs := 0
+	gangTasks := 0
 	for _, e := range c.History {
 		if e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" {
-			gangs++
+			gangTasks++
 		}
 	}
-	if gangs < 20 {
-		t.Fatalf("%d tasks of gangs were started, want at least 20", gangs)
+	if gangTasks < 20 {
+		t.Fatalf("%d tasks of gangs were started, want at least 20", gangTasks)
 	}
-	planted := slices.DeleteFunc(slices.Clone(c.History), func(e history.Event) bool {
+	incomplete := slices.DeleteFunc(slices.Clone(c.History), func(e history.Event) bool {
 		return e.Kind == history.TaskStarted && c.Expectations().Jobs[e.Job].Kind == "gang" && e.Task == 1
 	})
-	if b := history.CheckRules(planted, c.Expectations()); len(b) == 0 || b[0].Rule != "part_of_gang" {
-		t.Errorf("history with an incomplete gang: got violations %v, want part_of_gang first", b)
+	if violations := history.CheckRules(incomplete, c.Expectations()); len(violations) == 0 || violations[0].Rule != "part_of_gang" {
+		t.Errorf("history with an incomplete gang: got violations %v, want part_of_gang first", violations)
 	}
 }
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -121,58 +121,58 @@
 }
 
 // responseBody converts the core's reply to a request into the body of the response.
-func responseBody(request any, r core.Reply) any {
+func responseBody(request any, reply core.Reply) any {
 	switch request.(type) {
 	case *wire.Report:
-		answer := wire.HeartbeatAnswer{Token: r.FencingToken, Leader: r.Leader}
-		for _, command := range r.Commands {
+		answer := wire.HeartbeatAnswer{Token: reply.FencingToken, Leader: reply.Leader}
+		for _, command := range reply.Commands {
 			answer.Orders = append(answer.Orders, wireOrder(command))
 		}
 		return answer
 	case *wire.Job, wire.RawSubmission, wire.Poll, wire.Cancel, wire.Sweep, wire.SweepPoll, wire.SweepCancel:
 		switch {
-		case r.Job != nil:
-			return wire.JobAnswer{ID: r.Job.ID, State: api.JobStateName(r.Job.State), Done: r.Job.Done, Running: r.Job.Running}
-		case r.Sweep != nil:
-			return wire.JobAnswer{State: api.JobStateName(r.Sweep.State)}
+		case reply.Job != nil:
+			return wire.JobAnswer{ID: reply.Job.ID, State: api.JobStateName(reply.Job.State), Done: reply.Job.Done, Running: reply.Job.Running}
+		case reply.Sweep != nil:
+			return wire.JobAnswer{State: api.JobStateName(reply.Sweep.State)}
 		}
 		return wire.JobAnswer{}
 	}
-	return r // the request came from another controller
+	return reply // the request came from another controller
 }
 
-func wireOrder(o core.Command) wire.Order {
-	return wire.Order{Op: api.CommandVerb(o), Task: o.Task, Attempt: uint64(o.Attempt), GraceS: float64(o.Grace) / 1e6}
+func wireOrder(command core.Command) wire.Order {
+	return wire.Order{Op: api.CommandVerb(command), Task: command.Task, Attempt: uint64(command.Attempt), GraceS: float64(command.Grace) / 1e6}
 }
 
-func coreHeartbeat(q *wire.Report) core.Heartbeat {
-	r := core.Heartbeat{
-		Machine: q.Machine, Addr: q.Addr, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Epoch: q.Session, Seq: q.Seq, FencingToken: q.Token, PreemptionNotice: -1,
-		Tasks: make([]core.TaskStatus, len(q.Tasks)),
+func coreHeartbeat(report *wire.Report) core.Heartbeat {
+	heartbeat := core.Heartbeat{
+		Machine: report.Machine, Addr: report.Addr, Type: report.Type, Zone: report.Zone, Spot: report.Spot, Epoch: report.Session, Seq: report.Seq, FencingToken: report.Token, PreemptionNotice: -1,
+		Tasks: make([]core.TaskStatus, len(report.Tasks)),
 	}
-	if q.NoticeS != nil {
-		r.PreemptionNotice = int64(*q.NoticeS * 1e6)
+	if report.NoticeS != nil {
+		heartbeat.PreemptionNotice = int64(*report.NoticeS * 1e6)
 	}
-	for i, t := range q.Tasks {
-		r.Tasks[i] = api.NewTaskStatus(t.Name, t.Attempt, t.State, t.Reason, t.Saved)
+	for i, task := range report.Tasks {
+		heartbeat.Tasks[i] = api.NewTaskStatus(task.Name, task.Attempt, task.State, task.Reason, task.Saved)
 	}
-	return r
+	return heartbeat
 }
 
 // controllerReply returns the reply of another controller, or errNoAnswer if there is none.
 func controllerReply(body any) (core.Reply, error) {
-	if r, ok := body.(core.Reply); ok {
-		return r, nil
+	if reply, ok := body.(core.Reply); ok {
+		return reply, nil
 	}
 	return core.Reply{}, errNoAnswer
 }
 
-func wireTransaction(e core.CommitTransaction) wire.Transaction {
+func wireTransaction(commit core.CommitTransaction) wire.Transaction {
 	var transaction wire.Transaction
-	for _, condition := range e.Conditions {
+	for _, condition := range commit.Conditions {
 		transaction.Conditions = append(transaction.Conditions, wire.Condition(condition))
 	}
-	for _, write := range e.Writes {
+	for _, write := range commit.Writes {
 		if write.Value == nil {
 			transaction.Writes = append(transaction.Writes, wire.Write{Remove: write.Key})
 		} else {
--- a/internal/emulator/faketime/no_machines_test.go
+++ b/internal/emulator/faketime/no_machines_test.go
@@ -10,27 +10,27 @@
 )
 
 // TestStartWithoutMachines runs deployments in which no machine is up at the start and no team
-// has a guarantee, so that costs are weighed, with services spread over zones. The faults are
-// those that have caused failures in such deployments.
+// has guaranteed resources, so that the costs of machines are weighed, with services spread over
+// zones. The faults are those that have caused failures in such deployments.
 func TestStartWithoutMachines(t *testing.T) {
-	partition := func(from, forS int64, hosts, to []string, how environment.PartitionMode) fault {
-		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: how}
+	partition := func(from, forS int64, hosts, to []string, mode environment.PartitionMode) fault {
+		return fault{At: from * second, Duration: forS * second, Kind: "cut", Hosts: hosts, To: to, PartitionMode: mode}
 	}
-	nodes := []string{"controllers"}
-	wave := fault{At: 70 * second, Kind: "spot_wave", Share: 0.5}
+	controllers := []string{"controllers"}
+	spotWave := fault{At: 70 * second, Kind: "spot_wave", Share: 0.5}
 	cases := []struct {
 		name   string
 		faults []fault
 	}{
-		{"machines die and spot machines are preempted", []fault{wave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
-		{"rolling restart with a wave of spot preemptions and a crash", []fault{faultAt(65, "roll", 9), wave, faultAt(110, "crash", 0, "node-1")}},
+		{"machines die and spot machines are preempted", []fault{spotWave, {At: 90 * second, Kind: "machine_die", Count: 3}}},
+		{"rolling restart with a wave of spot preemptions and a crash", []fault{faultAt(65, "roll", 9), spotWave, faultAt(110, "crash", 0, "node-1")}},
 		{"slow state service, a zone is partitioned, two zones are partitioned from each other", []fault{
 			{At: 60 * second, Duration: 60 * second, Kind: "state_slow", Factor: 20},
 			partition(65, 40, []string{"zone:a"}, nil, environment.PartitionMode{Reset: true}), partition(130, 25, []string{"zone:a"}, []string{"zone:b"}, environment.PartitionMode{Reset: true}),
 		}},
 		{"all controllers crash in a state outage, and machines die", []fault{faultAt(80, "state_outage", 10), faultAt(87, "crash", 0), {At: 110 * second, Kind: "machine_die", Count: 4}}},
 		{"controllers are refused and partitioned, also from each other", []fault{
-			faultAt(60, "state_refuse", 30, "node-0"), partition(95, 30, nodes, nodes, environment.PartitionMode{Refuse: true}),
+			faultAt(60, "state_refuse", 30, "node-0"), partition(95, 30, controllers, controllers, environment.PartitionMode{Refuse: true}),
 			partition(130, 40, []string{"node-1"}, []string{"workers"}, environment.PartitionMode{}), faultAt(135, "cut", 20, "node-2"),
 		}},
 	}
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -13,14 +13,14 @@
 // TestOneTaskJobs submits four one-task jobs per second for three minutes, a quarter of which
 // are cancelled, with a limit of 25 changes per second. For 30 s users query all controllers
 // after each answer. The number of changes per job from acceptance to removal is bounded, all
-// jobs are served promptly, and of their keys only those of the ends are left at the end.
+// jobs are served promptly, and at the end only the keys of their ends are left.
 func TestOneTaskJobs(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(12)
 	d.Jobs, d.Length = nil, 330*second
 	d.setMachines(16)
-	const n = 720
-	for i := range n {
+	const jobCount = 720
+	for i := range jobCount {
 		j := job{At: 20*second + int64(i)*250_000, Run: 5 * second, Spec: wire.Job{
 			ID: fmt.Sprintf("tiny-%03d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: wire.Array, Tasks: 1,
 			CPUs: 1, GPUs: 0.1, MemGB: 1, Priority: "normal", Image: "im", ImageGB: 0.1, EstimateS: 5,
@@ -32,34 +32,34 @@
 	}
 	d.Faults = []fault{faultAt(80, "close_looks", 30), faultAt(140, "crash", 0)}
 	c := d.runAndCheck(t)
-	changes, left := 0, map[string]bool{}
+	changes, remaining := 0, map[string]bool{}
 	for _, e := range c.History {
 		key := strings.TrimPrefix(e.Key, core.Prefix)
-		about := strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "end/") || strings.HasPrefix(key, "run/") || strings.HasPrefix(key, "log/")
-		if e.Kind != history.StateChanged || !about {
+		isJobKey := strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "end/") || strings.HasPrefix(key, "run/") || strings.HasPrefix(key, "log/")
+		if e.Kind != history.StateChanged || !isJobKey {
 			continue
 		}
 		changes++
-		if left[key] = e.State == "put"; e.State != "put" {
-			delete(left, key)
+		if remaining[key] = e.State == "put"; e.State != "put" {
+			delete(remaining, key)
 		}
 	}
-	per := float64(changes) / n
-	t.Logf("%.2f changes per job", per)
-	if per > 4.5 {
-		t.Errorf("%.2f changes per job, want at most 4.5; the limit is 25 changes per second for four jobs", per)
+	changesPerJob := float64(changes) / jobCount
+	t.Logf("%.2f changes per job", changesPerJob)
+	if changesPerJob > 4.5 {
+		t.Errorf("got %.2f changes per job, want at most 4.5; the limit is 25 changes per second for four jobs", changesPerJob)
 	}
-	for key := range left {
+	for key := range remaining {
 		if strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "run/") {
 			t.Errorf("key %s is left at the end, want it removed", key)
 		}
 	}
-	m := history.Metrics(c.History, c.Expectations(), []history.Objective{{Kind: "complete", Class: "tiny", Within: 20 * second}})
-	if v := m["complete tiny 20 s"]; v < 0.9 {
-		t.Errorf("share of jobs done within 20 s is %.2f, want at least 0.90", v)
+	metrics := history.Metrics(c.History, c.Expectations(), []history.Objective{{Kind: "complete", Class: "tiny", Within: 20 * second}})
+	if share := metrics["complete tiny 20 s"]; share < 0.9 {
+		t.Errorf("share of jobs done within 20 s is %.2f, want at least 0.90", share)
 	}
-	if m["accept_p99_s"] > 8 {
-		t.Errorf("99th percentile of the time to acceptance is %.1f s, want at most 8 s", m["accept_p99_s"])
+	if metrics["accept_p99_s"] > 8 {
+		t.Errorf("99th percentile of the time to acceptance is %.1f s, want at most 8 s", metrics["accept_p99_s"])
 	}
-	t.Log(m["complete tiny 20 s"], m["accept_p50_s"], m["accept_p99_s"], m[history.StartsAfterCancellation])
+	t.Log(metrics["complete tiny 20 s"], metrics["accept_p50_s"], metrics["accept_p99_s"], metrics[history.StartsAfterCancellation])
 }
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -16,15 +16,15 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// sweepText returns the text of a sweep with 2a runs in pairs; the second run of each pair
-// depends on the first.
-func sweepText(id string, a, pending int) string {
+// sweepText returns the text of a sweep with the given number of pairs of runs; the second run of
+// each pair depends on the first.
+func sweepText(id string, pairs, pending int) string {
 	return fmt.Sprintf(`id: %q pending: %d
 		job { herd: "s" steward: "red" shape: "sweep" urgency: "normal" vcpus: 1 mem_gb: 1 seedstock: "im-s" pull_gb: 0.5 }
 		set { field: "hands" is: "1 + a %% 3" }
 		set { field: "expect_s" is: "4 + b" }
 		set { field: "awaits" is: "[run(b=0)] if b == 1 else []" }
-		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, a)
+		parameter { name: "a" range { from: 1 to: %d } } parameter { name: "b" range { from: 0 to: 1 } }`, id, pending, pairs)
 }
 
 // newSweepRun returns a run with a sweep and six other jobs.
@@ -49,17 +49,17 @@
 
 // checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
 // controller lists. It returns the final state of the last sweep that was reported to users.
-func checkSweep(t *testing.T, d *testRun, begin func(*Cluster)) (finalState string) {
+func checkSweep(t *testing.T, d *testRun, onStart func(*Cluster)) (finalState string) {
 	t.Helper()
 	var listed [][]core.SweepRun
 	c := d.run(t, func(c *Cluster) {
-		if begin != nil {
-			begin(c)
+		if onStart != nil {
+			onStart(c)
 		}
 		c.After(d.Length-max(20*second, d.Length/10), func() {
-			for _, n := range c.Controllers {
+			for _, controller := range c.Controllers {
 				for _, s := range d.Sweeps {
-					n.listAllSweepRuns(s.ID, func(r []core.SweepRun) { listed = append(listed, r) })
+					controller.listAllSweepRuns(s.ID, func(runs []core.SweepRun) { listed = append(listed, runs) })
 				}
 			}
 		})
@@ -68,8 +68,8 @@
 	if len(listed) != len(c.Controllers)*len(d.Sweeps) {
 		errs = append(errs, fmt.Sprintf("got %d lists of runs, want %d", len(listed), len(c.Controllers)*len(d.Sweeps)))
 	}
-	for i, r := range listed {
-		errs = append(errs, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], r, c.History)...)
+	for i, runs := range listed {
+		errs = append(errs, sweepRunErrors(&d.Sweeps[i%len(d.Sweeps)], runs, c.History)...)
 	}
 	for _, e := range c.History {
 		if e.Kind == history.ResponseReceived && strings.HasPrefix(e.Job, "sweep:") && (e.State == wire.Done || e.State == wire.Cancelled) {
@@ -85,23 +85,23 @@
 	return finalState
 }
 
-// listAllSweepRuns requests all runs of a sweep from a controller, page by page, and calls f
-// with them. It repeats a request that fails after a second.
-func (n *Controller) listAllSweepRuns(id string, f func([]core.SweepRun)) {
+// listAllSweepRuns requests all runs of a sweep from a controller, page by page, and calls done
+// with them. A second after a request has failed, it repeats the request.
+func (n *Controller) listAllSweepRuns(id string, done func([]core.SweepRun)) {
 	var runs []core.SweepRun
 	var next func(after int)
 	next = func(after int) {
-		n.Request(func(req uint64) any { return core.ListSweepRuns{RequestID: req, ID: id, After: after, Limit: 70} }, func(r core.Reply) {
-			if r.Runs == nil {
+		n.Request(func(req uint64) any { return core.ListSweepRuns{RequestID: req, ID: id, After: after, Limit: 70} }, func(reply core.Reply) {
+			if reply.Runs == nil {
 				n.cluster.After(second, func() { next(after) })
 				return
 			}
-			runs = append(runs, r.Runs.Runs...)
-			if r.Runs.Next == 0 {
-				f(runs)
+			runs = append(runs, reply.Runs.Runs...)
+			if reply.Runs.Next == 0 {
+				done(runs)
 				return
 			}
-			next(r.Runs.Next)
+			next(reply.Runs.Next)
 		})
 	}
 	next(0)
@@ -109,18 +109,18 @@
 
 // sweepRunErrors returns the errors in the listed runs of a sweep that has ended: each run has
 // to be listed once, with its values, and in the state of its stored end.
-func sweepRunErrors(s *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
+func sweepRunErrors(sweep *environment.Sweep, runs []core.SweepRun, events []history.Event) []string {
 	var errs []string
-	fail := func(format string, a ...any) { errs = append(errs, fmt.Sprintf(format, a...)) }
+	fail := func(format string, args ...any) { errs = append(errs, fmt.Sprintf(format, args...)) }
 	ends, created := map[string]string{}, map[string]int{}
-	there := map[string]bool{}
+	exists := map[string]bool{}
 	for _, e := range events {
 		if id, ok := strings.CutPrefix(e.Key, core.Prefix+"job/"); ok {
 			put := e.State == "put"
-			if put && !there[id] {
+			if put && !exists[id] {
 				created[id]++
 			}
-			there[id] = put
+			exists[id] = put
 		}
 		if id, ok := strings.CutPrefix(e.Key, core.Prefix+"end/"); ok {
 			var end jobstate.End
@@ -131,28 +131,28 @@
 		}
 	}
 	listed := map[int]core.SweepRun{}
-	for _, r := range runs {
-		if _, twice := listed[r.Number]; twice {
-			fail("run %d is listed twice", r.Number)
+	for _, run := range runs {
+		if _, listedTwice := listed[run.Number]; listedTwice {
+			fail("run %d is listed twice", run.Number)
 		}
-		listed[r.Number] = r
+		listed[run.Number] = run
 	}
-	if len(listed) != len(s.Jobs) {
-		fail("%d runs are listed, want %d", len(listed), len(s.Jobs))
+	if len(listed) != len(sweep.Jobs) {
+		fail("%d runs are listed, want %d", len(listed), len(sweep.Jobs))
 	}
-	for i, j := range s.Jobs {
-		r, ok := listed[i]
+	for i, j := range sweep.Jobs {
+		run, ok := listed[i]
 		switch {
 		case !ok:
 			fail("run %d is not listed", i)
-		case r.ID != j.ID || string(r.Values) != s.Values[i]:
-			fail("run %d is listed as %s with values %s, want %s with values %s", i, r.ID, r.Values, j.ID, s.Values[i])
+		case run.ID != j.ID || string(run.Values) != sweep.Values[i]:
+			fail("run %d is listed as %s with values %s, want %s with values %s", i, run.ID, run.Values, j.ID, sweep.Values[i])
 		case created[j.ID] > 1:
 			fail("run %d was created %d times", i, created[j.ID])
 		case created[j.ID] == 1 && ends[j.ID] == "":
 			fail("run %d was created and never ended", i)
-		case created[j.ID] == 1 && ends[j.ID] != r.State || created[j.ID] == 0 && r.State != jobstate.Cancelled:
-			fail("run %d is listed as %s, but its end is %q", i, r.State, ends[j.ID])
+		case created[j.ID] == 1 && ends[j.ID] != run.State || created[j.ID] == 0 && run.State != jobstate.Cancelled:
+			fail("run %d is listed as %s, but its end is %q", i, run.State, ends[j.ID])
 		}
 	}
 	slices.Sort(errs)
@@ -162,10 +162,10 @@
 // TestSweeps runs sweeps of 200 runs through crashes, outages and lost answers.
 func TestSweeps(t *testing.T) {
 	random := func(seed uint64) (l []fault) {
-		r := rand.New(rand.NewPCG(seed, 3))
+		rng := rand.New(rand.NewPCG(seed, 3))
 		for range 6 {
-			f := faultAt(10+r.Int64N(120), "crash", 0)
-			if n := r.IntN(4); n < 3 {
+			f := faultAt(10+rng.Int64N(120), "crash", 0)
+			if n := rng.IntN(4); n < 3 {
 				f.Hosts = []string{environment.ControllerName(n)}
 			}
 			l = append(l, f)
@@ -241,13 +241,13 @@
 	isSweepChange := func(e history.Event) bool {
 		return e.Kind == history.StateChanged && strings.Contains(e.Key, "sweep") // the keys of the sweep and of its runs
 	}
-	day := func() *testRun {
+	newRun := func() *testRun {
 		d := newSweepRun(t, 7, environment.Sweep{At: 8 * second, Run: 3 * second, Text: sweepText("edge", 12, 8)})
 		d.Length = 240 * second
 		return d
 	}
 	boundaries := map[int64]bool{}
-	for _, e := range day().run(t, nil).History {
+	for _, e := range newRun().run(t, nil).History {
 		if isSweepChange(e) {
 			boundaries[e.At] = true
 		}
@@ -258,7 +258,7 @@
 	outcomes := map[string]int{}
 	for k := 1; k <= len(boundaries); k++ {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			finalState := checkSweep(t, day(), func(c *Cluster) {
+			finalState := checkSweep(t, newRun(), func(c *Cluster) {
 				n, last := 0, int64(0)
 				c.OnEvent = func(e history.Event) {
 					if !isSweepChange(e) || e.At == last {
@@ -283,49 +283,49 @@
 	}
 }
 
-// TestSweepRunErrors checks that sweepRunErrors detects errors planted in the list of runs or
-// in the history.
+// TestSweepRunErrors checks that sweepRunErrors detects errors in the list of runs and in the
+// history.
 func TestSweepRunErrors(t *testing.T) {
 	sweep := &environment.Sweep{Jobs: []wire.Job{{ID: "sweep.s.0", Tasks: 1}, {ID: "sweep.s.1", Tasks: 1}}, Values: []string{`{"a":1}`, `{"a":2}`}}
 	put := func(key, value string) history.Event {
 		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, Value: value, State: "put"}
 	}
-	gone := func(key string) history.Event {
+	removed := func(key string) history.Event {
 		return history.Event{Kind: history.StateChanged, Key: core.Prefix + key, State: "removed"}
 	}
 	done := `{"o":"done","n":1}`
-	good := []history.Event{put("job/sweep.s.0", "{}"), put("job/sweep.s.1", "{}"), put("end/sweep.s.0", done), gone("job/sweep.s.0"), put("end/sweep.s.1", done), gone("job/sweep.s.1")}
+	valid := []history.Event{put("job/sweep.s.0", "{}"), put("job/sweep.s.1", "{}"), put("end/sweep.s.0", done), removed("job/sweep.s.0"), put("end/sweep.s.1", done), removed("job/sweep.s.1")}
 	runs := []core.SweepRun{{Number: 0, ID: "sweep.s.0", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}, {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[1])}}
 	cases := []struct {
-		name  string
-		runs  []core.SweepRun
-		log   []history.Event
-		wants string
+		name string
+		runs []core.SweepRun
+		log  []history.Event
+		want string
 	}{
-		{"no error", runs, good, ""},
-		{"a run is created twice", runs, append(slices.Clone(good), put("job/sweep.s.0", "{}")), "created 2 times"},
-		{"a run is lost", runs, append(slices.Clone(good[:4]), gone("job/sweep.s.1")), "never ended"},
-		{"a run is not listed", runs[:1], good, "run 1 is not listed"},
-		{"a run is listed twice", append(slices.Clone(runs), runs[0]), good, "run 0 is listed twice"},
-		{"a run has the values of another", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, good, "run 1 is listed as"},
-		{"a run is listed as done but was never created", runs, good[:0], "its end is"},
-		{"a run ends twice", runs, append(slices.Clone(good), put("end/sweep.s.0", done)), "a second end"},
+		{"no error", runs, valid, ""},
+		{"a run is created twice", runs, append(slices.Clone(valid), put("job/sweep.s.0", "{}")), "created 2 times"},
+		{"a run is lost", runs, append(slices.Clone(valid[:4]), removed("job/sweep.s.1")), "never ended"},
+		{"a run is not listed", runs[:1], valid, "run 1 is not listed"},
+		{"a run is listed twice", append(slices.Clone(runs), runs[0]), valid, "run 0 is listed twice"},
+		{"a run has the values of another", []core.SweepRun{runs[0], {Number: 1, ID: "sweep.s.1", State: jobstate.Done, Values: json.RawMessage(sweep.Values[0])}}, valid, "run 1 is listed as"},
+		{"a run is listed as done but was never created", runs, valid[:0], "its end is"},
+		{"a run ends twice", runs, append(slices.Clone(valid), put("end/sweep.s.0", done)), "a second end"},
 	}
 	for _, tc := range cases {
 		got := strings.Join(sweepRunErrors(sweep, tc.runs, tc.log), "; ")
-		if tc.wants == "" && got != "" || tc.wants != "" && !strings.Contains(got, tc.wants) {
-			t.Errorf("%s: got errors %q, want %q", tc.name, got, tc.wants)
+		if tc.want == "" && got != "" || tc.want != "" && !strings.Contains(got, tc.want) {
+			t.Errorf("%s: got errors %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
 // BenchmarkSweeps measures the cost of runs submitted as a sweep and as single jobs, in
-// simulated time: the changes in the state service, the seconds until all runs are done, and
-// how long other submissions take meanwhile.
+// simulated time: the changes in the state service, the seconds until all runs are done, and the
+// time to acceptance of other jobs submitted meanwhile.
 func BenchmarkSweeps(b *testing.B) {
 	for _, n := range []int{200, 2000, 10_000} {
-		for _, as := range []string{"none", "sweep", "jobs"} {
-			b.Run(fmt.Sprint(n, "/", as), func(b *testing.B) {
+		for _, submittedAs := range []string{"none", "sweep", "jobs"} {
+			b.Run(fmt.Sprint(n, "/", submittedAs), func(b *testing.B) {
 				for b.Loop() {
 					d := newTestRun(3)
 					d.ops.Sweeps = true
@@ -337,38 +337,38 @@
 						spec := wire.Job{ID: fmt.Sprintf("job-%03d", k), Class: "c", Image: "i", Priority: "normal", Team: "blue", Kind: wire.Array, Tasks: 1, CPUs: 0.5, EstimateS: 1}
 						d.Jobs = append(d.Jobs, job{At: 20*second + int64(k)*d.Length/260, Run: second, Spec: spec})
 					}
-					s := expandSweep(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: sweepText("many", n/2, 400)})
-					switch as {
+					sweep := expandSweep(b, environment.Sweep{At: 15 * second, Run: 2 * second, Text: sweepText("many", n/2, 400)})
+					switch submittedAs {
 					case "sweep":
-						d.Sweeps = []environment.Sweep{s}
+						d.Sweeps = []environment.Sweep{sweep}
 					case "jobs":
-						for i, spec := range s.Jobs {
+						for i, spec := range sweep.Jobs {
 							spec.ID, spec.DependsOn = fmt.Sprintf("run-%05d", i), nil
 							d.Jobs = append(d.Jobs, job{At: 15*second + int64(i)*second/40, Run: 2 * second, Spec: spec})
 						}
 					}
 					c := d.run(b, nil)
-					changes, last := 0, int64(0)
-					first, took := map[string]int64{}, []int64{}
+					changes, lastEnd := 0, int64(0)
+					firstSent, acceptTimes := map[string]int64{}, []int64{}
 					for _, e := range c.History {
 						switch {
 						case e.Kind == history.StateChanged:
 							changes++
 							if strings.HasPrefix(e.Key, core.Prefix+"end/") && !strings.HasPrefix(e.Key, core.Prefix+"end/job-") {
-								last = e.At
+								lastEnd = e.At
 							}
 						case !strings.HasPrefix(e.Job, "job-") || e.Op != history.Submit:
-						case e.Kind == history.RequestSent && first[e.Job] == 0:
-							first[e.Job] = e.At
+						case e.Kind == history.RequestSent && firstSent[e.Job] == 0:
+							firstSent[e.Job] = e.At
 						case e.Kind == history.ResponseReceived && e.Status == 201:
-							took = append(took, e.At-first[e.Job])
+							acceptTimes = append(acceptTimes, e.At-firstSent[e.Job])
 						}
 					}
-					slices.Sort(took)
+					slices.Sort(acceptTimes)
 					b.ReportMetric(float64(changes), "changes")
-					b.ReportMetric(float64(last)/1e6-15, "s-until-done")
-					b.ReportMetric(float64(took[len(took)/2])/1e3, "ms-accept-p50")
-					b.ReportMetric(float64(took[len(took)*99/100])/1e3, "ms-accept-p99")
+					b.ReportMetric(float64(lastEnd)/1e6-15, "s-until-done")
+					b.ReportMetric(float64(acceptTimes[len(acceptTimes)/2])/1e3, "ms-accept-p50")
+					b.ReportMetric(float64(acceptTimes[len(acceptTimes)*99/100])/1e3, "ms-accept-p99")
 				}
 			})
 		}
--- a/internal/emulator/faketime/wide_jobs_test.go
+++ b/internal/emulator/faketime/wide_jobs_test.go
@@ -50,13 +50,13 @@
 				}})
 			}
 			c := d.run(t, nil)
-			if l := c.Violations(); len(l) > 0 {
-				t.Error(l)
+			if violations := c.Violations(); len(violations) > 0 {
+				t.Error(violations)
 			}
 			got := history.Metrics(c.History, c.Expectations(), nil)
 			t.Logf("share of wide jobs started %.2f, share of small jobs done by their deadline %.2f", got["largest begun wide"], got["served class small"])
-			if v, ok := got["largest begun wide"]; !ok || v < 0.9 {
-				t.Errorf("share of wide jobs started within four minutes is %.2f (found: %v), want at least 0.90", v, ok)
+			if share, ok := got["largest begun wide"]; !ok || share < 0.9 {
+				t.Errorf("share of wide jobs started within four minutes is %.2f (found: %v), want at least 0.90", share, ok)
 			}
 		})
 	}
--- a/internal/emulator/faketime/write_conditions_test.go
+++ b/internal/emulator/faketime/write_conditions_test.go
@@ -14,8 +14,8 @@
 type writeKind struct {
 	keyPrefix string // prefix of the keys, after core.Prefix
 	// once is set if the key is only ever created. Otherwise each write is conditional on
-	// the revision that it follows. Instead, a write may be conditional on the revision of
-	// another key, with guardPrefix, that is written in the same transaction.
+	// the revision that it follows or, if guardPrefix is set, on the revision of another key
+	// with this prefix that is written in the same transaction.
 	once        bool
 	guardPrefix string
 	leader      bool // the write is also conditional on the leadership
@@ -24,7 +24,7 @@
 
 // writeKinds are all kinds of writes of controllers. Longer prefixes come first.
 var writeKinds = []writeKind{
-	{keyPrefix: "job/"}, // created, ended by whoever cancels it, removed by the leader
+	{keyPrefix: "job/"}, // created, ended by the controller that cancels the job, removed by the leader
 	{keyPrefix: "end/", once: true},
 	{keyPrefix: "run/", leader: true},
 	{keyPrefix: "log/", leader: true},
@@ -50,54 +50,54 @@
 	t.Parallel()
 	written := map[string]int{}
 	check := func(e core.CommitTransaction) {
-		on := map[string]uint64{}
-		for _, c := range e.Conditions {
-			on[c.Key] = c.Revision
+		conditions := map[string]uint64{}
+		for _, condition := range e.Conditions {
+			conditions[condition.Key] = condition.Revision
 		}
-		for _, x := range e.Writes {
-			i := slices.IndexFunc(writeKinds, func(k writeKind) bool { return strings.HasPrefix(x.Key, core.Prefix+k.keyPrefix) })
+		for _, write := range e.Writes {
+			i := slices.IndexFunc(writeKinds, func(k writeKind) bool { return strings.HasPrefix(write.Key, core.Prefix+k.keyPrefix) })
 			if i < 0 {
-				t.Errorf("key %s was written, but its kind is not in writeKinds", x.Key)
+				t.Errorf("key %s was written, but its kind is not in writeKinds", write.Key)
 				continue
 			}
-			k := writeKinds[i]
-			written[k.keyPrefix]++
-			revision, own := on[x.Key]
-			_, leads := on[core.Prefix+"leader"]
-			beside := k.guardPrefix != "" && slices.ContainsFunc(e.Writes, func(o core.Write) bool {
-				_, ok := on[o.Key]
-				return ok && strings.HasPrefix(o.Key, core.Prefix+k.guardPrefix) && strings.HasPrefix(x.Key, o.Key)
+			kind := writeKinds[i]
+			written[kind.keyPrefix]++
+			revision, hasOwn := conditions[write.Key]
+			_, hasLeader := conditions[core.Prefix+"leader"]
+			hasGuard := kind.guardPrefix != "" && slices.ContainsFunc(e.Writes, func(other core.Write) bool {
+				_, ok := conditions[other.Key]
+				return ok && strings.HasPrefix(other.Key, core.Prefix+kind.guardPrefix) && strings.HasPrefix(write.Key, other.Key)
 			})
 			switch {
-			case !own && !beside:
-				t.Errorf("write of %s has conditions %v, want one on the revision that it follows", x.Key, e.Conditions)
-			case k.once && own && revision != 0:
-				t.Errorf("write of %s is conditional on revision %d, want 0, as the key is only ever created", x.Key, revision)
-			case k.leader && !leads:
-				t.Errorf("write of %s has conditions %v, want one on the leadership", x.Key, e.Conditions)
-			case k.lease != (x.Lease != 0):
-				t.Errorf("write of %s has lease %d, want a lease: %v", x.Key, x.Lease, k.lease)
+			case !hasOwn && !hasGuard:
+				t.Errorf("write of %s has conditions %v, want one on the revision that it follows", write.Key, e.Conditions)
+			case kind.once && hasOwn && revision != 0:
+				t.Errorf("write of %s is conditional on revision %d, want 0, as the key is only ever created", write.Key, revision)
+			case kind.leader && !hasLeader:
+				t.Errorf("write of %s has conditions %v, want one on the leadership", write.Key, e.Conditions)
+			case kind.lease != (write.Lease != 0):
+				t.Errorf("write of %s has lease %d, want a lease: %v", write.Key, write.Lease, kind.lease)
 			}
 		}
 	}
-	play := func(d *testRun) {
+	runChecked := func(d *testRun) {
 		t.Helper()
 		if _, err := Run(d.Config, Options{Operators: d.ops, OneMissing: d.oneMissing, OnTransaction: check}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	piped := newTestRun(41)
-	piped.addPipelines(4)
-	piped.announceLowerLimits()
-	piped.AnswerLoss = 0.03
-	piped.Faults = []fault{faultAt(60, "crash", 0), faultAt(90, "cut", 20, environment.ControllerName(0)), {At: 110 * second, Duration: 60 * second, Kind: "late_writes", Share: 0.2}}
-	play(piped)
-	first := newTestRun(42) // in the first storage format, as one controller is missing
-	first.oneMissing = true
-	first.Faults = []fault{faultAt(60, "crash", 0)}
-	play(first)
+	pipelines := newTestRun(41)
+	pipelines.addPipelines(4)
+	pipelines.announceLowerLimits()
+	pipelines.AnswerLoss = 0.03
+	pipelines.Faults = []fault{faultAt(60, "crash", 0), faultAt(90, "cut", 20, environment.ControllerName(0)), {At: 110 * second, Duration: 60 * second, Kind: "late_writes", Share: 0.2}}
+	runChecked(pipelines)
+	firstFormat := newTestRun(42) // in the first storage format, as one controller is missing
+	firstFormat.oneMissing = true
+	firstFormat.Faults = []fault{faultAt(60, "crash", 0)}
+	runChecked(firstFormat)
 	sweeps := newSweepRun(t, 43, environment.Sweep{At: 12 * second, Run: 4 * second, Cancel: 60 * second, Times: 2, Text: sweepText("rain", 40, 40)})
-	play(sweeps)
+	runChecked(sweeps)
 	for _, k := range writeKinds {
 		if k.keyPrefix != "gone/" && written[k.keyPrefix] == 0 { // operators write it, see TestSetDecommissioned
 			t.Errorf("no key with the prefix %s was written, want at least one", k.keyPrefix)
