--- a/internal/emulator/faultcombos/cases.go
+++ b/internal/emulator/faultcombos/cases.go
@@ -18,45 +18,45 @@
 }
 
 func (c Case) String() string {
-	var l []string
-	for _, t := range c.scripts {
-		l = append(l, t.name)
+	var names []string
+	for _, script := range c.scripts {
+		names = append(names, script.name)
 	}
-	s := fmt.Sprintf("%d controllers, %s", c.Size, strings.Join(l, " and "))
+	text := fmt.Sprintf("%d controllers, %s", c.Size, strings.Join(names, " and "))
 	if c.extra.name != "" {
-		s += ", with " + c.extra.name
+		text += ", with " + c.extra.name
 	}
-	return s
+	return text
 }
 
 // AllCases returns all cases with the given number of controllers: each base script and each
 // pair of base scripts, with each extra script; then the further scripts, alone and in pairs;
 // and last the pipeline scripts.
-func AllCases(size int) (out []Case) {
-	add := func(l ...faultScript) {
-		for _, w := range extraScripts {
-			out = append(out, Case{Size: size, scripts: l, extra: w, Seed: uint64(len(out) + 1)})
+func AllCases(size int) (all []Case) {
+	add := func(scripts ...faultScript) {
+		for _, extra := range extraScripts {
+			all = append(all, Case{Size: size, scripts: scripts, extra: extra, Seed: uint64(len(all) + 1)})
 		}
 	}
-	for _, t := range baseScripts {
-		add(t)
+	for _, script := range baseScripts {
+		add(script)
 	}
 	for i, a := range baseScripts {
 		for _, b := range baseScripts[i+1:] {
 			add(a, b)
 		}
 	}
-	for _, t := range moreScripts {
-		add(t)
+	for _, script := range moreScripts {
+		add(script)
 	}
 	// Each pair with a further script has one extra script; the extra scripts take turns.
 	for i, a := range moreScripts {
 		for _, b := range slices.Concat(baseScripts, moreScripts[i+1:]) {
-			out = append(out, Case{Size: size, scripts: []faultScript{a, b}, extra: extraScripts[len(out)%len(extraScripts)], Seed: uint64(len(out) + 1)})
+			all = append(all, Case{Size: size, scripts: []faultScript{a, b}, extra: extraScripts[len(all)%len(extraScripts)], Seed: uint64(len(all) + 1)})
 		}
 	}
-	for _, t := range pipelineScripts {
-		add(t)
+	for _, script := range pipelineScripts {
+		add(script)
 	}
-	return out
+	return all
 }
--- a/internal/emulator/faultcombos/deployment.go
+++ b/internal/emulator/faultcombos/deployment.go
@@ -9,7 +9,7 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Start of the faults of a case, and how long the run continues after the faults.
+// The start time of a case's faults, and the time that the run continues after the faults.
 const (
 	faultsBegin = 60 * second
 	quietTime   = 130 * second
@@ -62,9 +62,9 @@
 			d.addJob(fmt.Sprintf("stage-%02d-b", i), "stage", "red", wire.Array, at, 2, 1, 4*second).Spec.DependsOn = []string{first}
 		}
 	}
-	for _, t := range c.scripts {
-		if t.prepare != nil {
-			t.prepare(d)
+	for _, script := range c.scripts {
+		if script.prepare != nil {
+			script.prepare(d)
 		}
 	}
 	return *cfg
--- a/internal/emulator/faultcombos/faultcombos.go
+++ b/internal/emulator/faultcombos/faultcombos.go
@@ -20,19 +20,19 @@
 
 // Run runs a case. If log is not nil, it receives the log records of the controllers.
 func Run(c Case, ops config.Operators, log *slog.Logger) (Result, error) {
-	cl, err := runCluster(c, ops, log)
+	cluster, err := runCluster(c, ops, log)
 	if err != nil {
 		return Result{}, fmt.Errorf("%s: %w", c, err)
 	}
-	r := evaluate(cl)
-	r.required = map[string]int{}
-	for _, t := range c.scripts {
-		r.overloaded = r.overloaded || t.overloaded
-		if t.mustOccur != "" && len(c.scripts) == 1 && c.extra.name == "" { // in combinations one fault may prevent another
-			r.required[t.mustOccur] = max(t.minOccurrences, 1)
+	result := evaluate(cluster)
+	result.required = map[string]int{}
+	for _, script := range c.scripts {
+		result.overloaded = result.overloaded || script.overloaded
+		if script.mustOccur != "" && len(c.scripts) == 1 && c.extra.name == "" { // in combinations one fault may prevent another
+			result.required[script.mustOccur] = max(script.minOccurrences, 1)
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
 // heldReportDelays are the delays, in microseconds, between the write of a new leader's key
@@ -49,28 +49,28 @@
 			cluster.After(heldReportDelays[c.Seed%uint64(len(heldReportDelays))], cluster.DeliverHeldReports)
 		}
 	}
-	onStart := func(cl *faketime.Cluster) {
-		cluster = cl
-		cl.After(faultsBegin, func() { c.beginFaults(cl, &failed) })
-		cl.After(faultsBegin+3*second, func() {
+	onStart := func(started *faketime.Cluster) {
+		cluster = started
+		started.After(faultsBegin, func() { c.beginFaults(started, &failed) })
+		started.After(faultsBegin+3*second, func() {
 			if c.extra.begin != nil {
-				cl.ScheduleFaults(&failed, c.extra.begin(cl.LeaderFirst())...)
+				started.ScheduleFaults(&failed, c.extra.begin(started.LeaderFirst())...)
 			}
 		})
 	}
-	cl, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnEvent: onEvent, OnStart: onStart})
-	return cl, cmp.Or(err, failed)
+	finished, err := faketime.Run(deployment(c), faketime.Options{Operators: ops, Log: log, OnEvent: onEvent, OnStart: onStart})
+	return finished, cmp.Or(err, failed)
 }
 
 // beginFaults schedules the faults of the case's scripts, without the extra script.
-func (c Case) beginFaults(cl *faketime.Cluster, failed *error) {
-	nodes := cl.LeaderFirst()
+func (c Case) beginFaults(cluster *faketime.Cluster, failed *error) {
+	nodes := cluster.LeaderFirst()
 	for _, script := range c.scripts {
 		if script.begin != nil {
-			cl.ScheduleFaults(failed, script.begin(nodes)...)
+			cluster.ScheduleFaults(failed, script.begin(nodes)...)
 		}
 		for i := range script.repeats {
-			cl.After(int64(i)*script.interval, func() { cl.ScheduleFaults(failed, script.repeat(cl.LeaderFirst(), i)...) })
+			cluster.After(int64(i)*script.interval, func() { cluster.ScheduleFaults(failed, script.repeat(cluster.LeaderFirst(), i)...) })
 		}
 	}
 }
--- a/internal/emulator/faultcombos/faultcombos_test.go
+++ b/internal/emulator/faultcombos/faultcombos_test.go
@@ -18,7 +18,7 @@
 // runs all of them.
 func TestTroubles(t *testing.T) {
 	selected := append(cases.EveryNth(AllCases(3), 0, sampleInterval), cases.EveryNth(AllCases(5), 6, 4*sampleInterval+1)...)
-	for _, c := range append(AllCases(3), AllCases(5)...) { // alone, each of these scripts has to cause its mustOccur event
+	for _, c := range append(AllCases(3), AllCases(5)...) { // each single script has to cause its mustOccur event
 		if c.isSingle() {
 			selected = append(selected, c)
 		}
@@ -29,7 +29,7 @@
 		// During an outage of the state service no request is executed, not even late.
 		down := slices.ContainsFunc(c.scripts, func(s faultScript) bool { return s.outage })
 		if strings.Contains(c.String(), "executed late") && !down && r.DelayedRequests < 20 {
-			t.Errorf("%d requests were executed late, want at least 20", r.DelayedRequests)
+			t.Errorf("got %d requests that were executed late, want at least 20", r.DelayedRequests)
 		}
 	})
 }
@@ -38,5 +38,5 @@
 // alone.
 func (c Case) isSingle() bool {
 	scripts := slices.Concat(moreScripts, pipelineScripts)
-	return len(c.scripts) == 1 && c.extra.name == "" && slices.ContainsFunc(scripts, func(t faultScript) bool { return t.name == c.scripts[0].name })
+	return len(c.scripts) == 1 && c.extra.name == "" && slices.ContainsFunc(scripts, func(script faultScript) bool { return script.name == c.scripts[0].name })
 }
--- a/internal/emulator/faultcombos/more_faults.go
+++ b/internal/emulator/faultcombos/more_faults.go
@@ -19,26 +19,26 @@
 	{name: "only answers of writes are lost", mustOccur: history.OccurLostAnswer, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultLateWrites, Share: 0.4, LoseOnlyResponses: true, Duration: faultDuration}, {Kind: environment.FaultProbes, Duration: faultDuration}}
 	}},
-	{name: "copies of reports wait for the next leader", mustOccur: history.OccurHeldCopy, begin: func(n []string) []environment.Fault {
+	{name: "copies of reports wait for the next leader", mustOccur: history.OccurHeldCopy, begin: func(nodes []string) []environment.Fault {
 		return []environment.Fault{
 			{Kind: environment.FaultReportCopies, Share: 0.5, UntilNextLeader: true, Duration: faultDuration},
-			{At: 8 * second, Kind: environment.FaultCrash, Hosts: n[:1]},
-			{At: 20 * second, Kind: environment.FaultStateRefuse, Hosts: n[1:], Duration: 2 * second},
-			{At: 20*second + 50_000, Kind: environment.FaultCrash, Hosts: n[:2]},
+			{At: 8 * second, Kind: environment.FaultCrash, Hosts: nodes[:1]},
+			{At: 20 * second, Kind: environment.FaultStateRefuse, Hosts: nodes[1:], Duration: 2 * second},
+			{At: 20*second + 50_000, Kind: environment.FaultCrash, Hosts: nodes[:2]},
 			{At: 33 * second, Kind: environment.FaultCrash, Hosts: []string{"all"}},
 		}
 	}},
 	{name: "a third of the machines is mute", mustOccur: history.OccurMuteReport, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: faultDuration}, {At: 5 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
-	{name: "a third of the machines is mute for a moment, and the leader ends", mustOccur: history.OccurMuteReport, begin: func(n []string) []environment.Fault {
+	{name: "a third of the machines is mute for a moment, and the leader ends", mustOccur: history.OccurMuteReport, begin: func(nodes []string) []environment.Fault {
 		return []environment.Fault{
 			{Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: 9 * second},
-			{At: second, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: second, Kind: environment.FaultCrash, Hosts: nodes[:1]},
 			{At: 2 * second, Kind: environment.FaultCancelNow, Count: 3},
 			{At: 22 * second, Kind: environment.FaultMachineReportsBlocked, Share: 0.34, Duration: 13 * second},
 			{At: 23 * second, Kind: environment.FaultCancelNow, Count: 3},
-			{At: 24 * second, Kind: environment.FaultCrash, Hosts: n[:2]},
+			{At: 24 * second, Kind: environment.FaultCrash, Hosts: nodes[:2]},
 		}
 	}},
 	{name: "jobs are called off and their machines hang", mustOccur: history.OccurHungMachine, begin: func([]string) []environment.Fault {
@@ -51,25 +51,25 @@
 	{name: "users send what they should not", mustOccur: history.OccurInvalid, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultInvalidRequests, Duration: faultDuration}}
 	}},
-	{name: "machines are up at once, and leaders end", mustOccur: history.OccurQuickBoot, begin: func(n []string) []environment.Fault {
+	{name: "machines are up at once, and leaders end", mustOccur: history.OccurQuickBoot, begin: func(nodes []string) []environment.Fault {
 		return []environment.Fault{
 			{Kind: environment.FaultCloudSlow, Factor: 0.06, Duration: faultDuration},
 			{Kind: environment.FaultLateWrites, Share: 0.25, Duration: faultDuration},
 			{At: 300_000, Kind: environment.FaultMachineDie, Count: 2},
-			{At: 3 * second, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 3 * second, Kind: environment.FaultCrash, Hosts: nodes[:1]},
 			{At: 12 * second, Kind: environment.FaultMachineDie, Count: 2},
 			{At: 15 * second, Kind: environment.FaultCrash, Hosts: []string{"all"}},
 			{At: 25 * second, Kind: environment.FaultMachineDie, Count: 2},
-			{At: 26_500_000, Kind: environment.FaultCrash, Hosts: n[1:2]},
+			{At: 26_500_000, Kind: environment.FaultCrash, Hosts: nodes[1:2]},
 		}
 	}},
 	{name: "a zone is cut off for longer than a lease", mustOccur: occurLeaseExpired, begin: func([]string) []environment.Fault {
 		return []environment.Fault{{Kind: environment.FaultPartition, Hosts: []string{"zone:a"}, To: []string{"zone:b", "services", "users"}, Duration: 34 * second}, {At: 4 * second, Kind: environment.FaultCancelNow, Count: 4}}
 	}},
-	{name: "leaders change ten times, also in an outage", mustOccur: occurLeaderElected, minOccurrences: 6, repeats: 10, interval: 4200 * second / 1000, repeat: func(n []string, i int) []environment.Fault {
-		l := []environment.Fault{{Kind: environment.FaultCrash, Hosts: n[:1], Duration: second}}
+	{name: "leaders change ten times, also in an outage", mustOccur: occurLeaderElected, minOccurrences: 6, repeats: 10, interval: 4200 * second / 1000, repeat: func(nodes []string, i int) []environment.Fault {
+		l := []environment.Fault{{Kind: environment.FaultCrash, Hosts: nodes[:1], Duration: second}}
 		if i%3 == 1 {
-			l[0] = environment.Fault{Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 4 * second}
+			l[0] = environment.Fault{Kind: environment.FaultStateRefuse, Hosts: nodes[:1], Duration: 4 * second}
 		}
 		if i == 4 {
 			l = append(l, environment.Fault{At: 3 * second, Kind: environment.FaultStateOutage, Duration: 6 * second})
@@ -80,11 +80,11 @@
 		return []environment.Fault{{Kind: environment.FaultCrash, Hosts: []string{"all"}, Duration: 19 * second}}
 	}},
 	// No job can start during this outage, hence overloaded.
-	{name: "cancellations as the leader is refused, and then all", mustOccur: history.OccurCancel, overloaded: true, outage: true, begin: func(n []string) (l []environment.Fault) {
+	{name: "cancellations as the leader is refused, and then all", mustOccur: history.OccurCancel, overloaded: true, outage: true, begin: func(nodes []string) (l []environment.Fault) {
 		for i := range int64(4) {
 			l = append(l, environment.Fault{At: i * 300_000, Kind: environment.FaultCancelNow, Count: 2})
 		}
-		return append(l, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 6 * second}, environment.Fault{At: second, Kind: environment.FaultStateOutage, Duration: 38 * second})
+		return append(l, environment.Fault{Kind: environment.FaultStateRefuse, Hosts: nodes[:1], Duration: 6 * second}, environment.Fault{At: second, Kind: environment.FaultStateOutage, Duration: 38 * second})
 	}},
 	{name: "teams are at their limits, machines of cancelled jobs hang, leaders change", mustOccur: history.OccurHungMachine, overloaded: true, prepare: func(d *deploymentBuilder) {
 		d.Params.Teams[1].CPUs, d.Params.Teams[1].CPUsMax = 16, 32
@@ -95,15 +95,15 @@
 		for i := range 18 {
 			d.addJob(fmt.Sprintf("single-%02d", i), "single", "one", wire.Array, faultsBegin-10*second+int64(i)*2*second, 1, 1, 3*second)
 		}
-	}, begin: func(n []string) []environment.Fault {
+	}, begin: func(nodes []string) []environment.Fault {
 		return []environment.Fault{
 			{At: second, Kind: environment.FaultCancelNow, Count: 5, Duration: 22 * second},
-			{At: 1500 * second / 1000, Kind: environment.FaultCrash, Hosts: n[:1]},
+			{At: 1500 * second / 1000, Kind: environment.FaultCrash, Hosts: nodes[:1]},
 			{At: 2 * second, Kind: environment.FaultMachineSilent, Share: 0.3, Duration: 9 * second},
 			{At: 20 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 6 * second},
-			{At: 20_500_000, Kind: environment.FaultCrash, Hosts: n[:2]},
+			{At: 20_500_000, Kind: environment.FaultCrash, Hosts: nodes[:2]},
 			{At: 27 * second, Kind: environment.FaultCancelNow, Count: 4, Duration: 9 * second},
-			{At: 30 * second, Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 5 * second},
+			{At: 30 * second, Kind: environment.FaultStateRefuse, Hosts: nodes[:1], Duration: 5 * second},
 		}
 	}},
 	{name: "one-task jobs come four a second", mustOccur: occurOneTaskJob, minOccurrences: 120, prepare: func(d *deploymentBuilder) {
@@ -139,20 +139,20 @@
 
 // handoverFaults returns faults that hand tasks over between leaders, or between the holders
 // of a partition of the machines, and cancellations before, during and after the handover.
-func handoverFaults(n []string, i int) []environment.Fault {
-	l := []environment.Fault{{At: 200_000, Kind: environment.FaultCrash, Hosts: n[:1]}}
+func handoverFaults(nodes []string, i int) []environment.Fault {
+	faults := []environment.Fault{{At: 200_000, Kind: environment.FaultCrash, Hosts: nodes[:1]}}
 	switch i % 5 {
 	case 1:
-		l = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: n[1:2], To: []string{"workers"}, Duration: 5 * second}}
+		faults = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: nodes[1:2], To: []string{"workers"}, Duration: 5 * second}}
 	case 2:
-		l = []environment.Fault{{At: 200_000, Kind: environment.FaultStateRefuse, Hosts: n[:1], Duration: 5 * second}}
+		faults = []environment.Fault{{At: 200_000, Kind: environment.FaultStateRefuse, Hosts: nodes[:1], Duration: 5 * second}}
 	case 3:
-		l = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: n[1:2], To: []string{"controllers"}, Duration: 5 * second}}
+		faults = []environment.Fault{{At: 200_000, Kind: environment.FaultPartition, Hosts: nodes[1:2], To: []string{"controllers"}, Duration: 5 * second}}
 	case 4:
-		l = []environment.Fault{{At: 200_000, Kind: environment.FaultFreeze, Hosts: n[:1], Duration: 5 * second}}
+		faults = []environment.Fault{{At: 200_000, Kind: environment.FaultFreeze, Hosts: nodes[:1], Duration: 5 * second}}
 	}
 	for _, at := range []int64{0, 800_000, 2600_000} {
-		l = append(l, environment.Fault{At: at, Kind: environment.FaultCancelNow, Count: 1})
+		faults = append(faults, environment.Fault{At: at, Kind: environment.FaultCancelNow, Count: 1})
 	}
-	return l
+	return faults
 }
--- a/internal/emulator/faultcombos/pipeline_faults.go
+++ b/internal/emulator/faultcombos/pipeline_faults.go
@@ -12,23 +12,23 @@
 // cancelled.
 const classDependent = "behind"
 
-// occurDependencyCancelled occurs when a user is told that a job of classDependent is
+// occurDependencyCancelled occurs when a response shows that a job of classDependent is
 // cancelled, although no user cancelled that job itself.
 const occurDependencyCancelled = "a job is cancelled by another's end"
 
-// pipelineScripts are about jobs that end because their dependencies ended. Their cases come
-// last, so that the numbers and seeds of the other cases stay the same.
+// pipelineScripts cause jobs to end because their dependencies ended. Their cases come last, so
+// that the numbers and seeds of the other cases stay the same.
 var pipelineScripts = []faultScript{
 	{
 		name: "jobs depend on cancelled ones while each leader is refused and restarted", mustOccur: occurDependencyCancelled, minOccurrences: 20, overloaded: true,
 		prepare: func(d *deploymentBuilder) {
 			d.Params.State.RPS = 30 + 12*float64(d.Params.Size)
 			for i := range 40 {
-				before := fmt.Sprintf("before-%02d", i)
+				first := fmt.Sprintf("before-%02d", i)
 				at := faultsBegin - 40*second + int64(i)*second/2
-				d.addJob(before, "before", "red", wire.Array, at, 1, 1, 30*second).Cancel = at + 3*second
-				behind := d.addJob(fmt.Sprintf("behind-%02d", i), classDependent, "red", wire.Array, faultsBegin+int64(i)*second, 1, 1, 3*second)
-				behind.Spec.DependsOn = []string{before}
+				d.addJob(first, "before", "red", wire.Array, at, 1, 1, 30*second).Cancel = at + 3*second
+				dependent := d.addJob(fmt.Sprintf("behind-%02d", i), classDependent, "red", wire.Array, faultsBegin+int64(i)*second, 1, 1, 3*second)
+				dependent.Spec.DependsOn = []string{first}
 			}
 		},
 		repeats: 10, interval: 4 * second,
@@ -45,8 +45,8 @@
 	},
 }
 
-// isDependencyCancellation reports whether an event tells a user that a job of classDependent
-// is cancelled.
+// isDependencyCancellation reports whether an event is a response that shows a job of
+// classDependent as cancelled.
 func isDependencyCancellation(e *history.Event, job *wire.Job) bool {
 	return e.Kind == history.ResponseReceived && e.State == wire.Cancelled && job != nil && job.Class == classDependent
 }
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -30,8 +30,8 @@
 	Violations []string
 	// MinServed is the minimum, over classes and teams, of the share that was served.
 	// MinLargestServed is the minimum, over classes, of the share of the largest jobs
-	// that were served or started within four minutes. Unfinished are the jobs that had
-	// not ended when they should have.
+	// that were served or started within four minutes. Unfinished are the jobs whose end no
+	// response had shown by the end of the run.
 	MinServed, MinLargestServed float64
 	Unfinished                  []string
 	// ServedDuringFaults is the share of the jobs submitted during the faults that were
@@ -41,8 +41,8 @@
 	// late. Occurrences counts the events that the faults are meant to cause.
 	DelayedRequests int
 	Occurrences     map[string]int
-	// StartsAfterCancellation is the number of tasks that entered a machine after a user was told
-	// that their job is cancelled.
+	// StartsAfterCancellation is the number of tasks that entered a machine after a response
+	// had shown a user that their job is cancelled.
 	StartsAfterCancellation int
 	overloaded              bool
 	required                map[string]int
@@ -72,13 +72,13 @@
 }
 
 // missing lists the required events that occurred too rarely.
-func (r Result) missing() (l []string) {
-	for _, w := range slices.Sorted(maps.Keys(r.required)) {
-		if r.Occurrences[w] < r.required[w] {
-			l = append(l, fmt.Sprintf("%s (%d of %d)", w, r.Occurrences[w], r.required[w]))
+func (r Result) missing() (shortfalls []string) {
+	for _, name := range slices.Sorted(maps.Keys(r.required)) {
+		if r.Occurrences[name] < r.required[name] {
+			shortfalls = append(shortfalls, fmt.Sprintf("%s (%d of %d)", name, r.Occurrences[name], r.required[name]))
 		}
 	}
-	return l
+	return shortfalls
 }
 
 // Occurrences in addition to those that the environment records.
@@ -90,32 +90,32 @@
 	occurLongWait      = "a job waits for ten seconds"
 )
 
-func evaluate(cl *faketime.Cluster) Result {
-	r := Result{MinServed: 1, MinLargestServed: 1, Occurrences: map[string]int{}}
-	r.Violations = cl.Violations()
-	r.addMetrics(cl)
-	r.Unfinished = cl.Environment.Unfinished()
-	r.ServedDuringFaults = servedDuringFaults(cl)
-	r.countOccurrences(cl)
-	return r
+func evaluate(cluster *faketime.Cluster) Result {
+	result := Result{MinServed: 1, MinLargestServed: 1, Occurrences: map[string]int{}}
+	result.Violations = cluster.Violations()
+	result.addMetrics(cluster)
+	result.Unfinished = cluster.Environment.Unfinished()
+	result.ServedDuringFaults = servedDuringFaults(cluster)
+	result.countOccurrences(cluster)
+	return result
 }
 
 // addMetrics adds the metrics of the history: the shares that were served, and
 // StartsAfterCancellation. A metric that is not a number counts as a violation.
-func (r *Result) addMetrics(cl *faketime.Cluster) {
+func (r *Result) addMetrics(cluster *faketime.Cluster) {
 	var objectives []history.Objective
 	for _, class := range []string{"gang", "array", "stage"} {
 		objectives = append(objectives, history.Objective{Kind: "complete", Class: class, Within: serveWithin})
 	}
-	for name, v := range history.Metrics(cl.History, cl.Expectations(), objectives) {
+	for name, value := range history.Metrics(cluster.History, cluster.Expectations(), objectives) {
 		switch {
 		case name == history.ServedLeast:
-			r.MinServed = v
+			r.MinServed = value
 		case name == history.LargestLeast:
-			r.MinLargestServed = v
+			r.MinLargestServed = value
 		case name == history.StartsAfterCancellation:
-			r.StartsAfterCancellation = int(v)
-		case math.IsNaN(v):
+			r.StartsAfterCancellation = int(value)
+		case math.IsNaN(value):
 			r.Violations = append(r.Violations, name+" is no number")
 		}
 	}
@@ -123,10 +123,10 @@
 
 // countOccurrences counts the events that the faults are meant to cause, and the delayed
 // requests.
-func (r *Result) countOccurrences(cl *faketime.Cluster) {
-	jobs, firstRequest, begun := cl.Expectations().Jobs, map[string]int64{}, map[string]bool{}
-	for i := range cl.History {
-		switch e := &cl.History[i]; e.Kind {
+func (r *Result) countOccurrences(cluster *faketime.Cluster) {
+	jobs, firstRequest, started := cluster.Expectations().Jobs, map[string]int64{}, map[string]bool{}
+	for i := range cluster.History {
+		switch e := &cluster.History[i]; e.Kind {
 		case history.RequestSent:
 			if firstRequest[e.Job] == 0 {
 				firstRequest[e.Job] = e.At
@@ -134,10 +134,10 @@
 		case history.RequestDelayed:
 			r.DelayedRequests++
 		case history.TaskStarted:
-			if !begun[e.Job] && e.At-firstRequest[e.Job] > 10*second {
+			if !started[e.Job] && e.At-firstRequest[e.Job] > 10*second {
 				r.Occurrences[occurLongWait]++
 			}
-			begun[e.Job] = true
+			started[e.Job] = true
 		default:
 			if occurrence := occurrenceOf(e, jobs); occurrence != "" {
 				r.Occurrences[occurrence]++
@@ -168,13 +168,13 @@
 
 // servedDuringFaults returns the share of the jobs submitted during the faults that were done
 // in time. The second stage of a pipeline has twice the time limit.
-func servedDuringFaults(cl *faketime.Cluster) float64 {
+func servedDuringFaults(cluster *faketime.Cluster) float64 {
 	var deadlines []cases.Deadline
-	for _, j := range cl.Config.Jobs {
-		if j.At >= faultsBegin && j.At < faultsBegin+faultDuration && j.Cancel == 0 {
-			by := j.At + serveWithin*int64(1+len(j.Spec.DependsOn))
-			deadlines = append(deadlines, cases.Deadline{Job: j.Spec.ID, Tasks: j.Spec.Tasks, By: by})
+	for _, job := range cluster.Config.Jobs {
+		if job.At >= faultsBegin && job.At < faultsBegin+faultDuration && job.Cancel == 0 {
+			deadline := job.At + serveWithin*int64(1+len(job.Spec.DependsOn))
+			deadlines = append(deadlines, cases.Deadline{Job: job.Spec.ID, Tasks: job.Spec.Tasks, By: deadline})
 		}
 	}
-	return cases.ServedShare(cl.History, deadlines)
+	return cases.ServedShare(cluster.History, deadlines)
 }
