--- a/internal/emulator/cases/cases.go
+++ b/internal/emulator/cases/cases.go
@@ -35,7 +35,7 @@
 	return selected
 }
 
-// Summary counts the cases that were run, that had a shortfall or an error, and that
+// Summary has the numbers of cases that were run, that had a shortfall or an error, and that
 // violated a rule.
 type Summary struct{ Run, WithShortfall, Violating int }
 
@@ -96,26 +96,26 @@
 	By    int64
 }
 
-// ServedShare returns the share of jobs that were done by their deadlines. Jobs that a user
-// asked to cancel are not counted.
+// ServedShare returns the share of jobs that were done by their deadlines. Jobs whose
+// cancellation was requested are not counted.
 func ServedShare(events []history.Event, jobs []Deadline) float64 {
-	left, by := map[string]int{}, map[string]int64{}
+	remaining, deadlines := map[string]int{}, map[string]int64{}
 	for _, job := range jobs {
-		left[job.Job], by[job.Job] = job.Tasks, job.By
+		remaining[job.Job], deadlines[job.Job] = job.Tasks, job.By
 	}
 	for i := range events {
 		switch e := &events[i]; {
 		case e.Kind == history.RequestSent && e.Op == history.Cancel:
-			delete(left, e.Job)
-		case e.Kind == history.TaskCompleted && e.At <= by[e.Job] && left[e.Job] > 0:
-			left[e.Job]--
+			delete(remaining, e.Job)
+		case e.Kind == history.TaskCompleted && e.At <= deadlines[e.Job] && remaining[e.Job] > 0:
+			remaining[e.Job]--
 		}
 	}
 	done := 0
-	for _, tasks := range left {
+	for _, tasks := range remaining {
 		if tasks == 0 {
 			done++
 		}
 	}
-	return float64(done) / float64(max(len(left), 1))
+	return float64(done) / float64(max(len(remaining), 1))
 }
--- a/internal/emulator/cases/deployment.go
+++ b/internal/emulator/cases/deployment.go
@@ -41,13 +41,13 @@
 			Price: 1, SpotPrice: 0.4, Zones: zones,
 		}},
 	}
-	p := &cfg.Params
-	p.Size, p.Zones = d.Size, zones
-	p.ClockErrorMS = 500
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = 2.5, d.LeaseS, d.CancelS
-	p.Workers.GangWaitS, p.Workers.GangPeerS = 30, 4
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = d.StateRPS, d.StateWriteRPS, 8, d.StateTxnOps
-	p.Cloud.RPS, p.Cloud.ListLagS = 3, d.ListLagS
+	params := &cfg.Params
+	params.Size, params.Zones = d.Size, zones
+	params.ClockErrorMS = 500
+	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = 2.5, d.LeaseS, d.CancelS
+	params.Workers.GangWaitS, params.Workers.GangPeerS = 30, 4
+	params.State.RPS, params.State.WriteRPS, params.State.ValueKB, params.State.TxnOps = d.StateRPS, d.StateWriteRPS, 8, d.StateTxnOps
+	params.Cloud.RPS, params.Cloud.ListLagS = 3, d.ListLagS
 	for _, zone := range zones {
 		cfg.Machines = append(cfg.Machines, environment.InitialMachines{Type: "m", Zone: zone, Count: d.MachinesPerZone})
 		cfg.Capacity = append(cfg.Capacity, environment.Capacity{Type: "m", Zone: zone, Count: d.CapacityPerZone})
