--- a/internal/emulator/sockets/balancer.go
+++ b/internal/emulator/sockets/balancer.go
@@ -28,8 +28,8 @@
 }
 
 // handleUserRequest is the load balancer for external users: it forwards a request to a
-// healthy controller, records it in the history and gives workers the descriptions of its
-// jobs. It also accepts faults to inject.
+// healthy controller, records the request in the history and makes the descriptions of its jobs
+// known to workers. It also accepts faults to inject.
 func (d *Driver) handleUserRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
@@ -48,9 +48,9 @@
 	}
 	status, answer := d.forwardToHealthy(w.Header(), &request, registered.controllers)
 	if request.op != "" {
-		var a wire.JobAnswer
-		_ = json.Unmarshal(answer, &a) // the body of an error response may not be JSON
-		d.onActor(func() { d.env.ExternalAnswer(registered.call, request.op, request.job, status, a.State) })
+		var jobAnswer wire.JobAnswer
+		_ = json.Unmarshal(answer, &jobAnswer) // the body of an error response may not be JSON
+		d.onActor(func() { d.env.ExternalAnswer(registered.call, request.op, request.job, status, jobAnswer.State) })
 	}
 	if status == 0 {
 		writeJSON(w, http.StatusServiceUnavailable, wire.Error{Error: "no controller is healthy"})
@@ -102,15 +102,15 @@
 	call        uint64
 }
 
-// register gives workers the jobs of a request and records the request. It must be called by
-// the actor.
+// register makes the jobs of a request known to workers and records the request. It must be called
+// by the actor.
 func (d *Driver) register(request *userRequest) registration {
 	d.addJobs(request.jobs...)
-	r := registration{controllers: d.env.HealthyControllers()}
+	registered := registration{controllers: d.env.HealthyControllers()}
 	if request.op != "" {
-		r.call = d.env.ExternalRequest(request.op, request.job)
+		registered.call = d.env.ExternalRequest(request.op, request.job)
 	}
-	return r
+	return registered
 }
 
 // forwardToHealthy sends a request to the first controller that can be reached and returns
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -27,8 +27,8 @@
 	name                 string
 	publicAddr, peerAddr string
 	cmd                  *exec.Cmd
-	// incarnation counts the processes started and killed, so that the exit of one is not
-	// taken for that of its successor.
+	// incarnation counts the processes started and killed, so that the exit of a process is
+	// not mistaken for the exit of its successor.
 	incarnation int
 }
 
@@ -36,12 +36,12 @@
 // between controllers, and writes the settings of the controllers.
 func (d *Driver) listen() error {
 	size := d.config.Params.Size
-	serve := func(addr string, h http.HandlerFunc, by meter.Key) (string, error) {
-		e, err := d.serve(addr, h, by)
+	serve := func(addr string, handler http.HandlerFunc, by meter.Key) (string, error) {
+		opened, err := d.serve(addr, handler, by)
 		if err == nil {
-			d.closers = append(d.closers, e.close)
+			d.closers = append(d.closers, opened.close)
 		}
-		return e.addr, err
+		return opened.addr, err
 	}
 	if _, err := serve(loopback(d.Port), d.handleUserRequest, meter.Key{}); err != nil {
 		return err
@@ -49,33 +49,33 @@
 	for i, publicAddr := range ControllerAddresses(d.Port, size) {
 		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: publicAddr, peerAddr: loopback(d.Port + 1 + size + i)})
 	}
-	for i, n := range d.controllers {
-		state, err := serve("127.0.0.1:0", d.forward(n.name, environment.StateHost, readState, nil), meter.Key{Host: n.name, Kind: "state"})
+	for i, process := range d.controllers {
+		state, err := serve("127.0.0.1:0", d.forward(process.name, environment.StateHost, readState, nil), meter.Key{Host: process.name, Kind: "state"})
 		if err != nil {
 			return err
 		}
-		cloud, err := serve("127.0.0.1:0", d.forward(n.name, environment.CloudHost, readCloud, d.withAddresses), meter.Key{})
+		cloud, err := serve("127.0.0.1:0", d.forward(process.name, environment.CloudHost, readCloud, d.withAddresses), meter.Key{})
 		if err != nil {
 			return err
 		}
-		p := config.Platform{Name: n.name, Zone: d.config.ControllerZone(i), UserAddr: n.publicAddr, PeerAddr: n.peerAddr, Services: config.Services{State: state, Cloud: cloud}, Deployment: d.config.Params}
-		for k, o := range d.controllers {
+		settings := config.Platform{Name: process.name, Zone: d.config.ControllerZone(i), UserAddr: process.publicAddr, PeerAddr: process.peerAddr, Services: config.Services{State: state, Cloud: cloud}, Deployment: d.config.Params}
+		for k, other := range d.controllers {
 			if k != i {
-				addr, err := d.listenBetween(n, o)
+				addr, err := d.listenBetween(process, other)
 				if err != nil {
 					return err
 				}
-				p.Peers = append(p.Peers, config.Peer{Name: o.name, Zone: d.config.ControllerZone(k), Addr: addr})
+				settings.Peers = append(settings.Peers, config.Peer{Name: other.name, Zone: d.config.ControllerZone(k), Addr: addr})
 			}
 		}
-		if err := p.Check(); err != nil {
-			return fmt.Errorf("settings of %s: %w", n.name, err)
+		if err := settings.Check(); err != nil {
+			return fmt.Errorf("settings of %s: %w", process.name, err)
 		}
-		b, err := json.MarshalIndent(p, "", "  ")
+		text, err := json.MarshalIndent(settings, "", "  ")
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(d.SettingsPath(i), b, 0o600); err != nil {
+		if err := os.WriteFile(d.SettingsPath(i), text, 0o600); err != nil {
 			return err
 		}
 	}
@@ -94,7 +94,7 @@
 // Processes returns the process IDs of the controllers by controller name. The ID is 0 for a
 // controller that is not running.
 func (d *Driver) Processes() map[string]int {
-	ch := make(chan map[string]int, 1)
+	result := make(chan map[string]int, 1)
 	if !d.onActor(func() {
 		pids := map[string]int{}
 		for _, n := range d.controllers {
@@ -103,12 +103,12 @@
 				pids[n.name] = n.cmd.Process.Pid
 			}
 		}
-		ch <- pids
+		result <- pids
 	}) {
 		return nil
 	}
 	select {
-	case pids := <-ch:
+	case pids := <-result:
 		return pids
 	case <-d.stop:
 		return nil
@@ -185,51 +185,51 @@
 	}
 }
 
-// linkPollInterval is the interval at which a connection held by a partition checks whether the
-// partition has ended.
+// linkPollInterval is the interval at which a connection that a partition holds up checks whether
+// the partition has ended.
 const linkPollInterval = 20 * time.Millisecond
 
 // listenBetween opens the address at which one controller reaches another. Connections to it
 // are proxied unless the two controllers are partitioned.
 func (d *Driver) listenBetween(from, to *controllerProcess) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("listen between controllers: %w", err)
 	}
-	d.closers = append(d.closers, func() { _ = l.Close() })
+	d.closers = append(d.closers, func() { _ = listener.Close() })
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go d.proxy(c, from, to)
+			go d.proxy(conn, from, to)
 		}
 	}()
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
 // proxy forwards one connection between two controllers in both directions.
-func (d *Driver) proxy(c net.Conn, from, to *controllerProcess) {
-	defer func() { _ = c.Close() }()
+func (d *Driver) proxy(incoming net.Conn, from, to *controllerProcess) {
+	defer func() { _ = incoming.Close() }()
 	if !d.waitReachable(from, to) {
 		return
 	}
-	o, err := net.DialTimeout("tcp", to.peerAddr, time.Second)
+	outgoing, err := net.DialTimeout("tcp", to.peerAddr, time.Second)
 	if err != nil {
 		return
 	}
-	defer func() { _ = o.Close() }()
-	o = d.Meter.Conn(o, meter.Key{Host: from.name, Kind: "peer"}, meter.Key{Host: to.name, Kind: "peer"})
+	defer func() { _ = outgoing.Close() }()
+	outgoing = d.Meter.Conn(outgoing, meter.Key{Host: from.name, Kind: "peer"}, meter.Key{Host: to.name, Kind: "peer"})
 	finished := make(chan struct{}, 2)
 	copyTo := func(dst, src net.Conn) {
 		defer func() { finished <- struct{}{} }()
 		d.copyDelayed(dst, src, from, to)
 	}
-	go copyTo(o, c)
-	go copyTo(c, o)
+	go copyTo(outgoing, incoming)
+	go copyTo(incoming, outgoing)
 	select {
 	case <-finished:
 	case <-d.stop:
@@ -295,17 +295,17 @@
 func (d *Driver) waitReachable(a, b *controllerProcess) bool {
 	for {
 		type state struct{ cut, reset bool }
-		ch := make(chan state, 1)
+		states := make(chan state, 1)
 		if !d.onActor(func() {
 			cut, reset := d.env.LinkState(a.name, b.name)
-			ch <- state{cut, reset}
+			states <- state{cut, reset}
 		}) {
 			return false
 		}
 		select {
-		case s := <-ch:
-			if !s.cut || s.reset {
-				return !s.reset
+		case current := <-states:
+			if !current.cut || current.reset {
+				return !current.reset
 			}
 		case <-d.stop:
 			return false
--- a/internal/emulator/sockets/controller_request.go
+++ b/internal/emulator/sockets/controller_request.go
@@ -79,12 +79,12 @@
 
 // sendToController sends a request of the environment to a controller in the background and
 // passes the answer to the environment.
-func (d *Driver) sendToController(n *controllerProcess, ask environment.Ask) {
+func (d *Driver) sendToController(to *controllerProcess, ask environment.Ask) {
 	request := d.controllerRequest(ask.Request)
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
-		answer := d.exchange(n, ask, &request)
+		answer := d.exchange(to, ask, &request)
 		d.onActor(func() {
 			d.recordWorkerToken(ask.Request, answer)
 			d.step(answer)
@@ -93,9 +93,9 @@
 }
 
 // exchange sends a request and returns the answer, with status 0 if no response was received.
-func (d *Driver) exchange(n *controllerProcess, ask environment.Ask, request *controllerRequest) environment.AskAnswer {
+func (d *Driver) exchange(to *controllerProcess, ask environment.Ask, request *controllerRequest) environment.AskAnswer {
 	none := environment.AskAnswer{ID: ask.ID}
-	req, err := http.NewRequest(request.method, "http://"+n.publicAddr+request.path, bytes.NewReader(request.body))
+	req, err := http.NewRequest(request.method, "http://"+to.publicAddr+request.path, bytes.NewReader(request.body))
 	if err != nil {
 		return none
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return none
 	}
-	d.countRequest(n.name, ask, resp.StatusCode)
+	d.countRequest(to.name, ask, resp.StatusCode)
 	answer := environment.AskAnswer{ID: ask.ID, Status: resp.StatusCode, Body: request.decodeAnswer(body)}
 	answer.RetryAfter, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
 	return answer
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -41,7 +41,7 @@
 	Meter *meter.Meter
 	// OnEvent, if set, is called with each event instead of keeping the events.
 	OnEvent func(history.Event)
-	// OnTokenAccepted, if set, is called when a worker has accepted an answer with a higher
+	// OnTokenAccepted, if set, is called when a worker has received an answer with a higher
 	// fencing token than any before.
 	OnTokenAccepted func(token uint64, at int64)
 }
@@ -49,8 +49,8 @@
 // Workers runs the workers of machines outside the driver's process. Its methods, except
 // WaitEnded, must not block.
 type Workers interface {
-	// UpdateMachine starts the worker of a machine that is up and stops that of one that is
-	// not.
+	// UpdateMachine starts the worker of a machine that is up, and stops the worker of a
+	// machine that is not.
 	UpdateMachine(environment.Machine)
 	// InjectFault injects a fault into a worker.
 	InjectFault(environment.WorkerFault)
@@ -83,7 +83,7 @@
 	// lateness is the histogram of the delays with which the environment's timers ran, in
 	// microseconds.
 	lateness *hdrhistogram.Histogram
-	// workersOnly reports whether the driver serves only workers (see NewWorkerDriver).
+	// workersOnly is set if the driver serves only workers, see NewWorkerDriver.
 	workersOnly bool
 	// reportClients holds the HTTP client with which each worker reports, if each has its
 	// own. workerTokens holds the highest fencing token that each worker has received.
@@ -103,19 +103,19 @@
 const inboxSize = 8192
 
 // New returns a driver of an environment. It serves nothing before Run.
-func New(cfg environment.Config, o Options) (*Driver, error) {
-	d := newDriver(cfg, o)
-	w, err := environment.New(cfg, d.onEvent)
+func New(cfg environment.Config, options Options) (*Driver, error) {
+	d := newDriver(cfg, options)
+	env, err := environment.New(cfg, d.onEvent)
 	if err != nil {
 		return nil, err
 	}
-	d.env = w
-	return d, os.MkdirAll(o.Dir, 0o755)
+	d.env = env
+	return d, os.MkdirAll(options.Dir, 0o755)
 }
 
-func newDriver(cfg environment.Config, o Options) *Driver {
+func newDriver(cfg environment.Config, options Options) *Driver {
 	return &Driver{
-		Options: o, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
+		Options: options, config: cfg, inbox: make(chan func(), inboxSize), calls: map[uint64]func(int, any){}, endpoints: map[string]endpoint{},
 		stop: make(chan struct{}), expectations: cfg.Expectations(), userClient: newClient(true), peerReportClient: newClient(false),
 		lateness: hdrhistogram.New(1, maxTrackedLateness, 3),
 	}
@@ -153,10 +153,10 @@
 	})
 }
 
-// Lateness summarizes how late an environment's timers ran, in microseconds.
+// Lateness summarizes the delays with which an environment's timers ran, in microseconds.
 type Lateness struct{ Median, P99, Worst int64 }
 
-// Lateness returns how late the timers have run since the start.
+// Lateness returns the lateness of the timers since the start.
 func (d *Driver) Lateness() Lateness {
 	lateness, _ := askActor(d, func() Lateness {
 		return Lateness{d.lateness.ValueAtQuantile(50), d.lateness.ValueAtQuantile(99), d.lateness.Max()}
@@ -211,8 +211,8 @@
 	if d.start.IsZero() {
 		d.start = time.Now()
 	}
-	for _, n := range d.controllers {
-		n.start()
+	for _, process := range d.controllers {
+		process.start()
 	}
 	d.loop(end)
 	d.env.Close()
@@ -267,8 +267,8 @@
 	}
 }
 
-// Expectations returns what the history is checked against, including the jobs that external
-// users submitted.
+// Expectations returns the expectations that the history is checked against, including the jobs
+// that external users submitted.
 func (d *Driver) Expectations() history.Expectations { return d.expectations }
 
 // step passes a message to the environment and executes the effects that it returns.
@@ -276,13 +276,13 @@
 	for _, e := range d.env.Step(d.now(), msg) {
 		switch e := e.(type) {
 		case environment.Answer:
-			if f := d.calls[e.ID]; f != nil {
+			if done := d.calls[e.ID]; done != nil {
 				delete(d.calls, e.ID)
-				f(e.Status, e.Body)
+				done(e.Status, e.Body)
 			}
 		case environment.Ask:
-			if n := d.controller(e.To); n != nil {
-				d.sendToController(n, e)
+			if process := d.controller(e.To); process != nil {
+				d.sendToController(process, e)
 			}
 		case environment.Kill:
 			d.controller(e.Controller).kill()
@@ -301,33 +301,33 @@
 }
 
 func (d *Driver) controller(name string) *controllerProcess {
-	for _, n := range d.controllers {
-		if n.name == name {
-			return n
+	for _, candidate := range d.controllers {
+		if candidate.name == name {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// call passes a controller's request to the environment and waits for the answer or until the
-// caller disconnects. Status 0 stands for a broken connection.
+// call passes a controller's request to the environment and waits for the answer, or until gone is
+// closed because the caller has disconnected. Status 0 stands for a broken connection.
 func (d *Driver) call(from, to string, request any, gone <-chan struct{}) (int, any, error) {
 	type answer struct {
 		status int
 		body   any
 	}
-	ch := make(chan answer, 1)
+	answers := make(chan answer, 1)
 	ok := d.onActor(func() {
 		d.nextID++
-		d.calls[d.nextID] = func(status int, body any) { ch <- answer{status, body} }
+		d.calls[d.nextID] = func(status int, body any) { answers <- answer{status, body} }
 		d.step(environment.Call{ID: d.nextID, From: from, To: to, Request: request})
 	})
 	if !ok {
 		return 0, nil, errStopped
 	}
 	select {
-	case a := <-ch:
-		return a.status, a.body, nil
+	case received := <-answers:
+		return received.status, received.body, nil
 	case <-gone:
 		return 0, nil, errCallerGone
 	case <-d.stop:
@@ -355,11 +355,11 @@
 
 func (d *Driver) close() {
 	close(d.stop)
-	for _, n := range d.controllers {
-		n.kill()
+	for _, process := range d.controllers {
+		process.kill()
 	}
-	for _, f := range d.closers {
-		f()
+	for _, closeService := range d.closers {
+		closeService()
 	}
 	d.mu.Lock()
 	for _, e := range d.endpoints {
@@ -369,8 +369,8 @@
 	d.stopped.Wait()
 }
 
-// addJobs gives workers the descriptions of jobs of external users. It must be called by the
-// actor.
+// addJobs makes the descriptions of external users' jobs known to workers. It must be called by
+// the actor.
 func (d *Driver) addJobs(jobs ...wire.Job) {
 	for _, j := range jobs {
 		d.env.AddExternalJob(j)
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -29,19 +29,19 @@
 		Seed: 1, Length: 600_000_000, Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, FetchRate: 1, CacheGB: 50, BootS: 5, Price: 1, Zones: []string{"a"}}},
 		Capacity: []environment.Capacity{{Type: "big", Zone: "a", Count: 3}},
 	}
-	p := &c.Params
-	p.Size, p.Zones, p.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.GangWaitS, p.Workers.GangPeerS, p.Workers.CancelS = 2, 16, 30, 4, 36
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = 1000, 500, 2, 6
-	p.Cloud.RPS, p.Cloud.ListLagS = 100, 0
-	p.Limits.CoreShare, p.Limits.MemMB, p.Limits.Sockets = 1, 256, 100
+	params := &c.Params
+	params.Size, params.Zones, params.Teams = 1, []string{"a"}, []config.Team{{Name: "t"}}
+	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.GangWaitS, params.Workers.GangPeerS, params.Workers.CancelS = 2, 16, 30, 4, 36
+	params.State.RPS, params.State.WriteRPS, params.State.ValueKB, params.State.TxnOps = 1000, 500, 2, 6
+	params.Cloud.RPS, params.Cloud.ListLagS = 100, 0
+	params.Limits.CoreShare, params.Limits.MemMB, params.Limits.Sockets = 1, 256, 100
 	return c
 }
 
 // startDriver starts a driver that serves an environment until the test ends.
-func startDriver(t *testing.T, c environment.Config, o Options) *Driver {
+func startDriver(t *testing.T, cfg environment.Config, options Options) *Driver {
 	t.Helper()
-	d, err := New(c, o)
+	d, err := New(cfg, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,23 +102,23 @@
 // TestProtocol checks that the environment in fake time and the services over sockets both
 // answer as the published protocol requires.
 func TestProtocol(t *testing.T) {
-	w, err := environment.New(idleConfig(), nil)
+	env, err := environment.New(idleConfig(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := int64(0)
-	model := func(to string, r *http.Request) (int, string) {
+	askModel := func(to string, r *http.Request) (int, string) {
 		read := readState
 		if to == "cloud" {
 			read = readCloud
 		}
-		q := read(r)
-		if q == nil {
+		request := read(r)
+		if request == nil {
 			return 400, ""
 		}
-		out := w.Step(now, environment.Call{ID: 1, From: "node-0", To: to, Request: q})
+		messages := env.Step(now, environment.Call{ID: 1, From: "node-0", To: to, Request: request})
 		for range 1000 {
-			for _, e := range out {
+			for _, e := range messages {
 				if a, ok := e.(environment.Answer); ok {
 					b, err := json.Marshal(a.Body)
 					if err != nil {
@@ -127,30 +127,30 @@
 					return a.Status, string(b)
 				}
 			}
-			next, _ := w.Next()
+			next, _ := env.Next()
 			now = max(now, next)
-			out = w.Step(now, nil)
+			messages = env.Step(now, nil)
 		}
 		return 0, "no answer"
 	}
 	d := startDriver(t, idleConfig(), Options{Dir: t.TempDir()})
-	var p config.Platform
+	var settings config.Platform
 	for range 500 { // until the driver has written the settings
-		if b, err := os.ReadFile(d.SettingsPath(0)); err == nil && json.Unmarshal(b, &p) == nil && p.Services.State != "" {
+		if b, err := os.ReadFile(d.SettingsPath(0)); err == nil && json.Unmarshal(b, &settings) == nil && settings.Services.State != "" {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	socket := func(to string, r *http.Request) (int, string) {
-		addr := p.Services.State
+	askSocket := func(to string, r *http.Request) (int, string) {
+		addr := settings.Services.State
 		if to == "cloud" {
-			addr = p.Services.Cloud
+			addr = settings.Services.Cloud
 		}
-		q, err := http.NewRequest(r.Method, "http://"+addr+r.URL.RequestURI(), r.Body)
+		request, err := http.NewRequest(r.Method, "http://"+addr+r.URL.RequestURI(), r.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.DefaultClient.Do(q)
+		resp, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 		return resp.StatusCode, string(b)
 	}
 	for _, tc := range protocolCases {
-		for name, ask := range map[string]func(string, *http.Request) (int, string){"model": model, "sockets": socket} {
+		for name, ask := range map[string]func(string, *http.Request) (int, string){"model": askModel, "sockets": askSocket} {
 			status, body := ask(tc.to, httptest.NewRequest(tc.method, tc.target, strings.NewReader(tc.body)))
 			if status != tc.status || !strings.Contains(body, tc.wantBody) {
 				t.Errorf("%s: %s: got status %d with body %.300s, want status %d with body containing %s", name, tc.name, status, body, tc.status, tc.wantBody)
@@ -171,9 +171,9 @@
 	}
 }
 
-// buildController builds the controller program and returns its path and a temporary directory
-// for the test. It skips the test in short mode, as tests with real controllers take half a
-// minute.
+// buildController builds the controller program and returns a temporary directory for the test and
+// the path of the program. It skips the test in short mode, as tests with real controllers take
+// half a minute.
 func buildController(t *testing.T) (dir, binary string) {
 	t.Helper()
 	if testing.Short() {
@@ -181,8 +181,8 @@
 	}
 	dir = t.TempDir()
 	binary = filepath.Join(dir, "zinclb")
-	if b, err := exec.Command("go", "build", "-o", binary, "github.com/zinclb/zinclb/cmd/zinclb").CombinedOutput(); err != nil {
-		t.Fatalf("build controller: got error %v, want none; output:\n%s", err, b)
+	if output, err := exec.Command("go", "build", "-o", binary, "github.com/zinclb/zinclb/cmd/zinclb").CombinedOutput(); err != nil {
+		t.Fatalf("build controller: got error %v, want none; output:\n%s", err, output)
 	}
 	return dir, binary
 }
@@ -193,26 +193,26 @@
 func TestZoneOutage(t *testing.T) {
 	t.Parallel()
 	dir, binary := buildController(t)
-	s, err := scenario.Load("../../../scenarios/quiet-day.txtpb", 5)
+	loaded, err := scenario.Load("../../../scenarios/quiet-day.txtpb", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Length = 30_000_000
-	s.Faults = []environment.Fault{{At: 9_000_000, Duration: 9_000_000, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"all"}}}
-	d, err := New(s.Config, Options{Dir: dir, Port: 17300, Binaries: []string{binary}})
+	loaded.Length = 30_000_000
+	loaded.Faults = []environment.Fault{{At: 9_000_000, Duration: 9_000_000, Kind: "cut", Hosts: []string{"zone:a"}, To: []string{"all"}}}
+	d, err := New(loaded.Config, Options{Dir: dir, Port: 17300, Binaries: []string{binary}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := d.Run(nil)
+	events, err := d.Run(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range history.CheckAll(h, d.Expectations()) {
-		if b.Rule != "nothing_ran" { // may happen if the test machine is too slow
-			t.Error(b)
+	for _, violation := range history.CheckAll(events, d.Expectations()) {
+		if violation.Rule != "nothing_ran" { // may happen if the test machine is too slow
+			t.Error(violation)
 		}
 	}
-	t.Logf("%d events, %d of them task starts", len(h), len(slices.DeleteFunc(slices.Clone(h), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
+	t.Logf("%d events, %d of them task starts", len(events), len(slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
 }
 
 // BenchmarkFakeTime measures the simulated seconds per second in fake time with three controllers
@@ -221,24 +221,24 @@
 	for _, machines := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				c := idleConfig()
-				c.Params.Size, c.Length = 3, 120_000_000
-				c.Params.Teams[0].Name = "t"
-				c.Params.Workers.ReportS = 8
-				c.Capacity, c.Machines = nil, []environment.InitialMachines{{Type: "big", Zone: "a", Count: machines}}
+				cfg := idleConfig()
+				cfg.Params.Size, cfg.Length = 3, 120_000_000
+				cfg.Params.Teams[0].Name = "t"
+				cfg.Params.Workers.ReportS = 8
+				cfg.Capacity, cfg.Machines = nil, []environment.InitialMachines{{Type: "big", Zone: "a", Count: machines}}
 				for i := range machines / 2 {
-					c.Jobs = append(c.Jobs, environment.Job{At: int64(5_000_000 + i*100_000_000/machines*2), Run: 20_000_000, Spec: wire.Job{
+					cfg.Jobs = append(cfg.Jobs, environment.Job{At: int64(5_000_000 + i*100_000_000/machines*2), Run: 20_000_000, Spec: wire.Job{
 						ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "t", Kind: wire.Array,
 						Priority: "normal", Tasks: 16, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 1, EstimateS: 20,
 					}})
 				}
 				start := time.Now()
-				r, err := faketime.Run(c, faketime.Options{Operators: config.Defaults()})
+				cluster, err := faketime.Run(cfg, faketime.Options{Operators: config.Defaults()})
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.ReportMetric(120/time.Since(start).Seconds(), "simulated-s/s")
-				b.ReportMetric(float64(len(r.History)), "events")
+				b.ReportMetric(float64(len(cluster.History)), "events")
 			}
 		})
 	}
--- a/internal/emulator/sockets/requests.go
+++ b/internal/emulator/sockets/requests.go
@@ -61,9 +61,9 @@
 }
 
 func readWatch(query url.Values) any {
-	after, ok := readNumber(query, "after", 0)
-	wait, ok2 := readNumber(query, "wait_ms", 0)
-	if !ok || !ok2 {
+	after, afterOK := readNumber(query, "after", 0)
+	wait, waitOK := readNumber(query, "wait_ms", 0)
+	if !afterOK || !waitOK {
 		return nil
 	}
 	return wire.Watch{Prefix: query.Get("starts"), After: after, WaitMS: int64(wait)}
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -33,21 +33,21 @@
 	close func()
 }
 
-// serve serves a handler on a loopback address. by is the host whose messages arrive there, or
-// the zero Key if several hosts use the address.
-func (d *Driver) serve(addr string, h http.HandlerFunc, by meter.Key) (endpoint, error) {
-	l, err := net.Listen("tcp", addr)
+// serve serves a handler on a loopback address. by is the key of the remote host, under which the
+// bytes of its connections are counted, or the zero Key if several hosts use the address.
+func (d *Driver) serve(addr string, handler http.HandlerFunc, by meter.Key) (endpoint, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return endpoint{}, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	l = d.Meter.Listener(l, by)
-	s := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
+	listener = d.Meter.Listener(listener, by)
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	d.stopped.Add(1)
 	go func() {
 		defer d.stopped.Done()
-		_ = s.Serve(l) // returns when the server is closed
+		_ = server.Serve(listener) // returns when the server is closed
 	}()
-	return endpoint{l.Addr().String(), func() { _ = s.Close() }}, nil
+	return endpoint{listener.Addr().String(), func() { _ = server.Close() }}, nil
 }
 
 // decode decodes the JSON body of a request into v. It returns false if the body is malformed or
@@ -78,14 +78,14 @@
 	}
 }
 
-// forward returns a handler that parses a request with read, passes it to the host named by to
-// in the environment and writes the answer. sender is the controller that sends the requests,
-// or "" if the handler has to find it by the connection. If alter is not nil, it is applied to
-// the body of the answer first.
+// forward returns a handler that parses a request with read, passes it to the host to in the
+// environment and writes the answer. sender is the controller that sends the requests, or "" if
+// the handler has to find the sender by the connection. If alter is not nil, it is applied to the
+// body of the answer first.
 func (d *Driver) forward(sender, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		q, from := read(r), sender
-		if q == nil {
+		request, from := read(r), sender
+		if request == nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
@@ -94,35 +94,35 @@
 		if from == "" {
 			from = d.connectionOwner(r.RemoteAddr)
 		}
-		status, body, err := d.call(from, to, q, r.Context().Done())
+		status, body, err := d.call(from, to, request, r.Context().Done())
 		if err != nil || status == 0 {
 			closeConnection(w)
 			return
 		}
-		if r, ok := q.(wire.Release); ok && status == 200 && d.Workers != nil {
-			d.Workers.WaitEnded(r.Machines)
+		if release, ok := request.(wire.Release); ok && status == 200 && d.Workers != nil {
+			d.Workers.WaitEnded(release.Machines)
 		}
 		if alter != nil {
 			body = alter(body)
 		}
 		length := writeJSON(w, status, body)
 		if from != "" && to != "" {
-			d.Meter.Add(meter.Key{Host: from, Kind: kindOf(q)}, requestCount(q, status, r.ContentLength, length))
+			d.Meter.Add(meter.Key{Host: from, Kind: kindOf(request)}, requestCount(request, status, r.ContentLength, length))
 		}
 	}
 }
 
-// requestCount returns the counts of one request to a service; out and in are the lengths of
-// its body and of the body of the answer.
+// requestCount returns the counts of one request to a service; out is the length of the body of
+// the request, and in that of the answer.
 func requestCount(request any, status int, out int64, in int) meter.Count {
-	c := meter.Count{Messages: 1, BytesOut: max(out, 0), BytesIn: int64(in)}
+	count := meter.Count{Messages: 1, BytesOut: max(out, 0), BytesIn: int64(in)}
 	if status == http.StatusTooManyRequests {
-		c.Refused = 1
+		count.Refused = 1
 	}
-	if m, ok := request.(wire.Transaction); ok && status == 200 {
-		c.Changes = int64(len(m.Writes))
+	if transaction, ok := request.(wire.Transaction); ok && status == 200 {
+		count.Changes = int64(len(transaction.Writes))
 	}
-	return c
+	return count
 }
 
 // kindOf returns the kind under which a request is counted.
@@ -163,16 +163,16 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e, ok := d.endpoints[name]; ok {
-		return e.addr
+	if opened, ok := d.endpoints[name]; ok {
+		return opened.addr
 	}
-	e, err := d.serve("127.0.0.1:0", d.forward("", name, readWorker, d.withAddresses), meter.Key{})
+	opened, err := d.serve("127.0.0.1:0", d.forward("", name, readWorker, d.withAddresses), meter.Key{})
 	if err != nil {
 		slog.Warn("cannot open worker address", "machine", name, "error", err)
 		return "127.0.0.1:9"
 	}
-	d.endpoints[name] = e
-	return e.addr
+	d.endpoints[name] = opened
+	return opened.addr
 }
 
 // updateMachine opens or closes a machine's address, or passes the change to Workers if set.
@@ -185,8 +185,8 @@
 		d.endpoint(m.Name)
 		return
 	}
-	if c := d.reportClients[m.Name]; c != nil {
-		c.CloseIdleConnections()
+	if client := d.reportClients[m.Name]; client != nil {
+		client.CloseIdleConnections()
 		delete(d.reportClients, m.Name)
 	}
 	d.mu.Lock()
--- a/internal/emulator/sockets/worker_test.go
+++ b/internal/emulator/sockets/worker_test.go
@@ -17,9 +17,9 @@
 // controller: a worker reports to it, and it sends commands to the worker's own address and in
 // the answers to reports.
 func TestWorkersOverSockets(t *testing.T) {
-	c := idleConfig()
-	c.Machines = []environment.InitialMachines{{Type: "big", Zone: "a", Count: 1}}
-	c.Params.Workers.ReportS = 0.6
+	cfg := idleConfig()
+	cfg.Machines = []environment.InitialMachines{{Type: "big", Zone: "a", Count: 1}}
+	cfg.Params.Workers.ReportS = 0.6
 	var mu sync.Mutex
 	var last wire.Report
 	orders := []wire.Order{}
@@ -39,19 +39,19 @@
 	})}
 	go func() { _ = controller.ListenAndServe() }()
 	defer func() { _ = controller.Close() }()
-	startDriver(t, c, Options{Dir: t.TempDir(), Port: 17400})
-	waitUntil := func(what string, f func(wire.Report) bool) wire.Report {
+	startDriver(t, cfg, Options{Dir: t.TempDir(), Port: 17400})
+	waitUntil := func(want string, meets func(wire.Report) bool) wire.Report {
 		t.Helper()
 		for range 1500 {
 			mu.Lock()
 			r := last
 			mu.Unlock()
-			if r.Machine != "" && f(r) {
+			if r.Machine != "" && meets(r) {
 				return r
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatalf("got no report that meets the condition, want %s", what)
+		t.Fatalf("got no report that meets the condition, want %s", want)
 		return wire.Report{}
 	}
 	post := func(addr, path, body string) (int, string) {
@@ -73,8 +73,8 @@
 	}
 	hasTask := func(name string, attempt uint64, state, reason string) func(wire.Report) bool {
 		return func(r wire.Report) bool {
-			for _, k := range r.Tasks {
-				if k.Name == name && k.Attempt == attempt && k.State == state && k.Reason == reason {
+			for _, task := range r.Tasks {
+				if task.Name == name && task.Attempt == attempt && task.State == state && task.Reason == reason {
 					return true
 				}
 			}
--- a/internal/emulator/sockets/workers.go
+++ b/internal/emulator/sockets/workers.go
@@ -14,13 +14,13 @@
 // NewWorkerDriver returns a driver of an environment that consists of workers only, which
 // report to the controllers at the given addresses. Each worker has its own connections, as
 // it would have on its own machine.
-func NewWorkerDriver(cfg environment.Config, controllerAddresses []string, o Options) (*Driver, error) {
-	d := newDriver(cfg, o)
-	w, err := environment.NewWorkerEnvironment(cfg, d.onEvent)
+func NewWorkerDriver(cfg environment.Config, controllerAddresses []string, options Options) (*Driver, error) {
+	d := newDriver(cfg, options)
+	env, err := environment.NewWorkerEnvironment(cfg, d.onEvent)
 	if err != nil {
 		return nil, err
 	}
-	d.env, d.workersOnly = w, true
+	d.env, d.workersOnly = env, true
 	d.reportClients, d.workerTokens = map[string]*http.Client{}, map[string]uint64{}
 	for i, publicAddr := range controllerAddresses {
 		d.controllers = append(d.controllers, &controllerProcess{driver: d, index: i, name: environment.ControllerName(i), publicAddr: publicAddr})
@@ -62,13 +62,13 @@
 
 // newReportClient returns an HTTP client whose connections are used by one worker only.
 func (d *Driver) newReportClient(machine string) *http.Client {
-	c := newClient(false)
+	client := newClient(false)
 	names := map[string]string{}
-	for _, n := range d.controllers {
-		names[n.publicAddr] = n.name
+	for _, controller := range d.controllers {
+		names[controller.publicAddr] = controller.name
 	}
 	var dialer net.Dialer
-	c.Transport = &http.Transport{
+	client.Transport = &http.Transport{
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, addr)
@@ -78,15 +78,15 @@
 			return d.Meter.Conn(conn, meter.Key{Host: machine, Kind: ReportKind}, meter.Key{Host: names[addr], Kind: ReportKind}), nil
 		},
 	}
-	return c
+	return client
 }
 
 // recordWorkerToken records the fencing token of an answer to a worker if it is the highest
 // so far. It must be called by the actor.
-func (d *Driver) recordWorkerToken(request any, t environment.AskAnswer) {
+func (d *Driver) recordWorkerToken(request any, response environment.AskAnswer) {
 	report, isReport := request.(*wire.Report)
-	answer, isAnswer := t.Body.(wire.HeartbeatAnswer)
-	if d.OnTokenAccepted == nil || !isReport || !isAnswer || t.Status != http.StatusOK || answer.Token <= d.workerTokens[report.Machine] {
+	answer, isAnswer := response.Body.(wire.HeartbeatAnswer)
+	if d.OnTokenAccepted == nil || !isReport || !isAnswer || response.Status != http.StatusOK || answer.Token <= d.workerTokens[report.Machine] {
 		return
 	}
 	d.workerTokens[report.Machine] = answer.Token
@@ -99,12 +99,12 @@
 
 // countRequest counts a request that a controller has answered; a report counts for its worker
 // as well.
-func (d *Driver) countRequest(controller string, a environment.Ask, status int) {
+func (d *Driver) countRequest(controller string, ask environment.Ask, status int) {
 	kind := ""
-	switch q := a.Request.(type) {
+	switch request := ask.Request.(type) {
 	case *wire.Report:
 		kind = ReportKind
-		d.Meter.Add(meter.Key{Host: q.Machine, Kind: kind}, meter.Count{Messages: 1})
+		d.Meter.Add(meter.Key{Host: request.Machine, Kind: kind}, meter.Count{Messages: 1})
 	case *wire.Job, wire.RawSubmission:
 		kind = "submission"
 	case wire.Poll:
@@ -116,9 +116,9 @@
 	default:
 		kind = "other"
 	}
-	c := meter.Count{Messages: 1}
+	count := meter.Count{Messages: 1}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		c.Refused = 1
+		count.Refused = 1
 	}
-	d.Meter.Add(meter.Key{Host: controller, Kind: kind}, c)
+	d.Meter.Add(meter.Key{Host: controller, Kind: kind}, count)
 }
