--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -75,12 +75,12 @@
 // peers checks the other controllers. Their names must be unique and differ from own.
 func (c *checker) peers(own string, peers []Peer) {
 	seen := map[string]bool{own: true}
-	for i, p := range peers {
-		c.addr(fmt.Sprintf("members[%d].peer_addr", i), p.Addr)
-		if p.Name == "" || seen[p.Name] {
+	for i, peer := range peers {
+		c.addr(fmt.Sprintf("members[%d].peer_addr", i), peer.Addr)
+		if peer.Name == "" || seen[peer.Name] {
 			c.fail("members[%d].label: missing or used twice", i)
 		}
-		seen[p.Name] = true
+		seen[peer.Name] = true
 	}
 }
 
@@ -126,12 +126,12 @@
 // teams checks the teams. Their names must be unique.
 func (c *checker) teams(teams []Team) {
 	seen := map[string]bool{}
-	for i, t := range teams {
-		if t.Name == "" || seen[t.Name] {
+	for i, team := range teams {
+		if team.Name == "" || seen[team.Name] {
 			c.fail("settings.teams[%d].name: missing or used twice", i)
 		}
-		seen[t.Name] = true
-		if t.CPUs < 0 || t.GPUs < 0 || t.CPUsMax < 0 || t.GPUsMax < 0 {
+		seen[team.Name] = true
+		if team.CPUs < 0 || team.GPUs < 0 || team.CPUsMax < 0 || team.GPUsMax < 0 {
 			c.fail("settings.teams[%d]: negative amount", i)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,12 +46,12 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(platform, tc.old, tc.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p, err := Load(path)
+		got, err := Load(path)
 		switch {
 		case tc.wantField == "" && err != nil:
 			t.Errorf("%s: got error %v, want none", tc.new, err)
-		case tc.wantField == "" && p.Deployment.LeaderAuthorityTime()+MicrosOf(16*1.001)+Second >= MicrosOf(36):
-			t.Errorf("%s: got leader authority time %d µs, which leaves no margin within cancel_s", tc.new, p.Deployment.LeaderAuthorityTime())
+		case tc.wantField == "" && got.Deployment.LeaderAuthorityTime()+MicrosOf(16*1.001)+Second >= MicrosOf(36):
+			t.Errorf("%s: got leader authority time %d µs, want less than %d µs to leave a margin within cancel_s", tc.new, got.Deployment.LeaderAuthorityTime(), MicrosOf(36)-MicrosOf(16*1.001)-Second)
 		case tc.wantField != "" && (err == nil || !strings.Contains(err.Error(), tc.wantField)):
 			t.Errorf("%s: got error %v, want one with %q", tc.new, err, tc.wantField)
 		}
@@ -62,19 +62,19 @@
 // upcoming one.
 func TestStrictestStateLimits(t *testing.T) {
 	rate, large, ops := 18.0, 99.0, 4
-	now := StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
+	current := StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
 	cases := []struct {
 		next *UpcomingStateLimits
 		want StateLimits
 	}{
-		{nil, now},
-		{&UpcomingStateLimits{}, now},
+		{nil, current},
+		{&UpcomingStateLimits{}, current},
 		{&UpcomingStateLimits{WriteRPS: &rate, ValueKB: &large, TxnOps: &ops}, StateLimits{RPS: 80, WriteRPS: 18, ValueKB: 8, TxnOps: 4}},
 	}
 	for _, tc := range cases {
-		var p Deployment
-		p.State.StateLimits, p.State.Next = now, tc.next
-		if got := p.StrictestStateLimits(); got != tc.want {
+		var deployment Deployment
+		deployment.State.StateLimits, deployment.State.Next = current, tc.next
+		if got := deployment.StrictestStateLimits(); got != tc.want {
 			t.Errorf("limits: got %+v, want %+v", got, tc.want)
 		}
 	}
@@ -93,20 +93,20 @@
 		{"term_s: nan", "term_s"},
 	}
 	for _, tc := range cases {
-		o, err := ParseOperators([]byte(tc.text))
+		got, err := ParseOperators([]byte(tc.text))
 		if tc.wantField == "" && err != nil || tc.wantField != "" && (err == nil || !strings.Contains(err.Error(), tc.wantField)) {
 			t.Errorf("%q: got error %v, want one with %q", tc.text, err, tc.wantField)
 		}
-		if strings.HasPrefix(tc.text, "short_cutoff_s: 30") && (o.ShortCutoff != 30*Second || o.Trial != 90*Second || o.Term != 10*Second) {
-			t.Errorf("%q: got %+v, want a short cutoff of 30 s, a trial of 90 s and a term of 10 s", tc.text, o)
+		if strings.HasPrefix(tc.text, "short_cutoff_s: 30") && (got.ShortCutoff != 30*Second || got.Trial != 90*Second || got.Term != 10*Second) {
+			t.Errorf("%q: got %+v, want a short cutoff of 30 s, a trial of 90 s and a term of 10 s", tc.text, got)
 		}
 	}
 	b, err := os.ReadFile("../../deploy/operators.txtpb")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := ParseOperators(b); err != nil || !reflect.DeepEqual(o, Defaults()) {
-		t.Errorf("deploy/operators.txtpb: got %+v, error %v, want the defaults", o, err)
+	if got, err := ParseOperators(b); err != nil || !reflect.DeepEqual(got, Defaults()) {
+		t.Errorf("deploy/operators.txtpb: got %+v, error %v, want the defaults", got, err)
 	}
 }
 
@@ -126,8 +126,8 @@
 		{"other", true, 15 * Second},
 	}
 	for _, tc := range cases {
-		p := Deployment{Objectives: objectives}
-		if got := p.StartWithin(tc.class, tc.guaranteed); got != tc.want {
+		deployment := Deployment{Objectives: objectives}
+		if got := deployment.StartWithin(tc.class, tc.guaranteed); got != tc.want {
 			t.Errorf("class %s, guaranteed %v: got %d µs, want %d µs", tc.class, tc.guaranteed, got, tc.want)
 		}
 	}
@@ -136,12 +136,12 @@
 // TestSweepsSwitch checks that sweeps are off by default and that deploy/sweeps.txtpb
 // switches them on.
 func TestSweepsSwitch(t *testing.T) {
-	b, err := os.ReadFile("../../deploy/sweeps.txtpb")
+	text, err := os.ReadFile("../../deploy/sweeps.txtpb")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := ParseOperators(b)
-	if err != nil || !o.Sweeps || Defaults().Sweeps {
-		t.Errorf("got error %v, sweeps %v with the file and %v by default, want true and false", err, o.Sweeps, Defaults().Sweeps)
+	got, err := ParseOperators(text)
+	if err != nil || !got.Sweeps || Defaults().Sweeps {
+		t.Errorf("got error %v, sweeps %v with the file and %v by default, want true and false", err, got.Sweeps, Defaults().Sweeps)
 	}
 }
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -17,7 +17,7 @@
 	return limits
 }
 
-// lowerLimit lowers a limit to the upcoming one, if that is known and lower.
+// lowerLimit lowers a limit to the upcoming one, if there is one and it is lower.
 func lowerLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
@@ -37,9 +37,9 @@
 // guarantees counts too if guaranteed is set: the job is within its team's guarantee.
 func (d *Deployment) StartWithin(class string, guaranteed bool) Micros {
 	var shortest Micros
-	for _, o := range d.Objectives {
-		if o.Kind == waitObjective && o.Class == class || o.Kind == guaranteeObjective && guaranteed {
-			if within := MicrosOf(o.WithinS); within > 0 && (shortest == 0 || within < shortest) {
+	for _, objective := range d.Objectives {
+		if objective.Kind == waitObjective && objective.Class == class || objective.Kind == guaranteeObjective && guaranteed {
+			if within := MicrosOf(objective.WithinS); within > 0 && (shortest == 0 || within < shortest) {
 				shortest = within
 			}
 		}
@@ -58,10 +58,10 @@
 	})
 }
 
-// WeighsCost reports whether cost is weighed against waiting time. Unless the operators
-// decide, it is weighed if no team has a guarantee. A guarantee is capacity that a team can
-// use at once, which needs spare machines; without guarantees, spare machines are kept only
-// for short-term variations of the load.
+// WeighsCost reports whether cost is weighed against waiting time. Unless the operators'
+// settings decide this, cost is weighed if no team has a guarantee. A guarantee is capacity that
+// a team can use at once, which needs spare machines; without guarantees, spare machines are kept
+// only for short-term variations of the load.
 func (d *Deployment) WeighsCost(operators *Operators) bool {
 	if operators.WeighMoney != nil {
 		return *operators.WeighMoney
@@ -80,10 +80,10 @@
 	authorityShare = 0.55
 )
 
-// LeaderAuthorityTime returns how long a controller without proof of its fencing token still
-// answers heartbeats. A task of a cancelled job can outlive its cancellation by this time
+// LeaderAuthorityTime returns the time for which a controller without proof of its fencing token
+// still answers heartbeats. A task of a cancelled job can outlive the cancellation by this time
 // plus the timeout of a worker's epoch, so both with their margins must fit into cancel_s.
 func (d *Deployment) LeaderAuthorityTime() Micros {
-	w := d.Workers
-	return MicrosOf((w.CancelS - w.LeaseS*epochTimeoutMargin - cancelReserveS) * authorityShare)
+	workers := d.Workers
+	return MicrosOf((workers.CancelS - workers.LeaseS*epochTimeoutMargin - cancelReserveS) * authorityShare)
 }
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -109,7 +109,7 @@
 // setDurations sets the durations that are in the file and within their bounds. It returns
 // an error for each one that is out of bounds.
 func (o *Operators) setDurations(file *operatorpb.Operators) (errs []error) {
-	for _, d := range []struct {
+	for _, duration := range []struct {
 		field   string
 		seconds *float64
 		setting *Micros
@@ -122,14 +122,14 @@
 		{"idle_return_s", file.IdleReturnS, &o.IdleReturn, bounds{10, 86_400}},
 		{"leader_lease_s", file.LeaderLeaseS, &o.LeaderLease, bounds{1, 30}},
 	} {
-		if d.seconds == nil {
+		if duration.seconds == nil {
 			continue
 		}
-		if err := d.bounds.check(d.field, *d.seconds); err != nil {
+		if err := duration.bounds.check(duration.field, *duration.seconds); err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		*d.setting = MicrosOf(*d.seconds)
+		*duration.setting = MicrosOf(*duration.seconds)
 	}
 	return errs
 }
@@ -140,6 +140,6 @@
 // isFeatureName reports whether s has the form of a feature's name. It does not check
 // that the feature exists, because a file may hold back one that only a newer version of
 // the program has.
-func isFeatureName(s string) bool {
-	return s != "" && len(s) <= maxFeatureNameLength && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
+func isFeatureName(name string) bool {
+	return name != "" && len(name) <= maxFeatureNameLength && strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -108,13 +108,13 @@
 
 // Load reads and checks the platform's settings file.
 func Load(path string) (*Platform, error) {
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
 	}
-	var p Platform
-	if err := json.Unmarshal(b, &p); err != nil {
+	var platform Platform
+	if err := json.Unmarshal(text, &platform); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	return &p, p.Check()
+	return &platform, platform.Check()
 }
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -33,8 +33,8 @@
 			Objectives: []Objective{{Kind: "wait", Class: "fit", WithinS: 25.5}}, ClockErrorMS: 250.5,
 		},
 	}
-	w := &p.Deployment.Workers
-	w.ReportS, w.LeaseS, w.GangWaitS, w.GangPeerS, w.CancelS = 2.5, 16.5, 30.5, 4.5, 36.5
+	workers := &p.Deployment.Workers
+	workers.ReportS, workers.LeaseS, workers.GangWaitS, workers.GangPeerS, workers.CancelS = 2.5, 16.5, 30.5, 4.5, 36.5
 	p.Deployment.State.StateLimits = StateLimits{RPS: 80.5, WriteRPS: 25.5, ValueKB: 8.5, TxnOps: 12}
 	p.Deployment.State.Next = &UpcomingStateLimits{RPS: &rps, WriteRPS: &writes, ValueKB: &large, TxnOps: &ops}
 	p.Deployment.Cloud.RPS, p.Deployment.Cloud.ListLagS = 3.5, 8.5
@@ -98,9 +98,9 @@
 
 // TestRecordedFaults compares the errors for invalid settings with a golden file.
 func TestRecordedFaults(t *testing.T) {
-	var b strings.Builder
+	var recorded strings.Builder
 	var empty Platform
-	fmt.Fprintf(&b, "nothing set:\n%v\n", empty.Check())
+	fmt.Fprintf(&recorded, "nothing set:\n%v\n", empty.Check())
 	for _, replace := range [][2]string{
 		{`"label":"n1"`, `"label":"n0"`},
 		{`"peer_addr":"127.0.0.1:8092"`, `"peer_addr":"nowhere"`},
@@ -113,11 +113,11 @@
 		{`"txn_ops":4`, `"txn_ops":3`},
 	} {
 		_, err := Load(writeSettings(t, strings.Replace(fullPlatform, replace[0], replace[1], 1)))
-		fmt.Fprintf(&b, "%s -> %s: %v\n", replace[0], replace[1], err)
+		fmt.Fprintf(&recorded, "%s -> %s: %v\n", replace[0], replace[1], err)
 	}
 	for _, text := range []string{"short_cutoff_s: 0", "long_cutoff_s: 0", "term_s: 1", "trial_s: 1", "idle_return_s: 1", "leader_lease_s: 0", "spare_share: 11", `hold_features: "A"`, "short_cutoff_s: 700"} {
 		_, err := ParseOperators([]byte(text))
-		fmt.Fprintf(&b, "%s: %v\n", text, err)
+		fmt.Fprintf(&recorded, "%s: %v\n", text, err)
 	}
 	// Errors of encoding/json contain the names of Go types and those of prototext have
 	// random spaces, so only the names of the fields are checked.
@@ -125,5 +125,5 @@
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "settings.resources.mem_mb") || !strings.HasPrefix(err.Error(), "settings "+path+": ") {
 		t.Errorf("mem_mb of the wrong type: got error %v, want one with the file and the field", err)
 	}
-	golden.Compare(t, "testdata/faults.txt", b.String())
+	golden.Compare(t, "testdata/faults.txt", recorded.String())
 }
