--- a/cmd/zinclb/client.go
+++ b/cmd/zinclb/client.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// callTimeout is the maximum time in which a controller must answer.
-	// sweepCallTimeout is the same for a call about a sweep, which may have many runs to
-	// check.
+	// callTimeout is the maximum time that a controller may take to answer.
+	// sweepCallTimeout is the same for a call about a sweep, of which the controller may
+	// have to check many runs.
 	callTimeout      = 5 * time.Second
 	sweepCallTimeout = 30 * time.Second
 	// maxAnswerBytes is the maximum size of a controller's answer, and
 	// maxSweepAnswerBytes of the answer to a call about a sweep.
 	maxAnswerBytes      = 1 << 20
 	maxSweepAnswerBytes = 4 << 20
-	// retryTimeout is how long a command retries a call that fails.
+	// retryTimeout is the time for which a command retries a call that fails.
 	retryTimeout = time.Minute
 	// minRetryDelay is the minimum time between two attempts.
 	minRetryDelay = time.Second
@@ -54,7 +54,7 @@
 	}
 }
 
-// retryDelay returns how long to wait before the request is retried.
+// retryDelay returns the time to wait before the request is retried.
 func (e *responseError) retryDelay() time.Duration {
 	seconds, err := strconv.Atoi(e.retryAfter)
 	if err != nil {
@@ -68,36 +68,35 @@
 func call(addr, method, path string, body []byte, maxAnswer int, timeout time.Duration) ([]byte, error) {
 	client := httpwire.NewClient(addr, 1, maxAnswer)
 	defer client.Close()
-	m, err := client.Do(method, path, body, timeout)
+	response, err := client.Do(method, path, body, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if m.Status < http.StatusMultipleChoices {
-		return m.Body, nil
+	if response.Status < http.StatusMultipleChoices {
+		return response.Body, nil
 	}
 	var answer struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(m.Body, &answer) != nil || answer.Error == "" {
+	if json.Unmarshal(response.Body, &answer) != nil || answer.Error == "" {
 		answer.Error = "no reason given"
 	}
 	return nil, &responseError{
 		addr:       addr,
-		status:     m.Status,
+		status:     response.Status,
 		reason:     answer.Error,
-		retryAfter: m.Get("retry-after"),
+		retryAfter: response.Get("retry-after"),
 	}
 }
 
-// callForSweep sends a request about a sweep and decodes the answer. It retries the request
-// as retry does.
+// callForSweep sends a request about a sweep, with retries, and decodes the answer.
 func callForSweep(addr, method, path string, body []byte, answer any) error {
 	return retry(func() error {
-		b, err := call(addr, method, path, body, maxSweepAnswerBytes, sweepCallTimeout)
+		answerBody, err := call(addr, method, path, body, maxSweepAnswerBytes, sweepCallTimeout)
 		if err != nil {
 			return err
 		}
-		if err := json.Unmarshal(b, answer); err != nil {
+		if err := json.Unmarshal(answerBody, answer); err != nil {
 			return fmt.Errorf("%s: decode answer: %w", addr, err)
 		}
 		return nil
--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -56,15 +56,15 @@
 // readSweep reads and expands a sweep file. The files that it names must be in its directory
 // or below.
 func readSweep(path string) (*sweeppb.Sweep, *core.SweepPlan, error) {
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := sweep.Parse(b)
+	parsed, err := sweep.Parse(text)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	err = sweep.Resolve(s, func(name string) ([]byte, error) {
+	err = sweep.Resolve(parsed, func(name string) ([]byte, error) {
 		if !filepath.IsLocal(name) {
 			return nil, errors.New("not in the directory of the sweep file")
 		}
@@ -73,22 +73,22 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	plan, err := api.ExpandSweep(s)
+	plan, err := api.ExpandSweep(parsed)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, plan, nil
+	return parsed, plan, nil
 }
 
 func sweepCheck() *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE", Short: "Checks a sweep file, and prints how many runs it has", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, plan, err := readSweep(args[0])
+			parsed, plan, err := readSweep(args[0])
 			if err != nil {
 				return err
 			}
-			stored, err := api.PackSweep(s)
+			stored, err := api.PackSweep(parsed)
 			if err != nil {
 				return err
 			}
@@ -103,8 +103,8 @@
 func printRuns(w io.Writer, output string, runs []api.RunResponse, header bool) error {
 	if output == jsonOutput {
 		encoder := json.NewEncoder(w)
-		for _, r := range runs {
-			if err := encoder.Encode(r); err != nil {
+		for _, run := range runs {
+			if err := encoder.Encode(run); err != nil {
 				return err
 			}
 		}
@@ -114,12 +114,12 @@
 	if header {
 		table.WriteString("RUN\tSTATUS\tJOB\tVALUES\n")
 	}
-	for _, r := range runs {
+	for _, run := range runs {
 		merged := ""
-		if len(r.Sets) > 1 {
-			merged = fmt.Sprint(" sets ", r.Sets)
+		if len(run.Sets) > 1 {
+			merged = fmt.Sprint(" sets ", run.Sets)
 		}
-		fmt.Fprintf(&table, "%d\t%s\t%s\t%s%s\n", r.Run, r.Status, r.ID, r.Values, merged)
+		fmt.Fprintf(&table, "%d\t%s\t%s\t%s%s\n", run.Run, run.Status, run.ID, run.Values, merged)
 	}
 	aligned := tabwriter.NewWriter(w, 0, tableTabWidth, tableColumnGap, ' ', 0)
 	if _, err := io.WriteString(aligned, table.String()); err != nil {
@@ -152,11 +152,11 @@
 }
 
 // printSweep prints the state and the progress of a sweep.
-func printSweep(w io.Writer, output string, s api.SweepResponse) error {
+func printSweep(w io.Writer, output string, state api.SweepResponse) error {
 	if output == jsonOutput {
-		return json.NewEncoder(w).Encode(s)
+		return json.NewEncoder(w).Encode(state)
 	}
-	_, err := fmt.Fprintf(w, "%s: %s, %d of %d runs created, %d done, %d withdrawn\n", s.ID, s.Status, s.Created, s.Runs, s.Done, s.Withdrawn)
+	_, err := fmt.Fprintf(w, "%s: %s, %d of %d runs created, %d done, %d withdrawn\n", state.ID, state.Status, state.Created, state.Runs, state.Done, state.Withdrawn)
 	return err
 }
 
@@ -168,11 +168,11 @@
 	addr := addrFlag(cmd)
 	wait := cmd.Flags().Bool("wait", false, "wait until the sweep has ended, and show its progress")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		s, _, err := readSweep(args[0])
+		parsed, _, err := readSweep(args[0])
 		if err != nil {
 			return err
 		}
-		body := sweep.Encode(s)
+		body := sweep.Encode(parsed)
 		if len(body) > api.MaxBodyBytes {
 			return fmt.Errorf("%s: %d bytes with its values, at most %d can be sent", args[0], len(body), api.MaxBodyBytes)
 		}
