--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics encodes the operators' view of a controller in the Prometheus text format.
-// The metrics are computed from the current view, including its counters, for each request;
-// there is no cost between requests.
+// All metrics, including counters, are computed from the current view for each request, so there
+// is no cost between requests.
 package metrics
 
 import (
@@ -44,8 +44,8 @@
 // collector is a prometheus.Collector for the metrics of one view.
 type collector struct{ view *core.OperatorView }
 
-// Describe sends no descriptions, which makes the collector unchecked: the set of metrics
-// changes over time, for example only a leader has queues.
+// Describe sends no descriptions, which makes the collector unchecked. The set of metrics changes
+// over time: for example, only a leader has queues.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the metrics of the view.
@@ -86,15 +86,15 @@
 	s <- prometheus.MustNewConstMetric(desc, kind, value, values...)
 }
 
-func (s sink) flag(name, help string, is bool, labels ...label) {
+func (s sink) flag(name, help string, isSet bool, labels ...label) {
 	value := 0.0
-	if is {
+	if isSet {
 		value = 1
 	}
 	s.gauge(name, help, value, labels...)
 }
 
-// controller sends the metrics that every controller has about itself.
+// controller sends the metrics that every controller has, leader or not.
 func (s sink) controller(view *core.OperatorView) {
 	s.flag("leading", "1 if this controller leads.", view.Leading)
 	s.flag("synced", "1 if it has read the state service.", view.Synced)
@@ -112,8 +112,8 @@
 	s.gauge("troubles", "Troubles that operators are told of.", float64(len(view.Conditions)))
 }
 
-// ends sends how the ends of jobs became known, and how often a request was answered that
-// the job is not known.
+// ends sends the numbers of ends of jobs by how they became known, and the number of answers
+// that a job is not known.
 func (s sink) ends(counts *core.EndCounts) {
 	s.counter("ends_derived_total", "Ends of jobs that followed from the ends of others.", counts.Derived)
 	s.counter("ends_told_total", "Ends of jobs that other controllers told of first.", counts.Reported)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,10 +10,9 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// TestEncode parses the encoded metrics of a leader and of another controller and checks
-// their values.
+// TestEncode parses the encoded metrics of a leader and of a follower and checks their values.
 func TestEncode(t *testing.T) {
-	v := core.OperatorView{
+	view := core.OperatorView{
 		FencingToken: 7,
 		Synced:       true,
 		Jobs:         12,
@@ -62,32 +61,32 @@
 		},
 	}
 	for _, tc := range cases {
-		v.Leading = tc.leading
-		b, err := Encode(&v)
+		view.Leading = tc.leading
+		text, err := Encode(&view)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := expfmt.NewTextParser(model.LegacyValidation)
-		families, err := p.TextToMetricFamilies(strings.NewReader(string(b)))
+		parser := expfmt.NewTextParser(model.LegacyValidation)
+		families, err := parser.TextToMetricFamilies(strings.NewReader(string(text)))
 		if err != nil {
-			t.Fatalf("leading %v: parse metrics: %v\n%s", tc.leading, err, b)
+			t.Fatalf("leading %v: parse metrics: %v\n%s", tc.leading, err, text)
 		}
 		got := map[string]float64{}
-		for name, f := range families {
-			for _, m := range f.Metric {
+		for name, family := range families {
+			for _, metric := range family.Metric {
 				key := name
-				if len(m.Label) > 0 {
-					key += "{" + m.Label[0].GetValue() + "}"
+				if len(metric.Label) > 0 {
+					key += "{" + metric.Label[0].GetValue() + "}"
 				}
-				got[key] = m.GetGauge().GetValue() + m.GetSummary().GetSampleSum()
+				got[key] = metric.GetGauge().GetValue() + metric.GetSummary().GetSampleSum()
 			}
 		}
-		for k, want := range tc.want {
-			if v, ok := got[k]; !ok || v != want {
-				t.Errorf("leading %v: metric %s: got %v (present: %v), want %v", tc.leading, k, v, ok, want)
+		for name, want := range tc.want {
+			if v, ok := got[name]; !ok || v != want {
+				t.Errorf("leading %v: metric %s: got %v (present: %v), want %v", tc.leading, name, v, ok, want)
 			}
 		}
-		if strings.Contains(string(b), tc.without) {
+		if strings.Contains(string(text), tc.without) {
 			t.Errorf("leading %v: got metric %s, want none", tc.leading, tc.without)
 		}
 	}
--- a/internal/metrics/recorded_test.go
+++ b/internal/metrics/recorded_test.go
@@ -33,6 +33,6 @@
 		golden.Compare(t, "testdata/"+file+".txt", string(text))
 	}
 	if ContentType != "text/plain; version=0.0.4; charset=utf-8" {
-		t.Errorf("content type: got %q", ContentType)
+		t.Errorf("content type: got %q, want %q", ContentType, "text/plain; version=0.0.4; charset=utf-8")
 	}
 }
