--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -35,7 +35,7 @@
 	// WeighMoney decides whether cost is weighed. If it is nil, cost is weighed where no
 	// team has a guarantee; see Deployment.WeighsCost.
 	WeighMoney *bool
-	// HoldFeatures are the names of the features that this controller holds back.
+	// HoldFeatures are the names of the features whose activation this controller prevents.
 	HoldFeatures []string
 }
 
--- a/internal/emulator/environment/external.go
+++ b/internal/emulator/environment/external.go
@@ -44,7 +44,7 @@
 
 // LinkState reports whether a partition separates two hosts, and whether it breaks
 // connections.
-func (env *Environment) LinkState(a, b string) (cut, reset bool) {
+func (env *Environment) LinkState(a, b string) (partitioned, reset bool) {
 	if separating := env.network.partitionBetween(a, b); separating != nil {
 		return true, separating.mode.Reset || separating.mode.Refuse
 	}
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -294,17 +294,17 @@
 // connection must be closed.
 func (d *Driver) waitReachable(a, b *controllerProcess) bool {
 	for {
-		type state struct{ cut, reset bool }
+		type state struct{ partitioned, reset bool }
 		states := make(chan state, 1)
 		if !d.onActor(func() {
-			cut, reset := d.env.LinkState(a.name, b.name)
-			states <- state{cut, reset}
+			partitioned, reset := d.env.LinkState(a.name, b.name)
+			states <- state{partitioned, reset}
 		}) {
 			return false
 		}
 		select {
 		case current := <-states:
-			if !current.cut || current.reset {
+			if !current.partitioned || current.reset {
 				return !current.reset
 			}
 		case <-d.stop:
