--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -61,12 +61,12 @@
 	pivots := slices.Clone(o.elector.leadership.planning.pivots)
 	slices.SortStableFunc(pivots, func(a, b plannedPivot) int { return cmp.Compare(a.queue, b.queue) })
 	for _, pivot := range pivots {
-		j := o.cache.jobs[pivot.job]
-		if j == nil || j.NumPlaced > 0 || o.now-j.ReadyAt < stuckAfter {
+		job := o.cache.jobs[pivot.job]
+		if job == nil || job.NumPlaced > 0 || o.now-job.ReadyAt < stuckAfter {
 			continue
 		}
 		reason := o.waitReason(pivot)
-		waited := (o.now - j.ReadyAt) / second
+		waited := (o.now - job.ReadyAt) / second
 		alerts.current = append(alerts.current, fmt.Sprintf("queue %d: %s has waited %d s %s", pivot.queue, pivot.job, waited, reason))
 		if alerts.shouldLog(pivot.job, o.now) {
 			o.log.Info("queue is stuck", "queue", pivot.queue, "job", pivot.job, "waited_s", waited, "reason", reason)
@@ -95,12 +95,12 @@
 // lateStages returns the jobs that delay a pipeline beyond its deadline, ordered by deadline.
 func (o *operatorViewer) lateStages() []*jobstate.Job {
 	var late []*jobstate.Job
-	for _, j := range o.cache.jobs {
-		if j.Outcome() != "" || j.IsBlocked() || j.EffectiveDeadline == 0 || !o.dependencies.isInPipeline(j) {
+	for _, job := range o.cache.jobs {
+		if job.Outcome() != "" || job.IsBlocked() || job.EffectiveDeadline == 0 || !o.dependencies.isInPipeline(job) {
 			continue
 		}
-		if o.now+o.remainingTime(j) > j.EffectiveDeadline {
-			late = append(late, j)
+		if o.now+o.remainingTime(job) > job.EffectiveDeadline {
+			late = append(late, job)
 		}
 	}
 	slices.SortFunc(late, func(a, b *jobstate.Job) int {
@@ -111,17 +111,17 @@
 
 // remainingTime returns how long a job will still take according to its owner's estimate if
 // all of its waiting tasks start now.
-func (o *operatorViewer) remainingTime(j *jobstate.Job) int64 {
-	if j.Unplaced() > 0 {
-		return j.Estimate
+func (o *operatorViewer) remainingTime(job *jobstate.Job) int64 {
+	if job.Unplaced() > 0 {
+		return job.Estimate
 	}
 	var remaining int64
-	j.EachPlaced(func(_ int, t *jobstate.Task) {
+	job.EachPlaced(func(_ int, t *jobstate.Task) {
 		startedAt := t.StartedAt
 		if startedAt == 0 {
 			startedAt = o.now
 		}
-		remaining = max(remaining, startedAt+j.Estimate-o.now)
+		remaining = max(remaining, startedAt+job.Estimate-o.now)
 	})
 	return max(remaining, 0)
 }
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -11,13 +11,13 @@
 
 // writeCancellation stores that a job is cancelled.
 func (h *requestHandler) writeCancellation(r *request) {
-	j := h.cache.jobs[r.targetID]
-	if j == nil || j.Outcome() != "" {
+	job := h.cache.jobs[r.targetID]
+	if job == nil || job.Outcome() != "" {
 		h.waitForRead(r)
 		return
 	}
-	end := h.newEnd(jobstate.Cancelled, j)
-	revision := j.Revision
+	end := h.newEnd(jobstate.Cancelled, job)
+	revision := job.Revision
 	h.queues.inFlight[r.targetID] = nil
 	conditions := []Cond{
 		kv.RevisionIs(jobPrefix+r.targetID, revision),
@@ -25,14 +25,14 @@
 	}
 	writes := []Write{
 		{Key: endPrefix + r.targetID, Value: encodeJSON(end)},
-		{Key: jobPrefix + r.targetID, Value: h.endedRecord(j, jobstate.Cancelled)},
+		{Key: jobPrefix + r.targetID, Value: h.endedRecord(job, jobstate.Cancelled)},
 	}
 	h.commitTransaction(conditions, writes, func(result TransactionResult) {
 		defer h.resumeCoalesced(r.targetID)
 		switch result.Outcome {
 		case kv.Committed:
-			if j.Revision == revision {
-				j.Revision = result.Revision
+			if job.Revision == revision {
+				job.Revision = result.Revision
 			}
 			h.cache.recordEnd(r.targetID, jobstate.EndStoredAt(end, result.Revision))
 			h.answerEnd(r.id, r.targetID, end)
@@ -56,8 +56,8 @@
 }
 
 // newEnd returns the end of a job as it is stored.
-func (h *requestHandler) newEnd(outcome string, j *jobstate.Job) jobstate.End {
-	end := jobstate.End{Outcome: outcome, Tasks: j.Tasks}
+func (h *requestHandler) newEnd(outcome string, job *jobstate.Job) jobstate.End {
+	end := jobstate.End{Outcome: outcome, Tasks: job.Tasks}
 	if h.membership.logEnabled() {
 		end.At = h.now + h.wallOffset
 	}
@@ -66,13 +66,13 @@
 
 // endedRecord encodes the job record that is stored from the job's end until its keys are
 // removed.
-func (h *requestHandler) endedRecord(j *jobstate.Job, outcome string) []byte {
+func (h *requestHandler) endedRecord(job *jobstate.Job, outcome string) []byte {
 	record := jobstate.Record{
-		Spec:          j.Spec,
-		Arrival:       j.Arrival,
+		Spec:          job.Spec,
+		Arrival:       job.Arrival,
 		Outcome:       outcome,
-		SubmittedWall: j.SubmittedWall,
-		Truncated:     j.Truncated,
+		SubmittedWall: job.SubmittedWall,
+		Truncated:     job.Truncated,
 	}
 	return record.Encode(h.membership.valueLimit())
 }
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -58,15 +58,15 @@
 
 // isBackedOff reports whether writes of a job are delayed after a failure. It drops a delay that
 // has passed.
-func (s *commitState) isBackedOff(j *jobstate.Job, now int64) bool {
-	until, ok := s.backoffUntil[j]
+func (s *commitState) isBackedOff(job *jobstate.Job, now int64) bool {
+	until, ok := s.backoffUntil[job]
 	if !ok {
 		return false
 	}
 	if now < until {
 		return true
 	}
-	delete(s.backoffUntil, j)
+	delete(s.backoffUntil, job)
 	return false
 }
 
@@ -108,14 +108,14 @@
 }
 
 // markDirty marks a job as having changes to write.
-func (c *committer) markDirty(j *jobstate.Job) {
-	c.elector.leadership.commits.dirty[j] = struct{}{}
+func (c *committer) markDirty(job *jobstate.Job) {
+	c.elector.leadership.commits.dirty[job] = struct{}{}
 }
 
 // forget drops the pending writes of a job whose keys are gone.
-func (c *committer) forget(j *jobstate.Job) {
-	delete(c.elector.leadership.commits.dirty, j)
-	delete(c.elector.leadership.commits.backoffUntil, j)
+func (c *committer) forget(job *jobstate.Job) {
+	delete(c.elector.leadership.commits.dirty, job)
+	delete(c.elector.leadership.commits.backoffUntil, job)
 }
 
 // commitNow sends a transaction with as many of the pending changes as the write budget allows:
@@ -132,12 +132,12 @@
 		return
 	}
 	t := c.newTransaction(limit)
-	for _, j := range c.jobsToWrite() {
+	for _, job := range c.jobsToWrite() {
 		if t.isFull() {
 			break
 		}
-		if !t.term.commits.isBackedOff(j, c.now) {
-			t.addJob(j)
+		if !t.term.commits.isBackedOff(job, c.now) {
+			t.addJob(job)
 		}
 	}
 	t.addPages()
@@ -170,12 +170,12 @@
 func (c *committer) jobsToWrite() []*jobstate.Job {
 	dirty := c.elector.leadership.commits.dirty
 	jobs := make([]*jobstate.Job, 0, len(dirty))
-	for j := range dirty {
-		jobs = append(jobs, j)
+	for job := range dirty {
+		jobs = append(jobs, job)
 	}
 	order := make(map[*jobstate.Job]commitOrder, len(jobs))
-	for _, j := range jobs {
-		order[j] = commitOrder{commitClass(j), c.oldestChange(j)}
+	for _, job := range jobs {
+		order[job] = commitOrder{commitClass(job), c.oldestChange(job)}
 	}
 	slices.SortFunc(jobs, func(a, b *jobstate.Job) int {
 		x, y := order[a], order[b]
@@ -191,17 +191,17 @@
 }
 
 // commitClass returns 0 if a task start or a user waits for a job's writes, and 1 otherwise.
-func commitClass(j *jobstate.Job) int {
+func commitClass(job *jobstate.Job) int {
 	// For a job that has ended, only the removal of its keys is left.
-	if j.Outcome() == "" && (j.NumDone == j.Tasks || j.HasAnyPlacementToWrite()) {
+	if job.Outcome() == "" && (job.NumDone == job.Tasks || job.HasAnyPlacementToWrite()) {
 		return 0
 	}
 	return 1
 }
 
 // oldestChange returns the time of a job's oldest unwritten change.
-func (c *committer) oldestChange(j *jobstate.Job) int64 {
-	if at := j.DirtySince(); at != 0 {
+func (c *committer) oldestChange(job *jobstate.Job) int64 {
+	if at := job.DirtySince(); at != 0 {
 		return at
 	}
 	return c.now
@@ -271,53 +271,53 @@
 
 // jobCommitted applies one job's part of a transaction.
 func (c *committer) jobCommitted(written *jobWrite, revision uint64) {
-	j := written.job
+	job := written.job
 	if written.writesEnd {
 		if written.writesRecord {
-			j.Revision = revision
+			job.Revision = revision
 		}
 		if written.end.Outcome == jobstate.Done {
-			c.log.Info("job done", "job", j.ID, "tasks", j.Tasks, "revision", revision)
+			c.log.Info("job done", "job", job.ID, "tasks", job.Tasks, "revision", revision)
 		}
-		c.cache.recordEnd(j.ID, jobstate.EndStoredAt(written.end, revision))
+		c.cache.recordEnd(job.ID, jobstate.EndStoredAt(written.end, revision))
 	}
 	for _, chunk := range written.chunks {
 		if chunk.logged {
-			j.CommitLogWrite(chunk.index, chunk.version)
+			job.CommitLogWrite(chunk.index, chunk.version)
 		} else {
-			j.CommitChunkWrite(chunk.index, chunk.version, revision)
+			job.CommitChunkWrite(chunk.index, chunk.version, revision)
 		}
 	}
 	for _, ref := range written.removedChunks {
-		j.SetChunkRevision(ref, 0)
+		job.SetChunkRevision(ref, 0)
 	}
 	if written.removesJob {
-		if j.Outcome() == jobstate.Cancelled {
-			c.endMonitor.recordRemoval(j.ID, written.proof, revision)
+		if job.Outcome() == jobstate.Cancelled {
+			c.endMonitor.recordRemoval(job.ID, written.proof, revision)
 		}
-		c.jobKeyRemoved(j)
+		c.jobKeyRemoved(job)
 		return
 	}
-	c.clearIfWritten(j)
+	c.clearIfWritten(job)
 }
 
 // jobKeyRemoved forgets a job whose key was removed.
-func (c *committer) jobKeyRemoved(j *jobstate.Job) {
-	if j.Outcome() == jobstate.Done && !j.Truncated {
-		c.prefetcher.addPrefetchSources(j.Spec) // none of its tasks is on a machine any more
+func (c *committer) jobKeyRemoved(job *jobstate.Job) {
+	if job.Outcome() == jobstate.Done && !job.Truncated {
+		c.prefetcher.addPrefetchSources(job.Spec) // none of its tasks is on a machine any more
 	}
-	delete(c.cache.jobs, j.ID)
-	c.tasks.jobRemoved(j)
-	c.cache.orphanChunks(j)
+	delete(c.cache.jobs, job.ID)
+	c.tasks.jobRemoved(job)
+	c.cache.orphanChunks(job)
 }
 
 // clearIfWritten marks a job as clean if it has nothing left to write, and as dirty otherwise.
-func (c *committer) clearIfWritten(j *jobstate.Job) {
-	if j.Outcome() != "" && j.NumPlaced == 0 || j.Outcome() == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
-		c.markDirty(j)
+func (c *committer) clearIfWritten(job *jobstate.Job) {
+	if job.Outcome() != "" && job.NumPlaced == 0 || job.Outcome() == "" && job.NumDone == job.Tasks || len(job.DirtyChunks()) > 0 {
+		c.markDirty(job)
 		return
 	}
-	delete(c.elector.leadership.commits.dirty, j)
+	delete(c.elector.leadership.commits.dirty, job)
 }
 
 // onMalformed handles a transaction that the state service rejects as malformed, possibly because
--- a/internal/core/conflicts.go
+++ b/internal/core/conflicts.go
@@ -52,8 +52,8 @@
 	if err != nil {
 		return
 	}
-	if j := c.cache.jobs[id]; j != nil {
-		j.SetChunkRevision(ref, revision)
+	if job := c.cache.jobs[id]; job != nil {
+		job.SetChunkRevision(ref, revision)
 		return
 	}
 	c.setOrphanedRevision(id, ref, revision)
@@ -74,8 +74,8 @@
 		c.cache.apply(Change{Key: key, Value: read.Value, Revision: read.Revision})
 		return
 	}
-	if j := c.cache.jobs[key[len(jobPrefix):]]; j != nil {
-		delete(c.cache.jobs, j.ID)
-		c.tasks.jobRemoved(j)
+	if job := c.cache.jobs[key[len(jobPrefix):]]; job != nil {
+		delete(c.cache.jobs, job.ID)
+		c.tasks.jobRemoved(job)
 	}
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -45,34 +45,34 @@
 func (d *dependencyResolver) reset() { d.graph = jobstate.NewDependencyGraph() }
 
 // removeJob is called for each job that has ended or was removed.
-func (d *dependencyResolver) removeJob(j *jobstate.Job) { d.graph.Remove(j) }
+func (d *dependencyResolver) removeJob(job *jobstate.Job) { d.graph.Remove(job) }
 
 // isInPipeline reports whether a job depends on others, or others on it.
-func (d *dependencyResolver) isInPipeline(j *jobstate.Job) bool {
-	return len(j.Dependencies) > 0 || d.graph.HasDependents(j)
+func (d *dependencyResolver) isInPipeline(job *jobstate.Job) bool {
+	return len(job.Dependencies) > 0 || d.graph.HasDependents(job)
 }
 
 // addJob is called for each unfinished job that is new to this controller.
-func (d *dependencyResolver) addJob(j *jobstate.Job) {
-	if len(j.Dependencies) == 0 {
+func (d *dependencyResolver) addJob(job *jobstate.Job) {
+	if len(job.Dependencies) == 0 {
 		return
 	}
-	lastEndWall, cancelled := d.graph.Add(j, d.cache.knownEnd)
+	lastEndWall, cancelled := d.graph.Add(job, d.cache.knownEnd)
 	switch {
 	case cancelled:
-		d.deriveFromDependencies(j)
-	case j.IsBlocked():
-		j.DependenciesEndedWall = lastEndWall
+		d.deriveFromDependencies(job)
+	case job.IsBlocked():
+		job.DependenciesEndedWall = lastEndWall
 	default:
-		d.startDependent(j, lastEndWall)
+		d.startDependent(job, lastEndWall)
 	}
 }
 
 // startDependent makes a job ready to start. Its waiting time and start objective count from
 // the end of its last dependency. lastEndWall is a time of day, or 0 if the end is stored in the
 // first format, which has no time.
-func (d *dependencyResolver) startDependent(j *jobstate.Job, lastEndWall int64) {
-	j.ReadyAt = max(j.SubmittedAt, d.monotonicTime(lastEndWall))
+func (d *dependencyResolver) startDependent(job *jobstate.Job, lastEndWall int64) {
+	job.ReadyAt = max(job.SubmittedAt, d.monotonicTime(lastEndWall))
 	if d.elector.isLeader() {
 		d.elector.leadership.planning.requestRound()
 	}
@@ -82,19 +82,19 @@
 // cancelled as a result does the same for its own dependents.
 func (d *dependencyResolver) resolveDependents(id string, end jobstate.KnownEnd) {
 	released, cancelled := d.graph.RecordEnd(id, end.End)
-	for _, j := range released {
-		d.startDependent(j, j.DependenciesEndedWall)
+	for _, job := range released {
+		d.startDependent(job, job.DependenciesEndedWall)
 	}
-	for _, j := range cancelled {
-		d.deriveEnd(j, id, end)
+	for _, job := range cancelled {
+		d.deriveEnd(job, id, end)
 	}
 }
 
 // deriveFromDependencies ends a job that has a dependency known to be cancelled.
-func (d *dependencyResolver) deriveFromDependencies(j *jobstate.Job) {
-	for _, id := range j.Dependencies {
+func (d *dependencyResolver) deriveFromDependencies(job *jobstate.Job) {
+	for _, id := range job.Dependencies {
 		if end, ok := d.cache.knownEnd(id); ok && end.Outcome == jobstate.Cancelled {
-			d.deriveEnd(j, id, end)
+			d.deriveEnd(job, id, end)
 			return
 		}
 	}
@@ -104,22 +104,22 @@
 // that dependency or sweep. Every controller derives such ends by itself, from stored ends
 // and dependencies that never change. So all users see the cancellation at once, however
 // many jobs are affected, and the leader stores the ends as its write budget allows.
-func (d *dependencyResolver) deriveEnd(j *jobstate.Job, from string, fromEnd jobstate.KnownEnd) {
-	if j.Outcome() != "" {
+func (d *dependencyResolver) deriveEnd(job *jobstate.Job, from string, fromEnd jobstate.KnownEnd) {
+	if job.Outcome() != "" {
 		return
 	}
-	d.graph.Remove(j)
-	d.endMonitor.recordDerived(j.ID, from, fromEnd)
-	d.cache.recordEnd(j.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: j.Tasks}))
+	d.graph.Remove(job)
+	d.endMonitor.recordDerived(job.ID, from, fromEnd)
+	d.cache.recordEnd(job.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: job.Tasks}))
 }
 
 // dependenciesKnown reports whether a job is certainly not cancelled by an end that this
 // controller has not read yet.
-func (d *dependencyResolver) dependenciesKnown(j *jobstate.Job) bool {
-	if !j.IsBlocked() {
+func (d *dependencyResolver) dependenciesKnown(job *jobstate.Job) bool {
+	if !job.IsBlocked() {
 		return true
 	}
-	return d.graph.IsResolved(j, func(id string) *jobstate.Job { return d.cache.jobs[id] })
+	return d.graph.IsResolved(job, func(id string) *jobstate.Job { return d.cache.jobs[id] })
 }
 
 // tick reads the ends of dependencies that this controller does not know. This happens
@@ -143,8 +143,8 @@
 }
 
 func (d *dependencyResolver) isUnfinished(id string) bool {
-	j := d.cache.jobs[id]
-	return j != nil && j.Outcome() == ""
+	job := d.cache.jobs[id]
+	return job != nil && job.Outcome() == ""
 }
 
 // countUnknownEnds counts the dependencies that are not unfinished and whose end this
@@ -214,8 +214,8 @@
 func (d *dependencyResolver) checkDependencies(r *request) {
 	for ; r.dependenciesChecked < len(r.spec.Dependencies); r.dependenciesChecked++ {
 		id := r.spec.Dependencies[r.dependenciesChecked]
-		if j := d.cache.jobs[id]; j != nil {
-			if j.Kind == jobstate.Service {
+		if job := d.cache.jobs[id]; job != nil {
+			if job.Kind == jobstate.Service {
 				d.refuseService(r, id)
 				return
 			}
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -60,8 +60,8 @@
 // stored.
 func (m *endMonitor) countUnstoredEnds() int {
 	n := 0
-	for _, j := range m.cache.jobs {
-		if j.Outcome() != "" && !j.End().IsStored() {
+	for _, job := range m.cache.jobs {
+		if job.Outcome() != "" && !job.End().IsStored() {
 			n++
 		}
 	}
--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -31,13 +31,13 @@
 }
 
 // recordDoneJob adds a job that is done.
-func (r *imageHistory) recordDoneJob(j *jobstate.Job) {
-	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
+func (r *imageHistory) recordDoneJob(job *jobstate.Job) {
+	if job.Image == "" || job.Truncated || slices.ContainsFunc(r.done[job.Image], func(s *jobstate.Spec) bool { return s.ID == job.ID }) {
 		return
 	}
-	specs := append(r.done[j.Image], j.Spec)
-	r.done[j.Image] = specs[max(0, len(specs)-historyJobsPerImage):]
-	if r.images = appendUnique(r.images, j.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
+	specs := append(r.done[job.Image], job.Spec)
+	r.done[job.Image] = specs[max(0, len(specs)-historyJobsPerImage):]
+	if r.images = appendUnique(r.images, job.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
 		delete(r.done, r.images[0])
 		r.images = r.images[1:]
 	}
@@ -45,12 +45,12 @@
 
 // recordPlacement records a job's image as present on a machine, which fetches it if it lacks
 // it.
-func (r *imageHistory) recordPlacement(machine string, j *jobstate.Job) {
+func (r *imageHistory) recordPlacement(machine string, job *jobstate.Job) {
 	images, known := r.machines[machine]
-	if machine == "" || j.Image == "" || !known && len(r.machines) >= historyMachines {
+	if machine == "" || job.Image == "" || !known && len(r.machines) >= historyMachines {
 		return
 	}
-	images = appendUnique(images, hintImage{j.Image, j.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
+	images = appendUnique(images, hintImage{job.Image, job.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
 	r.machines[machine] = images[max(0, len(images)-historyImages):]
 }
 
--- a/internal/core/jobstatus.go
+++ b/internal/core/jobstatus.go
@@ -31,10 +31,10 @@
 }
 
 // stateOf returns the state of an unfinished job as users see it.
-func stateOf(j *jobstate.Job) *JobState {
-	state := &JobState{ID: j.ID, State: Queued, Done: min(j.NumDone, j.Tasks), Running: j.NumRunning}
-	if j.NumRunning == 0 && j.NumPlaced > 0 {
-		state.Running = j.NumPlaced // only the leader knows which of these are running
+func stateOf(job *jobstate.Job) *JobState {
+	state := &JobState{ID: job.ID, State: Queued, Done: min(job.NumDone, job.Tasks), Running: job.NumRunning}
+	if job.NumRunning == 0 && job.NumPlaced > 0 {
+		state.Running = job.NumPlaced // only the leader knows which of these are running
 	}
 	if state.Running > 0 {
 		state.State = Running
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -112,14 +112,14 @@
 }
 
 // addJob adds the pending changes of a job, as far as the limits allow.
-func (t *leaderTransaction) addJob(j *jobstate.Job) {
-	written := jobWrite{job: j}
+func (t *leaderTransaction) addJob(job *jobstate.Job) {
+	written := jobWrite{job: job}
 	switch {
-	case j.Outcome() == "" && j.NumDone == j.Tasks:
+	case job.Outcome() == "" && job.NumDone == job.Tasks:
 		t.addDoneJob(&written)
-	case j.Outcome() != "" && j.NumPlaced == 0:
+	case job.Outcome() != "" && job.NumPlaced == 0:
 		t.addEndedJob(&written)
-	case j.Outcome() != "":
+	case job.Outcome() != "":
 		// None of its tasks will be started again, so their exits need not be stored
 		// individually.
 	default:
@@ -136,24 +136,24 @@
 	if t.remainingWrites() < 2 {
 		return
 	}
-	j := written.job
-	t.requireOpenSweep(j)
+	job := written.job
+	t.requireOpenSweep(job)
 	proof := t.addEnd(written, jobstate.Done)
-	chunks, _ := j.StoredChunks()
-	if j.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.remainingWrites()) {
+	chunks, _ := job.StoredChunks()
+	if job.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.remainingWrites()) {
 		t.addRemoval(written, proof)
 		return
 	}
 	written.writesRecord = true
-	record := t.committer.requests.endedRecord(j, jobstate.Done)
-	t.add(Write{Key: jobPrefix + j.ID, Value: record}, j.Revision)
+	record := t.committer.requests.endedRecord(job, jobstate.Done)
+	t.add(Write{Key: jobPrefix + job.ID, Value: record}, job.Revision)
 }
 
 // addEndedJob removes the keys of a job that has ended, and adds its end if that is not known to
 // be stored.
 func (t *leaderTransaction) addEndedJob(written *jobWrite) {
-	j := written.job
-	proof, isStored := storedEndOf(j)
+	job := written.job
+	proof, isStored := storedEndOf(job)
 	if !isStored {
 		if t.remainingWrites() < 2 {
 			return
@@ -161,7 +161,7 @@
 		// An end that a peer reported is not necessarily stored. If the job's keys were
 		// removed without storing its end, every controller that starts later would treat
 		// the job as never accepted.
-		proof = t.addEnd(written, j.Outcome())
+		proof = t.addEnd(written, job.Outcome())
 	}
 	if t.remainingWrites() < 1 {
 		return
@@ -186,26 +186,26 @@
 }
 
 // storedEndOf returns the proof that a job's end is stored, if that is known.
-func storedEndOf(j *jobstate.Job) (proof endProof, isStored bool) {
-	end := j.End()
+func storedEndOf(job *jobstate.Job) (proof endProof, isStored bool) {
+	end := job.End()
 	return endProof{revision: end.Revision()}, end.IsStored()
 }
 
 // addEnd adds a job's end, on the condition that none is stored.
 func (t *leaderTransaction) addEnd(written *jobWrite, outcome string) endProof {
-	j := written.job
+	job := written.job
 	written.writesEnd = true
-	written.end = t.committer.requests.newEnd(outcome, j)
-	t.add(Write{Key: endPrefix + j.ID, Value: encodeJSON(written.end)}, 0)
+	written.end = t.committer.requests.newEnd(outcome, job)
+	t.add(Write{Key: endPrefix + job.ID, Value: encodeJSON(written.end)}, 0)
 	return endProof{writtenBy: t}
 }
 
 // requireOpenSweep makes the transaction conditional on the sweep of a run not having an end:
 // once a reply may have reported the sweep as cancelled, none of its runs may become done.
-func (t *leaderTransaction) requireOpenSweep(j *jobstate.Job) {
-	if j.Sweep != "" && !t.openSweeps[j.Sweep] {
-		t.openSweeps[j.Sweep] = true
-		t.conditions = append(t.conditions, kv.RevisionIs(sweepEndPrefix+j.Sweep, 0))
+func (t *leaderTransaction) requireOpenSweep(job *jobstate.Job) {
+	if job.Sweep != "" && !t.openSweeps[job.Sweep] {
+		t.openSweeps[job.Sweep] = true
+		t.conditions = append(t.conditions, kv.RevisionIs(sweepEndPrefix+job.Sweep, 0))
 	}
 }
 
@@ -215,38 +215,38 @@
 // From the second stored format on, it deletes the job's own key immediately. The chunks have no
 // meaning without their job, so addOrphanedChunks deletes them later when writes remain.
 func (t *leaderTransaction) addRemoval(written *jobWrite, proof endProof) {
-	j := written.job
+	job := written.job
 	written.proof = proof
 	if t.committer.membership.logEnabled() {
 		written.removesJob = true
-		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
+		t.add(Write{Key: jobPrefix + job.ID}, job.Revision)
 		return
 	}
 	remaining := t.remainingWrites()
-	chunks, revisions := j.StoredChunks()
+	chunks, revisions := job.StoredChunks()
 	written.removesJob = len(chunks)+1 <= remaining
 	written.removedChunks = chunks[:min(remaining, len(chunks))]
 	for i, ref := range written.removedChunks {
-		t.add(Write{Key: chunkKey(j.ID, ref)}, revisions[i])
+		t.add(Write{Key: chunkKey(job.ID, ref)}, revisions[i])
 	}
 	if written.removesJob {
-		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
+		t.add(Write{Key: jobPrefix + job.ID}, job.Revision)
 	}
 }
 
 // addChunks adds the changed chunks of an unfinished job, to the log if possible and otherwise as
 // values.
 func (t *leaderTransaction) addChunks(written *jobWrite) {
-	j := written.job
-	for _, index := range j.DirtyChunks() {
-		if version, ok := t.pages.append(j, index, t.remainingWrites()); ok {
+	job := written.job
+	for _, index := range job.DirtyChunks() {
+		if version, ok := t.pages.append(job, index, t.remainingWrites()); ok {
 			written.chunks = append(written.chunks, chunkWrite{index: index, version: version, logged: true})
 			continue
 		}
 		if t.remainingWrites() < 1 || t.isTooLarge() {
 			return
 		}
-		if t.lowBudget && !j.HasPlacementToWrite(index) && t.committer.now-j.Chunk(index).DirtySince < maxEndDelay {
+		if t.lowBudget && !job.HasPlacementToWrite(index) && t.committer.now-job.Chunk(index).DirtySince < maxEndDelay {
 			continue
 		}
 		t.addChunkValue(written, index)
@@ -255,23 +255,23 @@
 
 // addChunkValue adds a chunk as a complete value, or delays it if the value is too large.
 func (t *leaderTransaction) addChunkValue(written *jobWrite, index int) {
-	j := written.job
-	value, version := j.BeginChunkWrite(index, t.term.commits.nextLogEntry)
+	job := written.job
+	value, version := job.BeginChunkWrite(index, t.term.commits.nextLogEntry)
 	if len(value) > t.committer.membership.valueLimit() {
-		t.committer.deferOversizedChunk(j, index)
+		t.committer.deferOversizedChunk(job, index)
 		return
 	}
-	key := chunkKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: index})
-	t.add(Write{Key: key, Value: value}, j.Chunk(index).Revision)
+	key := chunkKey(job.ID, jobstate.ChunkRef{ChunkSize: job.ChunkSize(), Index: index})
+	t.add(Write{Key: key, Value: value}, job.Chunk(index).Revision)
 	written.chunks = append(written.chunks, chunkWrite{index: index, version: version})
 }
 
 // deferOversizedChunk delays a chunk whose value is too large, and requests smaller chunks.
-func (c *committer) deferOversizedChunk(j *jobstate.Job, index int) {
-	j.AbortChunkWrite(index)
+func (c *committer) deferOversizedChunk(job *jobstate.Job, index int) {
+	job.AbortChunkWrite(index)
 	commits := &c.elector.leadership.commits
-	commits.backoffUntil[j] = c.now + splitBackoff
-	if j.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
+	commits.backoffUntil[job] = c.now + splitBackoff
+	if job.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
 		commits.requestedChunkTasks = c.membership.chunkTasks / 2
 	}
 }
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -73,8 +73,8 @@
 }
 
 func (o *operatorViewer) viewJobs(v *OperatorView) {
-	for _, j := range o.cache.jobs {
-		if j.Outcome() == "" && j.IsBlocked() {
+	for _, job := range o.cache.jobs {
+		if job.Outcome() == "" && job.IsBlocked() {
 			v.Awaiting++
 		}
 	}
@@ -231,12 +231,12 @@
 	}
 	for _, pivot := range planning.pivots {
 		queue := &v.Queues[pivot.queue]
-		j := o.cache.jobs[pivot.job]
-		if j == nil || queue.Pivot != "" {
+		job := o.cache.jobs[pivot.job]
+		if job == nil || queue.Pivot != "" {
 			continue
 		}
 		queue.Pivot = pivot.job
-		queue.WaitsS = inSeconds(o.now - j.ReadyAt)
+		queue.WaitsS = inSeconds(o.now - job.ReadyAt)
 		queue.Reason = o.waitReason(pivot)
 		if pivot.startAt > 0 {
 			queue.StartsS = inSeconds(max(0, pivot.startAt-o.now))
@@ -249,9 +249,9 @@
 	if pivot.startAt != 0 {
 		return "for running tasks to end"
 	}
-	j := o.cache.jobs[pivot.job]
+	job := o.cache.jobs[pivot.job]
 	for _, machine := range o.elector.leadership.fleet.All() {
-		if o.planner.usable(machine) && j.Allows(machine.Type, machine.Zone, machine.Spot, machine.Cap) {
+		if o.planner.usable(machine) && job.Allows(machine.Type, machine.Zone, machine.Spot, machine.Cap) {
 			return "too few machines that it may use are up"
 		}
 	}
