--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -47,8 +47,8 @@
 // retryCancellation continues a cancellation whose transaction conditions failed, after a
 // new read of the state.
 func (h *requestHandler) retryCancellation(r *request) {
-	r.tries++
-	if r.tries > maxWriteTries {
+	r.retries++
+	if r.retries > maxWriteRetries {
 		h.refuse(r)
 		return
 	}
--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -54,12 +54,12 @@
 	}
 }
 
-// cloudListings keeps the newest entry of each machine.
+// cloudListings keeps the newest list entry of each machine.
 type cloudListings struct{ entries map[string]listedAge }
 
-// read processes a list that is sorted by name and describes times between from and to. It returns
-// the names of the machines that the list proves to be gone.
-func (c *cloudListings) read(from, to int64, list []CloudMachine) (gone []string) {
+// update merges a list into the entries and returns the names of the machines that the list proves
+// to be gone. The list is sorted by name and describes times between from and to.
+func (c *cloudListings) update(from, to int64, list []CloudMachine) (gone []string) {
 	if c.entries == nil {
 		c.entries = map[string]listedAge{}
 	}
@@ -110,7 +110,7 @@
 	}
 	state.listedAt = s.now
 	earliest := state.listStartedAt - 2*config.MicrosOf(s.settings.Cloud.ListLagS) - second
-	s.forgetReclaimed(state.listings.read(earliest, s.now, m.List))
+	s.forgetReclaimed(state.listings.update(earliest, s.now, m.List))
 	for name, at := range state.scaledInAt {
 		if s.now-at > scaledInRetention {
 			delete(state.scaledInAt, name)
--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -35,7 +35,7 @@
 			var listings cloudListings
 			got := ""
 			for _, r := range tc.reads {
-				got += strings.Join(listings.read(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
+				got += strings.Join(listings.update(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
 			}
 			if got != tc.want {
 				t.Errorf("machines proven gone: got %q, want %q", got, tc.want)
@@ -83,7 +83,7 @@
 					list = append(list, CloudMachine{Name: n, Age: moment - x.made})
 				}
 			}
-			for _, n := range listings.read(now-8*second, now, list) {
+			for _, n := range listings.update(now-8*second, now, list) {
 				proven[n] = true
 				if lifetimes[n].gone > now {
 					t.Fatalf("%s is reported as gone %d ms before it is gone", n, (lifetimes[n].gone-now)/1000)
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -11,7 +11,7 @@
 // Delays of the committer, in microseconds.
 const (
 	// commitGap is the minimum time between transactions, in which changes are batched;
-	// lowBudgetCommitGap is that while the write budget is low.
+	// lowBudgetCommitGap replaces it while the write budget is low.
 	commitGap          = 60_000
 	lowBudgetCommitGap = 200_000
 	// commitRetryGap is the minimum time from the failure of a transaction to the next one.
@@ -36,12 +36,14 @@
 	// requestedChunkTasks is a smaller number of tasks per chunk, requested after a value did
 	// not fit; 0 if none is requested.
 	requestedChunkTasks int
-	// backoffUntil has the jobs whose writes were rejected or too large. singleJobWrites
-	// makes each transaction write one job only, to find the one that is rejected.
+	// backoffUntil has, for each job whose write was rejected or too large, the time before
+	// which the job is not written. singleJobWrites makes each transaction write one job only,
+	// to find the job whose write is rejected.
 	backoffUntil    map[*jobstate.Job]int64
 	singleJobWrites bool
-	// logTail is the page that is appended to, nextLogEntry the sequence number of the next
-	// entry, removablePages the number of pages at the front that can be removed.
+	// logTail is the page of the progress log to which entries are appended, nextLogEntry the
+	// sequence number of the next entry, and removablePages the number of pages at the front
+	// of the log that can be removed.
 	logTail        *logPage
 	nextLogEntry   uint64
 	removablePages int
@@ -220,10 +222,10 @@
 	})
 }
 
-// abandonOverdue stops waiting for the answer to a transaction that is clearly overdue. As there
-// is one transaction at a time, all task starts would otherwise wait for a lost answer until its
-// deadline. The changes are written again under the same revisions, so that only one of the two
-// transactions can succeed.
+// abandonOverdue stops waiting for the answer to a transaction if that answer is clearly overdue.
+// As there is one transaction at a time, all task starts would otherwise wait for a lost answer
+// until the transaction's deadline. The changes are written again on the condition of the same
+// revisions, so that only one of the two transactions can succeed.
 func (c *committer) abandonOverdue() {
 	commits := &c.elector.leadership.commits
 	if !commits.inFlight || !c.transactions.IsOverdue(commits.inFlightID, c.now) {
@@ -321,7 +323,8 @@
 }
 
 // onMalformed handles a transaction that the state service rejects as malformed, possibly because
-// its limits were lowered. A write that is rejected again on its own must not block the others.
+// the service's limits were lowered. A job whose write is rejected in a transaction of its own is
+// backed off, so that it does not block the others.
 func (c *committer) onMalformed(t *leaderTransaction) {
 	commits := &t.term.commits
 	if len(t.jobs) == 0 {
@@ -333,7 +336,7 @@
 	if !c.membership.useLowerLimits() {
 		c.membership.lowerLimits("a transaction was refused")
 		if c.membership.useLowerLimits() {
-			return // it is built again, within the lower limits
+			return // the changes are written again, within the lower limits
 		}
 	}
 	commits.logTail = nil // the entries of that page go into a new one
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// resolveDependents applies the end of a job to the jobs that depend on it. Each job that is
-// cancelled as a result does the same for its own dependents.
+// resolveDependents applies the end of a job to the jobs that depend on it. If one of them is
+// cancelled as a result, its end is applied to its own dependents in the same way.
 func (d *dependencyResolver) resolveDependents(id string, end jobstate.KnownEnd) {
 	released, cancelled := d.graph.RecordEnd(id, end.End)
 	for _, job := range released {
@@ -113,8 +113,9 @@
 	d.cache.recordEnd(job.ID, jobstate.DerivedEnd(jobstate.End{Outcome: jobstate.Cancelled, Tasks: job.Tasks}))
 }
 
-// dependenciesKnown reports whether a job is certainly not cancelled by an end that this
-// controller has not read yet.
+// dependenciesKnown reports whether all direct and indirect dependencies that a job waits for are
+// known to be unfinished. Otherwise an end that this controller has not read yet may have
+// cancelled the job.
 func (d *dependencyResolver) dependenciesKnown(job *jobstate.Job) bool {
 	if !job.IsBlocked() {
 		return true
@@ -147,14 +148,14 @@
 	return job != nil && job.Outcome() == ""
 }
 
-// countUnknownEnds counts the dependencies that are not unfinished and whose end this
-// controller does not know.
+// countUnknownEnds counts the dependencies of which this controller knows neither an unfinished
+// job nor an end.
 func (d *dependencyResolver) countUnknownEnds() int {
 	return len(d.graph.Unresolved(d.isUnfinished, math.MaxInt))
 }
 
-// countEndReads counts the reads in flight and removes the entries of those that may be
-// repeated.
+// countEndReads counts the reads in flight and removes the entries of ends that may be read
+// again.
 func (d *dependencyResolver) countEndReads() int {
 	inFlight := 0
 	for id, retryAt := range d.endReads {
@@ -205,7 +206,8 @@
 	})
 }
 
-// mayReadRunEnd reports whether the end of a run was not read within endReadRetry.
+// mayReadRunEnd reports whether the last read of a run's end, if any, is at least endReadRetry
+// ago.
 func (d *dependencyResolver) mayReadRunEnd(id string) bool { return d.endReads[id] <= d.now }
 
 // checkDependencies queues the write of a submission once all its dependencies are known to
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -73,7 +73,7 @@
 func (h *requestHandler) retryLookup(requests []*request) {
 	lookups := &h.queues.endLookups
 	for _, r := range requests {
-		r.tries++
+		r.retries++
 		late := h.now-r.receivedAt > r.maxWait()*3/4
 		if late || h.health.unavailable() || lookups.Waiting() >= maxQueuedRequests {
 			h.refuse(r)
--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -6,10 +6,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// imageHistory is what a controller knows of images from the stored state that it has seen, so
-// that it knows as much as the previous leader when it becomes the leader: the specs of done
-// jobs, which name their images, and the images of the tasks that were placed on each machine.
-// A controller that has just started gets the same from the image hints.
+// imageHistory is what a controller has learned about images from the stored state that it has
+// read: the specs of done jobs, which name their images, and the images of the tasks that were placed
+// on each machine. With it, a new leader knows as much about images as the previous one did.
+// A controller that has just started gets the same information from the image hints.
 type imageHistory struct {
 	// done are the most recently done jobs of each image; images are the names of these
 	// images, the most recent last.
@@ -43,8 +43,8 @@
 	}
 }
 
-// recordPlacement records a job's image as present on a machine, which fetches it if it lacks
-// it.
+// recordPlacement records the image of a job as present on a machine on which a task of the job
+// was placed; a machine that lacks the image fetches it.
 func (r *imageHistory) recordPlacement(machine string, job *jobstate.Job) {
 	images, known := r.machines[machine]
 	if machine == "" || job.Image == "" || !known && len(r.machines) >= historyMachines {
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -25,14 +25,14 @@
 	Queues     []QueueView     `json:"queues,omitempty"`
 	Machines   MachinesView    `json:"machines"`
 	Jobs       int             `json:"unfinished_jobs"`
-	// AnswersForS is how long a leader may still answer workers without newer proof of
-	// its authority, in seconds, negative if that time has passed.
+	// AnswersForS is the time for which a leader may still answer workers without newer proof
+	// of its authority, in seconds; it is negative if that time has passed.
 	AnswersForS float64 `json:"answers_for_s,omitempty"`
 	// Awaiting counts the unfinished jobs that wait for their dependencies.
 	Awaiting int `json:"awaiting_jobs"`
-	// UnstoredEnds counts the jobs whose ends are known and not known to be stored. It
-	// returns to 0 within seconds on every controller. Ends has counts of how ends were
-	// learned.
+	// UnstoredEnds counts the jobs whose ends are known but not known to be stored. It
+	// returns to 0 within seconds on every controller. Ends counts how ends were learned
+	// and looked up.
 	UnstoredEnds int       `json:"unstored_ends"`
 	Ends         EndCounts `json:"ends"`
 	// Format is the version of stored data. LimitsLowered is set if the announced lower
@@ -50,14 +50,14 @@
 	Latencies []LatencyView `json:"latencies,omitempty"`
 }
 
-// FeatureView is a feature, and the reasons why it is not enabled if it is off.
+// FeatureView is a feature and, if it is not enabled, the reasons for that.
 type FeatureView struct {
 	Name string   `json:"name"`
 	On   bool     `json:"on"`
 	Held []string `json:"held_back,omitempty"`
 }
 
-// MemberView is what a controller advertises: its program version, 0 if it advertises none,
+// MemberView is what a controller advertises: its program version (0 if it advertises none),
 // the newest format that it can read, its features, and the features that its operators
 // withhold.
 type MemberView struct {
@@ -73,7 +73,7 @@
 	Links []LinkView `json:"links"`
 	// Matrix has the connectivity that each controller that could lead advertises.
 	Matrix map[string]ConnectivityRowView `json:"matrix"`
-	// SteppedAside is when this controller last stepped down in favour of another.
+	// SteppedAside describes how this controller last stepped down in favour of another.
 	SteppedAside *LeadershipTransferView `json:"gave_way,omitempty"`
 }
 
@@ -86,9 +86,9 @@
 	AgeS float64 `json:"proven_s_ago"`
 }
 
-// ConnectivityRowView is what a controller reaches: eighths of the machines of each zone, the
-// eighths that it would serve as the leader, including machines reached through other
-// controllers, the controllers that respond to it, and whether it reaches the cloud.
+// ConnectivityRowView is what a controller reaches: the share of each zone's machines, in eighths;
+// the share that it would serve as the leader, including machines reached through other
+// controllers; the controllers that respond to it; and whether it reaches the cloud.
 type ConnectivityRowView struct {
 	Workers map[string]int `json:"workers_eighths"`
 	Leading map[string]int `json:"as_leader_eighths"`
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// viewAuthority adds how long the leader may still answer workers and, while the state
+// viewAuthority adds the time for which the leader may still answer workers and, while the state
 // service does not respond, the controllers whose read leases are stale.
 func (o *operatorViewer) viewAuthority(v *OperatorView, term *leadership) {
 	v.AnswersForS = inSeconds(term.authorityProvenAt() + o.settings.LeaderAuthorityTime() - o.now)
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -14,9 +14,9 @@
 // does no work and can be stopped at any time.
 //
 // Only completed tasks are used: those that this leader itself has seen completed and, once the
-// previous leader's prefetches must have ended, those that it left. Each is used on one machine at
-// a time, only where its job allows it, and within its team's limit. Prefetches are not stored: to a
-// later leader they are tasks without a placement, which it stops.
+// previous leader's prefetches must have ended, those of earlier terms. Each is used on one machine
+// at a time, only where its job allows it, and within its team's limit. Prefetches are not stored:
+// to a later leader they are tasks without a placement, which it stops.
 
 const (
 	// prefetchInterval is the time between two rounds of prefetching.
@@ -114,8 +114,8 @@
 	return idle
 }
 
-// startPrefetch records that a source is to be started on a machine by the answer to its next
-// heartbeat.
+// startPrefetch assigns a source to a machine. The answer to the machine's next heartbeat starts
+// the prefetch.
 func (p *prefetcher) startPrefetch(m *fleet.Machine, source *prefetchSource) {
 	term := p.elector.leadership
 	spec := source.spec
@@ -152,8 +152,8 @@
 	machines int // number of idle machines that have the image
 }
 
-// scoreForNext returns the score of loading the image on one more machine. It makes the number of
-// machines with an image proportional to its share of the demand.
+// scoreForNext returns the score of loading the image on one more machine. Loading the image with
+// the highest score makes the number of machines with an image proportional to the demand for it.
 func (w *wantedImage) scoreForNext() float64 { return w.score / float64(1+w.machines) }
 
 type wantedImages []wantedImage
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minPrefetchSources is how many sources of an image may be kept in any fleet; one more
-	// may be kept for every machinesPerSource machines.
+	// minPrefetchSources is the number of sources of an image that may be kept for a fleet of
+	// any size; one more may be kept for every machinesPerSource machines.
 	minPrefetchSources = 12
 	machinesPerSource  = 16
 	// cachePercent is the percentage of a machine's image cache up to which prefetches may
@@ -49,8 +49,8 @@
 	s.job.running--
 }
 
-// addPrefetchSources adds the tasks of a job as prefetch sources. The job must be done, and no task of
-// it may be on a machine any more. The number of sources per image grows with the size of the fleet.
+// addPrefetchSources adds the tasks of a job as prefetch sources. The job must be done, and none of
+// its tasks may be on a machine any more. The limit on sources per image grows with the fleet.
 func (p *prefetcher) addPrefetchSources(spec *jobstate.Spec) {
 	if spec.Image == "" || spec.Spread || spec.Kind == jobstate.Service {
 		return
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -24,11 +24,11 @@
 	// order. If not all jobs can meet their deadlines, those with little work go first,
 	// because they delay the others least.
 	shortFirstFactor = 10
-	// onDemandReserveTime is how long a job that may use only on-demand machines keeps
-	// them reserved for such jobs.
+	// onDemandReserveTime is the time for which on-demand machines stay reserved for jobs
+	// that may not use spot machines, counted from when there last was such a job.
 	onDemandReserveTime = 600 * second
-	// lateJobYieldFactor is the multiple of its deadline for which a job that can't meet
-	// the deadline yields to others.
+	// A job that can't meet its deadline yields to others until its age is
+	// lateJobYieldFactor times the deadline.
 	lateJobYieldFactor = 8
 )
 
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -11,9 +11,9 @@
 	maxWriteWait      = 3_500_000 // µs, of the 5 s that users wait for a submission
 	maxQueuedRequests = 2000
 
-	// maxWriteTries is the maximum number of retries of a request with a write. Retries of the
+	// maxWriteRetries is the maximum number of retries of a request with a write. Retries of the
 	// lookup of an end count as well.
-	maxWriteTries = 4
+	maxWriteRetries = 4
 )
 
 // request is an unfinished request of a user or a follower. It is received, waits for a
@@ -28,8 +28,8 @@
 	receivedAt int64
 	// forwarded is set if a peer has forwarded the request; it is not forwarded again.
 	forwarded bool
-	// tries is the number of writes and lookups of this request that had to be repeated.
-	tries int
+	// retries is the number of writes and lookups of this request that had to be repeated.
+	retries int
 
 	// spec is the submitted job. For a submitted sweep it has the sweep's id and the jobs
 	// outside the sweep that its runs depend on.
@@ -189,7 +189,7 @@
 
 // waitForRead queues a request for the next read of the state.
 func (h *requestHandler) waitForRead(r *request) {
-	if !h.cache.synced || h.health.unavailable() && r.tries == 0 || h.queues.stateReads.Waiting() >= maxQueuedRequests {
+	if !h.cache.synced || h.health.unavailable() && r.retries == 0 || h.queues.stateReads.Waiting() >= maxQueuedRequests {
 		h.refuse(r)
 		return
 	}
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -16,8 +16,8 @@
 	// first heartbeat, and unknownBootTimeout the time for a machine of an unknown type.
 	minBootTimeout     = 120 * second
 	unknownBootTimeout = 300 * second
-	// recentlySilent is how long after its last heartbeat a machine without work counts as
-	// silent.
+	// recentlySilent is the time after its last heartbeat until which a machine without work
+	// can count as silent.
 	recentlySilent = 60 * second
 )
 
@@ -45,9 +45,9 @@
 // of a silent machine guarantees that its tasks have ended.
 func (s *scaler) scaleInTick(takeCall func() bool, targets []zoneTarget) {
 	if !s.elector.mayStartTasks() {
-		// This leader may have been replaced, and its successor may use the machines:
-		// otherwise a partitioned leader would return machines that have come up for
-		// the next one. Returns that were queued before wait as well.
+		// This leader may have been replaced. If it is partitioned, it gets no heartbeats
+		// from machines that have come up and serve its successor, and must not return
+		// them. Returns that are already queued wait as well.
 		return
 	}
 	survey := s.surveyMachines(targets)
@@ -87,15 +87,16 @@
 	return survey
 }
 
-// isIdleForLong reports whether a machine has been idle for longer than is allowed for machines
-// that are not kept as spare machines. A new leader waits, as it does not know how long machines have been idle.
+// isIdleForLong reports whether a machine has been idle for so long that it is returned unless it
+// is kept as a spare machine. A new leader waits, as it does not know how long machines have been
+// idle.
 func (s *scaler) isIdleForLong(m *fleet.Machine) bool {
 	return m.IdleSince != 0 && len(m.Placed) == 0 && s.now-m.IdleSince > s.idleReturnTime() &&
 		s.now-s.elector.leadership.since > s.settings.Ops.IdleReturn
 }
 
-// isPresumedDead reports whether a machine has been silent for too long. About half of that time
-// is enough for a machine that the cloud should have reclaimed by now.
+// isPresumedDead reports whether a machine has been silent for so long that it is presumed dead.
+// About half of that time is enough for a machine that the cloud should have reclaimed by now.
 func (s *scaler) isPresumedDead(m *fleet.Machine, silence int64) bool {
 	interval := s.heartbeatInterval()
 	return silence > 4*interval+2*second || m.ReclaimAt != 0 && s.now > m.ReclaimAt && silence > 2*interval
@@ -162,8 +163,8 @@
 	}
 }
 
-// bootTimeout returns how long after it was rented a machine of the type may take to send its
-// first heartbeat.
+// bootTimeout returns the time within which a machine of a type must send its first heartbeat,
+// counted from its rental.
 func (s *scaler) bootTimeout(machineType string) int64 {
 	for i := range s.cache.machineTypes {
 		if s.cache.machineTypes[i].Name == machineType {
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -13,13 +13,13 @@
 	maxScaleOut = 50
 	// maxUnanswered is the maximum number of unanswered requests that are repeated.
 	maxUnanswered = 32
-	// scaleOutGrace is how long a new leader waits for the heartbeats of existing machines
-	// before it scales out.
+	// scaleOutGrace is the time for which a new leader waits for the heartbeats of existing
+	// machines before it scales out.
 	scaleOutGrace = 5 * second
 	// liveWithin is the maximum age of the last heartbeat of a machine that counts as live.
 	liveWithin = 15 * second
-	// minOfferBackoff and maxOfferBackoff bound how long an offer is not requested again
-	// after a refusal.
+	// minOfferBackoff and maxOfferBackoff bound the time for which an offer is not requested
+	// again after a refusal.
 	minOfferBackoff = 8 * second
 	maxOfferBackoff = 40 * second
 	// unboundedTasks is the assumed number of tasks without resource needs that fit on a
@@ -105,8 +105,8 @@
 	return counts
 }
 
-// chooseScaleOut returns how many more machines a pool should have, and the offer by which to rent
-// them. The number is 0 if the pool has enough machines or there is no offer.
+// chooseScaleOut returns the offer by which to rent machines for a pool, and the number of machines
+// to rent in one request. The number is 0 if the pool has enough machines or there is no offer.
 func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, targets []zoneTarget) (machineOffer, int) {
 	needed := s.shortage(t, pool)
 	s.elector.leadership.scaling.recordBusy(pool, count.busy, s.now, s.idleReturnTime())
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -6,9 +6,9 @@
 	callRateShare = 0.85
 	// maxCloudCalls is the maximum number of concurrent calls.
 	maxCloudCalls = 4
-	// listCallShare is the share of the calls that may be used to list machines more often
-	// than once every listPageInterval per page: a list shows which machines were reclaimed
-	// without notice.
+	// Machines are listed at least once every listPageInterval per page of the list, and more
+	// often, but at most every listPageInterval, while that takes no more than listCallShare of
+	// the calls: a list shows which machines were reclaimed without notice.
 	listCallShare    = 0.1
 	listPageInterval = 5 * second
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// refillCalls adds the calls that the rate has allowed since the last refill to the budget.
+// refillCalls adds to the budget the calls that the rate has allowed since the last refill.
 func (s *scalingState) refillCalls(now int64, rate float64) {
 	s.callBudget = min(s.callBudget+float64(now-s.refilledAt)/1e6*rate, 2*rate)
 	s.refilledAt = now
@@ -119,8 +119,8 @@
 	s.scaleOutTick(state.takeCall, targets)
 }
 
-// typesDue reports whether the machine types must be listed, which is more often while none are
-// known.
+// typesDue reports whether the machine types must be listed. While none are known, they are listed
+// more often.
 func (s *scaler) typesDue() bool {
 	listedAt := s.elector.leadership.scaling.typesListedAt
 	if (len(s.cache.machineTypes) == 0 || listedAt == 0) && s.now-listedAt >= typesRetryGap {
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -134,9 +134,10 @@
 	t.elector.leadership.planning.requestRound()
 }
 
-// clearGone clears the placements of attempts that are proven to be gone: lost ones were on their
-// machine, the others were never started. It handles them in sorted order, because the rest of a
-// gang is stopped for each of them and changes are written in the order in which they were made.
+// clearGone clears the placements of attempts that are proven to be gone: those in lost were on
+// their machines, those in neverStarted were not. It handles them in sorted order, because each
+// lost task stops the rest of its gang, and changes are written in the order in which they were
+// made.
 func (t *taskManager) clearGone(lost, neverStarted []fleet.TaskRef) {
 	fleet.SortTaskRefs(lost)
 	for _, ref := range lost {
--- a/internal/core/writequeue.go
+++ b/internal/core/writequeue.go
@@ -11,7 +11,7 @@
 // queueWrite queues the write of a submission or cancellation until the write budget
 // allows it.
 func (h *requestHandler) queueWrite(r *request) {
-	if len(h.queues.queuedWrites) >= maxQueuedRequests || h.health.unavailable() && r.tries == 0 {
+	if len(h.queues.queuedWrites) >= maxQueuedRequests || h.health.unavailable() && r.retries == 0 {
 		h.refuse(r)
 		return
 	}
@@ -59,8 +59,8 @@
 // retryWrite repeats a write that failed or whose outcome is unknown. This is safe because
 // the write's conditions hold only if it was not executed before.
 func (h *requestHandler) retryWrite(r *request) {
-	r.tries++
-	if r.tries > maxWriteTries || h.now-r.receivedAt > maxWriteWait {
+	r.retries++
+	if r.retries > maxWriteRetries || h.now-r.receivedAt > maxWriteWait {
 		h.refuse(r)
 		return
 	}
