--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -7,9 +7,9 @@
 )
 
 // imageHistory is what a controller has learned about images from the stored state that it has
-// read: the specs of done jobs, which name their images, and the images of the tasks that were placed
-// on each machine. With it, a new leader knows as much about images as the previous one did.
-// A controller that has just started gets the same information from the image hints.
+// read: the specs of done jobs, which name their images, and the images of the tasks that were
+// placed on each machine. With it, a new leader knows as much about images as the previous one
+// did. A controller that has just started gets the same information from the image hints.
 type imageHistory struct {
 	// done are the most recently done jobs of each image; images are the names of these
 	// images, the most recent last.
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -65,9 +65,9 @@
 	total, fetching map[string]int
 }
 
-// mayFetch reports whether one more machine of a type may prefetch. Half of the idle machines of each
-// type stay free for new jobs. If they were counted over all types, the many small machines would use
-// up the prefetches of the few machines whose images matter most.
+// mayFetch reports whether one more machine of a type may prefetch. Half of the idle machines of
+// each type stay free for new jobs. If they were counted over all types, the many small machines
+// would use up the prefetches of the few machines whose images matter most.
 func (i *idleMachines) mayFetch(machineType string) bool {
 	return i.fetching[machineType] < (i.total[machineType]+1)/2
 }
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -25,9 +25,9 @@
 	machine string // the machine on which it runs, empty if none
 }
 
-// prefetchJob is the state that the prefetch sources of one completed job share: how many of them run,
-// and the zone in which the last one was started. If the job sets one_zone, its sources may only run in
-// one zone at a time, because one_zone also applies to tasks that are started again.
+// prefetchJob is the state that the prefetch sources of one completed job share: the number of them
+// that run, and the zone in which the last one was started. If the job sets one_zone, its sources
+// may only run in one zone at a time, because one_zone also applies to tasks that are started again.
 type prefetchJob struct {
 	running int
 	zone    string
@@ -71,8 +71,8 @@
 	state.sources[spec.Image] = sources
 }
 
-// pickSource returns a source of the most wanted image that the machine lacks, has cache space for and
-// is allowed to get, or nil if there is none.
+// pickSource returns a source of the most wanted image that the machine lacks, has cache space for
+// and is allowed to get, or nil if there is none.
 func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wanted wantedImages) *prefetchSource {
 	var cachedMB int64
 	for _, image := range m.Images {
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -33,7 +33,8 @@
 )
 
 // queueOf returns the queue of a job by its estimate: equation (1) of the paper that package
-// sched implements, with the cutoffs from the settings. Services never end and go to the long queue.
+// sched implements, with the cutoffs from the settings. Services never end and go to the long
+// queue.
 func (p *planner) queueOf(spec *jobstate.Spec) int {
 	switch {
 	case spec.Kind == jobstate.Service:
