--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -35,7 +35,7 @@
 			var listings cloudListings
 			got := ""
 			for _, r := range tc.reads {
-				got += strings.Join(listings.read(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
+				got += strings.Join(listings.update(r.at*second-lag, r.at*second, listedAt(r.names, r.describes*second)), "")
 			}
 			if got != tc.want {
 				t.Errorf("machines proven gone: got %q, want %q", got, tc.want)
@@ -83,7 +83,7 @@
 					list = append(list, CloudMachine{Name: name, Age: moment - life.made})
 				}
 			}
-			for _, name := range listings.read(now-8*second, now, list) {
+			for _, name := range listings.update(now-8*second, now, list) {
 				proven[name] = true
 				if lifetimes[name].gone > now {
 					t.Fatalf("machine %s: got it reported as gone %d ms early, want it reported only once it is gone", name, (lifetimes[name].gone-now)/1000)
--- a/internal/core/imagehistory.go
+++ b/internal/core/imagehistory.go
@@ -6,10 +6,10 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// imageHistory is what a controller knows of images from the stored state that it has seen, so
-// that it knows as much as the previous leader when it becomes the leader: the specs of done
-// jobs, which name their images, and the images of the tasks that were placed on each machine.
-// A controller that has just started gets the same from the image hints.
+// imageHistory is what a controller has learned about images from the stored state that it has
+// read: the specs of done jobs, which name their images, and the images of the tasks that were
+// placed on each machine. With it, a new leader knows as much about images as the previous one
+// did. A controller that has just started gets the same information from the image hints.
 type imageHistory struct {
 	// done are the most recently done jobs of each image; images are the names of these
 	// images, the most recent last.
@@ -31,26 +31,26 @@
 }
 
 // recordDoneJob adds a job that is done.
-func (r *imageHistory) recordDoneJob(j *jobstate.Job) {
-	if j.Image == "" || j.Truncated || slices.ContainsFunc(r.done[j.Image], func(s *jobstate.Spec) bool { return s.ID == j.ID }) {
+func (r *imageHistory) recordDoneJob(job *jobstate.Job) {
+	if job.Image == "" || job.Truncated || slices.ContainsFunc(r.done[job.Image], func(s *jobstate.Spec) bool { return s.ID == job.ID }) {
 		return
 	}
-	specs := append(r.done[j.Image], j.Spec)
-	r.done[j.Image] = specs[max(0, len(specs)-historyJobsPerImage):]
-	if r.images = appendUnique(r.images, j.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
+	specs := append(r.done[job.Image], job.Spec)
+	r.done[job.Image] = specs[max(0, len(specs)-historyJobsPerImage):]
+	if r.images = appendUnique(r.images, job.Image, func(a, b string) bool { return a == b }); len(r.images) > maxImagesTracked {
 		delete(r.done, r.images[0])
 		r.images = r.images[1:]
 	}
 }
 
-// recordPlacement records a job's image as present on a machine, which fetches it if it lacks
-// it.
-func (r *imageHistory) recordPlacement(machine string, j *jobstate.Job) {
+// recordPlacement records the image of a job as present on a machine on which a task of the job
+// was placed; a machine that lacks the image fetches it.
+func (r *imageHistory) recordPlacement(machine string, job *jobstate.Job) {
 	images, known := r.machines[machine]
-	if machine == "" || j.Image == "" || !known && len(r.machines) >= historyMachines {
+	if machine == "" || job.Image == "" || !known && len(r.machines) >= historyMachines {
 		return
 	}
-	images = appendUnique(images, hintImage{j.Image, j.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
+	images = appendUnique(images, hintImage{job.Image, job.ImageMB}, func(a, b hintImage) bool { return a.Name == b.Name })
 	r.machines[machine] = images[max(0, len(images)-historyImages):]
 }
 
