--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -1,6 +1,6 @@
-// Command zinclb-emulator serves the environment of zinclb's controllers on loopback: the state
-// service, the cloud, workers, users and their load balancer, with faults, as a scenario describes
-// them. It exits when the time of the scenario is over.
+// Command zinclb-emulator emulates, on loopback, the environment of zinclb's controllers that a
+// scenario describes: the state service, the cloud, workers, users and their load balancer, and
+// the faults that happen to them. It exits when the length of the scenario has passed.
 package main
 
 import (
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -51,7 +51,7 @@
 				t.Fatalf("DecodeSubmission: got error %v, want none", err)
 			}
 			if m.Spec.ID != "req-1" || (m.Invalid != "") != (tc.wantField != "") || !strings.Contains(m.Invalid, tc.wantField) {
-				t.Errorf("got id %q and error %q, want id \"req-1\" and an error with %q, or none if that is empty", m.Spec.ID, m.Invalid, tc.wantField)
+				t.Errorf("got id %q and error %q, want id \"req-1\" and an error that names the field %q (no error if \"\")", m.Spec.ID, m.Invalid, tc.wantField)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 		}
 		b, err := json.Marshal(m.Spec)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode the submission: got error %v, want none", err)
 		}
 		var stored jobstate.Spec
 		if err := json.Unmarshal(b, &stored); err != nil || stored.ID != m.Spec.ID || stored.Need != m.Spec.Need {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -13,8 +13,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// submission is a job on the wire. A missing field is nil. encoding/json puts the type's
-// name into the errors that users see.
+// submission is a job on the wire. A missing field is nil. The name of this type appears in
+// errors that users see, because encoding/json includes it.
 type submission struct {
 	ID           *string   `json:"name_id"`
 	Class        *string   `json:"herd"`
--- a/internal/api/sweeps_test.go
+++ b/internal/api/sweeps_test.go
@@ -13,7 +13,7 @@
 
 const sweepJob = `job { herd: "h" steward: "t" shape: "sweep" urgency: "idle" hands: 2 vcpus: 1 mem_gb: 1 seedstock: "im" expect_s: 5 } `
 
-// TestSweepRoutes checks to which messages requests about sweeps are converted, and the errors
+// TestSweepRoutes checks the messages that requests about sweeps are converted to, and the errors
 // for invalid requests.
 func TestSweepRoutes(t *testing.T) {
 	validSweep := `id: "s" ` + sweepJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } }`
@@ -65,7 +65,8 @@
 }
 
 // TestPackSweep checks that a packed sweep expands to the same runs, with their values and
-// the indexes of merged sets.
+// the indexes of merged sets, and that invalid packed sweeps are refused. It also checks the
+// encoding of replies about the sweep.
 func TestPackSweep(t *testing.T) {
 	m, err := DecodeSweep([]byte(`id: "s" duplicates: MERGE ` + sweepJob + `parameter { name: "a" value { int: 1 } value { text: "x\"y" } value { real: 1 } value { real: 0.5 } }`))
 	if err != nil || m.Invalid != "" {
--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -1,5 +1,5 @@
-// Package internal_test checks the structure of the program: which packages may import which,
-// and that the documentation names only code that exists.
+// Package internal_test checks the structure of the program, which packages may import which, and
+// that the documentation names only code that exists and lists all packages and log lines.
 package internal_test
 
 import (
@@ -34,8 +34,9 @@
 //   - api, cloud, store and peer each translate between one interface and the core's
 //     messages, and do not import each other; node connects them.
 //   - Only peer imports the wire types of messages between controllers.
-//   - The controller does not import the emulator. Of the emulator, environment and history
-//     import only the types of the protocols (wire), and not the controller.
+//   - The controller does not import the emulator. In the emulator, history imports only the
+//     types of the protocols (wire), and environment only these, history and the types of the
+//     settings (config).
 //   - golden, rapidtest and casestest are used by tests only.
 var allowedImports = map[string][]string{
 	"cmd/zinclb": {
@@ -163,7 +164,7 @@
 			return addImports(found, path)
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read the imports of the packages in %s: got error %v, want none", top, err)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(found)) {
@@ -214,8 +215,8 @@
 	"google.golang.org/protobuf/encoding/prototext", "google.golang.org/protobuf/reflect/protoreflect",
 }
 
-// impureUses matches the functions of these packages that do input or output, or that draw
-// random numbers from a source without a seed.
+// impureUses has, for packages in pureImports, a pattern for the names of the functions that do
+// input or output, or that draw random numbers from a source without a seed.
 var impureUses = map[string]*regexp.Regexp{
 	"fmt":  regexp.MustCompile(`^(Print|Scan)`),
 	"slog": regexp.MustCompile(`^(Debug|Info|Warn|Error|Log$|LogAttrs|Default|SetDefault)`),
@@ -242,13 +243,13 @@
 			if err != nil {
 				return err
 			}
-			for _, fault := range findImpurities(file) {
-				t.Errorf("%s %s", path, fault)
+			for _, impurity := range findImpurities(file) {
+				t.Errorf("%s %s, want only what a pure package may import and use", path, impurity)
 			}
 			return nil
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read the source files in %s: got error %v, want none", tree, err)
 		}
 	}
 	if files < len(pureTrees) {
@@ -256,13 +257,13 @@
 	}
 }
 
-// findImpurities lists what a file imports or uses although a pure package may not.
+// findImpurities lists the imports and uses of a file that are forbidden in a pure package.
 func findImpurities(file *ast.File) []string {
-	var faults []string
+	var impurities []string
 	for _, spec := range file.Imports {
 		name := strings.Trim(spec.Path.Value, `"`)
 		if !strings.HasPrefix(name, modulePath) && !slices.Contains(pureImports, name) {
-			faults = append(faults, "imports "+name)
+			impurities = append(impurities, "imports "+name)
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -273,15 +274,15 @@
 		if pkg, ok := selector.X.(*ast.Ident); ok {
 			impure, constant := impureUses[pkg.Name], constantsOnly[pkg.Name]
 			if impure != nil && impure.MatchString(selector.Sel.Name) || constant != nil && !constant.MatchString(selector.Sel.Name) {
-				faults = append(faults, "uses "+pkg.Name+"."+selector.Sel.Name)
+				impurities = append(impurities, "uses "+pkg.Name+"."+selector.Sel.Name)
 			}
 		}
 		return true
 	})
-	return faults
+	return impurities
 }
 
-// TestImpurities checks that impurities finds each kind of forbidden import and use.
+// TestImpurities checks that findImpurities finds each kind of forbidden import and use.
 func TestImpurities(t *testing.T) {
 	const source = `package p
 import ("fmt"; "log/slog"; "math/rand/v2"; "net/http"; "time"; "slices")
@@ -296,7 +297,7 @@
 }`
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, parser.SkipObjectResolution)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the source: got error %v, want none", err)
 	}
 	want := []string{"imports time", "uses fmt.Println", "uses rand.IntN", "uses slog.Info", "uses http.Get"}
 	if got := findImpurities(file); !slices.Equal(got, want) {
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -137,9 +137,9 @@
 // maxFeatureNameLength is the maximum length of a feature's name.
 const maxFeatureNameLength = 40
 
-// isFeatureName reports whether s has the form of a feature's name. It does not check
-// that the feature exists, because a file may hold back one that only a newer version of
-// the program has.
+// isFeatureName reports whether name has the form of a feature's name. It does not check
+// that the feature exists, because a file may withhold a feature that only a newer version
+// of the program has.
 func isFeatureName(name string) bool {
 	return name != "" && len(name) <= maxFeatureNameLength && strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -29,8 +29,8 @@
 
 var errInvalidFormat = errors.New("version or chunk size out of range")
 
-// formatRecord is the stored format, which all controllers can read. Tasks is the maximum
-// number of tasks in a chunk of progress; it never increases.
+// formatRecord records the current format of stored data, which all controllers can read. Tasks is
+// the maximum number of tasks in a chunk of progress; it never increases.
 type formatRecord struct {
 	Version int `json:"v"`
 	Tasks   int `json:"n"`
@@ -67,8 +67,8 @@
 // featureEnabled reports whether a feature is active.
 func (m *membership) featureEnabled(name upgrade.FeatureName) bool { return m.activation.Enabled(name) }
 
-// logEnabled reports whether the progress log is active, so that data may be written that
-// version 1 can't read.
+// logEnabled reports whether the progress log is active. Only then may data be written that
+// programs of version 1 can't read.
 func (m *membership) logEnabled() bool { return m.featureEnabled(upgrade.ProgressLog) }
 
 // writableFormat returns the newest stored format that this controller can write.
@@ -205,7 +205,7 @@
 	write, condition := m.activationWrite(feature)
 	conditions := []Cond{m.leaderCondition(), condition}
 	// The write is conditional on each supporter's advertisement being unchanged, so that it
-	// fails if an older program has meanwhile replaced one of these controllers.
+	// fails if one of these controllers has been replaced by an older program since.
 	if len(conditions)+len(supporters) > conditionsPerOp*m.limits().TxnOps {
 		return // too many controllers to prove their support in one transaction
 	}
@@ -262,7 +262,7 @@
 	}
 }
 
-// chunkTasksForLimits returns how many tasks fit in a value, assuming that each is on a
+// chunkTasksForLimits returns the number of tasks that fit in a value, assuming that each is on a
 // different machine and that every machine name is as long as the longest known one.
 func (m *membership) chunkTasksForLimits() int {
 	nameSize := minMachineNameSize
--- a/internal/core/cloudlisting_test.go
+++ b/internal/core/cloudlisting_test.go
@@ -74,13 +74,13 @@
 				names = append(names, name)
 			}
 			slices.Sort(names)
-			moment := int64(0)
+			describedAt := int64(0)
 			for i, name := range names {
 				if i%7 == 0 { // a new page
-					moment = now - rng.Int64N(8*second)
+					describedAt = now - rng.Int64N(8*second)
 				}
-				if life := lifetimes[name]; life.listed <= moment && moment < life.gone {
-					list = append(list, CloudMachine{Name: name, Age: moment - life.made})
+				if life := lifetimes[name]; life.listed <= describedAt && describedAt < life.gone {
+					list = append(list, CloudMachine{Name: name, Age: describedAt - life.made})
 				}
 			}
 			for _, name := range listings.update(now-8*second, now, list) {
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -74,7 +74,7 @@
 
 // committer writes the leader's decisions, in transactions that succeed only while it leads:
 // all of them are conditional on the revision of the leadership key. One transaction is in
-// progress at a time; changes made meanwhile are batched for the next.
+// progress at a time; changes made during it are batched for the next.
 //
 // A transaction that fails is not retried unchanged. The next one is built from what has to be
 // written by then.
@@ -323,8 +323,8 @@
 }
 
 // onMalformed handles a transaction that the state service rejects as malformed, possibly because
-// the service's limits were lowered. A job whose write is rejected in a transaction of its own is
-// backed off, so that it does not block the others.
+// the service's limits were lowered. A job whose write is rejected in a transaction without other
+// jobs is backed off, so that it does not block the others.
 func (c *committer) onMalformed(t *leaderTransaction) {
 	commits := &t.term.commits
 	if len(t.jobs) == 0 {
--- a/internal/core/connectivity/cloudproxy.go
+++ b/internal/core/connectivity/cloudproxy.go
@@ -17,16 +17,18 @@
 	failedAt map[string]int64 // time of each peer's last failure
 }
 
-// CloudProxy returns the peer that should make a leader's cloud calls, "" for the leader itself.
-// If the cloud has not answered the leader for cloudFailureTimeout, this is a peer that can be
-// reached and has not failed recently, preferably one that advertises that it reaches the cloud.
+// CloudProxy returns the peer that should make this leader's cloud calls, "" if the leader should
+// make them itself. A new peer is chosen only if the cloud has not answered the leader for
+// cloudFailureTimeout. It can be reached and has not failed recently; peers that advertise that
+// they reach the cloud are preferred.
 func (l *Links) CloudProxy(now int64) string {
 	proxy := &l.cloudProxy
 	if proxy.peer != "" && now < proxy.until && l.PeerUp(proxy.peer, now) {
 		return proxy.peer
 	}
 	proxy.peer = ""
-	// A refusal comes from the cloud itself, so a peer would be refused as well.
+	// No peer is needed if the cloud refused the last call, because it would refuse the peer as
+	// well, or if the last failure is so old that the leader should try again itself.
 	if l.Cloud.DownFor(now) < cloudFailureTimeout || l.Cloud.failure != NoResponse || now-l.Cloud.failedAt > cloudProxyDuration {
 		return ""
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -82,7 +82,7 @@
 func (e *elector) isLeader() bool { return e.leadership != nil }
 
 // isNewLeader reports whether this controller leads and its term has just begun, so that the
-// other controllers may still use the shares of the limits that apply while nobody leads.
+// other controllers may still use the shares of the limits that apply while no controller leads.
 func (e *elector) isNewLeader() bool {
 	return e.isLeader() && e.now-e.leadership.since < leadershipSeenWithin
 }
@@ -188,7 +188,7 @@
 }
 
 // revokeEarlierLease revokes the leader's lease if the leader is an earlier incarnation of
-// this controller: that process is dead, so nobody needs to wait until its lease expires.
+// this controller: that process is dead, so no controller needs to wait until its lease expires.
 func (e *elector) revokeEarlierLease() {
 	leader := &e.cache.leader
 	if leader.Name != e.settings.Name || leader.Incarnation == e.settings.Incarnation || e.isLeader() || e.now < e.candidacy.notBefore {
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -15,8 +15,8 @@
 	Revision     uint64  `json:"revision"`
 	StateAgeS    float64 `json:"state_silent_s"`
 	WritesLeft   float64 `json:"writes_left"`
-	// ReadsLeft is the remaining budget of this controller's share of reads, ReadsBy the
-	// controller from which it reads the state, or "" for the state service.
+	// ReadsLeft is the remaining budget of this controller's share of reads. ReadsBy is the
+	// controller from which it reads the state, "" if it reads from the state service.
 	ReadsLeft  float64         `json:"reads_left"`
 	ReadsBy    string          `json:"reads_by"`
 	CallsLeft  float64         `json:"cloud_calls_left"`
@@ -30,9 +30,9 @@
 	AnswersForS float64 `json:"answers_for_s,omitempty"`
 	// Awaiting counts the unfinished jobs that wait for their dependencies.
 	Awaiting int `json:"awaiting_jobs"`
-	// UnstoredEnds counts the jobs whose ends are known but not known to be stored. It
-	// returns to 0 within seconds on every controller. Ends counts how ends were learned
-	// and looked up.
+	// UnstoredEnds is the number of jobs that are known to have ended, but whose ends are not
+	// yet known to be stored. It returns to 0 within seconds on every controller. Ends counts
+	// how ends were learned and looked up.
 	UnstoredEnds int       `json:"unstored_ends"`
 	Ends         EndCounts `json:"ends"`
 	// Format is the version of stored data. LimitsLowered is set if the announced lower
@@ -71,7 +71,7 @@
 // controllers.
 type ConnectivityView struct {
 	Links []LinkView `json:"links"`
-	// Matrix has the connectivity that each controller that could lead advertises.
+	// Matrix has the advertised connectivity of each controller that could lead.
 	Matrix map[string]ConnectivityRowView `json:"matrix"`
 	// SteppedAside describes how this controller last stepped down in favour of another.
 	SteppedAside *LeadershipTransferView `json:"gave_way,omitempty"`
@@ -123,7 +123,7 @@
 // PartitionView is a partition of the machines and its holder.
 type PartitionView struct {
 	Holder string `json:"holder"`
-	// Ends is the hash of machine names before which the partition ends.
+	// Ends is the upper bound of the partition's machines, as a hash of machine names.
 	Ends     uint32 `json:"ends"`
 	Machines int    `json:"machines"`
 }
@@ -138,7 +138,7 @@
 	Reason  string  `json:"why,omitempty"`
 }
 
-// MachinesView counts machines by what they are doing.
+// MachinesView has the number of machines in each state.
 type MachinesView struct {
 	Busy        int `json:"busy"`
 	Idle        int `json:"idle"`
--- a/internal/core/operatorviewer.go
+++ b/internal/core/operatorviewer.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// countMachine counts a machine by what it is doing.
+// countMachine adds a machine to the count of its state.
 func (o *operatorViewer) countMachine(counts *MachinesView, machine *fleet.Machine) {
 	switch {
 	case machine.Draining || machine.Releasing || machine.ReclaimAt != 0:
--- a/internal/core/transaction_observed_test.go
+++ b/internal/core/transaction_observed_test.go
@@ -8,10 +8,10 @@
 )
 
 // TestObservedTransaction checks that a transaction without an answer completes once its changes
-// were read. Otherwise other controllers report the changes to users while the writer repeats the
-// transaction in vain, waiting two seconds each time. The transaction counts as executed only if
-// all of its changes are read as they were sent, at one revision that is later than any in its
-// conditions.
+// were read. Otherwise other controllers report the changes to users while the writer keeps
+// repeating the transaction without success, waiting two seconds each time. The transaction counts
+// as executed only if all of its changes are read as they were sent, at one revision that is later
+// than any in its conditions.
 func TestObservedTransaction(t *testing.T) {
 	const observedRevision = 20
 	put := func(key, value string) Write { return Write{Key: key, Value: []byte(value)} }
--- a/internal/core/upgrade/advertisement.go
+++ b/internal/core/upgrade/advertisement.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Advertisement states what a controller supports. The controller stores it on its lease for as
-// long as it runs. Programs before [firstVersionWithFeatures] set only Format and Incarnation.
+// Advertisement states what a controller supports. The controller stores it on its lease while it
+// runs. Programs before [firstVersionWithFeatures] set only Format and Incarnation.
 type Advertisement struct {
 	// Format is the newest stored format that the controller writes, OldestFormat the oldest
 	// that it reads.
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -251,7 +251,7 @@
 }
 
 // submit submits the job until it is accepted or refused. Real users stop retrying after a
-// minute; here they continue, as otherwise nobody would poll for the job.
+// minute; here they continue, as otherwise the job would never be polled.
 func (u *jobUser) submit() {
 	if !u.dependenciesAllow() {
 		u.env.after(second, u.submit)
--- a/internal/emulator/faketime/first_format_test.go
+++ b/internal/emulator/faketime/first_format_test.go
@@ -66,7 +66,7 @@
 
 // TestFirstFormat runs a deployment in which one controller never reports that it runs this
 // version. All values that are stored have to be readable by the version without pipelines, and
-// jobs that depend on others are refused meanwhile.
+// jobs that depend on others have to be refused.
 func TestFirstFormat(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(5)
--- a/internal/emulator/faketime/lost_writes_test.go
+++ b/internal/emulator/faketime/lost_writes_test.go
@@ -53,7 +53,7 @@
 							loss.Delay = 60 * second
 						}
 						crash := faultAt(60, "crash", 0)
-						// Meanwhile users query all controllers for the affected jobs.
+						// From 40 s to 100 s, users query all controllers for the affected jobs.
 						d.Faults = []fault{{At: 59 * second, Kind: "state_lose", TransactionLoss: loss}, crash, faultAt(40, "close_looks", 60)}
 						switch kind {
 						case "types", "format", "member/", "features":
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -321,7 +321,7 @@
 
 // BenchmarkSweeps measures the cost of runs submitted as a sweep and as single jobs, in
 // simulated time: the changes in the state service, the seconds until all runs are done, and the
-// time to acceptance of other jobs submitted meanwhile.
+// time to acceptance of other jobs submitted at the same time.
 func BenchmarkSweeps(b *testing.B) {
 	for _, n := range []int{200, 2000, 10_000} {
 		for _, submittedAs := range []string{"none", "sweep", "jobs"} {
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -136,8 +136,8 @@
 			return
 		}
 		// The state in the response to a submission can be newer than the submission
-		// itself, as the job may have been cancelled meanwhile. So the response counts as
-		// that of a separate poll.
+		// itself, as the job may have been cancelled before the response. So the response
+		// counts as that of a separate poll.
 		submit, poll := operation, operation
 		submit.Output = operationOutput{}
 		poll.Input = operationInput{Poll, e.Job}
--- a/internal/emulator/outages/outages.go
+++ b/internal/emulator/outages/outages.go
@@ -51,8 +51,8 @@
 // are lost.
 var writeLosses = []*environment.TransactionLoss{nil, {Outcome: environment.LostAfter}, {Outcome: environment.LostLate, Delay: second}}
 
-// controllerEvent is a set of faults that happen to controllers or machines around the outage.
-// faults gets the names of the controllers, the leader first.
+// controllerEvent is a set of faults that happen to controllers or machines shortly before or
+// during the outage. faults gets the names of the controllers, the leader first.
 type controllerEvent struct {
 	name   string
 	at     int64 // relative to the start of the outage
--- a/internal/emulator/partitions/partitions.go
+++ b/internal/emulator/partitions/partitions.go
@@ -155,8 +155,8 @@
 	return out
 }
 
-// extraCases returns partitions of each subset of the links that serving jobs depends on,
-// with each extra fault.
+// extraCases returns one partition for each subset of the links to the state service, the peers
+// and the zones, with each extra fault.
 func extraCases(size int) (out []Case) {
 	for _, role := range []string{Leader, Follower} {
 		for _, set := range subsets(links(size)[:size+len(cases.Zones())]) {
@@ -225,14 +225,14 @@
 	cfg.Params.Teams = []config.Team{{Name: "t", CPUs: 100}}
 	cfg.StrayRequestRate = 0.1
 	cfg.Length = partitionStart + c.longest() + settleTime + 60*second
-	spec := func(id, class string, tasks int, run int64) environment.Job {
+	newJob := func(id, class string, tasks int, run int64) environment.Job {
 		return environment.Job{Run: run, Spec: wire.Job{ID: id, Class: class, Team: "t", Kind: wire.Array, Tasks: tasks, CPUs: 1, MemGB: 1, Priority: "normal", Image: "i", ImageGB: 0.5, EstimateS: float64(run) / 1e6}}
 	}
-	long := spec("long", "long", 20, cfg.Length)
+	long := newJob("long", "long", 20, cfg.Length)
 	long.At = 2 * second
 	cfg.Jobs = append(cfg.Jobs, long)
 	for i := int64(0); 10*second+i*jobInterval < cfg.Length-serveWithin; i++ {
-		job := spec(fmt.Sprintf("job-%03d", i), "short", 2, 2*second)
+		job := newJob(fmt.Sprintf("job-%03d", i), "short", 2, 2*second)
 		job.At = 10*second + i*jobInterval
 		cfg.Jobs = append(cfg.Jobs, job)
 	}
@@ -337,7 +337,7 @@
 	return out
 }
 
-// farSide returns the hosts at the far side of a partition's links.
+// farSide returns the hosts on the far side of a partition's links.
 func farSide(partition Partition, host string, size int) (out []string) {
 	peers := []string{}
 	for i := range size {
@@ -374,7 +374,7 @@
 		},
 	}
 	for _, farHost := range farSide(partition, host, cluster.Config.Params.Size) {
-		// The link to a zone consists of its workers alone, not of its controllers.
+		// A partition from a zone affects only the zone's workers, not its controllers.
 		to := []string{farHost}
 		if zone, ok := strings.CutPrefix(farHost, "zone:"); ok {
 			to = []string{"workers:" + zone}
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -15,8 +15,8 @@
 	// Sources identifies what was measured: the commit, and further details if needed.
 	Sources string `json:"sources"`
 	Cores   int    `json:"cores"`
-	// MachineLimited says why the machine rather than the service limited the run. If it is
-	// set, the other values are not valid measurements.
+	// MachineLimited says why the computer on which the run took place, rather than the
+	// service, limited the run. If it is set, the other values are not valid measurements.
 	MachineLimited string `json:"limited,omitempty"`
 	// Windows are the measured parts of the run by name.
 	Windows map[string]Window `json:"windows"`
@@ -41,8 +41,8 @@
 	Count  int     `json:"count"`
 }
 
-// Starts is the distribution of the waiting times of a class's jobs, in seconds, and the
-// share of jobs that started within Within seconds, the target of the class.
+// Starts is the distribution of the waiting times of a class's jobs, in seconds. Within is the
+// target of the class for these times, and Share is the share of jobs that met it.
 type Starts struct {
 	Latency
 	Within float64 `json:"within"`
@@ -173,15 +173,15 @@
 // process returns the resource usage of a process, and false if the process is missing from
 // one of the two measurements.
 func (d *difference) process(name string) (Role, bool) {
-	before, ok := d.from.usage[name]
-	after, ok2 := d.to.usage[name]
+	before, foundBefore := d.from.usage[name]
+	after, foundAfter := d.to.usage[name]
 	return Role{
 		Count:  1,
 		CPU:    (after.cpu - before.cpu) / d.seconds,
 		Memory: after.memory,
 		Peak:   after.peak,
 		Kinds:  map[string]Rate{},
-	}, ok && ok2
+	}, foundBefore && foundAfter
 }
 
 // addControllers adds the roles of the leader, of the average stand-by controller and of the
@@ -209,7 +209,7 @@
 // addWorkers adds the roles of the workers, and the bytes sent and received by those in shared
 // processes.
 func (d *difference) addWorkers(w *Window, controllers []string, dedicated map[string]bool) {
-	var shared, single []Role
+	var sharedRoles, dedicatedRoles []Role
 	var bytes []float64
 	for host, kinds := range d.byHost {
 		reports := kinds[sockets.ReportKind]
@@ -217,22 +217,22 @@
 			continue
 		}
 		if !dedicated[host] {
-			shared = append(shared, Role{Count: 1, Kinds: kinds})
+			sharedRoles = append(sharedRoles, Role{Count: 1, Kinds: kinds})
 			bytes = append(bytes, reports.BytesIn+reports.BytesOut)
 			continue
 		}
 		if r, ok := d.process(host); ok {
 			r.Kinds = kinds
-			single = append(single, r)
+			dedicatedRoles = append(dedicatedRoles, r)
 		}
 	}
-	w.Workers = len(shared) + len(single)
+	w.Workers = len(sharedRoles) + len(dedicatedRoles)
 	w.WorkerBytes = summarize(bytes)
-	if len(shared) > 0 {
-		w.Roles[RoleSharedWorkers] = mean(shared)
+	if len(sharedRoles) > 0 {
+		w.Roles[RoleSharedWorkers] = mean(sharedRoles)
 	}
-	if len(single) > 0 {
-		w.Roles[RoleDedicated] = mean(single)
+	if len(dedicatedRoles) > 0 {
+		w.Roles[RoleDedicated] = mean(dedicatedRoles)
 	}
 }
 
@@ -280,9 +280,10 @@
 }
 
 // startWaits returns the distribution of the waiting times of a class's jobs, in seconds: from
-// the first submission of a job until all its tasks had started. It leaves out cancelled jobs and
-// jobs that were submitted less than within seconds before the end of the run. A job that has not
-// fully started by the end counts as having waited until then, and as late.
+// the first submission of a job until all its tasks had started. The parameter within is the target
+// for this time, in seconds. Cancelled jobs are left out, and so are jobs that were submitted so
+// late that the run ended before the target time had passed. A job that has not fully started by
+// the end of the run counts as having waited until then, and as late.
 func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
 	type jobStarts struct {
 		first, last int64
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -53,7 +53,7 @@
 		if !slices.Contains(versions, r.Version) {
 			versions = append(versions, r.Version)
 		}
-		for figure, v := range r.Figures {
+		for figure, value := range r.Figures {
 			k := key{r.Scenario, figure}
 			if values[k] == nil {
 				values[k] = map[string]map[uint64]float64{}
@@ -62,7 +62,7 @@
 			if values[k][r.Version] == nil {
 				values[k][r.Version] = map[uint64]float64{}
 			}
-			values[k][r.Version][r.Seed] = v
+			values[k][r.Version][r.Seed] = value
 		}
 	}
 	slices.SortFunc(keys, func(a, b key) int {
@@ -70,8 +70,8 @@
 	})
 	var out []Difference
 	for _, k := range keys {
-		for _, v := range versions {
-			if v == base {
+		for _, version := range versions {
+			if version == base {
 				continue
 			}
 			var differences, baseValues []float64
@@ -81,14 +81,14 @@
 			}
 			slices.Sort(seeds) // makes sums independent of the map order
 			for _, seed := range seeds {
-				if value, ok := values[k][v][seed]; ok {
+				if value, ok := values[k][version][seed]; ok {
 					differences, baseValues = append(differences, value-values[k][base][seed]), append(baseValues, values[k][base][seed])
 				}
 			}
 			if len(differences) == 0 {
 				continue
 			}
-			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: v, Pairs: len(differences), Base: stat.Mean(baseValues, nil), Low: math.NaN(), High: math.NaN()}
+			d := Difference{Scenario: k.scenario, Figure: k.figure, Version: version, Pairs: len(differences), Base: stat.Mean(baseValues, nil), Low: math.NaN(), High: math.NaN()}
 			d.Mean = stat.Mean(differences, nil)
 			if n := float64(len(differences)); n > 1 {
 				halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differences, nil) / math.Sqrt(n)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
 // Package load submits jobs in an open loop: at their intended times, regardless of the state of
 // earlier submissions. It measures latencies from the intended time, so that a stall of the
-// service shows in all submissions that were due meanwhile.
+// service shows in all submissions that were due during the stall.
 package load
 
 import (
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -64,12 +64,12 @@
 		view.Leading = tc.leading
 		text, err := Encode(&view)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("leading %v: encode metrics: got error %v, want none", tc.leading, err)
 		}
 		parser := expfmt.NewTextParser(model.LegacyValidation)
 		families, err := parser.TextToMetricFamilies(strings.NewReader(string(text)))
 		if err != nil {
-			t.Fatalf("leading %v: parse metrics: %v\n%s", tc.leading, err, text)
+			t.Fatalf("leading %v: parse metrics: got error %v, want none; the metrics are\n%s", tc.leading, err, text)
 		}
 		got := map[string]float64{}
 		for name, family := range families {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,7 +99,8 @@
 	return n
 }
 
-// now returns the monotonic time in microseconds since the start. It is at least 1.
+// now returns the monotonic time in microseconds since the start. It is at least 1, as the core
+// uses the time 0 for events that have not happened.
 func (n *Node) now() int64 { return time.Since(n.start).Microseconds() + 1 }
 
 // Run serves until the context ends. It returns earlier only if a listener can't be
