--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -74,7 +74,7 @@
 
 // committer writes the leader's decisions, in transactions that succeed only while it leads:
 // all of them are conditional on the revision of the leadership key. One transaction is in
-// progress at a time; changes made during it are batched for the next.
+// progress at a time; changes made in that time are batched for the next.
 //
 // A transaction that fails is not retried unchanged. The next one is built from what has to be
 // written by then.
--- a/internal/core/connectivity/cloudproxy.go
+++ b/internal/core/connectivity/cloudproxy.go
@@ -19,15 +19,15 @@
 
 // CloudProxy returns the peer that should make this leader's cloud calls, "" if the leader should
 // make them itself. A new peer is chosen only if the cloud has not answered the leader for
-// cloudFailureTimeout. It can be reached and has not failed recently; peers that advertise that
-// they reach the cloud are preferred.
+// cloudFailureTimeout. The choice is among the peers that can be reached and have not failed
+// recently; those that advertise that they reach the cloud are preferred.
 func (l *Links) CloudProxy(now int64) string {
 	proxy := &l.cloudProxy
 	if proxy.peer != "" && now < proxy.until && l.PeerUp(proxy.peer, now) {
 		return proxy.peer
 	}
 	proxy.peer = ""
-	// No peer is needed if the cloud refused the last call, because it would refuse the peer as
+	// No peer is chosen if the cloud refused the last call, because it would refuse a peer as
 	// well, or if the last failure is so old that the leader should try again itself.
 	if l.Cloud.DownFor(now) < cloudFailureTimeout || l.Cloud.failure != NoResponse || now-l.Cloud.failedAt > cloudProxyDuration {
 		return ""
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -123,7 +123,7 @@
 // PartitionView is a partition of the machines and its holder.
 type PartitionView struct {
 	Holder string `json:"holder"`
-	// Ends is the upper bound of the partition's machines, as a hash of machine names.
+	// Ends is the upper bound of the name hashes of the partition's machines.
 	Ends     uint32 `json:"ends"`
 	Machines int    `json:"machines"`
 }
