--- a/cmd/zinclb-emulator/main.go
+++ b/cmd/zinclb-emulator/main.go
@@ -72,7 +72,7 @@
 // empty. It returns an error if a rule was violated.
 func serve(s *scenario.Scenario, options sockets.Options, out string) error {
 	options.OnProgress = func(p sockets.Progress) {
-		fmt.Printf("%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done)
+		fmt.Printf("%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done\n", p.Now.Seconds(), p.Length.Seconds(), p.JobsAccepted, p.TasksStarted, p.TasksCompleted)
 	}
 	driver, err := sockets.New(s.Config, options)
 	if err != nil {
--- a/cmd/zinclb-emulator/soak.go
+++ b/cmd/zinclb-emulator/soak.go
@@ -32,7 +32,7 @@
 			case minutes < 0:
 				return errors.New("--minutes must not be negative")
 			}
-			plan.AtMost = time.Duration(minutes * float64(time.Minute))
+			plan.TimeLimit = time.Duration(minutes * float64(time.Minute))
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			summary := plan.Run(ctx, os.Stdout)
--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -18,9 +18,9 @@
 	conditionsPerOp = 4
 )
 
-// Sizes in bytes that determine how many tasks fit in a stored chunk: the chunk without its
-// tasks, a task without the name of its machine, and the minimum length to assume for the names
-// of machines.
+// Sizes in bytes that determine the number of tasks that fit in a stored chunk: the chunk without
+// its tasks, a task without the name of its machine, and the minimum length to assume for the
+// names of machines.
 const (
 	chunkFrameBytes    = 160
 	chunkBytesPerTask  = 15
@@ -262,8 +262,8 @@
 	}
 }
 
-// chunkTasksForLimits returns how many tasks fit in a value, assuming that each is on a
-// different machine and that every machine name is as long as the longest known one.
+// chunkTasksForLimits returns the number of tasks that fit in a value, assuming that each is on
+// a different machine and that every machine name is as long as the longest known one.
 func (m *membership) chunkTasksForLimits() int {
 	nameSize := minMachineNameSize
 	for _, machine := range m.elector.leadership.fleet.All() {
--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -109,8 +109,8 @@
 	return late
 }
 
-// remainingTime returns how long a job will still take according to its owner's estimate if
-// all of its waiting tasks start now.
+// remainingTime returns the time that a job will still take according to its owner's estimate
+// if all of its waiting tasks start now.
 func (o *operatorViewer) remainingTime(job *jobstate.Job) int64 {
 	if job.Unplaced() > 0 {
 		return job.Estimate
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -22,19 +22,19 @@
 // updateDelivery determines from a new heartbeat whether its machine receives answers.
 func (w *workerManager) updateDelivery(machine *fleet.Machine, heartbeat *Heartbeat) {
 	delivery := &machine.Delivery
-	lost := false
+	stoppedReceiving := false
 	switch {
 	case w.endedEpochDespiteAnswers(machine, heartbeat):
-		lost = delivery.RecordMissedAnswer(w.now)
+		stoppedReceiving = delivery.RecordMissedAnswer(w.now)
 	case heartbeat.Epoch == machine.Epoch:
 		couldNotReceive := delivery.CannotReceive
-		lost = delivery.RecordHeartbeat(heartbeat.listsAttempt, w.now)
+		stoppedReceiving = delivery.RecordHeartbeat(heartbeat.listsAttempt, w.now)
 		if couldNotReceive && !delivery.CannotReceive {
 			w.deliveryRestored(machine)
 		}
 	}
 	delivery.SentCommands = delivery.SentCommands[:0]
-	if lost {
+	if stoppedReceiving {
 		w.log.Info("one-way partition: machine sends heartbeats and does not receive answers",
 			"machine", machine.Name, "tasks", len(machine.Placed))
 		machine.MarkChanged()
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// electionBackoff returns how long this controller waits before it campaigns. It waits longer
+// electionBackoff returns the time that this controller waits before it campaigns. It waits longer
 // if it knows of a candidate with better links, which thus campaigns first.
 func (e *elector) electionBackoff() int64 {
 	longest := int64(backoffRange)
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -29,7 +29,7 @@
 	omitted int
 }
 
-// allow reports whether a line may be logged now, and how many lines were omitted before it.
+// allow reports whether a line may be logged now, and the number of lines omitted before it.
 func (l *logLimiter) allow(now int64) (omitted int, ok bool) {
 	l.budget.Refill(now, endLogsPerSecond)
 	if !l.budget.TryTake() {
--- a/internal/core/fleet/delivery.go
+++ b/internal/core/fleet/delivery.go
@@ -40,7 +40,7 @@
 // RecordHeartbeat checks whether the commands of the last answer have taken effect in the
 // heartbeat that follows it. listed reports whether that heartbeat lists an attempt. The
 // result is true if this shows for the first time that the machine does not receive answers.
-func (d *Delivery) RecordHeartbeat(listed func(task string, attempt uint32) bool, now int64) (lost bool) {
+func (d *Delivery) RecordHeartbeat(listed func(task string, attempt uint32) bool, now int64) (stoppedReceiving bool) {
 	if len(d.SentCommands) == 0 {
 		return false
 	}
@@ -56,7 +56,7 @@
 
 // RecordMissedAnswer records that the machine has not received an answer. The result is
 // true if this shows for the first time that the machine does not receive answers.
-func (d *Delivery) RecordMissedAnswer(now int64) (lost bool) {
+func (d *Delivery) RecordMissedAnswer(now int64) (stoppedReceiving bool) {
 	d.missedAnswers++
 	if d.CannotReceive || d.missedAnswers < maxMissedAnswers {
 		return false
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -11,8 +11,8 @@
 // unavailable.
 const stateUnavailableAfter = 1_500_000
 
-// stateHealth tracks whether the state service answers this controller, and how many requests
-// the controller may still send to it: a budget of reads and a budget of writes, each refilled
+// stateHealth tracks whether the state service answers this controller, and the number of requests
+// that the controller may still send to it: a budget of reads and a budget of writes, each refilled
 // at the controller's share of the service's limits.
 type stateHealth struct {
 	*engine
@@ -87,8 +87,8 @@
 // watchLags reports whether the newest announced revision has not been applied yet.
 func (h *stateHealth) watchLags() bool { return h.announcedRevision > h.cache.appliedRevision }
 
-// watchLag returns how long the watch has failed to deliver the announced revision, counted
-// from the last call of restartWatchLag if there was one since.
+// watchLag returns the time for which the watch has failed to deliver the announced revision,
+// counted from the last call of restartWatchLag if there was one since.
 func (h *stateHealth) watchLag() int64 { return h.now - h.announcedAt }
 
 func (h *stateHealth) restartWatchLag() { h.announcedAt = h.now }
@@ -146,7 +146,7 @@
 
 func (h *stateHealth) refillWrites() { h.writeBudget.Refill(h.now, h.share.Changes) }
 
-// writeRate returns how many keys per second this controller may write.
+// writeRate returns the number of keys per second that this controller may write.
 func (h *stateHealth) writeRate() float64 { return h.share.Changes }
 
 // viewInterval returns the minimum time between two reads for waiting requests.
@@ -162,7 +162,7 @@
 func (h *stateHealth) spendWrites(keys float64) { h.writeBudget.Spend(keys) }
 
 // grantWrites takes up to the requested number of writes from the budget for a follower, and
-// returns how many it took.
+// returns the number of writes taken.
 func (h *stateHealth) grantWrites(requested int) int {
 	return h.writeBudget.Withdraw(requested, h.minUserBudget())
 }
--- a/internal/core/imagedemand.go
+++ b/internal/core/imagedemand.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// machinesNeeded estimates how many machines a job needs, from 1 to maxMachinesCounted: an image
-// whose jobs have many tasks is wanted on more machines.
+// machinesNeeded estimates the number of machines that a job needs, from 1 to maxMachinesCounted:
+// an image whose jobs have many tasks is wanted on more machines.
 func (p *prefetcher) machinesNeeded(spec *jobstate.Spec) float64 {
 	machines := float64(maxMachinesCounted)
 	for i := range p.cache.machineTypes {
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -96,16 +96,16 @@
 // IsResolved reports whether all direct and indirect dependencies that a job still waits for
 // are known to be unfinished. Otherwise the job may have been cancelled through an end that
 // this controller does not know.
-func (g *DependencyGraph) IsResolved(j *Job, find func(id string) *Job) bool {
+func (g *DependencyGraph) IsResolved(job *Job, find func(id string) *Job) bool {
 	g.round++
-	todo := []*Job{j}
+	todo := []*Job{job}
 	for len(todo) > 0 {
-		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if j.visitedRound == g.round {
+		job, todo = todo[len(todo)-1], todo[:len(todo)-1]
+		if job.visitedRound == g.round {
 			continue
 		}
-		j.visitedRound = g.round
-		for id := range j.UnmetDependencies {
+		job.visitedRound = g.round
+		for id := range job.UnmetDependencies {
 			dependency := find(id)
 			if dependency == nil || dependency.Outcome() != "" {
 				return false
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -123,8 +123,8 @@
 	return names
 }
 
-// holdTime returns how long the answer to a heartbeat may be held, given the commands that it
-// would contain now and whether the heartbeat lists a placed attempt that has exited.
+// holdTime returns the time for which the answer to a heartbeat may be held, given the commands
+// that it would contain now and whether the heartbeat lists a placed attempt that has exited.
 func (w *workerManager) holdTime(machine *fleet.Machine, commands []Command, exited bool) int64 {
 	for _, command := range commands {
 		if command.Kind != CommandForget {
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -84,9 +84,9 @@
 // square root.
 const spareFactor = 1
 
-// spareMachines returns how many idle machines of a pool are kept as spares: a share of the recent
-// peak of machines in use, and none once nothing has run for a while. If cost is an objective,
-// the number of spares is at most the typical variation of a load of that size.
+// spareMachines returns the number of idle machines of a pool that are kept as spares: a share of
+// the recent peak of machines in use, and none once nothing has run for a while. If cost is an
+// objective, the number of spares is at most the typical variation of a load of that size.
 func (s *scaler) spareMachines(pool machinePool) int {
 	busy := float64(s.elector.leadership.scaling.peaks[pool].busy)
 	spare := busy * s.settings.Ops.SpareShare
@@ -96,8 +96,8 @@
 	return int(math.Ceil(spare))
 }
 
-// idleReturnTime returns how long a machine that is not kept as a spare may be idle before it is
-// returned: half of the configured time if cost is an objective.
+// idleReturnTime returns the time after which an idle machine that is not kept as a spare is
+// returned: the configured time, or half of it if cost is an objective.
 func (s *scaler) idleReturnTime() int64 {
 	if s.costAware {
 		return s.settings.Ops.IdleReturn / 2
@@ -105,7 +105,7 @@
 	return s.settings.Ops.IdleReturn
 }
 
-// shortage returns how many machines of a pool the waiting tasks would fill.
+// shortage returns the number of machines of a pool that the waiting tasks would fill.
 func (s *scaler) shortage(t *fleet.Type, pool machinePool) int {
 	var machines float64
 	for _, waiting := range s.elector.leadership.planning.waitingJobs {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -90,8 +90,9 @@
 // bytesOfKB converts a limit in KB to bytes, conservatively with 1000 bytes per KB.
 func bytesOfKB(kb float64) int { return int(kb * 1000) }
 
-// handleRateLimited treats a rate-limited transaction as the sign that the announced limits are
-// in force. While version 1 of the format is in use they can't be, so it is ignored then.
+// handleRateLimited treats a rate-limited transaction as a sign that the announced limits are in
+// force. While version 1 of the format is in use, it ignores this sign, and only refused writes
+// and the reports of peers show that the limits are in force.
 func (m *membership) handleRateLimited(outcome kv.Outcome) {
 	if outcome == kv.RateLimited && m.logEnabled() {
 		m.lowerLimits("request rate limited")
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// partitionWriteGap is the minimum time between two writes of the partitions, and
-	// partitionCheckGap between two checks whether they must be written.
+	// partitionWriteGap is the minimum time between two writes of the partitions.
 	partitionWriteGap = second
+	// partitionCheckGap is the minimum time between two checks whether the partitions must be
+	// written.
 	partitionCheckGap = second / 4
-	// A machine is included in the division into partitions until maxHeartbeatGap plus two
-	// heartbeat intervals after its last heartbeat.
+	// maxHeartbeatGap is the time that is added to two heartbeat intervals to get the maximum
+	// age of the last heartbeat of a machine that is included in the division into partitions.
 	maxHeartbeatGap = 10 * second
 	// minMachinesForExclusion is the minimum number of machines in a holder's partition, and the
 	// minimum number of machines that still send heartbeats, for the leader to conclude
 	// that workers can't reach the holder.
 	minMachinesForExclusion = 2
-	// When the leader checks whether workers reach a holder, it ignores the machines whose
-	// last heartbeat was more than knownMachineTimeout ago.
+	// knownMachineTimeout is the age of a machine's last heartbeat above which the leader ignores
+	// the machine when it checks whether workers reach a holder.
 	knownMachineTimeout = 60 * second
 )
 
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// wantedImages returns the images that have a prefetch source, and on how many of the idle machines
-// each is cached.
+// wantedImages returns the images that have a prefetch source, each with the number of idle
+// machines on which it is cached.
 func (p *prefetcher) wantedImages(idle []*fleet.Machine) wantedImages {
 	state := &p.elector.leadership.prefetch
 	var wanted wantedImages
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -25,10 +25,10 @@
 	// because they delay the others least.
 	shortFirstFactor = 10
 	// onDemandReserveTime is the time for which on-demand machines stay reserved for jobs
-	// that may not use spot machines, counted from when there last was such a job.
+	// that may not use spot machines, counted from the last time at which there was such a job.
 	onDemandReserveTime = 600 * second
-	// A job that can't meet its deadline yields to others until its age is
-	// lateJobYieldFactor times the deadline.
+	// lateJobYieldFactor is the age, as a multiple of its deadline, until which a job that can't
+	// meet the deadline yields to others.
 	lateJobYieldFactor = 8
 )
 
@@ -104,7 +104,7 @@
 	return jobs
 }
 
-// expectedDuration returns how long a task of a job is expected to occupy its machine.
+// expectedDuration returns the expected time for which a task of a job occupies its machine.
 func (p *planner) expectedDuration(job *jobstate.Job) int64 {
 	switch {
 	case job.Kind == jobstate.Service:
@@ -133,8 +133,8 @@
 
 // mayUseType reports whether a task of a job fits a machine type and the job allows that
 // type.
-func mayUseType(spec *jobstate.Spec, t *fleet.Type) bool {
-	return spec.Need.Fits(t.Cap) && (len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name))
+func mayUseType(spec *jobstate.Spec, machineType *fleet.Type) bool {
+	return spec.Need.Fits(machineType.Cap) && (len(spec.Types) == 0 || slices.Contains(spec.Types, machineType.Name))
 }
 
 // largestGPUTask returns the resources that the largest GPU task of any job needs, by GPUs
@@ -163,7 +163,7 @@
 	return latestStart + shortFirstFactor*p.fleetTime(job)
 }
 
-// fleetTime returns how long all machines together would need for the remaining tasks of a
+// fleetTime returns the time that all machines together would need for the remaining tasks of a
 // job.
 func (p *planner) fleetTime(job *jobstate.Job) int64 {
 	capacity, left := p.elector.leadership.planning.capacity, int64(job.Tasks-job.NumDone)
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -18,8 +18,8 @@
 	// refreshAfter is the age of a follower's state cache from which the follower asks the leader
 	// even if no request waits.
 	refreshAfter = second
-	// followDuration is how long after an answer the leader counts as the source of the
-	// follower's state cache.
+	// followDuration is the time after an answer for which the leader counts as the source of
+	// the follower's state cache.
 	followDuration = 5 * second / 2
 	// minRetryDelay and maxRetryDelay bound the backoff after a leader has failed to answer.
 	// The delay doubles with each consecutive failure.
--- a/internal/core/runestimate.go
+++ b/internal/core/runestimate.go
@@ -26,8 +26,8 @@
 	return m.LastHeartbeat + p.heartbeatInterval()
 }
 
-// runningTask estimates how long a placed task occupies its machine and what preempting it
-// would cost.
+// runningTask estimates the time until which a placed task occupies its machine and the cost of
+// preempting it.
 func (p *planner) runningTask(m *fleet.Machine, ref fleet.TaskRef, guaranteed bool) sched.RunningTask {
 	job, task := ref.Job, ref.Job.Task(ref.Index)
 	run := sched.RunningTask{Job: job, Index: ref.Index, Guaranteed: guaranteed}
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -107,14 +107,14 @@
 
 // chooseScaleOut returns the offer by which to rent machines for a pool, and the number of machines
 // to rent in one request. The number is 0 if the pool has enough machines or there is no offer.
-func (s *scaler) chooseScaleOut(t *fleet.Type, pool machinePool, count *poolCount, targets []zoneTarget) (machineOffer, int) {
-	needed := s.shortage(t, pool)
+func (s *scaler) chooseScaleOut(machineType *fleet.Type, pool machinePool, count *poolCount, targets []zoneTarget) (machineOffer, int) {
+	needed := s.shortage(machineType, pool)
 	s.elector.leadership.scaling.recordBusy(pool, count.busy, s.now, s.idleReturnTime())
 	wanted := max(needed, s.spareMachines(pool)-count.idle) - count.booting
 	if wanted <= 0 {
 		return machineOffer{}, 0
 	}
-	offer, ok := s.chooseOffer(t, s.scaleOutKinds(t, pool, needed > count.booting), targets)
+	offer, ok := s.chooseOffer(machineType, s.scaleOutKinds(machineType, pool, needed > count.booting), targets)
 	if !ok {
 		return machineOffer{}, 0
 	}
@@ -136,7 +136,8 @@
 	}})
 }
 
-// tasksPerMachine returns how many tasks with the given need fit on a machine, but at least 1.
+// tasksPerMachine returns the number of tasks with the given need that fit on a machine, at least
+// 1.
 func tasksPerMachine(need, capacity jobstate.Resources) int64 {
 	tasks := int64(unboundedTasks)
 	for _, x := range [][2]int64{{need.CPU, capacity.CPU}, {need.GPU, capacity.GPU}, {need.Mem, capacity.Mem}} {
@@ -155,12 +156,12 @@
 // chooseOffer picks an open offer of the type, with the kinds (spot or not) in order of
 // preference. Zones in which machines are gathered for a job come first; otherwise the zone is
 // random.
-func (s *scaler) chooseOffer(t *fleet.Type, kinds []bool, targets []zoneTarget) (machineOffer, bool) {
+func (s *scaler) chooseOffer(machineType *fleet.Type, kinds []bool, targets []zoneTarget) (machineOffer, bool) {
 	state := &s.elector.leadership.scaling
 	for _, target := range targets {
 		for _, spot := range kinds {
-			offer := machineOffer{t.Name, target.zone, spot}
-			isUsable := target.spec.Allows(t.Name, target.zone, spot, t.Cap) && slices.Contains(t.Zones, target.zone)
+			offer := machineOffer{machineType.Name, target.zone, spot}
+			isUsable := target.spec.Allows(machineType.Name, target.zone, spot, machineType.Cap) && slices.Contains(machineType.Zones, target.zone)
 			if isUsable && state.isOpen(offer, s.now) {
 				return offer, true
 			}
@@ -168,8 +169,8 @@
 	}
 	for _, spot := range kinds {
 		var open []machineOffer
-		for _, zone := range t.Zones {
-			if offer := (machineOffer{t.Name, zone, spot}); state.isOpen(offer, s.now) {
+		for _, zone := range machineType.Zones {
+			if offer := (machineOffer{machineType.Name, zone, spot}); state.isOpen(offer, s.now) {
 				open = append(open, offer)
 			}
 		}
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -6,15 +6,18 @@
 	callRateShare = 0.85
 	// maxCloudCalls is the maximum number of concurrent calls.
 	maxCloudCalls = 4
-	// Machines are listed at least once every listPageInterval per page of the list, and more
-	// often, but at most every listPageInterval, while that takes no more than listCallShare of
-	// the calls: a list shows which machines were reclaimed without notice.
-	listCallShare    = 0.1
+	// listCallShare is the maximum share of the calls that lists may take for machines to be
+	// listed more often than once every listPageInterval per page of the list. A list shows
+	// which machines were reclaimed without notice.
+	listCallShare = 0.1
+	// listPageInterval is the minimum interval at which machines are listed and, multiplied by
+	// the number of pages of the list, the maximum one.
 	listPageInterval = 5 * second
 
-	// typesInterval is the interval at which the machine types are listed, and typesRetryGap
-	// the time before a retry after a failure.
+	// typesInterval is the interval at which the machine types are listed.
 	typesInterval = 120 * second
+	// typesRetryGap is the time before a retry after a failure, and the interval at which the
+	// machine types are listed while none are known.
 	typesRetryGap = 2 * second
 )
 
--- a/internal/core/sizestats.go
+++ b/internal/core/sizestats.go
@@ -13,10 +13,13 @@
 
 // Bounds of the job size statistics.
 const (
-	maxSizedClasses = 200     // pairs of class and kind
-	maxTasksCounted = 100_000 // tasks of a job; larger jobs count as this size
-	// An array is one of the largest of its class if its size is at or above this percentile
-	// of the sizes of the class.
+	// maxSizedClasses is the maximum number of pairs of class and kind.
+	maxSizedClasses = 200
+	// maxTasksCounted is the maximum number of tasks that is recorded for a job; larger jobs are
+	// recorded with this size.
+	maxTasksCounted = 100_000
+	// largestArrayPercentile is the percentile of the sizes of a class at or above which an
+	// array is one of the largest of the class.
 	largestArrayPercentile = 90
 )
 
@@ -63,7 +66,8 @@
 }
 
 // startIsOverdue reports whether a job is one of the largest of its class and has waited for a
-// quarter of startDeadline without starting. An array starts with its first task, a gang with all of its tasks.
+// quarter of startDeadline without starting. An array starts with its first task, a gang with
+// all of its tasks.
 func (p *planner) startIsOverdue(job *jobstate.Job) bool {
 	return job.NumPlaced == 0 && job.NumDone == 0 && p.now-job.ReadyAt >= startDeadline/4 &&
 		p.elector.leadership.planning.classSizes.isAmongLargest(job.Spec)
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -53,8 +53,8 @@
 	return ready
 }
 
-// countRuns counts the runs whose ends are stored, and returns how many created runs remain
-// open. It reads ends of runs that are no longer in the cache.
+// countRuns counts the runs whose ends are stored, and returns the number of created runs that
+// remain open. It reads ends of runs that are no longer in the cache.
 func (m *sweepManager) countRuns(s *sweep) (open int) {
 	reads := 0
 	for it := s.openRuns().Iterator(); it.HasNext(); {
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -406,8 +406,8 @@
 	env.emit(Ask{env.nextID, from, to, request})
 }
 
-// loseAnswer decides whether the response to a request is lost, and by how much the execution
-// of the request is delayed.
+// loseAnswer decides whether the response to a request is lost, and returns the delay of the
+// execution of the request.
 func (env *Environment) loseAnswer() (lost bool, late int64) {
 	if env.AnswerLoss == 0 || env.rng.Float64() >= env.AnswerLoss {
 		return false, 0
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -239,7 +239,7 @@
 	return 0
 }
 
-// ratio counts how many of all items met a requirement.
+// ratio counts all items and those that met a requirement.
 type ratio struct{ met, total int }
 
 func (r *ratio) add(met bool) {
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -191,7 +191,7 @@
 	}
 	j.accepted, j.lastResponseAt, j.failedPolls = true, e.At, 0
 	if e.State == "" {
-		return // a response without a state, such as that to a sweep
+		return // the response contains no state, so there is none to check
 	}
 	if k.expected.Sweeps[e.Job] == nil {
 		k.checkState(e, j, call)
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -22,8 +22,8 @@
 	Windows map[string]Window `json:"windows"`
 	// TimerLateness is the lateness of the timers of the workers and the emulator.
 	TimerLateness Latency    `json:"late_ms"`
-	Urgent        Starts     `json:"urgent"`
-	Gangs         Starts     `json:"gangs"`
+	Urgent        StartWaits `json:"urgent"`
+	Gangs         StartWaits `json:"gangs"`
 	Submit        Latency    `json:"submit_ms"`
 	Poll          Latency    `json:"poll_ms"`
 	Failovers     []Failover `json:"takeover,omitempty"`
@@ -41,9 +41,9 @@
 	Count  int     `json:"count"`
 }
 
-// Starts is the distribution of the waiting times of a class's jobs, in seconds, and the
+// StartWaits is the distribution of the waiting times of a class's jobs, in seconds, and the
 // share of jobs that started within Within seconds, the target of the class.
-type Starts struct {
+type StartWaits struct {
 	Latency
 	Within float64 `json:"within"`
 	Share  float64 `json:"share"`
@@ -283,7 +283,7 @@
 // the first submission of a job until all its tasks had started. It leaves out cancelled jobs and
 // jobs that were submitted less than within seconds before the end of the run. A job that has not
 // fully started by the end counts as having waited until then, and as late.
-func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
+func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) StartWaits {
 	type jobStarts struct {
 		first, last int64
 		started     map[int]bool
@@ -323,7 +323,7 @@
 		}
 		values = append(values, float64(j.last-j.first)/1e6)
 	}
-	s := Starts{Latency: summarize(values), Within: within}
+	s := StartWaits{Latency: summarize(values), Within: within}
 	if len(values) > 0 {
 		s.Share = float64(inTime) / float64(len(values))
 	}
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -117,7 +117,7 @@
 }
 
 func (r *execution) printProgress(p sockets.Progress) {
-	_, _ = fmt.Fprintf(r.Out, "%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done, %d MB\n", p.Now.Seconds(), p.Length.Seconds(), p.Accepted, p.Finished, p.Done, r.peakMemoryMB.Load())
+	_, _ = fmt.Fprintf(r.Out, "%4.0f of %.0f s: %d jobs accepted, %d tasks started, %d done, %d MB\n", p.Now.Seconds(), p.Length.Seconds(), p.JobsAccepted, p.TasksStarted, p.TasksCompleted, r.peakMemoryMB.Load())
 }
 
 // execute runs the environment until the run ends and computes the figures.
--- a/internal/emulator/soak/soak.go
+++ b/internal/emulator/soak/soak.go
@@ -46,8 +46,8 @@
 // Plan contains the seeds of a soak and its time limit.
 type Plan struct {
 	First, Seeds uint64
-	// AtMost is the time after which no further run is started; 0 means no limit.
-	AtMost time.Duration
+	// TimeLimit is the time after which no further run is started; 0 means no limit.
+	TimeLimit time.Duration
 	// Parallel is the number of concurrent runs.
 	Parallel int
 }
@@ -61,9 +61,9 @@
 // Run runs a soak. It prints each failed run when it ends, and a progress line at most once
 // a minute.
 func (p Plan) Run(ctx context.Context, out io.Writer) Summary {
-	if p.AtMost > 0 {
+	if p.TimeLimit > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, p.AtMost)
+		ctx, cancel = context.WithTimeout(ctx, p.TimeLimit)
 		defer cancel()
 	}
 	seeds := make(chan uint64)
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -62,8 +62,10 @@
 
 // Progress is the progress of a run.
 type Progress struct {
-	Now, Length                      time.Duration
-	Events, Accepted, Done, Finished int
+	Now, Length time.Duration
+	// Events is the number of recorded events. TasksStarted is the number of TaskEntered events:
+	// tasks of gangs count as started once their images are on their machines.
+	Events, JobsAccepted, TasksCompleted, TasksStarted int
 }
 
 // Driver serves an environment, which only the driver's actor accesses.
@@ -136,11 +138,11 @@
 	d.history = append(d.history, e)
 	switch {
 	case e.Kind == history.TaskEntered:
-		d.progress.Finished++
+		d.progress.TasksStarted++
 	case e.Kind == history.ResponseReceived && e.Op == history.Submit && e.Status == 201:
-		d.progress.Accepted++
+		d.progress.JobsAccepted++
 	case e.Kind == history.TaskCompleted:
-		d.progress.Done++
+		d.progress.TasksCompleted++
 	}
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -49,7 +49,10 @@
 
 // Totals are the results of a run.
 type Totals struct {
-	Sent, Accepted, Refused, GivenUp, Throttled, Done, Cancelled, Retries int
+	// Abandoned is the number of submissions that were neither accepted nor refused, and not
+	// retried because the next attempt would have come after submitDeadline or the end of the
+	// run.
+	Sent, Accepted, Refused, Abandoned, Throttled, Done, Cancelled, Retries int
 	// Accept and Complete are the latencies until a job was accepted and until it was done,
 	// in microseconds from the intended time.
 	Accept, Complete *hdrhistogram.Histogram
@@ -160,7 +163,7 @@
 			return false
 		}
 		if time.Since(firstAttempt)+wait > submitDeadline || !r.sleep(wait) {
-			r.update(func(t *Totals) { t.GivenUp++ })
+			r.update(func(t *Totals) { t.Abandoned++ })
 			return false
 		}
 		r.update(func(t *Totals) { t.Retries++ })
@@ -207,7 +210,7 @@
 
 // String formats the totals as one line, without the latencies.
 func (t Totals) String() string {
-	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.GivenUp, t.Throttled, t.Retries, t.Done, t.Cancelled)
+	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.Abandoned, t.Throttled, t.Retries, t.Done, t.Cancelled)
 }
 
 // Quantiles formats the quantiles of a histogram of microseconds, in milliseconds.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -44,7 +44,7 @@
 		trace = append(trace, Entry{At: int64(i) * 1000, Job: wire.Job{ID: id, Tasks: 1}})
 	}
 	got := Run(trace, Options{Addr: strings.TrimPrefix(server.URL, "http://"), MaxInFlight: 10, Follow: true, Duration: 30 * time.Second})
-	if got.Sent != 5 || got.Accepted != 4 || got.Refused != 1 || got.Retries != 1 || got.Done != 3 || got.Cancelled != 1 || got.GivenUp+got.Throttled != 0 {
+	if got.Sent != 5 || got.Accepted != 4 || got.Refused != 1 || got.Retries != 1 || got.Done != 3 || got.Cancelled != 1 || got.Abandoned+got.Throttled != 0 {
 		t.Errorf("got %s; want 5 sent, 4 accepted, 1 refused, 1 retry, 3 done, 1 withdrawn, none given up or held up", got)
 	}
 	if got.Accept.Max() < 1_000_000 || got.Accept.TotalCount() != 4 {
