--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -18,9 +18,9 @@
 	conditionsPerOp = 4
 )
 
-// Sizes in bytes that determine how many tasks fit in a stored chunk: the chunk without its
-// tasks, a task without the name of its machine, and the minimum length to assume for the names
-// of machines.
+// Sizes in bytes that determine the number of tasks that fit in a stored chunk: the chunk without
+// its tasks, a task without the name of its machine, and the minimum length to assume for the
+// names of machines.
 const (
 	chunkFrameBytes    = 160
 	chunkBytesPerTask  = 15
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -22,8 +22,8 @@
 	Windows map[string]Window `json:"windows"`
 	// TimerLateness is the lateness of the timers of the workers and the emulator.
 	TimerLateness Latency    `json:"late_ms"`
-	Urgent        Starts     `json:"urgent"`
-	Gangs         Starts     `json:"gangs"`
+	Urgent        StartWaits `json:"urgent"`
+	Gangs         StartWaits `json:"gangs"`
 	Submit        Latency    `json:"submit_ms"`
 	Poll          Latency    `json:"poll_ms"`
 	Failovers     []Failover `json:"takeover,omitempty"`
@@ -41,9 +41,9 @@
 	Count  int     `json:"count"`
 }
 
-// Starts is the distribution of the waiting times of a class's jobs, in seconds. Within is the
+// StartWaits is the distribution of the waiting times of a class's jobs, in seconds. Within is the
 // target of the class for these times, and Share is the share of jobs that met it.
-type Starts struct {
+type StartWaits struct {
 	Latency
 	Within float64 `json:"within"`
 	Share  float64 `json:"share"`
@@ -284,7 +284,7 @@
 // for this time, in seconds. Cancelled jobs are left out, and so are jobs that were submitted so
 // late that the run ended before the target time had passed. A job that has not fully started by
 // the end of the run counts as having waited until then, and as late.
-func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
+func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) StartWaits {
 	type jobStarts struct {
 		first, last int64
 		started     map[int]bool
@@ -324,7 +324,7 @@
 		}
 		values = append(values, float64(j.last-j.first)/1e6)
 	}
-	s := Starts{Latency: summarize(values), Within: within}
+	s := StartWaits{Latency: summarize(values), Within: within}
 	if len(values) > 0 {
 		s.Share = float64(inTime) / float64(len(values))
 	}
