--- a/internal/core/cloudlisting.go
+++ b/internal/core/cloudlisting.go
@@ -31,15 +31,15 @@
 	clockDriftDivisor = 1000
 	// scaledInRetention is the maximum time for which a returned machine may still be listed.
 	scaledInRetention = 120 * second
-	// unlistedBootTimeout, plus four times the list lag, is the time after its rental for
-	// which a booting machine may be missing from the list. unlistedTimeout is the time
-	// without a heartbeat after which an unlisted machine without work is removed.
+	// unlistedBootTimeout, plus four times the list lag, is the time after the rental of a
+	// machine for which it may be missing from the list while it boots. unlistedTimeout is the
+	// time without a heartbeat after which an unlisted machine without work is removed.
 	unlistedBootTimeout = 60 * second
 	unlistedTimeout     = 90 * second
 )
 
-// listedAge is the interval that contains the time at which a list described a machine, and the
-// age of the machine in that list.
+// listedAge is the age of a machine in a list, with bounds on the time that this list entry
+// describes: a time between from and to.
 type listedAge struct{ from, to, age int64 }
 
 // after returns the entry for another age of the same machine, with the narrowest bounds that
--- a/internal/core/connectivity/connectivity_test.go
+++ b/internal/core/connectivity/connectivity_test.go
@@ -122,7 +122,7 @@
 	}
 	sample.Invalidate(now + second)
 	if eighths, _ := sample.ReachableEighths("a"); eighths != 0 || len(sample.DueProbes(now+second)) != machinesPerZone {
-		t.Errorf("after Invalidate: got %d eighths, want 0; or got another number of machines to probe at once than the wanted %d", eighths, machinesPerZone)
+		t.Errorf("after Invalidate: got %d eighths, or not all machines due for a probe; want 0 eighths and %d due probes", eighths, machinesPerZone)
 	}
 }
 
@@ -165,9 +165,9 @@
 	}
 }
 
-// handovers simulates the links of a leader n0 with a peer n1 that reaches all workers, while n0
-// reaches them only while the function reaches returns true. It returns the times at which n0 hands
-// over.
+// handovers simulates the links of a leader n0 with a peer n1 that reaches all workers. n0 itself
+// reaches them at the times for which reaches returns true. step, if not nil, is called at each
+// step of the simulation. The result is the times at which n0 hands over.
 func handovers(t *testing.T, seconds int64, reaches func(now int64) bool, step func(l *Links, now int64)) (handedOver []int64) {
 	t.Helper()
 	l := NewLinks("n0", "b", []string{"n1"}, 2*second)
--- a/internal/core/connectivity/link.go
+++ b/internal/core/connectivity/link.go
@@ -125,7 +125,7 @@
 	return l.flapCount >= flapThreshold && now-l.flapTimes[l.flapCount%flapThreshold] < flapWindow
 }
 
-// State returns the estimated state of the link by evidence more recent than maxAge.
+// State returns the estimated state of the link, Unknown if no evidence is more recent than maxAge.
 func (l *Link) State(now, maxAge int64) LinkState {
 	switch {
 	case !l.tried() || now-max(l.succeededAt, l.failedAt) >= maxAge:
--- a/internal/core/connectivity/matrix.go
+++ b/internal/core/connectivity/matrix.go
@@ -132,8 +132,8 @@
 	return gain
 }
 
-// RelayTo returns the first by name of the given peers that reaches the controller to, for
-// messages that can't be sent directly; "" if there is none.
+// RelayTo returns the peer that should relay messages which can't be sent directly to a controller:
+// the first by name of the given peers that reaches the controller, "" if there is none.
 func (m Matrix) RelayTo(peers []string, to string) string {
 	relays := slices.DeleteFunc(slices.Clone(peers), func(peer string) bool {
 		return peer == to || !slices.Contains(m[peer].Peers, to)
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -24,7 +24,8 @@
 	// one that sends heartbeats.
 	staleTimeout = 20 * second
 	// doubtTimeout is the time without any success after which the other controllers are asked
-	// for machines, and after which their information that a machine is gone is accepted.
+	// which machines they sample, and after which their information that a machine is gone is
+	// accepted.
 	doubtTimeout = 5 * second
 	// forgottenRetention is the time for which a machine that is gone is not added again if
 	// another controller samples it: that controller may not know yet that the machine is gone.
@@ -70,15 +71,16 @@
 }
 
 // RecordHeartbeat records a heartbeat that came directly from a machine. A single heartbeat proves
-// only the direction from the machine. One with the next sequence number proves that the answer
-// arrived as well, since otherwise the worker would have tried another controller.
+// only that messages from the machine arrive here. A second one with the next sequence number
+// proves that the answer to the first arrived as well, since otherwise the worker would have tried
+// another controller.
 func (s *Sample) RecordHeartbeat(machine Machine, epoch, seq uint64, now int64) {
 	if !s.Add(machine, now) {
 		return
 	}
 	m := s.byName[machine.Name]
 	if epoch < m.epoch || epoch == m.epoch && seq <= m.seq {
-		return // delayed copy; a machine whose sequence numbers restarted is probed
+		return // a delayed copy, or the sequence numbers restarted; then a probe gives evidence
 	}
 	if m.epoch == epoch && m.seq+1 == seq {
 		m.link.RecordSuccess(now, now)
@@ -87,7 +89,7 @@
 }
 
 // Invalidate marks all evidence as outdated, for example after this controller was suspended, since
-// anything may have changed in that time. All machines are probed at once.
+// anything may have changed in that time. All machines are then due for a probe.
 func (s *Sample) Invalidate(now int64) {
 	for _, m := range s.byName {
 		m.link.RecordFailure(now, now, NoResponse)
@@ -95,7 +97,8 @@
 	}
 }
 
-// Add records that a machine sends heartbeats, and reports whether the machine is in the sample.
+// Add adds a machine if its zone has room for it, or updates the address of a machine that is
+// already sampled, and reports whether the machine is in the sample.
 func (s *Sample) Add(machine Machine, now int64) bool {
 	if machine.Addr == "" || machine.Zone == "" {
 		return false
@@ -138,7 +141,8 @@
 	return true
 }
 
-// remove removes a machine from the sample, and its zone if that was its last machine.
+// remove removes a machine from the sample, and also its zone if no other machine of the zone is
+// sampled.
 func (s *Sample) remove(m *sampledMachine) {
 	delete(s.byName, m.Name)
 	s.zones[m.Zone] = slices.DeleteFunc(s.zones[m.Zone], func(other *sampledMachine) bool { return other == m })
@@ -156,7 +160,7 @@
 }
 
 // ForgetUnlisted removes the machines that may be gone (isDoubted), are not in the cloud's list
-// and have had no success since completeSince, the time from which the list is complete.
+// and have had no success since completeSince, the earliest time that the list may describe.
 func (s *Sample) ForgetUnlisted(isListed func(name string) bool, completeSince, now int64) {
 	for _, machine := range s.Machines() {
 		m := s.byName[machine.Name]
@@ -187,8 +191,9 @@
 	return false
 }
 
-// Merge adds the machines that another controller samples, given how many eighths of each zone
-// that controller reaches, and returns the names of the machines that are gone according to it.
+// Merge adds the machines that another controller samples, and returns the names of the machines
+// that are gone according to that controller. eighths is the number of eighths of each zone that
+// the other controller reaches.
 func (s *Sample) Merge(machines []Machine, eighths map[string]int, now int64) (gone []string) {
 	s.expireForgotten(now)
 	listed := map[string][]Machine{}
@@ -209,8 +214,8 @@
 }
 
 // mergeMachine adds a machine that another controller samples. If that controller reaches more
-// of the zone, the machine counts as unreachable until it answers: it may have replaced
-// an unreachable machine, and otherwise the reach of the zone would be unknown until then.
+// of the zone, the machine counts as unreachable until it answers. Otherwise, if the machine has
+// replaced an unreachable one, the reach of the zone could be unknown until the first answer.
 func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,8 +11,8 @@
 // only by conditional transactions (compare-and-swap), and those of a leader are conditional
 // on the leadership key.
 //
-// A Core consists of parts, each a type with a file of its name, which share an engine
-// (clock, settings, log, effects):
+// A Core consists of parts, each with a type of its own, which share an engine (clock, settings,
+// log, effects):
 //
 //   - the stored state: stateCache is the local copy, stateReader keeps this copy up to date
 //     by watches and reads, committer writes what the leader decides, stateHealth tracks
@@ -20,7 +20,7 @@
 //   - the controllers: elector campaigns and leads, membership tracks which programs and
 //     features are present, peerMonitor pings the others and forwards requests to them,
 //     readLeaseManager lets a leader continue to answer workers while the state service
-//     does not answer it;
+//     does not answer that leader;
 //   - users and operators: requestHandler, sweepManager, dependencyResolver and
 //     operatorViewer;
 //   - machines: heartbeatRouter passes heartbeats to the leader, workerManager keeps
@@ -66,8 +66,8 @@
 	operators        *operatorViewer
 }
 
-// connect gives each part the parts that it uses. The parts use each other, so connect is
-// called after all of them have been created.
+// connect sets the references of each part to the other parts that it uses. As parts refer to
+// each other in cycles, connect is called after all of them have been created.
 func (c *Core) connect() {
 	c.connectState()
 	c.connectControllers()
@@ -75,7 +75,7 @@
 	c.connectMachines()
 }
 
-// connectState gives the parts that read and write the stored state the parts that they use.
+// connectState sets the references of the parts that read and write the stored state.
 func (c *Core) connectState() {
 	c.health.cache = c.cache
 	c.health.elector = c.elector
@@ -120,7 +120,8 @@
 	c.readLeases.sweepManager = c.sweepManager
 }
 
-// connectControllers does the same for the parts that deal with the other controllers.
+// connectControllers sets the references of the parts that deal with the other controllers and
+// with operators.
 func (c *Core) connectControllers() {
 	c.elector.cache = c.cache
 	c.elector.committer = c.committer
@@ -161,7 +162,7 @@
 	c.operators.reader = c.reader
 }
 
-// connectRequests does the same for the parts that handle users' requests.
+// connectRequests sets the references of the parts that handle users' requests.
 func (c *Core) connectRequests() {
 	c.requests.cache = c.cache
 	c.requests.dependencies = c.dependencies
@@ -194,7 +195,7 @@
 	c.sweepManager.tasks = c.tasks
 }
 
-// connectMachines does the same for the parts that deal with machines, their tasks and the
+// connectMachines sets the references of the parts that deal with machines, their tasks and the
 // cloud.
 func (c *Core) connectMachines() {
 	c.router.cache = c.cache
--- a/internal/core/delivery.go
+++ b/internal/core/delivery.go
@@ -43,15 +43,15 @@
 }
 
 // endedEpochDespiteAnswers reports whether a worker has ended its epoch because it received no
-// answers, although it was recently sent one.
+// answers, although an answer was recently sent to it.
 func (w *workerManager) endedEpochDespiteAnswers(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	lease := config.MicrosOf(w.settings.Workers.LeaseS)
 	return machine.Epoch != 0 && heartbeat.Epoch > machine.Epoch && w.now-machine.LastAnswer < lease*3/4
 }
 
-// abandonUnacknowledged requests the stop of the attempts on a machine that no heartbeat has
-// listed, as the machine does not receive answers. Like all stopping attempts, they are cleared
-// when a later heartbeat does not list them either. Attempts that were listed stay on the
+// abandonUnacknowledged requests the stop of those attempts on a machine that have not been in
+// any heartbeat, as the machine does not receive answers. Like all stopping attempts, they are
+// cleared when a later heartbeat does not list them either. Attempts that were listed stay on the
 // machine until its lease has expired.
 func (w *workerManager) abandonUnacknowledged(machine *fleet.Machine) {
 	var refs []fleet.TaskRef
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -3,14 +3,14 @@
 import "github.com/zinclb/zinclb/internal/core/fleet"
 
 // departedRetention is the time for which a departed machine is remembered. Copies of
-// heartbeats can arrive late by much more than a lease.
+// heartbeats can be delayed by much more than the duration of a lease.
 const departedRetention = 900 * second
 
 // departedMachines records the machines that a leader has removed from the fleet. Late copies
 // of their heartbeats would otherwise add a machine again that no longer exists.
 type departedMachines struct {
 	byName    map[string]departure
-	expiredAt int64
+	expiredAt int64 // time at which expired departures were last deleted
 }
 
 // departure holds the epoch and sequence number of the last heartbeat of a removed machine.
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -39,8 +39,8 @@
 }
 
 // drainMachine evicts the tasks of a machine, with time for a checkpoint. A task without
-// checkpoints may finish if it should end within the preemption notice; notice 0 means that
-// there is none.
+// checkpoints is left to finish if it should end well within the preemption notice (endsWithin).
+// A notice of 0 means that there is no preemption notice.
 func (t *taskManager) drainMachine(machine *fleet.Machine, notice int64) {
 	for _, ref := range machine.PlacedInOrder() {
 		job, task := ref.Job, ref.Job.Task(ref.Index)
--- a/internal/core/endlookup.go
+++ b/internal/core/endlookup.go
@@ -17,8 +17,8 @@
 // maxEndsPerLookup is the maximum number of ends that are looked up at once.
 const maxEndsPerLookup = 64
 
-// lookUpEnd looks up the end of a job that is not among the unfinished ones: it either
-// ended earlier or was never accepted.
+// lookUpEnd looks up the end of the job that a request is about. The job is not among the
+// unfinished ones, so it has either ended or was never accepted.
 func (h *requestHandler) lookUpEnd(r *request) {
 	if h.queues.endLookups.Waiting() >= maxQueuedRequests {
 		h.refuse(r)
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -11,14 +11,14 @@
 // EndCounts counts, since this controller's start, how it learned of ends and how it found
 // that a job is not known.
 type EndCounts struct {
-	// Derived counts ends that were derived from the ends of other jobs, Reported ends that
-	// this controller learned first from a peer.
+	// Derived counts ends that were derived from the ends of other jobs or of sweeps; Reported
+	// counts ends that this controller learned first from a peer.
 	Derived  uint64 `json:"derived"`
 	Reported uint64 `json:"told_by_peers"`
 	// FailedReads counts reads of dependencies' ends that failed or found no end.
 	FailedReads uint64 `json:"failed_reads"`
-	// NotFoundCompared and NotFoundRead count replies that a job is not known, after its end
-	// was found to be absent in a batch comparison or in a read of its own.
+	// NotFoundCompared counts replies that a job is not known after a batch comparison found
+	// its end to be absent; NotFoundRead counts those after a read of this end alone.
 	NotFoundCompared uint64 `json:"not_found_compared"`
 	NotFoundRead     uint64 `json:"not_found_read"`
 }
--- a/internal/core/endmonitor_test.go
+++ b/internal/core/endmonitor_test.go
@@ -63,7 +63,7 @@
 	}
 	counts := view.Ends
 	if counts.FailedReads == 0 || counts.Reported != 1 || counts.Derived != 1 || counts.NotFoundRead != 1 || counts.NotFoundCompared != 0 {
-		t.Errorf("got counts %+v, want failed reads, 1 reported, 1 derived, 1 not found by a read and 0 by comparison", counts)
+		t.Errorf("got counts %+v, want at least 1 failed read, 1 reported, 1 derived, 1 not found by a read and 0 by comparison", counts)
 	}
 	if t.Failed() {
 		t.Log(logged)
--- a/internal/core/fleet/delivery.go
+++ b/internal/core/fleet/delivery.go
@@ -11,8 +11,8 @@
 	// missedAnswers is the number of consecutive answers of which no command took effect.
 	missedAnswers int
 	// CannotReceive reports whether the machine gets no tasks because it does not receive
-	// answers, as in a one-way partition. It was set at cannotReceiveSince and stays set
-	// until an answer is received or retryDelay is over, both in microseconds.
+	// answers, as in a one-way partition. It was set at the time cannotReceiveSince, and stays
+	// set until an answer is received or retryDelay microseconds have passed since that time.
 	CannotReceive      bool
 	cannotReceiveSince int64
 	retryDelay         int64
--- a/internal/core/fleet/machineset.go
+++ b/internal/core/fleet/machineset.go
@@ -1,7 +1,8 @@
 package fleet
 
 // MachineSet is the set of machines that a leader knows. It tracks which of them have changed
-// since the last ForEachChanged. A list holds all of them, so that iteration is deterministic.
+// since the last ForEachChanged. The machines are also kept in a list, so that the order of
+// iteration is deterministic.
 type MachineSet struct {
 	byName  map[string]*Machine
 	list    []*Machine
@@ -17,7 +18,7 @@
 // Get returns the machine with a name, or nil.
 func (s *MachineSet) Get(name string) *Machine { return s.byName[name] }
 
-// All returns the machines. The slice is the set's own, and Remove changes it.
+// All returns the machines. The slice belongs to the set, and Remove changes its contents.
 func (s *MachineSet) All() []*Machine { return s.list }
 
 // Add adds a machine that is not in the set.
--- a/internal/core/fleet/partitions.go
+++ b/internal/core/fleet/partitions.go
@@ -38,9 +38,9 @@
 	return ""
 }
 
-// PartitionBoundaries returns the boundaries of n partitions that hold equal numbers of the
-// hashes, and so roughly equal numbers of machines of every type, as far as the order of the
-// hashes allows. It sorts the hashes.
+// PartitionBoundaries returns the boundaries of n partitions that contain equal numbers of the
+// hashes, as nearly as possible, and so roughly equal numbers of machines of every type. If there
+// are fewer hashes than partitions, the hash range is divided evenly. hashes is sorted in place.
 func PartitionBoundaries(hashes []uint32, n int) []uint32 {
 	slices.SortFunc(hashes, cmp.Compare)
 	boundaries := make([]uint32, n-1)
--- a/internal/core/fleet/probe.go
+++ b/internal/core/fleet/probe.go
@@ -4,7 +4,8 @@
 type probe struct {
 	sentAt  int64
 	pending bool // no answer yet
-	// epoch and seq are the highest numbers that were known when the probe was sent.
+	// epoch and seq are the highest numbers that were known when the probe was sent or, once
+	// the sequence numbers have restarted, those in the last answer to a probe.
 	epoch, seq uint64
 }
 
@@ -43,7 +44,7 @@
 	if !p.pending || sentAt < p.sentAt {
 		return false
 	}
-	p.pending = false // a further answer must be compared with newer numbers
+	p.pending = false // a copy of this answer could look like another restart
 	isNewer := epoch > p.epoch || epoch == p.epoch && seq > p.seq
 	if isNewer && !m.seqRestarted {
 		return false
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -35,7 +35,7 @@
 	tasks      *taskManager
 }
 
-// heartbeatRefusal is the reason for refusing a heartbeat that is sent to its worker.
+// heartbeatRefusal is the reason for which a heartbeat is refused, as sent to its worker.
 type heartbeatRefusal string
 
 const (
@@ -107,8 +107,8 @@
 	w.answerHeartbeat(machine, m.RequestID, commands)
 }
 
-// authorize returns the reason why a heartbeat must not be handled, or "" if it may be: this
-// controller may not act as the leader, or the machine was returned to the cloud.
+// authorize returns "" if a heartbeat may be handled, and otherwise the reason why not: either
+// this controller may not act as the leader, or the machine was returned to the cloud.
 func (w *workerManager) authorize(heartbeat *Heartbeat) heartbeatRefusal {
 	term := w.elector.leadership
 	if !w.elector.mayAnswerWorkers() {
@@ -126,8 +126,9 @@
 	return ""
 }
 
-// isOutdated reports whether a heartbeat is a late copy: it is from an earlier epoch of its
-// machine, or it is not newer than the newest heartbeat of the current epoch.
+// isOutdated reports whether a heartbeat may be a late copy: it is from an earlier epoch of its
+// machine, it is not newer than the newest heartbeat of the current epoch, or it is not plausible
+// after a restart of the sequence numbers.
 func (w *workerManager) isOutdated(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	return !machine.IsNewer(heartbeat.Epoch, heartbeat.Seq) ||
 		!machine.IsPlausible(heartbeat.Epoch, heartbeat.Seq, w.now)
--- a/internal/core/heartbeatrouter.go
+++ b/internal/core/heartbeatrouter.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// routeAsLeader handles a heartbeat here, unless its worker should use the holder of its
-// partition, to which it is then redirected.
+// routeAsLeader handles a heartbeat, or redirects its worker to the holder of the machine's
+// partition if the worker should use that controller.
 func (r *heartbeatRouter) routeAsLeader(m HeartbeatReceived) {
 	holder := r.cache.partitions.Holder(m.Heartbeat.Machine)
 	if m.From == "" && r.canServe(holder, m.Heartbeat.Zone) && r.mayRedirect(&m.Heartbeat, r.elector.fencingToken()) {
@@ -112,8 +112,8 @@
 
 // routeWithoutLeader handles a heartbeat that came directly from its worker and that this
 // controller can't relay to the leader. The worker is redirected to a controller that can relay
-// it, or to the leader itself if the leader reaches the worker's zone. A worker that returns
-// can reach neither, so its heartbeat is relayed through another controller.
+// it, or to the leader itself if the leader reaches the worker's zone. A worker that returns soon
+// after such a redirect reached neither, so its heartbeat is relayed through another controller.
 func (r *heartbeatRouter) routeWithoutLeader(m HeartbeatReceived, leader string) {
 	if !r.settings.Ops.Reach || leader == "" || leader == r.settings.Name {
 		r.refuse(m.RequestID, "no leader known")
@@ -151,8 +151,8 @@
 		r.now-r.cache.partitionsReadAt < partitions.LeaseDuration
 }
 
-// recordServedHere records that a heartbeat is accepted here, if it came directly from the
-// worker, which means that from is empty.
+// recordServedHere records that a heartbeat is accepted here. It ignores relayed heartbeats; from
+// is the controller that relayed the heartbeat, or "" if it came directly from the worker.
 func (r *heartbeatRouter) recordServedHere(machine, from string) {
 	if from == "" {
 		entry := r.redirects[machine]
@@ -191,7 +191,7 @@
 	}
 }
 
-// onHeartbeatRelayed forwards the answer to a relayed heartbeat to its sender.
+// onHeartbeatRelayed forwards the answer to a relayed heartbeat to the sender of the heartbeat.
 func (r *heartbeatRouter) onHeartbeatRelayed(m HeartbeatRelayed) {
 	if m.Err != nil {
 		r.refuse(m.RequestID, "the leader does not answer")
--- a/internal/core/jobstate/chunks.go
+++ b/internal/core/jobstate/chunks.go
@@ -9,8 +9,8 @@
 
 // chunkLayer holds the revisions of a job's stored chunks of one earlier, larger chunk size.
 // A stored chunk of a smaller size overrides the larger one for its tasks, whatever their
-// revisions, because only a leader that has read the larger one writes it. So chunks need
-// not be split in one transaction, and a partly completed split is consistent.
+// revisions, because a leader writes the smaller one only after it has read the larger one. So
+// chunks need not be split in one transaction, and a partly completed split is consistent.
 type chunkLayer struct {
 	chunkSize int
 	revisions []uint64
--- a/internal/core/jobstate/dependencies.go
+++ b/internal/core/jobstate/dependencies.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// DependencyGraph records which unfinished jobs wait for which others. A job waits until each
-// of its dependencies has a stored end. If a dependency ends as cancelled, so does the job: a
-// stored end never changes, so the dependency can never be done.
+// DependencyGraph records which unfinished jobs wait for which others. A job waits until the
+// ends of all its dependencies are known. If a dependency ends as cancelled, so does the job: an
+// end never changes, so the dependency can never be done.
 type DependencyGraph struct {
-	// dependents are the jobs that wait for the job with an ID.
+	// dependents holds, by the ID of each job that others wait for, the jobs that wait for it.
 	dependents map[string][]*Job
 	// round numbers the traversals; Job.visitedRound holds the last one that visited a job.
 	round int
@@ -45,9 +45,9 @@
 	return last, cancelled
 }
 
-// RecordEnd records a stored end and returns the jobs that it releases and those that it
-// cancels. These are only the direct dependents, as each cancelled job's own end is recorded in
-// turn.
+// RecordEnd records the end of a job and returns the jobs that this end releases and those that
+// it cancels. These are only the direct dependents, as each cancelled job's own end is recorded
+// in turn.
 func (g *DependencyGraph) RecordEnd(id string, end End) (released, cancelled []*Job) {
 	dependents := g.dependents[id]
 	delete(g.dependents, id)
@@ -118,9 +118,9 @@
 
 // InheritPriorities sets the effective priority and deadline of every job. A job inherits the
 // highest priority of all jobs that depend on it. Its effective deadline is the latest end that
-// leaves time for the longest path of dependents, by their owners' estimates plus overhead
-// microseconds per job; 0 means that there is no deadline. Each planning round calls this again,
-// because dependents are submitted and cancelled between rounds.
+// meets its own deadline and leaves time for all paths of dependents to meet theirs, by their
+// owners' estimates plus overhead microseconds per job; 0 means that there is no deadline. Each
+// planning round calls this again, because dependents are submitted and cancelled between rounds.
 func (g *DependencyGraph) InheritPriorities(jobs iter.Seq[*Job], overhead int64) {
 	g.round++
 	for j := range jobs {
--- a/internal/core/sched/pivots.go
+++ b/internal/core/sched/pivots.go
@@ -115,9 +115,9 @@
 		startAt = max(startAt, slot.at)
 		from := slot.at
 		if j.StartOverdue {
-			// Estimates have delayed the job long enough. All that becomes free
-			// on the machine is kept for it, even from tasks that would end in
-			// time by their estimates.
+			// A job that has waited too long must not be delayed further by wrong
+			// estimates. The room on the machine is kept for it from now on, also
+			// against tasks that, by their estimates, would end before slot.at.
 			from = p.Now
 		}
 		slot.m.reservations = append(slot.m.reservations, reservation{from: from, need: j.Need, job: j, kind: kind})
@@ -145,8 +145,8 @@
 }
 
 // freeTimes returns the times from which m has room for one task, two tasks and so on, up to the
-// given number of tasks, besides what is reserved for other jobs. The result is valid until the
-// next call.
+// given number of tasks, without using what is reserved for other jobs. The result is valid until
+// the next call.
 func (p *Planner) freeTimes(m *Machine, j *Job, tasks int) []int64 {
 	p.resetForRound(m)
 	free, need := m.Free, j.Need
@@ -176,7 +176,7 @@
 	return times
 }
 
-// freeSlot is room for one task on a machine, from the time at on.
+// freeSlot is room for one task on a machine; at is the time from which the room is available.
 type freeSlot struct {
 	m  *Machine
 	at int64
--- a/internal/core/zonetarget_test.go
+++ b/internal/core/zonetarget_test.go
@@ -8,8 +8,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestTargetZone checks in which zone machines are gathered for a job whose tasks must be in one
-// zone, and that none is chosen once a zone has enough machines.
+// TestTargetZone checks which zone is chosen to rent machines for a job whose tasks must be in one
+// zone, and that no zone is chosen once one has enough machines.
 func TestTargetZone(t *testing.T) {
 	const now = 100 * second
 	a, b, spotA, spotB := machineOffer{"big", "a", false}, machineOffer{"big", "b", false}, machineOffer{"big", "a", true}, machineOffer{"big", "b", true}
