--- a/cmd/zinclb/client.go
+++ b/cmd/zinclb/client.go
@@ -13,8 +13,8 @@
 
 const (
 	// callTimeout is the maximum time that a controller may take to answer.
-	// sweepCallTimeout is the same for a call about a sweep, of which the controller may
-	// have to check many runs.
+	// sweepCallTimeout is the maximum time for a call about a sweep, for which the
+	// controller may have to check many runs.
 	callTimeout      = 5 * time.Second
 	sweepCallTimeout = 30 * time.Second
 	// maxAnswerBytes is the maximum size of a controller's answer, and
--- a/internal/api/fieldchecker.go
+++ b/internal/api/fieldchecker.go
@@ -9,8 +9,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// roundingError is the largest excess over a whole number, in the core's units, that the
-// method amount ignores as a floating-point error. It rounds up larger ones.
+// roundingError is the largest excess over a whole number, in the core's units, that
+// fieldChecker.amount ignores as a floating-point error. Larger excesses are rounded up.
 const roundingError = 1e-6
 
 var errMissing = errors.New("missing")
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -14,8 +14,8 @@
 
 var errMissingWorkerID = errors.New("report: stoker or shift is missing")
 
-// reportWire is a worker's heartbeat on the wire. encoding/json puts the type's name into
-// the errors that workers see.
+// reportWire is a worker's heartbeat on the wire. Renaming the type would change the errors that
+// workers see, because encoding/json puts the name into them.
 type reportWire struct {
 	Machine      string   `json:"stoker"`
 	Addr         string   `json:"endpoint"`
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Team returns the team with a name, or nil if there is none.
+// Team returns the team with the given name, or nil if there is none.
 func (d *Deployment) Team(name string) *Team {
 	if i := slices.IndexFunc(d.Teams, func(t Team) bool { return t.Name == name }); i >= 0 {
 		return &d.Teams[i]
@@ -33,8 +33,8 @@
 }
 
 // StartWithin returns the shortest time within which tasks of a class should start
-// according to the objectives, or 0 if there is no such objective. The objective on
-// guarantees counts too if guaranteed is set: the job is within its team's guarantee.
+// according to the objectives, or 0 if there is no such objective. guaranteed is set if the job
+// is within its team's guarantee; the objective on guarantees then applies too.
 func (d *Deployment) StartWithin(class string, guaranteed bool) Micros {
 	var shortest Micros
 	for _, objective := range d.Objectives {
@@ -75,8 +75,9 @@
 	epochTimeoutMargin = 1.002
 	// cancelReserveS is the additional time that stopping a task takes, in seconds.
 	cancelReserveS = 2
-	// authorityShare is the leader's share of the remaining time. In the rest, a task can
-	// still be released.
+	// authorityShare is the share of the leader authority time in the time that is left of
+	// cancel_s after the epoch timeout and cancelReserveS. In the rest, a task can still be
+	// released.
 	authorityShare = 0.55
 )
 
--- a/internal/emulator/environment/cloud.go
+++ b/internal/emulator/environment/cloud.go
@@ -92,7 +92,9 @@
 
 func (c *cloud) listLag() int64 { return int64(c.env.Params.Cloud.ListLagS * 1e6) }
 
-// call executes a request after the service time, with the rate limit and lost responses.
+// call executes a request after a random delay and passes the response to answer. If the cloud is
+// down or the rate limit is exceeded, it does not execute the request. Some responses are lost, and
+// some of their requests are executed late.
 func (c *cloud) call(req any, answer func(int, any)) {
 	c.env.after(c.env.jitter(c.env.CloudDelay, 0.5, 1.5), func() {
 		if c.down {
--- a/internal/emulator/environment/users.go
+++ b/internal/emulator/environment/users.go
@@ -34,7 +34,8 @@
 	progress map[int]int64
 	// pollInterval is the time between the user's polls.
 	pollInterval int64
-	// cancelRequested is set once the user has requested the cancellation.
+	// cancelRequested is set once the user wants to cancel the job, which can be before it is
+	// submitted.
 	cancelRequested bool
 }
 
@@ -70,8 +71,9 @@
 type loadBalancer struct {
 	env         *Environment
 	controllers []*controllerHealth
-	// probeAfterAnswers makes users poll all controllers right after each acceptance and
-	// end. cancelAtEndShare is the share of the jobs that are cancelled as they end.
+	// probeAfterAnswers makes users poll all controllers right after each response that
+	// shows that a job is accepted or has ended. cancelAtEndShare is the share of the jobs
+	// that users cancel when the last task is done.
 	probeAfterAnswers bool
 	cancelAtEndShare  float64
 }
@@ -183,8 +185,8 @@
 	return 0
 }
 
-// exchange records a request about a job or a sweep, sends it, and calls done with the response,
-// which has status 0 if none arrives within the timeout.
+// exchange records a request about a job or a sweep, sends it, and calls done with the response.
+// If none arrives within the timeout, it calls done with a response of status 0.
 func (b *loadBalancer) exchange(op, job string, timeout int64, send func(finish func(AskAnswer)), done func(AskAnswer, wire.JobAnswer)) {
 	call := b.env.ExternalRequest(op, job)
 	over := false
@@ -243,11 +245,11 @@
 	})
 }
 
-// retry calls again after 1 to 1.5 s, or after the response's Retry-After time, capped at
+// retry calls resend after 1 to 1.5 s, or after the response's Retry-After time, capped at
 // maxRetryDelay, if that is longer.
-func (u *jobUser) retry(answer AskAnswer, again func()) {
+func (u *jobUser) retry(answer AskAnswer, resend func()) {
 	wait := second + u.env.rng.Int64N(second/2)
-	u.env.after(max(wait, min(int64(answer.RetryAfter)*second, maxRetryDelay)), again)
+	u.env.after(max(wait, min(int64(answer.RetryAfter)*second, maxRetryDelay)), resend)
 }
 
 // submit submits the job until it is accepted or refused. Real users stop retrying after a
@@ -275,7 +277,8 @@
 }
 
 // dependenciesAllow reports whether the job can be submitted: the jobs that it depends on are
-// accepted, or have ended if afterDependencies is set.
+// accepted, or have ended if afterDependencies is set. At a dependency that is not a job of the
+// run, it stops checking and returns true.
 func (u *jobUser) dependenciesAllow() bool {
 	for _, id := range u.spec.DependsOn {
 		if dependency := u.env.jobs[id]; dependency == nil || !dependency.accepted || u.afterDependencies && dependency.finalState == "" {
--- a/internal/emulator/faketime/cloud_via_peer_test.go
+++ b/internal/emulator/faketime/cloud_via_peer_test.go
@@ -14,11 +14,12 @@
 // through a controller that can, sending each request once.
 func TestCloudViaPeer(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		to    []string // hosts partitioned from the cloud, in addition to the leader
-		reach bool
-		// minMachines and maxMachines bound the number of machines that come up during
-		// the partition. Without a partition, 16 to 20 come up.
+		name            string
+		alsoPartitioned []string // hosts partitioned from the cloud, in addition to the leader
+		reach           bool     // whether the feature is switched on
+		// minMachines and maxMachines bound the number of machines that come up between
+		// 30 s after the start of the partition and its end. Without a partition, 16 to
+		// 20 come up.
 		minMachines, maxMachines int
 	}{
 		{"through a peer", nil, true, 14, 21},
@@ -39,7 +40,7 @@
 			const from, until = 50 * second, 170 * second
 			c := d.run(t, func(c *Cluster) {
 				c.After(from, func() {
-					f := environment.Fault{Kind: "cut", Hosts: append(tc.to, c.Leaders()...), To: []string{environment.CloudHost}, Duration: until - from}
+					f := environment.Fault{Kind: "cut", Hosts: append(tc.alsoPartitioned, c.Leaders()...), To: []string{environment.CloudHost}, Duration: until - from}
 					if err := c.InjectFault(f); err != nil {
 						t.Error(err)
 					}
--- a/internal/emulator/faketime/cluster.go
+++ b/internal/emulator/faketime/cluster.go
@@ -149,7 +149,7 @@
 // Now returns the simulated time in microseconds.
 func (c *Cluster) Now() int64 { return c.now }
 
-// After calls f after delay.
+// After schedules a call of f after a delay in microseconds of simulated time.
 func (c *Cluster) After(delay int64, f func()) { c.timers.Add(c.now+delay, f) }
 
 // Leaders returns the controllers that consider themselves the leader, in ascending order of
@@ -214,7 +214,8 @@
 // Expectations returns the expectations that the rules are checked against.
 func (c *Cluster) Expectations() history.Expectations { return c.Config.Expectations() }
 
-// step passes a message to the environment and executes the effects that it returns.
+// step passes a message to the environment and executes the effects that it returns. With a nil
+// message, the environment only runs its due timers.
 func (c *Cluster) step(msg any) {
 	for _, e := range c.Environment.Step(c.now, msg) {
 		switch e := e.(type) {
--- a/internal/emulator/faketime/effects.go
+++ b/internal/emulator/faketime/effects.go
@@ -64,7 +64,8 @@
 	n.cluster.After(delay, func() { n.runUnlessEnded(epoch, f) })
 }
 
-// sentAt returns the core's current time, as the time at which a request is sent.
+// sentAt returns the send time of a request that the core has just returned. It is the time that
+// was passed to the core's Step.
 func (n *Controller) sentAt() int64 { return n.cluster.now + 1 }
 
 func (n *Controller) probeMachine(e core.ProbeMachine) {
--- a/internal/emulator/faketime/follower_reads_test.go
+++ b/internal/emulator/faketime/follower_reads_test.go
@@ -158,7 +158,7 @@
 }
 
 // TestFollowerReadsMixedVersions checks that no follower reads from the leader while one
-// controller runs an older program without that feature, and that no rule is violated if a
+// controller runs an older program without follower reads, and that no rule is violated if a
 // controller goes back to the older program after the feature has been activated.
 func TestFollowerReadsMixedVersions(t *testing.T) {
 	current := upgrade.CurrentProgram()
--- a/internal/emulator/faketime/invalid_submissions_test.go
+++ b/internal/emulator/faketime/invalid_submissions_test.go
@@ -40,7 +40,7 @@
 						body := strings.Replace(string(invalid.Body), `"good"`, fmt.Sprintf("%q", id), 1)
 						build, rejection := toCoreMessage(wire.RawSubmission{Body: []byte(body)})
 						if rejection != nil {
-							t.Fatalf("%s: rejected with %+v before it reached the core, want only the ID to be required", invalid.Reason, rejection)
+							t.Fatalf("%s: got reply %+v before the submission reached the core, want one only for an invalid ID", invalid.Reason, rejection)
 						}
 						n.Request(build, func(reply core.Reply) { answers++; check(reply) })
 					}
--- a/internal/emulator/faketime/onetask_test.go
+++ b/internal/emulator/faketime/onetask_test.go
@@ -11,9 +11,10 @@
 )
 
 // TestOneTaskJobs submits four one-task jobs per second for three minutes, a quarter of which
-// are cancelled, with a limit of 25 changes per second. For 30 s users query all controllers
-// after each answer. The number of changes per job from acceptance to removal is bounded, all
-// jobs are served promptly, and at the end only the keys of their ends are left.
+// are cancelled, with a limit of 25 changes per second. For 30 s, users query all controllers
+// after each answer that a job is accepted or has ended. The number of changes per job from
+// acceptance to removal has to be bounded, most jobs have to be accepted and done promptly, and at
+// the end no job/ or run/ key may be left.
 func TestOneTaskJobs(t *testing.T) {
 	t.Parallel()
 	d := newTestRun(12)
@@ -47,7 +48,7 @@
 	changesPerJob := float64(changes) / jobCount
 	t.Logf("%.2f changes per job", changesPerJob)
 	if changesPerJob > 4.5 {
-		t.Errorf("got %.2f changes per job, want at most 4.5; the limit is 25 changes per second for four jobs", changesPerJob)
+		t.Errorf("got %.2f changes per job, want at most 4.5, as four jobs per second share 25 changes per second", changesPerJob)
 	}
 	for key := range remaining {
 		if strings.HasPrefix(key, "job/") || strings.HasPrefix(key, "run/") {
@@ -61,5 +62,5 @@
 	if metrics["accept_p99_s"] > 8 {
 		t.Errorf("99th percentile of the time to acceptance is %.1f s, want at most 8 s", metrics["accept_p99_s"])
 	}
-	t.Log(metrics["complete tiny 20 s"], metrics["accept_p50_s"], metrics["accept_p99_s"], metrics[history.StartsAfterCancellation])
+	t.Logf("share done within 20 s: %.2f; time to acceptance: p50 %.1f s, p99 %.1f s; starts after cancellation: %v", metrics["complete tiny 20 s"], metrics["accept_p50_s"], metrics["accept_p99_s"], metrics[history.StartsAfterCancellation])
 }
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -48,7 +48,7 @@
 }
 
 // checkSweep runs d and checks that each run of its sweeps has exactly one end, which every
-// controller lists. It returns the final state of the last sweep that was reported to users.
+// controller lists. It returns the last final state of a sweep that a response to a user showed.
 func checkSweep(t *testing.T, d *testRun, onStart func(*Cluster)) (finalState string) {
 	t.Helper()
 	var listed [][]core.SweepRun
@@ -77,7 +77,7 @@
 		}
 	}
 	if finalState == "" {
-		errs = append(errs, "no user was told that the sweep has ended")
+		errs = append(errs, "got no response that shows that the sweep has ended, want one")
 	}
 	if len(errs) > 0 {
 		t.Errorf("%s", strings.Join(errs[:min(len(errs), 12)], "\n"))
@@ -161,16 +161,16 @@
 
 // TestSweeps runs sweeps of 200 runs through crashes, outages and lost answers.
 func TestSweeps(t *testing.T) {
-	random := func(seed uint64) (l []fault) {
+	random := func(seed uint64) (faults []fault) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		for range 6 {
 			f := faultAt(10+rng.Int64N(120), "crash", 0)
 			if n := rng.IntN(4); n < 3 {
 				f.Hosts = []string{environment.ControllerName(n)}
 			}
-			l = append(l, f)
+			faults = append(faults, f)
 		}
-		return l
+		return faults
 	}
 	cases := []struct {
 		name   string
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestSweepCancelledAtEachWrite cancels a sweep and crashes all controllers after each
-// transaction that changes a key of the sweep or its runs.
+// TestSweepCancelledAtEachWrite repeats a run once for each transaction that changes a key of the
+// sweep or its runs. After that transaction, it cancels the sweep and crashes all controllers.
 func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
 	isSweepChange := func(e history.Event) bool {
--- a/internal/emulator/faketime/upgrade_test.go
+++ b/internal/emulator/faketime/upgrade_test.go
@@ -71,9 +71,9 @@
 	return activatedAt
 }
 
-// TestRollingUpgrades restarts three controllers with another program version, one at a time in
-// every order, either directly or with a rollback after two of them, with a fault shortly before
-// the last restart.
+// TestRollingUpgrades restarts three controllers with another program version, one at a time,
+// either directly or with a rollback after two of them, mostly with a fault shortly before the last
+// restart. It runs a sample of the combinations of upgrade paths, orders and faults.
 func TestRollingUpgrades(t *testing.T) {
 	older, current, next := upgradePrograms()
 	type step struct {
@@ -160,10 +160,10 @@
 	}
 }
 
-// TestStraggler checks that a controller that still runs the older program prevents activation
-// while it is configured, but not after it has been decommissioned. When the controller starts
-// again, its program lacks a feature that is needed by then, so it has to exit at its start
-// without writing anything.
+// TestStraggler checks that a controller that still runs the older program prevents the activation
+// of a new feature while it is configured, but not after it has been decommissioned. When the
+// controller starts again, its program lacks a feature that is needed by then, so it has to exit at
+// its start without writing anything.
 func TestStraggler(t *testing.T) {
 	_, current, next := upgradePrograms()
 	programs := []*upgrade.Program{&next, &next, &current}
--- a/internal/emulator/faketime/write_conditions_test.go
+++ b/internal/emulator/faketime/write_conditions_test.go
@@ -13,9 +13,10 @@
 // keys with a prefix.
 type writeKind struct {
 	keyPrefix string // prefix of the keys, after core.Prefix
-	// once is set if the key is only ever created. Otherwise each write is conditional on
-	// the revision that it follows or, if guardPrefix is set, on the revision of another key
-	// with this prefix that is written in the same transaction.
+	// Each write is conditional on the revision of its key that it follows. If the key is
+	// only ever created, once is set and this revision is 0. If guardPrefix is set, the
+	// condition may instead be on another key that begins with guardPrefix, is a prefix of
+	// the written key and is written in the same transaction.
 	once        bool
 	guardPrefix string
 	leader      bool // the write is also conditional on the leadership
--- a/internal/emulator/faultcombos/result.go
+++ b/internal/emulator/faultcombos/result.go
@@ -17,8 +17,8 @@
 
 const (
 	// serveWithin is the time limit for jobs, whose tasks run for 4 to 8 s. minServed is the
-	// required share of each class and team that is done by then, over a run during a
-	// quarter of which there are faults.
+	// required share of the jobs of each class and team that are done in time, over the
+	// whole run, of which faults take faultDuration.
 	serveWithin = 25 * second
 	minServed   = 0.7
 	// minServedDuring is the required share of the jobs submitted during the faults.
@@ -28,10 +28,10 @@
 // Result is the result of a case.
 type Result struct {
 	Violations []string
-	// MinServed is the minimum, over classes and teams, of the share that was served.
-	// MinLargestServed is the minimum, over classes, of the share of the largest jobs
-	// that were served or started within four minutes. Unfinished are the jobs whose end no
-	// response had shown by the end of the run.
+	// MinServed is the minimum, over classes and teams, of the share of jobs that were
+	// served. MinLargestServed is the minimum, over classes, of two shares of the largest
+	// jobs: those that were served, and those that started within four minutes. Unfinished
+	// are the jobs whose end no response had shown by the end of the run.
 	MinServed, MinLargestServed float64
 	Unfinished                  []string
 	// ServedDuringFaults is the share of the jobs submitted during the faults that were
--- a/internal/emulator/history/history.go
+++ b/internal/emulator/history/history.go
@@ -1,6 +1,6 @@
 // Package history defines the events of an emulated environment, which are recorded as one list,
-// and checks them against rules. Both drivers of the environment record the same events, and
-// the package does not depend on how they were produced.
+// and checks them against rules. Both drivers of the environment, the packages faketime and
+// sockets, record the same events, and this package does not depend on how they were produced.
 package history
 
 import (
@@ -41,13 +41,14 @@
 	// controller.
 	FaultChanged      Kind = "fault"
 	ControllerChanged Kind = "node"
-	// Occurred is an occurrence that a fault causes repeatedly, with its kind in Reason. It
-	// shows that the combination under test took place.
+	// Occurred is one occurrence of an effect that a fault may have many times; Reason names
+	// the effect. The event shows that the combination under test took place.
 	Occurred Kind = "met"
 	// RequestDelayed is a request to the state service that gets no response and is
 	// executed late, after newer requests.
 	RequestDelayed Kind = "late"
-	// CostRecorded is the total cost of a machine, when it is gone or at the end of the run.
+	// CostRecorded is the total cost of a machine, recorded when the machine is gone or at
+	// the end of the run.
 	CostRecorded Kind = "paid"
 )
 
--- a/internal/emulator/history/history_test.go
+++ b/internal/emulator/history/history_test.go
@@ -106,21 +106,21 @@
 	}
 	valid := append([]Event{machineUp("m0", "a"), machineUp("m1", "b"), machineUp("m2", "a")}, exchange(1, Submit, "j", 201, wire.Pending)...)
 	valid = append(valid, taskEvent(TaskEntered, 2*s, "j", 0, "m0"), taskEvent(TaskLeft, 3*s, "j", 0, "m0"))
-	// wait returns the events of a job that is accepted and then waits for the given seconds,
-	// with the events passing in each of these seconds.
-	wait := func(id string, seconds int64, passing ...Event) (l []Event) {
-		l = exchange(4*s, Submit, id, 201, wire.Pending)
+	// wait returns the events of a job that is accepted and then waits for the given number of
+	// seconds. In each of these seconds, the events everySecond and a state change happen.
+	wait := func(id string, seconds int64, everySecond ...Event) (events []Event) {
+		events = exchange(4*s, Submit, id, 201, wire.Pending)
 		for i := range seconds {
-			for _, e := range append(passing, Event{Kind: StateChanged, Key: "k"}) {
+			for _, e := range append(everySecond, Event{Kind: StateChanged, Key: "k"}) {
 				e.At = 5*s + i*s
-				l = append(l, e)
+				events = append(events, e)
 			}
 		}
-		return l
+		return events
 	}
-	invalidSubmission := func(why string) []Event {
-		l := exchange(5*s, Submit, "odd", 201, wire.Pending)
-		return append([]Event{l[0], {At: 5 * s, Kind: InvalidSubmission, Job: "odd", Call: call, Reason: why}}, l[1:]...)
+	invalidSubmission := func(reason string) []Event {
+		submit := exchange(5*s, Submit, "odd", 201, wire.Pending)
+		return append([]Event{submit[0], {At: 5 * s, Kind: InvalidSubmission, Job: "odd", Call: call, Reason: reason}}, submit[1:]...)
 	}
 	stored := func(at int64, key, state string) Event {
 		return Event{At: at, Kind: StateChanged, Key: key, State: state}
@@ -165,7 +165,7 @@
 		{rule: "not_linear", added: [][]Event{exchange(5*s, Cancel, "j", 200, wire.Done)}},
 		{rule: "not_linear", added: [][]Event{exchange(5*s, Cancel, "j", 200, wire.Cancelled), exchange(9*s, Submit, "j", 200, wire.Running)}},
 	}
-	// Histories that are close to a violation of left_waiting, but are none.
+	// Histories that come close to violating left_waiting, but do not violate it.
 	for name, tc := range map[string]struct {
 		change func(*wire.Job)
 		added  []Event
