--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -75,9 +75,9 @@
 	epochTimeoutMargin = 1.002
 	// cancelReserveS is the additional time that stopping a task takes, in seconds.
 	cancelReserveS = 2
-	// authorityShare is the share of the leader authority time in the time that is left of
-	// cancel_s after the epoch timeout and cancelReserveS. In the rest, a task can still be
-	// released.
+	// authorityShare is the share of the time that cancel_s leaves, after the epoch timeout
+	// and cancelReserveS, for which the leader keeps its authority. In the rest, a task can
+	// still be released.
 	authorityShare = 0.55
 )
 
--- a/internal/emulator/faketime/effects.go
+++ b/internal/emulator/faketime/effects.go
@@ -8,7 +8,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Timeouts of a controller's requests, as in package node, and its delays, in microseconds.
+// Timeouts of a controller's requests, as in package node, and its delays, in microseconds. Unlike
+// in package node, forwarded queries have the same timeout as other forwarded requests.
 const (
 	commitTimeout         = 2 * second
 	getTimeout            = 3 * second / 2
--- a/internal/emulator/faketime/sweep_test.go
+++ b/internal/emulator/faketime/sweep_test.go
@@ -234,8 +234,9 @@
 	}
 }
 
-// TestSweepCancelledAtEachWrite repeats a run once for each transaction that changes a key of the
-// sweep or its runs. After that transaction, it cancels the sweep and crashes all controllers.
+// TestSweepCancelledAtEachWrite repeats the same simulation once for each transaction that changes
+// a key of the sweep or its runs. Shortly after that transaction, it cancels the sweep and crashes
+// all controllers.
 func TestSweepCancelledAtEachWrite(t *testing.T) {
 	t.Parallel()
 	isSweepChange := func(e history.Event) bool {
