--- a/cmd/zinclb-emulator/partitions.go
+++ b/cmd/zinclb-emulator/partitions.go
@@ -10,8 +10,8 @@
 	"github.com/zinclb/zinclb/internal/emulator/partitions"
 )
 
-// partitionsCommand returns the command that runs partial network partitions, and lists those that
-// the service did not handle as well as possible.
+// partitionsCommand returns the command that runs the cases of partial network partitions, and lists
+// those that fall short of their requirements.
 func partitionsCommand() *cobra.Command {
 	ops := config.Defaults()
 	serviceable := 0
--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -53,8 +53,8 @@
 	return cmd
 }
 
-// readSweep reads and expands a sweep file. The files that it names must be in its directory
-// or below.
+// readSweep reads and expands a sweep file. The files that the sweep file names must be in its
+// directory or below.
 func readSweep(path string) (*sweeppb.Sweep, *core.SweepPlan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -200,9 +200,9 @@
 	return cmd
 }
 
-// sweepStateCommand returns a command that sends a request about a sweep and prints the
-// sweep's state.
-func sweepStateCommand(output *string, use, short, method, verb string) *cobra.Command {
+// sweepStateCommand returns a command that sends a request about a sweep, to the sweep's path with
+// pathSuffix, and prints the sweep's state.
+func sweepStateCommand(output *string, use, short, method, pathSuffix string) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
 	addr := addrFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -214,7 +214,7 @@
 		if method == http.MethodPost {
 			body = []byte(emptyBody)
 		}
-		if err := callForSweep(*addr, method, "/sweeps/"+args[0]+verb, body, &state); err != nil {
+		if err := callForSweep(*addr, method, "/sweeps/"+args[0]+pathSuffix, body, &state); err != nil {
 			return err
 		}
 		return printSweep(cmd.OutOrStdout(), *output, state)
--- a/internal/emulator/environment/machine.go
+++ b/internal/emulator/environment/machine.go
@@ -35,14 +35,14 @@
 	reportsBlocked bool    // its reports reach no controller
 	reclaimAt      int64   // announced time of the spot reclaim, 0 if there is none
 	speed          float64 // relative speed of its tasks
-	clockRate      float64 // real time per time of its clock
+	clockRate      float64 // real seconds per second of the worker's clock
 
 	session, seq, token uint64
 	// lastAnsweredAt is the time at which the last report with a valid response was sent.
 	lastAnsweredAt  int64
-	controllerIndex int // controller that it reports to
+	controllerIndex int // index of the controller that it reports to
 	sending         bool
-	reportAgain     bool
+	reportAgain     bool // a report has to be sent as soon as minReportGap allows
 	lastSentAt      int64
 	// tokenReportedAt is the time at which a higher token last triggered an early report.
 	tokenReportedAt int64
@@ -57,7 +57,7 @@
 }
 
 // duplicateReports is the share of reports that are delivered a second time, and the maximum
-// delay of the duplicate in leases.
+// delay of a duplicate as a multiple of the lease duration.
 type duplicateReports struct{ share, maxDelayLeases float64 }
 
 func newMachine(env *Environment, name string, machineType *wire.MachineType, zone string, spot bool) *machine {
@@ -69,7 +69,8 @@
 	return m
 }
 
-// workerTime returns the real duration, in microseconds, of a duration on the worker's clock.
+// workerTime returns the real duration, in microseconds, of a number of seconds on the worker's
+// clock.
 func (m *machine) workerTime(seconds float64) int64 { return int64(seconds * 1e6 * m.clockRate) }
 
 // onBooted marks a machine as running when it has booted, and starts its worker.
@@ -114,8 +115,8 @@
 }
 
 // watchLease ends the session and all tasks when the lease has expired, that is, when the last
-// report with a response was sent too long ago. The tasks of a hanging machine end at that time
-// too; such a machine detects the expiry when it resumes.
+// report with a response was sent too long ago. The session and the tasks of a hanging machine end
+// at that time too, but the machine reports this only when it resumes.
 func (m *machine) watchLease() {
 	expiresAt := m.lastAnsweredAt + m.workerTime(m.env.Params.Workers.LeaseS)
 	if m.gone {
@@ -260,8 +261,8 @@
 	})
 }
 
-// duplicate sends a share of the reports a second time, after half a second or more. The delay
-// is distributed uniformly on a logarithmic scale.
+// duplicate sends the report a second time with the probability duplicates.share, after half a
+// second or more. The logarithm of the delay is uniformly distributed.
 func (c *reportCall) duplicate() {
 	m, env := c.machine, c.machine.env
 	if env.duplicates.share <= 0 || env.rng.Float64() >= env.duplicates.share {
@@ -300,8 +301,8 @@
 	})
 }
 
-// updateToken records a fencing token if it is higher than the current one. It then sends an
-// early report, at most once in half a lease.
+// updateToken records a fencing token if it is higher than the current one. In this case it also
+// sends an early report, at most once in half a lease.
 func (m *machine) updateToken(token uint64) {
 	if token > m.token {
 		m.token = token
@@ -528,11 +529,11 @@
 
 // add adds an image to the cache and evicts the least recently used images until their total
 // size is at most the cache size. The new image is never evicted.
-func (c *cache) add(x *image) {
-	c.images = append(c.images, x)
+func (c *cache) add(fetched *image) {
+	c.images = append(c.images, fetched)
 	size := 0.0
-	for _, o := range c.images {
-		size += o.sizeGB
+	for _, cached := range c.images {
+		size += cached.sizeGB
 	}
 	for size > c.machine.machineType.CacheGB && len(c.images) > 1 {
 		size -= c.images[0].sizeGB
--- a/internal/emulator/environment/network.go
+++ b/internal/emulator/environment/network.go
@@ -10,12 +10,13 @@
 
 // Network describes the delays of messages.
 type Network struct {
-	// SameZone and CrossZone are the delays within a zone and between two zones, Jitter is
-	// the maximum relative deviation of a delay, and Loss the share of messages that are
-	// lost once and retransmitted.
+	// SameZone and CrossZone are the delays within a zone and between two zones, in
+	// microseconds. Jitter is the maximum relative deviation of a delay, and Loss the share
+	// of messages that are lost once and retransmitted.
 	SameZone, CrossZone int64
 	Jitter, Loss        float64
-	// CrossRegion is the delay between two regions; if it is 0, CrossZone applies.
+	// CrossRegion is the delay between two regions, in microseconds; if it is 0, CrossZone
+	// applies.
 	CrossRegion int64
 	// Regions has the region of each zone. If it is empty, all zones are in one region.
 	Regions map[string]string
@@ -239,8 +240,8 @@
 }
 
 // beginPartition begins a partition and returns the function that ends it.
-func (n *network) beginPartition(a, b *bart.Lite, mode PartitionMode) (end func()) {
-	p := &partition{from: a, to: b, mode: mode}
+func (n *network) beginPartition(from, to *bart.Lite, mode PartitionMode) (end func()) {
+	p := &partition{from: from, to: to, mode: mode}
 	n.partitions = append(n.partitions, p)
 	return func() {
 		for i, other := range n.partitions {
--- a/internal/emulator/environment/state_service.go
+++ b/internal/emulator/environment/state_service.go
@@ -37,7 +37,7 @@
 	down              bool
 	// coldRestart is set if all earlier changes are compacted when the outage ends.
 	coldRestart bool
-	slowFactor  float64
+	slowFactor  float64 // multiplies the service time of requests
 	limits      config.StateLimits
 	calls       bucket
 	writes      bucket
@@ -314,8 +314,8 @@
 
 // commit executes a transaction.
 func (s *stateService) commit(transaction wire.Transaction) (int, any) {
-	if fault := s.invalidReason(transaction); fault != "" {
-		return http.StatusBadRequest, wire.Error{Error: fault}
+	if reason := s.invalidReason(transaction); reason != "" {
+		return http.StatusBadRequest, wire.Error{Error: reason}
 	}
 	if !s.writes.take(s.env.now, s.limits.WriteRPS, 1, float64(len(transaction.Writes))) {
 		return http.StatusTooManyRequests, wire.Error{Error: "too many changes"}
@@ -387,8 +387,8 @@
 	s.env.after(min(w.req.WaitMS, maxWatchWaitMS)*1000, func() { s.answerWatch(w, true) })
 }
 
-// answerWatch answers a watch if there are changes or its wait time is over. The watch stays open
-// while the service refuses requests of the caller.
+// answerWatch answers a watch if there are changes, if some of them have been compacted or if the
+// wait time is over. The watch stays open while the service refuses requests of the caller.
 func (s *stateService) answerWatch(w *watch, timedOut bool) {
 	if w.done {
 		return
--- a/internal/emulator/environment/user_faults.go
+++ b/internal/emulator/environment/user_faults.go
@@ -14,10 +14,10 @@
 // are polled. The submission is repeated after the second delay.
 var probeDelays = []int64{0, 4_000, 25_000, 120_000}
 
-// cancelOneIn is the average number of accepted jobs that are probed for each one cancelled.
+// cancelOneIn is the average number of accepted and probed jobs of which one is cancelled.
 const cancelOneIn = 8
 
-// askController sends a user's request to a controller directly, past the load balancer.
+// askController sends a user's request to a controller directly, bypassing the load balancer.
 func (b *loadBalancer) askController(target *controller, op, job string, request any) {
 	timeout := submitTimeout
 	if op == history.Poll {
@@ -54,18 +54,19 @@
 	}
 }
 
-// onLastTaskDone is called when the last task of a job has completed. It cancels, polls and
-// resubmits the share cancelAtEndShare of the jobs several times.
+// onLastTaskDone is called when the last task of a job has completed. With the probability
+// cancelAtEndShare it cancels, polls and resubmits the job several times.
 func (u *jobUser) onLastTaskDone() {
 	balancer := u.env.balancer
 	if balancer.cancelAtEndShare == 0 || u.env.rng.Float64() >= balancer.cancelAtEndShare {
 		return
 	}
-	// The delays lie before, around and after the time at which controllers learn of the end.
-	for _, delay := range []int64{0, 40_000, 300_000, 900_000} {
+	// With these bounds, the random delays end before, around and after the time at which the
+	// controllers learn that the job has ended.
+	for _, maxDelay := range []int64{0, 40_000, 300_000, 900_000} {
 		target := u.env.controllers[u.env.rng.IntN(len(u.env.controllers))]
 		u.env.recordOccurrence(history.OccurCancelAtEnd)
-		u.env.after(u.env.rng.Int64N(delay+2000), func() {
+		u.env.after(u.env.rng.Int64N(maxDelay+2000), func() {
 			balancer.askController(target, history.Cancel, u.spec.ID, wire.Cancel{ID: u.spec.ID})
 			balancer.askController(target, history.Poll, u.spec.ID, wire.Poll{ID: u.spec.ID})
 			spec := u.spec
--- a/internal/emulator/history/lost_ends.go
+++ b/internal/emulator/history/lost_ends.go
@@ -3,8 +3,8 @@
 import "strings"
 
 // LostEnd is the rule that the key of a job is removed only if the job's end is stored by then.
-// Otherwise a controller that starts afterwards treats the job as one that was never accepted,
-// even if no user happens to poll for the job while that is visible.
+// A controller that starts after any other removal treats the job as one that was never accepted.
+// The rule detects such a removal even if no user polls for the job while it is missing.
 const LostEnd = "lost_end"
 
 // endChecker compares the removals of jobs' keys with the stored ends.
--- a/internal/emulator/history/metrics.go
+++ b/internal/emulator/history/metrics.go
@@ -18,9 +18,10 @@
 	objectiveServed   = "served"
 )
 
-// Objective is a service-level objective: the share of a class's jobs, or of its task starts,
-// that meet it within a time. For the kind objectiveServed it is the served share of a class, of
-// a team, or, without both, of the class or team with the lowest share.
+// Objective is a service-level objective: a minimum share of the jobs or task starts of a class
+// that have to meet a requirement within a time. For the kind objectiveServed it is the minimum
+// served share of a class, of a team or, if neither is set, of the class or team with the lowest
+// share.
 type Objective struct {
 	Kind, Class, Team string
 	Within            int64 // microseconds
@@ -31,24 +32,24 @@
 // jobTimeline has the times, in microseconds, at which a job reached its stages.
 type jobTimeline struct {
 	firstSubmit, accepted, lastCompleted int64
-	starts                               map[int]int64 // first start by task
+	starts                               map[int]int64 // time of the first start, by task
 	remainingTasks                       int
 	cancelled                            bool
-	cancelShownAt                        int64 // first response that shows the job cancelled
+	cancelShownAt                        int64 // time of the first response that shows the job cancelled
 }
 
-// timelines has the timelines of all jobs of a history, and the metrics collected from it.
+// timelines has the timelines of all jobs of a history, and the metrics collected from them.
 type timelines struct {
 	jobs    map[string]*jobTimeline
 	order   []string // jobs in the order of their first events
-	end     int64
+	end     int64    // time of the last event
 	metrics map[string]float64
 }
 
-// Metrics returns the metrics of a history by name. Times are in seconds. They are counted from a
-// job's first submission attempt, or, for a job that depends on others, from the time at which
-// the last of them is done if that is later. The shares leave out cancelled jobs and jobs whose
-// time limit has not been reached by the end of the history.
+// Metrics returns the metrics of a history by name. Times are in seconds. Times to acceptance and
+// deadlines are counted from a job's first submission attempt, and all other times from its time
+// origin, see timeOrigin. The shares leave out cancelled jobs and jobs whose time limit has not
+// been reached by the end of the history.
 func Metrics(events []Event, expected Expectations, objectives []Objective) map[string]float64 {
 	t := collectTimelines(events, expected)
 	addServedShares(t.metrics, t.jobs, expected, objectives, t.end)
@@ -148,7 +149,7 @@
 			within = int64(*spec.DeadlineS * 1e6)
 		}
 		if from+within > t.end {
-			continue // its time limit has not been reached
+			continue // the time limit of the job has not been reached
 		}
 		switch objective.Kind {
 		case objectiveAccept:
@@ -168,13 +169,15 @@
 	return result
 }
 
-// isWithin reports whether an event at time at, 0 for never, happened at most within after from.
+// isWithin reports whether an event happened at from+within or earlier. at is the time of the event,
+// 0 if it did not happen.
 func isWithin(at, from, within int64) bool { return at != 0 && at-from <= within }
 
 // addServedShares computes the share of jobs of each class and team that were served: done by
 // their deadline or, if they have none, within the longest completion objective of their class.
-// Jobs whose time limit is after the end of the run are left out. A job with neither a deadline
-// nor an objective has to be done by the end if it was submitted early enough, see serveBy.
+// A job with neither a deadline nor an objective has to be done by the end if it was submitted
+// early enough, see serveBy. Cancelled jobs, services and jobs whose time limit is after the end
+// of the run are left out.
 // ServedLeast is the lowest of these shares; LargestLeast is the lowest of the shares for the
 // largest jobs of each class.
 func addServedShares(metrics map[string]float64, jobs map[string]*jobTimeline, expected Expectations, objectives []Objective, end int64) {
@@ -203,7 +206,7 @@
 		}
 		deadline := job.serveBy(spec, from, longest[spec.Class], end)
 		if deadline == 0 || deadline > end {
-			continue // its time limit has not been reached
+			continue // the job has no time limit, or has not reached it
 		}
 		met := job.lastCompleted != 0 && job.lastCompleted <= deadline
 		count("served class "+spec.Class, met)
@@ -249,8 +252,9 @@
 	}
 }
 
-// ServedLeast is the lowest served share of any class or team. LargestLeast is the lowest share of
-// the largest jobs of any class that were served, or that started within largestWait.
+// ServedLeast is the lowest served share of any class or team. LargestLeast is the lowest of two
+// shares of the largest jobs over all classes: the share that was served, and the share that
+// started within largestWait.
 const (
 	ServedLeast  = "served_least"
 	LargestLeast = "largest_least"
@@ -260,11 +264,11 @@
 // response that their job is cancelled.
 const StartsAfterCancellation = "starts_after_cancellation"
 
-// largestWait is the maximum time until the largest jobs of a class have to start, in microseconds.
+// largestWait is the time within which the largest jobs of a class have to start, in microseconds.
 const largestWait = 240_000_000
 
-// startTime returns the time at which a job started, 0 for never: the first start of its last task
-// for a gang, and of its first task for an array.
+// startTime returns the time at which a job started, 0 for never: for a gang, the time at which the
+// last of its tasks had its first start; for an array, the time of the first start of any task.
 func (j *jobTimeline) startTime(spec *wire.Job) (at int64) {
 	for i := range spec.Tasks {
 		t := j.starts[i]
--- a/internal/emulator/history/recorded_test.go
+++ b/internal/emulator/history/recorded_test.go
@@ -11,8 +11,8 @@
 	"github.com/zinclb/zinclb/internal/jsonlines"
 )
 
-// everyEvent returns an event of each kind with all fields set, and events with each operation and
-// occurrence.
+// everyEvent returns an event of each kind with all fields set, events with each operation and
+// occurrence, and an empty event.
 func everyEvent() []Event {
 	var events []Event
 	for i, kind := range []Kind{RequestSent, ResponseReceived, MachineUp, InvalidSubmission, TaskPlaced, RoomFreed, TaskEntered, TaskStarted, TaskCompleted, TaskLeft, StateChanged, FaultChanged, ControllerChanged, Occurred, RequestDelayed, CostRecorded} {
@@ -24,8 +24,8 @@
 	for _, op := range []string{Submit, Poll, Cancel} {
 		events = append(events, Event{At: 5, Kind: RequestSent, Op: op, Job: SweepJob("s")})
 	}
-	for _, why := range []string{OccurHeldCopy, OccurProbe, OccurMuteReport, OccurCancel, OccurHungMachine, OccurCancelAtEnd, OccurInvalid, OccurLostAnswer, OccurQuickBoot} {
-		events = append(events, Event{At: 6, Kind: Occurred, Reason: why})
+	for _, occurrence := range []string{OccurHeldCopy, OccurProbe, OccurMuteReport, OccurCancel, OccurHungMachine, OccurCancelAtEnd, OccurInvalid, OccurLostAnswer, OccurQuickBoot} {
+		events = append(events, Event{At: 6, Kind: Occurred, Reason: occurrence})
 	}
 	return append(events, Event{})
 }
@@ -34,7 +34,7 @@
 // checks that events are decoded unchanged.
 func TestRecorded(t *testing.T) {
 	if paths := golden.Unset(everyEvent()[0]); len(paths) > 0 {
-		t.Errorf("fields not set in the recorded event: %s", paths)
+		t.Errorf("fields that are not set in the recorded event: got %s, want none", paths)
 	}
 	var b strings.Builder
 	if err := jsonlines.Write(&b, everyEvent()); err != nil {
--- a/internal/emulator/history/starvation.go
+++ b/internal/emulator/history/starvation.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// hasRoom reports whether a task of a job that is not on a machine could be placed now, or, for a
-// gang, all of its tasks.
+// hasRoom reports whether there is room now for at least one of a job's tasks that still have to be
+// placed or, for a gang, for all of its tasks.
 func (k *checker) hasRoom(spec *wire.Job, j *jobState) bool {
 	for _, id := range spec.DependsOn {
 		if dependency := k.jobs[id]; dependency == nil || len(dependency.done) < k.tasks(id) {
@@ -123,7 +123,7 @@
 const roundingError = 1e-6
 
 // unplaced returns the number of tasks of a job that are neither done nor on a machine, and the
-// number of tasks on machines in each zone.
+// number of its tasks that are on machines in each zone.
 func (k *checker) unplaced(spec *wire.Job, j *jobState) (remaining int, zones map[string]int) {
 	zones = map[string]int{}
 	for i := range spec.Tasks {
--- a/internal/emulator/history/unanswered_test.go
+++ b/internal/emulator/history/unanswered_test.go
@@ -37,11 +37,11 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var events []Event
-			for _, some := range tc.events {
-				events = append(events, some...)
+			for _, part := range tc.events {
+				events = append(events, part...)
 			}
 			if found := CheckLinearizability(events, expected); (len(found) > 0) != tc.violated {
-				t.Errorf("got violations %v, want any: %v", found, tc.violated)
+				t.Errorf("got violations %v, want at least one: %v", found, tc.violated)
 			}
 		})
 	}
--- a/internal/emulator/outages/outages_test.go
+++ b/internal/emulator/outages/outages_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// manyJobs returns a case with the given numbers of controllers and jobs. The jobs are
-// cancelled in the second before an outage of two cancel_s; if unanswered is set, the answers
-// to the writes of the cancellations are lost.
+// manyJobs returns a case with the given numbers of controllers and jobs. Two of three
+// jobs are cancelled, all within one second while the leader is refused; an outage of twice cancel_s
+// follows. If unanswered is set, the answers to the writes of the cancellations are lost.
 func manyJobs(size, jobs int, unanswered bool) Case {
 	timing := cancelTimings[1]
 	timing.interval = outageDelay / 2 / int64(jobs)
--- a/internal/emulator/scale/report.go
+++ b/internal/emulator/scale/report.go
@@ -14,7 +14,8 @@
 // roleOrder is the order in which roles are printed.
 var roleOrder = []string{RoleLeader, RoleStandBy, RoleBusiest, RoleState, RoleCloud, RoleSharedWorkers, RoleDedicated, RoleEmulator}
 
-// Total sums the rates of all kinds of message that begin with prefix and are longer.
+// Total sums the rates of all message kinds whose names begin with prefix, except the kind named
+// prefix itself.
 func (r Role) Total(prefix string) (sum Rate) {
 	for kind, x := range r.Kinds {
 		if len(kind) <= len(prefix) || kind[:len(prefix)] != prefix {
--- a/internal/emulator/scale/requirements.go
+++ b/internal/emulator/scale/requirements.go
@@ -61,13 +61,13 @@
 	return Limits{Processes: maxProcesses, MemoryMB: memoryShare * float64(*m.MemTotal) / 1024}, nil
 }
 
-// Fits returns an error that names the exceeded limit if the requirements exceed l.
-func (n Requirements) Fits(l Limits) error {
-	if n.Processes > l.Processes {
-		return fmt.Errorf("controllers, zones, alone: the run needs %d processes, and %d are allowed", n.Processes, l.Processes)
+// Fits returns an error that names the exceeded limit if the requirements exceed limits.
+func (n Requirements) Fits(limits Limits) error {
+	if n.Processes > limits.Processes {
+		return fmt.Errorf("controllers, zones, alone: the run needs %d processes, and %d are allowed", n.Processes, limits.Processes)
 	}
-	if n.MemoryMB > l.MemoryMB {
-		return fmt.Errorf("workers: the run needs about %.0f MB, and half of the machine's memory is %.0f MB", n.MemoryMB, l.MemoryMB)
+	if n.MemoryMB > limits.MemoryMB {
+		return fmt.Errorf("workers: the run needs about %.0f MB, and half of the machine's memory is %.0f MB", n.MemoryMB, limits.MemoryMB)
 	}
 	return nil
 }
--- a/internal/emulator/scale/scale_test.go
+++ b/internal/emulator/scale/scale_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestFromScenario checks that scenarios that workers in separate processes do not support are
-// refused.
+// TestFromScenario checks that a scenario is refused if it has a feature that workers in separate
+// processes do not support.
 func TestFromScenario(t *testing.T) {
 	p := Default(30)
 	valid := p.Config()
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestScale runs 150 workers for 35 s, with real controllers, with workers in processes and with
-// machine faults. It checks that no rule is violated, but no timing.
+// TestScale runs 150 workers for 35 s, with real controllers, workers in separate processes and
+// machine faults. It checks that no rule is violated. It does not check latencies or rates.
 func TestScale(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -125,7 +125,7 @@
 	return s, nil
 }
 
-// platform reads the fields that the controllers' settings contain as well.
+// platform reads the fields that are also part of the controllers' settings.
 func (r *reader) platform(m *pb.Scenario, s *Scenario) {
 	r.controllers(m.GetControllers(), s)
 	r.network(m.GetNetwork(), s)
@@ -214,7 +214,7 @@
 	}
 }
 
-// regions reads which region each zone belongs to and the delay between regions.
+// regions reads the region of each zone, the delay between regions and the home region.
 func (r *reader) regions(m *pb.Scenario, s *Scenario) {
 	network := &s.Network
 	network.Regions = map[string]string{}
--- a/internal/emulator/soak/random_config.go
+++ b/internal/emulator/soak/random_config.go
@@ -17,8 +17,9 @@
 const (
 	second = config.Second
 
-	// length is the length of a run. The last job is submitted and the last fault begins
-	// before lastFault, and the rule on forgotten jobs needs 75 s after that.
+	// length is the length of a run. The last fault begins before lastFault, and so do the
+	// submissions, except of jobs that wait for their dependencies. The rule on forgotten
+	// jobs needs 75 s after the last fault.
 	length     = 210 * second
 	firstFault = 14 * second
 	lastFault  = 90 * second
--- a/internal/emulator/soak/soak.go
+++ b/internal/emulator/soak/soak.go
@@ -78,15 +78,15 @@
 		}
 	}()
 	report := progress{out: out, printedAt: time.Now(), total: p.Seeds}
-	var workers sync.WaitGroup
+	var runners sync.WaitGroup
 	for range p.Parallel {
-		workers.Go(func() {
+		runners.Go(func() {
 			for seed := range seeds {
 				report.add(RunSeed(seed))
 			}
 		})
 	}
-	workers.Wait()
+	runners.Wait()
 	slices.Sort(report.summary.Failed)
 	return report.summary
 }
--- a/internal/emulator/sockets/balancer.go
+++ b/internal/emulator/sockets/balancer.go
@@ -95,8 +95,8 @@
 	return request
 }
 
-// registration holds the controllers to which a registered request may be forwarded, and its
-// number in the history.
+// registration holds the controllers to which a registered request may be forwarded, and the number
+// of the request in the history.
 type registration struct {
 	controllers []string
 	call        uint64
--- a/internal/emulator/sockets/driver.go
+++ b/internal/emulator/sockets/driver.go
@@ -39,10 +39,10 @@
 	Workers Workers
 	// Meter, if set, counts what controllers and workers send and receive.
 	Meter *meter.Meter
-	// OnEvent, if set, is called with each event instead of keeping the events.
+	// OnEvent, if set, is called with each event. The driver then keeps no history.
 	OnEvent func(history.Event)
 	// OnTokenAccepted, if set, is called when a worker has received an answer with a higher
-	// fencing token than any before.
+	// fencing token than all earlier answers to this worker.
 	OnTokenAccepted func(token uint64, at int64)
 }
 
@@ -133,7 +133,8 @@
 		return
 	}
 	if d.Workers != nil && e.Kind == history.StateChanged {
-		return // no rule needs these events, and large runs have very many
+		// Large runs have very many of these events. Without them, the rule LostEnd checks nothing.
+		return
 	}
 	d.history = append(d.history, e)
 	switch {
--- a/internal/emulator/sockets/protocol_test.go
+++ b/internal/emulator/sockets/protocol_test.go
@@ -116,9 +116,9 @@
 		if request == nil {
 			return 400, ""
 		}
-		messages := env.Step(now, environment.Call{ID: 1, From: "node-0", To: to, Request: request})
+		effects := env.Step(now, environment.Call{ID: 1, From: "node-0", To: to, Request: request})
 		for range 1000 {
-			for _, e := range messages {
+			for _, e := range effects {
 				if a, ok := e.(environment.Answer); ok {
 					b, err := json.Marshal(a.Body)
 					if err != nil {
@@ -129,7 +129,7 @@
 			}
 			next, _ := env.Next()
 			now = max(now, next)
-			messages = env.Step(now, nil)
+			effects = env.Step(now, nil)
 		}
 		return 0, "no answer"
 	}
@@ -215,8 +215,8 @@
 	t.Logf("%d events, %d of them task starts", len(events), len(slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind != history.TaskStarted })))
 }
 
-// BenchmarkFakeTime measures the simulated seconds per second in fake time with three controllers
-// and 20, 200 and 2,000 busy machines.
+// BenchmarkFakeTime measures the simulated seconds per real second in fake time, with three
+// controllers and 20, 200 and 2,000 busy machines.
 func BenchmarkFakeTime(b *testing.B) {
 	for _, machines := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
