--- a/internal/core/alerts.go
+++ b/internal/core/alerts.go
@@ -27,8 +27,8 @@
 
 func newAlertState() alertState { return alertState{loggedAt: map[string]int64{}} }
 
-// shouldLog reports whether a job's alert was not logged within stuckAfter. If so, it records
-// that the alert is logged now.
+// shouldLog reports whether no alert about a job was logged in the last stuckAfter. If so, it
+// records that one is logged now.
 func (a *alertState) shouldLog(id string, now int64) bool {
 	if now-a.loggedAt[id] < stuckAfter {
 		return false
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -72,8 +72,8 @@
 	return false
 }
 
-// committer writes the leader's decisions, in transactions that succeed only while it leads:
-// all of them are conditional on the revision of the leadership key. One transaction is in
+// committer writes the leader's decisions, in transactions that succeed only while this controller
+// leads: all of them are conditional on the revision of the leadership key. One transaction is in
 // progress at a time; changes made in that time are batched for the next.
 //
 // A transaction that fails is not retried unchanged. The next one is built from what has to be
@@ -93,8 +93,8 @@
 	tasks        *taskManager
 }
 
-// putAsLeader writes a complete value if the key still has the revision known here. The condition
-// is needed because an earlier write of this controller that got no answer may be executed after
+// putAsLeader writes a value if its key still has the revision that this controller knows. The
+// condition is needed because an earlier write of this controller that got no answer may be executed after
 // later ones.
 func (c *committer) putAsLeader(key string, value []byte, done func(TransactionResult)) {
 	conditions := []Cond{
@@ -120,9 +120,9 @@
 	delete(c.elector.leadership.commits.backoffUntil, job)
 }
 
-// commitNow sends a transaction with as many of the pending changes as the write budget allows:
-// those with a high priority first, then those that have waited longest. The transaction succeeds
-// only if this controller's leadership key is unchanged.
+// commitNow sends a transaction with as many of the pending changes as the write budget and the
+// limits of a transaction allow, in the order of jobsToWrite. The transaction succeeds only if this
+// controller's leadership key is unchanged.
 func (c *committer) commitNow() {
 	if !c.canCommit() {
 		return
@@ -168,7 +168,8 @@
 	oldestChangeAt int64
 }
 
-// jobsToWrite returns the dirty jobs in the order in which they are to be written.
+// jobsToWrite returns the dirty jobs in the order in which they are to be written: first those that
+// a task start or a user waits for, then by descending priority, then by their oldest change.
 func (c *committer) jobsToWrite() []*jobstate.Job {
 	dirty := c.elector.leadership.commits.dirty
 	jobs := make([]*jobstate.Job, 0, len(dirty))
@@ -201,7 +202,8 @@
 	return 1
 }
 
-// oldestChange returns the time of a job's oldest unwritten change.
+// oldestChange returns the time of the oldest change in a job's chunks that waits to be written,
+// or the current time if there is none.
 func (c *committer) oldestChange(job *jobstate.Job) int64 {
 	if at := job.DirtySince(); at != 0 {
 		return at
@@ -329,7 +331,7 @@
 	commits := &t.term.commits
 	if len(t.jobs) == 0 {
 		c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes))
-		commits.keepGarbageUntil = c.now + writeBackoff // it contained removals only
+		commits.keepGarbageUntil = c.now + writeBackoff // the transaction contained only removals
 		return
 	}
 	c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes), "job", t.jobs[0].job.ID)
@@ -339,7 +341,7 @@
 			return // the changes are written again, within the lower limits
 		}
 	}
-	commits.logTail = nil // the entries of that page go into a new one
+	commits.logTail = nil // the log entries are written again, into a new page
 	if len(t.jobs) == 1 {
 		commits.backoffUntil[t.jobs[0].job] = c.now + writeBackoff
 	}
--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -176,8 +176,8 @@
 func (l *Links) Matrix() Matrix { return l.matrix }
 
 // PendingAdvertisement returns this controller's advertisement; pending reports whether it has to
-// be stored now, since it differs from the last stored one. The rate of stores is limited, and the
-// limit decreases while links keep changing.
+// be stored now, since it differs from the last stored one. The rate of these writes is limited, and
+// the limit decreases while links keep changing.
 func (l *Links) PendingAdvertisement(now int64) (local Advertisement, pending bool) {
 	local = l.matrix[l.self]
 	due := l.advertisedAt == 0 || now-l.advertisedAt >= l.advertiseInterval
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -23,8 +23,8 @@
 	// revokeInterval is the interval at which the revocation of an earlier incarnation's
 	// lease is repeated.
 	revokeInterval = second
-	// silentLeaseMargin is the time for which a leader that gets no answers from the state
-	// service waits after the expiry of its lease before it tries to renew the lease again.
+	// silentLeaseMargin is the minimum time for which a leader that gets no answers from the
+	// state service waits after the expiry of its lease before it tries to renew the lease again.
 	silentLeaseMargin = second / 2
 	// leadershipSeenWithin is the maximum time that the other controllers take to learn that
 	// a controller leads.
@@ -81,8 +81,9 @@
 // isLeader reports whether this controller leads.
 func (e *elector) isLeader() bool { return e.leadership != nil }
 
-// isNewLeader reports whether this controller leads and its term has just begun, so that the
-// other controllers may still use the shares of the limits that apply while no controller leads.
+// isNewLeader reports whether this controller leads and its term has just begun. The other
+// controllers may not know of the leader yet, and then still use the shares of the limits that
+// apply while no controller leads.
 func (e *elector) isNewLeader() bool {
 	return e.isLeader() && e.now-e.leadership.since < leadershipSeenWithin
 }
@@ -93,7 +94,7 @@
 
 // leadsWithToken reports whether this controller leads in the term of the given fencing token.
 // A result that belongs to an earlier term of this controller says nothing about the calls
-// of the current one, because another controller may have led in between.
+// of the current term, because another controller may have led in between.
 func (e *elector) leadsWithToken(fencingToken uint64) bool {
 	return e.isLeader() && e.fencingToken() == fencingToken
 }
@@ -333,8 +334,8 @@
 	return max(e.candidacy.leaseProvenAt, links.Lease.AnsweredAt(), links.Writes.AnsweredAt())
 }
 
-// leaseRefused forgets a lease after the state service refused a write on it as expired. A
-// leader instead waits for the answer to its renewal, which proves the same.
+// leaseRefused forgets a lease after the state service refused a write bound to the lease, which
+// means that the lease has expired. A leader instead waits for the answer to its renewal, which proves the same.
 func (e *elector) leaseRefused(lease uint64) {
 	if e.candidacy.lease == lease && !e.isLeader() {
 		e.candidacy.lease = 0
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -22,8 +22,8 @@
 	membership *membership
 	peers      *peerMonitor
 
-	answeredAt int64 // when the newest request succeeded
-	failedAt   int64 // when the newest request failed
+	answeredAt int64 // when a request last succeeded
+	failedAt   int64 // when a request last failed
 
 	// announcedRevision is the newest revision that an answer of the state service
 	// contained; announcedAt is the time since which the watch has failed to deliver it.
@@ -53,8 +53,8 @@
 	h.peers.pingUrgently()
 }
 
-// recordTransaction records the result of a transaction. A refusal because of its rate or its
-// size says nothing about the link.
+// recordTransaction records the result of a transaction. A refusal because of the request rate or
+// the transaction's content counts as a failed request, but says nothing about the link.
 func (h *stateHealth) recordTransaction(m TransactionResult) {
 	link := &h.peers.connectivity.Writes
 	switch m.Outcome {
--- a/internal/core/imagehints.go
+++ b/internal/core/imagehints.go
@@ -113,7 +113,8 @@
 	return images[:min(len(images), maxHintImages, p.membership.valueLimit()/3/imageBytes)]
 }
 
-// encodeImageHints encodes one of the values of the hints: number part, counted from 0, of parts.
+// encodeImageHints encodes one value of the hints. part is its number, counted from 0, and parts
+// the total number of values.
 func (p *prefetcher) encodeImageHints(images []string, part, parts int) []byte {
 	term := p.elector.leadership
 	hints := hintsRecord{Of: parts, Machines: map[string]uint64{}}
--- a/internal/core/jobstate/job.go
+++ b/internal/core/jobstate/job.go
@@ -111,7 +111,7 @@
 }
 
 // IsPartiallyPlaced reports whether the job is an unfinished gang that has both placed and
-// unplaced tasks, as some tasks of its attempt are gone.
+// unplaced tasks. This happens when some tasks of its attempt are gone.
 func (j *Job) IsPartiallyPlaced() bool {
 	return j.Kind == Gang && j.Outcome() == "" && j.NumPlaced > 0 && j.Unplaced() > 0
 }
@@ -170,8 +170,8 @@
 	return highest + 1
 }
 
-// PlaceTask places an attempt of task i on a machine. The attempt may start once the task's
-// chunk is stored.
+// PlaceTask places an attempt of task i on a machine. The attempt may start once the placement
+// is stored, in the task's chunk or in the progress log.
 func (j *Job) PlaceTask(i int, machine string, attempt uint32, now int64) {
 	t, c := &j.tasks[i], &j.chunks[i/j.chunkSize]
 	j.markTaskDirty(i, now)
--- a/internal/core/longpoll.go
+++ b/internal/core/longpoll.go
@@ -31,8 +31,8 @@
 	via string
 }
 
-// heldHeartbeats are the heartbeats whose answers are held. At any time a large part of an idle
-// fleet has one, so neither ticks nor writes may iterate over all of them.
+// heldHeartbeats are the heartbeats whose answers are held. At any time there is one for a large
+// part of the machines of an idle fleet, so neither ticks nor writes may iterate over all of them.
 type heldHeartbeats struct {
 	byName     map[string]heldHeartbeat
 	byDeadline *btree.BTreeG[heldDeadline]
--- a/internal/core/machinepool.go
+++ b/internal/core/machinepool.go
@@ -72,7 +72,8 @@
 	at   int64
 }
 
-// recordBusy updates the peak of a pool, which is kept for the given time.
+// recordBusy updates the peak of a pool. A peak is replaced by a lower number of busy machines
+// only when the peak is older than keep.
 func (s *scalingState) recordBusy(pool machinePool, busy int, now, keep int64) {
 	if peak := s.peaks[pool]; busy >= peak.busy || now-peak.at > keep {
 		s.peaks[pool] = usagePeak{busy, now}
--- a/internal/core/progresslog.go
+++ b/internal/core/progresslog.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// replayLog applies the log's entries for a job again, after older state of the job was read
-// later than the log.
+// replayLog applies the log's entries for a job again. It is called after the job's record or a
+// chunk was loaded, because these may be older than the log entries but be read later.
 func (s *stateCache) replayLog(job *jobstate.Job) {
 	for _, p := range s.progressLog {
 		for k := range p.Entries {
--- a/internal/core/readlease.go
+++ b/internal/core/readlease.go
@@ -9,8 +9,8 @@
 
 const (
 	// readLeaseAfter is the age of the newest proof from the state service above which a
-	// leader requests read leases. While a leader requests none, users of the other
-	// controllers never wait for it.
+	// leader requests read leases even if its last request to the service did not fail.
+	// While a leader requests none, users of the other controllers never wait for it.
 	readLeaseAfter = 2 * second
 	// maxCacheAge is the age of the state cache above which a leader reads the stored state.
 	maxCacheAge = second
--- a/internal/core/readlease/holder.go
+++ b/internal/core/readlease/holder.go
@@ -45,8 +45,8 @@
 	return GrantRequest{Incarnation: grant.incarnation, UpTo: grant.upTo, AppliedRevision: appliedRevision}
 }
 
-// ApplyPage records a page of cancellations, and reports whether the page continues the
-// cancellations of the grantor that the leader knows without a gap.
+// ApplyPage records a page of cancellations. It reports whether there is no gap between the page
+// and the cancellations that the leader already knows from the grantor.
 func (h *Holder) ApplyPage(peer string, page CancellationPage) bool {
 	grant := h.grants[peer]
 	if grant == nil || page.Incarnation == "" {
@@ -84,8 +84,8 @@
 	}
 }
 
-// SetIncarnation records the incarnation of a controller that runs now. Answers of another
-// incarnation were delayed in transit and are ignored.
+// SetIncarnation records the present incarnation of a controller. Answers of another incarnation
+// were delayed in transit and are ignored.
 func (h *Holder) SetIncarnation(peer, incarnation string) {
 	if grant := h.grants[peer]; grant != nil && incarnation != "" {
 		grant.runningIncarnation = incarnation
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -42,8 +42,8 @@
 }
 
 // preempt plans preemptions for pivots that would wait longer than preemptDelay. Work of lower
-// priority is stopped for any pivot, and for a job within its team's guarantee also work of
-// other teams beyond theirs. The machines with the least lost work are chosen, for a gang
+// priority is stopped for any pivot. For a job within its team's guarantee, work of other teams
+// that exceeds those teams' guarantees is stopped too. The machines with the least lost work are chosen, for a gang
 // together with free machines.
 func (p *Planner) preempt() {
 	for _, pivot := range p.plan.Pivots {
@@ -169,8 +169,8 @@
 	return candidates[:count], lost, count > 0
 }
 
-// overGuarantee reports whether j is within its team's guarantee, and run belongs to another
-// team's work beyond its guarantee.
+// overGuarantee reports whether j is within its team's guarantee, and run belongs to the work of
+// another team that exceeds that team's guarantee.
 func (p *Planner) overGuarantee(j *Job, run RunningTask) bool {
 	return j.Guaranteed && !run.Guaranteed && run.Job.Team != j.Team &&
 		p.BeyondGuarantee != nil && p.BeyondGuarantee(run.Job.Team, run.Job.Need)
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -95,7 +95,7 @@
 	}
 	concurrent := 1.0
 	if spec.Kind != jobstate.Array {
-		concurrent = float64(spec.Tasks) // all run at the same time or not at all
+		concurrent = float64(spec.Tasks) // all tasks of a gang or service run at the same time
 	}
 	aboveCPUs := team.CPUsMax > 0 && float64(spec.Need.CPU)*concurrent > team.CPUsMax*1000
 	aboveGPUs := team.GPUsMax > 0 && float64(spec.Need.GPU)*concurrent > team.GPUsMax*1000
--- a/internal/core/txn/txn.go
+++ b/internal/core/txn/txn.go
@@ -23,8 +23,8 @@
 // Table holds the transactions in progress. Its zero value is not usable; see New.
 type Table struct {
 	pending map[uint64]*transaction
-	// abandoned are the times at which transactions were sent that were abandoned before
-	// their answers arrived, by transaction ID.
+	// abandoned has the send times of the transactions that were abandoned before their
+	// answers arrived, by transaction ID.
 	abandoned map[uint64]int64
 	response  responseTime
 }
@@ -34,7 +34,7 @@
 	writes    []kv.Write
 	startedAt int64
 	// minRevision is the newest revision in the conditions. Changes up to this revision were
-	// made by earlier transactions, even if they are equal.
+	// made by earlier transactions, even if they are equal to the writes of this one.
 	minRevision uint64
 	complete    func(kv.TransactionResult)
 	// storedRevision is the revision at which the changes were observed, 0 if they were not
@@ -170,7 +170,8 @@
 }
 
 // Abandon stops waiting for the answer to a transaction and ends the transaction with the outcome
-// kv.Unknown. It may still be executed, so it must be repeated under the same conditions only.
+// kv.Unknown. The transaction may still be executed, so it must be repeated under the same
+// conditions only.
 func (t *Table) Abandon(id uint64) {
 	tx := t.pending[id]
 	if tx == nil {
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -274,8 +274,8 @@
 	return states
 }
 
-// CountMembers counts the controllers with an advertisement: those that have a feature, without
-// the leader, and those that do not have it.
+// CountMembers counts the controllers with an advertisement: those other than the leader that have
+// a feature, and those, including the leader, that do not have it.
 func (a *Activation) CountMembers(name FeatureName, leader string) (with, without int) {
 	feature := a.program.feature(name)
 	for _, controller := range a.names {
--- a/internal/core/upgrade/feature.go
+++ b/internal/core/upgrade/feature.go
@@ -27,7 +27,7 @@
 	// Connectivity means that controllers advertise in the state service what they reach.
 	Connectivity FeatureName = "reach"
 	// SharedReads means that the leader reads the state service for the other controllers,
-	// and that all controllers keep to shares of its limits.
+	// and that all controllers keep to their shares of the service's limits.
 	SharedReads FeatureName = "shared-reads"
 )
 
