--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -94,8 +94,8 @@
 }
 
 // putAsLeader writes a value if its key still has the revision that this controller knows. The
-// condition is needed because an earlier write of this controller that got no answer may be executed after
-// later ones.
+// condition is needed because an earlier write of this controller that got no answer may be
+// executed after later ones.
 func (c *committer) putAsLeader(key string, value []byte, done func(TransactionResult)) {
 	conditions := []Cond{
 		kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision),
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -335,7 +335,8 @@
 }
 
 // leaseRefused forgets a lease after the state service refused a write bound to the lease, which
-// means that the lease has expired. A leader instead waits for the answer to its renewal, which proves the same.
+// means that the lease has expired. A leader instead waits for the answer to its renewal, which
+// proves the same.
 func (e *elector) leaseRefused(lease uint64) {
 	if e.candidacy.lease == lease && !e.isLeader() {
 		e.candidacy.lease = 0
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -53,8 +53,9 @@
 	h.peers.pingUrgently()
 }
 
-// recordTransaction records the result of a transaction. A refusal because of the request rate or
-// the transaction's content counts as a failed request, but says nothing about the link.
+// recordTransaction records the result of a transaction. A refusal other than kv.Unavailable, for
+// example because of the request rate or the transaction's size, counts as a failed request, but
+// says nothing about the link.
 func (h *stateHealth) recordTransaction(m TransactionResult) {
 	link := &h.peers.connectivity.Writes
 	switch m.Outcome {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -55,8 +55,9 @@
 
 // authorityProvenAt returns the time up to which it is proven that no other controller led and
 // that this controller knows every end reported to users. Read leases from all other controllers
-// prove both. A newer leader would be one of them, and a peer that knows of a higher fencing token
-// reports the token in the same answer as the read lease, so this controller would step down.
+// prove both. A newer leader would be one of these controllers, and a peer that knows of a higher
+// fencing token reports the token in the same answer as the read lease, so this controller would
+// step down.
 func (l *leadership) authorityProvenAt() int64 {
 	return max(l.stateProofAt(), l.readLeases.OldestGrant())
 }
--- a/internal/core/readlease/readlease.go
+++ b/internal/core/readlease/readlease.go
@@ -4,8 +4,9 @@
 // Once a cancellation is confirmed to a user, the user may rely on the job's tasks being gone
 // within cancel_s. A leader that answers a heartbeat keeps the tasks on the machine alive for
 // another worker lease. It may therefore answer only while it knows every cancellation that was
-// confirmed to any user, except for the newest. A read of the state service proves that. While
-// the state service can't be read, each other controller has to grant the leader a read lease:
+// confirmed to any user, except for those confirmed more recently than the duration of a read
+// lease. A read of the state service proves that. While the state service can't be read, each
+// other controller has to grant the leader a read lease:
 //
 //   - The leader (the [Holder]) sends a [GrantRequest] with its pings.
 //   - The other controller (the [Grantor]) answers with the cancellations that it knows, in
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -1,10 +1,10 @@
 // Package replica lets a follower, a controller that does not lead, answer linearizable
 // reads without a read of the state service for each. The protocol is modelled on Raft's
-// ReadIndex. The follower asks the leader, which reads the state service once for all followers that have asked
-// until then, and answers with the changes since the revision that the follower has. The
-// leader's read began after the follower's request arrived, so its result is newer than
-// every request that waits for it, whichever controller leads by then. The protocol does
-// not rely on the leader's lease.
+// ReadIndex. The follower asks the leader, which reads the state service once for all
+// followers that have asked until then, and answers with the changes since the revision that
+// the follower has. The leader's read began after the follower's request arrived, so its
+// result is newer than every request that waits for it, whichever controller leads by then.
+// The protocol does not rely on the leader's lease.
 //
 // A follower that gets no such answer reads and watches the state service itself until the
 // leader answers again. The package does no I/O.
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -43,8 +43,8 @@
 
 // preempt plans preemptions for pivots that would wait longer than preemptDelay. Work of lower
 // priority is stopped for any pivot. For a job within its team's guarantee, work of other teams
-// that exceeds those teams' guarantees is stopped too. The machines with the least lost work are chosen, for a gang
-// together with free machines.
+// that exceeds those teams' guarantees is stopped too. The machines with the least lost work are
+// chosen, for a gang together with free machines.
 func (p *Planner) preempt() {
 	for _, pivot := range p.plan.Pivots {
 		j := pivot.Job
--- a/internal/core/sweepstore.go
+++ b/internal/core/sweepstore.go
@@ -37,9 +37,10 @@
 // sweepPosition is the stored progress of a sweep: the runs before Next are created, and
 // all of these except the open ones have ended and are counted.
 type sweepPosition struct {
-	Next   int    `json:"n"`
-	Open   string `json:"o,omitempty"`
-	Closed bool   `json:"c,omitempty"`
+	Next int    `json:"n"`
+	Open string `json:"o,omitempty"`
+	// Closed is set once the sweep and all of its created runs have ended.
+	Closed bool `json:"c,omitempty"`
 }
 
 // cancelledRuns has the counted runs that are not done. It is stored in a value of its own,
