--- a/internal/core/cloudviapeer.go
+++ b/internal/core/cloudviapeer.go
@@ -72,7 +72,7 @@
 	errCloudNotReached = errors.New("the cloud was not reached")
 )
 
-// Message converts the result of a call that a peer made to the message that would answer the call
+// Message converts the result of a call made by a peer into the message that would answer the call
 // if the leader had made it itself.
 func (r CloudResult) Message(call CloudCall, peer string, fencingToken uint64) any {
 	var err error
@@ -92,7 +92,7 @@
 	return ScaledIn{Names: call.ScaleIn, OK: r.Status == cloudOK, FencingToken: fencingToken}
 }
 
-// cloudCaller makes calls to the cloud, through a peer if this controller does not reach it.
+// cloudCaller makes calls to the cloud, through a peer if this controller does not reach the cloud.
 type cloudCaller struct {
 	*engine
 
@@ -102,8 +102,8 @@
 }
 
 // callCloud makes a call, either directly or through a peer if only peers reach the cloud. A call
-// that modifies cloud state may be sent only while no other controller can lead. This is checked
-// again directly before sending, as the process may be paused in between.
+// that modifies cloud state may be sent only while no other controller can lead. NotAfter lets this
+// be checked again directly before sending, as the process may be paused in between.
 func (c *cloudCaller) callCloud(call CloudCall) {
 	notAfter := c.elector.tokenProvenUntil()
 	fencingToken := c.elector.fencingToken()
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// publishConnectivity advertises in the state service what this controller reaches, so that
-// controllers that its pings do not reach can learn this too.
+// publishConnectivity advertises in the state service what this controller reaches. Controllers
+// that this controller's pings do not reach learn it from there.
 func (p *peerMonitor) publishConnectivity() {
 	advertisement, pending := p.connectivity.PendingAdvertisement(p.now)
 	if !pending || !p.membership.featureEnabled(upgrade.Connectivity) || p.health.unavailable() || p.health.writesLeft() < 1 {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -56,7 +56,7 @@
 	used   jobstate.Resources
 	// Hash is the hash of the name, which determines the partition.
 	Hash uint32
-	// OrphanUsage is the amount still occupied by tasks that the machine lists but that
+	// OrphanUsage are the resources occupied by tasks that the machine still lists but that
 	// have no placement.
 	OrphanUsage jobstate.Resources
 	// Images are the images that attempts on the machine have fetched or are fetching,
@@ -162,7 +162,7 @@
 func Hash(name string) uint32 {
 	fnvHash := fnv.New32a()
 	fnvHash.Write([]byte(name))
-	// FNV gives names that differ only in the last digits hashes close to each other.
+	// The FNV hashes of names that differ only in the last digits are close to each other.
 	hash := fnvHash.Sum32()
 	hash ^= hash >> 16
 	hash *= 0x7feb352d
--- a/internal/core/imagedemand.go
+++ b/internal/core/imagedemand.go
@@ -15,7 +15,7 @@
 	allImagesWorth = 3 * second
 )
 
-// imageDemand is the demand score of an image, and the time as of which it holds.
+// imageDemand is the demand score that an image has at the time at.
 type imageDemand struct {
 	score float64
 	at    int64
@@ -71,8 +71,8 @@
 }
 
 // imageWorth divides allImagesWorth among the images in proportion to their demand. Without these
-// values, if few machines are idle, those with the images of urgent jobs would be used up by jobs
-// that must fetch their image on any machine.
+// values, when few machines are idle, those that have the images of urgent jobs could be used up by
+// jobs that have to fetch their own image on whichever machine they are placed.
 func (p *prefetcher) imageWorth() map[string]int64 {
 	demand := p.elector.leadership.prefetch.demand
 	var total float64
--- a/internal/core/jobstate/record.go
+++ b/internal/core/jobstate/record.go
@@ -14,8 +14,8 @@
 	Spec    *Spec  `json:"s"`
 	Arrival uint64 `json:"a,omitempty"`
 	Outcome string `json:"o,omitempty"`
-	// SubmittedWall is the time of day of the submission in microseconds, accurate to the
-	// bound in the settings. It is used only for deadlines.
+	// SubmittedWall is the time of day of the submission in microseconds, accurate to
+	// clock_error_ms in the settings. Deadlines and waiting times are measured from it.
 	SubmittedWall int64 `json:"t,omitempty"`
 	// Truncated reports whether the specification of an ended job has only the fields that
 	// are still needed, because the complete one did not fit into the record.
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxTxnBytes is the maximum estimated size of a transaction, below the service's 64 KiB.
+	// maxTxnBytes is the maximum estimated size of a transaction, below the state service's
+	// limit of 64 KiB.
 	maxTxnBytes = 44 << 10
 	// writeOverheadBytes is the approximate size of a write and its condition, not counting
 	// the value and the two copies of the key.
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -11,9 +11,9 @@
 // (cloudmessages.go). A message that has a RequestID is answered by a Reply with the same
 // RequestID.
 //
-// Times are of the monotonic clock in microseconds unless stated otherwise. SentAt is when the
-// request that a message answers was sent; the content of the message was true at that time
-// or later.
+// Times are of the monotonic clock in microseconds unless stated otherwise. SentAt is the time at
+// which the request that a message answers was sent; the content of the message was true at that
+// time or later.
 
 // Tick is sent many times a second by the process that runs the core.
 type Tick struct {
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -139,9 +139,10 @@
 	})
 }
 
-// isExcluded reports whether a controller gets no partition: it has held one for a while without
-// receiving a heartbeat directly, although other controllers received some, so workers can't
-// reach it.
+// isExcluded reports whether a controller gets no partition. A controller is excluded for
+// keepWorkerTime if it has held a partition for a while without receiving a heartbeat directly,
+// although machines still send heartbeats: workers can't reach it. isExcluded also records the start
+// of an exclusion.
 func (p *partitionManager) isExcluded(controller string) bool {
 	term := p.elector.leadership
 	if term.partitions.excludedUntil[controller] > p.now {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -76,9 +76,10 @@
 	}
 }
 
-// pingUrgently pings all peers at once when a request to the state service has failed and this
+// pingUrgently pings all peers immediately when a request to the state service has failed and this
 // controller leads. The pings request read leases, which list the cancellations that a peer has
-// reported to users. If the peer crashes, the leader knows them only if it pinged before.
+// reported to users. If the peer crashes, the leader knows these cancellations only if it has
+// pinged the peer before the crash.
 func (p *peerMonitor) pingUrgently() {
 	term := p.elector.leadership
 	if term == nil || p.now-term.urgentPingAt < urgentPingInterval {
@@ -89,8 +90,8 @@
 }
 
 // ping asks a peer for its status. A leader that the state service does not answer also requests
-// a read lease. A peer that holds a read lease is also informed of the cancellations that it must
-// know before users are answered.
+// a read lease. If the peer may hold a read lease from this controller, the ping can also contain the
+// cancellations that the peer must know before this controller confirms them to users.
 func (p *peerMonitor) ping(peer string) {
 	ping := PingPeer{
 		Peer:         peer,
--- a/internal/core/plannerindex.go
+++ b/internal/core/plannerindex.go
@@ -91,8 +91,8 @@
 		index.boundaries = slices.Clone(p.cache.partitions.Boundaries)
 		term.fleet.MarkAllChanged()
 	}
-	// Process changed machines first: this removes the ones that have left the fleet from
-	// the index, so that the loop below finds every machine in the fleet.
+	// Process changed machines first: this removes those that have left the fleet from the
+	// index, so that the fleet has every machine that the loop below looks up.
 	term.fleet.ForEachChanged(p.updateIndexed)
 	for {
 		oldest, ok := index.byLastHeartbeat.Min()
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -63,8 +63,9 @@
 	// leaderReads its fraction of the reads.
 	leaderChanges = 0.75
 	leaderReads   = 0.45
-	// viewShare is the fraction of all requests that a controller may use for views, and
-	// leaderViewShare that of a leader that also reads for the others.
+	// viewShare is the fraction of all requests that a controller may use for views. A leader
+	// also reads for the others and may use viewShare for each controller, but at most
+	// leaderViewShare in total.
 	viewShare       = 0.06
 	leaderViewShare = 3 * viewShare
 	// minReadShare is the fraction of all requests that always remains for reads.
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -205,8 +205,8 @@
 		}
 		switch {
 		case machine.SeqRestarted() && (task.Confirmed || task.IsStopping() && task.StartSent):
-			// The heartbeat may be a copy from before the restart, so the machine is
-			// probed; see needsProbe.
+			// The heartbeat may be a copy from before the sequence numbers restarted,
+			// so the machine is probed; see needsProbe.
 		case task.Confirmed && machine.HasCurrentToken:
 			// The task was on the machine and is gone: it ended with the worker's previous
 			// epoch.
--- a/internal/core/runestimate.go
+++ b/internal/core/runestimate.go
@@ -10,15 +10,15 @@
 	// checkpointLoss is the work assumed to be lost, in addition to the time to save, when
 	// a task with checkpoints is preempted.
 	checkpointLoss = 10 * second
-	// earlyPreemptionWindow is the time after its start in which preempting a task costs
-	// extra, so that other tasks are preferred.
+	// earlyPreemptionWindow is the time after a task's start during which preempting the task
+	// costs extra, so that other tasks are preempted first.
 	earlyPreemptionWindow = 30 * second
 )
 
-// nextHeartbeatAt returns when a machine can probably receive commands next. Commands are
-// sent in the response to a heartbeat: a held heartbeat takes them at once, otherwise they
-// wait for the next one. If heartbeats are seconds apart, this decides when an urgent job
-// starts.
+// nextHeartbeatAt returns the next time at which a machine can probably receive commands. Commands
+// are sent in the response to a heartbeat: immediately if the response to the last heartbeat is
+// held back, otherwise with the response to the next one. If heartbeats are seconds apart, this
+// time decides when an urgent job starts.
 func (p *planner) nextHeartbeatAt(m *fleet.Machine) int64 {
 	if p.elector.leadership.heartbeats.held.has(m.Name) {
 		return 0
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -6,12 +6,13 @@
 	callRateShare = 0.85
 	// maxCloudCalls is the maximum number of concurrent calls.
 	maxCloudCalls = 4
-	// listCallShare is the maximum share of the calls that lists may take for machines to be
-	// listed more often than once every listPageInterval per page of the list. A list shows
-	// which machines were reclaimed without notice.
+	// listCallShare is the share of the calls that lists may take: machines are listed as often
+	// as it allows, within the bounds given by listPageInterval. A list shows which machines
+	// were reclaimed without notice.
 	listCallShare = 0.1
-	// listPageInterval is the minimum interval at which machines are listed and, multiplied by
-	// the number of pages of the list, the maximum one.
+	// listPageInterval is the minimum time between two lists of the machines. Multiplied by the
+	// number of pages of a list it is the maximum time, even if lists then take more calls than
+	// listCallShare.
 	listPageInterval = 5 * second
 
 	// typesInterval is the interval at which the machine types are listed.
@@ -37,7 +38,7 @@
 	scalingOut    map[machineOffer]bool
 	refusedUntil  map[machineOffer]int64
 	backoff       map[machineOffer]int64 // last backoff time of an offer
-	unanswered    []ScaleOut             // requests without an answer, to be repeated under their names
+	unanswered    []ScaleOut             // requests without an answer, to be repeated unchanged
 	requestSerial int
 	booting       map[string]bootingMachine
 
@@ -55,7 +56,8 @@
 	listedRunning bool // whether the cloud lists it as running
 }
 
-// machineOffer is a combination of machine type, zone and kind in which machines can be rented.
+// machineOffer is a combination of machine type, zone and kind (spot or on-demand) in which machines
+// can be rented.
 type machineOffer struct {
 	machineType, zone string
 	spot              bool
--- a/internal/core/sched/gang.go
+++ b/internal/core/sched/gang.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// unboundedStarts is the remaining value of Planner.MaxStarts from which on a gang may have more
-// tasks than MaxStarts. Below this value, such a gang is not placed.
+// unboundedStarts is the minimum value of Planner.MaxStarts, which falls with each placement, with
+// which a gang is placed even if it has more tasks than MaxStarts. Below it, such a gang is not
+// placed in this round.
 const unboundedStarts = 1000
 
-// placeGang places all tasks of a gang or none. With one_zone it tries one zone after the
-// other, in the order in which the gang would start soonest.
+// placeGang places all tasks of a gang or none. With one_zone it tries one zone after the other,
+// beginning with the zone in which the gang would start soonest.
 func (p *Planner) placeGang(j *Job, partition int) {
 	tasks := j.tasksLeft()
 	if tasks > p.MaxStarts && p.MaxStarts < unboundedStarts {
--- a/internal/core/sched/planner.go
+++ b/internal/core/sched/planner.go
@@ -16,9 +16,9 @@
 	Machine *Machine
 }
 
-// Pivot is the first waiting job of a queue. StartAt is its expected start, 0 if the existing
-// machines can never run it. Urgent jobs behind it for which machines are reserved are included
-// as pivots.
+// Pivot is a waiting job at the head of a queue: the first one for which machines can be reserved,
+// an urgent job behind it for which machines are reserved as well, or a job that the existing
+// machines can never run. StartAt is the expected start, 0 for a job that they can never run.
 type Pivot struct {
 	Queue   int
 	Job     *Job
@@ -61,8 +61,8 @@
 	MaxStarts int
 	// ReserveAhead is the number of urgent jobs behind a queue's pivot for which machines are
 	// freed as for the pivot, and reserved against lower-priority work. Freeing a machine takes
-	// seconds, so that freeing for one job at a time would starve the urgent jobs of a large
-	// deployment. A small deployment needs none.
+	// seconds, so freeing machines for one job at a time would starve the urgent jobs of a
+	// large deployment. In a small deployment the value is 0.
 	ReserveAhead int
 	// LargestGPUTask is the need of the largest task with GPUs.
 	LargestGPUTask jobstate.Resources
--- a/internal/core/sched/reservation.go
+++ b/internal/core/sched/reservation.go
@@ -37,9 +37,10 @@
 	return true
 }
 
-// Claim reserves a machine on which work is stopped for one task of a job. Until the job starts,
-// jobs ordered after it must not use what becomes free on the machine. As a machine becomes free
-// in steps, the stopped work would otherwise return in the next round and be stopped again.
+// Claim reserves room for one task of a job on a machine on which other work is stopped for it.
+// Until the job starts, jobs ordered after it must not use the resources that become free on the
+// machine. They become free in steps, so the stopped work would otherwise be placed there in the
+// next round and be stopped again.
 type Claim struct {
 	Job     *jobstate.Job
 	Machine string
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -18,8 +18,8 @@
 	Program *upgrade.Program
 }
 
-// withClockDrift extends a duration by the most by which two monotonic clocks may drift apart
-// during it, 1 part in 1000.
+// withClockDrift extends a duration by the maximum drift between two monotonic clocks during it,
+// 1 part in 1000.
 func withClockDrift(d int64) int64 { return d + d/1000 }
 
 // EpochTimeout is the time without an answer after which a worker has certainly ended its
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// listState reads the whole stored state again: at startup, after a watch whose revision was
-// compacted, and after a lost leadership, since plans that were never stored must not be
-// mistaken for placements.
+// listState reads the whole stored state: at startup, after a watch whose revision was compacted,
+// and after a lost leadership, since plans that were never stored must not be mistaken for
+// placements.
 func (s *stateCache) listState() {
 	s.synced = false
 	if !s.listingState && s.membership.incompatible == "" {
--- a/internal/core/statereader.go
+++ b/internal/core/statereader.go
@@ -78,9 +78,9 @@
 	r.requests.writeQueued()
 }
 
-// watchState starts the watch that this controller needs. One that follows the leader watches the
-// leadership key alone, as it reads all other changes from the leader; any other controller
-// watches all keys.
+// watchState starts the watch that this controller needs. A controller that follows the leader
+// watches only the leadership key, as it reads all other changes from the leader; any other
+// controller watches all keys.
 func (r *stateReader) watchState() {
 	switch {
 	case !r.cache.synced:
--- a/internal/core/sweepadvance.go
+++ b/internal/core/sweepadvance.go
@@ -231,9 +231,9 @@
 	m.rereadSweep(s)
 }
 
-// rereadSweep reads the stored position and end of a sweep after a write that failed or
-// whose outcome is unknown. If that write is executed only after the read, it is executed or the
-// next step is, but not both: both are conditional on the same position.
+// rereadSweep reads the stored position and end of a sweep after a write that failed or whose
+// outcome is unknown. The service may still execute that write after the read. Then it executes
+// either that write or the next step, not both, as both are conditional on the same position.
 func (m *sweepManager) rereadSweep(s *sweep) {
 	retryLater := func() {
 		s.notBefore = m.now + sweepRetry
--- a/internal/core/txn/responsetime.go
+++ b/internal/core/txn/responsetime.go
@@ -8,8 +8,8 @@
 
 // Parameters of the estimate, as in TCP's retransmission timer (RFC 6298).
 const (
-	smoothing          = 8 // divisor of a new sample's weight in the average
-	deviationSmoothing = 4 // divisor of a new sample's weight in the deviation
+	smoothing          = 8 // a new sample has the weight 1/smoothing in the average
+	deviationSmoothing = 4 // a new sample has the weight 1/deviationSmoothing in the deviation
 	deviationsAllowed  = 4 // deviations from the average after which an answer is overdue
 	maxBackOffs        = 3 // maximum number of times that the timeout is doubled
 )
