--- a/internal/core/workermessages.go
+++ b/internal/core/workermessages.go
@@ -56,8 +56,9 @@
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
-	// Epoch counts the worker's incarnations, and Seq the heartbeats within an epoch.
-	// FencingToken is the highest token that the worker has accepted.
+	// Epoch is the number of the worker's epoch: when the worker's lease expires, all its tasks
+	// end and the next epoch begins. Seq counts the heartbeats within an epoch. FencingToken
+	// is the highest token that the worker has accepted.
 	Epoch, Seq, FencingToken uint64
 	// PreemptionNotice is the time in microseconds until the cloud reclaims the machine, or
 	// NoPreemptionNotice.
