--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -38,7 +38,7 @@
 	scalingOut    map[machineOffer]bool
 	refusedUntil  map[machineOffer]int64
 	backoff       map[machineOffer]int64 // last backoff time of an offer
-	unanswered    []ScaleOut             // requests without an answer, to be repeated unchanged
+	unanswered    []ScaleOut             // unanswered requests, to be repeated with the same names
 	requestSerial int
 	booting       map[string]bootingMachine
 
