--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -11,9 +11,9 @@
 // lease has expired and the advertisement is gone. Otherwise the other controllers do not know
 // which machines and controllers it reaches, and no leader hands over to it.
 //
-// It guards against learning of the loss only from the removal of the key, as a list of the
-// state contains no removals. The controller then stored the advertisement again only when its
-// contents changed. TestReachAfterPartition (package experiment) showed this with seeds 3, 6 and
+// It guards against a controller that notices the loss only if the watch reports the removal of the
+// key: a list of the state contains no removals. Such a controller stored its advertisement again
+// only when the contents changed. TestReachAfterPartition (package experiment) showed this with seeds 3, 6 and
 // 17 and the leader cut off from the state service and the other controllers: for 100 s node-0
 // reported that all controllers reach each other, while the connectivity matrix of the other
 // controllers had no row for node-0.
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -101,8 +101,8 @@
 //
 // It guards against a follower that, after a network cut, permanently advertised that it reached
 // two eighths of a zone. A gone machine was replaced only by one that sent heartbeats. A follower
-// without a partition receives no heartbeats, and did not ask the others for machines while it had
-// four. This was seen in experiment.TestReachAfterPartition, where three of four sampled machines
+// that holds no partition of the fleet receives no heartbeats, and did not ask the others for
+// machines while it had four. This was seen in experiment.TestReachAfterPartition, where three of four sampled machines
 // had been scaled in.
 func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
@@ -279,8 +279,9 @@
 	}
 }
 
-// TestForgetUnlisted checks that a machine missing from the cloud's list is removed only if it has
-// been silent since before the time from which the list is complete.
+// TestForgetUnlisted checks that a machine missing from the cloud's list is removed only if it does
+// not answer, and has neither answered nor been added since the earliest time that the list may
+// describe.
 func TestForgetUnlisted(t *testing.T) {
 	now := 100 * second
 	s := NewSample(2 * second)
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -131,8 +131,8 @@
 	return connectivity.Advertisement{ReachableEighths: map[string]int{"a": a, "b": b}, Peers: peers}
 }
 
-// TestReadForRequests checks that a waiting request is answered only after a read of the state
-// that was sent for requests after the request arrived. It guards against using a read that was
+// TestReadForRequests checks that a request waits for a read of the state that is sent after the
+// request has arrived and that is marked as a read for requests. It guards against using a read that was
 // sent earlier for another purpose: such a read may miss a job that another controller accepted
 // in between, and the job was then reported as unknown.
 func TestReadForRequests(t *testing.T) {
@@ -179,7 +179,8 @@
 }
 
 // TestHeartbeatWithoutLeader checks how a follower handles a heartbeat, and the next one of the
-// same worker, depending on whether it or a peer reaches the leader n1.
+// same worker, depending on whether the follower or a peer reaches the leader n1, and on whether
+// n1 advertises that it reaches the worker's zone.
 func TestHeartbeatWithoutLeader(t *testing.T) {
 	heartbeat := func(seq uint64) HeartbeatReceived {
 		return HeartbeatReceived{RequestID: seq, Heartbeat: Heartbeat{Machine: "m", Addr: "x", Zone: "a", Epoch: 1, Seq: seq, PreemptionNotice: NoPreemptionNotice}}
@@ -337,9 +338,9 @@
 	}
 }
 
-// TestForwardToPeer checks that requests of every kind are forwarded to a peer which the state
-// service answers while it does not answer this controller, and that forwarded requests are
-// not forwarded again.
+// TestForwardToPeer checks that a controller that gets no answers from the state service forwards
+// requests of every kind to a peer that does get answers, and that forwarded requests are not
+// forwarded again.
 func TestForwardToPeer(t *testing.T) {
 	for _, tc := range []struct {
 		build func(forwarded bool) any
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -54,8 +54,9 @@
 	watchLags bool
 	// losesAnswers makes the state service execute transactions without answering them.
 	losesAnswers bool
-	// reads counts the reads of single keys and the transactions without writes; the next
-	// readsToRefuse of them are rate limited.
+	// reads counts the reads of single keys and the transactions without writes. The next
+	// readsToRefuse of them are refused: a read of a key fails without an answer, and a
+	// transaction is rate limited.
 	reads, readsToRefuse int
 	// commits counts the transactions that write.
 	commits int
@@ -123,8 +124,9 @@
 	}
 }
 
-// listState sends the core the whole stored state, ordered by key as the state service does:
-// the parts of a value that was too long come after the whole value that they replace.
+// listState sends the core the stored state under StartPrefixes. The keys of each prefix are
+// sorted, as the state service sorts them: the parts of a value that was too long come after the
+// whole value that they replace.
 func (h *harness) listState() {
 	list := StateListed{Revision: h.revision}
 	for _, prefix := range StartPrefixes {
@@ -165,7 +167,7 @@
 	}
 }
 
-// refusesRead counts a read and reports whether it is rate limited.
+// refusesRead counts a read and reports whether it is refused.
 func (h *harness) refusesRead() bool {
 	h.reads++
 	h.readsToRefuse--
--- a/internal/core/jobstate/knownend_test.go
+++ b/internal/core/jobstate/knownend_test.go
@@ -60,6 +60,6 @@
 		kept += id
 	}
 	if _, ok := ends.Get("a"); ok || kept != "bc" {
-		t.Errorf("kept ends: got %q, want \"bc\"; end of a kept: %v, want false", kept, ok)
+		t.Errorf("kept ends: got %q, want \"bc\"; Get(\"a\") finds an end: got %v, want false", kept, ok)
 	}
 }
--- a/internal/core/machinepool_test.go
+++ b/internal/core/machinepool_test.go
@@ -13,7 +13,8 @@
 // TestMachinePools checks the number and kind of rented machines. If cost is an objective, spot
 // machines are rented for jobs that may use them and on-demand machines for the others, and the
 // number of spare machines follows the variation of the load. Otherwise on-demand machines are
-// rented first, and there are as many spare machines as machines in use.
+// rented first, and the number of spare machines is the configured share of the machines in use,
+// which is 1 by default.
 func TestMachinePools(t *testing.T) {
 	yes, no := true, false
 	spot, onDemand := waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 500}, Spot: true}, tasks: 8}, waitingJob{spec: &jobstate.Spec{Need: jobstate.Resources{CPU: 1000}}, tasks: 3}
--- a/internal/core/norace_test.go
+++ b/internal/core/norace_test.go
@@ -2,5 +2,5 @@
 
 package core
 
-// raceEnabled reports whether the race detector is on, with which tests run many times slower.
+// raceEnabled reports whether the race detector is on. It makes tests many times slower.
 const raceEnabled = false
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestTrials checks that a trial is stopped, with time for a checkpoint, only if its time is
-// used up and a job that precedes the requeued one waits for its machine.
+// TestTrials checks that a trial is stopped, with time for a checkpoint, only if its time is used
+// up and another job waits for its machine that would precede the stopped job in the queue.
 func TestTrials(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -73,7 +73,7 @@
 		{"trial time not used up", 100 * second, true, true, ""},
 		{"trial over, no job waiting", 200 * second, false, false, ""},
 		{"trial over, earlier job waiting", 200 * second, true, true, jobstate.StopTrial},
-		// The requeued job would precede the waiting one and start again at once.
+		// The stopped job would precede the waiting one and start again at once.
 		{"trial over, later job waiting", 200 * second, true, false, ""},
 	}
 	for _, tc := range cases {
@@ -105,8 +105,10 @@
 	}
 }
 
-// TestLostWorkOfRecentStarts checks that preempting a recently started task costs extra if a
-// start objective applies to it, so that other tasks are preempted first.
+// TestLostWorkOfRecentStarts checks that preempting a recently started task costs extra if its
+// start time matters, so that other tasks are preempted first. The start time matters if a start
+// objective applies to the task's class, if the task is within its team's guarantee, or if there
+// are no objectives.
 func TestLostWorkOfRecentStarts(t *testing.T) {
 	objectives := []config.Objective{{Kind: "wait", Class: "starts"}, {Kind: "deadline", Class: "ends"}, {Kind: "guarantee"}}
 	cases := []struct {
@@ -156,8 +158,8 @@
 	}
 }
 
-// TestStartBy checks that machines are needed early enough for the image to be fetched before
-// the start objective.
+// TestStartBy checks that the time by which a job needs machines leaves enough time before the end
+// of the start objective to fetch the image (10 or 4 s here) and for startOverhead (3 s).
 func TestStartBy(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.settings.Objectives = []config.Objective{{Kind: "wait", Class: "fit", WithinS: 25}}
@@ -176,8 +178,8 @@
 }
 
 // TestQueueOrder checks that a job with a deadline is ordered by its latest start plus a
-// penalty for the delay it causes other jobs, and a job without one by the time it became
-// ready.
+// penalty for the delay it causes other jobs, and a job without a deadline by the time it
+// became ready.
 func TestQueueOrder(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
--- a/internal/core/prefetch_test.go
+++ b/internal/core/prefetch_test.go
@@ -9,14 +9,15 @@
 )
 
 // TestPrefetchSources checks that the tasks of a completed gang that sets one_zone are prefetch
-// sources in one zone at a time, because prefetches have to follow one_zone as any start does.
+// sources in one zone at a time, because prefetches have to follow one_zone as any start does, and
+// that spread jobs and services provide no sources.
 func TestPrefetchSources(t *testing.T) {
 	cases := []struct {
 		name    string
 		kind    jobstate.Kind
 		oneZone bool
 		spread  bool
-		want    string // mayRunIn of each source, alternately in zones a and b, with no prefetch ending
+		want    string // mayRunIn of each source, alternately in zones a and b, while started prefetches continue
 	}{
 		{"gang in one zone", jobstate.Gang, true, false, "a:true b:false a:true b:false "},
 		{"array", jobstate.Array, false, false, "a:true b:true a:true b:true "},
@@ -57,8 +58,9 @@
 }
 
 // TestImageHints checks that the image hints for the next leader fit the state service's value
-// limit for any size of fleet, and that a completed job is inherited once even if two values list
-// it, because otherwise a task could be started on two machines.
+// limit for any size of fleet and tell that leader the images of every machine. A completed job has
+// to be inherited once even if two values list it, because otherwise a task could be started on two
+// machines.
 func TestImageHints(t *testing.T) {
 	for _, machines := range []int{3, 400, 2000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -127,8 +129,8 @@
 			{Name: "c", Cap: jobstate.Resources{CPU: 8000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 			{Name: "g", Cap: jobstate.Resources{CPU: 8000, GPU: 2000, Mem: 8000}, CacheMB: 50_000, FetchRate: 500, Zones: []string{"a"}},
 		}
-		add := func(prefetches int, typ string) {
-			for i := range prefetches {
+		add := func(machines int, typ string) {
+			for i := range machines {
 				m := fleet.NewMachine(fmt.Sprintf("%s-%02d", typ, i), core.now)
 				m.Type, m.Zone, m.HasCurrentToken, m.LastHeartbeat = typ, "a", true, core.now
 				m.SetType(core.cache.machineTypes)
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -13,7 +13,8 @@
 	"github.com/zinclb/zinclb/internal/core/readlease"
 )
 
-// leaderHarness is the only core of a cluster, as its leader, with a simulated state service.
+// leaderHarness is the core of the leader of a cluster with one controller, with a simulated state
+// service.
 type leaderHarness struct {
 	t           *testing.T
 	core        *Core
@@ -196,7 +197,7 @@
 			if _, commands := h.heartbeat(h.token, 1, TaskStatus{Name: "j/0", Attempt: 3, State: TaskExited, Reason: ExitStopped}); commands != "" {
 				h.t.Errorf("got commands %q before the exit is stored, want none", commands)
 			}
-		}, "m.4"}, // planned again, which is not stored either
+		}, "m.4"}, // the task is placed again, and the new placement is not stored either
 		{"another attempt is stopped and proves nothing", func(h *leaderHarness) {
 			if _, commands := h.heartbeat(5, 1, running(2)); commands != "stop j/0.2;start j/0.3;" {
 				h.t.Errorf("another attempt running: got commands %q, want %q", commands, "stop j/0.2;start j/0.3;")
@@ -264,9 +265,9 @@
 	}
 }
 
-// TestNewerFencingToken checks that a peer which knows a newer fencing token ends the term at
-// once, and that a peer which knows none and grants a complete read lease proves the leader's
-// authority.
+// TestNewerFencingToken checks that the status of a peer which knows a newer fencing token ends the
+// term at once. The status of a peer which knows no newer one proves the leader's authority only if
+// it contains a complete read lease.
 func TestNewerFencingToken(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.settings.Peers = []string{"n1"}
@@ -284,7 +285,7 @@
 		t.Errorf("after a peer's cancellation: got outcome %q of job j, want %q", h.core.cache.jobs["j"].Outcome(), jobstate.Cancelled)
 	}
 	if h.core.elector.leadership.authorityProvenAt() != h.now+1 {
-		t.Errorf("after a read lease: got authority proven at %d us, want %d us as requested", h.core.elector.leadership.authorityProvenAt(), h.now+1)
+		t.Errorf("after a read lease: got authority proven at %d us, want %d us, when the read lease was requested", h.core.elector.leadership.authorityProvenAt(), h.now+1)
 	}
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now + 2, OK: true, Status: PeerStatus{FencingToken: h.token + 1, Leader: "n1"}})
 	if h.core.elector.leadership != nil {
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -10,9 +10,9 @@
 // member is a controller of the model.
 type member struct {
 	running, legacy bool   // legacy: its program does not share the limits
-	since           int64  // when its member key was stored, 0 if it is not stored
-	seen            []bool // the members in its view
-	viewedAt        int64  // when it last read the members
+	since           int64  // time at which its member key was stored, 0 if it is not stored
+	seen            []bool // for each controller, whether this one saw its member key in the last read
+	viewedAt        int64  // time at which it last read the members
 	leads           bool
 }
 
@@ -47,8 +47,9 @@
 	return requests, changes
 }
 
-// maxExcess runs a random history of members that start, stop, are cut off and are seen late,
-// and returns the maximum amount by which the limits were exceeded.
+// maxExcess runs a random history of controllers that start, stop and read the members, and returns
+// the maximum amount by which the limits were exceeded. A controller may go without a read for any
+// time, as if cut off, so that it sees changes of the others late.
 func maxExcess(t *rapid.T, shareFor func(Limits, Members) Share) (excess float64) {
 	n := rapid.IntRange(2, 12).Draw(t, "controllers")
 	limits := Limits{Requests: float64(rapid.SampledFrom([]int{80, 200, 250}).Draw(t, "requests")), Changes: float64(rapid.SampledFrom([]int{25, 60, 90}).Draw(t, "changes"))}
@@ -113,8 +114,8 @@
 	large := Limits{Requests: 250, Changes: 90}
 	cases := []struct {
 		name    string
-		l       Limits
-		m       Members
+		limits  Limits
+		members Members
 		changes float64
 		views   float64
 	}{
@@ -131,7 +132,7 @@
 		{"no leader", large, Members{Configured: 12, SharingEnabled: true}, 7.5, 10.3},
 	}
 	for _, tc := range cases {
-		s := ShareFor(tc.l, tc.m)
+		s := ShareFor(tc.limits, tc.members)
 		if math.Abs(s.Changes-tc.changes) > 0.01 || math.Abs(s.Views-tc.views) > 0.1 {
 			t.Errorf("%s: got %.2f changes and %.2f views, want %.2f and %.2f", tc.name, s.Changes, s.Views, tc.changes, tc.views)
 		}
@@ -171,6 +172,6 @@
 		taken++
 	}
 	if taken != minBurst {
-		t.Errorf("a new bucket allows %d changes, want %d, as a cancellation takes", taken, minBurst)
+		t.Errorf("a new bucket allows %d changes, want %d, enough for one cancellation", taken, minBurst)
 	}
 }
--- a/internal/core/readlease/readlease_test.go
+++ b/internal/core/readlease/readlease_test.go
@@ -64,13 +64,13 @@
 	}
 }
 
-// TestHolder checks the time up to which the grantor has confirmed that the leader knows its
-// cancellations.
+// TestHolder checks the time up to which the grantor has confirmed that the leader knows the
+// grantor's cancellations.
 func TestHolder(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(p *pair)
-		// grantedAt is the expected confirmed time, known the expected number of
+		// grantedAt is the expected OldestGrant of the holder, known the expected number of
 		// cancellations that the leader knows.
 		grantedAt int64
 		known     int
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestGrantor checks when a cancellation may be confirmed to users, and which controllers have
-// to be informed first.
+// TestGrantor checks when a cancellation may be confirmed to users, and when the holder of a read
+// lease has to be informed first.
 func TestGrantor(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/core/readlease_test.go
+++ b/internal/core/readlease_test.go
@@ -29,7 +29,7 @@
 	}
 	h.step(StateRead{AfterRevision: h.core.cache.appliedRevision, Revision: h.core.cache.appliedRevision, SentAt: h.now - second/2, Immediate: true})
 	if at := h.core.elector.leadership.authorityProvenAt(); at != h.now-second/2 {
-		t.Errorf("after a read: got authority proven at %d us, want %d us as sent", at, h.now-second/2)
+		t.Errorf("after a read: got authority proven at %d us, want %d us, when the read was sent", at, h.now-second/2)
 	}
 	h.advance(h.core.settings.LeaderAuthorityTime() + second)
 	if h.core.elector.mayAnswerWorkers() {
@@ -134,7 +134,7 @@
 }
 
 // TestInformHolderOfSweep checks that a leader which holds a controller's read lease is informed
-// of a cancelled sweep before any user who queries the sweep or one of its runs.
+// of a cancelled sweep before any user who cancels or queries the sweep or queries its runs.
 func TestInformHolderOfSweep(t *testing.T) {
 	h := newSweepHarness(t, true)
 	h.submitSweep(sweepOf(2, 1000))
@@ -173,7 +173,7 @@
 		t.Errorf("got read lease with cancellations %v, want sweep s among them", granted.Cancelled)
 	}
 	h.step(PeerPinged{Peer: "n1", SentAt: h.now, OK: true, Status: PeerStatus{Ack: &readlease.HolderAck{Holds: true, Incarnation: "b", UpTo: granted.UpTo}}})
-	builds = slices.Delete(builds, 2, 3) // the plan of an ended sweep is not available at once
+	builds = slices.Delete(builds, 2, 3) // ListSweepRuns: the plan of an ended sweep is not available at once
 	for _, build := range builds {
 		if reply := h.requestSweep(build); reply.Status != 200 {
 			t.Errorf("%T: got reply %+v once the leader knew of the cancellation, want status 200", build(0), reply)
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -17,7 +17,7 @@
 	cases := []struct {
 		name    string
 		do      func(f *Follower)
-		at      int64
+		at      int64 // time of the check, after start
 		source  string
 		follows bool
 	}{
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestChangeLog compares the changes that Since returns with all that were appended.
+// TestChangeLog checks that the log stays within its limits, and that Since returns as many changes
+// as were appended after the given revision, unless some of them were dropped.
 func TestChangeLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log ChangeLog
--- a/internal/core/sched/planner_test.go
+++ b/internal/core/sched/planner_test.go
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestDeadlineCritical checks that a stage before an urgent deadline is placed on an on-demand
-// machine, as the loss of one of its tasks would miss the deadline. Other jobs that may use spot
-// machines leave the on-demand ones to jobs that may not.
+// TestDeadlineCritical checks that an urgent job with a deadline and without checkpoints is placed
+// on an on-demand machine, as it would probably miss its deadline if a task were lost with a spot
+// machine. Other jobs that may use spot machines leave the on-demand ones to jobs that may not.
 func TestDeadlineCritical(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -309,9 +309,9 @@
 	}
 }
 
-// TestServiceImageCost checks that a service leaves room on machines that lack its image. The room
-// is kept for services whose images those machines have: a machine fetches a service's image only
-// when a replica is placed on it.
+// TestServiceImageCost checks that, with spare machines, a service leaves room on machines that
+// lack its image. The room is for other services, whose images those machines have: a machine
+// fetches a service's image only when a replica is placed on it.
 func TestServiceImageCost(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/internal/core/sched/recorded_test.go
+++ b/internal/core/sched/recorded_test.go
@@ -83,7 +83,7 @@
 	for i := range 1 + r.IntN(40) {
 		sp := spec(fmt.Sprintf("job-%02d", i))
 		j := jobstate.NewJob(sp)
-		j.ReadyAt = p.Now // no waiting time yet, as the planner that made the recording ignored it
+		j.ReadyAt = p.Now // no waiting time yet, as the recorded planner ignored waiting times
 		j.EffectivePriority, j.Arrival = min(sp.Priority+r.IntN(2), 3), uint64(i)
 		if r.IntN(4) == 0 {
 			j.EffectiveDeadline = p.Now + int64(r.IntN(500))*second
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -297,7 +297,7 @@
 		}
 	}
 	if len(core.cache.machineTypes) != 2 || core.cache.machineTypes[1].Cap.CPU != 8000 || len(core.cache.progressLog) != 2 || core.membership.chunkTasks != 64 || !core.sweepManager.enabled() || !core.membership.activation.Enabled(upgrade.SharedReads) {
-		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 CPU, 2 pages, 64 tasks, sweeps and shared reads enabled", core.cache.machineTypes, len(core.cache.progressLog), core.membership.chunkTasks, core.membership.activation.FeatureStates())
+		t.Errorf("got machine types %+v, %d log pages, %d tasks per chunk, features %+v, want 2 types, the second with 8000 milli-CPUs, 2 pages, 64 tasks, sweeps and shared reads enabled", core.cache.machineTypes, len(core.cache.progressLog), core.membership.chunkTasks, core.membership.activation.FeatureStates())
 	}
 	for id, outcome := range map[string]string{"j-least": "", "j-full": "", "j-done": jobstate.Done, "j-ended": jobstate.Cancelled, "j-brief": jobstate.Cancelled} {
 		j := core.cache.jobs[id]
--- a/internal/core/unansweredwrite_test.go
+++ b/internal/core/unansweredwrite_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestUnansweredStartExecuted checks that one of two writes of the same start takes effect and that
-// the start is then known to be stored, whichever write is executed first.
+// TestUnansweredStartExecuted checks that a start that was written twice is known to be stored once
+// both writes were executed, whichever came first.
 func TestUnansweredStartExecuted(t *testing.T) {
 	for _, order := range [][2]int{{0, 1}, {1, 0}} {
 		h := newPlacementHarness(t)
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,17 +7,17 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// TestStopOnUnreachableMachine checks that unwanted tasks on a machine whose heartbeats do not
+// TestStopOnUnreachableMachine checks that tasks of ended jobs on a machine whose heartbeats do not
 // arrive are stopped by direct commands, also by a leader that has received no heartbeat from the
 // machine: the address comes from the cloud's list and the epoch from the machine's answer to a
-// probe. Otherwise such tasks continue until the machine's lease has expired. The answer to the
-// probe does not prove that a task is absent.
+// probe. Otherwise such tasks continue until the machine's lease has expired. Preempted tasks are
+// not stopped in this way. The answer to the probe does not prove that a task is absent.
 func TestStopOnUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name    string
 		outcome string
 		do      func(h *leaderHarness)
-		tasks   []TaskStatus
+		tasks   []TaskStatus // in the machine's answer to the probe
 		want    string
 	}{
 		{"cancelled before this leader began", jobstate.Cancelled, nil, []TaskStatus{running(3)}, "stop j/0.3 in 4;"},
--- a/internal/core/upgrade/activation_test.go
+++ b/internal/core/upgrade/activation_test.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestCurrentProgram checks that each key has at most one feature, that every feature comes after
-// those that it requires, that none is newer than the program, and that exactly those features
-// without keys are MessagesOnly.
+// TestCurrentProgram checks the features of some keys, that every feature comes after those that it
+// requires, that none is newer than the program, and that a feature is MessagesOnly exactly if it
+// has no key prefixes.
 func TestCurrentProgram(t *testing.T) {
 	program := CurrentProgram()
 	for key, want := range map[string]FeatureName{"log/1": ProgressLog, "sweep/x": Sweeps, "sweeps": Sweeps, "reach/n0": Connectivity, "run/j/0": "", "job/j": "", "features": ""} {
--- a/internal/core/upgrade/model_test.go
+++ b/internal/core/upgrade/model_test.go
@@ -171,7 +171,7 @@
 }
 
 // TestModel searches all histories of the model up to a depth. It checks that a feature is never
-// activated while a controller can write whose advertisement lacks the feature or is missing, and
+// activated while a controller whose advertisement lacks the feature or is missing can write, and
 // that each planted fault is found.
 func TestModel(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -91,8 +91,9 @@
 }
 
 // TestInterruptedChunkSplit stores progress in the first format, splits the chunks, and stops
-// after each single write. What is then read must be the progress with that write or without it,
-// in whichever order the values are read.
+// after each single write. What is then read must not depend on the order in which the values are
+// read, must not lose one of the first 50 tasks, and must be the whole progress after the last
+// write.
 func TestInterruptedChunkSplit(t *testing.T) {
 	spec := &jobstate.Spec{ID: "j", Kind: jobstate.Array, Tasks: 300}
 	state := func(j *jobstate.Job) string {
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestLogReplay combines chunk values with log entries and checks that, in any order of reading,
-// the newest log entry of a task takes effect unless its chunk is newer.
+// TestLogReplay combines chunk values with log entries and checks that the newest log entry of a
+// task takes effect unless its chunk is newer, whether the job is read before or after them.
 func TestLogReplay(t *testing.T) {
 	entry := func(i int, done bool, machine string) jobstate.LogEntry {
 		return jobstate.LogEntry{Job: "j", Task: i, Done: done, Machine: machine, Attempt: 1}
