--- a/internal/core/advertisement_test.go
+++ b/internal/core/advertisement_test.go
@@ -13,10 +13,10 @@
 //
 // It guards against a controller that notices the loss only if the watch reports the removal of the
 // key: a list of the state contains no removals. Such a controller stored its advertisement again
-// only when the contents changed. TestReachAfterPartition (package experiment) showed this with seeds 3, 6 and
-// 17 and the leader cut off from the state service and the other controllers: for 100 s node-0
-// reported that all controllers reach each other, while the connectivity matrix of the other
-// controllers had no row for node-0.
+// only when the contents changed. TestReachAfterPartition (package experiment) showed this with
+// seeds 3, 6 and 17 and the leader cut off from the state service and the other controllers: for
+// 100 s node-0 reported that all controllers reach each other, while the connectivity matrix of the
+// other controllers had no row for node-0.
 func TestAdvertisementIsStoredAgain(t *testing.T) {
 	h := newPeerHarness(t, "n1")
 	h.advance(5 * second)
--- a/internal/core/connectivity/sample_test.go
+++ b/internal/core/connectivity/sample_test.go
@@ -102,8 +102,8 @@
 // It guards against a follower that, after a network cut, permanently advertised that it reached
 // two eighths of a zone. A gone machine was replaced only by one that sent heartbeats. A follower
 // that holds no partition of the fleet receives no heartbeats, and did not ask the others for
-// machines while it had four. This was seen in experiment.TestReachAfterPartition, where three of four sampled machines
-// had been scaled in.
+// machines while it had four. This was seen in experiment.TestReachAfterPartition, where three of
+// four sampled machines had been scaled in.
 func TestGoneMachinesRemoved(t *testing.T) {
 	four := []string{"m1", "m2", "m3", "m4"}
 	cases := []struct {
--- a/internal/core/connectivity_test.go
+++ b/internal/core/connectivity_test.go
@@ -132,9 +132,9 @@
 }
 
 // TestReadForRequests checks that a request waits for a read of the state that is sent after the
-// request has arrived and that is marked as a read for requests. It guards against using a read that was
-// sent earlier for another purpose: such a read may miss a job that another controller accepted
-// in between, and the job was then reported as unknown.
+// request has arrived and that is marked as a read for requests. It guards against using a read
+// that was sent earlier for another purpose: such a read may miss a job that another controller
+// accepted in between, and the job was then reported as unknown.
 func TestReadForRequests(t *testing.T) {
 	h := newPeerHarness(t, "n1")
 	h.step(QueryJob{RequestID: 7, ID: "j"})
--- a/internal/core/planner_test.go
+++ b/internal/core/planner_test.go
@@ -177,9 +177,8 @@
 	}
 }
 
-// TestQueueOrder checks that a job with a deadline is ordered by its latest start plus a
-// penalty for the delay it causes other jobs, and a job without a deadline by the time it
-// became ready.
+// TestQueueOrder checks that a job with a deadline is ordered by its latest start plus a penalty
+// for the delay it causes other jobs, and a job without a deadline by the time it became ready.
 func TestQueueOrder(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.core.elector.leadership.planning.capacity = jobstate.Resources{CPU: 100_000, GPU: 10_000}
--- a/internal/core/reportedend_test.go
+++ b/internal/core/reportedend_test.go
@@ -179,9 +179,9 @@
 // TestDerivedEndNotReported checks that a controller does not report an end that it has derived to
 // its peers. A leader does not need the report, as it starts no task of a job that depends on a
 // cancelled one. Users therefore get their answer without waiting until the leader has learned of
-// the end. A leader of a version that does not distinguish derived from stored ends would treat
-// the end as stored: with two versions side by side, such a leader lost an end that a newer
-// controller had reported to it.
+// the end. A leader of a version that does not distinguish derived from stored ends would treat the
+// end as stored: with two versions side by side, such a leader lost an end that a newer controller
+// had reported to it.
 func TestDerivedEndNotReported(t *testing.T) {
 	h := newHarness(t, map[string]any{
 		formatKey:            progressLogFormat,
--- a/internal/core/scalein_test.go
+++ b/internal/core/scalein_test.go
@@ -9,8 +9,8 @@
 
 // TestScaleInSilentMachines checks that a few silent machines are returned, because the return
 // guarantees that their tasks are gone, and that many silent machines are not, because the network
-// is more likely at fault. This must also hold for a new leader that has received no heartbeat from any
-// of them: otherwise a leader that is elected while a zone is partitioned returns every machine
+// is more likely at fault. This must also hold for a new leader that has received no heartbeat from
+// any of them: otherwise a leader that is elected while a zone is partitioned returns every machine
 // of the zone.
 func TestScaleInSilentMachines(t *testing.T) {
 	cases := []struct {
--- a/internal/core/version1_test.go
+++ b/internal/core/version1_test.go
@@ -13,7 +13,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// version1Fixture holds the values that version 1 stored, and messages that it encoded with gob.
+// version1Fixture holds the values that version 1 stored, and messages that it encoded with gob,
+// which only the tests of package peer use.
 type version1Fixture struct {
 	Keys []struct {
 		Key   string          `json:"key"`
