--- a/internal/experiment/stats_test.go
+++ b/internal/experiment/stats_test.go
@@ -9,8 +9,8 @@
 	"github.com/zinclb/zinclb/internal/config"
 )
 
-// results returns one result for each value, of the versions old and new. Values at the same index
-// have the same seed.
+// results returns the results of two versions: one result of version "old" for each value in base,
+// and one of version "new" for each value in other. The index of a value is its seed.
 func results(base, other []float64) (list []Result) {
 	for i, v := range base {
 		list = append(list, Result{Scenario: "day", Seed: uint64(i), Version: "old", Figures: map[string]float64{"wait c 5 s": v}})
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestPlot checks that Plot draws the figures of objectives, and only those named figures that a
-// run has.
+// TestPlot checks that Plot draws a plot for each figure of an objective, and none for a listed
+// figure that no run has.
 func TestPlot(t *testing.T) {
 	dir := t.TempDir()
 	files, err := Plot(results([]float64{1, 0.9}, []float64{0.8, 0.7}), dir, []string{"never measured"})
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestRunInProcess checks that a cell that is run twice has the same digest, and that an invalid
-// mode and a missing scenario are reported.
+// TestRunInProcess checks that a cell that is run twice has the same digest, that another seed
+// gives another digest, and that an invalid mode and a missing scenario are reported.
 func TestRunInProcess(t *testing.T) {
 	r := Run{Scenario: "../../scenarios/roll.txtpb", Seed: 3, Version: Head, Mode: "fake"}
 	a, b := RunInProcess(r, "", ops()), RunInProcess(r, "", ops())
--- a/internal/httpwire/message_test.go
+++ b/internal/httpwire/message_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// FuzzParse checks that no input makes the parser panic or read past the input, and that
-// a complete request is incomplete without its last byte.
+// FuzzParse checks that no input makes the parser panic, and that a request is not longer
+// than the input, also if the last byte of a complete request is missing.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n"))
@@ -64,8 +64,8 @@
 			if n > len(in) {
 				t.Fatalf("got length %d, want at most the input's length %d", n, len(in))
 			}
-			if _, m, _ := ParseRequest(in[:n-1], 1000); m == n {
-				t.Fatalf("request of %d bytes without its last byte: got length %d, want an incomplete request", n, m)
+			if _, truncated, _ := ParseRequest(in[:n-1], 1000); truncated == n {
+				t.Fatalf("request of %d bytes without its last byte: got length %d, want less", n, truncated)
 			}
 		}
 		_, _, _ = ParseResponse(in, 1000)
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -28,7 +28,8 @@
 	// ReadTimeout is the time after which a connection with an incomplete request is
 	// closed. IdleTimeout is the time after which a connection without a request is closed.
 	ReadTimeout, IdleTimeout time.Duration
-	// Serving, if set, is called when the server starts to accept connections.
+	// Serving, if set, is called each time the server starts to accept connections: at the
+	// start and after each restart of the event loop.
 	Serving func()
 
 	conns     atomic.Int64
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,13 +27,15 @@
 
 // The timeouts and intervals of users, as the protocol defines them.
 const (
-	submitTimeout    = 5 * time.Second
-	submitDeadline   = 60 * time.Second
-	pollInterval     = 5 * time.Second
-	maxRetryDelay    = 30 * time.Second
-	maxTrackedMicros = 600_000_000 // upper bound of the histograms, in microseconds
+	submitTimeout  = 5 * time.Second
+	submitDeadline = 60 * time.Second
+	pollInterval   = 5 * time.Second
+	maxRetryDelay  = 30 * time.Second
 )
 
+// maxTrackedMicros is the upper bound of the histograms, in microseconds.
+const maxTrackedMicros = 600_000_000
+
 // Options configure a run.
 type Options struct {
 	Addr string
@@ -170,7 +172,7 @@
 	}
 }
 
-// post sends a submission. It returns the status code, 0 if there was no response, and the delay
+// post sends a submission. It returns the status code (0 if there was no response) and the delay
 // before a retry.
 func (r *runner) post(body []byte) (int, time.Duration) {
 	response, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -112,8 +112,8 @@
 	s.gauge("troubles", "Troubles that operators are told of.", float64(len(view.Conditions)))
 }
 
-// ends sends the numbers of ends of jobs by how they became known, and the number of answers
-// that a job is not known.
+// ends sends the number of job ends for each way in which this controller learned of them, and
+// the number of replies that a job is not known.
 func (s sink) ends(counts *core.EndCounts) {
 	s.counter("ends_derived_total", "Ends of jobs that followed from the ends of others.", counts.Derived)
 	s.counter("ends_told_total", "Ends of jobs that other controllers told of first.", counts.Reported)
@@ -123,7 +123,7 @@
 	s.counter("not_found_total", help, counts.NotFoundRead, label{"lookup", "read"})
 }
 
-// connectivity sends which peers, links and machines are reachable.
+// connectivity sends the reachability of peers, links and machines.
 func (s sink) connectivity(view *core.OperatorView) {
 	for _, peer := range view.Peers {
 		s.flag("peer_up", "1 if another controller answers.", peer.Up, label{"peer", peer.Name})
--- a/internal/node/actor.go
+++ b/internal/node/actor.go
@@ -8,7 +8,7 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// tickInterval is the interval at which the core is sent the time.
+// tickInterval is the interval between two ticks.
 const tickInterval = 50 * time.Millisecond
 
 // overloadedRetryAfter is the number of seconds after which a request that was refused
@@ -42,7 +42,8 @@
 func tick() core.Tick { return core.Tick{TimeOfDay: time.Now().UnixMicro()} }
 
 // sendTicks sends ticks until the node stops. Ticks are skipped while the inbox is
-// full, because every message the core handles brings it the time too.
+// full: the actor passes the current monotonic time to the core with each message, so
+// the core's clock advances without them.
 func (n *Node) sendTicks() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/node/cloud.go
+++ b/internal/node/cloud.go
@@ -26,7 +26,9 @@
 
 func (n *Node) scaleOut(e core.ScaleOut) {
 	if n.isExpired(e.NotAfter) {
-		n.deliver(core.ScaledOut{Request: e}) // a retry has the same request name
+		// No status means an unknown outcome. The core repeats the request under the same
+		// name if it still leads.
+		n.deliver(core.ScaledOut{Request: e})
 		return
 	}
 	n.deliver(n.cloud.ScaleOut(e))
@@ -42,9 +44,9 @@
 	n.deliver(result)
 }
 
-// isExpired reports whether a cloud call that changes something is past its deadline
-// and must not be made: this process was suspended after the call was decided, and
-// another controller may lead by now.
+// isExpired reports whether a cloud call that changes something is past its deadline.
+// Such a call must not be made: this process was suspended after the core had requested
+// the call, and another controller may lead by now.
 func (n *Node) isExpired(notAfter int64) bool {
 	expired := n.now() >= notAfter
 	if expired {
@@ -87,7 +89,8 @@
 // callCloudViaPeer requests a peer to make a cloud call.
 func (n *Node) callCloudViaPeer(e core.CallCloudViaPeer) {
 	if n.isExpired(e.NotAfter) {
-		_, result := core.CloudViaPeerResult(e, core.Reply{}, nil) // the peer was not called, so it is not blamed
+		// The peer was not called, so no result about the peer is delivered.
+		_, result := core.CloudViaPeerResult(e, core.Reply{}, nil)
 		n.deliver(result)
 		return
 	}
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -25,9 +25,10 @@
 	cancelCall userCall = "cancel"
 )
 
-// latencyRecorder records the latencies of users' requests in this process, from
-// reading the request to handing over the response. It is owned by the actor. Workers'
-// heartbeats are not recorded, because their responses are delayed on purpose.
+// latencyRecorder records the latencies of users' requests in this process, from the
+// time at which the actor takes the request from the inbox to the core's reply. It is
+// owned by the actor. Workers' heartbeats are not recorded, because their responses are
+// delayed on purpose.
 type latencyRecorder map[userCall]*hdrhistogram.Histogram
 
 // record records the latency of an answered request, in microseconds.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,8 +11,8 @@
 	"github.com/zinclb/zinclb/internal/peer"
 )
 
-// Timeouts of calls between controllers. Each is shorter than the timeout of the caller:
-// a peer, a worker or a user.
+// Timeouts of calls between controllers. A controller that relays a heartbeat or forwards
+// a request times out before the worker or user that waits for the response.
 const (
 	pingTimeout = time.Second
 	// relayTimeout is the timeout of a relayed heartbeat: the worker's own timeout is
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -12,8 +12,8 @@
 	commitTimeout = 2 * time.Second
 	// watchTimeout is the maximum time that a watch waits for a change.
 	watchTimeout = 10 * time.Second
-	// stateRetryPause is the delay before the core receives the result of a failed
-	// read, so that its retries do not overload a failing state service.
+	// stateRetryPause is the delay before the core receives the result of a failed list
+	// or watch, so that the core's retries do not overload a failing state service.
 	stateRetryPause = 300 * time.Millisecond
 )
 
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -22,9 +22,9 @@
 
 // workerPool sends commands directly to workers' addresses, with a bounded number of
 // concurrent calls. Commands beyond the bound are delivered with the response to the
-// worker's next heartbeat. That can be too late for a gang, because all its tasks must
-// be notified within gang_peer_s to stop in order. The bound has to allow for several
-// large gangs at once.
+// worker's next heartbeat. That can be too late for a gang: it can save its state when it
+// is stopped only if all its tasks receive the stop command within gang_peer_s of the
+// first one. The bound has to allow for several large gangs at once.
 type workerPool struct {
 	slots chan struct{}
 	calls sync.WaitGroup
--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -51,8 +51,8 @@
 	testName     = regexp.MustCompile(`^Test[A-Z]\w*$`)
 )
 
-// TestPages checks that each quoted path, name of the form package.Name, Type.member or
-// package.Type.member, and test on the pages exists.
+// TestPages checks that each path, test and name that is quoted on the pages exists. Names have
+// the form package.Name, Type.member or package.Type.member.
 func TestPages(t *testing.T) {
 	names := declaredNames(t)
 	for _, page := range checkedPages {
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -10,8 +10,9 @@
 	// ErrTooManyCalls is returned for a call that was not made because the client's
 	// maximum number of calls is already in progress.
 	ErrTooManyCalls = errors.New("too many calls to the peer under way")
-	// ErrEmptyRequest is returned for a message without a request, or with one that the
-	// receiver's version does not know.
+	// ErrEmptyRequest is returned by a peer for a message without a request, or with one
+	// that the peer's version does not know, and by Ask for a request of a type that can't
+	// be forwarded.
 	ErrEmptyRequest = errors.New("empty request")
 	// ErrNoAnswer is returned if the core of the peer did not answer the call.
 	ErrNoAnswer = errors.New("no answer from the core")
--- a/internal/peer/internal/wire/request.go
+++ b/internal/peer/internal/wire/request.go
@@ -43,7 +43,7 @@
 }
 
 // Core converts the request to the core's type. It returns false if there is no request,
-// or one that this version does not know.
+// or one that this version does not know, or a submission without a specification.
 func (in AskArgs) Core() (request any, ok bool) {
 	switch {
 	case in.Sweep != nil:
--- a/internal/peer/internal/wire/wire.go
+++ b/internal/peer/internal/wire/wire.go
@@ -300,7 +300,8 @@
 	Handed bool
 }
 
-// SweepRuns is a query for at most Most runs of a sweep, from number After on.
+// SweepRuns is a query for at most Most runs of a sweep, beginning with the run of number
+// After.
 type SweepRuns struct {
 	Req         uint64
 	ID          string
@@ -328,8 +329,8 @@
 	Runs, Created, Done, Withdrawn int
 }
 
-// SweepPage is a page of the runs of a sweep. Next is the position of the next page, or
-// 0 on the last page.
+// SweepPage is a page of the runs of a sweep. Next is the number of the first run on the
+// next page, or 0 on the last page.
 type SweepPage struct {
 	Runs []SweepRun
 	Next int
--- a/internal/peer/shape_test.go
+++ b/internal/peer/shape_test.go
@@ -61,9 +61,9 @@
 // unusedFields are fields that earlier versions described but never set.
 var unusedFields = []string{"Ops"}
 
-// shapeOf returns a type like the one of the program that encoded a message, built from
-// the type description at the start of the message. Structs in structs become pointers,
-// so that a struct that was not sent can be distinguished from an empty one.
+// shapeOf rebuilds the type from which a message was encoded, by the type descriptions at
+// the start of the message. Structs in structs become pointers, so that a struct that was
+// not sent can be distinguished from an empty one.
 func shapeOf(t *testing.T, raw []byte) reflect.Type {
 	t.Helper()
 	descriptions := map[int32]wireType{}
@@ -75,6 +75,7 @@
 		if id >= 0 {
 			return shapeOfID(t, descriptions, id)
 		}
+		// 2*wireTypeID is the encoding of wireTypeID as a signed number, see gobInt.
 		message := append(gobEncodedUint(uint64(len(definition)+1)), 2*wireTypeID)
 		var description wireType
 		if err := gob.NewDecoder(bytes.NewReader(append(message, definition...))).Decode(&description); err != nil {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -144,8 +144,8 @@
 }
 
 // Watch reads the changes of keys with a prefix after a revision. If there is none yet,
-// it waits for one. In the result, Compacted means that the service no longer has all
-// these changes.
+// the service waits for one, at most for the time wait. In the result, Compacted means
+// that the service no longer has all these changes.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration) core.StateRead {
 	read := core.StateRead{AfterRevision: after}
 	target := "/watch?starts=" + url.QueryEscape(prefix) +
--- a/internal/sweep/expand.go
+++ b/internal/sweep/expand.go
@@ -23,8 +23,8 @@
 	ID string
 	// Values are the run's values in the order of Expansion.Parameters.
 	Values []Value
-	// SetIndexes are the indexes, from 0, of the run's values among all sets of the
-	// sweep. There are several if identical sets were merged.
+	// SetIndexes are the indexes, from 0, of the run's values among the sets of the sweep
+	// that skip_if did not exclude. There are several if identical sets were merged.
 	SetIndexes []int
 	// Job is the job's submission: its fields by their JSON names.
 	Job map[string]any
@@ -268,8 +268,8 @@
 	return job, nil
 }
 
-// templateJob returns the fields that all runs have in common, with defaults for fields that
-// a submission must not omit.
+// templateJob returns the fields of the job template, with the given id and with defaults for
+// fields that a submission must not omit.
 func (x *expander) templateJob(id string) map[string]any {
 	job := map[string]any{
 		"name_id":     id,
--- a/internal/sweep/files.go
+++ b/internal/sweep/files.go
@@ -80,7 +80,7 @@
 	return nil, fmt.Errorf("more than %d lines", MaxRuns)
 }
 
-// fromJSONLines reads the same field of each object in a JSON Lines file.
+// fromJSONLines reads the field named column of each object in a JSON Lines file.
 func fromJSONLines(content []byte, column string) ([]*sweeppb.Value, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
--- a/internal/sweep/order.go
+++ b/internal/sweep/order.go
@@ -12,7 +12,8 @@
 )
 
 // sortByDependencies sorts the runs so that each comes after the runs that it depends on. It
-// keeps their order otherwise. A cycle of dependencies is an error.
+// takes the runs in order, each preceded by those of its dependencies that are not sorted yet,
+// the last one first. A cycle of dependencies is an error.
 func (x *expander) sortByDependencies() error {
 	visits := make([]visit, len(x.Runs))
 	var sorted []Run
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestRunID checks that a run's id depends only on the sweep's id and on the values, however
-// they are written. Ids are stored in deployments, so the id of a given run must never
-// change.
+// TestRunID checks that a run's id depends on the sweep's id and on the names, values and types
+// of the parameters, but not on their order. Ids are stored in deployments, so the id of a
+// given run must never change.
 func TestRunID(t *testing.T) {
 	const wantID = "sweep.s.57f18a6cfe5a6cf3077249d5"
 	id := RunID("s", []string{"a", "b"}, []Value{int64(1), "x"})
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestTotalSteps checks the limits on the steps of all expressions together, each of which is
-// within the limit for one, and on the number of skip_if conditions.
+// TestTotalSteps checks that a sweep is refused if its expressions together take too many steps,
+// although each is within its own limit, or if it has too many skip_if conditions.
 func TestTotalSteps(t *testing.T) {
 	big := strings.Repeat("a+", 900) + "a"
 	text := `id: "s" job { herd: "h" } parameter { name: "a" range { from: 1 to: 100 } } parameter { name: "b" range { from: 1 to: 100 } }`
--- a/internal/sweep/values.go
+++ b/internal/sweep/values.go
@@ -10,7 +10,8 @@
 )
 
 // Value is the value of a parameter: an int64, float64, string or bool. A number without a
-// fraction is an int64 no matter how it was written.
+// fraction is an int64 no matter how it was written, unless it was written as a real number and
+// its absolute value is maxExactInteger or more.
 type Value any
 
 // maxExactInteger is the bound below which a float64 represents every whole number exactly.
@@ -58,7 +59,8 @@
 	return parameterSets(s)
 }
 
-// addName checks the name of a parameter, which expressions can use, and appends it.
+// addName checks the name of a parameter and appends it to names. Expressions refer to
+// parameters by name, so a parameter can't have the name of a builtin.
 func addName(names []string, name string) ([]string, error) {
 	switch {
 	case !namePattern.MatchString(name):
