--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -102,8 +102,8 @@
 	return b.String()
 }
 
-// buildPlans returns a plan for each size. Values that no flag sets are those of the operators' plan
-// scaled to the size.
+// buildPlans returns a plan for each size. The numbers of accelerators, running tasks and starts that
+// no flag sets are those of the operators' plan scaled to the size.
 func buildPlans(cmd *cobra.Command, given scale.Plan, runFlags scaleFlags) ([]scale.Plan, error) {
 	if runFlags.scenario != "" {
 		return planFromScenario(cmd, given, runFlags.scenario)
--- a/cmd/zinclb/main.go
+++ b/cmd/zinclb/main.go
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// errNoConfig is the error for a controller that is started without settings.
+// errNoConfig is the error for a missing --config.
 var errNoConfig = errors.New("--config is missing; it names the platform's settings file")
 
 // loadSettings reads the platform's settings, which are required, and the operators', whose
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -165,8 +165,8 @@
 	ID     string          `json:"name_id"`
 	Status string          `json:"status"`
 	Values json.RawMessage `json:"values"`
-	// Sets are the indexes of the run's set of values among all sets of the sweep. It is
-	// absent unless identical sets were merged into this run.
+	// Sets are the indexes, among all sets of values of the sweep, of the identical sets that
+	// were merged into this run. It is absent if the run stands for one set only.
 	Sets []int `json:"sets,omitempty"`
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -95,7 +95,7 @@
 	for _, tc := range cases {
 		got, err := ParseOperators([]byte(tc.text))
 		if tc.wantField == "" && err != nil || tc.wantField != "" && (err == nil || !strings.Contains(err.Error(), tc.wantField)) {
-			t.Errorf("%q: got error %v, want one with %q", tc.text, err, tc.wantField)
+			t.Errorf("%q: got error %v, want one with %q, or none if that is empty", tc.text, err, tc.wantField)
 		}
 		if strings.HasPrefix(tc.text, "short_cutoff_s: 30") && (got.ShortCutoff != 30*Second || got.Trial != 90*Second || got.Term != 10*Second) {
 			t.Errorf("%q: got %+v, want a short cutoff of 30 s, a trial of 90 s and a term of 10 s", tc.text, got)
--- a/internal/emulator/capacity/page.go
+++ b/internal/emulator/capacity/page.go
@@ -154,8 +154,8 @@
 	return b.String(), nil
 }
 
-// planRuns returns the runs without failures that have the operators' plan scaled to their number
-// of workers.
+// planRuns returns the runs without failures and machine faults that have the operators' plan scaled
+// to their number of workers.
 func planRuns(runs []Run) (matching []Run) {
 	for _, r := range runs {
 		plan := scale.Default(r.Plan.Workers)
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -244,8 +244,8 @@
 	return env
 }
 
-// Latency returns the delay between two zones without jitter. The zone "" is that of the
-// regional services.
+// Latency returns the delay between two zones without jitter. The zone "" stands for the hosts
+// without a zone: the state service, the cloud and the users.
 func (env *Environment) Latency(a, b string) int64 { return env.Network.latency(a, b) }
 
 // The names of hosts that are neither controllers nor machines.
@@ -394,8 +394,9 @@
 	}, broken)
 }
 
-// ask delivers a request to a controller without delay. It calls done with the response, if there
-// is one, after the network delay; for a controller that is down the response is empty.
+// ask delivers a request to a controller without delay. After the network delay it calls done with
+// the response, or with an empty one if the controller is down or the connection breaks. It never
+// calls done if a partition drops the response.
 func (env *Environment) ask(from, to string, request any, done func(AskAnswer)) {
 	if n := env.controller(to); n == nil || !n.up {
 		env.after(env.network.delay(to, from), func() { done(AskAnswer{}) })
--- a/internal/emulator/environment/held_reports.go
+++ b/internal/emulator/environment/held_reports.go
@@ -6,12 +6,13 @@
 )
 
 // heldReports are copies of workers' reports that are delivered to all controllers when the
-// next leader has started: a new leader has no newer sequence number to compare them with.
+// next leader has started. A new leader has not received a later sequence number from the worker,
+// so it cannot recognize the copies as old.
 type heldReports struct {
 	share float64 // share of the reports that are copied
-	// copies has the copies of each machine; names is the order in which they are
-	// delivered, so that a seed always gives the same result. token is the highest fencing
-	// token in any response so far.
+	// copies has the copies of each machine's reports; names has the machines in the order
+	// in which their copies are delivered, so that a seed always gives the same result. token
+	// is the highest fencing token in any response so far.
 	copies map[string][]*wire.Report
 	names  []string
 	token  uint64
--- a/internal/emulator/environment/machine_test.go
+++ b/internal/emulator/environment/machine_test.go
@@ -385,12 +385,12 @@
 	}{{"a", "a", 400}, {"a", "b", 800}, {"a", "c", 8000}, {"", "c", 800}, {"", "a", 8000}, {"", "", 400}}
 	for _, tc := range cases {
 		if got := n.latency(tc.a, tc.b); got != tc.want {
-			t.Errorf("delay from zone %q to %q: got %d, want %d", tc.a, tc.b, got, tc.want)
+			t.Errorf("delay from zone %q to %q: got %d µs, want %d µs", tc.a, tc.b, got, tc.want)
 		}
 	}
 	plain := Network{SameZone: 400, CrossZone: 800, CrossRegion: 8000}
 	if got := plain.latency("a", "c"); got != 800 {
-		t.Errorf("delay between zones without regions: got %d, want 800", got)
+		t.Errorf("delay between zones without regions: got %d µs, want 800 µs", got)
 	}
 	c := Config{Network: n}
 	c.Params.Size, c.Params.Zones = 3, []string{"a", "b", "c"}
--- a/internal/emulator/environment/remote_workers.go
+++ b/internal/emulator/environment/remote_workers.go
@@ -13,7 +13,8 @@
 // only. The environment with the cloud decides what happens to a machine and sends it to the
 // environment with the machine's worker.
 
-// The messages to an environment of workers. The environment with the cloud emits WorkerFault itself.
+// The messages to an environment of workers. The environment with the cloud emits WorkerFault;
+// package workerproc creates the others from the Machine messages and the events.
 type (
 	// WorkerBegin starts the worker of a machine that is up.
 	WorkerBegin struct {
--- a/internal/emulator/environment/task.go
+++ b/internal/emulator/environment/task.go
@@ -95,7 +95,8 @@
 // totalTime returns the duration of the whole work on a machine of speed 1.
 func (t *task) totalTime() int64 { return t.job.run + int64(t.index)*t.job.runIncrement }
 
-// planEnd schedules the completion of the task, unless it is a service or its gang does that.
+// planEnd schedules the completion of the task. Services never complete, and gangs schedule the
+// completion of their tasks themselves.
 func (t *task) planEnd() {
 	if t.job.spec.Kind != wire.Service && t.gang == nil {
 		t.schedule(t.remainingTime(), func() {
@@ -345,8 +346,8 @@
 	g.planVersion++
 }
 
-// fail makes the remaining tasks exit within the peer timeout, each when it detects that a task
-// of the gang is gone. It has no effect once the progress has been saved.
+// fail makes the remaining tasks of a running gang exit within the peer timeout, each when it
+// detects that a task of the gang is gone. It has no effect once the progress has been saved.
 func (g *gang) fail() {
 	if !g.running || g.failed || g.stored {
 		return
--- a/internal/emulator/faketime/cloud.go
+++ b/internal/emulator/faketime/cloud.go
@@ -78,7 +78,7 @@
 }
 
 // listMachines reads the list of machines page by page, with a pause of gap between pages.
-// The machines read so far are in listed; the next page begins after the name after.
+// listed has the machines read so far, and after is the name of the last one.
 func (n *Controller) listMachines(listed core.MachinesListed, after string, gap int64, done func(core.MachinesListed)) {
 	n.call(environment.CloudHost, wire.Machines{After: after, Limit: core.ListPage}, cloudTimeout, func(status int, body any) {
 		answer, ok := body.(wire.MachinesAnswer)
--- a/internal/emulator/faketime/controller.go
+++ b/internal/emulator/faketime/controller.go
@@ -17,7 +17,7 @@
 	up          bool
 	frozen      bool
 	deferred    []func() // calls that arrived while the process was frozen
-	epoch       int      // number of starts and ends, so that timers of an earlier process are ignored
+	epoch       int      // number of starts and kills, by which timers of an earlier process are ignored
 	clockOffset int64    // error of its wall clock, in microseconds
 	replies     map[uint64]func(core.Reply)
 	calls       map[uint64]func(status int, body any)
@@ -97,8 +97,8 @@
 	}
 }
 
-// isLegacy reports whether the controller runs a program without read leases, which neither
-// reads nor sends their fields.
+// isLegacy reports whether the controller runs a program without read leases. Such a program
+// neither reads nor sends the message fields for read leases.
 func (n *Controller) isLegacy() bool { return n.cluster.Legacy != nil && n.cluster.Legacy(n.name) }
 
 func (n *Controller) step(msg any) {
--- a/internal/emulator/faketime/first_format_test.go
+++ b/internal/emulator/faketime/first_format_test.go
@@ -107,7 +107,7 @@
 		decoder := json.NewDecoder(strings.NewReader(e.Value))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(newValue()); err != nil {
-			t.Errorf("key %s: decode %s: %v", e.Key, e.Value, err)
+			t.Errorf("key %s: decode %s as the old version does: got error %v, want none", e.Key, e.Value, err)
 		}
 	}
 	for kind := range formats {
--- a/internal/emulator/faketime/mute_machines_test.go
+++ b/internal/emulator/faketime/mute_machines_test.go
@@ -35,7 +35,7 @@
 				}
 			}
 			if stopped != 12 {
-				t.Errorf("%d tasks were stopped within 4 s of the cancellation, want 12", stopped)
+				t.Errorf("got %d tasks stopped within 4 s of the cancellation, want 12", stopped)
 			}
 		})
 	}
--- a/internal/emulator/faketime/outage_test.go
+++ b/internal/emulator/faketime/outage_test.go
@@ -14,7 +14,7 @@
 // TestOutageAfterCancellations tests the scenario of package outages for cancellations that
 // end several jobs: the cancellation of a sweep with all its runs, and of a pipeline stage on
 // which another stage depends. The state service refuses the leader, another controller confirms
-// the cancellation, and then the state service is down for twice cancel_s.
+// the cancellation, and then the state service is down for more than twice cancel_s.
 func TestOutageAfterCancellations(t *testing.T) {
 	const refused, outage, outageEnd = 60 * second, 62 * second, 138 * second
 	var mu sync.Mutex
--- a/internal/emulator/faketime/state.go
+++ b/internal/emulator/faketime/state.go
@@ -83,9 +83,9 @@
 }
 
 // list reads the keys under core.StartPrefixes page by page: e.AtOnce pages without a pause,
-// then one page every e.Gap. The keys read so far are in listed; reading continues after the
-// key after, under the prefix with the index prefix. pages counts the pages read since the
-// last pause.
+// then one page every e.Gap. listed has the keys read so far. prefix is the index of the prefix
+// that is being read, and after is the last key read under it. pages is the number of pages
+// read since the last pause.
 func (n *Controller) list(listed *core.StateListed, prefix int, after string, e core.ListState, pages int) {
 	if pages == e.AtOnce && prefix < len(core.StartPrefixes) {
 		n.callAfter(e.Gap, func() { n.list(listed, prefix, after, core.ListState{AtOnce: 1, Gap: e.Gap}, 0) })
@@ -118,7 +118,8 @@
 }
 
 // watch requests the changes after a revision; the state service waits up to wait for the
-// first one. It adds the result to read and passes that to the core.
+// first one. watch adds the response to read and passes read to the core, after errorRetryDelay
+// if the request failed and read is not immediate.
 func (n *Controller) watch(after uint64, wait, timeout int64, read core.StateRead) {
 	n.call(environment.StateHost, wire.Watch{Prefix: core.Prefix, After: after, WaitMS: wait / 1000}, timeout, func(status int, body any) {
 		read.AfterRevision, read.Compacted = after, status == http.StatusGone
--- a/internal/emulator/faketime/wide_jobs_test.go
+++ b/internal/emulator/faketime/wide_jobs_test.go
@@ -51,7 +51,7 @@
 			}
 			c := d.run(t, nil)
 			if violations := c.Violations(); len(violations) > 0 {
-				t.Error(violations)
+				t.Errorf("got violations %v, want none", violations)
 			}
 			got := history.Metrics(c.History, c.Expectations(), nil)
 			t.Logf("share of wide jobs started %.2f, share of small jobs done by their deadline %.2f", got["largest begun wide"], got["served class small"])
--- a/internal/emulator/faultcombos/scripts.go
+++ b/internal/emulator/faultcombos/scripts.go
@@ -9,8 +9,8 @@
 	name string
 	// begin returns the faults; nodes are the controllers, the leader first.
 	begin func(nodes []string) []environment.Fault
-	// repeat returns further faults. It is called repeats times, at the given interval, with
-	// the controllers, the current leader first, and the number of the call.
+	// repeat returns further faults. It is called repeats times, once every interval, with the
+	// controllers, the current leader first, and the number of the call, from 0.
 	repeat   func(nodes []string, i int) []environment.Fault
 	repeats  int
 	interval int64
@@ -25,7 +25,7 @@
 	minOccurrences int
 }
 
-// faultDuration is the duration of a fault, longer than two leases.
+// faultDuration is the duration of a fault that lasts for a whole script, longer than two leases.
 const faultDuration = 40 * second
 
 // repeatedCrashes returns successive crashes of the hosts, with different downtimes.
--- a/internal/emulator/history/linearizability.go
+++ b/internal/emulator/history/linearizability.go
@@ -86,8 +86,9 @@
 	operations     []porcupine.Operation
 	sent           map[uint64]Event // requests that await their response, by call
 	remainingTasks map[string]int   // remaining tasks by job
-	// unanswered has the index in operations of each request that never got a response. One
-	// operation for each input, sent as early as the first such request, is enough: it can
+	// unanswered has the index in operations of each request whose effect is unknown, as it got
+	// no response or one that does not show the effect, such as status 503. One operation for
+	// each input, sent as early as the first such request, is enough: it can
 	// have any effect that a later request could have, and only the first of equal requests
 	// changes the state. With an operation for each request the search would become too large.
 	unanswered map[operationInput]int
--- a/internal/emulator/history/rules.go
+++ b/internal/emulator/history/rules.go
@@ -9,8 +9,9 @@
 )
 
 // maxSilence is the maximum time for which users may get no answer about an accepted job while
-// there are answers about other jobs. maxQuietSilence is the maximum time without an answer once
-// all faults are over, whether or not there are others. Both are in microseconds.
+// there are answers about other jobs. maxQuietSilence is the maximum time without an answer about an
+// accepted job once all faults are over, even if there are no answers about other jobs either. Both
+// are in microseconds.
 const (
 	maxSilence      = 90_000_000
 	maxQuietSilence = 75_000_000
@@ -86,11 +87,11 @@
 type jobState struct {
 	submitted, accepted, cancelRequested bool
 	state                                string
-	cancelledAt, finishedAt              int64 // first response that shows it
+	cancelledAt, finishedAt              int64 // time of the first response that shows it
 	done                                 map[int]bool
-	lastResponseAt                       int64 // last response with status 200 or 201
+	lastResponseAt                       int64 // time of the last response with status 200 or 201
 	failedPolls                          int   // since lastResponseAt
-	acceptedAt                           int64 // first response that shows it
+	acceptedAt                           int64 // time of the first response that shows it
 	invalidReason                        string
 }
 
--- a/internal/emulator/scale/plan.go
+++ b/internal/emulator/scale/plan.go
@@ -126,7 +126,7 @@
 	peakEnd      = peakStart + peakDuration
 	// steadyStart is the time at which the load after the peak has become steady.
 	steadyStart = peakEnd + 10*config.Second
-	// minLength is the length of the shortest run with measurements.
+	// minLength is the length of the shortest run with measured windows, see Figures.Windows.
 	minLength = steadyStart + 25*config.Second
 )
 
@@ -209,8 +209,8 @@
 	return c
 }
 
-// addPlatform adds the zones, the teams and the settings: those of a large present-day site,
-// scaled up to the plan's size.
+// addPlatform adds the zones, the teams and the settings. The settings are those of a large
+// present-day site, scaled up to the size of the operators' plan.
 func (p *Plan) addPlatform(c *environment.Config) {
 	s := &c.Params
 	s.Size = p.Controllers
@@ -239,27 +239,27 @@
 // evenly over the zones.
 func (p *Plan) addMachines(c *environment.Config) {
 	gpu := min(p.Workers, (p.Accelerators+gpusPerMachine-1)/gpusPerMachine)
-	for _, x := range []struct {
+	for _, group := range []struct {
 		name  string
 		gpus  float64
 		count int
 	}{{cpuType, 0, p.Workers - gpu}, {gpuType, gpusPerMachine, gpu}} {
-		if x.count == 0 {
+		if group.count == 0 {
 			continue
 		}
 		c.Types = append(c.Types, wire.MachineType{
-			Name: x.name, CPUs: cpusPerMachine, GPUs: x.gpus, MemGB: memoryGBPerMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
-			Price: 1 + x.gpus, SpotPrice: 0.4, BootS: bootSeconds, Zones: c.Params.Zones,
+			Name: group.name, CPUs: cpusPerMachine, GPUs: group.gpus, MemGB: memoryGBPerMachine, CacheGB: cacheGB, FetchRate: fetchGBPerS,
+			Price: 1 + group.gpus, SpotPrice: 0.4, BootS: bootSeconds, Zones: c.Params.Zones,
 		})
 		for i, zone := range c.Params.Zones {
-			n := x.count / p.Zones
-			if i < x.count%p.Zones {
+			n := group.count / p.Zones
+			if i < group.count%p.Zones {
 				n++
 			}
 			if n > 0 {
-				c.Machines = append(c.Machines, environment.InitialMachines{Type: x.name, Zone: zone, Count: n})
+				c.Machines = append(c.Machines, environment.InitialMachines{Type: group.name, Zone: zone, Count: n})
 			}
-			c.Capacity = append(c.Capacity, environment.Capacity{Type: x.name, Zone: zone, Count: int(math.Ceil(float64(n) * spareCapacity))})
+			c.Capacity = append(c.Capacity, environment.Capacity{Type: group.name, Zone: zone, Count: int(math.Ceil(float64(n) * spareCapacity))})
 		}
 	}
 }
@@ -333,8 +333,7 @@
 	return all
 }
 
-// The load of a run. cancelledShare is the share of the jobs, without urgent ones, that their
-// user cancels.
+// The load of a run. cancelledShare is the share of the non-urgent jobs that their users cancel.
 const (
 	cancelledShare = 0.03
 	urgentInterval = config.Second / 2
@@ -345,11 +344,11 @@
 	maxEstimateError = 0.2
 )
 
-// addJobs adds the jobs. They arrive at random intervals, at the rate of the peak and at a tenth
-// of it afterwards. Jobs of the first part of the peak run for Running/Starts seconds on average,
-// which keeps Running tasks running at Starts starts per second. Later jobs run ten times as
-// long, so that their tasks are still running after the peak. One urgent job arrives in each
-// urgentInterval.
+// addJobs adds the jobs. They arrive at random intervals: at the full rate during the peak, and at
+// a tenth of it afterwards. Jobs run for Running/Starts seconds on average, which keeps Running
+// tasks running at Starts starts per second. Jobs that arrive later than Running/Starts seconds
+// before the end of the peak run ten times as long, so that their tasks are still running after the
+// peak. One urgent job arrives every urgentInterval.
 func (p *Plan) addJobs(c *environment.Config) {
 	rng := rand.New(rand.NewPCG(p.Seed, 7))
 	short := float64(p.Running) / float64(p.Starts)
@@ -396,7 +395,8 @@
 }
 
 // addFaults adds machine faults at the plan's rates multiplied by FaultSpeedup, and the failures
-// that happen once, except for the loss of the leader, which the run causes by itself.
+// that happen once. The loss of the leader is not among them: execution.loseLeader injects it, as
+// only the running deployment shows which controller leads.
 func (p *Plan) addFaults(c *environment.Config) {
 	rng := rand.New(rand.NewPCG(p.Seed, 9))
 	scaledDay := 86_400e6 * planWorkers / float64(p.Workers)
--- a/internal/emulator/scale/run.go
+++ b/internal/emulator/scale/run.go
@@ -295,8 +295,8 @@
 }
 
 // failoverOf computes the failover after the loss of a leader from the times at which workers
-// first received a response of the next leader. Its token is the lowest one that no worker had
-// received before the loss.
+// first received a response of the next leader. The next leader's token is the lowest one that no
+// worker had received before the loss.
 func failoverOf(tokenTimes workerproc.TokenTimes, lostAt int64) Failover {
 	var token uint64
 	for t, at := range tokenTimes {
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -160,8 +160,8 @@
 	return sorted
 }
 
-// arrivals returns the times at which a load's jobs are submitted: the initial jobs within
-// the first second, then a Poisson process whose rate is multiplied during bursts.
+// arrivals returns the times at which a load's jobs are submitted: the initial jobs within the
+// first second of the load, and a Poisson process whose rate is multiplied during bursts.
 func (r *reader) arrivals(field string, l *pb.Load, length int64, rng *rand.Rand) (at []int64) {
 	from := r.seconds(field+".from_s", l.FromS, 1)
 	until := length
@@ -202,7 +202,7 @@
 }
 
 // distribution returns a function that draws from the distribution of an amount. Without an
-// amount it always returns the default value.
+// amount, the function always returns the default value.
 func (r *reader) distribution(field string, a *pb.Amount, defaultValue float64) func(*rand.Rand) float64 {
 	if a == nil {
 		return func(*rand.Rand) float64 { return defaultValue }
--- a/internal/emulator/scenario/sweep.go
+++ b/internal/emulator/scenario/sweep.go
@@ -17,29 +17,29 @@
 // Expand sets the ID, the runs and their parameter values of a sweep from its text. An
 // environment submits only the text; it needs the runs to poll for them and to check the history.
 func Expand(s environment.Sweep) (environment.Sweep, error) {
-	sub, err := api.DecodeSweep([]byte(s.Text))
+	submission, err := api.DecodeSweep([]byte(s.Text))
 	if err != nil {
 		return s, err
 	}
-	if sub.Invalid != "" {
-		return s, errors.New(sub.Invalid)
+	if submission.Invalid != "" {
+		return s, errors.New(submission.Invalid)
 	}
-	s.ID = sub.Plan.ID
-	for i, x := range sub.Plan.Specs {
+	s.ID = submission.Plan.ID
+	for i, spec := range submission.Plan.Specs {
 		j := wire.Job{
-			ID: x.ID, Class: x.Class, Team: x.Team, Kind: wireKinds[x.Kind], Priority: priorities[x.Priority], Tasks: x.Tasks,
-			CPUs: float64(x.Need.CPU) / 1000, GPUs: float64(x.Need.GPU) / 1000, MemGB: float64(x.Need.Mem) / 1000, Image: x.Image, ImageGB: float64(x.ImageMB) / 1000,
-			Types: x.Types, OneZone: x.OneZone, Spread: x.Spread, Spot: x.Spot, EstimateS: float64(x.Estimate) / 1e6,
-			CheckpointS: float64(x.Checkpoint) / 1e6, CheckpointCostS: float64(x.Save) / 1e6, DependsOn: x.Dependencies,
+			ID: spec.ID, Class: spec.Class, Team: spec.Team, Kind: wireKinds[spec.Kind], Priority: priorities[spec.Priority], Tasks: spec.Tasks,
+			CPUs: float64(spec.Need.CPU) / 1000, GPUs: float64(spec.Need.GPU) / 1000, MemGB: float64(spec.Need.Mem) / 1000, Image: spec.Image, ImageGB: float64(spec.ImageMB) / 1000,
+			Types: spec.Types, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, EstimateS: float64(spec.Estimate) / 1e6,
+			CheckpointS: float64(spec.Checkpoint) / 1e6, CheckpointCostS: float64(spec.Save) / 1e6, DependsOn: spec.Dependencies,
 		}
-		if x.Zone != "" {
-			j.Zone = &x.Zone
+		if spec.Zone != "" {
+			j.Zone = &spec.Zone
 		}
-		if d := float64(x.Deadline) / 1e6; d > 0 {
+		if d := float64(spec.Deadline) / 1e6; d > 0 {
 			j.DeadlineS = &d
 		}
 		s.Jobs = append(s.Jobs, j)
-		s.Values = append(s.Values, string(sub.Plan.Values[i]))
+		s.Values = append(s.Values, string(submission.Plan.Values[i]))
 	}
 	return s, nil
 }
--- a/internal/emulator/sockets/controller.go
+++ b/internal/emulator/sockets/controller.go
@@ -162,7 +162,7 @@
 	}()
 }
 
-// kill kills the process on behalf of the environment, so that it is not restarted.
+// kill kills the process. It changes the incarnation, so that start does not restart the process.
 func (n *controllerProcess) kill() {
 	n.incarnation++
 	if n.cmd != nil {
--- a/internal/emulator/sockets/serve.go
+++ b/internal/emulator/sockets/serve.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// forward returns a handler that parses a request with read, passes it to the host to in the
-// environment and writes the answer. sender is the controller that sends the requests, or "" if
-// the handler has to find the sender by the connection. If alter is not nil, it is applied to the
-// body of the answer first.
+// forward returns a handler that parses a request with read, passes it to a host in the environment,
+// whose name is to, and writes the answer. sender is the controller that sends the requests, or ""
+// if the handler has to find the sender by the connection. If alter is not nil, it is applied to
+// the body of the answer first.
 func (d *Driver) forward(sender, to string, read func(*http.Request) any, alter func(any) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request, from := read(r), sender
--- a/internal/emulator/wire/wire.go
+++ b/internal/emulator/wire/wire.go
@@ -90,7 +90,7 @@
 	Saved   bool   `json:"stored,omitempty"`
 }
 
-// States of a task on its machine.
+// States of a task on its machine, in addition to Running.
 const (
 	Fetching = "fetching"
 	Waiting  = "waiting"
@@ -154,7 +154,7 @@
 		Spot    bool   `json:"borrowed"`
 		Count   int    `json:"number"`
 	}
-	// MachineNames is the response to Rent.
+	// MachineNames is the response to Rent, and the body of Release.
 	MachineNames struct {
 		Machines []string `json:"stokers"`
 	}
--- a/internal/emulator/workerproc/pool.go
+++ b/internal/emulator/workerproc/pool.go
@@ -200,7 +200,7 @@
 func (proc *process) enqueue(c Command) {
 	select {
 	case proc.queue <- c:
-	default: // the process has exited or is far behind; its workers then stop reporting
+	default: // dropped: the process has exited or is too far behind, and its workers stop reporting
 	}
 }
 
--- a/internal/experiment/reach_test.go
+++ b/internal/experiment/reach_test.go
@@ -95,8 +95,8 @@
 	return views
 }
 
-// allReachAll reports whether all controllers, size in number, have a matrix with a row for each
-// controller, and whether each row reaches all other controllers and both zones completely.
+// allReachAll reports whether there is a matrix of each of the size controllers, with a row for each
+// controller, and whether all rows show that both zones and all other controllers are reached.
 func allReachAll(views map[string]map[string]core.ConnectivityRowView, size int) bool {
 	for _, matrix := range views {
 		for _, row := range matrix {
