--- a/internal/api/replies.go
+++ b/internal/api/replies.go
@@ -23,7 +23,7 @@
 }
 
 // misdirectedResponse is the answer to a heartbeat that was sent to the wrong controller. It
-// has the name of the controller that handles the heartbeat, if that is known.
+// has the name of the controller that the worker should use, if that is known.
 type misdirectedResponse struct {
 	Leader string `json:"foreman,omitempty"`
 }
--- a/internal/emulator/environment/environment.go
+++ b/internal/emulator/environment/environment.go
@@ -370,8 +370,9 @@
 // call delivers a controller's request to its destination, and the response back.
 func (env *Environment) call(c Call) {
 	if m := env.cloud.machine(c.To); c.From == "" && m != nil {
-		// On sockets the sender of commands to a machine is unknown; assume the
-		// controller that the machine reports to.
+		// On sockets the sender of commands to a machine can be unknown, see
+		// connectionOwner in package sockets; assume the controller that the machine
+		// reports to.
 		c.From = env.controllers[m.controllerIndex].name
 	}
 	answer := func(status int, body any) {
