--- a/cmd/zinclb/client.go
+++ b/cmd/zinclb/client.go
@@ -16,21 +16,21 @@
 	// long for a call about a sweep, which may have many runs to be checked.
 	callTimeout      = 5 * time.Second
 	sweepCallTimeout = 30 * time.Second
-	// maxAnswer bounds a controller's answer, in bytes, and maxSweepAnswer that to a call
+	// maxAnswerBytes bounds a controller's answer, in bytes, and maxSweepAnswer that to a call
 	// about a sweep.
-	maxAnswer      = 1 << 20
-	maxSweepAnswer = 4 << 20
+	maxAnswerBytes      = 1 << 20
+	maxSweepAnswerBytes = 4 << 20
 	// retryTimeout is how long a command goes on asking a service that does not answer.
 	retryTimeout = time.Minute
-	// retryPause is the shortest time between two tries.
-	retryPause = time.Second
+	// minRetryDelay is the shortest time between two tries.
+	minRetryDelay = time.Second
 )
 
 // emptyBody is the body of a request that says everything by its path.
 const emptyBody = "{}"
 
-// answerError is an answer by which a controller refuses a request.
-type answerError struct {
+// responseError is an answer by which a controller refuses a request.
+type responseError struct {
 	addr   string
 	status int
 	reason string
@@ -39,12 +39,12 @@
 	retryAfter string
 }
 
-func (e *answerError) Error() string {
+func (e *responseError) Error() string {
 	return fmt.Sprintf("%s answered %d: %s", e.addr, e.status, e.reason)
 }
 
-// temporary says that the request may be repeated as it is.
-func (e *answerError) temporary() bool {
+// isTemporary says that the request may be repeated as it is.
+func (e *responseError) isTemporary() bool {
 	switch e.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusGatewayTimeout:
 		return true
@@ -53,13 +53,13 @@
 	}
 }
 
-// pause is how long to wait before the request is repeated.
-func (e *answerError) pause() time.Duration {
+// retryDelay is how long to wait before the request is repeated.
+func (e *responseError) retryDelay() time.Duration {
 	seconds, err := strconv.Atoi(e.retryAfter)
 	if err != nil {
-		return retryPause
+		return minRetryDelay
 	}
-	return max(time.Duration(seconds)*time.Second, retryPause)
+	return max(time.Duration(seconds)*time.Second, minRetryDelay)
 }
 
 // call makes a request of a controller over a connection of its own and returns the body
@@ -80,7 +80,7 @@
 	if json.Unmarshal(m.Body, &answer) != nil || answer.Error == "" {
 		answer.Error = "no reason given"
 	}
-	return nil, &answerError{
+	return nil, &responseError{
 		addr:       addr,
 		status:     m.Status,
 		reason:     answer.Error,
@@ -92,7 +92,7 @@
 // request while there is no answer, or one that says to try again.
 func callForSweep(addr, method, path string, body []byte, answer any) error {
 	return retry(func() error {
-		b, err := call(addr, method, path, body, maxSweepAnswer, sweepCallTimeout)
+		b, err := call(addr, method, path, body, maxSweepAnswerBytes, sweepCallTimeout)
 		if err != nil {
 			return err
 		}
@@ -109,13 +109,13 @@
 	deadline := time.Now().Add(retryTimeout)
 	for {
 		err := attempt()
-		pause := retryPause
-		var refused *answerError
+		pause := minRetryDelay
+		var refused *responseError
 		if errors.As(err, &refused) {
-			if !refused.temporary() {
+			if !refused.isTemporary() {
 				return err
 			}
-			pause = refused.pause()
+			pause = refused.retryDelay()
 		}
 		if err == nil || time.Now().Add(pause).After(deadline) {
 			return err
--- a/cmd/zinclb/commands.go
+++ b/cmd/zinclb/commands.go
@@ -69,8 +69,8 @@
 
 // requestAndPrint makes a request of a controller and prints its answer.
 func requestAndPrint(cmd *cobra.Command, addr, method, path string, body []byte) error {
-	answer, err := call(addr, method, path, body, maxAnswer, callTimeout)
-	var refused *answerError
+	answer, err := call(addr, method, path, body, maxAnswerBytes, callTimeout)
+	var refused *responseError
 	if errors.As(err, &refused) && refused.retryAfter != "" {
 		return fmt.Errorf("%w; try again in %s s", err, refused.retryAfter)
 	}
--- a/cmd/zinclb/sweep.go
+++ b/cmd/zinclb/sweep.go
@@ -28,15 +28,15 @@
 
 // Layout of tables.
 const (
-	tabWidth  = 8
-	columnGap = 2
+	tableTabWidth  = 8
+	tableColumnGap = 2
 )
 
 const (
 	// pollInterval is the time between two looks at a sweep that is waited for.
 	pollInterval = 5 * time.Second
-	// runsPage is how many runs are asked for at a time.
-	runsPage = 200
+	// runsPageSize is how many runs are asked for at a time.
+	runsPageSize = 200
 )
 
 // sweepCommands are those of docs/sweeps.md.
@@ -120,7 +120,7 @@
 		}
 		fmt.Fprintf(&table, "%d\t%s\t%s\t%s%s\n", r.Run, r.Status, r.ID, r.Values, merged)
 	}
-	aligned := tabwriter.NewWriter(w, 0, tabWidth, columnGap, ' ', 0)
+	aligned := tabwriter.NewWriter(w, 0, tableTabWidth, tableColumnGap, ' ', 0)
 	if _, err := io.WriteString(aligned, table.String()); err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 		after := 0
 		for first := true; ; first = false {
 			var page api.RunPageResponse
-			path := fmt.Sprintf("/sweeps/%s/runs?after=%d&most=%d", args[0], after, runsPage)
+			path := fmt.Sprintf("/sweeps/%s/runs?after=%d&most=%d", args[0], after, runsPageSize)
 			if err := callForSweep(*addr, http.MethodGet, path, nil, &page); err != nil {
 				return err
 			}
--- a/internal/api/replies.go
+++ b/internal/api/replies.go
@@ -16,18 +16,18 @@
 	Running int    `json:"running"`
 }
 
-// decommissionResponse says whether a controller is decommissioned.
+// decommissionResponse tells whether a controller is decommissioned.
 type decommissionResponse struct {
 	Name string `json:"controller"`
 	Gone bool   `json:"gone"`
 }
 
-// misdirectedResponse names the leader, if it is known.
+// misdirectedResponse names the controller that handles such requests, if it is known.
 type misdirectedResponse struct {
 	Leader string `json:"foreman,omitempty"`
 }
 
-// errorResponse says why a request was refused.
+// errorResponse gives the reason why a request was refused.
 type errorResponse struct {
 	Error string `json:"error"`
 }
@@ -40,7 +40,8 @@
 	StatusCancelled = "withdrawn"
 )
 
-// JobStateName is a job's state on the wire, "" for one that has no name there.
+// JobStateName returns the wire name of the state of a job or sweep, or "" if the state
+// has none.
 func JobStateName(state string) string {
 	switch state {
 	case core.Queued:
@@ -56,7 +57,7 @@
 	}
 }
 
-// EncodeReply makes the body of the answer that carries a reply.
+// EncodeReply encodes a reply as the body of the answer.
 func EncodeReply(r core.Reply) []byte {
 	switch {
 	case r.Job != nil:
@@ -91,7 +92,7 @@
 	}
 }
 
-// encode encodes a plain struct, for which that can't fail.
+// encode encodes a plain struct as JSON. Encoding one cannot fail; encode panics if it does.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -11,11 +11,11 @@
 	"github.com/zinclb/zinclb/internal/sweep"
 )
 
-// MaxBodyBytes is the largest request body.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 64 << 10
 
-// Paths of the calls. A call about one thing has a prefix, followed by the thing's
-// name and for some calls by a verb.
+// Paths of the API. The path of a call about one job, sweep or controller is a prefix,
+// followed by its name and for some calls by a verb.
 const (
 	readyPath     = "/ready"
 	statusPath    = "/ops/status"
@@ -29,26 +29,27 @@
 	cancelVerb = "withdraw"
 	runsVerb   = "runs"
 
-	// MetricsPath is where a controller's metrics are read.
+	// MetricsPath is the path of a controller's metrics.
 	MetricsPath = "/ops/metrics"
 )
 
-// defaultRunsPage is how many runs of a sweep are listed if the request does not say.
+// defaultRunsPage is the number of a sweep's runs that are listed if the request sets no
+// limit.
 const defaultRunsPage = 100
 
-// Build makes the message to the core of a request, under the number that the reply
-// will carry.
+// Build returns the message to the core for a request. The core's reply will carry
+// requestID.
 type Build func(requestID uint64) any
 
-// requestError is why a request makes no message, and the status that it is answered
-// with. allow is the method to use instead, if that is what is wrong.
+// requestError is the reason why a request is refused, and the status of the answer. allow
+// is the method to use instead if the request has the wrong method.
 type requestError struct {
 	status int
 	allow  string
 	reason string
 }
 
-// response is the answer to the request.
+// response returns the answer to the refused request.
 func (e *requestError) response() *httpwire.Response {
 	return &httpwire.Response{
 		Status: e.status,
@@ -65,7 +66,7 @@
 	return &requestError{status: http.StatusBadRequest, reason: err.Error()}
 }
 
-// requireMethod is an error unless a request has a method.
+// requireMethod returns an error unless the request has the given method.
 func requireMethod(m *httpwire.Message, method string) *requestError {
 	if m.Method == method {
 		return nil
@@ -73,13 +74,13 @@
 	return &requestError{status: http.StatusMethodNotAllowed, allow: method, reason: "use " + method}
 }
 
-// IsSlow says that Route may take long for a request.
+// IsSlow reports whether Route may take long for a request: it expands a submitted sweep.
 func IsSlow(m *httpwire.Message) bool {
 	return m.Method == http.MethodPost && m.Target == sweepsPath
 }
 
-// Route turns a request into a message for the core, or into an answer at once where
-// the request is bad.
+// Route converts a request into a message for the core, or returns an immediate answer if
+// the request is invalid.
 func Route(m *httpwire.Message) (build Build, answer *httpwire.Response) {
 	build, bad := route(m)
 	if bad != nil {
@@ -169,8 +170,8 @@
 	}, nil
 }
 
-// routeDecommission is for the calls that declare a controller decommissioned, and
-// take that back.
+// routeDecommission routes the calls that declare a controller decommissioned (POST) and
+// that revoke the declaration (DELETE).
 func routeDecommission(m *httpwire.Message, name string) (Build, *requestError) {
 	decommissioned := m.Method == http.MethodPost
 	if !decommissioned && m.Method != http.MethodDelete {
@@ -184,7 +185,8 @@
 	}, nil
 }
 
-// routeJob is for the calls about a job: rest is its id and a verb.
+// routeJob routes the calls about a job. rest is the path after the prefix: the job's id,
+// and a verb if there is one.
 func routeJob(m *httpwire.Message, rest string) (Build, *requestError) {
 	id, verb, hasVerb := strings.Cut(rest, "/")
 	method := http.MethodGet
@@ -206,7 +208,8 @@
 	return func(requestID uint64) any { return core.QueryJob{RequestID: requestID, ID: id} }, nil
 }
 
-// routeSweep is for the calls about a sweep: rest is its id and a verb.
+// routeSweep routes the calls about a sweep. rest is the path after the prefix: the sweep's
+// id, and a verb if there is one.
 func routeSweep(m *httpwire.Message, rest, query string) (Build, *requestError) {
 	id, verb, _ := strings.Cut(rest, "/")
 	if !sweep.ValidID(id) {
@@ -232,8 +235,8 @@
 	return nil, notFound("no such path")
 }
 
-// parseRunsQuery reads which runs of a sweep are asked for. Other parameters are
-// passed over.
+// parseRunsQuery parses the parameters that select runs of a sweep: after, and most for the
+// limit. It ignores all others.
 func parseRunsQuery(query string) (after, limit int, err error) {
 	limit = defaultRunsPage
 	for parameter := range strings.SplitSeq(query, "&") {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -1,5 +1,6 @@
-// Package api is the wire of users and workers: it turns requests into messages to the
-// core and the core's replies into answers. Their wire names stand only here.
+// Package api implements the HTTP API for users and workers: it converts requests into
+// messages to the core and the core's replies into answers. It is the only package that
+// knows the API's wire names.
 package api
 
 import (
@@ -12,8 +13,8 @@
 	"github.com/zinclb/zinclb/internal/core/jobstate"
 )
 
-// submission is a job on the wire. A field that is missing is nil. The type's name is
-// part of the errors that users see.
+// submission is a job on the wire. A missing field is nil. encoding/json puts the type's
+// name into the errors that users see.
 type submission struct {
 	ID           *string   `json:"name_id"`
 	Class        *string   `json:"herd"`
@@ -38,36 +39,37 @@
 	Dependencies []string  `json:"awaits"`
 }
 
-// MaxIDLength bounds job ids, so that every key made of them fits the store.
+// MaxIDLength is the maximum length of a job id in bytes. It ensures that every key that
+// contains an id fits the state store.
 const MaxIDLength = 128
 
 const (
-	// maxNameLength bounds the names in a submission.
+	// maxNameLength is the maximum length of a name in a submission, in bytes.
 	maxNameLength = 256
-	// maxDependencies bounds the jobs that one may depend on; what can be stored may
-	// be less.
+	// maxDependencies is the maximum number of jobs that a job may depend on. The size
+	// of a stored value may limit it further.
 	maxDependencies = 1000
 )
 
-// Largest amounts of a submission, in the wire's units.
+// Largest amounts in a submission, in the wire's units.
 const (
 	maxAmount   = 1e6
 	maxMemoryGB = 1e7
 	maxSeconds  = 1e9
 )
 
-// Units of the core for one of the wire's.
+// Conversion factors: units of the core per unit of the wire.
 const (
-	milli           = 1000
+	milliPerUnit    = 1000
 	mbPerGB         = 1000
 	microsPerSecond = 1e6
 )
 
-// forbiddenInIDs has the characters that an id may not have, as they mean something in
-// a path.
+// forbiddenInIDs are the characters that an id may not contain, because they have a
+// meaning in a path.
 const forbiddenInIDs = "/?#%&\"\\"
 
-// ValidID says whether an id can be a job's.
+// ValidID reports whether id is a valid job id.
 func ValidID(id string) bool {
 	if id == "" || len(id) > MaxIDLength {
 		return false
@@ -80,8 +82,9 @@
 	return true
 }
 
-// DecodeSubmission reads a submission. If only its id is good, the message
-// carries what is wrong with the rest, as the job may be known already.
+// DecodeSubmission decodes a submission. If its id is valid and another field is not, it
+// returns a message with the error in Invalid instead of an error, because a job with this
+// id may already exist.
 func DecodeSubmission(body []byte) (core.SubmitJob, error) {
 	var w submission
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -89,7 +92,7 @@
 			ID string `json:"name_id"`
 		}
 		if json.Unmarshal(body, &head) == nil && ValidID(head.ID) {
-			return invalidJob(head.ID, err), nil
+			return invalidSubmission(head.ID, err), nil
 		}
 		return core.SubmitJob{}, fmt.Errorf("not a job: %w", err)
 	}
@@ -101,21 +104,21 @@
 	return check.submission(spec), nil
 }
 
-// submission is that of a job whose fields have been read.
+// submission returns the message for a job whose fields have been checked.
 func (c *fieldChecker) submission(spec *jobstate.Spec) core.SubmitJob {
 	if c.err != nil {
-		return invalidJob(spec.ID, c.err)
+		return invalidSubmission(spec.ID, c.err)
 	}
 	return core.SubmitJob{Spec: spec}
 }
 
-// invalidJob is the submission of a job of which only the id is good.
-func invalidJob(id string, why error) core.SubmitJob {
-	return core.SubmitJob{Spec: &jobstate.Spec{ID: id}, Invalid: why.Error()}
+// invalidSubmission returns the message for a job of which only the id is valid.
+func invalidSubmission(id string, err error) core.SubmitJob {
+	return core.SubmitJob{Spec: &jobstate.Spec{ID: id}, Invalid: err.Error()}
 }
 
-// spec reads the fields in their order on the wire, so that the first one that is
-// wrong is named.
+// spec checks and converts the fields. The order of the calls decides which of several
+// invalid fields the error names.
 func (w *submission) spec(check *fieldChecker) *jobstate.Spec {
 	return &jobstate.Spec{
 		ID:       *w.ID,
@@ -127,8 +130,8 @@
 		Priority: check.priority("urgency", w.Priority),
 		Tasks:    check.tasks("hands", w.Tasks),
 		Need: jobstate.Resources{
-			CPU: check.amount("vcpus", w.CPUs, milli, maxAmount),
-			GPU: check.amount("gpus", w.GPUs, milli, maxAmount),
+			CPU: check.amount("vcpus", w.CPUs, milliPerUnit, maxAmount),
+			GPU: check.amount("gpus", w.GPUs, milliPerUnit, maxAmount),
 			Mem: check.amount("mem_gb", w.Mem, mbPerGB, maxMemoryGB),
 		},
 		ImageMB:      check.amount("pull_gb", w.ImageGB, mbPerGB, maxAmount),
--- a/internal/api/sweeps.go
+++ b/internal/api/sweeps.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// storedJobOverhead bounds what a stored job has beside its submission, in bytes:
-	// its times and how it has ended.
+	// storedJobOverhead is the maximum number of bytes that a stored job has in addition
+	// to its submission: its times and how it ended.
 	storedJobOverhead = 100
-	// maxDescriptionBytes bounds what a stored description unpacks to.
+	// maxDescriptionBytes is the maximum size of an unpacked description.
 	maxDescriptionBytes = 4 << 20
-	// packWindow is the window of the compression, in bytes.
-	packWindow = 256 << 10
+	// packWindowBytes is the window size of the zstd compression.
+	packWindowBytes = 256 << 10
 )
 
-// ExpandSweep makes the plan of a description and checks each run as a
-// submission is checked. An error that comes with a plan is of a sweep of which
-// the id is good.
+// ExpandSweep expands a description into a plan and checks each run as a submission is
+// checked. If it fails, the plan is incomplete and has at least the description's id,
+// which may be invalid.
 func ExpandSweep(description *sweeppb.Sweep) (*core.SweepPlan, error) {
 	expansion, err := sweep.Expand(description)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return plan, nil
 }
 
-// decodeRun reads a run's job as a submission is read.
+// decodeRun decodes a run's job in the same way as a submission.
 func decodeRun(run *sweep.Run) (*jobstate.Spec, error) {
 	body, err := json.Marshal(run.Job)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return submitted.Spec, nil
 }
 
-// encodeValues writes a run's values in the order of the parameters.
+// encodeValues encodes a run's values as a JSON object in the order of the parameters.
 func encodeValues(expansion *sweep.Expansion, run *sweep.Run) json.RawMessage {
 	b := []byte{'{'}
 	for i, parameter := range expansion.Parameters {
@@ -78,9 +78,10 @@
 	return append(b, '}')
 }
 
-// PackSweep makes the text that is stored of a description.
+// PackSweep compresses a description and encodes it in base64, which is the form in which
+// it is stored.
 func PackSweep(description *sweeppb.Sweep) (string, error) {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindowBytes))
 	if err != nil {
 		return "", fmt.Errorf("pack a sweep: %w", err)
 	}
@@ -91,7 +92,7 @@
 	return base64.RawStdEncoding.EncodeToString(packed), nil
 }
 
-// UnpackSweep reads what PackSweep made and expands it.
+// UnpackSweep decodes and expands a description that PackSweep encoded.
 func UnpackSweep(stored string) (*core.SweepPlan, error) {
 	description, err := unpackDescription(stored)
 	if err != nil {
@@ -117,9 +118,9 @@
 	return sweep.Parse(text)
 }
 
-// DecodeSweep reads a sweep's submission, a sweep file without references to other
-// files. If only its id is good, the message carries what is wrong with the rest. It
-// takes long for a large sweep.
+// DecodeSweep decodes a sweep's submission, which is a sweep file without references to
+// other files. If only its id is valid, it returns a message with the error in Invalid
+// instead of an error. It takes long for a large sweep.
 func DecodeSweep(body []byte) (core.SubmitSweep, error) {
 	description, err := sweep.Parse(body)
 	if err != nil {
@@ -164,11 +165,12 @@
 	ID     string          `json:"name_id"`
 	Status string          `json:"status"`
 	Values json.RawMessage `json:"values"`
-	// Sets are the places of its values among all sets, if there are several.
+	// Sets are the indexes of the run's set of values among all sets of the sweep. It is
+	// absent unless identical sets were merged into this run.
 	Sets []int `json:"sets,omitempty"`
 }
 
-// NewRunResponse makes the wire form of a run.
+// NewRunResponse converts a run to its wire form.
 func NewRunResponse(run core.SweepRun) RunResponse {
 	response := RunResponse{
 		Run:    run.Number,
@@ -182,8 +184,8 @@
 	return response
 }
 
-// runStateName is a run's state on the wire: that of its job, or one of its own before
-// there is a job.
+// runStateName returns the wire name of a run's state: the name of its job's state, or the
+// state unchanged if it is one that only runs have, for example before the job is created.
 func runStateName(state string) string {
 	if name := JobStateName(state); name != "" {
 		return name
@@ -194,7 +196,8 @@
 // RunPageResponse is a page of runs on the wire.
 type RunPageResponse struct {
 	Runs []RunResponse `json:"runs"`
-	// Next is the number to ask for next, absent at the end.
+	// Next is the value of the parameter after for the next page. It is absent on the
+	// last page.
 	Next int `json:"next,omitempty"`
 }
 
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -8,13 +8,14 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// noPreemptionNotice is the notice of a machine that got none.
+// noPreemptionNotice is the value of Heartbeat.PreemptionNotice for a machine that has
+// received no preemption notice.
 const noPreemptionNotice = -1
 
-var errNoWorker = errors.New("report: stoker or shift is missing")
+var errMissingWorkerID = errors.New("report: stoker or shift is missing")
 
-// reportWire is a worker's heartbeat on the wire. The type's name is part of the errors
-// that workers see.
+// reportWire is a worker's heartbeat on the wire. encoding/json puts the type's name into
+// the errors that workers see.
 type reportWire struct {
 	Machine      string   `json:"stoker"`
 	Addr         string   `json:"endpoint"`
@@ -34,13 +35,13 @@
 	} `json:"hands"`
 }
 
-// heartbeatResponse answers a heartbeat.
+// heartbeatResponse is the body of the answer to a heartbeat.
 type heartbeatResponse struct {
 	FencingToken uint64        `json:"baton"`
 	Commands     []commandWire `json:"orders"`
 }
 
-// commandsRequest brings commands to a worker's own address.
+// commandsRequest is the body of a request that sends commands to a worker's own address.
 type commandsRequest struct {
 	FencingToken uint64        `json:"baton"`
 	Epoch        uint64        `json:"shift"`
@@ -52,18 +53,18 @@
 	Verb    string `json:"verb"`
 	Task    string `json:"hand"`
 	Attempt uint32 `json:"try"`
-	// Grace, in seconds, is there for a stop only.
+	// Grace is the grace period in seconds. It is set only for a stop command.
 	Grace *float64 `json:"wind_down_s,omitempty"`
 }
 
-// DecodeHeartbeat reads a worker's heartbeat.
+// DecodeHeartbeat decodes a worker's heartbeat.
 func DecodeHeartbeat(body []byte) (core.Heartbeat, error) {
 	var w reportWire
 	if err := json.Unmarshal(body, &w); err != nil {
 		return core.Heartbeat{}, fmt.Errorf("report: %w", err)
 	}
 	if w.Machine == "" || len(w.Machine) > MaxIDLength || w.Epoch == 0 {
-		return core.Heartbeat{}, errNoWorker
+		return core.Heartbeat{}, errMissingWorkerID
 	}
 	heartbeat := core.Heartbeat{
 		Machine:          w.Machine,
@@ -86,8 +87,8 @@
 	return heartbeat, nil
 }
 
-// NewTaskStatus is the status of a task in a heartbeat, in the core's terms. State and
-// reason are those of the wire.
+// NewTaskStatus converts the status of a task in a heartbeat to the core's type. state and
+// reason are the names used on the wire.
 func NewTaskStatus(name string, attempt uint64, state, reason string, checkpointed bool) core.TaskStatus {
 	return core.TaskStatus{
 		Name:         name,
@@ -98,7 +99,7 @@
 	}
 }
 
-// taskState is a task's state in the core's terms.
+// taskState converts a task's state from its wire name to the core's.
 func taskState(state string) core.TaskState {
 	if state == "ended" {
 		return core.TaskExited
@@ -106,8 +107,8 @@
 	return core.TaskState(state)
 }
 
-// exitReason is why a task has ended, in the core's terms. One that is not known
-// stays as it is.
+// exitReason converts the reason why a task has ended from its wire name to the core's.
+// It returns an unknown reason unchanged.
 func exitReason(reason string) core.ExitReason {
 	switch reason {
 	case "done":
@@ -131,7 +132,7 @@
 	}
 }
 
-// CommandVerb is the kind of a command on the wire, "" for one that has no name there.
+// CommandVerb returns the wire name of a command's kind, or "" if the kind has none.
 func CommandVerb(c core.Command) string {
 	switch c.Kind {
 	case core.CommandStart:
@@ -145,7 +146,8 @@
 	}
 }
 
-// newCommands are commands on the wire: an empty list, never null.
+// newCommands converts commands to their wire form. It returns an empty list, which is
+// encoded as [] and not as null, if there are none.
 func newCommands(commands []core.Command) []commandWire {
 	out := make([]commandWire, len(commands))
 	for i, c := range commands {
@@ -158,7 +160,7 @@
 	return out
 }
 
-// EncodeCommands makes the body of the request that brings commands to a worker's own
+// EncodeCommands encodes the body of the request that sends commands to a worker's own
 // address.
 func EncodeCommands(e core.SendCommands) []byte {
 	return encode(commandsRequest{
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,18 +6,19 @@
 	"net"
 )
 
-// Bounds of settings.
+// Limits on the values of settings.
 const (
 	maxSetting = 1e9
 	minTxnOps  = 4
 	minSockets = 32
-	// minCancelMargin and minCancelRest are what cancel_s has beyond lease_s: a share of
+	// cancelMarginFactor and minCancelRest are what cancel_s has beyond lease_s: a share of
 	// it, and seconds.
-	minCancelMargin = 1.01
-	minCancelRest   = 2
+	cancelMarginFactor  = 1.01
+	cancelMarginSeconds = 2
 )
 
-// checker collects what is wrong with settings, under the fields' names on the wire.
+// checker collects the errors in settings. Each error begins with the name that the field
+// has in the settings file.
 type checker struct{ errs []error }
 
 func (c *checker) fail(format string, args ...any) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// optionalPositive is positive for a setting that may be missing.
+// optionalPositive is like positive for a setting that may be missing.
 func (c *checker) optionalPositive(field string, value *float64) {
 	if value != nil {
 		c.positive(field, *value)
@@ -49,7 +50,7 @@
 	}
 }
 
-// Check names every field that can't be right.
+// Check returns an error that names every invalid field.
 func (p *Platform) Check() error {
 	var c checker
 	if p.Name == "" {
@@ -71,7 +72,7 @@
 	return errors.Join(c.errs...)
 }
 
-// peers checks the other controllers; each has a name of its own.
+// peers checks the other controllers. Their names must be unique and differ from own.
 func (c *checker) peers(own string, peers []Peer) {
 	seen := map[string]bool{own: true}
 	for i, p := range peers {
@@ -90,7 +91,7 @@
 	c.positive("settings.workers.gang_wait_s", w.GangWaitS)
 	c.positive("settings.workers.gang_peer_s", w.GangPeerS)
 	c.positive("settings.workers.cancel_s", w.CancelS)
-	if w.CancelS <= w.LeaseS*minCancelMargin+minCancelRest {
+	if w.CancelS <= w.LeaseS*cancelMarginFactor+cancelMarginSeconds {
 		c.fail("settings.workers.cancel_s: %v leaves no time beyond lease_s %v", w.CancelS, w.LeaseS)
 	}
 }
@@ -122,7 +123,7 @@
 	}
 }
 
-// teams checks the teams; each has a name of its own.
+// teams checks the teams. Their names must be unique.
 func (c *checker) teams(teams []Team) {
 	seen := map[string]bool{}
 	for i, t := range teams {
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// StrictestStateLimits are the smaller ones of the limits of now and of those to come.
+// StrictestStateLimits returns, for each limit of the state service, the lower of the
+// current and the upcoming value.
 func (d *Deployment) StrictestStateLimits() StateLimits {
 	limits := d.State.StateLimits
 	next := d.State.Next
 	if next == nil {
 		return limits
 	}
-	lower(&limits.RPS, next.RPS)
-	lower(&limits.WriteRPS, next.WriteRPS)
-	lower(&limits.ValueKB, next.ValueKB)
-	lower(&limits.TxnOps, next.TxnOps)
+	lowerLimit(&limits.RPS, next.RPS)
+	lowerLimit(&limits.WriteRPS, next.WriteRPS)
+	lowerLimit(&limits.ValueKB, next.ValueKB)
+	lowerLimit(&limits.TxnOps, next.TxnOps)
 	return limits
 }
 
-// lower lowers a limit to one to come, if that is known and less.
-func lower[T int | float64](limit, next *T) {
+// lowerLimit lowers a limit to the upcoming one, if that is known and lower.
+func lowerLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// Team finds a team by its name, nil if there is none.
+// Team returns the team with a name, or nil if there is none.
 func (d *Deployment) Team(name string) *Team {
 	if i := slices.IndexFunc(d.Teams, func(t Team) bool { return t.Name == name }); i >= 0 {
 		return &d.Teams[i]
@@ -31,8 +32,9 @@
 	return nil
 }
 
-// StartWithin is the shortest time within which tasks of a class should start, 0 if no
-// objective says so. A job within its team's guarantee has that objective too.
+// StartWithin returns the shortest time within which tasks of a class should start
+// according to the objectives, or 0 if there is no such objective. The objective on
+// guarantees counts too if guaranteed is set: the job is within its team's guarantee.
 func (d *Deployment) StartWithin(class string, guaranteed bool) Micros {
 	var shortest Micros
 	for _, o := range d.Objectives {
@@ -45,8 +47,8 @@
 	return shortest
 }
 
-// StartTimeMatters says whether it matters to anybody when tasks of a class start,
-// rather than when they are done. Without objectives it does.
+// StartTimeMatters reports whether there is an objective on when tasks of a class start,
+// rather than on when they are done. Without any objectives it returns true.
 func (d *Deployment) StartTimeMatters(class string) bool {
 	if len(d.Objectives) == 0 {
 		return true
@@ -56,9 +58,10 @@
 	})
 }
 
-// WeighsCost says whether cost is weighed against waiting. A guarantee is room that a
-// team may count on at once, which is what spare machines are for; where nobody has one,
-// they are kept for what varies from moment to moment.
+// WeighsCost reports whether cost is weighed against waiting time. Unless the operators
+// decide, it is weighed if no team has a guarantee. A guarantee is capacity that a team can
+// use at once, which needs spare machines; without guarantees, spare machines are kept only
+// for short-term variations of the load.
 func (d *Deployment) WeighsCost(operators *Operators) bool {
 	if operators.WeighMoney != nil {
 		return *operators.WeighMoney
@@ -67,18 +70,19 @@
 }
 
 const (
-	// epochTimeoutMargin allows for workers' clocks that run slow.
+	// epochTimeoutMargin is the factor on the timeout of a worker's epoch that allows for
+	// worker clocks that run slow.
 	epochTimeoutMargin = 1.002
-	// cancelReserveS is what stopping a task takes beside, in seconds.
+	// cancelReserveS is the additional time that stopping a task takes, in seconds.
 	cancelReserveS = 2
-	// authorityShare is the share of the time that is left: a task can still be
-	// released in the rest.
+	// authorityShare is the leader's share of the remaining time. In the rest, a task can
+	// still be released.
 	authorityShare = 0.55
 )
 
-// LeaderAuthorityTime is how long a controller without proof of its fencing token still
-// answers heartbeats. A task of a cancelled job can outlive its cancellation by that time
-// and the timeout of a worker's epoch, so both with their margins must fit into cancel_s.
+// LeaderAuthorityTime returns how long a controller without proof of its fencing token still
+// answers heartbeats. A task of a cancelled job can outlive its cancellation by this time
+// plus the timeout of a worker's epoch, so both with their margins must fit into cancel_s.
 func (d *Deployment) LeaderAuthorityTime() Micros {
 	w := d.Workers
 	return MicrosOf((w.CancelS - w.LeaseS*epochTimeoutMargin - cancelReserveS) * authorityShare)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Platform is the settings file that the platform hands over.
+// Platform is the settings file that the platform provides for one controller.
 type Platform struct {
 	Name       string     `json:"label"`
 	Zone       string     `json:"site"`
@@ -24,13 +24,13 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Services has the addresses of the services that zinclb uses.
+// Services are the addresses of the services that zinclb uses.
 type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Deployment is what holds for the whole deployment.
+// Deployment has the settings that all controllers of a deployment share.
 type Deployment struct {
 	Size  int      `json:"size"`
 	Zones []string `json:"zones"`
@@ -46,8 +46,8 @@
 	} `json:"workers"`
 	State struct {
 		StateLimits
-		// Next are the limits that the state service will have from some
-		// moment on, without notice; what is absent does not change.
+		// Next are the limits that the state service will switch to at some time,
+		// without notice. An absent limit does not change.
 		Next *UpcomingStateLimits `json:"next"`
 	} `json:"state"`
 	Cloud struct {
@@ -62,7 +62,8 @@
 	ClockErrorMS float64 `json:"clock_error_ms"`
 }
 
-// StateLimits are what the state service takes.
+// StateLimits are the limits of the state service on requests, writes, the size of a value
+// and the operations of a transaction.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -70,7 +71,8 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// UpcomingStateLimits are limits to come.
+// UpcomingStateLimits are the future limits of the state service. A nil limit does not
+// change.
 type UpcomingStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -78,8 +80,9 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Team has a quota that is guaranteed and a limit. A limit of 0 is no limit at all when
-// the guarantee of that resource is 0 too, as for teams that only count GPUs.
+// Team is a team with its guaranteed quota (CPUs, GPUs) and its limits (CPUsMax, GPUsMax).
+// A limit of 0 means no limit if the guarantee for the same resource is 0 too, as for teams
+// that have quotas for GPUs only.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -88,22 +91,22 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Kinds of objectives that scheduling depends on.
+// Kinds of objectives that affect scheduling.
 const (
-	// waitObjective is on the starts of a class's tasks, guaranteeObjective on those of
-	// jobs within their team's guarantee.
+	// waitObjective applies to the start of a class's tasks, guaranteeObjective to the
+	// start of tasks of jobs within their team's guarantee.
 	waitObjective      = "wait"
 	guaranteeObjective = "guarantee"
 )
 
-// Objective is a service-level objective on the starts or ends of a class's jobs.
+// Objective is a service-level objective on the start or the end of a class's jobs.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"`
 }
 
-// Load reads and checks the platform's file.
+// Load reads and checks the platform's settings file.
 func Load(path string) (*Platform, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/golden/exchange.go
+++ b/internal/golden/exchange.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// requestTimeout is how long a Service waits for the rest of a request.
+	// requestTimeout is the maximum time that a Service waits for the next bytes of a
+	// request.
 	requestTimeout = 5 * time.Second
-	// maxBody bounds a request's body, in bytes.
+	// maxBody is the maximum size of a request's body in bytes.
 	maxBody = 1 << 20
 )
 
-// Service stands in for a service on loopback: it writes down each request byte
-// by byte and gives the answers that were prepared, in turn.
+// Service is a fake HTTP service on the loopback interface. It records the exact bytes of
+// each request and returns the prepared answers in order.
 type Service struct {
-	// Addr is where it listens.
+	// Addr is the address on which the service listens.
 	Addr string
 
 	mu       sync.Mutex
@@ -31,7 +32,7 @@
 	requests strings.Builder
 }
 
-// NewService starts a service that ends with the test.
+// NewService starts a service that is stopped when the test ends.
 func NewService(tb testing.TB) *Service {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,30 +61,31 @@
 	return s
 }
 
-// Answer prepares the next answers, in place of those that are left.
+// Answer sets the next answers. It replaces any prepared answers that are left.
 func (s *Service) Answer(answers ...httpwire.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers = answers
 }
 
-// Note writes a line among the requests, so that a record says what made them.
+// Note adds a line to the recorded requests, so that the record tells what caused them.
 func (s *Service) Note(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(&s.requests, format+"\n", args...)
 }
 
-// Requests are the requests so far, a line each, with HOST in place of the address.
+// Requests returns the recorded requests, one per line, with the service's address replaced
+// by HOST.
 func (s *Service) Requests() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.ReplaceAll(s.requests.String(), s.Addr, "HOST")
 }
 
-// serve answers the requests of a connection until that is closed or the context ends.
+// serve answers the requests on a connection until it is closed or the context ends.
 func (s *Service) serve(ctx context.Context, conn net.Conn) {
-	// The other side may have closed it before, which is no fault of a test.
+	// The other side may have closed the connection already, which is not an error.
 	defer func() { _ = conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -112,7 +114,7 @@
 	}
 }
 
-// next writes a request down and takes the next answer, 500 where none is left.
+// next records a request and returns the next prepared answer, or status 500 if none is left.
 func (s *Service) next(request []byte) httpwire.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics writes the operators' view of a controller in the text format that
-// monitoring systems read. It is made from the view of the moment when it is requested, with
-// the counters that are part of that view, and costs nothing otherwise.
+// Package metrics encodes the operators' view of a controller in the Prometheus text format.
+// The metrics are computed from the current view, including its counters, for each request;
+// there is no cost between requests.
 package metrics
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/zinclb/zinclb/internal/core"
 )
 
-// ContentType is that of what Encode returns.
+// ContentType is the content type of the text that Encode returns.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// prefix begins the names of all metrics.
+// prefix is the prefix of the names of all metrics.
 const prefix = "zinclb_"
 
 const millisPerSecond = 1e3
 
-// Encode is the view in the text format.
+// Encode encodes the view in the text format.
 func Encode(view *core.OperatorView) ([]byte, error) {
 	registry := prometheus.NewPedanticRegistry()
 	if err := registry.Register(collector{view}); err != nil {
@@ -41,11 +41,11 @@
 	return text.Bytes(), nil
 }
 
-// collector has the metrics of one view.
+// collector is a prometheus.Collector for the metrics of one view.
 type collector struct{ view *core.OperatorView }
 
-// Describe sends nothing: which metrics there are depends on the moment (only a
-// leader has queues), so the registry checks none in advance.
+// Describe sends no descriptions, which makes the collector unchecked: the set of metrics
+// changes over time, for example only a leader has queues.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the metrics of the view.
@@ -61,17 +61,17 @@
 	s.latencies(c.view.Latencies)
 }
 
-// label tells metrics of one name apart.
+// label is a metric label. Labels distinguish metrics with the same name.
 type label struct{ name, value string }
 
-// sink is where metrics are sent.
+// sink is the channel to which metrics are sent.
 type sink chan<- prometheus.Metric
 
 func (s sink) gauge(name, help string, value float64, labels ...label) {
 	s.send(prometheus.GaugeValue, name, help, value, labels)
 }
 
-// counter sends what has been counted since the controller's start.
+// counter sends the value of a counter that started at 0 when the controller started.
 func (s sink) counter(name, help string, value uint64, labels ...label) {
 	s.send(prometheus.CounterValue, name, help, float64(value), labels)
 }
@@ -94,7 +94,7 @@
 	s.gauge(name, help, value, labels...)
 }
 
-// controller sends what any controller knows of itself.
+// controller sends the metrics that every controller has about itself.
 func (s sink) controller(view *core.OperatorView) {
 	s.flag("leading", "1 if this controller leads.", view.Leading)
 	s.flag("synced", "1 if it has read the state service.", view.Synced)
@@ -112,7 +112,8 @@
 	s.gauge("troubles", "Troubles that operators are told of.", float64(len(view.Conditions)))
 }
 
-// ends sends how ends became known, and how often a job was called unknown.
+// ends sends how the ends of jobs became known, and how often a request was answered that
+// the job is not known.
 func (s sink) ends(counts *core.EndCounts) {
 	s.counter("ends_derived_total", "Ends of jobs that followed from the ends of others.", counts.Derived)
 	s.counter("ends_told_total", "Ends of jobs that other controllers told of first.", counts.Told)
@@ -122,7 +123,7 @@
 	s.counter("not_found_total", help, counts.NotFoundRead, label{"lookup", "read"})
 }
 
-// connectivity sends which controllers, links and machines are reached.
+// connectivity sends which peers, links and machines are reachable.
 func (s sink) connectivity(view *core.OperatorView) {
 	for _, peer := range view.Peers {
 		s.flag("peer_up", "1 if another controller answers.", peer.Up, label{"peer", peer.Name})
@@ -163,7 +164,7 @@
 	}
 }
 
-// latencies sends a summary of each of the users' calls.
+// latencies sends a summary of the latencies of each user call.
 func (s sink) latencies(calls []core.LatencyView) {
 	desc := prometheus.NewDesc(prefix+"request_seconds", "How long users' requests took in this process.", []string{"call"}, nil)
 	for _, call := range calls {
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Main runs the tests of a package with a fixed seed and number of checks for
-// pgregory.net/rapid, which the package's tests have to import, and returns the exit code.
+// Main runs the tests of a package with a fixed seed and number of checks for the property
+// tests of pgregory.net/rapid. It returns the exit code. The package's tests must import
+// rapid, which defines the flags.
 func Main(m *testing.M) int {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "400", "rapid.nofailfile": "true"} {
--- a/internal/sweep/eval.go
+++ b/internal/sweep/eval.go
@@ -11,15 +11,16 @@
 
 var errProductTooLong = errors.New("a text or list would grow too long")
 
-// scope is what an expression is evaluated with.
+// scope has the parameters of the run that an expression is evaluated for.
 type scope struct {
 	parameters []string
 	values     []Value
-	// runID is the id of the run of the same sweep with the named values.
+	// runID returns the id of the run of the same sweep with the named values.
 	runID func(named map[string]Value) (string, error)
 }
 
-// eval evaluates an expression. stepsLeft is how many steps are left to all expressions.
+// eval evaluates an expression. stepsLeft is the number of steps left for all expressions
+// together; eval subtracts the steps that it takes.
 func (e *expr) eval(scope scope, stepsLeft *uint64) (any, error) {
 	result, err := e.run(scope, stepsLeft)
 	if err != nil {
@@ -35,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A call of a builtin is a step, and so is each of the operations.
+	// A call of a builtin counts as one step, and so does each operation.
 	steps := thread.ExecutionSteps() + 1
 	if steps > *stepsLeft {
 		return nil, fmt.Errorf("all expressions together take more than %d steps", maxTotalSteps)
@@ -44,11 +45,11 @@
 	return fromStarlark(globals[resultName])
 }
 
-// environment has the names that an expression can use.
+// environment returns the names that an expression can use, with their values.
 func (s scope) environment() starlark.StringDict {
 	environment := starlark.StringDict{
 		productName: starlark.NewBuiltin(productName, checkedProduct),
-		"round":     starlark.NewBuiltin("round", roundHalfAway),
+		"round":     starlark.NewBuiltin("round", roundHalfAwayFromZero),
 		"run":       starlark.NewBuiltin("run", s.run),
 		"run_of":    starlark.NewBuiltin("run_of", runOf),
 	}
@@ -72,7 +73,7 @@
 	return environment
 }
 
-// run is the id of a run of the same sweep.
+// run implements the builtin run, which returns the id of a run of the same sweep.
 func (s scope) run(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
 		return nil, errors.New("run: values are given by their names")
@@ -89,7 +90,7 @@
 	return starlark.String(id), err
 }
 
-// runOf is the id of a run of another sweep.
+// runOf implements the builtin run_of, which returns the id of a run of another sweep.
 func runOf(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
 	sweep, ok := starlark.String(""), len(args) == 1
 	if ok {
@@ -105,7 +106,7 @@
 	return starlark.String(RunID(string(sweep), names, values)), nil
 }
 
-// keywordValues are the names and values of a call's named arguments.
+// keywordValues returns the names and values of a call's keyword arguments.
 func keywordValues(keywords []starlark.Tuple) (names []string, values []Value, err error) {
 	for _, pair := range keywords {
 		value, err := fromStarlark(pair[1])
@@ -118,7 +119,8 @@
 	return names, values, nil
 }
 
-// checkedProduct multiplies, and refuses texts and lists that would grow too long.
+// checkedProduct implements the operator *. It returns an error for a repetition of a string
+// or list whose result would be longer than maxProductSize.
 func checkedProduct(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	a, b := args[0], args[1]
 	if repeatsTooLong(a, b) || repeatsTooLong(b, a) {
@@ -127,8 +129,8 @@
 	return starlark.Binary(syntax.STAR, a, b)
 }
 
-// repeatsTooLong says whether x is a text or list that would grow too long if it is
-// repeated.
+// repeatsTooLong reports whether x is a string or list that would be longer than
+// maxProductSize if it is repeated the given number of times.
 func repeatsTooLong(x, times starlark.Value) bool {
 	var length int
 	switch x := x.(type) {
@@ -143,8 +145,9 @@
 	return err != nil || n > 0 && length > maxProductSize/n
 }
 
-// roundHalfAway rounds half away from zero, to a whole number.
-func roundHalfAway(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
+// roundHalfAwayFromZero implements the builtin round, which rounds to the nearest whole
+// number, and halves away from zero.
+func roundHalfAwayFromZero(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
 	var x starlark.Value
 	if err := starlark.UnpackPositionalArgs(b.Name(), args, keywords, 1, &x); err != nil {
 		return nil, err
@@ -156,7 +159,7 @@
 	return starlark.MakeInt64(int64(math.Round(number))), nil
 }
 
-// fromStarlark makes a Value, a list of values, or nil for None.
+// fromStarlark converts a Starlark value to a Value, a list of values, or nil for None.
 func fromStarlark(v starlark.Value) (any, error) {
 	switch v := v.(type) {
 	case starlark.Int:
@@ -168,7 +171,7 @@
 	case starlark.Float:
 		return canonicalNumber(float64(v))
 	case starlark.String:
-		return checkedText(string(v))
+		return checkTextLength(string(v))
 	case starlark.Bool:
 		return bool(v), nil
 	case starlark.NoneType:
--- a/internal/sweep/expand.go
+++ b/internal/sweep/expand.go
@@ -14,38 +14,38 @@
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
 
-// digestBytes is how much of the hash of all runs a digest has.
+// digestBytes is the number of bytes of the hash of all runs that a digest keeps.
 const digestBytes = 16
 
 // Run is one job of a sweep.
 type Run struct {
-	// ID is the job's, derived from the sweep's id and the values.
+	// ID is the job's id, derived from the sweep's id and the values.
 	ID string
-	// Values are in the order of Expansion.Parameters.
+	// Values are the run's values in the order of Expansion.Parameters.
 	Values []Value
-	// SetIndexes are where the run's values stand among all sets of the sweep,
-	// counted from 0; there are several if identical sets were merged.
+	// SetIndexes are the indexes, from 0, of the run's values among all sets of the
+	// sweep. There are several if identical sets were merged.
 	SetIndexes []int
-	// Job has the fields of a submission by their JSON names.
+	// Job is the job's submission: its fields by their JSON names.
 	Job map[string]any
 }
 
-// Expansion is all that a sweep describes.
+// Expansion is the result of expanding a sweep.
 type Expansion struct {
 	ID         string
 	Parameters []string
-	// Runs are in an order in which each comes after those that it depends on.
+	// Runs are ordered so that each run comes after the runs that it depends on.
 	Runs []Run
-	// NumSets is how many sets of values there are, NumSkipped how many more were
-	// left out.
+	// NumSets is the number of sets of values, without the NumSkipped sets that skip_if
+	// excluded.
 	NumSets, NumSkipped int
-	// MaxUnfinished is how many runs may be unfinished at once.
+	// MaxUnfinished is the maximum number of runs that may be unfinished at the same time.
 	MaxUnfinished int
-	// Digest identifies the whole: it is the same only for the same runs in one order.
+	// Digest identifies the runs and their order: it differs if either does.
 	Digest string
 }
 
-// Describe says a run's values in words.
+// Describe formats a run's values with their parameters' names, for messages to users.
 func (x *Expansion) Describe(values []Value) string {
 	var b strings.Builder
 	b.WriteByte('{')
@@ -63,7 +63,8 @@
 	return b.String()
 }
 
-// Expand makes the runs of a sweep whose files were read.
+// Expand expands a sweep into its runs. The files that its parameters name must have been
+// replaced by values; see Resolve.
 func Expand(s *sweeppb.Sweep) (*Expansion, error) {
 	x, sets, err := newExpander(s)
 	if err != nil {
@@ -86,11 +87,11 @@
 	if err := x.sortByDependencies(); err != nil {
 		return nil, err
 	}
-	x.Digest = digestOf(x.Runs)
+	x.Digest = digestRuns(x.Runs)
 	return &x.Expansion, nil
 }
 
-func digestOf(runs []Run) string {
+func digestRuns(runs []Run) string {
 	var h hash.Hash = blake3.New()
 	for i := range runs {
 		h.Write(fmt.Appendf(nil, "%s %v\n", runs[i].ID, runs[i].Job))
@@ -98,26 +99,26 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// expander is an expansion under way.
+// expander is an expansion in progress.
 type expander struct {
 	Expansion
 
 	description *sweeppb.Sweep
 	skipIf      []*expr
 	fields      []fieldExpr
-	// runIndexes are the places of the runs by their ids.
+	// runIndexes maps the ids of runs to their indexes in Runs.
 	runIndexes map[string]int
-	// stepsLeft is what is left to all expressions together.
+	// stepsLeft is the number of execution steps left for all expressions together.
 	stepsLeft uint64
 }
 
-// fieldExpr is an expression for a field of the job.
+// fieldExpr is an expression that computes a field of the job.
 type fieldExpr struct {
 	field protoreflect.FieldDescriptor
 	expr  *expr
 }
 
-// newExpander checks a sweep, and returns its sets of values besides.
+// newExpander checks a sweep and returns an expander for it, with its sets of values.
 func newExpander(s *sweeppb.Sweep) (x *expander, sets [][]Value, err error) {
 	if !idPattern.MatchString(s.Id) {
 		return nil, nil, fmt.Errorf("id: %q is not 1 to 48 letters, digits, '.', '_' and '-'", s.Id)
@@ -186,12 +187,14 @@
 	return fields, nil
 }
 
-// runError says which run an error is of.
+// runError adds the run with the given values to an error.
 func (x *expander) runError(values []Value, err error) error {
 	return fmt.Errorf("run %s: %w", x.Describe(values), err)
 }
 
-// addSet adds the run with a set of values, unless it is left out.
+// addSet adds the run for a set of values, unless a condition skips it. A set that is
+// identical to an earlier one is merged into that run, or is an error if merging is not
+// enabled.
 func (x *expander) addSet(values []Value) error {
 	skipped, err := x.isSkipped(values)
 	if err != nil {
@@ -218,9 +221,9 @@
 	return nil
 }
 
-// isSkipped says whether a condition leaves a set of values out.
+// isSkipped reports whether a skip_if condition excludes a set of values.
 func (x *expander) isSkipped(values []Value) (bool, error) {
-	scope := scope{parameters: x.Parameters, values: values, runID: noRunID}
+	scope := scope{parameters: x.Parameters, values: values, runID: rejectRunCall}
 	for _, condition := range x.skipIf {
 		result, err := condition.eval(scope, &x.stepsLeft)
 		if err != nil {
@@ -237,12 +240,13 @@
 	return false, nil
 }
 
-// noRunID refuses to name runs before all of them are known.
-func noRunID(map[string]Value) (string, error) { return "", errors.New("run: not in skip_if") }
+// rejectRunCall is the scope.runID of skip_if conditions: they are evaluated before all
+// runs are known, so they cannot refer to runs.
+func rejectRunCall(map[string]Value) (string, error) { return "", errors.New("run: not in skip_if") }
 
-// buildJob makes a run's job of the template and the expressions.
+// buildJob creates a run's job from the template and the expressions.
 func (x *expander) buildJob(run *Run) (map[string]any, error) {
-	job := x.jobOfTemplate(run.ID)
+	job := x.templateJob(run.ID)
 	scope := scope{
 		parameters: x.Parameters,
 		values:     run.Values,
@@ -254,7 +258,7 @@
 			return nil, err
 		}
 		if value == nil {
-			continue // left out
+			continue // None leaves the field out
 		}
 		if value, err = convertTo(f.field, value); err != nil {
 			return nil, fmt.Errorf("%s: %w", f.expr.location, err)
@@ -264,9 +268,9 @@
 	return job, nil
 }
 
-// jobOfTemplate has what all runs have in common, and defaults for what a submission
-// must not leave out.
-func (x *expander) jobOfTemplate(id string) map[string]any {
+// templateJob returns the fields that all runs have in common, with defaults for fields that
+// a submission must not omit.
+func (x *expander) templateJob(id string) map[string]any {
 	job := map[string]any{
 		"name_id":     id,
 		"gpus":        0.0,
@@ -293,7 +297,8 @@
 	return job
 }
 
-// runID is the id of the run whose values are those named, and otherwise those of run.
+// runID returns the id of the run that has the named values, and for all other parameters
+// the values of run.
 func (x *expander) runID(run *Run, named map[string]Value) (string, error) {
 	values := make([]Value, len(x.Parameters))
 	for i, name := range x.Parameters {
@@ -314,7 +319,7 @@
 	return id, nil
 }
 
-// convertTo checks that a value is of a field's kind.
+// convertTo checks that a value has the type of a field, and converts integers to float64.
 func convertTo(field protoreflect.FieldDescriptor, value any) (any, error) {
 	switch {
 	case field.IsList():
--- a/internal/sweep/expr.go
+++ b/internal/sweep/expr.go
@@ -9,20 +9,21 @@
 	"go.starlark.net/syntax"
 )
 
-// Expressions are Starlark without whatever could run long or grow: no loops,
-// no functions of one's own, few methods, and products that are checked. So an
-// expression takes time by its length, and the bounds below are a second fence.
+// Expressions are written in a subset of Starlark that excludes everything that could run
+// long or use much memory: there are no loops and no user-defined functions, only a few
+// methods, and the size of products is checked. The run time of an expression therefore
+// depends on its length only, and the limits below are a second safeguard.
 const (
 	maxExprBytes   = 2000
 	maxSteps       = 20_000
 	maxTotalSteps  = 10_000_000 // steps of all expressions for all runs
-	maxProductSize = 64 << 10   // bytes or items that a product of text or list may have
+	maxProductSize = 64 << 10   // bytes or items of a repeated string or list
 )
 
-// Names in a compiled expression that nobody can write in one.
+// Names that only the compiler adds to expressions; users cannot use them.
 const (
-	resultName  = "__result"  // of the global with the value
-	productName = "__product" // of the function that evaluates products
+	resultName  = "__result"  // global variable that holds the value
+	productName = "__product" // function that evaluates products
 )
 
 var (
@@ -32,14 +33,15 @@
 	dialect = &syntax.FileOptions{}
 )
 
-// expr is an expression that was found to be harmless.
+// expr is a compiled expression that uses only the allowed subset of Starlark.
 type expr struct {
+	// location is the field of the sweep file with the expression, for messages.
 	location string
-	// program puts the value of the expression into the global named resultName.
+	// program stores the value of the expression in the global named resultName.
 	program *starlark.Program
 }
 
-// compile compiles an expression over the names of parameters.
+// compile compiles an expression that may use the parameters with the given names.
 func compile(location, text string, names []string) (*expr, error) {
 	program, err := compileProgram(location, text, names)
 	if err != nil {
@@ -56,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkHarmless(tree, names); err != nil {
+	if err := checkAllowed(tree, names); err != nil {
 		return nil, err
 	}
 	assignment := &syntax.AssignStmt{
@@ -70,29 +72,30 @@
 	})
 }
 
-// checkHarmless refuses an expression with anything but what is allowed.
-func checkHarmless(tree syntax.Expr, names []string) error {
+// checkAllowed returns an error if an expression uses anything outside the allowed subset
+// of Starlark.
+func checkAllowed(tree syntax.Expr, names []string) error {
 	c := &checker{names: names, notValues: map[*syntax.Ident]bool{}}
 	syntax.Walk(tree, c.visit)
 	return c.err
 }
 
-// checker looks for what an expression may not have.
+// checker searches an expression for constructs that are not allowed.
 type checker struct {
 	names []string
-	// notValues are the names of methods and of arguments.
+	// notValues are the identifiers that name methods or keyword arguments, not values.
 	notValues map[*syntax.Ident]bool
 	err       error
 }
 
-// refuse keeps the first thing that is not allowed.
+// refuse records an error for a construct that is not allowed, unless there is one already.
 func (c *checker) refuse(what string) {
 	if c.err == nil {
 		c.err = errors.New(what + " can't be used in an expression")
 	}
 }
 
-// visit checks a node, and says whether to go on with those below it.
+// visit checks a node and reports whether to visit its children.
 func (c *checker) visit(node syntax.Node) bool {
 	switch node := node.(type) {
 	case *syntax.Comprehension:
@@ -144,7 +147,7 @@
 	}
 }
 
-// guardProducts replaces every product by a call that checks its size.
+// guardProducts replaces every product by a call of checkedProduct, which checks its size.
 func guardProducts(x syntax.Expr) syntax.Expr {
 	switch node := x.(type) {
 	case *syntax.BinaryExpr:
@@ -193,7 +196,7 @@
 	}
 }
 
-// guardOptional guards the parts of an expression that are there.
+// guardOptional applies guardProducts to those parts of an expression that are present.
 func guardOptional(parts ...*syntax.Expr) {
 	for _, part := range parts {
 		if *part != nil {
@@ -202,7 +205,8 @@
 	}
 }
 
-// guardArguments guards arguments, of which the names of some are not expressions.
+// guardArguments applies guardProducts to the arguments of a call. The name of a keyword
+// argument is not an expression and stays as it is.
 func guardArguments(arguments []syntax.Expr) {
 	for i, argument := range arguments {
 		if named, ok := argument.(*syntax.BinaryExpr); ok && named.Op == syntax.EQ {
--- a/internal/sweep/files.go
+++ b/internal/sweep/files.go
@@ -16,8 +16,8 @@
 
 var errUnknownFileType = errors.New("neither .csv nor .jsonl")
 
-// Resolve replaces the files that parameters name by the values in them. read is called
-// with the names as they stand.
+// Resolve replaces the files that parameters name by the values in them. It calls read with
+// the names as written in the sweep.
 func Resolve(s *sweeppb.Sweep, read func(name string) ([]byte, error)) error {
 	for _, p := range s.Parameter {
 		if p.File == "" {
@@ -54,7 +54,8 @@
 	return err
 }
 
-// fromCSV reads a column; what looks like a number is one, and all else is text.
+// fromCSV reads a column of a CSV file whose first line has the names of the columns. A cell
+// that can be parsed as a number is a number; any other is a string.
 func fromCSV(content []byte, column string) ([]*sweeppb.Value, error) {
 	reader := csv.NewReader(bytes.NewReader(content))
 	head, err := reader.Read()
@@ -79,7 +80,7 @@
 	return nil, fmt.Errorf("more than %d lines", MaxRuns)
 }
 
-// fromJSONLines reads a field of each object.
+// fromJSONLines reads the same field of each object in a JSON Lines file.
 func fromJSONLines(content []byte, column string) ([]*sweeppb.Value, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
@@ -107,7 +108,7 @@
 	return nil, fmt.Errorf("more than %d objects", MaxRuns)
 }
 
-// parseScalar makes a number of a text that is one.
+// parseScalar parses text as a number, or returns it as a string value if it is not one.
 func parseScalar(text string) *sweeppb.Value {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return &sweeppb.Value{Is: &sweeppb.Value_Int{Int: n}}
--- a/internal/sweep/order.go
+++ b/internal/sweep/order.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// visit is how far the search for an order has come with a run.
+// visit is the state of a run in the depth-first search of sortByDependencies.
 type visit uint8
 
 const (
-	visitNone visit = iota
-	visitBegun
+	visitPending visit = iota
+	visitStarted
 	visitDone
 )
 
-// sortByDependencies brings the runs into an order in which each comes after those that
-// it depends on, and otherwise leaves them as they are.
+// sortByDependencies sorts the runs so that each comes after the runs that it depends on. It
+// keeps their order otherwise. A cycle of dependencies is an error.
 func (x *expander) sortByDependencies() error {
 	visits := make([]visit, len(x.Runs))
 	var sorted []Run
 	for first := range x.Runs {
-		stack := []int{first} // no recursion: a chain may have all runs
+		stack := []int{first} // not recursive: a chain of dependencies may include all runs
 		for len(stack) > 0 {
 			i := stack[len(stack)-1]
 			if visits[i] == visitDone {
@@ -29,7 +29,7 @@
 				return err
 			}
 			if len(unsorted) > 0 {
-				visits[i] = visitBegun
+				visits[i] = visitStarted
 				stack = append(stack, unsorted...)
 				continue
 			}
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// unsortedDependencies are the runs of the sweep on which run i depends and that are not
-// sorted yet. One of them that is begun depends on run i in turn.
+// unsortedDependencies returns the runs of the sweep that run i depends on and that are not
+// sorted yet. If the search has already started on one of them, that run depends on run i
+// too, and the cycle is an error.
 func (x *expander) unsortedDependencies(i int, visits []visit) ([]int, error) {
 	var unsorted []int
 	for _, id := range dependenciesOf(x.Runs[i].Job) {
@@ -51,7 +52,7 @@
 		if !own || visits[k] == visitDone {
 			continue
 		}
-		if visits[k] == visitBegun || k == i {
+		if visits[k] == visitStarted || k == i {
 			return nil, x.runError(x.Runs[i].Values, fmt.Errorf("awaits: it waits for itself, by way of %s", x.Describe(x.Runs[k].Values)))
 		}
 		unsorted = append(unsorted, k)
@@ -59,7 +60,7 @@
 	return unsorted, nil
 }
 
-// dependenciesOf are the jobs on which a job depends.
+// dependenciesOf returns the ids of the jobs that a job depends on.
 func dependenciesOf(job map[string]any) []string {
 	list, _ := job["awaits"].([]any)
 	ids := make([]string, 0, len(list))
--- a/internal/sweep/runid.go
+++ b/internal/sweep/runid.go
@@ -12,13 +12,13 @@
 	"github.com/zeebo/blake3"
 )
 
-// Prefix begins the ids of all runs; no other job may have one that does.
+// Prefix is the prefix of the ids of all runs. The id of another job must not begin with it.
 const Prefix = "sweep."
 
-// runHashBytes is how much of the hash of its values a run's id has.
+// runHashBytes is the number of bytes of the hash of its values in a run's id.
 const runHashBytes = 12
 
-// The kinds of hashed fields, which tell equal bytes of different types apart.
+// Kinds of hashed fields. They make equal bytes of different types hash differently.
 const (
 	hashedSweep = 's'
 	hashedName  = 'n'
@@ -28,8 +28,8 @@
 	hashedBool  = 'b'
 )
 
-// RunID is the id of the run of a sweep with a set of values. The order in which
-// parameters are declared does not matter.
+// RunID returns the id of the run of a sweep with a set of values. It does not depend on the
+// order in which the parameters are declared.
 func RunID(sweep string, names []string, values []Value) string {
 	h := blake3.New()
 	hashField(h, hashedSweep, []byte(sweep))
@@ -54,8 +54,8 @@
 	return Prefix + sweep + "." + hex.EncodeToString(h.Sum(nil)[:runHashBytes])
 }
 
-// hashField hashes a field with its kind and length, so that no two lists of fields are
-// the same bytes.
+// hashField hashes a field with its kind and length, so that different lists of fields never
+// give the same sequence of bytes.
 func hashField(h hash.Hash, kind byte, content []byte) {
 	var head [9]byte
 	head[0] = kind
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -1,6 +1,7 @@
-// Package sweep describes one job for many sets of values, and expands it. It
-// is pure: the same file gives the same runs in the same order on any machine,
-// so that a sweep is stored as its description and not as its runs.
+// Package sweep parses and expands sweeps. A sweep describes one job that is run with many
+// sets of parameter values. The package is pure: the same description expands to the same
+// runs in the same order on any machine, so a sweep is stored as its description instead of
+// its runs.
 package sweep
 
 import (
@@ -12,13 +13,13 @@
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
 
-// Bounds of a sweep.
+// Limits of a sweep.
 const (
-	// MaxRuns is how many runs a sweep may have.
+	// MaxRuns is the maximum number of runs of a sweep.
 	MaxRuns = 10_000
-	// MaxParameters is how many parameters it may have.
+	// MaxParameters is the maximum number of parameters of a sweep.
 	MaxParameters = 32
-	// MaxText is how many bytes a value may have that is a text.
+	// MaxText is the maximum length of a string value in bytes.
 	MaxText = 1024
 
 	maxSkips       = 32
@@ -31,10 +32,10 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]{0,63}$`)
 )
 
-// ValidID says whether an id can be a sweep's.
+// ValidID reports whether id is a valid sweep id.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Parse reads a sweep file.
+// Parse parses the text of a sweep file.
 func Parse(text []byte) (*sweeppb.Sweep, error) {
 	s := &sweeppb.Sweep{}
 	if err := prototext.Unmarshal(text, s); err != nil {
@@ -43,16 +44,16 @@
 	return s, nil
 }
 
-// Encode makes the description that is sent and stored.
+// Encode encodes a sweep as the text that is sent and stored.
 func Encode(s *sweeppb.Sweep) []byte {
 	b, err := prototext.Marshal(s)
 	if err != nil {
-		panic(err) // what was parsed encodes
+		panic(err) // cannot happen: a parsed message can be encoded
 	}
 	return b
 }
 
-// MaxUnfinished is how many runs may be unfinished at once.
+// MaxUnfinished returns the maximum number of runs that may be unfinished at the same time.
 func MaxUnfinished(s *sweeppb.Sweep) int {
 	if s.Pending == nil {
 		return defaultPending
--- a/internal/sweep/values.go
+++ b/internal/sweep/values.go
@@ -9,23 +9,23 @@
 	"github.com/zinclb/zinclb/internal/sweep/sweeppb"
 )
 
-// Value is a number, a text, or true or false: int64, float64, string or bool,
-// a number without a fraction being an int64 whatever way it was written.
+// Value is the value of a parameter: an int64, float64, string or bool. A number without a
+// fraction is an int64 no matter how it was written.
 type Value any
 
-// maxExactInteger is the bound below which a float64 has every whole number.
+// maxExactInteger is the bound below which a float64 represents every whole number exactly.
 const maxExactInteger = 1 << 53
 
-// canonical makes a Value; 1 and 1.0 are the same, "1" is a text, and what is
-// no number is refused.
-func canonical(v *sweeppb.Value) (Value, error) {
+// canonicalValue converts a value to a Value. 1 and 1.0 are the same number, "1" is a
+// string, and NaN and infinities are errors.
+func canonicalValue(v *sweeppb.Value) (Value, error) {
 	switch is := v.GetIs().(type) {
 	case *sweeppb.Value_Int:
 		return is.Int, nil
 	case *sweeppb.Value_Real:
 		return canonicalNumber(is.Real)
 	case *sweeppb.Value_Text:
-		return checkedText(is.Text)
+		return checkTextLength(is.Text)
 	case *sweeppb.Value_Flag:
 		return is.Flag, nil
 	}
@@ -42,14 +42,15 @@
 	return x, nil
 }
 
-func checkedText(text string) (Value, error) {
+func checkTextLength(text string) (Value, error) {
 	if len(text) > MaxText {
 		return nil, fmt.Errorf("a text of more than %d bytes", MaxText)
 	}
 	return text, nil
 }
 
-// valueSets lists all sets of values of a sweep, in the order of the parameters' names.
+// valueSets returns the names of the parameters and all sets of values of a sweep. The
+// values in each set are in the order of names.
 func valueSets(s *sweeppb.Sweep) (names []string, sets [][]Value, err error) {
 	if len(s.Row) > 0 {
 		return tableSets(s)
@@ -57,7 +58,7 @@
 	return parameterSets(s)
 }
 
-// addName adds a parameter's name, which expressions can use.
+// addName checks the name of a parameter, which expressions can use, and appends it.
 func addName(names []string, name string) ([]string, error) {
 	switch {
 	case !namePattern.MatchString(name):
@@ -105,7 +106,7 @@
 	return names, productSets(lists, total), nil
 }
 
-// zipSets has the first values of all lists together, the second ones, and so on.
+// zipSets combines the first values of all lists, the second values, and so on.
 func zipSets(lists [][]Value) [][]Value {
 	var sets [][]Value
 	for k := range lists[0] {
@@ -118,7 +119,7 @@
 	return sets
 }
 
-// productSets has each value with each of the others; the last list changes fastest.
+// productSets returns the Cartesian product of the lists. The last list varies fastest.
 func productSets(lists [][]Value, total int) [][]Value {
 	var sets [][]Value
 	for k := range total {
@@ -133,7 +134,7 @@
 	return sets
 }
 
-// tableSets has the values of the rows of a table.
+// tableSets returns a set of values for each row of the table.
 func tableSets(s *sweeppb.Sweep) (names []string, sets [][]Value, err error) {
 	if len(s.Parameter) > 0 {
 		return nil, nil, errors.New("row: there are parameters as well")
@@ -159,7 +160,7 @@
 	return names, sets, nil
 }
 
-// rowValues are a row's values in the order of names.
+// rowValues returns a row's values in the order of names.
 func rowValues(row *sweeppb.Row, names []string) ([]Value, error) {
 	set := make([]Value, len(names))
 	for _, cell := range row.Cell {
@@ -167,7 +168,7 @@
 		if i < 0 || set[i] != nil {
 			return nil, fmt.Errorf("cell %q is not in the first row, or there twice", cell.Name)
 		}
-		value, err := canonical(cell.Value)
+		value, err := canonicalValue(cell.Value)
 		if err != nil {
 			return nil, fmt.Errorf("cell %s: %w", cell.Name, err)
 		}
@@ -179,7 +180,7 @@
 	return set, nil
 }
 
-// parameterValues lists a parameter's values.
+// parameterValues returns the values of a parameter from its list or its range.
 func parameterValues(p *sweeppb.Parameter) ([]Value, error) {
 	if p.File != "" {
 		return nil, fmt.Errorf("file %s has not been read; zinclb sweep does that", p.File)
@@ -195,7 +196,7 @@
 	}
 	values := make([]Value, 0, len(p.Value))
 	for i, v := range p.Value {
-		value, err := canonical(v)
+		value, err := canonicalValue(v)
 		if err != nil {
 			return nil, fmt.Errorf("value %d: %w", i+1, err)
 		}
@@ -204,7 +205,8 @@
 	return values, nil
 }
 
-// rangeTolerance, a part of a step, lets a range reach its end in spite of rounding.
+// rangeTolerance is a fraction of a step. It makes a range include its end despite
+// rounding errors.
 const rangeTolerance = 1e-9
 
 func rangeValues(r *sweeppb.Range) ([]Value, error) {
@@ -218,7 +220,7 @@
 	}
 	var values []Value
 	for i := range int(steps) + 1 {
-		// Multiplied, not added up: no error accumulates.
+		// Multiplying instead of adding up avoids accumulated rounding errors.
 		value, err := canonicalNumber(r.From + float64(i)*step)
 		if err != nil {
 			return nil, err
