--- a/cmd/zinclb/main.go
+++ b/cmd/zinclb/main.go
@@ -1,5 +1,5 @@
-// Command zinclb is a cluster scheduler: with --config it runs a controller,
-// and its subcommands check settings and speak to a running one.
+// Command zinclb is a cluster scheduler. With --config it runs a controller. Its subcommands
+// check settings and send requests to a running controller.
 package main
 
 import (
@@ -36,7 +36,7 @@
 				return err
 			}
 			setupLogging(platform.Name)
-			// A controller serves until it is killed: the context never ends.
+			// A controller serves until it is killed, so the context is never cancelled.
 			return node.New(platform, operators).Run(context.Background())
 		},
 	}
@@ -54,10 +54,11 @@
 	return cmd
 }
 
-// errNoConfig says that a controller was started without its settings.
+// errNoConfig is the error for a controller that is started without settings.
 var errNoConfig = errors.New("--config is missing; it names the platform's settings file")
 
-// loadSettings reads the platform's file and, if there is a path, the operators'.
+// loadSettings reads the platform's settings, which are required, and the operators', whose
+// path may be empty.
 func loadSettings(path, operatorsPath string) (*config.Platform, config.Operators, error) {
 	if path == "" {
 		return nil, config.Operators{}, errNoConfig
@@ -70,8 +71,8 @@
 	return platform, operators, err
 }
 
-// setupLogging makes the log of the process one of a controller, as the environment
-// says.
+// setupLogging sets up the default logger: it adds the controller's name to each line, and
+// takes the level and the format from the environment variables LOG_LEVEL and LOG_FORMAT.
 func setupLogging(controller string) {
 	options := &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}
 	var handler slog.Handler = slog.NewTextHandler(os.Stderr, options)
@@ -81,7 +82,7 @@
 	slog.SetDefault(slog.New(handler).With("controller", controller))
 }
 
-// logLevel is the least level that is logged; info for a name that is not known.
+// logLevel returns the lowest level that is logged, which is info for an unknown name.
 func logLevel(name string) slog.Level {
 	switch name {
 	case "error":
--- a/cmd/zinclb/recorded_test.go
+++ b/cmd/zinclb/recorded_test.go
@@ -6,7 +6,7 @@
 	"github.com/zinclb/zinclb/internal/golden"
 )
 
-// TestRecorded compares the names of commands and flags with their recorded form.
+// TestRecorded compares the names of all commands and flags with a golden file.
 func TestRecorded(t *testing.T) {
 	golden.Compare(t, "testdata/commands.txt", golden.Commands(rootCommand()))
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,8 +11,8 @@
 	maxSetting = 1e9
 	minTxnOps  = 4
 	minSockets = 32
-	// cancelMarginFactor and minCancelRest are what cancel_s has beyond lease_s: a share of
-	// it, and seconds.
+	// cancel_s must be greater than lease_s times cancelMarginFactor, plus
+	// cancelMarginSeconds.
 	cancelMarginFactor  = 1.01
 	cancelMarginSeconds = 2
 )
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -16,8 +16,8 @@
 
 // Modes of created testdata directories and golden files.
 const (
-	dirMode = 0o755
-	fileMode      = 0o600
+	dirMode  = 0o755
+	fileMode = 0o600
 )
 
 // Compare reports each line in which a text differs from a golden file as a test error. The
@@ -48,7 +48,7 @@
 	}
 }
 
-// lineAt is a lineAt of a text, or says that the text has none there.
+// lineAt returns line i, or "(no line)" if there are fewer lines.
 func lineAt(lines []string, i int) string {
 	if i >= len(lines) {
 		return "(no line)"
