--- a/cmd/zinclb-experiment/main.go
+++ b/cmd/zinclb-experiment/main.go
@@ -65,7 +65,7 @@
 		Short: "Runs one cell in fake time and prints its result",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return json.NewEncoder(os.Stdout).Encode(experiment.RunHere(r, "", config.Defaults()))
+			return json.NewEncoder(os.Stdout).Encode(experiment.RunInProcess(r, "", config.Defaults()))
 		},
 	}
 	r.Version, r.Mode = experiment.Head, "fake"
@@ -124,7 +124,7 @@
 			if m.mode == "fake" && c.Version != experiment.Head {
 				results[i] = experiment.RunProgram(c, programs[c.Version])
 			} else {
-				results[i] = experiment.RunHere(c, programs[c.Version], ops)
+				results[i] = experiment.RunInProcess(c, programs[c.Version], ops)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -9,16 +9,17 @@
 	"sync"
 )
 
-// Key is what is counted: a kind of message of a host.
+// Key identifies a count: a host and a kind of message.
 type Key struct{ Host, Kind string }
 
-// Count is how much there was of something. Bytes are as seen by the host.
+// Count has the numbers of messages, refused messages, changes and bytes. BytesIn and BytesOut
+// are as seen by the host.
 type Count struct {
 	Messages, Refused, Changes int64
 	BytesIn, BytesOut          int64
 }
 
-// Add adds another count.
+// Add adds o to c.
 func (c *Count) Add(o Count) {
 	c.Messages += o.Messages
 	c.Refused += o.Refused
@@ -27,7 +28,7 @@
 	c.BytesOut += o.BytesOut
 }
 
-// Sub is what came since an earlier count.
+// Sub returns the difference between c and o, an earlier count.
 func (c Count) Sub(o Count) Count {
 	return Count{c.Messages - o.Messages, c.Refused - o.Refused, c.Changes - o.Changes, c.BytesIn - o.BytesIn, c.BytesOut - o.BytesOut}
 }
@@ -38,16 +39,16 @@
 	Count
 }
 
-// Meter counts. A nil Meter counts nothing.
+// Meter counts messages and bytes. It is safe for concurrent use. A nil Meter counts nothing.
 type Meter struct {
 	mu     sync.Mutex
 	counts map[Key]*Count
 }
 
-// New makes a meter that has counted nothing.
+// New returns a meter without counts.
 func New() *Meter { return &Meter{counts: map[Key]*Count{}} }
 
-// Add counts something.
+// Add adds c to the count of k.
 func (m *Meter) Add(k Key, c Count) {
 	if m == nil {
 		return
@@ -60,7 +61,7 @@
 	m.counts[k].Add(c)
 }
 
-// Rows are all counts, in the order of their keys.
+// Rows returns all counts, sorted by host and kind.
 func (m *Meter) Rows() []Row {
 	if m == nil {
 		return nil
@@ -77,8 +78,8 @@
 	return rows
 }
 
-// Conn counts the bytes of a connection: near is the host on this side of it, far
-// the one on the other. Either may be the zero Key.
+// Conn returns a connection that counts the bytes of c. near is the key of the local host, far
+// that of the remote host. Nothing is counted for a zero Key.
 func (m *Meter) Conn(c net.Conn, near, far Key) net.Conn {
 	if m == nil {
 		return c
@@ -101,22 +102,22 @@
 	}
 }
 
-// Read counts what came in.
+// Read reads from the connection and counts the bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count(n, 0)
 	return n, err
 }
 
-// Write counts what went out.
+// Write writes to the connection and counts the bytes.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count(0, n)
 	return n, err
 }
 
-// Listener counts the bytes of all connections that it accepts, for the host on
-// their other side.
+// Listener returns a listener that counts the bytes of all connections that it accepts, for far,
+// the key of the remote host.
 func (m *Meter) Listener(l net.Listener, far Key) net.Listener {
 	if m == nil || far == (Key{}) {
 		return l
@@ -130,7 +131,7 @@
 	far   Key
 }
 
-// Accept accepts a connection whose bytes are counted.
+// Accept accepts a connection and returns it with its bytes counted.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -9,18 +9,18 @@
 	"github.com/zinclb/zinclb/internal/emulator/sockets"
 )
 
-// Figures are what a run has shown.
+// Figures are the measurements of a run.
 type Figures struct {
 	Plan Plan `json:"plan"`
-	// Sources name what was measured: the commit, and more if there is more to say.
+	// Sources identifies what was measured: the commit, and further details if needed.
 	Sources string `json:"sources"`
 	Cores   int    `json:"cores"`
-	// MachineLimited says why the machine and not the service was the limit; then nothing
-	// else here is a figure.
+	// MachineLimited says why the machine rather than the service limited the run. If it is
+	// set, the other values are not valid measurements.
 	MachineLimited string `json:"limited,omitempty"`
-	// Windows are parts of the run by name.
+	// Windows are the measured parts of the run by name.
 	Windows map[string]Window `json:"windows"`
-	// TimerLateness is how late the timers of the workers and of the emulator ran.
+	// TimerLateness is the lateness of the timers of the workers and the emulator.
 	TimerLateness Latency    `json:"late_ms"`
 	Urgent        Starts     `json:"urgent"`
 	Gangs         Starts     `json:"gangs"`
@@ -32,7 +32,7 @@
 	PeakMemoryMB  float64    `json:"peak_memory_mb"`
 }
 
-// Latency is a distribution.
+// Latency summarizes a distribution. The unit depends on where it is used.
 type Latency struct {
 	Median float64 `json:"p50"`
 	P95    float64 `json:"p95"`
@@ -41,40 +41,42 @@
 	Count  int     `json:"count"`
 }
 
-// Starts is how long jobs of a class waited, in seconds, and the share that began
-// within its aim.
+// Starts is the distribution of the waiting times of a class's jobs, in seconds, and the
+// share of jobs that started within Within seconds, the target of the class.
 type Starts struct {
 	Latency
 	Within float64 `json:"within"`
 	Share  float64 `json:"share"`
 }
 
-// Failover is how long it took after a leader was lost until workers had an answer
-// of the next one, in seconds.
+// Failover is the distribution of the time between the loss of a leader and the first
+// response that a worker received from the next leader, in seconds.
 type Failover struct {
 	Latency
 	Workers int `json:"workers"`
 }
 
-// The windows.
+// Names of the windows of a run.
 const (
 	WindowPeak   = "peak"
 	WindowSteady = "steady"
 )
 
-// Window is what happened in a part of the run. All rates are a second.
+// Window has the measurements of a part of the run. All rates are per second.
 type Window struct {
 	Seconds float64 `json:"seconds"`
 	Starts  float64 `json:"starts"`
-	// Running is how many tasks ran at the end.
+	// Running is the number of tasks that were running at the end of the window.
 	Running int             `json:"running"`
 	Workers int             `json:"workers"`
 	Roles   map[string]Role `json:"roles"`
-	// WorkerBytes are bytes a second of workers in shared processes, both ways.
+	// WorkerBytes is the distribution of the bytes per second, in both directions together,
+	// of the workers in shared processes.
 	WorkerBytes Latency `json:"worker_bytes"`
 }
 
-// The roles.
+// Names of the roles. RoleSharedWorkers are workers that share a process, RoleDedicated are
+// workers that have a process of their own.
 const (
 	RoleLeader        = "leader"
 	RoleStandBy       = "stand-by"
@@ -86,18 +88,19 @@
 	RoleEmulator      = "emulator"
 )
 
-// Role is what one process of a role, or one worker, used in a window.
+// Role is the resource usage and traffic of one process of a role, or of one worker, in a
+// window.
 type Role struct {
 	Count int `json:"count"`
-	// CPU is the share of a core, Memory and Peak are MB.
+	// CPU is the share of a core, Memory and Peak are in MB.
 	CPU    float64 `json:"cpu"`
 	Memory float64 `json:"memory_mb"`
 	Peak   float64 `json:"peak_mb"`
-	// Kinds are messages by kind.
+	// Kinds are the message rates by kind of message.
 	Kinds map[string]Rate `json:"kinds,omitempty"`
 }
 
-// Rate is how much there was of a kind of message a second.
+// Rate is the rate of a kind of message, per second.
 type Rate struct {
 	Messages float64 `json:"messages"`
 	Refused  float64 `json:"refused,omitempty"`
@@ -114,7 +117,7 @@
 	r.BytesOut += float64(c.BytesOut) / seconds
 }
 
-// summarize is the distribution of some values.
+// summarize returns the distribution of values, which it sorts in place.
 func summarize(values []float64) Latency {
 	if len(values) == 0 {
 		return Latency{}
@@ -129,7 +132,7 @@
 	}
 }
 
-// measurement is what had been counted and used at a moment.
+// measurement has the message counts and the resource usage up to a point in time.
 type measurement struct {
 	at     int64
 	leader string
@@ -137,8 +140,8 @@
 	counts map[meter.Key]meter.Count
 }
 
-// window is what happened between two measurements. dedicated are the machines whose workers
-// have processes of their own.
+// window computes the window between two measurements. dedicated has the machines whose
+// workers have processes of their own.
 func window(from, to measurement, controllers []string, dedicated map[string]bool) Window {
 	w := Window{Seconds: float64(to.at-from.at) / 1e6, Roles: map[string]Role{}}
 	d := difference{from: from, to: to, seconds: w.Seconds, byHost: map[string]map[string]Rate{}}
@@ -160,14 +163,15 @@
 	return w
 }
 
-// difference is what was counted and used between two measurements.
+// difference has the message rates and the resource usage between two measurements.
 type difference struct {
 	from, to measurement
 	seconds  float64
 	byHost   map[string]map[string]Rate // rates by kind of message
 }
 
-// process is what a process used; false if it was not there all the time.
+// process returns the resource usage of a process, and false if the process is missing from
+// one of the two measurements.
 func (d *difference) process(name string) (Role, bool) {
 	before, ok := d.from.usage[name]
 	after, ok2 := d.to.usage[name]
@@ -180,7 +184,8 @@
 	}, ok && ok2
 }
 
-// addControllers adds the leader's role and those of the stand-by controllers.
+// addControllers adds the roles of the leader, of the average stand-by controller and of the
+// stand-by controller with the highest CPU usage.
 func (d *difference) addControllers(w *Window, controllers []string) {
 	var standBys []Role
 	for _, name := range controllers {
@@ -201,7 +206,8 @@
 	}
 }
 
-// addWorkers adds the roles of the workers, and what those in shared processes sent and got.
+// addWorkers adds the roles of the workers, and the bytes sent and received by those in shared
+// processes.
 func (d *difference) addWorkers(w *Window, controllers []string, dedicated map[string]bool) {
 	var shared, single []Role
 	var bytes []float64
@@ -230,7 +236,8 @@
 	}
 }
 
-// mean is the average of several processes, or workers, of a role.
+// mean returns the average of several processes, or workers, of a role. Peak is the maximum
+// rather than the average.
 func mean(l []Role) Role {
 	out := Role{Count: len(l), Kinds: map[string]Rate{}}
 	n := float64(len(l))
@@ -251,7 +258,8 @@
 	return out
 }
 
-// serviceRole is what a service got of all controllers, of the kinds with a prefix.
+// serviceRole sums the traffic of all controllers with a service, over the kinds of message
+// that begin with prefix. Bytes are counted as seen by the service.
 func serviceRole(byHost map[string]map[string]Rate, controllers []string, prefix string) Role {
 	out := Role{Count: 1, Kinds: map[string]Rate{}}
 	for _, name := range controllers {
@@ -271,58 +279,59 @@
 	return out
 }
 
-// startWaits are how long jobs of a class waited from their first submission until all
-// their tasks had begun, in seconds. Cancelled jobs and those that came within the
-// aim before the end are left out; one that has not begun by then waited until it.
-func startWaits(events []history.Event, terms history.Expectations, class string, within float64) Starts {
-	type course struct {
+// startWaits returns how long the jobs of a class waited from their first submission until all
+// their tasks had started, in seconds. It leaves out cancelled jobs and jobs that were submitted
+// less than within seconds before the end of the run. A job that has not fully started by the
+// end counts as having waited until then, and as late.
+func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
+	type jobStarts struct {
 		first, last int64
-		begun       map[int]bool
+		started     map[int]bool
 		cancelled   bool
 	}
-	jobs := map[string]*course{}
+	jobs := map[string]*jobStarts{}
 	end := int64(0)
 	for _, e := range events {
 		end = max(end, e.At)
-		spec := terms.Jobs[e.Job]
+		spec := expectations.Jobs[e.Job]
 		if spec == nil || spec.Class != class {
 			continue
 		}
 		j := jobs[e.Job]
 		if j == nil {
-			j = &course{first: e.At, begun: map[int]bool{}}
+			j = &jobStarts{first: e.At, started: map[int]bool{}}
 			jobs[e.Job] = j
 		}
 		switch {
 		case e.Kind == history.RequestSent && e.Op == history.Cancel:
 			j.cancelled = true
-		case e.Kind == history.TaskStarted && !j.begun[e.Task]:
-			j.begun[e.Task] = true
+		case e.Kind == history.TaskStarted && !j.started[e.Task]:
+			j.started[e.Task] = true
 			j.last = e.At
 		}
 	}
 	var values []float64
-	good := 0
+	inTime := 0
 	for id, j := range jobs {
 		if j.cancelled || j.first+int64(within*1e6) > end {
 			continue
 		}
-		if len(j.begun) < terms.Jobs[id].Tasks {
+		if len(j.started) < expectations.Jobs[id].Tasks {
 			j.last = end
 		} else if float64(j.last-j.first)/1e6 <= within {
-			good++
+			inTime++
 		}
 		values = append(values, float64(j.last-j.first)/1e6)
 	}
 	s := Starts{Latency: summarize(values), Within: within}
 	if len(values) > 0 {
-		s.Share = float64(good) / float64(len(values))
+		s.Share = float64(inTime) / float64(len(values))
 	}
 	return s
 }
 
-// requestLatencies are how long users' requests of a kind took, in ms; those without an
-// answer are left out.
+// requestLatencies returns the latencies of users' requests of a kind, in ms. It leaves out
+// requests without a response.
 func requestLatencies(events []history.Event, op string) Latency {
 	sent := map[uint64]int64{}
 	var values []float64
@@ -340,9 +349,9 @@
 	return summarize(values)
 }
 
-// rates are how many tasks entered a machine a second in a part of the run, and how
-// many were on one at its end.
-func rates(events []history.Event, from, to int64) (starts float64, running int) {
+// startRate returns how many tasks per second were placed on a machine between from and to,
+// and how many tasks were on a machine at the end of that time.
+func startRate(events []history.Event, from, to int64) (starts float64, running int) {
 	n := 0
 	for _, e := range events {
 		if e.At >= to {
--- a/internal/emulator/scale/report.go
+++ b/internal/emulator/scale/report.go
@@ -14,7 +14,7 @@
 // roleOrder is the order in which roles are printed.
 var roleOrder = []string{RoleLeader, RoleStandBy, RoleBusiest, RoleState, RoleCloud, RoleSharedWorkers, RoleDedicated, RoleEmulator}
 
-// Total is what a role has of all kinds of messages with a prefix.
+// Total sums the rates of all kinds of message that begin with prefix and are longer.
 func (r Role) Total(prefix string) (sum Rate) {
 	for kind, x := range r.Kinds {
 		if len(kind) <= len(prefix) || kind[:len(prefix)] != prefix {
@@ -29,7 +29,7 @@
 	return sum
 }
 
-// Write prints the figures for a person.
+// Write prints the figures as human-readable text.
 func (f *Figures) Write(out io.Writer) error {
 	p := func(format string, a ...any) { _, _ = fmt.Fprintf(out, format, a...) }
 	p("\n%d workers, %d controllers, %d zones in %d regions, %d teams, seed %d (emulated machines, %d cores)\n", f.Plan.Workers, f.Plan.Controllers, f.Plan.Zones, f.Plan.Regions, f.Plan.Teams, f.Plan.Seed, f.Cores)
--- a/internal/emulator/scale/requirements.go
+++ b/internal/emulator/scale/requirements.go
@@ -6,14 +6,14 @@
 	"github.com/prometheus/procfs"
 )
 
-// What a run takes of the machine, at most: a share of its memory, and processes.
+// The limits of a run: a share of the machine's memory, and a number of processes.
 const (
 	memoryShare  = 0.5
 	maxProcesses = 300
 )
 
-// What parts of a run hold at most, in MB, by themselves and for each worker: a run
-// of 3,200 workers held 55% of what this reckons.
+// Upper estimates of the memory of the parts of a run, in MB: a fixed amount and an amount for
+// each worker. A run of 3,200 workers used 55% of this estimate.
 const (
 	emulatorMB               = 100
 	emulatorMBPerWorker      = 0.15
@@ -23,13 +23,13 @@
 	workerProcessMBPerWorker = 0.15
 )
 
-// Requirements is what a run takes.
+// Requirements are the resources that a run needs.
 type Requirements struct {
 	Processes int
 	MemoryMB  float64
 }
 
-// Requirements reckons what the run will take.
+// Requirements estimates the resources that the run will need.
 func (p *Plan) Requirements() Requirements {
 	workers := float64(p.Workers)
 	return Requirements{
@@ -39,13 +39,13 @@
 	}
 }
 
-// Limits are what may be taken of this machine.
+// Limits are the resources of this machine that a run may use.
 type Limits struct {
 	Processes int
 	MemoryMB  float64
 }
 
-// MachineLimits reads the machine's memory.
+// MachineLimits returns the limits, computed from the machine's memory.
 func MachineLimits() (Limits, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return Limits{Processes: maxProcesses, MemoryMB: memoryShare * float64(*m.MemTotal) / 1024}, nil
 }
 
-// Fits refuses what would take too much, and says which limit.
+// Fits returns an error that names the exceeded limit if the requirements exceed l.
 func (n Requirements) Fits(l Limits) error {
 	if n.Processes > l.Processes {
 		return fmt.Errorf("controllers, zones, alone: the run needs %d processes, and %d are allowed", n.Processes, l.Processes)
--- a/internal/emulator/scale/sample.go
+++ b/internal/emulator/scale/sample.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/procfs"
 )
 
-// usage is what a process has used: processor time since its start, in seconds,
-// and memory in MB, now and at its peak.
+// usage is the resource usage of a process: CPU time since its start, in seconds, and
+// memory in MB, current and peak.
 type usage struct {
 	cpu, memory, peak float64
 }
 
 const bytesPerMB = 1 << 20
 
-// processUsage reads a process's usage.
+// processUsage reads the usage of a process.
 func processUsage(fs procfs.FS, pid int) (usage, error) {
 	proc, err := fs.Proc(pid)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return usage{cpu: stat.CPUTime(), memory: float64(status.VmRSS) / bytesPerMB, peak: float64(status.VmHWM) / bytesPerMB}, nil
 }
 
-// usages reads those of all processes of a run by name; those that have just ended
-// are left out.
+// usages reads the usage of all processes of a run, by name. It leaves out processes that
+// have no process ID or have just ended.
 func usages(fs procfs.FS, pids map[string]int) map[string]usage {
 	out := map[string]usage{}
 	for name, pid := range pids {
@@ -47,8 +47,8 @@
 	return out
 }
 
-// emulatorProcess is the name of the emulator's own process among the others.
+// emulatorProcess is the name of the emulator's own process in the usage by process name.
 const emulatorProcess = "emulator"
 
-// ownPID is this process's number.
+// ownPID returns the process ID of this process.
 func ownPID() int { return os.Getpid() }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -33,9 +33,9 @@
 	Dir      string
 }
 
-// RunHere runs a cell in this process: in fake time with the cores of this
+// RunInProcess runs a cell in this process: in fake time with the cores of this
 // program, on sockets with a controller's program.
-func RunHere(r Run, binary string, ops config.Operators) Result {
+func RunInProcess(r Run, binary string, ops config.Operators) Result {
 	out := Result{Seed: r.Seed, Version: r.Version, Mode: r.Mode, Violations: []string{}}
 	s, err := scenario.Load(r.Scenario, r.Seed)
 	if err != nil {
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -1,4 +1,4 @@
-// Package jsonlines writes lists of values as JSON, one a line.
+// Package jsonlines writes lists of values as JSON lines, one value per line.
 package jsonlines
 
 import (
@@ -8,10 +8,10 @@
 	"os"
 )
 
-// fileMode is that of a file that is written anew.
+// fileMode is the mode of newly created files.
 const fileMode = 0o600
 
-// Write writes a list.
+// Write writes each value of the list as a line of JSON.
 func Write[T any](w io.Writer, list []T) error {
 	encoder := json.NewEncoder(w)
 	for _, value := range list {
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// WriteFile writes a list to a file. If a value can't be encoded the file stays as it is.
+// WriteFile writes the list to a file, replacing its content. If a value cannot be encoded, the
+// file stays unchanged.
 func WriteFile[T any](path string, list []T) error {
 	var lines bytes.Buffer
 	if err := Write(&lines, list); err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load submits jobs in an open loop, at their intended times whatever becomes of those
-// before, and measures how long that took. Latencies are counted from the intended time, so
-// that a service that hangs shows in all submissions that were due meanwhile.
+// Package load submits jobs in an open loop: at their intended times, regardless of the state of
+// earlier submissions. It measures latencies from the intended time, so that a stall of the
+// service shows in all submissions that were due meanwhile.
 package load
 
 import (
@@ -18,28 +18,29 @@
 	"github.com/zinclb/zinclb/internal/emulator/wire"
 )
 
-// Entry is a submission of a trace; At is microseconds from the beginning.
+// Entry is a submission of a trace. At is its intended time in microseconds since the start of
+// the run.
 type Entry struct {
 	At  int64    `json:"at_us"`
 	Job wire.Job `json:"job"`
 }
 
-// The timeouts and intervals of users, as in the protocol.
+// The timeouts and intervals of users, as the protocol defines them.
 const (
 	submitTimeout    = 5 * time.Second
 	submitDeadline   = 60 * time.Second
 	pollInterval     = 5 * time.Second
 	maxRetryDelay    = 30 * time.Second
-	maxTrackedMicros = 600_000_000 // microseconds, of a histogram
+	maxTrackedMicros = 600_000_000 // upper bound of the histograms, in microseconds
 )
 
-// Options bound a run.
+// Options configure a run.
 type Options struct {
 	Addr string
-	// MaxInFlight is how many submissions may be under way; one that would be more
-	// is not sent and counted as throttled.
+	// MaxInFlight is the maximum number of submissions in flight. A submission beyond it is
+	// not sent, and counted as throttled.
 	MaxInFlight int
-	// Follow: jobs are polled until they are over, or Duration is.
+	// Follow makes the run poll accepted jobs until they have ended, or Duration is over.
 	Follow   bool
 	Duration time.Duration
 	// Progress, if set, is called every ten seconds.
@@ -49,11 +50,12 @@
 // Totals are the results of a run.
 type Totals struct {
 	Sent, Accepted, Refused, GivenUp, Throttled, Done, Cancelled, Retries int
-	// Accept and Complete are in microseconds from the intended time.
+	// Accept and Complete are the latencies until a job was accepted and until it was done,
+	// in microseconds from the intended time.
 	Accept, Complete *hdrhistogram.Histogram
 }
 
-// runner is a run; mu guards the totals.
+// runner is a run in progress. mu guards totals.
 type runner struct {
 	Options
 	client *http.Client
@@ -63,7 +65,7 @@
 	stop   chan struct{}
 }
 
-// Run submits a trace, in the order of its times.
+// Run submits a trace, which has to be sorted by time, and returns the results.
 func Run(trace []Entry, o Options) Totals {
 	r := &runner{
 		Options: o, start: time.Now(), stop: make(chan struct{}),
@@ -118,7 +120,8 @@
 	f(&r.totals)
 }
 
-// sleep waits; false if the run is over.
+// sleep waits for d and reports whether the run is still going on; it returns early when the run
+// ends.
 func (r *runner) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -130,12 +133,14 @@
 	}
 }
 
-// delayOf is how long after its intended time an entry is.
-func (r *runner) delayOf(e Entry) int64 {
+// latencyOf returns the time since the intended time of an entry, in microseconds, limited to the
+// range of the histograms.
+func (r *runner) latencyOf(e Entry) int64 {
 	return min(max(time.Since(r.start).Microseconds()-e.At, 1), maxTrackedMicros)
 }
 
-// submit tries for a minute; whether it was accepted.
+// submit submits an entry, with retries for up to submitDeadline, and reports whether it was
+// accepted.
 func (r *runner) submit(e Entry) bool {
 	body, err := json.Marshal(&e.Job)
 	if err != nil {
@@ -148,7 +153,7 @@
 		case 200, 201:
 			r.update(func(t *Totals) {
 				t.Accepted++
-				_ = t.Accept.RecordValue(r.delayOf(e)) // it is within bounds
+				_ = t.Accept.RecordValue(r.latencyOf(e)) // within the range of the histogram
 			})
 			return true
 		case 400, 422:
@@ -163,7 +168,8 @@
 	}
 }
 
-// post sends a submission; 0 is no answer. The time is when to try again.
+// post sends a submission. It returns the status code, 0 if there was no response, and the delay
+// before a retry.
 func (r *runner) post(body []byte) (int, time.Duration) {
 	resp, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -175,7 +181,7 @@
 	return resp.StatusCode, min(max(time.Second, time.Duration(after)*time.Second), maxRetryDelay)
 }
 
-// follow asks about a job until it is over.
+// follow polls a job until it has ended.
 func (r *runner) follow(e Entry) {
 	for r.sleep(pollInterval) {
 		resp, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
@@ -194,18 +200,18 @@
 				return
 			}
 			t.Done++
-			_ = t.Complete.RecordValue(r.delayOf(e)) // it is within bounds
+			_ = t.Complete.RecordValue(r.latencyOf(e)) // within the range of the histogram
 		})
 		return
 	}
 }
 
-// String is one line.
+// String formats the totals as one line, without the latencies.
 func (t Totals) String() string {
 	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.GivenUp, t.Throttled, t.Retries, t.Done, t.Cancelled)
 }
 
-// Quantiles describes a histogram in milliseconds.
+// Quantiles formats the quantiles of a histogram of microseconds, in milliseconds.
 func Quantiles(h *hdrhistogram.Histogram) string {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return fmt.Sprintf("p50 %.1f ms, p95 %.1f ms, p99 %.1f ms, max %.1f ms", ms(50), ms(95), ms(99), float64(h.Max())/1000)
