--- a/internal/core/connectivity/links.go
+++ b/internal/core/connectivity/links.go
@@ -113,8 +113,8 @@
 	l.stored[name] = *advertisement
 }
 
-// Restart discards the stored advertisements, before they are read again.
-func (l *Links) Restart() { clear(l.stored) }
+// ClearStored discards the stored advertisements, before they are read again.
+func (l *Links) ClearStored() { clear(l.stored) }
 
 // StateListed records that SetStored was called for all stored advertisements. If that of this
 // controller is not among them, it disappeared with its lease, and its removal will not be read.
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -61,7 +61,7 @@
 
 // reset discards what was read about members and features, before the state is listed again.
 func (m *membership) reset() {
-	m.activation.Restart()
+	m.activation.ClearStored()
 	m.featuresRevision, m.decommissionedRevisions = 0, map[string]uint64{}
 }
 
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -56,7 +56,7 @@
 // reset discards what was read about links, before the state is listed again.
 func (p *peerMonitor) reset() {
 	p.connectivityRevisions = map[string]uint64{}
-	p.connectivity.Restart()
+	p.connectivity.ClearStored()
 }
 
 // pingDue reports whether the next regular round of pings is due, and if so records that it
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -126,8 +126,8 @@
 	startRevision uint64
 }
 
-// Restart empties the log, which then contains the changes after the revision from.
-func (l *ChangeLog) Restart(from uint64) { *l = ChangeLog{startRevision: from} }
+// Reset empties the log, which then contains the changes after the revision from.
+func (l *ChangeLog) Reset(from uint64) { *l = ChangeLog{startRevision: from} }
 
 // Append adds a change, which must be newer than all others or belong to the newest
 // transaction.
--- a/internal/core/statecache.go
+++ b/internal/core/statecache.go
@@ -151,7 +151,7 @@
 	s.reset()
 	starting := s.appliedRevision == 0
 	s.appliedRevision = m.Revision
-	s.reader.recentChanges.Restart(m.Revision)
+	s.reader.recentChanges.Reset(m.Revision)
 	for _, change := range m.Changes {
 		s.apply(change)
 	}
--- a/internal/core/upgrade/activation.go
+++ b/internal/core/upgrade/activation.go
@@ -69,9 +69,9 @@
 	return a
 }
 
-// Restart discards the stored state of the controllers, before it is read again. Their answers
+// ClearStored discards the stored state of the controllers, before it is read again. Their answers
 // to pings are kept.
-func (a *Activation) Restart() {
+func (a *Activation) ClearStored() {
 	for _, m := range a.members {
 		m.advertisement, m.revision, m.seenAt, m.decommissioned = Advertisement{}, 0, 0, false
 	}
--- a/internal/emulator/faketime/messages.go
+++ b/internal/emulator/faketime/messages.go
@@ -101,10 +101,10 @@
 	case core.ForwardedSweep:
 		return forwardedSweepMessage(q)
 	}
-	if peer.Numbered(request, 0) == nil {
+	if peer.WithRequestID(request, 0) == nil {
 		return nil, &core.Reply{Status: http.StatusNotFound}
 	}
-	return func(id uint64) any { return peer.Numbered(request, id) }, nil
+	return func(id uint64) any { return peer.WithRequestID(request, id) }, nil
 }
 
 // forwardedSweepMessage is toCoreMessage for a sweep that another controller forwards.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -67,7 +67,7 @@
 	if _, ok := request.(core.CloudCallRequested); ok {
 		timeout = cloudViaPeerTimeout
 	}
-	build := func(requestID uint64) any { return peer.Numbered(request, requestID) }
+	build := func(requestID uint64) any { return peer.WithRequestID(request, requestID) }
 	return n.requestAndWait(build, timeout)
 }
 
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -2,10 +2,10 @@
 
 import "github.com/zinclb/zinclb/internal/core"
 
-// Numbered returns a forwarded request as a message to the core, with the given request
+// WithRequestID returns a forwarded request as a message to the core, with the given request
 // ID, which the reply will have too. It returns nil for any other type, also for a
 // core.ForwardedSweep, which has to be expanded first.
-func Numbered(request any, requestID uint64) any {
+func WithRequestID(request any, requestID uint64) any {
 	switch r := request.(type) {
 	case core.SubmitJob:
 		r.RequestID = requestID
