--- a/cmd/zinclb-emulator/scale.go
+++ b/cmd/zinclb-emulator/scale.go
@@ -44,8 +44,8 @@
 // scaleCommand returns the command that runs a large deployment and measures the cost of each role.
 func scaleCommand() *cobra.Command {
 	plan := scale.Default(0)
-	o := scale.Options{}
-	fl := scaleFlags{}
+	options := scale.Options{}
+	runFlags := scaleFlags{}
 	cmd := &cobra.Command{
 		Use:   "scale --binary target/zinclb",
 		Short: "Runs a large deployment with simulated workers, and measures the cost of each role",
@@ -54,42 +54,42 @@
 			"operators' plan. Kinds of failure for --lose, each of which happens once:\n" + failureKindsHelp(),
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := scale.CheckPrograms(o.Binaries); err != nil {
+			if err := scale.CheckPrograms(options.Binaries); err != nil {
 				return err
 			}
-			plans, err := buildPlans(cmd, plan, fl)
+			plans, err := buildPlans(cmd, plan, runFlags)
 			if err != nil {
 				return err
 			}
-			return runPlans(plans, o, fl)
+			return runPlans(plans, options, runFlags)
 		},
 	}
-	f := cmd.Flags()
-	f.IntVar(&plan.Workers, "workers", 400, "number of workers, one on each machine")
-	f.IntSliceVar(&fl.sizes, "sizes", nil, "numbers of workers to run one after the other, in place of --workers")
-	f.IntVar(&plan.Accelerators, "accelerators", 0, "total number of accelerators")
-	f.IntVar(&plan.Controllers, "controllers", plan.Controllers, "number of controllers")
-	f.IntVar(&plan.Zones, "zones", plan.Zones, "number of zones")
-	f.IntVar(&plan.Regions, "regions", plan.Regions, "number of regions that the zones belong to")
-	f.IntVar(&plan.Teams, "teams", plan.Teams, "number of teams with limits and guarantees")
-	f.IntVar(&plan.Running, "running", 0, "number of tasks that run at the same time")
-	f.IntVar(&plan.Starts, "starts", 0, "task starts per second in the peak minute")
-	f.IntVar(&plan.LargestGang, "largest-gang", plan.LargestGang, "maximum number of tasks of a gang")
-	f.IntVar(&plan.Dedicated, "alone", plan.Dedicated, "number of workers with a process of their own")
-	f.Float64Var(&plan.FaultSpeedup, "faults-times", 0, "factor on the plan's rates of machine deaths and restarts; 0 disables them")
-	f.StringSliceVar(&plan.Failures, "lose", nil, "failures that happen once: leader, rack, region, zone")
-	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests per second that the state service accepts")
-	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes per second that the state service accepts")
-	f.Float64Var(&plan.RemoteMS, "remote-ms", plan.RemoteMS, "one-way delay between two regions in ms")
-	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "seed of load, faults and delays")
-	f.DurationVar(&plan.Length, "length", plan.Length, "length of the run")
-	f.StringVar(&o.Dir, "dir", "target/scale", "directory for the settings and logs of controllers")
-	f.IntVar(&o.Port, "port", 7600, "port of the load balancer; the controllers use the ports after it")
-	f.StringSliceVar(&o.Binaries, "binary", nil, "controller programs, assigned in rotation")
-	f.StringSliceVar(&o.Args, "arg", nil, "arguments of the controller programs before --config")
-	f.StringVar(&fl.figures, "figures", "", "directory to write a file of figures to for each run")
-	f.StringVar(&fl.scenario, "scenario", "", "scenario file to run in place of the operators' plan")
-	f.StringVar(&fl.name, "name", "", "prefix of the names of the files of figures")
+	flags := cmd.Flags()
+	flags.IntVar(&plan.Workers, "workers", 400, "number of workers, one on each machine")
+	flags.IntSliceVar(&runFlags.sizes, "sizes", nil, "numbers of workers to run one after the other, in place of --workers")
+	flags.IntVar(&plan.Accelerators, "accelerators", 0, "total number of accelerators")
+	flags.IntVar(&plan.Controllers, "controllers", plan.Controllers, "number of controllers")
+	flags.IntVar(&plan.Zones, "zones", plan.Zones, "number of zones")
+	flags.IntVar(&plan.Regions, "regions", plan.Regions, "number of regions that the zones belong to")
+	flags.IntVar(&plan.Teams, "teams", plan.Teams, "number of teams with limits and guarantees")
+	flags.IntVar(&plan.Running, "running", 0, "number of tasks that run at the same time")
+	flags.IntVar(&plan.Starts, "starts", 0, "task starts per second in the peak minute")
+	flags.IntVar(&plan.LargestGang, "largest-gang", plan.LargestGang, "maximum number of tasks of a gang")
+	flags.IntVar(&plan.Dedicated, "alone", plan.Dedicated, "number of workers with a process of their own")
+	flags.Float64Var(&plan.FaultSpeedup, "faults-times", 0, "factor on the plan's rates of machine deaths and restarts; 0 disables them")
+	flags.StringSliceVar(&plan.Failures, "lose", nil, "failures that happen once: leader, rack, region, zone")
+	flags.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests per second that the state service accepts")
+	flags.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes per second that the state service accepts")
+	flags.Float64Var(&plan.RemoteMS, "remote-ms", plan.RemoteMS, "one-way delay between two regions in ms")
+	flags.Uint64Var(&plan.Seed, "seed", plan.Seed, "seed of load, faults and delays")
+	flags.DurationVar(&plan.Length, "length", plan.Length, "length of the run")
+	flags.StringVar(&options.Dir, "dir", "target/scale", "directory for the settings and logs of controllers")
+	flags.IntVar(&options.Port, "port", 7600, "port of the load balancer; the controllers use the ports after it")
+	flags.StringSliceVar(&options.Binaries, "binary", nil, "controller programs, assigned in rotation")
+	flags.StringSliceVar(&options.Args, "arg", nil, "arguments of the controller programs before --config")
+	flags.StringVar(&runFlags.figures, "figures", "", "directory to write a file of figures to for each run")
+	flags.StringVar(&runFlags.scenario, "scenario", "", "scenario file to run in place of the operators' plan")
+	flags.StringVar(&runFlags.name, "name", "", "prefix of the names of the files of figures")
 	return cmd
 }
 
@@ -104,23 +104,23 @@
 
 // buildPlans returns a plan for each size. Values that no flag sets are those of the operators' plan
 // scaled to the size.
-func buildPlans(cmd *cobra.Command, given scale.Plan, fl scaleFlags) ([]scale.Plan, error) {
-	if fl.scenario != "" {
-		return planFromScenario(cmd, given, fl.scenario)
+func buildPlans(cmd *cobra.Command, given scale.Plan, runFlags scaleFlags) ([]scale.Plan, error) {
+	if runFlags.scenario != "" {
+		return planFromScenario(cmd, given, runFlags.scenario)
 	}
-	sizes := fl.sizes
+	sizes := runFlags.sizes
 	if len(sizes) == 0 {
 		sizes = []int{given.Workers}
 	}
 	var plans []scale.Plan
-	for _, n := range sizes {
-		p, defaults := given, scale.Default(n)
-		p.Workers = n
-		for flag, v := range map[string]struct{ to, from *int }{
+	for _, workers := range sizes {
+		p, defaults := given, scale.Default(workers)
+		p.Workers = workers
+		for flag, values := range map[string]struct{ to, from *int }{
 			"accelerators": {&p.Accelerators, &defaults.Accelerators}, "running": {&p.Running, &defaults.Running}, "starts": {&p.Starts, &defaults.Starts},
 		} {
 			if !cmd.Flags().Changed(flag) {
-				*v.to = *v.from
+				*values.to = *values.from
 			}
 		}
 		if err := p.Check(); err != nil {
@@ -159,15 +159,15 @@
 
 // runPlans runs the plans one after the other. It checks the requirements of all plans before it
 // starts the first. It returns an error if a rule was violated.
-func runPlans(plans []scale.Plan, o scale.Options, fl scaleFlags) error {
+func runPlans(plans []scale.Plan, options scale.Options, runFlags scaleFlags) error {
 	limits, err := scale.MachineLimits()
 	if err != nil {
 		return err
 	}
 	for i := range plans {
-		n := plans[i].Requirements()
-		fmt.Printf("%d workers: %d processes, about %.0f MB (of %d and %.0f MB that may be used)\n", plans[i].Workers, n.Processes, n.MemoryMB, limits.Processes, limits.MemoryMB)
-		if err := n.Fits(limits); err != nil {
+		needed := plans[i].Requirements()
+		fmt.Printf("%d workers: %d processes, about %.0f MB (of %d and %.0f MB that may be used)\n", plans[i].Workers, needed.Processes, needed.MemoryMB, limits.Processes, limits.MemoryMB)
+		if err := needed.Fits(limits); err != nil {
 			return err
 		}
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		return fmt.Errorf("find the path of this program: %w", err)
 	}
-	o.Workers, o.Sources, o.Out = []string{program, workersCommandName}, commitName(), os.Stdout
+	options.Workers, options.Sources, options.Out = []string{program, workersCommandName}, commitName(), os.Stdout
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -183,21 +183,21 @@
 		<-signals
 		close(stop)
 	}()
-	dir := o.Dir
+	dir := options.Dir
 	violations := 0
 	for _, p := range plans {
-		o.Dir = filepath.Join(dir, fmt.Sprint(p.Workers))
-		f, err := scale.Run(p, o, stop)
+		options.Dir = filepath.Join(dir, fmt.Sprint(p.Workers))
+		measured, err := scale.Run(p, options, stop)
 		if err != nil {
 			return err
 		}
-		if err := f.Write(os.Stdout); err != nil {
+		if err := measured.Write(os.Stdout); err != nil {
 			return err
 		}
-		violations += len(f.Violations)
-		if fl.figures != "" {
-			path := filepath.Join(fl.figures, fmt.Sprintf("%s%d-workers-%d-controllers-seed-%d.json", fl.name, p.Workers, p.Controllers, p.Seed))
-			if err := f.Save(path); err != nil {
+		violations += len(measured.Violations)
+		if runFlags.figures != "" {
+			path := filepath.Join(runFlags.figures, fmt.Sprintf("%s%d-workers-%d-controllers-seed-%d.json", runFlags.name, p.Workers, p.Controllers, p.Seed))
+			if err := measured.Save(path); err != nil {
 				return err
 			}
 		}
@@ -212,9 +212,9 @@
 func commitName() string {
 	cmd := exec.Command("git", "describe", "--always", "--dirty")
 	cmd.Stderr = io.Discard
-	b, err := cmd.Output()
+	output, err := cmd.Output()
 	if err != nil {
 		return ""
 	}
-	return strings.TrimSpace(string(b))
+	return strings.TrimSpace(string(output))
 }
--- a/internal/experiment/cancelledchains_test.go
+++ b/internal/experiment/cancelledchains_test.go
@@ -8,8 +8,8 @@
 )
 
 // With some seeds of the scenario cancelled-chains, the leader removed the keys of jobs that had
-// ended because another job was cancelled, without storing their ends. Users who had been told
-// that such a job is cancelled then got 404, or the state pending, from the next controller that
+// ended because another job was cancelled, without storing their ends. Users who had received the
+// state cancelled for such a job then got 404, or the state pending, from the next controller that
 // started. Four of the seeds from 1 to 40 lost an end:
 //
 //	at 75.504 s lost_end: JOB is removed and its end is not stored
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -120,8 +120,7 @@
 	f(&r.totals)
 }
 
-// sleep waits for d and reports whether the run is still going on; it returns early when the run
-// ends.
+// sleep waits for d or until the run ends, and reports whether the run is still in progress.
 func (r *runner) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -147,7 +146,7 @@
 		panic(err) // plain structs always encode
 	}
 	r.update(func(t *Totals) { t.Sent++ })
-	for firstTry := time.Now(); ; {
+	for firstAttempt := time.Now(); ; {
 		status, wait := r.post(body)
 		switch status {
 		case 200, 201:
@@ -160,7 +159,7 @@
 			r.update(func(t *Totals) { t.Refused++ })
 			return false
 		}
-		if time.Since(firstTry)+wait > submitDeadline || !r.sleep(wait) {
+		if time.Since(firstAttempt)+wait > submitDeadline || !r.sleep(wait) {
 			r.update(func(t *Totals) { t.GivenUp++ })
 			return false
 		}
@@ -171,31 +170,31 @@
 // post sends a submission. It returns the status code, 0 if there was no response, and the delay
 // before a retry.
 func (r *runner) post(body []byte) (int, time.Duration) {
-	resp, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
+	response, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, time.Second
 	}
-	_, _ = io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close()
-	after, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return resp.StatusCode, min(max(time.Second, time.Duration(after)*time.Second), maxRetryDelay)
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	retryAfter, _ := strconv.Atoi(response.Header.Get("Retry-After"))
+	return response.StatusCode, min(max(time.Second, time.Duration(retryAfter)*time.Second), maxRetryDelay)
 }
 
 // follow polls a job until it has ended.
 func (r *runner) follow(e Entry) {
 	for r.sleep(pollInterval) {
-		resp, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
+		response, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
 		if err != nil {
 			continue
 		}
-		var a wire.JobAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
-		_ = resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusOK || a.State != wire.Done && a.State != wire.Cancelled {
+		var answer wire.JobAnswer
+		err = json.NewDecoder(response.Body).Decode(&answer)
+		_ = response.Body.Close()
+		if err != nil || response.StatusCode != http.StatusOK || answer.State != wire.Done && answer.State != wire.Cancelled {
 			continue
 		}
 		r.update(func(t *Totals) {
-			if a.State == wire.Cancelled {
+			if answer.State == wire.Cancelled {
 				t.Cancelled++
 				return
 			}
