--- a/internal/core/activation.go
+++ b/internal/core/activation.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// activationInterval is the minimum time between two writes of features or format.
+	// activationInterval is the minimum time between two writes of commitActivation.
 	activationInterval = second
 	// conditionsPerOp is the ratio of the maximum number of conditions in a transaction to
 	// the maximum number of writes in it.
 	conditionsPerOp = 4
 )
 
-// Sizes in bytes that determine how many tasks fit in a stored chunk: the chunk without its
-// tasks, a task without the name of its machine, and the shortest machine name to assume.
+// Sizes in bytes that determine the number of tasks that fit in a stored chunk: the chunk without
+// its tasks, a task without the name of its machine, and the minimum length to assume for the
+// names of machines.
 const (
 	chunkFrameBytes    = 160
 	chunkBytesPerTask  = 15
@@ -28,8 +29,8 @@
 
 var errInvalidFormat = errors.New("version or chunk size out of range")
 
-// formatRecord is the stored format, which all controllers can read. Tasks is the maximum
-// number of tasks in a chunk of progress; it never increases.
+// formatRecord records the current format of stored data, which all controllers can read. Tasks is
+// the maximum number of tasks in a chunk of progress; it never increases.
 type formatRecord struct {
 	Version int `json:"v"`
 	Tasks   int `json:"n"`
@@ -42,7 +43,7 @@
 
 // activationState is the state that membership keeps while this controller leads.
 type activationState struct {
-	writing   bool  // a write of features or format is in flight
+	writing   bool  // a write of commitActivation is in flight
 	notBefore int64 // earliest time of the next such write
 }
 
@@ -66,8 +67,8 @@
 // featureEnabled reports whether a feature is active.
 func (m *membership) featureEnabled(name upgrade.FeatureName) bool { return m.activation.Enabled(name) }
 
-// logEnabled reports whether the progress log is active, so that data may be written that
-// version 1 can't read.
+// logEnabled reports whether the progress log is active. Only then may data be written that
+// programs of version 1 can't read.
 func (m *membership) logEnabled() bool { return m.featureEnabled(upgrade.ProgressLog) }
 
 // writableFormat returns the newest stored format that this controller can write.
@@ -77,9 +78,9 @@
 }
 
 // applyFormat applies a change of the stored format.
-func (m *membership) applyFormat(ch Change, reportInvalid func(error)) {
+func (m *membership) applyFormat(change Change, reportInvalid func(error)) {
 	var format formatRecord
-	if err := json.Unmarshal(ch.Value, &format); err != nil {
+	if err := json.Unmarshal(change.Value, &format); err != nil {
 		reportInvalid(err)
 		return
 	}
@@ -90,7 +91,7 @@
 	if format != m.format {
 		m.log.Info("stored format changed", "version", format.Version, "chunk_tasks", format.Tasks)
 	}
-	m.format, m.formatRevision = format, ch.Revision
+	m.format, m.formatRevision = format, change.Revision
 	m.activation.SetFormat(format.Version)
 	if !m.elector.isLeader() {
 		m.changeChunkSize()
@@ -113,48 +114,48 @@
 }
 
 // applyActivation applies a stored change of members, decommissioned controllers or features.
-func (m *membership) applyActivation(ch Change, reportInvalid func(error)) {
-	if name, ok := strings.CutPrefix(ch.Key, decommissionedPrefix); ok {
-		m.applyDecommissioned(name, ch)
+func (m *membership) applyActivation(change Change, reportInvalid func(error)) {
+	if name, ok := strings.CutPrefix(change.Key, decommissionedPrefix); ok {
+		m.applyDecommissioned(name, change)
 		return
 	}
-	if name, ok := strings.CutPrefix(ch.Key, memberPrefix); ok {
-		m.applyAdvertisement(name, ch, reportInvalid)
+	if name, ok := strings.CutPrefix(change.Key, memberPrefix); ok {
+		m.applyAdvertisement(name, change, reportInvalid)
 		return
 	}
-	if !ch.Removed {
-		m.applyFeatures(ch, reportInvalid)
+	if !change.Removed {
+		m.applyFeatures(change, reportInvalid)
 	}
 }
 
-func (m *membership) applyDecommissioned(name string, ch Change) {
-	m.decommissionedRevisions[name] = ch.Revision
-	if ch.Removed {
+func (m *membership) applyDecommissioned(name string, change Change) {
+	m.decommissionedRevisions[name] = change.Revision
+	if change.Removed {
 		m.decommissionedRevisions[name] = 0
 	}
-	m.activation.SetDecommissioned(name, !ch.Removed)
+	m.activation.SetDecommissioned(name, !change.Removed)
 }
 
-func (m *membership) applyAdvertisement(name string, ch Change, reportInvalid func(error)) {
-	if ch.Removed {
+func (m *membership) applyAdvertisement(name string, change Change, reportInvalid func(error)) {
+	if change.Removed {
 		m.activation.RemoveAdvertisement(name)
 		return
 	}
 	var advertisement upgrade.Advertisement
-	if err := json.Unmarshal(ch.Value, &advertisement); err != nil {
+	if err := json.Unmarshal(change.Value, &advertisement); err != nil {
 		reportInvalid(err)
 		return
 	}
-	m.activation.SetAdvertisement(name, advertisement, ch.Revision, m.now)
+	m.activation.SetAdvertisement(name, advertisement, change.Revision, m.now)
 }
 
-func (m *membership) applyFeatures(ch Change, reportInvalid func(error)) {
+func (m *membership) applyFeatures(change Change, reportInvalid func(error)) {
 	var features featuresRecord
-	if err := json.Unmarshal(ch.Value, &features); err != nil {
+	if err := json.Unmarshal(change.Value, &features); err != nil {
 		reportInvalid(err)
 		return
 	}
-	m.featuresRevision = ch.Revision
+	m.featuresRevision = change.Revision
 	m.activation.SetEnabled(features.On)
 	m.log.Info("active features changed", "features", features.On)
 }
@@ -204,7 +205,7 @@
 	write, condition := m.activationWrite(feature)
 	conditions := []Cond{m.leaderCondition(), condition}
 	// The write is conditional on each supporter's advertisement being unchanged, so that it
-	// fails if an older program has meanwhile replaced one of these controllers.
+	// fails if one of these controllers has been replaced by an older program since.
 	if len(conditions)+len(supporters) > conditionsPerOp*m.limits().TxnOps {
 		return // too many controllers to prove their support in one transaction
 	}
@@ -261,7 +262,7 @@
 	}
 }
 
-// chunkTasksForLimits returns how many tasks fit in a value, assuming that each is on a
+// chunkTasksForLimits returns the number of tasks that fit in a value, assuming that each is on a
 // different machine and that every machine name is as long as the longest known one.
 func (m *membership) chunkTasksForLimits() int {
 	nameSize := minMachineNameSize
--- a/internal/core/committer.go
+++ b/internal/core/committer.go
@@ -11,7 +11,7 @@
 // Delays of the committer, in microseconds.
 const (
 	// commitGap is the minimum time between transactions, in which changes are batched;
-	// lowBudgetCommitGap is that while the write budget is low.
+	// lowBudgetCommitGap replaces it while the write budget is low.
 	commitGap          = 60_000
 	lowBudgetCommitGap = 200_000
 	// commitRetryGap is the minimum time from the failure of a transaction to the next one.
@@ -36,12 +36,14 @@
 	// requestedChunkTasks is a smaller number of tasks per chunk, requested after a value did
 	// not fit; 0 if none is requested.
 	requestedChunkTasks int
-	// backoffUntil has the jobs whose writes were rejected or too large. singleJobWrites
-	// makes each transaction write one job only, to find the one that is rejected.
+	// backoffUntil has, for each job whose write was rejected or too large, the time before
+	// which the job is not written. singleJobWrites makes each transaction write one job only,
+	// to find the job whose write is rejected.
 	backoffUntil    map[*jobstate.Job]int64
 	singleJobWrites bool
-	// logTail is the page that is appended to, nextLogEntry the sequence number of the next
-	// entry, removablePages the number of pages at the front that can be removed.
+	// logTail is the page of the progress log to which entries are appended, nextLogEntry the
+	// sequence number of the next entry, and removablePages the number of pages at the front
+	// of the log that can be removed.
 	logTail        *logPage
 	nextLogEntry   uint64
 	removablePages int
@@ -58,21 +60,21 @@
 
 // isBackedOff reports whether writes of a job are delayed after a failure. It drops a delay that
 // has passed.
-func (s *commitState) isBackedOff(j *jobstate.Job, now int64) bool {
-	until, ok := s.backoffUntil[j]
+func (s *commitState) isBackedOff(job *jobstate.Job, now int64) bool {
+	until, ok := s.backoffUntil[job]
 	if !ok {
 		return false
 	}
 	if now < until {
 		return true
 	}
-	delete(s.backoffUntil, j)
+	delete(s.backoffUntil, job)
 	return false
 }
 
-// committer writes the leader's decisions, in transactions that succeed only while it leads:
-// all of them are conditional on the revision of the leadership key. One transaction is in
-// progress at a time; changes made meanwhile are batched for the next.
+// committer writes the leader's decisions, in transactions that succeed only while this controller
+// leads: all of them are conditional on the revision of the leadership key. One transaction is in
+// progress at a time; changes made in that time are batched for the next.
 //
 // A transaction that fails is not retried unchanged. The next one is built from what has to be
 // written by then.
@@ -91,9 +93,9 @@
 	tasks        *taskManager
 }
 
-// putAsLeader writes a complete value if the key still has the revision known here. The condition
-// is needed because an earlier write of this controller that got no answer may be executed after
-// later ones.
+// putAsLeader writes a value if its key still has the revision that this controller knows. The
+// condition is needed because an earlier write of this controller that got no answer may be
+// executed after later ones.
 func (c *committer) putAsLeader(key string, value []byte, done func(TransactionResult)) {
 	conditions := []Cond{
 		kv.RevisionIs(LeaderKey, c.elector.leadership.keyRevision),
@@ -108,19 +110,19 @@
 }
 
 // markDirty marks a job as having changes to write.
-func (c *committer) markDirty(j *jobstate.Job) {
-	c.elector.leadership.commits.dirty[j] = struct{}{}
+func (c *committer) markDirty(job *jobstate.Job) {
+	c.elector.leadership.commits.dirty[job] = struct{}{}
 }
 
 // forget drops the pending writes of a job whose keys are gone.
-func (c *committer) forget(j *jobstate.Job) {
-	delete(c.elector.leadership.commits.dirty, j)
-	delete(c.elector.leadership.commits.backoffUntil, j)
+func (c *committer) forget(job *jobstate.Job) {
+	delete(c.elector.leadership.commits.dirty, job)
+	delete(c.elector.leadership.commits.backoffUntil, job)
 }
 
-// commitNow sends a transaction with as many of the pending changes as the write budget allows:
-// those with a high priority first, then those that have waited longest. The transaction succeeds
-// only if this controller's leadership key is unchanged.
+// commitNow sends a transaction with as many of the pending changes as the write budget and the
+// limits of a transaction allow, in the order of jobsToWrite. The transaction succeeds only if this
+// controller's leadership key is unchanged.
 func (c *committer) commitNow() {
 	if !c.canCommit() {
 		return
@@ -132,12 +134,12 @@
 		return
 	}
 	t := c.newTransaction(limit)
-	for _, j := range c.jobsToWrite() {
+	for _, job := range c.jobsToWrite() {
 		if t.isFull() {
 			break
 		}
-		if !t.term.commits.isBackedOff(j, c.now) {
-			t.addJob(j)
+		if !t.term.commits.isBackedOff(job, c.now) {
+			t.addJob(job)
 		}
 	}
 	t.addPages()
@@ -166,16 +168,17 @@
 	oldestChangeAt int64
 }
 
-// jobsToWrite returns the dirty jobs in the order in which they are to be written.
+// jobsToWrite returns the dirty jobs in the order in which they are to be written: first those that
+// a task start or a user waits for, then by descending priority, then by their oldest change.
 func (c *committer) jobsToWrite() []*jobstate.Job {
 	dirty := c.elector.leadership.commits.dirty
 	jobs := make([]*jobstate.Job, 0, len(dirty))
-	for j := range dirty {
-		jobs = append(jobs, j)
+	for job := range dirty {
+		jobs = append(jobs, job)
 	}
 	order := make(map[*jobstate.Job]commitOrder, len(jobs))
-	for _, j := range jobs {
-		order[j] = commitOrder{commitClass(j), c.oldestChange(j)}
+	for _, job := range jobs {
+		order[job] = commitOrder{commitClass(job), c.oldestChange(job)}
 	}
 	slices.SortFunc(jobs, func(a, b *jobstate.Job) int {
 		x, y := order[a], order[b]
@@ -191,17 +194,18 @@
 }
 
 // commitClass returns 0 if a task start or a user waits for a job's writes, and 1 otherwise.
-func commitClass(j *jobstate.Job) int {
+func commitClass(job *jobstate.Job) int {
 	// For a job that has ended, only the removal of its keys is left.
-	if j.Outcome() == "" && (j.NumDone == j.Tasks || j.HasAnyPlacementToWrite()) {
+	if job.Outcome() == "" && (job.NumDone == job.Tasks || job.HasAnyPlacementToWrite()) {
 		return 0
 	}
 	return 1
 }
 
-// oldestChange returns the time of a job's oldest unwritten change.
-func (c *committer) oldestChange(j *jobstate.Job) int64 {
-	if at := j.DirtySince(); at != 0 {
+// oldestChange returns the time of the oldest change in a job's chunks that waits to be written,
+// or the current time if there is none.
+func (c *committer) oldestChange(job *jobstate.Job) int64 {
+	if at := job.DirtySince(); at != 0 {
 		return at
 	}
 	return c.now
@@ -220,10 +224,10 @@
 	})
 }
 
-// abandonOverdue stops waiting for the answer to a transaction that is clearly overdue. As there
-// is one transaction at a time, all task starts would otherwise wait for a lost answer until its
-// deadline. The changes are written again under the same revisions, so that only one of the two
-// transactions can succeed.
+// abandonOverdue stops waiting for the answer to a transaction if that answer is clearly overdue.
+// As there is one transaction at a time, all task starts would otherwise wait for a lost answer
+// until the transaction's deadline. The changes are written again on the condition of the same
+// revisions, so that only one of the two transactions can succeed.
 func (c *committer) abandonOverdue() {
 	commits := &c.elector.leadership.commits
 	if !commits.inFlight || !c.transactions.IsOverdue(commits.inFlightID, c.now) {
@@ -271,72 +275,73 @@
 
 // jobCommitted applies one job's part of a transaction.
 func (c *committer) jobCommitted(written *jobWrite, revision uint64) {
-	j := written.job
+	job := written.job
 	if written.writesEnd {
 		if written.writesRecord {
-			j.Revision = revision
+			job.Revision = revision
 		}
 		if written.end.Outcome == jobstate.Done {
-			c.log.Info("job done", "job", j.ID, "tasks", j.Tasks, "revision", revision)
+			c.log.Info("job done", "job", job.ID, "tasks", job.Tasks, "revision", revision)
 		}
-		c.cache.recordEnd(j.ID, jobstate.EndStoredAt(written.end, revision))
+		c.cache.recordEnd(job.ID, jobstate.EndStoredAt(written.end, revision))
 	}
 	for _, chunk := range written.chunks {
 		if chunk.logged {
-			j.CommitLogWrite(chunk.index, chunk.version)
+			job.CommitLogWrite(chunk.index, chunk.version)
 		} else {
-			j.CommitChunkWrite(chunk.index, chunk.version, revision)
+			job.CommitChunkWrite(chunk.index, chunk.version, revision)
 		}
 	}
 	for _, ref := range written.removedChunks {
-		j.SetChunkRevision(ref, 0)
+		job.SetChunkRevision(ref, 0)
 	}
 	if written.removesJob {
-		if j.Outcome() == jobstate.Cancelled {
-			c.endMonitor.recordRemoval(j.ID, written.proof, revision)
+		if job.Outcome() == jobstate.Cancelled {
+			c.endMonitor.recordRemoval(job.ID, written.proof, revision)
 		}
-		c.jobKeyRemoved(j)
+		c.jobKeyRemoved(job)
 		return
 	}
-	c.clearIfWritten(j)
+	c.clearIfWritten(job)
 }
 
 // jobKeyRemoved forgets a job whose key was removed.
-func (c *committer) jobKeyRemoved(j *jobstate.Job) {
-	if j.Outcome() == jobstate.Done && !j.Truncated {
-		c.prefetcher.addPrefetchSources(j.Spec) // none of its tasks is on a machine any more
+func (c *committer) jobKeyRemoved(job *jobstate.Job) {
+	if job.Outcome() == jobstate.Done && !job.Truncated {
+		c.prefetcher.addPrefetchSources(job.Spec) // none of its tasks is on a machine any more
 	}
-	delete(c.cache.jobs, j.ID)
-	c.tasks.jobRemoved(j)
-	c.cache.orphanChunks(j)
+	delete(c.cache.jobs, job.ID)
+	c.tasks.jobRemoved(job)
+	c.cache.orphanChunks(job)
 }
 
 // clearIfWritten marks a job as clean if it has nothing left to write, and as dirty otherwise.
-func (c *committer) clearIfWritten(j *jobstate.Job) {
-	if j.Outcome() != "" && j.NumPlaced == 0 || j.Outcome() == "" && j.NumDone == j.Tasks || len(j.DirtyChunks()) > 0 {
-		c.markDirty(j)
+func (c *committer) clearIfWritten(job *jobstate.Job) {
+	if job.Outcome() != "" && job.NumPlaced == 0 || job.Outcome() == "" && job.NumDone == job.Tasks || len(job.DirtyChunks()) > 0 {
+		c.markDirty(job)
 		return
 	}
-	delete(c.elector.leadership.commits.dirty, j)
+	delete(c.elector.leadership.commits.dirty, job)
 }
 
 // onMalformed handles a transaction that the state service rejects as malformed, possibly because
-// its limits were lowered. A write that is rejected again on its own must not block the others.
+// the service's limits were lowered. A job whose write is rejected in a transaction without other
+// jobs is backed off, so that it does not block the others.
 func (c *committer) onMalformed(t *leaderTransaction) {
 	commits := &t.term.commits
 	if len(t.jobs) == 0 {
 		c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes))
-		commits.keepGarbageUntil = c.now + writeBackoff // it contained removals only
+		commits.keepGarbageUntil = c.now + writeBackoff // the transaction contained only removals
 		return
 	}
 	c.log.Error("state service rejected a transaction as malformed", "writes", len(t.writes), "job", t.jobs[0].job.ID)
 	if !c.membership.useLowerLimits() {
 		c.membership.lowerLimits("a transaction was refused")
 		if c.membership.useLowerLimits() {
-			return // it is built again, within the lower limits
+			return // the changes are written again, within the lower limits
 		}
 	}
-	commits.logTail = nil // the entries of that page go into a new one
+	commits.logTail = nil // the log entries are written again, into a new page
 	if len(t.jobs) == 1 {
 		commits.backoffUntil[t.jobs[0].job] = c.now + writeBackoff
 	}
--- a/internal/core/connectivity/sample.go
+++ b/internal/core/connectivity/sample.go
@@ -15,18 +15,19 @@
 const machinesPerZone = 4
 
 const (
-	// probeInterval is the minimum time between probes while no link has failed, in
-	// microseconds; probeRetryInterval is that between probes of a machine that did not
-	// answer.
+	// probeInterval is the minimum time between two probes of any machines while no link has
+	// failed, in microseconds; probeRetryInterval is the minimum time between two probes of
+	// the same machine while it does not answer.
 	probeInterval      = 400_000
 	probeRetryInterval = 2 * second
 	// staleTimeout is the time without any success after which a machine may be replaced by
 	// one that sends heartbeats.
 	staleTimeout = 20 * second
 	// doubtTimeout is the time without any success after which the other controllers are asked
-	// for machines, and after which their information that a machine is gone is accepted.
+	// which machines they sample, and after which their information that a machine is gone is
+	// accepted.
 	doubtTimeout = 5 * second
-	// forgottenRetention is the time during which a machine that is gone is not added again if
+	// forgottenRetention is the time for which a machine that is gone is not added again if
 	// another controller samples it: that controller may not know yet that the machine is gone.
 	forgottenRetention = 900 * second
 )
@@ -70,15 +71,16 @@
 }
 
 // RecordHeartbeat records a heartbeat that came directly from a machine. A single heartbeat proves
-// only the direction from the machine. One with the next sequence number proves that the answer
-// arrived as well, since otherwise the worker would have tried another controller.
+// only that messages from the machine arrive here. A second one with the next sequence number
+// proves that the answer to the first arrived as well, since otherwise the worker would have tried
+// another controller.
 func (s *Sample) RecordHeartbeat(machine Machine, epoch, seq uint64, now int64) {
 	if !s.Add(machine, now) {
 		return
 	}
 	m := s.byName[machine.Name]
 	if epoch < m.epoch || epoch == m.epoch && seq <= m.seq {
-		return // delayed copy; a machine whose sequence numbers restarted is probed
+		return // a delayed copy, or the sequence numbers restarted; then a probe gives evidence
 	}
 	if m.epoch == epoch && m.seq+1 == seq {
 		m.link.RecordSuccess(now, now)
@@ -86,8 +88,8 @@
 	m.epoch, m.seq = epoch, seq
 }
 
-// Invalidate treats all evidence as outdated, for example after this controller was suspended,
-// since anything may have changed meanwhile. All machines are probed at once.
+// Invalidate marks all evidence as outdated, for example after this controller was suspended, since
+// anything may have changed in that time. All machines are then due for a probe.
 func (s *Sample) Invalidate(now int64) {
 	for _, m := range s.byName {
 		m.link.RecordFailure(now, now, NoResponse)
@@ -95,7 +97,8 @@
 	}
 }
 
-// Add records that a machine sends heartbeats, and reports whether the machine is in the sample.
+// Add adds a machine if its zone has room for it, or updates the address of a machine that is
+// already sampled, and reports whether the machine is in the sample.
 func (s *Sample) Add(machine Machine, now int64) bool {
 	if machine.Addr == "" || machine.Zone == "" {
 		return false
@@ -125,20 +128,21 @@
 	if len(machines) < machinesPerZone {
 		return true
 	}
-	out := machinesPerZone - 1
-	if machines[out].hash <= hash {
-		out = slices.IndexFunc(machines, func(m *sampledMachine) bool {
+	replaced := machinesPerZone - 1
+	if machines[replaced].hash <= hash {
+		replaced = slices.IndexFunc(machines, func(m *sampledMachine) bool {
 			return now-max(m.link.succeededAt, m.addedAt) > staleTimeout && m.link.down()
 		})
 	}
-	if out < 0 {
+	if replaced < 0 {
 		return false
 	}
-	s.remove(machines[out])
+	s.remove(machines[replaced])
 	return true
 }
 
-// remove removes a machine from the sample, and its zone if that was its last machine.
+// remove removes a machine from the sample, and also its zone if no other machine of the zone is
+// sampled.
 func (s *Sample) remove(m *sampledMachine) {
 	delete(s.byName, m.Name)
 	s.zones[m.Zone] = slices.DeleteFunc(s.zones[m.Zone], func(other *sampledMachine) bool { return other == m })
@@ -155,8 +159,8 @@
 	}
 }
 
-// ForgetUnlisted removes the doubted machines that are not in the cloud's list and have had no
-// success since completeSince, the time from which the list is complete.
+// ForgetUnlisted removes the machines that may be gone (isDoubted), are not in the cloud's list
+// and have had no success since completeSince, the earliest time that the list may describe.
 func (s *Sample) ForgetUnlisted(isListed func(name string) bool, completeSince, now int64) {
 	for _, machine := range s.Machines() {
 		m := s.byName[machine.Name]
@@ -187,8 +191,9 @@
 	return false
 }
 
-// Merge adds the machines that another controller samples, given how many eighths of each zone
-// that controller reaches, and returns the names of the machines that are gone according to it.
+// Merge adds the machines that another controller samples, and returns the names of the machines
+// that are gone according to that controller. eighths is the number of eighths of each zone that
+// the other controller reaches.
 func (s *Sample) Merge(machines []Machine, eighths map[string]int, now int64) (gone []string) {
 	s.expireForgotten(now)
 	listed := map[string][]Machine{}
@@ -209,8 +214,8 @@
 }
 
 // mergeMachine adds a machine that another controller samples. If that controller reaches more
-// of the zone, the machine counts as unreachable until it answers: it may have replaced
-// an unreachable machine, and otherwise the reach of the zone would be unknown until then.
+// of the zone, the machine counts as unreachable until it answers. Otherwise, if the machine has
+// replaced an unreachable one, the reach of the zone could be unknown until the first answer.
 func (s *Sample) mergeMachine(machine Machine, reachesMore bool, now int64) {
 	if known := s.byName[machine.Name]; known != nil {
 		// The other controller may know an older address. Keep one that answers.
@@ -227,8 +232,9 @@
 	}
 }
 
-// forgetUnknown removes the doubted machines of a zone that another controller, which reaches more
-// of the zone, does not list although it would sample them if it knew them.
+// forgetUnknown removes the machines of a zone that may be gone (isDoubted) and that another
+// controller, which reaches more of the zone, does not list although it would sample them if it
+// knew them.
 func (s *Sample) forgetUnknown(zone string, listed []Machine, now int64) (gone []string) {
 	highest := uint64(0)
 	names := map[string]bool{}
@@ -310,7 +316,8 @@
 	return sentAt
 }
 
-// lastKnown returns the send time of the request that gave, or will give, the newest evidence.
+// lastKnown returns the send time of the newest request that was answered or of the last probe,
+// whichever is later.
 func (m *sampledMachine) lastKnown() int64 { return max(m.link.successSentAt, m.probedAt) }
 
 // needsProbe reports whether a machine should be probed without delay. A machine that is down is
@@ -349,8 +356,8 @@
 	}
 }
 
-// ReachableEighths returns how many eighths of a zone's sampled machines are reached. known is
-// false as long as no request to any of them has been answered or has failed.
+// ReachableEighths returns the number of eighths of a zone's sampled machines that are reached.
+// known is false as long as no request to any of them has been answered or has failed.
 func (s *Sample) ReachableEighths(zone string) (eighths int, known bool) {
 	tried, reached := 0, 0
 	for _, m := range s.zones[zone] {
--- a/internal/core/endmonitor.go
+++ b/internal/core/endmonitor.go
@@ -11,14 +11,14 @@
 // EndCounts counts, since this controller's start, how it learned of ends and how it found
 // that a job is not known.
 type EndCounts struct {
-	// Derived counts ends that were derived from the ends of other jobs, Reported ends that
-	// this controller learned first from a peer.
+	// Derived counts ends that were derived from the ends of other jobs or of sweeps; Reported
+	// counts ends that this controller learned first from a peer.
 	Derived  uint64 `json:"derived"`
 	Reported uint64 `json:"told_by_peers"`
 	// FailedReads counts reads of dependencies' ends that failed or found no end.
 	FailedReads uint64 `json:"failed_reads"`
-	// NotFoundCompared and NotFoundRead count replies that a job is not known, after its end
-	// was found to be absent in a batch comparison or in a read of its own.
+	// NotFoundCompared counts replies that a job is not known after a batch comparison found
+	// its end to be absent; NotFoundRead counts those after a read of this end alone.
 	NotFoundCompared uint64 `json:"not_found_compared"`
 	NotFoundRead     uint64 `json:"not_found_read"`
 }
@@ -29,7 +29,7 @@
 	omitted int
 }
 
-// allow reports whether a line may be logged now, and how many lines were omitted before it.
+// allow reports whether a line may be logged now, and the number of lines omitted before it.
 func (l *logLimiter) allow(now int64) (omitted int, ok bool) {
 	l.budget.Refill(now, endLogsPerSecond)
 	if !l.budget.TryTake() {
@@ -60,8 +60,8 @@
 // stored.
 func (m *endMonitor) countUnstoredEnds() int {
 	n := 0
-	for _, j := range m.cache.jobs {
-		if j.Outcome() != "" && !j.End().IsStored() {
+	for _, job := range m.cache.jobs {
+		if job.Outcome() != "" && !job.End().IsStored() {
 			n++
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// endLookup is how the end of a job was looked up.
+// endLookup describes the lookup that found the end of a job to be absent.
 type endLookup struct {
 	compared bool   // in one transaction with other ends; otherwise the end was read alone
 	revision uint64 // at which the end was absent
@@ -121,14 +121,14 @@
 }
 
 // recordNotFound records a reply that a job is not known, after its end was looked up.
-func (m *endMonitor) recordNotFound(job string, by endLookup) {
-	if by.compared {
+func (m *endMonitor) recordNotFound(job string, lookup endLookup) {
+	if lookup.compared {
 		m.counts.NotFoundCompared++
 	} else {
 		m.counts.NotFoundRead++
 	}
 	if omitted, ok := m.notFoundLogs.allow(m.now); ok {
-		m.log.Info("job is not known", "job", job, "lookup", by.String(), "lookup_revision", by.revision,
+		m.log.Info("job is not known", "job", job, "lookup", lookup.String(), "lookup_revision", lookup.revision,
 			"revision", m.cache.appliedRevision, "reads_from", m.reader.readSource(), "omitted", omitted)
 	}
 }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -35,7 +35,7 @@
 	tasks      *taskManager
 }
 
-// heartbeatRefusal is the reason for refusing a heartbeat that is sent to its worker.
+// heartbeatRefusal is the reason for which a heartbeat is refused, as sent to its worker.
 type heartbeatRefusal string
 
 const (
@@ -56,12 +56,13 @@
 	}
 	machine := fleet.NewMachine(name, w.now)
 	if w.now == term.since {
-		// A previous leader may continue to answer it until its authority expires.
+		// A previous leader may continue to answer the machine until that leader's
+		// authority expires.
 		machine.LastAnswer = w.now + w.settings.LeaderAuthorityTime()
 	}
 	if departure, ok := term.heartbeats.departed.byName[name]; ok {
-		// Late copies of its heartbeats may still arrive; with the last epoch and
-		// sequence number they are recognized as outdated.
+		// Late copies of the machine's heartbeats may still arrive; the last epoch and
+		// sequence number make them recognizable as outdated.
 		machine.Epoch, machine.Seq = departure.epoch, departure.seq
 	}
 	w.prefetcher.restoreKnownImages(machine)
@@ -106,8 +107,8 @@
 	w.answerHeartbeat(machine, m.RequestID, commands)
 }
 
-// authorize returns the reason why a heartbeat must not be handled, or "" if it may be: this
-// controller may not act as the leader, or the machine was returned to the cloud.
+// authorize returns "" if a heartbeat may be handled, and otherwise the reason why not: either
+// this controller may not act as the leader, or the machine was returned to the cloud.
 func (w *workerManager) authorize(heartbeat *Heartbeat) heartbeatRefusal {
 	term := w.elector.leadership
 	if !w.elector.mayAnswerWorkers() {
@@ -125,8 +126,9 @@
 	return ""
 }
 
-// isOutdated reports whether a heartbeat is a late copy: it is from an earlier epoch of its
-// machine, or it is not newer than the newest heartbeat of the current epoch.
+// isOutdated reports whether a heartbeat may be a late copy: it is from an earlier epoch of its
+// machine, it is not newer than the newest heartbeat of the current epoch, or it is not plausible
+// after a restart of the sequence numbers.
 func (w *workerManager) isOutdated(machine *fleet.Machine, heartbeat *Heartbeat) bool {
 	return !machine.IsNewer(heartbeat.Epoch, heartbeat.Seq) ||
 		!machine.IsPlausible(heartbeat.Epoch, heartbeat.Seq, w.now)
@@ -175,8 +177,8 @@
 	w.tasks.drainMachine(machine, notice)
 }
 
-// answerHeartbeat sends commands in the answer to a heartbeat, and records those whose effect
-// in the next heartbeat shows whether the machine receives answers.
+// answerHeartbeat sends commands in the answer to a heartbeat. It records those whose effect the
+// next heartbeat shows if the machine receives answers.
 func (w *workerManager) answerHeartbeat(machine *fleet.Machine, requestID uint64, commands []Command) {
 	delivery := &machine.Delivery
 	delivery.SentCommands = delivery.SentCommands[:0]
--- a/internal/core/leadertransaction.go
+++ b/internal/core/leadertransaction.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// maxTxnBytes is the maximum estimated size of a transaction, below the service's 64 KiB.
+	// maxTxnBytes is the maximum estimated size of a transaction, below the state service's
+	// limit of 64 KiB.
 	maxTxnBytes = 44 << 10
-	// writeOverheadBytes is the approximate size of a write and its condition without the
-	// value and the key, which appears in both.
+	// writeOverheadBytes is the approximate size of a write and its condition, not counting
+	// the value and the two copies of the key.
 	writeOverheadBytes = 80
 	// maxEndDelay is the maximum time, in microseconds, for which writes of task ends are
 	// delayed while the write budget is low. Nothing depends on them: the worker keeps an
@@ -20,9 +21,9 @@
 	maxEndDelay = 4 * second
 )
 
-// leaderTransaction is a transaction of the leader, first while it is built and then while it is
-// in progress. It contains changes of jobs, pages of the progress log, and removals of keys that
-// are not needed any more.
+// leaderTransaction is a transaction of the leader, either under construction or in progress. It
+// contains changes of jobs, pages of the progress log, and removals of keys that are not needed
+// any more.
 type leaderTransaction struct {
 	committer *committer
 	term      *leadership
@@ -52,7 +53,7 @@
 	end           jobstate.End
 	writesRecord  bool     // writes the job's key
 	removesJob    bool     // deletes the job's key
-	proof         endProof // why the keys may be removed
+	proof         endProof // that the job's end is stored, so that its keys may be removed
 	removedChunks []jobstate.ChunkRef
 }
 
@@ -93,7 +94,7 @@
 // remainingWrites returns the number of writes that can still be added.
 func (t *leaderTransaction) remainingWrites() int { return t.limit - len(t.writes) - t.pages.count() }
 
-// isTooLarge reports whether no value can be added because the transaction would be too large.
+// isTooLarge reports whether the transaction is so large that no value can be added.
 func (t *leaderTransaction) isTooLarge() bool {
 	return t.size+t.pages.count()*t.committer.membership.valueLimit() > maxTxnBytes
 }
@@ -112,14 +113,14 @@
 }
 
 // addJob adds the pending changes of a job, as far as the limits allow.
-func (t *leaderTransaction) addJob(j *jobstate.Job) {
-	written := jobWrite{job: j}
+func (t *leaderTransaction) addJob(job *jobstate.Job) {
+	written := jobWrite{job: job}
 	switch {
-	case j.Outcome() == "" && j.NumDone == j.Tasks:
+	case job.Outcome() == "" && job.NumDone == job.Tasks:
 		t.addDoneJob(&written)
-	case j.Outcome() != "" && j.NumPlaced == 0:
+	case job.Outcome() != "" && job.NumPlaced == 0:
 		t.addEndedJob(&written)
-	case j.Outcome() != "":
+	case job.Outcome() != "":
 		// None of its tasks will be started again, so their exits need not be stored
 		// individually.
 	default:
@@ -136,32 +137,32 @@
 	if t.remainingWrites() < 2 {
 		return
 	}
-	j := written.job
-	t.requireOpenSweep(j)
+	job := written.job
+	t.requireOpenSweep(job)
 	proof := t.addEnd(written, jobstate.Done)
-	chunks, _ := j.StoredChunks()
-	if j.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.remainingWrites()) {
+	chunks, _ := job.StoredChunks()
+	if job.NumPlaced == 0 && (t.committer.membership.logEnabled() || len(chunks)+1 <= t.remainingWrites()) {
 		t.addRemoval(written, proof)
 		return
 	}
 	written.writesRecord = true
-	record := t.committer.requests.endedRecord(j, jobstate.Done)
-	t.add(Write{Key: jobPrefix + j.ID, Value: record}, j.Revision)
+	record := t.committer.requests.endedRecord(job, jobstate.Done)
+	t.add(Write{Key: jobPrefix + job.ID, Value: record}, job.Revision)
 }
 
 // addEndedJob removes the keys of a job that has ended, and adds its end if that is not known to
 // be stored.
 func (t *leaderTransaction) addEndedJob(written *jobWrite) {
-	j := written.job
-	proof, isStored := storedEndOf(j)
+	job := written.job
+	proof, isStored := storedEndOf(job)
 	if !isStored {
 		if t.remainingWrites() < 2 {
 			return
 		}
-		// An end that a peer reported is not necessarily stored. A leader that assumed so
-		// removed jobs without storing an end, and every controller that started later
-		// treated them as never accepted.
-		proof = t.addEnd(written, j.Outcome())
+		// An end that a peer reported is not necessarily stored. If the job's keys were
+		// removed without storing its end, every controller that starts later would treat
+		// the job as never accepted.
+		proof = t.addEnd(written, job.Outcome())
 	}
 	if t.remainingWrites() < 1 {
 		return
@@ -170,7 +171,7 @@
 }
 
 // endProof shows that a job's keys may be removed: its end is stored at a revision, or written by
-// the same transaction. It comes from storedEndOf or addEnd.
+// the same transaction. Only storedEndOf and addEnd create such proofs.
 type endProof struct {
 	revision  uint64
 	writtenBy *leaderTransaction
@@ -186,67 +187,67 @@
 }
 
 // storedEndOf returns the proof that a job's end is stored, if that is known.
-func storedEndOf(j *jobstate.Job) (proof endProof, isStored bool) {
-	end := j.End()
+func storedEndOf(job *jobstate.Job) (proof endProof, isStored bool) {
+	end := job.End()
 	return endProof{revision: end.Revision()}, end.IsStored()
 }
 
 // addEnd adds a job's end, on the condition that none is stored.
 func (t *leaderTransaction) addEnd(written *jobWrite, outcome string) endProof {
-	j := written.job
+	job := written.job
 	written.writesEnd = true
-	written.end = t.committer.requests.newEnd(outcome, j)
-	t.add(Write{Key: endPrefix + j.ID, Value: encodeJSON(written.end)}, 0)
+	written.end = t.committer.requests.newEnd(outcome, job)
+	t.add(Write{Key: endPrefix + job.ID, Value: encodeJSON(written.end)}, 0)
 	return endProof{writtenBy: t}
 }
 
 // requireOpenSweep makes the transaction conditional on the sweep of a run not having an end:
-// once users may have been told that the sweep is cancelled, no run of it may become done.
-func (t *leaderTransaction) requireOpenSweep(j *jobstate.Job) {
-	if j.Sweep != "" && !t.openSweeps[j.Sweep] {
-		t.openSweeps[j.Sweep] = true
-		t.conditions = append(t.conditions, kv.RevisionIs(sweepEndPrefix+j.Sweep, 0))
+// once a reply may have reported the sweep as cancelled, none of its runs may become done.
+func (t *leaderTransaction) requireOpenSweep(job *jobstate.Job) {
+	if job.Sweep != "" && !t.openSweeps[job.Sweep] {
+		t.openSweeps[job.Sweep] = true
+		t.conditions = append(t.conditions, kv.RevisionIs(sweepEndPrefix+job.Sweep, 0))
 	}
 }
 
-// addRemoval deletes a job's keys, the job's own key last. If there are more keys than remaining
-// writes, the others are deleted first.
+// addRemoval deletes a job's keys: first its chunks, and the job's own key together with the last
+// of them. If there are more keys than remaining writes, this takes several transactions.
 //
-// From the second stored format on, the job's own key is deleted at once, and the others when
-// writes remain, as chunks without their job have no meaning.
+// From the second stored format on, it deletes the job's own key immediately. The chunks have no
+// meaning without their job, so addOrphanedChunks deletes them later when writes remain.
 func (t *leaderTransaction) addRemoval(written *jobWrite, proof endProof) {
-	j := written.job
+	job := written.job
 	written.proof = proof
 	if t.committer.membership.logEnabled() {
 		written.removesJob = true
-		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
+		t.add(Write{Key: jobPrefix + job.ID}, job.Revision)
 		return
 	}
 	remaining := t.remainingWrites()
-	chunks, revisions := j.StoredChunks()
+	chunks, revisions := job.StoredChunks()
 	written.removesJob = len(chunks)+1 <= remaining
 	written.removedChunks = chunks[:min(remaining, len(chunks))]
 	for i, ref := range written.removedChunks {
-		t.add(Write{Key: chunkKey(j.ID, ref)}, revisions[i])
+		t.add(Write{Key: chunkKey(job.ID, ref)}, revisions[i])
 	}
 	if written.removesJob {
-		t.add(Write{Key: jobPrefix + j.ID}, j.Revision)
+		t.add(Write{Key: jobPrefix + job.ID}, job.Revision)
 	}
 }
 
 // addChunks adds the changed chunks of an unfinished job, to the log if possible and otherwise as
 // values.
 func (t *leaderTransaction) addChunks(written *jobWrite) {
-	j := written.job
-	for _, index := range j.DirtyChunks() {
-		if version, ok := t.pages.append(j, index, t.remainingWrites()); ok {
+	job := written.job
+	for _, index := range job.DirtyChunks() {
+		if version, ok := t.pages.append(job, index, t.remainingWrites()); ok {
 			written.chunks = append(written.chunks, chunkWrite{index: index, version: version, logged: true})
 			continue
 		}
 		if t.remainingWrites() < 1 || t.isTooLarge() {
 			return
 		}
-		if t.lowBudget && !j.HasPlacementToWrite(index) && t.committer.now-j.Chunk(index).DirtySince < maxEndDelay {
+		if t.lowBudget && !job.HasPlacementToWrite(index) && t.committer.now-job.Chunk(index).DirtySince < maxEndDelay {
 			continue
 		}
 		t.addChunkValue(written, index)
@@ -255,23 +256,23 @@
 
 // addChunkValue adds a chunk as a complete value, or delays it if the value is too large.
 func (t *leaderTransaction) addChunkValue(written *jobWrite, index int) {
-	j := written.job
-	value, version := j.BeginChunkWrite(index, t.term.commits.nextLogEntry)
+	job := written.job
+	value, version := job.BeginChunkWrite(index, t.term.commits.nextLogEntry)
 	if len(value) > t.committer.membership.valueLimit() {
-		t.committer.deferOversizedChunk(j, index)
+		t.committer.deferOversizedChunk(job, index)
 		return
 	}
-	key := chunkKey(j.ID, jobstate.ChunkRef{ChunkSize: j.ChunkSize(), Index: index})
-	t.add(Write{Key: key, Value: value}, j.Chunk(index).Revision)
+	key := chunkKey(job.ID, jobstate.ChunkRef{ChunkSize: job.ChunkSize(), Index: index})
+	t.add(Write{Key: key, Value: value}, job.Chunk(index).Revision)
 	written.chunks = append(written.chunks, chunkWrite{index: index, version: version})
 }
 
 // deferOversizedChunk delays a chunk whose value is too large, and requests smaller chunks.
-func (c *committer) deferOversizedChunk(j *jobstate.Job, index int) {
-	j.AbortChunkWrite(index)
+func (c *committer) deferOversizedChunk(job *jobstate.Job, index int) {
+	job.AbortChunkWrite(index)
 	commits := &c.elector.leadership.commits
-	commits.backoffUntil[j] = c.now + splitBackoff
-	if j.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
+	commits.backoffUntil[job] = c.now + splitBackoff
+	if job.ChunkSize() == c.membership.chunkTasks && c.membership.chunkTasks > 1 {
 		commits.requestedChunkTasks = c.membership.chunkTasks / 2
 	}
 }
@@ -285,8 +286,8 @@
 
 // abort reverts the bookkeeping of writes that are not known to have been executed: the
 // transaction was refused, or its outcome is unknown. In both cases the same keys are written
-// again under the same revisions. If the first write was or will be executed after all, one of
-// the two fails, and no reply has been sent based on it.
+// again on the condition of the same revisions. If the first write was or will be executed after
+// all, one of the two fails, and no reply has been sent based on the first.
 func (t *leaderTransaction) abort() {
 	for i := range t.jobs {
 		for _, chunk := range t.jobs[i].chunks {
@@ -342,7 +343,7 @@
 	}
 }
 
-// garbageRemoved drops the keys that a transaction removed.
+// garbageRemoved removes from the state cache the keys that a transaction removed.
 func (c *committer) garbageRemoved(removed *garbageRemoval) {
 	c.cache.progressLog = slices.Delete(c.cache.progressLog, 0, removed.pages)
 	c.elector.leadership.commits.removablePages -= removed.pages
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -66,8 +66,8 @@
 }
 
 // useLowerLimits reports whether written data has to fit the announced limits too. While
-// version 1 of the format is in use, it does not have to until they are in force, because a
-// controller of version 1 could not read a value that has to be split.
+// version 1 of the format is in use, it has to fit them only once they are in force, because a
+// controller of version 1 could not read a value that is split to fit them.
 func (m *membership) useLowerLimits() bool { return m.logEnabled() || m.limitsLowered }
 
 // limits returns the limits of the state service that apply now. The current rates apply
@@ -90,8 +90,9 @@
 // bytesOfKB converts a limit in KB to bytes, conservatively with 1000 bytes per KB.
 func bytesOfKB(kb float64) int { return int(kb * 1000) }
 
-// handleRateLimited treats a rate-limited transaction as the sign that the announced limits are
-// in force. While version 1 of the format is in use they can't be, so it is ignored then.
+// handleRateLimited treats a rate-limited transaction as a sign that the announced limits are in
+// force. While version 1 of the format is in use, it ignores this sign, and only refused writes
+// and the reports of peers show that the limits are in force.
 func (m *membership) handleRateLimited(outcome kv.Outcome) {
 	if outcome == kv.RateLimited && m.logEnabled() {
 		m.lowerLimits("request rate limited")
@@ -105,9 +106,9 @@
 	}
 }
 
-// putOnLease stores an advertisement of this controller under a key on its lease, so that it
-// exists only while the controller is alive and reaches the state service. It calls done with
-// whether the advertisement was stored.
+// putOnLease stores an advertisement of this controller under a key that is bound to its lease, so
+// that the key exists only while the controller is alive and reaches the state service. It calls
+// done with whether the advertisement was stored.
 func (m *membership) putOnLease(key string, revision uint64, value any, done func(ok bool)) {
 	if !m.elector.hasLease() {
 		m.elector.requestLease()
--- a/internal/core/operatorview.go
+++ b/internal/core/operatorview.go
@@ -15,8 +15,8 @@
 	Revision     uint64  `json:"revision"`
 	StateAgeS    float64 `json:"state_silent_s"`
 	WritesLeft   float64 `json:"writes_left"`
-	// ReadsLeft is the remaining budget of this controller's share of reads, ReadsBy the
-	// controller from which it reads the state, or "" for the state service.
+	// ReadsLeft is the remaining budget of this controller's share of reads. ReadsBy is the
+	// controller from which it reads the state, "" if it reads from the state service.
 	ReadsLeft  float64         `json:"reads_left"`
 	ReadsBy    string          `json:"reads_by"`
 	CallsLeft  float64         `json:"cloud_calls_left"`
@@ -25,14 +25,14 @@
 	Queues     []QueueView     `json:"queues,omitempty"`
 	Machines   MachinesView    `json:"machines"`
 	Jobs       int             `json:"unfinished_jobs"`
-	// AnswersForS is how long a leader may still answer workers without newer proof of
-	// its authority, in seconds, negative if that time has passed.
+	// AnswersForS is the time for which a leader may still answer workers without newer proof
+	// of its authority, in seconds; it is negative if that time has passed.
 	AnswersForS float64 `json:"answers_for_s,omitempty"`
 	// Awaiting counts the unfinished jobs that wait for their dependencies.
 	Awaiting int `json:"awaiting_jobs"`
-	// UnstoredEnds counts the jobs whose ends are known and not known to be stored. It
-	// returns to 0 within seconds on every controller. Ends has counts of how ends were
-	// learned.
+	// UnstoredEnds is the number of jobs that are known to have ended, but whose ends are not
+	// yet known to be stored. It returns to 0 within seconds on every controller. Ends counts
+	// how ends were learned and looked up.
 	UnstoredEnds int       `json:"unstored_ends"`
 	Ends         EndCounts `json:"ends"`
 	// Format is the version of stored data. LimitsLowered is set if the announced lower
@@ -50,14 +50,14 @@
 	Latencies []LatencyView `json:"latencies,omitempty"`
 }
 
-// FeatureView is a feature, and the reasons why it is not enabled if it is off.
+// FeatureView is a feature and, if it is not enabled, the reasons for that.
 type FeatureView struct {
 	Name string   `json:"name"`
 	On   bool     `json:"on"`
 	Held []string `json:"held_back,omitempty"`
 }
 
-// MemberView is what a controller advertises: its program version, 0 if it advertises none,
+// MemberView is what a controller advertises: its program version (0 if it advertises none),
 // the newest format that it can read, its features, and the features that its operators
 // withhold.
 type MemberView struct {
@@ -71,9 +71,9 @@
 // controllers.
 type ConnectivityView struct {
 	Links []LinkView `json:"links"`
-	// Matrix has the connectivity that each controller that could lead advertises.
+	// Matrix has the advertised connectivity of each controller that could lead.
 	Matrix map[string]ConnectivityRowView `json:"matrix"`
-	// SteppedAside is when this controller last stepped down in favour of another.
+	// SteppedAside describes how this controller last stepped down in favour of another.
 	SteppedAside *LeadershipTransferView `json:"gave_way,omitempty"`
 }
 
@@ -86,9 +86,9 @@
 	AgeS float64 `json:"proven_s_ago"`
 }
 
-// ConnectivityRowView is what a controller reaches: eighths of the machines of each zone, the
-// eighths that it would serve as the leader, including machines reached through other
-// controllers, the controllers that respond to it, and whether it reaches the cloud.
+// ConnectivityRowView is what a controller reaches: the share of each zone's machines, in eighths;
+// the share that it would serve as the leader, including machines reached through other
+// controllers; the controllers that respond to it; and whether it reaches the cloud.
 type ConnectivityRowView struct {
 	Workers map[string]int `json:"workers_eighths"`
 	Leading map[string]int `json:"as_leader_eighths"`
@@ -123,7 +123,7 @@
 // PartitionView is a partition of the machines and its holder.
 type PartitionView struct {
 	Holder string `json:"holder"`
-	// Ends is the hash of machine names before which the partition ends.
+	// Ends is the upper bound of the name hashes of the partition's machines.
 	Ends     uint32 `json:"ends"`
 	Machines int    `json:"machines"`
 }
@@ -138,7 +138,7 @@
 	Reason  string  `json:"why,omitempty"`
 }
 
-// MachinesView counts machines by what they are doing.
+// MachinesView has the number of machines in each state.
 type MachinesView struct {
 	Busy        int `json:"busy"`
 	Idle        int `json:"idle"`
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// partitionWriteGap is the minimum time between two writes of the partitions, and
-	// partitionCheckGap between two checks whether they must be written.
+	// partitionWriteGap is the minimum time between two writes of the partitions.
 	partitionWriteGap = second
+	// partitionCheckGap is the minimum time between two checks whether the partitions must be
+	// written.
 	partitionCheckGap = second / 4
-	// maxHeartbeatGap plus two heartbeat intervals is how long after its last heartbeat a
-	// machine is included in the division into partitions.
+	// maxHeartbeatGap is the time that is added to two heartbeat intervals to get the maximum
+	// age of the last heartbeat of a machine that is included in the division into partitions.
 	maxHeartbeatGap = 10 * second
-	// holderEvidence is the minimum number of machines in a holder's partition, and the
+	// minMachinesForExclusion is the minimum number of machines in a holder's partition, and the
 	// minimum number of machines that still send heartbeats, for the leader to conclude
 	// that workers can't reach the holder.
-	holderEvidence = 2
-	// knownMachineTimeout is how long after its last heartbeat a machine is counted in its
-	// partition when the leader checks whether workers reach the holder.
+	minMachinesForExclusion = 2
+	// knownMachineTimeout is the age of a machine's last heartbeat above which the leader ignores
+	// the machine when it checks whether workers reach a holder.
 	knownMachineTimeout = 60 * second
 )
 
@@ -33,11 +34,11 @@
 	// machineHashes are the hashes of the machines that send heartbeats; the slice is kept
 	// for reuse.
 	machineHashes []uint32
-	// lastHeartbeatVia is the time of the last heartbeat that came directly from a worker
-	// to a controller.
+	// lastHeartbeatVia is, by controller, the time of the last heartbeat that the controller
+	// received directly from a worker.
 	lastHeartbeatVia map[string]int64
-	// excludedUntil is the time until which a controller gets no partition because it
-	// received no heartbeats.
+	// excludedUntil is, by controller, the time until which the controller gets no partition
+	// because it received no heartbeats.
 	excludedUntil map[string]int64
 }
 
@@ -81,7 +82,7 @@
 	p.writePartitions(partitions)
 }
 
-// newPartitions returns the partitions and holders that there should be now.
+// newPartitions returns the partitions and their holders as they should be now.
 func (p *partitionManager) newPartitions() fleet.Partitions {
 	term := p.elector.leadership
 	hashes := p.liveMachineHashes()
@@ -127,20 +128,21 @@
 	term.partitions.writing, term.partitions.writtenAt = true, p.now
 	term.partitions.seq++
 	p.cache.assignPartitions(partitions)
-	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(m TransactionResult) {
+	p.committer.putAsLeader(partitionsKey, encodeJSON(partitions), func(result TransactionResult) {
 		if p.elector.leadership != term {
 			return
 		}
 		term.partitions.writing = false
-		if m.Outcome != kv.Committed {
+		if result.Outcome != kv.Committed {
 			term.partitions.writtenAt = p.now - p.settings.Ops.Term/2
 		}
 	})
 }
 
-// isExcluded reports whether a controller gets no partition: it has held one for a while without
-// receiving a heartbeat directly, although other controllers received some, so workers can't
-// reach it.
+// isExcluded reports whether a controller gets no partition. A controller is excluded for
+// keepWorkerTime if it has held a partition for a while without receiving a heartbeat directly,
+// although machines still send heartbeats: workers can't reach it. isExcluded also records the start
+// of an exclusion.
 func (p *partitionManager) isExcluded(controller string) bool {
 	term := p.elector.leadership
 	if term.partitions.excludedUntil[controller] > p.now {
@@ -168,18 +170,18 @@
 		return false
 	}
 	held, live := 0, 0
-	for _, m := range term.fleet.All() {
-		if m.LastHeartbeat == 0 || p.now-m.LastHeartbeat > knownMachineTimeout {
+	for _, machine := range term.fleet.All() {
+		if machine.LastHeartbeat == 0 || p.now-machine.LastHeartbeat > knownMachineTimeout {
 			continue
 		}
-		if partitions.Holder(m.Name) == controller {
+		if partitions.Holder(machine.Name) == controller {
 			held++
 		}
-		if p.now-m.LastHeartbeat < silenceTimeout {
+		if p.now-machine.LastHeartbeat < silenceTimeout {
 			live++
 		}
 	}
-	return held >= holderEvidence && live >= holderEvidence
+	return held >= minMachinesForExclusion && live >= minMachinesForExclusion
 }
 
 // partitionsUnbalanced reports whether the sizes of the partitions differ too much.
--- a/internal/core/prefetchsource.go
+++ b/internal/core/prefetchsource.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minPrefetchSources is how many sources of an image may be kept in any fleet; one more
-	// may be kept for every machinesPerSource machines.
+	// minPrefetchSources is the number of sources of an image that may be kept for a fleet of
+	// any size; one more may be kept for every machinesPerSource machines.
 	minPrefetchSources = 12
 	machinesPerSource  = 16
 	// cachePercent is the percentage of a machine's image cache up to which prefetches may
@@ -25,9 +25,9 @@
 	machine string // the machine on which it runs, empty if none
 }
 
-// prefetchJob is the state that the prefetch sources of one completed job share: how many of them run,
-// and the zone in which the last one was started. If the job sets one_zone, its sources may only run in
-// one zone at a time, because one_zone also applies to tasks that are started again.
+// prefetchJob is the state that the prefetch sources of one completed job share: the number of them
+// that run, and the zone in which the last one was started. If the job sets one_zone, its sources
+// may only run in one zone at a time, because one_zone also applies to tasks that are started again.
 type prefetchJob struct {
 	running int
 	zone    string
@@ -49,8 +49,8 @@
 	s.job.running--
 }
 
-// addPrefetchSources adds the tasks of a job as prefetch sources. The job must be done, and no task of
-// it may be on a machine any more. The number of sources per image grows with the size of the fleet.
+// addPrefetchSources adds the tasks of a job as prefetch sources. The job must be done, and none of
+// its tasks may be on a machine any more. The limit on sources per image grows with the fleet.
 func (p *prefetcher) addPrefetchSources(spec *jobstate.Spec) {
 	if spec.Image == "" || spec.Spread || spec.Kind == jobstate.Service {
 		return
@@ -71,8 +71,8 @@
 	state.sources[spec.Image] = sources
 }
 
-// pickSource returns a source of the most wanted image that the machine lacks, has cache space for and
-// is allowed to get, or nil if there is none.
+// pickSource returns a source of the most wanted image that the machine lacks, has cache space for
+// and is allowed to get, or nil if there is none.
 func (p *prefetcher) pickSource(m *fleet.Machine, used map[string]teamUsage, wanted wantedImages) *prefetchSource {
 	var cachedMB int64
 	for _, image := range m.Images {
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -24,16 +24,17 @@
 	// order. If not all jobs can meet their deadlines, those with little work go first,
 	// because they delay the others least.
 	shortFirstFactor = 10
-	// onDemandReserveTime is how long a job that may use only on-demand machines keeps
-	// them reserved for such jobs.
+	// onDemandReserveTime is the time for which on-demand machines stay reserved for jobs
+	// that may not use spot machines, counted from the last time at which there was such a job.
 	onDemandReserveTime = 600 * second
-	// lateJobYieldFactor is the multiple of its deadline for which a job that can't meet
-	// the deadline yields to others.
+	// lateJobYieldFactor is the age, as a multiple of its deadline, until which a job that can't
+	// meet the deadline yields to others.
 	lateJobYieldFactor = 8
 )
 
 // queueOf returns the queue of a job by its estimate: equation (1) of the paper that package
-// sched implements, with the cutoffs from the settings. Services never end and go to the long queue.
+// sched implements, with the cutoffs from the settings. Services never end and go to the long
+// queue.
 func (p *planner) queueOf(spec *jobstate.Spec) int {
 	switch {
 	case spec.Kind == jobstate.Service:
@@ -103,7 +104,7 @@
 	return jobs
 }
 
-// expectedDuration returns how long a task of a job is expected to occupy its machine.
+// expectedDuration returns the expected time for which a task of a job occupies its machine.
 func (p *planner) expectedDuration(job *jobstate.Job) int64 {
 	switch {
 	case job.Kind == jobstate.Service:
@@ -132,8 +133,8 @@
 
 // mayUseType reports whether a task of a job fits a machine type and the job allows that
 // type.
-func mayUseType(spec *jobstate.Spec, t *fleet.Type) bool {
-	return spec.Need.Fits(t.Cap) && (len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name))
+func mayUseType(spec *jobstate.Spec, machineType *fleet.Type) bool {
+	return spec.Need.Fits(machineType.Cap) && (len(spec.Types) == 0 || slices.Contains(spec.Types, machineType.Name))
 }
 
 // largestGPUTask returns the resources that the largest GPU task of any job needs, by GPUs
@@ -162,7 +163,7 @@
 	return latestStart + shortFirstFactor*p.fleetTime(job)
 }
 
-// fleetTime returns how long all machines together would need for the remaining tasks of a
+// fleetTime returns the time that all machines together would need for the remaining tasks of a
 // job.
 func (p *planner) fleetTime(job *jobstate.Job) int64 {
 	capacity, left := p.elector.leadership.planning.capacity, int64(job.Tasks-job.NumDone)
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -1,10 +1,10 @@
 // Package replica lets a follower, a controller that does not lead, answer linearizable
-// reads without a read of the state service for each, after Raft's ReadIndex. The follower
-// asks the leader, which reads the state service once for all followers that have asked
-// until then, and answers with the changes since the revision that the follower has. The
-// leader's read began after the follower's request arrived, so its result is newer than
-// every request that waits for it, whoever leads by then. The protocol does not rely on the
-// leader's lease.
+// reads without a read of the state service for each. The protocol is modelled on Raft's
+// ReadIndex. The follower asks the leader, which reads the state service once for all
+// followers that have asked until then, and answers with the changes since the revision that
+// the follower has. The leader's read began after the follower's request arrived, so its
+// result is newer than every request that waits for it, whichever controller leads by then.
+// The protocol does not rely on the leader's lease.
 //
 // A follower that gets no such answer reads and watches the state service itself until the
 // leader answers again. The package does no I/O.
@@ -18,8 +18,8 @@
 	// refreshAfter is the age of a follower's state cache from which the follower asks the leader
 	// even if no request waits.
 	refreshAfter = second
-	// followDuration is how long after an answer the leader counts as the source of the
-	// follower's state cache.
+	// followDuration is the time after an answer for which the leader counts as the source of
+	// the follower's state cache.
 	followDuration = 5 * second / 2
 	// minRetryDelay and maxRetryDelay bound the backoff after a leader has failed to answer.
 	// The delay doubles with each consecutive failure.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -11,8 +11,9 @@
 	maxWriteWait      = 3_500_000 // µs, of the 5 s that users wait for a submission
 	maxQueuedRequests = 2000
 
-	// maxWriteTries is the maximum number of retries of a failed write.
-	maxWriteTries = 4
+	// maxWriteRetries is the maximum number of retries of a request with a write. Retries of the
+	// lookup of an end count as well.
+	maxWriteRetries = 4
 )
 
 // request is an unfinished request of a user or a follower. It is received, waits for a
@@ -27,10 +28,11 @@
 	receivedAt int64
 	// forwarded is set if a peer has forwarded the request; it is not forwarded again.
 	forwarded bool
-	tries     int
+	// retries is the number of writes and lookups of this request that had to be repeated.
+	retries int
 
-	// spec is the submitted job. For a submitted sweep it has the sweep's id and the
-	// dependencies of all its runs.
+	// spec is the submitted job. For a submitted sweep it has the sweep's id and the jobs
+	// outside the sweep that its runs depend on.
 	spec *jobstate.Spec
 	// dependenciesChecked is the number of dependencies that are known to be accepted.
 	dependenciesChecked int
@@ -74,7 +76,7 @@
 // isAboutSweep reports whether a request is about a sweep and not about a job.
 func (k requestKind) isAboutSweep() bool { return k >= requestSweepSubmit }
 
-// maxWait returns how long a request may wait for the lookup of a job's end.
+// maxWait returns the maximum time that a request may wait for the lookup of a job's end.
 func (r *request) maxWait() int64 {
 	if r.kind == requestStatus {
 		return maxReadWait
@@ -187,7 +189,7 @@
 
 // waitForRead queues a request for the next read of the state.
 func (h *requestHandler) waitForRead(r *request) {
-	if !h.cache.synced || h.health.unavailable() && r.tries == 0 || h.queues.stateReads.Waiting() >= maxQueuedRequests {
+	if !h.cache.synced || h.health.unavailable() && r.retries == 0 || h.queues.stateReads.Waiting() >= maxQueuedRequests {
 		h.refuse(r)
 		return
 	}
@@ -212,7 +214,7 @@
 	h.beginRead(source)
 }
 
-// beginRead starts a read for all waiting requests, also if there are none.
+// beginRead starts a read for all waiting requests, even if there are none.
 func (h *requestHandler) beginRead(source string) {
 	h.queues.stateReads.Begin(h.now)
 	if source == "" {
@@ -277,20 +279,20 @@
 		h.answerEnd(r.id, r.targetID, end.End)
 		return
 	}
-	j := h.cache.jobs[r.targetID]
+	job := h.cache.jobs[r.targetID]
 	switch {
-	case j == nil && r.kind == requestSubmit && r.refusal.Status == 0:
+	case job == nil && r.kind == requestSubmit && r.refusal.Status == 0:
 		h.queueWrite(r)
-	case j == nil:
+	case job == nil:
 		h.lookUpEnd(r)
-	case j.Outcome() != "":
-		h.answerEnd(r.id, r.targetID, j.End().End)
+	case job.Outcome() != "":
+		h.answerEnd(r.id, r.targetID, job.End().End)
 	case r.kind == requestCancel:
 		h.queueWrite(r)
-	case !h.dependencies.dependenciesKnown(j):
+	case !h.dependencies.dependenciesKnown(job):
 		h.emit(retryLaterReply(r.id, 1, "an end that the job's state depends on is being read"))
 	default:
-		h.emit(Reply{RequestID: r.id, Status: ReplyOK, Job: stateOf(j)})
+		h.emit(Reply{RequestID: r.id, Status: ReplyOK, Job: stateOf(job)})
 	}
 }
 
--- a/internal/core/scaling.go
+++ b/internal/core/scaling.go
@@ -6,15 +6,19 @@
 	callRateShare = 0.85
 	// maxCloudCalls is the maximum number of concurrent calls.
 	maxCloudCalls = 4
-	// listCallShare is the share of the calls that may be used to list machines more often
-	// than once every listPageInterval per page: a list shows which machines were reclaimed
-	// without notice.
-	listCallShare    = 0.1
+	// listCallShare is the share of the calls that lists may take: machines are listed as often
+	// as it allows, within the bounds given by listPageInterval. A list shows which machines
+	// were reclaimed without notice.
+	listCallShare = 0.1
+	// listPageInterval is the minimum time between two lists of the machines. Multiplied by the
+	// number of pages of a list it is the maximum time, even if lists then take more calls than
+	// listCallShare.
 	listPageInterval = 5 * second
 
-	// typesInterval is the interval at which the machine types are listed, and typesRetryGap
-	// the time before a retry after a failure.
+	// typesInterval is the interval at which the machine types are listed.
 	typesInterval = 120 * second
+	// typesRetryGap is the time before a retry after a failure, and the interval at which the
+	// machine types are listed while none are known.
 	typesRetryGap = 2 * second
 )
 
@@ -34,7 +38,7 @@
 	scalingOut    map[machineOffer]bool
 	refusedUntil  map[machineOffer]int64
 	backoff       map[machineOffer]int64 // last backoff time of an offer
-	unanswered    []ScaleOut             // requests without an answer, to be repeated under their names
+	unanswered    []ScaleOut             // unanswered requests, to be repeated with the same names
 	requestSerial int
 	booting       map[string]bootingMachine
 
@@ -52,7 +56,8 @@
 	listedRunning bool // whether the cloud lists it as running
 }
 
-// machineOffer is a combination of machine type, zone and kind in which machines can be rented.
+// machineOffer is a combination of machine type, zone and kind (spot or on-demand) in which machines
+// can be rented.
 type machineOffer struct {
 	machineType, zone string
 	spot              bool
@@ -70,7 +75,7 @@
 	}
 }
 
-// refillCalls adds the calls that the rate has allowed since the last refill to the budget.
+// refillCalls adds to the budget the calls that the rate has allowed since the last refill.
 func (s *scalingState) refillCalls(now int64, rate float64) {
 	s.callBudget = min(s.callBudget+float64(now-s.refilledAt)/1e6*rate, 2*rate)
 	s.refilledAt = now
@@ -119,8 +124,8 @@
 	s.scaleOutTick(state.takeCall, targets)
 }
 
-// typesDue reports whether the machine types must be listed, which is more often while none are
-// known.
+// typesDue reports whether the machine types must be listed. While none are known, they are listed
+// more often.
 func (s *scaler) typesDue() bool {
 	listedAt := s.elector.leadership.scaling.typesListedAt
 	if (len(s.cache.machineTypes) == 0 || listedAt == 0) && s.now-listedAt >= typesRetryGap {
--- a/internal/core/sched/gang.go
+++ b/internal/core/sched/gang.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// unboundedStarts is the smallest remaining Planner.MaxStarts with which a gang is placed
-// although it has more tasks than that.
+// unboundedStarts is the minimum value of Planner.MaxStarts, which falls with each placement, with
+// which a gang is placed even if it has more tasks than MaxStarts. Below it, such a gang is not
+// placed in this round.
 const unboundedStarts = 1000
 
-// placeGang places all tasks of a gang or none. With one_zone it tries one zone after the
-// other, in the order in which the gang would start soonest.
+// placeGang places all tasks of a gang or none. With one_zone it tries one zone after the other,
+// beginning with the zone in which the gang would start soonest.
 func (p *Planner) placeGang(j *Job, partition int) {
 	tasks := j.tasksLeft()
 	if tasks > p.MaxStarts && p.MaxStarts < unboundedStarts {
@@ -53,7 +54,7 @@
 
 // zoneChoices returns the zones to try for the remaining tasks of a gang, best first; nil
 // stands for any zone. A gang starts when the last of its tasks does, so the cost of a zone is
-// that of the most expensive machine that would be used there.
+// the cost of the most expensive machine that would be used there.
 func (p *Planner) zoneChoices(j *Job, tasks int) []*string {
 	if !j.OneZone {
 		return []*string{nil}
--- a/internal/emulator/scale/figures.go
+++ b/internal/emulator/scale/figures.go
@@ -15,15 +15,15 @@
 	// Sources identifies what was measured: the commit, and further details if needed.
 	Sources string `json:"sources"`
 	Cores   int    `json:"cores"`
-	// MachineLimited says why the machine rather than the service limited the run. If it is
-	// set, the other values are not valid measurements.
+	// MachineLimited says why the computer on which the run took place, rather than the
+	// service, limited the run. If it is set, the other values are not valid measurements.
 	MachineLimited string `json:"limited,omitempty"`
 	// Windows are the measured parts of the run by name.
 	Windows map[string]Window `json:"windows"`
 	// TimerLateness is the lateness of the timers of the workers and the emulator.
 	TimerLateness Latency    `json:"late_ms"`
-	Urgent        Starts     `json:"urgent"`
-	Gangs         Starts     `json:"gangs"`
+	Urgent        StartWaits `json:"urgent"`
+	Gangs         StartWaits `json:"gangs"`
 	Submit        Latency    `json:"submit_ms"`
 	Poll          Latency    `json:"poll_ms"`
 	Failovers     []Failover `json:"takeover,omitempty"`
@@ -41,9 +41,9 @@
 	Count  int     `json:"count"`
 }
 
-// Starts is the distribution of the waiting times of a class's jobs, in seconds, and the
-// share of jobs that started within Within seconds, the target of the class.
-type Starts struct {
+// StartWaits is the distribution of the waiting times of a class's jobs, in seconds. Within is the
+// target of the class for these times, and Share is the share of jobs that met it.
+type StartWaits struct {
 	Latency
 	Within float64 `json:"within"`
 	Share  float64 `json:"share"`
@@ -173,15 +173,15 @@
 // process returns the resource usage of a process, and false if the process is missing from
 // one of the two measurements.
 func (d *difference) process(name string) (Role, bool) {
-	before, ok := d.from.usage[name]
-	after, ok2 := d.to.usage[name]
+	before, foundBefore := d.from.usage[name]
+	after, foundAfter := d.to.usage[name]
 	return Role{
 		Count:  1,
 		CPU:    (after.cpu - before.cpu) / d.seconds,
 		Memory: after.memory,
 		Peak:   after.peak,
 		Kinds:  map[string]Rate{},
-	}, ok && ok2
+	}, foundBefore && foundAfter
 }
 
 // addControllers adds the roles of the leader, of the average stand-by controller and of the
@@ -209,7 +209,7 @@
 // addWorkers adds the roles of the workers, and the bytes sent and received by those in shared
 // processes.
 func (d *difference) addWorkers(w *Window, controllers []string, dedicated map[string]bool) {
-	var shared, single []Role
+	var sharedRoles, dedicatedRoles []Role
 	var bytes []float64
 	for host, kinds := range d.byHost {
 		reports := kinds[sockets.ReportKind]
@@ -217,42 +217,42 @@
 			continue
 		}
 		if !dedicated[host] {
-			shared = append(shared, Role{Count: 1, Kinds: kinds})
+			sharedRoles = append(sharedRoles, Role{Count: 1, Kinds: kinds})
 			bytes = append(bytes, reports.BytesIn+reports.BytesOut)
 			continue
 		}
 		if r, ok := d.process(host); ok {
 			r.Kinds = kinds
-			single = append(single, r)
+			dedicatedRoles = append(dedicatedRoles, r)
 		}
 	}
-	w.Workers = len(shared) + len(single)
+	w.Workers = len(sharedRoles) + len(dedicatedRoles)
 	w.WorkerBytes = summarize(bytes)
-	if len(shared) > 0 {
-		w.Roles[RoleSharedWorkers] = mean(shared)
+	if len(sharedRoles) > 0 {
+		w.Roles[RoleSharedWorkers] = mean(sharedRoles)
 	}
-	if len(single) > 0 {
-		w.Roles[RoleDedicated] = mean(single)
+	if len(dedicatedRoles) > 0 {
+		w.Roles[RoleDedicated] = mean(dedicatedRoles)
 	}
 }
 
 // mean returns the average of several processes, or workers, of a role. Peak is the maximum
 // rather than the average.
-func mean(l []Role) Role {
-	out := Role{Count: len(l), Kinds: map[string]Rate{}}
-	n := float64(len(l))
-	for _, r := range l {
+func mean(roles []Role) Role {
+	out := Role{Count: len(roles), Kinds: map[string]Rate{}}
+	n := float64(len(roles))
+	for _, r := range roles {
 		out.CPU += r.CPU / n
 		out.Memory += r.Memory / n
 		out.Peak = max(out.Peak, r.Peak)
-		for kind, x := range r.Kinds {
-			y := out.Kinds[kind]
-			y.Messages += x.Messages / n
-			y.Refused += x.Refused / n
-			y.Changes += x.Changes / n
-			y.BytesIn += x.BytesIn / n
-			y.BytesOut += x.BytesOut / n
-			out.Kinds[kind] = y
+		for kind, rate := range r.Kinds {
+			sum := out.Kinds[kind]
+			sum.Messages += rate.Messages / n
+			sum.Refused += rate.Refused / n
+			sum.Changes += rate.Changes / n
+			sum.BytesIn += rate.BytesIn / n
+			sum.BytesOut += rate.BytesOut / n
+			out.Kinds[kind] = sum
 		}
 	}
 	return out
@@ -263,27 +263,28 @@
 func serviceRole(byHost map[string]map[string]Rate, controllers []string, prefix string) Role {
 	out := Role{Count: 1, Kinds: map[string]Rate{}}
 	for _, name := range controllers {
-		for kind, x := range byHost[name] {
+		for kind, rate := range byHost[name] {
 			if len(kind) < len(prefix) || kind[:len(prefix)] != prefix {
 				continue
 			}
-			y := out.Kinds[kind]
-			y.Messages += x.Messages
-			y.Refused += x.Refused
-			y.Changes += x.Changes
-			y.BytesIn += x.BytesOut
-			y.BytesOut += x.BytesIn
-			out.Kinds[kind] = y
+			sum := out.Kinds[kind]
+			sum.Messages += rate.Messages
+			sum.Refused += rate.Refused
+			sum.Changes += rate.Changes
+			sum.BytesIn += rate.BytesOut
+			sum.BytesOut += rate.BytesIn
+			out.Kinds[kind] = sum
 		}
 	}
 	return out
 }
 
-// startWaits returns how long the jobs of a class waited from their first submission until all
-// their tasks had started, in seconds. It leaves out cancelled jobs and jobs that were submitted
-// less than within seconds before the end of the run. A job that has not fully started by the
-// end counts as having waited until then, and as late.
-func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) Starts {
+// startWaits returns the distribution of the waiting times of a class's jobs, in seconds: from
+// the first submission of a job until all its tasks had started. The parameter within is the target
+// for this time, in seconds. Cancelled jobs are left out, and so are jobs that were submitted so
+// late that the run ended before the target time had passed. A job that has not fully started by
+// the end of the run counts as having waited until then, and as late.
+func startWaits(events []history.Event, expectations history.Expectations, class string, within float64) StartWaits {
 	type jobStarts struct {
 		first, last int64
 		started     map[int]bool
@@ -323,7 +324,7 @@
 		}
 		values = append(values, float64(j.last-j.first)/1e6)
 	}
-	s := Starts{Latency: summarize(values), Within: within}
+	s := StartWaits{Latency: summarize(values), Within: within}
 	if len(values) > 0 {
 		s.Share = float64(inTime) / float64(len(values))
 	}
@@ -349,10 +350,10 @@
 	return summarize(values)
 }
 
-// startRate returns how many tasks per second were placed on a machine between from and to,
-// and how many tasks were on a machine at the end of that time.
+// startRate returns the number of tasks per second that were placed on a machine between from
+// and to, and the number of tasks that were on a machine at the end of that time.
 func startRate(events []history.Event, from, to int64) (starts float64, running int) {
-	n := 0
+	started := 0
 	for _, e := range events {
 		if e.At >= to {
 			break
@@ -361,11 +362,11 @@
 		case history.TaskEntered:
 			running++
 			if e.At >= from {
-				n++
+				started++
 			}
 		case history.TaskLeft:
 			running--
 		}
 	}
-	return float64(n) / (float64(to-from) / 1e6), running
+	return float64(started) / (float64(to-from) / 1e6), running
 }
--- a/internal/emulator/workerproc/pool.go
+++ b/internal/emulator/workerproc/pool.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// forwardCompleted tells a dedicated process which of the tasks just placed on it have
+// forwardCompleted sends a dedicated process those of the tasks just placed on it that have
 // already been completed elsewhere.
 func (p *Pool) forwardCompleted(proc *process, events []history.Event) {
 	var done []environment.TaskCompleted
@@ -200,7 +200,7 @@
 func (proc *process) enqueue(c Command) {
 	select {
 	case proc.queue <- c:
-	default: // the process has exited or is far behind; its workers then stop reporting
+	default: // dropped: the process has exited or is too far behind, and its workers stop reporting
 	}
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
 // Package load submits jobs in an open loop: at their intended times, regardless of the state of
 // earlier submissions. It measures latencies from the intended time, so that a stall of the
-// service shows in all submissions that were due meanwhile.
+// service shows in all submissions that were due during the stall.
 package load
 
 import (
@@ -27,13 +27,15 @@
 
 // The timeouts and intervals of users, as the protocol defines them.
 const (
-	submitTimeout    = 5 * time.Second
-	submitDeadline   = 60 * time.Second
-	pollInterval     = 5 * time.Second
-	maxRetryDelay    = 30 * time.Second
-	maxTrackedMicros = 600_000_000 // upper bound of the histograms, in microseconds
+	submitTimeout  = 5 * time.Second
+	submitDeadline = 60 * time.Second
+	pollInterval   = 5 * time.Second
+	maxRetryDelay  = 30 * time.Second
 )
 
+// maxTrackedMicros is the upper bound of the histograms, in microseconds.
+const maxTrackedMicros = 600_000_000
+
 // Options configure a run.
 type Options struct {
 	Addr string
@@ -49,7 +51,10 @@
 
 // Totals are the results of a run.
 type Totals struct {
-	Sent, Accepted, Refused, GivenUp, Throttled, Done, Cancelled, Retries int
+	// Abandoned is the number of submissions that were neither accepted nor refused, and not
+	// retried because the next attempt would have come after submitDeadline or the end of the
+	// run.
+	Sent, Accepted, Refused, Abandoned, Throttled, Done, Cancelled, Retries int
 	// Accept and Complete are the latencies until a job was accepted and until it was done,
 	// in microseconds from the intended time.
 	Accept, Complete *hdrhistogram.Histogram
@@ -120,8 +125,7 @@
 	f(&r.totals)
 }
 
-// sleep waits for d and reports whether the run is still going on; it returns early when the run
-// ends.
+// sleep waits for d or until the run ends, and reports whether the run is still in progress.
 func (r *runner) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -147,7 +151,7 @@
 		panic(err) // plain structs always encode
 	}
 	r.update(func(t *Totals) { t.Sent++ })
-	for firstTry := time.Now(); ; {
+	for firstAttempt := time.Now(); ; {
 		status, wait := r.post(body)
 		switch status {
 		case 200, 201:
@@ -160,42 +164,42 @@
 			r.update(func(t *Totals) { t.Refused++ })
 			return false
 		}
-		if time.Since(firstTry)+wait > submitDeadline || !r.sleep(wait) {
-			r.update(func(t *Totals) { t.GivenUp++ })
+		if time.Since(firstAttempt)+wait > submitDeadline || !r.sleep(wait) {
+			r.update(func(t *Totals) { t.Abandoned++ })
 			return false
 		}
 		r.update(func(t *Totals) { t.Retries++ })
 	}
 }
 
-// post sends a submission. It returns the status code, 0 if there was no response, and the delay
+// post sends a submission. It returns the status code (0 if there was no response) and the delay
 // before a retry.
 func (r *runner) post(body []byte) (int, time.Duration) {
-	resp, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
+	response, err := r.client.Post("http://"+r.Addr+"/work", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, time.Second
 	}
-	_, _ = io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close()
-	after, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return resp.StatusCode, min(max(time.Second, time.Duration(after)*time.Second), maxRetryDelay)
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	retryAfter, _ := strconv.Atoi(response.Header.Get("Retry-After"))
+	return response.StatusCode, min(max(time.Second, time.Duration(retryAfter)*time.Second), maxRetryDelay)
 }
 
 // follow polls a job until it has ended.
 func (r *runner) follow(e Entry) {
 	for r.sleep(pollInterval) {
-		resp, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
+		response, err := r.client.Get("http://" + r.Addr + "/work/" + e.Job.ID)
 		if err != nil {
 			continue
 		}
-		var a wire.JobAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
-		_ = resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusOK || a.State != wire.Done && a.State != wire.Cancelled {
+		var answer wire.JobAnswer
+		err = json.NewDecoder(response.Body).Decode(&answer)
+		_ = response.Body.Close()
+		if err != nil || response.StatusCode != http.StatusOK || answer.State != wire.Done && answer.State != wire.Cancelled {
 			continue
 		}
 		r.update(func(t *Totals) {
-			if a.State == wire.Cancelled {
+			if answer.State == wire.Cancelled {
 				t.Cancelled++
 				return
 			}
@@ -208,7 +212,7 @@
 
 // String formats the totals as one line, without the latencies.
 func (t Totals) String() string {
-	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.GivenUp, t.Throttled, t.Retries, t.Done, t.Cancelled)
+	return fmt.Sprintf("%d sent, %d accepted, %d refused, %d given up, %d held up, %d retries, %d done, %d withdrawn", t.Sent, t.Accepted, t.Refused, t.Abandoned, t.Throttled, t.Retries, t.Done, t.Cancelled)
 }
 
 // Quantiles formats the quantiles of a histogram of microseconds, in milliseconds.
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// commandTimeout is how long a worker may take to accept commands.
+	// commandTimeout is the timeout of a call that delivers commands to a worker.
 	commandTimeout = 2 * time.Second
-	// probeTimeout is how long a probed machine may take to answer.
+	// probeTimeout is the timeout of a probe of a machine.
 	probeTimeout = time.Second
-	// maxWorkerAnswer bounds a worker's answer, in bytes.
+	// maxWorkerAnswer is the maximum size of a worker's answer, in bytes.
 	maxWorkerAnswer = 1 << 20
 )
 
 // workerPool sends commands directly to workers' addresses, with a bounded number of
 // concurrent calls. Commands beyond the bound are delivered with the response to the
-// worker's next heartbeat. That can be too late to stop a gang in order, because all
-// its tasks must be notified within gang_peer_s, so the bound has to allow for several
-// large gangs at once.
+// worker's next heartbeat. That can be too late for a gang: it can save its state when it
+// is stopped only if all its tasks receive the stop command within gang_peer_s of the
+// first one. The bound has to allow for several large gangs at once.
 type workerPool struct {
 	slots chan struct{}
 	calls sync.WaitGroup
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -15,8 +15,8 @@
 const (
 	listTimeout = 5 * time.Second
 	getTimeout  = 1500 * time.Millisecond
-	// watchGrace is how much longer than its requested wait a watch may take before it
-	// times out.
+	// watchGrace is the time that is added to the requested wait of a watch to get the
+	// timeout of the call.
 	watchGrace = 1500 * time.Millisecond
 	// listPageSize is the maximum number of keys in a page of a list.
 	listPageSize = 500
@@ -144,8 +144,8 @@
 }
 
 // Watch reads the changes of keys with a prefix after a revision. If there is none yet,
-// it waits for one. In the result, Compacted means that the service no longer has all
-// these changes.
+// the service waits for one, at most for the time wait. In the result, Compacted means
+// that the service no longer has all these changes.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration) core.StateRead {
 	read := core.StateRead{AfterRevision: after}
 	target := "/watch?starts=" + url.QueryEscape(prefix) +
